--- a/cmd/dykering/status.go
+++ b/cmd/dykering/status.go
@@ -40,7 +40,7 @@
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	for _, state := range []sessions.State{sessions.Ready, sessions.Silent, sessions.Draining, sessions.Gone} {
+	for _, state := range []sessions.State{sessions.Ready, sessions.Expired, sessions.Draining, sessions.Departed} {
 		if n := s.Endpoints[state]; n > 0 {
 			fmt.Fprintf(out, "endpoints %s: %d\n", state, n)
 		}
--- a/internal/controlplane/anti_entropy.go
+++ b/internal/controlplane/anti_entropy.go
@@ -17,7 +17,7 @@
 	}
 	p.repairDue = now + p.timing.repairEvery
 	self := p.node.Self().Address
-	p.send(peers[rand.IntN(len(peers))], feed.SessionDigest{From: self, Digests: p.table.Digests(nil)})
+	p.send(peers[rand.IntN(len(peers))], feed.SessionDigest{From: self, Digests: p.table.ChildDigests(nil)})
 	for _, peer := range peers {
 		p.send(peer, feed.Subscribers{From: self, Count: len(p.subscribers)})
 	}
@@ -30,12 +30,12 @@
 		return
 	}
 	self := p.node.Self().Address
-	for _, part := range p.table.Differing(m.Range, m.Digests) {
+	for _, part := range p.table.DifferingChildren(m.Range, m.Digests) {
 		if len(part) < sessions.Depth {
-			p.send(m.From, feed.SessionDigest{From: self, Range: part, Digests: p.table.Digests(part)})
+			p.send(m.From, feed.SessionDigest{From: self, Range: part, Digests: p.table.ChildDigests(part)})
 			continue
 		}
-		p.send(m.From, feed.SessionRange{From: self, Range: part, Records: p.table.Of(p.sessionClock, p.table.In(part)), Ask: true})
+		p.send(m.From, feed.SessionRange{From: self, Range: part, Records: p.table.Records(p.sessionClock, p.table.IDs(part)), Ask: true})
 	}
 }
 
@@ -44,7 +44,7 @@
 		return
 	}
 	if m.Ask {
-		own := p.table.Of(p.sessionClock, p.table.In(m.Range))
+		own := p.table.Records(p.sessionClock, p.table.IDs(m.Range))
 		p.send(m.From, feed.SessionRange{From: p.node.Self().Address, Range: m.Range, Records: own})
 	}
 	for _, record := range m.Records {
--- a/internal/controlplane/drain_ack.go
+++ b/internal/controlplane/drain_ack.go
@@ -39,7 +39,7 @@
 	p.leaves[number] = &pendingLeave{id: id, state: state, until: p.now() + p.timing.drainAckWithin,
 		stored: map[string]bool{}, answer: answer}
 	p.log.Info("endpoint.leaves", "id", id, "state", string(state))
-	update := feed.SessionUpdate{From: p.node.Self().Address, Ask: number, Records: p.table.Of(p.sessionClock, []string{id})}
+	update := feed.SessionUpdate{From: p.node.Self().Address, Ask: number, Records: p.table.Records(p.sessionClock, []string{id})}
 	for _, peer := range p.peers() {
 		p.send(peer, update)
 	}
--- a/internal/controlplane/drain_ack_test.go
+++ b/internal/controlplane/drain_ack_test.go
@@ -26,7 +26,7 @@
 		member, _ := view.Voter(chain.MemberID(envelope.To))
 		p.node.Receive(0, chain.Pong{From: member, Nonce: envelope.Message.(chain.Ping).Nonce, Status: chain.Status{View: 1, Healthy: true}})
 	}
-	p.table, p.calls = sessions.NewTable(time.Hour), newCalls()
+	p.table, p.calls = sessions.New(time.Hour), newCalls()
 	p.leaves, p.replicatedLeaves = map[uint64]*pendingLeave{}, map[string]sessions.State{}
 	p.saver = &sessionSaver{ring: &ringlog.Ring{}, log: p.log, copies: make(chan sessionCopy, 1)}
 	p.timing.drainAckWithin = time.Hour
@@ -120,7 +120,7 @@
 
 	It("that deregisters is told to others also where it is not known here", func() {
 		p.deregister("i-2", answer)
-		Expect(p.table.Of(0, []string{"i-2"})).To(ConsistOf(HaveField("Endpoint.State", sessions.Gone)))
+		Expect(p.table.Records(0, []string{"i-2"})).To(ConsistOf(HaveField("Endpoint.State", sessions.Departed)))
 		Expect(p.leaves).To(HaveLen(1))
 	})
 
--- a/internal/controlplane/explain_endpoint.go
+++ b/internal/controlplane/explain_endpoint.go
@@ -92,8 +92,8 @@
 func (pl *placer) explain(now time.Duration, model string) feed.Explanation {
 	explanation := feed.Explanation{Model: model, Now: now, Holds: pl.holding, Decisions: pl.decisions.about(model)}
 	services := map[string]bool{}
-	for _, e := range pl.process.table.Since(0) {
-		if e.State == sessions.Gone || !e.Holds(model, "") {
+	for _, e := range pl.process.table.ModifiedSince(0) {
+		if e.State == sessions.Departed || !e.HasLoaded(model, "") {
 			continue
 		}
 		explanation.Copies = append(explanation.Copies, feed.Copy{Endpoint: e.ID, Zone: e.Heartbeat.Zone, State: e.State})
--- a/internal/controlplane/heartbeat_endpoint.go
+++ b/internal/controlplane/heartbeat_endpoint.go
@@ -12,7 +12,7 @@
 		answer(errkind.New(errkind.Unavailable, "no majority is in touch"))
 		return
 	}
-	p.table.Heard(p.sessionClock, id, beat)
+	p.table.ApplyHeartbeat(p.sessionClock, id, beat)
 	if beat.State == sessions.Draining {
 		p.replicateLeave(id, sessions.Draining, answer)
 		return
@@ -31,5 +31,5 @@
 		return
 	}
 	p.table.Deregister(p.sessionClock, id)
-	p.replicateLeave(id, sessions.Gone, answer)
+	p.replicateLeave(id, sessions.Departed, answer)
 }
--- a/internal/controlplane/metrics_endpoint.go
+++ b/internal/controlplane/metrics_endpoint.go
@@ -40,7 +40,7 @@
 	gauge("subscribers", uint64(len(status.Subscribers)))
 	gauge("subscriber_lag_max", longestLag(status.Subscribers))
 	metrics.WriteGaugeFloat64(w, "dykering_control_disk_behind_seconds", status.DiskBehind.Seconds())
-	for _, state := range []sessions.State{sessions.Ready, sessions.Silent, sessions.Draining} {
+	for _, state := range []sessions.State{sessions.Ready, sessions.Expired, sessions.Draining} {
 		gauge(fmt.Sprintf("endpoints{state=%q}", state), uint64(status.Endpoints[state]))
 	}
 	for _, member := range status.Members {
--- a/internal/controlplane/order_executor.go
+++ b/internal/controlplane/order_executor.go
@@ -42,7 +42,7 @@
 		pl.ledger.Begin(now)
 	}
 	if order.Operation == placement.Unloading {
-		pl.overlay(now, order.Endpoint, sessions.Holding{Model: order.Model, Adapter: order.Adapter, Present: false})
+		pl.overlay(now, order.Endpoint, sessions.ModelOverride{Model: order.Model, Adapter: order.Adapter, Present: false})
 	}
 	p.log.Info("order.begun", "endpoint", order.Endpoint, "operation", string(order.Operation), "model", order.Model, "adapter", order.Adapter)
 	go run.run()
@@ -197,7 +197,7 @@
 		state.models = seen.Models
 		delete(pl.underWay, id)
 		if r.order.Operation == placement.Loading {
-			pl.overlay(now, id, sessions.Holding{Model: r.order.Model, Adapter: r.order.Adapter, Present: true})
+			pl.overlay(now, id, sessions.ModelOverride{Model: r.order.Model, Adapter: r.order.Adapter, Present: true})
 		}
 	default:
 		state = endpointState{after: now + reportLag}
--- a/internal/controlplane/overlays.go
+++ b/internal/controlplane/overlays.go
@@ -7,9 +7,9 @@
 )
 
 // overlay tells all sidecars what an order has made of an endpoint.
-func (pl *placer) overlay(now time.Duration, id string, holding sessions.Holding) {
+func (pl *placer) overlay(now time.Duration, id string, holding sessions.ModelOverride) {
 	known := pl.overlays[id]
-	holdings := []sessions.Holding{holding}
+	holdings := []sessions.ModelOverride{holding}
 	for _, h := range known.holdings {
 		if h.Model != holding.Model || h.Adapter != holding.Adapter {
 			holdings = append(holdings, h)
@@ -18,7 +18,7 @@
 	pl.setOverlay(now, id, holdings)
 }
 
-func (pl *placer) setOverlay(now time.Duration, id string, holdings []sessions.Holding) {
+func (pl *placer) setOverlay(now time.Duration, id string, holdings []sessions.ModelOverride) {
 	pl.counter++
 	version := pl.token<<32 | pl.counter
 	pl.overlays[id] = overlay{holdings: holdings, setAt: now}
@@ -38,7 +38,7 @@
 			delete(pl.overlays, id)
 		}
 	}
-	for _, e := range pl.process.table.Since(0) {
+	for _, e := range pl.process.table.ModifiedSince(0) {
 		if _, own := pl.overlays[e.ID]; !own && len(e.Overlay.Holdings) > 0 {
 			pl.overlays[e.ID] = overlay{holdings: e.Overlay.Holdings, setAt: now}
 		}
--- a/internal/controlplane/placement_controller.go
+++ b/internal/controlplane/placement_controller.go
@@ -54,7 +54,7 @@
 
 // overlay is what this member has said of an endpoint ahead of its heartbeats.
 type overlay struct {
-	holdings []sessions.Holding
+	holdings []sessions.ModelOverride
 	setAt    time.Duration
 }
 
@@ -203,8 +203,8 @@
 // endpoints are those of a service, as the planner sees them.
 func (pl *placer) endpoints(service string) []placement.Endpoint {
 	var out []placement.Endpoint
-	for _, e := range pl.process.table.Since(0) {
-		if e.Heartbeat.Service != service || e.State == sessions.Gone {
+	for _, e := range pl.process.table.ModifiedSince(0) {
+		if e.Heartbeat.Service != service || e.State == sessions.Departed {
 			continue
 		}
 		seen := placement.Endpoint{ID: e.ID, Models: modelsOf(e.Heartbeat.Models), Leaving: e.State != sessions.Ready}
--- a/internal/controlplane/rpc.go
+++ b/internal/controlplane/rpc.go
@@ -66,7 +66,7 @@
 	case feed.SessionAck:
 		p.onSessionAck(m)
 	case feed.SessionPull:
-		p.send(m.From, feed.SessionWhole{From: p.node.Self().Address, Records: p.table.All(p.sessionClock)})
+		p.send(m.From, feed.SessionWhole{From: p.node.Self().Address, Records: p.table.AllRecords(p.sessionClock)})
 	case feed.SessionWhole:
 		p.onSessionWhole(m)
 	case feed.LoadShare:
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -71,7 +71,7 @@
 		subscribers: map[*subscriber]bool{}, elsewhere: map[string]subscriberCount{},
 	}
 	p.calls, p.loads = newCalls(), newLoadTable()
-	p.table = sessions.NewTable(p.timing.silentAfter)
+	p.table = sessions.New(p.timing.silentAfter)
 	p.placer = newPlacer(p)
 	if err := p.restore(); err != nil {
 		return err
@@ -173,7 +173,7 @@
 	p.node.SetHealthy(p.disk.behind() < p.timing.diskPatience)
 	p.readSeeds(now, inTouch)
 	p.carryOut(p.node.Tick(now))
-	p.table.Expire(p.sessionClock)
+	p.table.ExpireTTLs(p.sessionClock)
 	p.synchronize(now, inTouch)
 	p.repair(now)
 	p.expireCalls(now)
--- a/internal/controlplane/session_replication.go
+++ b/internal/controlplane/session_replication.go
@@ -14,7 +14,7 @@
 	}
 	unknown := false
 	for _, sign := range m.Signs {
-		unknown = !p.table.Alive(p.sessionClock, sign.ID, sign.Sequence, sign.Age) || unknown
+		unknown = !p.table.Renew(p.sessionClock, sign.ID, sign.Sequence, sign.Age) || unknown
 	}
 	if unknown {
 		p.send(m.From, feed.SessionPull{From: p.node.Self().Address})
@@ -43,10 +43,10 @@
 
 // sendSessionUpdates passes on what endpoints have said here.
 func (p *Process) sendSessionUpdates(now time.Duration) {
-	update := feed.SessionUpdate{From: p.node.Self().Address, Records: p.table.TakeChanged(p.sessionClock)}
+	update := feed.SessionUpdate{From: p.node.Self().Address, Records: p.table.FlushModified(p.sessionClock)}
 	if now >= p.signsDue {
 		p.signsDue = now + p.timing.signsEvery
-		update.Signs = p.table.TakeAlive(p.sessionClock)
+		update.Signs = p.table.FlushRenewals(p.sessionClock)
 	}
 	if len(update.Records) == 0 && len(update.Signs) == 0 {
 		return
--- a/internal/controlplane/session_store.go
+++ b/internal/controlplane/session_store.go
@@ -88,13 +88,13 @@
 // saveSessions hands a copy over where something has changed.
 func (p *Process) saveSessions(now time.Duration) {
 	s := p.saver
-	due := p.table.Revision() != s.saved && now >= s.dueAt
+	due := p.table.ModifyIndex() != s.saved && now >= s.dueAt
 	if s.ring == nil || !due && len(s.waiting) == 0 || now < s.retryAt {
 		return
 	}
 	select {
-	case s.copies <- sessionCopy{records: p.table.All(p.sessionClock), stored: s.waiting}:
-		s.saved, s.dueAt, s.waiting = p.table.Revision(), now+saveEvery, nil
+	case s.copies <- sessionCopy{records: p.table.AllRecords(p.sessionClock), stored: s.waiting}:
+		s.saved, s.dueAt, s.waiting = p.table.ModifyIndex(), now+saveEvery, nil
 	default: // the disk is slow: the next copy has it all
 	}
 }
--- a/internal/controlplane/update_stream.go
+++ b/internal/controlplane/update_stream.go
@@ -131,12 +131,12 @@
 	for s := range p.subscribers {
 		fresh := !s.begun
 		due := now-s.sentAt >= feed.Keepalive
-		if !fresh && !due && !loadsDue && s.revision >= p.table.Revision() && s.configSeq >= committed.Seq {
+		if !fresh && !due && !loadsDue && s.revision >= p.table.ModifyIndex() && s.configSeq >= committed.Seq {
 			continue
 		}
-		update := feed.Update{Revision: p.table.Revision(), Subscribers: count, Whole: fresh}
+		update := feed.Update{Revision: p.table.ModifyIndex(), Subscribers: count, Whole: fresh}
 		if fresh || s.revision < update.Revision {
-			update.Endpoints = p.table.Since(s.revision)
+			update.Endpoints = p.table.ModifiedSince(s.revision)
 		}
 		if s.configSeq < committed.Seq {
 			document := committed.Value.(*fleetconfig.State).Document
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -96,7 +96,7 @@
 	From    string // address
 	Ask     uint64
 	Records []sessions.Record
-	Signs   []sessions.Sign
+	Signs   []sessions.Renewal
 }
 
 // SessionAck tells that a SessionUpdate is in the table.
--- a/internal/routing/pick.go
+++ b/internal/routing/pick.go
@@ -74,12 +74,12 @@
 func (p *Pool) look(now time.Duration, q Query) holders {
 	var found holders
 	for _, e := range p.services[q.Service] {
-		if e.mark == Leaving || e.told.State == sessions.Silent && e.mark == Isolated {
+		if e.mark == Leaving || e.told.State == sessions.Expired && e.mark == Isolated {
 			continue
 		}
 		found.alive++
 		if !e.holds(now, q) {
-			if q.Adapter != "" && e.told.Holds(q.Model, "") {
+			if q.Adapter != "" && e.told.HasLoaded(q.Model, "") {
 				found.modelOnly++
 			}
 			continue
@@ -124,7 +124,7 @@
 	if until, ok := e.missing[missingKey(q.Model, q.Adapter)]; ok && now < until {
 		return false
 	}
-	return e.told.Holds(q.Model, q.Adapter)
+	return e.told.HasLoaded(q.Model, q.Adapter)
 }
 
 func missingKey(model, adapter string) string { return model + "/" + adapter }
--- a/internal/routing/pool.go
+++ b/internal/routing/pool.go
@@ -132,7 +132,7 @@
 }
 
 func (p *Pool) take(now time.Duration, told *sessions.Endpoint) {
-	if told.State == sessions.Gone {
+	if told.State == sessions.Departed {
 		p.forget(now, told.ID)
 		return
 	}
--- a/internal/routing/pool_test.go
+++ b/internal/routing/pool_test.go
@@ -23,7 +23,7 @@
 	})
 
 	It("is not brought back by a control sidecar that has not heard of its end", func() {
-		pool.Update(time.Second, in(sessions.Gone), false)
+		pool.Update(time.Second, in(sessions.Departed), false)
 		pool.Update(2*time.Second, in(sessions.Ready), true)
 		Expect(pool.Find("i")).To(BeNil())
 	})
@@ -35,7 +35,7 @@
 	})
 
 	It("is remembered for a bounded time", func() {
-		pool.Update(time.Second, in(sessions.Gone), false)
+		pool.Update(time.Second, in(sessions.Departed), false)
 		pool.Age(2*time.Second + rememberGone)
 		Expect(pool.gone).To(BeEmpty())
 	})
--- a/internal/sessions/range_digest.go
+++ b/internal/sessions/range_digest.go
@@ -28,7 +28,7 @@
 }
 
 // places are the ranges that an id is in, one for each level.
-func places(id string) [Depth]byte {
+func path(id string) [Depth]byte {
 	hash := fnv.New64a()
 	io.WriteString(hash, id)
 	sum := hash.Sum64()
@@ -39,8 +39,8 @@
 	return at
 }
 
-func (r Range) holds(id string) bool {
-	at := places(id)
+func (r Range) contains(id string) bool {
+	at := path(id)
 	for i, place := range r {
 		if at[i] != place {
 			return false
@@ -50,23 +50,23 @@
 }
 
 // Digests are those of the parts of a range.
-func (t *Table) Digests(of Range) [Fanout]uint64 {
+func (t *Table) ChildDigests(of Range) [Fanout]uint64 {
 	var digests [Fanout]uint64
 	if len(of) >= Depth {
 		return digests
 	}
-	for id, row := range t.entries {
-		if of.holds(id) {
-			digests[places(id)[len(of)]] ^= row.endpoint.digest()
+	for id, row := range t.rows {
+		if of.contains(id) {
+			digests[path(id)[len(of)]] ^= row.endpoint.digest()
 		}
 	}
 	return digests
 }
 
 // Differing lists the parts of a range whose digests are others here.
-func (t *Table) Differing(of Range, theirs [Fanout]uint64) []Range {
+func (t *Table) DifferingChildren(of Range, theirs [Fanout]uint64) []Range {
 	var differing []Range
-	for i, digest := range t.Digests(of) {
+	for i, digest := range t.ChildDigests(of) {
 		if digest != theirs[i] {
 			differing = append(differing, append(append(Range{}, of...), byte(i)))
 		}
@@ -75,10 +75,10 @@
 }
 
 // In lists the ids of a range.
-func (t *Table) In(of Range) []string {
+func (t *Table) IDs(of Range) []string {
 	var ids []string
-	for id := range t.entries {
-		if of.holds(id) {
+	for id := range t.rows {
+		if of.contains(id) {
 			ids = append(ids, id)
 		}
 	}
@@ -94,7 +94,7 @@
 		hash.Write([]byte{0})
 	}
 	state := e.State
-	if state == Silent {
+	if state == Expired {
 		state = Ready // each copy judges silence by itself
 	}
 	write(e.ID)
--- a/internal/sessions/table.go
+++ b/internal/sessions/table.go
@@ -13,9 +13,9 @@
 // The states. They only move down this list, but for an endpoint that was silent and is heard again.
 const (
 	Ready    State = "ready"
-	Silent   State = "silent" // no heartbeat for a while
+	Expired  State = "silent" // no heartbeat for a while
 	Draining State = "draining"
-	Gone     State = "gone" // deregistered
+	Departed State = "gone" // deregistered
 )
 
 // LoadedModel is a model that an endpoint holds.
@@ -41,7 +41,7 @@
 }
 
 // Holding is what orders have made of one model or adapter at an endpoint, ahead of its heartbeats.
-type Holding struct {
+type ModelOverride struct {
 	Model   string
 	Adapter string // empty for the model itself
 	Present bool
@@ -50,7 +50,7 @@
 // Overlay is what orders have made of an endpoint. A higher version takes the place of a lower one.
 type Overlay struct {
 	Version  uint64
-	Holdings []Holding
+	Holdings []ModelOverride
 }
 
 // Endpoint is one incarnation of an endpoint.
@@ -62,14 +62,14 @@
 }
 
 // Holds tells whether an endpoint holds a model, and, where one is named, its adapter.
-func (e *Endpoint) Holds(model, adapter string) bool {
-	if adapter != "" && !e.holds(model, "") {
+func (e *Endpoint) HasLoaded(model, adapter string) bool {
+	if adapter != "" && !e.hasLoaded(model, "") {
 		return false
 	}
-	return e.holds(model, adapter)
+	return e.hasLoaded(model, adapter)
 }
 
-func (e *Endpoint) holds(model, adapter string) bool {
+func (e *Endpoint) hasLoaded(model, adapter string) bool {
 	for _, holding := range e.Overlay.Holdings {
 		if holding.Model == model && holding.Adapter == adapter {
 			return holding.Present
@@ -98,70 +98,70 @@
 }
 
 // entry is a row of the table.
-type entry struct {
-	endpoint Endpoint
-	heardAt  time.Duration
-	revision uint64 // of the table, when what subscribers see last changed
+type row struct {
+	endpoint    Endpoint
+	lastSeen    time.Duration
+	modifyIndex uint64 // of the table, when what subscribers see last changed
 }
 
 const (
-	mostEntries = 16384
+	maxSessions = 16384
 	// keepGone is how long an endpoint that has gone is remembered, so that late heartbeats do not bring it back.
-	keepGone = 60 * time.Second
+	retention = 60 * time.Second
 )
 
 // Table is the table of sessions.
 type Table struct {
-	entries     map[string]*entry
-	revision    uint64
-	silentAfter time.Duration
-	changed     []string // what other control sidecars have not been told in full
-	alive       map[string]bool
+	rows        map[string]*row
+	modifyIndex uint64
+	ttl         time.Duration
+	modified    []string // what other control sidecars have not been told in full
+	renewed     map[string]bool
 }
 
 // NewTable makes a table in which an endpoint without a heartbeat for a time counts as silent.
-func NewTable(silentAfter time.Duration) *Table {
-	return &Table{entries: map[string]*entry{}, silentAfter: silentAfter, alive: map[string]bool{}}
+func New(ttl time.Duration) *Table {
+	return &Table{rows: map[string]*row{}, ttl: ttl, renewed: map[string]bool{}}
 }
 
 // Revision rises with every change that subscribers see.
-func (t *Table) Revision() uint64 { return t.revision }
+func (t *Table) ModifyIndex() uint64 { return t.modifyIndex }
 
 // Heard takes a heartbeat. It is false for one that is older than what is known; its state counts all the same, as states
 // only go down.
-func (t *Table) Heard(now time.Duration, id string, beat Heartbeat) bool {
-	known := t.entries[id]
-	if known != nil && beat.Sequence <= known.endpoint.Heartbeat.Sequence && beat.Sequence != 0 {
-		if Before(known.endpoint.State, beat.State) {
+func (t *Table) ApplyHeartbeat(now time.Duration, id string, heartbeat Heartbeat) bool {
+	known := t.rows[id]
+	if known != nil && heartbeat.Sequence <= known.endpoint.Heartbeat.Sequence && heartbeat.Sequence != 0 {
+		if Before(known.endpoint.State, heartbeat.State) {
 			late := known.endpoint
-			late.State = beat.State
-			t.tell(id, t.merge(now, late))
+			late.State = heartbeat.State
+			t.markForPeers(id, t.merge(now, late))
 		}
 		return false
 	}
-	t.tell(id, t.merge(now, Endpoint{ID: id, Heartbeat: beat, State: beat.State}))
+	t.markForPeers(id, t.merge(now, Endpoint{ID: id, Heartbeat: heartbeat, State: heartbeat.State}))
 	return true
 }
 
 // Deregister notes that an endpoint has gone, also one that is not known: others may know it.
 func (t *Table) Deregister(now time.Duration, id string) {
-	gone := Endpoint{ID: id, State: Gone}
-	if known := t.entries[id]; known != nil {
+	gone := Endpoint{ID: id, State: Departed}
+	if known := t.rows[id]; known != nil {
 		gone = known.endpoint
-		gone.State = Gone
+		gone.State = Departed
 	}
-	t.tell(id, t.merge(now, gone))
+	t.markForPeers(id, t.merge(now, gone))
 }
 
 // SetOverlay notes what orders have made of an endpoint.
 func (t *Table) SetOverlay(now time.Duration, id string, overlay Overlay) {
-	known := t.entries[id]
+	known := t.rows[id]
 	if known == nil || overlay.Version <= known.endpoint.Overlay.Version {
 		return
 	}
 	next := known.endpoint
 	next.Overlay = overlay
-	t.tell(id, t.update(known, next))
+	t.markForPeers(id, t.update(known, next))
 }
 
 // Merge takes what another control sidecar says: it tells all others itself. It reports whether anything was news.
@@ -170,16 +170,16 @@
 }
 
 // Alive notes that an endpoint was heard of elsewhere. It is false for one that is not known.
-func (t *Table) Alive(now time.Duration, id string, sequence uint64, age time.Duration) bool {
-	known := t.entries[id]
+func (t *Table) Renew(now time.Duration, id string, sequence uint64, age time.Duration) bool {
+	known := t.rows[id]
 	if known == nil {
 		return false
 	}
-	known.heardAt = max(known.heardAt, now-age)
+	known.lastSeen = max(known.lastSeen, now-age)
 	if sequence > known.endpoint.Heartbeat.Sequence {
 		known.endpoint.Heartbeat.Sequence = sequence
 	}
-	if known.endpoint.State == Silent && now-known.heardAt < t.silentAfter {
+	if known.endpoint.State == Expired && now-known.lastSeen < t.ttl {
 		next := known.endpoint
 		next.State = Ready
 		t.update(known, next)
@@ -188,64 +188,64 @@
 }
 
 // Before tells whether an endpoint in one state is not as far in its life as in another. The empty state is before all.
-func Before(a, b State) bool { return a == "" && b != "" || ranks[a] < ranks[b] }
+func Before(a, b State) bool { return a == "" && b != "" || stateOrder[a] < stateOrder[b] }
 
-var ranks = map[State]int{Ready: 0, Silent: 0, Draining: 1, Gone: 2}
+var stateOrder = map[State]int{Ready: 0, Expired: 0, Draining: 1, Departed: 2}
 
 // merge takes what is said of an endpoint. It reports whether that is news to subscribers.
-func (t *Table) merge(heardAt time.Duration, told Endpoint) bool {
-	known := t.entries[told.ID]
+func (t *Table) merge(lastSeen time.Duration, received Endpoint) bool {
+	known := t.rows[received.ID]
 	if known == nil {
-		if len(t.entries) >= mostEntries {
+		if len(t.rows) >= maxSessions {
 			return false
 		}
-		known = &entry{heardAt: heardAt}
-		t.entries[told.ID] = known
-		return t.update(known, told)
+		known = &row{lastSeen: lastSeen}
+		t.rows[received.ID] = known
+		return t.update(known, received)
 	}
 	next := known.endpoint
-	if told.Heartbeat.Sequence >= next.Heartbeat.Sequence {
-		next.Heartbeat = told.Heartbeat
+	if received.Heartbeat.Sequence >= next.Heartbeat.Sequence {
+		next.Heartbeat = received.Heartbeat
 	}
-	if told.Overlay.Version > next.Overlay.Version {
-		next.Overlay = told.Overlay
+	if received.Overlay.Version > next.Overlay.Version {
+		next.Overlay = received.Overlay
 	}
-	if ranks[told.State] >= ranks[next.State] {
-		next.State = told.State
+	if stateOrder[received.State] >= stateOrder[next.State] {
+		next.State = received.State
 	}
-	known.heardAt = max(known.heardAt, heardAt)
+	known.lastSeen = max(known.lastSeen, lastSeen)
 	return t.update(known, next)
 }
 
 // update puts a new endpoint into a row. It reports whether that is news to subscribers.
-func (t *Table) update(row *entry, next Endpoint) bool {
-	news := row.endpoint.ID == "" || !sameToSubscribers(&row.endpoint, &next)
+func (t *Table) update(target *row, next Endpoint) bool {
+	news := target.endpoint.ID == "" || !equalForSubscribers(&target.endpoint, &next)
 	if news {
-		t.revision++
-		row.revision = t.revision
+		t.modifyIndex++
+		target.modifyIndex = t.modifyIndex
 	}
-	row.endpoint = next
+	target.endpoint = next
 	return news
 }
 
 // tell notes that other control sidecars are to hear of an endpoint: in full where there is news, else as a sign of life.
-func (t *Table) tell(id string, news bool) {
+func (t *Table) markForPeers(id string, news bool) {
 	if news {
-		t.changed = append(t.changed, id)
+		t.modified = append(t.modified, id)
 		return
 	}
-	t.alive[id] = true
+	t.renewed[id] = true
 }
 
 // sameToSubscribers compares what matters to those who send requests.
-func sameToSubscribers(a, b *Endpoint) bool {
+func equalForSubscribers(a, b *Endpoint) bool {
 	x, y := &a.Heartbeat, &b.Heartbeat
 	return a.State == b.State && a.Overlay.Version == b.Overlay.Version && x.Service == y.Service && x.Address == y.Address &&
 		x.Zone == y.Zone && x.Version == y.Version && x.Slots == y.Slots && (x.RemainingMs == nil) == (y.RemainingMs == nil) &&
-		sameModels(x.Models, y.Models)
+		equalModels(x.Models, y.Models)
 }
 
-func sameModels(a, b []LoadedModel) bool {
+func equalModels(a, b []LoadedModel) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -263,29 +263,29 @@
 }
 
 // Expire notes which endpoints have fallen silent, and forgets those that have long gone.
-func (t *Table) Expire(now time.Duration) {
-	for id, row := range t.entries {
-		quiet := now - row.heardAt
+func (t *Table) ExpireTTLs(now time.Duration) {
+	for id, row := range t.rows {
+		quiet := now - row.lastSeen
 		switch {
-		case quiet > keepGone:
-			delete(t.entries, id)
-		case quiet > t.silentAfter && row.endpoint.State == Ready:
+		case quiet > retention:
+			delete(t.rows, id)
+		case quiet > t.ttl && row.endpoint.State == Ready:
 			next := row.endpoint
-			next.State = Silent
+			next.State = Expired
 			t.update(row, next)
-		case quiet > 2*t.silentAfter && row.endpoint.State == Draining:
+		case quiet > 2*t.ttl && row.endpoint.State == Draining:
 			next := row.endpoint
-			next.State = Gone
+			next.State = Departed
 			t.update(row, next)
 		}
 	}
 }
 
 // Since lists the endpoints that have changed after a revision.
-func (t *Table) Since(revision uint64) []Endpoint {
+func (t *Table) ModifiedSince(revision uint64) []Endpoint {
 	var out []Endpoint
-	for _, row := range t.entries {
-		if row.revision > revision {
+	for _, row := range t.rows {
+		if row.modifyIndex > revision {
 			out = append(out, row.endpoint)
 		}
 	}
@@ -295,7 +295,7 @@
 
 // Get finds an endpoint.
 func (t *Table) Get(id string) (Endpoint, bool) {
-	row := t.entries[id]
+	row := t.rows[id]
 	if row == nil {
 		return Endpoint{}, false
 	}
@@ -303,57 +303,57 @@
 }
 
 // All lists every record, as other control sidecars are told of them.
-func (t *Table) All(now time.Duration) []Record {
-	out := make([]Record, 0, len(t.entries))
-	for _, row := range t.entries {
-		out = append(out, Record{Endpoint: row.endpoint, Age: now - row.heardAt})
+func (t *Table) AllRecords(now time.Duration) []Record {
+	out := make([]Record, 0, len(t.rows))
+	for _, row := range t.rows {
+		out = append(out, Record{Endpoint: row.endpoint, Age: now - row.lastSeen})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Endpoint.ID < out[j].Endpoint.ID })
 	return out
 }
 
 // Of lists the records of some ids.
-func (t *Table) Of(now time.Duration, ids []string) []Record {
+func (t *Table) Records(now time.Duration, ids []string) []Record {
 	var out []Record
 	for _, id := range ids {
-		if row := t.entries[id]; row != nil {
-			out = append(out, Record{Endpoint: row.endpoint, Age: now - row.heardAt})
+		if row := t.rows[id]; row != nil {
+			out = append(out, Record{Endpoint: row.endpoint, Age: now - row.lastSeen})
 		}
 	}
 	return out
 }
 
 // TakeChanged gives the records that others must be told of in full, and forgets that they must.
-func (t *Table) TakeChanged(now time.Duration) []Record {
+func (t *Table) FlushModified(now time.Duration) []Record {
 	var out []Record
 	seen := map[string]bool{}
-	for _, id := range t.changed {
-		if row := t.entries[id]; row != nil && !seen[id] {
+	for _, id := range t.modified {
+		if row := t.rows[id]; row != nil && !seen[id] {
 			seen[id] = true
-			out = append(out, Record{Endpoint: row.endpoint, Age: now - row.heardAt})
-			delete(t.alive, id)
+			out = append(out, Record{Endpoint: row.endpoint, Age: now - row.lastSeen})
+			delete(t.renewed, id)
 		}
 	}
-	t.changed = nil
+	t.modified = nil
 	return out
 }
 
 // Sign is a sign of life of an endpoint.
-type Sign struct {
+type Renewal struct {
 	ID       string
 	Sequence uint64
 	Age      time.Duration
 }
 
 // TakeAlive gives the signs of life that others were not told of.
-func (t *Table) TakeAlive(now time.Duration) []Sign {
-	var out []Sign
-	for id := range t.alive {
-		if row := t.entries[id]; row != nil && row.endpoint.State != Silent {
-			out = append(out, Sign{ID: id, Sequence: row.endpoint.Heartbeat.Sequence, Age: now - row.heardAt})
+func (t *Table) FlushRenewals(now time.Duration) []Renewal {
+	var out []Renewal
+	for id := range t.renewed {
+		if row := t.rows[id]; row != nil && row.endpoint.State != Expired {
+			out = append(out, Renewal{ID: id, Sequence: row.endpoint.Heartbeat.Sequence, Age: now - row.lastSeen})
 		}
 	}
-	t.alive = map[string]bool{}
+	t.renewed = map[string]bool{}
 	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
 	return out
 }
--- a/internal/sessions/table_test.go
+++ b/internal/sessions/table_test.go
@@ -14,16 +14,16 @@
 	RunSpecs(t, "the table of sessions")
 }
 
-const silentAfter = 4 * time.Second
+const ttl = 4 * time.Second
 
-func beat(sequence uint64, state State) Heartbeat {
+func heartbeat(sequence uint64, state State) Heartbeat {
 	return Heartbeat{Service: "s", Address: "10.0.0.1:80", Sequence: sequence, State: state,
 		Models: []LoadedModel{{Name: "m", Version: 1, Adapters: []string{"a1"}}}}
 }
 
 var _ = Describe("the table", func() {
 	var table *Table
-	BeforeEach(func() { table = NewTable(silentAfter) })
+	BeforeEach(func() { table = New(ttl) })
 	state := func(id string) State {
 		e, ok := table.Get(id)
 		Expect(ok).To(BeTrue())
@@ -31,78 +31,78 @@
 	}
 
 	It("takes no heartbeat that is older than one it has", func() {
-		Expect(table.Heard(0, "i", beat(5, Draining))).To(BeTrue())
-		Expect(table.Heard(1, "i", beat(4, Ready))).To(BeFalse())
+		Expect(table.ApplyHeartbeat(0, "i", heartbeat(5, Draining))).To(BeTrue())
+		Expect(table.ApplyHeartbeat(1, "i", heartbeat(4, Ready))).To(BeFalse())
 		Expect(state("i")).To(Equal(Draining))
 	})
 
 	It("never takes a leaving endpoint for one that is ready", func() {
-		table.Heard(0, "i", beat(5, Draining))
-		table.Heard(1, "i", beat(6, Ready))
+		table.ApplyHeartbeat(0, "i", heartbeat(5, Draining))
+		table.ApplyHeartbeat(1, "i", heartbeat(6, Ready))
 		Expect(state("i")).To(Equal(Draining))
 		table.Deregister(2, "i")
-		table.Heard(3, "i", beat(7, Draining))
-		Expect(state("i")).To(Equal(Gone))
+		table.ApplyHeartbeat(3, "i", heartbeat(7, Draining))
+		Expect(state("i")).To(Equal(Departed))
 	})
 
 	It("takes the state of a late heartbeat where that is further down", func() {
-		table.Heard(0, "i", beat(5, Ready))
-		Expect(table.Heard(1, "i", beat(4, Draining))).To(BeFalse())
+		table.ApplyHeartbeat(0, "i", heartbeat(5, Ready))
+		Expect(table.ApplyHeartbeat(1, "i", heartbeat(4, Draining))).To(BeFalse())
 		Expect(state("i")).To(Equal(Draining))
-		Expect(table.TakeChanged(1)).To(HaveLen(1))
+		Expect(table.FlushModified(1)).To(HaveLen(1))
 	})
 
 	It("remembers that an endpoint has gone which it has never heard of", func() {
 		table.Deregister(0, "i")
-		table.Merge(1, Record{Endpoint: Endpoint{ID: "i", State: Ready, Heartbeat: beat(5, Ready)}})
-		Expect(state("i")).To(Equal(Gone))
+		table.Merge(1, Record{Endpoint: Endpoint{ID: "i", State: Ready, Heartbeat: heartbeat(5, Ready)}})
+		Expect(state("i")).To(Equal(Departed))
 	})
 
 	It("tells subscribers only of what matters to them", func() {
-		table.Heard(0, "i", beat(1, Ready))
-		revision := table.Revision()
-		table.Heard(time.Second, "i", beat(2, Ready))
-		Expect(table.Revision()).To(Equal(revision))
-		table.Heard(2*time.Second, "i", beat(3, Draining))
-		Expect(table.Since(revision)).To(HaveLen(1))
+		table.ApplyHeartbeat(0, "i", heartbeat(1, Ready))
+		revision := table.ModifyIndex()
+		table.ApplyHeartbeat(time.Second, "i", heartbeat(2, Ready))
+		Expect(table.ModifyIndex()).To(Equal(revision))
+		table.ApplyHeartbeat(2*time.Second, "i", heartbeat(3, Draining))
+		Expect(table.ModifiedSince(revision)).To(HaveLen(1))
 	})
 
 	It("holds a silent endpoint back until it is heard of again", func() {
-		table.Heard(0, "i", beat(1, Ready))
-		table.Expire(silentAfter + 1)
-		Expect(state("i")).To(Equal(Silent))
-		table.Heard(silentAfter+2, "i", beat(2, Ready))
+		table.ApplyHeartbeat(0, "i", heartbeat(1, Ready))
+		table.ExpireTTLs(ttl + 1)
+		Expect(state("i")).To(Equal(Expired))
+		table.ApplyHeartbeat(ttl+2, "i", heartbeat(2, Ready))
 		Expect(state("i")).To(Equal(Ready))
 	})
 
 	It("counts a sign of life that was heard elsewhere", func() {
-		table.Heard(0, "i", beat(1, Ready))
-		Expect(table.Alive(5*time.Second, "i", 4, time.Second)).To(BeTrue())
-		table.Expire(6 * time.Second)
+		table.ApplyHeartbeat(0, "i", heartbeat(1, Ready))
+		Expect(table.Renew(5*time.Second, "i", 4, time.Second)).To(BeTrue())
+		table.ExpireTTLs(6 * time.Second)
 		Expect(state("i")).To(Equal(Ready))
-		Expect(table.Alive(0, "unknown", 1, 0)).To(BeFalse())
+		Expect(table.Renew(0, "unknown", 1, 0)).To(BeFalse())
 	})
 
 	It("tells others what was heard here, whatever others say meanwhile, and nothing that they said", func() {
-		table.Heard(0, "mine", beat(1, Ready))
-		table.TakeChanged(0)
-		table.Heard(time.Second, "mine", beat(2, Ready))
-		table.Merge(time.Second, Record{Endpoint: Endpoint{ID: "theirs", Heartbeat: beat(1, Ready), State: Ready}})
-		table.Alive(time.Second, "theirs", 2, 0)
-		Expect(table.TakeChanged(time.Second)).To(BeEmpty())
-		Expect(table.TakeAlive(time.Second)).To(Equal([]Sign{{ID: "mine", Sequence: 2}}))
+		table.ApplyHeartbeat(0, "mine", heartbeat(1, Ready))
+		table.FlushModified(0)
+		table.ApplyHeartbeat(time.Second, "mine", heartbeat(2, Ready))
+		table.Merge(time.Second, Record{Endpoint: Endpoint{ID: "theirs", Heartbeat: heartbeat(1, Ready), State: Ready}})
+		table.Renew(time.Second, "theirs", 2, 0)
+		Expect(table.FlushModified(time.Second)).To(BeEmpty())
+		Expect(table.FlushRenewals(time.Second)).To(Equal([]Renewal{{ID: "mine", Sequence: 2}}))
 	})
 
 	It("merges alike in any order", func() {
 		records := []Record{
-			{Endpoint: Endpoint{ID: "i", Heartbeat: beat(1, Ready), State: Ready}},
-			{Endpoint: Endpoint{ID: "i", Heartbeat: beat(3, Draining), State: Draining}},
-			{Endpoint: Endpoint{ID: "i", Heartbeat: beat(2, Ready), State: Ready, Overlay: Overlay{Version: 7}}},
+			{Endpoint: Endpoint{ID: "i", Heartbeat: heartbeat(1, Ready), State: Ready}},
+			{Endpoint: Endpoint{ID: "i", Heartbeat: heartbeat(3, Draining), State: Draining}},
+			{Endpoint: Endpoint{ID: "i", Heartbeat: heartbeat(2, Ready), State: Ready, Overlay: Overlay{Version: 7}}},
 		}
 		orders := [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}}
 		var results []Endpoint
 		for _, order := range orders {
-			other := NewTable(silentAfter)
+			other := New(ttl)
 			for _, i := range order {
 				other.Merge(time.Second, records[i])
 			}
@@ -117,30 +117,30 @@
 	})
 
 	It("forgets what has long gone", func() {
-		table.Heard(0, "i", beat(1, Ready))
+		table.ApplyHeartbeat(0, "i", heartbeat(1, Ready))
 		table.Deregister(0, "i")
-		table.Expire(keepGone + 1)
+		table.ExpireTTLs(retention + 1)
 		_, ok := table.Get("i")
 		Expect(ok).To(BeFalse())
 	})
 })
 
 var _ = Describe("what an endpoint holds", func() {
-	holds := func(overlay ...Holding) *Endpoint {
-		return &Endpoint{Heartbeat: beat(1, Ready), Overlay: Overlay{Holdings: overlay}}
+	holds := func(overlay ...ModelOverride) *Endpoint {
+		return &Endpoint{Heartbeat: heartbeat(1, Ready), Overlay: Overlay{Holdings: overlay}}
 	}
 	DescribeTable("is what it says, and what orders have made of it since",
 		func(e *Endpoint, model, adapter string, expected bool) {
-			Expect(e.Holds(model, adapter)).To(Equal(expected))
+			Expect(e.HasLoaded(model, adapter)).To(Equal(expected))
 		},
 		Entry("its model", holds(), "m", "", true),
 		Entry("another model", holds(), "n", "", false),
 		Entry("its adapter", holds(), "m", "a1", true),
 		Entry("another adapter", holds(), "m", "a2", false),
-		Entry("a model that was loaded", holds(Holding{Model: "n", Present: true}), "n", "", true),
-		Entry("an adapter that was loaded", holds(Holding{Model: "m", Adapter: "a2", Present: true}), "m", "a2", true),
-		Entry("a model that was unloaded", holds(Holding{Model: "m"}), "m", "", false),
-		Entry("an adapter of a model that was unloaded", holds(Holding{Model: "m"}), "m", "a1", false),
+		Entry("a model that was loaded", holds(ModelOverride{Model: "n", Present: true}), "n", "", true),
+		Entry("an adapter that was loaded", holds(ModelOverride{Model: "m", Adapter: "a2", Present: true}), "m", "a2", true),
+		Entry("a model that was unloaded", holds(ModelOverride{Model: "m"}), "m", "", false),
+		Entry("an adapter of a model that was unloaded", holds(ModelOverride{Model: "m"}), "m", "a1", false),
 	)
 })
 
@@ -153,27 +153,27 @@
 			at := ranges[0]
 			ranges = ranges[1:]
 			if len(at) == Depth {
-				for _, id := range a.In(at) {
+				for _, id := range a.IDs(at) {
 					found[id] = true
 				}
 				continue
 			}
 			told++
-			ranges = append(ranges, b.Differing(at, a.Digests(at))...)
+			ranges = append(ranges, b.DifferingChildren(at, a.ChildDigests(at))...)
 		}
 		return found, told
 	}
 	fill := func() *Table {
-		t := NewTable(silentAfter)
+		t := New(ttl)
 		for i := range 1000 {
-			t.Heard(0, fmt.Sprint("i-", i), beat(1, Ready))
+			t.ApplyHeartbeat(0, fmt.Sprint("i-", i), heartbeat(1, Ready))
 		}
 		return t
 	}
 
 	It("that are alike say one message", func() {
 		a, b := fill(), fill()
-		b.Heard(0, "i-5", beat(9, Ready)) // a newer sign of life is no difference
+		b.ApplyHeartbeat(0, "i-5", heartbeat(9, Ready)) // a newer sign of life is no difference
 		found, told := compare(a, b)
 		Expect(found).To(BeEmpty())
 		Expect(told).To(Equal(1))
@@ -181,8 +181,8 @@
 
 	It("find what differs with few messages", func() {
 		a, b := fill(), fill()
-		a.Heard(0, "i-7", beat(2, Draining))
-		a.Heard(0, "new", beat(1, Ready))
+		a.ApplyHeartbeat(0, "i-7", heartbeat(2, Draining))
+		a.ApplyHeartbeat(0, "new", heartbeat(1, Ready))
 		found, told := compare(a, b)
 		Expect(found).To(HaveKey("i-7"))
 		Expect(found).To(HaveKey("new"))
