--- a/internal/dataplane/account.go
+++ b/internal/dataplane/account.go
@@ -93,17 +93,18 @@
 // mostEndings bounds the endings that are told apart.
 const mostEndings = 1024
 
-// end judges a request whose carrying is over. Refused is nil for one that was answered.
+// end judges a request whose carrying is over. Refused is nil for one that was answered, and says why the answer was cut for
+// one whose answer has begun.
 func (c *carrying) end(refused *refusal) ending {
 	q := c.request
 	e := ending{kind: q.route.Kind, priority: priorityOf(q.route), result: resultInTime}
 	switch {
+	case c.withdrawn:
+		e.result, e.cause = resultWithdrawn, c.lateFor()
 	case refused != nil && errkind.AnswerOf(refused.kind).NotExecuted:
 		e.result, e.cause = resultRefused, phaseNames[c.account.longest()]
 	case refused != nil:
 		e.result, e.cause = resultFailed, errkind.AnswerOf(refused.kind).Text
-	case c.withdrawn:
-		e.result, e.cause = resultWithdrawn, c.lateFor()
 	default:
 		if e.cause = c.lateFor(); e.cause != "" {
 			e.result = resultLate
--- a/internal/dataplane/serve.go
+++ b/internal/dataplane/serve.go
@@ -52,7 +52,19 @@
 		q.engine = service.Engine
 	}
 	q.size = p.promptSizes.note(q.service, q.usage.prompt)
-	p.carry(w, r.Context(), q)
+	if complete := p.carry(w, r.Context(), q); !complete {
+		breakOff(w)
+	}
+}
+
+// breakOff closes a client's connection in the middle of an answer, so that the answer does not look complete: neither a
+// last chunk nor the rest of its length follows. The request's end has been recorded before.
+func breakOff(w http.ResponseWriter) {
+	conn, _, err := http.NewResponseController(w).Hijack()
+	if err != nil {
+		panic(http.ErrAbortHandler) // the writer cannot give its connection away: net/http itself must break it off
+	}
+	conn.Close()
 }
 
 // refusalOfUnread answers a request that could not be read.
@@ -64,9 +76,10 @@
 	return refused
 }
 
-// carry sends a request to endpoints until one answers, and passes the answer on.
-func (p *Process) carry(w http.ResponseWriter, ctx context.Context, q *request) {
-	ctx, cancel := context.WithDeadline(ctx, q.deadline)
+// carry sends a request to endpoints until one answers, and passes the answer on. It records how the request ended, and
+// tells whether what its client has is complete; the connection to the client of a cut answer is still to be broken off.
+func (p *Process) carry(w http.ResponseWriter, clientCtx context.Context, q *request) (complete bool) {
+	ctx, cancel := context.WithDeadline(clientCtx, q.deadline)
 	defer cancel()
 	release := context.AfterFunc(p.ending, cancel)
 	defer release()
@@ -77,9 +90,15 @@
 	})
 	var refused *refusal
 	defer func() { c.ended(refused) }()
-	if refused = c.run(); refused != nil {
+	refused = c.run()
+	if c.begun {
+		c.withdrawn = c.withdrawn || refused != nil && clientCtx.Err() != nil
+		return refused == nil
+	}
+	if refused != nil {
 		refused.answer(w)
 	}
+	return true
 }
 
 // ended tells the owner that the request is over.
@@ -118,10 +137,10 @@
 
 	account   account
 	chosen    routing.Choice
-	withdrawn bool // its client left while it was answered
+	withdrawn bool // its client left while it was answered, whether or not a piece of the answer could not be written
 }
 
-// run sends the request until it is answered. A refusal is still to be written.
+// run sends the request until it is answered. A refusal is still to be written, or says why an answer was cut that has begun.
 func (c *carrying) run() *refusal {
 	for {
 		endpoint, refused := c.choose()
@@ -142,9 +161,6 @@
 
 // final makes a refusal true to what has happened: nothing is promised of what may have run.
 func (c *carrying) final(refused *refusal) *refusal {
-	if c.begun {
-		panic(http.ErrAbortHandler) // the answer was cut: it must not look whole
-	}
 	if c.ran > 0 && errkind.AnswerOf(refused.kind).NotExecuted {
 		return &refusal{kind: errkind.EndpointFailed, detail: refused.detail}
 	}
