--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -3,7 +3,6 @@
 package feed
 
 import (
-	"encoding/gob"
 	"time"
 
 	"dykering/internal/chain"
@@ -193,20 +192,3 @@
 
 // Keepalive is the least time between two messages of a stream.
 const Keepalive = 400 * time.Millisecond
-
-// Register makes the messages known to gob.
-func Register() {
-	for _, message := range []any{
-		chain.Ping{}, chain.Pong{}, chain.Prepare{}, chain.Promise{}, chain.Reject{}, chain.Accept{}, chain.AcceptedReply{},
-		chain.Install{}, chain.Append{}, chain.Committed{},
-		Subscribe{}, Update{}, Ack{}, DemandReport{}, SessionUpdate{}, SessionAck{}, SessionPull{}, SessionWhole{},
-		LoadShare{}, LedgerShare{}, SessionDigest{}, SessionRange{}, StatusAsk{}, Status{},
-		ExplainAsk{}, Explanation{},
-		Subscribers{}, Write{}, Read{}, Reply{},
-		&fleetconfig.State{}, fleetconfig.Change{},
-		chain.Snapshot{}, chain.EntryRecord{}, chain.PromiseRecord{}, chain.AcceptRecord{}, chain.HeldRecord{},
-		chain.InstallRecord{},
-	} {
-		gob.Register(message)
-	}
-}
--- /dev/null
+++ b/internal/feed/register.go
@@ -0,0 +1,76 @@
+package feed
+
+import (
+	"encoding/gob"
+
+	"dykering/internal/chain"
+	"dykering/internal/fleetconfig"
+)
+
+// registeredType is a type that gob encodes as an interface value, with the name that identifies it there.
+type registeredType struct {
+	name  string
+	value any
+}
+
+// registeredTypes are the types that processes send to one another or store as interface values.
+//
+// The names are part of the wire format and of the disk format: gob writes them with each interface value and finds the
+// type to decode by them. They are the names under which gob.Register registered the types at first: the import path and
+// the name of the type at that time, or, for a pointer, only the name of the package. They stay as they are when a type
+// or a package is renamed or moved. The same holds for the names of the exported fields of all these types, and of the
+// types that they contain: gob matches fields by name.
+var registeredTypes = []registeredType{
+	// Messages between members of the core.
+	{"dykering/internal/chain.Ping", chain.Ping{}},
+	{"dykering/internal/chain.Pong", chain.Pong{}},
+	{"dykering/internal/chain.Prepare", chain.Prepare{}},
+	{"dykering/internal/chain.Promise", chain.Promise{}},
+	{"dykering/internal/chain.Reject", chain.Reject{}},
+	{"dykering/internal/chain.Accept", chain.Accept{}},
+	{"dykering/internal/chain.AcceptedReply", chain.AcceptedReply{}},
+	{"dykering/internal/chain.Install", chain.Install{}},
+	{"dykering/internal/chain.Append", chain.Append{}},
+	{"dykering/internal/chain.Committed", chain.Committed{}},
+
+	// Messages between control processes, proxies and the operator's commands.
+	{"dykering/internal/feed.Subscribe", Subscribe{}},
+	{"dykering/internal/feed.Update", Update{}},
+	{"dykering/internal/feed.Ack", Ack{}},
+	{"dykering/internal/feed.DemandReport", DemandReport{}},
+	{"dykering/internal/feed.SessionUpdate", SessionUpdate{}},
+	{"dykering/internal/feed.SessionAck", SessionAck{}},
+	{"dykering/internal/feed.SessionPull", SessionPull{}},
+	{"dykering/internal/feed.SessionWhole", SessionWhole{}},
+	{"dykering/internal/feed.LoadShare", LoadShare{}},
+	{"dykering/internal/feed.LedgerShare", LedgerShare{}},
+	{"dykering/internal/feed.SessionDigest", SessionDigest{}},
+	{"dykering/internal/feed.SessionRange", SessionRange{}},
+	{"dykering/internal/feed.StatusAsk", StatusAsk{}},
+	{"dykering/internal/feed.Status", Status{}},
+	{"dykering/internal/feed.ExplainAsk", ExplainAsk{}},
+	{"dykering/internal/feed.Explanation", Explanation{}},
+	{"dykering/internal/feed.Subscribers", Subscribers{}},
+	{"dykering/internal/feed.Write", Write{}},
+	{"dykering/internal/feed.Read", Read{}},
+	{"dykering/internal/feed.Reply", Reply{}},
+
+	// The replicated value, and a change to it.
+	{"*fleetconfig.State", &fleetconfig.State{}},
+	{"dykering/internal/fleetconfig.Change", fleetconfig.Change{}},
+
+	// Records on the disk of a member of the core.
+	{"dykering/internal/chain.Snapshot", chain.Snapshot{}},
+	{"dykering/internal/chain.EntryRecord", chain.EntryRecord{}},
+	{"dykering/internal/chain.PromiseRecord", chain.PromiseRecord{}},
+	{"dykering/internal/chain.AcceptRecord", chain.AcceptRecord{}},
+	{"dykering/internal/chain.HeldRecord", chain.HeldRecord{}},
+	{"dykering/internal/chain.InstallRecord", chain.InstallRecord{}},
+}
+
+// Register registers with gob all types that are sent or stored as interface values.
+func Register() {
+	for _, registered := range registeredTypes {
+		gob.RegisterName(registered.name, registered.value)
+	}
+}
