--- a/internal/http1/reply.go
+++ b/internal/http1/downstream_reply.go
@@ -85,12 +85,3 @@
 	_, err := buffers.WriteTo(w.caller.Conn)
 	return err == nil
 }
-
-// lastChunk ends a chunked body.
-func lastChunk(trailer http.Header) []byte {
-	var b bytes.Buffer
-	b.WriteString("0\r\n")
-	trailer.Write(&b)
-	b.WriteString("\r\n")
-	return b.Bytes()
-}
--- a/internal/http1/inbound.go
+++ b/internal/http1/downstream_serve.go
@@ -9,7 +9,6 @@
 	"os"
 	"strings"
 	"sync"
-	"syscall"
 	"time"
 
 	"go.uber.org/zap"
@@ -290,30 +289,3 @@
 		}
 	}
 }
-
-// watch tells when a caller has gone, also behind what it has sent beyond its request.
-func (c *caller) watch() <-chan error {
-	c.Conn.SetReadDeadline(time.Time{})
-	told := make(chan error, 1)
-	go func() { told <- awaitEnd(c.Conn) }()
-	return told
-}
-
-// gone tells whether the caller has, whatever of it stands unread.
-func (c *caller) gone() (gone bool) {
-	if p, ok := c.Conn.(peeker); ok {
-		return p.Ended()
-	}
-	if sys, ok := c.Conn.(syscall.Conn); ok {
-		if raw, err := sys.SyscallConn(); err == nil {
-			return raw.Control(func(fd uintptr) { gone = hungUp(fd) }) != nil || gone
-		}
-	}
-	return false
-}
-
-// unwatch ends a watch; the connection may be read again.
-func (c *caller) unwatch(told <-chan error) {
-	c.Conn.SetReadDeadline(time.Now())
-	<-told
-}
--- a/internal/http1/run.go
+++ b/internal/http1/lifecycle.go
@@ -98,3 +98,61 @@
 	s.log.Info("reload.taken", zap.String("discovery", c.Discovery))
 	s.loop.Follow(c.Discovery)
 }
+
+// stop ends the server shortly before it would be killed, with all answered that it has taken. Until then it
+// goes on serving: no front sends it new callers, but those that it has go on using their connections, and
+// where it is the only sidecar, or the others are gone or just starting, whom it cuts off has nowhere to go.
+// Where there are others it closes what is idle handOver before the end, so that its last callers move there.
+// Where a successor accepts on the same socket, it accepts no more and sends its callers there as in a drain.
+// It ends early when nobody is connected any more. It does harm where the platform kills sooner than it says.
+func (s *Server) stop() {
+	told := time.Now()
+	end := told.Add(s.linger)
+	if s.handsOver() {
+		s.findHeir()
+	}
+	if s.handing() {
+		done, told := make(chan struct{}), make(chan struct{})
+		go func() {
+			defer close(told)
+			s.tell(done)
+		}()
+		defer func() {
+			close(done)
+			<-told
+		}()
+	}
+	last := end
+	if s.config.Settings.Instances > 1 && !s.handsOver() {
+		last = end.Add(-min(s.handOver, s.linger-s.quiet))
+	}
+	s.life.Stop(last, end)
+	if s.handsOver() {
+		s.callers.close() // its own copy: the successor has the socket
+	}
+	s.loop.Leave(end, s.handsOver())
+	for time.Now().Before(last) && !s.quits(time.Since(told)) {
+		time.Sleep(stopPoll)
+	}
+	s.callers.close()
+	for time.Now().Before(end.Add(killMargin/2)) && !s.callers.onlyAnswers() {
+		s.callers.retire(0, 0)
+		time.Sleep(stopPoll)
+	}
+	s.callers.cutOff()
+	s.callers.closeAll(mute, idle)
+	for !s.callers.quietFor(0) {
+		time.Sleep(stopPoll) // answers end with their peers, which must make progress, or with the successor
+	}
+}
+
+// handsOver tells whether a successor accepts in this process's place when it stops.
+func (s *Server) handsOver() bool { return s.config.Accept != nil }
+
+// quits tells whether a sidecar that was told to stop some time ago has nobody left to serve.
+func (s *Server) quits(ago time.Duration) bool {
+	if s.handsOver() {
+		return s.callers.quietFor(0)
+	}
+	return ago >= s.quiet && s.callers.quietFor(s.quiet)
+}
--- a/internal/http1/network.go
+++ b/internal/http1/network.go
@@ -69,39 +69,3 @@
 	CloseWrite() error
 	SetLinger(sec int) error
 }
-
-// peeker is a connection that is not the kernel's and tells itself what the kernel is asked of a socket: whether
-// something can be read, and, until the read deadline, when.
-type peeker interface {
-	Peek() (n int, err error) // EAGAIN for nothing, 0 without an error for the end
-	Await() error
-	// AwaitEnd waits likewise for the peer to have gone, whatever it sent before that stands unread; Ended tells whether it
-	// has.
-	AwaitEnd() error
-	Ended() bool
-}
-
-// looks tells whether a connection can be looked at without being read.
-func looks(c net.Conn) bool {
-	switch c.(type) {
-	case peeker, syscall.Conn:
-		return true
-	}
-	return false
-}
-
-// peekConn looks for a byte to read, without taking it or waiting.
-func peekConn(c net.Conn) (n int, err error) {
-	if p, ok := c.(peeker); ok {
-		return p.Peek()
-	}
-	sys, ok := c.(syscall.Conn)
-	if !ok {
-		return -1, syscall.ENOTSUP
-	}
-	raw, err := sys.SyscallConn()
-	if err != nil {
-		return -1, err
-	}
-	return peekByte(raw)
-}
--- a/internal/http1/head.go
+++ b/internal/http1/parse_head.go
@@ -5,6 +5,8 @@
 	"bytes"
 	"errors"
 	"net/http"
+	"net/textproto"
+	"strconv"
 	"strings"
 )
 
@@ -113,3 +115,30 @@
 	}
 	return nil
 }
+
+// readHead reads a response's status and headers, and tells whether its connection is to last.
+func readHead(r *bufio.Reader) (code int, header textproto.MIMEHeader, lasting bool, err error) {
+	text := textproto.NewReader(r)
+	line, err := text.ReadLine()
+	if err != nil {
+		return 0, nil, false, err
+	}
+	version, rest, _ := strings.Cut(line, " ")
+	digits, _, _ := strings.Cut(rest, " ")
+	n, err := strconv.ParseUint(digits, 10, 16)
+	if version != "HTTP/1.1" && version != "HTTP/1.0" || err != nil || len(digits) != 3 || n < 100 {
+		return 0, nil, false, errSpoilt
+	}
+	if header, err = text.ReadMIMEHeader(); err != nil {
+		return 0, nil, false, err
+	}
+	if len(header["Transfer-Encoding"]) > 0 && version == "HTTP/1.0" {
+		// RFC 9112, 6.1: its framing is faulty. Who reads 1.0 by the letter takes its chunks for the body itself.
+		return 0, nil, false, errSpoilt
+	}
+	lasting = version == "HTTP/1.1"
+	for _, value := range header["Connection"] {
+		lasting = lasting && !strings.Contains(strings.ToLower(value), "close")
+	}
+	return int(n), header, lasting, nil
+}
--- a/internal/http1/upload.go
+++ b/internal/http1/relay_upload.go
@@ -1,63 +1,13 @@
 package http1
 
 import (
-	"bufio"
 	"errors"
 	"fmt"
 	"io"
-	"net/http"
-	"os"
 	"sync"
 	"time"
 )
 
-// requestBody reads a request's body. Like chunked it can be gone on with after an error of the connection, and by
-// another process.
-type requestBody struct {
-	r      *bufio.Reader
-	length int64    // of the whole body; -1 where it comes in chunks
-	left   int64    // of a body whose length is known
-	chunks *chunked // of one that comes in chunks
-}
-
-func newRequestBody(in *http.Request, r *bufio.Reader) *requestBody {
-	b := &requestBody{r: r, length: in.ContentLength, left: in.ContentLength}
-	if in.ContentLength < 0 {
-		b.chunks = newChunked(r)
-	}
-	return b
-}
-
-// Read reads; the end, io.EOF, comes with the last bytes of a body whose length is known.
-func (b *requestBody) Read(p []byte) (n int, err error) {
-	if b.chunks != nil {
-		return b.chunks.Read(p)
-	}
-	if b.left > 0 {
-		n, err = b.r.Read(p[:min(int64(len(p)), b.left)])
-		b.left -= int64(n)
-		err = noEOF(err)
-	}
-	if b.left == 0 {
-		return n, io.EOF
-	}
-	return n, err
-}
-
-// trailer is what the caller has sent behind its body.
-func (b *requestBody) trailer() http.Header {
-	if b.chunks == nil {
-		return nil
-	}
-	h, err := b.chunks.trailer()
-	if err != nil {
-		return nil // what cannot be read is not passed on
-	}
-	removeHopByHop(h)
-	h.Del("Content-Length") // a second length, for who merges trailers into the head
-	return h
-}
-
 // upload is the part of a long body that is not held. It is read by the attempt that sends it, once. Like a relay
 // it can be passed on between two of its steps.
 type upload struct {
@@ -160,20 +110,6 @@
 	return nil, nil
 }
 
-// inFrame is the piece of n bytes in a buffer that has room around it, as a chunk if it is to be framed.
-func inFrame(buffer []byte, n int, framed bool) []byte {
-	if n == 0 {
-		return nil
-	}
-	from, to := chunkFrame, chunkFrame+n
-	if framed {
-		size := fmt.Appendf(nil, "%x\r\n", n)
-		from -= copy(buffer[chunkFrame-len(size):], size)
-		to += copy(buffer[to:], "\r\n")
-	}
-	return buffer[from:to]
-}
-
 // begin notes the connection that the upload goes out on.
 func (u *upload) begin(c *conn) {
 	u.mu.Lock()
@@ -230,68 +166,3 @@
 	u.settled = true
 	return u.gone
 }
-
-// ear is what listens for an endpoint's answer while a long body is still going out. Until something comes it can be
-// made to hold still, so that the connection may be passed on with nothing of it read.
-type ear struct {
-	mu    sync.Mutex
-	still bool          // it is to hold still
-	heard chan struct{} // closed once something has come
-	quiet chan struct{} // it holds still
-	goOn  chan bool     // whether it is to go on, where it holds still
-}
-
-func newEar() *ear {
-	return &ear{heard: make(chan struct{}), quiet: make(chan struct{}), goOn: make(chan bool)}
-}
-
-// listen waits for something to come. It returns errPassedOn when the connection is the successor's.
-func (e *ear) listen(c *conn) error {
-	for {
-		err := awaitInput(c.Conn)
-		e.mu.Lock()
-		still := e.still
-		e.still = false
-		if still {
-			c.SetReadDeadline(time.Time{})
-		}
-		silent := still && errors.Is(err, os.ErrDeadlineExceeded)
-		if !silent {
-			close(e.heard)
-		}
-		e.mu.Unlock()
-		if !silent {
-			return nil // whatever it is, it shows when it is read
-		}
-		e.quiet <- struct{}{}
-		if !<-e.goOn {
-			return errPassedOn
-		}
-	}
-}
-
-var errHeard = errors.New("an answer has begun to come")
-
-// quietly calls f while nothing of the endpoint's answer is read. If f fails, or something has come already, the
-// attempt goes on.
-func (a *attempt) quietly(c *conn, f func() error) error {
-	e := a.ear
-	e.mu.Lock()
-	select {
-	case <-e.heard:
-		e.mu.Unlock()
-		return errHeard
-	default:
-	}
-	e.still = true
-	c.SetReadDeadline(time.Now())
-	e.mu.Unlock()
-	select {
-	case <-e.heard:
-		return errHeard
-	case <-e.quiet:
-	}
-	err := f()
-	e.goOn <- err != nil
-	return err
-}
