--- a/internal/chain/health.go
+++ b/internal/chain/failuredetector.go
@@ -5,30 +5,32 @@
 	"time"
 )
 
-func (n *Node) status() Status {
-	return Status{View: n.view.Number, Sealed: n.Sealed(), Healthy: n.healthy && !n.leaving, Leaving: n.leaving, Stored: n.stored, Seq: n.state.Seq, Committed: n.committed}
+// peer is what is known of another member.
+type peer struct {
+	member    Member
+	status    Status
+	heardAt   time.Duration // when it last answered
+	askedAt   time.Duration // when the ping was sent that it answered last
+	asked     map[uint64]time.Duration
+	installAt time.Duration // when it was last sent the view
+	joining   bool          // it has asked and is in no view
+	pingedAt  time.Duration // when it last sent a ping
 }
 
-// Tick does what is due.
-func (n *Node) Tick(now time.Duration) Output {
-	var out Output
-	if !n.InTouch(now) {
-		n.outOfTouchAt = now
-	}
-	if now >= n.nextPing {
-		n.nextPing = now + n.config.PingEvery
-		out.Urgent = n.pings(now)
-	}
-	out.Messages = append(out.Messages, n.resend(now)...)
-	if token, holds := n.Holds(now); holds && n.held != token {
-		n.held = token
-		out.Records = append(out.Records, HeldRecord{Token: token})
+const mostAsked = 64
+
+const mostPeers = 256
+
+func (n *Node) peer(address string) *peer {
+	p := n.peers[address]
+	if p == nil {
+		if len(n.peers) >= mostPeers {
+			n.peers = map[string]*peer{} // strangers; those of the view are heard of again in a moment
+		}
+		p = &peer{asked: map[uint64]time.Duration{}, heardAt: -time.Hour, askedAt: -time.Hour, pingedAt: -time.Hour}
+		n.peers[address] = p
 	}
-	proposal := n.consider(now)
-	out.Records = append(out.Records, proposal.Records...)
-	out.Messages = append(out.Messages, proposal.Messages...)
-	out.Installed = proposal.Installed
-	return out
+	return p
 }
 
 // PingNow asks all voters at once, for one who waits for a majority's word.
@@ -75,25 +77,6 @@
 	return keys
 }
 
-func (n *Node) isVoter() bool {
-	_, ok := n.view.Voter(n.self.ID)
-	return ok
-}
-
-const mostPeers = 256
-
-func (n *Node) peer(address string) *peer {
-	p := n.peers[address]
-	if p == nil {
-		if len(n.peers) >= mostPeers {
-			n.peers = map[string]*peer{} // strangers; those of the view are heard of again in a moment
-		}
-		p = &peer{asked: map[uint64]time.Duration{}, heardAt: -time.Hour, askedAt: -time.Hour, pingedAt: -time.Hour}
-		n.peers[address] = p
-	}
-	return p
-}
-
 func (n *Node) onPing(now time.Duration, m Ping) Output {
 	out := Output{Urgent: []Envelope{{To: m.From.Address, Message: Pong{From: n.self, Nonce: m.Nonce, Status: n.status()}}}}
 	p := n.peer(m.From.Address)
@@ -111,17 +94,6 @@
 	return out
 }
 
-// sendViewIfBehind sends the view to a member that has an older one.
-func (n *Node) sendViewIfBehind(now time.Duration, member Member, status Status) []Envelope {
-	_, voter := n.view.Voter(member.ID)
-	p := n.peer(member.Address)
-	if !voter || status.View >= n.view.Number || now-p.installAt < n.config.SuspectAfter/2 {
-		return nil
-	}
-	p.installAt = now
-	return []Envelope{{To: member.Address, Message: Install{From: n.self.ID, Proposal: Proposal{View: n.view, Base: n.base}}}}
-}
-
 func (n *Node) onPong(now time.Duration, m Pong) Output {
 	p := n.peer(m.From.Address)
 	asked, ok := p.asked[m.Nonce]
@@ -135,17 +107,6 @@
 	return Output{Messages: n.sendViewIfBehind(now, m.From, m.Status)}
 }
 
-// ZoneOf is the zone of a voter that answers; it is empty for one that does not.
-func (n *Node) ZoneOf(now time.Duration, voter Member) string {
-	switch {
-	case voter.ID == n.self.ID:
-		return n.self.Zone
-	case n.reachable(now, voter):
-		return n.peers[voter.Address].member.Zone
-	}
-	return ""
-}
-
 // reachable tells whether a voter answers.
 func (n *Node) reachable(now time.Duration, member Member) bool {
 	if member.ID == n.self.ID {
@@ -184,63 +145,13 @@
 	return n.view.Number > 0 && n.isVoter() && count >= n.view.Majority()
 }
 
-// Confirmed is the latest time at which a majority is known to have been in this view and not sealed.
-func (n *Node) Confirmed(now time.Duration) time.Duration {
-	if n.Sealed() || n.view.Number == 0 || !n.isVoter() {
-		return -time.Hour
-	}
-	var times []time.Duration
-	for _, voter := range n.view.Voters {
-		if voter.ID == n.self.ID {
-			times = append(times, now)
-			continue
-		}
-		p := n.peers[voter.Address]
-		if p != nil && p.member.ID == voter.ID && p.status.View == n.view.Number && !p.status.Sealed {
-			times = append(times, p.askedAt)
-		}
-	}
-	if len(times) < n.view.Majority() {
-		return -time.Hour
-	}
-	sort.Slice(times, func(i, j int) bool { return times[i] > times[j] })
-	return times[n.view.Majority()-1]
-}
-
-// InForce tells whether a majority has lately confirmed the view.
-func (n *Node) InForce(now time.Duration) bool { return now-n.Confirmed(now) < n.config.SuspectAfter }
-
-// Holds tells whether this member may act as the holder of the singleton role, and with which token.
-func (n *Node) Holds(now time.Duration) (token uint64, ok bool) {
-	if n.view.Holder != n.self.ID || n.leaving {
-		return 0, false
-	}
-	if now-n.Confirmed(now) > n.config.LeaseFor || now-n.holderSince < n.holderPause() {
-		return 0, false
-	}
-	return n.view.Token, true
-}
-
-// HolderSince is when this member became the holder.
-func (n *Node) HolderSince() time.Duration { return n.holderSince }
-
-// holderPause is how long this member waits before it acts as a new holder.
-func (n *Node) holderPause() time.Duration {
-	if n.view.holderReturns() {
-		return n.config.ReturnPause
-	}
-	return n.config.HolderPause
-}
-
-// resend sends what the successor does not have, or what was not heard to be committed.
-func (n *Node) resend(now time.Duration) []Envelope {
-	position := n.view.Position(n.self.ID)
-	if position < 0 || n.Sealed() || n.committed >= n.state.Seq {
-		return nil
-	}
-	if now-n.resentAt < n.config.SuspectAfter/3 {
-		return nil
+// ZoneOf is the zone of a voter that answers; it is empty for one that does not.
+func (n *Node) ZoneOf(now time.Duration, voter Member) string {
+	switch {
+	case voter.ID == n.self.ID:
+		return n.self.Zone
+	case n.reachable(now, voter):
+		return n.peers[voter.Address].member.Zone
 	}
-	n.resentAt = now
-	return n.passOn(n.after(n.committed))
+	return ""
 }
--- /dev/null
+++ b/internal/chain/lease.go
@@ -0,0 +1,77 @@
+package chain
+
+import (
+	"slices"
+	"sort"
+	"time"
+)
+
+// Confirmed is the latest time at which a majority is known to have been in this view and not sealed.
+func (n *Node) Confirmed(now time.Duration) time.Duration {
+	if n.Sealed() || n.view.Number == 0 || !n.isVoter() {
+		return -time.Hour
+	}
+	var times []time.Duration
+	for _, voter := range n.view.Voters {
+		if voter.ID == n.self.ID {
+			times = append(times, now)
+			continue
+		}
+		p := n.peers[voter.Address]
+		if p != nil && p.member.ID == voter.ID && p.status.View == n.view.Number && !p.status.Sealed {
+			times = append(times, p.askedAt)
+		}
+	}
+	if len(times) < n.view.Majority() {
+		return -time.Hour
+	}
+	sort.Slice(times, func(i, j int) bool { return times[i] > times[j] })
+	return times[n.view.Majority()-1]
+}
+
+// InForce tells whether a majority has lately confirmed the view.
+func (n *Node) InForce(now time.Duration) bool { return now-n.Confirmed(now) < n.config.SuspectAfter }
+
+// Holds tells whether this member may act as the holder of the singleton role, and with which token.
+func (n *Node) Holds(now time.Duration) (token uint64, ok bool) {
+	if n.view.Holder != n.self.ID || n.leaving {
+		return 0, false
+	}
+	if now-n.Confirmed(now) > n.config.LeaseFor || now-n.holderSince < n.holderPause() {
+		return 0, false
+	}
+	return n.view.Token, true
+}
+
+// HolderSince is when this member became the holder.
+func (n *Node) HolderSince() time.Duration { return n.holderSince }
+
+// holderPause is how long this member waits before it acts as a new holder.
+func (n *Node) holderPause() time.Duration {
+	if n.view.holderReturns() {
+		return n.config.ReturnPause
+	}
+	return n.config.HolderPause
+}
+
+// mostFormerHolders bounds the former holders that a view names. A core has fewer members than that.
+const mostFormerHolders = 16
+
+// handOver gives the role to another member, under a new token.
+func (v *View) handOver(to MemberID, from string) {
+	v.Holder = to
+	v.Token++
+	former := []string{from}
+	for _, address := range v.FormerHolders {
+		if address != from && len(former) < mostFormerHolders {
+			former = append(former, address)
+		}
+	}
+	v.FormerHolders = former
+}
+
+// holderReturns tells whether the holder is one of the former holders, at the same address.
+func (v *View) holderReturns() bool {
+	holder, _ := v.Voter(v.Holder)
+	return slices.Contains(v.FormerHolders, holder.Address)
+}
