--- a/internal/chain/chain_test.go
+++ b/internal/chain/chain_test.go
@@ -26,8 +26,8 @@
 	view.Holder = view.Chain[0]
 	var nodes []*Node
 	for _, voter := range view.Voters {
-		config := Config{Self: voter, Apply: add, MostFailures: 1, SuspectAfter: time.Second, PingEvery: time.Second,
-			LeaseFor: time.Second, HolderPause: time.Second, ReturnPause: 3 * time.Second,
+		config := Config{Self: voter, Apply: add, MaxFailures: 1, SuspectTimeout: time.Second, PingInterval: time.Second,
+			LeaseDuration: time.Second, TakeoverDelay: time.Second, ReturnDelay: 3 * time.Second,
 			Jitter: func(time.Duration) time.Duration { return 0 }}
 		node, _ := NewGenesis(config, 0, view, 0)
 		nodes = append(nodes, node)
@@ -56,7 +56,7 @@
 		out = middle.Receive(0, messageTo[Append](out, "b"))
 		out = tail.Receive(0, messageTo[Append](out, "c"))
 		Expect(out.Records).To(HaveLen(1))
-		Expect(tail.Latest().Value).To(Equal(1), "it has the entry")
+		Expect(tail.LatestState().Value).To(Equal(1), "it has the entry")
 		Expect(tail.CommittedState().Value).To(Equal(0), "its record is not stored yet: a read must not show it")
 		tail.Receive(0, messageTo[Committed](out, "c")) // goes out once the record is stored
 		Expect(tail.CommittedState().Value).To(Equal(1))
@@ -98,15 +98,15 @@
 		later := chainOf("a", "b", "c")[0]
 		later.nonce = 1 << 32 // as the process draws it
 		pong := func(node *Node) Pong {
-			ping := node.PingNow(5 * time.Second).Urgent[0].Message.(Ping)
+			ping := node.PingVoters(5 * time.Second).ImmediateMessages[0].Message.(Ping)
 			return Pong{From: Member{ID: "b", Address: "b"}, Nonce: ping.Nonce, Status: Status{View: 1, Healthy: true}}
 		}
 		late := pong(earlier)
 		fresh := pong(later)
 		later.Receive(5*time.Second, late)
-		Expect(later.Confirmed(5 * time.Second)).To(BeNumerically("<", 0))
+		Expect(later.QuorumConfirmedAt(5 * time.Second)).To(BeNumerically("<", 0))
 		later.Receive(5*time.Second, fresh)
-		Expect(later.Confirmed(5 * time.Second)).To(Equal(5 * time.Second))
+		Expect(later.QuorumConfirmedAt(5 * time.Second)).To(Equal(5 * time.Second))
 	})
 })
 
@@ -117,7 +117,7 @@
 		joiner, _ := NewJoiner(config, 0, 0)
 		pinged := func(at time.Duration) []string {
 			var addresses []string
-			for _, envelope := range joiner.PingNow(at).Urgent {
+			for _, envelope := range joiner.PingVoters(at).ImmediateMessages {
 				addresses = append(addresses, envelope.To)
 			}
 			return addresses
@@ -138,6 +138,6 @@
 		out = nodes[1].Receive(0, both)
 		Expect(out.Records).To(HaveLen(2))
 		restored := Restore(nodes[1].config, 0, []any{nodes[1].Snapshot(), out.Records[1]})
-		Expect(restored.Latest()).To(Equal(State{Seq: 2, Value: 2}))
+		Expect(restored.LatestState()).To(Equal(State{Seq: 2, Value: 2}))
 	})
 })
--- a/internal/chain/failuredetector.go
+++ b/internal/chain/failuredetector.go
@@ -33,8 +33,8 @@
 	return p
 }
 
-// PingNow asks all voters at once, for one who waits for a majority's word.
-func (n *Node) PingNow(now time.Duration) Output { return Output{Urgent: n.pings(now)} }
+// PingVoters asks all voters at once, for one who waits for a majority's word.
+func (n *Node) PingVoters(now time.Duration) Output { return Output{ImmediateMessages: n.pings(now)} }
 
 func (n *Node) pings(now time.Duration) []Envelope {
 	n.nonce++
@@ -42,15 +42,15 @@
 	for _, voter := range n.view.Voters {
 		addresses[voter.Address] = true
 	}
-	outOfTouch := !n.InTouch(now)
+	outOfTouch := !n.HasQuorum(now)
 	if outOfTouch { // the members of its view may all have been replaced
 		for _, seed := range n.config.Seeds {
 			addresses[seed] = true
 		}
 	}
 	for address, p := range n.peers {
-		joins := p.joining && now-p.heardAt < n.config.SuspectAfter
-		asks := outOfTouch && now-p.pingedAt < n.config.SuspectAfter // it takes this member, or one at its address, for a voter
+		joins := p.joining && now-p.heardAt < n.config.SuspectTimeout
+		asks := outOfTouch && now-p.pingedAt < n.config.SuspectTimeout // it takes this member, or one at its address, for a voter
 		if joins || asks {
 			addresses[address] = true
 		}
@@ -78,7 +78,7 @@
 }
 
 func (n *Node) onPing(now time.Duration, m Ping) Output {
-	out := Output{Urgent: []Envelope{{To: m.From.Address, Message: Pong{From: n.self, Nonce: m.Nonce, Status: n.status()}}}}
+	out := Output{ImmediateMessages: []Envelope{{To: m.From.Address, Message: Pong{From: n.self, Nonce: m.Nonce, Status: n.status()}}}}
 	p := n.peer(m.From.Address)
 	if p.member.ID != m.From.ID {
 		p.heardAt, p.askedAt = -time.Hour, -time.Hour
@@ -113,11 +113,11 @@
 		return true
 	}
 	p := n.peers[member.Address]
-	return p != nil && p.member.ID == member.ID && now-p.askedAt < n.config.SuspectAfter
+	return p != nil && p.member.ID == member.ID && now-p.askedAt < n.config.SuspectTimeout
 }
 
-// Reaches tells whether the voter at an address answers.
-func (n *Node) Reaches(now time.Duration, address string) bool {
+// IsReachable tells whether the voter at an address answers.
+func (n *Node) IsReachable(now time.Duration, address string) bool {
 	for _, voter := range n.view.Voters {
 		if voter.Address == address {
 			return n.reachable(now, voter)
@@ -134,8 +134,8 @@
 	return n.reachable(now, member) && n.peers[member.Address].status.Healthy
 }
 
-// InTouch tells whether a majority of the voters answers.
-func (n *Node) InTouch(now time.Duration) bool {
+// HasQuorum tells whether a majority of the voters answers.
+func (n *Node) HasQuorum(now time.Duration) bool {
 	count := 0
 	for _, voter := range n.view.Voters {
 		if n.reachable(now, voter) {
--- a/internal/chain/lease.go
+++ b/internal/chain/lease.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Confirmed is the latest time at which a majority is known to have been in this view and not sealed.
-func (n *Node) Confirmed(now time.Duration) time.Duration {
-	if n.Sealed() || n.view.Number == 0 || !n.isVoter() {
+// QuorumConfirmedAt is the latest time at which a majority is known to have been in this view and not sealed.
+func (n *Node) QuorumConfirmedAt(now time.Duration) time.Duration {
+	if n.IsSealed() || n.view.Number == 0 || !n.isVoter() {
 		return -time.Hour
 	}
 	var times []time.Duration
@@ -29,29 +29,31 @@
 	return times[n.view.Majority()-1]
 }
 
-// InForce tells whether a majority has lately confirmed the view.
-func (n *Node) InForce(now time.Duration) bool { return now-n.Confirmed(now) < n.config.SuspectAfter }
+// IsViewConfirmed tells whether a majority has lately confirmed the view.
+func (n *Node) IsViewConfirmed(now time.Duration) bool {
+	return now-n.QuorumConfirmedAt(now) < n.config.SuspectTimeout
+}
 
-// Holds tells whether this member may act as the holder of the singleton role, and with which token.
-func (n *Node) Holds(now time.Duration) (token uint64, ok bool) {
+// HoldsLease tells whether this member may act as the holder of the singleton role, and with which token.
+func (n *Node) HoldsLease(now time.Duration) (token uint64, ok bool) {
 	if n.view.Holder != n.self.ID || n.leaving {
 		return 0, false
 	}
-	if now-n.Confirmed(now) > n.config.LeaseFor || now-n.holderSince < n.holderPause() {
+	if now-n.QuorumConfirmedAt(now) > n.config.LeaseDuration || now-n.holderSince < n.holderPause() {
 		return 0, false
 	}
 	return n.view.Token, true
 }
 
-// HolderSince is when this member became the holder.
-func (n *Node) HolderSince() time.Duration { return n.holderSince }
+// LeaseHolderSince is when this member became the holder.
+func (n *Node) LeaseHolderSince() time.Duration { return n.holderSince }
 
 // holderPause is how long this member waits before it acts as a new holder.
 func (n *Node) holderPause() time.Duration {
 	if n.view.holderReturns() {
-		return n.config.ReturnPause
+		return n.config.ReturnDelay
 	}
-	return n.config.HolderPause
+	return n.config.TakeoverDelay
 }
 
 // mostFormerHolders bounds the former holders that a view names. A core has fewer members than that.
--- a/internal/chain/log.go
+++ b/internal/chain/log.go
@@ -44,11 +44,11 @@
 	n.log = append([]logged(nil), n.log[kept:]...)
 }
 
-// Latest is the value with all that this member has, committed or not.
-func (n *Node) Latest() State { return n.state }
+// LatestState is the value with all that this member has, committed or not.
+func (n *Node) LatestState() State { return n.state }
 
-// Newest is the newest state that this member has, in its view or accepted for the next one.
-func (n *Node) Newest() State {
+// LatestOrAcceptedState is the newest state that this member has, in its view or accepted for the next one.
+func (n *Node) LatestOrAcceptedState() State {
 	if n.accepted != nil && n.accepted.Proposal.Base.Seq > n.state.Seq {
 		return n.accepted.Proposal.Base
 	}
@@ -68,5 +68,5 @@
 	return n.base
 }
 
-// CommittedKnown tells whether this member has heard, since it started, how far the log is committed.
-func (n *Node) CommittedKnown() bool { return n.known }
+// IsCommitKnown tells whether this member has heard, since it started, how far the log is committed.
+func (n *Node) IsCommitKnown() bool { return n.known }
--- a/internal/chain/membership.go
+++ b/internal/chain/membership.go
@@ -69,7 +69,7 @@
 		voters = append(voters, joiner)
 	}
 	for len(voters) > target {
-		fewer := n.dropOne(now, voters, n.config.SuspectAfter*longAway)
+		fewer := n.dropOne(now, voters, n.config.SuspectTimeout*longAway)
 		if len(fewer) == len(voters) {
 			break
 		}
@@ -81,7 +81,7 @@
 func (n *Node) joiners(now time.Duration) []Member {
 	addresses := map[string]bool{}
 	for address, p := range n.peers {
-		if p.joining && p.status.Healthy && now-p.askedAt < n.config.SuspectAfter {
+		if p.joining && p.status.Healthy && now-p.askedAt < n.config.SuspectTimeout {
 			addresses[address] = true
 		}
 	}
@@ -93,7 +93,7 @@
 }
 
 // leastVoters is how many voters there must be for as many to be lost as may be.
-func (n *Node) leastVoters() int { return 2*n.config.MostFailures + 1 }
+func (n *Node) leastVoters() int { return 2*n.config.MaxFailures + 1 }
 
 // longAway is for how many times the time of suspicion a voter too many must be away to be left out.
 const longAway = 20
@@ -167,12 +167,12 @@
 // Leave has the others take this member out of the chain.
 func (n *Node) Leave() { n.leaving = true }
 
-// Dispensable tells whether a leaving member may end: it is out of the chain and, where there are voters enough without
+// CanStop tells whether a leaving member may end: it is out of the chain and, where there are voters enough without
 // it, no voter any more, and as many of the chain have the view with its state on disk as must store what is committed.
 // Else it stays a voter, as one that starts again is.
-func (n *Node) Dispensable() bool {
+func (n *Node) CanStop() bool {
 	tooMany := n.isVoter() && len(n.view.Voters) > n.leastVoters()
-	return !n.InChain() && !tooMany && n.copiesInChain() >= n.leastCopies()
+	return !n.IsInChain() && !tooMany && n.copiesInChain() >= n.leastCopies()
 }
 
 // copiesInChain is how many members of the chain are known to have the view on disk.
--- a/internal/chain/membership_test.go
+++ b/internal/chain/membership_test.go
@@ -9,7 +9,7 @@
 
 // answerAs has another member answer a ping that is sent now.
 func answerAs(node *Node, id MemberID, now time.Duration, status Status) {
-	ping := node.PingNow(now).Urgent[0].Message.(Ping)
+	ping := node.PingVoters(now).ImmediateMessages[0].Message.(Ping)
 	node.Receive(now, Pong{From: Member{ID: id, Address: string(id)}, Nonce: ping.Nonce, Status: status})
 }
 
@@ -45,13 +45,13 @@
 	})
 
 	It("become three once one has long been away", func() {
-		long := now + (longAway+2)*node.config.SuspectAfter
+		long := now + (longAway+2)*node.config.SuspectTimeout
 		meet(long, "b", "c")
 		Expect(wanted(long)).To(ConsistOf(MemberID("a"), MemberID("b"), MemberID("c")))
 	})
 
 	It("stay four for a member that was out of touch itself meanwhile", func() {
-		long := now + (longAway+2)*node.config.SuspectAfter
+		long := now + (longAway+2)*node.config.SuspectTimeout
 		meet(long, "b")
 		meet(long, "b", "c")
 		Expect(wanted(long)).To(HaveLen(4))
@@ -95,29 +95,29 @@
 	stored := func(id MemberID, view uint64) { answerAs(node, id, 0, Status{View: 2, Healthy: true, Stored: view}) }
 
 	It("may not end while it is in the chain", func() {
-		Expect(node.Dispensable()).To(BeFalse())
+		Expect(node.CanStop()).To(BeFalse())
 	})
 
 	It("may end once as many of the chain have the view on disk as must store what is committed", func() {
 		installed("a", "b", "c")
 		stored("a", 2)
 		stored("b", 1)
-		Expect(node.Dispensable()).To(BeFalse())
+		Expect(node.CanStop()).To(BeFalse())
 		stored("b", 2)
-		Expect(node.Dispensable()).To(BeTrue())
+		Expect(node.CanStop()).To(BeTrue())
 	})
 
 	It("may not end while it is one voter too many", func() {
 		installed("a", "b", "c", "d")
 		stored("a", 2)
 		stored("b", 2)
-		Expect(node.Dispensable()).To(BeFalse())
+		Expect(node.CanStop()).To(BeFalse())
 	})
 
 	It("may end that has never been taken in", func() {
 		joiner, _ := NewJoiner(node.config, 0, 0)
 		joiner.Leave()
-		Expect(joiner.Dispensable()).To(BeTrue())
+		Expect(joiner.CanStop()).To(BeTrue())
 	})
 })
 
--- a/internal/chain/messages.go
+++ b/internal/chain/messages.go
@@ -18,13 +18,13 @@
 	Prepare struct {
 		From   MemberID
 		Number uint64 // of the view that is proposed
-		Ballot Ballot
+		Ballot ProposalNumber
 	}
 	// Promise answers a Prepare.
 	Promise struct {
 		From     MemberID
 		Number   uint64
-		Ballot   Ballot
+		Ballot   ProposalNumber
 		InChain  bool
 		State    State // of a member of the chain
 		Accepted *Accepted
@@ -33,19 +33,19 @@
 	Reject struct {
 		From     MemberID
 		Number   uint64
-		Promised Ballot
+		Promised ProposalNumber
 	}
 	// Accept asks the voters to accept a proposal.
 	Accept struct {
 		From     MemberID
-		Ballot   Ballot
+		Ballot   ProposalNumber
 		Proposal Proposal
 	}
 	// AcceptedReply tells that a proposal is stored.
 	AcceptedReply struct {
 		From   MemberID
 		Number uint64
-		Ballot Ballot
+		Ballot ProposalNumber
 	}
 	// Install tells of a view that was decided.
 	Install struct {
--- a/internal/chain/node.go
+++ b/internal/chain/node.go
@@ -10,10 +10,10 @@
 	self   Member
 
 	view     View
-	base     State    // with which the view began, or a later committed state of it
-	log      []logged // of the view, after base
-	state    State    // base with all of the log
-	promised Ballot   // for the view after this one; zero for none
+	base     State          // with which the view began, or a later committed state of it
+	log      []logged       // of the view, after base
+	state    State          // base with all of the log
+	promised ProposalNumber // for the view after this one; zero for none
 	accepted *Accepted
 
 	committed uint64
@@ -35,14 +35,14 @@
 	resentAt     time.Duration
 }
 
-// Output is what follows from an event. Messages are sent once all records given out so far are stored; Urgent ones
+// Output is what follows from an event. Messages are sent once all records given out so far are stored; ImmediateMessages
 // at once.
 type Output struct {
-	Records  []any
-	Messages []Envelope
-	Urgent   []Envelope
-	// Installed tells that a new view is in force here.
-	Installed bool
+	Records           []any
+	Messages          []Envelope
+	ImmediateMessages []Envelope
+	// ViewInstalled tells that a new view is in force here.
+	ViewInstalled bool
 }
 
 // NewGenesis is a member of the first view of a system that starts for the first time.
@@ -50,7 +50,7 @@
 	n := newNode(config, now)
 	n.view, n.base = view, State{Value: value}
 	n.state, n.known = n.base, true
-	n.holderSince = now - config.ReturnPause // nobody has held the role before
+	n.holderSince = now - config.ReturnDelay // nobody has held the role before
 	return n, Output{Records: []any{n.snapshot()}}
 }
 
@@ -73,35 +73,35 @@
 		n.committed, n.known = n.state.Seq, true // what the tail has stored, all others have
 	}
 	if n.view.Holder == n.self.ID && n.held == n.view.Token {
-		n.holderSince = now - config.ReturnPause // nobody else can have held the role since
+		n.holderSince = now - config.ReturnDelay // nobody else can have held the role since
 	}
 	return n
 }
 
 func newNode(config Config, now time.Duration) *Node {
 	return &Node{config: config, self: config.Self, peers: map[string]*peer{}, healthy: true, nonce: config.FirstNonce, outOfTouchAt: now, holderSince: now,
-		nextProposal: now + 2*config.SuspectAfter}
+		nextProposal: now + 2*config.SuspectTimeout}
 }
 
 // Tick does what is due.
 func (n *Node) Tick(now time.Duration) Output {
 	var out Output
-	if !n.InTouch(now) {
+	if !n.HasQuorum(now) {
 		n.outOfTouchAt = now
 	}
 	if now >= n.nextPing {
-		n.nextPing = now + n.config.PingEvery
-		out.Urgent = n.pings(now)
+		n.nextPing = now + n.config.PingInterval
+		out.ImmediateMessages = n.pings(now)
 	}
 	out.Messages = append(out.Messages, n.resend(now)...)
-	if token, holds := n.Holds(now); holds && n.held != token {
+	if token, holds := n.HoldsLease(now); holds && n.held != token {
 		n.held = token
 		out.Records = append(out.Records, HeldRecord{Token: token})
 	}
 	proposal := n.consider(now)
 	out.Records = append(out.Records, proposal.Records...)
 	out.Messages = append(out.Messages, proposal.Messages...)
-	out.Installed = proposal.Installed
+	out.ViewInstalled = proposal.ViewInstalled
 	return out
 }
 
@@ -134,8 +134,8 @@
 	return Output{}
 }
 
-// SetHealthy tells whether the disk answers.
-func (n *Node) SetHealthy(healthy bool) { n.healthy = healthy }
+// SetDiskHealthy tells whether the disk answers.
+func (n *Node) SetDiskHealthy(healthy bool) { n.healthy = healthy }
 
 // SetSeeds names other seeds.
 func (n *Node) SetSeeds(seeds []string) { n.config.Seeds = seeds }
--- a/internal/chain/paxos.go
+++ b/internal/chain/paxos.go
@@ -4,21 +4,21 @@
 	"time"
 )
 
-// Ballot orders the proposals for one view.
-type Ballot struct {
+// ProposalNumber orders the proposals for one view.
+type ProposalNumber struct {
 	Counter  uint64
 	Proposer MemberID
 }
 
-// Less orders ballots.
-func (b Ballot) Less(other Ballot) bool {
+// Less orders proposal numbers.
+func (b ProposalNumber) Less(other ProposalNumber) bool {
 	if b.Counter != other.Counter {
 		return b.Counter < other.Counter
 	}
 	return b.Proposer < other.Proposer
 }
 
-func later(a, b Ballot) Ballot {
+func later(a, b ProposalNumber) ProposalNumber {
 	if a.Less(b) {
 		return b
 	}
@@ -33,13 +33,13 @@
 
 // Accepted is a proposal that a voter has accepted.
 type Accepted struct {
-	Ballot   Ballot
+	Ballot   ProposalNumber
 	Proposal Proposal
 }
 
 // proposing is a proposal that this member makes.
 type proposing struct {
-	ballot   Ballot
+	ballot   ProposalNumber
 	number   uint64
 	wanted   View
 	promises map[MemberID]Promise
@@ -50,9 +50,9 @@
 
 // prepare begins a proposal.
 func (n *Node) prepare(now time.Duration, wanted View) Output {
-	ballot := Ballot{Counter: n.promised.Counter + 1, Proposer: n.self.ID}
+	ballot := ProposalNumber{Counter: n.promised.Counter + 1, Proposer: n.self.ID}
 	n.proposing = &proposing{ballot: ballot, number: n.view.Number + 1, wanted: wanted,
-		promises: map[MemberID]Promise{}, accepts: map[MemberID]bool{}, until: now + n.config.ProposeTimeout}
+		promises: map[MemberID]Promise{}, accepts: map[MemberID]bool{}, until: now + n.config.ProposalTimeout}
 	return n.toVoters(now, Prepare{From: n.self.ID, Number: wanted.Number, Ballot: ballot})
 }
 
@@ -66,11 +66,11 @@
 	if !n.promised.Less(m.Ballot) && n.promised != m.Ballot {
 		return Output{Messages: n.reply(m.From, Reject{From: n.self.ID, Number: m.Number, Promised: n.promised})}
 	}
-	if !n.Sealed() {
+	if !n.IsSealed() {
 		n.sealedAt = now
 	}
 	n.promised = m.Ballot
-	promise := Promise{From: n.self.ID, Number: m.Number, Ballot: m.Ballot, InChain: n.InChain(), Accepted: n.accepted}
+	promise := Promise{From: n.self.ID, Number: m.Number, Ballot: m.Ballot, InChain: n.IsInChain(), Accepted: n.accepted}
 	if promise.InChain {
 		promise.State = n.state
 	}
@@ -96,7 +96,7 @@
 		if _, voter := n.view.Voter(id); !voter {
 			continue
 		}
-		if _, promised := p.promises[id]; !promised && now < p.until-n.config.ProposeTimeout/2 {
+		if _, promised := p.promises[id]; !promised && now < p.until-n.config.ProposalTimeout/2 {
 			return false
 		}
 	}
@@ -129,7 +129,7 @@
 		return Output{}
 	}
 	n.proposing = nil
-	n.nextProposal = now + n.config.ProposeTimeout/2 + n.config.Jitter(n.config.ProposeTimeout)
+	n.nextProposal = now + n.config.ProposalTimeout/2 + n.config.Jitter(n.config.ProposalTimeout)
 	n.promised = later(n.promised, m.Promised)
 	return Output{Records: []any{PromiseRecord{n.promised}}}
 }
@@ -142,7 +142,7 @@
 	if m.Ballot.Less(n.promised) {
 		return Output{Messages: n.reply(m.From, Reject{From: n.self.ID, Number: number, Promised: n.promised})}
 	}
-	if !n.Sealed() {
+	if !n.IsSealed() {
 		n.sealedAt = now
 	}
 	n.promised = m.Ballot
--- a/internal/chain/reconfiguration.go
+++ b/internal/chain/reconfiguration.go
@@ -11,13 +11,13 @@
 			return Output{}
 		}
 		n.proposing = nil
-		n.nextProposal = now + n.config.Jitter(n.config.ProposeTimeout)
+		n.nextProposal = now + n.config.Jitter(n.config.ProposalTimeout)
 	}
 	if n.view.Number == 0 || !n.isVoter() || !n.healthy || now < n.nextProposal {
 		return Output{}
 	}
 	wanted, ok := n.wanted(now)
-	stuck := n.Sealed() && now-n.sealedAt > n.config.ProposeTimeout
+	stuck := n.IsSealed() && now-n.sealedAt > n.config.ProposalTimeout
 	if !ok || sameMembers(wanted, n.view) && !stuck {
 		n.wantSince = 0
 		return Output{}
@@ -25,7 +25,7 @@
 	if n.wantSince == 0 {
 		n.wantSince = now
 	}
-	if now-n.wantSince < time.Duration(n.rank(now))*n.config.ProposeTimeout {
+	if now-n.wantSince < time.Duration(n.rank(now))*n.config.ProposalTimeout {
 		return Output{}
 	}
 	return n.prepare(now, wanted)
@@ -69,12 +69,12 @@
 		n.holderSince = now
 	}
 	stored := Envelope{To: n.self.Address, Message: Stored{View: p.View.Number}} // is delivered once the record is on disk
-	return Output{Records: []any{InstallRecord{p}}, Messages: []Envelope{stored}, Installed: true}
+	return Output{Records: []any{InstallRecord{p}}, Messages: []Envelope{stored}, ViewInstalled: true}
 }
 
 func (n *Node) enter(p Proposal) {
 	n.view, n.base, n.state = p.View, p.Base, p.Base
-	n.log, n.promised, n.accepted = nil, Ballot{}, nil
+	n.log, n.promised, n.accepted = nil, ProposalNumber{}, nil
 	n.committed = p.Base.Seq
 }
 
@@ -82,7 +82,7 @@
 func (n *Node) sendViewIfBehind(now time.Duration, member Member, status Status) []Envelope {
 	_, voter := n.view.Voter(member.ID)
 	p := n.peer(member.Address)
-	if !voter || status.View >= n.view.Number || now-p.installAt < n.config.SuspectAfter/2 {
+	if !voter || status.View >= n.view.Number || now-p.installAt < n.config.SuspectTimeout/2 {
 		return nil
 	}
 	p.installAt = now
--- a/internal/chain/replication.go
+++ b/internal/chain/replication.go
@@ -6,7 +6,7 @@
 
 // Propose appends an operation at the head. It is false where this member cannot take it.
 func (n *Node) Propose(operation []byte) (seq uint64, out Output, ok bool) {
-	if !n.IsHead() || n.Sealed() || len(n.view.Chain) < n.leastCopies() {
+	if !n.IsHead() || n.IsSealed() || len(n.view.Chain) < n.leastCopies() {
 		return 0, Output{}, false
 	}
 	entry := Entry{Seq: n.state.Seq + 1, Operation: operation}
@@ -15,7 +15,7 @@
 }
 
 // leastCopies is how many members must store what is committed.
-func (n *Node) leastCopies() int { return min(n.config.MostFailures+1, len(n.view.Voters)) }
+func (n *Node) leastCopies() int { return min(n.config.MaxFailures+1, len(n.view.Voters)) }
 
 // take stores entries and passes them on.
 func (n *Node) take(entries []Entry) Output {
@@ -29,7 +29,7 @@
 }
 
 func (n *Node) onAppend(m Append) Output {
-	if m.View != n.view.Number || n.Sealed() {
+	if m.View != n.view.Number || n.IsSealed() {
 		return Output{}
 	}
 	position := n.view.Position(n.self.ID)
@@ -82,10 +82,10 @@
 // resend sends what the successor does not have, or what was not heard to be committed.
 func (n *Node) resend(now time.Duration) []Envelope {
 	position := n.view.Position(n.self.ID)
-	if position < 0 || n.Sealed() || n.committed >= n.state.Seq {
+	if position < 0 || n.IsSealed() || n.committed >= n.state.Seq {
 		return nil
 	}
-	if now-n.resentAt < n.config.SuspectAfter/3 {
+	if now-n.resentAt < n.config.SuspectTimeout/3 {
 		return nil
 	}
 	n.resentAt = now
@@ -93,7 +93,7 @@
 }
 
 func (n *Node) onCommitted(from MemberID, view, seq uint64) {
-	if view != n.view.Number || !n.InChain() {
+	if view != n.view.Number || !n.IsInChain() {
 		return
 	}
 	n.committed = max(n.committed, min(seq, n.state.Seq))
--- a/internal/chain/requests.go
+++ b/internal/chain/requests.go
@@ -8,19 +8,19 @@
 
 // Why a member cannot answer a request. Nothing is promised of it: it may have been taken or not.
 var (
-	ErrNotHead      = errors.New("this member is not the head")
-	ErrNotTail      = errors.New("this member is not the tail")
-	ErrNotWritable  = errors.New("no change can be taken now")
-	ErrNotConfirmed = errors.New("not confirmed in time")
-	ErrTooMany      = errors.New("too many requests wait")
+	ErrNotHead        = errors.New("this member is not the head")
+	ErrNotTail        = errors.New("this member is not the tail")
+	ErrNotWritable    = errors.New("no change can be taken now")
+	ErrNotConfirmed   = errors.New("not confirmed in time")
+	ErrTooManyPending = errors.New("too many requests wait")
 )
 
 // Decision is what the newest value makes of a write.
 type Decision struct {
-	// Taken tells that the value has the write already.
-	Taken bool
-	// Refusal is why the write is not taken; nil for one that is.
-	Refusal error
+	// AlreadyApplied tells that the value has the write already.
+	AlreadyApplied bool
+	// Rejection is why the write is not taken; nil for one that is.
+	Rejection error
 	// Operation is what is appended for a write that is taken.
 	Operation []byte
 }
@@ -29,22 +29,22 @@
 type Write struct {
 	// Decide looks at the newest value, committed or not.
 	Decide func(latest any) Decision
-	// Taken tells whether a value has the write.
-	Taken func(value any) bool
-	// Answer is called once: with nil when the write is committed, with its refusal, or with why neither can be told.
-	Answer func(error)
+	// IsApplied tells whether a value has the write.
+	IsApplied func(value any) bool
+	// Respond is called once: with nil when the write is committed, with its refusal, or with why neither can be told.
+	Respond func(error)
 }
 
 // Read is a request for the newest value. Its answer is called once.
-type Read struct{ Answer func(State, error) }
+type Read struct{ Respond func(State, error) }
 
 // mostRequests bounds the requests of each kind that wait at a member.
 const mostRequests = 1024
 
-// Requests are the writes that wait at the head and the reads that wait at the tail. A write is acknowledged once it is
+// PendingRequests are the writes that wait at the head and the reads that wait at the tail. A write is acknowledged once it is
 // committed. A refusal is told once what it rests on is committed and a majority has confirmed the view since the write
 // came, and a read is answered after such a confirmation: a member that was left behind refuses and shows nothing.
-type Requests struct {
+type PendingRequests struct {
 	node   *Node
 	within time.Duration
 	writes []waitingWrite
@@ -65,33 +65,33 @@
 	since time.Duration
 }
 
-// NewRequests makes the requests at a member. Each is answered within a time.
-func NewRequests(node *Node, within time.Duration) *Requests {
-	return &Requests{node: node, within: within}
+// NewPendingRequests makes the requests at a member. Each is answered within a time.
+func NewPendingRequests(node *Node, within time.Duration) *PendingRequests {
+	return &PendingRequests{node: node, within: within}
 }
 
 // Write takes a write at the head.
-func (r *Requests) Write(now time.Duration, write Write) Output {
+func (r *PendingRequests) Write(now time.Duration, write Write) Output {
 	n := r.node
 	switch {
-	case !n.IsHead() || !n.InForce(now):
-		write.Answer(ErrNotHead)
+	case !n.IsHead() || !n.IsViewConfirmed(now):
+		write.Respond(ErrNotHead)
 		return Output{}
 	case len(r.writes) >= mostRequests:
-		write.Answer(ErrTooMany)
+		write.Respond(ErrTooManyPending)
 		return Output{}
 	}
-	latest := n.Latest()
+	latest := n.LatestState()
 	decision := write.Decide(latest.Value)
-	waiting := waitingWrite{write: write, refusal: decision.Refusal, view: n.View().Number, seq: latest.Seq, since: now}
+	waiting := waitingWrite{write: write, refusal: decision.Rejection, view: n.View().Number, seq: latest.Seq, since: now}
 	var out Output
 	switch {
-	case decision.Refusal != nil:
-		out = n.PingNow(now)
-	case !decision.Taken:
+	case decision.Rejection != nil:
+		out = n.PingVoters(now)
+	case !decision.AlreadyApplied:
 		var ok bool
 		if _, out, ok = n.Propose(decision.Operation); !ok {
-			write.Answer(ErrNotWritable)
+			write.Respond(ErrNotWritable)
 			return Output{}
 		}
 	}
@@ -100,21 +100,21 @@
 }
 
 // Read takes a read at the tail.
-func (r *Requests) Read(now time.Duration, read Read) Output {
+func (r *PendingRequests) Read(now time.Duration, read Read) Output {
 	switch {
 	case !r.node.IsTail():
-		read.Answer(State{}, ErrNotTail)
+		read.Respond(State{}, ErrNotTail)
 		return Output{}
 	case len(r.reads) >= mostRequests:
-		read.Answer(State{}, ErrTooMany)
+		read.Respond(State{}, ErrTooManyPending)
 		return Output{}
 	}
 	r.reads = append(r.reads, waitingRead{read: read, view: r.node.View().Number, since: now})
-	return r.node.PingNow(now)
+	return r.node.PingVoters(now)
 }
 
-// Settle answers the requests that can be answered, and those whose time is over.
-func (r *Requests) Settle(now time.Duration) {
+// AnswerReady answers the requests that can be answered, and those whose time is over.
+func (r *PendingRequests) AnswerReady(now time.Duration) {
 	if len(r.writes) > 0 {
 		r.writes = keep(r.writes, func(w waitingWrite) bool { return !r.settleWrite(now, w) })
 	}
@@ -135,29 +135,29 @@
 	return kept
 }
 
-func (r *Requests) settleWrite(now time.Duration, w waitingWrite) (answered bool) {
+func (r *PendingRequests) settleWrite(now time.Duration, w waitingWrite) (answered bool) {
 	n := r.node
 	sameView := w.view == n.View().Number
 	switch {
-	case w.refusal == nil && w.write.Taken(n.CommittedState().Value):
-		w.write.Answer(nil)
-	case w.refusal != nil && sameView && n.CommittedSeq() >= w.seq && n.Confirmed(now) >= w.since:
-		w.write.Answer(w.refusal)
+	case w.refusal == nil && w.write.IsApplied(n.CommittedState().Value):
+		w.write.Respond(nil)
+	case w.refusal != nil && sameView && n.CommittedSeq() >= w.seq && n.QuorumConfirmedAt(now) >= w.since:
+		w.write.Respond(w.refusal)
 	case w.refusal != nil && !sameView, now-w.since > r.within:
-		w.write.Answer(ErrNotConfirmed)
+		w.write.Respond(ErrNotConfirmed)
 	default:
 		return false
 	}
 	return true
 }
 
-func (r *Requests) settleRead(now time.Duration, w waitingRead) (answered bool) {
+func (r *PendingRequests) settleRead(now time.Duration, w waitingRead) (answered bool) {
 	n := r.node
 	switch {
 	case w.view != n.View().Number || now-w.since > r.within:
-		w.read.Answer(State{}, ErrNotConfirmed)
-	case n.Confirmed(now) >= w.since:
-		w.read.Answer(n.CommittedState(), nil) // what the tail has stored
+		w.read.Respond(State{}, ErrNotConfirmed)
+	case n.QuorumConfirmedAt(now) >= w.since:
+		w.read.Respond(n.CommittedState(), nil) // what the tail has stored
 	default:
 		return false
 	}
--- a/internal/chain/status.go
+++ b/internal/chain/status.go
@@ -1,7 +1,7 @@
 package chain
 
 func (n *Node) status() Status {
-	return Status{View: n.view.Number, Sealed: n.Sealed(), Healthy: n.healthy && !n.leaving, Leaving: n.leaving, Stored: n.stored, Seq: n.state.Seq, Committed: n.committed}
+	return Status{View: n.view.Number, Sealed: n.IsSealed(), Healthy: n.healthy && !n.leaving, Leaving: n.leaving, Stored: n.stored, Seq: n.state.Seq, Committed: n.committed}
 }
 
 // Self is this member.
@@ -10,11 +10,11 @@
 // View is the view in force here.
 func (n *Node) View() View { return n.view }
 
-// Sealed tells whether this member has promised to take part in a next view.
-func (n *Node) Sealed() bool { return n.promised != Ballot{} }
+// IsSealed tells whether this member has promised to take part in a next view.
+func (n *Node) IsSealed() bool { return n.promised != ProposalNumber{} }
 
-// InChain tells whether this member is in the chain of its view.
-func (n *Node) InChain() bool { return n.view.Position(n.self.ID) >= 0 }
+// IsInChain tells whether this member is in the chain of its view.
+func (n *Node) IsInChain() bool { return n.view.Position(n.self.ID) >= 0 }
 
 // IsHead and IsTail tell this member's place in the chain.
 func (n *Node) IsHead() bool { return n.view.Number > 0 && n.view.Head() == n.self.ID }
--- a/internal/chain/storage.go
+++ b/internal/chain/storage.go
@@ -8,14 +8,14 @@
 		View     View
 		Base     State
 		Entries  []Entry
-		Promised Ballot
+		Promised ProposalNumber
 		Accepted *Accepted
 		Held     uint64
 	}
 	// EntryRecord is an entry added to the log.
 	EntryRecord struct{ Entry Entry }
 	// PromiseRecord is a promise for the next view.
-	PromiseRecord struct{ Ballot Ballot }
+	PromiseRecord struct{ Ballot ProposalNumber }
 	// AcceptRecord is an accepted proposal.
 	AcceptRecord struct{ Accepted Accepted }
 	// HeldRecord tells that this member has waited out its pause as the holder with a token.
--- a/internal/controlplane/chain_store_test.go
+++ b/internal/controlplane/chain_store_test.go
@@ -61,7 +61,7 @@
 		drain()
 		records, err := decodeRecords(payloads)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(chain.Restore(config, 0, records).Latest().Value).To(HaveField("Document.Version", int64(6)))
+		Expect(chain.Restore(config, 0, records).LatestState().Value).To(HaveField("Document.Version", int64(6)))
 	})
 })
 
--- a/internal/controlplane/drain_ack_test.go
+++ b/internal/controlplane/drain_ack_test.go
@@ -19,10 +19,10 @@
 	p, config, _ := alone()
 	view := chain.View{Number: 1, Voters: []chain.Member{{ID: "a", Address: "a"}, {ID: "b", Address: "b"}, {ID: "c", Address: "c"}},
 		Chain: []chain.MemberID{"a", "b", "c"}}
-	config.SuspectAfter = time.Hour
+	config.SuspectTimeout = time.Hour
 	p.origin = time.Now()
 	p.node, _ = chain.NewGenesis(config, 0, view, nil)
-	for _, envelope := range p.node.PingNow(0).Urgent {
+	for _, envelope := range p.node.PingVoters(0).ImmediateMessages {
 		member, _ := view.Voter(chain.MemberID(envelope.To))
 		p.node.Receive(0, chain.Pong{From: member, Nonce: envelope.Message.(chain.Ping).Nonce, Status: chain.Status{View: 1, Healthy: true}})
 	}
--- a/internal/controlplane/heartbeat_endpoint.go
+++ b/internal/controlplane/heartbeat_endpoint.go
@@ -8,7 +8,7 @@
 // takeHeartbeat takes a heartbeat of an endpoint. One that says that the endpoint leaves is acknowledged once that is
 // replicated.
 func (p *Process) takeHeartbeat(id string, beat sessions.Heartbeat, answer func(error)) {
-	if !p.node.InTouch(p.now()) {
+	if !p.node.HasQuorum(p.now()) {
 		answer(errkind.New(errkind.Unavailable, "no majority is in touch"))
 		return
 	}
@@ -26,7 +26,7 @@
 
 // deregister notes that an endpoint has gone, and acknowledges it once that is replicated.
 func (p *Process) deregister(id string, answer func(error)) {
-	if !p.node.InTouch(p.now()) {
+	if !p.node.HasQuorum(p.now()) {
 		answer(errkind.New(errkind.Unavailable, "no majority is in touch"))
 		return
 	}
--- a/internal/controlplane/load_ledger_sync.go
+++ b/internal/controlplane/load_ledger_sync.go
@@ -60,7 +60,7 @@
 	for _, begun := range heard.begun {
 		pl.ledger.Begin(begun)
 	}
-	until := min(p.node.HolderSince()+p.timing.lease, now)
+	until := min(p.node.LeaseHolderSince()+p.timing.lease, now)
 	for _, service := range pl.services() {
 		if heard.token == 0 {
 			pl.ledger.AssumeMost(now, service.Engine.LoadsPerS)
--- a/internal/controlplane/order_executor.go
+++ b/internal/controlplane/order_executor.go
@@ -125,7 +125,7 @@
 	p := r.placer.process
 	allowed := make(chan bool, 1)
 	p.post(func() {
-		token, holds := p.node.Holds(p.now())
+		token, holds := p.node.HoldsLease(p.now())
 		if holds && token == r.token {
 			r.begins()
 		}
--- a/internal/controlplane/pending_calls.go
+++ b/internal/controlplane/pending_calls.go
@@ -69,7 +69,7 @@
 	}
 	view := p.node.View()
 	head, ok := view.Voter(view.Head())
-	if !ok || !p.node.Reaches(p.now(), head.Address) {
+	if !ok || !p.node.IsReachable(p.now(), head.Address) {
 		answer(unavailable("no head can be reached"))
 		return
 	}
@@ -82,23 +82,23 @@
 func (p *Process) writeHere(change fleetconfig.Change, answer func(feed.Reply)) {
 	digests := change.Digests()
 	p.carryOut(p.requests.Write(p.now(), chain.Write{
-		Decide: func(latest any) chain.Decision { return decide(latest.(*fleetconfig.State), digests, change) },
-		Taken:  func(value any) bool { return value.(*fleetconfig.State).HasAny(digests) },
-		Answer: func(err error) { answer(replyOf(err)) },
+		Decide:    func(latest any) chain.Decision { return decide(latest.(*fleetconfig.State), digests, change) },
+		IsApplied: func(value any) bool { return value.(*fleetconfig.State).HasAny(digests) },
+		Respond:   func(err error) { answer(replyOf(err)) },
 	}))
 }
 
 // decide tells what the newest state makes of a change.
 func decide(latest *fleetconfig.State, digests [2]fleetconfig.Digest, change fleetconfig.Change) chain.Decision {
 	if latest.HasAny(digests) {
-		return chain.Decision{Taken: true}
+		return chain.Decision{AlreadyApplied: true}
 	}
 	if _, refusal := latest.Next(&change); refusal != nil {
-		return chain.Decision{Refusal: refusal}
+		return chain.Decision{Rejection: refusal}
 	}
 	operation, err := encodeOperation(change)
 	if err != nil {
-		return chain.Decision{Refusal: err}
+		return chain.Decision{Rejection: err}
 	}
 	return chain.Decision{Operation: operation}
 }
@@ -123,7 +123,7 @@
 	}
 	view := p.node.View()
 	tail, ok := view.Voter(view.Tail())
-	if !ok || !p.node.Reaches(p.now(), tail.Address) {
+	if !ok || !p.node.IsReachable(p.now(), tail.Address) {
 		answer(unavailable("no tail can be reached"))
 		return
 	}
@@ -132,7 +132,7 @@
 
 // readHere gives the configuration where this member is the tail.
 func (p *Process) readHere(answer func(feed.Reply)) {
-	p.carryOut(p.requests.Read(p.now(), chain.Read{Answer: func(state chain.State, err error) {
+	p.carryOut(p.requests.Read(p.now(), chain.Read{Respond: func(state chain.State, err error) {
 		if err != nil {
 			answer(replyOf(err))
 			return
--- a/internal/controlplane/pending_calls_test.go
+++ b/internal/controlplane/pending_calls_test.go
@@ -67,7 +67,7 @@
 		for _, p := range []*Process{before, after} {
 			p.settings.InternalPortRange = []int{1, 1}
 			node, _ := chain.NewGenesis(p.chainConfig("a"), 0, view, nil)
-			for _, envelope := range node.PingNow(0).Urgent {
+			for _, envelope := range node.PingVoters(0).ImmediateMessages {
 				nonces[envelope.Message.(chain.Ping).Nonce]++
 			}
 		}
--- a/internal/controlplane/placement_controller.go
+++ b/internal/controlplane/placement_controller.go
@@ -97,7 +97,7 @@
 }
 
 func (pl *placer) tick(now time.Duration) {
-	token, holds := pl.process.node.Holds(now)
+	token, holds := pl.process.node.HoldsLease(now)
 	if holds && (!pl.holding || token != pl.token) {
 		pl.take(now, token)
 	}
--- a/internal/controlplane/rpc.go
+++ b/internal/controlplane/rpc.go
@@ -88,7 +88,7 @@
 	case feed.DemandReport:
 		p.placer.report(m)
 	case chain.Ping:
-		if link := p.links[m.From.Address]; link != nil && !p.node.Reaches(now, m.From.Address) {
+		if link := p.links[m.From.Address]; link != nil && !p.node.IsReachable(now, m.From.Address) {
 			link.Wake()
 		}
 		p.carryOut(p.node.Receive(now, m))
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -45,7 +45,7 @@
 	unheard      map[string]bool // peers whose sessions have not come since
 
 	calls    calls
-	requests *chain.Requests
+	requests *chain.PendingRequests
 	leaves   map[uint64]*pendingLeave // by the number of their call
 	// replicatedLeaves are the endpoints whose leaving has been acknowledged, and how far they were.
 	replicatedLeaves map[string]sessions.State
@@ -76,7 +76,7 @@
 	if err := p.restore(); err != nil {
 		return err
 	}
-	p.requests = chain.NewRequests(p.node, p.timing.answerWithin)
+	p.requests = chain.NewPendingRequests(p.node, p.timing.answerWithin)
 	p.saver = p.restoreSessions()
 	go p.writeSessions()
 	go p.disk.run(ctx.Done())
@@ -104,9 +104,9 @@
 			ControlAddress: p.settings.Listen.ControlPlane, Zone: p.settings.Zone},
 		Apply:        applyOperation,
 		Seeds:        p.settings.SeedInternalAddresses(),
-		MostFailures: p.settings.Tolerance.MachineFailures,
-		PingEvery:    p.timing.pingEvery, SuspectAfter: p.timing.suspectAfter, ProposeTimeout: p.timing.proposeTimeout,
-		LeaseFor: p.timing.lease, HolderPause: p.timing.holderPause, ReturnPause: p.timing.returnPause,
+		MaxFailures:  p.settings.Tolerance.MachineFailures,
+		PingInterval: p.timing.pingEvery, SuspectTimeout: p.timing.suspectAfter, ProposalTimeout: p.timing.proposeTimeout,
+		LeaseDuration: p.timing.lease, TakeoverDelay: p.timing.holderPause, ReturnDelay: p.timing.returnPause,
 		FirstNonce: firstNumber(),
 		Jitter:     func(d time.Duration) time.Duration { return mathrand.N(d + 1) },
 	}
@@ -144,7 +144,7 @@
 			return
 		}
 		p.afterCommands()
-		if leaveBy != nil && p.node.Dispensable() {
+		if leaveBy != nil && p.node.CanStop() {
 			return
 		}
 	}
@@ -166,11 +166,11 @@
 	now := p.now()
 	gap := now - p.lastTick
 	p.lastTick = now
-	inTouch := p.node.InTouch(now)
+	inTouch := p.node.HasQuorum(now)
 	if inTouch {
 		p.sessionClock += min(gap, 4*p.timing.tick)
 	}
-	p.node.SetHealthy(p.disk.behind() < p.timing.diskPatience)
+	p.node.SetDiskHealthy(p.disk.behind() < p.timing.diskPatience)
 	p.readSeeds(now, inTouch)
 	p.carryOut(p.node.Tick(now))
 	p.table.ExpireTTLs(p.sessionClock)
@@ -200,13 +200,13 @@
 
 // carryOut carries an output of the chain out.
 func (p *Process) carryOut(out chain.Output) {
-	for _, envelope := range out.Urgent {
+	for _, envelope := range out.ImmediateMessages {
 		p.send(envelope.To, envelope.Message)
 	}
 	if len(out.Records) > 0 || len(out.Messages) > 0 {
 		p.store(out.Records, out.Messages)
 	}
-	if out.Installed {
+	if out.ViewInstalled {
 		p.onView()
 	}
 }
@@ -286,7 +286,7 @@
 // afterCommands does what follows from the commands that were worked through.
 func (p *Process) afterCommands() {
 	now := p.now()
-	p.requests.Settle(now)
+	p.requests.AnswerReady(now)
 	p.sendSessionUpdates(now)
 	p.shareLoads(now)
 	p.sendUpdates(now)
--- a/internal/controlplane/session_replication.go
+++ b/internal/controlplane/session_replication.go
@@ -76,7 +76,7 @@
 // allPeersAnswered tells whether all peers that can be reached have sent their sessions.
 func (p *Process) allPeersAnswered(now time.Duration) bool {
 	for peer := range p.unheard {
-		if p.node.Reaches(now, peer) {
+		if p.node.IsReachable(now, peer) {
 			return false
 		}
 	}
--- a/internal/controlplane/status_endpoint.go
+++ b/internal/controlplane/status_endpoint.go
@@ -50,16 +50,16 @@
 func (p *Process) status() feed.Status {
 	now := p.now()
 	committed := p.node.CommittedState()
-	_, holds := p.node.Holds(now)
+	_, holds := p.node.HoldsLease(now)
 	status := feed.Status{
-		Self: p.node.Self(), View: p.node.View(), InForce: p.node.InForce(now), Sealed: p.node.Sealed(), Seq: p.node.Latest().Seq,
+		Self: p.node.Self(), View: p.node.View(), InForce: p.node.IsViewConfirmed(now), Sealed: p.node.IsSealed(), Seq: p.node.LatestState().Seq,
 		Committed: committed.Seq, Holds: holds, Endpoints: map[sessions.State]int{}, DiskBehind: p.disk.behind(),
 	}
 	if value, ok := committed.Value.(*fleetconfig.State); ok {
 		status.Version = value.Document.Version
 	}
 	for _, voter := range status.View.Voters {
-		status.Members = append(status.Members, feed.MemberStatus{ID: voter.ID, Reachable: p.node.Reaches(now, voter.Address),
+		status.Members = append(status.Members, feed.MemberStatus{ID: voter.ID, Reachable: p.node.IsReachable(now, voter.Address),
 			InChain: status.View.Position(voter.ID) >= 0})
 	}
 	for s := range p.subscribers {
--- a/internal/controlplane/update_stream.go
+++ b/internal/controlplane/update_stream.go
@@ -113,13 +113,13 @@
 
 // streams tells whether this member may serve streams: it is in the chain and a majority has confirmed its view.
 func (p *Process) streams(now time.Duration) bool {
-	return p.node.InChain() && p.node.CommittedKnown() && now-p.node.Confirmed(now) < p.timing.streamSilence
+	return p.node.IsInChain() && p.node.IsCommitKnown() && now-p.node.QuorumConfirmedAt(now) < p.timing.streamSilence
 }
 
 // sendUpdates sends what is new to those who have not got it.
 func (p *Process) sendUpdates(now time.Duration) {
 	if !p.streams(now) {
-		if p.node.Sealed() && p.node.InTouch(now) {
+		if p.node.IsSealed() && p.node.HasQuorum(now) {
 			return // the next view is under way
 		}
 		p.endStreams()
--- a/internal/lab/coresim/checker.go
+++ b/internal/lab/coresim/checker.go
@@ -50,11 +50,11 @@
 	if !m.runs() || m.node.View().Number == 0 {
 		return
 	}
-	if m.node.InChain() {
+	if m.node.IsInChain() {
 		c.committed(m)
 	}
 	now := m.world.now
-	token, holds := m.node.Holds(now)
+	token, holds := m.node.HoldsLease(now)
 	if m.world.options.Flaw == HoldUnconfirmed {
 		view := m.node.View()
 		holds, token = view.Holder == m.node.Self().ID, view.Token
--- a/internal/lab/coresim/clients.go
+++ b/internal/lab/coresim/clients.go
@@ -160,17 +160,17 @@
 	flaw, life := m.world.options.Flaw, m.life
 	decide := func(latest any) chain.Decision { return flaw.decide(latest.(log), op) }
 	if flaw == RefuseUnconfirmed && m.node.IsHead() {
-		if refusal := decide(m.node.Latest().Value).Refusal; refusal != nil {
+		if refusal := decide(m.node.LatestState().Value).Rejection; refusal != nil {
 			answer(refusal)
 			return
 		}
 	}
 	m.act(m.requests.Write(m.world.now, chain.Write{
-		Decide: decide,
-		Taken:  func(value any) bool { return value.(log).has(op.number) },
-		Answer: answer,
+		Decide:    decide,
+		IsApplied: func(value any) bool { return value.(log).has(op.number) },
+		Respond:   answer,
 	}))
-	if m.life == life && flaw == AckAtHead && m.node.Latest().Value.(log).has(op.number) {
+	if m.life == life && flaw == AckAtHead && m.node.LatestState().Value.(log).has(op.number) {
 		answer(nil)
 	}
 }
@@ -179,9 +179,9 @@
 func (f Flaw) decide(latest log, op operation) chain.Decision {
 	switch {
 	case f != ForgetTaken && latest.has(op.number):
-		return chain.Decision{Taken: true}
+		return chain.Decision{AlreadyApplied: true}
 	case f != IgnoreBase && uint64(len(latest.operations)) != op.base:
-		return chain.Decision{Refusal: errConflict}
+		return chain.Decision{Rejection: errConflict}
 	}
 	return chain.Decision{Operation: encode(op)}
 }
@@ -200,11 +200,11 @@
 		shown(m.node.CommittedState().Value.(log))
 		return
 	}
-	m.act(m.requests.Read(w.now, chain.Read{Answer: func(state chain.State, err error) {
+	m.act(m.requests.Read(w.now, chain.Read{Respond: func(state chain.State, err error) {
 		switch {
 		case err != nil:
 		case w.options.Flaw == ReadUnstored:
-			shown(m.node.Latest().Value.(log))
+			shown(m.node.LatestState().Value.(log))
 		default:
 			shown(state.Value.(log))
 		}
--- a/internal/lab/coresim/coverage.go
+++ b/internal/lab/coresim/coverage.go
@@ -81,11 +81,11 @@
 		running++
 		view := m.node.View()
 		voters = max(voters, len(view.Voters))
-		agreeing = agreeing || m.node.Sealed()
-		joining = joining || !m.node.InChain()
-		_, holds := m.node.Holds(w.now)
+		agreeing = agreeing || m.node.IsSealed()
+		joining = joining || !m.node.IsInChain()
+		_, holds := m.node.HoldsLease(w.now)
 		pausing = pausing || view.Holder == m.node.Self().ID && !holds
-		writing = writing || m.node.IsHead() && m.node.Latest().Seq > m.node.CommittedSeq()
+		writing = writing || m.node.IsHead() && m.node.LatestState().Seq > m.node.CommittedSeq()
 	}
 	switch {
 	case running <= voters/2:
--- a/internal/lab/coresim/flaws.go
+++ b/internal/lab/coresim/flaws.go
@@ -107,7 +107,7 @@
 		switch r := record.(type) {
 		case chain.PromiseRecord, chain.AcceptRecord:
 		case chain.Snapshot:
-			r.Promised, r.Accepted = chain.Ballot{}, nil
+			r.Promised, r.Accepted = chain.ProposalNumber{}, nil
 			kept = append(kept, r)
 		default:
 			kept = append(kept, record)
--- a/internal/lab/coresim/machine.go
+++ b/internal/lab/coresim/machine.go
@@ -14,7 +14,7 @@
 	address string
 	node    *chain.Node
 	// requests are the operators' and readers' that wait here.
-	requests *chain.Requests
+	requests *chain.PendingRequests
 	life     int // of the process; what an earlier one has begun does not count
 	lost     int // how often the disk was lost
 	up       bool
@@ -55,9 +55,9 @@
 	}
 	return chain.Config{
 		Self:  chain.Member{ID: m.id(), Name: m.address, Address: m.address},
-		Apply: apply, Seeds: m.world.seeds, MostFailures: m.world.options.MostFailures,
-		PingEvery: pingEvery, SuspectAfter: suspectAfter, ProposeTimeout: proposeTimeout,
-		LeaseFor: leaseFor, HolderPause: pause, ReturnPause: returnPause,
+		Apply: apply, Seeds: m.world.seeds, MaxFailures: m.world.options.MostFailures,
+		PingInterval: pingEvery, SuspectTimeout: suspectAfter, ProposalTimeout: proposeTimeout,
+		LeaseDuration: leaseFor, TakeoverDelay: pause, ReturnDelay: returnPause,
 		FirstNonce: m.firstNonce(),
 		Jitter:     func(d time.Duration) time.Duration { return time.Duration(m.world.random.Int64N(int64(d) + 1)) },
 	}
@@ -105,7 +105,7 @@
 	default:
 		m.node, out = chain.NewJoiner(m.config(), now, log{})
 	}
-	m.requests = chain.NewRequests(m.node, callPatience)
+	m.requests = chain.NewPendingRequests(m.node, callPatience)
 	m.act(out)
 	m.tick(m.life)
 }
@@ -114,7 +114,7 @@
 func (m *machine) observe() {
 	m.world.checker.watch(m)
 	if m.runs() {
-		m.requests.Settle(m.world.now)
+		m.requests.AnswerReady(m.world.now)
 	}
 }
 
@@ -130,8 +130,8 @@
 		return
 	}
 	behind := m.writing && m.world.now-m.writingSince > diskPatience
-	m.node.SetHealthy(!behind)
-	if !m.node.InTouch(m.world.now) {
+	m.node.SetDiskHealthy(!behind)
+	if !m.node.HasQuorum(m.world.now) {
 		m.node.SetSeeds(m.world.seeds) // as it reads them again
 	}
 	m.act(m.node.Tick(m.world.now))
@@ -168,7 +168,7 @@
 
 // act carries an output out.
 func (m *machine) act(out chain.Output) {
-	for _, envelope := range out.Urgent {
+	for _, envelope := range out.ImmediateMessages {
 		m.world.send(m, envelope)
 	}
 	if len(out.Records) == 0 && len(out.Messages) == 0 {
@@ -307,11 +307,11 @@
 func (m *machine) mayEnd() bool {
 	switch m.world.options.Flaw {
 	case LeaveAsVoter:
-		return !m.node.InChain()
+		return !m.node.IsInChain()
 	case LeaveUncopied:
 		view := m.node.View()
 		_, voter := view.Voter(m.node.Self().ID)
-		return !m.node.InChain() && !(voter && len(view.Voters) > 2*m.world.options.MostFailures+1)
+		return !m.node.IsInChain() && !(voter && len(view.Voters) > 2*m.world.options.MostFailures+1)
 	}
-	return m.node.Dispensable()
+	return m.node.CanStop()
 }
--- a/internal/lab/coresim/schedule.go
+++ b/internal/lab/coresim/schedule.go
@@ -167,7 +167,7 @@
 	if len(m.disk) == 0 {
 		return 0
 	}
-	return len(chain.Restore(m.config(), m.world.now, m.disk).Newest().Value.(log).operations)
+	return len(chain.Restore(m.config(), m.world.now, m.disk).LatestOrAcceptedState().Value.(log).operations)
 }
 
 // caughtUp checks that every member that runs is in the chain of the newest view.
@@ -177,7 +177,7 @@
 		newest = max(newest, m.node.View().Number)
 	}
 	for _, m := range w.present() {
-		if view := m.node.View(); view.Number < newest || !m.node.InChain() {
+		if view := m.node.View(); view.Number < newest || !m.node.IsInChain() {
 			return fmt.Errorf("%s has not caught up: it has view %d of %d", m.address, view.Number, newest)
 		}
 	}
