--- a/internal/controlplane/anti_entropy.go
+++ b/internal/controlplane/anti_entropy.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"dykering/internal/feed"
-	"dykering/internal/sessions"
 )
 
 // repair compares this copy of the sessions with a peer's now and then, and tells peers how many sidecars follow a stream
@@ -26,25 +25,25 @@
 // onSessionDigest looks into the parts of a range that differ: their parts are told in turn, and the sessions themselves
 // once they cannot be divided any further.
 func (p *Process) onSessionDigest(m feed.SessionDigest) {
-	if !m.Range.Valid() || len(m.Range) >= sessions.Depth {
+	if !m.Range.Valid() || m.Range.IsLeaf() {
 		return
 	}
 	self := p.node.Self().Address
 	for _, part := range p.table.DifferingChildren(m.Range, m.Digests) {
-		if len(part) < sessions.Depth {
+		if !part.IsLeaf() {
 			p.send(m.From, feed.SessionDigest{From: self, Range: part, Digests: p.table.ChildDigests(part)})
 			continue
 		}
-		p.send(m.From, feed.SessionRange{From: self, Range: part, Records: p.table.Records(p.sessionClock, p.table.IDs(part)), Ask: true})
+		p.send(m.From, feed.SessionRange{From: self, Range: part, Records: p.table.RecordsIn(p.sessionClock, part), Ask: true})
 	}
 }
 
 func (p *Process) onSessionRange(m feed.SessionRange) {
-	if !m.Range.Valid() || len(m.Range) != sessions.Depth {
+	if !m.Range.Valid() || !m.Range.IsLeaf() {
 		return
 	}
 	if m.Ask {
-		own := p.table.Records(p.sessionClock, p.table.IDs(m.Range))
+		own := p.table.RecordsIn(p.sessionClock, m.Range)
 		p.send(m.From, feed.SessionRange{From: p.node.Self().Address, Range: m.Range, Records: own})
 	}
 	for _, record := range m.Records {
--- a/internal/controlplane/drain_ack.go
+++ b/internal/controlplane/drain_ack.go
@@ -23,7 +23,7 @@
 
 // replicateLeave has the other voters store that an endpoint leaves.
 func (p *Process) replicateLeave(id string, state sessions.State, answer func(error)) {
-	if !sessions.Before(p.replicatedLeaves[id], state) {
+	if !p.replicatedLeaves[id].Before(state) {
 		answer(nil)
 		return
 	}
@@ -49,7 +49,7 @@
 // knowsLeave tells whether the table has it that an endpoint is at least as far on its way out as a state.
 func (p *Process) knowsLeave(id string, state sessions.State) bool {
 	known, ok := p.table.Get(id)
-	return ok && !sessions.Before(known.State, state)
+	return ok && !known.State.Before(state)
 }
 
 func (p *Process) onSessionAck(m feed.SessionAck) { p.leaveStored(m.Ask, m.From) }
--- a/internal/controlplane/explain_endpoint.go
+++ b/internal/controlplane/explain_endpoint.go
@@ -92,7 +92,7 @@
 func (pl *placer) explain(now time.Duration, model string) feed.Explanation {
 	explanation := feed.Explanation{Model: model, Now: now, Holds: pl.holding, Decisions: pl.decisions.about(model)}
 	services := map[string]bool{}
-	for _, e := range pl.process.table.ModifiedSince(0) {
+	for _, e := range pl.process.table.Endpoints() {
 		if e.State == sessions.Departed || !e.HasLoaded(model, "") {
 			continue
 		}
--- a/internal/controlplane/overlays.go
+++ b/internal/controlplane/overlays.go
@@ -22,7 +22,7 @@
 	pl.counter++
 	version := pl.token<<32 | pl.counter
 	pl.overlays[id] = overlay{holdings: holdings, setAt: now}
-	pl.process.table.SetOverlay(pl.process.sessionClock, id, sessions.Overlay{Version: version, Holdings: holdings})
+	pl.process.table.SetOverlay(id, sessions.Overlay{Version: version, Holdings: holdings})
 }
 
 func (pl *placer) clearOverlay(now time.Duration, id string) { pl.setOverlay(now, id, nil) }
@@ -38,7 +38,7 @@
 			delete(pl.overlays, id)
 		}
 	}
-	for _, e := range pl.process.table.ModifiedSince(0) {
+	for _, e := range pl.process.table.Endpoints() {
 		if _, own := pl.overlays[e.ID]; !own && len(e.Overlay.Holdings) > 0 {
 			pl.overlays[e.ID] = overlay{holdings: e.Overlay.Holdings, setAt: now}
 		}
--- a/internal/controlplane/placement_controller.go
+++ b/internal/controlplane/placement_controller.go
@@ -203,7 +203,7 @@
 // endpoints are those of a service, as the planner sees them.
 func (pl *placer) endpoints(service string) []placement.Endpoint {
 	var out []placement.Endpoint
-	for _, e := range pl.process.table.ModifiedSince(0) {
+	for _, e := range pl.process.table.Endpoints() {
 		if e.Heartbeat.Service != service || e.State == sessions.Departed {
 			continue
 		}
--- a/internal/controlplane/status_endpoint.go
+++ b/internal/controlplane/status_endpoint.go
@@ -66,7 +66,7 @@
 		behind := committed.Seq - min(s.acked.ConfigSeq, committed.Seq)
 		status.Subscribers = append(status.Subscribers, feed.SubscriberStatus{Name: s.name, Ack: s.acked, Behind: behind})
 	}
-	for _, e := range p.table.ModifiedSince(0) {
+	for _, e := range p.table.Endpoints() {
 		status.Endpoints[e.State]++
 	}
 	return status
--- a/internal/sessions/range_digest.go
+++ b/internal/sessions/range_digest.go
@@ -4,89 +4,100 @@
 	"encoding/binary"
 	"hash/fnv"
 	"io"
+	"time"
 )
 
-// Copies of the table are compared by digests of ranges of ids, in a tree: each range has fanout parts, and only parts
-// whose digests differ are looked into, so that two copies which differ little find out with little said.
+// Replicas of the table are compared by a tree of digests over ranges of IDs, as in a Merkle tree: each range has Fanout
+// children, and only children whose digests differ are compared further. Two replicas that differ in little so find out
+// with few messages.
 const (
-	// Fanout is into how many parts a range is divided, and Depth how often.
+	// Fanout is the number of children of a range.
 	Fanout = 16
-	Depth  = 2
+	// Depth is the number of levels below the root. A range at this depth is a leaf: its sessions are sent themselves.
+	Depth = 2
 )
 
-// Range is a part of all ids: the places of its division, from the root on.
+// Range is a node of the tree, and the IDs below it: the index of the child taken at each level, from the root on. The
+// empty range is the root.
 type Range []byte
 
-// Valid tells whether a range is one of the tree's.
+// Valid reports whether a range is a node of the tree. A range that a peer has sent may be any bytes.
 func (r Range) Valid() bool {
-	for _, place := range r {
-		if place >= Fanout {
+	for _, child := range r {
+		if child >= Fanout {
 			return false
 		}
 	}
 	return len(r) <= Depth
 }
 
-// places are the ranges that an id is in, one for each level.
-func path(id string) [Depth]byte {
-	hash := fnv.New64a()
-	io.WriteString(hash, id)
-	sum := hash.Sum64()
-	var at [Depth]byte
-	for i := range at {
-		at[i] = byte(sum>>(4*i)) % Fanout
-	}
-	return at
-}
+// IsLeaf reports whether a range has no children.
+func (r Range) IsLeaf() bool { return len(r) >= Depth }
+
+// Child returns a child of a range.
+func (r Range) Child(index int) Range { return append(append(Range{}, r...), byte(index)) }
 
-func (r Range) contains(id string) bool {
-	at := path(id)
-	for i, place := range r {
-		if at[i] != place {
+// contains reports whether an ID, by its path, is below a range.
+func (r Range) contains(path [Depth]byte) bool {
+	for level, child := range r {
+		if path[level] != child {
 			return false
 		}
 	}
 	return true
 }
 
-// Digests are those of the parts of a range.
-func (t *Table) ChildDigests(of Range) [Fanout]uint64 {
+// pathOf returns the path from the root to the leaf that an ID is in. All replicas must compute the same one: changing it
+// makes processes of two versions find differences that do not exist.
+func pathOf(id string) [Depth]byte {
+	hash := fnv.New64a()
+	io.WriteString(hash, id)
+	sum := hash.Sum64()
+	var path [Depth]byte
+	for level := range path {
+		path[level] = byte(sum>>(4*level)) % Fanout
+	}
+	return path
+}
+
+// ChildDigests returns the digests of the children of a range; all zero for a leaf.
+func (t *Table) ChildDigests(parent Range) [Fanout]uint64 {
 	var digests [Fanout]uint64
-	if len(of) >= Depth {
+	if parent.IsLeaf() {
 		return digests
 	}
-	for id, row := range t.rows {
-		if of.contains(id) {
-			digests[path(id)[len(of)]] ^= row.endpoint.digest()
+	for id, known := range t.rows {
+		if path := pathOf(id); parent.contains(path) {
+			digests[path[len(parent)]] ^= known.endpoint.digest()
 		}
 	}
 	return digests
 }
 
-// Differing lists the parts of a range whose digests are others here.
-func (t *Table) DifferingChildren(of Range, theirs [Fanout]uint64) []Range {
+// DifferingChildren lists the children of a range whose digests differ from those of a peer.
+func (t *Table) DifferingChildren(parent Range, theirs [Fanout]uint64) []Range {
 	var differing []Range
-	for i, digest := range t.ChildDigests(of) {
-		if digest != theirs[i] {
-			differing = append(differing, append(append(Range{}, of...), byte(i)))
+	for index, digest := range t.ChildDigests(parent) {
+		if digest != theirs[index] {
+			differing = append(differing, parent.Child(index))
 		}
 	}
 	return differing
 }
 
-// In lists the ids of a range.
-func (t *Table) IDs(of Range) []string {
-	var ids []string
-	for id := range t.rows {
-		if of.contains(id) {
-			ids = append(ids, id)
+// RecordsIn returns the records of the sessions in a range, in no order.
+func (t *Table) RecordsIn(now time.Duration, within Range) []Record {
+	var out []Record
+	for id, known := range t.rows {
+		if within.contains(pathOf(id)) {
+			out = append(out, known.record(now))
 		}
 	}
-	return ids
+	return out
 }
 
-// digest is that of what copies should agree on. Sequence numbers and times are not: they differ between two signs of
-// life.
+// digest covers the fields that replicas have to agree on. Sequence numbers and times are left out, as they differ while a
+// renewal is on its way; so is expiry, which each replica judges by itself.
 func (e *Endpoint) digest() uint64 {
 	hash := fnv.New64a()
 	write := func(text string) {
@@ -95,7 +106,7 @@
 	}
 	state := e.State
 	if state == Expired {
-		state = Ready // each copy judges silence by itself
+		state = Ready
 	}
 	write(e.ID)
 	write(string(state))
--- a/internal/sessions/table_test.go
+++ b/internal/sessions/table_test.go
@@ -21,7 +21,7 @@
 		Models: []LoadedModel{{Name: "m", Version: 1, Adapters: []string{"a1"}}}}
 }
 
-var _ = Describe("the table", func() {
+var _ = Describe("the session table", func() {
 	var table *Table
 	BeforeEach(func() { table = New(ttl) })
 	state := func(id string) State {
@@ -30,13 +30,13 @@
 		return e.State
 	}
 
-	It("takes no heartbeat that is older than one it has", func() {
+	It("ignores a heartbeat that is older than the stored one", func() {
 		Expect(table.ApplyHeartbeat(0, "i", heartbeat(5, Draining))).To(BeTrue())
 		Expect(table.ApplyHeartbeat(1, "i", heartbeat(4, Ready))).To(BeFalse())
 		Expect(state("i")).To(Equal(Draining))
 	})
 
-	It("never takes a leaving endpoint for one that is ready", func() {
+	It("keeps a draining or departed state when an earlier one is reported later", func() {
 		table.ApplyHeartbeat(0, "i", heartbeat(5, Draining))
 		table.ApplyHeartbeat(1, "i", heartbeat(6, Ready))
 		Expect(state("i")).To(Equal(Draining))
@@ -45,29 +45,29 @@
 		Expect(state("i")).To(Equal(Departed))
 	})
 
-	It("takes the state of a late heartbeat where that is further down", func() {
+	It("applies the state of a late heartbeat when that state is further on", func() {
 		table.ApplyHeartbeat(0, "i", heartbeat(5, Ready))
 		Expect(table.ApplyHeartbeat(1, "i", heartbeat(4, Draining))).To(BeFalse())
 		Expect(state("i")).To(Equal(Draining))
 		Expect(table.FlushModified(1)).To(HaveLen(1))
 	})
 
-	It("remembers that an endpoint has gone which it has never heard of", func() {
+	It("stores the departure of an unknown endpoint, so that a peer's record does not revive it", func() {
 		table.Deregister(0, "i")
 		table.Merge(1, Record{Endpoint: Endpoint{ID: "i", State: Ready, Heartbeat: heartbeat(5, Ready)}})
 		Expect(state("i")).To(Equal(Departed))
 	})
 
-	It("tells subscribers only of what matters to them", func() {
+	It("raises the modify index only when a field that subscribers act on changes", func() {
 		table.ApplyHeartbeat(0, "i", heartbeat(1, Ready))
-		revision := table.ModifyIndex()
+		index := table.ModifyIndex()
 		table.ApplyHeartbeat(time.Second, "i", heartbeat(2, Ready))
-		Expect(table.ModifyIndex()).To(Equal(revision))
+		Expect(table.ModifyIndex()).To(Equal(index))
 		table.ApplyHeartbeat(2*time.Second, "i", heartbeat(3, Draining))
-		Expect(table.ModifiedSince(revision)).To(HaveLen(1))
+		Expect(table.ModifiedSince(index)).To(HaveLen(1))
 	})
 
-	It("holds a silent endpoint back until it is heard of again", func() {
+	It("expires a session without heartbeat and renews it by the next one", func() {
 		table.ApplyHeartbeat(0, "i", heartbeat(1, Ready))
 		table.ExpireTTLs(ttl + 1)
 		Expect(state("i")).To(Equal(Expired))
@@ -75,7 +75,7 @@
 		Expect(state("i")).To(Equal(Ready))
 	})
 
-	It("counts a sign of life that was heard elsewhere", func() {
+	It("extends the TTL by a peer's renewal", func() {
 		table.ApplyHeartbeat(0, "i", heartbeat(1, Ready))
 		Expect(table.Renew(5*time.Second, "i", 4, time.Second)).To(BeTrue())
 		table.ExpireTTLs(6 * time.Second)
@@ -83,7 +83,7 @@
 		Expect(table.Renew(0, "unknown", 1, 0)).To(BeFalse())
 	})
 
-	It("tells others what was heard here, whatever others say meanwhile, and nothing that they said", func() {
+	It("sends peers its own heartbeats, whatever peers send meanwhile, and none of theirs", func() {
 		table.ApplyHeartbeat(0, "mine", heartbeat(1, Ready))
 		table.FlushModified(0)
 		table.ApplyHeartbeat(time.Second, "mine", heartbeat(2, Ready))
@@ -93,7 +93,7 @@
 		Expect(table.FlushRenewals(time.Second)).To(Equal([]Renewal{{ID: "mine", Sequence: 2}}))
 	})
 
-	It("merges alike in any order", func() {
+	It("reaches the same session whatever the order of merges", func() {
 		records := []Record{
 			{Endpoint: Endpoint{ID: "i", Heartbeat: heartbeat(1, Ready), State: Ready}},
 			{Endpoint: Endpoint{ID: "i", Heartbeat: heartbeat(3, Draining), State: Draining}},
@@ -116,7 +116,7 @@
 		Expect(results[0].Overlay.Version).To(Equal(uint64(7)))
 	})
 
-	It("forgets what has long gone", func() {
+	It("deletes a departed session after its retention", func() {
 		table.ApplyHeartbeat(0, "i", heartbeat(1, Ready))
 		table.Deregister(0, "i")
 		table.ExpireTTLs(retention + 1)
@@ -125,43 +125,43 @@
 	})
 })
 
-var _ = Describe("what an endpoint holds", func() {
-	holds := func(overlay ...ModelOverride) *Endpoint {
+var _ = Describe("whether an endpoint has loaded a model", func() {
+	endpoint := func(overlay ...ModelOverride) *Endpoint {
 		return &Endpoint{Heartbeat: heartbeat(1, Ready), Overlay: Overlay{Holdings: overlay}}
 	}
-	DescribeTable("is what it says, and what orders have made of it since",
+	DescribeTable("follows the heartbeat, with overrides by orders taking precedence",
 		func(e *Endpoint, model, adapter string, expected bool) {
 			Expect(e.HasLoaded(model, adapter)).To(Equal(expected))
 		},
-		Entry("its model", holds(), "m", "", true),
-		Entry("another model", holds(), "n", "", false),
-		Entry("its adapter", holds(), "m", "a1", true),
-		Entry("another adapter", holds(), "m", "a2", false),
-		Entry("a model that was loaded", holds(ModelOverride{Model: "n", Present: true}), "n", "", true),
-		Entry("an adapter that was loaded", holds(ModelOverride{Model: "m", Adapter: "a2", Present: true}), "m", "a2", true),
-		Entry("a model that was unloaded", holds(ModelOverride{Model: "m"}), "m", "", false),
-		Entry("an adapter of a model that was unloaded", holds(ModelOverride{Model: "m"}), "m", "a1", false),
+		Entry("a model in the heartbeat", endpoint(), "m", "", true),
+		Entry("a model not in the heartbeat", endpoint(), "n", "", false),
+		Entry("an adapter in the heartbeat", endpoint(), "m", "a1", true),
+		Entry("an adapter not in the heartbeat", endpoint(), "m", "a2", false),
+		Entry("a model loaded by an order", endpoint(ModelOverride{Model: "n", Present: true}), "n", "", true),
+		Entry("an adapter loaded by an order", endpoint(ModelOverride{Model: "m", Adapter: "a2", Present: true}), "m", "a2", true),
+		Entry("a model unloaded by an order", endpoint(ModelOverride{Model: "m"}), "m", "", false),
+		Entry("an adapter of a model unloaded by an order", endpoint(ModelOverride{Model: "m"}), "m", "a1", false),
 	)
 })
 
-var _ = Describe("two copies", func() {
-	// compare finds the records that differ, and counts the digests that were told.
-	compare := func(a, b *Table) (found map[string]bool, told int) {
+var _ = Describe("anti-entropy between two replicas", func() {
+	// compare returns the IDs that two replicas find to differ, and the number of digest messages that took.
+	compare := func(a, b *Table) (found map[string]bool, messages int) {
 		found = map[string]bool{}
 		ranges := []Range{{}}
 		for len(ranges) > 0 {
-			at := ranges[0]
+			node := ranges[0]
 			ranges = ranges[1:]
-			if len(at) == Depth {
-				for _, id := range a.IDs(at) {
-					found[id] = true
+			if node.IsLeaf() {
+				for _, record := range a.RecordsIn(0, node) {
+					found[record.Endpoint.ID] = true
 				}
 				continue
 			}
-			told++
-			ranges = append(ranges, b.DifferingChildren(at, a.ChildDigests(at))...)
+			messages++
+			ranges = append(ranges, b.DifferingChildren(node, a.ChildDigests(node))...)
 		}
-		return found, told
+		return found, messages
 	}
 	fill := func() *Table {
 		t := New(ttl)
@@ -171,26 +171,26 @@
 		return t
 	}
 
-	It("that are alike say one message", func() {
+	It("ends after one message when the replicas agree", func() {
 		a, b := fill(), fill()
-		b.ApplyHeartbeat(0, "i-5", heartbeat(9, Ready)) // a newer sign of life is no difference
-		found, told := compare(a, b)
+		b.ApplyHeartbeat(0, "i-5", heartbeat(9, Ready)) // a renewal is no difference
+		found, messages := compare(a, b)
 		Expect(found).To(BeEmpty())
-		Expect(told).To(Equal(1))
+		Expect(messages).To(Equal(1))
 	})
 
-	It("find what differs with few messages", func() {
+	It("finds the differing sessions with few messages", func() {
 		a, b := fill(), fill()
 		a.ApplyHeartbeat(0, "i-7", heartbeat(2, Draining))
 		a.ApplyHeartbeat(0, "new", heartbeat(1, Ready))
-		found, told := compare(a, b)
+		found, messages := compare(a, b)
 		Expect(found).To(HaveKey("i-7"))
 		Expect(found).To(HaveKey("new"))
-		Expect(told).To(BeNumerically("<=", 3))
+		Expect(messages).To(BeNumerically("<=", 3))
 		Expect(len(found)).To(BeNumerically("<", 30))
 	})
 
-	It("know no ranges but the tree's", func() {
+	It("accepts no range that is not a node of the tree", func() {
 		Expect(Range{Fanout}.Valid()).To(BeFalse())
 		Expect(Range{1, 2, 3}.Valid()).To(BeFalse())
 		Expect(Range{1, 2}.Valid()).To(BeTrue())
