--- a/internal/dataplane/attempt.go
+++ b/internal/dataplane/attempt.go
@@ -65,7 +65,7 @@
 		return outcome{result: result, kind: errkind.EndpointFailed, detail: errText(err)}
 	}
 	sentAt := time.Now()
-	answer, err := conn.Answer(headerRequestID, q.id)
+	answer, err := conn.ReadResponse(headerRequestID, q.id)
 	if err != nil {
 		c.account.spend(phaseEarlier, sentAt)
 		conn.Close()
@@ -128,7 +128,7 @@
 func (c *carrying) head(endpoint *routing.Endpoint) []byte {
 	q := c.request
 	header := q.header.Clone()
-	http1.EndToEnd(header)
+	http1.RemoveHopByHop(header)
 	header.Set(headerExpected, endpoint.ID)
 	if c.begun {
 		header.Set(headerLastEvent, c.lastEvent)
@@ -164,7 +164,7 @@
 }
 
 // pass passes an endpoint's answer on, or says why not.
-func (c *carrying) pass(conn *http1.EndpointConn, answer *http1.EndpointAnswer) outcome {
+func (c *carrying) pass(conn *http1.EndpointConn, answer *http1.EndpointResponse) outcome {
 	load := parseLoad(answer.Header.Get(headerLoad))
 	if answer.Header.Get(headerNotRun) != "" || answer.Status == http.StatusMisdirectedRequest {
 		io.Copy(io.Discard, io.LimitReader(answer, wholeBody))
@@ -188,7 +188,7 @@
 }
 
 // passAnswer passes an answer on in the way of its route.
-func (c *carrying) passAnswer(answer *http1.EndpointAnswer, success bool) outcome {
+func (c *carrying) passAnswer(answer *http1.EndpointResponse, success bool) outcome {
 	switch {
 	case c.begun && !success:
 		return outcome{mayHaveRun: true, result: routing.Served, kind: errkind.EndpointFailed, detail: "the stream cannot go on"}
@@ -210,7 +210,7 @@
 }
 
 // passWhole reads an answer to its end before any of it is passed on, where it is short enough.
-func (c *carrying) passWhole(answer *http1.EndpointAnswer) outcome {
+func (c *carrying) passWhole(answer *http1.EndpointResponse) outcome {
 	if answer.Length > wholeBody {
 		return c.relay(answer)
 	}
@@ -218,7 +218,7 @@
 	if err != nil {
 		return c.broken(err)
 	}
-	if answer.Ended() {
+	if answer.Finished() {
 		c.writeHead(answer, int64(len(body)))
 		c.writer.Write(body)
 		return outcome{answered: true, result: routing.Served}
@@ -229,12 +229,12 @@
 }
 
 // writeHead passes the head of an answer on. A length below 0 is unknown.
-func (c *carrying) writeHead(answer *http1.EndpointAnswer, length int64) {
+func (c *carrying) writeHead(answer *http1.EndpointResponse, length int64) {
 	header := c.writer.Header()
 	for name, values := range answer.Header {
 		header[name] = values
 	}
-	http1.EndToEnd(header)
+	http1.RemoveHopByHop(header)
 	header.Del("Content-Length")
 	if length >= 0 {
 		header.Set("Content-Length", strconv.FormatInt(length, 10))
--- a/internal/dataplane/connection_pool.go
+++ b/internal/dataplane/connection_pool.go
@@ -64,7 +64,7 @@
 func (c *connections) take(id string) *http1.EndpointConn {
 	for {
 		conn := c.newest(id)
-		if conn == nil || conn.Rested() {
+		if conn == nil || conn.AwaitReusable() {
 			return conn
 		}
 		conn.Close()
@@ -93,7 +93,7 @@
 
 // give keeps a connection for the next request to its endpoint, for a time.
 func (c *connections) give(id string, conn *http1.EndpointConn, keep time.Duration) {
-	conn.Free()
+	conn.MarkIdle()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.idle[id]) >= idleEach || c.count >= c.most {
--- a/internal/dataplane/streaming.go
+++ b/internal/dataplane/streaming.go
@@ -21,13 +21,13 @@
 var eventEnd = []byte("\n\n")
 
 // relay passes a stream on as it comes. It ends with the length that its endpoint gave, if any.
-func (c *carrying) relay(answer *http1.EndpointAnswer) outcome {
+func (c *carrying) relay(answer *http1.EndpointResponse) outcome {
 	c.writeHead(answer, answer.Length)
 	return c.copyRest(answer)
 }
 
 // copyRest passes the rest of a body on, each piece at once. One that is cut ends the client's connection.
-func (c *carrying) copyRest(answer *http1.EndpointAnswer) outcome {
+func (c *carrying) copyRest(answer *http1.EndpointResponse) outcome {
 	buffer := make([]byte, copyBuffer)
 	for {
 		n, err := answer.Read(buffer)
@@ -55,7 +55,7 @@
 }
 
 // relayEvents passes a stream on by whole events, so that another endpoint may go on where this one breaks off.
-func (c *carrying) relayEvents(answer *http1.EndpointAnswer) outcome {
+func (c *carrying) relayEvents(answer *http1.EndpointResponse) outcome {
 	if !c.begun {
 		c.version = answer.Header.Get(headerVersions)
 		c.writeHead(answer, -1)
--- a/internal/http1/network.go
+++ b/internal/http1/network.go
@@ -17,7 +17,7 @@
 	Dial(ctx context.Context, address string, within time.Duration) (net.Conn, error)
 	// Receive makes this process the one that takes what the one before passes on, and Find finds the one after.
 	Receive(dir, name string) (Receiver, error)
-	Find(dir, name string, own Receiver) (Heir, error)
+	FindSuccessor(dir, name string, own Receiver) (Successor, error)
 }
 
 // Receiver takes connections of the process before, and Heir is who takes those of this one; see internal/handover.
@@ -26,7 +26,7 @@
 	Close() error
 }
 
-type Heir interface {
+type Successor interface {
 	Pass(state []byte, conns ...net.Conn) error
 	Alive() bool
 }
@@ -41,18 +41,18 @@
 
 func (Kernel) Receive(dir, name string) (Receiver, error) { return handover.Listen(dir, name) }
 
-func (Kernel) Find(dir, name string, own Receiver) (Heir, error) {
+func (Kernel) FindSuccessor(dir, name string, own Receiver) (Successor, error) {
 	receiver, _ := own.(*handover.Receiver)
 	sender, err := handover.Dial(dir, name, receiver)
 	if err != nil {
 		return nil, err
 	}
-	return kernelHeir{sender}, nil
+	return kernelSuccessor{sender}, nil
 }
 
-type kernelHeir struct{ *handover.Sender }
+type kernelSuccessor struct{ *handover.Sender }
 
-func (h kernelHeir) Pass(state []byte, raw ...net.Conn) error {
+func (h kernelSuccessor) Pass(state []byte, raw ...net.Conn) error {
 	conns := make([]syscall.Conn, len(raw))
 	for i, x := range raw {
 		var ok bool
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -58,7 +58,7 @@
 	life     *core.Lifecycle
 	network  Network
 	receiver Receiver             // of the process before; nil where there is no way
-	heir     atomic.Pointer[Heir] // to whom connections are passed on; nil for nobody
+	heir     atomic.Pointer[Successor] // to whom connections are passed on; nil for nobody
 
 	reloaded atomic.Int64 // when the last reload began, in Unix nanoseconds; 0 for never
 
--- a/internal/http1/stages.go
+++ b/internal/http1/stages.go
@@ -7,8 +7,8 @@
 )
 
 // Visited is what a look at the stages has seen before, so that the next one also sees what came and went between.
-type Visited struct {
-	callers  [stages]uint64
+type PhaseCounts struct {
+	connections  [stages]uint64
 	attempts [core.AttemptPhases]uint64
 }
 
@@ -16,8 +16,8 @@
 // process itself, by the names that the review of parts gives them: ac accepted, he a head or body is read, hd held, co
 // connecting, wr being written, aw answer awaited, cm answer coming, wa waiting to repeat, dr drain, st stop, ho handover,
 // re reload, di discovery to be followed anew.
-func (s *Server) Stages(last *Visited) (names []string) {
-	here := func(name string, n int) {
+func (s *Server) ActivePhases(previous *PhaseCounts) (names []string) {
+	report := func(name string, n int) {
 		if n > 0 {
 			names = append(names, name)
 		}
@@ -25,19 +25,19 @@
 	s.callers.mu.Lock()
 	for stage, name := range map[stage]string{mute: "ac", reading: "he"} {
 		moved := s.callers.moved[stage]
-		here(name, s.callers.stages[stage].Len()+int(moved-last.callers[stage]))
-		last.callers[stage] = moved
+		report(name, s.callers.stages[stage].Len()+int(moved-previous.connections[stage]))
+		previous.connections[stage] = moved
 	}
 	s.callers.mu.Unlock()
-	held := s.loop.Stats()
-	here("hd", held.Held)
+	stats := s.loop.Stats()
+	report("hd", stats.Held)
 	for phase, name := range map[core.AttemptPhase]string{core.Connecting: "co", core.Writing: "wr", core.Awaiting: "aw",
 		core.Coming: "cm"} {
 		entered := s.up.entered[phase].Load()
-		here(name, held.Phases[phase]+int(entered-last.attempts[phase]))
-		last.attempts[phase] = entered
+		report(name, stats.Phases[phase]+int(entered-previous.attempts[phase]))
+		previous.attempts[phase] = entered
 	}
-	here("wa", held.Again)
+	report("wa", stats.Again)
 	switch phase, _, _ := s.life.Now(); {
 	case phase == core.Draining:
 		names = append(names, "dr")
@@ -49,7 +49,7 @@
 	if at := s.reloaded.Load(); at != 0 && time.Since(time.Unix(0, at)) < reloadSeen {
 		names = append(names, "re")
 	}
-	if held.Moved {
+	if stats.Moved {
 		names = append(names, "di")
 	}
 	return names
@@ -59,6 +59,6 @@
 const reloadSeen = 50 * time.Millisecond
 
 // Held is how many bytes of bodies are accounted for as held: none once a process has answered all.
-func (s *Server) Held() int64 {
+func (s *Server) BufferedBytes() int64 {
 	return core.NewMemory(s.config.Plan()).Bodies.Left() - s.memory.Bodies.Left()
 }
--- a/internal/http1/transfer_send.go
+++ b/internal/http1/transfer_send.go
@@ -20,7 +20,7 @@
 	if s.config.Handover == "" {
 		return
 	}
-	heir, err := s.network.Find(s.config.Handover, s.heirName(), s.receiver)
+	heir, err := s.network.FindSuccessor(s.config.Handover, s.heirName(), s.receiver)
 	if err != nil {
 		s.log.Warn("handover.no_successor", zap.Error(err)) // callers are sent away instead
 		return
--- a/internal/http1/upstream_endpointconn.go
+++ b/internal/http1/upstream_endpointconn.go
@@ -19,7 +19,7 @@
 // exchange at a time.
 type EndpointConn struct {
 	conn  *conn
-	freed time.Time // when its last exchange ended
+	idleSince time.Time // when its last exchange ended
 }
 
 // DialEndpoint connects to an endpoint. A connection that fails at once is tried once more: endpoints reset new
@@ -45,21 +45,21 @@
 
 // Rested waits until the connection has rested since its last exchange, so that what an endpoint sends beyond an answer
 // is seen, and tells whether it can carry a request.
-func (c *EndpointConn) Rested() bool {
-	if !c.freed.IsZero() {
-		time.Sleep(time.Until(c.freed.Add(c.conn.to.Settle())))
+func (c *EndpointConn) AwaitReusable() bool {
+	if !c.idleSince.IsZero() {
+		time.Sleep(time.Until(c.idleSince.Add(c.conn.to.Settle())))
 	}
 	return c.conn.Alive()
 }
 
 // Free notes that the exchange has ended and the connection is idle.
-func (c *EndpointConn) Free() { c.freed = time.Now() }
+func (c *EndpointConn) MarkIdle() { c.idleSince = time.Now() }
 
 // FreedAt is when the last exchange ended.
-func (c *EndpointConn) FreedAt() time.Time { return c.freed }
+func (c *EndpointConn) IdleSince() time.Time { return c.idleSince }
 
 // Write sends a request until a time. Whole is false where its last byte was certainly not written.
-func (c *EndpointConn) Write(head, body []byte, until time.Time) (whole bool, err error) {
+func (c *EndpointConn) Write(head, body []byte, until time.Time) (complete bool, err error) {
 	c.conn.SetWriteDeadline(until)
 	pieces := net.Buffers{head}
 	if len(body) > 0 {
@@ -70,23 +70,23 @@
 }
 
 // EndpointAnswer is an endpoint's answer whose body is still to be read.
-type EndpointAnswer struct {
+type EndpointResponse struct {
 	Status int
 	Header http.Header
 	Length int64 // -1 where only its end tells
 	conn   *EndpointConn
 	body   *answerBody
-	lasts  bool
+	keepAlive  bool
 }
 
 // mostForeign bounds the answers to other requests that are passed over.
-const mostForeign = 4
+const maxForeignResponses = 4
 
 // Answer reads the head of the answer to a request. An answer that carries another request's id is passed over: it is
 // one too many for an earlier request on this connection.
-func (c *EndpointConn) Answer(idHeader, id string) (*EndpointAnswer, error) {
-	for range mostForeign + 1 {
-		a, err := c.nextAnswer()
+func (c *EndpointConn) ReadResponse(idHeader, id string) (*EndpointResponse, error) {
+	for range maxForeignResponses + 1 {
+		a, err := c.readResponse()
 		if err != nil {
 			return nil, err
 		}
@@ -94,14 +94,14 @@
 			return a, nil
 		}
 		c.conn.to.SentBeyond()
-		if _, err := io.Copy(io.Discard, a); err != nil || !a.lasts {
+		if _, err := io.Copy(io.Discard, a); err != nil || !a.keepAlive {
 			return nil, errSpoilt
 		}
 	}
 	return nil, errSpoilt
 }
 
-func (c *EndpointConn) nextAnswer() (*EndpointAnswer, error) {
+func (c *EndpointConn) readResponse() (*EndpointResponse, error) {
 	c.conn.left = maxAnswerHead
 	var code int
 	var header textproto.MIMEHeader
@@ -122,30 +122,30 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &EndpointAnswer{Status: code, Header: http.Header(header), Length: body.length, conn: c, body: body, lasts: lasts}
+	a := &EndpointResponse{Status: code, Header: http.Header(header), Length: body.length, conn: c, body: body, keepAlive: lasts}
 	return a, nil
 }
 
 // Read reads the body. Its end is io.EOF; a connection that ends early is another error.
-func (a *EndpointAnswer) Read(p []byte) (int, error) { return a.body.Read(p) }
+func (a *EndpointResponse) Read(p []byte) (int, error) { return a.body.Read(p) }
 
 // Ended tells whether the body has been read to its end.
-func (a *EndpointAnswer) Ended() bool { return a.body.ended }
+func (a *EndpointResponse) Finished() bool { return a.body.ended }
 
 // Reusable tells whether the connection may carry another exchange.
-func (a *EndpointAnswer) Reusable() bool {
+func (a *EndpointResponse) Reusable() bool {
 	c := a.conn.conn
 	if c.reader.Buffered() > 0 && a.body.ended {
 		c.to.SentBeyond()
 	}
-	if !a.lasts || !a.body.ended || a.body.toClose || c.reader.Buffered() > 0 {
+	if !a.keepAlive || !a.body.ended || a.body.toClose || c.reader.Buffered() > 0 {
 		return false
 	}
 	return c.Conn.SetDeadline(time.Time{}) == nil
 }
 
 // EndToEnd takes what concerns only one connection out of headers.
-func EndToEnd(header http.Header) { removeHopByHop(header) }
+func RemoveHopByHop(header http.Header) { removeHopByHop(header) }
 
 // RequestHead renders the head of a request with a body of known length.
 func RequestHead(method, target, host string, header http.Header, length int) []byte {
--- a/internal/lab/explore/explore_test.go
+++ b/internal/lab/explore/explore_test.go
@@ -35,7 +35,7 @@
 type broken struct {
 	http1.Network
 	dial func(c *netem.Conn, again func() (net.Conn, error)) net.Conn
-	find func(http1.Heir) http1.Heir
+	find func(http1.Successor) http1.Successor
 }
 
 func (b broken) Dial(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
@@ -46,8 +46,8 @@
 	return b.dial(c.(*netem.Conn), func() (net.Conn, error) { return b.Network.Dial(context.Background(), address, within) }), nil
 }
 
-func (b broken) Find(dir, name string, own http1.Receiver) (http1.Heir, error) {
-	heir, err := b.Network.Find(dir, name, own)
+func (b broken) FindSuccessor(dir, name string, own http1.Receiver) (http1.Successor, error) {
+	heir, err := b.Network.FindSuccessor(dir, name, own)
 	if err == nil && b.find != nil {
 		heir = b.find(heir)
 	}
@@ -225,7 +225,7 @@
 	}, []string{rules.Effect, rules.Single}},
 	"an answer cut at a handover": {1, func(n http1.Network, l net.Listener) (http1.Network, net.Listener) {
 		handing := &atomic.Bool{}
-		return broken{Network: n, find: func(h http1.Heir) http1.Heir {
+		return broken{Network: n, find: func(h http1.Successor) http1.Successor {
 			handing.Store(true)
 			return h
 		}}, cutter{l, handing}
--- a/internal/lab/whole/whole.go
+++ b/internal/lab/whole/whole.go
@@ -209,7 +209,7 @@
 		}
 		g.mu.Unlock()
 		for _, b := range all {
-			g.o.Look(time.Since(began), b.server.Stages(&b.visited))
+			g.o.Look(time.Since(began), b.server.ActivePhases(&b.visited))
 		}
 	}
 }
@@ -387,7 +387,7 @@
 		case <-b.process.Dead():
 		default:
 			time.Sleep(letGoFor)
-			if bytes, conns := b.server.Held(), b.process.Holds(); bytes != 0 || conns > 0 {
+			if bytes, conns := b.server.BufferedBytes(), b.process.Holds(); bytes != 0 || conns > 0 {
 				s.g.mu.Lock()
 				s.g.held = append(s.g.held, fmt.Errorf("%s ended and held %d bytes of bodies, %d connections", b.name, bytes, conns))
 				s.g.mu.Unlock()
@@ -421,7 +421,7 @@
 	return r, nil
 }
 
-func (n network) Find(dir, name string, _ http1.Receiver) (http1.Heir, error) {
+func (n network) FindSuccessor(dir, name string, _ http1.Receiver) (http1.Successor, error) {
 	h, err := n.g.exchange.Find(n.p, dir, name)
 	if err != nil {
 		return nil, err
@@ -437,7 +437,7 @@
 	signals chan os.Signal
 	reloads chan os.Signal
 	log     tail
-	visited http1.Visited // by look
+	visited http1.PhaseCounts // by look
 	dying   sync.Once
 	dies    chan struct{} // closed when other than the stage is about to kill it
 	pardon  sync.Once
