--- a/internal/controlplane/explain_endpoint.go
+++ b/internal/controlplane/explain_endpoint.go
@@ -29,9 +29,9 @@
 		}
 	}
 	for _, order := range orders {
-		need := input.Demand.Need(now, placement.Key{Service: service, Model: order.Model})
+		need := input.Demand.Estimate(now, placement.Key{Service: service, Model: order.Model})
 		l.decisions = append(l.decisions, feed.Decision{At: now, Service: service, Endpoint: order.Endpoint, Operation: string(order.Operation),
-			Model: order.Model, Adapter: order.Adapter, For: order.For, Copies: copies[order.Model], Demand: demandOf(need)})
+			Model: order.Model, Adapter: order.Adapter, For: order.FreesMemoryFor, Copies: copies[order.Model], Demand: demandOf(need)})
 	}
 	if beyond := len(l.decisions) - mostDecisions; beyond > 0 {
 		l.decisions = append(l.decisions[:0], l.decisions[beyond:]...)
@@ -49,7 +49,7 @@
 	return found
 }
 
-func demandOf(need placement.Need) feed.ModelDemand {
+func demandOf(need placement.Estimate) feed.ModelDemand {
 	return feed.ModelDemand{Rate: need.Rate, InFlight: need.InFlight, Waiting: need.Waiting, Pressure: need.Pressure, Unplaced: need.Unplaced}
 }
 
@@ -103,7 +103,7 @@
 		services[decision.Service] = true
 	}
 	for service := range services {
-		need := pl.demand.Need(now, placement.Key{Service: service, Model: model})
+		need := pl.demand.Estimate(now, placement.Key{Service: service, Model: model})
 		explanation.Demand = append(explanation.Demand, feed.ServiceDemand{Service: service, ModelDemand: demandOf(need)})
 	}
 	return explanation
--- a/internal/controlplane/explain_endpoint_test.go
+++ b/internal/controlplane/explain_endpoint_test.go
@@ -13,7 +13,7 @@
 	note := func(l *decisionLog, model, makesRoomFor string) {
 		demand := placement.NewDemand()
 		demand.Report(time.Second, "proxy", []placement.Sample{{Key: placement.Key{Service: "s", Model: model}, Requests: 3, Unplaced: 1}})
-		l.note(time.Second, "s", []placement.Order{{Endpoint: "i-1", Operation: placement.Unloading, Model: model, For: makesRoomFor}},
+		l.note(time.Second, "s", []placement.Order{{Endpoint: "i-1", Operation: placement.Unload, Model: model, FreesMemoryFor: makesRoomFor}},
 			&placement.Input{Demand: demand, Endpoints: []placement.Endpoint{{Models: map[string][]string{model: nil}}, {Models: map[string][]string{model: nil}}}})
 	}
 
--- a/internal/controlplane/load_ledger_sync.go
+++ b/internal/controlplane/load_ledger_sync.go
@@ -58,14 +58,14 @@
 	}
 	heard := pl.heard
 	for _, begun := range heard.begun {
-		pl.ledger.Begin(begun)
+		pl.ledger.RecordStart(begun)
 	}
 	until := min(p.node.LeaseHolderSince()+p.timing.lease, now)
 	for _, service := range pl.services() {
 		if heard.token == 0 {
-			pl.ledger.AssumeMost(now, service.Engine.LoadsPerS)
+			pl.ledger.AssumeFullWindow(now, service.Engine.LoadsPerS)
 			continue
 		}
-		pl.ledger.Assume(heard.at, until, service.Engine.LoadsPerS)
+		pl.ledger.AssumeUnreported(heard.at, until, service.Engine.LoadsPerS)
 	}
 }
--- a/internal/controlplane/load_ledger_sync_test.go
+++ b/internal/controlplane/load_ledger_sync_test.go
@@ -22,7 +22,7 @@
 
 	It("is kept by a holder that loses the role and has it back before anyone else had it", func() {
 		pl.token = 1
-		pl.ledger.Begin(9 * time.Second)
+		pl.ledger.RecordStart(9 * time.Second)
 		pl.take(10*time.Second, 1)
 		Expect(pl.ledger.Ages(10 * time.Second)).To(Equal([]time.Duration{time.Second}))
 	})
--- a/internal/controlplane/order_executor.go
+++ b/internal/controlplane/order_executor.go
@@ -32,16 +32,16 @@
 	}
 	run := &orderRun{placer: pl, order: order, engine: service.Engine, address: endpoint.Heartbeat.Address, token: pl.token,
 		takes: duration(service.Engine, order), notedAt: now,
-		busy: pl.demand.Need(now, placement.Key{Service: service.Name, Model: order.Model, Adapter: order.Adapter}).InFlight > 0}
+		busy: pl.demand.Estimate(now, placement.Key{Service: service.Name, Model: order.Model, Adapter: order.Adapter}).InFlight > 0}
 	if state := pl.states[order.Endpoint]; state != nil {
 		run.state = *state
 	}
 	pl.underWay[order.Endpoint] = &orderUnderWay{order: order, service: service.Name, ready: now + run.takes,
 		until: now + run.takes + orderPatience}
-	if order.Operation == placement.Loading && order.Adapter == "" {
-		pl.ledger.Begin(now)
+	if order.Operation == placement.Load && order.Adapter == "" {
+		pl.ledger.RecordStart(now)
 	}
-	if order.Operation == placement.Unloading {
+	if order.Operation == placement.Unload {
 		pl.overlay(now, order.Endpoint, sessions.ModelOverride{Model: order.Model, Adapter: order.Adapter, Present: false})
 	}
 	p.log.Info("order.begun", "endpoint", order.Endpoint, "operation", string(order.Operation), "model", order.Model, "adapter", order.Adapter)
@@ -50,7 +50,7 @@
 
 // duration is how long an order is expected to take.
 func duration(engine *fleetconfig.Engine, order placement.Order) time.Duration {
-	if order.Operation == placement.Unloading || order.Adapter != "" {
+	if order.Operation == placement.Unload || order.Adapter != "" {
 		return adapterLoad
 	}
 	for _, m := range engine.Models {
@@ -66,7 +66,7 @@
 	p := r.placer.process
 	ctx, cancel := context.WithTimeout(p.ctx, r.takes+orderPatience)
 	defer cancel()
-	if r.order.Operation == placement.Unloading {
+	if r.order.Operation == placement.Unload {
 		time.Sleep(unloadNotice)
 	}
 	result := r.give(ctx)
@@ -141,11 +141,11 @@
 
 // begins notes that the order goes out now, which may be later than it was planned.
 func (r *orderRun) begins() {
-	if r.order.Operation != placement.Loading || r.order.Adapter != "" {
+	if r.order.Operation != placement.Load || r.order.Adapter != "" {
 		return
 	}
 	now := r.placer.process.now()
-	r.placer.ledger.Delay(r.notedAt, now)
+	r.placer.ledger.Reschedule(r.notedAt, now)
 	r.notedAt = now
 }
 
@@ -166,7 +166,7 @@
 // await waits until an order that was taken is done.
 func (r *orderRun) await(ctx context.Context) orderResult {
 	time.Sleep(r.takes)
-	if r.order.Adapter != "" || r.order.Operation == placement.Unloading && !r.busy {
+	if r.order.Adapter != "" || r.order.Operation == placement.Unload && !r.busy {
 		return orderDone // the next order finds out where it takes longer
 	}
 	for ctx.Err() == nil {
@@ -196,7 +196,7 @@
 		seen.Apply(r.order)
 		state.models = seen.Models
 		delete(pl.underWay, id)
-		if r.order.Operation == placement.Loading {
+		if r.order.Operation == placement.Load {
 			pl.overlay(now, id, sessions.ModelOverride{Model: r.order.Model, Adapter: r.order.Adapter, Present: true})
 		}
 	default:
--- a/internal/controlplane/placement_controller.go
+++ b/internal/controlplane/placement_controller.go
@@ -27,7 +27,7 @@
 	process   *Process
 	client    *orderClient
 	demand    *placement.Demand
-	ledger    *placement.Ledger
+	ledger    *placement.LoadLedger
 	holding   bool
 	token     uint64
 	counter   uint64
@@ -137,8 +137,8 @@
 	return now < u.ready || now > u.ready+reportLag+orderLook
 }
 
-func newLedger(p *Process) *placement.Ledger {
-	return placement.NewLedger(nodefile.Seconds(p.settings.Bounds.CeilingWindowS), p.settings.Bounds.OriginRateOvershoot)
+func newLedger(p *Process) *placement.LoadLedger {
+	return placement.NewLoadLedger(nodefile.Seconds(p.settings.Bounds.CeilingWindowS), p.settings.Bounds.OriginRateOvershoot)
 }
 
 // services are those with model endpoints, as the committed configuration has them.
@@ -176,7 +176,7 @@
 	}()
 	for _, service := range pl.services() {
 		input := placement.Input{Service: service.Name, Engine: service.Engine, Demand: pl.demand,
-			Endpoints: pl.endpoints(service.Name), Loads: pl.loads(now, service.Engine)}
+			Endpoints: pl.endpoints(service.Name), MaxLoads: pl.loads(now, service.Engine)}
 		orders := placement.Plan(now, input)
 		pl.decisions.note(now, service.Name, orders, &input)
 		for _, order := range orders {
@@ -189,7 +189,7 @@
 func (pl *placer) loads(now time.Duration, engine *fleetconfig.Engine) int {
 	running := 0
 	for _, u := range pl.underWay {
-		if u.order.Operation == placement.Loading && u.order.Adapter == "" && u.loads(now) {
+		if u.order.Operation == placement.Load && u.order.Adapter == "" && u.loads(now) {
 			running++
 		}
 	}
@@ -197,7 +197,7 @@
 	for _, m := range engine.Models {
 		longest = max(longest, m.LoadTimeS)
 	}
-	return min(placement.AtOnce(engine.LoadsPerS, longest)-running, pl.ledger.Room(now, engine.LoadsPerS))
+	return min(placement.ConcurrentLoads(engine.LoadsPerS, longest)-running, pl.ledger.Available(now, engine.LoadsPerS))
 }
 
 // endpoints are those of a service, as the planner sees them.
@@ -207,14 +207,14 @@
 		if e.Heartbeat.Service != service || e.State == sessions.Departed {
 			continue
 		}
-		seen := placement.Endpoint{ID: e.ID, Models: modelsOf(e.Heartbeat.Models), Leaving: e.State != sessions.Ready}
+		seen := placement.Endpoint{ID: e.ID, Models: modelsOf(e.Heartbeat.Models), Excluded: e.State != sessions.Ready}
 		if state := pl.states[e.ID]; state != nil && state.known {
 			seen.Models = state.models
 		}
 		if u := pl.underWay[e.ID]; u != nil {
-			seen.Busy = true
+			seen.OrderInFlight = true
 			seen.Apply(u.order)
-			seen.For = u.order.For
+			seen.ReservedFor = u.order.FreesMemoryFor
 		}
 		out = append(out, seen)
 	}
--- a/internal/placement/adapters.go
+++ b/internal/placement/adapters.go
@@ -58,11 +58,11 @@
 	}
 	size := p.models[key.Model].AdapterSizeMB
 	if bestCount < int(p.Engine.AdapterSlots) && p.used(best)+size <= p.Engine.WeightsSizeMB {
-		p.order(best, Order{Endpoint: best.ID, Operation: Loading, Model: key.Model, Adapter: key.Adapter})
+		p.order(best, Order{Endpoint: best.ID, Operation: Load, Model: key.Model, Adapter: key.Adapter})
 		return
 	}
 	if model, adapter, ok := p.idleAdapter(best); ok {
-		p.order(best, Order{Endpoint: best.ID, Operation: Unloading, Model: model, Adapter: adapter})
+		p.order(best, Order{Endpoint: best.ID, Operation: Unload, Model: model, Adapter: adapter})
 	}
 }
 
@@ -79,7 +79,7 @@
 	oldest := time.Duration(math.MaxInt64)
 	for name, adapters := range e.Models {
 		for _, a := range adapters {
-			if at := p.need(p.key(name, a)).AskedAt; at < oldest || at == oldest && a < adapter {
+			if at := p.need(p.key(name, a)).LastRequestAt; at < oldest || at == oldest && a < adapter {
 				model, adapter, oldest, ok = name, a, at, true
 			}
 		}
--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -174,28 +174,28 @@
 	return min(max(fast/slow, 1), mostGrowth)
 }
 
-// Need is the demand for one key at a moment.
-type Need struct {
+// Estimate is the demand for one key at a moment.
+type Estimate struct {
 	Rate     float64 // requests a second
 	InFlight int     // requests under way
 	Waiting  int     // of them, those whose answer has not begun
 	// Pressure is how many requests wait for the beginning of their answer, averaged, and ahead of a rate that grows.
-	Pressure float64
-	Unplaced bool          // a request has lately found no endpoint
-	AskedAt  time.Duration // the last request; long ago for none
+	Pressure      float64
+	Unplaced      bool          // a request has lately found no endpoint
+	LastRequestAt time.Duration // the last request; long ago for none
 }
 
-// Need tells the demand for a key now.
-func (d *Demand) Need(now time.Duration, key Key) Need {
+// Estimate tells the demand for a key now.
+func (d *Demand) Estimate(now time.Duration, key Key) Estimate {
 	w := d.keys[key]
 	if w == nil {
-		return Need{AskedAt: -time.Hour}
+		return Estimate{LastRequestAt: -time.Hour}
 	}
 	w.pressure += (float64(w.waiting) - w.pressure) * (1 - math.Exp(-float64(now-w.pressureAt)/float64(pressureOver)))
 	w.pressureAt = now
-	return Need{
+	return Estimate{
 		Rate: w.decayed(now) / rateOver.Seconds(), InFlight: w.inFlight, Waiting: w.waiting,
-		Pressure: w.pressure * w.growth(now), Unplaced: now-w.unplacedAt < recently, AskedAt: w.askedAt,
+		Pressure: w.pressure * w.growth(now), Unplaced: now-w.unplacedAt < recently, LastRequestAt: w.askedAt,
 	}
 }
 
--- a/internal/placement/endpoint.go
+++ b/internal/placement/endpoint.go
@@ -11,8 +11,8 @@
 
 // The operations.
 const (
-	Loading   Operation = "loading"
-	Unloading Operation = "unloading"
+	Load   Operation = "loading"
+	Unload Operation = "unloading"
 )
 
 // Order has an endpoint load or unload a model, or an adapter of a model that it holds.
@@ -21,17 +21,17 @@
 	Operation Operation
 	Model     string
 	Adapter   string
-	// For is the model that an unloading makes room for.
-	For string
+	// FreesMemoryFor is the model that an unload frees memory for; empty for a load.
+	FreesMemoryFor string
 }
 
 // Endpoint is an endpoint as the planner sees it, with the order that is under way counted as done.
 type Endpoint struct {
-	ID      string
-	Models  map[string][]string // adapters by model
-	Leaving bool                // it gets no orders, and what it holds does not count
-	Busy    bool                // an order is under way
-	For     string              // the model that room is being made for
+	ID            string
+	Models        map[string][]string // adapters by model
+	Excluded      bool                // it gets no orders, and what it holds does not count
+	OrderInFlight bool                // an order is under way
+	ReservedFor   string              // the model that memory is being freed for
 }
 
 // Apply counts an order as done.
@@ -41,11 +41,11 @@
 		models[name] = adapters
 	}
 	switch {
-	case order.Operation == Loading && order.Adapter == "":
+	case order.Operation == Load && order.Adapter == "":
 		if models[order.Model] == nil {
 			models[order.Model] = []string{}
 		}
-	case order.Operation == Loading:
+	case order.Operation == Load:
 		if !slices.Contains(models[order.Model], order.Adapter) {
 			models[order.Model] = append(append([]string{}, models[order.Model]...), order.Adapter)
 		}
@@ -65,7 +65,7 @@
 
 // Fits tells whether an endpoint has room for what an order loads.
 func (e *Endpoint) Fits(order Order, engine *fleetconfig.Engine) bool {
-	if order.Operation != Loading {
+	if order.Operation != Load {
 		return true
 	}
 	after := Endpoint{Models: e.Models}
--- a/internal/placement/hardcases_test.go
+++ b/internal/placement/hardcases_test.go
@@ -19,9 +19,9 @@
 		at := now + 3*time.Second
 		for i := range 4 {
 			demand.Report(at+time.Duration(i)*250*time.Millisecond, "proxy", []Sample{{Key: key("hot", ""), Requests: 5, InFlight: 8, Waiting: 6}})
-			demand.Need(at+time.Duration(i)*250*time.Millisecond, key("hot", ""))
+			demand.Estimate(at+time.Duration(i)*250*time.Millisecond, key("hot", ""))
 		}
-		orders := Plan(at+time.Second, Input{Service: "s", Engine: engine, Demand: demand, Loads: 4,
+		orders := Plan(at+time.Second, Input{Service: "s", Engine: engine, Demand: demand, MaxLoads: 4,
 			Endpoints: []Endpoint{holding("a", "hot"), holding("b"), holding("c"), holding("d")}})
 		Expect(len(orders)).To(BeNumerically(">=", 2))
 		Expect(orders).To(HaveEach(HaveField("Model", "hot")))
@@ -37,23 +37,23 @@
 		for i := range fleet {
 			fleet[i] = Endpoint{ID: fmt.Sprint("e", i), Models: map[string][]string{}}
 		}
-		demand, ledger, loaded := NewDemand(), NewLedger(5*time.Second, 1.1), map[string]bool{}
+		demand, ledger, loaded := NewDemand(), NewLoadLedger(5*time.Second, 1.1), map[string]bool{}
 		for step := range models * 2 {
 			at := now + time.Duration(step)*250*time.Millisecond
 			if step%2 == 0 {
 				demand.Report(at, "proxy", []Sample{{Key: key(fmt.Sprint("m", step/2), ""), Requests: 1, Unplaced: 1}})
 			}
-			for _, order := range Plan(at, Input{Service: "s", Engine: many, Endpoints: fleet, Demand: demand, Loads: ledger.Room(at, perS)}) {
+			for _, order := range Plan(at, Input{Service: "s", Engine: many, Endpoints: fleet, Demand: demand, MaxLoads: ledger.Available(at, perS)}) {
 				for i := range fleet {
 					if fleet[i].ID != order.Endpoint {
 						continue
 					}
 					fleet[i].Apply(order)
-					fleet[i].For = order.For
-					if order.Operation == Loading {
-						fleet[i].For = ""
+					fleet[i].ReservedFor = order.FreesMemoryFor
+					if order.Operation == Load {
+						fleet[i].ReservedFor = ""
 						loaded[order.Model] = true
-						ledger.Begin(at)
+						ledger.RecordStart(at)
 					}
 				}
 			}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -35,7 +35,7 @@
 func key(model, adapter string) Key { return Key{Service: "s", Model: model, Adapter: adapter} }
 
 func plan(demand *Demand, endpoints ...Endpoint) []Order {
-	return Plan(now, Input{Service: "s", Engine: engine, Endpoints: endpoints, Demand: demand, Loads: 4})
+	return Plan(now, Input{Service: "s", Engine: engine, Endpoints: endpoints, Demand: demand, MaxLoads: 4})
 }
 
 var _ = Describe("a plan", func() {
@@ -50,31 +50,31 @@
 	It("loads a model that is asked for and stands nowhere, where there is room", func() {
 		ask(Sample{Key: key("rare", ""), Unplaced: 1})
 		Expect(plan(demand, holding("a", "hot", "warm", "idle1"), holding("b", "idle1"))).To(
-			Equal([]Order{{Endpoint: "b", Operation: Loading, Model: "rare"}}))
+			Equal([]Order{{Endpoint: "b", Operation: Load, Model: "rare"}}))
 	})
 
 	It("makes room by what is idle, copies that are not the last first", func() {
 		ask(Sample{Key: key("rare", ""), Unplaced: 1})
 		ask(Sample{Key: key("hot", ""), Requests: 10, InFlight: 5})
 		Expect(plan(demand, holding("a", "hot", "idle1", "idle2"), holding("b", "hot", "warm", "idle2"))).To(
-			Equal([]Order{{Endpoint: "a", Operation: Unloading, Model: "idle2", For: "rare"}}))
+			Equal([]Order{{Endpoint: "a", Operation: Unload, Model: "idle2", FreesMemoryFor: "rare"}}))
 	})
 
 	It("does not order twice what is on its way", func() {
 		ask(Sample{Key: key("rare", ""), Unplaced: 1})
 		making := holding("a", "hot", "idle1")
-		making.Busy, making.For = true, "rare"
+		making.OrderInFlight, making.ReservedFor = true, "rare"
 		Expect(plan(demand, making, holding("b", "hot", "warm", "idle1"))).To(BeEmpty())
 		loading := holding("a", "hot", "rare")
-		loading.Busy = true
+		loading.OrderInFlight = true
 		Expect(plan(demand, loading, holding("b"))).To(BeEmpty())
 	})
 
 	It("does not count what stands on a leaving endpoint, and gives it no orders", func() {
 		ask(Sample{Key: key("hot", ""), Requests: 5})
 		leaving := holding("a", "hot")
-		leaving.Leaving = true
-		Expect(plan(demand, leaving, holding("b"))).To(Equal([]Order{{Endpoint: "b", Operation: Loading, Model: "hot"}}))
+		leaving.Excluded = true
+		Expect(plan(demand, leaving, holding("b"))).To(Equal([]Order{{Endpoint: "b", Operation: Load, Model: "hot"}}))
 	})
 
 	It("gives a crowded model copies before a rare one is loaded", func() {
@@ -82,7 +82,7 @@
 		for i := range 5 {
 			demand.Report(now+time.Duration(i)*time.Second, "proxy", []Sample{{Key: key("hot", ""), Requests: 40, InFlight: 30, Waiting: 30}})
 		}
-		orders := Plan(now+4500*time.Millisecond, Input{Service: "s", Engine: engine, Demand: demand, Loads: 1,
+		orders := Plan(now+4500*time.Millisecond, Input{Service: "s", Engine: engine, Demand: demand, MaxLoads: 1,
 			Endpoints: []Endpoint{holding("a", "hot"), holding("b"), holding("c")}})
 		Expect(orders).NotTo(BeEmpty())
 		Expect(orders[0].Model).To(Equal("hot"))
@@ -93,7 +93,7 @@
 		full := holding("a", "hot")
 		full.Models["hot"] = []string{"a2"}
 		Expect(plan(demand, full, holding("b", "hot"), holding("c"))).To(
-			ContainElement(Order{Endpoint: "b", Operation: Loading, Model: "hot", Adapter: "a1"}))
+			ContainElement(Order{Endpoint: "b", Operation: Load, Model: "hot", Adapter: "a1"}))
 	})
 
 	It("unloads the adapter that was not asked for for the longest time where all places are taken", func() {
@@ -102,7 +102,7 @@
 		ask(Sample{Key: key("hot", "a1"), Requests: 1, Unplaced: 1})
 		full := holding("a", "hot")
 		full.Models["hot"] = []string{"a2", "a3"}
-		Expect(plan(demand, full)).To(ContainElement(Order{Endpoint: "a", Operation: Unloading, Model: "hot", Adapter: "a3"}))
+		Expect(plan(demand, full)).To(ContainElement(Order{Endpoint: "a", Operation: Unload, Model: "hot", Adapter: "a3"}))
 	})
 
 	It("never loads beyond what an endpoint holds, whatever is asked for", func() {
@@ -118,7 +118,7 @@
 			}
 			demand.Report(at, "proxy", []Sample{{Key: key(model, adapter), Requests: random.IntN(9), Unplaced: random.IntN(2),
 				InFlight: random.IntN(60), Waiting: random.IntN(30)}})
-			for _, order := range Plan(at, Input{Service: "s", Engine: engine, Endpoints: endpoints, Demand: demand, Loads: random.IntN(4)}) {
+			for _, order := range Plan(at, Input{Service: "s", Engine: engine, Endpoints: endpoints, Demand: demand, MaxLoads: random.IntN(4)}) {
 				for i := range endpoints {
 					if endpoints[i].ID == order.Endpoint {
 						Expect(endpoints[i].Fits(order, engine)).To(BeTrue(), "%+v on %+v", order, endpoints[i])
@@ -132,11 +132,11 @@
 
 var _ = Describe("the ledger of loads", func() {
 	It("allows no more than the ceiling in any window", func() {
-		ledger := NewLedger(5*time.Second, 1.1)
+		ledger := NewLoadLedger(5*time.Second, 1.1)
 		var begun []time.Duration
 		for at := time.Duration(0); at < time.Minute; at += 50 * time.Millisecond {
-			if ledger.Room(at, 2.8) > 0 {
-				ledger.Begin(at)
+			if ledger.Available(at, 2.8) > 0 {
+				ledger.RecordStart(at)
 				begun = append(begun, at)
 			}
 		}
@@ -166,10 +166,10 @@
 		return most
 	}
 	// run begins all loads that a ledger allows in a time.
-	run := func(ledger *Ledger, from, until time.Duration, perS float64) (begun []time.Duration) {
+	run := func(ledger *LoadLedger, from, until time.Duration, perS float64) (begun []time.Duration) {
 		for at := from; at <= until; at += 10 * time.Millisecond {
-			for ledger.Room(at, perS) > 0 {
-				ledger.Begin(at)
+			for ledger.Available(at, perS) > 0 {
+				ledger.RecordStart(at)
 				begun = append(begun, at)
 			}
 		}
@@ -178,14 +178,14 @@
 
 	DescribeTable("leaves room for what a predecessor may have begun",
 		func(perS float64, predecessorFor, unheardFor, pause time.Duration) {
-			predecessor, successor := NewLedger(5*time.Second, 1.1), NewLedger(5*time.Second, 1.1)
+			predecessor, successor := NewLoadLedger(5*time.Second, 1.1), NewLoadLedger(5*time.Second, 1.1)
 			begun := run(predecessor, 0, predecessorFor-unheardFor, perS)
 			heard := predecessorFor - unheardFor
 			for _, age := range predecessor.Ages(heard) {
-				successor.Begin(heard - age)
+				successor.RecordStart(heard - age)
 			}
 			begun = append(begun, run(predecessor, heard+10*time.Millisecond, predecessorFor, perS)...)
-			successor.Assume(heard, predecessorFor, perS)
+			successor.AssumeUnreported(heard, predecessorFor, perS)
 			begun = append(begun, run(successor, predecessorFor+pause, predecessorFor+pause+12*time.Second, perS)...)
 			Expect(float64(mostInAWindow(begun))).To(BeNumerically("<=", perS*5*1.1+3))
 		},
@@ -199,27 +199,27 @@
 
 	It("leaves room for all that a predecessor may have begun of whom nothing is known", func() {
 		for _, perS := range []float64{0.1, 2.8, 26} {
-			predecessor, successor := NewLedger(5*time.Second, 1.1), NewLedger(5*time.Second, 1.1)
+			predecessor, successor := NewLoadLedger(5*time.Second, 1.1), NewLoadLedger(5*time.Second, 1.1)
 			begun := run(predecessor, 0, 5*time.Second, perS)
-			successor.AssumeMost(5*time.Second, perS)
+			successor.AssumeFullWindow(5*time.Second, perS)
 			begun = append(begun, run(successor, 5*time.Second, 15*time.Second, perS)...)
 			Expect(float64(mostInAWindow(begun))).To(BeNumerically("<=", perS*5*1.1+3))
 		}
 	})
 
 	It("goes on loading after a handover of which it has heard", func() {
-		successor := NewLedger(5*time.Second, 1.1)
-		for _, begun := range run(NewLedger(5*time.Second, 1.1), 0, 8*time.Second, 29) {
-			successor.Begin(begun)
+		successor := NewLoadLedger(5*time.Second, 1.1)
+		for _, begun := range run(NewLoadLedger(5*time.Second, 1.1), 0, 8*time.Second, 29) {
+			successor.RecordStart(begun)
 		}
-		successor.Assume(8*time.Second, 9*time.Second, 29)
+		successor.AssumeUnreported(8*time.Second, 9*time.Second, 29)
 		Expect(len(run(successor, 10*time.Second, 12*time.Second, 29))).To(BeNumerically(">", 29))
 	})
 
 	It("counts a load from when its order goes out", func() {
-		ledger := NewLedger(5*time.Second, 1.1)
-		ledger.Begin(time.Second)
-		ledger.Delay(time.Second, 3*time.Second)
+		ledger := NewLoadLedger(5*time.Second, 1.1)
+		ledger.RecordStart(time.Second)
+		ledger.Reschedule(time.Second, 3*time.Second)
 		Expect(ledger.Ages(7 * time.Second)).To(Equal([]time.Duration{4 * time.Second}))
 		Expect(ledger.Ages(9 * time.Second)).To(BeEmpty())
 	})
@@ -230,27 +230,27 @@
 		demand := NewDemand()
 		demand.Report(now, "p1", []Sample{{Key: key("hot", "a1"), Requests: 3, Unplaced: 1, InFlight: 2, Waiting: 1}})
 		demand.Report(now, "p2", []Sample{{Key: key("hot", ""), Requests: 3, InFlight: 4, Waiting: 4}})
-		need := demand.Need(now, key("hot", ""))
+		need := demand.Estimate(now, key("hot", ""))
 		Expect(need.InFlight).To(Equal(6))
 		Expect(need.Waiting).To(Equal(5))
 		Expect(need.Unplaced).To(BeFalse())
 		Expect(need.Rate).To(BeNumerically("~", 2, 0.01))
-		Expect(demand.Need(now, key("hot", "a1")).Unplaced).To(BeTrue())
+		Expect(demand.Estimate(now, key("hot", "a1")).Unplaced).To(BeTrue())
 	})
 
 	It("does not count a sidecar that has gone quiet as busy", func() {
 		demand := NewDemand()
 		demand.Report(now, "p1", []Sample{{Key: key("hot", ""), InFlight: 2}})
 		demand.Expire(now + inFlightFor)
-		Expect(demand.Need(now+inFlightFor, key("hot", "")).InFlight).To(Equal(0))
+		Expect(demand.Estimate(now+inFlightFor, key("hot", "")).InFlight).To(Equal(0))
 	})
 
 	It("counts a sidecar's last report alone", func() {
 		demand := NewDemand()
 		demand.Report(now, "p1", []Sample{{Key: key("hot", ""), InFlight: 2}, {Key: key("warm", ""), InFlight: 1}})
 		demand.Report(now, "p1", []Sample{{Key: key("hot", ""), InFlight: 3}})
-		Expect(demand.Need(now, key("hot", "")).InFlight).To(Equal(3))
-		Expect(demand.Need(now, key("warm", "")).InFlight).To(Equal(0))
+		Expect(demand.Estimate(now, key("hot", "")).InFlight).To(Equal(3))
+		Expect(demand.Estimate(now, key("warm", "")).InFlight).To(Equal(0))
 	})
 
 	It("forgets what nobody asks for", func() {
@@ -285,6 +285,6 @@
 		demand.Report(now, fmt.Sprint("p", i), samples)
 	}
 	for b.Loop() {
-		Plan(now, Input{Service: "s", Engine: large, Endpoints: all, Demand: demand, Loads: 4})
+		Plan(now, Input{Service: "s", Engine: large, Endpoints: all, Demand: demand, MaxLoads: 4})
 	}
 }
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -14,7 +14,7 @@
 	Engine    *fleetconfig.Engine
 	Endpoints []Endpoint
 	Demand    *Demand
-	Loads     int // of weights, that may begin now
+	MaxLoads  int // of weights, that may begin now
 }
 
 const (
@@ -50,7 +50,7 @@
 	Input
 	now      time.Duration
 	models   map[string]fleetconfig.Model
-	needs    map[Key]Need
+	needs    map[Key]Estimate
 	holders  map[string]int
 	byModel  map[string][]*Endpoint // that hold it and may get orders
 	adapters map[Key]int            // copies
@@ -60,7 +60,7 @@
 
 // Plan gives the orders that should be given now.
 func Plan(now time.Duration, in Input) []Order {
-	p := &planner{Input: in, now: now, models: modelsByName(in.Engine), needs: map[Key]Need{}, holders: map[string]int{},
+	p := &planner{Input: in, now: now, models: modelsByName(in.Engine), needs: map[Key]Estimate{}, holders: map[string]int{},
 		byModel: map[string][]*Endpoint{}, adapters: map[Key]int{}, taken: map[string]bool{}}
 	for i := range p.Endpoints {
 		p.count(&p.Endpoints[i])
@@ -80,30 +80,30 @@
 
 // count counts what an endpoint holds.
 func (p *planner) count(e *Endpoint) {
-	if e.Leaving {
+	if e.Excluded {
 		return
 	}
-	p.taken[e.ID] = e.Busy
+	p.taken[e.ID] = e.OrderInFlight
 	for name, adapters := range e.Models {
 		p.holders[name]++
-		if !e.Busy {
+		if !e.OrderInFlight {
 			p.byModel[name] = append(p.byModel[name], e)
 		}
 		for _, adapter := range adapters {
 			p.adapters[p.key(name, adapter)]++
 		}
 	}
-	if e.For != "" {
-		p.holders[e.For]++
-		p.Loads--
+	if e.ReservedFor != "" {
+		p.holders[e.ReservedFor]++
+		p.MaxLoads--
 	}
 }
 
 // need is the demand for a key, looked up once.
-func (p *planner) need(key Key) Need {
+func (p *planner) need(key Key) Estimate {
 	need, ok := p.needs[key]
 	if !ok {
-		need = p.Demand.Need(p.now, key)
+		need = p.Demand.Estimate(p.now, key)
 		p.needs[key] = need
 	}
 	return need
@@ -178,7 +178,7 @@
 
 // place has one more endpoint hold a model, where the room is worth less than the copy.
 func (p *planner) place(name string, urgency float64) {
-	if p.Loads <= 0 || len(p.orders) >= mostOrders {
+	if p.MaxLoads <= 0 || len(p.orders) >= mostOrders {
 		return
 	}
 	model := p.models[name]
@@ -186,7 +186,7 @@
 	victim, bestCost := "", math.Inf(1)
 	for i := range p.Endpoints {
 		e := &p.Endpoints[i]
-		if e.Leaving || p.taken[e.ID] || e.Models[name] != nil {
+		if e.Excluded || p.taken[e.ID] || e.Models[name] != nil {
 			continue
 		}
 		candidate, cost, ok := p.roomFor(e, model)
@@ -197,14 +197,14 @@
 	if best == nil {
 		return
 	}
-	p.Loads--
+	p.MaxLoads--
 	p.holders[name]++
 	if victim != "" {
-		p.order(best, Order{Endpoint: best.ID, Operation: Unloading, Model: victim, For: name})
+		p.order(best, Order{Endpoint: best.ID, Operation: Unload, Model: victim, FreesMemoryFor: name})
 		p.holders[victim]--
 		return
 	}
-	p.order(best, Order{Endpoint: best.ID, Operation: Loading, Model: name})
+	p.order(best, Order{Endpoint: best.ID, Operation: Load, Model: name})
 }
 
 func (p *planner) order(e *Endpoint, order Order) {
@@ -236,7 +236,7 @@
 	need := p.need(p.key(name, ""))
 	inFlight, copies := float64(need.InFlight), float64(p.holders[name])
 	idle := need.Rate <= idleRate && need.InFlight == 0 && !need.Unplaced
-	idleFor := (p.now - need.AskedAt).Seconds()
+	idleFor := (p.now - need.LastRequestAt).Seconds()
 	switch {
 	case idle && copies > 1:
 		return spareWorth / (1 + idleFor)
