--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -59,8 +59,8 @@
 	if end := a.sent.Add(timeout); timeout != 0 && end.Before(deadline) {
 		deadline = end
 	}
-	if c.Long {
-		a.Left = c.Left
+	if c.LongBody {
+		a.Left = c.Remaining
 		return a
 	}
 	a.Left = time.Until(deadline)
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -78,13 +78,13 @@
 func newBench(t *testing.T, send func(a *Attempt, n int) Result, targets ...Target) *bench {
 	t.Helper()
 	b := &bench{t: t, send: send, sends: map[decision.RequestID][]*Attempt{}, discarded: make(chan string, 100)}
-	class := decision.Class{Aim: 9 * time.Second, Deadline: 10 * time.Second, Worth: 1}
+	class := decision.Class{LatencyTarget: 9 * time.Second, Deadline: 10 * time.Second, Value: 1}
 	safe, unsafe, withKey := class, class, class
 	withKey.Name, withKey.Effect, withKey.Scope, withKey.Window = "keyed", decision.Keyed, decision.ScopeAll, 4*time.Second
 	safe.Name, safe.Effect, unsafe.Name, unsafe.Effect = "read", decision.Safe, "once", decision.Unsafe
 	s := settings.Settings{OpenCap: 50, Settings: decision.Settings{Instances: 1, Quantum: time.Millisecond,
-		MayCancel: true, MarksRetry: true, MaxAttempts: 3, ConnectTimeout: time.Second, Cold: time.Second, ColdFrom: 0.5, TipMultiple: 3,
-		Fall: time.Second, MaxRetryAfter: time.Second, Classes: []decision.Class{safe, unsafe, withKey}}}
+		MayCancel: true, ClientsMarkRetries: true, MaxAttempts: 3, ConnectTimeout: time.Second, WarmUp: time.Second, ColdCapacity: 0.5, OverloadMultiple: 3,
+		OverloadWindow: time.Second, MaxRetryAfter: time.Second, Classes: []decision.Class{safe, unsafe, withKey}}}
 	l, err := New(Config{Settings: s, Limits: Limits{MemoryMB: 64, Sockets: 1024}, Discovery: "first",
 		Known: List{Rev: 1, All: true, Targets: targets}}, b,
 		func(address string, _ Sink) Discovery { return &lister{b, address} })
@@ -102,7 +102,7 @@
 
 // ask brings a call.
 func (b *bench) ask(id string, class int) *Call {
-	c := NewCall(decision.Request{ID: decision.RequestID(id), Class: class, Left: 10 * time.Second}, id)
+	c := NewCall(decision.Request{ID: decision.RequestID(id), Class: class, Remaining: 10 * time.Second}, id)
 	b.loop.Arrive(c, time.Now())
 	return c
 }
@@ -145,14 +145,14 @@
 		onces      int
 	}{
 		"error":          {Result{Status: decision.Error}, "again", "failed", 2, 1},
-		"full":           {Result{Status: decision.Full}, "again", "again", 2, 2},
+		"full":           {Result{Status: decision.Rejected}, "again", "again", 2, 2},
 		"time-out":       {Result{Status: decision.Timeout}, "again", "failed", 2, 1},
 		"connect failed": {Result{Status: decision.ConnectFailed}, "again", "again", 2, 2},
 		"reset":          {Result{Status: decision.Reset}, "again", "failed", 2, 1},
 		"cancelled":      {Result{Status: decision.Cancelled}, "again", "failed", 2, 1},
-		"moot":           {Result{Status: decision.Moot}, "again", "again", 2, 2},
-		"spoilt":         {Result{Status: decision.Spoilt}, "again", "failed", 2, 1},
-		"full, spent":    {Result{Status: decision.Full, Spent: true}, "refused", "refused", 1, 1},
+		"moot":           {Result{Status: decision.NotSent}, "again", "again", 2, 2},
+		"spoilt":         {Result{Status: decision.InvalidResponse}, "again", "failed", 2, 1},
+		"full, spent":    {Result{Status: decision.Rejected, Spent: true}, "refused", "refused", 1, 1},
 		"error, spent":   {Result{Status: decision.Error, Spent: true}, "refused", "failed", 1, 1},
 	} {
 		for class, want := range []string{tc.read, tc.once} {
@@ -689,7 +689,7 @@
 
 // A loop that has ended keeps nobody waiting, whatever is asked of it, and lets go of discovery and of idle connections.
 func TestEndedLoop(t *testing.T) {
-	b := newBench(t, func(*Attempt, int) Result { return Result{Status: decision.Moot} }, ready("s-1", 0))
+	b := newBench(t, func(*Attempt, int) Result { return Result{Status: decision.NotSent} }, ready("s-1", 0))
 	b.loop.Close()
 	<-b.loop.done
 	b.loop.Close()
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -34,7 +34,7 @@
 }
 
 var states = map[string]decision.State{
-	"Ready": decision.Ready, "Terminating": decision.Draining, "Gone": decision.Gone,
+	"Ready": decision.Ready, "Terminating": decision.Draining, "Gone": decision.Departed,
 }
 
 // Source is where a list came from.
@@ -200,7 +200,7 @@
 		if state != decision.Ready {
 			retired = append(retired, e)
 		}
-		if state == decision.Gone {
+		if state == decision.Departed {
 			t.forget(e)
 		}
 		e.entry = decision.Entry{Endpoint: id, Zone: zone, Kind: model, Cell: x.Cell, State: state, Weight: x.Weight,
--- a/internal/core/evidence.go
+++ b/internal/core/evidence.go
@@ -56,7 +56,7 @@
 		a.listed = len(l.endpoints.byID)
 		for _, e := range l.balancer.Evidence(l.now(), l.known(named)) {
 			if x := l.endpoints.byID[e.Endpoint]; x != nil {
-				a.all = append(a.all, Evidence{serverName(x), e.Bad, e.Age})
+				a.all = append(a.all, Evidence{serverName(x), e.Ejected, e.Age})
 			}
 		}
 		return a
@@ -67,13 +67,13 @@
 // Advise hands the Balancer the servers that are bad by the word of other brokers, and tells how much of it changed anything.
 func (l *Loop) Advise(ctx context.Context, advice []Evidence) (heeded int, err error) {
 	return ask(ctx, l, func() int {
-		var told []decision.Advice
+		var told []decision.PeerEjection
 		for _, a := range advice {
 			for _, id := range l.known([]string{a.Server}) {
-				told = append(told, decision.Advice{Endpoint: id, Age: a.Age})
+				told = append(told, decision.PeerEjection{Endpoint: id, Age: a.Age})
 			}
 		}
-		return l.balancer.Advise(l.now(), told)
+		return l.balancer.ApplyPeerEjections(l.now(), told)
 	})
 }
 
@@ -92,18 +92,18 @@
 }
 
 // Use is what came of one tenant's requests since the start.
-type Use = decision.Use
+type Use = decision.Usage
 
 // Uses tell what came of each tenant, in the settings' order; of none before the first list.
 func (l *Loop) Uses(ctx context.Context) ([]Use, error) {
-	return ask(ctx, l, func() []Use { return l.balancer.Uses() })
+	return ask(ctx, l, func() []Use { return l.balancer.Usage() })
 }
 
 // Allot sets what may be spent a second at this process until a time, the zero time for no end; Until is set from it.
-func (l *Loop) Allot(a decision.Allotment, until time.Time) {
-	a.Parts, a.Floors = slices.Clone(a.Parts), slices.Clone(a.Floors)
+func (l *Loop) Allot(a decision.QuotaShares, until time.Time) {
+	a.TenantRates, a.TenantFallbackRates = slices.Clone(a.TenantRates), slices.Clone(a.TenantFallbackRates)
 	if !until.IsZero() {
 		a.Until = until.Sub(l.origin)
 	}
-	l.Post(func() { l.balancer.Allot(l.now(), a) })
+	l.Post(func() { l.balancer.SetQuotaShares(l.now(), a) })
 }
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -117,7 +117,7 @@
 // Run handles events until Close.
 func (l *Loop) Run() {
 	l.targets(l.config.Known, FromCache)
-	if !l.config.Settings.MustAsk {
+	if !l.config.Settings.PullDiscovery {
 		l.discovery.Watch(l.place())
 	}
 	sweep := time.NewTicker(sweepEvery)
@@ -147,8 +147,8 @@
 		c.Final <- TurnedAway(&l.config.Settings)
 		return
 	}
-	c.Deadline = received.Add(c.Left - l.config.Settings.GraceToAnswer)
-	c.Left = time.Until(c.Deadline) // also where this process ends before: the Balancer knows
+	c.Deadline = received.Add(c.Remaining - l.config.Settings.GraceToAnswer)
+	c.Remaining = time.Until(c.Deadline) // also where this process ends before: the Balancer knows
 	c.endBy(l.endsAt)
 	l.calls[c.ID] = c
 	l.balancer.Request(l.now(), c.Request)
@@ -163,7 +163,7 @@
 	for _, c := range l.calls {
 		c.endBy(end)
 	}
-	l.balancer.Leave(l.now(), end.Sub(l.origin), succeeded)
+	l.balancer.Drain(l.now(), end.Sub(l.origin), succeeded)
 	time.AfterFunc(time.Until(end), func() {
 		l.Post(func() {
 			for _, c := range l.calls {
@@ -197,7 +197,7 @@
 	if c.out != nil {
 		c.out.Cancel() // nobody waits for it any more; its outcome follows
 	}
-	l.balancer.Lapsed(l.now(), c.ID)
+	l.balancer.Abandoned(l.now(), c.ID)
 	l.forget(c)
 }
 
@@ -220,7 +220,7 @@
 	}
 	l.balancer.Outcome(l.now(), decision.Outcome{
 		ID: c.ID, Endpoint: a.Endpoint.ID, Attempt: a.number, Final: final,
-		Elapsed: res.Took, Status: res.Status, Load: res.Load, Spent: res.Spent,
+		Elapsed: res.Took, Status: res.Status, Load: res.Load, NotReplayable: res.Spent,
 	})
 	l.forget(c)
 }
@@ -233,10 +233,10 @@
 		if c.out != a {
 			return
 		}
-		c.Deadline = received.Add(c.Left)
+		c.Deadline = received.Add(c.Remaining)
 		c.endBy(l.endsAt)
 		a.EndAt(c.Deadline)
-		l.balancer.Written(l.now(), c.ID, time.Until(c.Deadline))
+		l.balancer.RequestSent(l.now(), c.ID, time.Until(c.Deadline))
 	})
 }
 
@@ -248,7 +248,7 @@
 			response.Discard()
 			return
 		}
-		l.balancer.Begun(l.now(), c.ID, a.number, a.Endpoint.ID)
+		l.balancer.ResponseStarted(l.now(), c.ID, a.number, a.Endpoint.ID)
 		l.finish(c, Answer{Response: response})
 	})
 }
@@ -324,7 +324,7 @@
 	conn, ok := l.pool.acquire(a.Endpoint, a.sent)
 	go func() {
 		defer a.Close()
-		res := Result{Status: decision.Moot}
+		res := Result{Status: decision.NotSent}
 		if ok {
 			res = l.upstream.Send(a, conn)
 		}
@@ -382,8 +382,8 @@
 	l.discovery, l.address = l.discover(address, l), address
 	l.moved = true
 	l.discovery.Fetch()
-	if l.config.Settings.MustAsk {
-		l.balancer.Targets(l.now(), decision.List{Kind: decision.Failed}) // it watches in its own time
+	if l.config.Settings.PullDiscovery {
+		l.balancer.Targets(l.now(), decision.List{Kind: decision.FailedList}) // it watches in its own time
 		return
 	}
 	l.discovery.Watch(nil)
@@ -411,7 +411,7 @@
 		return
 	}
 	l.log.Warn("discovery.failed", zap.Error(err))
-	l.balancer.Targets(l.now(), decision.List{Kind: decision.Failed})
+	l.balancer.Targets(l.now(), decision.List{Kind: decision.FailedList})
 }
 
 // targets takes a list in, first into the table of endpoints, so that what the Balancer then sends finds
@@ -423,7 +423,7 @@
 		return // changes to a list that the Balancer has not got
 	case l.moved:
 		l.moved = false
-		if from == FromFetch && !l.config.Settings.MustAsk {
+		if from == FromFetch && !l.config.Settings.PullDiscovery {
 			// The watch may have brought changes before this list, that were passed over.
 			l.discovery.Stop()
 			l.discovery.Watch(&got.Rev)
@@ -440,14 +440,14 @@
 	for _, e := range retired {
 		l.pool.closeIdle(e)
 	}
-	kind := decision.Delta
+	kind := decision.DeltaList
 	switch {
 	case from == FromCache:
-		kind = decision.Cached
+		kind = decision.CachedList
 	case got.All:
-		kind = decision.Whole
+		kind = decision.FullList
 	}
-	l.balancer.Targets(l.now(), decision.List{Kind: kind, Version: got.Rev, Anew: anew, Entries: entries})
+	l.balancer.Targets(l.now(), decision.List{Kind: kind, Version: got.Rev, VersionsRestart: anew, Entries: entries})
 	if from != FromCache || len(entries) > 0 {
 		l.life.haveList()
 	}
--- a/internal/core/succession.go
+++ b/internal/core/succession.go
@@ -18,16 +18,16 @@
 
 // Word is what a process that ends tells its successor of itself.
 type Word struct {
-	Learnt *decision.Learnt            `json:"learnt,omitempty"`
+	Learnt *decision.Snapshot          `json:"learnt,omitempty"`
 	Calls  map[decision.EndpointID]int `json:"calls,omitempty"`
 }
 
 // Word is what is to be told now: what is in flight and, at first, what this process has learnt.
 func (l *Loop) Word(first bool) Word {
 	return look(l, func() Word {
-		w := Word{Calls: l.balancer.Calls()}
+		w := Word{Calls: l.balancer.InFlight()}
 		if first {
-			learnt := l.balancer.Learnt(l.now())
+			learnt := l.balancer.Snapshot(l.now())
 			w.Learnt = &learnt
 		}
 		return w
@@ -38,10 +38,10 @@
 func (l *Loop) Heed(w *Word) {
 	l.Post(func() {
 		if w.Learnt != nil {
-			if err := l.balancer.Inherit(l.now(), *w.Learnt); err != nil {
+			if err := l.balancer.Restore(l.now(), *w.Learnt); err != nil {
 				l.log.Warn("handover.figures_refused", zap.Error(err))
 			}
 		}
-		l.balancer.Beside(l.now(), w.Calls, l.now()+BelievedFor)
+		l.balancer.SetPredecessorCalls(l.now(), w.Calls, l.now()+BelievedFor)
 	})
 }
--- a/internal/decision/admit.go
+++ b/internal/decision/admit.go
@@ -21,11 +21,11 @@
 func (b *Balancer) Request(now time.Duration, q Request) {
 	c := &b.classes[q.Class]
 	low := b.beyondShare(now, q)
-	r := &request{id: q.ID, at: now, class: c, deadline: min(now+q.Left, b.endsAt), low: low}
-	r.aimBy = min(now+c.Aim-b.spent(c, q), b.endsAt)
-	r.long, r.coming = q.Long, q.Long
+	r := &request{id: q.ID, at: now, class: c, deadline: min(now+q.Remaining, b.endsAt), low: low}
+	r.aimBy = min(now+c.LatencyTarget-b.spent(c, q), b.endsAt)
+	r.long, r.coming = q.LongBody, q.LongBody
 	b.requests[q.ID] = r
-	if q.Left <= 0 || low && b.short(now) || b.closing(now, c, q) {
+	if q.Remaining <= 0 || low && b.short(now) || b.closing(now, c, q) {
 		b.finish(now, r)
 		return
 	}
@@ -38,7 +38,7 @@
 
 // Leave tells when this instance ends, and whether another serves in its place already. What can hardly be
 // served by then is refused at once; calls that are out then are the host's to end.
-func (b *Balancer) Leave(now, at time.Duration, succeeded bool) {
+func (b *Balancer) Drain(now, at time.Duration, succeeded bool) {
 	b.endsAt, b.succeeded = at, succeeded
 	for _, r := range b.requests {
 		r.deadline, r.aimBy = min(r.deadline, at), min(r.aimBy, at)
@@ -51,7 +51,7 @@
 // stops looking. Where callers do open more, some are refused in vain.
 func (b *Balancer) closing(now time.Duration, c *class, q Request) bool {
 	alone := b.set.Instances == 1 && !b.succeeded
-	return b.ends(now, c) || b.endsAt < math.MaxInt64 && alone && q.Idle < idleLeast
+	return b.ends(now, c) || b.endsAt < math.MaxInt64 && alone && q.IdleConns < idleLeast
 }
 
 // ends tells whether this instance ends before a call that is sent at a time is answered, slow as it may be.
@@ -62,19 +62,19 @@
 // spent is a lower bound of the time that had passed for the client when the request arrived. Clients'
 // tries begin with the same time left; a shorter one tells of a repeat, or of work in the tiers above.
 func (b *Balancer) spent(c *class, q Request) time.Duration {
-	c.maxLeft = max(c.maxLeft, q.Left)
+	c.maxLeft = max(c.maxLeft, q.Remaining)
 	whole := float64(c.maxLeft) >= firstTryShare*float64(c.Deadline)
-	b.hidden = b.set.Stage == 0 && !(b.set.MarksRetry && whole)
+	b.hidden = b.set.Stage == 0 && !(b.set.ClientsMarkRetries && whole)
 	switch {
 	case b.set.Stage > 0:
-		return c.maxLeft - q.Left
-	case float64(q.Left) < firstTryShare*float64(c.maxLeft):
-		spent := c.Deadline - q.Left
-		if q.Repeat && whole {
+		return c.maxLeft - q.Remaining
+	case float64(q.Remaining) < firstTryShare*float64(c.maxLeft):
+		spent := c.Deadline - q.Remaining
+		if q.IsRetry && whole {
 			b.repeatSpent += repeatWeight * (spent.Seconds() - b.repeatSpent)
 		}
 		return spent
-	case q.Repeat:
+	case q.IsRetry:
 		// It came before, by about as much as those that show it. Taken for new, repeats would fill an
 		// overloaded tier with calls whose aim has passed.
 		return seconds(b.repeatSpent)
@@ -87,7 +87,7 @@
 // out. It grows somewhat faster than what is served, for else half of all would be beyond shares just met.
 // A repeat counts as beyond: most are of requests refused for that, and would use up the share of new ones.
 func (b *Balancer) beyondShare(now time.Duration, q Request) bool {
-	if b.set.Stage > 0 || q.Tenant >= len(b.tenants) || q.Repeat {
+	if b.set.Stage > 0 || q.Tenant >= len(b.tenants) || q.IsRetry {
 		return b.set.Stage == 0 && q.Tenant < len(b.tenants)
 	}
 	more := 0.0
@@ -204,7 +204,7 @@
 		c := &b.classes[i]
 		c.value = 0
 		if all > 0 {
-			c.value = b.set.GoalWhole * b.density(c) * work / all
+			c.value = b.set.GoalTotal * b.density(c) * work / all
 		}
 		if c == worst && c.asked*c.mean > 0 {
 			c.value += b.set.GoalWorstClass * work / (c.asked * c.mean)
@@ -214,15 +214,15 @@
 
 // density is the worth of a unit of a class's work, taken to be as its latency.
 func (b *Balancer) density(c *class) float64 {
-	if b.set.WorthByWork || c.mean == 0 {
-		return c.Worth
+	if b.set.ValueByWork || c.mean == 0 {
+		return c.Value
 	}
-	return c.Worth / c.mean
+	return c.Value / c.mean
 }
 
 func (b *Balancer) rank(now time.Duration, r *request) int {
 	rank := 0
-	if r.sendBy() > now || r.class.LateWorth > 0 {
+	if r.sendBy() > now || r.class.LateValue > 0 {
 		rank += 2
 	}
 	if !r.low {
@@ -246,7 +246,7 @@
 	}
 	for i := len(b.held) - 1; i >= 0; i-- {
 		r := b.held[i]
-		late := now >= r.sendBy() && r.class.LateWorth == 0
+		late := now >= r.sendBy() && r.class.LateValue == 0
 		if late || !b.reachable(now, r) || now+max(2*b.tick, seconds(r.class.base)) >= r.deadline {
 			b.unhold(i)
 			b.finish(now, r)
@@ -308,11 +308,11 @@
 
 // share is the part of its capacity that a ramping endpoint is taken to have.
 func (b *Balancer) share(now time.Duration, e *endpoint) float64 {
-	if e.mark != ramping || b.set.Cold == 0 {
+	if e.mark != ramping || b.set.WarmUp == 0 {
 		return 1
 	}
-	s := b.set.ColdFrom + (1-b.set.ColdFrom)*float64(now-e.coldFrom)/float64(b.set.Cold)
-	return min(max(s, b.set.ColdFrom), 1)
+	s := b.set.ColdCapacity + (1-b.set.ColdCapacity)*float64(now-e.coldFrom)/float64(b.set.WarmUp)
+	return min(max(s, b.set.ColdCapacity), 1)
 }
 
 // rampRoom caps what a ramping endpoint is sent to its share of what a warm one gets, whatever the others
@@ -323,7 +323,7 @@
 	if b.warm.top == 0 && b.sharers() <= callers {
 		return len(e.calls) == 0 // of those few one call each is no more than chance would bring
 	}
-	rate := max(rampHeadroom*b.set.TipMultiple, 1) * b.share(now, e) * warm * b.odds(e)
+	rate := max(rampHeadroom*b.set.OverloadMultiple, 1) * b.share(now, e) * warm * b.odds(e)
 	e.tokens = min(e.tokens+rate*(now-e.tokensAt).Seconds(), 1+rate*b.window.Seconds()/4)
 	e.tokensAt = now
 	return e.tokens >= 1
--- a/internal/decision/advice.go
+++ b/internal/decision/advice.go
@@ -11,12 +11,12 @@
 // Evidence is what an instance knows of an endpoint by its own calls.
 type Evidence struct {
 	Endpoint EndpointID
-	Bad      bool          // it is isolated; otherwise it answered well
+	Ejected  bool          // it is isolated; otherwise it answered well
 	Age      time.Duration // of the last answer of any kind, where it is not bad
 }
 
 // Advice is an endpoint that others have isolated.
-type Advice struct {
+type PeerEjection struct {
 	Endpoint EndpointID
 	Age      time.Duration // of the evidence
 }
@@ -29,7 +29,7 @@
 func (b *Balancer) Evidence(now time.Duration, named []EndpointID) (all []Evidence) {
 	for _, e := range b.shunned {
 		if e.advised == 0 || e.trialPause != e.advised {
-			all = append(all, Evidence{Endpoint: e.id, Bad: true})
+			all = append(all, Evidence{Endpoint: e.id, Ejected: true})
 		}
 	}
 	for _, id := range named {
@@ -48,7 +48,7 @@
 // has answered this instance since is not marked, nor one that it does not call, as it would get no trial; the share of
 // the list that may be isolated holds, and it gets its trials as any isolated one. That others are answered brings no
 // trial forward: all instances' trials at once pushed servers over that had just returned cold (docs/REPLICATION.md).
-func (b *Balancer) Advise(now time.Duration, advice []Advice) (heeded int) {
+func (b *Balancer) ApplyPeerEjections(now time.Duration, advice []PeerEjection) (heeded int) {
 	if b.recount && len(advice) > 0 {
 		b.count() // who has had no request yet has no subset
 	}
@@ -69,14 +69,14 @@
 }
 
 // Use is what came of one tenant since the start.
-type Use struct {
-	Asked  float64 // requests that are no repeats
-	Within float64 // of them, within its share at this instance
+type Usage struct {
+	Asked       float64 // requests that are no repeats
+	WithinQuota float64 // of them, within its share at this instance
 }
 
 // Uses tell what came of each tenant.
-func (b *Balancer) Uses() []Use {
-	uses := make([]Use, len(b.tenants))
+func (b *Balancer) Usage() []Usage {
+	uses := make([]Usage, len(b.tenants))
 	for i := range b.tenants {
 		uses[i] = b.tenants[i].use
 	}
@@ -84,25 +84,25 @@
 }
 
 // Allotment is what may be spent a second: the parts until a time, and the floors from then on.
-type Allotment struct {
-	Parts, Floors []float64     // by tenant
-	Retries       float64       // further attempts, in place of those that answers earn; negative leaves it to answers
-	RetriesFloor  float64       // and from Until on
-	Until         time.Duration // 0 for no end
+type QuotaShares struct {
+	TenantRates, TenantFallbackRates []float64     // by tenant
+	RetryRate                        float64       // further attempts, in place of those that answers earn; negative leaves it to answers
+	RetryFallbackRate                float64       // and from Until on
+	Until                            time.Duration // 0 for no end
 }
 
 // Allot sets what each tenant may ask for within its share at this instance, in place of an even part of its quota. What
 // it may ask for is then the same however much is served here: the parts of all instances add up. The end holds where
 // it is spent, however late anybody says that it has come.
-func (b *Balancer) Allot(now time.Duration, a Allotment) {
+func (b *Balancer) SetQuotaShares(now time.Duration, a QuotaShares) {
 	if b.tenants == nil {
 		b.meter(now)
 	}
-	for i := range min(len(a.Parts), len(a.Floors), len(b.tenants)) {
-		b.tenants[i].allot(now, a.Parts[i], a.Floors[i], a.Until, bucketLeast)
+	for i := range min(len(a.TenantRates), len(a.TenantFallbackRates), len(b.tenants)) {
+		b.tenants[i].allot(now, a.TenantRates[i], a.TenantFallbackRates[i], a.Until, bucketLeast)
 	}
 	b.quota = math.Inf(1)
-	if a.Retries < 0 {
+	if a.RetryRate < 0 {
 		b.retries = nil
 		return
 	}
@@ -111,6 +111,6 @@
 	}
 	// What is left of the budget is what the bucket holds, and what has come since.
 	b.retries.level = b.budget
-	b.retries.allot(now, a.Retries, a.RetriesFloor, a.Until, 1)
+	b.retries.allot(now, a.RetryRate, a.RetryFallbackRate, a.Until, 1)
 	b.budget = max(b.retries.level, 0)
 }
--- a/internal/decision/advice_test.go
+++ b/internal/decision/advice_test.go
@@ -11,11 +11,11 @@
 	d := start(t, settings(), 6)
 	d.serve(60, func(EndpointID) Status { return OK })
 	bad := func(age time.Duration, ids ...EndpointID) int {
-		var a []Advice
+		var a []PeerEjection
 		for _, id := range ids {
-			a = append(a, Advice{Endpoint: id, Age: age})
+			a = append(a, PeerEjection{Endpoint: id, Age: age})
 		}
-		return d.b.Advise(d.now, a)
+		return d.b.ApplyPeerEjections(d.now, a)
 	}
 	if n := bad(time.Minute, 1, 2, 99); n != 0 {
 		t.Errorf("%d marked that answered since", n)
@@ -24,7 +24,7 @@
 	if n := bad(0, 1, 2, 3, 4, 5, 6); n != 3 {
 		t.Errorf("%d of 6 marked, want half", n)
 	}
-	if e := d.b.Evidence(d.now, []EndpointID{1, 5, 99}); len(e) != 1 || e[0].Endpoint != 5 || e[0].Bad || e[0].Age < time.Second {
+	if e := d.b.Evidence(d.now, []EndpointID{1, 5, 99}); len(e) != 1 || e[0].Endpoint != 5 || e[0].Ejected || e[0].Age < time.Second {
 		t.Errorf("evidence %+v, want that 5 answered a second ago", e)
 	}
 	if got := d.serve(40, func(to EndpointID) Status {
@@ -36,7 +36,7 @@
 		t.Errorf("no trials: %v", got)
 	}
 	e := d.b.Evidence(d.now, nil)
-	if len(e) != 1 || e[0].Endpoint != 1 || !e[0].Bad {
+	if len(e) != 1 || e[0].Endpoint != 1 || !e[0].Ejected {
 		t.Errorf("evidence %+v, want 1 bad by its trial", e)
 	}
 }
@@ -48,18 +48,18 @@
 	s.Instances, s.Tenants = 10, []Tenant{{Name: "one", QuotaPerS: 100}}
 	d := start(t, s, 4)
 	within := func(n int) float64 {
-		before := d.b.Uses()[0]
+		before := d.b.Usage()[0]
 		for range n {
 			d.b.beyondShare(d.now, Request{})
 		}
-		after := d.b.Uses()[0]
+		after := d.b.Usage()[0]
 		if after.Asked-before.Asked != float64(n) {
 			t.Errorf("%v asked of %d", after.Asked-before.Asked, n)
 		}
-		return after.Within - before.Within
+		return after.WithinQuota - before.WithinQuota
 	}
 	allot := func(part, floor float64, until time.Duration) {
-		d.b.Allot(d.now, Allotment{Parts: []float64{part}, Floors: []float64{floor}, Retries: part / 25, RetriesFloor: floor, Until: until})
+		d.b.SetQuotaShares(d.now, QuotaShares{TenantRates: []float64{part}, TenantFallbackRates: []float64{floor}, RetryRate: part / 25, RetryFallbackRate: floor, Until: until})
 	}
 	allot(50, 50, 0)
 	d.now += 100 * time.Second
@@ -101,7 +101,7 @@
 	if allot(50, 0, 0); d.b.budget != 1 { // 2 came, of which without a rate one is kept
 		t.Errorf("%v further attempts after a second of 2 and nine of none", d.b.budget)
 	}
-	d.b.Allot(d.now, Allotment{Retries: -1})
+	d.b.SetQuotaShares(d.now, QuotaShares{RetryRate: -1})
 	if d.b.earn(); d.b.budget <= 1 {
 		t.Error("answers earn nothing again")
 	}
--- a/internal/decision/api.go
+++ b/internal/decision/api.go
@@ -43,15 +43,15 @@
 
 // Class describes one class of request.
 type Class struct {
-	Name      string
-	Aim       time.Duration // an answer within this earns full worth
-	Deadline  time.Duration // the client's total wait, over all its tries
-	Worth     float64       // worth of one answer
-	LateWorth float64       // share of Worth for an answer after Aim
-	Effect    Effect
-	Scope     Scope         // for Keyed
-	Window    time.Duration // for Keyed: how long repeats are dropped
-	Stream    bool          // answers stream; Begun is reported
+	Name          string
+	LatencyTarget time.Duration // an answer within this earns full worth
+	Deadline      time.Duration // the client's total wait, over all its tries
+	Value         float64       // worth of one answer
+	LateValue     float64       // share of Worth for an answer after Aim
+	Effect        Effect
+	Scope         Scope         // for Keyed
+	Window        time.Duration // for Keyed: how long repeats are dropped
+	Streamed      bool          // answers stream; Begun is reported
 }
 
 // Tenant is one of several customers that share the service.
@@ -70,8 +70,8 @@
 
 	Classes        []Class
 	Tenants        []Tenant
-	WorthByWork    bool    // worth counts for each unit of work, not for each request
-	GoalWhole      float64 // weight of all worth served in what the site counts,
+	ValueByWork    bool    // worth counts for each unit of work, not for each request
+	GoalTotal      float64 // weight of all worth served in what the site counts,
 	GoalWorstClass float64 // and of the part of the worst-served class that is
 
 	// What the site permits.
@@ -81,18 +81,18 @@
 	ConnectTimeout time.Duration
 
 	// Where the list of endpoints comes from.
-	MustAsk  bool          // changes come only after Watch or Fetch
-	AskEvery time.Duration // without asking for this long an instance counts as told
+	PullDiscovery     bool          // changes come only after Watch or Fetch
+	DiscoveryInterval time.Duration // without asking for this long an instance counts as told
 
-	MarksRetry bool // clients flag their repeats
+	ClientsMarkRetries bool // clients flag their repeats
 
 	// Cold endpoints: the share of capacity they start with, the time until
 	// they are warm, and the load (a multiple of present capacity, held for
 	// Fall) under which they fall over.
-	ColdFrom    float64
-	Cold        time.Duration
-	TipMultiple float64
-	Fall        time.Duration
+	ColdCapacity     float64
+	WarmUp           time.Duration
+	OverloadMultiple float64
+	OverloadWindow   time.Duration
 }
 
 // Check names the first setting that cannot be acted on.
@@ -108,9 +108,9 @@
 	figures := []figure{
 		{"instances", float64(s.Instances), 1}, {"ordinal", float64(s.Ordinal), 0},
 		{"quantum", float64(s.Quantum), 0},
-		{"goalWhole", s.GoalWhole, 0}, {"goalWorstClass", s.GoalWorstClass, 0},
-		{"cold", float64(s.Cold), 0}, {"coldFrom", s.ColdFrom, 0}, {"tipMultiple", s.TipMultiple, 0},
-		{"fall", float64(s.Fall), 0}, {"askEvery", float64(s.AskEvery), 0},
+		{"goalWhole", s.GoalTotal, 0}, {"goalWorstClass", s.GoalWorstClass, 0},
+		{"cold", float64(s.WarmUp), 0}, {"coldFrom", s.ColdCapacity, 0}, {"tipMultiple", s.OverloadMultiple, 0},
+		{"fall", float64(s.OverloadWindow), 0}, {"askEvery", float64(s.DiscoveryInterval), 0},
 		{"maxRetryAfter", float64(s.MaxRetryAfter), 0}, {"connectTimeout", float64(s.ConnectTimeout), 0},
 	}
 	for i, t := range s.Tenants {
@@ -118,7 +118,7 @@
 	}
 	for i, c := range s.Classes {
 		key := fmt.Sprintf("classes[%d].", i)
-		figures = append(figures, figure{key + "aim", float64(c.Aim), 0},
+		figures = append(figures, figure{key + "aim", float64(c.LatencyTarget), 0},
 			figure{key + "deadline", float64(c.Deadline), 0}, figure{key + "window", float64(c.Window), 0})
 		switch {
 		case c.Effect != Safe && c.Effect != Keyed && c.Effect != Unsafe:
@@ -132,23 +132,23 @@
 			return fmt.Errorf("settings: %s: below %v", f.key, f.least)
 		}
 	}
-	if s.ColdFrom > 1 {
-		return fmt.Errorf("settings: coldFrom: %v is not a share", s.ColdFrom)
+	if s.ColdCapacity > 1 {
+		return fmt.Errorf("settings: coldFrom: %v is not a share", s.ColdCapacity)
 	}
 	return nil
 }
 
 // Request is one client request as it arrives.
 type Request struct {
-	ID     RequestID
-	Class  int
-	Tenant int
-	Left   time.Duration // time until the client gives this try up
-	Repeat bool          // the client marks it as a repeat
-	Idle   int           // callers' connections to this instance that stand idle beside its own
+	ID        RequestID
+	Class     int
+	Tenant    int
+	Remaining time.Duration // time until the client gives this try up
+	IsRetry   bool          // the client marks it as a repeat
+	IdleConns int           // callers' connections to this instance that stand idle beside its own
 	// Long says that most of it is still to come, and goes out as it does: Written tells of its end, and Left
 	// counts from there.
-	Long bool
+	LongBody bool
 }
 
 // Status is how an attempt ended.
@@ -156,15 +156,15 @@
 
 // The outcomes of an attempt.
 const (
-	OK            Status = iota
-	Error                // answered with an error; may have run
-	Full                 // turned away unseen
-	Timeout              // no answer in time; may have run
-	ConnectFailed        // no connection in time; never ran
-	Reset                // the connection broke; may have run
-	Cancelled            // withdrawn; may have run
-	Moot                 // never sent
-	Spoilt               // what came is of no use, or its connection alone broke; may have run
+	OK              Status = iota
+	Error                  // answered with an error; may have run
+	Rejected               // turned away unseen
+	Timeout                // no answer in time; may have run
+	ConnectFailed          // no connection in time; never ran
+	Reset                  // the connection broke; may have run
+	Cancelled              // withdrawn; may have run
+	NotSent                // never sent
+	InvalidResponse        // what came is of no use, or its connection alone broke; may have run
 )
 
 // String is the status's name in a log.
@@ -178,7 +178,7 @@
 }
 
 // NeverRan reports whether the outcome proves that the attempt did not run.
-func (s Status) NeverRan() bool { return s == Full || s == ConnectFailed || s == Moot }
+func (s Status) NeverRan() bool { return s == Rejected || s == ConnectFailed || s == NotSent }
 
 // Load is an endpoint's load report; a field that was not reported is negative.
 type Load struct {
@@ -190,14 +190,14 @@
 
 // Outcome is the end of one attempt.
 type Outcome struct {
-	ID       RequestID
-	Endpoint EndpointID
-	Attempt  int
-	Final    bool // the request is finished, by this outcome or before it
-	Elapsed  time.Duration
-	Status   Status
-	Load     *Load // nil without a report
-	Spent    bool  // the request cannot be sent again: what went out of it is not kept
+	ID            RequestID
+	Endpoint      EndpointID
+	Attempt       int
+	Final         bool // the request is finished, by this outcome or before it
+	Elapsed       time.Duration
+	Status        Status
+	Load          *Load // nil without a report
+	NotReplayable bool  // the request cannot be sent again: what went out of it is not kept
 }
 
 // State is an endpoint's state in the list.
@@ -207,7 +207,7 @@
 const (
 	Ready    State = iota
 	Draining       // finishing its work; send it nothing new
-	Gone           // removed; only in deltas
+	Departed       // removed; only in deltas
 )
 
 // Entry is one line of the endpoint list.
@@ -226,18 +226,18 @@
 
 // The kinds of list.
 const (
-	Delta  ListKind = iota // only entries that changed
-	Whole                  // every endpoint there is
-	Cached                 // every endpoint, as this instance last knew them
-	Failed                 // the request for a list failed; the old one stands
+	DeltaList  ListKind = iota // only entries that changed
+	FullList                   // every endpoint there is
+	CachedList                 // every endpoint, as this instance last knew them
+	FailedList                 // the request for a list failed; the old one stands
 )
 
 // List is what discovery tells about the endpoints.
 type List struct {
-	Kind    ListKind
-	Version uint64
-	Anew    bool // versions count from this one on: it is another discovery's, or one that has begun anew
-	Entries []Entry
+	Kind            ListKind
+	Version         uint64
+	VersionsRestart bool // versions count from this one on: it is another discovery's, or one that has begun anew
+	Entries         []Entry
 }
 
 // Host carries out a Balancer's actions. It is called only from within the
--- a/internal/decision/balancer.go
+++ b/internal/decision/balancer.go
@@ -123,7 +123,7 @@
 		roster: roster{byID: map[EndpointID]*endpoint{}}, requests: map[RequestID]*request{}, budget: retryReserve,
 		strays: 0.5, endsAt: math.MaxInt64}
 	b.set.MaxAttempts = cmp.Or(set.MaxAttempts, retryReserve) // without end is no bound for a fleet that refuses
-	b.window = cmp.Or(set.Fall, time.Second)
+	b.window = cmp.Or(set.OverloadWindow, time.Second)
 	b.seat = scatter(set.Ordinal, set.Instances)
 	b.tick = max(tickQuanta*set.Quantum, time.Millisecond)
 	for _, c := range set.Classes {
--- a/internal/decision/balancer_test.go
+++ b/internal/decision/balancer_test.go
@@ -59,14 +59,14 @@
 func (h *recorder) last() sent { return h.sent[len(h.sent)-1] }
 
 func settings() Settings {
-	c := Class{Aim: time.Second, Deadline: 3 * time.Second, Worth: 1}
+	c := Class{LatencyTarget: time.Second, Deadline: 3 * time.Second, Value: 1}
 	read, pay, book := c, c, c
 	read.Name, read.Effect = "read", Safe
 	pay.Name, pay.Effect = "pay", Unsafe
 	book.Name, book.Effect, book.Scope, book.Window = "book", Keyed, ScopeCell, 5*time.Second
 	return Settings{
 		Instances: 1, Quantum: 2 * ms, MayCancel: true, MaxAttempts: 4, ConnectTimeout: 100 * ms,
-		ColdFrom: 0.2, Cold: 10 * time.Second, TipMultiple: 3, Fall: time.Second, AskEvery: 10 * time.Second,
+		ColdCapacity: 0.2, WarmUp: 10 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second, DiscoveryInterval: 10 * time.Second,
 		Classes: []Class{read, pay, book},
 	}
 }
@@ -89,7 +89,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := List{Kind: Cached, Version: 1}
+	l := List{Kind: CachedList, Version: 1}
 	for i := 1; i <= n; i++ {
 		l.Entries = append(l.Entries, Entry{Endpoint: EndpointID(i), Cell: (i - 1) / 2, Weight: 1})
 	}
@@ -99,14 +99,14 @@
 
 // list hands over a delta with one entry.
 func (d *bed) list(e Entry) {
-	d.b.Targets(d.now, List{Kind: Delta, Version: 2, Entries: []Entry{e}})
+	d.b.Targets(d.now, List{Kind: DeltaList, Version: 2, Entries: []Entry{e}})
 }
 
 // ask brings a request with a second and a half left.
 func (d *bed) ask(class int) RequestID {
 	d.n++
 	id := RequestID(fmt.Sprint("r", d.n))
-	d.b.Request(d.now, Request{ID: id, Class: class, Left: 1500 * ms})
+	d.b.Request(d.now, Request{ID: id, Class: class, Remaining: 1500 * ms})
 	return id
 }
 
@@ -220,13 +220,13 @@
 	d.serve(40, nil)
 	id := d.ask(read)
 	spoilt := d.last()
-	d.end(spoilt, Spoilt, 5*ms)
+	d.end(spoilt, InvalidResponse, 5*ms)
 	if again := d.last(); again.id != id || again.attempt != 1 {
 		t.Errorf("retry %v, want %s once more", again, id)
 	}
 	d.end(d.last(), OK, 20*ms)
 	d.ask(pay)
-	d.end(d.last(), Spoilt, 5*ms)
+	d.end(d.last(), InvalidResponse, 5*ms)
 	if len(d.fails) != 1 || len(d.refusals) != 0 {
 		t.Errorf("an unsafe call that may have run: %d failed, %d refused", len(d.fails), len(d.refusals))
 	}
@@ -234,7 +234,7 @@
 	for range 3 {
 		d.ask(read)
 		for d.last().to == bad {
-			d.end(d.last(), Spoilt, 5*ms)
+			d.end(d.last(), InvalidResponse, 5*ms)
 			d.ask(read)
 		}
 		d.end(d.last(), OK, 20*ms)
@@ -251,9 +251,9 @@
 		d.ask(read)
 		late := d.last()
 		d.list(Entry{Endpoint: EndpointID(i), Weight: 1})
-		d.list(Entry{Endpoint: EndpointID(i - 1), State: Gone})
+		d.list(Entry{Endpoint: EndpointID(i - 1), State: Departed})
 		if i%2 == 0 {
-			d.list(Entry{Endpoint: EndpointID(i - 1), State: Gone})
+			d.list(Entry{Endpoint: EndpointID(i - 1), State: Departed})
 		}
 		d.end(late, []Status{OK, Reset, Error, ConnectFailed, Cancelled}[i%5], 5*ms)
 		for d.attempts[late.id] > 1 && d.last().id == late.id && d.b.requests[late.id] != nil {
@@ -270,7 +270,7 @@
 		}
 		d.pass(20 * ms)
 	}
-	d.now += d.b.set.Cold
+	d.now += d.b.set.WarmUp
 	d.list(Entry{Endpoint: 99, Weight: 1})
 	if len(d.b.byID) != 1 || len(d.b.listed) != 1 || len(d.b.requests) != 0 || d.b.out != 0 {
 		t.Errorf("%d endpoints, %d listed, %d requests, %d out", len(d.b.byID), len(d.b.listed), len(d.b.requests), d.b.out)
@@ -436,7 +436,7 @@
 	}
 	d.ask(pay)
 	first := d.last()
-	d.end(first, Full, ms)
+	d.end(first, Rejected, ms)
 	if again := d.last(); again.id != first.id || again.attempt != 1 || again.to == first.to {
 		t.Errorf("after a call that never ran: %v, want a second attempt elsewhere", again)
 	}
@@ -485,7 +485,7 @@
 		t.Errorf("refused %v, want %s: there is no endpoint", d.refusals, id)
 	}
 	d = start(t, settings(), 2)
-	d.b.Request(d.now, Request{ID: "late", Left: 0})
+	d.b.Request(d.now, Request{ID: "late", Remaining: 0})
 	if len(d.refusals) != 1 || len(d.sent) > 0 {
 		t.Errorf("refused %v, sent %v for a request with no time left", d.refusals, d.sent)
 	}
@@ -606,7 +606,7 @@
 	for i := range s.Instances {
 		s.Ordinal = i
 		d := start(t, s, 0)
-		l := List{Kind: Whole, Version: 2}
+		l := List{Kind: FullList, Version: 2}
 		for id := EndpointID(1); id <= 20; id++ {
 			l.Entries = append(l.Entries, Entry{Endpoint: id, Weight: []float64{3, 0.5}[id%2]})
 		}
@@ -637,7 +637,7 @@
 	s := settings()
 	s.Instances = 40
 	d := start(t, s, 0)
-	d.b.Targets(d.now, List{Kind: Whole, Version: 2, Entries: []Entry{{Endpoint: 1, Weight: 9}, {Endpoint: 2, Weight: 1}}})
+	d.b.Targets(d.now, List{Kind: FullList, Version: 2, Entries: []Entry{{Endpoint: 1, Weight: 9}, {Endpoint: 2, Weight: 1}}})
 	if got := d.serve(400, nil); got[2] < 20 || got[2] > 70 {
 		t.Errorf("%v sends, want a tenth to the endpoint of a tenth of the weight", got)
 	}
@@ -749,7 +749,7 @@
 	d.list(Entry{Endpoint: outside.id, Started: d.now, Weight: 1})
 	for range 50 {
 		d.ask(read)
-		d.end(d.last(), Full, ms)
+		d.end(d.last(), Rejected, ms)
 		if to := d.last().to; to == outside.id {
 			t.Fatal("a further attempt went to a cold endpoint outside the subset")
 		}
@@ -775,7 +775,7 @@
 
 func TestAskSubscribesAndBacksOff(t *testing.T) {
 	s := settings()
-	s.MustAsk = true
+	s.PullDiscovery = true
 	d := start(t, s, 2)
 	if d.watches != 0 {
 		t.Error("subscribed at once: a fleet that starts together would ask together")
@@ -785,7 +785,7 @@
 		t.Fatalf("%d watches in the first second, want 1", d.watches)
 	}
 	for range 40 {
-		d.b.Targets(d.now, List{Kind: Failed})
+		d.b.Targets(d.now, List{Kind: FailedList})
 		d.pass(time.Second)
 	}
 	if d.watches < 4 || d.watches > 30 {
@@ -799,7 +799,7 @@
 	d := start(t, s, 1)
 	d.serve(100, nil)
 	for i := range 150 {
-		d.b.Request(d.now, Request{ID: RequestID(fmt.Sprint("t", i)), Tenant: i % 2, Left: 1500 * ms})
+		d.b.Request(d.now, Request{ID: RequestID(fmt.Sprint("t", i)), Tenant: i % 2, Remaining: 1500 * ms})
 	}
 	for range 20 {
 		d.pass(20 * ms)
@@ -826,7 +826,7 @@
 	low := 0
 	for i := range 60 {
 		id := RequestID(fmt.Sprint("t", i))
-		d.b.Request(d.now, Request{ID: id, Left: 1500 * ms})
+		d.b.Request(d.now, Request{ID: id, Remaining: 1500 * ms})
 		if d.b.requests[id].low {
 			low++
 		}
@@ -863,7 +863,7 @@
 				d.n++
 				b := i%(c.floods+1) == 0
 				id := RequestID(fmt.Sprint(b, d.n))
-				d.b.Request(d.now, Request{ID: id, Tenant: map[bool]int{true: 1}[b], Left: 1500 * ms})
+				d.b.Request(d.now, Request{ID: id, Tenant: map[bool]int{true: 1}[b], Remaining: 1500 * ms})
 				d.pass(20 * ms)
 				for ; answered < len(d.sent) && d.now-last >= c.every; last += c.every {
 					x := d.sent[answered]
@@ -927,7 +927,7 @@
 // Machines of two speeds in a list without weights: the slow ones got as many calls as the fast ones, and choked.
 func TestReportedServiceTimesSetTheShares(t *testing.T) {
 	d := start(t, settings(), 0)
-	l := List{Kind: Whole, Version: 2}
+	l := List{Kind: FullList, Version: 2}
 	for id := EndpointID(1); id <= 10; id++ {
 		l.Entries = append(l.Entries, Entry{Endpoint: id, Kind: int(id % 2), Weight: 1})
 	}
@@ -952,7 +952,7 @@
 func TestDearClassGoesFirstUnlessTheWorstServedCountsMore(t *testing.T) {
 	released := func(worstClass float64) (first [3]int) {
 		s := settings()
-		s.Classes[pay].Worth, s.GoalWhole, s.GoalWorstClass = 5, 1, worstClass
+		s.Classes[pay].Value, s.GoalTotal, s.GoalWorstClass = 5, 1, worstClass
 		d := start(t, s, 1)
 		class := map[RequestID]int{}
 		for i := range 60 { // both are known, and read is served a little worse
@@ -990,17 +990,17 @@
 func TestRepeatsThatCannotMeetTheirAimGiveWay(t *testing.T) {
 	d := start(t, settings(), 2)
 	d.serve(200, nil)
-	d.b.Request(d.now, Request{ID: "first", Class: book, Left: 3 * time.Second})
+	d.b.Request(d.now, Request{ID: "first", Class: book, Remaining: 3 * time.Second})
 	d.end(d.last(), OK, 20*ms)
 	for i := range 50 {
-		d.b.Request(d.now, Request{ID: RequestID(fmt.Sprint("shown", i)), Class: book, Left: 1300 * ms, Repeat: true})
+		d.b.Request(d.now, Request{ID: RequestID(fmt.Sprint("shown", i)), Class: book, Remaining: 1300 * ms, IsRetry: true})
 		d.end(d.last(), OK, 20*ms)
 	}
 	for range 60 {
 		d.ask(read)
 	}
 	refused := len(d.refusals)
-	d.b.Request(d.now, Request{ID: "repeat", Left: 1500 * ms, Repeat: true})
+	d.b.Request(d.now, Request{ID: "repeat", Remaining: 1500 * ms, IsRetry: true})
 	if got := d.refusals[refused:]; !slices.Equal(got, []RequestID{"repeat"}) {
 		t.Errorf("refused %v on a full tier, want the repeat at once", got)
 	}
@@ -1009,7 +1009,7 @@
 func TestLapsedCallsWorkOff(t *testing.T) {
 	d := start(t, settings(), 2)
 	id := d.ask(read)
-	d.b.Lapsed(d.now, id)
+	d.b.Abandoned(d.now, id)
 	if len(d.cancels) != 1 || d.cancels[0].id != id {
 		t.Errorf("cancelled %v, want %s", d.cancels, id)
 	}
@@ -1021,10 +1021,10 @@
 
 func TestStreamBelongsToTheClient(t *testing.T) {
 	s := settings()
-	s.Classes[read].Stream = true
+	s.Classes[read].Streamed = true
 	d := start(t, s, 2)
 	id := d.ask(read)
-	d.b.Begun(d.now, id, 0, d.last().to)
+	d.b.ResponseStarted(d.now, id, 0, d.last().to)
 	d.pass(10 * time.Second)
 	d.b.Outcome(d.now, Outcome{ID: id, Endpoint: d.last().to, Final: true, Status: Reset})
 	if len(d.sent) != 1 || len(d.fails)+len(d.refusals)+len(d.cancels) > 0 {
@@ -1035,13 +1035,13 @@
 func TestOddEventsAreTakenInStride(t *testing.T) {
 	d := start(t, settings(), 2)
 	d.b.Outcome(d.now, Outcome{ID: "unknown", Status: OK})
-	d.b.Lapsed(d.now, "unknown")
-	d.b.Begun(d.now, "unknown", 0, 1)
+	d.b.Abandoned(d.now, "unknown")
+	d.b.ResponseStarted(d.now, "unknown", 0, 1)
 	d.b.Timer(d.now, 99)
 	d.ask(read)
 	s := d.last()
-	d.list(Entry{Endpoint: s.to, State: Gone})
-	d.b.Targets(d.now, List{Kind: Whole, Version: 3})
+	d.list(Entry{Endpoint: s.to, State: Departed})
+	d.b.Targets(d.now, List{Kind: FullList, Version: 3})
 	d.end(s, Reset, ms)
 	d.end(s, OK, ms)
 	d.pass(2 * time.Second)
@@ -1055,17 +1055,17 @@
 		"classes":           func(s *Settings) { s.Classes = nil },
 		"classes[0].effect": func(s *Settings) { s.Classes[0].Effect = "maybe" },
 		"classes[2].scope":  func(s *Settings) { s.Classes[2].Scope = "planet" },
-		"classes[1].aim":    func(s *Settings) { s.Classes[1].Aim = -1 },
-		"cold":              func(s *Settings) { s.Cold = -1 },
-		"coldFrom":          func(s *Settings) { s.ColdFrom = 2 },
+		"classes[1].aim":    func(s *Settings) { s.Classes[1].LatencyTarget = -1 },
+		"cold":              func(s *Settings) { s.WarmUp = -1 },
+		"coldFrom":          func(s *Settings) { s.ColdCapacity = 2 },
 		"instances":         func(s *Settings) { s.Instances = 0 },
-		"fall":              func(s *Settings) { s.Fall = -1 },
-		"askEvery":          func(s *Settings) { s.AskEvery = -1 },
+		"fall":              func(s *Settings) { s.OverloadWindow = -1 },
+		"askEvery":          func(s *Settings) { s.DiscoveryInterval = -1 },
 		"connectTimeout":    func(s *Settings) { s.ConnectTimeout = -1 },
 		"classes[0].window": func(s *Settings) { s.Classes[0].Window = -1 },
 		"tenants[0].quota":  func(s *Settings) { s.Tenants = []Tenant{{QuotaPerS: -1}} },
 		"ordinal":           func(s *Settings) { s.Ordinal = -1 },
-		"tipMultiple":       func(s *Settings) { s.TipMultiple = -1 },
+		"tipMultiple":       func(s *Settings) { s.OverloadMultiple = -1 },
 	} {
 		s := settings()
 		spoil(&s)
@@ -1134,7 +1134,7 @@
 				id, class := RequestID(fmt.Sprint("q", d.n)), rng.IntN(3)
 				left := time.Duration(1+rng.IntN(1500)) * ms
 				reqs[id] = &state{class: class, deadline: d.now + left}
-				d.b.Request(d.now, Request{ID: id, Class: class, Left: left})
+				d.b.Request(d.now, Request{ID: id, Class: class, Remaining: left})
 			case 2, 3:
 				if len(open) > 0 {
 					i := rng.IntN(len(open))
@@ -1142,7 +1142,7 @@
 					open = slices.Delete(open, i, i+1)
 					r := reqs[x.id]
 					r.out--
-					status := []Status{OK, OK, OK, OK, OK, Error, Full, Timeout, ConnectFailed, Reset}[rng.IntN(10)]
+					status := []Status{OK, OK, OK, OK, OK, Error, Rejected, Timeout, ConnectFailed, Reset}[rng.IntN(10)]
 					if !status.NeverRan() && status != OK && r.mayRun == nil {
 						r.mayRun, r.runAt = &x, sentAt[x]
 					}
@@ -1214,11 +1214,11 @@
 	d.ask(pay)
 	out := d.last()
 	endsAt := d.now + 200*ms
-	d.b.Leave(d.now, endsAt, false)
+	d.b.Drain(d.now, endsAt, false)
 	ask := func(idle int) (sends, refusals int) {
 		d.n++
 		sends, refusals = len(d.sent), len(d.refusals)
-		d.b.Request(d.now, Request{ID: RequestID(fmt.Sprint("r", d.n)), Class: read, Left: 1500 * ms, Idle: idle})
+		d.b.Request(d.now, Request{ID: RequestID(fmt.Sprint("r", d.n)), Class: read, Remaining: 1500 * ms, IdleConns: idle})
 		return len(d.sent) - sends, len(d.refusals) - refusals
 	}
 	if sends, _ := ask(idleLeast); sends != 1 {
@@ -1249,7 +1249,7 @@
 	d := start(t, s, 4)
 	d.serve(100, nil)
 	sends := len(d.sent)
-	d.b.Leave(d.now, d.now+200*ms, false)
+	d.b.Drain(d.now, d.now+200*ms, false)
 	d.ask(read)
 	if len(d.sent) != sends+1 {
 		t.Error("in good time: not sent")
@@ -1319,7 +1319,7 @@
 // What is held is refused once it could not be answered in time any more, not when its time is up.
 func TestHopelessIsRefusedAtOnce(t *testing.T) {
 	s := settings()
-	s.Classes[read].LateWorth, s.MaxRetryAfter = 0.5, time.Second
+	s.Classes[read].LateValue, s.MaxRetryAfter = 0.5, time.Second
 	d := start(t, s, 1)
 	for range 60 {
 		d.ask(read)
@@ -1350,7 +1350,7 @@
 	d := start(t, settings(), 2)
 	d.serve(100, nil)
 	ask := func(id RequestID) sent {
-		d.b.Request(d.now, Request{ID: id, Class: read, Left: 1500 * ms, Long: true})
+		d.b.Request(d.now, Request{ID: id, Class: read, Remaining: 1500 * ms, LongBody: true})
 		return d.last()
 	}
 	call := ask("long")
@@ -1360,21 +1360,21 @@
 	if len(d.cancels) > 0 || d.last().id == "long" && d.last() != call || call.timeout != 0 {
 		t.Fatalf("while it came: withdrawn %v, sent %v", d.cancels, call)
 	}
-	d.b.Written(d.now, "long", 1500*ms)
-	d.b.Written(d.now, "long", 1500*ms) // nothing new
+	d.b.RequestSent(d.now, "long", 1500*ms)
+	d.b.RequestSent(d.now, "long", 1500*ms) // nothing new
 	if got := d.b.out; got != 1 {
 		t.Errorf("%d calls in flight, want the one", got)
 	}
 	sends := len(d.sent)
-	d.b.Outcome(d.now, Outcome{ID: "long", Endpoint: call.to, Status: Error, Spent: true, Elapsed: 20 * ms})
+	d.b.Outcome(d.now, Outcome{ID: "long", Endpoint: call.to, Status: Error, NotReplayable: true, Elapsed: 20 * ms})
 	if len(d.sent) != sends || len(d.refusals) != 1 {
 		t.Errorf("%d more sends, refused %v: a read may be asked again by its client", len(d.sent)-sends, d.refusals)
 	}
 	call = ask("turned away")
-	d.b.Outcome(d.now, Outcome{ID: call.id, Endpoint: call.to, Status: Full, Spent: true})
+	d.b.Outcome(d.now, Outcome{ID: call.id, Endpoint: call.to, Status: Rejected, NotReplayable: true})
 	d.pass(100 * ms)
 	call = ask("elsewhere")
-	d.end(call, Full, ms)
+	d.end(call, Rejected, ms)
 	if len(d.refusals) != 2 || d.last().id != "elsewhere" || d.last().to == call.to {
 		t.Errorf("refused %v, then sent %v: what is still whole goes to another endpoint", d.refusals, d.last())
 	}
@@ -1393,7 +1393,7 @@
 	id := d.ask(read)
 	call := d.last()
 	d.pass(20 * ms)
-	d.b.Begun(d.now, id, 0, call.to)
+	d.b.ResponseStarted(d.now, id, 0, call.to)
 	if d.b.out != 0 || d.b.classes[read].mean > 0.1 {
 		t.Errorf("%d out, mean %v", d.b.out, d.b.classes[read].mean)
 	}
@@ -1412,7 +1412,7 @@
 	d := start(t, s, 4)
 	d.serve(100, nil)
 	sends := len(d.sent)
-	d.b.Leave(d.now, d.now+200*ms, true)
+	d.b.Drain(d.now, d.now+200*ms, true)
 	d.ask(read)
 	if len(d.sent) != sends+1 {
 		t.Error("in good time: not sent")
--- a/internal/decision/example_test.go
+++ b/internal/decision/example_test.go
@@ -25,8 +25,8 @@
 func Example() {
 	b, err := decision.New(decision.Settings{
 		Instances: 1, Quantum: time.Millisecond, MaxAttempts: 3, ConnectTimeout: 100 * time.Millisecond,
-		ColdFrom: 0.2, Cold: 10 * time.Second, TipMultiple: 3, Fall: time.Second,
-		Classes: []decision.Class{{Name: "lookup", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1,
+		ColdCapacity: 0.2, WarmUp: 10 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second,
+		Classes: []decision.Class{{Name: "lookup", LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1,
 			Effect: decision.Safe}},
 	}, 1, printer{})
 	if err != nil {
@@ -34,13 +34,13 @@
 		return
 	}
 	now := time.Second
-	b.Targets(now, decision.List{Kind: decision.Whole, Version: 5, Entries: []decision.Entry{
+	b.Targets(now, decision.List{Kind: decision.FullList, Version: 5, Entries: []decision.Entry{
 		{Endpoint: 11}, {Endpoint: 12, State: decision.Draining}}})
-	b.Request(now, decision.Request{ID: "a", Left: 2 * time.Second})
+	b.Request(now, decision.Request{ID: "a", Remaining: 2 * time.Second})
 	b.Outcome(now+20*time.Millisecond, decision.Outcome{ID: "a", Endpoint: 11, Status: decision.OK, Final: true,
 		Elapsed: 20 * time.Millisecond})
-	b.Request(now+time.Second, decision.Request{ID: "b", Left: 2 * time.Second})
-	b.Targets(now+time.Second, decision.List{Kind: decision.Delta, Version: 6, Entries: []decision.Entry{
+	b.Request(now+time.Second, decision.Request{ID: "b", Remaining: 2 * time.Second})
+	b.Targets(now+time.Second, decision.List{Kind: decision.DeltaList, Version: 6, Entries: []decision.Entry{
 		{Endpoint: 12}}})
 	b.Outcome(now+time.Second, decision.Outcome{ID: "b", Endpoint: 11, Status: decision.Reset})
 	// Output:
--- a/internal/decision/fleet_test.go
+++ b/internal/decision/fleet_test.go
@@ -74,10 +74,10 @@
 		d := start(t, small(), 2000)
 		version, answered := uint64(1), 0
 		for i := 0; i < 2000; i += 50 {
-			l := List{Kind: Delta, Version: version + 1}
+			l := List{Kind: DeltaList, Version: version + 1}
 			version++
 			for k := i + 1; k <= i+50; k++ {
-				l.Entries = append(l.Entries, Entry{Endpoint: EndpointID(k), State: Gone, Weight: 1},
+				l.Entries = append(l.Entries, Entry{Endpoint: EndpointID(k), State: Departed, Weight: 1},
 					Entry{Endpoint: EndpointID(10000 + k), Started: d.now, Weight: 1})
 			}
 			d.b.Targets(d.now, l)
@@ -95,8 +95,8 @@
 		if n := len(d.refusals) + len(d.fails); n > 4 {
 			t.Errorf("%d of 400 not served", n)
 		}
-		d.now += d.b.set.Cold
-		d.b.Targets(d.now, List{Kind: Delta, Version: version + 1})
+		d.now += d.b.set.WarmUp
+		d.b.Targets(d.now, List{Kind: DeltaList, Version: version + 1})
 		if n := len(d.b.byID); n != 2000 {
 			t.Errorf("%d servers remembered once those that left would be warm, want 2000", n)
 		}
@@ -130,7 +130,7 @@
 // What capacity looked like before says nothing of now: each row is refused or held back for good without its cause.
 func TestShortageEnds(t *testing.T) {
 	s := settings()
-	s.MarksRetry = true
+	s.ClientsMarkRetries = true
 	s.Tenants = []Tenant{{Name: "a", QuotaPerS: 100}}
 	slow := func(d *bed) { // calls that take three times what is usual
 		d.serve(100, nil)
@@ -148,7 +148,7 @@
 		}
 		d.pass(10 * time.Second)
 		at := len(d.sent)
-		d.b.Request(d.now, Request{ID: "again", Left: 1500 * ms, Repeat: true})
+		d.b.Request(d.now, Request{ID: "again", Remaining: 1500 * ms, IsRetry: true})
 		if len(d.sent) == at {
 			t.Error("refused beside idle servers, for calls that were slow ten seconds ago")
 		}
@@ -161,7 +161,7 @@
 		if !d.b.paced {
 			t.Fatal("not paced: nothing is tested")
 		}
-		l := List{Kind: Delta, Version: 2}
+		l := List{Kind: DeltaList, Version: 2}
 		for id := EndpointID(21); id <= 40; id++ {
 			l.Entries = append(l.Entries, Entry{Endpoint: id, Weight: 1})
 		}
@@ -177,7 +177,7 @@
 		s.Tenants = []Tenant{{Name: "a"}, {Name: "b"}}
 		d := start(t, s, 20)
 		d.serve(100, nil)
-		if _, err := json.Marshal(d.b.Learnt(d.now)); err != nil {
+		if _, err := json.Marshal(d.b.Snapshot(d.now)); err != nil {
 			t.Error("what is learnt cannot be told to a successor:", err)
 		}
 		if len(d.refusals) > 0 {
--- a/internal/decision/golden_amd64_test.go
+++ b/internal/decision/golden_amd64_test.go
@@ -92,12 +92,12 @@
 	if timeout > 0 && took > timeout {
 		took, status = timeout, decision.Timeout
 	}
-	if r.Long {
+	if r.LongBody {
 		sent := w.upTo(took)
-		w.after(sent, func() { w.balancer.Written(w.now, id, r.Left) })
+		w.after(sent, func() { w.balancer.RequestSent(w.now, id, r.Remaining) })
 	}
-	if status == decision.OK && w.settings.Classes[r.Class].Stream {
-		w.after(took*9/10, func() { w.balancer.Begun(w.now, id, number, to) })
+	if status == decision.OK && w.settings.Classes[r.Class].Streamed {
+		w.after(took*9/10, func() { w.balancer.ResponseStarted(w.now, id, number, to) })
 	}
 	w.after(took, func() { w.end(r, to, number, status, took) })
 }
@@ -115,7 +115,7 @@
 		load = &decision.Load{InFlight: 1, Queue: -1, Util: -1, Service: took / 2}
 	}
 	w.balancer.Outcome(w.now, decision.Outcome{ID: r.ID, Endpoint: to, Attempt: number, Final: final, Elapsed: took,
-		Status: status, Load: load, Spent: r.Long && w.rng.IntN(2) == 0})
+		Status: status, Load: load, NotReplayable: r.LongBody && w.rng.IntN(2) == 0})
 }
 
 func (w *goldenWorld) Refuse(id decision.RequestID, retryAfter time.Duration) {
@@ -162,12 +162,12 @@
 
 // list hands over the whole list, or that it could not be had.
 func (w *goldenWorld) list(ok bool) {
-	l := decision.List{Kind: decision.Failed}
+	l := decision.List{Kind: decision.FailedList}
 	if ok {
 		w.version++
-		l = decision.List{Kind: decision.Whole, Version: w.version}
+		l = decision.List{Kind: decision.FullList, Version: w.version}
 		for _, e := range w.servers {
-			if e.State != decision.Gone {
+			if e.State != decision.Departed {
 				l.Entries = append(l.Entries, e)
 			}
 		}
@@ -182,22 +182,22 @@
 		e.State, e.Started = decision.Ready, w.now
 	}
 	w.version++
-	w.balancer.Targets(w.now, decision.List{Kind: decision.Delta, Version: w.version, Entries: []decision.Entry{*e}})
+	w.balancer.Targets(w.now, decision.List{Kind: decision.DeltaList, Version: w.version, Entries: []decision.Entry{*e}})
 }
 
 // ask brings requests, one after another.
 func (w *goldenWorld) ask(number int, pause time.Duration) {
 	s := w.settings
 	r := &goldenRequest{Request: decision.Request{ID: decision.RequestID(fmt.Sprint("r", number)),
-		Class: w.rng.IntN(len(s.Classes)), Tenant: w.rng.IntN(len(s.Tenants) + 1), Left: time.Second + w.upTo(time.Second),
-		Repeat: w.rng.IntN(8) == 0, Idle: 8, Long: w.rng.IntN(12) == 0}}
+		Class: w.rng.IntN(len(s.Classes)), Tenant: w.rng.IntN(len(s.Tenants) + 1), Remaining: time.Second + w.upTo(time.Second),
+		IsRetry: w.rng.IntN(8) == 0, IdleConns: 8, LongBody: w.rng.IntN(12) == 0}}
 	w.open[r.ID] = r
 	w.balancer.Request(w.now, r.Request)
 	if w.rng.IntN(20) == 0 {
 		w.after(w.upTo(200*time.Millisecond), func() {
 			if !r.answered {
 				r.answered = true
-				w.balancer.Lapsed(w.now, r.ID)
+				w.balancer.Abandoned(w.now, r.ID)
 			}
 		})
 	}
@@ -207,22 +207,22 @@
 // fleet brings what other instances have found out, and what the fleet allots.
 func (w *goldenWorld) fleet() {
 	id := w.servers[w.rng.IntN(len(w.servers))].Endpoint
-	w.note("heeded %d", w.balancer.Advise(w.now, []decision.Advice{{Endpoint: id, Age: w.upTo(time.Second)}}))
+	w.note("heeded %d", w.balancer.ApplyPeerEjections(w.now, []decision.PeerEjection{{Endpoint: id, Age: w.upTo(time.Second)}}))
 	w.note("evidence %v", w.balancer.Evidence(w.now, []decision.EndpointID{1, 2, 3}))
-	w.note("uses %v", w.balancer.Uses())
+	w.note("uses %v", w.balancer.Usage())
 	parts := make([]float64, len(w.settings.Tenants))
 	for i := range parts {
 		parts[i] = 20 * w.rng.Float64()
 	}
-	w.balancer.Allot(w.now, decision.Allotment{Parts: parts, Floors: parts, Retries: 10*w.rng.Float64() - 2,
-		RetriesFloor: 1, Until: w.now + time.Second})
+	w.balancer.SetQuotaShares(w.now, decision.QuotaShares{TenantRates: parts, TenantFallbackRates: parts, RetryRate: 10*w.rng.Float64() - 2,
+		RetryFallbackRate: 1, Until: w.now + time.Second})
 	w.after(time.Second, w.fleet)
 }
 
 // replace has a new Balancer inherit from the present one, that keeps nothing in flight.
 func (w *goldenWorld) replace(t *testing.T, seed uint64) {
 	t.Helper()
-	learnt, calls := w.balancer.Learnt(w.now), w.balancer.Calls()
+	learnt, calls := w.balancer.Snapshot(w.now), w.balancer.InFlight()
 	text, err := json.Marshal(learnt)
 	if err != nil {
 		t.Fatal(err)
@@ -233,10 +233,10 @@
 	}
 	old := w.balancer
 	w.begin(t, seed)
-	if err := w.balancer.Inherit(w.now, learnt); err != nil || old == w.balancer {
+	if err := w.balancer.Restore(w.now, learnt); err != nil || old == w.balancer {
 		t.Fatal(err)
 	}
-	w.balancer.Beside(w.now, calls, w.now+500*time.Millisecond)
+	w.balancer.SetPredecessorCalls(w.now, calls, w.now+500*time.Millisecond)
 }
 
 func (w *goldenWorld) begin(t *testing.T, seed uint64) {
@@ -247,20 +247,20 @@
 	}
 	w.balancer = b
 	w.version++
-	b.Targets(w.now, decision.List{Kind: decision.Cached, Version: w.version, Entries: w.servers})
+	b.Targets(w.now, decision.List{Kind: decision.CachedList, Version: w.version, Entries: w.servers})
 }
 
 func goldenSettings(instances, stage int) decision.Settings {
-	c := decision.Class{Aim: 300 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1}
+	c := decision.Class{LatencyTarget: 300 * time.Millisecond, Deadline: 2 * time.Second, Value: 1}
 	read, keyed, unsafe, stream := c, c, c, c
-	read.Name, read.Effect, read.LateWorth = "read", decision.Safe, 0.5
+	read.Name, read.Effect, read.LateValue = "read", decision.Safe, 0.5
 	keyed.Name, keyed.Effect, keyed.Scope, keyed.Window = "keyed", decision.Keyed, decision.ScopeCell, time.Second
-	unsafe.Name, unsafe.Effect, unsafe.Worth = "unsafe", decision.Unsafe, 3
-	stream.Name, stream.Effect, stream.Stream = "stream", decision.Safe, true
+	unsafe.Name, unsafe.Effect, unsafe.Value = "unsafe", decision.Unsafe, 3
+	stream.Name, stream.Effect, stream.Streamed = "stream", decision.Safe, true
 	return decision.Settings{Instances: instances, Ordinal: instances / 2, Stage: stage, Tiers: 2,
-		Quantum: time.Millisecond, GoalWhole: 0.7, GoalWorstClass: 0.3, MayCancel: true, MaxAttempts: 4,
-		MaxRetryAfter: 2 * time.Second, ConnectTimeout: 100 * time.Millisecond, AskEvery: 5 * time.Second,
-		MarksRetry: true, ColdFrom: 0.2, Cold: 5 * time.Second, TipMultiple: 3, Fall: time.Second,
+		Quantum: time.Millisecond, GoalTotal: 0.7, GoalWorstClass: 0.3, MayCancel: true, MaxAttempts: 4,
+		MaxRetryAfter: 2 * time.Second, ConnectTimeout: 100 * time.Millisecond, DiscoveryInterval: 5 * time.Second,
+		ClientsMarkRetries: true, ColdCapacity: 0.2, WarmUp: 5 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second,
 		Classes: []decision.Class{read, keyed, unsafe, stream},
 		Tenants: []decision.Tenant{{Name: "a", QuotaPerS: 20}, {Name: "b", QuotaPerS: 60}}}
 }
@@ -282,9 +282,9 @@
 		{"second tier without cancelling", 3, 1, 8, 4 * time.Millisecond,
 			func(s *decision.Settings) { s.MayCancel = false }, "10290 actions, e0c4abca9a166b90"},
 		{"lists that must be asked for", 2, 0, 8, 5 * time.Millisecond,
-			func(s *decision.Settings) { s.MustAsk, s.WorthByWork = true, true }, "9200 actions, 52d6b388c1ca9827"},
+			func(s *decision.Settings) { s.PullDiscovery, s.ValueByWork = true, true }, "9200 actions, 52d6b388c1ca9827"},
 		{"as many instances as endpoints, paced", 40, 0, 8, 8 * time.Millisecond,
-			func(s *decision.Settings) { s.MarksRetry = false }, "7639 actions, 84c76231e65ecbaf"},
+			func(s *decision.Settings) { s.ClientsMarkRetries = false }, "7639 actions, 84c76231e65ecbaf"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := &goldenWorld{settings: goldenSettings(c.instances, c.stage), rng: rand.New(rand.NewPCG(7, 11)),
@@ -301,7 +301,7 @@
 			}
 			w.after(2*time.Second, w.fleet)
 			w.after(12*time.Second, func() { w.replace(t, 2) })
-			w.after(18*time.Second, func() { w.balancer.Leave(w.now, w.now+time.Second, c.instances == 2) })
+			w.after(18*time.Second, func() { w.balancer.Drain(w.now, w.now+time.Second, c.instances == 2) })
 			for end := w.now + 20*time.Second; w.queue[0].at < end; {
 				e := heap.Pop(&w.queue).(goldenEvent)
 				w.now = e.at
--- a/internal/decision/lists.go
+++ b/internal/decision/lists.go
@@ -8,18 +8,18 @@
 
 // Targets takes news of the endpoint list.
 func (b *Balancer) Targets(now time.Duration, l List) {
-	if l.Kind == Failed {
+	if l.Kind == FailedList {
 		b.rewatch(now)
 		return
 	}
-	if l.Version < b.version && !l.Anew {
+	if l.Version < b.version && !l.VersionsRestart {
 		return // older than what is known: an endpoint that has left would come back
 	}
 	b.version = l.Version
 	if b.tenants == nil {
 		b.meter(now)
 	}
-	if l.Kind != Delta {
+	if l.Kind != DeltaList {
 		for _, e := range b.listed {
 			e.listed = false
 		}
@@ -33,9 +33,9 @@
 	// Until it is warm, and its calls have ended, one that comes back is still the same.
 	crowd := len(b.byID) > goneMost+2*len(b.listed)
 	b.forget(func(e *endpoint) bool {
-		return len(e.calls)+e.coming == 0 && (crowd || now-e.left >= b.set.Cold)
+		return len(e.calls)+e.coming == 0 && (crowd || now-e.left >= b.set.WarmUp)
 	})
-	if l.Kind == Cached {
+	if l.Kind == CachedList {
 		b.rewatch(now)
 	} else {
 		b.watchPause = 0
@@ -46,12 +46,12 @@
 
 // rewatch subscribes after a pause that grows with each failure, spread; a call that hung has used it up.
 func (b *Balancer) rewatch(now time.Duration) {
-	if !b.set.MustAsk || b.watchDue {
+	if !b.set.PullDiscovery || b.watchDue {
 		return
 	}
 	b.watchDue = true
-	first := max(seconds(min(watchShare*b.set.AskEvery.Seconds(), watchMost/3)), b.tick)
-	b.watchPause = min(max(2*b.watchPause, first), max(min(b.set.AskEvery, seconds(watchMost)), first))
+	first := max(seconds(min(watchShare*b.set.DiscoveryInterval.Seconds(), watchMost/3)), b.tick)
+	b.watchPause = min(max(2*b.watchPause, first), max(min(b.set.DiscoveryInterval, seconds(watchMost)), first))
 	b.host.SetTimer(tokenWatch, max(b.watchPause+b.watchAt-now, first)-seconds(first.Seconds()*b.rng.Float64()))
 }
 
@@ -65,20 +65,20 @@
 	e.zone, e.cell, e.kind, e.version = x.Zone, x.Cell, max(x.Kind, 0), l.Version
 	b.reweigh = b.reweigh || e.weight != x.Weight
 	e.weight = x.Weight
-	e.listed = x.State != Gone
+	e.listed = x.State != Departed
 	restarted := x.Started > e.started
 	e.started = max(e.started, x.Started)
 	switch {
 	case x.State != Ready:
 		b.leave(now, e)
-	case restarted && now-x.Started < b.set.Cold:
+	case restarted && now-x.Started < b.set.WarmUp:
 		e.errors = 0
 		b.ramp(now, e, x.Started)
 	case !restarted && e.mark != leaving:
 	case e.unproven && !restarted:
 		b.turn(e, usable)
 		b.isolate(now, e, "as before it left")
-	case len(b.listed) == 0 && (e.started == 0 || now-e.started >= b.set.Cold):
+	case len(b.listed) == 0 && (e.started == 0 || now-e.started >= b.set.WarmUp):
 		b.turn(e, usable) // of the first list: were all to ramp, none would be there to measure them by
 	default:
 		b.ramp(now, e, b.since(now, e))
@@ -97,7 +97,7 @@
 // since is from when on the ramp of an endpoint counts that is back, where nothing showed a restart: it need
 // not begin anew, but what was cold before is no warmer for having been away.
 func (b *Balancer) since(now time.Duration, e *endpoint) time.Duration {
-	from := now - seconds(returnedWarm*b.set.Cold.Seconds())
+	from := now - seconds(returnedWarm*b.set.WarmUp.Seconds())
 	if last := max(e.coldFrom, e.started); last > 0 {
 		from = max(from, last)
 	}
--- a/internal/decision/odd_test.go
+++ b/internal/decision/odd_test.go
@@ -9,7 +9,7 @@
 
 // tell hands over a list of one line.
 func (d *bed) tell(version uint64, e Entry) {
-	d.b.Targets(d.now, List{Kind: Delta, Version: version, Entries: []Entry{e}})
+	d.b.Targets(d.now, List{Kind: DeltaList, Version: version, Entries: []Entry{e}})
 }
 
 // However a server leaves and comes back: what it was isolated for holds until a trial call is served or a new start is
@@ -41,26 +41,26 @@
 	}{
 		"drained":                    {nil, []Entry{state(warm, Draining), warm}, ramping, 0.99},
 		"drained twice":              {nil, []Entry{state(warm, Draining), state(warm, Draining), warm, warm}, ramping, 0.99},
-		"gone":                       {nil, []Entry{state(warm, Gone), warm}, ramping, 0.99},
-		"drained, gone":              {nil, []Entry{state(warm, Draining), state(warm, Gone), warm}, ramping, 0.99},
-		"gone, then drains":          {nil, []Entry{state(warm, Gone), state(warm, Draining)}, leaving, 1},
-		"gone twice":                 {nil, []Entry{state(warm, Gone), state(warm, Gone), warm}, ramping, 0.99},
+		"gone":                       {nil, []Entry{state(warm, Departed), warm}, ramping, 0.99},
+		"drained, gone":              {nil, []Entry{state(warm, Draining), state(warm, Departed), warm}, ramping, 0.99},
+		"gone, then drains":          {nil, []Entry{state(warm, Departed), state(warm, Draining)}, leaving, 1},
+		"gone twice":                 {nil, []Entry{state(warm, Departed), state(warm, Departed), warm}, ramping, 0.99},
 		"cold, drained":              {nil, []Entry{cold, state(cold, Draining), cold}, ramping, 0.4},
-		"cold, gone":                 {nil, []Entry{cold, state(cold, Gone), cold}, ramping, 0.4},
+		"cold, gone":                 {nil, []Entry{cold, state(cold, Departed), cold}, ramping, 0.4},
 		"new start while it drains":  {nil, []Entry{state(warm, Draining), cold}, ramping, 0.4},
 		"its start comes late":       {nil, []Entry{cold, state(cold, Draining), warm}, ramping, 0.4},
 		"isolated, named again":      {breakOff, []Entry{warm}, isolated, 1},
 		"isolated, drained":          {breakOff, []Entry{state(warm, Draining), warm}, isolated, 1},
 		"isolated, drained twice":    {breakOff, []Entry{state(warm, Draining), state(warm, Draining), warm}, isolated, 1},
-		"isolated, gone":             {breakOff, []Entry{state(warm, Gone), warm}, isolated, 1},
-		"isolated, gone, drained":    {breakOff, []Entry{state(warm, Gone), state(warm, Draining), warm}, isolated, 1},
+		"isolated, gone":             {breakOff, []Entry{state(warm, Departed), warm}, isolated, 1},
+		"isolated, gone, drained":    {breakOff, []Entry{state(warm, Departed), state(warm, Draining), warm}, isolated, 1},
 		"isolated, new start":        {breakOff, []Entry{cold}, ramping, 0.4},
-		"isolated, gone, new start":  {breakOff, []Entry{state(warm, Gone), cold}, ramping, 0.4},
+		"isolated, gone, new start":  {breakOff, []Entry{state(warm, Departed), cold}, ramping, 0.4},
 		"listed for the first time":  {nil, []Entry{{Endpoint: 9, Weight: 1}}, ramping, 0.99},
 		"first of all, draining":     {nil, []Entry{{Endpoint: 9, Weight: 1, State: Draining}}, leaving, 1},
-		"unknown, and already gone":  {nil, []Entry{{Endpoint: 9, Weight: 1, State: Gone}}, leaving, 1},
+		"unknown, and already gone":  {nil, []Entry{{Endpoint: 9, Weight: 1, State: Departed}}, leaving, 1},
 		"of a start that is passed":  {nil, []Entry{{Endpoint: 1, Weight: 1, Started: 2 * time.Second}}, ramping, 0.99},
-		"many servers at once, gone": {nil, []Entry{state(warm, Gone)}, leaving, 1},
+		"many servers at once, gone": {nil, []Entry{state(warm, Departed)}, leaving, 1},
 	} {
 		d := start(t, settings(), 4)
 		d.now = started // the bed starts at 1 s: all that it knows is warm by now
@@ -102,7 +102,7 @@
 	d.now += time.Second
 	e := d.b.byID[1]
 	d.b.isolate(d.now, e, "silent")
-	d.b.restore(d.now, e)
+	d.b.endEjection(d.now, e)
 	if got := d.b.share(d.now, e); e.mark != ramping || got > 0.3 {
 		t.Errorf("mark %d, share %.2f one second after its start", e.mark, got)
 	}
@@ -124,7 +124,7 @@
 		if during == "isolated" {
 			d.b.isolate(d.now, d.b.byID[1], "silent")
 		}
-		d.tell(3, Entry{Endpoint: 1, State: Gone})
+		d.tell(3, Entry{Endpoint: 1, State: Departed})
 		d.tell(4, Entry{Endpoint: 1, Weight: 1})
 		e := d.b.byID[1]
 		if got := d.b.load(d.now, e); got != len(at1) || len(at1) == 0 {
@@ -132,7 +132,7 @@
 		}
 		tokens := e.tokens
 		for v := uint64(5); v < 25; v += 2 {
-			d.tell(v, Entry{Endpoint: 1, State: Gone})
+			d.tell(v, Entry{Endpoint: 1, State: Departed})
 			d.tell(v+1, Entry{Endpoint: 1, Weight: 1})
 		}
 		if e = d.b.byID[1]; e.mark == ramping && e.tokens > tokens {
@@ -158,15 +158,15 @@
 		late  List
 		want  bool // endpoint 1 may be called after it
 	}{
-		"ready after draining":        {Draining, List{Kind: Delta, Version: 6, Entries: []Entry{ready}}, false},
-		"ready after gone":            {Gone, List{Kind: Delta, Version: 6, Entries: []Entry{ready}}, false},
-		"whole after gone":            {Gone, List{Kind: Whole, Version: 6, Entries: []Entry{ready}}, false},
-		"gone after ready":            {Ready, List{Kind: Delta, Version: 6, Entries: []Entry{{Endpoint: 1, State: Gone}}}, true},
-		"whole without it":            {Ready, List{Kind: Whole, Version: 6}, true},
-		"newer":                       {Gone, List{Kind: Delta, Version: 8, Entries: []Entry{ready}}, true},
-		"the same again":              {Draining, List{Kind: Delta, Version: 7, Entries: []Entry{{Endpoint: 1, State: Draining}}}, false},
-		"another discovery's, ready":  {Gone, List{Kind: Whole, Version: 2, Anew: true, Entries: []Entry{ready}}, true},
-		"another discovery's, absent": {Ready, List{Kind: Whole, Version: 2, Anew: true}, false},
+		"ready after draining":        {Draining, List{Kind: DeltaList, Version: 6, Entries: []Entry{ready}}, false},
+		"ready after gone":            {Departed, List{Kind: DeltaList, Version: 6, Entries: []Entry{ready}}, false},
+		"whole after gone":            {Departed, List{Kind: FullList, Version: 6, Entries: []Entry{ready}}, false},
+		"gone after ready":            {Ready, List{Kind: DeltaList, Version: 6, Entries: []Entry{{Endpoint: 1, State: Departed}}}, true},
+		"whole without it":            {Ready, List{Kind: FullList, Version: 6}, true},
+		"newer":                       {Departed, List{Kind: DeltaList, Version: 8, Entries: []Entry{ready}}, true},
+		"the same again":              {Draining, List{Kind: DeltaList, Version: 7, Entries: []Entry{{Endpoint: 1, State: Draining}}}, false},
+		"another discovery's, ready":  {Departed, List{Kind: FullList, Version: 2, VersionsRestart: true, Entries: []Entry{ready}}, true},
+		"another discovery's, absent": {Ready, List{Kind: FullList, Version: 2, VersionsRestart: true}, false},
 	} {
 		d := start(t, settings(), 2)
 		d.tell(7, Entry{Endpoint: 1, Weight: 1, State: c.known})
@@ -183,12 +183,12 @@
 func TestOutcomesOfOtherAttempts(t *testing.T) {
 	for name, late := range map[string]func(d *bed, first, now sent){
 		"told twice":           func(d *bed, first, now sent) { d.end(first, Error, 20*ms) },
-		"twice, never ran":     func(d *bed, first, now sent) { d.end(first, Full, 20*ms) },
+		"twice, never ran":     func(d *bed, first, now sent) { d.end(first, Rejected, 20*ms) },
 		"twice, reset":         func(d *bed, first, now sent) { d.end(first, Reset, 20*ms) },
 		"twice, timed out":     func(d *bed, first, now sent) { d.end(first, Timeout, 20*ms) },
 		"of another endpoint":  func(d *bed, first, now sent) { now.to = first.to; d.end(now, Error, 20*ms) },
 		"of one still to come": func(d *bed, first, now sent) { now.attempt++; d.end(now, Error, 20*ms) },
-		"begun":                func(d *bed, first, now sent) { d.b.Begun(d.now, first.id, first.attempt, first.to) },
+		"begun":                func(d *bed, first, now sent) { d.b.ResponseStarted(d.now, first.id, first.attempt, first.to) },
 		"after it was over": func(d *bed, first, now sent) {
 			d.end(now, OK, 20*ms)
 			d.end(now, Error, 20*ms)
@@ -222,7 +222,7 @@
 // nearly up, so that its client stays quiet.
 func TestNothingIsHeldInVain(t *testing.T) {
 	all := func(d *bed, s State) {
-		l := List{Kind: Delta, Version: 3}
+		l := List{Kind: DeltaList, Version: 3}
 		for id := EndpointID(1); id <= 4; id++ {
 			l.Entries = append(l.Entries, Entry{Endpoint: id, Cell: int(id-1) / 2, State: s})
 		}
@@ -242,18 +242,18 @@
 		fail bool // it may have run, so that it must not be refused
 	}{
 		"no list": {func(d *bed) RequestID {
-			d.b.Targets(d.now, List{Kind: Whole, Version: 3})
+			d.b.Targets(d.now, List{Kind: FullList, Version: 3})
 			return d.ask(read)
 		}, false},
 		"all drain":           {func(d *bed) RequestID { all(d, Draining); return d.ask(read) }, false},
-		"all are gone":        {func(d *bed) RequestID { all(d, Gone); return d.ask(pay) }, false},
+		"all are gone":        {func(d *bed) RequestID { all(d, Departed); return d.ask(pay) }, false},
 		"all drain, it waits": {func(d *bed) RequestID { id := held(d); all(d, Draining); return id }, false},
-		"all go, it waits":    {func(d *bed) RequestID { id := held(d); all(d, Gone); return id }, false},
+		"all go, it waits":    {func(d *bed) RequestID { id := held(d); all(d, Departed); return id }, false},
 		"its only one drains": {func(d *bed) RequestID {
 			id := d.ask(read)
 			s := d.last()
 			all(d, Draining)
-			d.end(s, Full, 10*ms)
+			d.end(s, Rejected, 10*ms)
 			return id
 		}, false},
 		"its cell drains": {func(d *bed) RequestID {
@@ -276,8 +276,8 @@
 	} {
 		for _, marks := range []bool{false, true} {
 			s := settings()
-			s.MarksRetry, s.MaxRetryAfter = marks, 2*time.Second
-			s.Classes[read].LateWorth, s.Classes[book].LateWorth = 0.5, 0.5
+			s.ClientsMarkRetries, s.MaxRetryAfter = marks, 2*time.Second
+			s.Classes[read].LateValue, s.Classes[book].LateValue = 0.5, 0.5
 			s.Classes[book].Window = 300 * ms
 			d := start(t, s, 4)
 			id := c.play(d)
@@ -300,14 +300,14 @@
 // be asked ever more often by those that it fails.
 func TestFailedListsAskNoMoreOften(t *testing.T) {
 	s := settings()
-	s.MustAsk = true
+	s.PullDiscovery = true
 	d := start(t, s, 4)
 	d.serve(40, nil)
 	d.pass(2 * time.Second)
 	// Each watch fails, and each fetch, that connections which break ask for.
 	before, from := d.watches+d.fetches, d.now
 	told, asked := before, d.now
-	d.b.Targets(d.now, List{Kind: Failed})
+	d.b.Targets(d.now, List{Kind: FailedList})
 	for d.now < from+120*time.Second {
 		d.ask(read)
 		d.end(d.last(), ConnectFailed, ms)
@@ -317,7 +317,7 @@
 		watches := d.watches
 		d.pass(100 * ms)
 		for ; told < d.watches+d.fetches; told++ {
-			d.b.Targets(d.now, List{Kind: Failed})
+			d.b.Targets(d.now, List{Kind: FailedList})
 		}
 		// What changes counts as told 6 s after discovery could be reached: one call may hang for 2 s before, and one
 		// may wait as long for its answer.
@@ -343,17 +343,17 @@
 	const hangs = 2 * time.Second
 	for _, askEvery := range []time.Duration{time.Second, 4 * time.Second, 10 * time.Second, time.Minute} {
 		s := settings()
-		s.MustAsk, s.AskEvery = true, askEvery
+		s.PullDiscovery, s.DiscoveryInterval = true, askEvery
 		d := start(t, s, 4)
 		d.pass(3 * time.Second)
-		d.b.Targets(d.now, List{Kind: Failed})
+		d.b.Targets(d.now, List{Kind: FailedList})
 		var began []time.Duration
 		for watches := d.watches; len(began) < 12; {
 			d.pass(20 * ms)
 			if d.watches > watches {
 				watches, began = d.watches, append(began, d.now)
 				d.pass(hangs)
-				d.b.Targets(d.now, List{Kind: Failed})
+				d.b.Targets(d.now, List{Kind: FailedList})
 			}
 			if len(began) > 0 && d.now-began[len(began)-1] > 4*hangs {
 				t.Fatalf("asked each %v: no further watch", askEvery)
@@ -384,7 +384,7 @@
 		d.serve(60, nil)
 		got := d.serve(400, func(to EndpointID) Status {
 			if c.spoils(d, to) {
-				return Spoilt
+				return InvalidResponse
 			}
 			return OK
 		})
@@ -397,7 +397,7 @@
 // However often what was sent never ran, a request has so many attempts, and then its answer: also where the platform
 // names no bound.
 func TestAttemptsAreBounded(t *testing.T) {
-	for _, status := range []Status{Full, ConnectFailed, Moot} {
+	for _, status := range []Status{Rejected, ConnectFailed, NotSent} {
 		for most, want := range map[int]int{4: 4, 0: retryReserve} {
 			s := settings()
 			s.MaxAttempts = most
@@ -431,7 +431,7 @@
 // Where the one server that is not isolated is the one that a request has just failed at, it goes there again or is
 // given up: nothing that comes could change that, and it is not held until its time is nearly up.
 func TestNoRepeatIsBarredForGood(t *testing.T) {
-	for _, status := range []Status{Error, Spoilt, Reset, ConnectFailed} {
+	for _, status := range []Status{Error, InvalidResponse, Reset, ConnectFailed} {
 		d := start(t, settings(), 2)
 		d.serve(60, nil)
 		for range 30 {
--- a/internal/decision/outcome.go
+++ b/internal/decision/outcome.go
@@ -10,20 +10,20 @@
 )
 
 // Written tells that the last byte of a long request is out: its time counts from here on.
-func (b *Balancer) Written(now time.Duration, id RequestID, left time.Duration) {
+func (b *Balancer) RequestSent(now time.Duration, id RequestID, left time.Duration) {
 	r := b.requests[id]
 	if r == nil || r.to == nil || !r.coming {
 		return
 	}
 	r.to.coming--
 	r.coming, r.sentAt, r.answered = false, now, b.answered
-	r.deadline, r.aimBy = min(now+left, b.endsAt), min(now+r.class.Aim, b.endsAt)
+	r.deadline, r.aimBy = min(now+left, b.endsAt), min(now+r.class.LatencyTarget, b.endsAt)
 	b.enter(r.to, r)
 	b.arm()
 }
 
 // Begun tells that a long answer has started: its endpoint has done its work, whatever the client's pace.
-func (b *Balancer) Begun(now time.Duration, id RequestID, attempt int, from EndpointID) {
+func (b *Balancer) ResponseStarted(now time.Duration, id RequestID, attempt int, from EndpointID) {
 	r := b.requests[id]
 	if r == nil || r.stream || !r.isOut(attempt, from) {
 		return
@@ -64,7 +64,7 @@
 // judge learns from an outcome about its endpoint and the fleet.
 func (b *Balancer) judge(now time.Duration, r *request, e *endpoint, o Outcome) {
 	switch o.Status {
-	case OK, Error, Full, Reset, Spoilt:
+	case OK, Error, Rejected, Reset, InvalidResponse:
 		e.lastAnswer = now
 		b.answered++
 	}
@@ -83,15 +83,15 @@
 		b.noteError(e, 0, errorWeight)
 		b.earn()
 		if r.trial && e.mark == isolated {
-			b.restore(now, e)
+			b.endEjection(now, e)
 		}
 		return
-	case Error, Spoilt:
-		b.noteError(e, 1, map[Status]float64{Error: errorWeight, Spoilt: spoiltWeight}[o.Status])
+	case Error, InvalidResponse:
+		b.noteError(e, 1, map[Status]float64{Error: errorWeight, InvalidResponse: spoiltWeight}[o.Status])
 		if e.errors >= ejectAt && e.errors >= ejectRatio*b.errors && b.mayEject() {
 			b.isolate(now, e, "errors")
 		}
-	case Full:
+	case Rejected:
 		e.fullUntil = now + seconds(r.class.base)
 	case ConnectFailed:
 		// A full connection table refuses as a dead process does, but its open calls go on.
@@ -123,12 +123,12 @@
 // endpoints: there each has a call or two in flight, and no limit on their number keeps a tier from filling
 // up. It goes by clients' requests only: what the tiers above have worked on is not refused below.
 func (b *Balancer) press(now time.Duration, c *class, took time.Duration) {
-	due := min(strainBase*c.usual, strainAim*c.Aim.Seconds())
+	due := min(strainBase*c.usual, strainAim*c.LatencyTarget.Seconds())
 	if due <= 0 || b.set.Stage > 0 {
 		return
 	}
 	dt := (now - b.strainAt).Seconds()
-	weight := min(strainWeight, dt/(strainAims*c.Aim.Seconds()))
+	weight := min(strainWeight, dt/(strainAims*c.LatencyTarget.Seconds()))
 	b.strain += weight * (min(took.Seconds()/due, strainMost) - b.strain)
 	b.strainAt = now
 	if b.set.Instances <= len(b.listed) {
@@ -166,7 +166,7 @@
 	}
 	able := b.able(now)
 	b.rate.add(now, b.window, c.base/able)
-	b.spare.add(now, b.window, aimShare*max(c.Aim.Seconds()-c.base, 0)/able)
+	b.spare.add(now, b.window, aimShare*max(c.LatencyTarget.Seconds()-c.base, 0)/able)
 	b.notePace(e, s/c.mean)
 	b.served.add(now, b.window, 1)
 }
@@ -229,7 +229,7 @@
 }
 
 // heed takes what the process before an instance's has an endpoint open to.
-func (b *Balancer) heed(now time.Duration, e *endpoint, x LearntEndpoint) {
+func (b *Balancer) heed(now time.Duration, e *endpoint, x EndpointSnapshot) {
 	if x.Isolated && b.mayEject() {
 		b.isolate(now, e, "by the process before")
 	} else if x.Ramping && e.mark == usable {
@@ -239,12 +239,12 @@
 
 // postpone doubles the wait for the next trial call after one that failed.
 func (b *Balancer) postpone(now time.Duration, e *endpoint) {
-	e.trialPause = min(2*e.trialPause, max(b.set.Cold, b.window))
+	e.trialPause = min(2*e.trialPause, max(b.set.WarmUp, b.window))
 	e.trialAt, e.trialFrom = now+b.jitter(e.trialPause), b.answered+othersAnswers
 }
 
 // restore ends an isolation; the endpoint ramps up, as it may have restarted.
-func (b *Balancer) restore(now time.Duration, e *endpoint) {
+func (b *Balancer) endEjection(now time.Duration, e *endpoint) {
 	from := now
 	if !e.broke {
 		from = b.since(now, e)
@@ -263,7 +263,7 @@
 		return // who leaves and returns by turns gets no more by that
 	}
 	e.tokens, e.tokensAt = 1, now
-	if now-from < seconds(returnedWarm*b.set.Cold.Seconds()) {
+	if now-from < seconds(returnedWarm*b.set.WarmUp.Seconds()) {
 		e.tokens = b.rng.Float64() // all instances hear of a start at once
 	}
 }
@@ -277,7 +277,7 @@
 	if now < b.fetchAt {
 		return
 	}
-	pace := cmp.Or(b.set.AskEvery, max(b.set.Cold, b.window))
+	pace := cmp.Or(b.set.DiscoveryInterval, max(b.set.WarmUp, b.window))
 	b.fetchAt = now + b.jitter(seconds(refreshShare*pace.Seconds()))
 	b.host.Fetch()
 }
@@ -289,13 +289,13 @@
 		if r.mayRun == nil {
 			r.mayRun, r.zone, r.cell, r.runAt = e, e.zone, e.cell, r.sentAt
 		}
-		if b.budget < 1 || r.class.Effect == Unsafe || o.Spent {
+		if b.budget < 1 || r.class.Effect == Unsafe || o.NotReplayable {
 			b.finish(now, r)
 			return
 		}
 		b.budget--
 	}
-	if o.Spent || r.attempts >= b.set.MaxAttempts || now+b.tick >= r.deadline {
+	if o.NotReplayable || r.attempts >= b.set.MaxAttempts || now+b.tick >= r.deadline {
 		b.finish(now, r)
 		return
 	}
@@ -339,7 +339,7 @@
 }
 
 // Lapsed tells that the client has gone: nothing is owed, and work for it is called off.
-func (b *Balancer) Lapsed(now time.Duration, id RequestID) {
+func (b *Balancer) Abandoned(now time.Duration, id RequestID) {
 	r := b.requests[id]
 	if r == nil {
 		return
--- a/internal/decision/ramp_test.go
+++ b/internal/decision/ramp_test.go
@@ -72,10 +72,10 @@
 
 // share is what a server can do of what it can warm.
 func (w *rampWorld) share(s *rampServer, at time.Duration) float64 {
-	if s.started == 0 || at-s.started >= w.set.Cold {
+	if s.started == 0 || at-s.started >= w.set.WarmUp {
 		return 1
 	}
-	return w.set.ColdFrom + (1-w.set.ColdFrom)*float64(at-s.started)/float64(w.set.Cold)
+	return w.set.ColdCapacity + (1-w.set.ColdCapacity)*float64(at-s.started)/float64(w.set.WarmUp)
 }
 
 const rampCores = 2
@@ -117,12 +117,12 @@
 		for i, at := range s.sent {
 			n := 0
 			for _, x := range s.sent[i:] {
-				if x-at < w.set.Fall {
+				if x-at < w.set.OverloadWindow {
 					n++
 				}
 			}
 			// What it can do at the beginning of that time: the least.
-			most := w.set.TipMultiple * w.share(s, at) * rampCores / w.work.Seconds() * w.set.Fall.Seconds()
+			most := w.set.OverloadMultiple * w.share(s, at) * rampCores / w.work.Seconds() * w.set.OverloadWindow.Seconds()
 			if most += 2*math.Sqrt(most) + 2; float64(n)/most > ratio {
 				ratio, got, allowed = float64(n)/most, n, most
 			}
@@ -136,9 +136,9 @@
 	w := &rampWorld{rng: rand.New(rand.NewPCG(seed, 1)), set: settings(), work: 100 * ms}
 	w.now = 24 * time.Hour
 	w.set.Instances, w.set.Tiers = brokers, 1
-	w.set.ColdFrom, w.set.Cold, w.set.TipMultiple, w.set.Fall = 0.3, 8*time.Second, 3, time.Second
+	w.set.ColdCapacity, w.set.WarmUp, w.set.OverloadMultiple, w.set.OverloadWindow = 0.3, 8*time.Second, 3, time.Second
 	if tight { // hardly a call in the time that counts
-		w.work, w.set.ColdFrom, w.set.Cold, w.set.TipMultiple = 300*ms, 0.15, 16*time.Second, 2.5
+		w.work, w.set.ColdCapacity, w.set.WarmUp, w.set.OverloadMultiple = 300*ms, 0.15, 16*time.Second, 2.5
 	}
 	for range servers {
 		w.servers = append(w.servers, &rampServer{})
@@ -159,13 +159,13 @@
 		}
 		r.b = b
 		w.brokers = append(w.brokers, r)
-		b.Targets(w.now, List{Kind: Whole, Version: 1, Entries: all})
+		b.Targets(w.now, List{Kind: FullList, Version: 1, Entries: all})
 		heavy := 0.5 + w.rng.Float64() // callers come unevenly
 		n := 0
 		var arrive func()
 		arrive = func() {
 			n++
-			b.Request(w.now, Request{ID: RequestID(fmt.Sprint(i, "/", n)), Class: read, Left: 1500 * ms})
+			b.Request(w.now, Request{ID: RequestID(fmt.Sprint(i, "/", n)), Class: read, Remaining: 1500 * ms})
 			w.after(seconds(meanGap*w.rng.ExpFloat64()/heavy), arrive)
 		}
 		w.after(seconds(meanGap*w.rng.ExpFloat64()/heavy), arrive)
@@ -180,12 +180,12 @@
 			entry := w.entry(i)
 			for _, r := range w.brokers {
 				w.after(seconds(0.3*w.rng.Float64()), func() {
-					r.b.Targets(w.now, List{Kind: Delta, Version: 2, Entries: []Entry{entry}})
+					r.b.Targets(w.now, List{Kind: DeltaList, Version: 2, Entries: []Entry{entry}})
 				})
 			}
 		}
 	}
-	w.run(started + w.set.Cold/4) // later they bear more
+	w.run(started + w.set.WarmUp/4) // later they bear more
 	return w
 }
 
--- a/internal/decision/roster.go
+++ b/internal/decision/roster.go
@@ -89,7 +89,7 @@
 			}
 		}
 	}
-	if l.Kind == Delta {
+	if l.Kind == DeltaList {
 		for _, x := range l.Entries {
 			e := r.byID[x.Endpoint]
 			keep(&r.listed, e, e.listed)
--- a/internal/decision/roster_test.go
+++ b/internal/decision/roster_test.go
@@ -15,11 +15,11 @@
 		d := start(t, settings(), 6)
 		answered := 0
 		for i := range 600 {
-			l := List{Kind: Delta, Version: uint64(2 + i)}
+			l := List{Kind: DeltaList, Version: uint64(2 + i)}
 			if rng.IntN(20) == 0 {
-				l.Kind = Whole
+				l.Kind = FullList
 			}
-			for n := rng.IntN(4); n > 0 || l.Kind == Whole && len(l.Entries) < 3; n-- {
+			for n := rng.IntN(4); n > 0 || l.Kind == FullList && len(l.Entries) < 3; n-- {
 				x := Entry{Endpoint: EndpointID(1 + rng.IntN(40)), State: State(rng.IntN(3)), Weight: 1}
 				if rng.IntN(3) == 0 {
 					x.Started = d.now - time.Duration(rng.IntN(20))*time.Second
@@ -32,7 +32,7 @@
 			d.ask(rng.IntN(3))
 			d.pass(time.Duration(rng.IntN(60)) * ms)
 			for ; answered < len(d.sent) && rng.IntN(4) > 0; answered++ {
-				d.end(d.sent[answered], []Status{OK, OK, OK, Error, Reset, ConnectFailed, Full, Timeout}[rng.IntN(8)], 20*ms)
+				d.end(d.sent[answered], []Status{OK, OK, OK, Error, Reset, ConnectFailed, Rejected, Timeout}[rng.IntN(8)], 20*ms)
 			}
 			check := func(what string, set []*endpoint, in func(*endpoint) bool) {
 				var want []*endpoint
@@ -73,7 +73,7 @@
 			d := start(&testing.T{}, s, n)
 			for i := range b.N {
 				id := RequestID(fmt.Sprint(i))
-				d.b.Request(d.now, Request{ID: id, Class: read, Left: 1500 * ms})
+				d.b.Request(d.now, Request{ID: id, Class: read, Remaining: 1500 * ms})
 				d.now += 8 * ms
 				d.b.Timer(d.now, tokenTick)
 				x := d.last()
--- a/internal/decision/state.go
+++ b/internal/decision/state.go
@@ -175,7 +175,7 @@
 	rate, level, most float64
 	least             float64 // of most, whatever the rate
 	at                time.Duration
-	use               Use
+	use               Usage
 	floor             float64       // the rate from
 	until             time.Duration // then on; 0 for no end
 }
@@ -220,7 +220,7 @@
 		return false
 	}
 	b.level -= n
-	b.use.Within++
+	b.use.WithinQuota++
 	return true
 }
 
--- a/internal/decision/succession.go
+++ b/internal/decision/succession.go
@@ -11,25 +11,25 @@
 // crowded latencies for those at little load; without the second, two processes each fill the tier to its limit.
 
 // Learnt are the figures of a process. All times are relative, as the processes' clocks differ.
-type Learnt struct {
-	Classes     []LearntClass    `json:"classes"` // in the order of the settings
-	Endpoints   []LearntEndpoint `json:"endpoints,omitempty"`
-	Kinds       []LearntPace     `json:"kinds,omitempty"`    // by machine kind: latency over its class's mean
-	Services    []LearntPace     `json:"services,omitempty"` // and reported seconds of service
-	Rate        LearntRate       `json:"rate"`               // base latencies answered a second, for each endpoint
-	Spare       LearntRate       `json:"spare"`              // and the time from them to the aim
-	Served      LearntRate       `json:"served"`             // answers a second
-	Asked       LearntRate       `json:"asked"`              // requests a second
-	Warm        LearntRate       `json:"warm"`               // sends a second to warm endpoints, for their odds
-	Errors      float64          `json:"errors"`             // share of answers that are errors
-	Strays      float64          `json:"strays"`             // share of overdue calls that stay away
-	Budget      float64          `json:"budget"`             // further attempts
-	RepeatSpent float64          `json:"repeatSpent"`        // seconds
-	Shares      []float64        `json:"shares,omitempty"`   // requests that each tenant may have at once
+type Snapshot struct {
+	Classes      []ClassSnapshot    `json:"classes"` // in the order of the settings
+	Endpoints    []EndpointSnapshot `json:"endpoints,omitempty"`
+	Kinds        []MeanSnapshot     `json:"kinds,omitempty"`    // by machine kind: latency over its class's mean
+	Services     []MeanSnapshot     `json:"services,omitempty"` // and reported seconds of service
+	Rate         RateSnapshot       `json:"rate"`               // base latencies answered a second, for each endpoint
+	Spare        RateSnapshot       `json:"spare"`              // and the time from them to the aim
+	Served       RateSnapshot       `json:"served"`             // answers a second
+	Asked        RateSnapshot       `json:"asked"`              // requests a second
+	Warm         RateSnapshot       `json:"warm"`               // sends a second to warm endpoints, for their odds
+	Errors       float64            `json:"errors"`             // share of answers that are errors
+	MissingShare float64            `json:"strays"`             // share of overdue calls that stay away
+	Budget       float64            `json:"budget"`             // further attempts
+	RepeatSpent  float64            `json:"repeatSpent"`        // seconds
+	TenantTokens []float64          `json:"shares,omitempty"`   // requests that each tenant may have at once
 }
 
 // LearntClass are the figures of a class; latencies are in seconds.
-type LearntClass struct {
+type ClassSnapshot struct {
 	Name    string        `json:"name"`
 	Windows int           `json:"windows"` // looked at; 0 says that nothing is known
 	Mean    float64       `json:"mean"`
@@ -42,12 +42,12 @@
 }
 
 // LearntEndpoint are the figures of an endpoint.
-type LearntEndpoint struct {
-	ID      EndpointID `json:"id"`
-	Pace    LearntPace `json:"pace"`
-	Service LearntPace `json:"service"`
-	Errors  float64    `json:"errors,omitempty"`
-	Losses  float64    `json:"losses,omitempty"`
+type EndpointSnapshot struct {
+	ID      EndpointID   `json:"id"`
+	Pace    MeanSnapshot `json:"pace"`
+	Service MeanSnapshot `json:"service"`
+	Errors  float64      `json:"errors,omitempty"`
+	Losses  float64      `json:"losses,omitempty"`
 	// Isolated says that it gets trial calls only; Ramping that it starts or is back, since Ramped.
 	Isolated bool          `json:"isolated,omitempty"`
 	Ramping  bool          `json:"ramping,omitempty"`
@@ -55,13 +55,13 @@
 }
 
 // LearntPace is a mean and the answers that it rests on.
-type LearntPace struct {
+type MeanSnapshot struct {
 	Mean float64 `json:"mean"`
 	N    float64 `json:"n"`
 }
 
 // LearntRate is a rate and its recent peak.
-type LearntRate struct {
+type RateSnapshot struct {
 	Now  float64 `json:"now"`
 	Peak float64 `json:"peak"`
 }
@@ -77,43 +77,43 @@
 }
 
 // Learnt tells what this process has learnt.
-func (b *Balancer) Learnt(now time.Duration) Learnt {
-	rate := func(f *flow) LearntRate { return LearntRate{f.value(now, b.window), f.peak(now, b.window)} }
-	l := Learnt{Rate: rate(&b.rate), Spare: rate(&b.spare), Served: rate(&b.served), Asked: rate(&b.asked),
-		Warm: rate(&b.warm), Errors: b.errors, Strays: b.strays, Budget: b.budget,
+func (b *Balancer) Snapshot(now time.Duration) Snapshot {
+	rate := func(f *flow) RateSnapshot { return RateSnapshot{f.value(now, b.window), f.peak(now, b.window)} }
+	l := Snapshot{Rate: rate(&b.rate), Spare: rate(&b.spare), Served: rate(&b.served), Asked: rate(&b.asked),
+		Warm: rate(&b.warm), Errors: b.errors, MissingShare: b.strays, Budget: b.budget,
 		RepeatSpent: b.repeatSpent, Kinds: told(b.kinds), Services: told(b.services)}
 	for _, c := range b.classes {
-		l.Classes = append(l.Classes, LearntClass{Name: c.Name, Windows: c.windows, Mean: c.mean, Base: c.base,
+		l.Classes = append(l.Classes, ClassSnapshot{Name: c.Name, Windows: c.windows, Mean: c.mean, Base: c.base,
 			Usual: c.usual, Tail: c.tail, MaxLeft: c.maxLeft, Asked: c.asked, Good: c.good})
 	}
 	for _, e := range b.listed {
-		x := LearntEndpoint{ID: e.id, Pace: LearntPace{e.pace.mean, e.pace.n},
-			Service: LearntPace{e.service.mean, e.service.n}, Errors: e.errors, Losses: e.losses,
+		x := EndpointSnapshot{ID: e.id, Pace: MeanSnapshot{e.pace.mean, e.pace.n},
+			Service: MeanSnapshot{e.service.mean, e.service.n}, Errors: e.errors, Losses: e.losses,
 			Isolated: e.mark == isolated, Ramping: e.mark == ramping}
 		if x.Ramping {
 			x.Ramped = now - e.coldFrom
 		}
-		if len(l.Endpoints) < learntMost && x != (LearntEndpoint{ID: e.id}) {
+		if len(l.Endpoints) < learntMost && x != (EndpointSnapshot{ID: e.id}) {
 			l.Endpoints = append(l.Endpoints, x)
 		}
 	}
 	for i := range b.tenants {
 		b.tenants[i].spend(now, 0)
-		l.Shares = append(l.Shares, b.tenants[i].level)
+		l.TenantTokens = append(l.TenantTokens, b.tenants[i].level)
 	}
 	return l
 }
 
-func told(paces []pace) (l []LearntPace) {
+func told(paces []pace) (l []MeanSnapshot) {
 	for _, p := range paces {
-		l = append(l, LearntPace{p.mean, p.n})
+		l = append(l, MeanSnapshot{p.mean, p.n})
 	}
 	return l
 }
 
 // Inherit takes the figures of the process before, unless this one has looked at its classes for as long: the one
 // that saw the tier for longer saw it at little load. Of figures that cannot be, none is taken.
-func (b *Balancer) Inherit(now time.Duration, l Learnt) error {
+func (b *Balancer) Restore(now time.Duration, l Snapshot) error {
 	if err := l.check(b.classes); err != nil {
 		return err
 	}
@@ -141,14 +141,14 @@
 		e.errors, e.losses = x.Errors, x.Losses
 		b.heed(now, e, x)
 	}
-	for f, x := range map[*flow]LearntRate{&b.rate: l.Rate, &b.spare: l.Spare, &b.served: l.Served,
+	for f, x := range map[*flow]RateSnapshot{&b.rate: l.Rate, &b.spare: l.Spare, &b.served: l.Served,
 		&b.asked: l.Asked, &b.warm: l.Warm} {
 		*f = flow{sum: x.Now, top: x.Peak, at: now}
 	}
-	b.errors, b.strays, b.repeatSpent = l.Errors, l.Strays, l.RepeatSpent
+	b.errors, b.strays, b.repeatSpent = l.Errors, l.MissingShare, l.RepeatSpent
 	b.budget = min(l.Budget, retryReserve)
-	for i := range min(len(b.tenants), len(l.Shares)) {
-		b.tenants[i].hold(now, l.Shares[i])
+	for i := range min(len(b.tenants), len(l.TenantTokens)) {
+		b.tenants[i].hold(now, l.TenantTokens[i])
 	}
 	b.recount = true
 	b.place(now)
@@ -156,7 +156,7 @@
 	return nil
 }
 
-func heard(l []LearntPace) (paces []pace) {
+func heard(l []MeanSnapshot) (paces []pace) {
 	for _, p := range l {
 		paces = append(paces, pace{p.Mean, p.N})
 	}
@@ -169,7 +169,7 @@
 }
 
 // check names the first figure that cannot be.
-func (l *Learnt) check(classes []class) error {
+func (l *Snapshot) check(classes []class) error {
 	if len(l.Classes) != len(classes) {
 		return fmt.Errorf("learnt: %d classes, here are %d", len(l.Classes), len(classes))
 	}
@@ -179,7 +179,7 @@
 		most  float64
 	}
 	const huge = math.MaxFloat32
-	figures := []figure{{"errors", l.Errors, 1}, {"strays", l.Strays, 1},
+	figures := []figure{{"errors", l.Errors, 1}, {"strays", l.MissingShare, 1},
 		{"budget", l.Budget, huge}, {"repeatSpent", l.RepeatSpent, huge}}
 	for i, c := range l.Classes {
 		if c.Name != classes[i].Name {
@@ -199,11 +199,11 @@
 	}
 	for _, x := range []struct {
 		key string
-		LearntRate
+		RateSnapshot
 	}{{"rate", l.Rate}, {"spare", l.Spare}, {"served", l.Served}, {"asked", l.Asked}, {"warm", l.Warm}} {
 		figures = append(figures, figure{x.key + ".now", x.Now, huge}, figure{x.key + ".peak", x.Peak, huge})
 	}
-	addPace := func(key string, p LearntPace) error {
+	addPace := func(key string, p MeanSnapshot) error {
 		figures = append(figures, figure{key + ".mean", p.Mean, huge}, figure{key + ".n", p.N, huge})
 		if p.N > 0 && !(p.Mean > 0) {
 			return fmt.Errorf("learnt: %s.mean is not above 0", key)
@@ -212,7 +212,7 @@
 	}
 	for _, list := range []struct {
 		key   string
-		paces []LearntPace
+		paces []MeanSnapshot
 	}{{"kinds", l.Kinds}, {"services", l.Services}} {
 		for i, p := range list.paces {
 			if err := addPace(fmt.Sprintf("%s[%d]", list.key, i), p); err != nil {
@@ -231,7 +231,7 @@
 		figures = append(figures, figure{key + "errors", e.Errors, 1}, figure{key + "losses", e.Losses, 1},
 			figure{key + "ramped", e.Ramped.Seconds(), huge})
 	}
-	for i, s := range l.Shares {
+	for i, s := range l.TenantTokens {
 		figures = append(figures, figure{fmt.Sprintf("shares[%d]", i), math.Abs(s), huge})
 	}
 	for _, f := range figures {
@@ -244,7 +244,7 @@
 
 // Calls tells how many calls this process has in flight at each endpoint that it may call, less those that it does
 // not expect to be answered.
-func (b *Balancer) Calls() map[EndpointID]int {
+func (b *Balancer) InFlight() map[EndpointID]int {
 	calls := map[EndpointID]int{}
 	for _, e := range b.listed {
 		if n := len(e.calls) + e.coming - e.lost; n > 0 && e.mark != isolated {
@@ -256,7 +256,7 @@
 
 // Beside takes what the process before has in flight. It counts as this one's until the next word of it, and no
 // longer than until the given time, as a process that dies says nothing.
-func (b *Balancer) Beside(now time.Duration, calls map[EndpointID]int, until time.Duration) {
+func (b *Balancer) SetPredecessorCalls(now time.Duration, calls map[EndpointID]int, until time.Duration) {
 	b.elder = predecessor{calls: calls, until: until}
 	for id, n := range calls {
 		if b.byID[id] != nil {
--- a/internal/decision/succession_test.go
+++ b/internal/decision/succession_test.go
@@ -35,17 +35,17 @@
 // heir is a successor that has been told what a process has learnt, in the form in which it travels.
 func (d *bed) heir(s Settings, n int) *bed {
 	d.t.Helper()
-	text, err := json.Marshal(d.b.Learnt(d.now))
+	text, err := json.Marshal(d.b.Snapshot(d.now))
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	var l Learnt
+	var l Snapshot
 	if err := json.Unmarshal(text, &l); err != nil {
 		d.t.Fatal(err)
 	}
 	h := start(d.t, s, n)
 	h.pass(17 * ms) // the clocks differ
-	if err := h.b.Inherit(h.now, l); err != nil {
+	if err := h.b.Restore(h.now, l); err != nil {
 		d.t.Fatal(err)
 	}
 	return h
@@ -86,17 +86,17 @@
 		"no number of calls":        {calls: map[EndpointID]int{1: -9}},
 	} {
 		d, alone := start(t, settings(), 6), start(t, settings(), 6)
-		d.b.Beside(d.now, tc.calls, d.now+500*ms)
+		d.b.SetPredecessorCalls(d.now, tc.calls, d.now+500*ms)
 		d.pass(tc.after)
 		if tc.again != nil {
-			d.b.Beside(d.now, tc.again, d.now+500*ms)
+			d.b.SetPredecessorCalls(d.now, tc.again, d.now+500*ms)
 		}
 		if got, want := d.fill(), alone.fill()-tc.less; got != want {
 			t.Errorf("%s: %d sent, want %d", name, got, want)
 		}
 	}
 	d := start(t, settings(), 2)
-	d.b.Beside(d.now, map[EndpointID]int{1: 3}, d.now+500*ms)
+	d.b.SetPredecessorCalls(d.now, map[EndpointID]int{1: 3}, d.now+500*ms)
 	for range 3 {
 		if d.ask(read); d.last().to != 2 {
 			t.Error("a call to the endpoint with more in flight")
@@ -109,13 +109,13 @@
 	for name, wait := range map[string]time.Duration{"said": 0, "silence": 520 * ms} {
 		d := start(t, settings(), 6)
 		d.work(4, 50*ms, 3*time.Second)
-		d.b.Beside(d.now, map[EndpointID]int{1: 50}, d.now+500*ms)
+		d.b.SetPredecessorCalls(d.now, map[EndpointID]int{1: 50}, d.now+500*ms)
 		at := len(d.sent)
 		if d.ask(read); len(d.sent) > at {
 			t.Fatalf("%s: sent beside 50", name)
 		}
 		if wait == 0 {
-			d.b.Beside(d.now, nil, d.now+500*ms)
+			d.b.SetPredecessorCalls(d.now, nil, d.now+500*ms)
 		}
 		if d.pass(wait); len(d.sent) == at {
 			t.Errorf("%s: still held", name)
@@ -147,42 +147,42 @@
 func TestWhatIsNotInherited(t *testing.T) {
 	elder := start(t, settings(), 6)
 	elder.work(8, 100*ms, 8*time.Second)
-	good := elder.b.Learnt(elder.now)
-	for fault, change := range map[string]func(*Learnt){
-		"classes":      func(l *Learnt) { l.Classes = l.Classes[:1] },
-		"classes[1]":   func(l *Learnt) { l.Classes[1].Name = "other" },
-		"usual":        func(l *Learnt) { l.Classes[0].Usual = math.Inf(1) },
-		"latency":      func(l *Learnt) { l.Classes[0].Mean = 0 },
-		"windows":      func(l *Learnt) { l.Classes[0].Windows = -1 },
-		"maxLeft":      func(l *Learnt) { l.Classes[0].MaxLeft = -1 },
-		"1].maxLeft":   func(l *Learnt) { l.Classes[1].MaxLeft = time.Hour }, // all would look long waited for
-		"rate.peak":    func(l *Learnt) { l.Rate.Peak = math.NaN() },
-		"served.now":   func(l *Learnt) { l.Served.Now = math.Inf(1) },
-		"errors":       func(l *Learnt) { l.Errors = 1.1 },
-		"kinds[0]":     func(l *Learnt) { l.Kinds = []LearntPace{{0, 3}} },
-		"services[0]":  func(l *Learnt) { l.Services = []LearntPace{{1, -3}} },
-		"endpoints[1]": func(l *Learnt) { l.Endpoints[1].Pace.N = math.NaN() },
-		"losses":       func(l *Learnt) { l.Endpoints[0].Losses = 2 },
-		"ramped":       func(l *Learnt) { l.Endpoints[0].Ramped = -1 },
-		"shares[0]":    func(l *Learnt) { l.Shares = []float64{math.NaN()} },
+	good := elder.b.Snapshot(elder.now)
+	for fault, change := range map[string]func(*Snapshot){
+		"classes":      func(l *Snapshot) { l.Classes = l.Classes[:1] },
+		"classes[1]":   func(l *Snapshot) { l.Classes[1].Name = "other" },
+		"usual":        func(l *Snapshot) { l.Classes[0].Usual = math.Inf(1) },
+		"latency":      func(l *Snapshot) { l.Classes[0].Mean = 0 },
+		"windows":      func(l *Snapshot) { l.Classes[0].Windows = -1 },
+		"maxLeft":      func(l *Snapshot) { l.Classes[0].MaxLeft = -1 },
+		"1].maxLeft":   func(l *Snapshot) { l.Classes[1].MaxLeft = time.Hour }, // all would look long waited for
+		"rate.peak":    func(l *Snapshot) { l.Rate.Peak = math.NaN() },
+		"served.now":   func(l *Snapshot) { l.Served.Now = math.Inf(1) },
+		"errors":       func(l *Snapshot) { l.Errors = 1.1 },
+		"kinds[0]":     func(l *Snapshot) { l.Kinds = []MeanSnapshot{{0, 3}} },
+		"services[0]":  func(l *Snapshot) { l.Services = []MeanSnapshot{{1, -3}} },
+		"endpoints[1]": func(l *Snapshot) { l.Endpoints[1].Pace.N = math.NaN() },
+		"losses":       func(l *Snapshot) { l.Endpoints[0].Losses = 2 },
+		"ramped":       func(l *Snapshot) { l.Endpoints[0].Ramped = -1 },
+		"shares[0]":    func(l *Snapshot) { l.TenantTokens = []float64{math.NaN()} },
 	} {
 		l := good
-		l.Classes = append([]LearntClass(nil), l.Classes...)
-		l.Endpoints = append([]LearntEndpoint(nil), l.Endpoints...)
+		l.Classes = append([]ClassSnapshot(nil), l.Classes...)
+		l.Endpoints = append([]EndpointSnapshot(nil), l.Endpoints...)
 		change(&l)
 		d := start(t, settings(), 6)
-		before := d.b.Learnt(d.now)
-		if err := d.b.Inherit(d.now, l); err == nil || !strings.Contains(err.Error(), fault) {
+		before := d.b.Snapshot(d.now)
+		if err := d.b.Restore(d.now, l); err == nil || !strings.Contains(err.Error(), fault) {
 			t.Errorf("%s: %v", fault, err)
 		}
-		if after := d.b.Learnt(d.now); !reflect.DeepEqual(before, after) {
+		if after := d.b.Snapshot(d.now); !reflect.DeepEqual(before, after) {
 			t.Errorf("%s: something was taken: %+v", fault, after)
 		}
 	}
 	d := start(t, settings(), 6)
 	d.work(8, 50*ms, 16*time.Second)
-	before := d.b.Learnt(d.now)
-	if err := d.b.Inherit(d.now, good); err != nil || !reflect.DeepEqual(before, d.b.Learnt(d.now)) {
+	before := d.b.Snapshot(d.now)
+	if err := d.b.Restore(d.now, good); err != nil || !reflect.DeepEqual(before, d.b.Snapshot(d.now)) {
 		t.Errorf("the figures of a process that knows less are taken, %v", err)
 	}
 }
@@ -196,8 +196,8 @@
 		e.service.add(1/(1+d.b.rng.Float64()), reportWeight)
 		e.errors, e.losses = d.b.rng.Float64(), d.b.rng.Float64()
 	}
-	text, err := json.Marshal(d.b.Learnt(d.now))
-	if err != nil || len(text) > 140<<10 || len(d.b.Learnt(d.now).Endpoints) != learntMost {
-		t.Errorf("%d bytes, %d endpoints, %v", len(text), len(d.b.Learnt(d.now).Endpoints), err)
+	text, err := json.Marshal(d.b.Snapshot(d.now))
+	if err != nil || len(text) > 140<<10 || len(d.b.Snapshot(d.now).Endpoints) != learntMost {
+		t.Errorf("%d bytes, %d endpoints, %v", len(text), len(d.b.Snapshot(d.now).Endpoints), err)
 	}
 }
--- a/internal/fleet/budgets/budgets.go
+++ b/internal/fleet/budgets/budgets.go
@@ -41,7 +41,7 @@
 // Broker is whose requests the budgets are of.
 type Broker interface {
 	Uses(ctx context.Context) ([]core.Use, error)
-	Allot(a decision.Allotment, until time.Time)
+	Allot(a decision.QuotaShares, until time.Time)
 }
 
 // Gossip is how members are reached.
@@ -326,9 +326,9 @@
 // spend has the broker spend by parts until a time and by floors from then on, of which those of further attempts are
 // the last. The broker itself ends the parts: this goroutine may look late.
 func (s *Service) spend(parts, floors []float64, until time.Time) {
-	a := decision.Allotment{Parts: parts, Floors: floors, Retries: -1}
+	a := decision.QuotaShares{TenantRates: parts, TenantFallbackRates: floors, RetryRate: -1}
 	if n := len(parts) - 1; s.config.Section.Retries > 0 {
-		a = decision.Allotment{Parts: parts[:n], Floors: floors[:n], Retries: parts[n], RetriesFloor: floors[n]}
+		a = decision.QuotaShares{TenantRates: parts[:n], TenantFallbackRates: floors[:n], RetryRate: parts[n], RetryFallbackRate: floors[n]}
 	}
 	s.broker.Allot(a, until)
 }
@@ -380,7 +380,7 @@
 	for i, tenant := range s.config.Tenants {
 		p := Part{Tenant: tenant, Whole: s.config.Wholes[i], Floor: s.floor[i], Part: parts[i], Demand: demand[i]}
 		if i < len(s.uses) {
-			p.Asked, p.Within = s.uses[i].Asked, s.uses[i].Within
+			p.Asked, p.Within = s.uses[i].Asked, s.uses[i].WithinQuota
 		}
 		if charged != nil {
 			p.Charged = charged[i]
--- a/internal/fleet/budgets/budgets_test.go
+++ b/internal/fleet/budgets/budgets_test.go
@@ -27,10 +27,10 @@
 }
 
 func (l *lone) Uses(context.Context) ([]core.Use, error) { return make([]core.Use, 1), nil }
-func (l *lone) Allot(a decision.Allotment, _ time.Time) {
+func (l *lone) Allot(a decision.QuotaShares, _ time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.parts = slices.Clone(a.Parts)
+	l.parts = slices.Clone(a.TenantRates)
 }
 func (l *lone) Handle(take func([]byte))  { l.take = take }
 func (l *lone) Send(string, []byte) error { return nil }
--- a/internal/http1/downstream_serve.go
+++ b/internal/http1/downstream_serve.go
@@ -133,7 +133,7 @@
 			return false
 		}
 	}
-	w.patience = min(max(req.Left, leastWrite), writeTimeout)
+	w.patience = min(max(req.Remaining, leastWrite), writeTimeout)
 	held, err := s.take(c, in, req, body)
 	defer s.memory.Bodies.Give(held)
 	switch {
@@ -192,7 +192,7 @@
 		return held, err
 	}
 	req.more = newUpload(c, from, s.tooLate)
-	req.Long = true
+	req.LongBody = true
 	return held, nil
 }
 
@@ -218,7 +218,7 @@
 // decide hands a request to the loop and carries the answer back.
 func (s *Server) decide(c *caller, r *bufio.Reader, w *reply, req *request) (lasts bool) {
 	received := time.Now()
-	req.Idle = c.served()
+	req.IdleConns = c.served()
 	if req.more != nil {
 		req.more.gift = s.giftOfUpload(r, w, req)
 	}
--- a/internal/http1/parse_request.go
+++ b/internal/http1/parse_request.go
@@ -46,12 +46,12 @@
 		return nil, "X-Lane: unknown class"
 	}
 	class := &s.config.Settings.Classes[req.Class]
-	if req.Left, ok = parseRemaining(r.Header.Get("X-Remaining")); !ok {
+	if req.Remaining, ok = parseRemaining(r.Header.Get("X-Remaining")); !ok {
 		return nil, "X-Remaining: not a time in m or u that can be waited"
 	}
 	if class.Deadline > 0 {
 		// No client waits longer; the Balancer would learn from it how long they do.
-		req.Left = min(req.Left, class.Deadline)
+		req.Remaining = min(req.Remaining, class.Deadline)
 	}
 	if len(s.tenants) > 0 {
 		if req.Tenant, ok = s.tenants[r.Header.Get("X-Org")]; !ok {
@@ -64,7 +64,7 @@
 	if (class.Effect == decision.Safe) != (r.Method == http.MethodGet) || r.Method != http.MethodGet && r.Method != http.MethodPost {
 		return nil, r.Method + ": not the method of this class"
 	}
-	req.Repeat = r.Header.Get("X-Resent") == "1"
+	req.IsRetry = r.Header.Get("X-Resent") == "1"
 	return req, ""
 }
 
--- a/internal/http1/reload_test.go
+++ b/internal/http1/reload_test.go
@@ -126,7 +126,7 @@
 		discovery.Close()
 	})
 	rg := startWith(t, 1, 1024, func(c *config.Config) {
-		c.Settings.MustAsk, c.Settings.AskEvery = true, 10*time.Second
+		c.Settings.PullDiscovery, c.Settings.DiscoveryInterval = true, 10*time.Second
 		c.Discovery = discovery.Listener.Addr().String()
 	}, peer(t, "s-1", func(http.ResponseWriter, *http.Request) {}))
 	began := <-calls
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -80,7 +80,7 @@
 	loop, err := core.New(told, up,
 		func(address string, to core.Sink) core.Discovery {
 			return discovery.New(address, to, discovery.Options{ConnectTimeout: c.Settings.ConnectTimeout, Dial: n.Dial,
-				MustAsk: c.Settings.MustAsk, Log: log})
+				MustAsk: c.Settings.PullDiscovery, Log: log})
 		})
 	if err != nil {
 		return nil, err
--- a/internal/http1/succession_test.go
+++ b/internal/http1/succession_test.go
@@ -105,7 +105,7 @@
 	}
 }
 
-func (rg *rig) learnt() decision.Learnt { return *rg.server.loop.Word(true).Learnt }
+func (rg *rig) learnt() decision.Snapshot { return *rg.server.loop.Word(true).Learnt }
 
 // A successor of a version that knows no words declines them; it is told no more, and connections still pass.
 func TestSuccessorThatTakesNoWords(t *testing.T) {
--- a/internal/http1/transfer_attempt.go
+++ b/internal/http1/transfer_attempt.go
@@ -19,7 +19,7 @@
 
 // Written has the attempt end when its answer is no longer waited for, or the process ends.
 func (h *heirHost) Written(a *core.Attempt) {
-	end := time.Now().Add(a.Call.Left - h.server.config.Settings.GraceToAnswer)
+	end := time.Now().Add(a.Call.Remaining - h.server.config.Settings.GraceToAnswer)
 	if ends := h.server.life.Ends(); !ends.IsZero() && ends.Before(end) {
 		end = ends
 	}
--- a/internal/http1/transfer_receive.go
+++ b/internal/http1/transfer_receive.go
@@ -121,7 +121,7 @@
 		body.chunks.r = r
 	}
 	req := newRequest()
-	req.ID, req.Left, req.Long = decision.RequestID(left.ID), left.Wait, true
+	req.ID, req.Remaining, req.LongBody = decision.RequestID(left.ID), left.Wait, true
 	req.more = newUpload(c, body, s.tooLate)
 	req.more.total, req.more.pending, req.more.resumed = left.Total, left.Pending, true
 	req.more.gift = s.giftOfUpload(r, w, req)
--- a/internal/http1/transfer_send.go
+++ b/internal/http1/transfer_send.go
@@ -142,7 +142,7 @@
 			return handover.ErrNobody
 		}
 		u := req.more
-		left := &uploadLeft{ID: string(req.ID), Wait: a.Call.Left, Old: w.old, Lasts: w.lasts, Pending: u.pending,
+		left := &uploadLeft{ID: string(req.ID), Wait: a.Call.Remaining, Old: w.old, Lasts: w.lasts, Pending: u.pending,
 			Total: u.total, Length: u.body.length, Left: u.body.left, Chunks: u.body.chunks}
 		return s.pass(u.caller, passage{Input: unread(u.caller, r), Upload: left}, c)
 	}
--- a/internal/http1/upstream.go
+++ b/internal/http1/upstream.go
@@ -105,7 +105,7 @@
 		}
 	}
 	if a.in.gone() {
-		return result{status: decision.Moot, conn: c}
+		return result{status: decision.NotSent, conn: c}
 	}
 	if c == nil {
 		var err error
@@ -139,11 +139,11 @@
 func (a *attempt) whatBroke(res *result, connectTimeout time.Duration) {
 	time.Sleep(resetsSpread)
 	if a.Endpoint.Waiting.Load() > 0 {
-		res.status = decision.Spoilt
+		res.status = decision.InvalidResponse
 		return
 	}
 	if c, err := a.dial(connectTimeout); err == nil {
-		res.status, res.conn = decision.Spoilt, c
+		res.status, res.conn = decision.InvalidResponse, c
 	}
 }
 
@@ -166,7 +166,7 @@
 // unsent is the status of an attempt whose last byte was certainly not written.
 func (a *attempt) unsent() decision.Status {
 	if a.Ctx.Err() != nil || a.late() {
-		return decision.Moot
+		return decision.NotSent
 	}
 	return decision.ConnectFailed
 }
@@ -185,7 +185,7 @@
 func (a *attempt) exchange(c *conn, room *core.Memory) result {
 	// The dial may have outlasted the endpoint's welcome, the window in which a repeat is dropped, or the caller's patience.
 	if !a.Endpoint.Open() || a.Ctx.Err() != nil || a.late() || a.in.gone() {
-		return result{status: decision.Moot}
+		return result{status: decision.NotSent}
 	}
 	c.SetWriteDeadline(a.OutBy)
 	if a.in.more != nil {
@@ -231,5 +231,5 @@
 		return decision.Reset
 	}
 	// The endpoint has run it and is well, but what it says cannot be used.
-	return decision.Spoilt
+	return decision.InvalidResponse
 }
--- a/internal/http1/upstream_response.go
+++ b/internal/http1/upstream_response.go
@@ -75,11 +75,11 @@
 		res.response, err = a.take(c, body, header, room)
 	case code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout:
 		if header.Get("X-Turned-Away") == "1" {
-			res.status = decision.Full
+			res.status = decision.Rejected
 		}
 		err = body.skip()
 	case code < http.StatusInternalServerError:
-		res.status = decision.Spoilt // the request is at fault, not the endpoint
+		res.status = decision.InvalidResponse // the request is at fault, not the endpoint
 		fallthrough
 	default:
 		err = body.skip()
--- a/internal/http1/upstream_stream.go
+++ b/internal/http1/upstream_stream.go
@@ -17,7 +17,7 @@
 	if u := a.in.more; !u.resumed && u.caller.gone() {
 		// Nobody has read on while it waited: that its caller has gone stands behind the body.
 		u.breakOff(errCallerGone)
-		return result{status: decision.Moot, spent: u.spent}
+		return result{status: decision.NotSent, spent: u.spent}
 	}
 	type ending struct{ caller, write error }
 	sent := make(chan ending, 1)
@@ -65,10 +65,10 @@
 	}
 	// Its last byte is not out: whatever was answered, it has not run.
 	early := res.status
-	res = result{status: decision.Moot, spent: a.in.more.spent}
+	res = result{status: decision.NotSent, spent: a.in.more.spent}
 	switch {
-	case early == decision.Full:
-		res.status = decision.Full
+	case early == decision.Rejected:
+		res.status = decision.Rejected
 	case e.caller == nil && e.write != errEarly && e.write != errLate:
 		res.status = a.unsent()
 	}
--- a/internal/http1/upstream_test.go
+++ b/internal/http1/upstream_test.go
@@ -119,30 +119,30 @@
 		"after many informations": {reply(strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", maxInformation) +
 			"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), decision.OK, true},
 		"after too many": {reply(strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", maxInformation+1) +
-			"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), decision.Spoilt, false},
+			"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), decision.InvalidResponse, false},
 		"and a copy":          {reply(strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", 2)), decision.OK, false},
 		"and noise":           {reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok\x00\x01"), decision.OK, false},
 		"until closed":        {reply("HTTP/1.1 200 OK\r\n\r\nok"), decision.OK, false},
-		"two lengths":         {reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\noky"), decision.Spoilt, false},
-		"length and chunks":   {reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"), decision.Spoilt, false},
-		"negative length":     {reply("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok"), decision.Spoilt, false},
-		"length no number":    {reply("HTTP/1.1 200 OK\r\nContent-Length: 2x\r\n\r\nok"), decision.Spoilt, false},
-		"huge length":         {reply("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok"), decision.Spoilt, false},
-		"unknown coding":      {reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nok"), decision.Spoilt, false},
-		"broken chunks":       {reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\nzz\r\n"), decision.Spoilt, false},
-		"other version":       {reply("ICY 200 OK\r\nContent-Length: 2\r\n\r\nok"), decision.Spoilt, false},
-		"status no number":    {reply("HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok"), decision.Spoilt, false},
-		"status long":         {reply("HTTP/1.1 0200 OK\r\nContent-Length: 2\r\n\r\nok"), decision.Spoilt, false},
-		"no colon":            {reply("HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 2\r\n\r\nok"), decision.Spoilt, false},
-		"request at fault":    {reply("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n"), decision.Spoilt, true},
-		"turned away, spoilt": {reply("HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 2x\r\n\r\n"), decision.Spoilt, false},
+		"two lengths":         {reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\noky"), decision.InvalidResponse, false},
+		"length and chunks":   {reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"), decision.InvalidResponse, false},
+		"negative length":     {reply("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok"), decision.InvalidResponse, false},
+		"length no number":    {reply("HTTP/1.1 200 OK\r\nContent-Length: 2x\r\n\r\nok"), decision.InvalidResponse, false},
+		"huge length":         {reply("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok"), decision.InvalidResponse, false},
+		"unknown coding":      {reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nok"), decision.InvalidResponse, false},
+		"broken chunks":       {reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\nzz\r\n"), decision.InvalidResponse, false},
+		"other version":       {reply("ICY 200 OK\r\nContent-Length: 2\r\n\r\nok"), decision.InvalidResponse, false},
+		"status no number":    {reply("HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok"), decision.InvalidResponse, false},
+		"status long":         {reply("HTTP/1.1 0200 OK\r\nContent-Length: 2\r\n\r\nok"), decision.InvalidResponse, false},
+		"no colon":            {reply("HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 2\r\n\r\nok"), decision.InvalidResponse, false},
+		"request at fault":    {reply("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n"), decision.InvalidResponse, true},
+		"turned away, spoilt": {reply("HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 2x\r\n\r\n"), decision.InvalidResponse, false},
 		"error":               {reply("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"), decision.Error, true},
-		"turned away":         {reply("HTTP/1.1 504 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"), decision.Full, true},
+		"turned away":         {reply("HTTP/1.1 504 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"), decision.Rejected, true},
 		"no word of it":       {reply("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), decision.Error, true},
 		"cut body":            {reply("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), decision.Reset, false},
 		"no answer":           {reply(""), decision.Reset, false},
-		"nonsense":            {reply("who is there\r\n\r\n"), decision.Spoilt, false},
-		"beyond all bounds":   {reply(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 4*maxBody+1)), decision.Spoilt, false},
+		"nonsense":            {reply("who is there\r\n\r\n"), decision.InvalidResponse, false},
+		"beyond all bounds":   {reply(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 4*maxBody+1)), decision.InvalidResponse, false},
 		"large, cut short":    {reply("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\nok"), decision.Reset, false},
 		"large":               {reply("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537)), decision.OK, true},
 		"with trailers":       {reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\nX-Sum: 1\r\n\r\n"), decision.OK, true},
@@ -187,7 +187,7 @@
 				}
 			}
 		})
-		if res := tryOut("", true, near, patience, nil); res.status != decision.Spoilt || res.conn != nil {
+		if res := tryOut("", true, near, patience, nil); res.status != decision.InvalidResponse || res.conn != nil {
 			t.Errorf("%s: status %v", name, res.status)
 		}
 		near.Close()
@@ -304,7 +304,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	if res := tryOut(l.Addr().String(), false, nil, patience, nil); res.status != decision.Moot || res.conn != nil {
+	if res := tryOut(l.Addr().String(), false, nil, patience, nil); res.status != decision.NotSent || res.conn != nil {
 		t.Errorf("status %v, conn %v", res.status, res.conn)
 	}
 	c, err := l.Accept()
@@ -348,7 +348,7 @@
 		defer a.Close()
 		a.OutBy = time.Now().Add(50 * time.Millisecond)
 		a.network = slowNetwork{until: a.OutBy, never: never}
-		if res := a.run(nil, patience, roomy()); res.status != decision.Moot || res.conn != nil {
+		if res := a.run(nil, patience, roomy()); res.status != decision.NotSent || res.conn != nil {
 			t.Errorf("%s: status %v, conn %v", name, res.status, res.conn)
 		}
 		if never {
@@ -397,7 +397,7 @@
 	}
 	a = attemptAt(inbound{}, address, true, 100*time.Millisecond, 0)
 	defer a.Close()
-	if res := a.run(nil, patience, roomy()); res.status != decision.Moot {
+	if res := a.run(nil, patience, roomy()); res.status != decision.NotSent {
 		t.Errorf("status %v at the request's deadline", res.status)
 	}
 }
@@ -544,8 +544,8 @@
 	rest := &requestBody{r: bufio.NewReader(strings.NewReader("trip")), length: 8, left: 4}
 	in := inbound{method: http.MethodPost, target: "/api", host: "h", header: http.Header{"Content-Length": {"8"}}, body: []byte("trip"),
 		more: newUpload(&caller{Conn: near, callers: &callers{}}, rest, func() bool { return false })}
-	c := core.NewCall(decision.Request{Long: true}, &in)
-	c.Deadline, c.Left = time.Now().Add(patience), patience
+	c := core.NewCall(decision.Request{LongBody: true}, &in)
+	c.Deadline, c.Remaining = time.Now().Add(patience), patience
 	a := newAttempt(core.NewAttempt(c, core.NewEndpoint(1, endpoint.Listener.Addr().String()), 0, tardy{}), Kernel{})
 	defer a.Close()
 	if res := a.run(nil, patience, roomy()); res.status != decision.Error || !res.spent {
@@ -563,7 +563,7 @@
 	}}, "127.0.0.1:1", true, patience, 0)
 	defer a.Close()
 	near.Since = time.Now()
-	if res := a.run(near, patience, roomy()); res.status != decision.Moot || res.conn != near || asked != 1 {
+	if res := a.run(near, patience, roomy()); res.status != decision.NotSent || res.conn != near || asked != 1 {
 		t.Errorf("%v, its connection kept: %v, asked %d times", res.status, res.conn == near, asked)
 	}
 	near.Close()
@@ -591,7 +591,7 @@
 	a := attemptAt(inbound{method: http.MethodPost, target: "/api", host: "h", body: []byte("trip"), more: u}, l.Addr().String(),
 		true, patience, 0)
 	defer a.Close()
-	if res := a.run(nil, patience, roomy()); res.status != decision.Moot || res.spent || res.conn != nil {
+	if res := a.run(nil, patience, roomy()); res.status != decision.NotSent || res.spent || res.conn != nil {
 		t.Errorf("%v, spent %v, conn %v", res.status, res.spent, res.conn)
 	}
 	if err := <-u.broken; err != errCallerGone {
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -181,11 +181,11 @@
 	case !s.up:
 		s.reply(a, decision.Reset)
 	case s.kind.Slots > 0 && len(s.works)+len(s.queue)+len(s.calls) >= s.kind.Slots:
-		s.reply(a, decision.Full)
+		s.reply(a, decision.Rejected)
 	case len(s.works) < s.kind.Cores && s.w.Now() >= s.paused:
 		s.work(a)
 	case len(s.queue) >= s.kind.Queue:
-		s.reply(a, decision.Full)
+		s.reply(a, decision.Rejected)
 	default:
 		s.queue = append(s.queue, a)
 	}
@@ -308,7 +308,7 @@
 		case "reset", "cut", "half_close":
 			status = decision.Reset
 		case "garbage":
-			status = decision.Spoilt
+			status = decision.InvalidResponse
 		case "stall":
 			return // nothing comes
 		case "slow_write":
@@ -342,7 +342,7 @@
 		return
 	}
 	s.end()
-	s.tell(decision.Gone)
+	s.tell(decision.Departed)
 	s.w.After(lasts, s.start)
 }
 
@@ -401,7 +401,7 @@
 	s.w.After(lasts, func() {
 		if s.up {
 			s.end()
-			s.tell(decision.Gone)
+			s.tell(decision.Departed)
 		}
 	})
 }
--- a/internal/lab/model/trouble.go
+++ b/internal/lab/model/trouble.go
@@ -18,7 +18,7 @@
 	s.state = state
 	w.rev++
 	e := s.Entry()
-	l := decision.List{Kind: decision.Delta, Version: w.rev, Entries: []decision.Entry{e}}
+	l := decision.List{Kind: decision.DeltaList, Version: w.rev, Entries: []decision.Entry{e}}
 	for _, in := range s.Tier.Instances {
 		w.news(in, 1, func() {
 			w.Checker.Listed(w.Now(), in.N, s.N, e.State == decision.Ready)
@@ -47,7 +47,7 @@
 func (w *World) breakOff(in *Instance) {
 	in.epoch++
 	in.newsAt = 0
-	w.brokers.Hear(in, decision.List{Kind: decision.Failed})
+	w.brokers.Hear(in, decision.List{Kind: decision.FailedList})
 	w.news(in, len(in.Tier.Servers), func() {
 		l := w.List(in)
 		for _, s := range in.Tier.Servers {
@@ -59,9 +59,9 @@
 
 // List is the whole list as discovery has it now.
 func (w *World) List(in *Instance) decision.List {
-	l := decision.List{Kind: decision.Whole, Version: w.rev}
+	l := decision.List{Kind: decision.FullList, Version: w.rev}
 	for _, s := range in.Tier.Servers {
-		if s.state != decision.Gone {
+		if s.state != decision.Departed {
 			l.Entries = append(l.Entries, s.Entry())
 		}
 	}
@@ -206,7 +206,7 @@
 // vanish has nothing come from a server for a time. Discovery notices, in its time.
 func (s *Server) vanish(lasts time.Duration) {
 	s.dark++
-	s.tell(decision.Gone)
+	s.tell(decision.Departed)
 	if s.w.sockets != nil {
 		s.w.sockets.Bytes(s, "vanish", 0)
 	}
@@ -239,13 +239,13 @@
 // flap has discovery say that a server is gone and back by turns until a time.
 func (s *Server) flap(until, every time.Duration) {
 	if s.w.Now() >= until || !s.up || s.draining {
-		if s.up && !s.draining && s.state == decision.Gone {
+		if s.up && !s.draining && s.state == decision.Departed {
 			s.tell(decision.Ready)
 		}
 		return
 	}
 	if s.state == decision.Ready {
-		s.tell(decision.Gone)
+		s.tell(decision.Departed)
 	} else {
 		s.tell(decision.Ready)
 	}
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -209,13 +209,13 @@
 func (w *World) Settings(in *Instance) decision.Settings {
 	b, v := w.S.Broker, w.S.Servers
 	set := decision.Settings{Instances: len(in.Tier.Instances), Ordinal: in.Ordinal, Stage: in.Tier.N, Tiers: len(w.Tiers),
-		Quantum: time.Duration(b.Quantum), GoalWhole: 0.7, GoalWorstClass: 0.3, MayCancel: b.MayCancel,
+		Quantum: time.Duration(b.Quantum), GoalTotal: 0.7, GoalWorstClass: 0.3, MayCancel: b.MayCancel,
 		MaxAttempts: b.MaxAttempts, MaxRetryAfter: time.Duration(b.RetryAfter), ConnectTimeout: time.Duration(b.Connect),
-		MarksRetry: w.S.Callers.Marks, ColdFrom: v.From, Cold: time.Duration(v.Cold),
-		TipMultiple: v.Tip, Fall: time.Duration(v.Fall)}
+		ClientsMarkRetries: w.S.Callers.Marks, ColdCapacity: v.From, WarmUp: time.Duration(v.Cold),
+		OverloadMultiple: v.Tip, OverloadWindow: time.Duration(v.Fall)}
 	for _, c := range w.S.Classes {
-		set.Classes = append(set.Classes, decision.Class{Name: c.Name, Aim: time.Duration(c.Aim),
-			Deadline: time.Duration(c.Deadline), Worth: 1, Effect: decision.Effect(c.Effect), Scope: decision.Scope(c.Scope),
+		set.Classes = append(set.Classes, decision.Class{Name: c.Name, LatencyTarget: time.Duration(c.Aim),
+			Deadline: time.Duration(c.Deadline), Value: 1, Effect: decision.Effect(c.Effect), Scope: decision.Scope(c.Scope),
 			Window: time.Duration(c.Window)})
 	}
 	for _, t := range w.S.Teams {
--- a/internal/lab/real/http.go
+++ b/internal/lab/real/http.go
@@ -218,7 +218,7 @@
 		io.WriteString(w, "done\n")
 	case decision.Error:
 		w.WriteHeader(http.StatusInternalServerError)
-	case decision.Full:
+	case decision.Rejected:
 		w.Header().Set("X-Turned-Away", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	default:
--- a/internal/lab/real/play.go
+++ b/internal/lab/real/play.go
@@ -288,7 +288,7 @@
 	effects := map[decision.Effect]string{decision.Safe: "read_like", decision.Keyed: "idempotency_key", decision.Unsafe: "non_idempotent"}
 	var classes, tenants []map[string]any
 	for _, c := range set.Classes {
-		class := map[string]any{"name": c.Name, "aim": micros(c.Aim), "deadline": micros(c.Deadline), "gain": c.Worth,
+		class := map[string]any{"name": c.Name, "aim": micros(c.LatencyTarget), "deadline": micros(c.Deadline), "gain": c.Value,
 			"effect": effects[c.Effect], "window": micros(c.Window)}
 		if c.Effect == decision.Keyed {
 			class["keyScope"] = c.Scope
@@ -311,12 +311,12 @@
 	return map[string]any{
 		"allowed": map[string]any{"cancel": set.MayCancel, "connIdle": micros(serverIdle), "connectTimeout": micros(set.ConnectTimeout),
 			"maxRetryAfter": micros(set.MaxRetryAfter), "retryAfter": set.MaxRetryAfter > 0, "sendCap": set.MaxAttempts},
-		"clientHabits": map[string]any{"marksRetry": set.MarksRetry}, "discovery": "push", "models": models, "zones": zones,
-		"goal": map[string]any{"whole": set.GoalWhole, "worstClass": set.GoalWorstClass}, "instances": set.Instances,
+		"clientHabits": map[string]any{"marksRetry": set.ClientsMarkRetries}, "discovery": "push", "models": models, "zones": zones,
+		"goal": map[string]any{"whole": set.GoalTotal, "worstClass": set.GoalWorstClass}, "instances": set.Instances,
 		"ordinal": set.Ordinal, "stage": set.Stage, "tiers": tiers, "quantum": micros(set.Quantum),
 		"services": classes, "tenants": tenants,
-		"rules": map[string]any{"cold": micros(set.Cold), "coldFrom": set.ColdFrom, "fall": micros(set.Fall),
-			"graceToAnswer": micros(model.Grace), "tipMultiple": set.TipMultiple},
+		"rules": map[string]any{"cold": micros(set.WarmUp), "coldFrom": set.ColdCapacity, "fall": micros(set.OverloadWindow),
+			"graceToAnswer": micros(model.Grace), "tipMultiple": set.OverloadMultiple},
 	}
 }
 
@@ -336,16 +336,16 @@
 // Hear is the Brokers', as are the methods below.
 func (st *stage) Hear(in *model.Instance, l decision.List) {
 	i := st.of(in)
-	if l.Kind == decision.Failed {
+	if l.Kind == decision.FailedList {
 		i.places.BreakOff()
 		return
 	}
 	for _, e := range l.Entries {
 		i.places.TellTarget(st.target(e))
 	}
-	if l.Kind == decision.Whole {
+	if l.Kind == decision.FullList {
 		for _, s := range in.Tier.Servers {
-			if e := s.Entry(); e.State == decision.Gone {
+			if e := s.Entry(); e.State == decision.Departed {
 				i.places.TellTarget(st.target(e))
 			}
 		}
--- a/internal/lab/sim/budgets.go
+++ b/internal/lab/sim/budgets.go
@@ -33,7 +33,7 @@
 	busy    bool
 	floor   []float64
 	looks   int
-	before  []decision.Use // of all, a second ago
+	before  []decision.Usage // of all, a second ago
 }
 
 // purse is a process's holder.
@@ -85,7 +85,7 @@
 	}
 	b := s.policy.(*decision.Balancer)
 	var asked []float64
-	for _, u := range b.Uses() {
+	for _, u := range b.Usage() {
 		asked = append(asked, u.Asked)
 	}
 	p.demand.Measure(w.Now(), asked)
@@ -97,12 +97,12 @@
 
 func (p *purse) allot() {
 	now, floors := p.seat.t.w.Now(), p.seat.t.granted.floor
-	a := decision.Allotment{Floors: floors, Retries: -1}
+	a := decision.QuotaShares{TenantFallbackRates: floors, RetryRate: -1}
 	leased := false
-	if a.Parts, leased = p.May(now); leased {
+	if a.TenantRates, leased = p.May(now); leased {
 		a.Until = now + p.Left(now)
 	}
-	p.seat.policy.(*decision.Balancer).Allot(now, a)
+	p.seat.policy.(*decision.Balancer).SetQuotaShares(now, a)
 }
 
 // look takes what the living may spend, and each second what they did, into the result.
@@ -112,17 +112,17 @@
 		w.Result.Budgets = &model.Budgets{}
 	}
 	r, teams := w.Result.Budgets, w.S.Teams
-	may, uses := make([]float64, len(teams)), make([]decision.Use, len(teams))
+	may, uses := make([]float64, len(teams)), make([]decision.Usage, len(teams))
 	for _, id := range slices.Sorted(maps.Keys(g.holders)) {
 		p := g.holders[id]
 		if p.seat.dead {
 			continue
 		}
 		parts, _ := p.May(w.Now())
-		for i, u := range p.seat.policy.(*decision.Balancer).Uses() {
+		for i, u := range p.seat.policy.(*decision.Balancer).Usage() {
 			may[i] += parts[i]
 			uses[i].Asked += u.Asked
-			uses[i].Within += u.Within
+			uses[i].WithinQuota += u.WithinQuota
 		}
 	}
 	short := false
@@ -138,7 +138,7 @@
 	}
 	for i, team := range teams {
 		if g.before != nil {
-			r.Second(uses[i].Asked-g.before[i].Asked, uses[i].Within-g.before[i].Within, team.Quota)
+			r.Second(uses[i].Asked-g.before[i].Asked, uses[i].WithinQuota-g.before[i].WithinQuota, team.Quota)
 		}
 	}
 	g.before = uses
--- a/internal/lab/sim/instance.go
+++ b/internal/lab/sim/instance.go
@@ -69,7 +69,7 @@
 	i.lives++
 	s.policy = p
 	l := w.List(i.in)
-	l.Kind = decision.Cached
+	l.Kind = decision.CachedList
 	for _, e := range l.Entries {
 		w.Checker.Listed(w.Now(), i.in.N, w.Servers[e.Endpoint-1].N, e.State == decision.Ready)
 	}
@@ -103,8 +103,8 @@
 	c := w.S.Classes[m.Class]
 	w.Checker.Taken(now, rules.Request{ID: string(m.ID), Origin: m.Origin, Instance: i.in.N, Deadline: m.Until,
 		Effect: c.Effect, Scope: c.Scope, Window: time.Duration(c.Window)})
-	i.seat.policy.Request(now, decision.Request{ID: m.ID, Class: m.Class, Tenant: m.Team, Left: r.ends - now,
-		Repeat: m.Repeat, Idle: 1 << 10})
+	i.seat.policy.Request(now, decision.Request{ID: m.ID, Class: m.Class, Tenant: m.Team, Remaining: r.ends - now,
+		IsRetry: m.Repeat, IdleConns: 1 << 10})
 }
 
 // Lapse tells that whoever asked has given a try up.
@@ -116,7 +116,7 @@
 	}
 	r.answered = true
 	t.w.Checker.Lapsed(t.w.Now(), string(m.ID))
-	r.seat.policy.Lapsed(t.w.Now(), m.ID)
+	r.seat.policy.Abandoned(t.w.Now(), m.ID)
 	i.forget(r)
 }
 
@@ -170,13 +170,13 @@
 	if !ok || !both {
 		return
 	}
-	if t.err = to.Inherit(w.Now(), from.Learnt(w.Now())); t.err != nil {
+	if t.err = to.Restore(w.Now(), from.Snapshot(w.Now())); t.err != nil {
 		return
 	}
 	var tell func()
 	tell = func() {
-		calls := from.Calls()
-		to.Beside(w.Now(), calls, w.Now()+2*tellEvery)
+		calls := from.InFlight()
+		to.SetPredecessorCalls(w.Now(), calls, w.Now()+2*tellEvery)
 		if len(calls) > 0 {
 			w.After(tellEvery, tell)
 		}
@@ -235,7 +235,7 @@
 		}
 	default:
 		a.Over = true
-		a.Server.Release(a, status == decision.OK || status == decision.Error || status == decision.Full)
+		a.Server.Release(a, status == decision.OK || status == decision.Error || status == decision.Rejected)
 	}
 	w.Checker.Ended(w.Now(), string(r.ID), a.Number, status.String())
 	final := r.answered
--- a/internal/lab/sim/policies.go
+++ b/internal/lab/sim/policies.go
@@ -76,7 +76,7 @@
 }
 
 func (p *plain) Request(now time.Duration, q decision.Request) {
-	c := &call{Request: q, until: now + q.Left}
+	c := &call{Request: q, until: now + q.Remaining}
 	p.calls[q.ID] = c
 	p.send(now, c)
 }
@@ -119,7 +119,7 @@
 
 func (p *plain) Timer(time.Duration, uint64) {}
 
-func (p *plain) Lapsed(_ time.Duration, id decision.RequestID) {
+func (p *plain) Abandoned(_ time.Duration, id decision.RequestID) {
 	if c := p.calls[id]; c != nil {
 		c.lapsed = true
 	}
--- a/internal/lab/sim/replica.go
+++ b/internal/lab/sim/replica.go
@@ -167,7 +167,7 @@
 	}
 	for _, e := range b.Evidence(w.Now(), disputed) {
 		word := replica.Good
-		if e.Bad {
+		if e.Ejected {
 			word = replica.Bad
 		}
 		if f, news := m.store.Set(now, subject(e.Endpoint), word, factTTL); news {
@@ -205,13 +205,13 @@
 		s.compare()
 	}
 	if m.ticks%adviseEvery == 0 {
-		var advice []decision.Advice
+		var advice []decision.PeerEjection
 		rules := replicaRules
 		rules.Witnesses = cmp.Or(w.S.Broker.Witnesses, rules.Witnesses)
 		for _, a := range m.store.Advise(now, len(s.in.Tier.Servers), rules) {
-			advice = append(advice, decision.Advice{Endpoint: endpointOf(a.Subject), Age: a.Age})
+			advice = append(advice, decision.PeerEjection{Endpoint: endpointOf(a.Subject), Age: a.Age})
 		}
-		w.Result.Heeded += b.Advise(w.Now(), advice)
+		w.Result.Heeded += b.ApplyPeerEjections(w.Now(), advice)
 	}
 	w.After(gossipEvery, s.gossip)
 }
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -17,7 +17,7 @@
 	Request(now time.Duration, q decision.Request)
 	Outcome(now time.Duration, o decision.Outcome)
 	Timer(now time.Duration, token uint64)
-	Lapsed(now time.Duration, id decision.RequestID)
+	Abandoned(now time.Duration, id decision.RequestID)
 }
 
 // Truth is what only the laboratory can know, for policies that are a ceiling.
--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -17,7 +17,7 @@
 			t.Fatalf("%q is taken: %+v", text, s)
 		}
 		for _, c := range s.Classes {
-			if c.Deadline < 0 || c.Aim < 0 || c.Window < 0 {
+			if c.Deadline < 0 || c.LatencyTarget < 0 || c.Window < 0 {
 				t.Fatalf("%q is taken: %+v", text, c)
 			}
 		}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -118,23 +118,23 @@
 		GraceToAnswer: Micros(c.Rules.Grace), OpenCap: c.Allowed.OpenCap}
 	s.Settings = decision.Settings{
 		Instances: c.Instances, Ordinal: c.Ordinal, Stage: c.Stage, Tiers: len(c.Tiers), Quantum: Micros(c.Quantum),
-		WorthByWork: c.WorthBy == "work",
-		GoalWhole:   c.Goal.Whole, GoalWorstClass: c.Goal.WorstClass,
+		ValueByWork: c.WorthBy == "work",
+		GoalTotal:   c.Goal.Whole, GoalWorstClass: c.Goal.WorstClass,
 		MayCancel: c.Allowed.Cancel, MaxAttempts: c.Allowed.SendCap,
 		ConnectTimeout: Micros(c.Allowed.ConnectTimeout),
-		MustAsk:        c.Discovery == "ask", AskEvery: Micros(c.Rules.AskEvery),
-		MarksRetry: c.ClientHabits.MarksRetry,
-		ColdFrom:   c.Rules.ColdFrom, Cold: Micros(c.Rules.Cold),
-		TipMultiple: c.Rules.TipMultiple, Fall: Micros(c.Rules.Fall),
+		PullDiscovery:  c.Discovery == "ask", DiscoveryInterval: Micros(c.Rules.AskEvery),
+		ClientsMarkRetries: c.ClientHabits.MarksRetry,
+		ColdCapacity:       c.Rules.ColdFrom, WarmUp: Micros(c.Rules.Cold),
+		OverloadMultiple: c.Rules.TipMultiple, OverloadWindow: Micros(c.Rules.Fall),
 	}
 	if c.Allowed.RetryAfter {
 		s.MaxRetryAfter = Micros(c.Allowed.MaxRetryAfter)
 	}
 	for _, v := range c.Services {
 		s.Classes = append(s.Classes, decision.Class{
-			Name: v.Name, Aim: Micros(v.Aim), Deadline: Micros(v.Deadline), Worth: v.Gain,
-			LateWorth: v.LateValue, Effect: translate(effects, v.Effect), Scope: translate(scopes, v.KeyScope),
-			Window: Micros(v.Window), Stream: v.Streamed,
+			Name: v.Name, LatencyTarget: Micros(v.Aim), Deadline: Micros(v.Deadline), Value: v.Gain,
+			LateValue: v.LateValue, Effect: translate(effects, v.Effect), Scope: translate(scopes, v.KeyScope),
+			Window: Micros(v.Window), Streamed: v.Streamed,
 		})
 	}
 	for _, v := range c.Tenants {
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -130,7 +130,7 @@
 	case 301:
 		return decision.Error
 	case 302:
-		return decision.Full
+		return decision.Rejected
 	case 303:
 		return decision.Timeout
 	case 304:
@@ -140,7 +140,7 @@
 	case 306:
 		return decision.Cancelled
 	case 307:
-		return decision.Moot
+		return decision.NotSent
 	default:
 		f.fail("ending", fmt.Sprintf("unknown outcome %d", n))
 		return decision.Error
@@ -154,10 +154,10 @@
 	case 0:
 		return decision.Draining
 	case 1:
-		return decision.Gone
+		return decision.Departed
 	default:
 		f.fail("mode", fmt.Sprintf("unknown state %d", n))
-		return decision.Gone
+		return decision.Departed
 	}
 }
 
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -181,7 +181,7 @@
 	case "knock":
 		r := decision.Request{ID: f.id("corr"), Class: int(f.number("type")), Tenant: int(f.optional("userGroup"))}
 		f.optionalText() // what it concerns
-		r.Left = f.time("left")
+		r.Remaining = f.time("left")
 		f.optional("workHint")
 		bits := f.optional("attrs")
 		if r.Class < 0 || r.Class >= in.classes {
@@ -190,20 +190,20 @@
 		if r.Tenant < 0 {
 			f.fail("userGroup", "negative")
 		}
-		r.Repeat = bits&2 != 0
+		r.IsRetry = bits&2 != 0
 		return func(b *balancer) { b.Request(now, r) }
 	case "begun":
 		id, n := f.id("corr"), int(f.number("n"))
 		ep := f.endpoint()
 		f.time("elapsed")
-		return func(b *balancer) { b.Begun(now, id, n, ep) }
+		return func(b *balancer) { b.ResponseStarted(now, id, n, ep) }
 	case "closed_attempt":
 		o := decision.Outcome{ID: f.id("corr"), Endpoint: f.endpoint(), Final: f.flag("final"),
 			Elapsed: f.time("elapsed"), Status: f.status(), Attempt: int(f.number("n")), Load: f.load()}
 		return func(b *balancer) { b.Outcome(now, o) }
 	case "lapsed":
 		id := f.id("corr")
-		return func(b *balancer) { b.Lapsed(now, id) }
+		return func(b *balancer) { b.Abandoned(now, id) }
 	case "wake":
 		token := uint64(f.number("label"))
 		return func(b *balancer) { b.Timer(now, token) }
@@ -264,7 +264,7 @@
 	}
 }
 
-var listKinds = []decision.ListKind{decision.Delta, decision.Whole, decision.Cached, decision.Failed}
+var listKinds = []decision.ListKind{decision.DeltaList, decision.FullList, decision.CachedList, decision.FailedList}
 
 // list reads the fields of a targets event and resolves its list number.
 func (s *server) list(f *fields) decision.List {
@@ -279,7 +279,7 @@
 	l.Kind = listKinds[kind]
 	buffer := f.optional("buffer")
 	l.Version = uint64(f.optional("version"))
-	if l.Kind == decision.Failed || f.err != nil {
+	if l.Kind == decision.FailedList || f.err != nil {
 		return l
 	}
 	if buffer < 0 || buffer >= maxLists || !s.listed[buffer] {
