--- a/Makefile
+++ b/Makefile
@@ -8,7 +8,12 @@
 # Tests that search with all processors: they run first and alone, as they would crowd out all others.
 SEARCHES := internal/lab/coresim
 
-.PHONY: test demo
+.PHONY: test lint demo
+
+# The linter and formatter with the rules of .golangci.yml; the first run builds it.
+lint:
+	go tool -modfile=tools/go.mod golangci-lint run ./...
+
 test:
 	@unformatted=$$(gofmt -l $(GO_FILES)); if [ -n "$$unformatted" ]; then echo "gofmt: $$unformatted"; exit 1; fi
 	@lines=$$(cat $(POLICY) | grep -c .); if [ "$$lines" -lt 300 ] || [ "$$lines" -gt 1200 ]; then \
