--- a/cmd/dykering/explain.go
+++ b/cmd/dykering/explain.go
@@ -15,7 +15,7 @@
 
 	"dykering/internal/controlplane"
 	"dykering/internal/dataplane"
-	"dykering/internal/feed"
+	"dykering/internal/protocol"
 )
 
 const explainWithin = 3 * time.Second
@@ -33,7 +33,7 @@
 			&cli.StringFlag{Name: "model", Usage: "the model's name", Destination: &model, Required: true},
 		},
 		Action: action(func(c *cli.Command) error {
-			feed.Register()
+			protocol.Register()
 			explanation, err := controlplane.AskExplain(address, model)
 			if err != nil {
 				return err
@@ -42,7 +42,7 @@
 		})}
 }
 
-func showExplanation(out io.Writer, e feed.Explanation) error {
+func showExplanation(out io.Writer, e protocol.Explanation) error {
 	fmt.Fprintf(out, "%s stands on %d endpoints\n", e.Model, len(e.Copies))
 	for _, standing := range e.Copies {
 		fmt.Fprintf(out, "  %s in %s, %s\n", standing.Endpoint, standing.Zone, standing.State)
@@ -63,7 +63,7 @@
 	return errors.Wrap(table.Flush(), "explain")
 }
 
-func demandText(d feed.ModelDemand) string {
+func demandText(d protocol.ModelDemand) string {
 	text := fmt.Sprintf("%.2f a second, %d in flight, %d waiting, pressure %.2f", d.Rate, d.InFlight, d.Waiting, d.Pressure)
 	if d.Unplaced {
 		text += ", some found no endpoint"
--- a/cmd/dykering/status.go
+++ b/cmd/dykering/status.go
@@ -10,7 +10,7 @@
 	"github.com/urfave/cli/v3"
 
 	"dykering/internal/controlplane"
-	"dykering/internal/feed"
+	"dykering/internal/protocol"
 	"dykering/internal/sessions"
 )
 
@@ -19,7 +19,7 @@
 	return &cli.Command{Name: "status", Usage: "How a control sidecar sees the system: view, chain, holder, sidecars, endpoints",
 		Flags: []cli.Flag{&cli.StringFlag{Name: "address", Usage: "the control sidecar's internal address, HOST:PORT", Destination: &address, Required: true}},
 		Action: action(func(c *cli.Command) error {
-			feed.Register()
+			protocol.Register()
 			status, err := controlplane.AskStatus(address)
 			if err != nil {
 				return err
@@ -28,7 +28,7 @@
 		})}
 }
 
-func showStatus(out io.Writer, s feed.Status) error {
+func showStatus(out io.Writer, s protocol.Status) error {
 	fmt.Fprintf(out, "%s, view %d%s, configuration %d, entry %d of %d committed, disk behind by %v\n", s.Self.ID, s.View.Number,
 		inForce(s), s.Version, s.Committed, s.Seq, s.DiskBehind)
 	fmt.Fprintf(out, "the placement is held by %s with token %d%s\n", s.View.Holder, s.View.Token, holds(s))
@@ -45,7 +45,7 @@
 			fmt.Fprintf(out, "endpoints %s: %d\n", state, n)
 		}
 	}
-	slices.SortFunc(s.Subscribers, func(a, b feed.SubscriberStatus) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(s.Subscribers, func(a, b protocol.SubscriberStatus) int { return strings.Compare(a.Name, b.Name) })
 	t = tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "sidecar\tchanges behind\trevision")
 	for _, sub := range s.Subscribers {
@@ -54,7 +54,7 @@
 	return t.Flush()
 }
 
-func inForce(s feed.Status) string {
+func inForce(s protocol.Status) string {
 	switch {
 	case s.Sealed:
 		return " (the next one is being agreed on)"
@@ -64,7 +64,7 @@
 	return ""
 }
 
-func holds(s feed.Status) string {
+func holds(s protocol.Status) string {
 	if s.Holds {
 		return ", which is this one"
 	}
--- a/cmd/dykering/system.go
+++ b/cmd/dykering/system.go
@@ -13,8 +13,8 @@
 
 	"dykering/internal/controlplane"
 	"dykering/internal/dataplane"
-	"dykering/internal/feed"
 	"dykering/internal/nodefile"
+	"dykering/internal/protocol"
 )
 
 // roleMemoryShare is the part of the memory limit at which the collector works harder.
@@ -45,7 +45,7 @@
 	if settings.Limits.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(roleMemoryShare * float64(settings.Limits.MemoryMB<<20)))
 	}
-	feed.Register()
+	protocol.Register()
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	signal.Ignore(syscall.SIGHUP) // the settings file is read again whenever it is needed
--- a/internal/controlplane/chain_store_test.go
+++ b/internal/controlplane/chain_store_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/gomega"
 
 	"dykering/internal/chain"
-	"dykering/internal/feed"
 	"dykering/internal/fleetconfig"
+	"dykering/internal/protocol"
 	"dykering/internal/ringlog"
 )
 
@@ -111,10 +111,10 @@
 var _ = Describe("a sidecar whose stream has ended", func() {
 	It("is not heard any more: it tells another control sidecar of its calls", func() {
 		p, _, _ := alone()
-		s := &subscriber{name: "p1", updates: make(chan feed.Update, 1)}
+		s := &subscriber{name: "p1", updates: make(chan protocol.Update, 1)}
 		p.subscribers[s] = true
 		p.dropSubscriber(s)
-		p.onSubscriber(s, feed.DemandReport{From: "p1", Loads: []feed.EndpointLoad{{ID: "a", InFlight: 1}}})
+		p.onSubscriber(s, protocol.DemandReport{From: "p1", Loads: []protocol.EndpointLoad{{ID: "a", InFlight: 1}}})
 		Expect(p.loads.here(0)).To(BeEmpty())
 	})
 })
--- a/internal/controlplane/controlplane_test.go
+++ b/internal/controlplane/controlplane_test.go
@@ -15,16 +15,16 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"dykering/internal/feed"
 	"dykering/internal/lab/loopback"
 	"dykering/internal/nodefile"
 	"dykering/internal/peerlink"
+	"dykering/internal/protocol"
 	"dykering/internal/sessions"
 )
 
 func TestControlplane(t *testing.T) {
 	RegisterFailHandler(Fail)
-	feed.Register()
+	protocol.Register()
 	RunSpecs(t, "the control plane")
 }
 
@@ -211,11 +211,11 @@
 			return err
 		}, patience).Should(Succeed())
 		DeferCleanup(conn.Close)
-		Expect(conn.Send(feed.Subscribe{Name: "proxy"}, time.Second)).To(Succeed())
+		Expect(conn.Send(protocol.Subscribe{Name: "proxy"}, time.Second)).To(Succeed())
 		return conn
 	}
 	// until receives updates until one is as wanted, from another stream where one ends.
-	until := func(m *member, wanted func(feed.Update) bool) {
+	until := func(m *member, wanted func(protocol.Update) bool) {
 		GinkgoHelper()
 		conn := subscribe(m)
 		Eventually(func() bool {
@@ -224,7 +224,7 @@
 				conn = subscribe(m)
 				return false
 			}
-			update, ok := message.(feed.Update)
+			update, ok := message.(protocol.Update)
 			return ok && wanted(update)
 		}, patience).Should(BeTrue())
 	}
@@ -232,15 +232,17 @@
 	It("brings the committed configuration", func() {
 		members := started(3)
 		taken(members[0], 3, 0)
-		until(members[2], func(u feed.Update) bool { return u.Configuration != nil && u.Configuration.Document.Version == 3 })
+		until(members[2], func(u protocol.Update) bool { return u.Configuration != nil && u.Configuration.Document.Version == 3 })
 	})
 
 	It("brings, from any member, what an endpoint said to another", func() {
 		members := started(3)
 		Eventually(func() int { return beat(members[0], "i-1", 1, sessions.Ready) }, patience).Should(Equal(http.StatusOK))
-		until(members[1], func(u feed.Update) bool { return len(u.Endpoints) == 1 && u.Endpoints[0].State == sessions.Ready })
+		until(members[1], func(u protocol.Update) bool { return len(u.Endpoints) == 1 && u.Endpoints[0].State == sessions.Ready })
 		Eventually(func() int { return beat(members[2], "i-1", 2, sessions.Draining) }, patience).Should(Equal(http.StatusOK))
-		until(members[1], func(u feed.Update) bool { return len(u.Endpoints) == 1 && u.Endpoints[0].State == sessions.Draining })
+		until(members[1], func(u protocol.Update) bool {
+			return len(u.Endpoints) == 1 && u.Endpoints[0].State == sessions.Draining
+		})
 	})
 
 	It("says that an endpoint leaves only when a majority knows", func() {
@@ -259,7 +261,7 @@
 		go func() {
 			for {
 				message, err := conn.Receive(patience)
-				update, _ := message.(feed.Update)
+				update, _ := message.(protocol.Update)
 				if err != nil || update.Leaving {
 					leaving <- update.Leaving
 					return
--- a/internal/controlplane/drain_ack.go
+++ b/internal/controlplane/drain_ack.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"dykering/internal/errkind"
-	"dykering/internal/feed"
+	"dykering/internal/protocol"
 	"dykering/internal/sessions"
 )
 
@@ -39,7 +39,7 @@
 	p.leaves[number] = &pendingLeave{id: id, state: state, until: p.now() + p.timing.drainAckWithin,
 		stored: map[string]bool{}, answer: answer}
 	p.log.Info("endpoint.leaves", "id", id, "state", string(state))
-	update := feed.SessionUpdate{From: p.node.Self().Address, Ask: number, Records: p.table.Records(p.sessionClock, []string{id})}
+	update := protocol.SessionUpdate{From: p.node.Self().Address, Ask: number, Records: p.table.Records(p.sessionClock, []string{id})}
 	for _, peer := range p.peers() {
 		p.send(peer, update)
 	}
@@ -52,7 +52,7 @@
 	return ok && !known.State.Before(state)
 }
 
-func (p *Process) onSessionAck(m feed.SessionAck) { p.leaveStored(m.Ask, m.From) }
+func (p *Process) onSessionAck(m protocol.SessionAck) { p.leaveStored(m.Ask, m.From) }
 
 // leaveStored notes that a member has the notice of an endpoint on disk.
 func (p *Process) leaveStored(number uint64, address string) {
--- a/internal/controlplane/drain_ack_test.go
+++ b/internal/controlplane/drain_ack_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/gomega"
 
 	"dykering/internal/chain"
-	"dykering/internal/feed"
 	"dykering/internal/peerlink"
+	"dykering/internal/protocol"
 	"dykering/internal/ringlog"
 	"dykering/internal/sessions"
 )
@@ -47,7 +47,7 @@
 // acknowledgeAll has a peer acknowledge all that is under way.
 func acknowledgeAll(p *Process, peer string) {
 	for number := range p.leaves {
-		p.onSessionAck(feed.SessionAck{From: peer, Ask: number})
+		p.onSessionAck(protocol.SessionAck{From: peer, Ask: number})
 	}
 }
 
@@ -139,7 +139,7 @@
 
 	It("of another member is acknowledged once it is on the own disk", func() {
 		record := sessions.Record{Endpoint: sessions.Endpoint{ID: "i-3", State: sessions.Draining}}
-		p.onSessionUpdate(feed.SessionUpdate{From: "b", Ask: 7, Records: []sessions.Record{record}})
+		p.onSessionUpdate(protocol.SessionUpdate{From: "b", Ask: 7, Records: []sessions.Record{record}})
 		Expect(p.saver.waiting).To(HaveLen(1))
 	})
 })
--- a/internal/controlplane/endpoint_loads.go
+++ b/internal/controlplane/endpoint_loads.go
@@ -6,7 +6,7 @@
 
 	"github.com/samber/lo"
 
-	"dykering/internal/feed"
+	"dykering/internal/protocol"
 	"dykering/internal/routing"
 )
 
@@ -25,7 +25,7 @@
 
 // loadTable is the calls to endpoints, by the sidecars that make them. The owner of the process owns it.
 type loadTable struct {
-	sidecars map[string][]feed.EndpointLoad
+	sidecars map[string][]protocol.EndpointLoad
 	outcomes map[string]outcomeCount // of the sidecars here, by endpoint
 	peers    map[string]peerLoads
 	shareAt  time.Duration
@@ -34,12 +34,12 @@
 }
 
 type peerLoads struct {
-	loads []feed.EndpointLoad
+	loads []protocol.EndpointLoad
 	at    time.Duration
 }
 
 func newLoadTable() *loadTable {
-	return &loadTable{sidecars: map[string][]feed.EndpointLoad{}, peers: map[string]peerLoads{}, outcomes: map[string]outcomeCount{}}
+	return &loadTable{sidecars: map[string][]protocol.EndpointLoad{}, peers: map[string]peerLoads{}, outcomes: map[string]outcomeCount{}}
 }
 
 // outcomeCount is the outcomes at one endpoint, as they counted at a time.
@@ -56,11 +56,11 @@
 )
 
 // report takes a sidecar's calls, in the place of those it told before, and counts how those that have ended did.
-func (t *loadTable) report(now time.Duration, name string, loads []feed.EndpointLoad) {
+func (t *loadTable) report(now time.Duration, name string, loads []protocol.EndpointLoad) {
 	for _, load := range loads {
 		t.count(now, load.ID, routing.Outcomes{Good: load.Good, Failed: load.Failed})
 	}
-	underWay := lo.Filter(loads, func(load feed.EndpointLoad, _ int) bool { return load.InFlight > 0 })
+	underWay := lo.Filter(loads, func(load protocol.EndpointLoad, _ int) bool { return load.InFlight > 0 })
 	if len(underWay) == 0 {
 		delete(t.sidecars, name)
 		return
@@ -90,17 +90,17 @@
 }
 
 // share takes a peer's word of the sidecars that follow a stream there.
-func (t *loadTable) share(now time.Duration, m feed.LoadShare) {
+func (t *loadTable) share(now time.Duration, m protocol.LoadShare) {
 	t.peers[m.From] = peerLoads{loads: m.Loads, at: now}
 }
 
 // here sums the calls of the sidecars that follow a stream here.
-func (t *loadTable) here(now time.Duration) map[string]feed.EndpointLoad {
-	sums := map[string]feed.EndpointLoad{}
+func (t *loadTable) here(now time.Duration) map[string]protocol.EndpointLoad {
+	sums := map[string]protocol.EndpointLoad{}
 	for _, loads := range t.sidecars {
 		for _, load := range loads {
 			sum := sums[load.ID]
-			sums[load.ID] = feed.EndpointLoad{ID: load.ID, InFlight: sum.InFlight + load.InFlight, Waiting: sum.Waiting + load.Waiting}
+			sums[load.ID] = protocol.EndpointLoad{ID: load.ID, InFlight: sum.InFlight + load.InFlight, Waiting: sum.Waiting + load.Waiting}
 		}
 	}
 	for id, count := range t.outcomes {
@@ -117,16 +117,16 @@
 	return sums
 }
 
-func addLoads(sums map[string]feed.EndpointLoad, loads []feed.EndpointLoad) {
+func addLoads(sums map[string]protocol.EndpointLoad, loads []protocol.EndpointLoad) {
 	for _, load := range loads {
 		sum := sums[load.ID]
-		sums[load.ID] = feed.EndpointLoad{ID: load.ID, InFlight: sum.InFlight + load.InFlight, Waiting: sum.Waiting + load.Waiting,
+		sums[load.ID] = protocol.EndpointLoad{ID: load.ID, InFlight: sum.InFlight + load.InFlight, Waiting: sum.Waiting + load.Waiting,
 			Good: sum.Good + load.Good, Failed: sum.Failed + load.Failed}
 	}
 }
 
-func listed(sums map[string]feed.EndpointLoad) []feed.EndpointLoad {
-	loads := make([]feed.EndpointLoad, 0, len(sums))
+func listed(sums map[string]protocol.EndpointLoad) []protocol.EndpointLoad {
+	loads := make([]protocol.EndpointLoad, 0, len(sums))
 	for _, load := range sums {
 		loads = append(loads, load)
 	}
@@ -134,7 +134,7 @@
 }
 
 // due gives the calls of all sidecars, where it is time to tell them.
-func (t *loadTable) due(now time.Duration) ([]feed.EndpointLoad, bool) {
+func (t *loadTable) due(now time.Duration) ([]protocol.EndpointLoad, bool) {
 	if now < t.dueAt {
 		return nil, false
 	}
@@ -164,6 +164,6 @@
 	}
 	t.shared = len(loads) > 0
 	for _, peer := range p.peers() {
-		p.send(peer, feed.LoadShare{From: p.node.Self().Address, Loads: loads})
+		p.send(peer, protocol.LoadShare{From: p.node.Self().Address, Loads: loads})
 	}
 }
--- a/internal/controlplane/endpoint_loads_test.go
+++ b/internal/controlplane/endpoint_loads_test.go
@@ -7,20 +7,20 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"dykering/internal/feed"
+	"dykering/internal/protocol"
 )
 
 var _ = Describe("the calls to endpoints", func() {
-	calls := func(id string, inFlight, waiting int) feed.EndpointLoad {
-		return feed.EndpointLoad{ID: id, InFlight: inFlight, Waiting: waiting}
+	calls := func(id string, inFlight, waiting int) protocol.EndpointLoad {
+		return protocol.EndpointLoad{ID: id, InFlight: inFlight, Waiting: waiting}
 	}
 
 	It("are summed over sidecars and peers, each by its last word", func() {
 		table := newLoadTable()
-		table.report(0, "p1", []feed.EndpointLoad{calls("a", 5, 5)})
-		table.report(0, "p1", []feed.EndpointLoad{calls("a", 2, 1), calls("b", 1, 0)})
-		table.report(0, "p2", []feed.EndpointLoad{calls("a", 3, 1)})
-		table.share(0, feed.LoadShare{From: "peer", Loads: []feed.EndpointLoad{calls("b", 4, 4)}})
+		table.report(0, "p1", []protocol.EndpointLoad{calls("a", 5, 5)})
+		table.report(0, "p1", []protocol.EndpointLoad{calls("a", 2, 1), calls("b", 1, 0)})
+		table.report(0, "p2", []protocol.EndpointLoad{calls("a", 3, 1)})
+		table.share(0, protocol.LoadShare{From: "peer", Loads: []protocol.EndpointLoad{calls("b", 4, 4)}})
 		loads, due := table.due(0)
 		Expect(due).To(BeTrue())
 		Expect(loads).To(ConsistOf(calls("a", 5, 2), calls("b", 5, 4)))
@@ -28,23 +28,23 @@
 
 	It("leave with their sidecar, and with a peer that has gone quiet", func() {
 		table := newLoadTable()
-		table.report(0, "p1", []feed.EndpointLoad{calls("a", 1, 1)})
+		table.report(0, "p1", []protocol.EndpointLoad{calls("a", 1, 1)})
 		table.report(0, "p1", nil)
-		table.share(0, feed.LoadShare{From: "peer", Loads: []feed.EndpointLoad{calls("b", 4, 4)}})
+		table.share(0, protocol.LoadShare{From: "peer", Loads: []protocol.EndpointLoad{calls("b", 4, 4)}})
 		loads, due := table.due(2 * shareFor)
 		Expect(due).To(BeTrue())
 		Expect(loads).To(BeEmpty())
 	})
 
 	It("are counted as they end, over sidecars and peers, the older the less, and without failures not told", func() {
-		ended := func(id string, good, failed float64) feed.EndpointLoad {
-			return feed.EndpointLoad{ID: id, Good: good, Failed: failed}
+		ended := func(id string, good, failed float64) protocol.EndpointLoad {
+			return protocol.EndpointLoad{ID: id, Good: good, Failed: failed}
 		}
 		table := newLoadTable()
-		table.report(0, "p1", []feed.EndpointLoad{ended("a", 2, 1), ended("b", 5, 0)})
-		table.report(0, "p2", []feed.EndpointLoad{ended("a", 1, 3)})
+		table.report(0, "p1", []protocol.EndpointLoad{ended("a", 2, 1), ended("b", 5, 0)})
+		table.report(0, "p2", []protocol.EndpointLoad{ended("a", 1, 3)})
 		table.report(0, "p1", nil)
-		table.share(0, feed.LoadShare{From: "peer", Loads: []feed.EndpointLoad{ended("a", 0, 2)}})
+		table.share(0, protocol.LoadShare{From: "peer", Loads: []protocol.EndpointLoad{ended("a", 0, 2)}})
 		loads, due := table.due(0)
 		Expect(due).To(BeTrue())
 		Expect(loads).To(ConsistOf(ended("a", 3, 6)))
@@ -55,14 +55,14 @@
 	It("are counted at a bounded number of endpoints", func() {
 		table := newLoadTable()
 		for i := range 2 * mostCounted {
-			table.report(0, "p1", []feed.EndpointLoad{{ID: fmt.Sprint("e", i), Failed: 1}})
+			table.report(0, "p1", []protocol.EndpointLoad{{ID: fmt.Sprint("e", i), Failed: 1}})
 		}
 		Expect(table.outcomes).To(HaveLen(mostCounted))
 	})
 
 	It("are told within a bound of bytes a second, whatever their number", func() {
 		table := newLoadTable()
-		var many []feed.EndpointLoad
+		var many []protocol.EndpointLoad
 		for i := range 5000 {
 			many = append(many, calls(fmt.Sprint("e", i), 1, 0))
 		}
--- a/internal/controlplane/explain_endpoint.go
+++ b/internal/controlplane/explain_endpoint.go
@@ -5,9 +5,9 @@
 
 	"github.com/pkg/errors"
 
-	"dykering/internal/feed"
 	"dykering/internal/peerlink"
 	"dykering/internal/placement"
+	"dykering/internal/protocol"
 	"dykering/internal/sessions"
 )
 
@@ -15,7 +15,7 @@
 const mostDecisions = 512
 
 // decisionLog is the last orders of a holder of the placement, the oldest first.
-type decisionLog struct{ decisions []feed.Decision }
+type decisionLog struct{ decisions []protocol.Decision }
 
 // note remembers the orders of a plan, with the copies and the demand that the plan went by.
 func (l *decisionLog) note(now time.Duration, service string, orders []placement.Order, input *placement.Input) {
@@ -30,7 +30,7 @@
 	}
 	for _, order := range orders {
 		need := input.Demand.Estimate(now, placement.Key{Service: service, Model: order.Model})
-		l.decisions = append(l.decisions, feed.Decision{At: now, Service: service, Endpoint: order.Endpoint, Operation: string(order.Operation),
+		l.decisions = append(l.decisions, protocol.Decision{At: now, Service: service, Endpoint: order.Endpoint, Operation: string(order.Operation),
 			Model: order.Model, Adapter: order.Adapter, For: order.FreesMemoryFor, Copies: copies[order.Model], Demand: demandOf(need)})
 	}
 	if beyond := len(l.decisions) - mostDecisions; beyond > 0 {
@@ -39,8 +39,8 @@
 }
 
 // about are the remembered orders for a model, and those that made room for it.
-func (l *decisionLog) about(model string) []feed.Decision {
-	var found []feed.Decision
+func (l *decisionLog) about(model string) []protocol.Decision {
+	var found []protocol.Decision
 	for _, d := range l.decisions {
 		if d.Model == model || d.For == model {
 			found = append(found, d)
@@ -49,34 +49,34 @@
 	return found
 }
 
-func demandOf(need placement.Estimate) feed.ModelDemand {
-	return feed.ModelDemand{Rate: need.Rate, InFlight: need.InFlight, Waiting: need.Waiting, Pressure: need.Pressure, Unplaced: need.Unplaced}
+func demandOf(need placement.Estimate) protocol.ModelDemand {
+	return protocol.ModelDemand{Rate: need.Rate, InFlight: need.InFlight, Waiting: need.Waiting, Pressure: need.Pressure, Unplaced: need.Unplaced}
 }
 
 // AskExplain asks the control sidecar at an internal address why a model stands where it does.
-func AskExplain(address, model string) (feed.Explanation, error) {
+func AskExplain(address, model string) (protocol.Explanation, error) {
 	conn, err := peerlink.Dial(address, statusWithin)
 	if err != nil {
-		return feed.Explanation{}, errors.Wrap(err, "explain")
+		return protocol.Explanation{}, errors.Wrap(err, "explain")
 	}
 	defer conn.Close()
-	if err := conn.Send(feed.ExplainAsk{Model: model}, statusWithin); err != nil {
-		return feed.Explanation{}, errors.Wrap(err, "explain")
+	if err := conn.Send(protocol.ExplainAsk{Model: model}, statusWithin); err != nil {
+		return protocol.Explanation{}, errors.Wrap(err, "explain")
 	}
 	message, err := conn.Receive(statusWithin)
 	if err != nil {
-		return feed.Explanation{}, errors.Wrap(err, "explain")
+		return protocol.Explanation{}, errors.Wrap(err, "explain")
 	}
-	explanation, ok := message.(feed.Explanation)
+	explanation, ok := message.(protocol.Explanation)
 	if !ok {
-		return feed.Explanation{}, errors.Errorf("explain: %s answers with a %T", address, message)
+		return protocol.Explanation{}, errors.Errorf("explain: %s answers with a %T", address, message)
 	}
 	return explanation, nil
 }
 
 // serveExplain answers one call for an explanation.
-func (p *Process) serveExplain(conn *peerlink.Conn, ask feed.ExplainAsk) {
-	told := make(chan feed.Explanation, 1)
+func (p *Process) serveExplain(conn *peerlink.Conn, ask protocol.ExplainAsk) {
+	told := make(chan protocol.Explanation, 1)
 	p.post(func() { told <- p.placer.explain(p.now(), ask.Model) })
 	select {
 	case explanation := <-told:
@@ -89,14 +89,14 @@
 
 // explain tells where a model stands, what is asked for, and which orders have concerned it. Only the holder of the placement
 // knows the demand and its orders.
-func (pl *placer) explain(now time.Duration, model string) feed.Explanation {
-	explanation := feed.Explanation{Model: model, Now: now, Holds: pl.holding, Decisions: pl.decisions.about(model)}
+func (pl *placer) explain(now time.Duration, model string) protocol.Explanation {
+	explanation := protocol.Explanation{Model: model, Now: now, Holds: pl.holding, Decisions: pl.decisions.about(model)}
 	services := map[string]bool{}
 	for _, e := range pl.process.table.Endpoints() {
 		if e.State == sessions.Departed || !e.HasLoaded(model, "") {
 			continue
 		}
-		explanation.Copies = append(explanation.Copies, feed.Copy{Endpoint: e.ID, Zone: e.Heartbeat.Zone, State: e.State})
+		explanation.Copies = append(explanation.Copies, protocol.Copy{Endpoint: e.ID, Zone: e.Heartbeat.Zone, State: e.State})
 		services[e.Heartbeat.Service] = true
 	}
 	for _, decision := range explanation.Decisions {
@@ -104,7 +104,7 @@
 	}
 	for service := range services {
 		need := pl.demand.Estimate(now, placement.Key{Service: service, Model: model})
-		explanation.Demand = append(explanation.Demand, feed.ServiceDemand{Service: service, ModelDemand: demandOf(need)})
+		explanation.Demand = append(explanation.Demand, protocol.ServiceDemand{Service: service, ModelDemand: demandOf(need)})
 	}
 	return explanation
 }
--- a/internal/controlplane/http_server.go
+++ b/internal/controlplane/http_server.go
@@ -10,8 +10,8 @@
 	"github.com/pkg/errors"
 
 	"dykering/internal/errkind"
-	"dykering/internal/feed"
 	"dykering/internal/fleetconfig"
+	"dykering/internal/protocol"
 	"dykering/internal/sessions"
 )
 
@@ -105,10 +105,10 @@
 }
 
 // reply waits for the answer to a write or a read.
-func (p *Process) reply(begin func(answer func(feed.Reply))) (feed.Reply, error) {
-	var reply feed.Reply
+func (p *Process) reply(begin func(answer func(protocol.Reply))) (protocol.Reply, error) {
+	var reply protocol.Reply
 	err := outcome(p, func(answer func(error)) {
-		begin(func(got feed.Reply) {
+		begin(func(got protocol.Reply) {
 			reply = got
 			if got.Failed {
 				answer(&errkind.Error{Kind: errkind.Kind(got.Kind), Detail: got.Detail})
@@ -118,7 +118,7 @@
 		})
 	})
 	if err != nil {
-		return feed.Reply{}, err
+		return protocol.Reply{}, err
 	}
 	return reply, nil
 }
@@ -136,7 +136,7 @@
 			return
 		}
 		change := fleetconfig.Change{Operation: operation, Base: base, Body: body}
-		if _, err := p.reply(func(answer func(feed.Reply)) { p.write(change, answer) }); err != nil {
+		if _, err := p.reply(func(answer func(protocol.Reply)) { p.write(change, answer) }); err != nil {
 			p.log.Info("configuration.not_taken", "base", base, "error", err)
 			refuse(w, err)
 			return
--- a/internal/controlplane/load_ledger_sync.go
+++ b/internal/controlplane/load_ledger_sync.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"dykering/internal/feed"
+	"dykering/internal/protocol"
 )
 
 const (
@@ -28,7 +28,7 @@
 		return
 	}
 	pl.shareAt = now + ledgerEvery
-	share := feed.LedgerShare{Token: pl.token}
+	share := protocol.LedgerShare{Token: pl.token}
 	for _, age := range pl.ledger.Ages(now) {
 		share.Ages = append(share.Ages, uint16(min(age/ageUnit, math.MaxUint16)))
 	}
@@ -38,7 +38,7 @@
 }
 
 // hear takes a holder's word. A load is taken to have begun as late as it can have.
-func (pl *placer) hear(now time.Duration, share feed.LedgerShare) {
+func (pl *placer) hear(now time.Duration, share protocol.LedgerShare) {
 	if share.Token < pl.heard.token {
 		return
 	}
--- a/internal/controlplane/load_ledger_sync_test.go
+++ b/internal/controlplane/load_ledger_sync_test.go
@@ -8,8 +8,8 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"dykering/internal/feed"
 	"dykering/internal/nodefile"
+	"dykering/internal/protocol"
 )
 
 var _ = Describe("the account of loads at a change of holder", func() {
@@ -28,13 +28,13 @@
 	})
 
 	It("takes loads to have begun as late as they can have", func() {
-		pl.hear(10*time.Second, feed.LedgerShare{Token: 4, Ages: []uint16{200, 0}})
+		pl.hear(10*time.Second, protocol.LedgerShare{Token: 4, Ages: []uint16{200, 0}})
 		Expect(pl.heard).To(Equal(heardLedger{token: 4, at: 10 * time.Second, begun: []time.Duration{8 * time.Second, 10 * time.Second}}))
 	})
 
 	It("does not listen to a holder of before", func() {
-		pl.hear(10*time.Second, feed.LedgerShare{Token: 4, Ages: []uint16{100}})
-		pl.hear(11*time.Second, feed.LedgerShare{Token: 3, Ages: []uint16{0, 0}})
+		pl.hear(10*time.Second, protocol.LedgerShare{Token: 4, Ages: []uint16{100}})
+		pl.hear(11*time.Second, protocol.LedgerShare{Token: 3, Ages: []uint16{0, 0}})
 		Expect(pl.heard.token).To(Equal(uint64(4)))
 		Expect(pl.heard.begun).To(HaveLen(1))
 	})
--- a/internal/controlplane/metrics_endpoint.go
+++ b/internal/controlplane/metrics_endpoint.go
@@ -8,13 +8,13 @@
 	"github.com/VictoriaMetrics/metrics"
 	"github.com/samber/lo"
 
-	"dykering/internal/feed"
+	"dykering/internal/protocol"
 	"dykering/internal/sessions"
 )
 
 // handleMetrics tells the process's state as text, in the exposition format of Prometheus.
 func (p *Process) handleMetrics(w http.ResponseWriter, _ *http.Request) {
-	told := make(chan feed.Status, 1)
+	told := make(chan protocol.Status, 1)
 	p.post(func() { told <- p.status() })
 	select {
 	case status := <-told:
@@ -25,7 +25,7 @@
 	}
 }
 
-func writeMetrics(w io.Writer, status *feed.Status) {
+func writeMetrics(w io.Writer, status *protocol.Status) {
 	gauge := func(name string, value uint64) { metrics.WriteGaugeUint64(w, "dykering_control_"+name, value) }
 	gauge("view_number", status.View.Number)
 	gauge("view_voters", uint64(len(status.View.Voters)))
@@ -49,7 +49,7 @@
 }
 
 // longestLag is by how many changes the subscriber that is furthest behind lags.
-func longestLag(subscribers []feed.SubscriberStatus) uint64 {
+func longestLag(subscribers []protocol.SubscriberStatus) uint64 {
 	var longest uint64
 	for _, s := range subscribers {
 		longest = max(longest, s.Behind)
--- a/internal/controlplane/metrics_endpoint_test.go
+++ b/internal/controlplane/metrics_endpoint_test.go
@@ -8,18 +8,18 @@
 	. "github.com/onsi/gomega"
 
 	"dykering/internal/chain"
-	"dykering/internal/feed"
+	"dykering/internal/protocol"
 	"dykering/internal/sessions"
 )
 
 var _ = Describe("metrics", func() {
 	It("tell the view, the log, the endpoints and the subscriber that is furthest behind", func() {
-		status := feed.Status{
+		status := protocol.Status{
 			View:    chain.View{Number: 4, Token: 2, Voters: make([]chain.Member, 3), Chain: make([]chain.MemberID, 2)},
 			InForce: true, Seq: 9, Committed: 8, Version: 7, DiskBehind: 250 * time.Millisecond,
 			Endpoints:   map[sessions.State]int{sessions.Ready: 12, sessions.Draining: 1},
-			Subscribers: []feed.SubscriberStatus{{Behind: 1}, {Behind: 3}},
-			Members:     []feed.MemberStatus{{ID: "a/0", Reachable: true}},
+			Subscribers: []protocol.SubscriberStatus{{Behind: 1}, {Behind: 3}},
+			Members:     []protocol.MemberStatus{{ID: "a/0", Reachable: true}},
 		}
 		var text bytes.Buffer
 		writeMetrics(&text, &status)
--- a/internal/controlplane/pending_calls.go
+++ b/internal/controlplane/pending_calls.go
@@ -8,8 +8,8 @@
 
 	"dykering/internal/chain"
 	"dykering/internal/errkind"
-	"dykering/internal/feed"
 	"dykering/internal/fleetconfig"
+	"dykering/internal/protocol"
 )
 
 // calls are those of this process to other control sidecars that wait for a reply.
@@ -20,7 +20,7 @@
 
 type waitingCall struct {
 	until  time.Duration
-	answer func(feed.Reply)
+	answer func(protocol.Reply)
 }
 
 const mostWaiting = 1024
@@ -37,14 +37,16 @@
 	return c.last
 }
 
-func failure(err error) feed.Reply {
-	return feed.Reply{Failed: true, Kind: int(errkind.KindOf(err)), Detail: err.Error()}
+func failure(err error) protocol.Reply {
+	return protocol.Reply{Failed: true, Kind: int(errkind.KindOf(err)), Detail: err.Error()}
 }
 
-func unavailable(detail string) feed.Reply { return failure(errkind.New(errkind.Unavailable, detail)) }
+func unavailable(detail string) protocol.Reply {
+	return failure(errkind.New(errkind.Unavailable, detail))
+}
 
 // forward sends a call to another control sidecar and notes who waits for the reply.
-func (p *Process) forward(address string, message func(number uint64) any, answer func(feed.Reply)) {
+func (p *Process) forward(address string, message func(number uint64) any, answer func(protocol.Reply)) {
 	if len(p.calls.waiting) >= mostWaiting {
 		answer(unavailable("too many calls are waiting"))
 		return
@@ -54,7 +56,7 @@
 	p.send(address, message(number))
 }
 
-func (p *Process) onReply(reply feed.Reply) {
+func (p *Process) onReply(reply protocol.Reply) {
 	if call, ok := p.calls.waiting[reply.ID]; ok {
 		delete(p.calls.waiting, reply.ID)
 		call.answer(reply)
@@ -62,7 +64,7 @@
 }
 
 // write has a change taken by the head.
-func (p *Process) write(change fleetconfig.Change, answer func(feed.Reply)) {
+func (p *Process) write(change fleetconfig.Change, answer func(protocol.Reply)) {
 	if p.node.IsHead() {
 		p.writeHere(change, answer)
 		return
@@ -74,12 +76,12 @@
 		return
 	}
 	p.forward(head.Address, func(id uint64) any {
-		return feed.Write{From: p.node.Self().Address, ID: id, Change: change}
+		return protocol.Write{From: p.node.Self().Address, ID: id, Change: change}
 	}, answer)
 }
 
 // writeHere takes a change where this member is the head.
-func (p *Process) writeHere(change fleetconfig.Change, answer func(feed.Reply)) {
+func (p *Process) writeHere(change fleetconfig.Change, answer func(protocol.Reply)) {
 	digests := change.Digests()
 	p.carryOut(p.requests.Write(p.now(), chain.Write{
 		Decide:    func(latest any) chain.Decision { return decide(latest.(*fleetconfig.State), digests, change) },
@@ -104,11 +106,11 @@
 }
 
 // replyOf is the reply to a request that ended with an error or nil.
-func replyOf(err error) feed.Reply {
+func replyOf(err error) protocol.Reply {
 	var refusal *errkind.Error
 	switch {
 	case err == nil:
-		return feed.Reply{}
+		return protocol.Reply{}
 	case errors.As(err, &refusal):
 		return failure(err)
 	}
@@ -116,7 +118,7 @@
 }
 
 // read has the tail give the configuration.
-func (p *Process) read(answer func(feed.Reply)) {
+func (p *Process) read(answer func(protocol.Reply)) {
 	if p.node.IsTail() {
 		p.readHere(answer)
 		return
@@ -127,17 +129,17 @@
 		answer(unavailable("no tail can be reached"))
 		return
 	}
-	p.forward(tail.Address, func(id uint64) any { return feed.Read{From: p.node.Self().Address, ID: id} }, answer)
+	p.forward(tail.Address, func(id uint64) any { return protocol.Read{From: p.node.Self().Address, ID: id} }, answer)
 }
 
 // readHere gives the configuration where this member is the tail.
-func (p *Process) readHere(answer func(feed.Reply)) {
+func (p *Process) readHere(answer func(protocol.Reply)) {
 	p.carryOut(p.requests.Read(p.now(), chain.Read{Respond: func(state chain.State, err error) {
 		if err != nil {
 			answer(replyOf(err))
 			return
 		}
-		answer(feed.Reply{Document: state.Value.(*fleetconfig.State).Document})
+		answer(protocol.Reply{Document: state.Value.(*fleetconfig.State).Document})
 	}}))
 }
 
--- a/internal/controlplane/pending_calls_test.go
+++ b/internal/controlplane/pending_calls_test.go
@@ -7,20 +7,20 @@
 	. "github.com/onsi/gomega"
 
 	"dykering/internal/chain"
-	"dykering/internal/feed"
+	"dykering/internal/protocol"
 )
 
 // ownAddress is the address of the only member of the core that alone makes: nothing is sent there.
 const ownAddress = "a"
 
 // callFrom has a process call another one. It gives the number of the call and the replies that answer it.
-func callFrom(p *Process) (number uint64, replies chan feed.Reply) {
-	replies = make(chan feed.Reply, 1)
+func callFrom(p *Process) (number uint64, replies chan protocol.Reply) {
+	replies = make(chan protocol.Reply, 1)
 	message := func(n uint64) any {
 		number = n
-		return feed.Read{From: ownAddress, ID: n}
+		return protocol.Read{From: ownAddress, ID: n}
 	}
-	p.forward(ownAddress, message, func(reply feed.Reply) { replies <- reply })
+	p.forward(ownAddress, message, func(reply protocol.Reply) { replies <- reply })
 	return number, replies
 }
 
@@ -39,15 +39,15 @@
 		before, after := lives()
 		old, _ := callFrom(before)
 		_, replies := callFrom(after)
-		after.onReply(feed.Reply{ID: old})
+		after.onReply(protocol.Reply{ID: old})
 		Expect(replies).NotTo(Receive())
 	})
 
 	It("answers its own call once", func() {
 		_, p := lives()
 		number, replies := callFrom(p)
-		p.onReply(feed.Reply{ID: number, Detail: "first"})
-		p.onReply(feed.Reply{ID: number, Detail: "second"})
+		p.onReply(protocol.Reply{ID: number, Detail: "first"})
+		p.onReply(protocol.Reply{ID: number, Detail: "second"})
 		Expect(replies).To(Receive(HaveField("Detail", "first")))
 		Expect(replies).NotTo(Receive())
 	})
@@ -56,7 +56,7 @@
 		before, after := lives()
 		leave := &pendingLeave{until: time.Hour, stored: map[string]bool{}}
 		after.leaves[after.calls.number()] = leave
-		after.onSessionAck(feed.SessionAck{From: "b", Ask: before.calls.number()})
+		after.onSessionAck(protocol.SessionAck{From: "b", Ask: before.calls.number()})
 		Expect(leave.stored).To(BeEmpty())
 	})
 
--- a/internal/controlplane/placement_controller.go
+++ b/internal/controlplane/placement_controller.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"dykering/internal/feed"
 	"dykering/internal/fleetconfig"
 	"dykering/internal/nodefile"
 	"dykering/internal/placement"
+	"dykering/internal/protocol"
 	"dykering/internal/sessions"
 )
 
@@ -67,7 +67,7 @@
 }
 
 // forward passes a report on to the member that places models.
-func (pl *placer) forward(report feed.DemandReport) {
+func (pl *placer) forward(report protocol.DemandReport) {
 	p := pl.process
 	view := p.node.View()
 	if view.Holder == p.node.Self().ID {
@@ -80,7 +80,7 @@
 }
 
 // report takes a sidecar's demand.
-func (pl *placer) report(report feed.DemandReport) {
+func (pl *placer) report(report protocol.DemandReport) {
 	samples := make([]placement.Sample, 0, len(report.Demands))
 	urgent := false
 	for _, d := range report.Demands {
--- a/internal/controlplane/rpc.go
+++ b/internal/controlplane/rpc.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"dykering/internal/chain"
-	"dykering/internal/feed"
 	"dykering/internal/peerlink"
+	"dykering/internal/protocol"
 )
 
 const (
@@ -38,15 +38,15 @@
 	if err != nil {
 		return
 	}
-	if subscribe, ok := message.(feed.Subscribe); ok {
+	if subscribe, ok := message.(protocol.Subscribe); ok {
 		p.serveSubscriber(conn, subscribe)
 		return
 	}
-	if _, ok := message.(feed.StatusAsk); ok {
+	if _, ok := message.(protocol.StatusAsk); ok {
 		p.serveStatus(conn)
 		return
 	}
-	if ask, ok := message.(feed.ExplainAsk); ok {
+	if ask, ok := message.(protocol.ExplainAsk); ok {
 		p.serveExplain(conn, ask)
 		return
 	}
@@ -61,31 +61,31 @@
 func (p *Process) receive(message any) {
 	now := p.now()
 	switch m := message.(type) {
-	case feed.SessionUpdate:
+	case protocol.SessionUpdate:
 		p.onSessionUpdate(m)
-	case feed.SessionAck:
+	case protocol.SessionAck:
 		p.onSessionAck(m)
-	case feed.SessionPull:
-		p.send(m.From, feed.SessionWhole{From: p.node.Self().Address, Records: p.table.AllRecords(p.sessionClock)})
-	case feed.SessionWhole:
+	case protocol.SessionPull:
+		p.send(m.From, protocol.SessionWhole{From: p.node.Self().Address, Records: p.table.AllRecords(p.sessionClock)})
+	case protocol.SessionWhole:
 		p.onSessionWhole(m)
-	case feed.LoadShare:
+	case protocol.LoadShare:
 		p.loads.share(now, m)
-	case feed.LedgerShare:
+	case protocol.LedgerShare:
 		p.placer.hear(now, m)
-	case feed.SessionDigest:
+	case protocol.SessionDigest:
 		p.onSessionDigest(m)
-	case feed.SessionRange:
+	case protocol.SessionRange:
 		p.onSessionRange(m)
-	case feed.Subscribers:
+	case protocol.Subscribers:
 		p.elsewhere[m.From] = subscriberCount{count: m.Count, at: now}
-	case feed.Write:
+	case protocol.Write:
 		p.writeHere(m.Change, p.replyTo(m.From, m.ID))
-	case feed.Read:
+	case protocol.Read:
 		p.readHere(p.replyTo(m.From, m.ID))
-	case feed.Reply:
+	case protocol.Reply:
 		p.onReply(m)
-	case feed.DemandReport:
+	case protocol.DemandReport:
 		p.placer.report(m)
 	case chain.Ping:
 		if link := p.links[m.From.Address]; link != nil && !p.node.IsReachable(now, m.From.Address) {
@@ -98,8 +98,8 @@
 	}
 }
 
-func (p *Process) replyTo(address string, id uint64) func(feed.Reply) {
-	return func(reply feed.Reply) {
+func (p *Process) replyTo(address string, id uint64) func(protocol.Reply) {
+	return func(reply protocol.Reply) {
 		reply.ID = id
 		p.send(address, reply)
 	}
--- a/internal/controlplane/session_replication.go
+++ b/internal/controlplane/session_replication.go
@@ -3,12 +3,12 @@
 import (
 	"time"
 
-	"dykering/internal/feed"
+	"dykering/internal/protocol"
 	"dykering/internal/sessions"
 )
 
 // onSessionUpdate takes sessions from another control sidecar. What it asks about is acknowledged once it is on disk.
-func (p *Process) onSessionUpdate(m feed.SessionUpdate) {
+func (p *Process) onSessionUpdate(m protocol.SessionUpdate) {
 	for _, record := range m.Records {
 		p.table.Merge(p.sessionClock, record)
 	}
@@ -17,10 +17,10 @@
 		unknown = !p.table.Renew(p.sessionClock, sign.ID, sign.Sequence, sign.Age) || unknown
 	}
 	if unknown {
-		p.send(m.From, feed.SessionPull{From: p.node.Self().Address})
+		p.send(m.From, protocol.SessionPull{From: p.node.Self().Address})
 	}
 	if m.Ask != 0 && p.knowsAll(m.Records) {
-		p.afterSaved(func() { p.send(m.From, feed.SessionAck{From: p.node.Self().Address, Ask: m.Ask}) })
+		p.afterSaved(func() { p.send(m.From, protocol.SessionAck{From: p.node.Self().Address, Ask: m.Ask}) })
 	}
 }
 
@@ -34,7 +34,7 @@
 	return true
 }
 
-func (p *Process) onSessionWhole(m feed.SessionWhole) {
+func (p *Process) onSessionWhole(m protocol.SessionWhole) {
 	for _, record := range m.Records {
 		p.table.Merge(p.sessionClock, record)
 	}
@@ -43,7 +43,7 @@
 
 // sendSessionUpdates passes on what endpoints have said here.
 func (p *Process) sendSessionUpdates(now time.Duration) {
-	update := feed.SessionUpdate{From: p.node.Self().Address, Records: p.table.FlushModified(p.sessionClock)}
+	update := protocol.SessionUpdate{From: p.node.Self().Address, Records: p.table.FlushModified(p.sessionClock)}
 	if now >= p.signsDue {
 		p.signsDue = now + p.timing.signsEvery
 		update.Signs = p.table.FlushRenewals(p.sessionClock)
@@ -66,7 +66,7 @@
 		p.syncSince, p.unheard = now, map[string]bool{}
 		for _, peer := range p.peers() {
 			p.unheard[peer] = true
-			p.send(peer, feed.SessionPull{From: p.node.Self().Address})
+			p.send(peer, protocol.SessionPull{From: p.node.Self().Address})
 		}
 	case now-p.syncSince > p.timing.syncWithin || p.allPeersAnswered(now):
 		p.synced = true
--- a/internal/controlplane/status_endpoint.go
+++ b/internal/controlplane/status_endpoint.go
@@ -5,38 +5,38 @@
 
 	"github.com/pkg/errors"
 
-	"dykering/internal/feed"
 	"dykering/internal/fleetconfig"
 	"dykering/internal/peerlink"
+	"dykering/internal/protocol"
 	"dykering/internal/sessions"
 )
 
 const statusWithin = 2 * time.Second
 
 // AskStatus asks the control sidecar at an internal address how it sees the system.
-func AskStatus(address string) (feed.Status, error) {
+func AskStatus(address string) (protocol.Status, error) {
 	conn, err := peerlink.Dial(address, statusWithin)
 	if err != nil {
-		return feed.Status{}, errors.Wrap(err, "status")
+		return protocol.Status{}, errors.Wrap(err, "status")
 	}
 	defer conn.Close()
-	if err := conn.Send(feed.StatusAsk{}, statusWithin); err != nil {
-		return feed.Status{}, errors.Wrap(err, "status")
+	if err := conn.Send(protocol.StatusAsk{}, statusWithin); err != nil {
+		return protocol.Status{}, errors.Wrap(err, "status")
 	}
 	message, err := conn.Receive(statusWithin)
 	if err != nil {
-		return feed.Status{}, errors.Wrap(err, "status")
+		return protocol.Status{}, errors.Wrap(err, "status")
 	}
-	status, ok := message.(feed.Status)
+	status, ok := message.(protocol.Status)
 	if !ok {
-		return feed.Status{}, errors.Errorf("status: %s answers with a %T", address, message)
+		return protocol.Status{}, errors.Errorf("status: %s answers with a %T", address, message)
 	}
 	return status, nil
 }
 
 // serveStatus answers one call for the status.
 func (p *Process) serveStatus(conn *peerlink.Conn) {
-	told := make(chan feed.Status, 1)
+	told := make(chan protocol.Status, 1)
 	p.post(func() { told <- p.status() })
 	select {
 	case status := <-told:
@@ -47,11 +47,11 @@
 	}
 }
 
-func (p *Process) status() feed.Status {
+func (p *Process) status() protocol.Status {
 	now := p.now()
 	committed := p.node.CommittedState()
 	_, holds := p.node.HoldsLease(now)
-	status := feed.Status{
+	status := protocol.Status{
 		Self: p.node.Self(), View: p.node.View(), InForce: p.node.IsViewConfirmed(now), Sealed: p.node.IsSealed(), Seq: p.node.LatestState().Seq,
 		Committed: committed.Seq, Holds: holds, Endpoints: map[sessions.State]int{}, DiskBehind: p.disk.behind(),
 	}
@@ -59,12 +59,12 @@
 		status.Version = value.Document.Version
 	}
 	for _, voter := range status.View.Voters {
-		status.Members = append(status.Members, feed.MemberStatus{ID: voter.ID, Reachable: p.node.IsReachable(now, voter.Address),
+		status.Members = append(status.Members, protocol.MemberStatus{ID: voter.ID, Reachable: p.node.IsReachable(now, voter.Address),
 			InChain: status.View.Position(voter.ID) >= 0})
 	}
 	for s := range p.subscribers {
 		behind := committed.Seq - min(s.acked.ConfigSeq, committed.Seq)
-		status.Subscribers = append(status.Subscribers, feed.SubscriberStatus{Name: s.name, Ack: s.acked, Behind: behind})
+		status.Subscribers = append(status.Subscribers, protocol.SubscriberStatus{Name: s.name, Ack: s.acked, Behind: behind})
 	}
 	for _, e := range p.table.Endpoints() {
 		status.Endpoints[e.State]++
--- a/internal/controlplane/update_stream.go
+++ b/internal/controlplane/update_stream.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"dykering/internal/feed"
 	"dykering/internal/fleetconfig"
 	"dykering/internal/peerlink"
+	"dykering/internal/protocol"
 )
 
 const (
@@ -21,17 +21,17 @@
 	name      string
 	zone      string
 	conn      *peerlink.Conn
-	updates   chan feed.Update
+	updates   chan protocol.Update
 	revision  uint64 // sent
 	configSeq uint64 // sent
 	sentAt    time.Duration
 	begun     bool
-	acked     feed.Ack
+	acked     protocol.Ack
 }
 
 // serveSubscriber streams updates to a sidecar until either side ends it.
-func (p *Process) serveSubscriber(conn *peerlink.Conn, hello feed.Subscribe) {
-	s := &subscriber{name: hello.Name, zone: hello.Zone, conn: conn, configSeq: hello.ConfigSeq, updates: make(chan feed.Update, streamQueue)}
+func (p *Process) serveSubscriber(conn *peerlink.Conn, hello protocol.Subscribe) {
+	s := &subscriber{name: hello.Name, zone: hello.Zone, conn: conn, configSeq: hello.ConfigSeq, updates: make(chan protocol.Update, streamQueue)}
 	p.post(func() { p.addSubscriber(s) })
 	go s.write()
 	for {
@@ -75,18 +75,18 @@
 // endStream sends a subscriber to another control sidecar.
 func (p *Process) endStream(s *subscriber) {
 	select {
-	case s.updates <- feed.Update{Leaving: true, Members: p.controlSidecars(p.now())}:
+	case s.updates <- protocol.Update{Leaving: true, Members: p.controlSidecars(p.now())}:
 	default:
 	}
 	p.dropSubscriber(s)
 }
 
 // controlSidecars are the voters of the view, from whom streams may be had.
-func (p *Process) controlSidecars(now time.Duration) []feed.ControlSidecar {
+func (p *Process) controlSidecars(now time.Duration) []protocol.ControlSidecar {
 	view := p.node.View()
-	sidecars := make([]feed.ControlSidecar, 0, len(view.Voters))
+	sidecars := make([]protocol.ControlSidecar, 0, len(view.Voters))
 	for _, voter := range view.Voters {
-		sidecars = append(sidecars, feed.ControlSidecar{Address: voter.Address, Zone: p.node.ZoneOf(now, voter)})
+		sidecars = append(sidecars, protocol.ControlSidecar{Address: voter.Address, Zone: p.node.ZoneOf(now, voter)})
 	}
 	return sidecars
 }
@@ -102,9 +102,9 @@
 		return // what was under way when its stream ended: it tells another control sidecar from now on
 	}
 	switch m := message.(type) {
-	case feed.Ack:
+	case protocol.Ack:
 		s.acked = m
-	case feed.DemandReport:
+	case protocol.DemandReport:
 		p.loads.report(p.now(), s.name, m.Loads)
 		m.Loads = nil
 		p.placer.forward(m)
@@ -130,17 +130,17 @@
 	loads, loadsDue := p.loads.due(now)
 	for s := range p.subscribers {
 		fresh := !s.begun
-		due := now-s.sentAt >= feed.Keepalive
+		due := now-s.sentAt >= protocol.Keepalive
 		if !fresh && !due && !loadsDue && s.revision >= p.table.ModifyIndex() && s.configSeq >= committed.Seq {
 			continue
 		}
-		update := feed.Update{Revision: p.table.ModifyIndex(), Subscribers: count, Whole: fresh}
+		update := protocol.Update{Revision: p.table.ModifyIndex(), Subscribers: count, Whole: fresh}
 		if fresh || s.revision < update.Revision {
 			update.Endpoints = p.table.ModifiedSince(s.revision)
 		}
 		if s.configSeq < committed.Seq {
 			document := committed.Value.(*fleetconfig.State).Document
-			update.Configuration = &feed.Configuration{Seq: committed.Seq, Document: document}
+			update.Configuration = &protocol.Configuration{Seq: committed.Seq, Document: document}
 		}
 		if fresh || due {
 			update.Members = p.controlSidecars(now)
--- a/internal/dataplane/control_processes_test.go
+++ b/internal/dataplane/control_processes_test.go
@@ -6,14 +6,14 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"dykering/internal/feed"
+	"dykering/internal/protocol"
 )
 
 var _ = Describe("the control sidecars that streams may be had from", func() {
 	var sidecars *controlSidecars
 	BeforeEach(func() {
 		sidecars = newControlSidecars("z1", []string{"a", "b"})
-		sidecars.learn([]feed.ControlSidecar{{Address: "a", Zone: "z2"}, {Address: "b", Zone: "z1"}, {Address: "c"}, {Address: "d", Zone: "z1"}})
+		sidecars.learn([]protocol.ControlSidecar{{Address: "a", Zone: "z2"}, {Address: "b", Zone: "z1"}, {Address: "c"}, {Address: "d", Zone: "z1"}})
 	})
 
 	It("are tried in the own zone first", func() {
@@ -28,7 +28,7 @@
 		Expect(sidecars.moves("a")).To(BeTrue())
 		Expect(sidecars.moves("c")).To(BeTrue())
 		Expect(sidecars.moves("b")).To(BeFalse())
-		sidecars.learn([]feed.ControlSidecar{{Address: "a", Zone: "z2"}, {Address: "b"}})
+		sidecars.learn([]protocol.ControlSidecar{{Address: "a", Zone: "z2"}, {Address: "b"}})
 		Expect(sidecars.moves("a")).To(BeFalse(), "none of the own zone can be reached")
 	})
 
--- a/internal/dataplane/dataplane_test.go
+++ b/internal/dataplane/dataplane_test.go
@@ -13,7 +13,7 @@
 	. "github.com/onsi/gomega"
 
 	"dykering/internal/errkind"
-	"dykering/internal/feed"
+	"dykering/internal/protocol"
 	"dykering/internal/sessions"
 )
 
@@ -293,10 +293,10 @@
 	It("of an older configuration is passed over", func() {
 		s := newSidecar(route("non_idempotent", ""), newStandIn("i-1", says(200, "hello", stamped)))
 		p := s.process
-		newer := feed.Update{Configuration: configuration(5, "")}
-		older := feed.Update{Configuration: configuration(4, route("non_idempotent", ""))}
-		Expect(ask(p, func() feed.Ack { return p.take(newer) }).ConfigSeq).To(Equal(uint64(5)))
-		Expect(ask(p, func() feed.Ack { return p.take(older) }).ConfigSeq).To(Equal(uint64(5)))
+		newer := protocol.Update{Configuration: configuration(5, "")}
+		older := protocol.Update{Configuration: configuration(4, route("non_idempotent", ""))}
+		Expect(ask(p, func() protocol.Ack { return p.take(newer) }).ConfigSeq).To(Equal(uint64(5)))
+		Expect(ask(p, func() protocol.Ack { return p.take(older) }).ConfigSeq).To(Equal(uint64(5)))
 		response, _, err := s.ask("/p/")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.StatusCode).To(Equal(404))
@@ -306,8 +306,8 @@
 		a, b := newStandIn("i-1", says(200, "a", stamped)), newStandIn("i-2", says(200, "b", stamped))
 		s := newSidecar(route("non_idempotent", ""), a, b)
 		p := s.process
-		ask(p, func() feed.Ack {
-			return p.take(feed.Update{Revision: 2, Endpoints: []sessions.Endpoint{a.session(sessions.Draining)}})
+		ask(p, func() protocol.Ack {
+			return p.take(protocol.Update{Revision: 2, Endpoints: []sessions.Endpoint{a.session(sessions.Draining)}})
 		})
 		for range 10 {
 			_, body, err := s.ask("/p/")
@@ -325,7 +325,7 @@
 				runtime.Gosched()
 			}
 			p.post(func() {
-				p.take(feed.Update{Revision: 2, Endpoints: []sessions.Endpoint{e.session(sessions.Ready)}})
+				p.take(protocol.Update{Revision: 2, Endpoints: []sessions.Endpoint{e.session(sessions.Ready)}})
 			})
 		}()
 		response, _, err := s.ask("/p/")
--- a/internal/dataplane/demand_report.go
+++ b/internal/dataplane/demand_report.go
@@ -5,7 +5,7 @@
 
 	"github.com/samber/lo"
 
-	"dykering/internal/feed"
+	"dykering/internal/protocol"
 )
 
 const (
@@ -19,27 +19,27 @@
 
 // demandTable counts what is asked for, between two reports. The owner of the tables owns it.
 type demandTable struct {
-	counts  map[demandKey]*feed.Demand
+	counts  map[demandKey]*protocol.Demand
 	flights map[demandKey]int // requests under way
 	waiting map[demandKey]int // of them, those whose answer has not begun
 	urgent  chan struct{}
-	reports chan feed.DemandReport
+	reports chan protocol.DemandReport
 }
 
 func newDemandTable() *demandTable {
-	return &demandTable{counts: map[demandKey]*feed.Demand{}, flights: map[demandKey]int{}, waiting: map[demandKey]int{}, urgent: make(chan struct{}, 1), reports: make(chan feed.DemandReport, 4)}
+	return &demandTable{counts: map[demandKey]*protocol.Demand{}, flights: map[demandKey]int{}, waiting: map[demandKey]int{}, urgent: make(chan struct{}, 1), reports: make(chan protocol.DemandReport, 4)}
 }
 
 // subscribe gives the reports.
-func (d *demandTable) subscribe() <-chan feed.DemandReport { return d.reports }
+func (d *demandTable) subscribe() <-chan protocol.DemandReport { return d.reports }
 
-func (d *demandTable) count(key demandKey) *feed.Demand {
+func (d *demandTable) count(key demandKey) *protocol.Demand {
 	c := d.counts[key]
 	if c == nil {
 		if len(d.counts) >= mostDemands {
-			return &feed.Demand{}
+			return &protocol.Demand{}
 		}
-		c = &feed.Demand{Service: key.service, Model: key.model, Adapter: key.adapter}
+		c = &protocol.Demand{Service: key.service, Model: key.model, Adapter: key.adapter}
 		d.counts[key] = c
 	}
 	return c
@@ -79,16 +79,16 @@
 }
 
 // take gives what was counted.
-func (d *demandTable) take() []feed.Demand {
+func (d *demandTable) take() []protocol.Demand {
 	for key, n := range d.flights {
 		c := d.count(key)
 		c.InFlight, c.Waiting = n, d.waiting[key]
 	}
-	var out []feed.Demand
+	var out []protocol.Demand
 	for _, c := range d.counts {
 		out = append(out, *c)
 	}
-	d.counts = map[demandKey]*feed.Demand{}
+	d.counts = map[demandKey]*protocol.Demand{}
 	return out
 }
 
@@ -119,11 +119,11 @@
 }
 
 // report is what was counted since the last one, and the own calls.
-func (p *Process) report() feed.DemandReport {
-	report := feed.DemandReport{From: p.settings.NodeName, Demands: p.demand.take()}
+func (p *Process) report() protocol.DemandReport {
+	report := protocol.DemandReport{From: p.settings.NodeName, Demands: p.demand.take()}
 	calls, outcomes := p.pool.Calls(), p.pool.TakeOutcomes()
 	for _, id := range lo.Union(lo.Keys(calls), lo.Keys(outcomes)) {
-		report.Loads = append(report.Loads, feed.EndpointLoad{ID: id, InFlight: calls[id].InFlight, Waiting: calls[id].Waiting,
+		report.Loads = append(report.Loads, protocol.EndpointLoad{ID: id, InFlight: calls[id].InFlight, Waiting: calls[id].Waiting,
 			Good: outcomes[id].Good, Failed: outcomes[id].Failed})
 	}
 	return report
--- a/internal/dataplane/fake_endpoint_test.go
+++ b/internal/dataplane/fake_endpoint_test.go
@@ -14,9 +14,9 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"dykering/internal/feed"
 	"dykering/internal/fleetconfig"
 	"dykering/internal/nodefile"
+	"dykering/internal/protocol"
 	"dykering/internal/sessions"
 )
 
@@ -132,11 +132,11 @@
 	settings.Limits.FileDescriptors = 1000
 	settings.Bounds.RetryBudgetSlack = 1000
 	p := newProcess(GinkgoT().Context(), settings, slog.New(slog.DiscardHandler))
-	update := feed.Update{Revision: 1, Whole: true, Subscribers: 1, Configuration: configuration(1, routes)}
+	update := protocol.Update{Revision: 1, Whole: true, Subscribers: 1, Configuration: configuration(1, routes)}
 	for _, e := range endpoints {
 		update.Endpoints = append(update.Endpoints, e.session(sessions.Ready))
 	}
-	ask(p, func() feed.Ack { return p.take(update) })
+	ask(p, func() protocol.Ack { return p.take(update) })
 	server := httptest.NewServer(http.HandlerFunc(p.serve))
 	DeferCleanup(server.Close)
 	return &sidecar{process: p, server: server}
@@ -147,12 +147,12 @@
 		State: state, Models: []sessions.LoadedModel{{Name: "m"}}}}
 }
 
-func configuration(seq uint64, routes string) *feed.Configuration {
+func configuration(seq uint64, routes string) *protocol.Configuration {
 	change := &fleetconfig.Change{Operation: fleetconfig.Replace, Body: []byte(fmt.Sprintf(
 		`{"version":%d,"routes":[%s],"services":[{"name":"s","inference_engine":{"models":[{"name":"m","load_time_s":0.6}]}}]}`, seq, routes))}
 	state, err := (&fleetconfig.State{}).Next(change)
 	Expect(err).NotTo(HaveOccurred())
-	return &feed.Configuration{Seq: seq, Document: state.Document}
+	return &protocol.Configuration{Seq: seq, Document: state.Document}
 }
 
 func route(kind string, more string) string {
--- a/internal/dataplane/update_stream.go
+++ b/internal/dataplane/update_stream.go
@@ -5,10 +5,10 @@
 	"slices"
 	"time"
 
-	"dykering/internal/feed"
 	"dykering/internal/fleetconfig"
 	"dykering/internal/nodefile"
 	"dykering/internal/peerlink"
+	"dykering/internal/protocol"
 	"dykering/internal/routing"
 )
 
@@ -25,7 +25,7 @@
 	sidecars := newControlSidecars(p.settings.Zone, p.settings.SeedInternalAddresses())
 	pause, failures := firstPause, 0
 	for p.ctx.Err() == nil {
-		served := slices.ContainsFunc(sidecars.inOrder(), func(sidecar feed.ControlSidecar) bool {
+		served := slices.ContainsFunc(sidecars.inOrder(), func(sidecar protocol.ControlSidecar) bool {
 			return p.stream(sidecar.Address, sidecars)
 		})
 		if served {
@@ -59,7 +59,7 @@
 		return false
 	}
 	defer conn.Close()
-	hello := feed.Subscribe{Name: p.settings.NodeName, Zone: p.settings.Zone, ConfigSeq: ask(p, func() uint64 { return p.configSeq })}
+	hello := protocol.Subscribe{Name: p.settings.NodeName, Zone: p.settings.Zone, ConfigSeq: ask(p, func() uint64 { return p.configSeq })}
 	if conn.Send(hello, sendWithin) != nil {
 		return false
 	}
@@ -73,11 +73,11 @@
 	left := false
 	defer func() { sidecars.ended(address, left) }()
 	for {
-		message, err := conn.Receive(max(patience, 3*feed.Keepalive/2))
+		message, err := conn.Receive(max(patience, 3*protocol.Keepalive/2))
 		if err != nil {
 			return ok
 		}
-		update, isUpdate := message.(feed.Update)
+		update, isUpdate := message.(protocol.Update)
 		if !isUpdate {
 			continue
 		}
@@ -86,7 +86,7 @@
 			return ok
 		}
 		ok = true
-		ack := ask(p, func() feed.Ack { return p.take(update) })
+		ack := ask(p, func() protocol.Ack { return p.take(update) })
 		if left = sidecars.moves(address) && time.Now().After(keptUntil); left {
 			return ok
 		}
@@ -98,7 +98,7 @@
 }
 
 // sendAll sends acknowledgements and reports on a stream until it ends.
-func sendAll(conn *peerlink.Conn, outbound <-chan any, reports <-chan feed.DemandReport, done <-chan struct{}) {
+func sendAll(conn *peerlink.Conn, outbound <-chan any, reports <-chan protocol.DemandReport, done <-chan struct{}) {
 	for {
 		var message any
 		select {
@@ -115,7 +115,7 @@
 }
 
 // take puts an update in force.
-func (p *Process) take(update feed.Update) feed.Ack {
+func (p *Process) take(update protocol.Update) protocol.Ack {
 	now := p.now()
 	if len(update.Endpoints) > 0 || update.Whole {
 		p.pool.Update(now, update.Endpoints, update.Whole)
@@ -137,10 +137,10 @@
 	if c := update.Configuration; c != nil && c.Seq > p.configSeq {
 		p.takeConfiguration(c)
 	}
-	return feed.Ack{Revision: p.revision, ConfigSeq: p.configSeq}
+	return protocol.Ack{Revision: p.revision, ConfigSeq: p.configSeq}
 }
 
-func (p *Process) takeConfiguration(c *feed.Configuration) {
+func (p *Process) takeConfiguration(c *protocol.Configuration) {
 	parsed, err := fleetconfig.Parse(&c.Document)
 	if err != nil {
 		p.log.Error("configuration.unusable", "version", c.Document.Version, "error", err)
--- a/internal/feed/compat_write_test.go
+++ b/internal/protocol/compat_write_test.go
@@ -1,6 +1,6 @@
 //go:build writefixtures
 
-package feed
+package protocol
 
 import (
 	"encoding/json"
@@ -18,7 +18,7 @@
 // other lines of the rendered text must stay. Copied into an earlier build together with compat_test.go and package
 // gobcompat, it writes that build's fixtures:
 //
-//	go test -tags writefixtures -run TestWriteFixtures ./internal/feed
+//	go test -tags writefixtures -run TestWriteFixtures ./internal/protocol
 func TestWriteFixtures(t *testing.T) {
 	Register()
 	filler := &gobcompat.Filler{Interface: reflect.TypeFor[*fleetconfig.State]()}
--- a/internal/feed/explain.go
+++ b/internal/protocol/explain.go
@@ -1,4 +1,4 @@
-package feed
+package protocol
 
 import (
 	"time"
--- a/internal/feed/feed.go
+++ b/internal/protocol/messages.go
@@ -1,6 +1,6 @@
-// Package feed has the messages between processes of the system beside those of the chain: what control sidecars tell
+// Package protocol has the messages between processes of the system beside those of the chain: what control sidecars tell
 // the sidecars that carry traffic and one another, and what those report.
-package feed
+package protocol
 
 import (
 	"time"
