--- a/internal/chain/chain_test.go
+++ b/internal/chain/chain_test.go
@@ -66,29 +66,29 @@
 var _ = Describe("the view", func() {
 	It("names the former holders once each, the latest first", func() {
 		view := View{Voters: []Member{{ID: "a/1", Address: "a"}, {ID: "c/1", Address: "c"}}, Holder: "a/1", Token: 4}
-		view.handOver("b/1", "a")
+		view.transferLease("b/1", "a")
 		Expect(view.FormerHolders).To(Equal([]string{"a"}))
-		Expect(view.holderReturns()).To(BeFalse())
-		view.handOver("c/1", "b")
-		view.handOver("d/1", "c")
+		Expect(view.isHolderReturning()).To(BeFalse())
+		view.transferLease("c/1", "b")
+		view.transferLease("d/1", "c")
 		Expect(view.FormerHolders).To(Equal([]string{"c", "b", "a"}))
-		view.handOver("e/1", "d")
+		view.transferLease("e/1", "d")
 		Expect(view.FormerHolders).To(Equal([]string{"d", "c", "b", "a"}), "a role that goes round a core of five is known to return")
 		Expect(view.Token).To(Equal(uint64(8)))
-		view.handOver("c/1", "e")
-		Expect(view.holderReturns()).To(BeTrue(), "one of those before")
-		view.handOver("a/1", "c")
+		view.transferLease("c/1", "e")
+		Expect(view.isHolderReturning()).To(BeTrue(), "one of those before")
+		view.transferLease("a/1", "c")
 		Expect(view.FormerHolders).To(Equal([]string{"c", "e", "d", "b", "a"}))
-		for i := range 2 * mostFormerHolders {
-			view.handOver("x/1", string(rune('A'+i)))
+		for i := range 2 * maxFormerHolders {
+			view.transferLease("x/1", string(rune('A'+i)))
 		}
-		Expect(view.FormerHolders).To(HaveLen(mostFormerHolders), "they are bounded")
+		Expect(view.FormerHolders).To(HaveLen(maxFormerHolders), "they are bounded")
 	})
 
 	It("takes a member for the same holder whose disk was lost in between", func() {
 		view := View{Voters: []Member{{ID: "a/2", Address: "a"}}, Holder: "b/1", FormerHolders: []string{"a"}}
-		view.handOver("a/2", "b")
-		Expect(view.holderReturns()).To(BeTrue())
+		view.transferLease("a/2", "b")
+		Expect(view.isHolderReturning()).To(BeTrue())
 	})
 })
 
@@ -96,7 +96,7 @@
 	It("that answers a ping of an earlier life confirms nothing", func() {
 		earlier := chainOf("a", "b", "c")[0]
 		later := chainOf("a", "b", "c")[0]
-		later.nonce = 1 << 32 // as the process draws it
+		later.lastNonce = 1 << 32 // as the process draws it
 		pong := func(node *Node) Pong {
 			ping := node.PingVoters(5 * time.Second).ImmediateMessages[0].Message.(Ping)
 			return Pong{From: Member{ID: "b", Address: "b"}, Nonce: ping.Nonce, Status: Status{View: 1, Healthy: true}}
--- a/internal/chain/lease.go
+++ b/internal/chain/lease.go
@@ -19,7 +19,7 @@
 		}
 		p := n.peers[voter.Address]
 		if p != nil && p.member.ID == voter.ID && p.status.View == n.view.Number && !p.status.Sealed {
-			times = append(times, p.askedAt)
+			times = append(times, p.lastAnsweredPingAt)
 		}
 	}
 	if len(times) < n.view.Majority() {
@@ -39,33 +39,33 @@
 	if n.view.Holder != n.self.ID || n.leaving {
 		return 0, false
 	}
-	if now-n.QuorumConfirmedAt(now) > n.config.LeaseDuration || now-n.holderSince < n.holderPause() {
+	if now-n.QuorumConfirmedAt(now) > n.config.LeaseDuration || now-n.leaseHolderSince < n.takeoverDelay() {
 		return 0, false
 	}
 	return n.view.Token, true
 }
 
 // LeaseHolderSince is when this member became the holder.
-func (n *Node) LeaseHolderSince() time.Duration { return n.holderSince }
+func (n *Node) LeaseHolderSince() time.Duration { return n.leaseHolderSince }
 
 // holderPause is how long this member waits before it acts as a new holder.
-func (n *Node) holderPause() time.Duration {
-	if n.view.holderReturns() {
+func (n *Node) takeoverDelay() time.Duration {
+	if n.view.isHolderReturning() {
 		return n.config.ReturnDelay
 	}
 	return n.config.TakeoverDelay
 }
 
 // mostFormerHolders bounds the former holders that a view names. A core has fewer members than that.
-const mostFormerHolders = 16
+const maxFormerHolders = 16
 
 // handOver gives the role to another member, under a new token.
-func (v *View) handOver(to MemberID, from string) {
+func (v *View) transferLease(to MemberID, from string) {
 	v.Holder = to
 	v.Token++
 	former := []string{from}
 	for _, address := range v.FormerHolders {
-		if address != from && len(former) < mostFormerHolders {
+		if address != from && len(former) < maxFormerHolders {
 			former = append(former, address)
 		}
 	}
@@ -73,7 +73,7 @@
 }
 
 // holderReturns tells whether the holder is one of the former holders, at the same address.
-func (v *View) holderReturns() bool {
+func (v *View) isHolderReturning() bool {
 	holder, _ := v.Voter(v.Holder)
 	return slices.Contains(v.FormerHolders, holder.Address)
 }
--- a/internal/chain/log.go
+++ b/internal/chain/log.go
@@ -13,18 +13,18 @@
 }
 
 // logged is an entry of the log with the state after it.
-type logged struct {
-	entry Entry
-	after State
+type logEntry struct {
+	entry      Entry
+	stateAfter State
 }
 
-func (n *Node) add(entry Entry) {
+func (n *Node) appendEntry(entry Entry) {
 	n.state = State{Seq: entry.Seq, Value: n.config.Apply(n.state.Value, entry.Operation)}
-	n.log = append(n.log, logged{entry: entry, after: n.state})
+	n.log = append(n.log, logEntry{entry: entry, stateAfter: n.state})
 }
 
 // after gives the entries of the log with a higher sequence number.
-func (n *Node) after(seq uint64) []Entry {
+func (n *Node) entriesAfter(seq uint64) []Entry {
 	var entries []Entry
 	for _, l := range n.log {
 		if l.entry.Seq > seq {
@@ -38,10 +38,10 @@
 func (n *Node) compact() {
 	kept := 0
 	for kept < len(n.log) && n.log[kept].entry.Seq <= n.committed {
-		n.base = n.log[kept].after
+		n.base = n.log[kept].stateAfter
 		kept++
 	}
-	n.log = append([]logged(nil), n.log[kept:]...)
+	n.log = append([]logEntry(nil), n.log[kept:]...)
 }
 
 // LatestState is the value with all that this member has, committed or not.
@@ -62,11 +62,11 @@
 func (n *Node) CommittedState() State {
 	for i := len(n.log) - 1; i >= 0; i-- {
 		if n.log[i].entry.Seq <= n.committed {
-			return n.log[i].after
+			return n.log[i].stateAfter
 		}
 	}
 	return n.base
 }
 
 // IsCommitKnown tells whether this member has heard, since it started, how far the log is committed.
-func (n *Node) IsCommitKnown() bool { return n.known }
+func (n *Node) IsCommitKnown() bool { return n.commitKnown }
--- a/internal/chain/membership_test.go
+++ b/internal/chain/membership_test.go
@@ -20,7 +20,7 @@
 	const now = time.Minute
 	wanted := func(at time.Duration) []MemberID {
 		var ids []MemberID
-		for _, voter := range node.wantedVoters(at) {
+		for _, voter := range node.desiredVoters(at) {
 			ids = append(ids, voter.ID)
 		}
 		return ids
@@ -45,13 +45,13 @@
 	})
 
 	It("become three once one has long been away", func() {
-		long := now + (longAway+2)*node.config.SuspectTimeout
+		long := now + (absenceTimeouts+2)*node.config.SuspectTimeout
 		meet(long, "b", "c")
 		Expect(wanted(long)).To(ConsistOf(MemberID("a"), MemberID("b"), MemberID("c")))
 	})
 
 	It("stay four for a member that was out of touch itself meanwhile", func() {
-		long := now + (longAway+2)*node.config.SuspectTimeout
+		long := now + (absenceTimeouts+2)*node.config.SuspectTimeout
 		meet(long, "b")
 		meet(long, "b", "c")
 		Expect(wanted(long)).To(HaveLen(4))
--- a/internal/chain/paxos.go
+++ b/internal/chain/paxos.go
@@ -18,7 +18,7 @@
 	return b.Proposer < other.Proposer
 }
 
-func later(a, b ProposalNumber) ProposalNumber {
+func laterNumber(a, b ProposalNumber) ProposalNumber {
 	if a.Less(b) {
 		return b
 	}
@@ -38,38 +38,38 @@
 }
 
 // proposing is a proposal that this member makes.
-type proposing struct {
-	ballot   ProposalNumber
-	number   uint64
-	wanted   View
-	promises map[MemberID]Promise
-	accepts  map[MemberID]bool
-	proposal *Proposal // once it is chosen
-	until    time.Duration
+type proposer struct {
+	number     ProposalNumber
+	viewNumber uint64
+	desired    View
+	promises   map[MemberID]Promise
+	acceptedBy map[MemberID]bool
+	proposal   *Proposal // once it is chosen
+	deadline   time.Duration
 }
 
 // prepare begins a proposal.
-func (n *Node) prepare(now time.Duration, wanted View) Output {
-	ballot := ProposalNumber{Counter: n.promised.Counter + 1, Proposer: n.self.ID}
-	n.proposing = &proposing{ballot: ballot, number: n.view.Number + 1, wanted: wanted,
-		promises: map[MemberID]Promise{}, accepts: map[MemberID]bool{}, until: now + n.config.ProposalTimeout}
-	return n.toVoters(now, Prepare{From: n.self.ID, Number: wanted.Number, Ballot: ballot})
+func (n *Node) prepare(now time.Duration, desired View) Output {
+	ballot := ProposalNumber{Counter: n.promisedNumber.Counter + 1, Proposer: n.self.ID}
+	n.proposer = &proposer{number: ballot, viewNumber: n.view.Number + 1, desired: desired,
+		promises: map[MemberID]Promise{}, acceptedBy: map[MemberID]bool{}, deadline: now + n.config.ProposalTimeout}
+	return n.sendToVoters(now, Prepare{From: n.self.ID, Number: desired.Number, Ballot: ballot})
 }
 
-func (n *Node) onPrepare(now time.Duration, m Prepare) Output {
+func (n *Node) handlePrepare(now time.Duration, m Prepare) Output {
 	if m.Number != n.view.Number+1 || !n.isVoter() {
 		return Output{}
 	}
 	if _, ok := n.view.Voter(m.From); !ok {
 		return Output{}
 	}
-	if !n.promised.Less(m.Ballot) && n.promised != m.Ballot {
-		return Output{Messages: n.reply(m.From, Reject{From: n.self.ID, Number: m.Number, Promised: n.promised})}
+	if !n.promisedNumber.Less(m.Ballot) && n.promisedNumber != m.Ballot {
+		return Output{Messages: n.reply(m.From, Reject{From: n.self.ID, Number: m.Number, Promised: n.promisedNumber})}
 	}
 	if !n.IsSealed() {
 		n.sealedAt = now
 	}
-	n.promised = m.Ballot
+	n.promisedNumber = m.Ballot
 	promise := Promise{From: n.self.ID, Number: m.Number, Ballot: m.Ballot, InChain: n.IsInChain(), Accepted: n.accepted}
 	if promise.InChain {
 		promise.State = n.state
@@ -77,26 +77,26 @@
 	return Output{Records: []any{PromiseRecord{m.Ballot}}, Messages: n.reply(m.From, promise)}
 }
 
-func (n *Node) onPromise(now time.Duration, m Promise) Output {
-	p := n.proposing
-	if p == nil || p.number != m.Number || p.ballot != m.Ballot || p.proposal != nil {
+func (n *Node) handlePromise(now time.Duration, m Promise) Output {
+	p := n.proposer
+	if p == nil || p.viewNumber != m.Number || p.number != m.Ballot || p.proposal != nil {
 		return Output{}
 	}
 	p.promises[m.From] = m
-	if len(p.promises) < n.view.Majority() || !n.enough(now, p) {
+	if len(p.promises) < n.view.Majority() || !n.hasChainPromises(now, p) {
 		return Output{}
 	}
-	p.proposal = n.choose(p)
-	return n.toVoters(now, Accept{From: n.self.ID, Ballot: p.ballot, Proposal: *p.proposal})
+	p.proposal = n.chooseProposal(p)
+	return n.sendToVoters(now, Accept{From: n.self.ID, Ballot: p.number, Proposal: *p.proposal})
 }
 
 // enough tells whether the chosen chain would hold only members whose promise is in, or that are new.
-func (n *Node) enough(now time.Duration, p *proposing) bool {
-	for _, id := range p.wanted.Chain {
+func (n *Node) hasChainPromises(now time.Duration, p *proposer) bool {
+	for _, id := range p.desired.Chain {
 		if _, voter := n.view.Voter(id); !voter {
 			continue
 		}
-		if _, promised := p.promises[id]; !promised && now < p.until-n.config.ProposalTimeout/2 {
+		if _, promised := p.promises[id]; !promised && now < p.deadline-n.config.ProposalTimeout/2 {
 			return false
 		}
 	}
@@ -105,7 +105,7 @@
 
 // choose gives the proposal that must be made: one that may have been accepted already, or the one that is wanted, with
 // the longest log of the chain's members.
-func (n *Node) choose(p *proposing) *Proposal {
+func (n *Node) chooseProposal(p *proposer) *Proposal {
 	var accepted *Accepted
 	var state State
 	found := false
@@ -120,47 +120,47 @@
 	if accepted != nil {
 		return &accepted.Proposal
 	}
-	return &Proposal{View: p.wanted, Base: state}
+	return &Proposal{View: p.desired, Base: state}
 }
 
-func (n *Node) onReject(now time.Duration, m Reject) Output {
-	p := n.proposing
-	if p == nil || p.number != m.Number || !p.ballot.Less(m.Promised) {
+func (n *Node) handleReject(now time.Duration, m Reject) Output {
+	p := n.proposer
+	if p == nil || p.viewNumber != m.Number || !p.number.Less(m.Promised) {
 		return Output{}
 	}
-	n.proposing = nil
-	n.nextProposal = now + n.config.ProposalTimeout/2 + n.config.Jitter(n.config.ProposalTimeout)
-	n.promised = later(n.promised, m.Promised)
-	return Output{Records: []any{PromiseRecord{n.promised}}}
+	n.proposer = nil
+	n.nextProposalAt = now + n.config.ProposalTimeout/2 + n.config.Jitter(n.config.ProposalTimeout)
+	n.promisedNumber = laterNumber(n.promisedNumber, m.Promised)
+	return Output{Records: []any{PromiseRecord{n.promisedNumber}}}
 }
 
-func (n *Node) onAccept(now time.Duration, m Accept) Output {
+func (n *Node) handleAccept(now time.Duration, m Accept) Output {
 	number := m.Proposal.View.Number
 	if number != n.view.Number+1 || !n.isVoter() {
 		return Output{}
 	}
-	if m.Ballot.Less(n.promised) {
-		return Output{Messages: n.reply(m.From, Reject{From: n.self.ID, Number: number, Promised: n.promised})}
+	if m.Ballot.Less(n.promisedNumber) {
+		return Output{Messages: n.reply(m.From, Reject{From: n.self.ID, Number: number, Promised: n.promisedNumber})}
 	}
 	if !n.IsSealed() {
 		n.sealedAt = now
 	}
-	n.promised = m.Ballot
+	n.promisedNumber = m.Ballot
 	n.accepted = &Accepted{Ballot: m.Ballot, Proposal: m.Proposal}
 	return Output{Records: []any{AcceptRecord{*n.accepted}},
 		Messages: n.reply(m.From, AcceptedReply{From: n.self.ID, Number: number, Ballot: m.Ballot})}
 }
 
-func (n *Node) onAccepted(now time.Duration, m AcceptedReply) Output {
-	p := n.proposing
-	if p == nil || p.proposal == nil || p.number != m.Number || p.ballot != m.Ballot {
+func (n *Node) handleAccepted(now time.Duration, m AcceptedReply) Output {
+	p := n.proposer
+	if p == nil || p.proposal == nil || p.viewNumber != m.Number || p.number != m.Ballot {
 		return Output{}
 	}
 	if _, ok := n.view.Voter(m.From); !ok {
 		return Output{}
 	}
-	p.accepts[m.From] = true
-	if len(p.accepts) < n.view.Majority() {
+	p.acceptedBy[m.From] = true
+	if len(p.acceptedBy) < n.view.Majority() {
 		return Output{}
 	}
 	decided := *p.proposal
@@ -170,14 +170,14 @@
 	}
 	delete(addresses, n.self.Address)
 	out := n.install(now, decided)
-	for _, address := range sorted(addresses) {
+	for _, address := range sortedKeys(addresses) {
 		out.Messages = append(out.Messages, Envelope{To: address, Message: Install{From: n.self.ID, Proposal: decided}})
 	}
 	return out
 }
 
 // toVoters sends a message to all voters, and has this member take it too.
-func (n *Node) toVoters(now time.Duration, message any) Output {
+func (n *Node) sendToVoters(now time.Duration, message any) Output {
 	var messages []Envelope
 	for _, voter := range n.view.Voters {
 		if voter.ID != n.self.ID {
--- a/internal/chain/replication.go
+++ b/internal/chain/replication.go
@@ -6,29 +6,29 @@
 
 // Propose appends an operation at the head. It is false where this member cannot take it.
 func (n *Node) Propose(operation []byte) (seq uint64, out Output, ok bool) {
-	if !n.IsHead() || n.IsSealed() || len(n.view.Chain) < n.leastCopies() {
+	if !n.IsHead() || n.IsSealed() || len(n.view.Chain) < n.minReplicas() {
 		return 0, Output{}, false
 	}
 	entry := Entry{Seq: n.state.Seq + 1, Operation: operation}
-	out = n.take([]Entry{entry})
+	out = n.appendAndForward([]Entry{entry})
 	return entry.Seq, out, true
 }
 
 // leastCopies is how many members must store what is committed.
-func (n *Node) leastCopies() int { return min(n.config.MaxFailures+1, len(n.view.Voters)) }
+func (n *Node) minReplicas() int { return min(n.config.MaxFailures+1, len(n.view.Voters)) }
 
 // take stores entries and passes them on.
-func (n *Node) take(entries []Entry) Output {
+func (n *Node) appendAndForward(entries []Entry) Output {
 	var out Output
 	for _, entry := range entries {
-		n.add(entry)
+		n.appendEntry(entry)
 		out.Records = append(out.Records, EntryRecord{entry})
 	}
-	out.Messages = n.passOn(entries)
+	out.Messages = n.forward(entries)
 	return out
 }
 
-func (n *Node) onAppend(m Append) Output {
+func (n *Node) handleAppend(m Append) Output {
 	if m.View != n.view.Number || n.IsSealed() {
 		return Output{}
 	}
@@ -45,13 +45,13 @@
 		}
 	}
 	if len(fresh) == 0 {
-		return n.passOnAgain(m.Entries)
+		return n.forwardAgain(m.Entries)
 	}
-	return n.take(fresh)
+	return n.appendAndForward(fresh)
 }
 
 // passOn sends entries to the successor, or, at the tail, tells all that they are committed.
-func (n *Node) passOn(entries []Entry) []Envelope {
+func (n *Node) forward(entries []Entry) []Envelope {
 	position := n.view.Position(n.self.ID)
 	if position < 0 || len(entries) == 0 {
 		return nil
@@ -69,14 +69,14 @@
 }
 
 // passOnAgain passes on what was passed on before: the predecessor has sent it again because the end was not heard of.
-func (n *Node) passOnAgain(entries []Entry) Output {
+func (n *Node) forwardAgain(entries []Entry) Output {
 	var had []Entry
 	for _, entry := range entries {
 		if entry.Seq <= n.state.Seq {
 			had = append(had, entry)
 		}
 	}
-	return Output{Messages: n.passOn(had)}
+	return Output{Messages: n.forward(had)}
 }
 
 // resend sends what the successor does not have, or what was not heard to be committed.
@@ -85,17 +85,17 @@
 	if position < 0 || n.IsSealed() || n.committed >= n.state.Seq {
 		return nil
 	}
-	if now-n.resentAt < n.config.SuspectTimeout/3 {
+	if now-n.lastResendAt < n.config.SuspectTimeout/3 {
 		return nil
 	}
-	n.resentAt = now
-	return n.passOn(n.after(n.committed))
+	n.lastResendAt = now
+	return n.forward(n.entriesAfter(n.committed))
 }
 
-func (n *Node) onCommitted(from MemberID, view, seq uint64) {
+func (n *Node) handleCommitted(from MemberID, view, seq uint64) {
 	if view != n.view.Number || !n.IsInChain() {
 		return
 	}
 	n.committed = max(n.committed, min(seq, n.state.Seq))
-	n.known = n.known || from == n.view.Tail()
+	n.commitKnown = n.commitKnown || from == n.view.Tail()
 }
--- a/internal/chain/requests.go
+++ b/internal/chain/requests.go
@@ -39,35 +39,35 @@
 type Read struct{ Respond func(State, error) }
 
 // mostRequests bounds the requests of each kind that wait at a member.
-const mostRequests = 1024
+const maxPendingRequests = 1024
 
 // PendingRequests are the writes that wait at the head and the reads that wait at the tail. A write is acknowledged once it is
 // committed. A refusal is told once what it rests on is committed and a majority has confirmed the view since the write
 // came, and a read is answered after such a confirmation: a member that was left behind refuses and shows nothing.
 type PendingRequests struct {
-	node   *Node
-	within time.Duration
-	writes []waitingWrite
-	reads  []waitingRead
+	node    *Node
+	timeout time.Duration
+	writes  []pendingWrite
+	reads   []pendingRead
 }
 
-type waitingWrite struct {
-	write   Write
-	refusal error // nil for a write that was taken
-	view    uint64
-	seq     uint64 // committed before the refusal is told
-	since   time.Duration
+type pendingWrite struct {
+	write       Write
+	rejection   error // nil for a write that was taken
+	view        uint64
+	requiredSeq uint64 // committed before the refusal is told
+	receivedAt  time.Duration
 }
 
-type waitingRead struct {
-	read  Read
-	view  uint64
-	since time.Duration
+type pendingRead struct {
+	read       Read
+	view       uint64
+	receivedAt time.Duration
 }
 
 // NewPendingRequests makes the requests at a member. Each is answered within a time.
 func NewPendingRequests(node *Node, within time.Duration) *PendingRequests {
-	return &PendingRequests{node: node, within: within}
+	return &PendingRequests{node: node, timeout: within}
 }
 
 // Write takes a write at the head.
@@ -77,13 +77,13 @@
 	case !n.IsHead() || !n.IsViewConfirmed(now):
 		write.Respond(ErrNotHead)
 		return Output{}
-	case len(r.writes) >= mostRequests:
+	case len(r.writes) >= maxPendingRequests:
 		write.Respond(ErrTooManyPending)
 		return Output{}
 	}
 	latest := n.LatestState()
 	decision := write.Decide(latest.Value)
-	waiting := waitingWrite{write: write, refusal: decision.Rejection, view: n.View().Number, seq: latest.Seq, since: now}
+	waiting := pendingWrite{write: write, rejection: decision.Rejection, view: n.View().Number, requiredSeq: latest.Seq, receivedAt: now}
 	var out Output
 	switch {
 	case decision.Rejection != nil:
@@ -105,26 +105,26 @@
 	case !r.node.IsTail():
 		read.Respond(State{}, ErrNotTail)
 		return Output{}
-	case len(r.reads) >= mostRequests:
+	case len(r.reads) >= maxPendingRequests:
 		read.Respond(State{}, ErrTooManyPending)
 		return Output{}
 	}
-	r.reads = append(r.reads, waitingRead{read: read, view: r.node.View().Number, since: now})
+	r.reads = append(r.reads, pendingRead{read: read, view: r.node.View().Number, receivedAt: now})
 	return r.node.PingVoters(now)
 }
 
 // AnswerReady answers the requests that can be answered, and those whose time is over.
 func (r *PendingRequests) AnswerReady(now time.Duration) {
 	if len(r.writes) > 0 {
-		r.writes = keep(r.writes, func(w waitingWrite) bool { return !r.settleWrite(now, w) })
+		r.writes = retain(r.writes, func(w pendingWrite) bool { return !r.answerWrite(now, w) })
 	}
 	if len(r.reads) > 0 {
-		r.reads = keep(r.reads, func(w waitingRead) bool { return !r.settleRead(now, w) })
+		r.reads = retain(r.reads, func(w pendingRead) bool { return !r.answerRead(now, w) })
 	}
 }
 
 // keep leaves in place what still waits.
-func keep[T any](all []T, waits func(T) bool) []T {
+func retain[T any](all []T, waits func(T) bool) []T {
 	kept := all[:0]
 	for _, one := range all {
 		if waits(one) {
@@ -135,15 +135,15 @@
 	return kept
 }
 
-func (r *PendingRequests) settleWrite(now time.Duration, w waitingWrite) (answered bool) {
+func (r *PendingRequests) answerWrite(now time.Duration, w pendingWrite) (answered bool) {
 	n := r.node
 	sameView := w.view == n.View().Number
 	switch {
-	case w.refusal == nil && w.write.IsApplied(n.CommittedState().Value):
+	case w.rejection == nil && w.write.IsApplied(n.CommittedState().Value):
 		w.write.Respond(nil)
-	case w.refusal != nil && sameView && n.CommittedSeq() >= w.seq && n.QuorumConfirmedAt(now) >= w.since:
-		w.write.Respond(w.refusal)
-	case w.refusal != nil && !sameView, now-w.since > r.within:
+	case w.rejection != nil && sameView && n.CommittedSeq() >= w.requiredSeq && n.QuorumConfirmedAt(now) >= w.receivedAt:
+		w.write.Respond(w.rejection)
+	case w.rejection != nil && !sameView, now-w.receivedAt > r.timeout:
 		w.write.Respond(ErrNotConfirmed)
 	default:
 		return false
@@ -151,12 +151,12 @@
 	return true
 }
 
-func (r *PendingRequests) settleRead(now time.Duration, w waitingRead) (answered bool) {
+func (r *PendingRequests) answerRead(now time.Duration, w pendingRead) (answered bool) {
 	n := r.node
 	switch {
-	case w.view != n.View().Number || now-w.since > r.within:
+	case w.view != n.View().Number || now-w.receivedAt > r.timeout:
 		w.read.Respond(State{}, ErrNotConfirmed)
-	case n.QuorumConfirmedAt(now) >= w.since:
+	case n.QuorumConfirmedAt(now) >= w.receivedAt:
 		w.read.Respond(n.CommittedState(), nil) // what the tail has stored
 	default:
 		return false
--- a/internal/chain/requests_test.go
+++ b/internal/chain/requests_test.go
@@ -93,7 +93,7 @@
 	})
 
 	It("is one of a bounded number", func() {
-		for range mostRequests {
+		for range maxPendingRequests {
 			write(0, Decision{Operation: []byte("x")})
 		}
 		write(0, Decision{Operation: []byte("x")})
--- a/internal/chain/status.go
+++ b/internal/chain/status.go
@@ -1,7 +1,7 @@
 package chain
 
 func (n *Node) status() Status {
-	return Status{View: n.view.Number, Sealed: n.IsSealed(), Healthy: n.healthy && !n.leaving, Leaving: n.leaving, Stored: n.stored, Seq: n.state.Seq, Committed: n.committed}
+	return Status{View: n.view.Number, Sealed: n.IsSealed(), Healthy: n.diskHealthy && !n.leaving, Leaving: n.leaving, Stored: n.persistedView, Seq: n.state.Seq, Committed: n.committed}
 }
 
 // Self is this member.
@@ -11,7 +11,7 @@
 func (n *Node) View() View { return n.view }
 
 // IsSealed tells whether this member has promised to take part in a next view.
-func (n *Node) IsSealed() bool { return n.promised != ProposalNumber{} }
+func (n *Node) IsSealed() bool { return n.promisedNumber != ProposalNumber{} }
 
 // IsInChain tells whether this member is in the chain of its view.
 func (n *Node) IsInChain() bool { return n.view.Position(n.self.ID) >= 0 }
--- a/internal/chain/storage.go
+++ b/internal/chain/storage.go
@@ -19,7 +19,7 @@
 	// AcceptRecord is an accepted proposal.
 	AcceptRecord struct{ Accepted Accepted }
 	// HeldRecord tells that this member has waited out its pause as the holder with a token.
-	HeldRecord struct{ Token uint64 }
+	LeaseRecord struct{ Token uint64 }
 	// InstallRecord is a view that was decided; it ends the log and the promises of the one before.
 	InstallRecord struct{ Proposal Proposal }
 )
@@ -28,32 +28,32 @@
 	switch r := record.(type) {
 	case Snapshot:
 		n.self, n.view, n.base = r.Self, r.View, r.Base
-		n.promised, n.accepted, n.held = r.Promised, r.Accepted, r.Held
+		n.promisedNumber, n.accepted, n.leaseToken = r.Promised, r.Accepted, r.Held
 		n.log, n.state = nil, r.Base
 		for _, entry := range r.Entries {
-			n.add(entry)
+			n.appendEntry(entry)
 		}
 	case EntryRecord:
 		if r.Entry.Seq > n.state.Seq { // a snapshot that was stored in place of a record has those given out with it too
-			n.add(r.Entry)
+			n.appendEntry(r.Entry)
 		}
 	case PromiseRecord:
-		n.promised = r.Ballot
+		n.promisedNumber = r.Ballot
 	case AcceptRecord:
 		accepted := r.Accepted
-		n.accepted, n.promised = &accepted, accepted.Ballot
-	case HeldRecord:
-		n.held = r.Token
+		n.accepted, n.promisedNumber = &accepted, accepted.Ballot
+	case LeaseRecord:
+		n.leaseToken = r.Token
 	case InstallRecord:
 		if r.Proposal.View.Number > n.view.Number {
-			n.enter(r.Proposal)
+			n.adopt(r.Proposal)
 		}
 	}
 }
 
 func (n *Node) snapshot() Snapshot {
-	return Snapshot{Self: n.self, View: n.view, Base: n.base, Entries: n.after(0), Promised: n.promised, Accepted: n.accepted,
-		Held: n.held}
+	return Snapshot{Self: n.self, View: n.view, Base: n.base, Entries: n.entriesAfter(0), Promised: n.promisedNumber, Accepted: n.accepted,
+		Held: n.leaseToken}
 }
 
 // Snapshot is all that must not be forgotten, with what is committed folded into the base.
--- a/internal/controlplane/chain_store_test.go
+++ b/internal/controlplane/chain_store_test.go
@@ -84,7 +84,7 @@
 			Expect(ring.Append([]ringlog.Record{{Payload: []byte("no gob"), Rotate: true}})).To(Succeed())
 		}),
 		Entry("a record cut short", func(ring *ringlog.Ring) {
-			payload, err := newRecordEncoder().encode(chain.HeldRecord{Token: 7})
+			payload, err := newRecordEncoder().encode(chain.LeaseRecord{Token: 7})
 			Expect(err).NotTo(HaveOccurred())
 			Expect(ring.Append([]ringlog.Record{{Payload: payload[:len(payload)-3], Rotate: true}})).To(Succeed())
 		}),
--- a/internal/lab/coresim/flaws.go
+++ b/internal/lab/coresim/flaws.go
@@ -96,7 +96,7 @@
 	case f == RestartBehind && len(records) > 1:
 		return records[:len(records)-1]
 	case f == RestartWithToken && node.View().Holder == node.Self().ID:
-		return append(records[:len(records):len(records)], chain.HeldRecord{Token: node.View().Token})
+		return append(records[:len(records):len(records)], chain.LeaseRecord{Token: node.View().Token})
 	}
 	return records
 }
--- a/internal/protocol/register.go
+++ b/internal/protocol/register.go
@@ -64,7 +64,7 @@
 	{"dykering/internal/chain.EntryRecord", chain.EntryRecord{}},
 	{"dykering/internal/chain.PromiseRecord", chain.PromiseRecord{}},
 	{"dykering/internal/chain.AcceptRecord", chain.AcceptRecord{}},
-	{"dykering/internal/chain.HeldRecord", chain.HeldRecord{}},
+	{"dykering/internal/chain.HeldRecord", chain.LeaseRecord{}},
 	{"dykering/internal/chain.InstallRecord", chain.InstallRecord{}},
 }
 
