--- /dev/null
+++ b/internal/fleet/gossip/compatibility_test.go
@@ -0,0 +1,114 @@
+package gossip
+
+import (
+	"encoding/binary"
+	"encoding/json"
+	"hash/crc32"
+	"os"
+	"testing"
+
+	"github.com/hashicorp/go-msgpack/v2/codec"
+
+	"dykering/internal/fixture"
+	"dykering/internal/fleet/membership"
+)
+
+// setState sets a state of membership, whose names are on the wire.
+func setState(pointer any) bool {
+	state, ok := pointer.(*membership.State)
+	if ok {
+		*state = membership.Left
+	}
+	return ok
+}
+
+// The metadata that a member gives of itself, and the view that the control socket shows, have the form of released
+// builds.
+func TestMetadataAndViewOfReleasedBuildAreReadAndWrittenAlike(t *testing.T) {
+	fixture.JSON(t, "testdata/compatibility/meta.json", &membership.Meta{})
+	fixture.JSON(t, "testdata/compatibility/view.json", &Snapshot{}, setState)
+}
+
+// memberPacket makes a packet as memberlist sends it: a checksum around a compound of messages.
+func memberPacket() []byte {
+	encode := func(kind byte, message any) []byte {
+		var body []byte
+		codec.NewEncoderBytes(&body, &codec.MsgpackHandle{}).MustEncode(message)
+		return append([]byte{kind}, body...)
+	}
+	type suspect struct {
+		Incarnation uint32
+		Node, From  string
+	}
+	type alive struct {
+		Incarnation uint32
+		Node        string
+		Addr        []byte
+		Port        uint16
+		Meta        []byte
+		Vsn         []uint8
+	}
+	messages := [][]byte{
+		encode(3, suspect{11, "b1", "b2"}),
+		encode(4, alive{12, "b3", []byte{127, 0, 0, 1}, 7946, []byte("{}"), []uint8{1, 5, 2, 2, 5, 4}}),
+		encode(5, suspect{13, "b4", "b4"}),
+	}
+	compound := []byte{7, byte(len(messages))}
+	for _, message := range messages {
+		compound = binary.BigEndian.AppendUint16(compound, uint16(len(message)))
+	}
+	for _, message := range messages {
+		compound = append(compound, message...)
+	}
+	packet := binary.BigEndian.AppendUint32([]byte{12}, crc32.ChecksumIEEE(compound))
+	return append(packet, compound...)
+}
+
+// Messages of memberlist are read by the kinds and names of its protocol.
+func TestMessagesInPacketOfReleasedBuildAreRead(t *testing.T) {
+	type message struct {
+		Kind        byte
+		Incarnation uint32
+		Node        string
+		From        string
+	}
+	var got []message
+	said(fixture.Bytes(t, "testdata/compatibility/packet.bin", memberPacket), func(r rumour) {
+		got = append(got, message{r.kind, r.Incarnation, r.Node, r.From})
+	})
+	fixture.Golden(t, "testdata/compatibility/packet.json", got)
+}
+
+// The kinds of messages that the fleet's packages send are bytes on the wire, as is the address before what goes
+// through a fault relay.
+func TestFrameOfReleasedBuildIsWrittenAlike(t *testing.T) {
+	got := map[string]string{
+		"facts":   string(rune(KindFacts)),
+		"budgets": string(rune(KindBudgets)),
+		"relayed": string(Header("127.0.0.1:7946", []byte("payload"))),
+	}
+	fixture.Golden(t, "testdata/compatibility/frames.json", got)
+	address, payload, err := SplitHeader([]byte(got["relayed"]))
+	if err != nil || address != "127.0.0.1:7946" || string(payload) != "payload" {
+		t.Errorf("%q %q %v", address, payload, err)
+	}
+}
+
+// States are written by their names.
+func TestStateOfReleasedBuildIsReadAndWrittenAlike(t *testing.T) {
+	states := []membership.State{membership.Alive, membership.Suspect, membership.Dead, membership.Left}
+	fixture.Golden(t, "testdata/compatibility/states.json", states)
+	var read []membership.State
+	text, err := os.ReadFile("testdata/compatibility/states.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := json.Unmarshal(text, &read); err != nil {
+		t.Fatal(err)
+	}
+	for i, state := range read {
+		if state != states[i] {
+			t.Errorf("state %d is %v, want %v", i, state, states[i])
+		}
+	}
+}
--- /dev/null
+++ b/internal/fleet/replication/compatibility_test.go
@@ -0,0 +1,59 @@
+package replication
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"dykering/internal/fixture"
+	"dykering/internal/fleet/replica"
+)
+
+// What members send each other about servers, and what the control socket shows of it, have the form of released
+// builds.
+func TestMessageOfReleasedBuildIsReadAndWrittenAlike(t *testing.T) {
+	fixture.MessagePack(t, "testdata/compatibility/message.msgpack", &message{},
+		func(m any) []byte { return encode(*m.(*message)) },
+		func(b []byte, m any) (err error) {
+			*m.(*message), err = decode(b)
+			return err
+		})
+	fixture.JSON(t, "testdata/compatibility/state.json", &State{})
+	fixture.JSON(t, "testdata/compatibility/head.json", &head{})
+	if replica.Good != 1 || replica.Bad != 2 {
+		t.Errorf("verdicts %d and %d: 1 and 2 are on the wire", replica.Good, replica.Bad)
+	}
+}
+
+// A snapshot file of a released build is loaded, and the member starts warm.
+func TestSnapshotOfReleasedBuildIsLoaded(t *testing.T) {
+	const path, self, kept = "testdata/compatibility/snapshot.db", "b1", time.Minute
+	saved := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	if fixture.Updating() {
+		var m message
+		fixture.Fill(&m)
+		if err := os.Remove(path); err != nil && !os.IsNotExist(err) {
+			t.Fatal(err)
+		}
+		for i := range m.Facts {
+			m.Facts[i].Left += 10 * time.Second
+		}
+		if err := store(path, self, saved, m.Facts); err != nil {
+			t.Fatal(err)
+		}
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	copied := filepath.Join(t.TempDir(), "snapshot.db") // a database is locked, and so opened to be written
+	if err := os.WriteFile(copied, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	facts, err := load(copied, self, saved.Add(2*time.Second), kept)
+	if err != nil {
+		t.Fatal(err)
+	}
+	fixture.Golden(t, "testdata/compatibility/snapshot.json", facts)
+}
--- /dev/null
+++ b/internal/http1/compatibility_test.go
@@ -0,0 +1,28 @@
+package http1
+
+import (
+	"encoding/json"
+	"testing"
+
+	"dykering/internal/fixture"
+)
+
+// The state that goes with a connection to the successor has the form that released builds write and read. A process
+// of either build may be the one that ends during an upgrade.
+func TestPassageOfReleasedBuildIsReadAndWrittenAlike(t *testing.T) {
+	fixture.JSON(t, "testdata/compatibility/passage.json", &passage{})
+	if passageVersion != 1 {
+		t.Errorf("version %d of the passage: released builds decline all but 1", passageVersion)
+	}
+}
+
+// Fields without a value are left out, as released builds do: a successor tells by them what a passage is of.
+func TestEmptyPassageHasVersionAlone(t *testing.T) {
+	text, err := json.Marshal(passage{Version: passageVersion})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := `{"version":1}`; string(text) != want {
+		t.Errorf("%s, want %s", text, want)
+	}
+}
--- /dev/null
+++ b/internal/nodefile/compatibility_test.go
@@ -0,0 +1,45 @@
+package nodefile
+
+import (
+	"reflect"
+	"testing"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"dykering/internal/fixture"
+)
+
+// Each key of the settings file is read, and by the name that the platform writes it with.
+func TestSettingsFileOfPlatformIsReadByItsKeys(t *testing.T) {
+	const path = "testdata/compatibility/boot.toml"
+	written := fixture.Bytes(t, path, func() []byte {
+		var s Settings
+		fixture.Fill(&s)
+		s.IPAddress = "10.1.0.37"
+		s.InternalPortRange = []int{7660, 7675}
+		s.SeedNodes = []string{"10.1.0.38:8146", "10.1.0.39:8147"}
+		text, err := toml.Marshal(s)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return text
+	})
+	s, err := Parse(written)
+	if err != nil {
+		t.Fatal(err)
+	}
+	again, err := toml.Marshal(s)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var wanted, got map[string]any
+	if err := toml.Unmarshal(written, &wanted); err != nil {
+		t.Fatal(err)
+	}
+	if err := toml.Unmarshal(again, &got); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(wanted, got) {
+		t.Errorf("%s: the keys have changed\n was %v\n now %v", path, wanted, got)
+	}
+}
