--- a/internal/controlplane/anti_entropy.go
+++ b/internal/controlplane/anti_entropy.go
@@ -9,44 +9,44 @@
 
 // repair compares this copy of the sessions with a peer's now and then, and tells peers how many sidecars follow a stream
 // here.
-func (p *Process) repair(now time.Duration) {
-	peers := p.peers()
-	if len(peers) == 0 || now < p.repairDue {
+func (s *Server) runAntiEntropy(now time.Duration) {
+	peers := s.peerAddresses()
+	if len(peers) == 0 || now < s.antiEntropyDue {
 		return
 	}
-	p.repairDue = now + p.timing.repairEvery
-	self := p.node.Self().Address
-	p.send(peers[rand.IntN(len(peers))], protocol.SessionDigest{From: self, Digests: p.table.ChildDigests(nil)})
+	s.antiEntropyDue = now + s.timing.antiEntropyInterval
+	self := s.chain.Self().Address
+	s.send(peers[rand.IntN(len(peers))], protocol.SessionDigest{From: self, Digests: s.table.ChildDigests(nil)})
 	for _, peer := range peers {
-		p.send(peer, protocol.Subscribers{From: self, Count: len(p.subscribers)})
+		s.send(peer, protocol.Subscribers{From: self, Count: len(s.subscribers)})
 	}
 }
 
 // onSessionDigest looks into the parts of a range that differ: their parts are told in turn, and the sessions themselves
 // once they cannot be divided any further.
-func (p *Process) onSessionDigest(m protocol.SessionDigest) {
+func (s *Server) onSessionDigest(m protocol.SessionDigest) {
 	if !m.Range.Valid() || m.Range.IsLeaf() {
 		return
 	}
-	self := p.node.Self().Address
-	for _, part := range p.table.DifferingChildren(m.Range, m.Digests) {
+	self := s.chain.Self().Address
+	for _, part := range s.table.DifferingChildren(m.Range, m.Digests) {
 		if !part.IsLeaf() {
-			p.send(m.From, protocol.SessionDigest{From: self, Range: part, Digests: p.table.ChildDigests(part)})
+			s.send(m.From, protocol.SessionDigest{From: self, Range: part, Digests: s.table.ChildDigests(part)})
 			continue
 		}
-		p.send(m.From, protocol.SessionRange{From: self, Range: part, Records: p.table.RecordsIn(p.sessionClock, part), Ask: true})
+		s.send(m.From, protocol.SessionRange{From: self, Range: part, Records: s.table.RecordsIn(s.sessionClock, part), Ask: true})
 	}
 }
 
-func (p *Process) onSessionRange(m protocol.SessionRange) {
+func (s *Server) onSessionRange(m protocol.SessionRange) {
 	if !m.Range.Valid() || !m.Range.IsLeaf() {
 		return
 	}
 	if m.Ask {
-		own := p.table.RecordsIn(p.sessionClock, m.Range)
-		p.send(m.From, protocol.SessionRange{From: p.node.Self().Address, Range: m.Range, Records: own})
+		own := s.table.RecordsIn(s.sessionClock, m.Range)
+		s.send(m.From, protocol.SessionRange{From: s.chain.Self().Address, Range: m.Range, Records: own})
 	}
 	for _, record := range m.Records {
-		p.table.Merge(p.sessionClock, record)
+		s.table.Merge(s.sessionClock, record)
 	}
 }
--- a/internal/controlplane/chain_store.go
+++ b/internal/controlplane/chain_store.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	ringFiles       = 3
-	leastRingFileMB = 2
-	mostRingFileMB  = 8
+	ringFiles     = 3
+	minRingFileMB = 2
+	maxRingFileMB = 8
 	// ringFileShare is the part of the disk that one file of the ring takes at the most.
-	ringFileShare = 16
-	diskQueue     = 4096
-	diskRetry     = 100 * time.Millisecond
+	ringFileDivisor    = 16
+	storeQueueLength   = 4096
+	storeRetryInterval = 100 * time.Millisecond
 )
 
 func ringOptions(directory string, diskMB int) ringlog.Options {
-	fileMB := min(max(diskMB/ringFileShare, leastRingFileMB), mostRingFileMB)
+	fileMB := min(max(diskMB/ringFileDivisor, minRingFileMB), maxRingFileMB)
 	return ringlog.Options{Directory: filepath.Join(directory, "chain"), Files: ringFiles, FileSize: int64(fileMB) << 20}
 }
 
@@ -68,69 +68,69 @@
 }
 
 // diskJob is records to be stored, and messages that may go out once they are.
-type diskJob struct {
+type storeJob struct {
 	records  []ringlog.Record
 	messages []chain.Envelope
 }
 
 // disk stores records in order. Its goroutine is the only one that touches the ring.
-type disk struct {
-	ring      *ringlog.Ring
-	log       *slog.Logger
-	jobs      chan diskJob
-	stored    func([]chain.Envelope)
-	busySince atomic.Int64 // Unix nanoseconds of the steady clock's reading; 0 while nothing is written
-	origin    time.Time
-	size      int64 // of the current file, as jobs were handed over; the owner's
-	records   int   // in it; the owner's
-	encoder   *recordEncoder
+type chainStore struct {
+	ring         *ringlog.Ring
+	log          *slog.Logger
+	jobs         chan storeJob
+	onStored     func([]chain.Envelope)
+	writingSince atomic.Int64 // Unix nanoseconds of the steady clock's reading; 0 while nothing is written
+	origin       time.Time
+	fileSize     int64 // of the current file, as jobs were handed over; the owner's
+	fileRecords  int   // in it; the owner's
+	encoder      *recordEncoder
 }
 
 // mostRecords is how many records a file holds before the next one is begun: so many are read at a start.
-const mostRecords = 64
+const maxFileRecords = 64
 
 // encode makes what is written of a record. Where the file is full, or was begun by another process, the snapshot, that
 // stands for the record too, begins the next one.
-func (d *disk) encode(record any, snapshot func() chain.Snapshot) (ringlog.Record, error) {
+func (cs *chainStore) encode(record any, snapshot func() chain.Snapshot) (ringlog.Record, error) {
 	_, begins := record.(chain.Snapshot)
-	if !begins && d.encoder != nil && d.records < mostRecords {
-		payload, err := d.encoder.encode(record)
-		if err != nil || d.size+ringlog.Size(payload) <= d.ring.Capacity() {
-			d.records++
-			d.size += ringlog.Size(payload)
+	if !begins && cs.encoder != nil && cs.fileRecords < maxFileRecords {
+		payload, err := cs.encoder.encode(record)
+		if err != nil || cs.fileSize+ringlog.Size(payload) <= cs.ring.Capacity() {
+			cs.fileRecords++
+			cs.fileSize += ringlog.Size(payload)
 			return ringlog.Record{Payload: payload}, err
 		}
 	}
 	if !begins {
 		record = snapshot()
 	}
-	d.encoder = newRecordEncoder()
-	payload, err := d.encoder.encode(record)
-	d.records, d.size = 1, ringlog.Size(payload)
+	cs.encoder = newRecordEncoder()
+	payload, err := cs.encoder.encode(record)
+	cs.fileRecords, cs.fileSize = 1, ringlog.Size(payload)
 	return ringlog.Record{Payload: payload, Rotate: true}, err
 }
 
-func newDisk(ring *ringlog.Ring, log *slog.Logger, stored func([]chain.Envelope)) *disk {
-	return &disk{ring: ring, log: log, jobs: make(chan diskJob, diskQueue), stored: stored, origin: time.Now()}
+func newChainStore(ring *ringlog.Ring, log *slog.Logger, stored func([]chain.Envelope)) *chainStore {
+	return &chainStore{ring: ring, log: log, jobs: make(chan storeJob, storeQueueLength), onStored: stored, origin: time.Now()}
 }
 
 // run stores what is handed over until done is closed.
-func (d *disk) run(done <-chan struct{}) {
+func (cs *chainStore) run(done <-chan struct{}) {
 	for {
 		select {
 		case <-done:
 			return
-		case job := <-d.jobs:
-			d.store(d.gather(job), done)
+		case job := <-cs.jobs:
+			cs.write(cs.batch(job), done)
 		}
 	}
 }
 
 // gather takes along what else waits, so that one sync serves all.
-func (d *disk) gather(job diskJob) diskJob {
+func (cs *chainStore) batch(job storeJob) storeJob {
 	for {
 		select {
-		case more := <-d.jobs:
+		case more := <-cs.jobs:
 			job.records = append(job.records, more.records...)
 			job.messages = append(job.messages, more.messages...)
 		default:
@@ -139,33 +139,33 @@
 	}
 }
 
-func (d *disk) store(job diskJob, done <-chan struct{}) {
+func (cs *chainStore) write(job storeJob, done <-chan struct{}) {
 	if len(job.records) > 0 {
-		d.busySince.Store(int64(time.Since(d.origin)) + 1)
-		defer d.busySince.Store(0)
+		cs.writingSince.Store(int64(time.Since(cs.origin)) + 1)
+		defer cs.writingSince.Store(0)
 	}
 	for attempt := 0; len(job.records) > 0; attempt++ {
-		err := d.ring.Append(job.records)
+		err := cs.ring.Append(job.records)
 		if err == nil {
 			break
 		}
 		if attempt == 0 {
-			d.log.Error("disk.write_failed", "error", err)
+			cs.log.Error("disk.write_failed", "error", err)
 		}
 		select {
 		case <-done:
 			return
-		case <-time.After(diskRetry):
+		case <-time.After(storeRetryInterval):
 		}
 	}
-	d.stored(job.messages)
+	cs.onStored(job.messages)
 }
 
 // behind is how long the write that is under way has taken.
-func (d *disk) behind() time.Duration {
-	since := d.busySince.Load()
+func (cs *chainStore) writeDuration() time.Duration {
+	since := cs.writingSince.Load()
 	if since == 0 {
 		return 0
 	}
-	return time.Since(d.origin) - time.Duration(since)
+	return time.Since(cs.origin) - time.Duration(since)
 }
--- a/internal/controlplane/chain_store_test.go
+++ b/internal/controlplane/chain_store_test.go
@@ -14,20 +14,20 @@
 )
 
 // count is a value that tells how many operations it has seen.
-func count(value any, _ []byte) any {
+func countOperations(value any, _ []byte) any {
 	seen := value.(*fleetconfig.State).Document.Version
 	return &fleetconfig.State{Document: fleetconfig.Document{Version: seen + 1}}
 }
 
 // alone makes the state of a process that is the only member of its core, and that runs nothing.
-func alone() (*Process, chain.Config, chain.Output) {
+func singleMember() (*Server, chain.Config, chain.Output) {
 	view := chain.View{Number: 1, Voters: []chain.Member{{ID: "a", Address: "a"}}, Chain: []chain.MemberID{"a"}}
-	config := chain.Config{Self: view.Voters[0], Apply: count, Jitter: func(d time.Duration) time.Duration { return d }}
-	p := &Process{log: slog.New(slog.DiscardHandler), loads: newLoadTable(), subscribers: map[*subscriber]bool{}}
-	p.placer = newPlacer(p)
+	config := chain.Config{Self: view.Voters[0], Apply: countOperations, Jitter: func(d time.Duration) time.Duration { return d }}
+	s := &Server{log: slog.New(slog.DiscardHandler), endpointLoads: newEndpointLoadTable(), subscribers: map[*subscriber]bool{}}
+	s.placement = newPlacementController(s)
 	var out chain.Output
-	p.node, out = chain.NewGenesis(config, 0, view, &fleetconfig.State{})
-	return p, config, out
+	s.chain, out = chain.NewGenesis(config, 0, view, &fleetconfig.State{})
+	return s, config, out
 }
 
 var _ = Describe("a disk that has stalled for long", func() {
@@ -35,19 +35,19 @@
 		ring, _, err := ringlog.Open(ringlog.Options{Directory: GinkgoT().TempDir(), Files: 3, FileSize: 1 << 16})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(ring.Close)
-		p, config, out := alone()
-		p.disk = newDisk(ring, p.log, nil)
-		p.disk.jobs = make(chan diskJob, 2)
-		p.store(out.Records, nil)
+		p, config, out := singleMember()
+		p.chainStore = newChainStore(ring, p.log, nil)
+		p.chainStore.jobs = make(chan storeJob, 2)
+		p.persist(out.Records, nil)
 		for range 5 { // more than the queue takes
-			_, out, ok := p.node.Propose([]byte("x"))
+			_, out, ok := p.chain.Propose([]byte("x"))
 			Expect(ok).To(BeTrue())
-			p.store(out.Records, nil)
+			p.persist(out.Records, nil)
 		}
 		var payloads [][]byte
 		drain := func() {
-			for len(p.disk.jobs) > 0 {
-				for _, record := range (<-p.disk.jobs).records {
+			for len(p.chainStore.jobs) > 0 {
+				for _, record := range (<-p.chainStore.jobs).records {
 					if record.Rotate {
 						payloads = nil
 					}
@@ -56,8 +56,8 @@
 			}
 		}
 		drain()
-		_, out, _ = p.node.Propose([]byte("x"))
-		p.store(out.Records, nil)
+		_, out, _ = p.chain.Propose([]byte("x"))
+		p.persist(out.Records, nil)
 		drain()
 		records, err := decodeRecords(payloads)
 		Expect(err).NotTo(HaveOccurred())
@@ -93,28 +93,28 @@
 
 var _ = Describe("a member that has discarded its copy", func() {
 	It("joins as a new one, also where the settings still name a first start", func() {
-		m := core(1)[0]
+		m := newMembers(1)[0]
 		options := ringOptions(m.settings.DataDirectory, m.settings.Limits.DiskMB)
 		ring, _, err := ringlog.Open(options)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(ring.Append([]ringlog.Record{{Payload: []byte("no gob"), Rotate: true}})).To(Succeed())
 		ring.Close()
-		p := &Process{settings: m.settings, timing: timingOf(&m.settings), log: slog.New(slog.DiscardHandler), origin: time.Now()}
-		Expect(p.restore()).To(Succeed())
-		DeferCleanup(p.disk.ring.Close)
+		p := &Server{settings: m.settings, timing: newTiming(&m.settings), log: slog.New(slog.DiscardHandler), origin: time.Now()}
+		Expect(p.restoreChain()).To(Succeed())
+		DeferCleanup(p.chainStore.ring.Close)
 		own := m.settings.InternalAddress(m.settings.IPAddress)
-		Expect(p.node.Self().ID).NotTo(Equal(genesisID(own)), "the one that may have voted")
-		Expect(p.node.View().Number).To(BeZero())
+		Expect(p.chain.Self().ID).NotTo(Equal(genesisID(own)), "the one that may have voted")
+		Expect(p.chain.View().Number).To(BeZero())
 	})
 })
 
 var _ = Describe("a sidecar whose stream has ended", func() {
 	It("is not heard any more: it tells another control sidecar of its calls", func() {
-		p, _, _ := alone()
+		p, _, _ := singleMember()
 		s := &subscriber{name: "p1", updates: make(chan protocol.Update, 1)}
 		p.subscribers[s] = true
-		p.dropSubscriber(s)
-		p.onSubscriber(s, protocol.DemandReport{From: "p1", Loads: []protocol.EndpointLoad{{ID: "a", InFlight: 1}}})
-		Expect(p.loads.here(0)).To(BeEmpty())
+		p.removeSubscriber(s)
+		p.onSubscriberMessage(s, protocol.DemandReport{From: "p1", Loads: []protocol.EndpointLoad{{ID: "a", InFlight: 1}}})
+		Expect(p.endpointLoads.localTotals(0)).To(BeEmpty())
 	})
 })
--- a/internal/controlplane/controlplane_test.go
+++ b/internal/controlplane/controlplane_test.go
@@ -28,7 +28,7 @@
 	RunSpecs(t, "the control plane")
 }
 
-const patience = 20 * time.Second
+const eventuallyTimeout = 20 * time.Second
 
 // member is a control sidecar under test.
 type member struct {
@@ -49,7 +49,7 @@
 		return
 	}
 	m.stop <- syscall.SIGTERM
-	Eventually(m.ended, patience).Should(Receive(BeNil()))
+	Eventually(m.ended, eventuallyTimeout).Should(Receive(BeNil()))
 	m.stop = nil
 	m.settings.InitialStart = false
 }
@@ -57,7 +57,7 @@
 func (m *member) url(path string) string { return "http://" + m.settings.Listen.ControlPlane + path }
 
 // core makes members that have not been started.
-func core(n int) []*member {
+func newMembers(n int) []*member {
 	_, port, err := net.SplitHostPort(loopback.Address())
 	Expect(err).NotTo(HaveOccurred())
 	_, controlPort, err := net.SplitHostPort(loopback.Address())
@@ -70,14 +70,14 @@
 	for i := range n {
 		// Hosts of this process alone: see loopback.Host, whose hosts are below these.
 		host := fmt.Sprintf("127.%d.%d.%d", 128+i, os.Getpid()>>8&0xff, os.Getpid()&0xff)
-		s := nodefile.Defaults()
-		s.NodeName, s.IPAddress, s.InternalPortRange = fmt.Sprintf("core-%d", i), host, []int{internal, internal}
-		s.DataDirectory, s.InitialStart = GinkgoT().TempDir(), true
-		s.Listen.ControlPlane = net.JoinHostPort(host, controlPort)
-		s.Limits.DiskMB = 16
-		s.Bounds.ContactMs, s.Bounds.GracePeriodS = 900, 3
-		seeds = append(seeds, s.Listen.ControlPlane)
-		members = append(members, &member{settings: s})
+		settings := nodefile.Defaults()
+		settings.NodeName, settings.IPAddress, settings.InternalPortRange = fmt.Sprintf("core-%d", i), host, []int{internal, internal}
+		settings.DataDirectory, settings.InitialStart = GinkgoT().TempDir(), true
+		settings.Listen.ControlPlane = net.JoinHostPort(host, controlPort)
+		settings.Limits.DiskMB = 16
+		settings.Bounds.ContactMs, settings.Bounds.GracePeriodS = 900, 3
+		seeds = append(seeds, settings.Listen.ControlPlane)
+		members = append(members, &member{settings: settings})
 	}
 	for _, m := range members {
 		m.settings.SeedNodes = seeds
@@ -86,8 +86,8 @@
 	return members
 }
 
-func started(n int) []*member {
-	members := core(n)
+func startMembers(n int) []*member {
+	members := newMembers(n)
 	for _, m := range members {
 		m.start()
 	}
@@ -116,19 +116,19 @@
 	return response.StatusCode, string(text)
 }
 
-func change(m *member, version, base int) int {
+func sendChange(m *member, version, base int) int {
 	body := fmt.Sprintf(`{"version":%d,"routes":[],"services":[{"name":"s%d"}]}`, version, version)
 	status, _ := call(http.MethodPost, m.url("/configuration/replace"), body, fmt.Sprintf("X-Base-Version: %d", base))
 	return status
 }
 
 // taken sends a change until it is acknowledged, as the operator does.
-func taken(m *member, version, base int) {
+func changeUntilAcknowledged(m *member, version, base int) {
 	GinkgoHelper()
-	Eventually(func() int { return change(m, version, base) }, patience).Should(Equal(http.StatusOK))
+	Eventually(func() int { return sendChange(m, version, base) }, eventuallyTimeout).Should(Equal(http.StatusOK))
 }
 
-func version(m *member) string {
+func readVersion(m *member) string {
 	status, text := call(http.MethodGet, m.url("/configuration/read"), "")
 	if status != http.StatusOK {
 		return ""
@@ -138,7 +138,7 @@
 	return number
 }
 
-func beat(m *member, id string, sequence int, state sessions.State) int {
+func sendHeartbeat(m *member, id string, sequence int, state sessions.State) int {
 	body := fmt.Sprintf(`{"service":"s","address":"127.0.0.1:1","zone":"a","state":%q,"sequence":%d}`, state, sequence)
 	status, _ := call(http.MethodPost, m.url("/instances/"+id+"/heartbeat"), body)
 	return status
@@ -146,19 +146,19 @@
 
 var _ = Describe("the configuration", func() {
 	It("is taken at any member, given back at any other, and refused where the page says so", func() {
-		members := started(3)
-		taken(members[1], 3, 0)
-		Eventually(func() string { return version(members[2]) }, patience).Should(Equal("3"))
-		Eventually(func() int { return change(members[0], 5, 1) }, patience).Should(Equal(http.StatusPreconditionFailed))
-		Eventually(func() int { return change(members[2], 2, 3) }, patience).Should(Equal(http.StatusBadRequest))
-		taken(members[2], 7, 3)
-		taken(members[0], 3, 0) // an order that was taken is acknowledged again, at any member, also after others
-		Eventually(func() string { return version(members[0]) }, patience).Should(Equal("7"))
+		members := startMembers(3)
+		changeUntilAcknowledged(members[1], 3, 0)
+		Eventually(func() string { return readVersion(members[2]) }, eventuallyTimeout).Should(Equal("3"))
+		Eventually(func() int { return sendChange(members[0], 5, 1) }, eventuallyTimeout).Should(Equal(http.StatusPreconditionFailed))
+		Eventually(func() int { return sendChange(members[2], 2, 3) }, eventuallyTimeout).Should(Equal(http.StatusBadRequest))
+		changeUntilAcknowledged(members[2], 7, 3)
+		changeUntilAcknowledged(members[0], 3, 0) // an order that was taken is acknowledged again, at any member, also after others
+		Eventually(func() string { return readVersion(members[0]) }, eventuallyTimeout).Should(Equal("7"))
 	})
 
 	It("outlives every process, and the loss of one disk", func() {
-		members := started(3)
-		taken(members[0], 3, 0)
+		members := startMembers(3)
+		changeUntilAcknowledged(members[0], 3, 0)
 		for _, m := range members {
 			m.end()
 		}
@@ -167,37 +167,37 @@
 			m.start()
 		}
 		for _, m := range members {
-			Eventually(func() string { return version(m) }, patience).Should(Equal("3"))
+			Eventually(func() string { return readVersion(m) }, eventuallyTimeout).Should(Equal("3"))
 		}
-		taken(members[1], 4, 3)
+		changeUntilAcknowledged(members[1], 4, 3)
 	})
 
 	It("is taken while a member is gone", func() {
-		members := started(3)
-		taken(members[2], 3, 0)
+		members := startMembers(3)
+		changeUntilAcknowledged(members[2], 3, 0)
 		members[0].end()
-		taken(members[2], 4, 3)
-		Eventually(func() string { return version(members[1]) }, patience).Should(Equal("4"))
+		changeUntilAcknowledged(members[2], 4, 3)
+		Eventually(func() string { return readVersion(members[1]) }, eventuallyTimeout).Should(Equal("4"))
 	})
 
 	It("is not taken by a member that is alone", func() {
-		members := core(3)
+		members := newMembers(3)
 		members[0].start()
-		Eventually(func() int { return change(members[0], 3, 0) }, patience).Should(Equal(http.StatusServiceUnavailable))
+		Eventually(func() int { return sendChange(members[0], 3, 0) }, eventuallyTimeout).Should(Equal(http.StatusServiceUnavailable))
 	})
 
 	DescribeTable("is refused where it cannot be read",
 		func(path, body, base string, status int) {
-			members := started(1)
+			members := startMembers(1)
 			Eventually(func() int {
 				got, _ := call(http.MethodPost, members[0].url(path), body, "X-Base-Version: "+base)
 				return got
-			}, patience).Should(Equal(status))
+			}, eventuallyTimeout).Should(Equal(status))
 		},
 		Entry("no JSON", "/configuration/replace", "{", "0", http.StatusBadRequest),
 		Entry("no base", "/configuration/replace", "{}", "x", http.StatusBadRequest),
 		Entry("deeply nested", "/configuration/replace", strings.Repeat("[", 100000), "0", http.StatusBadRequest),
-		Entry("too large", "/configuration/replace", strings.Repeat(" ", mostConfig+1), "0", http.StatusRequestEntityTooLarge),
+		Entry("too large", "/configuration/replace", strings.Repeat(" ", maxConfigurationBytes+1), "0", http.StatusRequestEntityTooLarge),
 	)
 })
 
@@ -209,7 +209,7 @@
 			var err error
 			conn, err = peerlink.Dial(m.settings.InternalAddress(m.settings.IPAddress), time.Second)
 			return err
-		}, patience).Should(Succeed())
+		}, eventuallyTimeout).Should(Succeed())
 		DeferCleanup(conn.Close)
 		Expect(conn.Send(protocol.Subscribe{Name: "proxy"}, time.Second)).To(Succeed())
 		return conn
@@ -226,41 +226,41 @@
 			}
 			update, ok := message.(protocol.Update)
 			return ok && wanted(update)
-		}, patience).Should(BeTrue())
+		}, eventuallyTimeout).Should(BeTrue())
 	}
 
 	It("brings the committed configuration", func() {
-		members := started(3)
-		taken(members[0], 3, 0)
+		members := startMembers(3)
+		changeUntilAcknowledged(members[0], 3, 0)
 		until(members[2], func(u protocol.Update) bool { return u.Configuration != nil && u.Configuration.Document.Version == 3 })
 	})
 
 	It("brings, from any member, what an endpoint said to another", func() {
-		members := started(3)
-		Eventually(func() int { return beat(members[0], "i-1", 1, sessions.Ready) }, patience).Should(Equal(http.StatusOK))
+		members := startMembers(3)
+		Eventually(func() int { return sendHeartbeat(members[0], "i-1", 1, sessions.Ready) }, eventuallyTimeout).Should(Equal(http.StatusOK))
 		until(members[1], func(u protocol.Update) bool { return len(u.Endpoints) == 1 && u.Endpoints[0].State == sessions.Ready })
-		Eventually(func() int { return beat(members[2], "i-1", 2, sessions.Draining) }, patience).Should(Equal(http.StatusOK))
+		Eventually(func() int { return sendHeartbeat(members[2], "i-1", 2, sessions.Draining) }, eventuallyTimeout).Should(Equal(http.StatusOK))
 		until(members[1], func(u protocol.Update) bool {
 			return len(u.Endpoints) == 1 && u.Endpoints[0].State == sessions.Draining
 		})
 	})
 
 	It("says that an endpoint leaves only when a majority knows", func() {
-		members := started(3)
-		Eventually(func() int { return beat(members[0], "i-1", 1, sessions.Ready) }, patience).Should(Equal(http.StatusOK))
+		members := startMembers(3)
+		Eventually(func() int { return sendHeartbeat(members[0], "i-1", 1, sessions.Ready) }, eventuallyTimeout).Should(Equal(http.StatusOK))
 		members[1].end()
 		members[2].end()
-		Eventually(func() int { return beat(members[0], "i-1", 2, sessions.Draining) }, patience).Should(Equal(http.StatusServiceUnavailable))
+		Eventually(func() int { return sendHeartbeat(members[0], "i-1", 2, sessions.Draining) }, eventuallyTimeout).Should(Equal(http.StatusServiceUnavailable))
 	})
 
 	It("tells its subscribers to go elsewhere when the member stops", func() {
-		members := started(3)
-		taken(members[0], 3, 0)
+		members := startMembers(3)
+		changeUntilAcknowledged(members[0], 3, 0)
 		leaving := make(chan bool, 1)
 		conn := subscribe(members[2])
 		go func() {
 			for {
-				message, err := conn.Receive(patience)
+				message, err := conn.Receive(eventuallyTimeout)
 				update, _ := message.(protocol.Update)
 				if err != nil || update.Leaving {
 					leaving <- update.Leaving
@@ -269,15 +269,15 @@
 			}
 		}()
 		members[2].end()
-		Eventually(leaving, patience).Should(Receive())
+		Eventually(leaving, eventuallyTimeout).Should(Receive())
 	})
 })
 
 var _ = Describe("the status", func() {
 	It("tells the view, the members, the sidecars and the endpoints", func() {
-		members := started(3)
-		taken(members[0], 3, 0)
-		Eventually(func() int { return beat(members[0], "i-1", 1, sessions.Ready) }, patience).Should(Equal(http.StatusOK))
+		members := startMembers(3)
+		changeUntilAcknowledged(members[0], 3, 0)
+		Eventually(func() int { return sendHeartbeat(members[0], "i-1", 1, sessions.Ready) }, eventuallyTimeout).Should(Equal(http.StatusOK))
 		address := members[1].settings.InternalAddress(members[1].settings.IPAddress)
 		Eventually(func(g Gomega) {
 			status, err := AskStatus(address)
@@ -286,18 +286,18 @@
 			g.Expect(status.Members).To(HaveLen(3))
 			g.Expect(status.InForce).To(BeTrue())
 			g.Expect(status.Endpoints).To(HaveKeyWithValue(sessions.Ready, 1))
-		}, patience).Should(Succeed())
+		}, eventuallyTimeout).Should(Succeed())
 	})
 })
 
 var _ = Describe("a heartbeat", func() {
 	DescribeTable("that cannot be read is refused",
 		func(body string) {
-			members := started(1)
+			members := startMembers(1)
 			Eventually(func() int {
 				status, _ := call(http.MethodPost, members[0].url("/instances/i-1/heartbeat"), body)
 				return status
-			}, patience).Should(Equal(http.StatusBadRequest))
+			}, eventuallyTimeout).Should(Equal(http.StatusBadRequest))
 		},
 		Entry("no JSON", "{"),
 		Entry("no state", `{"service":"s","address":"127.0.0.1:1"}`),
@@ -306,8 +306,8 @@
 	)
 
 	It("is acknowledged in little", func() {
-		members := started(1)
-		Eventually(func() int { return beat(members[0], "i-1", 1, sessions.Ready) }, patience).Should(Equal(http.StatusOK))
+		members := startMembers(1)
+		Eventually(func() int { return sendHeartbeat(members[0], "i-1", 1, sessions.Ready) }, eventuallyTimeout).Should(Equal(http.StatusOK))
 		_, text := call(http.MethodPost, members[0].url("/instances/i-1/deregister"), "")
 		Expect(len(text)).To(BeNumerically("<", 4096))
 	})
--- a/internal/controlplane/drain_ack.go
+++ b/internal/controlplane/drain_ack.go
@@ -11,89 +11,89 @@
 // pendingLeave is the notice of an endpoint that it leaves. Its acknowledgement binds all sidecars and must outlive the
 // member that gave it, and a loss of power of all members: it waits until every voter of the view has the notice on disk,
 // or, after a while, a majority.
-type pendingLeave struct {
-	id     string
-	state  sessions.State  // Draining or Gone
-	until  time.Duration   // when a majority is enough
-	stored map[string]bool // addresses of the members that have it on disk
-	answer func(error)
+type pendingDeparture struct {
+	id       string
+	state    sessions.State  // Draining or Gone
+	deadline time.Duration   // when a majority is enough
+	storedAt map[string]bool // addresses of the members that have it on disk
+	answer   func(error)
 }
 
-const mostLeaves = 4096
+const maxPendingDepartures = 4096
 
 // replicateLeave has the other voters store that an endpoint leaves.
-func (p *Process) replicateLeave(id string, state sessions.State, answer func(error)) {
-	if !p.replicatedLeaves[id].Before(state) {
+func (s *Server) replicateDeparture(id string, state sessions.State, answer func(error)) {
+	if !s.acknowledgedDepartures[id].Before(state) {
 		answer(nil)
 		return
 	}
-	if len(p.leaves) >= mostLeaves {
+	if len(s.departures) >= maxPendingDepartures {
 		answer(errkind.New(errkind.Unavailable, "too many endpoints leave at once"))
 		return
 	}
-	if !p.knowsLeave(id, state) {
+	if !s.hasDeparture(id, state) {
 		answer(errkind.New(errkind.Unavailable, "the table of sessions is full"))
 		return
 	}
-	number := p.calls.number()
-	p.leaves[number] = &pendingLeave{id: id, state: state, until: p.now() + p.timing.drainAckWithin,
-		stored: map[string]bool{}, answer: answer}
-	p.log.Info("endpoint.leaves", "id", id, "state", string(state))
-	update := protocol.SessionUpdate{From: p.node.Self().Address, Ask: number, Records: p.table.Records(p.sessionClock, []string{id})}
-	for _, peer := range p.peers() {
-		p.send(peer, update)
+	number := s.pending.nextNumber()
+	s.departures[number] = &pendingDeparture{id: id, state: state, deadline: s.now() + s.timing.drainAckTimeout,
+		storedAt: map[string]bool{}, answer: answer}
+	s.log.Info("endpoint.leaves", "id", id, "state", string(state))
+	update := protocol.SessionUpdate{From: s.chain.Self().Address, Ask: number, Records: s.table.Records(s.sessionClock, []string{id})}
+	for _, peer := range s.peerAddresses() {
+		s.send(peer, update)
 	}
-	p.afterSaved(func() { p.leaveStored(number, p.node.Self().Address) })
+	s.afterSessionsStored(func() { s.departureStored(number, s.chain.Self().Address) })
 }
 
 // knowsLeave tells whether the table has it that an endpoint is at least as far on its way out as a state.
-func (p *Process) knowsLeave(id string, state sessions.State) bool {
-	known, ok := p.table.Get(id)
+func (s *Server) hasDeparture(id string, state sessions.State) bool {
+	known, ok := s.table.Get(id)
 	return ok && !known.State.Before(state)
 }
 
-func (p *Process) onSessionAck(m protocol.SessionAck) { p.leaveStored(m.Ask, m.From) }
+func (s *Server) onSessionAck(m protocol.SessionAck) { s.departureStored(m.Ask, m.From) }
 
 // leaveStored notes that a member has the notice of an endpoint on disk.
-func (p *Process) leaveStored(number uint64, address string) {
-	leave := p.leaves[number]
+func (s *Server) departureStored(number uint64, address string) {
+	leave := s.departures[number]
 	if leave == nil {
 		return
 	}
-	leave.stored[address] = true
-	p.answerLeave(number, leave)
+	leave.storedAt[address] = true
+	s.answerDeparture(number, leave)
 }
 
 // answerLeave answers a notice that all voters have stored or, when its time is over, that a majority has or has not.
-func (p *Process) answerLeave(number uint64, leave *pendingLeave) {
-	view := p.node.View()
+func (s *Server) answerDeparture(number uint64, leave *pendingDeparture) {
+	view := s.chain.View()
 	stored := 0
 	for _, voter := range view.Voters {
-		if leave.stored[voter.Address] {
+		if leave.storedAt[voter.Address] {
 			stored++
 		}
 	}
-	over := p.now() > leave.until
+	over := s.now() > leave.deadline
 	switch {
 	case stored == len(view.Voters), over && stored >= view.Majority():
-		p.replicatedLeaves[leave.id] = leave.state
+		s.acknowledgedDepartures[leave.id] = leave.state
 		leave.answer(nil)
 	case over:
 		leave.answer(errkind.New(errkind.Unavailable, "no majority has stored that the endpoint leaves"))
 	default:
 		return
 	}
-	delete(p.leaves, number)
+	delete(s.departures, number)
 }
 
 // expireLeaves answers the notices whose time is over, and forgets endpoints that the table has forgotten.
-func (p *Process) expireLeaves() {
-	for number, leave := range p.leaves {
-		p.answerLeave(number, leave)
+func (s *Server) expireDepartures() {
+	for number, leave := range s.departures {
+		s.answerDeparture(number, leave)
 	}
-	for id := range p.replicatedLeaves {
-		if _, known := p.table.Get(id); !known {
-			delete(p.replicatedLeaves, id)
+	for id := range s.acknowledgedDepartures {
+		if _, known := s.table.Get(id); !known {
+			delete(s.acknowledgedDepartures, id)
 		}
 	}
 }
--- a/internal/controlplane/endpoint_loads_test.go
+++ b/internal/controlplane/endpoint_loads_test.go
@@ -16,22 +16,22 @@
 	}
 
 	It("are summed over sidecars and peers, each by its last word", func() {
-		table := newLoadTable()
-		table.report(0, "p1", []protocol.EndpointLoad{calls("a", 5, 5)})
-		table.report(0, "p1", []protocol.EndpointLoad{calls("a", 2, 1), calls("b", 1, 0)})
-		table.report(0, "p2", []protocol.EndpointLoad{calls("a", 3, 1)})
-		table.share(0, protocol.LoadShare{From: "peer", Loads: []protocol.EndpointLoad{calls("b", 4, 4)}})
-		loads, due := table.due(0)
+		table := newEndpointLoadTable()
+		table.applyReport(0, "p1", []protocol.EndpointLoad{calls("a", 5, 5)})
+		table.applyReport(0, "p1", []protocol.EndpointLoad{calls("a", 2, 1), calls("b", 1, 0)})
+		table.applyReport(0, "p2", []protocol.EndpointLoad{calls("a", 3, 1)})
+		table.applyPeerLoads(0, protocol.LoadShare{From: "peer", Loads: []protocol.EndpointLoad{calls("b", 4, 4)}})
+		loads, due := table.totalsIfDue(0)
 		Expect(due).To(BeTrue())
 		Expect(loads).To(ConsistOf(calls("a", 5, 2), calls("b", 5, 4)))
 	})
 
 	It("leave with their sidecar, and with a peer that has gone quiet", func() {
-		table := newLoadTable()
-		table.report(0, "p1", []protocol.EndpointLoad{calls("a", 1, 1)})
-		table.report(0, "p1", nil)
-		table.share(0, protocol.LoadShare{From: "peer", Loads: []protocol.EndpointLoad{calls("b", 4, 4)}})
-		loads, due := table.due(2 * shareFor)
+		table := newEndpointLoadTable()
+		table.applyReport(0, "p1", []protocol.EndpointLoad{calls("a", 1, 1)})
+		table.applyReport(0, "p1", nil)
+		table.applyPeerLoads(0, protocol.LoadShare{From: "peer", Loads: []protocol.EndpointLoad{calls("b", 4, 4)}})
+		loads, due := table.totalsIfDue(2 * peerLoadsTTL)
 		Expect(due).To(BeTrue())
 		Expect(loads).To(BeEmpty())
 	})
@@ -40,40 +40,40 @@
 		ended := func(id string, good, failed float64) protocol.EndpointLoad {
 			return protocol.EndpointLoad{ID: id, Good: good, Failed: failed}
 		}
-		table := newLoadTable()
-		table.report(0, "p1", []protocol.EndpointLoad{ended("a", 2, 1), ended("b", 5, 0)})
-		table.report(0, "p2", []protocol.EndpointLoad{ended("a", 1, 3)})
-		table.report(0, "p1", nil)
-		table.share(0, protocol.LoadShare{From: "peer", Loads: []protocol.EndpointLoad{ended("a", 0, 2)}})
-		loads, due := table.due(0)
+		table := newEndpointLoadTable()
+		table.applyReport(0, "p1", []protocol.EndpointLoad{ended("a", 2, 1), ended("b", 5, 0)})
+		table.applyReport(0, "p2", []protocol.EndpointLoad{ended("a", 1, 3)})
+		table.applyReport(0, "p1", nil)
+		table.applyPeerLoads(0, protocol.LoadShare{From: "peer", Loads: []protocol.EndpointLoad{ended("a", 0, 2)}})
+		loads, due := table.totalsIfDue(0)
 		Expect(due).To(BeTrue())
 		Expect(loads).To(ConsistOf(ended("a", 3, 6)))
-		Expect(table.here(time.Hour)).To(BeEmpty())
+		Expect(table.localTotals(time.Hour)).To(BeEmpty())
 		Expect(table.outcomes).To(BeEmpty(), "forgotten")
 	})
 
 	It("are counted at a bounded number of endpoints", func() {
-		table := newLoadTable()
-		for i := range 2 * mostCounted {
-			table.report(0, "p1", []protocol.EndpointLoad{{ID: fmt.Sprint("e", i), Failed: 1}})
+		table := newEndpointLoadTable()
+		for i := range 2 * maxOutcomeEndpoints {
+			table.applyReport(0, "p1", []protocol.EndpointLoad{{ID: fmt.Sprint("e", i), Failed: 1}})
 		}
-		Expect(table.outcomes).To(HaveLen(mostCounted))
+		Expect(table.outcomes).To(HaveLen(maxOutcomeEndpoints))
 	})
 
 	It("are told within a bound of bytes a second, whatever their number", func() {
-		table := newLoadTable()
+		table := newEndpointLoadTable()
 		var many []protocol.EndpointLoad
 		for i := range 5000 {
 			many = append(many, calls(fmt.Sprint("e", i), 1, 0))
 		}
-		table.report(0, "p1", many)
+		table.applyReport(0, "p1", many)
 		sent := 0
 		for at := time.Duration(0); at < time.Minute; at += 50 * time.Millisecond {
-			if loads, due := table.due(at); due {
-				sent += len(loads) * loadBytes
+			if loads, due := table.totalsIfDue(at); due {
+				sent += len(loads) * encodedLoadBytes
 			}
 		}
-		Expect(sent).To(BeNumerically("<=", 60*loadRate+len(many)*loadBytes))
+		Expect(sent).To(BeNumerically("<=", 60*maxLoadBytesPerSecond+len(many)*encodedLoadBytes))
 		Expect(sent).To(BeNumerically(">", 0))
 	})
 })
--- a/internal/controlplane/explain_endpoint.go
+++ b/internal/controlplane/explain_endpoint.go
@@ -12,13 +12,13 @@
 )
 
 // mostDecisions bounds the orders that are remembered with the figures they were given by.
-const mostDecisions = 512
+const maxDecisions = 512
 
 // decisionLog is the last orders of a holder of the placement, the oldest first.
 type decisionLog struct{ decisions []protocol.Decision }
 
 // note remembers the orders of a plan, with the copies and the demand that the plan went by.
-func (l *decisionLog) note(now time.Duration, service string, orders []placement.Order, input *placement.Input) {
+func (l *decisionLog) record(now time.Duration, service string, orders []placement.Order, input *placement.Input) {
 	if len(orders) == 0 {
 		return
 	}
@@ -33,7 +33,7 @@
 		l.decisions = append(l.decisions, protocol.Decision{At: now, Service: service, Endpoint: order.Endpoint, Operation: string(order.Operation),
 			Model: order.Model, Adapter: order.Adapter, For: order.FreesMemoryFor, Copies: copies[order.Model], Demand: demandOf(need)})
 	}
-	if beyond := len(l.decisions) - mostDecisions; beyond > 0 {
+	if beyond := len(l.decisions) - maxDecisions; beyond > 0 {
 		l.decisions = append(l.decisions[:0], l.decisions[beyond:]...)
 	}
 }
@@ -55,15 +55,15 @@
 
 // AskExplain asks the control sidecar at an internal address why a model stands where it does.
 func AskExplain(address, model string) (protocol.Explanation, error) {
-	conn, err := peerlink.Dial(address, statusWithin)
+	conn, err := peerlink.Dial(address, statusTimeout)
 	if err != nil {
 		return protocol.Explanation{}, errors.Wrap(err, "explain")
 	}
 	defer conn.Close()
-	if err := conn.Send(protocol.ExplainAsk{Model: model}, statusWithin); err != nil {
+	if err := conn.Send(protocol.ExplainAsk{Model: model}, statusTimeout); err != nil {
 		return protocol.Explanation{}, errors.Wrap(err, "explain")
 	}
-	message, err := conn.Receive(statusWithin)
+	message, err := conn.Receive(statusTimeout)
 	if err != nil {
 		return protocol.Explanation{}, errors.Wrap(err, "explain")
 	}
@@ -75,24 +75,24 @@
 }
 
 // serveExplain answers one call for an explanation.
-func (p *Process) serveExplain(conn *peerlink.Conn, ask protocol.ExplainAsk) {
+func (s *Server) serveExplain(conn *peerlink.Conn, ask protocol.ExplainAsk) {
 	told := make(chan protocol.Explanation, 1)
-	p.post(func() { told <- p.placer.explain(p.now(), ask.Model) })
+	s.enqueue(func() { told <- s.placement.explain(s.now(), ask.Model) })
 	select {
 	case explanation := <-told:
-		if err := conn.Send(explanation, statusWithin); err != nil {
-			p.log.Debug("explanation.not_sent", "error", err)
+		if err := conn.Send(explanation, statusTimeout); err != nil {
+			s.log.Debug("explanation.not_sent", "error", err)
 		}
-	case <-p.ctx.Done():
+	case <-s.ctx.Done():
 	}
 }
 
 // explain tells where a model stands, what is asked for, and which orders have concerned it. Only the holder of the placement
 // knows the demand and its orders.
-func (pl *placer) explain(now time.Duration, model string) protocol.Explanation {
-	explanation := protocol.Explanation{Model: model, Now: now, Holds: pl.holding, Decisions: pl.decisions.about(model)}
+func (c *placementController) explain(now time.Duration, model string) protocol.Explanation {
+	explanation := protocol.Explanation{Model: model, Now: now, Holds: c.holdsLease, Decisions: c.decisions.about(model)}
 	services := map[string]bool{}
-	for _, e := range pl.process.table.Endpoints() {
+	for _, e := range c.server.table.Endpoints() {
 		if e.State == sessions.Departed || !e.HasLoaded(model, "") {
 			continue
 		}
@@ -103,7 +103,7 @@
 		services[decision.Service] = true
 	}
 	for service := range services {
-		need := pl.demand.Estimate(now, placement.Key{Service: service, Model: model})
+		need := c.demand.Estimate(now, placement.Key{Service: service, Model: model})
 		explanation.Demand = append(explanation.Demand, protocol.ServiceDemand{Service: service, ModelDemand: demandOf(need)})
 	}
 	return explanation
--- a/internal/controlplane/explain_endpoint_test.go
+++ b/internal/controlplane/explain_endpoint_test.go
@@ -13,7 +13,7 @@
 	note := func(l *decisionLog, model, makesRoomFor string) {
 		demand := placement.NewDemand()
 		demand.Report(time.Second, "proxy", []placement.Sample{{Key: placement.Key{Service: "s", Model: model}, Requests: 3, Unplaced: 1}})
-		l.note(time.Second, "s", []placement.Order{{Endpoint: "i-1", Operation: placement.Unload, Model: model, FreesMemoryFor: makesRoomFor}},
+		l.record(time.Second, "s", []placement.Order{{Endpoint: "i-1", Operation: placement.Unload, Model: model, FreesMemoryFor: makesRoomFor}},
 			&placement.Input{Demand: demand, Endpoints: []placement.Endpoint{{Models: map[string][]string{model: nil}}, {Models: map[string][]string{model: nil}}}})
 	}
 
@@ -32,10 +32,10 @@
 	It("keeps the last ones alone", func() {
 		var l decisionLog
 		note(&l, "first", "")
-		for range mostDecisions {
+		for range maxDecisions {
 			note(&l, "later", "")
 		}
-		Expect(l.decisions).To(HaveLen(mostDecisions))
+		Expect(l.decisions).To(HaveLen(maxDecisions))
 		Expect(l.about("first")).To(BeEmpty())
 	})
 })
--- a/internal/controlplane/heartbeat_endpoint.go
+++ b/internal/controlplane/heartbeat_endpoint.go
@@ -7,17 +7,17 @@
 
 // takeHeartbeat takes a heartbeat of an endpoint. One that says that the endpoint leaves is acknowledged once that is
 // replicated.
-func (p *Process) takeHeartbeat(id string, beat sessions.Heartbeat, answer func(error)) {
-	if !p.node.HasQuorum(p.now()) {
+func (s *Server) applyHeartbeat(id string, heartbeat sessions.Heartbeat, answer func(error)) {
+	if !s.chain.HasQuorum(s.now()) {
 		answer(errkind.New(errkind.Unavailable, "no majority is in touch"))
 		return
 	}
-	p.table.ApplyHeartbeat(p.sessionClock, id, beat)
-	if beat.State == sessions.Draining {
-		p.replicateLeave(id, sessions.Draining, answer)
+	s.table.ApplyHeartbeat(s.sessionClock, id, heartbeat)
+	if heartbeat.State == sessions.Draining {
+		s.replicateDeparture(id, sessions.Draining, answer)
 		return
 	}
-	if _, ok := p.table.Get(id); !ok {
+	if _, ok := s.table.Get(id); !ok {
 		answer(errkind.New(errkind.Unavailable, "the table of sessions is full"))
 		return
 	}
@@ -25,11 +25,11 @@
 }
 
 // deregister notes that an endpoint has gone, and acknowledges it once that is replicated.
-func (p *Process) deregister(id string, answer func(error)) {
-	if !p.node.HasQuorum(p.now()) {
+func (s *Server) deregister(id string, answer func(error)) {
+	if !s.chain.HasQuorum(s.now()) {
 		answer(errkind.New(errkind.Unavailable, "no majority is in touch"))
 		return
 	}
-	p.table.Deregister(p.sessionClock, id)
-	p.replicateLeave(id, sessions.Departed, answer)
+	s.table.Deregister(s.sessionClock, id)
+	s.replicateDeparture(id, sessions.Departed, answer)
 }
--- a/internal/controlplane/http_server.go
+++ b/internal/controlplane/http_server.go
@@ -16,26 +16,26 @@
 )
 
 const (
-	headerTimeout = 3 * time.Second
-	idleTimeout   = 60 * time.Second
-	mostHeartbeat = 1 << 20
-	mostConfig    = 16 << 20
+	headerTimeout         = 3 * time.Second
+	idleTimeout           = 60 * time.Second
+	maxHeartbeatBytes     = 1 << 20
+	maxConfigurationBytes = 16 << 20
 )
 
 // handler serves endpoints and the operator.
-func (p *Process) handler() http.Handler {
+func (s *Server) httpHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /instances/{id}/heartbeat", p.handleHeartbeat)
-	mux.HandleFunc("POST /instances/{id}/deregister", p.handleDeregister)
-	mux.HandleFunc("POST /configuration/replace", p.handleChange(fleetconfig.Replace))
-	mux.HandleFunc("POST /configuration/modify", p.handleChange(fleetconfig.Modify))
-	mux.HandleFunc("GET /configuration/read", p.handleRead)
-	mux.HandleFunc("GET /metrics", p.handleMetrics)
+	mux.HandleFunc("POST /instances/{id}/heartbeat", s.handleHeartbeat)
+	mux.HandleFunc("POST /instances/{id}/deregister", s.handleDeregister)
+	mux.HandleFunc("POST /configuration/replace", s.handleChange(fleetconfig.Replace))
+	mux.HandleFunc("POST /configuration/modify", s.handleChange(fleetconfig.Modify))
+	mux.HandleFunc("GET /configuration/read", s.handleRead)
+	mux.HandleFunc("GET /metrics", s.handleMetrics)
 	return mux
 }
 
 // refuse answers with an error.
-func refuse(w http.ResponseWriter, err error) {
+func writeError(w http.ResponseWriter, err error) {
 	answer := errkind.AnswerOf(errkind.KindOf(err))
 	http.Error(w, err.Error(), answer.Status)
 }
@@ -52,9 +52,9 @@
 }
 
 // outcome waits for the owner's answer.
-func outcome(p *Process, begin func(answer func(error))) error {
+func awaitOutcome(s *Server, begin func(answer func(error))) error {
 	answered := make(chan error, 1)
-	p.post(func() {
+	s.enqueue(func() {
 		begin(func(err error) {
 			select {
 			case answered <- err:
@@ -65,39 +65,39 @@
 	select {
 	case err := <-answered:
 		return err
-	case <-time.After(p.timing.answerWithin + p.timing.tick):
+	case <-time.After(s.timing.callTimeout + s.timing.tickInterval):
 		return errkind.New(errkind.Unavailable, "no answer in time")
 	}
 }
 
-func (p *Process) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
-	body, err := readBody(r, mostHeartbeat)
+func (s *Server) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
+	body, err := readBody(r, maxHeartbeatBytes)
 	if err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
-	var beat sessions.Heartbeat
-	if err := json.Unmarshal(body, &beat); err != nil {
-		refuse(w, errkind.New(errkind.Malformed, err.Error()))
+	var heartbeat sessions.Heartbeat
+	if err := json.Unmarshal(body, &heartbeat); err != nil {
+		writeError(w, errkind.New(errkind.Malformed, err.Error()))
 		return
 	}
-	if beat.State != sessions.Ready && beat.State != sessions.Draining || beat.Service == "" || beat.Address == "" {
-		refuse(w, errkind.New(errkind.Malformed, "service, address or state"))
+	if heartbeat.State != sessions.Ready && heartbeat.State != sessions.Draining || heartbeat.Service == "" || heartbeat.Address == "" {
+		writeError(w, errkind.New(errkind.Malformed, "service, address or state"))
 		return
 	}
 	id := r.PathValue("id")
-	if err := outcome(p, func(answer func(error)) { p.takeHeartbeat(id, beat, answer) }); err != nil {
-		refuse(w, err)
+	if err := awaitOutcome(s, func(answer func(error)) { s.applyHeartbeat(id, heartbeat, answer) }); err != nil {
+		writeError(w, err)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	io.WriteString(w, "{}\n")
 }
 
-func (p *Process) handleDeregister(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleDeregister(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
-	if err := outcome(p, func(answer func(error)) { p.deregister(id, answer) }); err != nil {
-		refuse(w, err)
+	if err := awaitOutcome(s, func(answer func(error)) { s.deregister(id, answer) }); err != nil {
+		writeError(w, err)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -105,9 +105,9 @@
 }
 
 // reply waits for the answer to a write or a read.
-func (p *Process) reply(begin func(answer func(protocol.Reply))) (protocol.Reply, error) {
+func (s *Server) awaitReply(begin func(answer func(protocol.Reply))) (protocol.Reply, error) {
 	var reply protocol.Reply
-	err := outcome(p, func(answer func(error)) {
+	err := awaitOutcome(s, func(answer func(error)) {
 		begin(func(got protocol.Reply) {
 			reply = got
 			if got.Failed {
@@ -123,22 +123,22 @@
 	return reply, nil
 }
 
-func (p *Process) handleChange(operation fleetconfig.Operation) http.HandlerFunc {
+func (s *Server) handleChange(operation fleetconfig.Operation) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		body, err := readBody(r, mostConfig)
+		body, err := readBody(r, maxConfigurationBytes)
 		if err != nil {
-			refuse(w, err)
+			writeError(w, err)
 			return
 		}
 		base, err := strconv.ParseInt(r.Header.Get("X-Base-Version"), 10, 64)
 		if err != nil {
-			refuse(w, errkind.New(errkind.Malformed, "X-Base-Version"))
+			writeError(w, errkind.New(errkind.Malformed, "X-Base-Version"))
 			return
 		}
 		change := fleetconfig.Change{Operation: operation, Base: base, Body: body}
-		if _, err := p.reply(func(answer func(protocol.Reply)) { p.write(change, answer) }); err != nil {
-			p.log.Info("configuration.not_taken", "base", base, "error", err)
-			refuse(w, err)
+		if _, err := s.awaitReply(func(answer func(protocol.Reply)) { s.writeConfiguration(change, answer) }); err != nil {
+			s.log.Info("configuration.not_taken", "base", base, "error", err)
+			writeError(w, err)
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
@@ -146,15 +146,15 @@
 	}
 }
 
-func (p *Process) handleRead(w http.ResponseWriter, _ *http.Request) {
-	reply, err := p.reply(p.read)
+func (s *Server) handleRead(w http.ResponseWriter, _ *http.Request) {
+	reply, err := s.awaitReply(s.readConfiguration)
 	if err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
 	text, err := reply.Document.JSON()
 	if err != nil {
-		refuse(w, errors.Wrap(err, "configuration"))
+		writeError(w, errors.Wrap(err, "configuration"))
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
--- a/internal/controlplane/metrics_endpoint.go
+++ b/internal/controlplane/metrics_endpoint.go
@@ -13,14 +13,14 @@
 )
 
 // handleMetrics tells the process's state as text, in the exposition format of Prometheus.
-func (p *Process) handleMetrics(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) handleMetrics(w http.ResponseWriter, _ *http.Request) {
 	told := make(chan protocol.Status, 1)
-	p.post(func() { told <- p.status() })
+	s.enqueue(func() { told <- s.status() })
 	select {
 	case status := <-told:
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 		writeMetrics(w, &status)
-	case <-p.ctx.Done():
+	case <-s.ctx.Done():
 		http.Error(w, "the process ends", http.StatusServiceUnavailable)
 	}
 }
@@ -51,8 +51,8 @@
 // longestLag is by how many changes the subscriber that is furthest behind lags.
 func longestLag(subscribers []protocol.SubscriberStatus) uint64 {
 	var longest uint64
-	for _, s := range subscribers {
-		longest = max(longest, s.Behind)
+	for _, subscriber := range subscribers {
+		longest = max(longest, subscriber.Behind)
 	}
 	return longest
 }
--- a/internal/controlplane/order_client.go
+++ b/internal/controlplane/order_client.go
@@ -16,17 +16,17 @@
 const (
 	orderTimeout = 500 * time.Millisecond
 	// reportLag is how old an endpoint's report may be.
-	reportLag = 300 * time.Millisecond
+	maxReportAge = 300 * time.Millisecond
 	// adapterLoad is how long an adapter takes to load, and unloadWait how often the end of an order is looked for.
-	adapterLoad = 25 * time.Millisecond
-	orderLook   = 100 * time.Millisecond
+	adapterLoadTime        = 25 * time.Millisecond
+	completionPollInterval = 100 * time.Millisecond
 	// orderPause is how long an endpoint is left alone after an order that it did not take.
-	orderPause = 300 * time.Millisecond
+	failedOrderBackoff = 300 * time.Millisecond
 	// conflictTries is how often an order is given again that another one stands in the way of.
-	conflictTries = 5
-	conflictPause = 60 * time.Millisecond
+	maxConflictRetries = 5
+	conflictBackoff    = 60 * time.Millisecond
 	// orderPatience is how much longer than expected an order may take.
-	orderPatience = 5 * time.Second
+	orderTimeoutMargin = 5 * time.Second
 )
 
 // endpointReport is what an endpoint tells on GET /report.
@@ -37,7 +37,7 @@
 }
 
 // orderBody is the body of POST /order.
-type orderBody struct {
+type orderRequest struct {
 	Operation    placement.Operation `json:"operation"`
 	Model        string              `json:"model"`
 	Adapter      string              `json:"adapter,omitempty"`
@@ -88,7 +88,7 @@
 }
 
 // order gives an endpoint an order, and tells the status of the answer.
-func (c *orderClient) order(ctx context.Context, address string, body orderBody) (status int, err error) {
+func (c *orderClient) order(ctx context.Context, address string, body orderRequest) (status int, err error) {
 	request, err := sling.New().Post("http://" + address + "/order").BodyJSON(body).Request()
 	if err != nil {
 		return 0, errors.Wrap(err, "order")
@@ -105,18 +105,18 @@
 type orderResult int
 
 const (
-	orderDone     orderResult = iota
-	orderRefused              // it was not taken
-	orderNotGiven             // it was not sent
-	orderUnknown              // it may have been taken
+	orderDone    orderResult = iota
+	orderRefused             // it was not taken
+	orderNotSent             // it was not sent
+	orderUnknown             // it may have been taken
 )
 
 // endpointState is what the holder knows an endpoint to hold: its report, and the orders that it has taken since.
 type endpointState struct {
-	known    bool
-	sequence uint64
-	models   map[string][]string
-	after    time.Duration // a report from before this time does not count
+	known     bool
+	sequence  uint64
+	models    map[string][]string
+	notBefore time.Duration // a report from before this time does not count
 }
 
 func modelsOf(loaded []sessions.LoadedModel) map[string][]string {
--- a/internal/controlplane/overlays.go
+++ b/internal/controlplane/overlays.go
@@ -7,45 +7,47 @@
 )
 
 // overlay tells all sidecars what an order has made of an endpoint.
-func (pl *placer) overlay(now time.Duration, id string, holding sessions.ModelOverride) {
-	known := pl.overlays[id]
+func (c *placementController) addOverride(now time.Duration, id string, holding sessions.ModelOverride) {
+	known := c.overlays[id]
 	holdings := []sessions.ModelOverride{holding}
-	for _, h := range known.holdings {
+	for _, h := range known.overrides {
 		if h.Model != holding.Model || h.Adapter != holding.Adapter {
 			holdings = append(holdings, h)
 		}
 	}
-	pl.setOverlay(now, id, holdings)
+	c.setOverrides(now, id, holdings)
 }
 
-func (pl *placer) setOverlay(now time.Duration, id string, holdings []sessions.ModelOverride) {
-	pl.counter++
-	version := pl.token<<32 | pl.counter
-	pl.overlays[id] = overlay{holdings: holdings, setAt: now}
-	pl.process.table.SetOverlay(id, sessions.Overlay{Version: version, Holdings: holdings})
+func (c *placementController) setOverrides(now time.Duration, id string, holdings []sessions.ModelOverride) {
+	c.overlayCounter++
+	version := c.fencingToken<<32 | c.overlayCounter
+	c.overlays[id] = publishedOverlay{overrides: holdings, setAt: now}
+	c.server.table.SetOverlay(id, sessions.Overlay{Version: version, Holdings: holdings})
 }
 
-func (pl *placer) clearOverlay(now time.Duration, id string) { pl.setOverlay(now, id, nil) }
+func (c *placementController) clearOverrides(now time.Duration, id string) {
+	c.setOverrides(now, id, nil)
+}
 
 // retireOverlays ends overlays that the endpoints' own heartbeats have caught up with, also those of a predecessor.
-func (pl *placer) retireOverlays(now time.Duration) {
-	keep := overlayBeats*pl.process.settings.HeartbeatInterval() + reportLag
-	for id, o := range pl.overlays {
-		if now-o.setAt > keep && pl.underWay[id] == nil {
-			if len(o.holdings) > 0 {
-				pl.clearOverlay(now, id)
+func (c *placementController) expireOverlays(now time.Duration) {
+	keep := overlayHeartbeats*c.server.settings.HeartbeatInterval() + maxReportAge
+	for id, o := range c.overlays {
+		if now-o.setAt > keep && c.inFlight[id] == nil {
+			if len(o.overrides) > 0 {
+				c.clearOverrides(now, id)
 			}
-			delete(pl.overlays, id)
+			delete(c.overlays, id)
 		}
 	}
-	for _, e := range pl.process.table.Endpoints() {
-		if _, own := pl.overlays[e.ID]; !own && len(e.Overlay.Holdings) > 0 {
-			pl.overlays[e.ID] = overlay{holdings: e.Overlay.Holdings, setAt: now}
+	for _, e := range c.server.table.Endpoints() {
+		if _, own := c.overlays[e.ID]; !own && len(e.Overlay.Holdings) > 0 {
+			c.overlays[e.ID] = publishedOverlay{overrides: e.Overlay.Holdings, setAt: now}
 		}
 	}
-	for id := range pl.states {
-		if _, ok := pl.process.table.Get(id); !ok {
-			delete(pl.states, id)
+	for id := range c.endpointStates {
+		if _, ok := c.server.table.Get(id); !ok {
+			delete(c.endpointStates, id)
 		}
 	}
 }
--- a/internal/controlplane/pending_calls.go
+++ b/internal/controlplane/pending_calls.go
@@ -13,80 +13,82 @@
 )
 
 // calls are those of this process to other control sidecars that wait for a reply.
-type calls struct {
-	last    uint64 // number given to a call
-	waiting map[uint64]waitingCall
+type pendingCalls struct {
+	lastNumber uint64 // number given to a call
+	byNumber   map[uint64]pendingCall
 }
 
-type waitingCall struct {
-	until  time.Duration
-	answer func(protocol.Reply)
+type pendingCall struct {
+	deadline time.Duration
+	answer   func(protocol.Reply)
 }
 
-const mostWaiting = 1024
+const maxPendingCalls = 1024
 
-func newCalls() calls { return calls{last: firstNumber(), waiting: map[uint64]waitingCall{}} }
+func newPendingCalls() pendingCalls {
+	return pendingCalls{lastNumber: randomCallNumber(), byNumber: map[uint64]pendingCall{}}
+}
 
 // firstNumber draws the number that a life of a process begins to count its calls from. A reply carries the number of its
 // call alone and may arrive after the caller has started again: it must not answer a call of the later life.
-func firstNumber() uint64 { return mathrand.Uint64()>>1 + 1 }
+func randomCallNumber() uint64 { return mathrand.Uint64()>>1 + 1 }
 
 // number gives the next call its number. It is never 0.
-func (c *calls) number() uint64 {
-	c.last++
-	return c.last
+func (c *pendingCalls) nextNumber() uint64 {
+	c.lastNumber++
+	return c.lastNumber
 }
 
-func failure(err error) protocol.Reply {
+func errorReply(err error) protocol.Reply {
 	return protocol.Reply{Failed: true, Kind: int(errkind.KindOf(err)), Detail: err.Error()}
 }
 
-func unavailable(detail string) protocol.Reply {
-	return failure(errkind.New(errkind.Unavailable, detail))
+func unavailableReply(detail string) protocol.Reply {
+	return errorReply(errkind.New(errkind.Unavailable, detail))
 }
 
 // forward sends a call to another control sidecar and notes who waits for the reply.
-func (p *Process) forward(address string, message func(number uint64) any, answer func(protocol.Reply)) {
-	if len(p.calls.waiting) >= mostWaiting {
-		answer(unavailable("too many calls are waiting"))
+func (s *Server) callPeer(address string, message func(number uint64) any, answer func(protocol.Reply)) {
+	if len(s.pending.byNumber) >= maxPendingCalls {
+		answer(unavailableReply("too many calls are waiting"))
 		return
 	}
-	number := p.calls.number()
-	p.calls.waiting[number] = waitingCall{until: p.now() + p.timing.answerWithin, answer: answer}
-	p.send(address, message(number))
+	number := s.pending.nextNumber()
+	s.pending.byNumber[number] = pendingCall{deadline: s.now() + s.timing.callTimeout, answer: answer}
+	s.send(address, message(number))
 }
 
-func (p *Process) onReply(reply protocol.Reply) {
-	if call, ok := p.calls.waiting[reply.ID]; ok {
-		delete(p.calls.waiting, reply.ID)
+func (s *Server) onReply(reply protocol.Reply) {
+	if call, ok := s.pending.byNumber[reply.ID]; ok {
+		delete(s.pending.byNumber, reply.ID)
 		call.answer(reply)
 	}
 }
 
 // write has a change taken by the head.
-func (p *Process) write(change fleetconfig.Change, answer func(protocol.Reply)) {
-	if p.node.IsHead() {
-		p.writeHere(change, answer)
+func (s *Server) writeConfiguration(change fleetconfig.Change, answer func(protocol.Reply)) {
+	if s.chain.IsHead() {
+		s.proposeAtHead(change, answer)
 		return
 	}
-	view := p.node.View()
+	view := s.chain.View()
 	head, ok := view.Voter(view.Head())
-	if !ok || !p.node.IsReachable(p.now(), head.Address) {
-		answer(unavailable("no head can be reached"))
+	if !ok || !s.chain.IsReachable(s.now(), head.Address) {
+		answer(unavailableReply("no head can be reached"))
 		return
 	}
-	p.forward(head.Address, func(id uint64) any {
-		return protocol.Write{From: p.node.Self().Address, ID: id, Change: change}
+	s.callPeer(head.Address, func(id uint64) any {
+		return protocol.Write{From: s.chain.Self().Address, ID: id, Change: change}
 	}, answer)
 }
 
 // writeHere takes a change where this member is the head.
-func (p *Process) writeHere(change fleetconfig.Change, answer func(protocol.Reply)) {
+func (s *Server) proposeAtHead(change fleetconfig.Change, answer func(protocol.Reply)) {
 	digests := change.Digests()
-	p.carryOut(p.requests.Write(p.now(), chain.Write{
+	s.applyOutput(s.requests.Write(s.now(), chain.Write{
 		Decide:    func(latest any) chain.Decision { return decide(latest.(*fleetconfig.State), digests, change) },
 		IsApplied: func(value any) bool { return value.(*fleetconfig.State).HasAny(digests) },
-		Respond:   func(err error) { answer(replyOf(err)) },
+		Respond:   func(err error) { answer(replyFor(err)) },
 	}))
 }
 
@@ -106,48 +108,48 @@
 }
 
 // replyOf is the reply to a request that ended with an error or nil.
-func replyOf(err error) protocol.Reply {
+func replyFor(err error) protocol.Reply {
 	var refusal *errkind.Error
 	switch {
 	case err == nil:
 		return protocol.Reply{}
 	case errors.As(err, &refusal):
-		return failure(err)
+		return errorReply(err)
 	}
-	return unavailable(err.Error())
+	return unavailableReply(err.Error())
 }
 
 // read has the tail give the configuration.
-func (p *Process) read(answer func(protocol.Reply)) {
-	if p.node.IsTail() {
-		p.readHere(answer)
+func (s *Server) readConfiguration(answer func(protocol.Reply)) {
+	if s.chain.IsTail() {
+		s.readAtTail(answer)
 		return
 	}
-	view := p.node.View()
+	view := s.chain.View()
 	tail, ok := view.Voter(view.Tail())
-	if !ok || !p.node.IsReachable(p.now(), tail.Address) {
-		answer(unavailable("no tail can be reached"))
+	if !ok || !s.chain.IsReachable(s.now(), tail.Address) {
+		answer(unavailableReply("no tail can be reached"))
 		return
 	}
-	p.forward(tail.Address, func(id uint64) any { return protocol.Read{From: p.node.Self().Address, ID: id} }, answer)
+	s.callPeer(tail.Address, func(id uint64) any { return protocol.Read{From: s.chain.Self().Address, ID: id} }, answer)
 }
 
 // readHere gives the configuration where this member is the tail.
-func (p *Process) readHere(answer func(protocol.Reply)) {
-	p.carryOut(p.requests.Read(p.now(), chain.Read{Respond: func(state chain.State, err error) {
+func (s *Server) readAtTail(answer func(protocol.Reply)) {
+	s.applyOutput(s.requests.Read(s.now(), chain.Read{Respond: func(state chain.State, err error) {
 		if err != nil {
-			answer(replyOf(err))
+			answer(replyFor(err))
 			return
 		}
 		answer(protocol.Reply{Document: state.Value.(*fleetconfig.State).Document})
 	}}))
 }
 
-func (p *Process) expireCalls(now time.Duration) {
-	for id, call := range p.calls.waiting {
-		if now > call.until {
-			delete(p.calls.waiting, id)
-			call.answer(unavailable("no reply in time"))
+func (s *Server) expireCalls(now time.Duration) {
+	for id, call := range s.pending.byNumber {
+		if now > call.deadline {
+			delete(s.pending.byNumber, id)
+			call.answer(unavailableReply("no reply in time"))
 		}
 	}
 }
--- a/internal/controlplane/pending_calls_test.go
+++ b/internal/controlplane/pending_calls_test.go
@@ -14,38 +14,38 @@
 const ownAddress = "a"
 
 // callFrom has a process call another one. It gives the number of the call and the replies that answer it.
-func callFrom(p *Process) (number uint64, replies chan protocol.Reply) {
+func pendingCallOf(s *Server) (number uint64, replies chan protocol.Reply) {
 	replies = make(chan protocol.Reply, 1)
 	message := func(n uint64) any {
 		number = n
 		return protocol.Read{From: ownAddress, ID: n}
 	}
-	p.forward(ownAddress, message, func(reply protocol.Reply) { replies <- reply })
+	s.callPeer(ownAddress, message, func(reply protocol.Reply) { replies <- reply })
 	return number, replies
 }
 
 var _ = Describe("what arrives for an earlier life of a process", func() {
 	// lives makes the same process twice: as it was, and as it is after a restart.
-	lives := func() (before, after *Process) {
-		before, _, _ = alone()
-		after, _, _ = alone()
-		for _, p := range []*Process{before, after} {
-			p.calls, p.leaves = newCalls(), map[uint64]*pendingLeave{}
+	lives := func() (before, after *Server) {
+		before, _, _ = singleMember()
+		after, _, _ = singleMember()
+		for _, p := range []*Server{before, after} {
+			p.pending, p.departures = newPendingCalls(), map[uint64]*pendingDeparture{}
 		}
 		return before, after
 	}
 
 	It("answers no call of the later one", func() {
 		before, after := lives()
-		old, _ := callFrom(before)
-		_, replies := callFrom(after)
+		old, _ := pendingCallOf(before)
+		_, replies := pendingCallOf(after)
 		after.onReply(protocol.Reply{ID: old})
 		Expect(replies).NotTo(Receive())
 	})
 
 	It("answers its own call once", func() {
 		_, p := lives()
-		number, replies := callFrom(p)
+		number, replies := pendingCallOf(p)
 		p.onReply(protocol.Reply{ID: number, Detail: "first"})
 		p.onReply(protocol.Reply{ID: number, Detail: "second"})
 		Expect(replies).To(Receive(HaveField("Detail", "first")))
@@ -54,17 +54,17 @@
 
 	It("counts as no peer's word that an endpoint leaves", func() {
 		before, after := lives()
-		leave := &pendingLeave{until: time.Hour, stored: map[string]bool{}}
-		after.leaves[after.calls.number()] = leave
-		after.onSessionAck(protocol.SessionAck{From: "b", Ask: before.calls.number()})
-		Expect(leave.stored).To(BeEmpty())
+		leave := &pendingDeparture{deadline: time.Hour, storedAt: map[string]bool{}}
+		after.departures[after.pending.nextNumber()] = leave
+		after.onSessionAck(protocol.SessionAck{From: "b", Ask: before.pending.nextNumber()})
+		Expect(leave.storedAt).To(BeEmpty())
 	})
 
 	It("has pings of the two lives differ", func() {
 		before, after := lives()
 		view := chain.View{Number: 1, Voters: []chain.Member{{ID: "a", Address: "a"}, {ID: "b", Address: "b"}}, Chain: []chain.MemberID{"a", "b"}}
 		nonces := map[uint64]int{}
-		for _, p := range []*Process{before, after} {
+		for _, p := range []*Server{before, after} {
 			p.settings.InternalPortRange = []int{1, 1}
 			node, _ := chain.NewGenesis(p.chainConfig("a"), 0, view, nil)
 			for _, envelope := range node.PingVoters(0).ImmediateMessages {
--- a/internal/controlplane/restore.go
+++ b/internal/controlplane/restore.go
@@ -16,22 +16,22 @@
 )
 
 // restore reads what is on disk, or begins anew.
-func (p *Process) restore() error {
-	directory := p.settings.DataDirectory
+func (s *Server) restoreChain() error {
+	directory := s.settings.DataDirectory
 	if directory == "" {
 		return errors.New("data_directory is not set: the control plane keeps its state on disk")
 	}
-	options := ringOptions(directory, p.settings.Limits.DiskMB)
-	ring, records, discarded, err := openRecords(options, p.log)
+	options := ringOptions(directory, s.settings.Limits.DiskMB)
+	ring, records, discarded, err := openRecords(options, s.log)
 	if err != nil {
 		return err
 	}
-	p.disk = newDisk(ring, p.log, func(messages []chain.Envelope) { p.post(func() { p.deliver(messages) }) })
+	s.chainStore = newChainStore(ring, s.log, func(messages []chain.Envelope) { s.enqueue(func() { s.onPersisted(messages) }) })
 	if len(records) == 0 {
-		p.begin(p.settings.InitialStart && !discarded)
+		s.startFresh(s.settings.InitialStart && !discarded)
 		return nil
 	}
-	p.node, p.restored = chain.Restore(p.chainConfig(""), p.now(), records), true
+	s.chain, s.restoredFromDisk = chain.Restore(s.chainConfig(""), s.now(), records), true
 	return nil
 }
 
@@ -73,9 +73,9 @@
 
 // begin makes a member that has nothing on disk: one of the first view where the whole system starts for the first time,
 // else one that joins. Who has had a copy, and discarded it, joins: it may have voted in the first view.
-func (p *Process) begin(first bool) {
-	seeds := p.settings.SeedInternalAddresses()
-	own := p.settings.InternalAddress(p.settings.IPAddress)
+func (s *Server) startFresh(first bool) {
+	seeds := s.settings.SeedInternalAddresses()
+	own := s.settings.InternalAddress(s.settings.IPAddress)
 	var out chain.Output
 	if first && slices.Contains(seeds, own) {
 		view := chain.View{Number: 1, Token: 1}
@@ -84,11 +84,11 @@
 			view.Chain = append(view.Chain, genesisID(seed))
 		}
 		view.Holder = view.Chain[0]
-		p.node, out = chain.NewGenesis(p.chainConfig(genesisID(own)), p.now(), view, &fleetconfig.State{})
+		s.chain, out = chain.NewGenesis(s.chainConfig(genesisID(own)), s.now(), view, &fleetconfig.State{})
 	} else {
-		p.node, out = chain.NewJoiner(p.chainConfig(freshID(own)), p.now(), &fleetconfig.State{})
+		s.chain, out = chain.NewJoiner(s.chainConfig(freshID(own)), s.now(), &fleetconfig.State{})
 	}
-	p.store(out.Records, nil)
+	s.persist(out.Records, nil)
 }
 
 func genesisID(address string) chain.MemberID { return chain.MemberID(address + "/0") }
--- a/internal/controlplane/rpc.go
+++ b/internal/controlplane/rpc.go
@@ -10,97 +10,97 @@
 )
 
 const (
-	firstMessageWithin = 5 * time.Second
+	firstMessageTimeout = 5 * time.Second
 	// quietLink is how long a link of a peer may be quiet. Pings come far more often.
-	quietLink   = 30 * time.Second
-	acceptPause = 20 * time.Millisecond
+	peerIdleTimeout = 30 * time.Second
+	acceptBackoff   = 20 * time.Millisecond
 )
 
 // acceptPeers serves connections of other processes of the system.
-func (p *Process) acceptPeers(listener net.Listener) {
+func (s *Server) acceptPeers(listener net.Listener) {
 	for {
 		raw, err := listener.Accept()
 		if err != nil {
-			if p.ctx.Err() != nil {
+			if s.ctx.Err() != nil {
 				return
 			}
-			time.Sleep(acceptPause)
+			time.Sleep(acceptBackoff)
 			continue
 		}
-		go p.servePeer(peerlink.NewConn(raw))
+		go s.servePeer(peerlink.NewConn(raw))
 	}
 }
 
 // servePeer serves one connection: a subscriber's, or a peer's that carries its messages.
-func (p *Process) servePeer(conn *peerlink.Conn) {
+func (s *Server) servePeer(conn *peerlink.Conn) {
 	defer conn.Close()
-	message, err := conn.Receive(firstMessageWithin)
+	message, err := conn.Receive(firstMessageTimeout)
 	if err != nil {
 		return
 	}
 	if subscribe, ok := message.(protocol.Subscribe); ok {
-		p.serveSubscriber(conn, subscribe)
+		s.serveSubscriber(conn, subscribe)
 		return
 	}
 	if _, ok := message.(protocol.StatusAsk); ok {
-		p.serveStatus(conn)
+		s.serveStatus(conn)
 		return
 	}
 	if ask, ok := message.(protocol.ExplainAsk); ok {
-		p.serveExplain(conn, ask)
+		s.serveExplain(conn, ask)
 		return
 	}
 	for err == nil {
 		received := message
-		p.post(func() { p.receive(received) })
-		message, err = conn.Receive(quietLink)
+		s.enqueue(func() { s.dispatch(received) })
+		message, err = conn.Receive(peerIdleTimeout)
 	}
 }
 
 // receive takes a message of a peer.
-func (p *Process) receive(message any) {
-	now := p.now()
+func (s *Server) dispatch(message any) {
+	now := s.now()
 	switch m := message.(type) {
 	case protocol.SessionUpdate:
-		p.onSessionUpdate(m)
+		s.onSessionUpdate(m)
 	case protocol.SessionAck:
-		p.onSessionAck(m)
+		s.onSessionAck(m)
 	case protocol.SessionPull:
-		p.send(m.From, protocol.SessionWhole{From: p.node.Self().Address, Records: p.table.AllRecords(p.sessionClock)})
+		s.send(m.From, protocol.SessionWhole{From: s.chain.Self().Address, Records: s.table.AllRecords(s.sessionClock)})
 	case protocol.SessionWhole:
-		p.onSessionWhole(m)
+		s.onSessionFullSync(m)
 	case protocol.LoadShare:
-		p.loads.share(now, m)
+		s.endpointLoads.applyPeerLoads(now, m)
 	case protocol.LedgerShare:
-		p.placer.hear(now, m)
+		s.placement.applyPeerLedger(now, m)
 	case protocol.SessionDigest:
-		p.onSessionDigest(m)
+		s.onSessionDigest(m)
 	case protocol.SessionRange:
-		p.onSessionRange(m)
+		s.onSessionRange(m)
 	case protocol.Subscribers:
-		p.elsewhere[m.From] = subscriberCount{count: m.Count, at: now}
+		s.peerSubscribers[m.From] = peerSubscriberCount{count: m.Count, receivedAt: now}
 	case protocol.Write:
-		p.writeHere(m.Change, p.replyTo(m.From, m.ID))
+		s.proposeAtHead(m.Change, s.replyTo(m.From, m.ID))
 	case protocol.Read:
-		p.readHere(p.replyTo(m.From, m.ID))
+		s.readAtTail(s.replyTo(m.From, m.ID))
 	case protocol.Reply:
-		p.onReply(m)
+		s.onReply(m)
 	case protocol.DemandReport:
-		p.placer.report(m)
+		s.placement.applyDemand(m)
 	case chain.Ping:
-		if link := p.links[m.From.Address]; link != nil && !p.node.IsReachable(now, m.From.Address) {
+		if link := s.links[m.From.Address]; link != nil && !s.chain.IsReachable(now, m.From.Address) {
 			link.Wake()
 		}
-		p.carryOut(p.node.Receive(now, m))
+		s.applyOutput(s.chain.Receive(now, m))
 	case chain.Pong, chain.Prepare, chain.Promise, chain.Reject, chain.Accept, chain.AcceptedReply, chain.Install,
 		chain.Append, chain.Committed:
-		p.carryOut(p.node.Receive(now, m))
+		s.applyOutput(s.chain.Receive(now, m))
 	}
 }
 
-func (p *Process) replyTo(address string, id uint64) func(protocol.Reply) {
+func (s *Server) replyTo(address string, id uint64) func(protocol.Reply) {
 	return func(reply protocol.Reply) {
 		reply.ID = id
-		p.send(address, reply)
+		s.send(address, reply)
 	}
 }
--- a/internal/controlplane/session_replication.go
+++ b/internal/controlplane/session_replication.go
@@ -8,75 +8,75 @@
 )
 
 // onSessionUpdate takes sessions from another control sidecar. What it asks about is acknowledged once it is on disk.
-func (p *Process) onSessionUpdate(m protocol.SessionUpdate) {
+func (s *Server) onSessionUpdate(m protocol.SessionUpdate) {
 	for _, record := range m.Records {
-		p.table.Merge(p.sessionClock, record)
+		s.table.Merge(s.sessionClock, record)
 	}
 	unknown := false
 	for _, sign := range m.Signs {
-		unknown = !p.table.Renew(p.sessionClock, sign.ID, sign.Sequence, sign.Age) || unknown
+		unknown = !s.table.Renew(s.sessionClock, sign.ID, sign.Sequence, sign.Age) || unknown
 	}
 	if unknown {
-		p.send(m.From, protocol.SessionPull{From: p.node.Self().Address})
+		s.send(m.From, protocol.SessionPull{From: s.chain.Self().Address})
 	}
-	if m.Ask != 0 && p.knowsAll(m.Records) {
-		p.afterSaved(func() { p.send(m.From, protocol.SessionAck{From: p.node.Self().Address, Ask: m.Ask}) })
+	if m.Ask != 0 && s.hasAllDepartures(m.Records) {
+		s.afterSessionsStored(func() { s.send(m.From, protocol.SessionAck{From: s.chain.Self().Address, Ask: m.Ask}) })
 	}
 }
 
 // knowsAll tells whether the table has what records say of their endpoints' states.
-func (p *Process) knowsAll(records []sessions.Record) bool {
+func (s *Server) hasAllDepartures(records []sessions.Record) bool {
 	for _, record := range records {
-		if !p.knowsLeave(record.Endpoint.ID, record.Endpoint.State) {
+		if !s.hasDeparture(record.Endpoint.ID, record.Endpoint.State) {
 			return false
 		}
 	}
 	return true
 }
 
-func (p *Process) onSessionWhole(m protocol.SessionWhole) {
+func (s *Server) onSessionFullSync(m protocol.SessionWhole) {
 	for _, record := range m.Records {
-		p.table.Merge(p.sessionClock, record)
+		s.table.Merge(s.sessionClock, record)
 	}
-	delete(p.unheard, m.From)
+	delete(s.awaitedPeers, m.From)
 }
 
 // sendSessionUpdates passes on what endpoints have said here.
-func (p *Process) sendSessionUpdates(now time.Duration) {
-	update := protocol.SessionUpdate{From: p.node.Self().Address, Records: p.table.FlushModified(p.sessionClock)}
-	if now >= p.signsDue {
-		p.signsDue = now + p.timing.signsEvery
-		update.Signs = p.table.FlushRenewals(p.sessionClock)
+func (s *Server) broadcastSessions(now time.Duration) {
+	update := protocol.SessionUpdate{From: s.chain.Self().Address, Records: s.table.FlushModified(s.sessionClock)}
+	if now >= s.renewalsDue {
+		s.renewalsDue = now + s.timing.renewalInterval
+		update.Signs = s.table.FlushRenewals(s.sessionClock)
 	}
 	if len(update.Records) == 0 && len(update.Signs) == 0 {
 		return
 	}
-	for _, peer := range p.peers() {
-		p.send(peer, update)
+	for _, peer := range s.peerAddresses() {
+		s.send(peer, update)
 	}
 }
 
 // synchronize asks peers for their sessions after a start, a change of the view or a time without touch.
-func (p *Process) synchronize(now time.Duration, inTouch bool) {
+func (s *Server) updateFullSync(now time.Duration, inTouch bool) {
 	switch {
 	case !inTouch:
-		p.synced, p.syncSince = false, 0
-	case p.synced:
-	case p.syncSince == 0:
-		p.syncSince, p.unheard = now, map[string]bool{}
-		for _, peer := range p.peers() {
-			p.unheard[peer] = true
-			p.send(peer, protocol.SessionPull{From: p.node.Self().Address})
+		s.synced, s.fullSyncSince = false, 0
+	case s.synced:
+	case s.fullSyncSince == 0:
+		s.fullSyncSince, s.awaitedPeers = now, map[string]bool{}
+		for _, peer := range s.peerAddresses() {
+			s.awaitedPeers[peer] = true
+			s.send(peer, protocol.SessionPull{From: s.chain.Self().Address})
 		}
-	case now-p.syncSince > p.timing.syncWithin || p.allPeersAnswered(now):
-		p.synced = true
+	case now-s.fullSyncSince > s.timing.fullSyncTimeout || s.reachablePeersAnswered(now):
+		s.synced = true
 	}
 }
 
 // allPeersAnswered tells whether all peers that can be reached have sent their sessions.
-func (p *Process) allPeersAnswered(now time.Duration) bool {
-	for peer := range p.unheard {
-		if p.node.IsReachable(now, peer) {
+func (s *Server) reachablePeersAnswered(now time.Duration) bool {
+	for peer := range s.awaitedPeers {
+		if s.chain.IsReachable(now, peer) {
 			return false
 		}
 	}
--- a/internal/controlplane/status_endpoint.go
+++ b/internal/controlplane/status_endpoint.go
@@ -11,19 +11,19 @@
 	"dykering/internal/sessions"
 )
 
-const statusWithin = 2 * time.Second
+const statusTimeout = 2 * time.Second
 
 // AskStatus asks the control sidecar at an internal address how it sees the system.
 func AskStatus(address string) (protocol.Status, error) {
-	conn, err := peerlink.Dial(address, statusWithin)
+	conn, err := peerlink.Dial(address, statusTimeout)
 	if err != nil {
 		return protocol.Status{}, errors.Wrap(err, "status")
 	}
 	defer conn.Close()
-	if err := conn.Send(protocol.StatusAsk{}, statusWithin); err != nil {
+	if err := conn.Send(protocol.StatusAsk{}, statusTimeout); err != nil {
 		return protocol.Status{}, errors.Wrap(err, "status")
 	}
-	message, err := conn.Receive(statusWithin)
+	message, err := conn.Receive(statusTimeout)
 	if err != nil {
 		return protocol.Status{}, errors.Wrap(err, "status")
 	}
@@ -35,38 +35,38 @@
 }
 
 // serveStatus answers one call for the status.
-func (p *Process) serveStatus(conn *peerlink.Conn) {
+func (s *Server) serveStatus(conn *peerlink.Conn) {
 	told := make(chan protocol.Status, 1)
-	p.post(func() { told <- p.status() })
+	s.enqueue(func() { told <- s.status() })
 	select {
 	case status := <-told:
-		if err := conn.Send(status, statusWithin); err != nil {
-			p.log.Debug("status.not_sent", "error", err)
+		if err := conn.Send(status, statusTimeout); err != nil {
+			s.log.Debug("status.not_sent", "error", err)
 		}
-	case <-p.ctx.Done():
+	case <-s.ctx.Done():
 	}
 }
 
-func (p *Process) status() protocol.Status {
-	now := p.now()
-	committed := p.node.CommittedState()
-	_, holds := p.node.HoldsLease(now)
+func (s *Server) status() protocol.Status {
+	now := s.now()
+	committed := s.chain.CommittedState()
+	_, holds := s.chain.HoldsLease(now)
 	status := protocol.Status{
-		Self: p.node.Self(), View: p.node.View(), InForce: p.node.IsViewConfirmed(now), Sealed: p.node.IsSealed(), Seq: p.node.LatestState().Seq,
-		Committed: committed.Seq, Holds: holds, Endpoints: map[sessions.State]int{}, DiskBehind: p.disk.behind(),
+		Self: s.chain.Self(), View: s.chain.View(), InForce: s.chain.IsViewConfirmed(now), Sealed: s.chain.IsSealed(), Seq: s.chain.LatestState().Seq,
+		Committed: committed.Seq, Holds: holds, Endpoints: map[sessions.State]int{}, DiskBehind: s.chainStore.writeDuration(),
 	}
 	if value, ok := committed.Value.(*fleetconfig.State); ok {
 		status.Version = value.Document.Version
 	}
 	for _, voter := range status.View.Voters {
-		status.Members = append(status.Members, protocol.MemberStatus{ID: voter.ID, Reachable: p.node.IsReachable(now, voter.Address),
+		status.Members = append(status.Members, protocol.MemberStatus{ID: voter.ID, Reachable: s.chain.IsReachable(now, voter.Address),
 			InChain: status.View.Position(voter.ID) >= 0})
 	}
-	for s := range p.subscribers {
-		behind := committed.Seq - min(s.acked.ConfigSeq, committed.Seq)
-		status.Subscribers = append(status.Subscribers, protocol.SubscriberStatus{Name: s.name, Ack: s.acked, Behind: behind})
+	for sub := range s.subscribers {
+		behind := committed.Seq - min(sub.acked.ConfigSeq, committed.Seq)
+		status.Subscribers = append(status.Subscribers, protocol.SubscriberStatus{Name: sub.name, Ack: sub.acked, Behind: behind})
 	}
-	for _, e := range p.table.Endpoints() {
+	for _, e := range s.table.Endpoints() {
 		status.Endpoints[e.State]++
 	}
 	return status
--- a/internal/controlplane/timing.go
+++ b/internal/controlplane/timing.go
@@ -11,44 +11,44 @@
 
 // timing are the process's times. Each derives from the settings.
 type timing struct {
-	tick           time.Duration // between two looks at what is due
-	pingEvery      time.Duration
-	suspectAfter   time.Duration // a silent member is suspected
-	proposeTimeout time.Duration // a proposed view is proposed again
-	diskPatience   time.Duration // a write that takes longer makes a member unfit for the chain
-	answerWithin   time.Duration // a caller is answered; it goes elsewhere after a second of silence
-	drainAckWithin time.Duration // peers acknowledge a drain
-	syncWithin     time.Duration // a started member has its peers' sessions
-	silentAfter    time.Duration // an endpoint without heartbeat is no longer offered
-	signsEvery     time.Duration // signs of life are passed on
-	repairEvery    time.Duration // copies of the sessions are compared with a peer's
-	lease          time.Duration // a majority's word counts for the holder of the placement
-	holderPause    time.Duration // a new holder waits before it acts, by when its predecessor's last order has ended
-	returnPause    time.Duration // a former holder that holds the role again waits before it acts
-	streamSilence  time.Duration // a member that no majority confirms ends its streams
-	stopWithin     time.Duration // a stopping member waits to be out of the chain
+	tickInterval         time.Duration // between two looks at what is due
+	pingInterval         time.Duration
+	suspectAfter         time.Duration // a silent member is suspected
+	proposeTimeout       time.Duration // a proposed view is proposed again
+	maxWriteDuration     time.Duration // a write that takes longer makes a member unfit for the chain
+	callTimeout          time.Duration // a caller is answered; it goes elsewhere after a second of silence
+	drainAckTimeout      time.Duration // peers acknowledge a drain
+	fullSyncTimeout      time.Duration // a started member has its peers' sessions
+	sessionTTL           time.Duration // an endpoint without heartbeat is no longer offered
+	renewalInterval      time.Duration // signs of life are passed on
+	antiEntropyInterval  time.Duration // copies of the sessions are compared with a peer's
+	lease                time.Duration // a majority's word counts for the holder of the placement
+	newHolderDelay       time.Duration // a new holder waits before it acts, by when its predecessor's last order has ended
+	returningHolderDelay time.Duration // a former holder that holds the role again waits before it acts
+	maxUnconfirmed       time.Duration // a member that no majority confirms ends its streams
+	stopTimeout          time.Duration // a stopping member waits to be out of the chain
 }
 
-func timingOf(s *nodefile.Settings) timing {
-	contact := nodefile.Milliseconds(s.Bounds.ContactMs)
+func newTiming(settings *nodefile.Settings) timing {
+	contact := nodefile.Milliseconds(settings.Bounds.ContactMs)
 	lease := contact / 4
-	predecessorEnds := lease + orderTimeout + nodefile.Milliseconds(s.Bounds.ThawSlackMs)
+	predecessorEnds := lease + orderTimeout + nodefile.Milliseconds(settings.Bounds.ThawSlackMs)
 	return timing{
-		tick:           contact / 60,
-		pingEvery:      contact / 30,
-		suspectAfter:   contact / 5,
-		proposeTimeout: contact / 6,
-		diskPatience:   contact / 6,
-		answerWithin:   min(900*time.Millisecond, nodefile.Milliseconds(s.Bounds.AcknowledgeMs)/4),
-		drainAckWithin: min(contact/6, nodefile.Milliseconds(s.Bounds.DrainTimeoutMs)/4),
-		syncWithin:     contact / 4,
-		silentAfter:    3*s.HeartbeatInterval() + time.Second,
-		signsEvery:     s.HeartbeatInterval() / 4,
-		repairEvery:    s.HeartbeatInterval(),
-		lease:          lease,
-		holderPause:    predecessorEnds,
-		returnPause:    predecessorEnds + nodefile.Milliseconds(s.Bounds.LeaseDurationMs),
-		streamSilence:  contact / 4,
-		stopWithin:     nodefile.Seconds(s.Bounds.GracePeriodS) / 2,
+		tickInterval:         contact / 60,
+		pingInterval:         contact / 30,
+		suspectAfter:         contact / 5,
+		proposeTimeout:       contact / 6,
+		maxWriteDuration:     contact / 6,
+		callTimeout:          min(900*time.Millisecond, nodefile.Milliseconds(settings.Bounds.AcknowledgeMs)/4),
+		drainAckTimeout:      min(contact/6, nodefile.Milliseconds(settings.Bounds.DrainTimeoutMs)/4),
+		fullSyncTimeout:      contact / 4,
+		sessionTTL:           3*settings.HeartbeatInterval() + time.Second,
+		renewalInterval:      settings.HeartbeatInterval() / 4,
+		antiEntropyInterval:  settings.HeartbeatInterval(),
+		lease:                lease,
+		newHolderDelay:       predecessorEnds,
+		returningHolderDelay: predecessorEnds + nodefile.Milliseconds(settings.Bounds.LeaseDurationMs),
+		maxUnconfirmed:       contact / 4,
+		stopTimeout:          nodefile.Seconds(settings.Bounds.GracePeriodS) / 2,
 	}
 }
--- a/internal/sessions/replication.go
+++ b/internal/sessions/replication.go
@@ -28,7 +28,7 @@
 
 // markForPeers has the next flush send a session to the peers: as a record where subscribers see a change, else as a
 // renewal.
-func (t *Table) markForPeers(id string, visible bool) {
+func (t *Table) queueForPeers(id string, visible bool) {
 	if visible {
 		t.modified = append(t.modified, id)
 		return
--- a/internal/sessions/table.go
+++ b/internal/sessions/table.go
@@ -41,11 +41,11 @@
 		if known.endpoint.State.Before(heartbeat.State) {
 			late := known.endpoint
 			late.State = heartbeat.State
-			t.markForPeers(id, t.merge(now, late))
+			t.queueForPeers(id, t.merge(now, late))
 		}
 		return false
 	}
-	t.markForPeers(id, t.merge(now, Endpoint{ID: id, Heartbeat: heartbeat, State: heartbeat.State}))
+	t.queueForPeers(id, t.merge(now, Endpoint{ID: id, Heartbeat: heartbeat, State: heartbeat.State}))
 	return true
 }
 
@@ -57,7 +57,7 @@
 		departed = known.endpoint
 		departed.State = Departed
 	}
-	t.markForPeers(id, t.merge(now, departed))
+	t.queueForPeers(id, t.merge(now, departed))
 }
 
 // SetOverlay stores what orders have changed at an endpoint. It ignores an overlay that is not newer than the stored one,
@@ -69,7 +69,7 @@
 	}
 	next := known.endpoint
 	next.Overlay = overlay
-	t.markForPeers(id, t.update(known, next))
+	t.queueForPeers(id, t.update(known, next))
 }
 
 // merge combines a received version of a session with the stored one, field by field, so that the order of arrival does
