--- a/internal/http1/away_test.go
+++ b/internal/http1/away_test.go
@@ -20,7 +20,7 @@
 		<-serve
 		fmt.Fprint(w, "ok")
 	}))
-	rg.server.heardFor = 4 * time.Second // for slow machines
+	rg.server.drainGrace = 4 * time.Second // for slow machines
 	conns := rg.connect(4)
 	answer := make(chan *http.Response)
 	ask := func(c *net.TCPConn) { answer <- rg.send(c, rg.request("once", 9*time.Second)) }
@@ -55,7 +55,7 @@
 		}
 	}
 	rg.until("nobody is asked to be here", func() bool {
-		_, away := rg.server.sentAway()
+		_, away := rg.server.redirectAnswer()
 		return away
 	})
 	if res := rg.once("once"); res.StatusCode != http.StatusServiceUnavailable || res.Header.Get("Retry-After") == "" || !res.Close {
@@ -95,7 +95,7 @@
 		if err := rg.request("once", 9*time.Second).Write(c); err != nil {
 			t.Fatal(err)
 		}
-		rg.server.callers.retire(0, 0)
+		rg.server.clients.expire(0, 0)
 		c.SetDeadline(time.Now().Add(patience))
 		if res, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || res.StatusCode != http.StatusOK {
 			t.Fatalf("answer %+v, %v", res, err)
--- a/internal/http1/chunked_test.go
+++ b/internal/http1/chunked_test.go
@@ -36,7 +36,7 @@
 const someChunks = "5\r\nhello\r\n1;a=b\r\n,\r\n00c  \r\n wide, \r\nwor\r\n0\r\nX-Sum: 12\r\nX-More: 3\r\n\r\n"
 
 // readAll reads a body, with a longer buffer each time, until something other than an interruption ends it.
-func readAll(c *chunked) (got []byte, interrupted bool, err error) {
+func readAll(c *chunkedReader) (got []byte, interrupted bool, err error) {
 	for n := 1; ; n++ {
 		b := make([]byte, n)
 		k, err := c.Read(b)
@@ -56,7 +56,7 @@
 func TestChunkedGoesOnAnywhere(t *testing.T) {
 	const want, body = "hello, wide, \r\nwor", someChunks
 	for at := range len(body) + 1 {
-		c := newChunked(bufio.NewReader(&broken{[]string{body[:at], body[at:], ""}}))
+		c := newChunkedReader(bufio.NewReader(&broken{[]string{body[:at], body[at:], ""}}))
 		got, interrupted, err := readAll(c)
 		if err != nil || interrupted != (at < len(body)) {
 			t.Fatalf("at %d: %v, interrupted %v", at, err, interrupted)
@@ -68,8 +68,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var other chunked
-		if err := json.Unmarshal(text, &other); err != nil || !other.sound() {
+		var other chunkedReader
+		if err := json.Unmarshal(text, &other); err != nil || !other.valid() {
 			t.Fatalf("at %d: %v, %s", at, err, text)
 		}
 		left, _ := c.r.Peek(c.r.Buffered())
@@ -79,10 +79,10 @@
 			t.Errorf("at %d: %q and %q, %v, %v", at, got, rest, err, trailer)
 		}
 		var anew bytes.Buffer
-		c.replay(&anew, got)
+		c.reencode(&anew, got)
 		anew.WriteString(body[at:])
 		text = bytes.Clone(anew.Bytes())
-		again := newChunked(bufio.NewReader(&anew))
+		again := newChunkedReader(bufio.NewReader(&anew))
 		whole, _, err := readAll(again)
 		if trailer, _ := again.trailer(); err != nil || string(whole) != want || trailer.Get("X-Sum") != "12" || anew.Len() > 0 {
 			t.Errorf("at %d: anew %q gives %q, %v", at, text, whole, err)
@@ -98,26 +98,26 @@
 		"5\r\nhel":                      io.ErrUnexpectedEOF,
 		"5\r\nhello\r\n":                io.ErrUnexpectedEOF,
 		"5\r\nhello\r\n0\r\n":           io.ErrUnexpectedEOF,
-		"5\nhello\n0\n\n":               errSpoilt,
-		"5\r\nhello0\r\n\r\n":           errSpoilt,
-		"5\r\nhello\n0\r\n\r\n":         errSpoilt,
-		"-5\r\nhello\r\n":               errSpoilt,
-		"+5\r\nhello\r\n":               errSpoilt,
-		"0x5\r\nhello\r\n":              errSpoilt,
-		"5_0\r\nhello\r\n":              errSpoilt,
-		"\r\n":                          errSpoilt,
-		" 5\r\nhello\r\n":               errSpoilt,
-		"ffffffffffffffffffff\r\n":      errSpoilt,
-		"5" + strings.Repeat(" ", 5000): errSpoilt,
-		"0\r\nX: " + strings.Repeat("x", maxAnswerHead) + "\r\n\r\n":        errSpoilt,
+		"5\nhello\n0\n\n":               errMalformed,
+		"5\r\nhello0\r\n\r\n":           errMalformed,
+		"5\r\nhello\n0\r\n\r\n":         errMalformed,
+		"-5\r\nhello\r\n":               errMalformed,
+		"+5\r\nhello\r\n":               errMalformed,
+		"0x5\r\nhello\r\n":              errMalformed,
+		"5_0\r\nhello\r\n":              errMalformed,
+		"\r\n":                          errMalformed,
+		" 5\r\nhello\r\n":               errMalformed,
+		"ffffffffffffffffffff\r\n":      errMalformed,
+		"5" + strings.Repeat(" ", 5000): errMalformed,
+		"0\r\nX: " + strings.Repeat("x", maxResponseHead) + "\r\n\r\n":      errMalformed,
 		strings.Repeat("1;"+strings.Repeat("e", 4000)+"\r\nx\r\n", 9):       errTooLarge,
-		"0\r\n" + strings.Repeat("X: "+strings.Repeat("x", 4000)+"\r\n", 9): errSpoilt,
+		"0\r\n" + strings.Repeat("X: "+strings.Repeat("x", 4000)+"\r\n", 9): errMalformed,
 	} {
-		if _, _, err := readAll(newChunked(bufio.NewReader(strings.NewReader(text)))); !errors.Is(err, want) {
+		if _, _, err := readAll(newChunkedReader(bufio.NewReader(strings.NewReader(text)))); !errors.Is(err, want) {
 			t.Errorf("%.30q: got %v, want %v", text, err, want)
 		}
 	}
-	c := newChunked(bufio.NewReader(strings.NewReader("0\r\nno field\r\n\r\n")))
+	c := newChunkedReader(bufio.NewReader(strings.NewReader("0\r\nno field\r\n\r\n")))
 	readAll(c)
 	if h, err := c.trailer(); err == nil {
 		t.Errorf("a trailer that is none: %v", h)
@@ -131,7 +131,7 @@
 	f.Add([]byte("0\r\n\r\n"))
 	f.Add([]byte("a\r\n0123456789\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		got, _, err := readAll(newChunked(bufio.NewReader(bytes.NewReader(text))))
+		got, _, err := readAll(newChunkedReader(bufio.NewReader(bytes.NewReader(text))))
 		want, fault := io.ReadAll(httputil.NewChunkedReader(bytes.NewReader(text)))
 		if err == nil && (fault != nil || !bytes.Equal(got, want)) {
 			t.Errorf("%q: got %q, net/http says %q, %v", text, got, want, fault)
@@ -145,8 +145,8 @@
 	if _, err := io.ReadAll(b); err != nil || fmt.Sprint(b.trailer()) != "map[X-Sum:[1]]" {
 		t.Errorf("got %v, %v", b.trailer(), err)
 	}
-	c := newChunked(bufio.NewReader(strings.NewReader(text)))
-	answer := &answerBody{chunks: c, reader: c, length: -1, longest: maxLong}
+	c := newChunkedReader(bufio.NewReader(strings.NewReader(text)))
+	answer := &responseBody{chunks: c, reader: c, length: -1, maxLength: maxStreamedBody}
 	if _, err := io.ReadAll(answer); err != nil || fmt.Sprint(answer.trailer) != "map[X-Sum:[1]]" {
 		t.Errorf("of an answer: got %v, %v", answer.trailer, err)
 	}
--- a/internal/http1/compatibility_test.go
+++ b/internal/http1/compatibility_test.go
@@ -10,15 +10,15 @@
 // The state that goes with a connection to the successor has the form that released builds write and read. A process
 // of either build may be the one that ends during an upgrade.
 func TestPassageOfReleasedBuildIsReadAndWrittenAlike(t *testing.T) {
-	fixture.JSON(t, "testdata/compatibility/passage.json", &passage{})
-	if passageVersion != 1 {
-		t.Errorf("version %d of the passage: released builds decline all but 1", passageVersion)
+	fixture.JSON(t, "testdata/compatibility/passage.json", &connTransfer{})
+	if transferVersion != 1 {
+		t.Errorf("version %d of the transfer: released builds decline all but 1", transferVersion)
 	}
 }
 
 // Fields without a value are left out, as released builds do: a successor tells by them what a passage is of.
 func TestEmptyPassageHasVersionAlone(t *testing.T) {
-	text, err := json.Marshal(passage{Version: passageVersion})
+	text, err := json.Marshal(connTransfer{Version: transferVersion})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/http1/downstream_body.go
+++ b/internal/http1/downstream_body.go
@@ -9,16 +9,16 @@
 // requestBody reads a request's body. Like chunked it can be gone on with after an error of the connection, and by
 // another process.
 type requestBody struct {
-	r      *bufio.Reader
-	length int64    // of the whole body; -1 where it comes in chunks
-	left   int64    // of a body whose length is known
-	chunks *chunked // of one that comes in chunks
+	r         *bufio.Reader
+	length    int64          // of the whole body; -1 where it comes in chunks
+	remaining int64          // of a body whose length is known
+	chunks    *chunkedReader // of one that comes in chunks
 }
 
 func newRequestBody(in *http.Request, r *bufio.Reader) *requestBody {
-	b := &requestBody{r: r, length: in.ContentLength, left: in.ContentLength}
+	b := &requestBody{r: r, length: in.ContentLength, remaining: in.ContentLength}
 	if in.ContentLength < 0 {
-		b.chunks = newChunked(r)
+		b.chunks = newChunkedReader(r)
 	}
 	return b
 }
@@ -28,12 +28,12 @@
 	if b.chunks != nil {
 		return b.chunks.Read(p)
 	}
-	if b.left > 0 {
-		n, err = b.r.Read(p[:min(int64(len(p)), b.left)])
-		b.left -= int64(n)
-		err = noEOF(err)
+	if b.remaining > 0 {
+		n, err = b.r.Read(p[:min(int64(len(p)), b.remaining)])
+		b.remaining -= int64(n)
+		err = unexpectedEOF(err)
 	}
-	if b.left == 0 {
+	if b.remaining == 0 {
 		return n, io.EOF
 	}
 	return n, err
--- a/internal/http1/errors.go
+++ b/internal/http1/errors.go
@@ -5,9 +5,9 @@
 )
 
 var (
-	errTooLarge   = errors.New("too large")
-	errSpoilt     = errors.New("cannot be read")
-	errNoRoom     = errors.New("no memory for the body")
-	errCallerGone = errors.New("the caller has gone")
-	errPassedOn   = errors.New("passed on to the successor")
+	errTooLarge    = errors.New("too large")
+	errMalformed   = errors.New("cannot be read")
+	errNoMemory    = errors.New("no memory for the body")
+	errClientGone  = errors.New("the caller has gone")
+	errTransferred = errors.New("passed on to the successor")
 )
--- a/internal/http1/fuzz_test.go
+++ b/internal/http1/fuzz_test.go
@@ -32,8 +32,8 @@
 			t.Fatalf("%q has two lengths", text)
 		}
 		removeHopByHop(r.Header)
-		in := inbound{method: r.Method, target: r.RequestURI, host: r.Host, header: r.Header, body: make([]byte, max(r.ContentLength, 0)%99)}
-		on := in.encode(time.Second)
+		in := forwardedRequest{method: r.Method, target: r.RequestURI, host: r.Host, header: r.Header, body: make([]byte, max(r.ContentLength, 0)%99)}
+		on := in.encodeHead(time.Second)
 		next, err := http.ReadRequest(bufio.NewReader(io.MultiReader(bytes.NewReader(on), bytes.NewReader(in.body))))
 		if err != nil {
 			if strings.HasPrefix(r.RequestURI, "/") && r.Host != "" {
@@ -66,10 +66,10 @@
 			far.Write(text)
 			far.Close()
 		}()
-		a := attemptAt(inbound{method: http.MethodGet, target: "/"}, "", true, time.Minute, time.Minute)
+		a := attemptAt(forwardedRequest{method: http.MethodGet, target: "/"}, "", true, time.Minute, time.Minute)
 		defer a.Close()
-		res, err := a.read(newConn(near, a.Endpoint), room)
-		if res.response != nil && res.response.more == nil && err == nil && res.status == decision.OK {
+		res, err := a.readResponse(newUpstreamConn(near, a.Endpoint), room)
+		if res.response != nil && res.response.rest == nil && err == nil && res.status == decision.OK {
 			want, fault := http.ReadResponse(bufio.NewReader(bytes.NewReader(text)), nil)
 			if fault == nil && want.StatusCode == http.StatusOK {
 				body, fault := io.ReadAll(want.Body)
@@ -79,7 +79,7 @@
 			}
 		}
 		if res.response != nil {
-			if int64(len(res.response.body)) > a.longest {
+			if int64(len(res.response.body)) > a.maxBody {
 				t.Errorf("%d bytes", len(res.response.body))
 			}
 			res.response.Discard()
@@ -92,9 +92,9 @@
 
 // FuzzPassage: what is taken for a passage is whole, and says the same when it is passed on once more.
 func FuzzPassage(f *testing.F) {
-	for _, p := range []passage{{Version: 1, Input: []byte("GET")}, {Version: 1, Relay: &relayLeft{Ended: true, Pending: []byte("x")}},
-		{Version: 1, Upload: &uploadLeft{ID: "a", Wait: 5, Length: 9, Left: 3}},
-		{Version: 1, Relay: &relayLeft{Length: -1, Chunks: &chunked{Left: 4, Digest: 9}}}} {
+	for _, p := range []connTransfer{{Version: 1, Input: []byte("GET")}, {Version: 1, Relay: &relayState{Finished: true, Pending: []byte("x")}},
+		{Version: 1, Upload: &uploadState{ID: "a", AnswerTimeout: 5, Length: 9, Remaining: 3}},
+		{Version: 1, Relay: &relayState{Length: -1, Chunks: &chunkedReader{Left: 4, Digest: 9}}}} {
 		text, _ := json.Marshal(p)
 		f.Add(text)
 	}
@@ -109,25 +109,25 @@
 	near.Close()
 	f.Cleanup(func() { c.Close() })
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var p passage
+		var p connTransfer
 		if json.Unmarshal(text, &p) != nil {
 			return
 		}
 		for n := range 3 {
 			conns := []net.Conn{c, c}[:min(n, 2)]
-			if !p.fits(conns) {
+			if !p.validFor(conns) {
 				continue
 			}
-			if p.Relay != nil && (p.Relay.Length >= 0 && p.Relay.Read > p.Relay.Length || p.Relay.Allowed < 0) ||
-				p.Upload != nil && (p.Upload.Left > p.Upload.Length && p.Upload.Chunks == nil || p.Upload.Total > maxLong) {
+			if p.Relay != nil && (p.Relay.Length >= 0 && p.Relay.Read > p.Relay.Length || p.Relay.ReadLimit < 0) ||
+				p.Upload != nil && (p.Upload.Remaining > p.Upload.Length && p.Upload.Chunks == nil || p.Upload.Received > maxStreamedBody) {
 				t.Fatalf("%q is taken, and cannot be gone on with", text)
 			}
 			again, err := json.Marshal(p)
 			if err != nil {
 				t.Fatal(err)
 			}
-			var q passage
-			if err := json.Unmarshal(again, &q); err != nil || !q.fits(conns) {
+			var q connTransfer
+			if err := json.Unmarshal(again, &q); err != nil || !q.validFor(conns) {
 				t.Errorf("%q is taken once and not again: %q, %v", text, again, err)
 			}
 		}
--- a/internal/http1/inherit_test.go
+++ b/internal/http1/inherit_test.go
@@ -70,8 +70,8 @@
 	socket, descriptor := shared(t)
 	accept := func(c *config.Config) { c.Accept = descriptor() }
 	old := startWith(t, 1, 1024, accept, endpoint)
-	old.server.handsFor = 4 * time.Second // for slow machines
-	old.server.linger = time.Minute
+	old.server.handoverGrace = 4 * time.Second // for slow machines
+	old.server.shutdownTimeout = time.Minute
 	idles := old.connect(3)
 	answer := make(chan *http.Response)
 	ask := func(rg *rig, c *net.TCPConn) { answer <- rg.send(c, rg.request("once", 9*time.Second)) }
@@ -128,7 +128,7 @@
 	heir.txn.Store(1000)
 	began := time.Now()
 	if res := heir.once("once"); res.StatusCode != http.StatusServiceUnavailable || res.Header.Get("Retry-After") == "" ||
-		time.Since(began) > acceptBy+2*time.Second {
+		time.Since(began) > firstListTimeout+2*time.Second {
 		t.Errorf("alone and without a list, after %v: %+v", time.Since(began), res)
 	}
 	line, _ := json.Marshal(endpointList{Rev: 2, All: true, Targets: []target{endpoint}})
@@ -149,7 +149,7 @@
 		_, err := io.ReadAll(r.Body)
 		whole <- err == nil
 	}))
-	rg.server.heardFor = time.Millisecond
+	rg.server.drainGrace = time.Millisecond
 	for _, framing := range []string{"Content-Length: 300000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n493e0\r\n"} {
 		c := rg.dial()
 		fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: %d\r\nX-Lane: once\r\nX-Remaining: 9000m\r\n%s", len(framing), framing)
@@ -157,7 +157,7 @@
 		<-began
 		rg.server.Drain()
 		rg.until("nobody is asked to be here", func() bool {
-			_, away := rg.server.sentAway()
+			_, away := rg.server.redirectAnswer()
 			return away
 		})
 		c.Write(body[200000:])
--- a/internal/http1/long_test.go
+++ b/internal/http1/long_test.go
@@ -79,7 +79,7 @@
 		}
 	}))
 	for _, framing = range []string{"length", "chunks", "close"} {
-		for _, n := range []int{0, 1, maxBody - 1, maxBody, maxBody + 1, len(body)} {
+		for _, n := range []int{0, 1, maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, len(body)} {
 			for _, old := range []bool{false, true} {
 				r := rg.request("read", 9*time.Second)
 				r.URL.RawQuery = fmt.Sprint("n=", n)
@@ -115,14 +115,14 @@
 		fmt.Fprintf(w, "%d %v %v %s", len(got), bytes.Equal(got, body[:len(got)]), err, r.Trailer.Get("X-Sum"))
 	}))
 	for _, chunked := range []bool{false, true} {
-		for _, n := range []int{1, maxBody - 1, maxBody, maxBody + 1, len(body)} {
+		for _, n := range []int{1, maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, len(body)} {
 			r := rg.request("book", 9*time.Second)
 			r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(body[:n])), int64(n)
 			want := fmt.Sprintf("%d true <nil> ", n)
 			if chunked {
 				r.ContentLength = -1
 				r.Trailer = http.Header{"X-Sum": {"done"}}
-				if n >= maxBody { // of a body that is held whole they are not passed on
+				if n >= maxBufferedBody { // of a body that is held whole they are not passed on
 					want += "done"
 				}
 			}
@@ -313,7 +313,7 @@
 func TestTurnedAwayInTheMiddle(t *testing.T) {
 	var whole atomic.Int64
 	turnAway := func(w http.ResponseWriter, r *http.Request) {
-		if _, err := io.ReadFull(r.Body, make([]byte, maxBody+100000)); err != nil {
+		if _, err := io.ReadFull(r.Body, make([]byte, maxBufferedBody+100000)); err != nil {
 			t.Error(err)
 		}
 		w.Header().Set("X-Turned-Away", "1")
--- a/internal/http1/network_wait.go
+++ b/internal/http1/network_wait.go
@@ -20,8 +20,8 @@
 	Ended() bool
 }
 
-// looks tells whether a connection can be looked at without being read.
-func looks(c net.Conn) bool {
+// canPeek tells whether a connection can be looked at without being read.
+func canPeek(c net.Conn) bool {
 	switch c.(type) {
 	case peeker, syscall.Conn:
 		return true
@@ -77,14 +77,14 @@
 	if p, ok := c.(peeker); ok {
 		return p.AwaitEnd()
 	}
-	if err := awaitSocket(c, hungUp); err != nil {
+	if err := awaitSocket(c, socketHungUp); err != nil {
 		return err
 	}
 	return io.EOF
 }
 
-// hungUp tells whether a socket's peer has closed its side, or reset it, whatever stands unread.
-func hungUp(fd uintptr) bool {
+// socketHungUp tells whether a socket's peer has closed its side, or reset it, whatever stands unread.
+func socketHungUp(fd uintptr) bool {
 	polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	n, err := unix.Poll(polled, 0)
 	return err == nil && n > 0 && polled[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
--- a/internal/http1/parse_head.go
+++ b/internal/http1/parse_head.go
@@ -13,13 +13,13 @@
 // maxHead bounds a request's head; the readers of callers' connections are as large.
 const maxHead = 16 << 10
 
-// fault is what is wrong with a request, and the status that says so.
-type fault struct {
+// requestError is what is wrong with a request, and the status that says so.
+type requestError struct {
 	status int
 	text   string
 }
 
-func (f *fault) Error() string { return f.text }
+func (f *requestError) Error() string { return f.text }
 
 // readRequest reads a request up to its body. It waits for the whole head before it reads any of it, as
 // http.ReadRequest hides what is looked for here. An error that is no fault is the connection's.
@@ -33,10 +33,10 @@
 	}
 	req, err := http.ReadRequest(r)
 	if err != nil {
-		return nil, &fault{http.StatusBadRequest, "not a request: " + err.Error()}
+		return nil, &requestError{http.StatusBadRequest, "not a request: " + err.Error()}
 	}
 	if req.ProtoMajor != 1 {
-		return nil, &fault{http.StatusHTTPVersionNotSupported, "HTTP/1.1 is spoken here"}
+		return nil, &requestError{http.StatusHTTPVersionNotSupported, "HTTP/1.1 is spoken here"}
 	}
 	return req, nil
 }
@@ -45,7 +45,7 @@
 func peekHead(r *bufio.Reader) ([]byte, error) {
 	for n := 1; ; {
 		if _, err := r.Peek(n); errors.Is(err, bufio.ErrBufferFull) {
-			return nil, &fault{http.StatusRequestHeaderFieldsTooLarge, "the head is too long"}
+			return nil, &requestError{http.StatusRequestHeaderFieldsTooLarge, "the head is too long"}
 		} else if err != nil {
 			return nil, err
 		}
@@ -55,15 +55,15 @@
 			n = 1
 			continue
 		}
-		if end := headEnd(got); end > 0 {
+		if end := headLength(got); end > 0 {
 			return got[:end], nil
 		}
 		n = len(got) + 1
 	}
 }
 
-// headEnd is the length of a head with the empty line that ends it; 0 while that has not come.
-func headEnd(b []byte) int {
+// headLength is the length of a head with the empty line that ends it; 0 while that has not come.
+func headLength(b []byte) int {
 	for at := 0; ; {
 		i := bytes.IndexByte(b[at:], '\n')
 		if i < 0 {
@@ -80,13 +80,13 @@
 }
 
 // checkHead finds what http.ReadRequest lets pass: a head that different readers may read differently.
-func checkHead(head []byte) *fault {
+func checkHead(head []byte) *requestError {
 	lengths, codings, hosts := 0, 0, 0
 	lines := strings.Split(string(head), "\n")
 	for i, line := range lines {
 		line = strings.TrimSuffix(line, "\r")
 		if strings.IndexFunc(line, func(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f }) >= 0 {
-			return &fault{http.StatusBadRequest, "a control character in the head"}
+			return &requestError{http.StatusBadRequest, "a control character in the head"}
 		}
 		if i == 0 {
 			continue
@@ -105,13 +105,13 @@
 	switch {
 	case lengths > 0 && codings > 0:
 		// The body may hide another request from one who goes by the other.
-		return &fault{http.StatusBadRequest, "both Content-Length and Transfer-Encoding"}
+		return &requestError{http.StatusBadRequest, "both Content-Length and Transfer-Encoding"}
 	case lengths > 1 || codings > 1:
-		return &fault{http.StatusBadRequest, "a length that is repeated"}
+		return &requestError{http.StatusBadRequest, "a length that is repeated"}
 	case old && codings > 0:
-		return &fault{http.StatusBadRequest, "Transfer-Encoding in HTTP/1.0"}
+		return &requestError{http.StatusBadRequest, "Transfer-Encoding in HTTP/1.0"}
 	case hosts > 1 || hosts == 0 && !old:
-		return &fault{http.StatusBadRequest, "one Host is needed"}
+		return &requestError{http.StatusBadRequest, "one Host is needed"}
 	}
 	return nil
 }
@@ -127,14 +127,14 @@
 	digits, _, _ := strings.Cut(rest, " ")
 	n, err := strconv.ParseUint(digits, 10, 16)
 	if version != "HTTP/1.1" && version != "HTTP/1.0" || err != nil || len(digits) != 3 || n < 100 {
-		return 0, nil, false, errSpoilt
+		return 0, nil, false, errMalformed
 	}
 	if header, err = text.ReadMIMEHeader(); err != nil {
 		return 0, nil, false, err
 	}
 	if len(header["Transfer-Encoding"]) > 0 && version == "HTTP/1.0" {
 		// RFC 9112, 6.1: its framing is faulty. Who reads 1.0 by the letter takes its chunks for the body itself.
-		return 0, nil, false, errSpoilt
+		return 0, nil, false, errMalformed
 	}
 	lasting = version == "HTTP/1.1"
 	for _, value := range header["Connection"] {
--- a/internal/http1/parse_request.go
+++ b/internal/http1/parse_request.go
@@ -10,35 +10,35 @@
 	"dykering/internal/decision"
 )
 
-// single are the headers that must not be repeated: of two, an endpoint may read the other one.
-var single = []string{"X-Txn", "X-Lane", "X-Org", "X-Remaining", "Idempotency-Key"}
+// singletonHeaders are the headers that must not be repeated: of two, an endpoint may read the other one.
+var singletonHeaders = []string{"X-Txn", "X-Lane", "X-Org", "X-Remaining", "Idempotency-Key"}
 
-// parse reads what the Balancer is told of a request, or names what is wrong with it.
-func (s *Server) parse(r *http.Request) (req *request, status int, fault string) {
+// parseRequest reads what the Balancer is told of a request, or names what is wrong with it.
+func (s *Server) parseRequest(r *http.Request) (req *request, status int, fault string) {
 	switch {
-	case r.ContentLength > maxLong:
+	case r.ContentLength > maxStreamedBody:
 		return nil, http.StatusRequestEntityTooLarge, "request body too large"
 	case r.Header.Get("Expect") != "" && !expectsContinue(r):
 		return nil, http.StatusExpectationFailed, "Expect: only 100-continue is known"
 	}
-	if req, fault = s.read(r); fault != "" {
+	if req, fault = s.parseHeaders(r); fault != "" {
 		return nil, http.StatusBadRequest, fault
 	}
 	return req, 0, ""
 }
 
-func (s *Server) read(r *http.Request) (req *request, fault string) {
+func (s *Server) parseHeaders(r *http.Request) (req *request, fault string) {
 	if !strings.HasPrefix(r.RequestURI, "/") {
 		return nil, "not a path: this is no proxy for other hosts"
 	}
-	for _, name := range single {
+	for _, name := range singletonHeaders {
 		if len(r.Header[name]) > 1 {
 			return nil, name + ": repeated"
 		}
 	}
 	req = newRequest()
 	req.ID = decision.RequestID(r.Header.Get("X-Txn"))
-	if req.ID == "" || len(req.ID) > maxName {
+	if req.ID == "" || len(req.ID) > maxIDLength {
 		return nil, "X-Txn: missing or too long"
 	}
 	var ok bool
--- a/internal/http1/passage_test.go
+++ b/internal/http1/passage_test.go
@@ -81,8 +81,8 @@
 func (h *handed) succeed(t *testing.T) *rig {
 	t.Helper()
 	rg := startWith(t, 1, 1024, func(c *config.Config) { c.Accept, c.Handover = h.descriptor(), h.dir }, h.targets...)
-	rg.server.linger = time.Minute // nothing here ends by its time
-	rg.server.handsFor = 0
+	rg.server.shutdownTimeout = time.Minute // nothing here ends by its time
+	rg.server.handoverGrace = 0
 	rg.until("it can serve", rg.server.CanServe) // its /ready is asked of whoever accepts on the socket
 	return rg
 }
@@ -91,13 +91,13 @@
 // where there is none, nobody's.
 func (rg *rig) accepted(c net.Conn) {
 	rg.t.Helper()
-	cs := &rg.server.callers
+	cs := &rg.server.clients
 	rg.until("it is accepted", func() bool {
 		cs.mu.Lock()
 		defer cs.mu.Unlock()
-		for i := range cs.stages {
-			for at := cs.stages[i].Front(); at != nil; at = at.Next() {
-				if at.Value.(*caller).RemoteAddr().String() == c.LocalAddr().String() {
+		for i := range cs.byState {
+			for at := cs.byState[i].Front(); at != nil; at = at.Next() {
+				if at.Value.(*downstreamConn).RemoteAddr().String() == c.LocalAddr().String() {
 					return true
 				}
 			}
@@ -109,14 +109,14 @@
 // allRead waits until a sidecar has read all that its callers have written.
 func (rg *rig) allRead() {
 	rg.t.Helper()
-	cs := &rg.server.callers
+	cs := &rg.server.clients
 	rg.until("all is read", func() (done bool) {
 		cs.mu.Lock()
 		defer cs.mu.Unlock()
 		done = true
-		for i := range cs.stages {
-			for at := cs.stages[i].Front(); at != nil; at = at.Next() {
-				done = done && !at.Value.(*caller).waiting()
+		for i := range cs.byState {
+			for at := cs.byState[i].Front(); at != nil; at = at.Next() {
+				done = done && !at.Value.(*downstreamConn).hasInput()
 			}
 		}
 		return done
@@ -124,14 +124,14 @@
 }
 
 // atStage waits until a sidecar's only connection is at a stage.
-func (rg *rig) atStage(s stage) {
+func (rg *rig) atStage(s connState) {
 	rg.t.Helper()
-	cs := &rg.server.callers
+	cs := &rg.server.clients
 	rg.until(fmt.Sprint("its caller is at stage ", s), func() bool {
 		http.DefaultClient.CloseIdleConnections()
 		cs.mu.Lock()
 		defer cs.mu.Unlock()
-		return cs.stages[s].Len() == 1 && cs.open == 1
+		return cs.byState[s].Len() == 1 && cs.open == 1
 	})
 }
 
@@ -190,7 +190,7 @@
 		}
 		begun := after >= 4 && after < len(pieces) // more than what is held of an answer before it begins
 		if begun {
-			h.atStage(relaying)
+			h.atStage(stateStreaming)
 		}
 		var heir *rig
 		if succeeded {
@@ -199,7 +199,7 @@
 		h.stop()
 		if succeeded && begun {
 			h.over()
-			heir.atStage(relaying)
+			heir.atStage(stateStreaming)
 		}
 		for _, piece := range pieces[after:] {
 			h.feed(piece)
@@ -256,13 +256,13 @@
 		next := h.succeed(t)
 		now.stop()
 		now.over()
-		next.atStage(relaying)
+		next.atStage(stateStreaming)
 		now = next
 	}
 	if _, err := io.Copy(&got, res.Body); err != nil || !bytes.Equal(got.Bytes(), body) {
 		t.Errorf("%d bytes, %v", got.Len(), err)
 	}
-	now.atStage(idle)
+	now.atStage(stateIdle)
 	now.idle()
 }
 
@@ -285,8 +285,8 @@
 			io.WriteString(c, piece)
 		}
 		h.allRead()
-		if h.server.handsFor = time.Minute; succeeded { // without a successor there is nobody to pass it to
-			h.server.handsFor = 0
+		if h.server.handoverGrace = time.Minute; succeeded { // without a successor there is nobody to pass it to
+			h.server.handoverGrace = 0
 			h.succeed(t)
 		}
 		http.DefaultClient.CloseIdleConnections()
@@ -358,14 +358,14 @@
 	r.Write(c)
 	h.next()
 	heir := h.succeed(t)
-	heir.server.callers.mu.Lock()
-	heir.server.callers.most = 0
-	heir.server.callers.mu.Unlock()
+	heir.server.clients.mu.Lock()
+	heir.server.clients.limit = 0
+	heir.server.clients.mu.Unlock()
 	pieces := cut("HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n"+string(noise(300000)), 100000)
 	h.feed(pieces[0])
-	h.atStage(relaying)
+	h.atStage(stateStreaming)
 	h.stop()
-	tried := h.server.callers.stages[relaying].Front().Value.(*caller).passing.(*relay)
+	tried := h.server.clients.byState[stateStreaming].Front().Value.(*downstreamConn).stream.(*relay)
 	h.until("it has been tried", func() bool {
 		tried.mu.Lock()
 		defer tried.mu.Unlock()
@@ -392,7 +392,7 @@
 				t.Fatalf("%+v", res)
 			}
 		}
-		still, err := handover.Listen(h.dir, h.server.heirName())
+		still, err := handover.Listen(h.dir, h.server.handoverName())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -410,7 +410,7 @@
 			})
 		}
 		h.stop()
-		h.until("it hands over", func() bool { return h.server.heir.Load() != nil })
+		h.until("it hands over", func() bool { return h.server.successor.Load() != nil })
 		if res := h.send(asking, h.request("once", 9*time.Second)); res == nil || res.StatusCode != http.StatusOK && res.Header.Get("Retry-After") == "" {
 			t.Errorf("figures %v: asked while it ends: %+v", figures, res)
 		}
@@ -429,8 +429,8 @@
 	rg := start(t, 1024, peer(t, "s-1", func(http.ResponseWriter, *http.Request) {}))
 	near, _ := tcpPair(t)
 	far, _ := tcpPair(t)
-	good := passage{Version: passageVersion, Relay: &relayLeft{Length: 10, Read: 3, Allowed: 99}}
-	text := func(change func(*passage)) string {
+	good := connTransfer{Version: transferVersion, Relay: &relayState{Length: 10, Read: 3, ReadLimit: 99}}
+	text := func(change func(*connTransfer)) string {
 		p, l := good, *good.Relay
 		p.Relay = &l
 		change(&p)
@@ -439,21 +439,23 @@
 	}
 	for name, state := range map[string]string{
 		"no JSON":           "{",
-		"another version":   text(func(p *passage) { p.Version++ }),
-		"one connection":    text(func(p *passage) { p.Relay = nil }),
-		"read beyond":       text(func(p *passage) { p.Relay.Read = 11 }),
-		"too long":          text(func(p *passage) { p.Relay.Length = maxLong + 1 }),
-		"both":              text(func(p *passage) { p.Upload = &uploadLeft{Length: 10} }),
-		"a stage of none":   text(func(p *passage) { p.Relay.Length, p.Relay.Chunks = -1, &chunked{Stage: 9} }),
-		"chunks and length": text(func(p *passage) { p.Relay.Chunks = &chunked{} }),
-		"an endless wait":   text(func(p *passage) { p.Relay, p.Upload = nil, &uploadLeft{Length: 10, Wait: 2 * maxRemaining} }),
-		"more than all":     text(func(p *passage) { p.Relay, p.Upload = nil, &uploadLeft{Length: 10, Left: 11} }),
+		"another version":   text(func(p *connTransfer) { p.Version++ }),
+		"one connection":    text(func(p *connTransfer) { p.Relay = nil }),
+		"read beyond":       text(func(p *connTransfer) { p.Relay.Read = 11 }),
+		"too long":          text(func(p *connTransfer) { p.Relay.Length = maxStreamedBody + 1 }),
+		"both":              text(func(p *connTransfer) { p.Upload = &uploadState{Length: 10} }),
+		"a stage of none":   text(func(p *connTransfer) { p.Relay.Length, p.Relay.Chunks = -1, &chunkedReader{Stage: 9} }),
+		"chunks and length": text(func(p *connTransfer) { p.Relay.Chunks = &chunkedReader{} }),
+		"an endless wait": text(func(p *connTransfer) {
+			p.Relay, p.Upload = nil, &uploadState{Length: 10, AnswerTimeout: 2 * maxRemaining}
+		}),
+		"more than all": text(func(p *connTransfer) { p.Relay, p.Upload = nil, &uploadState{Length: 10, Remaining: 11} }),
 	} {
-		if _, _, ok := rg.server.adopt([]byte(state), []net.Conn{near.Conn, far.Conn}); ok {
+		if _, _, ok := rg.server.acceptTransfer([]byte(state), []net.Conn{near.Conn, far.Conn}); ok {
 			t.Errorf("%s: taken", name)
 		}
 	}
-	_, drop, ok := rg.server.adopt([]byte(text(func(*passage) {})), []net.Conn{near.Conn, far.Conn})
+	_, drop, ok := rg.server.acceptTransfer([]byte(text(func(*connTransfer) {})), []net.Conn{near.Conn, far.Conn})
 	if !ok {
 		t.Fatal("a good one is declined")
 	}
@@ -507,7 +509,7 @@
 		})
 	}
 	for i := range 5 {
-		now.server.handsFor = time.Duration(i%2) * handedOverAfter
+		now.server.handoverGrace = time.Duration(i%2) * handoverGrace
 		before := asked.Load()
 		now.until("callers ask", func() bool { return asked.Load() > before+40 })
 		next := h.succeed(t)
--- a/internal/http1/relay_frame.go
+++ b/internal/http1/relay_frame.go
@@ -6,29 +6,29 @@
 	"net/http"
 )
 
-// framed is a piece of a body as it is written: a chunk of it where its length is not known.
-func framed(b []byte, chunked bool) [][]byte {
+// frameChunks is a piece of a body as it is written: a chunk of it where its length is not known.
+func frameChunks(b []byte, chunked bool) [][]byte {
 	if !chunked {
 		return [][]byte{b}
 	}
 	return [][]byte{fmt.Appendf(nil, "%x\r\n", len(b)), b, []byte("\r\n")}
 }
 
-// chunkFrame is the room for what a chunk has in front, and chunkTail what it has behind.
+// const is the room for what a chunk has in front, and chunkTail what it has behind.
 const (
-	chunkFrame = len("ffffffff\r\n")
-	chunkTail  = len("\r\n")
+	chunkHeaderRoom = len("ffffffff\r\n")
+	chunkEndRoom    = len("\r\n")
 )
 
-// inFrame is the piece of n bytes in a buffer that has room around it, as a chunk if it is to be framed.
-func inFrame(buffer []byte, n int, framed bool) []byte {
+// frameInPlace is the piece of n bytes in a buffer that has room around it, as a chunk if it is to be framed.
+func frameInPlace(buffer []byte, n int, framed bool) []byte {
 	if n == 0 {
 		return nil
 	}
-	from, to := chunkFrame, chunkFrame+n
+	from, to := chunkHeaderRoom, chunkHeaderRoom+n
 	if framed {
 		size := fmt.Appendf(nil, "%x\r\n", n)
-		from -= copy(buffer[chunkFrame-len(size):], size)
+		from -= copy(buffer[chunkHeaderRoom-len(size):], size)
 		to += copy(buffer[to:], "\r\n")
 	}
 	return buffer[from:to]
--- a/internal/http1/sidecar_test.go
+++ b/internal/http1/sidecar_test.go
@@ -125,7 +125,7 @@
 		rg.server.loop.Close()
 		close(rg.reloads)
 		listener.Close()
-		rg.server.callers.closeAll(mute, idle, reading)
+		rg.server.clients.closeInStates(stateNew, stateIdle, stateReading)
 		discovery.CloseClientConnections()
 		discovery.Close()
 	})
@@ -392,10 +392,10 @@
 	rg.server.loop.Post(func() { <-on })
 	c.Close()
 	rg.until("its client's end is here", func() bool {
-		rg.server.callers.mu.Lock()
-		defer rg.server.callers.mu.Unlock()
-		at := rg.server.callers.stages[busy].Front()
-		return at == nil || at.Value.(*caller).gone()
+		rg.server.clients.mu.Lock()
+		defer rg.server.clients.mu.Unlock()
+		at := rg.server.clients.byState[stateServing].Front()
+		return at == nil || at.Value.(*downstreamConn).hasHungUp()
 	})
 	close(n.letGo)
 	e, err := l.Accept()
@@ -432,7 +432,7 @@
 		"two ids":               {func(r *http.Request) { r.Header.Add("X-Txn", "other") }, 400},
 		"two classes":           {func(r *http.Request) { r.Header.Add("X-Lane", "once") }, 400},
 		"two times":             {func(r *http.Request) { r.Header.Add("X-Remaining", "9m") }, 400},
-		"long id":               {func(r *http.Request) { r.Header.Set("X-Txn", strings.Repeat("x", maxName+1)) }, 400},
+		"long id":               {func(r *http.Request) { r.Header.Set("X-Txn", strings.Repeat("x", maxIDLength+1)) }, 400},
 		"other method":          {func(r *http.Request) { r.Method = "PUT" }, 400},
 		"other host":            {func(r *http.Request) { r.URL.Opaque = "http://other/api" }, 400},
 		"boundless time":        {func(r *http.Request) { r.Header.Set("X-Remaining", "1e300m") }, 400},
@@ -445,12 +445,12 @@
 	}
 	head := "POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: a\r\nX-Lane: once\r\nX-Remaining: 900m\r\n"
 	for text, want := range map[string]int{
-		head + fmt.Sprintf("Content-Length: %d\r\n\r\n", maxLong+1):  413,
-		head + "Expect: miracles\r\nContent-Length: 1\r\n\r\nx":      417,
-		head + "Transfer-Encoding: chunked\r\n\r\nzz\r\n":            400,
-		head + "X-Pad: " + strings.Repeat("x", maxHead) + "\r\n\r\n": 431,
-		"POST /api HTTP/1.1\r\nX-Txn: a\r\n\r\n":                     400,
-		"POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: a\x00\r\n\r\n":      400,
+		head + fmt.Sprintf("Content-Length: %d\r\n\r\n", maxStreamedBody+1): 413,
+		head + "Expect: miracles\r\nContent-Length: 1\r\n\r\nx":             417,
+		head + "Transfer-Encoding: chunked\r\n\r\nzz\r\n":                   400,
+		head + "X-Pad: " + strings.Repeat("x", maxHead) + "\r\n\r\n":        431,
+		"POST /api HTTP/1.1\r\nX-Txn: a\r\n\r\n":                            400,
+		"POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: a\x00\r\n\r\n":             400,
 		"nonsense\r\n\r\n": 400,
 	} {
 		if status, _ := rg.raw(text); status != want {
@@ -650,12 +650,12 @@
 		_, c := rg.raw("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n")
 		idles = append(idles, c)
 	}
-	cs := &rg.server.callers
+	cs := &rg.server.clients
 	rg.until("only these are open, and idle", func() bool {
 		http.DefaultClient.CloseIdleConnections()
 		cs.mu.Lock()
 		defer cs.mu.Unlock()
-		return cs.stages[idle].Len() == n && cs.open == n
+		return cs.byState[stateIdle].Len() == n && cs.open == n
 	})
 	return idles
 }
@@ -664,7 +664,7 @@
 func (rg *rig) stop() {
 	rg.t.Helper()
 	rg.signals <- syscall.SIGTERM
-	rg.until("it stops", func() bool { return !rg.server.life.Ends().IsZero() })
+	rg.until("it stops", func() bool { return !rg.server.lifecycle.Ends().IsZero() })
 }
 
 // over waits for the sidecar to end by itself.
@@ -703,7 +703,7 @@
 		<-serve
 		fmt.Fprint(w, "ok")
 	}))
-	rg.server.quiet, rg.server.linger = time.Millisecond, time.Hour
+	rg.server.quietPeriod, rg.server.shutdownTimeout = time.Millisecond, time.Hour
 	idles := rg.connect(5)
 	answer := make(chan *http.Response)
 	ask := func(c *net.TCPConn) { answer <- rg.send(c, rg.request("once", 9*time.Second)) }
@@ -747,7 +747,7 @@
 		gone(r)
 		gaveUp <- true
 	}))
-	rg.server.linger = linger
+	rg.server.shutdownTimeout = linger
 	idles := rg.connect(5)
 	answer := make(chan *http.Response, 2)
 	ask := func(c *net.TCPConn) { answer <- rg.send(c, rg.request("once", time.Minute)) }
@@ -765,7 +765,7 @@
 		}
 		<-gaveUp
 	}
-	if now, end := time.Now(), rg.server.life.Ends(); now.Before(end) || now.After(end.Add(linger)) {
+	if now, end := time.Now(), rg.server.lifecycle.Ends(); now.Before(end) || now.After(end.Add(linger)) {
 		t.Errorf("given up %v after the end", now.Sub(end))
 	}
 	rg.over()
@@ -785,7 +785,7 @@
 		{2, 1, http.StatusServiceUnavailable}, {3, 1, http.StatusOK}, {0, 2, http.StatusOK},
 	} {
 		rg := startOneOf(t, c.instances, 1024, one)
-		rg.server.linger = time.Hour
+		rg.server.shutdownTimeout = time.Hour
 		if status, _ := rg.ask(rg.request("once", 9*time.Second)); status != http.StatusOK {
 			t.Fatalf("before the stop: %d", status)
 		}
@@ -855,7 +855,7 @@
 		<-serve
 		fmt.Fprint(w, "ok")
 	}))
-	rg.server.quiet, rg.server.linger, rg.server.handOver = time.Millisecond, time.Hour, time.Hour
+	rg.server.quietPeriod, rg.server.shutdownTimeout, rg.server.redirectLead = time.Millisecond, time.Hour, time.Hour
 	idles := rg.connect(2)
 	answer := make(chan *http.Response)
 	go func() { answer <- rg.send(idles[0], rg.request("once", 9*time.Second)) }()
@@ -935,11 +935,11 @@
 	rg.until("all is forgotten", func() (done bool) {
 		held := rg.stats()
 		done = len(held.Endpoints)+held.Idle+held.Conns+held.Calls == 0 && rg.server.memory.Bodies.Left() == full
-		cs := &rg.server.callers
+		cs := &rg.server.clients
 		cs.mu.Lock()
 		defer cs.mu.Unlock()
-		for i := range cs.stages {
-			done = done && cs.stages[i].Len() == 0
+		for i := range cs.byState {
+			done = done && cs.byState[i].Len() == 0
 		}
 		return done && cs.open == 0
 	})
@@ -971,7 +971,7 @@
 	}
 	ask()
 	var crowd []net.Conn
-	for range 5 * rg.server.callers.most {
+	for range 5 * rg.server.clients.limit {
 		crowd = append(crowd, dial())
 	}
 	ask()
@@ -1003,7 +1003,7 @@
 	for range texts {
 		<-ended
 	}
-	if took := time.Since(began); took > readTimeout+patience/4 {
+	if took := time.Since(began); took > headTimeout+patience/4 {
 		t.Errorf("took %v", took)
 	}
 }
@@ -1012,7 +1012,7 @@
 func TestIdleCallersMakeRoom(t *testing.T) {
 	rg := start(t, config.LeastSockets, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") }))
 	var first net.Conn
-	for i := range 3 * rg.server.callers.most {
+	for i := range 3 * rg.server.clients.limit {
 		c, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
 		if err != nil {
 			t.Fatal(err)
@@ -1034,9 +1034,9 @@
 		t.Errorf("the first connection: %d bytes, %v", n, err)
 	}
 	rg.until("open connections are within their share", func() bool {
-		rg.server.callers.mu.Lock()
-		defer rg.server.callers.mu.Unlock()
-		return rg.server.callers.open <= rg.server.callers.most
+		rg.server.clients.mu.Lock()
+		defer rg.server.clients.mu.Unlock()
+		return rg.server.clients.open <= rg.server.clients.limit
 	})
 }
 
@@ -1044,15 +1044,15 @@
 func TestEndedCallersMakeRoom(t *testing.T) {
 	rg := start(t, config.LeastSockets, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") }))
 	http.DefaultClient.CloseIdleConnections()
-	rg.until("no connection is open", func() bool { return rg.server.callers.quietFor(0) })
-	for range rg.server.callers.most {
+	rg.until("no connection is open", func() bool { return rg.server.clients.emptyFor(0) })
+	for range rg.server.clients.limit {
 		c := rg.dial()
 		io.WriteString(c, "no request\r\n\r\n")
 		if res, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || !res.Close {
 			t.Fatalf("%+v, %v", res, err)
 		}
 	}
-	for i := range rg.server.callers.most {
+	for i := range rg.server.clients.limit {
 		if res := rg.once("once"); res == nil || res.StatusCode != http.StatusOK {
 			t.Fatalf("call %d: %+v", i, res)
 		}
@@ -1063,20 +1063,20 @@
 // in the moment between the two, and is not ended in it: nothing of the request shows at its socket.
 func TestReadRequestsMakeNoRoom(t *testing.T) {
 	near, _ := tcpPair(t)
-	cs := &callers{most: 1}
-	adopted := &caller{Conn: near.Conn, callers: cs, input: []byte("GET ")}
-	if !cs.adopt(adopted) || cs.makeRoom(time.Now()) {
+	cs := &connTracker{limit: 1}
+	adopted := &downstreamConn{Conn: near.Conn, tracker: cs, readAhead: []byte("GET ")}
+	if !cs.adopt(adopted) || cs.evictOne(time.Now()) {
 		t.Error("an adopted one")
 	}
-	adopted.input = nil
+	adopted.readAhead = nil
 	r := bufio.NewReader(strings.NewReader("GET /"))
 	r.Peek(1)
-	adopted.rest(r)
-	if cs.makeRoom(time.Now()) {
+	adopted.finishRequest(r)
+	if cs.evictOne(time.Now()) {
 		t.Error("one with a request in its reader")
 	}
-	cs.closeAll(mute, idle)
-	if adopted.rest(nil); cs.open != 1 || !cs.makeRoom(time.Now()) {
+	cs.closeInStates(stateNew, stateIdle)
+	if adopted.finishRequest(nil); cs.open != 1 || !cs.evictOne(time.Now()) {
 		t.Error("an idle one is to make room")
 	}
 }
@@ -1089,9 +1089,9 @@
 		<-serve
 		fmt.Fprint(w, "ok")
 	}))
-	rg.server.callers.mu.Lock()
-	rg.server.callers.most = 2 // as if the machine were that small
-	rg.server.callers.mu.Unlock()
+	rg.server.clients.mu.Lock()
+	rg.server.clients.limit = 2 // as if the machine were that small
+	rg.server.clients.mu.Unlock()
 	dial := func() net.Conn {
 		c, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
 		if err != nil {
@@ -1133,7 +1133,7 @@
 func TestStopAnswersHalfRequests(t *testing.T) {
 	var came atomic.Int64
 	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) { came.Add(1) }))
-	rg.server.linger = 400 * time.Millisecond
+	rg.server.shutdownTimeout = 400 * time.Millisecond
 	head := "POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: %s\r\nX-Lane: book\r\nX-Remaining: 9000m\r\nIdempotency-Key: k\r\n"
 	halves := map[string]string{"head": fmt.Sprintf(head, "a"), "body": fmt.Sprintf(head, "b") + "Content-Length: 8\r\n\r\ntrip",
 		"chunks": fmt.Sprintf(head, "c") + "Transfer-Encoding: chunked\r\n\r\n4\r\ntrip\r\n"}
@@ -1143,9 +1143,9 @@
 		io.WriteString(conns[name], half)
 	}
 	rg.until("all are being read", func() bool {
-		rg.server.callers.mu.Lock()
-		defer rg.server.callers.mu.Unlock()
-		return rg.server.callers.stages[reading].Len() == len(halves)
+		rg.server.clients.mu.Lock()
+		defer rg.server.clients.mu.Unlock()
+		return rg.server.clients.byState[stateReading].Len() == len(halves)
 	})
 	rg.signals <- syscall.SIGTERM
 	for name, c := range conns {
@@ -1176,7 +1176,7 @@
 	for name, turn := range map[string]func(*rig){
 		"stop": func(rg *rig) {
 			rg.signals <- syscall.SIGTERM
-			rg.until("answers are the last", func() bool { return rg.server.life.Closing(lastAnswers) })
+			rg.until("answers are the last", func() bool { return rg.server.lifecycle.Closing(lastAnswerWindow) })
 		},
 		"stop, before an endpoint that hangs": func(rg *rig) {
 			rg.signals <- syscall.SIGTERM
@@ -1185,7 +1185,7 @@
 		"drain": func(rg *rig) {
 			rg.server.Drain()
 			rg.until("callers should be elsewhere", func() bool {
-				_, away := rg.server.sentAway()
+				_, away := rg.server.redirectAnswer()
 				return away
 			})
 		},
@@ -1195,7 +1195,7 @@
 			came <- true
 			<-serve
 		}))
-		rg.server.linger, rg.server.heardFor = time.Second, 50*time.Millisecond
+		rg.server.shutdownTimeout, rg.server.drainGrace = time.Second, 50*time.Millisecond
 		var all bytes.Buffer
 		for range 3 {
 			rg.request("once", 9*time.Second).Write(&all)
@@ -1224,9 +1224,9 @@
 	near, far := net.Pipe()
 	defer near.Close()
 	defer far.Close()
-	w := &reply{caller: &caller{Conn: near, callers: &callers{}}, lasts: true, patience: leastWrite}
+	w := &reply{client: &downstreamConn{Conn: near, tracker: &connTracker{}}, keepAlive: true, writeTimeout: minWriteTimeout}
 	began := time.Now()
-	if w.whole(http.StatusOK, http.Header{}, []byte("ok")) {
+	if w.complete(http.StatusOK, http.Header{}, []byte("ok")) {
 		t.Error("it was taken")
 	}
 	if took := time.Since(began); took > writeTimeout/2 {
--- a/internal/http1/stages.go
+++ b/internal/http1/stages.go
@@ -8,8 +8,8 @@
 
 // Visited is what a look at the stages has seen before, so that the next one also sees what came and went between.
 type PhaseCounts struct {
-	connections  [stages]uint64
-	attempts [core.AttemptPhases]uint64
+	connections [connStates]uint64
+	attempts    [core.AttemptPhases]uint64
 }
 
 // Stages are the stages in which something is now or was since the last look, of callers' connections, requests and the
@@ -22,31 +22,31 @@
 			names = append(names, name)
 		}
 	}
-	s.callers.mu.Lock()
-	for stage, name := range map[stage]string{mute: "ac", reading: "he"} {
-		moved := s.callers.moved[stage]
-		report(name, s.callers.stages[stage].Len()+int(moved-previous.connections[stage]))
+	s.clients.mu.Lock()
+	for stage, name := range map[connState]string{stateNew: "ac", stateReading: "he"} {
+		moved := s.clients.entered[stage]
+		report(name, s.clients.byState[stage].Len()+int(moved-previous.connections[stage]))
 		previous.connections[stage] = moved
 	}
-	s.callers.mu.Unlock()
+	s.clients.mu.Unlock()
 	stats := s.loop.Stats()
 	report("hd", stats.Held)
 	for phase, name := range map[core.AttemptPhase]string{core.Connecting: "co", core.Writing: "wr", core.Awaiting: "aw",
 		core.Coming: "cm"} {
-		entered := s.up.entered[phase].Load()
+		entered := s.upstream.phaseEntries[phase].Load()
 		report(name, stats.Phases[phase]+int(entered-previous.attempts[phase]))
 		previous.attempts[phase] = entered
 	}
 	report("wa", stats.Again)
-	switch phase, _, _ := s.life.Now(); {
+	switch phase, _, _ := s.lifecycle.Now(); {
 	case phase == core.Draining:
 		names = append(names, "dr")
-	case phase == core.Stopping && s.handing():
+	case phase == core.Stopping && s.hasSuccessor():
 		names = append(names, "ho")
 	case phase == core.Stopping:
 		names = append(names, "st")
 	}
-	if at := s.reloaded.Load(); at != 0 && time.Since(time.Unix(0, at)) < reloadSeen {
+	if at := s.lastReload.Load(); at != 0 && time.Since(time.Unix(0, at)) < reloadWindow {
 		names = append(names, "re")
 	}
 	if stats.Moved {
@@ -55,8 +55,8 @@
 	return names
 }
 
-// reloadSeen is how long after a reload it counts as under way: callers and lists are told of it in that time.
-const reloadSeen = 50 * time.Millisecond
+// reloadWindow is how long after a reload it counts as under way: callers and lists are told of it in that time.
+const reloadWindow = 50 * time.Millisecond
 
 // Held is how many bytes of bodies are accounted for as held: none once a process has answered all.
 func (s *Server) BufferedBytes() int64 {
--- a/internal/http1/stages_test.go
+++ b/internal/http1/stages_test.go
@@ -353,7 +353,7 @@
 	var s core.Stats
 	rg.until("nothing is left", func() bool {
 		s = rg.stats()
-		cs := &rg.server.callers
+		cs := &rg.server.clients
 		cs.mu.Lock()
 		defer cs.mu.Unlock()
 		return s.Calls+s.Out+s.Conns+s.Idle+cs.open == 0 && rg.server.memory.Bodies.Left() == memory &&
@@ -413,7 +413,7 @@
 			}
 			rg := start(t, 1024, targets...)
 			http.DefaultClient.CloseIdleConnections()
-			rg.until("it is quiet", func() bool { return rg.server.callers.quietFor(0) })
+			rg.until("it is quiet", func() bool { return rg.server.clients.emptyFor(0) })
 			memory, goroutines := rg.server.memory.Bodies.Left(), runtime.NumGoroutine()
 			var marks []string
 			if f.never {
@@ -454,7 +454,7 @@
 // Whatever discovery says of a server while a request of each stage is there: what runs ends well, what is new goes only
 // where it may, and nothing is left over.
 func TestListsInEachStage(t *testing.T) {
-	long := strings.Repeat("x", 2*maxBody)
+	long := strings.Repeat("x", 2*maxBufferedBody)
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(long))
 	for stage, body := range map[string]int{"awaited": 4, "coming": 4, "written": len(long)} {
 		for name, steps := range map[string][]string{
@@ -482,10 +482,10 @@
 					came <- true
 					switch stage {
 					case "coming":
-						io.WriteString(c, head+long[:maxBody+maxBody/2])
+						io.WriteString(c, head+long[:maxBufferedBody+maxBufferedBody/2])
 						<-goOn
 						over()
-						io.WriteString(c, long[maxBody+maxBody/2:])
+						io.WriteString(c, long[maxBufferedBody+maxBufferedBody/2:])
 					case "awaited":
 						<-goOn
 						return says(goodAnswer, true)(c, over)
@@ -497,7 +497,7 @@
 				second := newStandIn(t, l, "s-2", says(goodAnswer, true))
 				rg := start(t, 1024, first.target)
 				http.DefaultClient.CloseIdleConnections()
-				rg.until("it is quiet", func() bool { return rg.server.callers.quietFor(0) })
+				rg.until("it is quiet", func() bool { return rg.server.clients.emptyFor(0) })
 				memory, goroutines := rg.server.memory.Bodies.Left(), runtime.NumGoroutine()
 				ended := make(chan error, 1)
 				go func() { ended <- rg.stage(l, stage == "written", long[:body], goOn) }()
@@ -508,10 +508,10 @@
 				}
 				if stage == "coming" {
 					rg.until("it comes", func() bool {
-						cs := &rg.server.callers
+						cs := &rg.server.clients
 						cs.mu.Lock()
 						defer cs.mu.Unlock()
-						return cs.stages[relaying].Len() == 1
+						return cs.byState[stateStreaming].Len() == 1
 					})
 				}
 				rev, closed := uint64(2), false
@@ -629,7 +629,7 @@
 		for phase, begin := range map[string]func(rg *rig){
 			"drain": func(rg *rig) {
 				rg.server.Drain()
-				rg.until("it drains", func() bool { return !rg.server.life.Ready() })
+				rg.until("it drains", func() bool { return !rg.server.lifecycle.Ready() })
 			},
 			"stop": func(rg *rig) {
 				rg.signals <- syscall.SIGTERM
@@ -676,7 +676,7 @@
 				rg.until("nothing is left", func() bool {
 					http.DefaultClient.CloseIdleConnections() // of start, which asks whether it is ready
 					s := rg.stats()
-					return s.Calls+s.Out == 0 && s.Conns == s.Idle && rg.server.callers.quietFor(0) &&
+					return s.Calls+s.Out == 0 && s.Conns == s.Idle && rg.server.clients.emptyFor(0) &&
 						rg.server.memory.Bodies.Left() == memory
 				})
 				for _, fault := range l.broken(250*time.Millisecond, 5) {
--- a/internal/http1/succession_test.go
+++ b/internal/http1/succession_test.go
@@ -92,7 +92,7 @@
 		"faulty figures":    {`{"version":1,"word":{"learnt":{"classes":[]}}}`, nil, true},
 	} {
 		before, _ := json.Marshal(rg.learnt())
-		start, _, ok := rg.server.adopt([]byte(tc.text), tc.conns)
+		start, _, ok := rg.server.acceptTransfer([]byte(tc.text), tc.conns)
 		if ok != tc.taken {
 			t.Errorf("%s: taken is %v", name, ok)
 		}
@@ -112,7 +112,7 @@
 	h := startHanded(t, func(http.ResponseWriter, *http.Request) {})
 	idles := h.connect(1)
 	words, passed := make(chan bool, 100), make(chan bool, 1)
-	receiver, err := handover.Listen(h.dir, h.server.heirName())
+	receiver, err := handover.Listen(h.dir, h.server.handoverName())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/http1/transfer_state.go
+++ b/internal/http1/transfer_state.go
@@ -8,9 +8,9 @@
 	"dykering/internal/handover"
 )
 
-// tell tells the successor what this process has learnt, and, until done, what it has in flight. A successor that
+// sendState tells the successor what this process has learnt, and, until done, what it has in flight. A successor that
 // knows no such word declines it, and is told no more.
-func (s *Server) tell(done <-chan struct{}) {
+func (s *Server) sendState(done <-chan struct{}) {
 	tick := time.NewTicker(core.TellEvery)
 	defer tick.Stop()
 	for first, last := true, false; ; first = false {
@@ -18,7 +18,7 @@
 		if !last {
 			w = s.loop.Word(first)
 		}
-		if err := s.hand(passage{Word: &w}); err != nil {
+		if err := s.sendToSuccessor(connTransfer{State: &w}); err != nil {
 			if errors.Is(err, handover.ErrDeclined) {
 				s.log.Info("handover.figures_declined")
 			}
--- a/internal/http1/upstream.go
+++ b/internal/http1/upstream.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	maxBody       = 64 << 10 // of a body that is held whole
-	maxLong       = 32 << 20 // of one that is passed on as it comes
-	maxAnswerHead = 16 << 10
-	// answerStart is what is held of an answer that is passed on as it comes, until that begins.
-	answerStart = 4 << 10
-	// answerPatience is how long an answer of unknown length may take to come before it is passed on as it does.
-	answerPatience = 250 * time.Millisecond
-	// skipPatience is how long a body that nobody wants may take.
-	skipPatience = 20 * time.Millisecond
-	// relayStall is how long an endpoint may take no more of a body, or give no more of an answer.
-	relayStall     = 10 * time.Second
-	maxInformation = 16 // 1xx responses before the final one
-	// resetsSpread is how long a process that dies may take to reset all its connections.
-	resetsSpread = 3 * time.Millisecond
+	maxBufferedBody = 64 << 10 // of a body that is held whole
+	maxStreamedBody = 32 << 20 // of one that is passed on as it comes
+	maxResponseHead = 16 << 10
+	// streamPrefix is what is held of an answer that is passed on as it comes, until that begins.
+	streamPrefix = 4 << 10
+	// bufferTimeout is how long an answer of unknown length may take to come before it is passed on as it does.
+	bufferTimeout = 250 * time.Millisecond
+	// discardTimeout is how long a body that nobody wants may take.
+	discardTimeout = 20 * time.Millisecond
+	// streamStallTimeout is how long an endpoint may take no more of a body, or give no more of an answer.
+	streamStallTimeout = 10 * time.Second
+	maxInformational   = 16 // 1xx responses before the final one
+	// resetSpread is how long a process that dies may take to reset all its connections.
+	resetSpread = 3 * time.Millisecond
 )
 
 // upstream carries attempts out over HTTP/1.1.
@@ -35,21 +35,21 @@
 	network        Network
 	memory         *core.Memory
 	connectTimeout time.Duration
-	entered        [core.AttemptPhases]atomic.Uint64 // how many attempts have come so far
+	phaseEntries   [core.AttemptPhases]atomic.Uint64 // how many attempts have come so far
 }
 
 // Send makes an attempt.
 func (u *upstream) Send(a *core.Attempt, over core.Conn) core.Result {
-	c, _ := over.(*conn)
+	c, _ := over.(*upstreamConn)
 	t := newAttempt(a, u.network)
-	t.entered = &u.entered
-	t.enter(core.Connecting)
+	t.phaseEntries = &u.phaseEntries
+	t.enterPhase(core.Connecting)
 	res := t.run(c, u.connectTimeout, u.memory)
-	told := core.Result{Status: res.status, Took: res.took, Load: res.load, Spent: res.spent}
+	told := core.Result{Status: res.status, Took: res.took, Load: res.load, Spent: res.consumed}
 	if res.conn != nil {
 		told.Conn = res.conn
 	}
-	if res.response != nil && res.response.more == nil {
+	if res.response != nil && res.response.rest == nil {
 		told.Response = res.response
 	}
 	return told
@@ -58,24 +58,24 @@
 // attempt is one sending of a request to an endpoint.
 type attempt struct {
 	*core.Attempt
-	network Network
-	in      *inbound
-	longest int64                              // that an answer may be
-	out     chan struct{}                      // closed when the last byte of a long body is out
-	ear     *ear                               // see ear
-	entered *[core.AttemptPhases]atomic.Uint64 // nil for nobody who counts
+	network      Network
+	request      *forwardedRequest
+	maxBody      int64                              // that an answer may be
+	fullySent    chan struct{}                      // closed when the last byte of a long body is out
+	watcher      *answerWatcher                     // see ear
+	phaseEntries *[core.AttemptPhases]atomic.Uint64 // nil for nobody who counts
 }
 
-// enter notes how far the attempt has come.
-func (a *attempt) enter(p core.AttemptPhase) {
+// enterPhase notes how far the attempt has come.
+func (a *attempt) enterPhase(p core.AttemptPhase) {
 	a.At(p)
-	if a.entered != nil {
-		a.entered[p].Add(1)
+	if a.phaseEntries != nil {
+		a.phaseEntries[p].Add(1)
 	}
 }
 
 func newAttempt(a *core.Attempt, n Network) *attempt {
-	return &attempt{Attempt: a, network: n, in: a.Call.Message.(*inbound), longest: maxLong, out: make(chan struct{}), ear: newEar()}
+	return &attempt{Attempt: a, network: n, request: a.Call.Message.(*forwardedRequest), maxBody: maxStreamedBody, fullySent: make(chan struct{}), watcher: newAnswerWatcher()}
 }
 
 // result is how an attempt ended. Its connection is nil unless it can carry another attempt.
@@ -84,14 +84,14 @@
 	took     time.Duration
 	response *response
 	load     *decision.Load
-	conn     *conn
-	spent    bool // what was sent can't be sent again
+	conn     *upstreamConn
+	consumed bool // what was sent can't be sent again
 }
 
 // run makes the attempt: one write on one connection, and the answer to it. net/http's Transport would send
 // a request again by itself and does not tell whether its last byte was written, so it is not used here.
 // When run returns, the connection is either closed or free, so the Balancer may send again.
-func (a *attempt) run(c *conn, connectTimeout time.Duration, room *core.Memory) (res result) {
+func (a *attempt) run(c *upstreamConn, connectTimeout time.Duration, memory *core.Memory) (res result) {
 	defer func() {
 		if res.took == 0 {
 			res.took = a.Elapsed()
@@ -104,25 +104,25 @@
 			c = nil
 		}
 	}
-	if a.in.gone() {
+	if a.request.clientGone() {
 		return result{status: decision.NotSent, conn: c}
 	}
 	if c == nil {
 		var err error
-		if c, err = a.dial(a.inTime(connectTimeout)); err != nil {
-			return result{status: a.unsent()}
+		if c, err = a.dial(a.beforeDeadline(connectTimeout)); err != nil {
+			return result{status: a.unsentStatus()}
 		}
 	}
-	res = a.over(c, room)
+	res = a.exchangeOver(c, memory)
 	if res.status == decision.Reset {
-		a.whatBroke(&res, connectTimeout)
+		a.classifyReset(&res, connectTimeout)
 	}
 	return res
 }
 
 // dial makes a connection. One that fails at once is tried once more: endpoints reset new connections now and
 // then, and a dead one does it twice.
-func (a *attempt) dial(timeout time.Duration) (*conn, error) {
+func (a *attempt) dial(timeout time.Duration) (*upstreamConn, error) {
 	raw, err := a.network.Dial(a.Ctx, a.Endpoint.Address, timeout)
 	if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) {
 		raw, err = a.network.Dial(a.Ctx, a.Endpoint.Address, timeout)
@@ -130,14 +130,14 @@
 	if err != nil {
 		return nil, err
 	}
-	return newConn(raw, a.Endpoint), nil
+	return newUpstreamConn(raw, a.Endpoint), nil
 }
 
-// whatBroke tells a connection that alone broke from an endpoint that did: one that ends takes all its
+// classifyReset tells a connection that alone broke from an endpoint that did: one that ends takes all its
 // connections along and accepts no new ones. Taken for that, one connection would cost a sound endpoint its
 // place, and then a slow start. The new connection takes the broken one's place.
-func (a *attempt) whatBroke(res *result, connectTimeout time.Duration) {
-	time.Sleep(resetsSpread)
+func (a *attempt) classifyReset(res *result, connectTimeout time.Duration) {
+	time.Sleep(resetSpread)
 	if a.Endpoint.Waiting.Load() > 0 {
 		res.status = decision.InvalidResponse
 		return
@@ -147,15 +147,15 @@
 	}
 }
 
-// over makes the attempt over a connection.
-func (a *attempt) over(c *conn, room *core.Memory) result {
+// exchangeOver makes the attempt over a connection.
+func (a *attempt) exchangeOver(c *upstreamConn, memory *core.Memory) result {
 	release := context.AfterFunc(a.Ctx, func() {
 		c.Close()
-		if a.in.more != nil {
-			a.in.more.caller.stop()
+		if a.request.upload != nil {
+			a.request.upload.client.abandonBody()
 		}
 	})
-	res := a.exchange(c, room)
+	res := a.exchange(c, memory)
 	if !release() || res.conn == nil {
 		c.Close()
 		res.conn = nil
@@ -163,64 +163,64 @@
 	return res
 }
 
-// unsent is the status of an attempt whose last byte was certainly not written.
-func (a *attempt) unsent() decision.Status {
-	if a.Ctx.Err() != nil || a.late() {
+// unsentStatus is the status of an attempt whose last byte was certainly not written.
+func (a *attempt) unsentStatus() decision.Status {
+	if a.Ctx.Err() != nil || a.isLate() {
 		return decision.NotSent
 	}
 	return decision.ConnectFailed
 }
 
-// late tells whether the time has passed by which the request's last byte had to be out.
-func (a *attempt) late() bool { return !a.OutBy.IsZero() && !time.Now().Before(a.OutBy) }
+// isLate tells whether the time has passed by which the request's last byte had to be out.
+func (a *attempt) isLate() bool { return !a.OutBy.IsZero() && !time.Now().Before(a.OutBy) }
 
-// inTime is what of a time may be used before that.
-func (a *attempt) inTime(d time.Duration) time.Duration {
+// beforeDeadline is what of a time may be used before that.
+func (a *attempt) beforeDeadline(d time.Duration) time.Duration {
 	if a.OutBy.IsZero() {
 		return d
 	}
 	return min(d, max(time.Until(a.OutBy), time.Nanosecond)) // a dialer takes 0 for no bound
 }
 
-func (a *attempt) exchange(c *conn, room *core.Memory) result {
+func (a *attempt) exchange(c *upstreamConn, memory *core.Memory) result {
 	// The dial may have outlasted the endpoint's welcome, the window in which a repeat is dropped, or the caller's patience.
-	if !a.Endpoint.Open() || a.Ctx.Err() != nil || a.late() || a.in.gone() {
+	if !a.Endpoint.Open() || a.Ctx.Err() != nil || a.isLate() || a.request.clientGone() {
 		return result{status: decision.NotSent}
 	}
 	c.SetWriteDeadline(a.OutBy)
-	if a.in.more != nil {
-		return a.exchangeLong(c, room)
+	if a.request.upload != nil {
+		return a.exchangeStreaming(c, memory)
 	}
-	a.enter(core.Writing)
-	text := a.in.encode(a.Left - a.Elapsed())
+	a.enterPhase(core.Writing)
+	text := a.request.encodeHead(a.Left - a.Elapsed())
 	pieces := net.Buffers{text}
-	if len(a.in.body) > 0 {
-		pieces = append(pieces, a.in.body)
+	if len(a.request.body) > 0 {
+		pieces = append(pieces, a.request.body)
 	}
-	if n, err := pieces.WriteTo(c.Conn); err != nil && n < int64(len(text)+len(a.in.body)) {
-		return result{status: a.unsent()}
+	if n, err := pieces.WriteTo(c.Conn); err != nil && n < int64(len(text)+len(a.request.body)) {
+		return result{status: a.unsentStatus()}
 	}
-	return a.hear(c, room)
+	return a.awaitResponse(c, memory)
 }
 
-// hear takes the answer to a request that is written.
-func (a *attempt) hear(c *conn, room *core.Memory) result {
-	a.enter(core.Awaiting)
+// awaitResponse takes the answer to a request that is written.
+func (a *attempt) awaitResponse(c *upstreamConn, memory *core.Memory) result {
+	a.enterPhase(core.Awaiting)
 	a.Endpoint.Waiting.Add(1)
-	res, err := a.read(c, room)
+	res, err := a.readResponse(c, memory)
 	a.Endpoint.Waiting.Add(-1)
 	if err != nil {
-		res.status = a.broken(err)
+		res.status = a.failureStatus(err)
 	}
 	return res
 }
 
-// broken is the status of an attempt that was written and whose answer did not come whole.
-func (a *attempt) broken(err error) decision.Status {
+// failureStatus is the status of an attempt that was written and whose answer did not come whole.
+func (a *attempt) failureStatus(err error) decision.Status {
 	switch cause := context.Cause(a.Ctx); {
-	case errors.Is(err, errCallerGone):
+	case errors.Is(err, errClientGone):
 		return decision.Cancelled
-	case errors.Is(err, errPassedOn):
+	case errors.Is(err, errTransferred):
 		return decision.OK // the successor has the rest of the answer, and both connections
 	case errors.Is(cause, context.DeadlineExceeded):
 		return decision.Timeout
--- a/internal/http1/upstream_body.go
+++ b/internal/http1/upstream_body.go
@@ -10,51 +10,51 @@
 	"time"
 )
 
-// answerBody reads a response's body.
-type answerBody struct {
-	conn    *conn
-	reader  io.Reader
-	chunks  *chunked // nil unless it comes in chunks
-	length  int64    // -1 where only its end tells
-	longest int64    // that it may be
-	read    int64
-	toClose bool // the connection's end is the body's
-	ended   bool
-	trailer http.Header
+// responseBody reads a response's body.
+type responseBody struct {
+	conn       *upstreamConn
+	reader     io.Reader
+	chunks     *chunkedReader // nil unless it comes in chunks
+	length     int64          // -1 where only its end tells
+	maxLength  int64          // that it may be
+	read       int64
+	untilClose bool // the connection's end is the body's
+	finished   bool
+	trailer    http.Header
 }
 
-// newAnswerBody finds out how a body ends. Lengths that disagree, or cannot be, spoil it.
-func newAnswerBody(c *conn, code int, header textproto.MIMEHeader, longest int64) (*answerBody, error) {
-	b := &answerBody{conn: c, reader: c.reader, longest: longest}
+// newResponseBody finds out how a body ends. Lengths that disagree, or cannot be, spoil it.
+func newResponseBody(c *upstreamConn, code int, header textproto.MIMEHeader, longest int64) (*responseBody, error) {
+	b := &responseBody{conn: c, reader: c.reader, maxLength: longest}
 	lengths, codings := header["Content-Length"], header["Transfer-Encoding"]
 	switch {
 	case code == http.StatusNoContent || code == http.StatusNotModified:
 	case len(codings) == 1 && len(lengths) == 0 && strings.EqualFold(codings[0], "chunked"):
-		b.length, b.chunks = -1, newChunked(c.reader)
+		b.length, b.chunks = -1, newChunkedReader(c.reader)
 		b.reader = b.chunks
 	case len(codings) == 0 && len(lengths) == 1:
 		n, err := strconv.ParseUint(lengths[0], 10, 63)
 		if err != nil {
-			return nil, errSpoilt
+			return nil, errMalformed
 		}
 		if n > uint64(longest) {
 			return nil, errTooLarge
 		}
 		b.length = int64(n)
 	case len(codings) == 0 && len(lengths) == 0:
-		b.length, b.toClose = -1, true
+		b.length, b.untilClose = -1, true
 	default:
-		return nil, errSpoilt
+		return nil, errMalformed
 	}
 	// Beside the body, what its chunks take: the chunked reader bounds that by what they hold.
-	c.left = int(2*longest) + maxAnswerHead
-	b.ended = b.length == 0
+	c.readLimit = int(2*longest) + maxResponseHead
+	b.finished = b.length == 0
 	return b, nil
 }
 
 // Read reads the body; its end is io.EOF, with the trailers read.
-func (b *answerBody) Read(p []byte) (n int, err error) {
-	if b.ended {
+func (b *responseBody) Read(p []byte) (n int, err error) {
+	if b.finished {
 		return 0, io.EOF
 	}
 	if b.length >= 0 {
@@ -64,7 +64,7 @@
 	b.read += int64(n)
 	eof := errors.Is(err, io.EOF)
 	switch {
-	case b.read > b.longest:
+	case b.read > b.maxLength:
 		return n, errTooLarge
 	case b.length >= 0 && b.read == b.length:
 		err = io.EOF
@@ -79,16 +79,16 @@
 		trailer.Del("Content-Length") // a second length, as in an upload's
 		b.trailer = trailer
 	}
-	b.ended = errors.Is(err, io.EOF)
+	b.finished = errors.Is(err, io.EOF)
 	return n, err
 }
 
-// skip reads a short body that nobody wants, so that its connection can be used again. What is long or does not
+// discard reads a short body that nobody wants, so that its connection can be used again. What is long or does not
 // come at once is left: what the head says does not wait for it.
-func (b *answerBody) skip() error {
+func (b *responseBody) discard() error {
 	buffer := make([]byte, 512)
-	for patience := time.Now().Add(skipPatience); !b.ended && !b.toClose && b.read < maxBody; {
-		if came, err := b.conn.awaits(patience); !came {
+	for until := time.Now().Add(discardTimeout); !b.finished && !b.untilClose && b.read < maxBufferedBody; {
+		if came, err := b.conn.awaitReadable(until); !came {
 			return err
 		}
 		if _, err := b.Read(buffer); err != nil && !errors.Is(err, io.EOF) {
@@ -98,8 +98,8 @@
 	return nil
 }
 
-// noEOF is an end that came too early.
-func noEOF(err error) error {
+// unexpectedEOF is an end that came too early.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/http1/upstream_conn.go
+++ b/internal/http1/upstream_conn.go
@@ -12,52 +12,52 @@
 	"dykering/internal/core"
 )
 
-// conn is a connection to an endpoint; it carries one attempt at a time.
-type conn struct {
+// upstreamConn is a connection to an endpoint; it carries one attempt at a time.
+type upstreamConn struct {
 	net.Conn
 	core.Idle
-	reader *bufio.Reader // of what Read gives
-	input  []byte        // what another process has read of it
-	to     *core.Endpoint
-	left   int // bytes that may still be read
+	reader    *bufio.Reader // of what Read gives
+	readAhead []byte        // what another process has read of it
+	endpoint  *core.Endpoint
+	readLimit int // bytes that may still be read
 }
 
-func newConn(raw net.Conn, to *core.Endpoint) *conn {
-	c := &conn{Conn: raw, to: to}
+func newUpstreamConn(raw net.Conn, to *core.Endpoint) *upstreamConn {
+	c := &upstreamConn{Conn: raw, endpoint: to}
 	c.reader = bufio.NewReader(c)
 	return c
 }
 
 // Read never brings more than was allowed: an endpoint may go on without end.
-func (c *conn) Read(b []byte) (int, error) {
-	if len(c.input) > 0 {
-		n := copy(b, c.input)
-		c.input = c.input[n:]
+func (c *upstreamConn) Read(b []byte) (int, error) {
+	if len(c.readAhead) > 0 {
+		n := copy(b, c.readAhead)
+		c.readAhead = c.readAhead[n:]
 		return n, nil
 	}
-	if c.left <= 0 {
+	if c.readLimit <= 0 {
 		return 0, errTooLarge
 	}
-	n, err := c.Conn.Read(b[:min(len(b), c.left)])
-	c.left -= n
+	n, err := c.Conn.Read(b[:min(len(b), c.readLimit)])
+	c.readLimit -= n
 	return n, err
 }
 
 // Alive tells whether an idle connection can carry a request: its peer has neither closed it nor sent what
 // nobody asked for.
-func (c *conn) Alive() bool {
+func (c *upstreamConn) Alive() bool {
 	n, peek := peekConn(c.Conn)
 	if n > 0 {
-		c.to.SentBeyond()
+		c.endpoint.SentBeyond()
 	}
 	return n < 0 && (peek == syscall.EAGAIN || peek == syscall.EINTR)
 }
 
-// awaits waits for something to read, or the end, for a while. It is false with no error when neither has come. To look
+// awaitReadable waits for something to read, or the end, for a while. It is false with no error when neither has come. To look
 // at a socket takes its pending error away: a read that follows would find the end where there was a reset, so the error
 // that is met here is the one that counts.
-func (c *conn) awaits(until time.Time) (came bool, err error) {
-	if c.reader.Buffered() > 0 || !looks(c.Conn) {
+func (c *upstreamConn) awaitReadable(until time.Time) (came bool, err error) {
+	if c.reader.Buffered() > 0 || !canPeek(c.Conn) {
 		return true, nil
 	}
 	c.SetReadDeadline(until)
--- a/internal/http1/upstream_endpointconn.go
+++ b/internal/http1/upstream_endpointconn.go
@@ -18,7 +18,7 @@
 // EndpointConn is a connection to an endpoint, for those who decide themselves what is sent on it. It carries one
 // exchange at a time.
 type EndpointConn struct {
-	conn  *conn
+	conn      *upstreamConn
 	idleSince time.Time // when its last exchange ended
 }
 
@@ -37,7 +37,7 @@
 
 // NewEndpointConn speaks HTTP/1.1 on a connection to an endpoint.
 func NewEndpointConn(raw net.Conn, to *core.Endpoint) *EndpointConn {
-	return &EndpointConn{conn: newConn(raw, to)}
+	return &EndpointConn{conn: newUpstreamConn(raw, to)}
 }
 
 // Close closes the connection; what waits for its bytes ends.
@@ -47,7 +47,7 @@
 // is seen, and tells whether it can carry a request.
 func (c *EndpointConn) AwaitReusable() bool {
 	if !c.idleSince.IsZero() {
-		time.Sleep(time.Until(c.idleSince.Add(c.conn.to.Settle())))
+		time.Sleep(time.Until(c.idleSince.Add(c.conn.endpoint.Settle())))
 	}
 	return c.conn.Alive()
 }
@@ -71,12 +71,12 @@
 
 // EndpointAnswer is an endpoint's answer whose body is still to be read.
 type EndpointResponse struct {
-	Status int
-	Header http.Header
-	Length int64 // -1 where only its end tells
-	conn   *EndpointConn
-	body   *answerBody
-	keepAlive  bool
+	Status    int
+	Header    http.Header
+	Length    int64 // -1 where only its end tells
+	conn      *EndpointConn
+	body      *responseBody
+	keepAlive bool
 }
 
 // mostForeign bounds the answers to other requests that are passed over.
@@ -93,21 +93,21 @@
 		if a.Header.Get(idHeader) == id {
 			return a, nil
 		}
-		c.conn.to.SentBeyond()
+		c.conn.endpoint.SentBeyond()
 		if _, err := io.Copy(io.Discard, a); err != nil || !a.keepAlive {
-			return nil, errSpoilt
+			return nil, errMalformed
 		}
 	}
-	return nil, errSpoilt
+	return nil, errMalformed
 }
 
 func (c *EndpointConn) readResponse() (*EndpointResponse, error) {
-	c.conn.left = maxAnswerHead
+	c.conn.readLimit = maxResponseHead
 	var code int
 	var header textproto.MIMEHeader
 	var lasts bool
 	var err error
-	for range maxInformation + 1 {
+	for range maxInformational + 1 {
 		if code, header, lasts, err = readHead(c.conn.reader); err != nil {
 			return nil, err
 		}
@@ -116,9 +116,9 @@
 		}
 	}
 	if code < http.StatusOK {
-		return nil, errSpoilt
+		return nil, errMalformed
 	}
-	body, err := newAnswerBody(c.conn, code, header, maxLong)
+	body, err := newResponseBody(c.conn, code, header, maxStreamedBody)
 	if err != nil {
 		return nil, err
 	}
@@ -129,16 +129,16 @@
 // Read reads the body. Its end is io.EOF; a connection that ends early is another error.
 func (a *EndpointResponse) Read(p []byte) (int, error) { return a.body.Read(p) }
 
-// Ended tells whether the body has been read to its end.
-func (a *EndpointResponse) Finished() bool { return a.body.ended }
+// Finished tells whether the body has been read to its end.
+func (a *EndpointResponse) Finished() bool { return a.body.finished }
 
 // Reusable tells whether the connection may carry another exchange.
 func (a *EndpointResponse) Reusable() bool {
 	c := a.conn.conn
-	if c.reader.Buffered() > 0 && a.body.ended {
-		c.to.SentBeyond()
+	if c.reader.Buffered() > 0 && a.body.finished {
+		c.endpoint.SentBeyond()
 	}
-	if !a.keepAlive || !a.body.ended || a.body.toClose || c.reader.Buffered() > 0 {
+	if !a.keepAlive || !a.body.finished || a.body.untilClose || c.reader.Buffered() > 0 {
 		return false
 	}
 	return c.Conn.SetDeadline(time.Time{}) == nil
--- a/internal/http1/upstream_response.go
+++ b/internal/http1/upstream_response.go
@@ -17,16 +17,16 @@
 type response struct {
 	header http.Header
 	body   []byte
-	more   *download
+	rest   *download
 	memory *core.Memory // that it takes of
 }
 
 // Discard lets go of it.
 func (r *response) Discard() {
 	r.memory.Bodies.Give(len(r.body))
-	if r.more != nil {
+	if r.rest != nil {
 		select {
-		case r.more.done <- errCallerGone: // nobody has passed it on
+		case r.rest.done <- errClientGone: // nobody has passed it on
 		default:
 		}
 	}
@@ -35,19 +35,19 @@
 // download is the part of a long answer that is still to come. Who passes it on reads it, and tells at done how
 // that ended: nil, what the endpoint's side broke with, or errCallerGone.
 type download struct {
-	body    *answerBody
+	body    *responseBody
 	buffers *core.Buffers
 	done    chan error
 }
 
-// read takes the response to the request that was written. An error that is not the connection's means that
+// readResponse takes the response to the request that was written. An error that is not the connection's means that
 // the response cannot be used; its connection is of no more use then.
-func (a *attempt) read(c *conn, room *core.Memory) (res result, err error) {
-	c.left = maxAnswerHead
+func (a *attempt) readResponse(c *upstreamConn, memory *core.Memory) (res result, err error) {
+	c.readLimit = maxResponseHead
 	var code int
 	var header textproto.MIMEHeader
 	var lasting bool
-	for range maxInformation + 1 {
+	for range maxInformational + 1 {
 		if code, header, lasting, err = readHead(c.reader); err != nil {
 			return res, err
 		}
@@ -56,9 +56,9 @@
 		}
 	}
 	if code < http.StatusOK {
-		return res, errSpoilt // its real answer is still to come
+		return res, errMalformed // its real answer is still to come
 	}
-	body, err := newAnswerBody(c, code, header, a.longest)
+	body, err := newResponseBody(c, code, header, a.maxBody)
 	if err != nil {
 		return res, err
 	}
@@ -67,60 +67,60 @@
 		res.load, _ = settings.ParseLoad(report, "=") // a report that cannot be read is none
 	}
 	switch {
-	case code == http.StatusOK && !a.isOut():
-		return res, errSpoilt // it has not been asked yet
+	case code == http.StatusOK && !a.isFullySent():
+		return res, errMalformed // it has not been asked yet
 	case code == http.StatusOK:
 		res.status = decision.OK
 		removeHopByHop(http.Header(header))
-		res.response, err = a.take(c, body, header, room)
+		res.response, err = a.readBody(c, body, header, memory)
 	case code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout:
 		if header.Get("X-Turned-Away") == "1" {
 			res.status = decision.Rejected
 		}
-		err = body.skip()
+		err = body.discard()
 	case code < http.StatusInternalServerError:
 		res.status = decision.InvalidResponse // the request is at fault, not the endpoint
 		fallthrough
 	default:
-		err = body.skip()
+		err = body.discard()
 	}
 	if err != nil {
 		return res, err
 	}
-	if res.response != nil && res.response.more != nil {
+	if res.response != nil && res.response.rest != nil {
 		// Nobody else has the connection until the answer has been passed on.
-		if res.took, err = a.pass(res.response); err != nil {
+		if res.took, err = a.relayBody(res.response); err != nil {
 			return res, err
 		}
 	}
-	if c.reader.Buffered() > 0 && body.ended {
+	if c.reader.Buffered() > 0 && body.finished {
 		a.Endpoint.SentBeyond()
 	}
-	if lasting && body.ended && !body.toClose && c.reader.Buffered() == 0 {
+	if lasting && body.finished && !body.untilClose && c.reader.Buffered() == 0 {
 		c.Conn.SetDeadline(time.Time{})
 		res.conn = c
 	}
 	return res, nil
 }
 
-// take reads a good answer: the whole of it if it is short enough and comes in one go, else its beginning.
-func (a *attempt) take(c *conn, body *answerBody, header textproto.MIMEHeader, room *core.Memory) (*response, error) {
-	r := &response{header: http.Header(header), memory: room}
-	most := maxBody
+// readBody reads a good answer: the whole of it if it is short enough and comes in one go, else its beginning.
+func (a *attempt) readBody(c *upstreamConn, body *responseBody, header textproto.MIMEHeader, memory *core.Memory) (*response, error) {
+	r := &response{header: http.Header(header), memory: memory}
+	limit := maxBufferedBody
 	if body.length >= 0 {
-		most = int(min(body.length, maxBody))
+		limit = int(min(body.length, maxBufferedBody))
 	}
-	long := body.length > maxBody || !room.Bodies.Take(most)
-	if long {
-		most = answerStart
-		room.Bodies.Force(most)
+	streamed := body.length > maxBufferedBody || !memory.Bodies.Take(limit)
+	if streamed {
+		limit = streamPrefix
+		memory.Bodies.Force(limit)
 	}
 	kept := 0
-	defer func() { room.Bodies.Give(most - kept) }()
-	patience := time.Now().Add(answerPatience)
-	for !body.ended && (!long || len(r.body) == 0) {
+	defer func() { memory.Bodies.Give(limit - kept) }()
+	bufferUntil := time.Now().Add(bufferTimeout)
+	for !body.finished && (!streamed || len(r.body) == 0) {
 		if body.length < 0 && len(r.body) > 0 {
-			came, err := c.awaits(patience)
+			came, err := c.awaitReadable(bufferUntil)
 			if err != nil {
 				return nil, err
 			}
@@ -128,11 +128,11 @@
 				break // it comes slowly, and may be long
 			}
 		}
-		if len(r.body) == most && body.length < 0 {
+		if len(r.body) == limit && body.length < 0 {
 			break
 		}
 		if len(r.body) == cap(r.body) {
-			r.body = append(make([]byte, 0, min(most, max(512, 2*cap(r.body)))), r.body...)
+			r.body = append(make([]byte, 0, min(limit, max(512, 2*cap(r.body)))), r.body...)
 		}
 		n, err := body.Read(r.body[len(r.body):cap(r.body)])
 		if r.body = r.body[:len(r.body)+n]; err != nil && !errors.Is(err, io.EOF) {
@@ -140,17 +140,17 @@
 		}
 	}
 	kept = len(r.body)
-	if !body.ended {
-		r.more = &download{body: body, buffers: room.Buffers, done: make(chan error, 1)}
+	if !body.finished {
+		r.rest = &download{body: body, buffers: memory.Buffers, done: make(chan error, 1)}
 	}
 	return r, nil
 }
 
-// pass has a long answer passed on, and returns when it has been.
-func (a *attempt) pass(r *response) (took time.Duration, err error) {
+// relayBody has a long answer passed on, and returns when it has been.
+func (a *attempt) relayBody(r *response) (took time.Duration, err error) {
 	took, ok := a.Begin(r)
 	if !ok {
 		return took, context.DeadlineExceeded
 	}
-	return took, <-r.more.done
+	return took, <-r.rest.done
 }
--- a/internal/http1/upstream_test.go
+++ b/internal/http1/upstream_test.go
@@ -21,7 +21,7 @@
 )
 
 // attemptAt makes an attempt to be made at an endpoint.
-func attemptAt(in inbound, address string, open bool, lasts, timeout time.Duration) *attempt {
+func attemptAt(in forwardedRequest, address string, open bool, lasts, timeout time.Duration) *attempt {
 	e := core.NewEndpoint(1, address)
 	if !open {
 		e.Shut()
@@ -29,13 +29,13 @@
 	c := core.NewCall(decision.Request{}, &in)
 	c.Deadline = time.Now().Add(lasts)
 	a := newAttempt(core.NewAttempt(c, e, timeout, aside{}), Kernel{})
-	a.longest = 4 * maxBody
+	a.maxBody = 4 * maxBufferedBody
 	return a
 }
 
 // tryOut makes an attempt at an endpoint, on a connection of the test's if there is one.
 func tryOut(address string, open bool, c net.Conn, timeout time.Duration, during func(*attempt)) result {
-	a := attemptAt(inbound{method: http.MethodPost, target: "/api", host: "h", header: http.Header{}, body: []byte("trip")},
+	a := attemptAt(forwardedRequest{method: http.MethodPost, target: "/api", host: "h", header: http.Header{}, body: []byte("trip")},
 		address, open, patience, timeout)
 	defer a.Close()
 	if during != nil {
@@ -44,7 +44,7 @@
 	if c == nil {
 		return a.run(nil, patience, roomy())
 	}
-	return a.over(newConn(c, a.Endpoint), roomy())
+	return a.exchangeOver(newUpstreamConn(c, a.Endpoint), roomy())
 }
 
 // roomy is memory for bodies that is not used up.
@@ -65,9 +65,9 @@
 func (aside) Begin(_ *core.Attempt, got core.Response) {
 	r := got.(*response)
 	go func() {
-		rest, err := io.ReadAll(r.more.body)
+		rest, err := io.ReadAll(r.rest.body)
 		r.body = append(r.body, rest...)
-		r.more.done <- err
+		r.rest.done <- err
 	}()
 }
 
@@ -116,9 +116,9 @@
 		"with a report":       {reply("HTTP/1.1 200 OK\r\nX-Pressure: inflight=7,queue=2\r\nContent-Length: 2\r\n\r\nok"), decision.OK, true},
 		"with a bad report":   {reply("HTTP/1.1 200 OK\r\nX-Pressure: queue\r\nContent-Length: 2\r\n\r\nok"), decision.OK, true},
 		"with an odd report":  {reply("HTTP/1.1 200 OK\r\nX-Pressure: queue=NaN\r\nContent-Length: 2\r\n\r\nok"), decision.OK, true},
-		"after many informations": {reply(strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", maxInformation) +
+		"after many informations": {reply(strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", maxInformational) +
 			"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), decision.OK, true},
-		"after too many": {reply(strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", maxInformation+1) +
+		"after too many": {reply(strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", maxInformational+1) +
 			"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), decision.InvalidResponse, false},
 		"and a copy":          {reply(strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", 2)), decision.OK, false},
 		"and noise":           {reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok\x00\x01"), decision.OK, false},
@@ -142,7 +142,7 @@
 		"cut body":            {reply("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), decision.Reset, false},
 		"no answer":           {reply(""), decision.Reset, false},
 		"nonsense":            {reply("who is there\r\n\r\n"), decision.InvalidResponse, false},
-		"beyond all bounds":   {reply(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 4*maxBody+1)), decision.InvalidResponse, false},
+		"beyond all bounds":   {reply(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 4*maxBufferedBody+1)), decision.InvalidResponse, false},
 		"large, cut short":    {reply("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\nok"), decision.Reset, false},
 		"large":               {reply("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537)), decision.OK, true},
 		"with trailers":       {reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\nX-Sum: 1\r\n\r\n"), decision.OK, true},
@@ -191,7 +191,7 @@
 			t.Errorf("%s: status %v", name, res.status)
 		}
 		near.Close()
-		if most := int64(8*maxBody + 2*maxAnswerHead + 100); sent.Load() > most {
+		if most := int64(8*maxBufferedBody + 2*maxResponseHead + 100); sent.Load() > most {
 			t.Errorf("%s: %d bytes were taken", name, sent.Load())
 		}
 	}
@@ -204,16 +204,16 @@
 		io.WriteString(far, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	}
 	try := func(b *core.Memory) result {
-		a := attemptAt(inbound{method: "GET", target: "/", host: "h"}, "", true, patience, 0)
+		a := attemptAt(forwardedRequest{method: "GET", target: "/", host: "h"}, "", true, patience, 0)
 		defer a.Close()
-		return a.over(newConn(pipe(t, answer), a.Endpoint), b)
+		return a.exchangeOver(newUpstreamConn(pipe(t, answer), a.Endpoint), b)
 	}
 	tight := roomFor(1)
 	if res := try(tight); res.status != decision.OK || tight.Bodies.Left() != 1-2 {
 		t.Errorf("status %v, %d bytes left", res.status, tight.Bodies.Left())
 	}
-	tight = roomFor(maxBody)
-	if res := try(tight); res.status != decision.OK || tight.Bodies.Left() != maxBody-2 {
+	tight = roomFor(maxBufferedBody)
+	if res := try(tight); res.status != decision.OK || tight.Bodies.Left() != maxBufferedBody-2 {
 		t.Errorf("status %v, %d bytes left", res.status, tight.Bodies.Left())
 	}
 }
@@ -238,7 +238,7 @@
 	for end := time.Now().Add(patience); c.Alive() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	a := attemptAt(inbound{method: "GET", target: "/", host: "h"}, l.Addr().String(), true, patience, 0)
+	a := attemptAt(forwardedRequest{method: "GET", target: "/", host: "h"}, l.Addr().String(), true, patience, 0)
 	defer a.Close()
 	if res := a.run(c, patience, roomy()); res.status != decision.OK || string(res.response.body) != "new" {
 		t.Errorf("status %v, response %+v", res.status, res.response)
@@ -250,21 +250,21 @@
 func TestWhoSentBeyondIsGivenTime(t *testing.T) {
 	answer := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	plain := core.NewEndpoint(1, "").Settle()
-	for name, see := range map[string]func(*conn, net.Conn) *core.Endpoint{
-		"behind its answer": func(c *conn, far net.Conn) *core.Endpoint {
+	for name, see := range map[string]func(*upstreamConn, net.Conn) *core.Endpoint{
+		"behind its answer": func(c *upstreamConn, far net.Conn) *core.Endpoint {
 			io.WriteString(far, answer+answer)
-			a := attemptAt(inbound{method: "GET", target: "/", host: "h"}, "", true, patience, 0)
+			a := attemptAt(forwardedRequest{method: "GET", target: "/", host: "h"}, "", true, patience, 0)
 			defer a.Close()
-			c.to = a.Endpoint
-			a.over(c, roomy())
+			c.endpoint = a.Endpoint
+			a.exchangeOver(c, roomy())
 			return a.Endpoint
 		},
-		"on an idle connection": func(c *conn, far net.Conn) *core.Endpoint {
+		"on an idle connection": func(c *upstreamConn, far net.Conn) *core.Endpoint {
 			io.WriteString(far, "H")
 			for end := time.Now().Add(patience); c.Alive() && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
-			return c.to
+			return c.endpoint
 		},
 	} {
 		c, far := tcpPair(t)
@@ -282,7 +282,7 @@
 			came = time.Now()
 			io.WriteString(far, answer)
 		}()
-		in := inbound{method: "GET", target: "/", host: "h"}
+		in := forwardedRequest{method: "GET", target: "/", host: "h"}
 		call := core.NewCall(decision.Request{}, &in)
 		call.Deadline = time.Now().Add(patience)
 		a := newAttempt(core.NewAttempt(call, e, 0, aside{}), Kernel{})
@@ -344,7 +344,7 @@
 			t.Fatal(err)
 		}
 		defer l.Close()
-		a := attemptAt(inbound{method: "POST", target: "/", host: "h"}, l.Addr().String(), true, 2*patience, 0)
+		a := attemptAt(forwardedRequest{method: "POST", target: "/", host: "h"}, l.Addr().String(), true, 2*patience, 0)
 		defer a.Close()
 		a.OutBy = time.Now().Add(50 * time.Millisecond)
 		a.network = slowNetwork{until: a.OutBy, never: never}
@@ -390,12 +390,12 @@
 		}
 		defer c.Close()
 	}
-	a := attemptAt(inbound{}, address, true, patience, 0)
+	a := attemptAt(forwardedRequest{}, address, true, patience, 0)
 	defer a.Close()
 	if res := a.run(nil, 100*time.Millisecond, roomy()); res.status != decision.ConnectFailed {
 		t.Errorf("status %v", res.status)
 	}
-	a = attemptAt(inbound{}, address, true, 100*time.Millisecond, 0)
+	a = attemptAt(forwardedRequest{}, address, true, 100*time.Millisecond, 0)
 	defer a.Close()
 	if res := a.run(nil, patience, roomy()); res.status != decision.NotSent {
 		t.Errorf("status %v at the request's deadline", res.status)
@@ -448,7 +448,7 @@
 }
 
 // tcpPair is two ends of a loopback connection.
-func tcpPair(t *testing.T) (*conn, net.Conn) {
+func tcpPair(t *testing.T) (*upstreamConn, net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -467,7 +467,7 @@
 		near.Close()
 		far.Close()
 	})
-	return newConn(near, core.NewEndpoint(1, "")), far
+	return newUpstreamConn(near, core.NewEndpoint(1, "")), far
 }
 
 // resetsAfter is a connection that is reset as soon as what its peer wrote has been read up to a word, and before
@@ -541,15 +541,15 @@
 	near, far := net.Pipe()
 	defer near.Close()
 	defer far.Close()
-	rest := &requestBody{r: bufio.NewReader(strings.NewReader("trip")), length: 8, left: 4}
-	in := inbound{method: http.MethodPost, target: "/api", host: "h", header: http.Header{"Content-Length": {"8"}}, body: []byte("trip"),
-		more: newUpload(&caller{Conn: near, callers: &callers{}}, rest, func() bool { return false })}
+	rest := &requestBody{r: bufio.NewReader(strings.NewReader("trip")), length: 8, remaining: 4}
+	in := forwardedRequest{method: http.MethodPost, target: "/api", host: "h", header: http.Header{"Content-Length": {"8"}}, body: []byte("trip"),
+		upload: newUpload(&downstreamConn{Conn: near, tracker: &connTracker{}}, rest, func() bool { return false })}
 	c := core.NewCall(decision.Request{LongBody: true}, &in)
 	c.Deadline, c.Remaining = time.Now().Add(patience), patience
 	a := newAttempt(core.NewAttempt(c, core.NewEndpoint(1, endpoint.Listener.Addr().String()), 0, tardy{}), Kernel{})
 	defer a.Close()
-	if res := a.run(nil, patience, roomy()); res.status != decision.Error || !res.spent {
-		t.Errorf("%v, spent %v: want an error of a request that ran", res.status, res.spent)
+	if res := a.run(nil, patience, roomy()); res.status != decision.Error || !res.consumed {
+		t.Errorf("%v, spent %v: want an error of a request that ran", res.status, res.consumed)
 	}
 }
 
@@ -557,7 +557,7 @@
 func TestDesertedRequestLeavesItsConnection(t *testing.T) {
 	near, far := tcpPair(t)
 	asked := 0
-	a := attemptAt(inbound{method: http.MethodGet, target: "/api", host: "h", deserted: func() bool {
+	a := attemptAt(forwardedRequest{method: http.MethodGet, target: "/api", host: "h", clientHungUp: func() bool {
 		asked++
 		return true
 	}}, "127.0.0.1:1", true, patience, 0)
@@ -581,20 +581,20 @@
 	}
 	defer l.Close()
 	near, far := tcpPair(t)
-	who := &caller{Conn: near.Conn, callers: &callers{}}
+	who := &downstreamConn{Conn: near.Conn, tracker: &connTracker{}}
 	io.WriteString(far, "trip")
 	far.Close()
-	for end := time.Now().Add(patience); !who.gone() && time.Now().Before(end); {
+	for end := time.Now().Add(patience); !who.hasHungUp() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	u := newUpload(who, &requestBody{r: bufio.NewReader(near.Conn), length: 8, left: 4}, func() bool { return false })
-	a := attemptAt(inbound{method: http.MethodPost, target: "/api", host: "h", body: []byte("trip"), more: u}, l.Addr().String(),
+	u := newUpload(who, &requestBody{r: bufio.NewReader(near.Conn), length: 8, remaining: 4}, func() bool { return false })
+	a := attemptAt(forwardedRequest{method: http.MethodPost, target: "/api", host: "h", body: []byte("trip"), upload: u}, l.Addr().String(),
 		true, patience, 0)
 	defer a.Close()
-	if res := a.run(nil, patience, roomy()); res.status != decision.NotSent || res.spent || res.conn != nil {
-		t.Errorf("%v, spent %v, conn %v", res.status, res.spent, res.conn)
+	if res := a.run(nil, patience, roomy()); res.status != decision.NotSent || res.consumed || res.conn != nil {
+		t.Errorf("%v, spent %v, conn %v", res.status, res.consumed, res.conn)
 	}
-	if err := <-u.broken; err != errCallerGone {
+	if err := <-u.readFailed; err != errClientGone {
 		t.Error(err)
 	}
 	c, err := l.Accept()
