--- a/internal/decision/compatibility_test.go
+++ b/internal/decision/compatibility_test.go
@@ -7,6 +7,6 @@
 )
 
 // The statistics that a process hands to its successor have the form that released builds write and read.
-func TestLearntOfReleasedBuildIsReadAndWrittenAlike(t *testing.T) {
-	fixture.JSON(t, "testdata/compatibility/learnt.json", &Learnt{})
+func TestSnapshotOfReleasedBuildIsReadAndWrittenAlike(t *testing.T) {
+	fixture.JSON(t, "testdata/compatibility/learnt.json", &Snapshot{})
 }
