--- /dev/null
+++ b/internal/http1/doc.go
@@ -0,0 +1,71 @@
+// Package http1 is the sidecar's HTTP/1.1 proxy: it serves clients on downstream connections, sends
+// the attempts that package core decides on over upstream connections, streams long bodies in both
+// directions, and transfers open connections to the process that takes this one's place.
+//
+// The package does no routing. Which endpoint a request goes to, whether it is retried and when it
+// is rejected is decided by package core (an event loop) and package decision (its rules). How
+// descriptors get from one process to the other is in package handover.
+//
+// # Callers
+//
+// Package sidecar runs a [Server]. The laboratory runs it on a [Network] in virtual time. Package
+// dataplane uses [EndpointConn] alone, the upstream connection without the core.
+//
+// # Files
+//
+//	server.go, lifecycle.go  Server, its start, reload and shutdown
+//	downstream_*.go          connections from clients: accept, limits, request, answer, drain
+//	parse_*.go               heads, X- headers and chunked bodies
+//	request.go               what is forwarded of a request
+//	upstream_*.go            connections to endpoints, attempts, responses
+//	relay_*.go               streamed responses (relay) and request bodies (upload)
+//	transfer_*.go            connections that go to the successor or come from the predecessor
+//	network*.go              sockets, and waiting for input without reading it
+//	stages.go                which phases requests are in, for the laboratory
+//
+// # Life of a downstream connection
+//
+//	state      from                      ends with
+//	new        accept                    first byte: reading; no byte in headTimeout: closed
+//	idle       answer written            first byte: reading; idleTimeout or a drain: closed
+//	reading    first byte of a request   body read, or its streamed part begun: serving;
+//	                                     headTimeout: 408 and lingering; shutdown: 503 and lingering
+//	serving    request read              short answer written: idle, or lingering if it was the last;
+//	                                     streamed response: streaming; client hangs up: closed
+//	streaming  response of unknown or    response relayed: idle, or lingering if it was the last
+//	           large length begins
+//	lingering  last answer written       client closes or lingerTimeout: closed
+//
+// An answered connection with pipelined input in memory goes to reading instead of idle. In states
+// new, idle and reading (before the request is dispatched) a connection can be transferred to the
+// successor as it is, in serving only with its upload and in streaming only with its relay, both
+// between two steps of the copy. At the limit of connections, new, lingering, idle and stalled
+// reading connections are evicted in this order.
+//
+// # Goroutines
+//
+//   - One for each downstream connection owns its reading and its answer. It waits for the core's
+//     answer on Call.Final, and has one helper that watches for the client's hang-up meanwhile.
+//   - One for each attempt, owned by the core, owns the upstream connection until its result is
+//     returned. A streamed request has one helper that writes the body and one that waits for the
+//     response.
+//   - A streamed response is copied by the goroutine of the downstream connection. The attempt's
+//     goroutine waits on download.done and keeps the upstream connection reserved until then.
+//   - Server.Run owns the core loop, the accept loop, the drain loop and the wait for signals.
+//
+// # Bounds
+//
+// Connections: config.Plan().Inbound() and core.ExcessSockets. Heads: maxHead, maxResponseHead.
+// Bodies: maxBufferedBody in memory, which core.Memory accounts for, and maxStreamedBody streamed
+// through one buffer of core.Buffers each. Time: headTimeout, minBodyRate, idleTimeout,
+// streamStallTimeout, writeTimeout, lingerTimeout.
+//
+// # Invariants
+//
+//   - A request is written at most once for each attempt, and an attempt reports NotSent or
+//     ConnectFailed only if its last byte was certainly not written.
+//   - A connection with an unanswered or unread request is not closed while it can be answered.
+//   - A connection belongs to one process: after a transfer without error only the successor uses it.
+//   - A message whose framing two parsers may read differently is rejected, in both directions
+//     (RFC 9112, sections 6.3 and 11.2).
+package http1
--- a/internal/http1/downstream_body.go
+++ b/internal/http1/downstream_body.go
@@ -6,15 +6,19 @@
 	"net/http"
 )
 
-// requestBody reads a request's body. Like chunked it can be gone on with after an error of the connection, and by
-// another process.
+// requestBody reads a request's body. After an error of the connection, such as a deadline, reading
+// can be resumed, also by another process.
 type requestBody struct {
-	r         *bufio.Reader
-	length    int64          // of the whole body; -1 where it comes in chunks
-	remaining int64          // of a body whose length is known
-	chunks    *chunkedReader // of one that comes in chunks
+	r *bufio.Reader
+	// Length of the whole body; -1 for a chunked one.
+	length int64
+	// Unread bytes of a body of known length.
+	remaining int64
+	// Reader of a chunked body; nil for a body of known length.
+	chunks *chunkedReader
 }
 
+// newRequestBody returns the body of a request whose head has been read.
 func newRequestBody(in *http.Request, r *bufio.Reader) *requestBody {
 	b := &requestBody{r: r, length: in.ContentLength, remaining: in.ContentLength}
 	if in.ContentLength < 0 {
@@ -23,7 +27,8 @@
 	return b
 }
 
-// Read reads; the end, io.EOF, comes with the last bytes of a body whose length is known.
+// Read implements io.Reader. For a body of known length io.EOF is returned together with its last
+// bytes.
 func (b *requestBody) Read(p []byte) (n int, err error) {
 	if b.chunks != nil {
 		return b.chunks.Read(p)
@@ -39,7 +44,8 @@
 	return n, err
 }
 
-// trailer is what the caller has sent behind its body.
+// trailer returns the client's trailer fields that may be forwarded. A malformed trailer is
+// dropped.
 func (b *requestBody) trailer() http.Header {
 	if b.chunks == nil {
 		return nil
--- a/internal/http1/downstream_conn.go
+++ b/internal/http1/downstream_conn.go
@@ -12,44 +12,72 @@
 	"time"
 )
 
-// connState is how far the request has come that a caller's connection is to bring.
+// connState is the progress of the request that a downstream connection carries. doc.go has the
+// table of transitions.
 type connState int
 
 const (
-	stateNew       connState = iota // new, and has said nothing
-	stateIdle                       // its last request is answered
-	stateReading                    // some of a request has come
-	stateServing                    // a request has been read
-	stateStreaming                  // a long answer is on its way
-	stateLingering                  // it has had its last answer, and is read until its caller closes it
+	// Accepted; no byte of a request has been received.
+	stateNew connState = iota
+	// The last request is answered and nothing of the next one has been received.
+	stateIdle
+	// Part of a request has been received.
+	stateReading
+	// A request has been read and its answer is awaited.
+	stateServing
+	// A streamed response is being relayed.
+	stateStreaming
+	// The last answer is written; input is discarded until the client closes.
+	stateLingering
+	// The number of states.
 	connStates
 )
 
-// downstreamConn is a connection from a caller. One goroutine reads it at a time.
+// downstreamConn is a connection from a client. One goroutine at a time reads it; the tracker may
+// interrupt that read by a deadline, or close the connection.
 type downstreamConn struct {
 	net.Conn
-	tracker   *connTracker
-	state     connState // callers.mu guards these
-	element   *list.Element
-	since     time.Time    // when the request that it brings began, or its connection, or its rest
-	overLimit bool         // it came when there was no room
-	stream    transferable // the long body or answer that is on its way; nil for none
-	readAhead []byte       // what the process before has read of it
-
-	lastReceived   atomic.Int64  // when something last came, in Unix nanoseconds
-	rateEnforced   bool          // a body is read: its pace is watched
-	rateCredit     time.Duration // how long the body may make no progress
-	bodyAbandoned  atomic.Bool   // nobody wants the rest of the body
-	pauseRequested atomic.Bool   // the body's reading is to stop, and may go on
-	readAborted    atomic.Bool   // what has not come whole is waited for no longer
-	maybeShared    atomic.Bool   // to a successor that has not taken it, and may have a copy of the socket until it ends
-}
-
-// transferable is what can be passed on to the successor while it is on its way.
+	tracker *connTracker
+	// connTracker.mu guards state to stream.
+	state connState
+	// The connection's place in the tracker's list of its state; nil once the connection is no longer
+	// tracked.
+	element *list.Element
+	// When the connection was accepted, or when its last request was answered.
+	since time.Time
+	// The connection was accepted beyond the limit: its request is rejected.
+	overLimit bool
+	// The upload or relay in progress on the connection that can be transferred to the successor; nil
+	// for none.
+	stream transferable
+	// Bytes that the predecessor has read from the connection. Read returns them first.
+	readAhead []byte
+
+	// When a byte was last received, in Unix nanoseconds.
+	lastReceived atomic.Int64
+	// A body is being read: it has to come at minBodyRate. Only the reading goroutine uses this field
+	// and rateCredit.
+	rateEnforced bool
+	// How long the body may make no progress.
+	rateCredit time.Duration
+	// Nobody needs the rest of the body: reads end with errBodyAbandoned.
+	bodyAbandoned atomic.Bool
+	// The upload that reads the body is to pause: reads end with errPaused and may be resumed.
+	pauseRequested atomic.Bool
+	// The process ends: a request that has not been received completely is not waited for.
+	readAborted atomic.Bool
+	// The connection was offered to a successor that did not take it in time, and that may hold a copy
+	// of the socket until it exits.
+	maybeShared atomic.Bool
+}
+
+// transferable is an upload or a relay that can be transferred to the successor while it is in
+// progress. Calls to interrupt never block.
 type transferable interface{ interrupt() }
 
-// restingState is the stage of a connection on which nothing is owed: one of which a request, or some of it, has been read
-// already is in nobody's way, though nothing of it shows at its socket.
+// restingState is the state of a connection whose requests are all answered. With input that has
+// already been read into memory it is stateReading: nothing of that input shows at the socket, and
+// as an idle connection it would be closed with a request unanswered.
 func (c *downstreamConn) restingState(r *bufio.Reader) connState {
 	if len(c.readAhead) == 0 && (r == nil || r.Buffered() == 0) {
 		return stateIdle
@@ -58,14 +86,15 @@
 	return stateReading
 }
 
-// hasInput tells whether something has come that its handler has not yet been able to read.
+// hasInput reports whether the socket has received bytes that have not been read.
 func (c *downstreamConn) hasInput() bool {
 	n, _ := peekConn(c.Conn)
 	return n > 0
 }
 
-// closeSocket closes a connection. Where another process may have a copy of its socket, that alone would tell the caller nothing,
-// which would go on to send where nobody reads.
+// closeSocket closes the connection. A successor may have a copy of its socket, and close(2) alone
+// sends no FIN while a copy is open: the client would go on to send requests that nobody reads. The
+// half-close sends the FIN.
 func (c *downstreamConn) closeSocket() {
 	if tcp, ok := c.Conn.(tcpConn); ok && c.maybeShared.Load() {
 		tcp.CloseWrite()
@@ -73,8 +102,9 @@
 	c.Conn.Close()
 }
 
-// awaitRequest waits until something has come, for a while. What has come when the wait ends is not left unread, even
-// if the wait was ended by the connection's being retired.
+// awaitRequest waits until input has been received or the deadline has passed. Input that was
+// received when the wait ends is a success even if the deadline was set by connTracker.expire: to
+// close at this moment would lose the request.
 func (c *downstreamConn) awaitRequest(until time.Time) error {
 	if len(c.readAhead) > 0 {
 		return nil
@@ -87,7 +117,8 @@
 	return err
 }
 
-// beginRequest notes that a request begins, and tells how long its head may take.
+// beginRequest moves the connection to stateReading. It returns the deadline for the head of the
+// request, and whether the connection was accepted beyond the limit.
 func (c *downstreamConn) beginRequest() (until time.Time, over bool) {
 	c.tracker.mu.Lock()
 	defer c.tracker.mu.Unlock()
@@ -101,7 +132,8 @@
 	return until, c.overLimit
 }
 
-// finishRequest notes that the request is answered; r is what has read it.
+// finishRequest notes that the request is answered, and returns the deadline for the next one. The
+// argument is the reader that read the request, or nil.
 func (c *downstreamConn) finishRequest(r *bufio.Reader) (until time.Time) {
 	c.tracker.mu.Lock()
 	defer c.tracker.mu.Unlock()
@@ -111,7 +143,7 @@
 	return c.since.Add(idleTimeout)
 }
 
-// terminate ends the connection.
+// terminate closes the connection and stops tracking it.
 func (c *downstreamConn) terminate() {
 	c.closeSocket()
 	c.tracker.mu.Lock()
@@ -119,13 +151,15 @@
 	c.tracker.remove(c)
 }
 
-// enforceRate begins to watch how fast a body comes.
+// enforceRate begins to enforce minBodyRate on the body that is read next.
 func (c *downstreamConn) enforceRate() {
 	c.rateEnforced, c.rateCredit = true, initialRateCredit
 	c.bodyAbandoned.Store(false)
 }
 
-// Read reads. Of a body, time that the caller takes counts, and time that passes until more is wanted does not.
+// Read implements io.Reader. While a body is read, the time that Read waits for the client counts
+// against the client's rate; the time between two calls, when this process is not ready for more,
+// does not.
 func (c *downstreamConn) Read(b []byte) (n int, err error) {
 	if len(c.readAhead) > 0 {
 		n := copy(b, c.readAhead)
@@ -168,21 +202,24 @@
 }
 
 var (
+	// errBodyAbandoned ends a read of a body after abandonBody.
 	errBodyAbandoned = errors.New("the rest of the body is not wanted")
-	errPaused        = errors.New("the reading of the body is to stop for a moment")
+	// errPaused ends a read of a body that is paused for a transfer.
+	errPaused = errors.New("the reading of the body is to stop for a moment")
 )
 
-// abandonBody ends the reading of a body from another goroutine.
+// abandonBody ends the reading of the body. It may be called from another goroutine.
 func (c *downstreamConn) abandonBody() {
 	c.bodyAbandoned.Store(true)
 	c.Conn.SetReadDeadline(time.Now())
 }
 
-// lingerTimeout is how long a caller may take to read the answer that was the last on its connection.
+// lingerTimeout bounds the time in stateLingering.
 const lingerTimeout = 500 * time.Millisecond
 
-// lingeringClose lets a caller that may still be sending read its answer: to close while something is unread would
-// take the answer from it.
+// lingeringClose half-closes the connection and discards input until the client closes its side or
+// lingerTimeout has passed. A close with unread input would send a reset, and the reset would
+// destroy the answer in the client's receive buffer (RFC 9112, section 9.6).
 func (c *downstreamConn) lingeringClose() {
 	c.tracker.mu.Lock()
 	c.tracker.setState(c, stateLingering)
@@ -195,7 +232,7 @@
 	io.Copy(io.Discard, tcp) // whatever ends it
 }
 
-// beginServing notes that a request has come whole, and tells how many connections stand idle beside its own.
+// beginServing notes that the request has been read, and returns the number of idle connections.
 func (c *downstreamConn) beginServing() (idles int) {
 	c.tracker.mu.Lock()
 	defer c.tracker.mu.Unlock()
@@ -203,7 +240,7 @@
 	return c.tracker.byState[stateIdle].Len()
 }
 
-// beginStreaming notes that a long answer is on its way.
+// beginStreaming notes that a streamed response is being relayed.
 func (c *downstreamConn) beginStreaming(l *relay) {
 	c.tracker.mu.Lock()
 	defer c.tracker.mu.Unlock()
@@ -211,14 +248,17 @@
 	c.tracker.setState(c, stateStreaming)
 }
 
-// setStream notes what is on its way on the connection, that can be passed on.
+// setStream sets the transferable upload or relay of the connection; nil for none.
 func (c *downstreamConn) setStream(p transferable) {
 	c.tracker.mu.Lock()
 	defer c.tracker.mu.Unlock()
 	c.stream = p
 }
 
-// watchHangup tells when a caller has gone, also behind what it has sent beyond its request.
+// watchHangup sends on the returned channel once the client has closed its side or reset the
+// connection, even behind unread bytes of a pipelined request. The channel holds one value, so that
+// the goroutine ends when nobody receives. It ends with the connection's read deadline or close at
+// the latest.
 func (c *downstreamConn) watchHangup() <-chan error {
 	c.Conn.SetReadDeadline(time.Time{})
 	hungUp := make(chan error, 1)
@@ -226,7 +266,8 @@
 	return hungUp
 }
 
-// hasHungUp tells whether the caller has, whatever of it stands unread.
+// hasHungUp reports whether the client has closed its side or reset the connection, even behind
+// unread bytes. It does not block.
 func (c *downstreamConn) hasHungUp() (hungUp bool) {
 	if p, ok := c.Conn.(peeker); ok {
 		return p.Ended()
@@ -239,7 +280,7 @@
 	return false
 }
 
-// stopWatching ends a watch; the connection may be read again.
+// stopWatching ends a watch. The connection may be read again after it.
 func (c *downstreamConn) stopWatching(hungUp <-chan error) {
 	c.Conn.SetReadDeadline(time.Now())
 	<-hungUp
--- a/internal/http1/downstream_drain.go
+++ b/internal/http1/downstream_drain.go
@@ -7,28 +7,38 @@
 )
 
 const (
-	// drainGrace is how long after the start of a drain the last idle connection is closed. Until then callers
-	// that have not heard of it are served; who asks later is told to come back.
+	// drainGrace is the time from the start of a drain until the last idle connection is closed.
+	// Clients that do not yet know of the drain are served until then; later requests are rejected
+	// with a Retry-After.
 	drainGrace = 1600 * time.Millisecond
-	// handoverGrace is the same for a process whose successor serves already: who is turned away is served
-	// there at once, and what comes too late here may not be whole when this process is killed.
-	handoverGrace      = 400 * time.Millisecond
+	// handoverGrace is the same where a successor serves already: a rejected client is served by it at
+	// once, and a request that is received late here may not be complete when this process is killed.
+	handoverGrace = 400 * time.Millisecond
+	// handoverRetryAfter is the largest Retry-After during a handover.
 	handoverRetryAfter = 50 * time.Millisecond
-	// drainedNewConnTimeout is how long a connection may say nothing once a drain has lasted awayAfter.
+	// drainedNewConnTimeout is how long a new connection may send nothing once the grace of a drain
+	// has passed.
 	drainedNewConnTimeout = 500 * time.Millisecond
-	// minAnswerTime is what must be left of a process's time when a long request has come whole.
-	minAnswerTime     = 1200 * time.Millisecond
+	// minAnswerTime is the time that must be left to this process when the last byte of an upload is
+	// received.
+	minAnswerTime = 1200 * time.Millisecond
+	// drainPollInterval is the interval at which a drain looks at the connections.
 	drainPollInterval = 20 * time.Millisecond
 )
 
-// CanServe, Drain and Resume are what the second address asks of a sidecar. They do not wait for the loop.
+// CanServe reports whether the server has what it needs to serve requests. Like Drain and Resume it
+// is called by the admin address and does not wait for the core loop.
 func (s *Server) CanServe() bool { return s.lifecycle.CanServe() }
-func (s *Server) Drain()         { s.lifecycle.Drain() }
-func (s *Server) Resume()        { s.lifecycle.Resume() }
 
-// drainConnections closes callers' connections while the sidecar drains or hands over: first those that have been idle
-// for so long that their callers will hardly use them, in the end all that are idle. What is in use closes with
-// its answer. It ends with done.
+// Drain begins to redirect clients to other instances.
+func (s *Server) Drain() { s.lifecycle.Drain() }
+
+// Resume ends a drain.
+func (s *Server) Resume() { s.lifecycle.Resume() }
+
+// drainConnections closes connections while the server drains or hands over: first those that have
+// been idle so long that their clients will hardly use them, and in the end all idle ones.
+// Connections in use are closed with their answer. It returns when done is closed.
 func (s *Server) drainConnections(done <-chan struct{}) {
 	for {
 		phase, since, changed := s.lifecycle.Now()
@@ -54,12 +64,13 @@
 	}
 }
 
-// redirects tells whether callers are to go elsewhere in a phase: by a drain, or to a successor.
+// redirects reports whether clients are to go elsewhere in a phase: to other instances in a drain,
+// or to a successor.
 func (s *Server) redirects(p core.Phase) bool {
 	return p == core.Draining || p == core.Stopping && s.sharesListener()
 }
 
-// redirectGrace is how long callers that have not heard that they are to go elsewhere are served.
+// redirectGrace is how long clients that do not yet know of the drain or handover are served.
 func (s *Server) redirectGrace() time.Duration {
 	if s.lifecycle.CanServe() {
 		return s.drainGrace
@@ -67,8 +78,8 @@
 	return s.handoverGrace
 }
 
-// redirectAnswer tells whether callers have been sent away for so long that nobody should be asking here, and what they
-// are told then.
+// redirectAnswer returns the rejection for requests after the grace, and whether the grace has
+// passed.
 func (s *Server) redirectAnswer() (a core.Answer, away bool) {
 	phase, since, _ := s.lifecycle.Now()
 	a = core.TurnedAway(&s.config.Settings)
@@ -78,7 +89,8 @@
 	return a, s.redirects(phase) && time.Since(since) > s.redirectGrace()
 }
 
-// uploadTooLate tells whether a long body's last byte comes when it can no longer be answered here.
+// uploadTooLate reports whether the last byte of an upload is received too late to be answered by
+// this process.
 func (s *Server) uploadTooLate() bool {
 	if s.hasSuccessor() {
 		return time.Until(s.lifecycle.Ends()) < minAnswerTime
@@ -87,9 +99,10 @@
 	return away
 }
 
-// closesAfterAnswer tells whether a connection is to end with the answer that is given now, as its caller is to go elsewhere or the
-// process ends. What has been read behind the request that is answered is still answered, for a while: to end the
-// connection would lose it.
+// closesAfterAnswer reports whether the connection closes with the answer that is written now,
+// because its client is to go elsewhere or the process ends. Requests that have been read behind
+// the answered one are still answered for a while: to close the connection would lose them. The
+// reader is that of the connection.
 func (s *Server) closesAfterAnswer(c *downstreamConn, buffered int) bool {
 	phase, since, _ := s.lifecycle.Now()
 	switch {
--- a/internal/http1/downstream_reply.go
+++ b/internal/http1/downstream_reply.go
@@ -11,17 +11,23 @@
 	"dykering/internal/core"
 )
 
-// reply writes one answer to a caller.
+// reply writes the answer to one request.
 type reply struct {
-	client       *downstreamConn
-	http10       bool          // HTTP/1.0: a body whose length is not known ends with the connection
-	keepAlive    bool          // the connection may bring another request
-	writeTimeout time.Duration // how long the caller may take nothing of a whole answer
-	transfer     transferFunc  // nil where nothing can be passed on
-	transferred  bool          // the successor has the connection
+	client *downstreamConn
+	// The client speaks HTTP/1.0: a body of unknown length ends with the connection.
+	http10 bool
+	// The connection stays open for another request.
+	keepAlive bool
+	// How long the client may take nothing of a complete answer.
+	writeTimeout time.Duration
+	// Transfers a relay to the successor; nil where there is no handover.
+	transfer transferFunc
+	// The successor has the connection.
+	transferred bool
 }
 
-// answer gives the final answer. Like the other methods it tells whether the connection may go on.
+// answer writes the final answer. Like the other methods it reports whether the connection stays
+// open.
 func (w *reply) answer(a core.Answer) (lasts bool) {
 	response, _ := a.Response.(*response)
 	switch {
@@ -40,16 +46,19 @@
 	}
 }
 
-// error says what is wrong with a request, and that it was the last one.
+// error writes an answer about an invalid request and closes the connection after it: what follows
+// on the connection may not be a request.
 func (w *reply) error(status int, text string) (lasts bool) {
 	w.keepAlive = false
 	return w.status(status, text)
 }
 
+// status writes an answer with a status and a line of text.
 func (w *reply) status(status int, text string) (lasts bool) {
 	return w.text(status, http.Header{}, text)
 }
 
+// text writes an answer with a plain-text body, empty for no text.
 func (w *reply) text(status int, header http.Header, text string) (lasts bool) {
 	if text != "" {
 		header.Set("Content-Type", "text/plain; charset=utf-8")
@@ -58,14 +67,17 @@
 	return w.complete(status, header, []byte(text))
 }
 
+// complete writes an answer whose body is in memory.
 func (w *reply) complete(status int, header http.Header, body []byte) (lasts bool) {
 	return w.write(w.head(status, header, fmt.Sprintf("Content-Length: %d\r\n", len(body))), body) && w.keepAlive
 }
 
-// informational writes a head that comes before the answer's.
+// informational writes an interim response, whose status is 1xx, and reports whether it was
+// written.
 func (w *reply) informational(text string) bool { return w.write([]byte(text)) }
 
-// head is an answer's head, with what it says of its body's length.
+// head encodes the head of an answer. The framing is the header line that gives the body's length
+// or coding; it is empty for a body that ends with the connection.
 func (w *reply) head(status int, header http.Header, framing string) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n", status, http.StatusText(status))
@@ -78,7 +90,8 @@
 	return b.Bytes()
 }
 
-// write writes pieces; a caller that does not take them for as long as it would have waited for them has gone.
+// write writes all pieces. A client that takes none of them for as long as it would have waited for
+// the answer counts as gone.
 func (w *reply) write(pieces ...[]byte) bool {
 	w.client.Conn.SetWriteDeadline(time.Now().Add(max(w.writeTimeout, minWriteTimeout)))
 	buffers := net.Buffers(pieces)
--- a/internal/http1/downstream_serve.go
+++ b/internal/http1/downstream_serve.go
@@ -16,13 +16,13 @@
 	"dykering/internal/core"
 )
 
-// readerPool are those of the callers' connections that bring a request; idle ones need none.
+// readerPool has the readers of connections with a request in progress; idle connections hold none.
 var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, maxHead) }}
 
-// acceptRetryDelay is how long accepting rests after it has failed, as for want of descriptors.
+// acceptRetryDelay is the delay after a failed accept, for example for want of file descriptors.
 const acceptRetryDelay = 5 * time.Millisecond
 
-// accept serves callers until the listener is closed.
+// accept serves connections until the listener is closed. It returns the listener's error.
 func (s *Server) accept() error {
 	for {
 		c, err := s.clients.accept()
@@ -38,14 +38,15 @@
 	}
 }
 
-// serveConn serves one connection, for as long as it lasts.
+// serveConn serves one accepted connection until it ends or is transferred.
 func (s *Server) serveConn(c *downstreamConn) {
 	defer c.terminate()
 	until := c.since.Add(headTimeout)
 	s.serveRequests(c, until, nil)
 }
 
-// serveRequests serves a connection on which nothing is owed; r, if there is one, has read some of it.
+// serveRequests serves the requests of a connection on which no answer is outstanding. It waits for
+// the first one until the given time. The reader, if not nil, has read some of the input.
 func (s *Server) serveRequests(c *downstreamConn, until time.Time, r *bufio.Reader) {
 	for {
 		if r != nil && r.Buffered() == 0 {
@@ -77,14 +78,15 @@
 	}
 }
 
-// exchange reads a request and answers it, and tells whether the connection may bring another, or has been passed
-// on to the successor.
+// exchange reads one request and answers it. It reports whether the connection stays open for
+// another one, and whether the successor has the connection now.
 func (s *Server) exchange(c *downstreamConn, r *bufio.Reader) (lasts, passed bool) {
 	w := &reply{client: c, transfer: s.relayTransfer(r)}
 	lasts = s.answerRequest(c, r, w)
 	return lasts, w.transferred
 }
 
+// answerRequest reads one request and answers it, or transfers it to the successor.
 func (s *Server) answerRequest(c *downstreamConn, r *bufio.Reader, w *reply) (lasts bool) {
 	until, overLimit := c.beginRequest()
 	c.Conn.SetReadDeadline(until)
@@ -161,15 +163,15 @@
 	return s.dispatch(c, r, w, req)
 }
 
-// logRequestError notes what is wrong with a request. What stands behind a colon may be the caller's own words, which may
-// be anything.
+// logRequestError logs why a request is invalid. The text behind a colon may quote the client's
+// input, which can be anything, and is left out.
 func (s *Server) logRequestError(status int, text string) {
 	text, _, _ = strings.Cut(text, ":")
 	s.log.Info("caller.fault", zap.Int("status", status), zap.String("fault", text))
 }
 
-// readBody reads a request's body, or as much of it as is held of a long one, and tells how many bytes of the bodies'
-// memory that has taken.
+// readBody reads the body of a request into memory, or the beginning of one that is streamed. It
+// returns how many bytes it has reserved of the memory for bodies, which the caller releases.
 func (s *Server) readBody(c *downstreamConn, in *http.Request, req *request, from *requestBody) (held int, err error) {
 	header := in.Header
 	removeHopByHop(header)
@@ -196,8 +198,8 @@
 	return held, nil
 }
 
-// readUpTo reads up to a number of bytes of a body, and tells whether that was all. Space is taken as they come:
-// a length is only a word.
+// readUpTo reads up to a number of bytes of a body and reports whether it is complete. The buffer
+// grows with the input: a Content-Length is no evidence that so much is sent.
 func readUpTo(body io.Reader, most int) (got []byte, whole bool, err error) {
 	for len(got) < most {
 		if len(got) == cap(got) {
@@ -215,7 +217,7 @@
 	return got, false, nil
 }
 
-// dispatch hands a request to the loop and carries the answer back.
+// dispatch submits a request to the core loop and writes the answer.
 func (s *Server) dispatch(c *downstreamConn, r *bufio.Reader, w *reply, req *request) (lasts bool) {
 	received := time.Now()
 	req.IdleConns = c.beginServing()
@@ -236,7 +238,8 @@
 	return s.awaitAnswer(c, r, w, req, abandon)
 }
 
-// awaitAnswer carries the answer to a request back; lapse is called where nobody waits for it any more.
+// awaitAnswer writes the answer to a submitted request. It calls abandon where nobody waits for the
+// answer any more.
 func (s *Server) awaitAnswer(c *downstreamConn, r *bufio.Reader, w *reply, req *request, abandon func()) (lasts bool) {
 	var transferred <-chan struct{}
 	bodyRead, readFailed := make(chan struct{}), (chan error)(nil)
--- a/internal/http1/downstream_tracker.go
+++ b/internal/http1/downstream_tracker.go
@@ -9,33 +9,43 @@
 	"dykering/internal/core"
 )
 
-// connTracker bounds the connections from callers. Accepting never waits: a connection in the backlog may already
+// connTracker accepts downstream connections, bounds their number and has a list of them for each
+// state. Accepting never waits for a connection to end: a connection in the backlog may already
 // hold a request.
 type connTracker struct {
 	net.Listener
+	// Connections beyond the limit are accepted only to reject their request, up to core.ExcessSockets
+	// of them.
 	limit int
 
-	mu           sync.Mutex
-	open         int
-	byState      [connStates]list.List // of *caller, the longest in its stage first
-	entered      [connStates]uint64    // connections that have come so far
-	lastAccepted time.Time             // when the last connection came
+	mu sync.Mutex
+	// Connections in all lists of byState.
+	open int
+	// Lists of *downstreamConn. The one that has been in its state longest is first.
+	byState [connStates]list.List
+	// How many connections have entered each state so far.
+	entered      [connStates]uint64
+	lastAccepted time.Time // when the last connection came
 }
 
 const (
-	// stallTimeout is how long part of a request may bring nothing more before its connection is in the way of
-	// others. A slow caller goes on writing; one of a crowd writes once.
+	// stallTimeout is how long a partly received request may make no progress before its connection
+	// may be evicted for a new one. A slow client goes on sending; clients of a connection flood send
+	// once.
 	stallTimeout = 700 * time.Millisecond
-	// minBodyRate is what a caller should send of a body, in bytes a second. Who falls behind has bodyCredit at the
-	// start, and what it was ahead, up to bodyAhead.
+	// minBodyRate is the rate in bytes per second at which a client has to send a body. A client below
+	// the rate uses up its credit: initialRateCredit at the start, and the time by which it is ahead
+	// of the rate, up to maxRateCredit.
 	minBodyRate       = 48 << 10
 	initialRateCredit = 2 * time.Second
 	maxRateCredit     = 2 * time.Second
-	// readGrace is for what has come while its reader could not run.
+	// readGrace is the time to read input that was received while the goroutine of the connection was
+	// not scheduled.
 	readGrace = 200 * time.Millisecond
 )
 
-// accept takes the next connection in. It is never one that finds no room.
+// accept returns the next connection that is admitted. Connections beyond the limit and the excess
+// are closed.
 func (cs *connTracker) accept() (*downstreamConn, error) {
 	for {
 		raw, err := cs.Listener.Accept()
@@ -50,9 +60,10 @@
 	}
 }
 
-// closeListener ends accepting. It does not wait for an accept that hangs: whether a socket blocks is shared with all processes
-// that have it, and one that hands it to another (as os/exec does with its ExtraFiles) makes it block for all. What such
-// an accept still brings is served, or passed on, as what came before.
+// closeListener ends accepting. It does not wait for an accept(2) that blocks: the mode of a socket
+// is shared by all processes that have a copy, and one that hands its copy on (as os/exec does with
+// ExtraFiles) makes it blocking for all. A connection that such an accept still returns is served
+// or transferred like the earlier ones.
 func (cs *connTracker) closeListener() {
 	closed := make(chan struct{})
 	go func() {
@@ -65,9 +76,9 @@
 	}
 }
 
-// admit makes room for a connection. Those that have said nothing go first, then those that are over, then idle ones,
-// whose clients may send what crosses that on another, then those whose request takes long to come. If there are none,
-// the new one's request is turned away, for to cut it off would lose it.
+// admit tracks a new connection. At the limit it evicts another connection for it. Where none can
+// be evicted, the new connection is admitted as overLimit and its request is rejected, for to close
+// the connection would lose the request. It reports false beyond the limit and the excess.
 func (cs *connTracker) admit(c *downstreamConn) bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -84,7 +95,7 @@
 	return true
 }
 
-// adopt takes a connection of the process before in, if there is room.
+// adopt tracks a connection of the predecessor. It reports false at the limit.
 func (cs *connTracker) adopt(c *downstreamConn) bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -98,6 +109,10 @@
 	return true
 }
 
+// evictOne closes one connection: first those that have sent nothing, then those that have had
+// their last answer, then idle ones, whose clients can send a request that crosses the close on
+// another connection, and last those whose request makes no progress. A connection with unread
+// input is never closed.
 func (cs *connTracker) evictOne(now time.Time) bool {
 	for _, stage := range []connState{stateNew, stateLingering, stateIdle} {
 		for at := cs.byState[stage].Front(); at != nil; at = at.Next() {
@@ -116,8 +131,9 @@
 	return false
 }
 
-// expire ends the connections that have been idle or mute for so long. It ends the wait for a request, not the
-// connection: one that comes at this moment is read and served, so that no close crosses it.
+// expire ends the connections that have been idle or new for the given times. It ends the wait for
+// a request, not the connection: a request that is received at this moment is served, so no close
+// crosses it.
 func (cs *connTracker) expire(idleFor, muteFor time.Duration) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -133,12 +149,13 @@
 	}
 }
 
-// evict ends a connection; its handler sees that when it next reads.
+// evict closes a connection and stops tracking it; its goroutine finds out at its next read.
 func (cs *connTracker) evict(c *downstreamConn) {
 	c.closeSocket()
 	cs.remove(c)
 }
 
+// remove stops tracking a connection. It does nothing for one that is not tracked.
 func (cs *connTracker) remove(c *downstreamConn) {
 	if c.element != nil {
 		cs.byState[c.state].Remove(c.element)
@@ -147,7 +164,8 @@
 	}
 }
 
-// setState notes how far a connection has come.
+// setState moves a connection to the end of a state's list. It does nothing for one that is not
+// tracked.
 func (cs *connTracker) setState(c *downstreamConn, to connState) {
 	if c.element != nil {
 		cs.byState[c.state].Remove(c.element)
@@ -157,7 +175,8 @@
 	}
 }
 
-// interruptStreams asks for all long bodies and answers to be passed on.
+// interruptStreams asks all uploads and relays to pause and to transfer themselves to the
+// successor.
 func (cs *connTracker) interruptStreams() {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -170,22 +189,23 @@
 	}
 }
 
-// onlyAnswering tells whether nothing but answers is on its way, or has just been.
+// onlyAnswering reports whether all connections are served an answer or have had their last one.
 func (cs *connTracker) onlyAnswering() bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	return cs.open == cs.byState[stateStreaming].Len()+cs.byState[stateServing].Len()+cs.byState[stateLingering].Len()
 }
 
-// emptyFor tells whether no connection is open and none has come for a while.
+// emptyFor reports whether no connection is open and none has been accepted for the given time.
 func (cs *connTracker) emptyFor(d time.Duration) bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	return cs.open == 0 && time.Since(cs.lastAccepted) >= d
 }
 
-// abortReads has those answered at once, with a refusal, who are in the middle of a request when the process ends. Their
-// connections end as after any last answer: to close them would take back what crosses the close.
+// abortReads ends the reading of partly received requests, which are rejected at once, when the
+// process ends. Their connections end by a lingering close: an immediate one would destroy the
+// answer.
 func (cs *connTracker) abortReads() {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -196,7 +216,8 @@
 	}
 }
 
-// closeInStates ends the connections in some stages, whose callers are owed nothing: they have not brought a whole request.
+// closeInStates closes the connections in the given states. No complete request has been received
+// on them.
 func (cs *connTracker) closeInStates(in ...connState) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
--- a/internal/http1/errors.go
+++ b/internal/http1/errors.go
@@ -5,9 +5,14 @@
 )
 
 var (
-	errTooLarge    = errors.New("too large")
-	errMalformed   = errors.New("cannot be read")
-	errNoMemory    = errors.New("no memory for the body")
-	errClientGone  = errors.New("the caller has gone")
+	// errTooLarge is a body or head beyond its bound.
+	errTooLarge = errors.New("too large")
+	// errMalformed is a message that cannot be parsed, or whose framing is ambiguous.
+	errMalformed = errors.New("cannot be read")
+	// errNoMemory is a body for which no memory can be reserved.
+	errNoMemory = errors.New("no memory for the body")
+	// errClientGone is a client that has closed its connection.
+	errClientGone = errors.New("the caller has gone")
+	// errTransferred ends what the successor continues.
 	errTransferred = errors.New("passed on to the successor")
 )
--- a/internal/http1/lifecycle.go
+++ b/internal/http1/lifecycle.go
@@ -10,8 +10,9 @@
 	"dykering/internal/core"
 )
 
-// Run serves callers that come to a listener until a signal arrives on stop, and then ends what was taken. A signal on
-// reload makes it read its configuration file again.
+// Run serves the clients of a listener until a signal is received on stop, and then shuts down
+// gracefully. A signal on reload makes it read its configuration file again. It returns nil after a
+// shutdown, or the error of the listener.
 func (s *Server) Run(listener net.Listener, stop, reload <-chan os.Signal) error {
 	s.clients.Listener = listener
 	// First of all: as soon as this process can serve, the one before may be told to end, and looks for it.
@@ -66,9 +67,9 @@
 	return nil
 }
 
-// awaitFirstList waits, where others may accept on the same socket, for this process's first list of endpoints: what it
-// took before that it could only refuse, and its predecessor serves it. After acceptBy it answers all the same, for
-// there may be nobody else.
+// awaitFirstList waits for the first list of endpoints where other processes may accept on the same
+// socket. Without a list this process could only reject what it accepts, while its predecessor can
+// serve it. After firstListTimeout it accepts nevertheless, for there may be no other process.
 func (s *Server) awaitFirstList() {
 	enough := time.NewTimer(s.firstListTimeout)
 	defer enough.Stop()
@@ -86,8 +87,8 @@
 	}
 }
 
-// reload takes up the discovery that the configuration file names now. All else is as it was at the start.
-// A file that cannot be used changes nothing.
+// reload follows the discovery address that the configuration file names now. Other settings stay
+// as they were at the start. A file that cannot be used changes nothing.
 func (s *Server) reload() {
 	s.lastReload.Store(time.Now().UnixNano())
 	c, err := s.config.Reload()
@@ -99,12 +100,15 @@
 	s.loop.Follow(c.Discovery)
 }
 
-// shutdown ends the server shortly before it would be killed, with all answered that it has taken. Until then it
-// goes on serving: no front sends it new callers, but those that it has go on using their connections, and
-// where it is the only sidecar, or the others are gone or just starting, whom it cuts off has nowhere to go.
-// Where there are others it closes what is idle handOver before the end, so that its last callers move there.
-// Where a successor accepts on the same socket, it accepts no more and sends its callers there as in a drain.
-// It ends early when nobody is connected any more. It does harm where the platform kills sooner than it says.
+// shutdown ends the server shortly before the platform kills the process, with all accepted
+// requests answered. Until then the server goes on serving: load balancers send it no new clients,
+// but existing ones go on using their connections, and may have no other instance to go to.
+//
+// - Without a shared listener and with other instances, idle connections are closed redirectLead before the end, so that the last clients move there.
+// - With a successor on the same listener, this process stops accepting and redirects its clients as in a drain.
+// - It returns early once no client is connected.
+//
+// A platform that kills sooner than it states cuts requests off.
 func (s *Server) shutdown() {
 	began := time.Now()
 	end := began.Add(s.shutdownTimeout)
@@ -146,10 +150,10 @@
 	}
 }
 
-// sharesListener tells whether a successor accepts in this process's place when it stops.
+// sharesListener reports whether a successor accepts on the same socket when this process stops.
 func (s *Server) sharesListener() bool { return s.config.Accept != nil }
 
-// canExit tells whether a sidecar that was told to stop some time ago has nobody left to serve.
+// canExit reports whether no client is left, the given time after the signal to stop.
 func (s *Server) canExit(ago time.Duration) bool {
 	if s.sharesListener() {
 		return s.clients.emptyFor(0)
--- a/internal/http1/network.go
+++ b/internal/http1/network.go
@@ -10,37 +10,46 @@
 	"dykering/internal/handover"
 )
 
-// Network is what a server stands on beside its listener: connections to others, and the way to the process before and
-// after. Kernel is the real one; the laboratory has one that plays in virtual time.
+// Network is what a server uses beside its listener: connections to endpoints and to discovery, and
+// the transfer of connections between processes. Kernel is the real one; the laboratory has one in
+// virtual time.
 type Network interface {
-	// Dial makes a connection within a time.
+	// Dial connects to a TCP address within a time.
 	Dial(ctx context.Context, address string, within time.Duration) (net.Conn, error)
-	// Receive makes this process the one that takes what the one before passes on, and Find finds the one after.
+	// Receive makes this process a receiver of connections of its predecessor. Both give the same
+	// directory and name.
 	Receive(dir, name string) (Receiver, error)
+	// FindSuccessor returns the process that receives connections under a name, other than this
+	// process's own receiver.
 	FindSuccessor(dir, name string, own Receiver) (Successor, error)
 }
 
-// Receiver takes connections of the process before, and Heir is who takes those of this one; see internal/handover.
+// Receiver receives the connections of the predecessor; see package handover.
 type Receiver interface {
 	Serve(handover.Take) error
 	Close() error
 }
 
+// Successor is the process that takes this process's connections when it stops; see package
+// handover.
 type Successor interface {
 	Pass(state []byte, conns ...net.Conn) error
 	Alive() bool
 }
 
-// Kernel is the kernel's sockets.
+// Kernel is the Network of the kernel's sockets.
 type Kernel struct{}
 
+// Dial implements Network.
 func (Kernel) Dial(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: within}
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
+// Receive implements Network.
 func (Kernel) Receive(dir, name string) (Receiver, error) { return handover.Listen(dir, name) }
 
+// FindSuccessor implements Network.
 func (Kernel) FindSuccessor(dir, name string, own Receiver) (Successor, error) {
 	receiver, _ := own.(*handover.Receiver)
 	sender, err := handover.Dial(dir, name, receiver)
@@ -50,8 +59,10 @@
 	return kernelSuccessor{sender}, nil
 }
 
+// kernelSuccessor passes the descriptors of the kernel's sockets.
 type kernelSuccessor struct{ *handover.Sender }
 
+// Pass implements Successor. All connections must have descriptors.
 func (h kernelSuccessor) Pass(state []byte, raw ...net.Conn) error {
 	conns := make([]syscall.Conn, len(raw))
 	for i, x := range raw {
@@ -63,7 +74,7 @@
 	return h.Sender.Pass(state, conns...)
 }
 
-// tcpConn is what a connection of either kind can do beside net.Conn.
+// tcpConn is what connections of either network can do beside net.Conn.
 type tcpConn interface {
 	net.Conn
 	CloseWrite() error
--- a/internal/http1/network_wait.go
+++ b/internal/http1/network_wait.go
@@ -9,18 +9,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// peeker is a connection that is not the kernel's and tells itself what the kernel is asked of a socket: whether
-// something can be read, and, until the read deadline, when.
+// peeker is a connection without a descriptor, of the laboratory's network, which implements what
+// the kernel is asked about a socket. Its waits end with the read deadline.
 type peeker interface {
-	Peek() (n int, err error) // EAGAIN for nothing, 0 without an error for the end
+	// Peek reports whether input is unread: EAGAIN for none, 0 without an error for the end of the
+	// input.
+	Peek() (n int, err error)
+	// Await waits until input is unread or the peer has closed.
 	Await() error
-	// AwaitEnd waits likewise for the peer to have gone, whatever it sent before that stands unread; Ended tells whether it
-	// has.
+	// AwaitEnd waits until the peer has closed, whatever input is unread.
 	AwaitEnd() error
+	// Ended reports whether the peer has closed, whatever input is unread.
 	Ended() bool
 }
 
-// canPeek tells whether a connection can be looked at without being read.
+// canPeek reports whether input on a connection can be detected without reading it.
 func canPeek(c net.Conn) bool {
 	switch c.(type) {
 	case peeker, syscall.Conn:
@@ -29,7 +32,8 @@
 	return false
 }
 
-// peekConn looks for a byte to read, without taking it or waiting.
+// peekConn looks for unread input without taking it or waiting. It returns 0 without an error at
+// the end of the input.
 func peekConn(c net.Conn) (n int, err error) {
 	if p, ok := c.(peeker); ok {
 		return p.Peek()
@@ -45,7 +49,7 @@
 	return peekByte(raw)
 }
 
-// peekByte looks for a byte to read, without taking it or waiting.
+// peekByte is peekConn on a descriptor.
 func peekByte(raw syscall.RawConn) (n int, err error) {
 	n = -1
 	// Not raw.Read: that would wait for another goroutine's Read to end.
@@ -55,15 +59,15 @@
 	return n, err
 }
 
-// peek looks for a byte to read; 0 without an error is the end.
+// peek is recvfrom(2) with MSG_PEEK: 0 without an error is the end of the input.
 func peek(fd uintptr) (n int, err error) {
 	var b [1]byte
 	n, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return n, err
 }
 
-// awaitInput waits until a connection has something to read or has ended, without reading it. It ends with the
-// connection's read deadline.
+// awaitInput waits until a connection has unread input or has ended, without reading it. It ends
+// with the connection's read deadline.
 func awaitInput(c net.Conn) error {
 	if p, ok := c.(peeker); ok {
 		return p.Await()
@@ -71,8 +75,8 @@
 	return awaitSocket(c, func(uintptr) bool { return true })
 }
 
-// awaitEnd waits until the peer of a connection has gone, whatever it sent before that stands unread. It ends with the
-// connection's read deadline.
+// awaitEnd waits until the peer of a connection has closed, whatever input is unread; it returns
+// io.EOF or the connection's error then. It ends with the connection's read deadline.
 func awaitEnd(c net.Conn) error {
 	if p, ok := c.(peeker); ok {
 		return p.AwaitEnd()
@@ -83,14 +87,16 @@
 	return io.EOF
 }
 
-// socketHungUp tells whether a socket's peer has closed its side, or reset it, whatever stands unread.
+// socketHungUp reports whether a socket's peer has closed its side or reset the connection,
+// whatever input is unread.
 func socketHungUp(fd uintptr) bool {
 	polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	n, err := unix.Poll(polled, 0)
 	return err == nil && n > 0 && polled[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// awaitSocket waits until a socket has ended with nothing unread, or something stands unread and that is enough.
+// awaitSocket waits until a socket has ended with no input unread, or has unread input and enough
+// reports true.
 func awaitSocket(c net.Conn, enough func(fd uintptr) bool) error {
 	raw, err := c.(syscall.Conn).SyscallConn()
 	if err != nil {
--- a/internal/http1/parse_chunked.go
+++ b/internal/http1/parse_chunked.go
@@ -11,29 +11,41 @@
 	"strconv"
 )
 
-// maxChunkLine bounds a line that tells a chunk's size, with its extensions.
+// maxChunkLine bounds the line of a chunk's size with its extensions, in bytes.
 const maxChunkLine = 4096
 
-// chunkStage is what a chunked body's reader is to find next.
+// chunkStage is the element of a chunked body that its reader expects next.
 type chunkStage int
 
 const (
+	// The line with a chunk's size.
 	chunkSize chunkStage = iota
+	// The data of a chunk.
 	chunkData
-	chunkEnd // the line end behind a chunk
+	// The line end behind the data.
+	chunkEnd
+	// A line of the trailer section, or the empty line that ends it.
 	chunkTrailer
+	// The end of the body.
 	chunkDone
 )
 
-// chunkedReader reads a body in chunks (RFC 9112, section 7.1). net/http/httputil has a reader too, but its place in the
-// body cannot be told to another process: here an error of the connection, such as a deadline that interrupts it,
-// leaves a place to go on from, and the exported fields are all of it.
+// chunkedReader reads a chunked body (RFC 9112, section 7.1). An error of the connection, such as a
+// deadline that interrupts a read, leaves it at a position from which reading can be resumed, also
+// by another process: the exported fields are the complete position and are sent to the successor
+// as JSON under these names, which are fixed. (net/http/httputil has a reader whose position cannot
+// be exported.)
 type chunkedReader struct {
-	Stage   chunkStage
-	Left    uint64 // of the chunk
-	Line    []byte // what has come of a line
-	Trailer []byte // the lines of the trailer that have come
-	Digest  int    // bytes of trailer and extensions that may still come
+	// What is expected next.
+	Stage chunkStage
+	// Unread bytes of the current chunk.
+	Left uint64
+	// The received part of an incomplete line.
+	Line []byte
+	// The received lines of the trailer section.
+	Trailer []byte
+	// Bytes of trailer section and chunk extensions that may still be received.
+	Digest int
 
 	r *bufio.Reader
 }
@@ -42,7 +54,7 @@
 	return &chunkedReader{r: r, Digest: maxResponseHead}
 }
 
-// Read reads; the end of the body, with its trailer, is io.EOF.
+// Read implements io.Reader; io.EOF is returned once the trailer section has been read.
 func (c *chunkedReader) Read(p []byte) (n int, err error) {
 	if len(p) == 0 {
 		return 0, nil
@@ -103,7 +115,8 @@
 	}
 }
 
-// readLine reads a line of up to so many bytes, without its end. What has come of it is kept over an error.
+// readLine reads a line of up to limit bytes and returns it without its end. After an error it can
+// be called again: the received part is kept.
 func (c *chunkedReader) readLine(most int) ([]byte, error) {
 	for {
 		part, err := c.r.ReadSlice('\n')
@@ -125,7 +138,7 @@
 	}
 }
 
-// trailer is what came behind the body; nil before its end, or when it cannot be read.
+// trailer returns the trailer fields. They are complete after io.EOF.
 func (c *chunkedReader) trailer() (http.Header, error) {
 	if len(c.Trailer) == 0 {
 		return http.Header{}, nil
@@ -137,13 +150,13 @@
 	return http.Header(h), nil
 }
 
-// valid tells whether a place in a body that another process tells is one.
+// valid reports whether a position that another process sent is possible.
 func (c *chunkedReader) valid() bool {
 	return c.Stage >= chunkSize && c.Stage <= chunkDone && c.Digest >= 0 && len(c.Line) <= maxChunkLine+2
 }
 
-// reencode writes a chunked body anew from its beginning, of which got has been read, up to the place where the
-// reading stands. What comes next on the connection goes on from there.
+// reencode encodes the body again from its beginning up to the reader's position. The data read so
+// far is got, and the unread input of the connection continues what is written.
 func (c *chunkedReader) reencode(w *bytes.Buffer, got []byte) {
 	size := uint64(len(got))
 	if c.Stage == chunkData {
--- a/internal/http1/parse_head.go
+++ b/internal/http1/parse_head.go
@@ -10,19 +10,22 @@
 	"strings"
 )
 
-// maxHead bounds a request's head; the readers of callers' connections are as large.
+// maxHead bounds the head of a request, in bytes. The readers of downstream connections have
+// buffers of this size.
 const maxHead = 16 << 10
 
-// requestError is what is wrong with a request, and the status that says so.
+// requestError is why a request is invalid, with the status of the answer.
 type requestError struct {
 	status int
 	text   string
 }
 
+// Error implements error.
 func (f *requestError) Error() string { return f.text }
 
-// readRequest reads a request up to its body. It waits for the whole head before it reads any of it, as
-// http.ReadRequest hides what is looked for here. An error that is no fault is the connection's.
+// readRequest reads a request up to its body. It waits for the complete head and checks it before
+// http.ReadRequest parses it, because the latter normalizes away what checkHead looks for. An error
+// other than a *requestError is the connection's.
 func readRequest(r *bufio.Reader) (*http.Request, error) {
 	head, err := peekHead(r)
 	if err != nil {
@@ -41,7 +44,8 @@
 	return req, nil
 }
 
-// peekHead waits until the reader holds a whole head, and passes over empty lines in front of it.
+// peekHead waits until the reader's buffer holds a complete head. It skips empty lines in front of
+// it (RFC 9112, section 2.2).
 func peekHead(r *bufio.Reader) ([]byte, error) {
 	for n := 1; ; {
 		if _, err := r.Peek(n); errors.Is(err, bufio.ErrBufferFull) {
@@ -62,7 +66,8 @@
 	}
 }
 
-// headLength is the length of a head with the empty line that ends it; 0 while that has not come.
+// headLength is the length of a head including the empty line that ends it; 0 while that line has
+// not been received.
 func headLength(b []byte) int {
 	for at := 0; ; {
 		i := bytes.IndexByte(b[at:], '\n')
@@ -79,7 +84,8 @@
 	}
 }
 
-// checkHead finds what http.ReadRequest lets pass: a head that different readers may read differently.
+// checkHead rejects heads that http.ReadRequest accepts but that another parser may read
+// differently, which would allow request smuggling (RFC 9112, section 11.2).
 func checkHead(head []byte) *requestError {
 	lengths, codings, hosts := 0, 0, 0
 	lines := strings.Split(string(head), "\n")
@@ -116,7 +122,8 @@
 	return nil
 }
 
-// readHead reads a response's status and headers, and tells whether its connection is to last.
+// readHead reads the status and headers of a response, and whether its connection persists (RFC
+// 9112, section 9.3).
 func readHead(r *bufio.Reader) (code int, header textproto.MIMEHeader, lasting bool, err error) {
 	text := textproto.NewReader(r)
 	line, err := text.ReadLine()
--- a/internal/http1/parse_request.go
+++ b/internal/http1/parse_request.go
@@ -10,7 +10,7 @@
 	"dykering/internal/decision"
 )
 
-// singletonHeaders are the headers that must not be repeated: of two, an endpoint may read the other one.
+// singletonHeaders must not be repeated: of two values, an endpoint may use the other one.
 var singletonHeaders = []string{"X-Txn", "X-Lane", "X-Org", "X-Remaining", "Idempotency-Key"}
 
 // parseRequest reads what the Balancer is told of a request, or names what is wrong with it.
@@ -68,7 +68,7 @@
 	return req, ""
 }
 
-// parseRemaining reads a number with its unit, m for milliseconds or u for microseconds.
+// parseRemaining parses a decimal number with its unit, m for milliseconds or u for microseconds.
 func parseRemaining(text string) (left time.Duration, ok bool) {
 	unit := time.Millisecond
 	digits, ok := strings.CutSuffix(text, "m")
@@ -88,10 +88,11 @@
 	return time.Duration(n * float64(unit)), true
 }
 
-// hopByHop are the headers that belong to one connection.
+// hopByHop are the headers that concern one connection only (RFC 9110, section 7.6.1).
 var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect"}
 
+// removeHopByHop removes hop-by-hop headers, and those that Connection lists.
 func removeHopByHop(h http.Header) {
 	for _, line := range slices.Clone(h["Connection"]) {
 		for name := range strings.SplitSeq(line, ",") {
@@ -103,7 +104,8 @@
 	}
 }
 
-// expectsContinue tells whether a caller waits for word before it sends its body.
+// expectsContinue reports whether a client waits for a 100 response before it sends its body (RFC
+// 9110, section 10.1.1).
 func expectsContinue(r *http.Request) bool {
 	return strings.EqualFold(r.Header.Get("Expect"), "100-continue")
 }
--- a/internal/http1/relay_frame.go
+++ b/internal/http1/relay_frame.go
@@ -6,7 +6,7 @@
 	"net/http"
 )
 
-// frameChunks is a piece of a body as it is written: a chunk of it where its length is not known.
+// frameChunks is a piece of a body as it is written: as a chunk if chunked.
 func frameChunks(b []byte, chunked bool) [][]byte {
 	if !chunked {
 		return [][]byte{b}
@@ -16,11 +16,14 @@
 
 // const is the room for what a chunk has in front, and chunkTail what it has behind.
 const (
+	// chunkHeaderRoom is the space in front of a chunk's data in a buffer, for the line with its size;
+	// chunkEndRoom is that behind it, for the line end.
 	chunkHeaderRoom = len("ffffffff\r\n")
 	chunkEndRoom    = len("\r\n")
 )
 
-// frameInPlace is the piece of n bytes in a buffer that has room around it, as a chunk if it is to be framed.
+// frameInPlace is the piece of n bytes in a buffer that has room around it, framed in place as a
+// chunk if chunked.
 func frameInPlace(buffer []byte, n int, framed bool) []byte {
 	if n == 0 {
 		return nil
@@ -34,7 +37,7 @@
 	return buffer[from:to]
 }
 
-// lastChunk ends a chunked body.
+// lastChunk encodes the last chunk and the trailer section.
 func lastChunk(trailer http.Header) []byte {
 	var b bytes.Buffer
 	b.WriteString("0\r\n")
--- a/internal/http1/relay_pause.go
+++ b/internal/http1/relay_pause.go
@@ -7,14 +7,18 @@
 	"time"
 )
 
-// pauseControl is how what is carried on in steps is asked to stop between two of them, to be passed on.
+// pauseControl lets another goroutine ask a stepwise copy to pause between two steps, so that it
+// can be transferred.
 type pauseControl struct {
-	mu        sync.Mutex
+	mu sync.Mutex
+	// A pause is requested.
 	requested bool
-	notBefore time.Time // it is asked again
+	// When a pause may be requested again.
+	notBefore time.Time
 }
 
-// requestPause asks, by f, unless that has been done or is too soon.
+// requestPause requests a pause and calls f, which interrupts the step in progress. It does nothing
+// if a pause is requested already or was refused less than transferRetryInterval ago.
 func (p *pauseControl) requestPause(f func(now time.Time)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -24,18 +28,20 @@
 	}
 }
 
+// pauseRequested reports whether a pause is requested.
 func (p *pauseControl) pauseRequested() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.requested
 }
 
-// interrupted tells whether a step ended only because it was asked to.
+// interrupted reports whether a step failed only because it was interrupted for a pause.
 func (p *pauseControl) interrupted(err error) bool {
 	return errors.Is(err, os.ErrDeadlineExceeded) && p.pauseRequested()
 }
 
-// setDeadline gives a step its time; none after it was asked to end.
+// setDeadline gives a step its deadline by calling set; an immediate one if a pause is requested,
+// so that a step which begins after the request does not miss it.
 func (p *pauseControl) setDeadline(set func(time.Time) error, d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -45,7 +51,7 @@
 	set(time.Now().Add(d))
 }
 
-// resume ends the pause: nothing could be passed on, and it goes on here.
+// resume ends a pause after which nothing was transferred, and calls f.
 func (p *pauseControl) resume(f func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -53,5 +59,6 @@
 	f()
 }
 
-// transferRetryInterval is how long a relay that could not be passed on goes on before that is tried again.
+// transferRetryInterval is how long a copy that could not be transferred goes on before that is
+// tried again.
 const transferRetryInterval = 250 * time.Millisecond
--- a/internal/http1/relay_response.go
+++ b/internal/http1/relay_response.go
@@ -10,26 +10,36 @@
 	"dykering/internal/core"
 )
 
-// relay is a long answer on its way from an endpoint to a caller. Between two of its steps all that it has is in
-// its fields, so that another process can go on with it.
+// relay copies a streamed response from an endpoint to a client. Between two steps its fields are
+// its complete state, so that another process can continue it.
 type relay struct {
-	client    *downstreamConn
-	body      *responseBody
-	buffers   *core.Buffers
-	done      chan error   // see download; nil once it has been told
-	pending   []byte       // framed, for the caller
-	chunked   bool         // the caller gets chunks
-	http10    bool         // see reply
-	keepAlive bool         // the caller's connection may bring another request
-	transfer  transferFunc // where it may be passed on to
+	client  *downstreamConn
+	body    *responseBody
+	buffers *core.Buffers
+	// See download; nil once the result has been sent.
+	done chan error
+	// Framed bytes that are to be written to the client.
+	pending []byte
+	// The client gets the body in chunks.
+	chunked bool
+	// See reply.
+	http10 bool
+	// The client's connection stays open after the response.
+	keepAlive bool
+	// Transfers the relay to the successor; nil where there is no handover.
+	transfer transferFunc
 
 	pauseControl
-	source *upstreamConn // whose answer is read; nil once that is over. The pause's mutex guards it
+	// The connection that is read; nil once the response is complete. Guarded by the pauseControl's
+	// mutex.
+	source *upstreamConn
 }
 
-// transferFunc passes a relay on to the successor. Without an error it is the successor's from then on.
+// transferFunc transfers a relay to the successor. Without an error the relay belongs to the
+// successor.
 type transferFunc func(*relay) error
 
+// newRelay returns the relay of a response, whose head and beginning are its first pending bytes.
 func newRelay(w *reply, r *response) *relay {
 	l := &relay{client: w.client, body: r.rest.body, buffers: r.rest.buffers, done: r.rest.done, http10: w.http10, transfer: w.transfer,
 		source: r.rest.body.conn}
@@ -52,8 +62,9 @@
 	return l
 }
 
-// relay passes a long answer on as it comes. If it does not come to its end the caller can tell: the connection
-// ends before the length that was told, or before the last chunk, or, where neither was told, with a reset.
+// relay relays a streamed response. If the response is cut the client can see it: its connection
+// ends before the stated length or the last chunk, or with a reset where the body ends with the
+// connection (RFC 9112, section 8).
 func (w *reply) relay(l *relay) (lasts bool) {
 	w.client.beginStreaming(l)
 	err := l.run()
@@ -62,7 +73,7 @@
 	return err == nil && l.keepAlive
 }
 
-// reportDone tells, once, how the endpoint's side ended.
+// reportDone reports, once, how the endpoint's side ended.
 func (l *relay) reportDone(err error) {
 	l.mu.Lock()
 	l.source = nil // it may be another's in a moment
@@ -73,8 +84,8 @@
 	}
 }
 
-// run goes on from where the relay stands until its end. The error is nil at that, errPassedOn, errCallerGone or
-// what the endpoint's side broke with.
+// run copies until the end of the response. It returns nil at the end, errTransferred,
+// errClientGone or the error of the endpoint's side.
 func (l *relay) run() error {
 	buffer := l.buffers.Get()
 	defer l.buffers.Put(buffer)
@@ -99,7 +110,8 @@
 	}
 }
 
-// readNext reads the next piece. At the end it lets go of the endpoint: a caller that reads slowly does not hold it.
+// readNext reads the next piece. At the end of the response it releases the endpoint's connection:
+// a slow client does not occupy it.
 func (l *relay) readNext(buffer []byte) error {
 	l.setDeadline(l.body.conn.SetReadDeadline, streamStallTimeout)
 	n, err := l.body.Read(buffer[chunkHeaderRoom : len(buffer)-chunkEndRoom])
@@ -114,7 +126,8 @@
 	return err
 }
 
-// resetClient shows a caller that what it got is not whole, where nothing else does.
+// resetClient closes the client's connection with a reset where a cut body would otherwise look
+// complete: an HTTP/1.0 body that ends with the connection.
 func (l *relay) resetClient() {
 	if tcp, ok := l.client.Conn.(tcpConn); ok && l.http10 && l.body.length < 0 {
 		tcp.SetLinger(0)
@@ -122,7 +135,7 @@
 	}
 }
 
-// interrupt asks the relay to stop between two steps and to be passed on.
+// interrupt implements transferable: the copy pauses between two steps and is transferred.
 func (l *relay) interrupt() {
 	l.requestPause(func(now time.Time) {
 		l.client.Conn.SetWriteDeadline(now)
@@ -132,7 +145,7 @@
 	})
 }
 
-// tryTransfer passes the relay on; if that fails it goes on here.
+// tryTransfer transfers the relay; if that fails it goes on here.
 func (l *relay) tryTransfer() bool {
 	if l.transfer != nil && l.transfer(l) == nil {
 		return true
--- a/internal/http1/relay_upload.go
+++ b/internal/http1/relay_upload.go
@@ -8,32 +8,47 @@
 	"time"
 )
 
-// upload is the part of a long body that is not held. It is read by the attempt that sends it, once. Like a relay
-// it can be passed on between two of its steps.
+// upload copies the rest of a streamed request body from a client to an endpoint. The attempt that
+// sends it reads it, once. Like a relay it can be transferred between two steps.
 type upload struct {
-	client   *downstreamConn
-	body     *requestBody
-	isLate   func() bool // nobody should be asking here any more, when its last byte comes
+	client *downstreamConn
+	body   *requestBody
+	// Reports whether a last byte that is read now is too late to be answered; see uploadTooLate.
+	isLate func() bool
+	// Transfers the upload to the successor; nil where there is no handover.
 	transfer func(*attempt, *upstreamConn) error
 
-	received int64  // bytes of the body that have been read
-	pending  []byte // framed, for the endpoint
-	complete bool   // its last byte has been read
-	consumed bool   // reading has begun: what comes of it is in nobody's memory
-	resumed  bool   // another process has begun to send it
-
-	bodyRead    chan struct{} // closed once all has been read
-	readFailed  chan error    // why it can't be read to its end
-	transferred chan struct{} // closed once it is the successor's
-
-	transferMu sync.Mutex // held while it is being passed on
-	answered   bool       // it has its answer: it is passed on no more
-	handedOff  bool       // it is the successor's
+	// Bytes of the body that have been read.
+	received int64
+	// Framed bytes that are to be written to the endpoint.
+	pending []byte
+	// The last byte of the body has been read.
+	complete bool
+	// Reading has begun: the bytes that are read from now on are not kept.
+	consumed bool
+	// The predecessor has begun to send the request.
+	resumed bool
+
+	// Closed once the whole body has been read.
+	bodyRead chan struct{}
+	// Receives, at most once, why the body cannot be read to its end.
+	readFailed chan error
+	// Closed once the upload belongs to the successor.
+	transferred chan struct{}
+
+	// Held while the upload is transferred. It guards answered and handedOff.
+	transferMu sync.Mutex
+	// The request has its answer: the upload is not transferred any more.
+	answered bool
+	// The upload belongs to the successor.
+	handedOff bool
 
 	pauseControl
-	target *upstreamConn // that it goes out on; nil while it does not. The pause's mutex guards it
+	// The connection that is written to; nil while none is. Guarded by the pauseControl's mutex.
+	target *upstreamConn
 }
 
+// newUpload returns the upload of the unread rest of a body.
 func newUpload(c *downstreamConn, body *requestBody, late func() bool) *upload {
 	u := &upload{client: c, body: body, isLate: late,
 		bodyRead: make(chan struct{}), readFailed: make(chan error, 1), transferred: make(chan struct{})}
@@ -43,10 +58,11 @@
 	return u
 }
 
-// errTooLate is a body whose last byte came when its caller should have gone elsewhere.
+// errTooLate is an upload whose last byte is received when its client should have gone elsewhere.
 var errTooLate = errors.New("it came too late")
 
-// send writes what is still to come. It returns the caller's fault apart from the writer's.
+// send copies the rest of the body to a connection. It returns the errors of the client's and of
+// the endpoint's side apart.
 func (u *upload) send(a *attempt, c *upstreamConn, buffer []byte) (callerErr, writeErr error) {
 	u.consumed = true
 	u.setTarget(c)
@@ -71,7 +87,7 @@
 	}
 }
 
-// reportReadError tells, once, why the body can't be read to its end.
+// reportReadError reports, once, why the body cannot be read to its end.
 func (u *upload) reportReadError(err error) {
 	select {
 	case u.readFailed <- err:
@@ -79,7 +95,7 @@
 	}
 }
 
-// readNext reads the next piece.
+// readNext reads the next piece of the body.
 func (u *upload) readNext(buffer []byte) (callerErr, writeErr error) {
 	n, err := u.body.Read(buffer[chunkHeaderRoom : len(buffer)-chunkEndRoom])
 	if u.received += int64(n); u.received > maxStreamedBody {
@@ -110,7 +126,7 @@
 	return nil, nil
 }
 
-// setTarget notes the connection that the upload goes out on.
+// setTarget sets the connection that is written to; nil for none.
 func (u *upload) setTarget(c *upstreamConn) {
 	u.mu.Lock()
 	u.target = c
@@ -124,7 +140,7 @@
 	}
 }
 
-// interrupt asks the upload to stop between two steps and to be passed on.
+// interrupt implements transferable: the copy pauses between two steps and is transferred.
 func (u *upload) interrupt() {
 	u.requestPause(func(now time.Time) {
 		if u.target == nil {
@@ -137,8 +153,9 @@
 	})
 }
 
-// tryTransfer passes the upload on; if that fails it goes on here. Once its last byte has been read it stays: its caller
-// is watched then by who awaits the answer, and its answer can be passed on.
+// tryTransfer transfers the upload; if that fails it goes on here. An upload whose last byte has
+// been read stays: its client is watched by awaitAnswer then, and its response can be transferred
+// instead.
 func (u *upload) tryTransfer(a *attempt, c *upstreamConn) bool {
 	if u.transferNow(a, c) {
 		return true
@@ -147,6 +164,7 @@
 	return false
 }
 
+// transferNow transfers the upload unless it is complete or answered, and reports whether it did.
 func (u *upload) transferNow(a *attempt, c *upstreamConn) bool {
 	u.transferMu.Lock()
 	defer u.transferMu.Unlock()
@@ -158,8 +176,8 @@
 	return true
 }
 
-// markAnswered is called before the caller is answered. It tells whether its connection has become the successor's, and
-// keeps it from that if not.
+// markAnswered is called before the client is answered. It prevents a transfer from then on, and
+// reports whether the upload already belongs to the successor.
 func (u *upload) markAnswered() (handedOff bool) {
 	u.transferMu.Lock()
 	defer u.transferMu.Unlock()
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -10,39 +10,44 @@
 	"dykering/internal/decision"
 )
 
-// forwardedRequest is what goes on to an endpoint unchanged.
+// forwardedRequest is the part of a request that is forwarded to an endpoint.
 type forwardedRequest struct {
 	method string
-	target string // as the client wrote it
+	// The request target as the client wrote it.
+	target string
 	host   string
 	header http.Header
-	body   []byte // all of it, or its beginning where there is more
+	// The whole body, or its beginning where upload has the rest.
+	body []byte
+	// The rest of a streamed body; nil for a body in memory.
 	upload *upload
-	// deserted tells whether its caller has gone, and has the call lapse then: the word of who watches the caller may stand
-	// behind others in a loop that is late. Nil where there is nobody to ask.
+	// Reports whether the client has closed its connection, and cancels the call then. An attempt asks
+	// it before it sends, because the event of the goroutine that watches the client may still be
+	// queued at the core loop. Nil where there is no client to ask.
 	clientHungUp func() bool
 }
 
-// request is a call with what goes on of it.
+// request is a call of the core with the request that it forwards.
 type request struct {
 	*core.Call
 	forwardedRequest
 }
 
+// newRequest returns an empty request; the core's call refers to its forwarded part.
 func newRequest() *request {
 	r := &request{}
 	r.Call = core.NewCall(decision.Request{}, &r.forwardedRequest)
 	return r
 }
 
-// clientGone tells whether nobody waits for the answer any more.
+// clientGone reports whether nobody waits for the answer any more.
 func (in *forwardedRequest) clientGone() bool { return in.clientHungUp != nil && in.clientHungUp() }
 
-// rewrittenHeaders are the headers that encode words itself.
+// rewrittenHeaders are the headers that encodeHead writes itself.
 var rewrittenHeaders = map[string]bool{"Content-Length": true, "X-Remaining": true}
 
-// encodeHead is the head of the request as it goes on to an endpoint, which is told how long its answer is waited
-// for.
+// encodeHead encodes the head of the request for an endpoint. X-Remaining tells it how long its
+// answer is waited for.
 func (in *forwardedRequest) encodeHead(left time.Duration) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\nX-Remaining: %du\r\n", in.method, in.target, in.host,
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -12,66 +12,85 @@
 )
 
 const (
-	// headTimeout is for a head, from its first byte on, and for that to come on a new connection: who takes
-	// longer is in the way of others. From the connection on the first head may take firstTimeout.
+	// headTimeout bounds the time from the first byte of a head to its end, and the wait for the first
+	// byte on a new connection. firstHeadTimeout bounds both together on a new connection. Slower
+	// clients occupy connections that others need.
 	headTimeout      = 2500 * time.Millisecond
 	firstHeadTimeout = 2900 * time.Millisecond
-	idleTimeout      = 30 * time.Second
-	writeTimeout     = 10 * time.Second // for a piece of an answer to be taken,
-	minWriteTimeout  = time.Second      // and for a whole one at the least; else for as long as its request may take
-	maxIDLength      = 128              // bytes of an id
-	maxRemaining     = time.Hour
-	// quietPeriod is how long no new connection must have come before a sidecar that was told to stop, and that
-	// no caller is connected to, ends.
+	// idleTimeout bounds the wait for the next request on a connection.
+	idleTimeout = 30 * time.Second
+	// writeTimeout bounds each write of a relayed response. A complete answer may take as long as the
+	// request's remaining time, but at least minWriteTimeout and at most writeTimeout.
+	writeTimeout    = 10 * time.Second
+	minWriteTimeout = time.Second
+	// maxIDLength bounds a request id, in bytes.
+	maxIDLength = 128
+	// maxRemaining bounds the remaining time that a client may state.
+	maxRemaining = time.Hour
+	// quietPeriod is how long no connection must have been accepted before a stopping server without
+	// clients exits early.
 	quietPeriod = 500 * time.Millisecond
-	// The platform kills a sidecar that was told to stop no sooner than its longest deadline, or killCap if that
-	// is shorter, and killGrace later. All answers are out killMargin before that.
+	// The platform kills a stopping process no sooner than after its longest deadline, or killCap if
+	// that is shorter, plus killGrace. All answers are written killMargin before that.
 	killCap    = 3 * time.Second
 	killGrace  = 700 * time.Millisecond
 	killMargin = 200 * time.Millisecond
-	// lastAnswerWindow is how long before that each answer says that it is the last on its connection: a request
-	// that is on its way when an idle one is closed has to be sent again.
+	// lastAnswerWindow is how long before the end of the process each answer closes its connection: a
+	// request that crosses the close of an idle connection has to be sent again by the client.
 	lastAnswerWindow = 100 * time.Millisecond
-	// redirectLead is how long before its end a sidecar that was told to stop sends its callers to the other ones.
-	redirectLead         = 700 * time.Millisecond
+	// redirectLead is how long before its end a stopping process closes idle connections, so that its
+	// clients move to the other instances.
+	redirectLead = 700 * time.Millisecond
+	// shutdownPollInterval is the interval at which shutdown looks at the open connections.
 	shutdownPollInterval = 20 * time.Millisecond
-	// firstListTimeout is how long a process that shares its listening socket waits for its first list before it accepts.
+	// firstListTimeout bounds the wait for the first list of endpoints before a process that shares
+	// its listening socket accepts.
 	firstListTimeout = 2 * time.Second
 )
 
-// Server takes callers' requests to the loop, and its answers back.
+// Server serves downstream connections: it reads requests, submits them to the core loop, which
+// decides on their attempts, and writes the answers.
 type Server struct {
-	loop             *core.Loop
-	upstream         *upstream
-	memory           *core.Memory
-	log              *zap.Logger
-	config           *config.Config
-	classes          map[string]int
-	tenants          map[string]int
-	longestDeadline  time.Duration // deadline of a class
-	quietPeriod      time.Duration // see quietAfter
-	shutdownTimeout  time.Duration // from being told to stop until all is answered
-	redirectLead     time.Duration // see handOver
-	drainGrace       time.Duration // see awayAfter
-	handoverGrace    time.Duration // see handedOverAfter
-	firstListTimeout time.Duration // see there
+	loop     *core.Loop
+	upstream *upstream
+	memory   *core.Memory
+	log      *zap.Logger
+	config   *config.Config
+	// Index of each class by name, and of each tenant in tenants.
+	classes map[string]int
+	tenants map[string]int
+	// The longest deadline of a class.
+	longestDeadline time.Duration
+	// Defaults to the constant of the same name, as do redirectLead to firstListTimeout. Tests set
+	// shorter ones.
+	quietPeriod time.Duration
+	// Time from the signal to stop until all requests are answered.
+	shutdownTimeout  time.Duration
+	redirectLead     time.Duration
+	drainGrace       time.Duration
+	handoverGrace    time.Duration
+	firstListTimeout time.Duration
 	lifecycle        *core.Lifecycle
 	network          Network
-	receiver         Receiver                  // of the process before; nil where there is no way
-	successor        atomic.Pointer[Successor] // to whom connections are passed on; nil for nobody
+	// Receives transfers from the predecessor; nil where there is no handover directory.
+	receiver Receiver
+	// Takes this process's connections when it stops; nil until it is found.
+	successor atomic.Pointer[Successor]
 
-	lastReload atomic.Int64 // when the last reload began, in Unix nanoseconds; 0 for never
+	// When the last reload began, in Unix nanoseconds; 0 for never.
+	lastReload atomic.Int64
 
 	clients connTracker
 }
 
-// Loop is the core that it serves with, for what tells it of other brokers.
+// Loop returns the core loop, for the components that give it the state of other brokers.
 func (s *Server) Loop() *core.Loop { return s.loop }
 
-// New makes a server on the kernel's sockets, and the core that it serves with.
+// New returns a server on the kernel's sockets with a core loop of its own. The error is that of an
+// unusable configuration.
 func New(c *config.Config, log *zap.Logger) (*Server, error) { return NewOn(Kernel{}, c, log) }
 
-// NewOn makes a server on a network.
+// NewOn is New on the given network.
 func NewOn(network Network, c *config.Config, log *zap.Logger) (*Server, error) {
 	memory := core.NewMemory(c.Plan())
 	coreConfig := c.Core()
--- a/internal/http1/stages.go
+++ b/internal/http1/stages.go
@@ -6,16 +6,20 @@
 	"dykering/internal/core"
 )
 
-// Visited is what a look at the stages has seen before, so that the next one also sees what came and went between.
+// PhaseCounts is what an earlier call of ActivePhases has counted. With it, the next call also
+// reports phases that began and ended between the two.
 type PhaseCounts struct {
+	// Connections that have entered each state.
 	connections [connStates]uint64
-	attempts    [core.AttemptPhases]uint64
+	// Attempts that have entered each phase.
+	attempts [core.AttemptPhases]uint64
 }
 
-// Stages are the stages in which something is now or was since the last look, of callers' connections, requests and the
-// process itself, by the names that the review of parts gives them: ac accepted, he a head or body is read, hd held, co
-// connecting, wr being written, aw answer awaited, cm answer coming, wa waiting to repeat, dr drain, st stop, ho handover,
-// re reload, di discovery to be followed anew.
+// ActivePhases returns the phases that connections, attempts and the process are in or have been in
+// since the previous call, by the names of docs/review-of-parts.md: ac accepted, he a head or body
+// is read, hd held in the queue, co connecting, wr request being written, aw response awaited, cm
+// response being received, wa waiting to retry, dr draining, st stopping, ho handover, re reload,
+// di discovery to be followed anew.
 func (s *Server) ActivePhases(previous *PhaseCounts) (names []string) {
 	report := func(name string, n int) {
 		if n > 0 {
@@ -55,10 +59,12 @@
 	return names
 }
 
-// reloadWindow is how long after a reload it counts as under way: callers and lists are told of it in that time.
+// reloadWindow is how long after its begin a reload is reported, as the change of discovery takes
+// effect in that time.
 const reloadWindow = 50 * time.Millisecond
 
-// Held is how many bytes of bodies are accounted for as held: none once a process has answered all.
+// BufferedBytes is how many bytes of the memory for bodies are reserved: none once all requests are
+// answered.
 func (s *Server) BufferedBytes() int64 {
 	return core.NewMemory(s.config.Plan()).Bodies.Left() - s.memory.Bodies.Left()
 }
--- a/internal/http1/transfer_attempt.go
+++ b/internal/http1/transfer_attempt.go
@@ -8,16 +8,20 @@
 	"dykering/internal/decision"
 )
 
-// resumedHost is what an attempt needs whose decisions were made in the process before.
+// resumedHost implements the host of the attempt of a transferred upload, about which the
+// predecessor has made all decisions.
 type resumedHost struct {
 	server *Server
-	answer chan core.Answer // holds one
+	// Holds one value.
+	answer chan core.Answer
 
-	mu       sync.Mutex
-	answered bool // the answer, or nobody waits for it
+	mu sync.Mutex
+	// The answer has been delivered, or nobody waits for it.
+	answered bool
 }
 
-// Written has the attempt end when its answer is no longer waited for, or the process ends.
+// Written implements the host of an attempt: the attempt ends when its answer is no longer waited for, or the
+// process ends.
 func (h *resumedHost) Written(a *core.Attempt) {
 	end := time.Now().Add(a.Call.Remaining - h.server.config.Settings.GraceToAnswer)
 	if ends := h.server.lifecycle.Ends(); !ends.IsZero() && ends.Before(end) {
@@ -26,9 +30,10 @@
 	a.EndAt(end)
 }
 
-// Begin gives a long answer.
+// Begin implements the host of an attempt: it delivers a streamed response.
 func (h *resumedHost) Begin(a *core.Attempt, r core.Response) { h.deliver(core.Answer{Response: r}) }
 
+// deliver delivers the answer if somebody waits for it, and discards it otherwise.
 func (h *resumedHost) deliver(a core.Answer) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -40,7 +45,7 @@
 	h.answer <- a
 }
 
-// abandon notes that nobody waits for an answer any more.
+// abandon notes that nobody waits for the answer any more.
 func (h *resumedHost) abandon() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -52,8 +57,8 @@
 	}
 }
 
-// finish gives the final answer that follows from how the only attempt ended: it is not made again, as what went
-// out of it is not kept.
+// finish delivers the answer that follows from the attempt's result. There is no retry, for the
+// bytes that were sent are not kept.
 func (h *resumedHost) finish(res result) {
 	switch {
 	case res.status == decision.OK && res.response != nil && res.response.rest == nil:
--- a/internal/http1/transfer_message.go
+++ b/internal/http1/transfer_message.go
@@ -7,51 +7,66 @@
 	"dykering/internal/core"
 )
 
-// transferVersion is the version of passage. A process that does not know the one that it is offered declines it,
-// and what was offered ends where it is.
+// transferVersion is the version of connTransfer. A process declines versions that it does not
+// know; the connection then stays with the process that offered it.
 const transferVersion = 1
 
-// connTransfer is what a process that ends tells its successor of a caller's connection: what has been read of it and
-// not been answered, and the long answer or the long body that is on its way on it. Without a connection it is a word
-// of the process itself.
+// connTransfer is the state of a downstream connection that a stopping process sends to its
+// successor with the connection itself: the input that has been read and not been answered, and the
+// relay or upload in progress. Without a connection it carries state of the process itself. It is
+// encoded as JSON; the keys are fixed, for the two processes may be of different releases.
 type connTransfer struct {
-	Version int          `json:"version"`
-	Input   []byte       `json:"input,omitempty"`
-	Relay   *relayState  `json:"relay,omitempty"`
-	Upload  *uploadState `json:"upload,omitempty"`
-	State   *core.Word   `json:"word,omitempty"`
+	Version int `json:"version"`
+	// Bytes that have been read from the client and not been used.
+	Input  []byte       `json:"input,omitempty"`
+	Relay  *relayState  `json:"relay,omitempty"`
+	Upload *uploadState `json:"upload,omitempty"`
+	// State of the process, in a transfer without a connection.
+	State *core.Word `json:"word,omitempty"`
 }
 
-// uploadState is what is left of a long body, on its way to an endpoint: a request that goes out once and cannot be
-// sent again, so that nothing is left to decide about it but what its outcome means.
+// uploadState is the state of an upload. The request goes out once and cannot be sent again, so the
+// successor has nothing to decide but what the attempt's outcome means to the client. It needs the
+// endpoint's connection as the second one of the transfer.
 type uploadState struct {
-	ID            string         `json:"id"`
-	AnswerTimeout time.Duration  `json:"wait"` // for the answer, from the body's last byte on
-	HTTP10        bool           `json:"old,omitempty"`
-	KeepAlive     bool           `json:"lasts,omitempty"`
-	Pending       []byte         `json:"pending,omitempty"`
-	Received      int64          `json:"total"`
-	Length        int64          `json:"length"`
-	Remaining     int64          `json:"left,omitempty"`
-	Chunks        *chunkedReader `json:"chunks,omitempty"`
+	ID string `json:"id"`
+	// Time for the answer, from the last byte of the body on.
+	AnswerTimeout time.Duration `json:"wait"`
+	// See reply for this and KeepAlive.
+	HTTP10    bool `json:"old,omitempty"`
+	KeepAlive bool `json:"lasts,omitempty"`
+	// See upload for this and Received.
+	Pending  []byte `json:"pending,omitempty"`
+	Received int64  `json:"total"`
+	// See requestBody for this, Remaining and Chunks.
+	Length    int64          `json:"length"`
+	Remaining int64          `json:"left,omitempty"`
+	Chunks    *chunkedReader `json:"chunks,omitempty"`
 }
 
-// relayState is what is left of a relay.
+// relayState is the state of a relay. Unless Finished, it needs the endpoint's connection as the
+// second one of the transfer.
 type relayState struct {
-	Pending    []byte         `json:"pending,omitempty"`
-	Chunked    bool           `json:"framed,omitempty"`
-	HTTP10     bool           `json:"old,omitempty"`
-	KeepAlive  bool           `json:"lasts,omitempty"`
-	Finished   bool           `json:"ended,omitempty"` // nothing more comes from the endpoint
-	Input      []byte         `json:"input,omitempty"` // from the endpoint, that is not in Pending
-	ReadLimit  int            `json:"allowed,omitempty"`
+	// See relay for this and Chunked.
+	Pending []byte `json:"pending,omitempty"`
+	Chunked bool   `json:"framed,omitempty"`
+	// See reply for this and KeepAlive.
+	HTTP10    bool `json:"old,omitempty"`
+	KeepAlive bool `json:"lasts,omitempty"`
+	// Nothing more is read from the endpoint.
+	Finished bool `json:"ended,omitempty"`
+	// Bytes that have been read from the endpoint and are not in Pending.
+	Input []byte `json:"input,omitempty"`
+	// See upstreamConn.
+	ReadLimit int `json:"allowed,omitempty"`
+	// See responseBody for this and the following fields.
 	Length     int64          `json:"length,omitempty"`
 	Read       int64          `json:"read,omitempty"`
 	UntilClose bool           `json:"toClose,omitempty"`
 	Chunks     *chunkedReader `json:"chunks,omitempty"`
 }
 
-// validFor tells whether a passage and what came with it are of one piece.
+// validFor reports whether the state is valid and matches the connections that came with it.
 func (p *connTransfer) validFor(conns []net.Conn) bool {
 	want := 1
 	if p.State != nil {
@@ -69,7 +84,7 @@
 		(p.Upload == nil || p.Relay == nil && p.Upload.valid())
 }
 
-// valid tells whether an upload can be gone on with.
+// valid reports whether an upload can be continued from the state.
 func (u *uploadState) valid() bool {
 	if u.AnswerTimeout < 0 || u.AnswerTimeout > maxRemaining || u.Received < 0 || u.Received > maxStreamedBody {
 		return false
@@ -80,7 +95,7 @@
 	return u.Length <= maxStreamedBody && u.Remaining >= 0 && u.Remaining <= u.Length
 }
 
-// valid tells whether a relay can be gone on with.
+// valid reports whether a relay can be continued from the state.
 func (l *relayState) valid() bool {
 	return l.Length >= -1 && l.Length <= maxStreamedBody && l.Read >= 0 && (l.Length < 0 || l.Read <= l.Length) &&
 		l.ReadLimit >= 0 &&
--- a/internal/http1/transfer_receive.go
+++ b/internal/http1/transfer_receive.go
@@ -12,8 +12,9 @@
 	"dykering/internal/decision"
 )
 
-// receiveTransfers takes over the connections of the process before. Without a way to it the two work as they did before
-// there was one: callers are sent from one to the other.
+// receiveTransfers begins to receive the predecessor's connections, and returns the function that
+// ends this. It returns nil without a handover directory; clients then go from one process to the
+// other by redirects.
 func (s *Server) receiveTransfers() (close func()) {
 	if !s.sharesListener() || s.config.Handover == "" {
 		return nil
@@ -32,7 +33,7 @@
 	return func() { receiver.Close() }
 }
 
-// acceptTransfer makes room for a connection of the process before.
+// acceptTransfer implements handover.Take: it reserves what a transferred connection needs.
 func (s *Server) acceptTransfer(state []byte, conns []net.Conn) (start, drop func(), ok bool) {
 	var p connTransfer
 	if err := json.Unmarshal(state, &p); err != nil || p.Version != transferVersion || !p.validFor(conns) {
@@ -66,7 +67,7 @@
 	return func() { go s.serveRelay(c, l, conns[1:]) }, drop, true
 }
 
-// resumeRelay makes a relay of what is left of one.
+// resumeRelay returns the relay that continues from a state.
 func (s *Server) resumeRelay(c *downstreamConn, state *relayState, upstream []net.Conn) *relay {
 	l := &relay{client: c, pending: state.Pending, chunked: state.Chunked, http10: state.HTTP10, keepAlive: state.KeepAlive,
 		buffers: s.memory.Buffers, transfer: s.relayTransfer(nil), body: &responseBody{finished: true}}
@@ -86,13 +87,13 @@
 	return l
 }
 
-// serveTransferred serves a caller's connection that was another process's.
+// serveTransferred serves a transferred connection on which no answer is outstanding.
 func (s *Server) serveTransferred(c *downstreamConn) {
 	defer c.terminate()
 	s.serveRequests(c, c.since.Add(idleTimeout), nil)
 }
 
-// serveRelay goes on with a long answer, and then with its caller's connection.
+// serveRelay continues a transferred relay, and then serves its client's connection.
 func (s *Server) serveRelay(c *downstreamConn, l *relay, upstream []net.Conn) {
 	defer c.terminate()
 	w := &reply{client: c}
@@ -110,7 +111,8 @@
 	}
 }
 
-// serveUpload goes on with a long body, passes its answer back, and then serves its caller's connection.
+// serveUpload continues a transferred upload, relays its response, and then serves its client's
+// connection.
 func (s *Server) serveUpload(c *downstreamConn, state *uploadState, upstream net.Conn) {
 	defer c.terminate()
 	r := readerPool.Get().(*bufio.Reader)
--- a/internal/http1/transfer_send.go
+++ b/internal/http1/transfer_send.go
@@ -15,7 +15,8 @@
 	"dykering/internal/handover"
 )
 
-// findSuccessor looks for the process that serves in this one's place.
+// findSuccessor looks for the process that serves in this one's place. Without one, clients are
+// redirected instead.
 func (s *Server) findSuccessor() {
 	if s.config.Handover == "" {
 		return
@@ -28,25 +29,27 @@
 	s.successor.Store(&successor)
 }
 
-// handoverName is the name under which this process and its successor find each other.
+// handoverName is the name under which a process and its successor find each other.
 func (s *Server) handoverName() string { return s.config.Name + " " + s.config.Listen }
 
-// hasSuccessor tells whether connections are passed on to a successor.
+// hasSuccessor reports whether connections can be transferred to a successor.
 func (s *Server) hasSuccessor() bool {
 	successor := s.successor.Load()
 	return successor != nil && (*successor).Alive()
 }
 
-// transfersRequests tells whether requests that have not been decided about are passed on to the successor, and what is idle with
-// them. Until then callers are sent away one by one, each with its answer, and the front spreads them: a process that
-// has just begun to serve cannot judge all that comes if all of it comes at once (HANDOVER.md).
+// transfersRequests reports whether requests that have not been dispatched, and idle connections,
+// are transferred to the successor. During the grace before that, clients are redirected one by
+// one, each with its answer, and the load balancer spreads them: a process that has just begun to
+// serve cannot judge the load if it receives all of it at once (HANDOVER.md).
 func (s *Server) transfersRequests() bool {
 	_, since, _ := s.lifecycle.Now()
 	return s.hasSuccessor() && time.Since(since) > s.handoverGrace
 }
 
-// transferConn gives a caller's connection to the successor, and with it an endpoint's where there is one. One that does not take
-// it in time, or not any more, may have a copy of it.
+// transferConn transfers a client's connection to the successor, together with an endpoint's
+// connection unless that is nil. A successor that does not answer in time may have a copy of the
+// connection.
 func (s *Server) transferConn(c *downstreamConn, p connTransfer, upstream *upstreamConn) error {
 	raw := []net.Conn{c.Conn}
 	if upstream != nil {
@@ -57,7 +60,8 @@
 	return err
 }
 
-// sendToSuccessor gives a passage to the successor.
+// sendToSuccessor sends a transfer and its connections to the successor. Without an error they
+// belong to the successor.
 func (s *Server) sendToSuccessor(p connTransfer, raw ...net.Conn) error {
 	p.Version = transferVersion
 	state, err := json.Marshal(p)
@@ -71,7 +75,7 @@
 	return err
 }
 
-// unreadInput is what has been read of a caller's connection and not been used.
+// unreadInput returns the bytes that have been read from a client's connection and not been used.
 func unreadInput(c *downstreamConn, r *bufio.Reader) []byte {
 	if r == nil {
 		return c.readAhead
@@ -80,13 +84,16 @@
 	return append(bytes.Clone(got), c.readAhead...)
 }
 
-// transferIdle passes on a connection on which nothing is owed.
+// transferIdle transfers a connection on which no answer is outstanding, and reports whether it
+// did.
 func (s *Server) transferIdle(c *downstreamConn, r *bufio.Reader) bool {
 	return s.transferConn(c, connTransfer{Input: unreadInput(c, r)}, nil) == nil
 }
 
-// transferRequest passes on a connection with a request on it that no decision has been made about, and of whose body
-// some may still be to come: the successor reads it as if it had come there.
+// transferRequest transfers a connection with a request that has not been dispatched, and reports
+// whether it did. The request is encoded again, with the part of the body that has been read; rest
+// is the body if more of it is to come, else nil. The successor reads it as if it had been received
+// there.
 func (s *Server) transferRequest(c *downstreamConn, r *bufio.Reader, in *http.Request, body []byte, rest *requestBody) bool {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s %s\r\n", in.Method, in.RequestURI, in.Proto)
@@ -116,7 +123,8 @@
 	return s.transferConn(c, connTransfer{Input: b.Bytes()}, nil) == nil
 }
 
-// relayTransfer passes on a long answer to a caller whose connection is read by r.
+// relayTransfer returns the function that transfers a relay to a client whose connection is read by
+// r.
 func (s *Server) relayTransfer(r *bufio.Reader) transferFunc {
 	return func(l *relay) error {
 		if !s.hasSuccessor() {
@@ -135,7 +143,7 @@
 	}
 }
 
-// uploadTransfer passes on a long body.
+// uploadTransfer returns the function that transfers an upload.
 func (s *Server) uploadTransfer(r *bufio.Reader, w *reply, req *request) func(*attempt, *upstreamConn) error {
 	return func(a *attempt, c *upstreamConn) error {
 		if !s.hasSuccessor() {
--- a/internal/http1/transfer_state.go
+++ b/internal/http1/transfer_state.go
@@ -8,8 +8,9 @@
 	"dykering/internal/handover"
 )
 
-// sendState tells the successor what this process has learnt, and, until done, what it has in flight. A successor that
-// knows no such word declines it, and is told no more.
+// sendState sends the successor what this process has learnt, and until done is closed how many
+// requests it has in flight. A successor of a release without this message declines it, and is sent
+// no more.
 func (s *Server) sendState(done <-chan struct{}) {
 	tick := time.NewTicker(core.TellEvery)
 	defer tick.Stop()
--- a/internal/http1/upstream.go
+++ b/internal/http1/upstream.go
@@ -14,31 +14,40 @@
 )
 
 const (
-	maxBufferedBody = 64 << 10 // of a body that is held whole
-	maxStreamedBody = 32 << 20 // of one that is passed on as it comes
+	// maxBufferedBody bounds a body that is held in memory as a whole, in bytes.
+	maxBufferedBody = 64 << 10
+	// maxStreamedBody bounds a body that is streamed, in bytes.
+	maxStreamedBody = 32 << 20
+	// maxResponseHead bounds the head of a response, and the trailer and chunk extensions of a body,
+	// in bytes.
 	maxResponseHead = 16 << 10
-	// streamPrefix is what is held of an answer that is passed on as it comes, until that begins.
+	// streamPrefix is how many bytes of a streamed response are held until its relay begins.
 	streamPrefix = 4 << 10
-	// bufferTimeout is how long an answer of unknown length may take to come before it is passed on as it does.
+	// bufferTimeout is how long a response of unknown length may take before it is streamed instead of
+	// buffered.
 	bufferTimeout = 250 * time.Millisecond
-	// discardTimeout is how long a body that nobody wants may take.
+	// discardTimeout bounds the time to discard a body that nobody needs.
 	discardTimeout = 20 * time.Millisecond
-	// streamStallTimeout is how long an endpoint may take no more of a body, or give no more of an answer.
+	// streamStallTimeout is how long an endpoint may take no more of an upload, or send no more of a
+	// response.
 	streamStallTimeout = 10 * time.Second
-	maxInformational   = 16 // 1xx responses before the final one
-	// resetSpread is how long a process that dies may take to reset all its connections.
+	// maxInformational bounds the interim responses (1xx) before the final one.
+	maxInformational = 16
+	// resetSpread is how long the resets of all connections of an endpoint that dies may take to be
+	// received.
 	resetSpread = 3 * time.Millisecond
 )
 
-// upstream carries attempts out over HTTP/1.1.
+// upstream sends the core's attempts over HTTP/1.1.
 type upstream struct {
 	network        Network
 	memory         *core.Memory
 	connectTimeout time.Duration
-	phaseEntries   [core.AttemptPhases]atomic.Uint64 // how many attempts have come so far
+	// How many attempts have entered each phase so far.
+	phaseEntries [core.AttemptPhases]atomic.Uint64
 }
 
-// Send makes an attempt.
+// Send implements core.Upstream: it makes an attempt, over an idle connection if one is given.
 func (u *upstream) Send(a *core.Attempt, over core.Conn) core.Result {
 	c, _ := over.(*upstreamConn)
 	t := newAttempt(a, u.network)
@@ -55,18 +64,22 @@
 	return told
 }
 
-// attempt is one sending of a request to an endpoint.
+// attempt sends a request to an endpoint once and reads the response.
 type attempt struct {
 	*core.Attempt
-	network      Network
-	request      *forwardedRequest
-	maxBody      int64                              // that an answer may be
-	fullySent    chan struct{}                      // closed when the last byte of a long body is out
-	watcher      *answerWatcher                     // see ear
-	phaseEntries *[core.AttemptPhases]atomic.Uint64 // nil for nobody who counts
+	network Network
+	request *forwardedRequest
+	// Bound of the response's body, in bytes.
+	maxBody int64
+	// Closed when the last byte of a streamed request is written.
+	fullySent chan struct{}
+	// Watches for a response while a streamed request is being sent.
+	watcher *answerWatcher
+	// Counters of upstream; nil for an attempt that is not counted.
+	phaseEntries *[core.AttemptPhases]atomic.Uint64
 }
 
-// enterPhase notes how far the attempt has come.
+// enterPhase records the progress of the attempt.
 func (a *attempt) enterPhase(p core.AttemptPhase) {
 	a.At(p)
 	if a.phaseEntries != nil {
@@ -74,23 +87,26 @@
 	}
 }
 
+// newAttempt returns an attempt for a call whose message is a forwarded request.
 func newAttempt(a *core.Attempt, n Network) *attempt {
 	return &attempt{Attempt: a, network: n, request: a.Call.Message.(*forwardedRequest), maxBody: maxStreamedBody, fullySent: make(chan struct{}), watcher: newAnswerWatcher()}
 }
 
-// result is how an attempt ended. Its connection is nil unless it can carry another attempt.
+// result is how an attempt ended.
 type result struct {
 	status   decision.Status
 	took     time.Duration
 	response *response
 	load     *decision.Load
-	conn     *upstreamConn
-	consumed bool // what was sent can't be sent again
+	// The connection if it can carry another attempt; else nil.
+	conn *upstreamConn
+	// Part of a streamed body is gone: the request cannot be sent again.
+	consumed bool
 }
 
-// run makes the attempt: one write on one connection, and the answer to it. net/http's Transport would send
-// a request again by itself and does not tell whether its last byte was written, so it is not used here.
-// When run returns, the connection is either closed or free, so the Balancer may send again.
+// run makes the attempt: one write on one connection, and the response to it. net/http's Transport
+// is not used, because it retries requests by itself and does not report whether the last byte was
+// written. When run returns, the connection is either closed or idle, so the balancer may retry.
 func (a *attempt) run(c *upstreamConn, connectTimeout time.Duration, memory *core.Memory) (res result) {
 	defer func() {
 		if res.took == 0 {
@@ -120,8 +136,7 @@
 	return res
 }
 
-// dial makes a connection. One that fails at once is tried once more: endpoints reset new connections now and
-// then, and a dead one does it twice.
+// dial connects to the endpoint.
 func (a *attempt) dial(timeout time.Duration) (*upstreamConn, error) {
 	raw, err := a.network.Dial(a.Ctx, a.Endpoint.Address, timeout)
 	if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) {
@@ -133,9 +148,10 @@
 	return newUpstreamConn(raw, a.Endpoint), nil
 }
 
-// classifyReset tells a connection that alone broke from an endpoint that did: one that ends takes all its
-// connections along and accepts no new ones. Taken for that, one connection would cost a sound endpoint its
-// place, and then a slow start. The new connection takes the broken one's place.
+// classifyReset distinguishes a connection that broke alone from an endpoint that died: a dying
+// endpoint resets all its connections and accepts no new ones. Without this, one broken connection
+// would eject a healthy endpoint and then put it through slow start. The new connection is kept in
+// place of the broken one.
 func (a *attempt) classifyReset(res *result, connectTimeout time.Duration) {
 	time.Sleep(resetSpread)
 	if a.Endpoint.Waiting.Load() > 0 {
@@ -147,7 +163,8 @@
 	}
 }
 
-// exchangeOver makes the attempt over a connection.
+// exchangeOver makes the attempt over a connection, which is closed if the attempt is cancelled or
+// leaves it unusable.
 func (a *attempt) exchangeOver(c *upstreamConn, memory *core.Memory) result {
 	release := context.AfterFunc(a.Ctx, func() {
 		c.Close()
@@ -171,10 +188,10 @@
 	return decision.ConnectFailed
 }
 
-// isLate tells whether the time has passed by which the request's last byte had to be out.
+// isLate reports whether the deadline for the request's last byte has passed.
 func (a *attempt) isLate() bool { return !a.OutBy.IsZero() && !time.Now().Before(a.OutBy) }
 
-// beforeDeadline is what of a time may be used before that.
+// beforeDeadline cuts a timeout off at the deadline for the request's last byte.
 func (a *attempt) beforeDeadline(d time.Duration) time.Duration {
 	if a.OutBy.IsZero() {
 		return d
@@ -182,6 +199,7 @@
 	return min(d, max(time.Until(a.OutBy), time.Nanosecond)) // a dialer takes 0 for no bound
 }
 
+// exchange sends the request and reads the response.
 func (a *attempt) exchange(c *upstreamConn, memory *core.Memory) result {
 	// The dial may have outlasted the endpoint's welcome, the window in which a repeat is dropped, or the caller's patience.
 	if !a.Endpoint.Open() || a.Ctx.Err() != nil || a.isLate() || a.request.clientGone() {
@@ -203,7 +221,7 @@
 	return a.awaitResponse(c, memory)
 }
 
-// awaitResponse takes the answer to a request that is written.
+// awaitResponse reads the response to a request that has been written.
 func (a *attempt) awaitResponse(c *upstreamConn, memory *core.Memory) result {
 	a.enterPhase(core.Awaiting)
 	a.Endpoint.Waiting.Add(1)
@@ -215,7 +233,8 @@
 	return res
 }
 
-// failureStatus is the status of an attempt that was written and whose answer did not come whole.
+// failureStatus is the status of an attempt that was written and whose response was not received
+// completely.
 func (a *attempt) failureStatus(err error) decision.Status {
 	switch cause := context.Cause(a.Ctx); {
 	case errors.Is(err, errClientGone):
--- a/internal/http1/upstream_body.go
+++ b/internal/http1/upstream_body.go
@@ -10,20 +10,28 @@
 	"time"
 )
 
-// responseBody reads a response's body.
+// responseBody reads the body of an endpoint's response.
 type responseBody struct {
-	conn       *upstreamConn
-	reader     io.Reader
-	chunks     *chunkedReader // nil unless it comes in chunks
-	length     int64          // -1 where only its end tells
-	maxLength  int64          // that it may be
-	read       int64
-	untilClose bool // the connection's end is the body's
-	finished   bool
-	trailer    http.Header
+	conn   *upstreamConn
+	reader io.Reader
+	// Reader of a chunked body; nil for other ones.
+	chunks *chunkedReader
+	// Length of the body; -1 where only its end shows it.
+	length int64
+	// Bound of the length, in bytes.
+	maxLength int64
+	// Bytes read so far.
+	read int64
+	// The body ends with the connection.
+	untilClose bool
+	// The body has been read to its end.
+	finished bool
+	// Trailer fields of a chunked body; set at its end.
+	trailer http.Header
 }
 
-// newResponseBody finds out how a body ends. Lengths that disagree, or cannot be, spoil it.
+// newResponseBody determines how a body is framed (RFC 9112, section 6.3). Contradictory or invalid
+// lengths are errMalformed.
 func newResponseBody(c *upstreamConn, code int, header textproto.MIMEHeader, longest int64) (*responseBody, error) {
 	b := &responseBody{conn: c, reader: c.reader, maxLength: longest}
 	lengths, codings := header["Content-Length"], header["Transfer-Encoding"]
@@ -52,7 +60,7 @@
 	return b, nil
 }
 
-// Read reads the body; its end is io.EOF, with the trailers read.
+// Read implements io.Reader; at io.EOF the trailer has been read.
 func (b *responseBody) Read(p []byte) (n int, err error) {
 	if b.finished {
 		return 0, io.EOF
@@ -83,8 +91,9 @@
 	return n, err
 }
 
-// discard reads a short body that nobody wants, so that its connection can be used again. What is long or does not
-// come at once is left: what the head says does not wait for it.
+// discard reads a short body that nobody needs, so that its connection can be reused. It leaves a
+// body that is long or is not received within discardTimeout: the result of the attempt follows
+// from the head and does not wait.
 func (b *responseBody) discard() error {
 	buffer := make([]byte, 512)
 	for until := time.Now().Add(discardTimeout); !b.finished && !b.untilClose && b.read < maxBufferedBody; {
@@ -98,7 +107,7 @@
 	return nil
 }
 
-// unexpectedEOF is an end that came too early.
+// unexpectedEOF is err, with an end of input inside a message as io.ErrUnexpectedEOF.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
--- a/internal/http1/upstream_conn.go
+++ b/internal/http1/upstream_conn.go
@@ -12,23 +12,27 @@
 	"dykering/internal/core"
 )
 
-// upstreamConn is a connection to an endpoint; it carries one attempt at a time.
+// upstreamConn is a connection to an endpoint. It carries one attempt at a time.
 type upstreamConn struct {
 	net.Conn
 	core.Idle
-	reader    *bufio.Reader // of what Read gives
-	readAhead []byte        // what another process has read of it
+	// Buffers what Read returns.
+	reader *bufio.Reader
+	// Bytes that the predecessor has read from the connection. Read returns them first.
+	readAhead []byte
 	endpoint  *core.Endpoint
-	readLimit int // bytes that may still be read
+	// Bytes that may still be read.
+	readLimit int
 }
 
+// newUpstreamConn returns a connection on which nothing has been read.
 func newUpstreamConn(raw net.Conn, to *core.Endpoint) *upstreamConn {
 	c := &upstreamConn{Conn: raw, endpoint: to}
 	c.reader = bufio.NewReader(c)
 	return c
 }
 
-// Read never brings more than was allowed: an endpoint may go on without end.
+// Read implements io.Reader and enforces readLimit: an endpoint may send without end.
 func (c *upstreamConn) Read(b []byte) (int, error) {
 	if len(c.readAhead) > 0 {
 		n := copy(b, c.readAhead)
@@ -43,8 +47,8 @@
 	return n, err
 }
 
-// Alive tells whether an idle connection can carry a request: its peer has neither closed it nor sent what
-// nobody asked for.
+// Alive reports whether an idle connection can carry a request: the endpoint has neither closed it
+// nor sent unsolicited bytes.
 func (c *upstreamConn) Alive() bool {
 	n, peek := peekConn(c.Conn)
 	if n > 0 {
@@ -53,9 +57,10 @@
 	return n < 0 && (peek == syscall.EAGAIN || peek == syscall.EINTR)
 }
 
-// awaitReadable waits for something to read, or the end, for a while. It is false with no error when neither has come. To look
-// at a socket takes its pending error away: a read that follows would find the end where there was a reset, so the error
-// that is met here is the one that counts.
+// awaitReadable waits until input is available or the connection has ended, and reports false
+// without an error if neither happened until the given time. Its error is final: to look at a
+// socket clears its pending error, and a read after it would return an end of input in place of a
+// reset.
 func (c *upstreamConn) awaitReadable(until time.Time) (came bool, err error) {
 	if c.reader.Buffered() > 0 || !canPeek(c.Conn) {
 		return true, nil
--- a/internal/http1/upstream_endpointconn.go
+++ b/internal/http1/upstream_endpointconn.go
@@ -15,15 +15,15 @@
 	"dykering/internal/core"
 )
 
-// EndpointConn is a connection to an endpoint, for those who decide themselves what is sent on it. It carries one
-// exchange at a time.
+// EndpointConn is a connection to an endpoint for callers that decide themselves what is sent on
+// it, such as the proxy. It carries one exchange at a time and is used by one goroutine at a time.
 type EndpointConn struct {
-	conn      *upstreamConn
-	idleSince time.Time // when its last exchange ended
+	conn *upstreamConn
+	// When the last exchange ended; zero before.
+	idleSince time.Time
 }
 
-// DialEndpoint connects to an endpoint. A connection that fails at once is tried once more: endpoints reset new
-// connections now and then, and a dead one does it twice.
+// DialEndpoint connects to an endpoint within a time.
 func DialEndpoint(ctx context.Context, to *core.Endpoint, within time.Duration) (*EndpointConn, error) {
 	raw, err := Kernel{}.Dial(ctx, to.Address, within)
 	if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) {
@@ -35,16 +35,16 @@
 	return NewEndpointConn(raw, to), nil
 }
 
-// NewEndpointConn speaks HTTP/1.1 on a connection to an endpoint.
+// NewEndpointConn returns an EndpointConn on an open connection to an endpoint.
 func NewEndpointConn(raw net.Conn, to *core.Endpoint) *EndpointConn {
 	return &EndpointConn{conn: newUpstreamConn(raw, to)}
 }
 
-// Close closes the connection; what waits for its bytes ends.
+// Close closes the connection, also from another goroutine; reads and writes in progress end.
 func (c *EndpointConn) Close() error { return c.conn.Close() }
 
-// Rested waits until the connection has rested since its last exchange, so that what an endpoint sends beyond an answer
-// is seen, and tells whether it can carry a request.
+// AwaitReusable waits until the connection has been idle long enough that surplus bytes behind the
+// last response show, and reports whether it can carry another request.
 func (c *EndpointConn) AwaitReusable() bool {
 	if !c.idleSince.IsZero() {
 		time.Sleep(time.Until(c.idleSince.Add(c.conn.endpoint.Settle())))
@@ -52,13 +52,14 @@
 	return c.conn.Alive()
 }
 
-// Free notes that the exchange has ended and the connection is idle.
+// MarkIdle notes that the exchange has ended.
 func (c *EndpointConn) MarkIdle() { c.idleSince = time.Now() }
 
-// FreedAt is when the last exchange ended.
+// IdleSince returns when the last exchange ended.
 func (c *EndpointConn) IdleSince() time.Time { return c.idleSince }
 
-// Write sends a request until a time. Whole is false where its last byte was certainly not written.
+// Write sends a request until a deadline. Complete is false only if the last byte was certainly not
+// written.
 func (c *EndpointConn) Write(head, body []byte, until time.Time) (complete bool, err error) {
 	c.conn.SetWriteDeadline(until)
 	pieces := net.Buffers{head}
@@ -69,21 +70,24 @@
 	return n >= int64(len(head)+len(body)), err
 }
 
-// EndpointAnswer is an endpoint's answer whose body is still to be read.
+// EndpointResponse is an endpoint's response whose body is still to be read.
 type EndpointResponse struct {
-	Status    int
-	Header    http.Header
-	Length    int64 // -1 where only its end tells
-	conn      *EndpointConn
-	body      *responseBody
+	Status int
+	Header http.Header
+	// Length of the body in bytes; -1 where only its end shows it.
+	Length int64
+	conn   *EndpointConn
+	body   *responseBody
+	// The connection persists after the response.
 	keepAlive bool
 }
 
-// mostForeign bounds the answers to other requests that are passed over.
+// maxForeignResponses bounds the responses to other requests that ReadResponse skips.
 const maxForeignResponses = 4
 
-// Answer reads the head of the answer to a request. An answer that carries another request's id is passed over: it is
-// one too many for an earlier request on this connection.
+// ReadResponse reads the head of the response to the request with the given id, which the endpoint
+// repeats in idHeader. A response with another id is skipped: it is surplus to an earlier request
+// on this connection.
 func (c *EndpointConn) ReadResponse(idHeader, id string) (*EndpointResponse, error) {
 	for range maxForeignResponses + 1 {
 		a, err := c.readResponse()
@@ -101,6 +105,7 @@
 	return nil, errMalformed
 }
 
+// readResponse reads the head of the next response.
 func (c *EndpointConn) readResponse() (*EndpointResponse, error) {
 	c.conn.readLimit = maxResponseHead
 	var code int
@@ -129,10 +134,10 @@
 // Read reads the body. Its end is io.EOF; a connection that ends early is another error.
 func (a *EndpointResponse) Read(p []byte) (int, error) { return a.body.Read(p) }
 
-// Finished tells whether the body has been read to its end.
+// Finished reports whether the body has been read to its end.
 func (a *EndpointResponse) Finished() bool { return a.body.finished }
 
-// Reusable tells whether the connection may carry another exchange.
+// Reusable reports whether the connection may carry another exchange.
 func (a *EndpointResponse) Reusable() bool {
 	c := a.conn.conn
 	if c.reader.Buffered() > 0 && a.body.finished {
@@ -144,10 +149,10 @@
 	return c.Conn.SetDeadline(time.Time{}) == nil
 }
 
-// EndToEnd takes what concerns only one connection out of headers.
+// RemoveHopByHop removes the headers that concern one connection only.
 func RemoveHopByHop(header http.Header) { removeHopByHop(header) }
 
-// RequestHead renders the head of a request with a body of known length.
+// RequestHead encodes the head of a request with a body of the given length in bytes.
 func RequestHead(method, target, host string, header http.Header, length int) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, target, host)
--- a/internal/http1/upstream_response.go
+++ b/internal/http1/upstream_response.go
@@ -13,15 +13,18 @@
 	"dykering/internal/settings"
 )
 
-// response is an endpoint's answer: the whole of it, or its beginning and where there is more.
+// response is an endpoint's response: the whole of it, or its beginning and the rest as a download.
 type response struct {
 	header http.Header
 	body   []byte
-	rest   *download
-	memory *core.Memory // that it takes of
+	// The rest of a streamed response; nil for one in memory.
+	rest *download
+	// The memory from which body is reserved.
+	memory *core.Memory
 }
 
-// Discard lets go of it.
+// Discard implements core.Response: it releases the memory, and ends the attempt of a streamed
+// response that nobody has relayed.
 func (r *response) Discard() {
 	r.memory.Bodies.Give(len(r.body))
 	if r.rest != nil {
@@ -32,16 +35,16 @@
 	}
 }
 
-// download is the part of a long answer that is still to come. Who passes it on reads it, and tells at done how
-// that ended: nil, what the endpoint's side broke with, or errCallerGone.
+// download is the unread rest of a streamed response. Who relays it reads body, and sends on done
+// how the endpoint's side ended: nil, its error, or errClientGone. The channel holds one value.
 type download struct {
 	body    *responseBody
 	buffers *core.Buffers
 	done    chan error
 }
 
-// readResponse takes the response to the request that was written. An error that is not the connection's means that
-// the response cannot be used; its connection is of no more use then.
+// readResponse reads the response to the request that was written. After an error the connection
+// cannot be reused; one that is not the connection's means that the response cannot be used.
 func (a *attempt) readResponse(c *upstreamConn, memory *core.Memory) (res result, err error) {
 	c.readLimit = maxResponseHead
 	var code int
@@ -103,7 +106,8 @@
 	return res, nil
 }
 
-// readBody reads a good answer: the whole of it if it is short enough and comes in one go, else its beginning.
+// readBody reads the body of a successful response: all of it if it is short and is received at
+// once, else its beginning.
 func (a *attempt) readBody(c *upstreamConn, body *responseBody, header textproto.MIMEHeader, memory *core.Memory) (*response, error) {
 	r := &response{header: http.Header(header), memory: memory}
 	limit := maxBufferedBody
@@ -146,7 +150,8 @@
 	return r, nil
 }
 
-// relayBody has a long answer passed on, and returns when it has been.
+// relayBody has a streamed response relayed and returns when it has been, with the time until the
+// relay began.
 func (a *attempt) relayBody(r *response) (took time.Duration, err error) {
 	took, ok := a.Begin(r)
 	if !ok {
--- a/internal/http1/upstream_stream.go
+++ b/internal/http1/upstream_stream.go
@@ -11,8 +11,9 @@
 	"dykering/internal/decision"
 )
 
-// exchangeStreaming sends a long body as it comes, and listens at the same time: an endpoint may turn it away before
-// its end. Until the last byte is out the request has not run.
+// exchangeStreaming sends a streamed request and watches for a response at the same time: an
+// endpoint may reject the request before its end. The endpoint does not execute a request before it
+// has the last byte.
 func (a *attempt) exchangeStreaming(c *upstreamConn, memory *core.Memory) (res result) {
 	if u := a.request.upload; !u.resumed && u.client.hasHungUp() {
 		// Nobody has read on while it waited: that its caller has gone stands behind the body.
@@ -75,10 +76,11 @@
 	return res
 }
 
-// errAnsweredEarly is an answer that comes before the request's last byte is out.
+// errAnsweredEarly is a response that is received before the request's last byte is written.
 var errAnsweredEarly = errors.New("answered too early")
 
-// isFullySent tells whether the last byte of the request is out. Its answer may be here before its sender knows.
+// isFullySent reports whether the last byte of the request is written. The response may be received
+// before the sending goroutine has noted it.
 func (a *attempt) isFullySent() bool {
 	if a.request.upload == nil {
 		return true
@@ -91,10 +93,12 @@
 	}
 }
 
-// earlyAnswerTimeout is how long an endpoint that broke off in the middle of a body may take to say why.
+// earlyAnswerTimeout is how long an endpoint that closed in the middle of an upload may take to
+// send its response, and how long the sending goroutine may take to note the last byte.
 const earlyAnswerTimeout = 200 * time.Millisecond
 
-// sendStreaming writes a request with a long body.
+// sendStreaming writes a request with a streamed body. It returns the errors of the client's and of
+// the endpoint's side apart.
 func (a *attempt) sendStreaming(c *upstreamConn, memory *core.Memory) (callerErr, writeErr error) {
 	u := a.request.upload
 	if !u.resumed {
@@ -114,21 +118,27 @@
 	return callerErr, writeErr
 }
 
-// answerWatcher is what listens for an endpoint's answer while a long body is still going out. Until something comes it can be
-// made to hold still, so that the connection may be passed on with nothing of it read.
+// answerWatcher waits for a response while a streamed request is being sent. Until input is
+// received it can be paused, so that the connection can be transferred with nothing of the response
+// read.
 type answerWatcher struct {
-	mu             sync.Mutex
-	pauseRequested bool          // it is to hold still
-	received       chan struct{} // closed once something has come
-	paused         chan struct{} // it holds still
-	resume         chan bool     // whether it is to go on, where it holds still
+	mu sync.Mutex
+	// The waiting goroutine is to pause.
+	pauseRequested bool
+	// Closed once input has been received.
+	received chan struct{}
+	// Receives from the waiting goroutine when it has paused.
+	paused chan struct{}
+	// Tells the paused goroutine whether to go on.
+	resume chan bool
 }
 
+// newAnswerWatcher returns a watcher of one attempt.
 func newAnswerWatcher() *answerWatcher {
 	return &answerWatcher{received: make(chan struct{}), paused: make(chan struct{}), resume: make(chan bool)}
 }
 
-// wait waits for something to come. It returns errPassedOn when the connection is the successor's.
+// wait waits for input. It returns errTransferred if the connection now belongs to the successor.
 func (e *answerWatcher) wait(c *upstreamConn) error {
 	for {
 		err := awaitInput(c.Conn)
@@ -153,10 +163,11 @@
 	}
 }
 
+// errAnswerBegun says that a response has begun to arrive and the upload cannot be transferred.
 var errAnswerBegun = errors.New("an answer has begun to come")
 
-// whileUnread calls f while nothing of the endpoint's answer is read. If f fails, or something has come already, the
-// attempt goes on.
+// whileUnread calls f while nothing of the response is read. If f fails, or input has been received
+// already, the attempt goes on.
 func (a *attempt) whileUnread(c *upstreamConn, f func() error) error {
 	e := a.watcher
 	e.mu.Lock()
