--- a/cmd/dykering/explain_test.go
+++ b/cmd/dykering/explain_test.go
@@ -13,7 +13,7 @@
 func TestExplainModelShowsCopiesDemandAndOrders(t *testing.T) {
 	var out strings.Builder
 	err := showExplanation(&out, protocol.Explanation{Model: "m1", Now: 10 * time.Second, Holds: true,
-		Copies:    []protocol.Copy{{Endpoint: "i-1", Zone: "z", State: "ready"}},
+		Copies:    []protocol.ModelReplica{{Endpoint: "i-1", Zone: "z", State: "ready"}},
 		Demand:    []protocol.ServiceDemand{{Service: "s", ModelDemand: protocol.ModelDemand{Rate: 2.5, Unplaced: true}}},
 		Decisions: []protocol.Decision{{At: 8 * time.Second, Operation: "loading", Model: "m1", Endpoint: "i-1", Copies: 1}}})
 	if err != nil {
--- a/internal/controlplane/anti_entropy.go
+++ b/internal/controlplane/anti_entropy.go
@@ -18,7 +18,7 @@
 	self := s.chain.Self().Address
 	s.send(peers[rand.IntN(len(peers))], protocol.SessionDigest{From: self, Digests: s.table.ChildDigests(nil)})
 	for _, peer := range peers {
-		s.send(peer, protocol.Subscribers{From: self, Count: len(s.subscribers)})
+		s.send(peer, protocol.SubscriberCount{From: self, Count: len(s.subscribers)})
 	}
 }
 
--- a/internal/controlplane/endpoint_loads.go
+++ b/internal/controlplane/endpoint_loads.go
@@ -90,7 +90,7 @@
 }
 
 // share takes a peer's word of the sidecars that follow a stream there.
-func (t *endpointLoadTable) applyPeerLoads(now time.Duration, m protocol.LoadShare) {
+func (t *endpointLoadTable) applyPeerLoads(now time.Duration, m protocol.EndpointLoadSync) {
 	t.peers[m.From] = peerLoads{loads: m.Loads, at: now}
 }
 
@@ -164,6 +164,6 @@
 	}
 	t.broadcastNonEmpty = len(loads) > 0
 	for _, peer := range s.peerAddresses() {
-		s.send(peer, protocol.LoadShare{From: s.chain.Self().Address, Loads: loads})
+		s.send(peer, protocol.EndpointLoadSync{From: s.chain.Self().Address, Loads: loads})
 	}
 }
--- a/internal/controlplane/explain_endpoint.go
+++ b/internal/controlplane/explain_endpoint.go
@@ -60,7 +60,7 @@
 		return protocol.Explanation{}, errors.Wrap(err, "explain")
 	}
 	defer conn.Close()
-	if err := conn.Send(protocol.ExplainAsk{Model: model}, statusTimeout); err != nil {
+	if err := conn.Send(protocol.ExplainRequest{Model: model}, statusTimeout); err != nil {
 		return protocol.Explanation{}, errors.Wrap(err, "explain")
 	}
 	message, err := conn.Receive(statusTimeout)
@@ -75,7 +75,7 @@
 }
 
 // serveExplain answers one call for an explanation.
-func (s *Server) serveExplain(conn *peerlink.Conn, ask protocol.ExplainAsk) {
+func (s *Server) serveExplain(conn *peerlink.Conn, ask protocol.ExplainRequest) {
 	told := make(chan protocol.Explanation, 1)
 	s.enqueue(func() { told <- s.placement.explain(s.now(), ask.Model) })
 	select {
@@ -96,7 +96,7 @@
 		if e.State == sessions.Departed || !e.HasLoaded(model, "") {
 			continue
 		}
-		explanation.Copies = append(explanation.Copies, protocol.Copy{Endpoint: e.ID, Zone: e.Heartbeat.Zone, State: e.State})
+		explanation.Copies = append(explanation.Copies, protocol.ModelReplica{Endpoint: e.ID, Zone: e.Heartbeat.Zone, State: e.State})
 		services[e.Heartbeat.Service] = true
 	}
 	for _, decision := range explanation.Decisions {
--- a/internal/controlplane/load_ledger_sync.go
+++ b/internal/controlplane/load_ledger_sync.go
@@ -28,7 +28,7 @@
 		return
 	}
 	c.ledgerBroadcastDue = now + ledgerBroadcastInterval
-	share := protocol.LedgerShare{Token: c.fencingToken}
+	share := protocol.LoadLedgerSync{Token: c.fencingToken}
 	for _, age := range c.ledger.Ages(now) {
 		share.Ages = append(share.Ages, uint16(min(age/ageUnit, math.MaxUint16)))
 	}
@@ -38,7 +38,7 @@
 }
 
 // hear takes a holder's word. A load is taken to have begun as late as it can have.
-func (c *placementController) applyPeerLedger(now time.Duration, share protocol.LedgerShare) {
+func (c *placementController) applyPeerLedger(now time.Duration, share protocol.LoadLedgerSync) {
 	if share.Token < c.peerLedger.token {
 		return
 	}
--- a/internal/controlplane/load_ledger_sync_test.go
+++ b/internal/controlplane/load_ledger_sync_test.go
@@ -28,13 +28,13 @@
 	})
 
 	It("takes loads to have begun as late as they can have", func() {
-		pl.applyPeerLedger(10*time.Second, protocol.LedgerShare{Token: 4, Ages: []uint16{200, 0}})
+		pl.applyPeerLedger(10*time.Second, protocol.LoadLedgerSync{Token: 4, Ages: []uint16{200, 0}})
 		Expect(pl.peerLedger).To(Equal(receivedLedger{token: 4, receivedAt: 10 * time.Second, loadsStarted: []time.Duration{8 * time.Second, 10 * time.Second}}))
 	})
 
 	It("does not listen to a holder of before", func() {
-		pl.applyPeerLedger(10*time.Second, protocol.LedgerShare{Token: 4, Ages: []uint16{100}})
-		pl.applyPeerLedger(11*time.Second, protocol.LedgerShare{Token: 3, Ages: []uint16{0, 0}})
+		pl.applyPeerLedger(10*time.Second, protocol.LoadLedgerSync{Token: 4, Ages: []uint16{100}})
+		pl.applyPeerLedger(11*time.Second, protocol.LoadLedgerSync{Token: 3, Ages: []uint16{0, 0}})
 		Expect(pl.peerLedger.token).To(Equal(uint64(4)))
 		Expect(pl.peerLedger.loadsStarted).To(HaveLen(1))
 	})
--- a/internal/controlplane/rpc.go
+++ b/internal/controlplane/rpc.go
@@ -42,11 +42,11 @@
 		s.serveSubscriber(conn, subscribe)
 		return
 	}
-	if _, ok := message.(protocol.StatusAsk); ok {
+	if _, ok := message.(protocol.StatusRequest); ok {
 		s.serveStatus(conn)
 		return
 	}
-	if ask, ok := message.(protocol.ExplainAsk); ok {
+	if ask, ok := message.(protocol.ExplainRequest); ok {
 		s.serveExplain(conn, ask)
 		return
 	}
@@ -65,19 +65,19 @@
 		s.onSessionUpdate(m)
 	case protocol.SessionAck:
 		s.onSessionAck(m)
-	case protocol.SessionPull:
-		s.send(m.From, protocol.SessionWhole{From: s.chain.Self().Address, Records: s.table.AllRecords(s.sessionClock)})
-	case protocol.SessionWhole:
+	case protocol.SessionSnapshotRequest:
+		s.send(m.From, protocol.SessionSnapshot{From: s.chain.Self().Address, Records: s.table.AllRecords(s.sessionClock)})
+	case protocol.SessionSnapshot:
 		s.onSessionFullSync(m)
-	case protocol.LoadShare:
+	case protocol.EndpointLoadSync:
 		s.endpointLoads.applyPeerLoads(now, m)
-	case protocol.LedgerShare:
+	case protocol.LoadLedgerSync:
 		s.placement.applyPeerLedger(now, m)
 	case protocol.SessionDigest:
 		s.onSessionDigest(m)
 	case protocol.SessionRange:
 		s.onSessionRange(m)
-	case protocol.Subscribers:
+	case protocol.SubscriberCount:
 		s.peerSubscribers[m.From] = peerSubscriberCount{count: m.Count, receivedAt: now}
 	case protocol.Write:
 		s.proposeAtHead(m.Change, s.replyTo(m.From, m.ID))
--- a/internal/controlplane/session_replication.go
+++ b/internal/controlplane/session_replication.go
@@ -17,7 +17,7 @@
 		unknown = !s.table.Renew(s.sessionClock, sign.ID, sign.Sequence, sign.Age) || unknown
 	}
 	if unknown {
-		s.send(m.From, protocol.SessionPull{From: s.chain.Self().Address})
+		s.send(m.From, protocol.SessionSnapshotRequest{From: s.chain.Self().Address})
 	}
 	if m.Ask != 0 && s.hasAllDepartures(m.Records) {
 		s.afterSessionsStored(func() { s.send(m.From, protocol.SessionAck{From: s.chain.Self().Address, Ask: m.Ask}) })
@@ -34,7 +34,7 @@
 	return true
 }
 
-func (s *Server) onSessionFullSync(m protocol.SessionWhole) {
+func (s *Server) onSessionFullSync(m protocol.SessionSnapshot) {
 	for _, record := range m.Records {
 		s.table.Merge(s.sessionClock, record)
 	}
@@ -66,7 +66,7 @@
 		s.fullSyncSince, s.awaitedPeers = now, map[string]bool{}
 		for _, peer := range s.peerAddresses() {
 			s.awaitedPeers[peer] = true
-			s.send(peer, protocol.SessionPull{From: s.chain.Self().Address})
+			s.send(peer, protocol.SessionSnapshotRequest{From: s.chain.Self().Address})
 		}
 	case now-s.fullSyncSince > s.timing.fullSyncTimeout || s.reachablePeersAnswered(now):
 		s.synced = true
--- a/internal/controlplane/status_endpoint.go
+++ b/internal/controlplane/status_endpoint.go
@@ -20,7 +20,7 @@
 		return protocol.Status{}, errors.Wrap(err, "status")
 	}
 	defer conn.Close()
-	if err := conn.Send(protocol.StatusAsk{}, statusTimeout); err != nil {
+	if err := conn.Send(protocol.StatusRequest{}, statusTimeout); err != nil {
 		return protocol.Status{}, errors.Wrap(err, "status")
 	}
 	message, err := conn.Receive(statusTimeout)
--- a/internal/controlplane/update_stream.go
+++ b/internal/controlplane/update_stream.go
@@ -82,11 +82,11 @@
 }
 
 // controlSidecars are the voters of the view, from whom streams may be had.
-func (s *Server) controlSidecars(now time.Duration) []protocol.ControlSidecar {
+func (s *Server) controlSidecars(now time.Duration) []protocol.ControlProcess {
 	view := s.chain.View()
-	sidecars := make([]protocol.ControlSidecar, 0, len(view.Voters))
+	sidecars := make([]protocol.ControlProcess, 0, len(view.Voters))
 	for _, voter := range view.Voters {
-		sidecars = append(sidecars, protocol.ControlSidecar{Address: voter.Address, Zone: s.chain.ZoneOf(now, voter)})
+		sidecars = append(sidecars, protocol.ControlProcess{Address: voter.Address, Zone: s.chain.ZoneOf(now, voter)})
 	}
 	return sidecars
 }
--- a/internal/dataplane/control_processes.go
+++ b/internal/dataplane/control_processes.go
@@ -22,7 +22,7 @@
 // controlSidecars are those that streams may be had from, and how long a stream from another zone is kept.
 type controlSidecars struct {
 	zone  string // the own one
-	known []protocol.ControlSidecar
+	known []protocol.ControlProcess
 	stay  time.Duration
 }
 
@@ -30,24 +30,24 @@
 	return &controlSidecars{zone: zone, known: unknownZones(seeds), stay: firstStay}
 }
 
-func unknownZones(addresses []string) []protocol.ControlSidecar {
-	return lo.Map(addresses, func(address string, _ int) protocol.ControlSidecar { return protocol.ControlSidecar{Address: address} })
+func unknownZones(addresses []string) []protocol.ControlProcess {
+	return lo.Map(addresses, func(address string, _ int) protocol.ControlProcess { return protocol.ControlProcess{Address: address} })
 }
 
 // inOrder lists them in the order in which they are tried: those of the own zone first, each group shuffled.
-func (c *controlSidecars) inOrder() []protocol.ControlSidecar {
+func (c *controlSidecars) inOrder() []protocol.ControlProcess {
 	order := slices.Clone(c.known)
 	rand.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
-	slices.SortStableFunc(order, func(a, b protocol.ControlSidecar) int { return c.distance(a) - c.distance(b) })
+	slices.SortStableFunc(order, func(a, b protocol.ControlProcess) int { return c.distance(a) - c.distance(b) })
 	return order
 }
 
-func (c *controlSidecars) distance(sidecar protocol.ControlSidecar) int {
+func (c *controlSidecars) distance(sidecar protocol.ControlProcess) int {
 	return lo.Ternary(sidecar.Zone != "" && sidecar.Zone == c.zone, 0, 1)
 }
 
 // learn takes those that a control sidecar named.
-func (c *controlSidecars) learn(named []protocol.ControlSidecar) {
+func (c *controlSidecars) learn(named []protocol.ControlProcess) {
 	if len(named) > 0 {
 		c.known = named[:min(len(named), mostControlSidecars)]
 	}
@@ -56,7 +56,7 @@
 // add adds the seeds that are not known.
 func (c *controlSidecars) add(seeds []string) {
 	for _, seed := range unknownZones(seeds) {
-		same := func(other protocol.ControlSidecar) bool { return other.Address == seed.Address }
+		same := func(other protocol.ControlProcess) bool { return other.Address == seed.Address }
 		if !slices.ContainsFunc(c.known, same) && len(c.known) < mostControlSidecars {
 			c.known = append(c.known, seed)
 		}
@@ -65,14 +65,14 @@
 
 // near tells whether an address is that of a control sidecar of the own zone.
 func (c *controlSidecars) near(address string) bool {
-	return slices.ContainsFunc(c.known, func(sidecar protocol.ControlSidecar) bool {
+	return slices.ContainsFunc(c.known, func(sidecar protocol.ControlProcess) bool {
 		return sidecar.Address == address && c.distance(sidecar) == 0
 	})
 }
 
 // moves tells whether a stream from an address that has lasted as long as it is kept is to be left for one of the own zone.
 func (c *controlSidecars) moves(address string) bool {
-	someNear := slices.ContainsFunc(c.known, func(sidecar protocol.ControlSidecar) bool { return c.distance(sidecar) == 0 })
+	someNear := slices.ContainsFunc(c.known, func(sidecar protocol.ControlProcess) bool { return c.distance(sidecar) == 0 })
 	return someNear && !c.near(address)
 }
 
--- a/internal/dataplane/control_processes_test.go
+++ b/internal/dataplane/control_processes_test.go
@@ -13,7 +13,7 @@
 	var sidecars *controlSidecars
 	BeforeEach(func() {
 		sidecars = newControlSidecars("z1", []string{"a", "b"})
-		sidecars.learn([]protocol.ControlSidecar{{Address: "a", Zone: "z2"}, {Address: "b", Zone: "z1"}, {Address: "c"}, {Address: "d", Zone: "z1"}})
+		sidecars.learn([]protocol.ControlProcess{{Address: "a", Zone: "z2"}, {Address: "b", Zone: "z1"}, {Address: "c"}, {Address: "d", Zone: "z1"}})
 	})
 
 	It("are tried in the own zone first", func() {
@@ -28,7 +28,7 @@
 		Expect(sidecars.moves("a")).To(BeTrue())
 		Expect(sidecars.moves("c")).To(BeTrue())
 		Expect(sidecars.moves("b")).To(BeFalse())
-		sidecars.learn([]protocol.ControlSidecar{{Address: "a", Zone: "z2"}, {Address: "b"}})
+		sidecars.learn([]protocol.ControlProcess{{Address: "a", Zone: "z2"}, {Address: "b"}})
 		Expect(sidecars.moves("a")).To(BeFalse(), "none of the own zone can be reached")
 	})
 
--- a/internal/dataplane/update_stream.go
+++ b/internal/dataplane/update_stream.go
@@ -25,7 +25,7 @@
 	sidecars := newControlSidecars(p.settings.Zone, p.settings.SeedInternalAddresses())
 	pause, failures := firstPause, 0
 	for p.ctx.Err() == nil {
-		served := slices.ContainsFunc(sidecars.inOrder(), func(sidecar protocol.ControlSidecar) bool {
+		served := slices.ContainsFunc(sidecars.inOrder(), func(sidecar protocol.ControlProcess) bool {
 			return p.stream(sidecar.Address, sidecars)
 		})
 		if served {
--- a/internal/protocol/explain.go
+++ b/internal/protocol/explain.go
@@ -6,8 +6,8 @@
 	"dykering/internal/sessions"
 )
 
-// ExplainAsk asks a control sidecar why a model stands where it does.
-type ExplainAsk struct{ Model string }
+// ExplainRequest asks a control sidecar why a model stands where it does.
+type ExplainRequest struct{ Model string }
 
 // ModelDemand is what is asked of a model at a moment.
 type ModelDemand struct {
@@ -24,8 +24,8 @@
 	ModelDemand
 }
 
-// Copy is an endpoint that holds a model.
-type Copy struct {
+// ModelReplica is an endpoint that holds a model.
+type ModelReplica struct {
 	Endpoint string
 	Zone     string
 	State    sessions.State
@@ -44,12 +44,12 @@
 	Demand    ModelDemand
 }
 
-// Explanation answers an ExplainAsk.
+// Explanation answers an ExplainRequest.
 type Explanation struct {
 	Model     string
 	Now       time.Duration // on the clock of the process that answers
 	Holds     bool          // it holds the placement: only then demand and decisions are known
-	Copies    []Copy
+	Copies    []ModelReplica
 	Demand    []ServiceDemand
 	Decisions []Decision // the oldest first
 }
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -17,8 +17,8 @@
 	ConfigSeq uint64 // what the subscriber has
 }
 
-// ControlSidecar is a control sidecar that streams may be had from.
-type ControlSidecar struct {
+// ControlProcess is a control sidecar that streams may be had from.
+type ControlProcess struct {
 	Address string
 	Zone    string // empty where it is not known, or the control sidecar cannot be reached now
 }
@@ -35,7 +35,7 @@
 	Whole         bool   // the endpoints are all there are
 	Endpoints     []sessions.Endpoint
 	Configuration *Configuration
-	Members       []ControlSidecar // now and then
+	Members       []ControlProcess // now and then
 	Subscribers   int              // sidecars that carry traffic, over all control sidecars
 	HasLoads      bool
 	Loads         []EndpointLoad // of all sidecars; an endpoint that is not named has none
@@ -78,14 +78,14 @@
 	Loads   []EndpointLoad
 }
 
-// LoadShare tells another control sidecar of the calls of all sidecars that follow a stream here.
-type LoadShare struct {
+// EndpointLoadSync tells another control sidecar of the calls of all sidecars that follow a stream here.
+type EndpointLoadSync struct {
 	From  string
 	Loads []EndpointLoad
 }
 
-// LedgerShare tells another control sidecar of the loads of weights that the holder of the placement has begun.
-type LedgerShare struct {
+// LoadLedgerSync tells another control sidecar of the loads of weights that the holder of the placement has begun.
+type LoadLedgerSync struct {
 	Token uint64
 	Ages  []uint16 // of the loads, in hundredths of a second
 }
@@ -104,11 +104,11 @@
 	Ask  uint64
 }
 
-// SessionPull asks for all sessions.
-type SessionPull struct{ From string }
+// SessionSnapshotRequest asks for all sessions.
+type SessionSnapshotRequest struct{ From string }
 
-// SessionWhole answers a SessionPull.
-type SessionWhole struct {
+// SessionSnapshot answers a SessionSnapshotRequest.
+type SessionSnapshot struct {
 	From    string
 	Records []sessions.Record
 }
@@ -128,8 +128,8 @@
 	Ask     bool
 }
 
-// StatusAsk asks a control sidecar for its status.
-type StatusAsk struct{}
+// StatusRequest asks a control sidecar for its status.
+type StatusRequest struct{}
 
 // Status is how a control sidecar sees the system.
 type Status struct {
@@ -162,8 +162,8 @@
 	Behind uint64
 }
 
-// Subscribers tells how many sidecars a control sidecar streams to.
-type Subscribers struct {
+// SubscriberCount tells how many sidecars a control sidecar streams to.
+type SubscriberCount struct {
 	From  string
 	Count int
 }
