--- a/internal/chain/chain_test.go
+++ b/internal/chain/chain_test.go
@@ -68,7 +68,7 @@
 		view := View{Voters: []Member{{ID: "a/1", Address: "a"}, {ID: "c/1", Address: "c"}}, Holder: "a/1", Token: 4}
 		view.transferLease("b/1", "a")
 		Expect(view.FormerHolders).To(Equal([]string{"a"}))
-		Expect(view.isHolderReturning()).To(BeFalse())
+		Expect(view.isFormerHolder(view.Holder)).To(BeFalse())
 		view.transferLease("c/1", "b")
 		view.transferLease("d/1", "c")
 		Expect(view.FormerHolders).To(Equal([]string{"c", "b", "a"}))
@@ -76,7 +76,7 @@
 		Expect(view.FormerHolders).To(Equal([]string{"d", "c", "b", "a"}), "a role that goes round a core of five is known to return")
 		Expect(view.Token).To(Equal(uint64(8)))
 		view.transferLease("c/1", "e")
-		Expect(view.isHolderReturning()).To(BeTrue(), "one of those before")
+		Expect(view.isFormerHolder(view.Holder)).To(BeTrue(), "one of those before")
 		view.transferLease("a/1", "c")
 		Expect(view.FormerHolders).To(Equal([]string{"c", "e", "d", "b", "a"}))
 		for i := range 2 * maxFormerHolders {
@@ -88,7 +88,7 @@
 	It("takes a member for the same holder whose disk was lost in between", func() {
 		view := View{Voters: []Member{{ID: "a/2", Address: "a"}}, Holder: "b/1", FormerHolders: []string{"a"}}
 		view.transferLease("a/2", "b")
-		Expect(view.isHolderReturning()).To(BeTrue())
+		Expect(view.isFormerHolder(view.Holder)).To(BeTrue())
 	})
 })
 
--- a/internal/chain/config.go
+++ b/internal/chain/config.go
@@ -4,30 +4,37 @@
 	"time"
 )
 
-// Config is what a node is started with.
+// Config configures a Node. All durations must be positive except the two delays, which may be zero.
 type Config struct {
+	// Self is this member.
 	Self Member
-	// Apply gives the value after an operation. It decides the same everywhere.
+	// Apply returns the value after an operation. It must be deterministic and must not modify the given value.
 	Apply func(value any, operation []byte) any
-	// Seeds are the addresses that a member asks which is in no view yet, or cannot reach a majority of its view.
+	// Seeds are the addresses that a member pings while it is in no view, or reaches no majority of its view's voters.
 	Seeds []string
-	// MaxFailures is how many members may be lost at once.
+	// MaxFailures is the number f of members that may fail at the same time. The core aims at 2f+1 voters.
 	MaxFailures int
-	// PingInterval is the time between two pings, SuspectTimeout that after which a silent member is suspected.
-	PingInterval   time.Duration
+
+	// PingInterval is the time between two pings of the same member.
+	PingInterval time.Duration
+	// SuspectTimeout is the time without an answer after which the failure detector suspects a member.
 	SuspectTimeout time.Duration
-	// ProposalTimeout is how long a proposal may take before it is made again.
+	// ProposalTimeout is the time after which an undecided proposal is given up. A voter also waits for this time for each
+	// eligible voter that is to propose before it.
 	ProposalTimeout time.Duration
-	// LeaseDuration is how long a majority's word counts for the holder of the singleton role.
+
+	// LeaseDuration is the time for which the confirmation by a majority lets the lease holder act.
 	LeaseDuration time.Duration
-	// TakeoverDelay is the time after a change of the holder before the new one acts, by when its predecessor has stopped.
+	// TakeoverDelay is the time that a new lease holder waits before it acts. It is at least LeaseDuration plus the time that
+	// a holder may need to notice that its lease has expired, so that the previous holder has stopped by then.
 	TakeoverDelay time.Duration
-	// ReturnDelay is that time for a member that is one of the former holders, so that two do not take turns. It is no
-	// shorter than TakeoverDelay.
+	// ReturnDelay replaces TakeoverDelay for a member that has held the lease before, so that the role does not alternate
+	// between members. It is at least TakeoverDelay.
 	ReturnDelay time.Duration
-	// FirstNonce is the number of this life's first ping. It is drawn anew for each life of a process, so that a pong which
-	// answers a ping of an earlier life answers none of this one.
+
+	// FirstNonce precedes the nonces of this incarnation's pings. The caller draws it anew for each start of a process, so
+	// that a delayed pong to a ping of an earlier incarnation answers no ping of this one.
 	FirstNonce uint64
-	// Jitter gives a random part of a duration.
+	// Jitter returns a random duration of at most its argument.
 	Jitter func(time.Duration) time.Duration
 }
--- a/internal/chain/failuredetector.go
+++ b/internal/chain/failuredetector.go
@@ -1,96 +1,134 @@
 package chain
 
 import (
-	"sort"
+	"maps"
+	"slices"
 	"time"
 )
 
-// peer is what is known of another member.
+const (
+	// maxUnansweredPings bounds the pings to one member whose answers are awaited.
+	maxUnansweredPings = 64
+	// maxPeers bounds the members that are known, as anybody may send a ping.
+	maxPeers = 256
+	// never is a time before all others, for what has not happened in this incarnation.
+	never = -time.Hour
+)
+
+// peer is what this member knows of the process at another address.
 type peer struct {
-	member             Member
-	status             Status
-	lastStatusAt       time.Duration // when it last answered
-	lastAnsweredPingAt time.Duration // when the ping was sent that it answered last
-	unansweredPings    map[uint64]time.Duration
-	viewSentAt         time.Duration // when it was last sent the view
-	joining            bool          // it has asked and is in no view
-	lastPingReceivedAt time.Duration // when it last sent a ping
+	// member is who has last reported a status from the address: a replaced disk changes it.
+	member Member
+	status Status
+	// lastStatusAt is when the status was received.
+	lastStatusAt time.Duration
+	// lastAnsweredPingAt is when the latest ping that was answered was sent. Unlike the time of the answer, which may have
+	// been delayed, it proves that the peer was alive, and in the reported view, at that time or later.
+	lastAnsweredPingAt time.Duration
+	// unansweredPings are the times at which pings were sent, by nonce.
+	unansweredPings map[uint64]time.Duration
+	// lastPingReceivedAt is when the peer last sent a ping.
+	lastPingReceivedAt time.Duration
+	// joining is true while the peer pings without being a voter: it asks to join.
+	joining bool
+	// viewSentAt is when the view was last sent to the peer.
+	viewSentAt time.Duration
 }
 
-const maxUnansweredPings = 64
-
-const maxPeers = 256
-
+// peer returns the peer at an address, which it adds if it is not known.
 func (n *Node) peer(address string) *peer {
 	p := n.peers[address]
-	if p == nil {
-		if len(n.peers) >= maxPeers {
-			n.peers = map[string]*peer{} // strangers; those of the view are heard of again in a moment
-		}
-		p = &peer{unansweredPings: map[uint64]time.Duration{}, lastStatusAt: -time.Hour, lastAnsweredPingAt: -time.Hour, lastPingReceivedAt: -time.Hour}
-		n.peers[address] = p
+	if p != nil {
+		return p
+	}
+	if len(n.peers) >= maxPeers {
+		// Most of them are not members. Those of the view are known again after the next ping.
+		n.peers = map[string]*peer{}
 	}
+	p = &peer{
+		lastStatusAt:       never,
+		lastAnsweredPingAt: never,
+		lastPingReceivedAt: never,
+		unansweredPings:    map[uint64]time.Duration{},
+	}
+	n.peers[address] = p
 	return p
 }
 
-// PingVoters asks all voters at once, for one who waits for a majority's word.
+// knownPeer returns the peer of a member. It is nil if the member has not been heard from in this incarnation, or if a
+// member with another disk has replaced it at its address.
+func (n *Node) knownPeer(member Member) *peer {
+	p := n.peers[member.Address]
+	if p == nil || p.member.ID != member.ID {
+		return nil
+	}
+	return p
+}
+
+// PingVoters pings all voters at once. A caller that needs a new confirmation by a majority uses it in place of waiting for
+// the next periodic ping.
 func (n *Node) PingVoters(now time.Duration) Output {
 	return Output{ImmediateMessages: n.pingPeers(now)}
 }
 
+// pingPeers returns a ping to each address in pingTargets. All carry the same nonce.
 func (n *Node) pingPeers(now time.Duration) []Envelope {
 	n.lastNonce++
+	var out []Envelope
+	for _, address := range n.pingTargets(now) {
+		p := n.peer(address)
+		if len(p.unansweredPings) >= maxUnansweredPings {
+			p.unansweredPings = map[uint64]time.Duration{}
+		}
+		p.unansweredPings[n.lastNonce] = now
+		out = append(out, Envelope{To: address, Message: Ping{From: n.self, Nonce: n.lastNonce, Status: n.status()}})
+	}
+	return out
+}
+
+// pingTargets returns the addresses of the voters and of the members that ask to join, in a fixed order. A member without a
+// quorum pings the seeds too, as all members of its view may have been replaced while it was away, and those that ping it,
+// as the seeds may all have been replaced too.
+func (n *Node) pingTargets(now time.Duration) []string {
 	addresses := map[string]bool{}
 	for _, voter := range n.view.Voters {
 		addresses[voter.Address] = true
 	}
-	outOfTouch := !n.HasQuorum(now)
-	if outOfTouch { // the members of its view may all have been replaced
+	withoutQuorum := !n.HasQuorum(now)
+	if withoutQuorum {
 		for _, seed := range n.config.Seeds {
 			addresses[seed] = true
 		}
 	}
 	for address, p := range n.peers {
-		joins := p.joining && now-p.lastStatusAt < n.config.SuspectTimeout
-		asks := outOfTouch && now-p.lastPingReceivedAt < n.config.SuspectTimeout // it takes this member, or one at its address, for a voter
-		if joins || asks {
+		asksToJoin := p.joining && now-p.lastStatusAt < n.config.SuspectTimeout
+		pingsThisMember := now-p.lastPingReceivedAt < n.config.SuspectTimeout
+		if asksToJoin || withoutQuorum && pingsThisMember {
 			addresses[address] = true
 		}
 	}
 	delete(addresses, n.self.Address)
-	var out []Envelope
-	for _, address := range sortedKeys(addresses) {
-		p := n.peer(address)
-		if len(p.unansweredPings) >= maxUnansweredPings {
-			p.unansweredPings = map[uint64]time.Duration{}
-		}
-		p.unansweredPings[n.lastNonce] = now
-		out = append(out, Envelope{To: address, Message: Ping{From: n.self, Nonce: n.lastNonce, Status: n.status()}})
-	}
-	return out
-}
-
-func sortedKeys(set map[string]bool) []string {
-	keys := make([]string, 0, len(set))
-	for key := range set {
-		keys = append(keys, key)
-	}
-	sort.Strings(keys)
-	return keys
+	return slices.Sorted(maps.Keys(addresses))
 }
 
 func (n *Node) handlePing(now time.Duration, m Ping) Output {
-	out := Output{ImmediateMessages: []Envelope{{To: m.From.Address, Message: Pong{From: n.self, Nonce: m.Nonce, Status: n.status()}}}}
+	pong := Pong{From: n.self, Nonce: m.Nonce, Status: n.status()}
 	p := n.peer(m.From.Address)
 	if p.member.ID != m.From.ID {
-		p.lastStatusAt, p.lastAnsweredPingAt = -time.Hour, -time.Hour
+		// Answers of the member that was at this address before do not count for the one that has replaced it.
+		p.lastStatusAt = never
+		p.lastAnsweredPingAt = never
 	}
-	p.member, p.lastPingReceivedAt = m.From, now
-	if _, ok := n.view.Voter(m.From.ID); !ok && n.view.Number > 0 {
-		p.joining, p.lastStatusAt, p.status = true, now, m.Status
-	} else {
-		p.joining = false
+	p.member = m.From
+	p.lastPingReceivedAt = now
+	_, voter := n.view.Voter(m.From.ID)
+	p.joining = !voter && n.view.Number > 0
+	if p.joining {
+		// Of a voter only a pong counts, as a ping may have been delayed for any time.
+		p.lastStatusAt = now
+		p.status = m.Status
 	}
+	out := Output{ImmediateMessages: []Envelope{{To: m.From.Address, Message: pong}}}
 	out.Messages = n.sendViewIfOutdated(now, m.From, m.Status)
 	n.handleCommitted(m.From.ID, m.Status.View, m.Status.Committed)
 	return out
@@ -98,37 +136,30 @@
 
 func (n *Node) handlePong(now time.Duration, m Pong) Output {
 	p := n.peer(m.From.Address)
-	asked, ok := p.unansweredPings[m.Nonce]
+	sentAt, ok := p.unansweredPings[m.Nonce]
 	if !ok {
+		// A duplicate, or the answer to a ping of an earlier incarnation: it says nothing about the present.
 		return Output{}
 	}
 	delete(p.unansweredPings, m.Nonce)
-	p.member, p.status, p.lastStatusAt = m.From, m.Status, now
-	p.lastAnsweredPingAt = max(p.lastAnsweredPingAt, asked)
+	p.member = m.From
+	p.status = m.Status
+	p.lastStatusAt = now
+	p.lastAnsweredPingAt = max(p.lastAnsweredPingAt, sentAt)
 	n.handleCommitted(m.From.ID, m.Status.View, m.Status.Committed)
 	return Output{Messages: n.sendViewIfOutdated(now, m.From, m.Status)}
 }
 
-// reachable tells whether a voter answers.
+// isReachable reports whether a member has answered a ping that was sent within Config.SuspectTimeout.
 func (n *Node) isReachable(now time.Duration, member Member) bool {
 	if member.ID == n.self.ID {
 		return true
 	}
-	p := n.peers[member.Address]
-	return p != nil && p.member.ID == member.ID && now-p.lastAnsweredPingAt < n.config.SuspectTimeout
+	p := n.knownPeer(member)
+	return p != nil && now-p.lastAnsweredPingAt < n.config.SuspectTimeout
 }
 
-// IsReachable tells whether the voter at an address answers.
-func (n *Node) IsReachable(now time.Duration, address string) bool {
-	for _, voter := range n.view.Voters {
-		if voter.Address == address {
-			return n.isReachable(now, voter)
-		}
-	}
-	return false
-}
-
-// able tells whether a voter can be in the chain.
+// isEligible reports whether a member can be in the chain: it is reachable, its disk answers and it is not leaving.
 func (n *Node) isEligible(now time.Duration, member Member) bool {
 	if member.ID == n.self.ID {
 		return n.diskHealthy && !n.leaving
@@ -136,18 +167,35 @@
 	return n.isReachable(now, member) && n.peers[member.Address].status.Healthy
 }
 
-// HasQuorum tells whether a majority of the voters answers.
-func (n *Node) HasQuorum(now time.Duration) bool {
+// reachableVoters returns the number of voters that are reachable, including this member if it is one.
+func (n *Node) reachableVoters(now time.Duration) int {
 	count := 0
 	for _, voter := range n.view.Voters {
 		if n.isReachable(now, voter) {
 			count++
 		}
 	}
-	return n.view.Number > 0 && n.isVoter() && count >= n.view.Majority()
+	return count
+}
+
+// HasQuorum reports whether this member is a voter and reaches a majority of the voters. The others may be in a later view
+// or sealed: see IsViewConfirmed for more.
+func (n *Node) HasQuorum(now time.Duration) bool {
+	return n.view.Number > 0 && n.isVoter() && n.reachableVoters(now) >= n.view.Majority()
+}
+
+// IsReachable reports whether the voter at an address is reachable. It is false for an address of no voter.
+func (n *Node) IsReachable(now time.Duration, address string) bool {
+	for _, voter := range n.view.Voters {
+		if voter.Address == address {
+			return n.isReachable(now, voter)
+		}
+	}
+	return false
 }
 
-// ZoneOf is the zone of a voter that answers; it is empty for one that does not.
+// ZoneOf returns the zone that a reachable voter reports, or "" for an unreachable one. The view's Member may lack it, or
+// have that of an earlier incarnation.
 func (n *Node) ZoneOf(now time.Duration, voter Member) string {
 	switch {
 	case voter.ID == n.self.ID:
--- a/internal/chain/lease.go
+++ b/internal/chain/lease.go
@@ -2,14 +2,19 @@
 
 import (
 	"slices"
-	"sort"
 	"time"
 )
 
-// QuorumConfirmedAt is the latest time at which a majority is known to have been in this view and not sealed.
+// maxFormerHolders bounds View.FormerHolders. It exceeds the number of members of a core: a shorter list lets the role return
+// to a member that it no longer names without Config.ReturnDelay.
+const maxFormerHolders = 16
+
+// QuorumConfirmedAt returns the latest time at which a majority of the voters is known to have been in this member's view
+// and not sealed. Until then no later view was decided. It counts the times at which pings were sent, not answered. The
+// result is negative if there is no such time.
 func (n *Node) QuorumConfirmedAt(now time.Duration) time.Duration {
 	if n.IsSealed() || n.view.Number == 0 || !n.isVoter() {
-		return -time.Hour
+		return never
 	}
 	var times []time.Duration
 	for _, voter := range n.view.Voters {
@@ -17,63 +22,68 @@
 			times = append(times, now)
 			continue
 		}
-		p := n.peers[voter.Address]
-		if p != nil && p.member.ID == voter.ID && p.status.View == n.view.Number && !p.status.Sealed {
+		p := n.knownPeer(voter)
+		if p != nil && p.status.View == n.view.Number && !p.status.Sealed {
 			times = append(times, p.lastAnsweredPingAt)
 		}
 	}
 	if len(times) < n.view.Majority() {
-		return -time.Hour
+		return never
 	}
-	sort.Slice(times, func(i, j int) bool { return times[i] > times[j] })
-	return times[n.view.Majority()-1]
+	slices.Sort(times)
+	return times[len(times)-n.view.Majority()]
 }
 
-// IsViewConfirmed tells whether a majority has lately confirmed the view.
+// IsViewConfirmed reports whether a majority has confirmed the view within Config.SuspectTimeout.
 func (n *Node) IsViewConfirmed(now time.Duration) bool {
 	return now-n.QuorumConfirmedAt(now) < n.config.SuspectTimeout
 }
 
-// HoldsLease tells whether this member may act as the holder of the singleton role, and with which token.
+// HoldsLease reports whether this member may act as the holder of the singleton role, and with which fencing token.
+//
+// The holder acts only while a majority has confirmed its view within Config.LeaseDuration, since a later view may name
+// another holder. A new holder waits for takeoverDelay first, as its predecessor may not know of the view yet.
 func (n *Node) HoldsLease(now time.Duration) (token uint64, ok bool) {
 	if n.view.Holder != n.self.ID || n.leaving {
 		return 0, false
 	}
-	if now-n.QuorumConfirmedAt(now) > n.config.LeaseDuration || now-n.leaseHolderSince < n.takeoverDelay() {
+	if now-n.QuorumConfirmedAt(now) > n.config.LeaseDuration {
+		return 0, false
+	}
+	if now-n.leaseHolderSince < n.takeoverDelay() {
 		return 0, false
 	}
 	return n.view.Token, true
 }
 
-// LeaseHolderSince is when this member became the holder.
+// LeaseHolderSince returns when this member became the lease holder. It has a meaning only at the holder; for a holder that
+// need not wait before it acts, it lies Config.ReturnDelay before the start of the process.
 func (n *Node) LeaseHolderSince() time.Duration { return n.leaseHolderSince }
 
-// holderPause is how long this member waits before it acts as a new holder.
+// takeoverDelay returns how long this member waits before it acts as a new holder.
 func (n *Node) takeoverDelay() time.Duration {
-	if n.view.isHolderReturning() {
+	if n.view.isFormerHolder(n.view.Holder) {
 		return n.config.ReturnDelay
 	}
 	return n.config.TakeoverDelay
 }
 
-// mostFormerHolders bounds the former holders that a view names. A core has fewer members than that.
-const maxFormerHolders = 16
-
-// handOver gives the role to another member, under a new token.
-func (v *View) transferLease(to MemberID, from string) {
+// transferLease makes another member the lease holder, under a new token. The address is that of the previous holder.
+func (v *View) transferLease(to MemberID, previousAddress string) {
 	v.Holder = to
 	v.Token++
-	former := []string{from}
+	former := []string{previousAddress}
 	for _, address := range v.FormerHolders {
-		if address != from && len(former) < maxFormerHolders {
+		if address != previousAddress && len(former) < maxFormerHolders {
 			former = append(former, address)
 		}
 	}
 	v.FormerHolders = former
 }
 
-// holderReturns tells whether the holder is one of the former holders, at the same address.
-func (v *View) isHolderReturning() bool {
-	holder, _ := v.Voter(v.Holder)
-	return slices.Contains(v.FormerHolders, holder.Address)
+// isFormerHolder reports whether a voter has held the lease before. Voters are compared by address: a member with a new disk
+// is the same machine.
+func (v *View) isFormerHolder(id MemberID) bool {
+	voter, _ := v.Voter(id)
+	return slices.Contains(v.FormerHolders, voter.Address)
 }
--- a/internal/chain/log.go
+++ b/internal/chain/log.go
@@ -1,53 +1,60 @@
 package chain
 
-// State is the replicated value after a number of operations. Value is never changed in place.
+// State is the replicated value after a number of operations. Its field names are fixed.
 type State struct {
-	Seq   uint64
+	// Seq is the number of operations applied since the system first started.
+	Seq uint64
+	// Value is shared between states and must not be modified.
 	Value any
 }
 
-// Entry is one operation of a view's log.
+// Entry is one operation in the log. Its field names are fixed.
 type Entry struct {
+	// Seq is the sequence number of the state after the operation.
 	Seq       uint64
 	Operation []byte
 }
 
-// logged is an entry of the log with the state after it.
+// logEntry is an entry of the log with the state after it. The state of each entry is kept because the tail may show only
+// what is committed, while the head decides on writes by the latest state.
 type logEntry struct {
 	entry      Entry
 	stateAfter State
 }
 
+// appendEntry applies an entry and appends it to the log.
 func (n *Node) appendEntry(entry Entry) {
-	n.state = State{Seq: entry.Seq, Value: n.config.Apply(n.state.Value, entry.Operation)}
+	value := n.config.Apply(n.state.Value, entry.Operation)
+	n.state = State{Seq: entry.Seq, Value: value}
 	n.log = append(n.log, logEntry{entry: entry, stateAfter: n.state})
 }
 
-// after gives the entries of the log with a higher sequence number.
+// entriesAfter returns the entries of the log with a sequence number higher than seq.
 func (n *Node) entriesAfter(seq uint64) []Entry {
 	var entries []Entry
-	for _, l := range n.log {
-		if l.entry.Seq > seq {
-			entries = append(entries, l.entry)
+	for _, logged := range n.log {
+		if logged.entry.Seq > seq {
+			entries = append(entries, logged.entry)
 		}
 	}
 	return entries
 }
 
-// compact folds committed entries into the base.
+// compact replaces the committed prefix of the log by the state after it.
 func (n *Node) compact() {
-	kept := 0
-	for kept < len(n.log) && n.log[kept].entry.Seq <= n.committed {
-		n.base = n.log[kept].stateAfter
-		kept++
+	committed := 0
+	for committed < len(n.log) && n.log[committed].entry.Seq <= n.committed {
+		n.base = n.log[committed].stateAfter
+		committed++
 	}
-	n.log = append([]logEntry(nil), n.log[kept:]...)
+	n.log = append([]logEntry(nil), n.log[committed:]...)
 }
 
-// LatestState is the value with all that this member has, committed or not.
+// LatestState returns the state after all entries of this member, committed or not.
 func (n *Node) LatestState() State { return n.state }
 
-// LatestOrAcceptedState is the newest state that this member has, in its view or accepted for the next one.
+// LatestOrAcceptedState returns the latest state that this member has a replica of: LatestState, or the state of a proposal
+// that it has accepted for the next view, if that is later.
 func (n *Node) LatestOrAcceptedState() State {
 	if n.accepted != nil && n.accepted.Proposal.Base.Seq > n.state.Seq {
 		return n.accepted.Proposal.Base
@@ -55,10 +62,7 @@
 	return n.state
 }
 
-// CommittedSeq is how far the log is known to be committed.
-func (n *Node) CommittedSeq() uint64 { return n.committed }
-
-// CommittedState is the newest state that is committed, as far as this member has it.
+// CommittedState returns the latest state of this member that it knows to be committed.
 func (n *Node) CommittedState() State {
 	for i := len(n.log) - 1; i >= 0; i-- {
 		if n.log[i].entry.Seq <= n.committed {
@@ -68,5 +72,9 @@
 	return n.base
 }
 
-// IsCommitKnown tells whether this member has heard, since it started, how far the log is committed.
+// CommittedSeq returns the sequence number up to which this member knows the log to be committed.
+func (n *Node) CommittedSeq() uint64 { return n.committed }
+
+// IsCommitKnown reports whether this incarnation has learnt how far the log is committed, from the tail or from a decided
+// view. A restarted member that has not may know less to be committed than it has reported before.
 func (n *Node) IsCommitKnown() bool { return n.commitKnown }
--- a/internal/chain/membership.go
+++ b/internal/chain/membership.go
@@ -2,151 +2,148 @@
 
 import (
 	"slices"
+	"strings"
 	"time"
 )
 
-// wanted is the view that this member would have now. It is false where it sees no majority.
-func (n *Node) desired(now time.Duration) (View, bool) {
-	live := 0
-	for _, voter := range n.view.Voters {
-		if n.isReachable(now, voter) {
-			live++
-		}
-	}
-	if live < n.view.Majority() {
+// absenceTimeouts times Config.SuspectTimeout is how long a surplus voter must be unreachable before it is removed. It is
+// much longer than a restart: a voter that returns with its disk is worth more than a smaller majority.
+const absenceTimeouts = 20
+
+// minVoters returns the number of voters with which a majority survives MaxFailures failures.
+func (n *Node) minVoters() int { return 2*n.config.MaxFailures + 1 }
+
+// desiredView returns the view that this member would propose at present, which may have the members of the present one. It
+// is false if this member reaches no majority of the voters, or if no chain with a majority of them is possible.
+func (n *Node) desiredView(now time.Duration) (desired View, ok bool) {
+	if n.reachableVoters(now) < n.view.Majority() {
 		return View{}, false
 	}
-	desired := View{Number: n.view.Number + 1, Voters: n.desiredVoters(now), Token: n.view.Token, Holder: n.view.Holder,
-		FormerHolders: n.view.FormerHolders}
-	inChain := map[MemberID]bool{}
-	add := func(member Member) {
-		if !inChain[member.ID] && n.isEligible(now, member) {
-			inChain[member.ID] = true
-			desired.Chain = append(desired.Chain, member.ID)
-		}
-	}
-	for _, id := range n.view.Chain {
-		if voter, ok := desired.Voter(id); ok {
-			add(voter)
-		}
-	}
-	for _, voter := range desired.Voters {
-		if n.upToDate(voter) {
-			add(voter)
-		}
+	desired = View{
+		Number:        n.view.Number + 1,
+		Voters:        n.desiredVoters(now),
+		Holder:        n.view.Holder,
+		Token:         n.view.Token,
+		FormerHolders: n.view.FormerHolders,
 	}
+	desired.Chain = n.desiredChain(now, desired)
+	// A shorter chain could be missed by a majority of promises, and so could what it commits.
 	if len(desired.Chain) < desired.Majority() {
 		return View{}, false
 	}
-	if !inChain[desired.Holder] {
+	if !slices.Contains(desired.Chain, desired.Holder) {
 		former, _ := n.view.Voter(desired.Holder)
 		desired.transferLease(desired.Chain[0], former.Address)
 	}
 	return desired, true
 }
 
-// upToDate tells whether a member has the view in force, or is to join with the next one.
-func (n *Node) upToDate(member Member) bool {
+// desiredChain returns the eligible members of the present chain in their order, followed by the other eligible voters of
+// the desired view that are up to date.
+func (n *Node) desiredChain(now time.Duration, desired View) []MemberID {
+	var chain []MemberID
+	for _, id := range n.view.Chain {
+		if voter, ok := desired.Voter(id); ok && n.isEligible(now, voter) {
+			chain = append(chain, id)
+		}
+	}
+	for _, voter := range desired.Voters {
+		if !slices.Contains(chain, voter.ID) && n.isUpToDate(voter) && n.isEligible(now, voter) {
+			chain = append(chain, voter.ID)
+		}
+	}
+	return chain
+}
+
+// isUpToDate reports whether a member has the view in force, or joins with the next one. A voter with an older view is first
+// sent the present one: as the Install has the complete state, the chain would wait for its transfer.
+func (n *Node) isUpToDate(member Member) bool {
 	if _, voter := n.view.Voter(member.ID); !voter || member.ID == n.self.ID {
 		return true
 	}
-	p := n.peers[member.Address]
+	p := n.knownPeer(member)
 	return p != nil && p.status.View == n.view.Number
 }
 
-// wantedVoters are the voters with joining members added. Those that leave, then those that cannot be reached, are left out
-// where others take their place: a voter that has left for good would make a majority of more members than there need be.
-// Beside that, one that cannot be reached is left out only after a while: it may come back with its disk, and as many as may
-// be lost leave a majority with it too.
+// desiredVoters returns the present voters with joining members added, each in place of one that leaves or cannot be reached.
+// Surplus voters are removed, since a voter that has left for good makes the majority larger than it need be: those that
+// leave at once, those that cannot be reached only after absenceTimeouts, as they may return with their disk and the
+// majority bears MaxFailures failures with them too.
 func (n *Node) desiredVoters(now time.Duration) []Member {
 	target := n.minVoters()
-	voters := append([]Member(nil), n.view.Voters...)
+	voters := slices.Clone(n.view.Voters)
 	for _, joiner := range n.joiningMembers(now) {
-		voters = filterMembers(voters, func(voter Member) bool { return voter.Address == joiner.Address })
+		// A member at the address of a voter replaces it: it is the same machine with a new disk.
+		voters = slices.DeleteFunc(voters, func(voter Member) bool { return voter.Address == joiner.Address })
 		if len(voters) >= target {
-			voters = n.withoutOneVoter(now, voters, 0)
+			voters = n.removeVoter(now, voters, 0)
 		}
 		voters = append(voters, joiner)
 	}
 	for len(voters) > target {
-		fewer := n.withoutOneVoter(now, voters, n.config.SuspectTimeout*absenceTimeouts)
-		if len(fewer) == len(voters) {
+		remaining := n.removeVoter(now, voters, n.config.SuspectTimeout*absenceTimeouts)
+		if len(remaining) == len(voters) {
 			break
 		}
-		voters = fewer
+		voters = remaining
 	}
 	return voters
 }
 
+// joiningMembers returns the members that ask to join, are healthy and answer, by address.
 func (n *Node) joiningMembers(now time.Duration) []Member {
-	addresses := map[string]bool{}
-	for address, p := range n.peers {
+	var joining []Member
+	for _, p := range n.peers {
 		if p.joining && p.status.Healthy && now-p.lastAnsweredPingAt < n.config.SuspectTimeout {
-			addresses[address] = true
+			joining = append(joining, p.member)
 		}
 	}
-	var joiners []Member
-	for _, address := range sortedKeys(addresses) {
-		joiners = append(joiners, n.peers[address].member)
-	}
-	return joiners
+	slices.SortFunc(joining, func(a, b Member) int { return strings.Compare(a.Address, b.Address) })
+	return joining
 }
 
-// leastVoters is how many voters there must be for as many to be lost as may be.
-func (n *Node) minVoters() int { return 2*n.config.MaxFailures + 1 }
-
-// longAway is for how many times the time of suspicion a voter too many must be away to be left out.
-const absenceTimeouts = 20
-
-// dropOne leaves out one voter that leaves, or else one that cannot be reached and has been away for a time, if there is any.
-func (n *Node) withoutOneVoter(now time.Duration, voters []Member, away time.Duration) []Member {
-	gone := func(voter Member) bool { return !n.isReachable(now, voter) && !n.isJoining(voter) }
-	for _, dispensable := range []func(Member) bool{
-		n.isLeaving,
-		func(voter Member) bool { return gone(voter) && now-n.lastSeenAt(voter) > away },
-	} {
-		if i := slices.IndexFunc(voters, dispensable); i >= 0 {
-			return filterMembers(voters, func(other Member) bool { return other.ID == voters[i].ID })
-		}
+// removeVoter removes one voter that leaves or, if there is none, one that has been unreachable for longer than a duration.
+// It returns the voters unchanged if there is neither. A leaving member goes first, so that it can stop without remaining a
+// voter, and an unreachable one that may return keeps its vote.
+func (n *Node) removeVoter(now time.Duration, voters []Member, absence time.Duration) []Member {
+	i := slices.IndexFunc(voters, n.isLeaving)
+	if i < 0 {
+		i = slices.IndexFunc(voters, func(voter Member) bool { return n.isAbsent(now, voter, absence) })
 	}
-	return voters
+	if i < 0 {
+		return voters
+	}
+	return slices.Delete(voters, i, i+1)
 }
 
-// leaves tells whether a voter has said that it leaves when it was last heard of.
+// isLeaving reports whether a voter's last status was that it leaves, even if it has stopped since.
 func (n *Node) isLeaving(voter Member) bool {
 	if voter.ID == n.self.ID {
 		return n.leaving
 	}
-	p := n.peers[voter.Address]
-	return p != nil && p.member.ID == voter.ID && p.status.Leaving
+	p := n.knownPeer(voter)
+	return p != nil && p.status.Leaving
 }
 
-// lastSeen is when a voter last answered, or when this member was last out of touch, as it can tell nothing of that time.
-func (n *Node) lastSeenAt(voter Member) time.Duration {
-	seen := n.lastWithoutQuorumAt
-	if p := n.peers[voter.Address]; p != nil && p.member.ID == voter.ID {
-		seen = max(seen, p.lastAnsweredPingAt)
+// isAbsent reports whether a voter has been unreachable for longer than a duration and does not ask to join.
+func (n *Node) isAbsent(now time.Duration, voter Member, duration time.Duration) bool {
+	if p := n.knownPeer(voter); p != nil && p.joining {
+		return false
 	}
-	return seen
-}
-
-// joins tells whether a member asks to be taken in.
-func (n *Node) isJoining(member Member) bool {
-	p := n.peers[member.Address]
-	return p != nil && p.member.ID == member.ID && p.joining
+	return !n.isReachable(now, voter) && now-n.lastReachableAt(voter) > duration
 }
 
-func filterMembers(members []Member, drop func(Member) bool) []Member {
-	var kept []Member
-	for _, member := range members {
-		if !drop(member) {
-			kept = append(kept, member)
-		}
+// lastReachableAt returns when a voter was last known to be reachable. The time at which this member itself reached no
+// majority counts too: it says nothing about the voter.
+func (n *Node) lastReachableAt(voter Member) time.Duration {
+	reachableAt := n.lastWithoutQuorumAt
+	if p := n.knownPeer(voter); p != nil {
+		reachableAt = max(reachableAt, p.lastAnsweredPingAt)
 	}
-	return kept
+	return reachableAt
 }
 
-// sameMembers tells whether two views have the same voters and the same members in the chain.
+// sameMembers reports whether two views have the same voters and the same members of the chain, in any order.
 func sameMembers(a, b View) bool {
 	if len(a.Voters) != len(b.Voters) || len(a.Chain) != len(b.Chain) {
 		return false
@@ -164,26 +161,26 @@
 	return true
 }
 
-// Leave has the others take this member out of the chain.
+// Leave marks this member as leaving: the others remove it from the chain and, if there are enough voters without it, from
+// the voters. The caller stops the process once CanStop is true. It cannot be revoked.
 func (n *Node) Leave() { n.leaving = true }
 
-// CanStop tells whether a leaving member may end: it is out of the chain and, where there are voters enough without
-// it, no voter any more, and as many of the chain have the view with its state on disk as must store what is committed.
-// Else it stays a voter, as one that starts again is.
+// CanStop reports whether a leaving member may stop without reducing the number of failures that the core tolerates. It must
+// be out of the chain and no surplus voter, or the next lost disk could leave no majority. At least minReplicas members of
+// the chain must have its view on disk: until then this member's disk may be one of too few that have the committed state.
 func (n *Node) CanStop() bool {
-	tooMany := n.isVoter() && len(n.view.Voters) > n.minVoters()
-	return !n.IsInChain() && !tooMany && n.persistedReplicas() >= n.minReplicas()
+	surplus := n.isVoter() && len(n.view.Voters) > n.minVoters()
+	return !n.IsInChain() && !surplus && n.persistedReplicas() >= n.minReplicas()
 }
 
-// copiesInChain is how many members of the chain are known to have the view on disk.
+// persistedReplicas returns the number of other members of the chain that report to have this member's view on disk.
 func (n *Node) persistedReplicas() int {
-	copies := 0
+	count := 0
 	for _, id := range n.view.Chain {
 		voter, _ := n.view.Voter(id)
-		p := n.peers[voter.Address]
-		if p != nil && p.member.ID == id && p.status.Stored >= n.view.Number {
-			copies++
+		if p := n.knownPeer(voter); p != nil && p.status.Stored >= n.view.Number {
+			count++
 		}
 	}
-	return copies
+	return count
 }
--- a/internal/chain/node.go
+++ b/internal/chain/node.go
@@ -4,57 +4,110 @@
 	"time"
 )
 
-// Node is one member's state machine.
+// Node is the state machine of one member. See the package comment for its contract.
+//
+// The states of a member follow from its fields:
+//
+//	state      condition                       writes  next states
+//	joining    view number 0                   none    follower or in chain, by Install
+//	follower   voter outside of the chain      none    in chain, sealed, removed
+//	in chain   voter in the chain              taken   follower, sealed, removed
+//	sealed     voter, promisedNumber not zero  none    follower, in chain, removed; by Install only
+//	removed    not a voter of its view         none    follower or in chain, if it is healthy and asks to join
+//
+// A sealed member stays sealed until a next view is installed, also across restarts: nothing revokes a promise. A removed
+// member receives the view that leaves it out from the proposer, and stops if it is leaving (CanStop).
 type Node struct {
 	config Config
 	self   Member
 
-	view           View
-	base           State          // with which the view began, or a later committed state of it
-	log            []logEntry     // of the view, after base
-	state          State          // base with all of the log
-	promisedNumber ProposalNumber // for the view after this one; zero for none
-	accepted       *Accepted
-
-	committed   uint64
-	commitKnown bool             // committed is the tail's word in this life
-	peers       map[string]*peer // by address
-	proposer    *proposer
+	// Replication.
+
+	view View
+	// base is the state before log: the one that the view started from, or a later committed one.
+	base State
+	log  []logEntry
+	// state is base with all entries of log applied.
+	state State
+	// committed is the highest sequence number known to be committed.
+	committed uint64
+	// commitKnown is true once this incarnation has learnt the commit position (see IsCommitKnown).
+	commitKnown  bool
+	lastResendAt time.Duration
+
+	// Agreement on the next view. The first two are the acceptor's persistent state.
+
+	// promisedNumber is the highest proposal number promised for the next view; zero for none.
+	promisedNumber ProposalNumber
+	// accepted is the accepted proposal for the next view; nil for none.
+	accepted *Accepted
+	// proposer is the proposal that this member makes at present; nil for none.
+	proposer *proposer
+	// sealedAt is when this member made its first promise in this view.
+	sealedAt time.Duration
+	// reconfigureSince is since when this member wants another view than the present one; 0 if it does not.
+	reconfigureSince time.Duration
+	// nextProposalAt is the earliest time of this member's next proposal.
+	nextProposalAt time.Duration
+	// persistedView is the number of the latest view known to be on this member's disk.
+	persistedView uint64
+
+	// Failure detection.
+
+	// peers are the other members by address, also those that are in no view.
+	peers      map[string]*peer
+	lastNonce  uint64
+	nextPingAt time.Duration
+	// lastWithoutQuorumAt is when this member last reached no majority of the voters.
+	lastWithoutQuorumAt time.Duration
+	// diskHealthy is false while this member's own disk does not answer.
 	diskHealthy bool
-	leaving     bool
-
-	persistedView       uint64        // number of the view that is on disk
-	lastWithoutQuorumAt time.Duration // when no majority of the voters answered last
-	lastNonce           uint64
-	nextPingAt          time.Duration
-	sealedAt            time.Duration
-	reconfigureSince    time.Duration // since when the view should be another one; 0 for it should not
-	leaseHolderSince    time.Duration // when this member became the holder
-	leaseToken          uint64        // the token with which it has waited out its pause
-	nextProposalAt      time.Duration
-	lastResendAt        time.Duration
+	// leaving is true once this member was asked to leave the core.
+	leaving bool
+
+	// Lease of the singleton role.
+
+	// leaseHolderSince is when this member learnt that it is the holder.
+	leaseHolderSince time.Duration
+	// leaseToken is the latest token whose takeover delay this member has waited out. It is persistent.
+	leaseToken uint64
 }
 
-// Output is what follows from an event. Messages are sent once all records given out so far are stored; ImmediateMessages
-// at once.
+// Output is the result of an input to a Node. The caller processes outputs in the order in which they are returned.
 type Output struct {
-	Records           []any
-	Messages          []Envelope
+	// Records are to be persisted in this order, after those of earlier outputs. The type of each is one of those in
+	// storage.go. If a record cannot be persisted, the caller drops the messages of its output too, persists nothing more
+	// before a Snapshot, and may then go on.
+	Records []any
+
+	// Messages are to be sent only after all records of this and of earlier outputs are on stable storage. Sent earlier, they
+	// state what a crash may revoke: an Append or Committed would acknowledge an entry that is not on enough disks, and a
+	// forgotten Promise or AcceptedReply would let two views with the same number be decided. An envelope to the member's
+	// own address is passed back to Receive under the same condition. They may be lost: all are repeated.
+	Messages []Envelope
+
+	// ImmediateMessages are to be sent at once. They are pings and pongs, which promise nothing about stored records; if
+	// they waited for the disk, a slow disk would look like a failed member.
 	ImmediateMessages []Envelope
-	// ViewInstalled tells that a new view is in force here.
+
+	// ViewInstalled reports that a new view is in force at this member. The caller reads it with View.
 	ViewInstalled bool
 }
 
-// NewGenesis is a member of the first view of a system that starts for the first time.
+// NewGenesis returns a member of the first view of a system that starts for the first time. All members of the view must be
+// started with the same view and value.
 func NewGenesis(config Config, now time.Duration, view View, value any) (*Node, Output) {
 	n := newNode(config, now)
-	n.view, n.base = view, State{Value: value}
-	n.state, n.commitKnown = n.base, true
-	n.leaseHolderSince = now - config.ReturnDelay // nobody has held the role before
+	n.view = view
+	n.base = State{Value: value}
+	n.state = n.base
+	n.commitKnown = true
+	// Nobody has held the lease before, so that there is no takeover to wait for.
+	n.leaseHolderSince = now - config.ReturnDelay
 	return n, Output{Records: []any{n.snapshot()}}
 }
 
-// NewJoiner is a member that is in no view yet.
+// NewJoiner returns a member that is in no view yet. It pings the seeds until a view includes it.
 func NewJoiner(config Config, now time.Duration, value any) (*Node, Output) {
 	n := newNode(config, now)
 	n.base = State{Value: value}
@@ -62,28 +115,43 @@
 	return n, Output{Records: []any{n.snapshot()}}
 }
 
-// Restore is a member that has its records.
+// Restore returns a member from its persisted records. The first of them is a Snapshot.
 func Restore(config Config, now time.Duration, records []any) *Node {
 	n := newNode(config, now)
 	for _, record := range records {
 		n.replay(record)
 	}
-	n.committed, n.persistedView = n.base.Seq, n.view.Number
+	n.committed = n.base.Seq
+	n.persistedView = n.view.Number
 	if n.IsTail() {
-		n.committed, n.commitKnown = n.state.Seq, true // what the tail has stored, all others have
+		// What the tail has persisted is committed, as all of its predecessors have persisted it before.
+		n.committed = n.state.Seq
+		n.commitKnown = true
 	}
 	if n.view.Holder == n.self.ID && n.leaseToken == n.view.Token {
-		n.leaseHolderSince = now - config.ReturnDelay // nobody else can have held the role since
+		// The token is unchanged since this member waited its takeover delay out: nobody else has held the lease since.
+		// For any other holder the delay begins anew, as its predecessor may still be acting.
+		n.leaseHolderSince = now - config.ReturnDelay
 	}
 	return n
 }
 
 func newNode(config Config, now time.Duration) *Node {
-	return &Node{config: config, self: config.Self, peers: map[string]*peer{}, diskHealthy: true, lastNonce: config.FirstNonce, lastWithoutQuorumAt: now, leaseHolderSince: now,
-		nextProposalAt: now + 2*config.SuspectTimeout}
+	return &Node{
+		config:              config,
+		self:                config.Self,
+		peers:               map[string]*peer{},
+		diskHealthy:         true,
+		lastNonce:           config.FirstNonce,
+		lastWithoutQuorumAt: now,
+		leaseHolderSince:    now,
+		// At the start all other members look unreachable: the first proposal waits until the answers to pings are in.
+		nextProposalAt: now + 2*config.SuspectTimeout,
+	}
 }
 
-// Tick does what is due.
+// Tick advances the time. It sends pings, resends uncommitted entries and proposes a next view when these are due. The
+// caller ticks at least once in each Config.PingInterval.
 func (n *Node) Tick(now time.Duration) Output {
 	var out Output
 	if !n.HasQuorum(now) {
@@ -105,7 +173,7 @@
 	return out
 }
 
-// Receive takes a message.
+// Receive handles a message of another member, or one of this member to itself. Messages of unknown types are ignored.
 func (n *Node) Receive(now time.Duration, message any) Output {
 	switch m := message.(type) {
 	case Ping:
@@ -134,8 +202,9 @@
 	return Output{}
 }
 
-// SetDiskHealthy tells whether the disk answers.
+// SetDiskHealthy sets whether this member's disk answers. While it does not, the member leaves the chain and proposes
+// nothing, but remains a voter.
 func (n *Node) SetDiskHealthy(healthy bool) { n.diskHealthy = healthy }
 
-// SetSeeds names other seeds.
+// SetSeeds replaces Config.Seeds.
 func (n *Node) SetSeeds(seeds []string) { n.config.Seeds = seeds }
--- a/internal/chain/reconfiguration.go
+++ b/internal/chain/reconfiguration.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// consider begins a proposal where the view should be another one, and gives up one that takes too long.
+// maybePropose begins a proposal if the view should be another one, and gives up one that takes too long.
 func (n *Node) maybePropose(now time.Duration) Output {
 	if n.proposer != nil {
 		if now < n.proposer.deadline {
@@ -16,7 +16,9 @@
 	if n.view.Number == 0 || !n.isVoter() || !n.diskHealthy || now < n.nextProposalAt {
 		return Output{}
 	}
-	desired, ok := n.desired(now)
+	desired, ok := n.desiredView(now)
+	// A voter that is sealed for long without a next view takes no more writes, even if the view should stay as it is: its
+	// proposer has failed. Only another proposal ends this.
 	stuck := n.IsSealed() && now-n.sealedAt > n.config.ProposalTimeout
 	if !ok || sameMembers(desired, n.view) && !stuck {
 		n.reconfigureSince = 0
@@ -25,13 +27,15 @@
 	if n.reconfigureSince == 0 {
 		n.reconfigureSince = now
 	}
+	// The voters propose one after another, so that in the common case there is a single proposer.
 	if now-n.reconfigureSince < time.Duration(n.proposerRank(now))*n.config.ProposalTimeout {
 		return Output{}
 	}
 	return n.prepare(now, desired)
 }
 
-// rank is this member's place among those who can propose: the first does so at once.
+// proposerRank returns the number of voters that are to propose before this one: the eligible members of the chain before
+// it, or, for a follower, those and the eligible followers before it.
 func (n *Node) proposerRank(now time.Duration) int {
 	rank := 0
 	for _, id := range n.view.Chain {
@@ -54,37 +58,55 @@
 }
 
 func (n *Node) handleInstall(now time.Duration, m Install) Output {
+	// Messages may be reordered: an older view must not replace a later one.
 	if m.Proposal.View.Number <= n.view.Number {
 		return Output{}
 	}
 	return n.install(now, m.Proposal)
 }
 
-func (n *Node) install(now time.Duration, p Proposal) Output {
-	wasHolder := n.view.Holder == n.self.ID && n.view.Token == p.View.Token
-	n.adopt(p)
-	n.proposer, n.commitKnown = nil, true
-	n.reconfigureSince, n.sealedAt = 0, 0
-	if !wasHolder {
+// install puts a decided view into force at this member.
+func (n *Node) install(now time.Duration, decided Proposal) Output {
+	remainsHolder := n.view.Holder == n.self.ID && n.view.Token == decided.View.Token
+	n.adopt(decided)
+	n.proposer = nil
+	n.commitKnown = true
+	n.reconfigureSince = 0
+	n.sealedAt = 0
+	if !remainsHolder {
 		n.leaseHolderSince = now
 	}
-	stored := Envelope{To: n.self.Address, Message: Stored{View: p.View.Number}} // is delivered once the record is on disk
-	return Output{Records: []any{InstallRecord{p}}, Messages: []Envelope{stored}, ViewInstalled: true}
+	// Delivered once the record is persisted. Before, this member must not report to have the view on disk: a leaving member
+	// might stop that has the only other replica (CanStop).
+	stored := Envelope{To: n.self.Address, Message: Stored{View: decided.View.Number}}
+	return Output{Records: []any{InstallRecord{decided}}, Messages: []Envelope{stored}, ViewInstalled: true}
 }
 
-func (n *Node) adopt(p Proposal) {
-	n.view, n.base, n.state = p.View, p.Base, p.Base
-	n.log, n.promisedNumber, n.accepted = nil, ProposalNumber{}, nil
-	n.committed = p.Base.Seq
+// adopt replaces the view, the state and the acceptor's state by those of a decided proposal. Its state is committed, as a
+// majority has accepted and so persisted it.
+func (n *Node) adopt(decided Proposal) {
+	n.view = decided.View
+	n.base = decided.Base
+	n.state = decided.Base
+	n.log = nil
+	n.promisedNumber = ProposalNumber{}
+	n.accepted = nil
+	n.committed = decided.Base.Seq
 }
 
-// sendViewIfBehind sends the view to a member that has an older one.
+// viewSendsPerSuspectTimeout is how often an outdated member is sent the view within Config.SuspectTimeout. The view comes
+// with the complete state, which takes a while to transfer.
+const viewSendsPerSuspectTimeout = 2
+
+// sendViewIfOutdated sends the view to a voter that reports an older one: the Install was lost, or it was not running.
 func (n *Node) sendViewIfOutdated(now time.Duration, member Member, status Status) []Envelope {
 	_, voter := n.view.Voter(member.ID)
 	p := n.peer(member.Address)
-	if !voter || status.View >= n.view.Number || now-p.viewSentAt < n.config.SuspectTimeout/2 {
+	interval := n.config.SuspectTimeout / viewSendsPerSuspectTimeout
+	if !voter || status.View >= n.view.Number || now-p.viewSentAt < interval {
 		return nil
 	}
 	p.viewSentAt = now
-	return []Envelope{{To: member.Address, Message: Install{From: n.self.ID, Proposal: Proposal{View: n.view, Base: n.base}}}}
+	install := Install{From: n.self.ID, Proposal: Proposal{View: n.view, Base: n.base}}
+	return []Envelope{{To: member.Address, Message: install}}
 }
--- a/internal/chain/replication.go
+++ b/internal/chain/replication.go
@@ -4,8 +4,14 @@
 	"time"
 )
 
-// Propose appends an operation at the head. It is false where this member cannot take it.
+// resendsPerSuspectTimeout is how often an uncommitted entry is sent again within Config.SuspectTimeout, so that a single
+// lost message is repaired before the failure detector suspects anybody.
+const resendsPerSuspectTimeout = 3
+
+// Propose appends an operation at the head and returns its sequence number. It reports false, and changes nothing, if this
+// member is not the head of an unsealed view whose chain is long enough. The operation is committed later, or never.
 func (n *Node) Propose(operation []byte) (seq uint64, out Output, ok bool) {
+	// A chain that is shorter would commit entries that are lost with the disks of MaxFailures members.
 	if !n.IsHead() || n.IsSealed() || len(n.view.Chain) < n.minReplicas() {
 		return 0, Output{}, false
 	}
@@ -14,10 +20,11 @@
 	return entry.Seq, out, true
 }
 
-// leastCopies is how many members must store what is committed.
+// minReplicas returns the number of members that must persist an entry before it is committed.
 func (n *Node) minReplicas() int { return min(n.config.MaxFailures+1, len(n.view.Voters)) }
 
-// take stores entries and passes them on.
+// appendAndForward appends entries to the log and forwards them. As messages wait for the records of the same output, the
+// successor receives an entry only after this member has persisted it.
 func (n *Node) appendAndForward(entries []Entry) Output {
 	var out Output
 	for _, entry := range entries {
@@ -29,6 +36,7 @@
 }
 
 func (n *Node) handleAppend(m Append) Output {
+	// A sealed member must not grow its log: its promise has reported the state from which the next view may start.
 	if m.View != n.view.Number || n.IsSealed() {
 		return Output{}
 	}
@@ -36,62 +44,68 @@
 	if position < 1 || n.view.Chain[position-1] != m.From {
 		return Output{}
 	}
-	var fresh []Entry
-	next := n.state.Seq + 1
+	// Messages may be lost or reordered: only entries that follow on the log without a gap are appended. The predecessor
+	// sends the others again.
+	var next []Entry
+	nextSeq := n.state.Seq + 1
 	for _, entry := range m.Entries {
-		if entry.Seq == next {
-			fresh = append(fresh, entry)
-			next++
+		if entry.Seq == nextSeq {
+			next = append(next, entry)
+			nextSeq++
 		}
 	}
-	if len(fresh) == 0 {
-		return n.forwardAgain(m.Entries)
+	if len(next) == 0 {
+		return n.retransmit(m.Entries)
+	}
+	return n.appendAndForward(next)
+}
+
+// retransmit forwards those entries that this member already has. The predecessor has sent them again because it does not
+// know them to be committed: either the message to the successor was lost, or the announcement of the commit.
+func (n *Node) retransmit(entries []Entry) Output {
+	var known []Entry
+	for _, entry := range entries {
+		if entry.Seq <= n.state.Seq {
+			known = append(known, entry)
+		}
 	}
-	return n.appendAndForward(fresh)
+	return Output{Messages: n.forward(known)}
 }
 
-// passOn sends entries to the successor, or, at the tail, tells all that they are committed.
+// forward sends entries to the successor. At the tail it announces to all voters that they are committed; the tail is among
+// them, as it too may count an entry as committed only once its record is persisted.
 func (n *Node) forward(entries []Entry) []Envelope {
 	position := n.view.Position(n.self.ID)
 	if position < 0 || len(entries) == 0 {
 		return nil
 	}
 	if position+1 < len(n.view.Chain) {
-		next, _ := n.view.Voter(n.view.Chain[position+1])
-		return []Envelope{{To: next.Address, Message: Append{From: n.self.ID, View: n.view.Number, Entries: entries}}}
+		successor, _ := n.view.Voter(n.view.Chain[position+1])
+		message := Append{From: n.self.ID, View: n.view.Number, Entries: entries}
+		return []Envelope{{To: successor.Address, Message: message}}
 	}
 	last := entries[len(entries)-1].Seq
 	var out []Envelope
 	for _, voter := range n.view.Voters {
-		out = append(out, Envelope{To: voter.Address, Message: Committed{From: n.self.ID, View: n.view.Number, Seq: last}})
+		message := Committed{From: n.self.ID, View: n.view.Number, Seq: last}
+		out = append(out, Envelope{To: voter.Address, Message: message})
 	}
 	return out
 }
 
-// passOnAgain passes on what was passed on before: the predecessor has sent it again because the end was not heard of.
-func (n *Node) forwardAgain(entries []Entry) Output {
-	var had []Entry
-	for _, entry := range entries {
-		if entry.Seq <= n.state.Seq {
-			had = append(had, entry)
-		}
-	}
-	return Output{Messages: n.forward(had)}
-}
-
-// resend sends what the successor does not have, or what was not heard to be committed.
+// resend forwards the entries that are not known to be committed, at most once in an interval.
 func (n *Node) resend(now time.Duration) []Envelope {
-	position := n.view.Position(n.self.ID)
-	if position < 0 || n.IsSealed() || n.committed >= n.state.Seq {
+	if !n.IsInChain() || n.IsSealed() || n.committed >= n.state.Seq {
 		return nil
 	}
-	if now-n.lastResendAt < n.config.SuspectTimeout/3 {
+	if now-n.lastResendAt < n.config.SuspectTimeout/resendsPerSuspectTimeout {
 		return nil
 	}
 	n.lastResendAt = now
 	return n.forward(n.entriesAfter(n.committed))
 }
 
+// handleCommitted takes over the commit position that a member of the same view reports.
 func (n *Node) handleCommitted(from MemberID, view, seq uint64) {
 	if view != n.view.Number || !n.IsInChain() {
 		return
--- a/internal/chain/requests.go
+++ b/internal/chain/requests.go
@@ -1,49 +1,67 @@
 package chain
 
 import (
+	"slices"
 	"time"
 
 	"github.com/pkg/errors"
 )
 
-// Why a member cannot answer a request. Nothing is promised of it: it may have been taken or not.
+// Errors of a request that this member cannot answer. They leave the outcome of a write open: it may be applied or not.
 var (
-	ErrNotHead        = errors.New("this member is not the head")
-	ErrNotTail        = errors.New("this member is not the tail")
-	ErrNotWritable    = errors.New("no change can be taken now")
-	ErrNotConfirmed   = errors.New("not confirmed in time")
+	// ErrNotHead is returned for a write at a member that is not the head of a confirmed view.
+	ErrNotHead = errors.New("this member is not the head")
+	// ErrNotTail is returned for a read at a member that is not the tail.
+	ErrNotTail = errors.New("this member is not the tail")
+	// ErrNotWritable is returned for a write while the head is sealed or its chain is too short.
+	ErrNotWritable = errors.New("no change can be taken now")
+	// ErrNotConfirmed is returned when the timeout has passed, or a new view was installed, before an answer was certain.
+	ErrNotConfirmed = errors.New("not confirmed in time")
+	// ErrTooManyPending is returned when maxPendingRequests are pending already.
 	ErrTooManyPending = errors.New("too many requests wait")
 )
 
-// Decision is what the newest value makes of a write.
+// maxPendingRequests bounds the pending writes and the pending reads of a member, each.
+const maxPendingRequests = 1024
+
+// Decision is what Write.Decide returns. It is one of three: rejected, already applied, or an operation to append.
 type Decision struct {
-	// AlreadyApplied tells that the value has the write already.
+	// AlreadyApplied reports whether the value contains the write. It is then acknowledged without being appended again.
 	AlreadyApplied bool
-	// Rejection is why the write is not taken; nil for one that is.
+	// Rejection is why the write is rejected; nil if it is not.
 	Rejection error
-	// Operation is what is appended for a write that is taken.
+	// Operation is appended to the log if the write is neither rejected nor applied already.
 	Operation []byte
 }
 
 // Write is a request to change the value.
 type Write struct {
-	// Decide looks at the newest value, committed or not.
+	// Decide decides on the write by the head's latest value, which may not be committed yet.
 	Decide func(latest any) Decision
-	// IsApplied tells whether a value has the write.
+	// IsApplied reports whether a value contains the write.
 	IsApplied func(value any) bool
-	// Respond is called once: with nil when the write is committed, with its refusal, or with why neither can be told.
+	// Respond is called once: with nil once the write is committed, with Decision.Rejection, or with one of this package's
+	// errors.
 	Respond func(error)
 }
 
-// Read is a request for the newest value. Its answer is called once.
-type Read struct{ Respond func(State, error) }
-
-// mostRequests bounds the requests of each kind that wait at a member.
-const maxPendingRequests = 1024
+// Read is a request for the committed state.
+type Read struct {
+	// Respond is called once: with the committed state and nil, or with one of this package's errors.
+	Respond func(State, error)
+}
 
-// PendingRequests are the writes that wait at the head and the reads that wait at the tail. A write is acknowledged once it is
-// committed. A refusal is told once what it rests on is committed and a majority has confirmed the view since the write
-// came, and a read is answered after such a confirmation: a member that was left behind refuses and shows nothing.
+// PendingRequests keeps the writes that wait at the head and the reads that wait at the tail, so that the answers are
+// linearizable:
+//
+//   - A write is acknowledged once it is committed.
+//   - A rejection is returned once the state that it rests on is committed and a majority has confirmed the view since the
+//     write was received.
+//   - A read is answered once a majority has confirmed the view since it was received.
+//
+// Without these confirmations a head or tail that was replaced without knowing it would answer from an old state.
+//
+// It must be used from the goroutine of its Node. The caller processes the outputs as those of the Node.
 type PendingRequests struct {
 	node    *Node
 	timeout time.Duration
@@ -52,38 +70,43 @@
 }
 
 type pendingWrite struct {
-	write       Write
-	rejection   error // nil for a write that was taken
-	view        uint64
-	requiredSeq uint64 // committed before the refusal is told
+	write Write
+	// rejection is nil for a write that was appended or is applied already.
+	rejection error
+	// view is the number of the view in which the write was decided on.
+	view uint64
+	// requiredSeq must be committed before the rejection is returned: it rests on the state with this number.
+	requiredSeq uint64
 	receivedAt  time.Duration
 }
 
 type pendingRead struct {
-	read       Read
+	read Read
+	// view is the number of the view in which the read was received.
 	view       uint64
 	receivedAt time.Duration
 }
 
-// NewPendingRequests makes the requests at a member. Each is answered within a time.
-func NewPendingRequests(node *Node, within time.Duration) *PendingRequests {
-	return &PendingRequests{node: node, timeout: within}
+// NewPendingRequests returns an empty set of requests at a member. Each request is answered within the timeout, provided that
+// AnswerReady is called regularly.
+func NewPendingRequests(node *Node, timeout time.Duration) *PendingRequests {
+	return &PendingRequests{node: node, timeout: timeout}
 }
 
-// Write takes a write at the head.
+// Write decides on a write at the head. It is answered at once if this member cannot take it, and later by AnswerReady
+// otherwise.
 func (r *PendingRequests) Write(now time.Duration, write Write) Output {
 	n := r.node
-	switch {
-	case !n.IsHead() || !n.IsViewConfirmed(now):
+	if !n.IsHead() || !n.IsViewConfirmed(now) {
 		write.Respond(ErrNotHead)
 		return Output{}
-	case len(r.writes) >= maxPendingRequests:
+	}
+	if len(r.writes) >= maxPendingRequests {
 		write.Respond(ErrTooManyPending)
 		return Output{}
 	}
 	latest := n.LatestState()
 	decision := write.Decide(latest.Value)
-	waiting := pendingWrite{write: write, rejection: decision.Rejection, view: n.View().Number, requiredSeq: latest.Seq, receivedAt: now}
 	var out Output
 	switch {
 	case decision.Rejection != nil:
@@ -95,55 +118,64 @@
 			return Output{}
 		}
 	}
-	r.writes = append(r.writes, waiting)
+	r.writes = append(r.writes, pendingWrite{
+		write:       write,
+		rejection:   decision.Rejection,
+		view:        n.view.Number,
+		requiredSeq: latest.Seq,
+		receivedAt:  now,
+	})
 	return out
 }
 
-// Read takes a read at the tail.
+// Read takes a read at the tail. It is answered at once if this member cannot take it, and later by AnswerReady otherwise.
 func (r *PendingRequests) Read(now time.Duration, read Read) Output {
-	switch {
-	case !r.node.IsTail():
+	n := r.node
+	if !n.IsTail() {
 		read.Respond(State{}, ErrNotTail)
 		return Output{}
-	case len(r.reads) >= maxPendingRequests:
+	}
+	if len(r.reads) >= maxPendingRequests {
 		read.Respond(State{}, ErrTooManyPending)
 		return Output{}
 	}
-	r.reads = append(r.reads, pendingRead{read: read, view: r.node.View().Number, receivedAt: now})
-	return r.node.PingVoters(now)
+	r.reads = append(r.reads, pendingRead{read: read, view: n.view.Number, receivedAt: now})
+	return n.PingVoters(now)
 }
 
-// AnswerReady answers the requests that can be answered, and those whose time is over.
+// AnswerReady answers the requests whose answer is certain and those whose timeout has passed. The caller calls it after each
+// input to the Node.
 func (r *PendingRequests) AnswerReady(now time.Duration) {
-	if len(r.writes) > 0 {
-		r.writes = retain(r.writes, func(w pendingWrite) bool { return !r.answerWrite(now, w) })
-	}
-	if len(r.reads) > 0 {
-		r.reads = retain(r.reads, func(w pendingRead) bool { return !r.answerRead(now, w) })
-	}
+	r.writes = slices.DeleteFunc(r.writes, func(w pendingWrite) bool { return r.answerWrite(now, w) })
+	r.reads = slices.DeleteFunc(r.reads, func(p pendingRead) bool { return r.answerRead(now, p) })
 }
 
-// keep leaves in place what still waits.
-func retain[T any](all []T, waits func(T) bool) []T {
-	kept := all[:0]
-	for _, one := range all {
-		if waits(one) {
-			kept = append(kept, one)
-		}
+// answerWrite answers a write and reports true, or reports false while it must wait.
+func (r *PendingRequests) answerWrite(now time.Duration, w pendingWrite) (answered bool) {
+	if w.rejection != nil {
+		return r.answerRejected(now, w)
+	}
+	switch {
+	case w.write.IsApplied(r.node.CommittedState().Value):
+		w.write.Respond(nil)
+	case now-w.receivedAt > r.timeout:
+		w.write.Respond(ErrNotConfirmed)
+	default:
+		return false
 	}
-	clear(all[len(kept):])
-	return kept
+	return true
 }
 
-func (r *PendingRequests) answerWrite(now time.Duration, w pendingWrite) (answered bool) {
+// answerRejected answers a rejected write and reports true, or reports false while it must wait.
+func (r *PendingRequests) answerRejected(now time.Duration, w pendingWrite) (answered bool) {
 	n := r.node
-	sameView := w.view == n.View().Number
 	switch {
-	case w.rejection == nil && w.write.IsApplied(n.CommittedState().Value):
-		w.write.Respond(nil)
-	case w.rejection != nil && sameView && n.CommittedSeq() >= w.requiredSeq && n.QuorumConfirmedAt(now) >= w.receivedAt:
+	case w.view != n.view.Number:
+		// The state that the rejection rests on may not be part of the new view: the write could then be applied.
+		w.write.Respond(ErrNotConfirmed)
+	case n.committed >= w.requiredSeq && n.QuorumConfirmedAt(now) >= w.receivedAt:
 		w.write.Respond(w.rejection)
-	case w.rejection != nil && !sameView, now-w.receivedAt > r.timeout:
+	case now-w.receivedAt > r.timeout:
 		w.write.Respond(ErrNotConfirmed)
 	default:
 		return false
@@ -151,13 +183,15 @@
 	return true
 }
 
-func (r *PendingRequests) answerRead(now time.Duration, w pendingRead) (answered bool) {
+// answerRead answers a read and reports true, or reports false while it must wait.
+func (r *PendingRequests) answerRead(now time.Duration, p pendingRead) (answered bool) {
 	n := r.node
 	switch {
-	case w.view != n.View().Number || now-w.receivedAt > r.timeout:
-		w.read.Respond(State{}, ErrNotConfirmed)
-	case n.QuorumConfirmedAt(now) >= w.receivedAt:
-		w.read.Respond(n.CommittedState(), nil) // what the tail has stored
+	case p.view != n.view.Number || now-p.receivedAt > r.timeout:
+		p.read.Respond(State{}, ErrNotConfirmed)
+	case n.QuorumConfirmedAt(now) >= p.receivedAt:
+		// The committed state, not the latest one: a crash of the tail may revoke what it has not persisted yet.
+		p.read.Respond(n.CommittedState(), nil)
 	default:
 		return false
 	}
--- a/internal/chain/status.go
+++ b/internal/chain/status.go
@@ -1,28 +1,37 @@
 package chain
 
-func (n *Node) status() Status {
-	return Status{View: n.view.Number, Sealed: n.IsSealed(), Healthy: n.diskHealthy && !n.leaving, Leaving: n.leaving, Stored: n.persistedView, Seq: n.state.Seq, Committed: n.committed}
-}
-
-// Self is this member.
+// Self returns this member.
 func (n *Node) Self() Member { return n.self }
 
-// View is the view in force here.
+// View returns the view in force at this member. Another member may already have a later one.
 func (n *Node) View() View { return n.view }
 
-// IsSealed tells whether this member has promised to take part in a next view.
+// IsSealed reports whether this member has promised to take part in the next view and so takes no more writes in this one.
 func (n *Node) IsSealed() bool { return n.promisedNumber != ProposalNumber{} }
 
-// IsInChain tells whether this member is in the chain of its view.
+// IsInChain reports whether this member is in the chain of its view.
 func (n *Node) IsInChain() bool { return n.view.Position(n.self.ID) >= 0 }
 
-// IsHead and IsTail tell this member's place in the chain.
+// IsHead reports whether this member is the head of the chain of its view.
 func (n *Node) IsHead() bool { return n.view.Number > 0 && n.view.Head() == n.self.ID }
 
-// IsTail tells whether this member is the tail.
+// IsTail reports whether this member is the tail of the chain of its view.
 func (n *Node) IsTail() bool { return n.view.Number > 0 && n.view.Tail() == n.self.ID }
 
 func (n *Node) isVoter() bool {
 	_, ok := n.view.Voter(n.self.ID)
 	return ok
 }
+
+// status returns what this member reports of itself to others.
+func (n *Node) status() Status {
+	return Status{
+		View:      n.view.Number,
+		Sealed:    n.IsSealed(),
+		Healthy:   n.diskHealthy && !n.leaving,
+		Leaving:   n.leaving,
+		Stored:    n.persistedView,
+		Seq:       n.state.Seq,
+		Committed: n.committed,
+	}
+}
