--- a/internal/config/compatibility_test.go
+++ b/internal/config/compatibility_test.go
@@ -45,7 +45,7 @@
 func TestPlatformFileIsReadByItsKeys(t *testing.T) {
 	c := loadPlatformFile(t, nil)
 	target := core.Target{UID: "u1", Address: "127.0.0.1:1005", Zone: "z", Model: "m", Cell: 6, State: "ready", Weight: 7.5, BootMS: 8}
-	known := core.List{Rev: 4, All: true, Targets: []core.Target{target}}
+	known := core.List{Rev: 4, Full: true, Targets: []core.Target{target}}
 	limits := core.Limits{Cores: 1.5, MemoryMB: 2048, Sockets: 3000}
 	got := fmt.Sprint(c.Name, c.Listen, c.Control, c.Discovery, c.Seed, c.Limits)
 	want := fmt.Sprint("b1", "127.0.0.1:1001", "127.0.0.1:1002", "127.0.0.1:1003", uint64(0xa1b2), limits)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -137,7 +137,7 @@
 
 // Core is what the core is told of it.
 func (c *Config) Core() core.Config {
-	return core.Config{Settings: c.Settings, Seed: c.Seed, Limits: c.Plan(), Known: c.Known, Discovery: c.Discovery}
+	return core.Config{Settings: c.Settings, Seed: c.Seed, Limits: c.Plan(), CachedList: c.Known, DiscoveryAddress: c.Discovery}
 }
 
 // Value is one value, and where it comes from.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -15,12 +15,12 @@
 
 // Config is what a Loop is started with.
 type Config struct {
-	Settings  settings.Settings
-	Seed      uint64
-	Limits    Limits // that this process may use
-	Known     List   // the endpoints as this instance last had them; may be old
-	Discovery string // the address at which the list is asked for
-	Log       *zap.Logger
+	Settings         settings.Settings
+	Seed             uint64
+	Limits           Limits // that this process may use
+	CachedList       List   // the endpoints as this instance last had them; may be old
+	DiscoveryAddress string // the address at which the list is asked for
+	Log              *zap.Logger
 }
 
 // Upstream carries attempts out, in a protocol.
@@ -33,12 +33,12 @@
 
 // Result is how an attempt ended.
 type Result struct {
-	Status   decision.Status
-	Took     time.Duration  // from the sending to the answer
-	Response Response       // the whole of a good answer; nil otherwise, and for one that was begun
-	Load     *decision.Load // that the endpoint has reported; nil for none
-	Conn     Conn           // that can carry another attempt; nil for none
-	Spent    bool           // what was sent cannot be sent again
+	Status        decision.Status
+	Elapsed       time.Duration  // from the sending to the answer
+	Response      Response       // the whole of a good answer; nil otherwise, and for one that was begun
+	Load          *decision.Load // that the endpoint has reported; nil for none
+	Conn          Conn           // that can carry another attempt; nil for none
+	NotReplayable bool           // what was sent cannot be sent again
 }
 
 // Response is an endpoint's good answer, in terms of the protocol.
@@ -50,7 +50,7 @@
 // Answer is the final answer to a call: an endpoint's response, or a refusal or failure of our own.
 type Answer struct {
 	Response   Response // nil unless it was served
-	Refused    bool     // it has not run, or may run again: trying again is harmless
+	Retryable  bool     // it has not run, or may run again: trying again is harmless
 	RetryAfter time.Duration
 }
 
@@ -65,23 +65,23 @@
 // owns it from Arrive on; a front waits at Final, and an upstream reads Message.
 type Call struct {
 	decision.Request
-	Message any         // what an upstream sends
-	Final   chan Answer // holds one, so that the loop never waits for a front
+	Message  any         // what an upstream sends
+	Answered chan Answer // holds one, so that the loop never waits for a front
 	// Deadline is when its attempts end, so that the last byte of its answer is out in time. The loop sets it.
 	Deadline time.Time
 
 	attempts int
-	out      *Attempt
+	attempt  *Attempt
 	answered bool
 }
 
 // NewCall makes a call.
 func NewCall(q decision.Request, message any) *Call {
-	return &Call{Request: q, Message: message, Final: make(chan Answer, 1)}
+	return &Call{Request: q, Message: message, Answered: make(chan Answer, 1)}
 }
 
 // endBy cuts the time of a call's further attempts; a zero time leaves it.
-func (c *Call) endBy(end time.Time) {
+func (c *Call) limitDeadline(end time.Time) {
 	if !end.IsZero() && end.Before(c.Deadline) {
 		c.Deadline = end
 	}
@@ -103,17 +103,17 @@
 	// Post has the loop call a function.
 	Post(func())
 	// Listed and ListFailed are called in the loop. They pass over what is not of the discovery that is followed.
-	Listed(from Discovery, l List, how Source)
+	ListReceived(from Discovery, l List, how Source)
 	ListFailed(from Discovery, err error)
 }
 
 // Discover makes the Discovery at an address.
-type Discover func(address string, to Sink) Discovery
+type NewDiscovery func(address string, to Sink) Discovery
 
 // noRoomFor is how long callers should stay away from an instance that has no room for them, or drains.
-const noRoomFor = time.Second
+const overloadRetryAfter = time.Second
 
 // TurnedAway is the answer to a request that there is no room for, and that the Balancer never hears of.
-func TurnedAway(s *settings.Settings) Answer {
-	return Answer{Refused: true, RetryAfter: min(noRoomFor, s.MaxRetryAfter)}
+func RejectedAnswer(s *settings.Settings) Answer {
+	return Answer{Retryable: true, RetryAfter: min(overloadRetryAfter, s.MaxRetryAfter)}
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -18,7 +18,7 @@
 
 // link is a connection in memory.
 type link struct {
-	Idle
+	PoolEntry
 	closed bool
 }
 
@@ -85,8 +85,8 @@
 	s := settings.Settings{OpenCap: 50, Settings: decision.Settings{Instances: 1, Quantum: time.Millisecond,
 		MayCancel: true, ClientsMarkRetries: true, MaxAttempts: 3, ConnectTimeout: time.Second, WarmUp: time.Second, ColdCapacity: 0.5, OverloadMultiple: 3,
 		OverloadWindow: time.Second, MaxRetryAfter: time.Second, Classes: []decision.Class{safe, unsafe, withKey}}}
-	l, err := New(Config{Settings: s, Limits: Limits{MemoryMB: 64, Sockets: 1024}, Discovery: "first",
-		Known: List{Rev: 1, All: true, Targets: targets}}, b,
+	l, err := New(Config{Settings: s, Limits: Limits{MemoryMB: 64, Sockets: 1024}, DiscoveryAddress: "first",
+		CachedList: List{Rev: 1, Full: true, Targets: targets}}, b,
 		func(address string, _ Sink) Discovery { return &lister{b, address} })
 	if err != nil {
 		t.Fatal(err)
@@ -97,13 +97,13 @@
 }
 
 func (b *bench) served(text string) Result {
-	return Result{Status: decision.OK, Took: 5 * time.Millisecond, Response: said{text, b.discarded}}
+	return Result{Status: decision.OK, Elapsed: 5 * time.Millisecond, Response: said{text, b.discarded}}
 }
 
 // ask brings a call.
 func (b *bench) ask(id string, class int) *Call {
 	c := NewCall(decision.Request{ID: decision.RequestID(id), Class: class, Remaining: 10 * time.Second}, id)
-	b.loop.Arrive(c, time.Now())
+	b.loop.Submit(c, time.Now())
 	return c
 }
 
@@ -111,11 +111,11 @@
 func (b *bench) final(c *Call) string {
 	b.t.Helper()
 	select {
-	case a := <-c.Final:
+	case a := <-c.Answered:
 		switch {
 		case a.Response != nil:
 			return a.Response.(said).text
-		case a.Refused:
+		case a.Retryable:
 			return "refused"
 		}
 		return "failed"
@@ -152,8 +152,8 @@
 		"cancelled":      {Result{Status: decision.Cancelled}, "again", "failed", 2, 1},
 		"moot":           {Result{Status: decision.NotSent}, "again", "again", 2, 2},
 		"spoilt":         {Result{Status: decision.InvalidResponse}, "again", "failed", 2, 1},
-		"full, spent":    {Result{Status: decision.Rejected, Spent: true}, "refused", "refused", 1, 1},
-		"error, spent":   {Result{Status: decision.Error, Spent: true}, "refused", "failed", 1, 1},
+		"full, spent":    {Result{Status: decision.Rejected, NotReplayable: true}, "refused", "refused", 1, 1},
+		"error, spent":   {Result{Status: decision.Error, NotReplayable: true}, "refused", "failed", 1, 1},
 	} {
 		for class, want := range []string{tc.read, tc.once} {
 			b := newBench(t, nil, ready("s-1", 0), ready("s-2", 0))
@@ -167,7 +167,7 @@
 			if got := b.final(c); got != want {
 				t.Errorf("%s, class %d: %s, want %s", name, class, got, want)
 			}
-			b.until("it is forgotten", func(s Stats) bool { return s.Calls+s.Out == 0 && s.Conns == s.Idle })
+			b.until("it is forgotten", func(s Stats) bool { return s.Calls+s.Attempts == 0 && s.Conns == s.IdleConns })
 			b.mu.Lock()
 			if got, most := len(b.sends[c.ID]), []int{tc.reads, tc.onces}[class]; got != most {
 				t.Errorf("%s, class %d: %d attempts, want %d", name, class, got, most)
@@ -188,8 +188,8 @@
 		}
 		first, second := b.sends[c.ID][0], b.sends[c.ID][1]
 		window := b.loop.config.Settings.Classes[class].Window
-		if !first.OutBy.IsZero() || second.OutBy.IsZero() != (class == read) || second.OutBy.After(first.sent.Add(window)) {
-			t.Errorf("class %d: out by %v and %v, sent %v", class, first.OutBy, second.OutBy, first.sent)
+		if !first.SendBy.IsZero() || second.SendBy.IsZero() != (class == read) || second.SendBy.After(first.sentAt.Add(window)) {
+			t.Errorf("class %d: out by %v and %v, sent %v", class, first.SendBy, second.SendBy, first.sentAt)
 		}
 	}
 }
@@ -201,7 +201,7 @@
 	b.send = func(a *Attempt, n int) Result {
 		switch a.Call.Message {
 		case "long":
-			if _, ok := a.Begin(said{"begun", b.discarded}); !ok {
+			if _, ok := a.StartResponse(said{"begun", b.discarded}); !ok {
 				t.Error("out of time")
 			}
 			<-goOn
@@ -218,16 +218,16 @@
 	if got := b.final(b.ask("long", once)); got != "begun" {
 		t.Error(got)
 	}
-	b.until("it is still under way", func(s Stats) bool { return s.Calls == 1 && s.Out == 1 })
+	b.until("it is still under way", func(s Stats) bool { return s.Calls == 1 && s.Attempts == 1 })
 	goOn <- true
 	left := b.ask("left", once)
-	b.until("it is out", func(s Stats) bool { return s.Out == 1 })
-	b.loop.Lapse(left)
+	b.until("it is out", func(s Stats) bool { return s.Attempts == 1 })
+	b.loop.Abandon(left)
 	if got := <-b.discarded; got != "too late" {
 		t.Error(got)
 	}
-	b.until("all is forgotten", func(s Stats) bool { return s.Calls+s.Out == 0 })
-	if len(left.Final) > 0 {
+	b.until("all is forgotten", func(s Stats) bool { return s.Calls+s.Attempts == 0 })
+	if len(left.Answered) > 0 {
 		t.Error("a client that has gone gets an answer")
 	}
 }
@@ -277,7 +277,7 @@
 	}, ready("s-1", 0))
 	c := b.ask("1", once)
 	<-out
-	b.loop.Lapse(c)
+	b.loop.Abandon(c)
 	if !<-calledOff {
 		t.Error("its client has gone, and the attempt goes on")
 	}
@@ -295,9 +295,9 @@
 		return Result{Status: decision.Cancelled}
 	}
 	calls := []*Call{b.ask("r", read), b.ask("o", once)}
-	b.until("they are out", func(s Stats) bool { return s.Out == 2 })
+	b.until("they are out", func(s Stats) bool { return s.Attempts == 2 })
 	end := time.Now().Add(50 * time.Millisecond)
-	b.loop.Leave(end, true)
+	b.loop.Drain(end, true)
 	for i, want := range []string{"refused", "failed"} {
 		if got := b.final(calls[i]); got != want || time.Now().Before(end) {
 			t.Errorf("%s, want %s at the end", got, want)
@@ -320,11 +320,13 @@
 	}
 	slow := b.ask("slow", once)
 	b.final(b.ask("quick", once))
-	b.until("one is idle", func(s Stats) bool { return s.Idle == 1 && s.Out == 1 })
+	b.until("one is idle", func(s Stats) bool { return s.IdleConns == 1 && s.Attempts == 1 })
 	drains, other := ready("s-1", 0), ready("s-2", 0)
 	drains.State, other.Address = "Terminating", "127.0.0.1:10"
-	b.loop.Post(func() { b.loop.Listed(b.loop.discovery, List{Rev: 2, Targets: []Target{drains, other}}, FromWatch) })
-	b.until("it is taken in", func(s Stats) bool { return s.Rev == 2 && s.Idle == 0 })
+	b.loop.Post(func() {
+		b.loop.ListReceived(b.loop.discovery, List{Rev: 2, Targets: []Target{drains, other}}, FromWatch)
+	})
+	b.until("it is taken in", func(s Stats) bool { return s.Revision == 2 && s.IdleConns == 0 })
 	for i := range 9 {
 		if got := b.final(b.ask(fmt.Sprint(i), read)); got != other.Address {
 			t.Errorf("a call went to %s", got)
@@ -334,7 +336,7 @@
 	if got := b.final(slow); got != drains.Address {
 		t.Errorf("what was running: %s", got)
 	}
-	b.until("its connection is closed", func(s Stats) bool { return s.Conns == s.Idle && s.Idle == 1 })
+	b.until("its connection is closed", func(s Stats) bool { return s.Conns == s.IdleConns && s.IdleConns == 1 })
 }
 
 // Lists reach the Balancer in order: what is older than its list is dropped, and what another discovery says is not
@@ -345,46 +347,46 @@
 		told := make(chan bool)
 		b.loop.Post(func() {
 			e := b.loop.endpoints.byID[b.loop.endpoints.id(uid)]
-			told <- e != nil && e.Open()
+			told <- e != nil && e.IsOpen()
 		})
 		return <-told
 	}
 	tell := func(from Discovery, l List, how Source) {
-		b.loop.Post(func() { b.loop.Listed(from, l, how) })
+		b.loop.Post(func() { b.loop.ListReceived(from, l, how) })
 	}
 	draining := ready("s-1", 0)
 	draining.State = "Terminating"
 	first := b.loop.discovery
 	tell(first, List{Rev: 5, Targets: []Target{draining}}, FromWatch)
-	tell(first, List{Rev: 4, All: true, Targets: []Target{ready("s-1", 0)}}, FromFetch)
+	tell(first, List{Rev: 4, Full: true, Targets: []Target{ready("s-1", 0)}}, FromFetch)
 	tell(first, List{Rev: 5, Targets: []Target{ready("s-1", 0)}}, FromWatch)
-	if open("s-1") || !open("s-2") || b.loop.Stats().Rev != 5 {
+	if open("s-1") || !open("s-2") || b.loop.Stats().Revision != 5 {
 		t.Error("an older list undid a drain")
 	}
-	tell(first, List{Rev: 6, All: true, Targets: []Target{ready("s-1", 0)}}, FromFetch)
+	tell(first, List{Rev: 6, Full: true, Targets: []Target{ready("s-1", 0)}}, FromFetch)
 	if !open("s-1") || open("s-2") {
 		t.Error("a newer list is not followed")
 	}
-	tell(first, List{Rev: 5, All: true, Targets: []Target{ready("s-2", 0)}}, FromWatch)
-	if s := b.loop.Stats(); s.Rev != 6 || !s.Moved || !open("s-1") || open("s-2") {
+	tell(first, List{Rev: 5, Full: true, Targets: []Target{ready("s-2", 0)}}, FromWatch)
+	if s := b.loop.Stats(); s.Revision != 6 || !s.AwaitingFullList || !open("s-1") || open("s-2") {
 		t.Errorf("an older whole list of a watch is taken without a look at what holds now: %+v", s)
 	}
-	tell(b.loop.discovery, List{Rev: 6, All: true, Targets: []Target{ready("s-1", 0)}}, FromFetch)
+	tell(b.loop.discovery, List{Rev: 6, Full: true, Targets: []Target{ready("s-1", 0)}}, FromFetch)
 	for range 3 { // a copy of discovery that lags must not have it asked without end
-		tell(b.loop.discovery, List{Rev: 5, All: true, Targets: []Target{ready("s-2", 0)}}, FromWatch)
+		tell(b.loop.discovery, List{Rev: 5, Full: true, Targets: []Target{ready("s-2", 0)}}, FromWatch)
 	}
-	if s := b.loop.Stats(); s.Rev != 6 || s.Moved || !open("s-1") || open("s-2") {
+	if s := b.loop.Stats(); s.Revision != 6 || s.AwaitingFullList || !open("s-1") || open("s-2") {
 		t.Errorf("older whole lists, one after another: %+v", s)
 	}
-	b.loop.Follow("second")
-	tell(first, List{Rev: 9, All: true}, FromFetch)
+	b.loop.SwitchDiscovery("second")
+	tell(first, List{Rev: 9, Full: true}, FromFetch)
 	b.loop.Post(func() { b.loop.ListFailed(first, errors.New("old")) })
-	if s := b.loop.Stats(); s.Rev != 6 || !s.Moved || s.Discovery != "second" || !open("s-1") {
+	if s := b.loop.Stats(); s.Revision != 6 || !s.AwaitingFullList || s.DiscoveryAddress != "second" || !open("s-1") {
 		t.Errorf("the old discovery is heard: %+v", s)
 	}
 	tell(b.loop.discovery, List{Rev: 3, Targets: []Target{ready("s-3", 0)}}, FromWatch)
-	tell(b.loop.discovery, List{Rev: 2, All: true, Targets: []Target{ready("s-4", 0)}}, FromFetch)
-	if s := b.loop.Stats(); s.Rev != 2 || s.Moved || open("s-3") || !open("s-4") {
+	tell(b.loop.discovery, List{Rev: 2, Full: true, Targets: []Target{ready("s-4", 0)}}, FromFetch)
+	if s := b.loop.Stats(); s.Revision != 2 || s.AwaitingFullList || open("s-3") || !open("s-4") {
 		t.Errorf("the new discovery is followed from changes on, or not at all: %+v", s)
 	}
 	want := "[first watch first stop first fetch first watch first stop first watch " +
@@ -402,7 +404,7 @@
 		const pause = time.Second
 		tell := func(rev uint64, how Source) {
 			b.loop.Post(func() {
-				b.loop.Listed(b.loop.discovery, List{Rev: rev, All: true, Targets: []Target{ready("s-1", 0)}}, how)
+				b.loop.ListReceived(b.loop.discovery, List{Rev: rev, Full: true, Targets: []Target{ready("s-1", 0)}}, how)
 			})
 		}
 		asked := func() (n int) {
@@ -413,7 +415,7 @@
 		tell(9, FromWatch)
 		tell(8, FromWatch)
 		tell(8, FromFetch) // what holds now
-		b.loop.Post(func() { b.loop.anewPause = pause })
+		b.loop.Post(func() { b.loop.resyncBackoff = pause })
 		before := asked()
 		tell(7, FromWatch)
 		if newer {
@@ -450,8 +452,8 @@
 		bad, alsoBad := ready("s-1", 0), ready("s-4", 0)
 		spoil(&bad)
 		spoil(&alsoBad)
-		list := List{Rev: 2, All: true, Targets: []Target{bad, ready("s-2", 0), alsoBad}}
-		b.loop.Post(func() { b.loop.Listed(b.loop.discovery, list, FromWatch) })
+		list := List{Rev: 2, Full: true, Targets: []Target{bad, ready("s-2", 0), alsoBad}}
+		b.loop.Post(func() { b.loop.ListReceived(b.loop.discovery, list, FromWatch) })
 		open := map[decision.EndpointID]bool{}
 		for _, e := range b.loop.Stats().Endpoints {
 			open[e.ID] = e.Open
@@ -476,13 +478,13 @@
 
 // The ids of what has ended are kept for a while, and no more of them than there is room for.
 func TestPastIsBounded(t *testing.T) {
-	var past past
-	for i := range 3 * pastMost {
+	var past recentIDs
+	for i := range 3 * maxRecentIDs {
 		past.add(decision.RequestID(fmt.Sprint(i)), 0)
 	}
-	past.add("last", 2*pastFor)
-	if len(past.at) != 1 || len(past.ids) != 1 || past.has("1", 2*pastFor) || !past.has("last", 2*pastFor) {
-		t.Errorf("%d ids are kept", len(past.at))
+	past.add("last", 2*recentIDsFor)
+	if len(past.endedAt) != 1 || len(past.order) != 1 || past.has("1", 2*recentIDsFor) || !past.has("last", 2*recentIDsFor) {
+		t.Errorf("%d ids are kept", len(past.endedAt))
 	}
 }
 
@@ -504,23 +506,23 @@
 		p.release(e, c)
 	}
 	for i, c := range conns {
-		c.Since = time.Now().Add(time.Duration(i-2) * rested) // conns[2] has just been used
+		c.IdleSince = time.Now().Add(time.Duration(i-2) * cautiousReuseDelay) // conns[2] has just been used
 	}
 	if c, _ := p.acquire(e, time.Now()); c != Conn(conns[1]) {
 		t.Error("not the most recently used one that has rested")
 	}
 	p.release(e, conns[1])
-	conns[0].Since = conns[2].Since
+	conns[0].IdleSince = conns[2].IdleSince
 	if c, _ := p.acquire(e, time.Now()); c != Conn(conns[0]) {
 		t.Error("where none has rested, not the one that has for longest")
 	}
 	p.release(e, conns[0])
-	conns[0].Since = conns[2].Since
-	if c, _ := p.acquire(e, time.Now().Add(2*rested)); c != Conn(conns[0]) {
+	conns[0].IdleSince = conns[2].IdleSince
+	if c, _ := p.acquire(e, time.Now().Add(2*cautiousReuseDelay)); c != Conn(conns[0]) {
 		t.Error("not the most recently used one")
 	}
 	p.release(e, conns[0])
-	if c, _ := p.acquire(e, time.Now().Add(2*rested)); c != Conn(conns[0]) {
+	if c, _ := p.acquire(e, time.Now().Add(2*cautiousReuseDelay)); c != Conn(conns[0]) {
 		t.Error("not the most recently used one")
 	}
 	if c, ok := p.acquire(other, time.Now()); c != nil || !ok || len(p.idle[e]) != 1 || !conns[2].closed {
@@ -528,22 +530,22 @@
 	}
 	p.release(other, nil)
 	p.release(e, conns[0])
-	if c, _ := p.acquire(e, time.Now().Add(2*p.maxIdle)); c != nil || p.open != 1 {
+	if c, _ := p.acquire(e, time.Now().Add(2*p.maxIdle)); c != nil || p.total != 1 {
 		t.Error("a connection outlived its idle time")
 	}
 	p.release(e, nil)
 	c := &link{}
-	p.open++
+	p.total++
 	p.release(e, c)
 	p.sweep(time.Now().Add(2 * p.maxIdle))
-	if p.open != 0 || len(p.idle) != 0 || !c.closed {
+	if p.total != 0 || len(p.idle) != 0 || !c.closed {
 		t.Error("swept connections are still there")
 	}
 	c = &link{}
-	p.open++
-	e.Shut()
+	p.total++
+	e.Close()
 	p.release(e, c)
-	if p.open != 0 || len(p.idle) != 0 {
+	if p.total != 0 || len(p.idle) != 0 {
 		t.Error("a connection to a draining endpoint is kept")
 	}
 }
@@ -554,23 +556,23 @@
 	b := newBench(t, nil, ready("s-1", 0), ready("s-2", 0))
 	b.send = func(a *Attempt, n int) Result { return b.served("ok") }
 	most := 0
-	b.loop.Post(func() { most, b.loop.pool.most = b.loop.pool.most, 0 })
+	b.loop.Post(func() { most, b.loop.pool.max = b.loop.pool.max, 0 })
 	for _, class := range []int{read, once} {
 		c := b.ask(fmt.Sprint("full", class), class)
 		select {
-		case a := <-c.Final:
-			if !a.Refused || a.RetryAfter <= 0 {
+		case a := <-c.Answered:
+			if !a.Retryable || a.RetryAfter <= 0 {
 				t.Errorf("class %d: %+v", class, a)
 			}
 		case <-time.After(patience / 10):
 			t.Errorf("class %d: it waits", class)
 		}
 	}
-	b.loop.Post(func() { b.loop.pool.most = most })
+	b.loop.Post(func() { b.loop.pool.max = most })
 	if got := b.final(b.ask("after", once)); got != "ok" {
 		t.Error(got)
 	}
-	b.until("nothing is left", func(s Stats) bool { return s.Calls+s.Out == 0 && s.Conns == s.Idle })
+	b.until("nothing is left", func(s Stats) bool { return s.Calls+s.Attempts == 0 && s.Conns == s.IdleConns })
 	if n := len(b.sends["full0"]) + len(b.sends["full1"]); n > 0 {
 		t.Errorf("%d attempts went out", n)
 	}
@@ -581,8 +583,8 @@
 	f := newLifecycle(zap.NewNop())
 	check := func(step string, ready, canServe bool) {
 		t.Helper()
-		if f.Ready() != ready || f.CanServe() != canServe {
-			t.Errorf("%s: ready %v, can serve %v", step, f.Ready(), f.CanServe())
+		if f.IsReady() != ready || f.CanServe() != canServe {
+			t.Errorf("%s: ready %v, can serve %v", step, f.IsReady(), f.CanServe())
 		}
 	}
 	check("new", false, false)
@@ -591,11 +593,11 @@
 	f.Resume()
 	check("drained and resumed without a list", false, false)
 	_, _, changed := f.Now()
-	f.haveList()
+	f.listReceived()
 	<-changed
 	check("with a list", true, true)
 	f.Drain()
-	f.haveList()
+	f.listReceived()
 	check("draining", false, true)
 	f.Resume()
 	check("back", true, true)
@@ -604,7 +606,7 @@
 	f.Resume()
 	f.Drain()
 	f.Resume()
-	f.haveList()
+	f.listReceived()
 	check("stopping", false, false)
 }
 
@@ -614,10 +616,10 @@
 
 // An endpoint's number is the same at every sidecar, in whatever order lists name it, and no two share one.
 func TestEndpointIDs(t *testing.T) {
-	a, b := newEndpoints(nil, nil, time.Now(), zap.NewNop()), newEndpoints(nil, nil, time.Now(), zap.NewNop())
-	put := func(t *endpoints, uid string) decision.EndpointID {
+	a, b := newEndpointTable(nil, nil, time.Now(), zap.NewNop()), newEndpointTable(nil, nil, time.Now(), zap.NewNop())
+	put := func(t *endpointTable, uid string) decision.EndpointID {
 		id := t.id(uid)
-		t.put(&Endpoint{ID: id, uid: uid})
+		t.add(&Endpoint{ID: id, uid: uid})
 		return id
 	}
 	if a.id("s-00000001") != 1 || a.id("s-5be2a07c") != 0x5be2a07c {
@@ -635,20 +637,20 @@
 // Starts are put on the event clock, alike each time: a later one means a restart.
 func TestStarts(t *testing.T) {
 	now := time.Now()
-	e := newEndpoints(nil, nil, now.Add(-clockStart), zap.NewNop())
+	e := newEndpointTable(nil, nil, now.Add(-clockStart), zap.NewNop())
 	boot := now.Add(-3 * time.Second).UnixMilli()
-	if got := e.started(boot); got < clockStart-4*time.Second || got > clockStart-2*time.Second || got != e.started(boot) {
+	if got := e.startTime(boot); got < clockStart-4*time.Second || got > clockStart-2*time.Second || got != e.startTime(boot) {
 		t.Errorf("3 s ago is %v on a clock at %v", got, clockStart)
 	}
-	if e.started(0) != 0 || e.started(1) != 0 {
+	if e.startTime(0) != 0 || e.startTime(1) != 0 {
 		t.Error("long past is not 0")
 	}
 }
 
 func TestChangedAddressOrBootTakesEffect(t *testing.T) {
-	e := newEndpoints([]string{"y", "z"}, []string{"m"}, time.Now().Add(-clockStart), zap.NewNop())
+	e := newEndpointTable([]string{"y", "z"}, []string{"m"}, time.Now().Add(-clockStart), zap.NewNop())
 	x := ready("s-1", 0)
-	entries, _ := e.update(List{All: true, Targets: []Target{x, ready("s-2", 0)}})
+	entries, _ := e.update(List{Full: true, Targets: []Target{x, ready("s-2", 0)}})
 	if len(entries) != 2 || entries[0].Zone != 1 || entries[0].Kind != 0 {
 		t.Fatalf("entries %+v", entries)
 	}
@@ -660,26 +662,26 @@
 		change()
 		old := e.byID[1]
 		entries, retired := e.update(List{Targets: []Target{x}})
-		if len(retired) != 1 || retired[0] != old || old.Open() || !e.byID[1].Open() || e.byID[1].Address != x.Address {
+		if len(retired) != 1 || retired[0] != old || old.IsOpen() || !e.byID[1].IsOpen() || e.byID[1].Address != x.Address {
 			t.Errorf("after a change: %+v", e.byID[1])
 		}
 		if x.BootMS > 0 && entries[0].Started == 0 {
 			t.Error("the start is not told")
 		}
 	}
-	if first.Open() || !e.byID[2].Open() {
+	if first.IsOpen() || !e.byID[2].IsOpen() {
 		t.Error("a delta closed what it does not name, or left the old address open")
 	}
-	e.update(List{All: true, Targets: []Target{x}})
+	e.update(List{Full: true, Targets: []Target{x}})
 	if e.byID[2] != nil || len(e.ids) != 1 {
 		t.Error("an endpoint that left the whole list is open")
 	}
-	for i := range 2 * mostNames {
+	for i := range 2 * maxNames {
 		y := ready("s-3", 0)
 		y.Zone, y.Model = fmt.Sprint(i), fmt.Sprint(i)
 		e.update(List{Targets: []Target{y}})
 	}
-	if len(e.zones) > mostNames || len(e.models) > mostNames {
+	if len(e.zones) > maxNames || len(e.models) > maxNames {
 		t.Error("names that lists bring are kept without end")
 	}
 	if entries, _ := e.update(List{Targets: []Target{{UID: "s-3", Address: "nowhere", State: "Ready"}}}); len(entries) != 0 {
@@ -693,13 +695,13 @@
 	b.loop.Close()
 	<-b.loop.done
 	b.loop.Close()
-	for range 2 * eventQueue { // more than the queue holds
+	for range 2 * eventQueueSize { // more than the queue holds
 		b.loop.Post(func() { t.Error("it still runs") })
 	}
-	if s := b.loop.Stats(); s.Calls != 0 || b.loop.Reserve() {
+	if s := b.loop.Stats(); s.Calls != 0 || b.loop.ReserveConn() {
 		t.Errorf("%+v", s)
 	}
-	if _, _, err := b.loop.Evidence(context.Background(), nil); !errors.Is(err, errEnded) {
+	if _, _, err := b.loop.Evidence(context.Background(), nil); !errors.Is(err, errLoopClosed) {
 		t.Errorf("evidence of an ended loop: %v", err)
 	}
 }
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -17,7 +17,7 @@
 // List is discovery's list of endpoints, whole or what changed.
 type List struct {
 	Rev     uint64   `json:"rev"`
-	All     bool     `json:"all"`
+	Full    bool     `json:"all"`
 	Targets []Target `json:"targets"`
 }
 
@@ -48,11 +48,11 @@
 
 // Endpoint is one start of an endpoint at one address. When either changes, another takes its place.
 type Endpoint struct {
-	ID      decision.EndpointID
-	Address string
-	Waiting atomic.Int32 // attempts that wait for its answer, on connections that stand
+	ID               decision.EndpointID
+	Address          string
+	AwaitingResponse atomic.Int32 // attempts that wait for its answer, on connections that stand
 
-	beyond atomic.Int64 // when it last sent more than it was asked for, in Unix nanoseconds
+	unsolicitedAt atomic.Int64 // when it last sent more than it was asked for, in Unix nanoseconds
 
 	uid    string
 	bootMS int64
@@ -70,67 +70,67 @@
 const (
 	// settle is how long a connection rests after an answer at the least. Nothing ties an answer to its request, so what
 	// an endpoint sends beyond an answer must be seen before the next request is written.
-	settle = time.Millisecond
+	reuseDelay = time.Millisecond
 	// rested is when that has come that is some milliseconds late. A connection that has rested so long is preferred, and
 	// one to an endpoint that has sent more than it was asked for, in the last distrustFor, waits until then.
-	rested      = 20 * time.Millisecond
-	distrustFor = 10 * time.Second
+	cautiousReuseDelay = 20 * time.Millisecond
+	unsolicitedMemory  = 10 * time.Second
 )
 
 // SentBeyond notes that the endpoint has sent more than it was asked for.
-func (e *Endpoint) SentBeyond() { e.beyond.Store(time.Now().UnixNano()) }
+func (e *Endpoint) NoteUnsolicitedData() { e.unsolicitedAt.Store(time.Now().UnixNano()) }
 
 // Settle is how long a connection to it rests after an answer.
-func (e *Endpoint) Settle() time.Duration {
-	if time.Since(time.Unix(0, e.beyond.Load())) < distrustFor {
-		return rested
+func (e *Endpoint) ReuseDelay() time.Duration {
+	if time.Since(time.Unix(0, e.unsolicitedAt.Load())) < unsolicitedMemory {
+		return cautiousReuseDelay
 	}
-	return settle
+	return reuseDelay
 }
 
 // Open tells whether it may get new attempts.
-func (e *Endpoint) Open() bool { return e.open.Load() }
+func (e *Endpoint) IsOpen() bool { return e.open.Load() }
 
 // Shut closes it to new attempts.
-func (e *Endpoint) Shut() { e.open.Store(false) }
+func (e *Endpoint) Close() { e.open.Store(false) }
 
 // endpoints is the table of the endpoints that are listed. One that has gone is forgotten at once: what is
 // still out to it holds on to its endpoint, that is open to nothing new. The loop owns the table.
-type endpoints struct {
+type endpointTable struct {
 	log    *zap.Logger
 	origin time.Time // zero of the event clock
 	byID   map[decision.EndpointID]*Endpoint
 	ids    map[string]decision.EndpointID
-	zones  names
-	models names
+	zones  nameIndex
+	models nameIndex
 }
 
 // names numbers names as the settings do, and those that they lack after them.
-type names map[string]int
+type nameIndex map[string]int
 
 // mostNames bounds the names of one sort that lists may bring.
-const mostNames = 256
+const maxNames = 256
 
 // index is false when there are too many names.
-func (n names) index(name string) (int, bool) {
+func (n nameIndex) lookup(name string) (int, bool) {
 	if i, ok := n[name]; ok {
 		return i, true
 	}
-	if len(n) >= mostNames {
+	if len(n) >= maxNames {
 		return 0, false
 	}
 	n[name] = len(n)
 	return n[name], true
 }
 
-func newEndpoints(zones, models []string, origin time.Time, log *zap.Logger) *endpoints {
-	t := &endpoints{log: log, origin: origin, byID: map[decision.EndpointID]*Endpoint{},
-		ids: map[string]decision.EndpointID{}, zones: names{}, models: names{}}
+func newEndpointTable(zones, models []string, origin time.Time, log *zap.Logger) *endpointTable {
+	t := &endpointTable{log: log, origin: origin, byID: map[decision.EndpointID]*Endpoint{},
+		ids: map[string]decision.EndpointID{}, zones: nameIndex{}, models: nameIndex{}}
 	for _, z := range zones {
-		t.zones.index(z)
+		t.zones.lookup(z)
 	}
 	for _, m := range models {
-		t.models.index(m)
+		t.models.lookup(m)
 	}
 	return t
 }
@@ -138,7 +138,7 @@
 // id numbers a uid. Where it ends in 32 bits of hexadecimal, as discovery's do, these are its number: the
 // same at every sidecar, and no two share it. Others are hashed, and where two would share a number, the
 // later one moves on.
-func (t *endpoints) id(uid string) decision.EndpointID {
+func (t *endpointTable) id(uid string) decision.EndpointID {
 	if id, ok := t.ids[uid]; ok {
 		return id
 	}
@@ -156,30 +156,30 @@
 }
 
 // put puts an endpoint into the table, in the place of one that it replaces.
-func (t *endpoints) put(e *Endpoint) {
+func (t *endpointTable) add(e *Endpoint) {
 	t.byID[e.ID], t.ids[e.uid] = e, e.ID
 }
 
 // forget takes an endpoint that has gone out of the table.
-func (t *endpoints) forget(e *Endpoint) {
-	e.Shut()
+func (t *endpointTable) remove(e *Endpoint) {
+	e.Close()
 	delete(t.byID, e.ID)
 	delete(t.ids, e.uid)
 }
 
 // update takes a list in and returns it in the Balancer's terms, with the endpoints whose idle connections
 // are of no more use.
-func (t *endpoints) update(l List) (entries []decision.Entry, retired []*Endpoint) {
+func (t *endpointTable) update(l List) (entries []decision.Entry, retired []*Endpoint) {
 	listed := map[decision.EndpointID]bool{}
 	for _, x := range l.Targets {
 		state, ok := states[x.State]
-		zone, zoneOK := t.zones.index(x.Zone)
-		model, modelOK := t.models.index(x.Model)
+		zone, zoneOK := t.zones.lookup(x.Zone)
+		model, modelOK := t.models.lookup(x.Model)
 		_, _, err := net.SplitHostPort(x.Address)
 		if !ok || !zoneOK || !modelOK || x.UID == "" || err != nil && state == decision.Ready {
 			t.log.Warn("discovery.entry_refused", zap.String("uid", x.UID), zap.String("state", x.State),
 				zap.String("address", x.Address), zap.String("zone", x.Zone), zap.String("model", x.Model))
-			if known, ok := t.ids[x.UID]; ok && l.All && !listed[known] {
+			if known, ok := t.ids[x.UID]; ok && l.Full && !listed[known] {
 				listed[known] = true // it has not gone: it stays as it was
 				entries = append(entries, t.byID[known].entry)
 			}
@@ -190,27 +190,27 @@
 		e := t.byID[id]
 		if e == nil || state == decision.Ready && (e.Address != x.Address || e.bootMS != x.BootMS) {
 			if e != nil {
-				e.Shut()
+				e.Close()
 				retired = append(retired, e)
 			}
 			e = &Endpoint{ID: id, uid: x.UID, Address: x.Address, bootMS: x.BootMS}
-			t.put(e)
+			t.add(e)
 		}
 		e.open.Store(state == decision.Ready)
 		if state != decision.Ready {
 			retired = append(retired, e)
 		}
 		if state == decision.Departed {
-			t.forget(e)
+			t.remove(e)
 		}
 		e.entry = decision.Entry{Endpoint: id, Zone: zone, Kind: model, Cell: x.Cell, State: state, Weight: x.Weight,
-			Started: t.started(x.BootMS)}
+			Started: t.startTime(x.BootMS)}
 		entries = append(entries, e.entry)
 	}
-	if l.All {
+	if l.Full {
 		for id, e := range t.byID {
 			if !listed[id] {
-				t.forget(e)
+				t.remove(e)
 				retired = append(retired, e)
 			}
 		}
@@ -220,7 +220,7 @@
 
 // started puts a start in Unix time on the event clock. It always gives the same for the same start: the
 // Balancer takes a later one for a restart.
-func (t *endpoints) started(bootMS int64) time.Duration {
+func (t *endpointTable) startTime(bootMS int64) time.Duration {
 	if bootMS == 0 {
 		return 0
 	}
--- a/internal/core/evidence.go
+++ b/internal/core/evidence.go
@@ -13,16 +13,16 @@
 
 // Evidence is what this process's own calls have shown of a server, under a name that all brokers of a fleet share.
 type Evidence struct {
-	Server string // its uid and start: one that has restarted is another
-	Bad    bool   // it is isolated; otherwise it answered well
-	Age    time.Duration
+	Server  string // its uid and start: one that has restarted is another
+	Ejected bool   // it is isolated; otherwise it answered well
+	Age     time.Duration
 }
 
 // serverName is what brokers call an endpoint among themselves.
 func serverName(e *Endpoint) string { return e.uid + "@" + strconv.FormatInt(e.bootMS, 10) }
 
 // errEnded is the word of a loop that has ended.
-var errEnded = errors.New("the core has ended")
+var errLoopClosed = errors.New("the core has ended")
 
 // ask has the loop answer something, or gives up with ctx or the loop's end: the loop may have a long queue, or none.
 func ask[T any](ctx context.Context, l *Loop, look func() T) (T, error) {
@@ -33,7 +33,7 @@
 	case <-ctx.Done():
 		return none, ctx.Err()
 	case <-l.done:
-		return none, errEnded
+		return none, errLoopClosed
 	}
 	select {
 	case x := <-got:
@@ -41,7 +41,7 @@
 	case <-ctx.Done():
 		return none, ctx.Err()
 	case <-l.done:
-		return none, errEnded
+		return none, errLoopClosed
 	}
 }
 
@@ -54,7 +54,7 @@
 	}
 	a, err := ask(ctx, l, func() (a answer) {
 		a.listed = len(l.endpoints.byID)
-		for _, e := range l.balancer.Evidence(l.now(), l.known(named)) {
+		for _, e := range l.balancer.Evidence(l.now(), l.listedIDs(named)) {
 			if x := l.endpoints.byID[e.Endpoint]; x != nil {
 				a.all = append(a.all, Evidence{serverName(x), e.Ejected, e.Age})
 			}
@@ -65,11 +65,11 @@
 }
 
 // Advise hands the Balancer the servers that are bad by the word of other brokers, and tells how much of it changed anything.
-func (l *Loop) Advise(ctx context.Context, advice []Evidence) (heeded int, err error) {
+func (l *Loop) ApplyPeerEjections(ctx context.Context, advice []Evidence) (heeded int, err error) {
 	return ask(ctx, l, func() int {
 		var told []decision.PeerEjection
 		for _, a := range advice {
-			for _, id := range l.known([]string{a.Server}) {
+			for _, id := range l.listedIDs([]string{a.Server}) {
 				told = append(told, decision.PeerEjection{Endpoint: id, Age: a.Age})
 			}
 		}
@@ -78,7 +78,7 @@
 }
 
 // known are the ids of the servers named that are listed, as they were started.
-func (l *Loop) known(named []string) (ids []decision.EndpointID) {
+func (l *Loop) listedIDs(named []string) (ids []decision.EndpointID) {
 	for _, name := range named {
 		at := strings.LastIndexByte(name, '@')
 		if at < 0 {
@@ -92,15 +92,15 @@
 }
 
 // Use is what came of one tenant's requests since the start.
-type Use = decision.Usage
+type Usage = decision.Usage
 
 // Uses tell what came of each tenant, in the settings' order; of none before the first list.
-func (l *Loop) Uses(ctx context.Context) ([]Use, error) {
-	return ask(ctx, l, func() []Use { return l.balancer.Usage() })
+func (l *Loop) Usage(ctx context.Context) ([]Usage, error) {
+	return ask(ctx, l, func() []Usage { return l.balancer.Usage() })
 }
 
 // Allot sets what may be spent a second at this process until a time, the zero time for no end; Until is set from it.
-func (l *Loop) Allot(a decision.QuotaShares, until time.Time) {
+func (l *Loop) SetQuotaShares(a decision.QuotaShares, until time.Time) {
 	a.TenantRates, a.TenantFallbackRates = slices.Clone(a.TenantRates), slices.Clone(a.TenantFallbackRates)
 	if !until.IsZero() {
 		a.Until = until.Sub(l.origin)
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -21,7 +21,7 @@
 		if json.Unmarshal(text, &l) != nil {
 			return
 		}
-		table := newEndpoints([]string{"z"}, []string{"m"}, time.Now(), zap.NewNop())
+		table := newEndpointTable([]string{"z"}, []string{"m"}, time.Now(), zap.NewNop())
 		for round := range 2 {
 			entries, retired := table.update(l)
 			named := map[string]bool{}
@@ -31,7 +31,7 @@
 			}
 			for _, e := range entries {
 				ready[e.Endpoint] = e.State == decision.Ready
-				if e.Started < 0 || e.Zone < 0 || e.Zone > mostNames || e.Kind > mostNames {
+				if e.Started < 0 || e.Zone < 0 || e.Zone > maxNames || e.Kind > maxNames {
 					t.Fatalf("%q: %+v", text, e)
 				}
 			}
@@ -39,7 +39,7 @@
 				t.Fatalf("%q: %d names, %d numbers", text, len(table.ids), len(table.byID))
 			}
 			for id, e := range table.byID {
-				if e.ID != id || table.ids[e.uid] != id || l.All && !named[e.uid] {
+				if e.ID != id || table.ids[e.uid] != id || l.Full && !named[e.uid] {
 					t.Fatalf("%q: %+v is kept", text, e)
 				}
 			}
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -22,14 +22,14 @@
 // Lifecycle is the one place that knows the phase. It is asked by handlers, the loop and the second address
 // alike, and never blocks.
 type Lifecycle struct {
-	log     *zap.Logger
-	mu      sync.Mutex
-	phase   Phase
-	listed  bool          // the Balancer has a list
-	since   time.Time     // start of the phase
-	last    time.Time     // of stopping: when connections are closed, busy or not with their answer
-	end     time.Time     // and when all is answered
-	changed chan struct{} // closed when the phase changes
+	log          *zap.Logger
+	mu           sync.Mutex
+	phase        Phase
+	listed       bool          // the Balancer has a list
+	since        time.Time     // start of the phase
+	connsCloseAt time.Time     // of stopping: when connections are closed, busy or not with their answer
+	deadline     time.Time     // and when all is answered
+	changed      chan struct{} // closed when the phase changes
 }
 
 func newLifecycle(log *zap.Logger) *Lifecycle {
@@ -48,7 +48,7 @@
 }
 
 // haveList tells that the Balancer has a list: the sidecar can serve.
-func (f *Lifecycle) haveList() {
+func (f *Lifecycle) listReceived() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.listed = true
@@ -84,7 +84,7 @@
 func (f *Lifecycle) Stop(last, end time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.last, f.end = last, end
+	f.connsCloseAt, f.deadline = last, end
 	f.enter(Stopping)
 }
 
@@ -96,7 +96,7 @@
 }
 
 // Ready tells whether callers may be sent here.
-func (f *Lifecycle) Ready() bool {
+func (f *Lifecycle) IsReady() bool {
 	p, _, _ := f.Now()
 	return p == Serving
 }
@@ -109,15 +109,15 @@
 }
 
 // Closing tells whether a sidecar that stops closes its connections, or will in a moment.
-func (f *Lifecycle) Closing(moment time.Duration) bool {
+func (f *Lifecycle) IsClosingWithin(moment time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.phase == Stopping && time.Until(f.last) < moment
+	return f.phase == Stopping && time.Until(f.connsCloseAt) < moment
 }
 
 // Ends is when all is answered; zero unless the sidecar stops.
-func (f *Lifecycle) Ends() time.Time {
+func (f *Lifecycle) Deadline() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.end
+	return f.deadline
 }
--- a/internal/core/memory.go
+++ b/internal/core/memory.go
@@ -8,19 +8,19 @@
 const (
 	// bodyShare is the part of the memory that bodies may use that are held, and relayShare what the buffers of
 	// those that are passed on may.
-	bodyShare  = 0.25
-	relayShare = 0.125
+	bodyMemoryShare  = 0.25
+	relayMemoryShare = 0.125
 
-	leastBuffer = 4 << 10
-	mostBuffer  = 32 << 10
+	minBuffer = 4 << 10
+	maxBuffer = 32 << 10
 
 	// outboundShare is the part of the sockets that connections to endpoints may use.
-	outboundShare = 0.4
+	outboundSocketShare = 0.4
 	// ReservedSockets are for the listeners, discovery, probes, standard streams and the runtime, for
 	// control.MaxConnections, and for ExcessSockets: callers that come when all connections are busy, and are
 	// turned away.
 	ReservedSockets = 40
-	ExcessSockets   = 12
+	OverflowSockets = 12
 )
 
 // Limits are those of the machine that a process runs on.
@@ -31,10 +31,14 @@
 }
 
 // Inbound is how many connections callers may have.
-func (l Limits) Inbound() int { return int((1 - outboundShare) * float64(l.Sockets-ReservedSockets)) }
+func (l Limits) MaxInbound() int {
+	return int((1 - outboundSocketShare) * float64(l.Sockets-ReservedSockets))
+}
 
 // Outbound is how many connections there may be to endpoints.
-func (l Limits) Outbound() int { return int(outboundShare * float64(l.Sockets-ReservedSockets)) }
+func (l Limits) MaxOutbound() int {
+	return int(outboundSocketShare * float64(l.Sockets-ReservedSockets))
+}
 
 // Memory bounds what bodies take, of all requests and answers together.
 type Memory struct {
@@ -44,8 +48,8 @@
 
 // NewMemory makes the memory of a process.
 func NewMemory(limits Limits) *Memory {
-	m := &Memory{Buffers: NewBuffers(int(relayShare*float64(limits.MemoryMB<<20)) / limits.Sockets)}
-	m.Bodies.Give(int(bodyShare * float64(limits.MemoryMB<<20)))
+	m := &Memory{Buffers: NewBuffers(int(relayMemoryShare*float64(limits.MemoryMB<<20)) / limits.Sockets)}
+	m.Bodies.Release(int(bodyMemoryShare * float64(limits.MemoryMB<<20)))
 	return m
 }
 
@@ -55,7 +59,7 @@
 
 // NewBuffers makes buffers of a size, or of the nearest that is of use.
 func NewBuffers(size int) *Buffers {
-	size = min(max(size, leastBuffer), mostBuffer)
+	size = min(max(size, minBuffer), maxBuffer)
 	return &Buffers{pool: sync.Pool{New: func() any { b := make([]byte, size); return &b }}}
 }
 
@@ -64,22 +68,22 @@
 func (b *Buffers) Put(buffer []byte) { b.pool.Put(&buffer) }
 
 // Budget bounds the bytes that are held for the bodies of all requests and answers together.
-type Budget struct{ left atomic.Int64 }
+type Budget struct{ available atomic.Int64 }
 
 // Take takes bytes, if they are there.
-func (b *Budget) Take(n int) bool {
-	if b.left.Add(-int64(n)) >= 0 {
+func (b *Budget) TryAcquire(n int) bool {
+	if b.available.Add(-int64(n)) >= 0 {
 		return true
 	}
-	b.Give(n)
+	b.Release(n)
 	return false
 }
 
 // Give gives bytes back.
-func (b *Budget) Give(n int) { b.left.Add(int64(n)) }
+func (b *Budget) Release(n int) { b.available.Add(int64(n)) }
 
 // Force takes what little is needed to go on, though it is not there.
-func (b *Budget) Force(n int) { b.left.Add(-int64(n)) }
+func (b *Budget) ForceAcquire(n int) { b.available.Add(-int64(n)) }
 
 // Left is how many bytes may still be taken.
-func (b *Budget) Left() int64 { return b.left.Load() }
+func (b *Budget) Available() int64 { return b.available.Load() }
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -11,8 +11,8 @@
 const (
 	// idleShare is the part of connIdle after which an idle connection is retired: a request that is written
 	// while the endpoint closes it would be lost as a reset.
-	idleShare   = 0.5
-	idleDefault = 10 * time.Second // where connIdle is not told
+	idleTimeoutShare = 0.5
+	defaultConnIdle  = 10 * time.Second // where connIdle is not told
 )
 
 // Conn is a connection to an endpoint; it carries one attempt at a time. It embeds an Idle.
@@ -20,31 +20,31 @@
 	Close() error
 	// Alive tells whether it can carry a request: its peer has neither closed it nor sent what nobody asked for.
 	Alive() bool
-	idle() *Idle
+	poolEntry() *PoolEntry
 }
 
 // Idle is what the pool keeps of a connection.
-type Idle struct {
-	Since    time.Time // when its last attempt ended
-	endpoint *Endpoint // while it is idle:
-	at       *list.Element
+type PoolEntry struct {
+	IdleSince time.Time // when its last attempt ended
+	endpoint  *Endpoint // while it is idle:
+	element   *list.Element
 }
 
-func (i *Idle) idle() *Idle { return i }
+func (i *PoolEntry) poolEntry() *PoolEntry { return i }
 
 // pool holds the idle connections to all endpoints, and bounds all connections to them. The loop owns it.
 type pool struct {
-	idle    map[*Endpoint][]Conn // the most recently used last
-	order   list.List            // of all idle ones, the longest idle first
-	open    int                  // connections in use, idle or being made
-	most    int
-	maxIdle time.Duration
+	idle        map[*Endpoint][]Conn // the most recently used last
+	oldestFirst list.List            // of all idle ones, the longest idle first
+	total       int                  // connections in use, idle or being made
+	max         int
+	maxIdle     time.Duration
 }
 
 func newPool(s *settings.Settings, most int) pool {
-	p := pool{idle: map[*Endpoint][]Conn{}, maxIdle: idleDefault, most: most}
+	p := pool{idle: map[*Endpoint][]Conn{}, maxIdle: defaultConnIdle, max: most}
 	if idle := s.ConnIdle; idle > 0 {
-		p.maxIdle = time.Duration(idleShare * float64(idle))
+		p.maxIdle = time.Duration(idleTimeoutShare * float64(idle))
 	}
 	return p
 }
@@ -54,33 +54,33 @@
 func (p *pool) acquire(e *Endpoint, now time.Time) (c Conn, ok bool) {
 	conns := p.idle[e]
 	if len(conns) == 0 {
-		return nil, p.room()
+		return nil, p.reserve()
 	}
-	if now.Sub(conns[len(conns)-1].idle().Since) >= p.maxIdle {
+	if now.Sub(conns[len(conns)-1].poolEntry().IdleSince) >= p.maxIdle {
 		p.closeIdle(e) // the others are older
-		return nil, p.room()
+		return nil, p.reserve()
 	}
 	c = conns[0]
 	for _, x := range slices.Backward(conns) {
-		if now.Sub(x.idle().Since) >= rested {
+		if now.Sub(x.poolEntry().IdleSince) >= cautiousReuseDelay {
 			c = x
 			break
 		}
 	}
-	p.take(c)
+	p.remove(c)
 	return c, true
 }
 
 // room takes a place for a connection.
-func (p *pool) room() bool {
-	if p.open >= p.most {
-		oldest := p.order.Front()
+func (p *pool) reserve() bool {
+	if p.total >= p.max {
+		oldest := p.oldestFirst.Front()
 		if oldest == nil {
 			return false
 		}
 		p.close(oldest.Value.(Conn))
 	}
-	p.open++
+	p.total++
 	return true
 }
 
@@ -88,20 +88,20 @@
 func (p *pool) release(e *Endpoint, c Conn) {
 	switch {
 	case c == nil:
-		p.open--
-	case !e.Open():
+		p.total--
+	case !e.IsOpen():
 		c.Close()
-		p.open--
+		p.total--
 	default:
-		*c.idle() = Idle{Since: time.Now(), endpoint: e, at: p.order.PushBack(c)}
+		*c.poolEntry() = PoolEntry{IdleSince: time.Now(), endpoint: e, element: p.oldestFirst.PushBack(c)}
 		p.idle[e] = append(p.idle[e], c)
 	}
 }
 
 // take takes a connection out of the idle ones.
-func (p *pool) take(c Conn) {
-	e := c.idle().endpoint
-	p.order.Remove(c.idle().at)
+func (p *pool) remove(c Conn) {
+	e := c.poolEntry().endpoint
+	p.oldestFirst.Remove(c.poolEntry().element)
 	conns := p.idle[e]
 	i := slices.Index(conns, c)
 	if conns = slices.Delete(conns, i, i+1); len(conns) == 0 {
@@ -113,9 +113,9 @@
 
 // close closes an idle connection.
 func (p *pool) close(c Conn) {
-	p.take(c)
+	p.remove(c)
 	c.Close()
-	p.open--
+	p.total--
 }
 
 func (p *pool) closeIdle(e *Endpoint) {
@@ -126,10 +126,10 @@
 
 // sweep closes connections that have been idle for too long or whose peer has closed them.
 func (p *pool) sweep(now time.Time) {
-	for at := p.order.Front(); at != nil; {
+	for at := p.oldestFirst.Front(); at != nil; {
 		c := at.Value.(Conn)
 		at = at.Next()
-		if now.Sub(c.idle().Since) >= p.maxIdle || !c.Alive() {
+		if now.Sub(c.poolEntry().IdleSince) >= p.maxIdle || !c.Alive() {
 			p.close(c)
 		}
 	}
--- a/internal/dataplane/dataplane_test.go
+++ b/internal/dataplane/dataplane_test.go
@@ -108,18 +108,18 @@
 	It("is refused, as not run, where there is no memory for its body, and gives back what it took", func() {
 		e := newStandIn("i-1", says(200, "hello", stamped))
 		s := newSidecar(route("non_idempotent", ""), e)
-		all := int(s.process.memory.Bodies.Left())
-		s.process.memory.Bodies.Force(all)
+		all := int(s.process.memory.Bodies.Available())
+		s.process.memory.Bodies.ForceAcquire(all)
 		response, _, err := s.ask("/p/")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.StatusCode).To(Equal(503))
 		Expect(response.Header.Get("Retry-After")).NotTo(BeEmpty())
 		Expect(e.seen()).To(BeEmpty())
-		s.process.memory.Bodies.Give(all)
+		s.process.memory.Bodies.Release(all)
 		response, _, err = s.ask("/p/")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.StatusCode).To(Equal(200))
-		Eventually(func() int { return int(s.process.memory.Bodies.Left()) }, patienceOfTest).Should(Equal(all))
+		Eventually(func() int { return int(s.process.memory.Bodies.Available()) }, patienceOfTest).Should(Equal(all))
 	})
 
 	It("is not taken before there is a configuration", func() {
--- a/internal/dataplane/handler.go
+++ b/internal/dataplane/handler.go
@@ -41,7 +41,7 @@
 		return
 	}
 	q, err := readRequest(r, route, config.parsed.Limits, &p.memory.Bodies)
-	defer func() { p.memory.Bodies.Give(q.held) }()
+	defer func() { p.memory.Bodies.Release(q.held) }()
 	if err != nil {
 		refusalOfUnread(err).answer(w)
 		return
--- a/internal/dataplane/metrics.go
+++ b/internal/dataplane/metrics.go
@@ -48,7 +48,7 @@
 func (p *Process) writeMetrics(w io.Writer, marks map[routing.EndpointState]int) {
 	gauge := func(name string, value uint64) { metrics.WriteGaugeUint64(w, "dykering_proxy_"+name, value) }
 	gauge("requests_under_way", uint64(max(p.underWay.Load(), 0)))
-	gauge("body_memory_left_bytes", uint64(max(p.memory.Bodies.Left(), 0)))
+	gauge("body_memory_left_bytes", uint64(max(p.memory.Bodies.Available(), 0)))
 	gauge("stopping", lo.Ternary[uint64](p.stopping(), 1, 0))
 	config := p.config.Load()
 	gauge("ready", lo.Ternary[uint64](config != nil && !p.stopping(), 1, 0))
--- a/internal/dataplane/request.go
+++ b/internal/dataplane/request.go
@@ -131,7 +131,7 @@
 	for {
 		if len(q.body) == cap(q.body) {
 			more := max(bodyPiece, len(q.body))
-			if !memory.Take(more) {
+			if !memory.TryAcquire(more) {
 				return errkind.New(errkind.Overloaded, "no memory for the body")
 			}
 			q.held += more
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -175,7 +175,7 @@
 		}
 		alive()
 		got, since = true, &l.Rev
-		w.post(ctx, func() { w.sink.Listed(w, l, core.FromWatch) })
+		w.post(ctx, func() { w.sink.ListReceived(w, l, core.FromWatch) })
 	}
 }
 
@@ -196,7 +196,7 @@
 			case err != nil:
 				w.sink.ListFailed(w, err)
 			default:
-				w.sink.Listed(w, got, core.FromFetch)
+				w.sink.ListReceived(w, got, core.FromFetch)
 			}
 		})
 	}()
@@ -214,7 +214,7 @@
 	if l, err = newLists(body, func() {}).next(); err != nil {
 		return l, fmt.Errorf("fetch: %w", noEOF(err))
 	}
-	if !l.All {
+	if !l.Full {
 		return l, errors.New("fetch: not the whole list")
 	}
 	return l, nil
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -40,7 +40,7 @@
 }
 
 func (s *sink) Post(event func()) { s.events <- event }
-func (s *sink) Listed(_ core.Discovery, l core.List, how core.Source) {
+func (s *sink) ListReceived(_ core.Discovery, l core.List, how core.Source) {
 	s.told <- fmt.Sprint("list ", l.Rev, " by ", how)
 }
 func (s *sink) ListFailed(_ core.Discovery, err error) { s.told <- "failed" }
@@ -60,7 +60,7 @@
 }
 
 func line(rev uint64) string {
-	text, _ := json.Marshal(core.List{Rev: rev, All: rev%2 == 0})
+	text, _ := json.Marshal(core.List{Rev: rev, Full: rev%2 == 0})
 	return "\n" + string(text) + "\n\n"
 }
 
--- a/internal/fleet/budgets/budgets.go
+++ b/internal/fleet/budgets/budgets.go
@@ -40,8 +40,8 @@
 
 // Broker is whose requests the budgets are of.
 type Broker interface {
-	Uses(ctx context.Context) ([]core.Use, error)
-	Allot(a decision.QuotaShares, until time.Time)
+	Usage(ctx context.Context) ([]core.Usage, error)
+	SetQuotaShares(a decision.QuotaShares, until time.Time)
 }
 
 // Gossip is how members are reached.
@@ -114,7 +114,7 @@
 	voter  int // that is asked
 	heard  bool
 	leased bool
-	uses   []core.Use
+	uses   []core.Usage
 	demand budget.Demand
 	began  time.Time
 	events chan envelope
@@ -305,7 +305,7 @@
 func (s *Service) measure() {
 	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
 	defer cancel()
-	uses, err := s.broker.Uses(ctx)
+	uses, err := s.broker.Usage(ctx)
 	asked := make([]float64, len(s.floor))
 	if err != nil || len(uses) > len(asked) { // before the first list there are none
 		return
@@ -330,7 +330,7 @@
 	if n := len(parts) - 1; s.config.Section.Retries > 0 {
 		a = decision.QuotaShares{TenantRates: parts[:n], TenantFallbackRates: floors[:n], RetryRate: parts[n], RetryFallbackRate: floors[n]}
 	}
-	s.broker.Allot(a, until)
+	s.broker.SetQuotaShares(a, until)
 }
 
 // allot has the broker spend by what it holds. Each time that changes, a line tells from when until when, by the wall's
--- a/internal/fleet/budgets/budgets_test.go
+++ b/internal/fleet/budgets/budgets_test.go
@@ -26,8 +26,8 @@
 	take  func([]byte)
 }
 
-func (l *lone) Uses(context.Context) ([]core.Use, error) { return make([]core.Use, 1), nil }
-func (l *lone) Allot(a decision.QuotaShares, _ time.Time) {
+func (l *lone) Usage(context.Context) ([]core.Usage, error) { return make([]core.Usage, 1), nil }
+func (l *lone) SetQuotaShares(a decision.QuotaShares, _ time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.parts = slices.Clone(a.TenantRates)
--- a/internal/fleet/replication/replication.go
+++ b/internal/fleet/replication/replication.go
@@ -43,7 +43,7 @@
 // Broker is whose calls the evidence is of, and who takes advice.
 type Broker interface {
 	Evidence(ctx context.Context, named []string) (all []core.Evidence, listed int, err error)
-	Advise(ctx context.Context, advice []core.Evidence) (heeded int, err error)
+	ApplyPeerEjections(ctx context.Context, advice []core.Evidence) (heeded int, err error)
 }
 
 // Gossip is how members are reached.
@@ -215,7 +215,7 @@
 	}
 	for _, e := range evidence {
 		word := replica.Good
-		if e.Bad {
+		if e.Ejected {
 			word = replica.Bad
 		}
 		if f, news := store.Set(now, e.Server, word, time.Duration(s.section.TTL)); news {
@@ -226,12 +226,12 @@
 		Most: float64(s.section.MostBad) / 100}
 	var advice []core.Evidence
 	for _, a := range store.Advise(now, listed, rules) {
-		advice = append(advice, core.Evidence{Server: a.Subject, Bad: true, Age: a.Age})
+		advice = append(advice, core.Evidence{Server: a.Subject, Ejected: true, Age: a.Age})
 	}
 	if len(advice) == 0 {
 		return
 	}
-	heeded, err := s.broker.Advise(ctx, advice)
+	heeded, err := s.broker.ApplyPeerEjections(ctx, advice)
 	if err != nil {
 		s.log.Warn("fleet.replica.busy", zap.Error(err))
 	}
--- a/internal/http1/downstream_drain.go
+++ b/internal/http1/downstream_drain.go
@@ -82,7 +82,7 @@
 // passed.
 func (s *Server) redirectAnswer() (a core.Answer, away bool) {
 	phase, since, _ := s.lifecycle.Now()
-	a = core.TurnedAway(&s.config.Settings)
+	a = core.RejectedAnswer(&s.config.Settings)
 	if phase == core.Stopping {
 		a.RetryAfter = min(a.RetryAfter, handoverRetryAfter)
 	}
@@ -93,7 +93,7 @@
 // this process.
 func (s *Server) uploadTooLate() bool {
 	if s.hasSuccessor() {
-		return time.Until(s.lifecycle.Ends()) < minAnswerTime
+		return time.Until(s.lifecycle.Deadline()) < minAnswerTime
 	}
 	_, away := s.redirectAnswer()
 	return away
@@ -109,8 +109,8 @@
 	case s.redirects(phase):
 		late := time.Since(since) - s.redirectGrace()
 		return late > headTimeout || buffered == 0 && (late > 0 || !c.hasInput())
-	case buffered > 0 && time.Until(s.lifecycle.Ends()) > -lingerTimeout: // also behind what was called off at the end
+	case buffered > 0 && time.Until(s.lifecycle.Deadline()) > -lingerTimeout: // also behind what was called off at the end
 		return false
 	}
-	return s.lifecycle.Closing(lastAnswerWindow)
+	return s.lifecycle.IsClosingWithin(lastAnswerWindow)
 }
--- a/internal/http1/downstream_reply.go
+++ b/internal/http1/downstream_reply.go
@@ -35,7 +35,7 @@
 		return w.relay(newRelay(w, response))
 	case response != nil:
 		return w.complete(http.StatusOK, response.header, response.body)
-	case a.Refused:
+	case a.Retryable:
 		header := http.Header{}
 		if a.RetryAfter > 0 {
 			header.Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64))
--- a/internal/http1/downstream_serve.go
+++ b/internal/http1/downstream_serve.go
@@ -95,7 +95,7 @@
 	switch {
 	case c.readAborted.Load() && errors.Is(err, os.ErrDeadlineExceeded):
 		w.keepAlive = false
-		return w.answer(core.TurnedAway(&s.config.Settings))
+		return w.answer(core.RejectedAnswer(&s.config.Settings))
 	case errors.As(err, &invalid):
 		s.logRequestError(invalid.status, invalid.text)
 		return w.error(invalid.status, invalid.text)
@@ -115,7 +115,7 @@
 	}
 	if head.URL.Path == "/ready" && head.Header.Get("X-Txn") == "" {
 		w.keepAlive = w.keepAlive && !unread && !s.closesAfterAnswer(c, r.Buffered()+len(c.readAhead))
-		if !s.lifecycle.Ready() {
+		if !s.lifecycle.IsReady() {
 			return w.status(http.StatusServiceUnavailable, "not ready")
 		}
 		return w.status(http.StatusOK, "")
@@ -137,11 +137,11 @@
 	}
 	w.writeTimeout = min(max(req.Remaining, minWriteTimeout), writeTimeout)
 	held, err := s.readBody(c, head, req, body)
-	defer s.memory.Bodies.Give(held)
+	defer s.memory.Bodies.Release(held)
 	switch {
 	case errors.Is(err, errNoMemory), err != nil && c.readAborted.Load():
 		w.keepAlive = false
-		return w.answer(core.TurnedAway(&s.config.Settings))
+		return w.answer(core.RejectedAnswer(&s.config.Settings))
 	case errors.Is(err, errTooLarge):
 		return w.error(http.StatusRequestEntityTooLarge, "request body too large")
 	case err != nil:
@@ -183,7 +183,7 @@
 	if in.ContentLength > 0 {
 		held = min(held, int(in.ContentLength))
 	}
-	if !s.memory.Bodies.Take(held) {
+	if !s.memory.Bodies.TryAcquire(held) {
 		return 0, errNoMemory
 	}
 	c.enforceRate()
@@ -224,7 +224,7 @@
 	if req.upload != nil {
 		req.upload.transfer = s.uploadTransfer(r, w, req)
 	}
-	abandon := func() { s.loop.Lapse(req.Call) }
+	abandon := func() { s.loop.Abandon(req.Call) }
 	if req.upload == nil { // else its body is read on, which shows it: see exchangeLong
 		req.clientHungUp = func() bool {
 			hungUp := c.hasHungUp()
@@ -234,7 +234,7 @@
 			return hungUp
 		}
 	}
-	s.loop.Arrive(req.Call, received)
+	s.loop.Submit(req.Call, received)
 	return s.awaitAnswer(c, r, w, req, abandon)
 }
 
@@ -271,7 +271,7 @@
 			}
 			abandon()
 			return false
-		case a := <-req.Final:
+		case a := <-req.Answered:
 			if req.upload != nil && req.upload.markAnswered() {
 				a.Discard()
 				w.transferred = true
--- a/internal/http1/downstream_tracker.go
+++ b/internal/http1/downstream_tracker.go
@@ -84,7 +84,7 @@
 	defer cs.mu.Unlock()
 	cs.lastAccepted = c.since
 	if cs.open >= cs.limit && !cs.evictOne(c.since) {
-		if cs.open >= cs.limit+core.ExcessSockets {
+		if cs.open >= cs.limit+core.OverflowSockets {
 			return false
 		}
 		c.overLimit = true
--- a/internal/http1/fuzz_test.go
+++ b/internal/http1/fuzz_test.go
@@ -59,7 +59,7 @@
 	}
 	room := roomy()
 	f.Fuzz(func(t *testing.T, text []byte) {
-		free := room.Bodies.Left()
+		free := room.Bodies.Available()
 		near, far := net.Pipe()
 		defer near.Close()
 		go func() {
@@ -84,7 +84,7 @@
 			}
 			res.response.Discard()
 		}
-		if left := room.Bodies.Left(); left != free {
+		if left := room.Bodies.Available(); left != free {
 			t.Errorf("%q: %d bytes are not given back", text, free-left)
 		}
 	})
--- a/internal/http1/inherit_test.go
+++ b/internal/http1/inherit_test.go
@@ -131,7 +131,7 @@
 		time.Since(began) > firstListTimeout+2*time.Second {
 		t.Errorf("alone and without a list, after %v: %+v", time.Since(began), res)
 	}
-	line, _ := json.Marshal(endpointList{Rev: 2, All: true, Targets: []target{endpoint}})
+	line, _ := json.Marshal(endpointList{Rev: 2, Full: true, Targets: []target{endpoint}})
 	heir.lists <- string(line)
 	heir.until("it can serve", heir.server.CanServe)
 	if res := heir.once("once"); res.StatusCode != 200 {
--- a/internal/http1/lifecycle.go
+++ b/internal/http1/lifecycle.go
@@ -47,7 +47,7 @@
 			return
 		}
 		held := s.loop.Stats()
-		s.log.Info("process.stopping", zap.Stringer("signal", sig), zap.Int("calls", held.Calls), zap.Int("out", held.Out))
+		s.log.Info("process.stopping", zap.Stringer("signal", sig), zap.Int("calls", held.Calls), zap.Int("out", held.Attempts))
 		s.shutdown()
 	}()
 	s.log.Info("process.serving", zap.String("name", s.config.Name), zap.Stringer("address", listener.Addr()))
@@ -97,7 +97,7 @@
 		return
 	}
 	s.log.Info("reload.taken", zap.String("discovery", c.Discovery))
-	s.loop.Follow(c.Discovery)
+	s.loop.SwitchDiscovery(c.Discovery)
 }
 
 // shutdown ends the server shortly before the platform kills the process, with all accepted
@@ -134,7 +134,7 @@
 	if s.sharesListener() {
 		s.clients.closeListener() // its own copy: the successor has the socket
 	}
-	s.loop.Leave(end, s.sharesListener())
+	s.loop.Drain(end, s.sharesListener())
 	for time.Now().Before(last) && !s.canExit(time.Since(began)) {
 		time.Sleep(shutdownPollInterval)
 	}
--- a/internal/http1/long_test.go
+++ b/internal/http1/long_test.go
@@ -42,9 +42,9 @@
 // idle waits until nothing is open or held any more.
 func (rg *rig) idle() {
 	rg.t.Helper()
-	full := core.NewMemory(rg.server.config.Plan()).Bodies.Left()
+	full := core.NewMemory(rg.server.config.Plan()).Bodies.Available()
 	rg.until("nothing is held", func() bool {
-		return rg.stats().Calls == 0 && rg.server.memory.Bodies.Left() == full
+		return rg.stats().Calls == 0 && rg.server.memory.Bodies.Available() == full
 	})
 }
 
--- a/internal/http1/passage_test.go
+++ b/internal/http1/passage_test.go
@@ -332,7 +332,7 @@
 			io.WriteString(c, bookLine+"Content-Length: 300000\r\n\r\n")
 			c.Write(body[:200000])
 			// An upload that nothing has been decided about is passed on whole, and decided about there.
-			h.until("its attempt is out", func() bool { return h.stats().Out == 1 })
+			h.until("its attempt is out", func() bool { return h.stats().Attempts == 1 })
 			h.allRead()
 			heir := h.succeed(t)
 			h.stop()
--- a/internal/http1/reload_test.go
+++ b/internal/http1/reload_test.go
@@ -43,7 +43,7 @@
 	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		asked <- r.URL.RawQuery
 		if r.URL.Query().Get("since") == "" {
-			json.NewEncoder(w).Encode(endpointList{Rev: 0, All: true, Targets: []target{b}})
+			json.NewEncoder(w).Encode(endpointList{Rev: 0, Full: true, Targets: []target{b}})
 		}
 		if r.URL.Query().Get("follow") == "1" {
 			http.NewResponseController(w).Flush()
@@ -56,20 +56,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	line7, _ := json.Marshal(endpointList{Rev: 7, All: true, Targets: []target{a}})
+	line7, _ := json.Marshal(endpointList{Rev: 7, Full: true, Targets: []target{a}})
 	rg.lists <- string(line7)
-	rg.until("its list is taken in", func() bool { return rg.stats().Rev == 7 })
-	was := rg.stats().Discovery
+	rg.until("its list is taken in", func() bool { return rg.stats().Revision == 7 })
+	was := rg.stats().DiscoveryAddress
 	os.WriteFile(rg.file, good[:len(good)/2], 0o600)
 	rg.reloads <- syscall.SIGHUP
-	if s := rg.stats(); s.Discovery != was || s.Moved {
+	if s := rg.stats(); s.DiscoveryAddress != was || s.AwaitingFullList {
 		t.Error("a broken file had an effect")
 	}
 	os.WriteFile(rg.file, []byte(strings.Replace(string(good), was, other.Listener.Addr().String(), 1)), 0o600)
 	rg.reloads <- syscall.SIGHUP
 	rg.until("the new list is taken in", func() bool {
 		s := rg.stats()
-		return s.Rev == 0 && !s.Moved && s.Discovery != was
+		return s.Revision == 0 && !s.AwaitingFullList && s.DiscoveryAddress != was
 	})
 	for range 2 {
 		if query := <-asked; strings.Contains(query, "since=7") {
@@ -79,7 +79,7 @@
 	if rg.open(1) {
 		t.Error("an endpoint that the new list lacks is open")
 	}
-	line, _ := json.Marshal(endpointList{Rev: 9, All: true, Targets: []target{a}})
+	line, _ := json.Marshal(endpointList{Rev: 9, Full: true, Targets: []target{a}})
 	rg.lists <- string(line)
 	if _, body := rg.ask(rg.request("once", 9*time.Second)); body != "b" {
 		t.Errorf("served %q", body)
@@ -88,7 +88,7 @@
 	if got := <-answered; got != "a" {
 		t.Errorf("the request that was taken before got %q", got)
 	}
-	if rg.stats().Rev != 0 {
+	if rg.stats().Revision != 0 {
 		t.Error("the old discovery was heard")
 	}
 }
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -106,7 +106,7 @@
 	}
 	s := &Server{network: network, loop: loop, upstream: up, memory: memory, log: log, config: c, classes: map[string]int{}, tenants: map[string]int{},
 		quietPeriod: quietPeriod, redirectLead: redirectLead, drainGrace: drainGrace, handoverGrace: handoverGrace, firstListTimeout: firstListTimeout, lifecycle: loop.Lifecycle()}
-	s.clients.limit = c.Plan().Inbound()
+	s.clients.limit = c.Plan().MaxInbound()
 	for i, class := range c.Settings.Classes {
 		s.classes[class.Name] = i
 		s.longestDeadline = max(s.longestDeadline, class.Deadline)
--- a/internal/http1/sidecar_test.go
+++ b/internal/http1/sidecar_test.go
@@ -95,7 +95,7 @@
 			}
 		}
 	}))
-	known, _ := json.Marshal(endpointList{Rev: 1, All: true, Targets: targets})
+	known, _ := json.Marshal(endpointList{Rev: 1, Full: true, Targets: targets})
 	file := filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1,"memory_mb":192,"sockets":%d},"known":%s,"settings":%s}`,
@@ -599,7 +599,7 @@
 		if status, _ := rg.ask(rg.request("once", 5*time.Second)); status != 200 {
 			t.Fatal(status)
 		}
-		rg.until("the connection is idle", func() bool { return rg.stats().Idle == 1 })
+		rg.until("the connection is idle", func() bool { return rg.stats().IdleConns == 1 })
 	}
 	if conns.Load() != 1 {
 		t.Errorf("%d connections for three requests in turn", conns.Load())
@@ -628,7 +628,7 @@
 	a.State = "Terminating"
 	line, _ := json.Marshal(endpointList{Rev: 2, Targets: []target{a}})
 	rg.lists <- string(line)
-	rg.until("the change is taken in", func() bool { return rg.stats().Rev == 2 })
+	rg.until("the change is taken in", func() bool { return rg.stats().Revision == 2 })
 	before := old.Load()
 	for range 10 {
 		rg.ask(rg.request("once", 5*time.Second))
@@ -637,7 +637,7 @@
 		t.Errorf("%d requests went to the draining endpoint", old.Load()-before)
 	}
 	for _, e := range rg.stats().Endpoints {
-		if e.Address == a.Address && e.Idle > 0 {
+		if e.Address == a.Address && e.IdleConns > 0 {
 			t.Error("connections to it are kept")
 		}
 	}
@@ -664,7 +664,7 @@
 func (rg *rig) stop() {
 	rg.t.Helper()
 	rg.signals <- syscall.SIGTERM
-	rg.until("it stops", func() bool { return !rg.server.lifecycle.Ends().IsZero() })
+	rg.until("it stops", func() bool { return !rg.server.lifecycle.Deadline().IsZero() })
 }
 
 // over waits for the sidecar to end by itself.
@@ -765,7 +765,7 @@
 		}
 		<-gaveUp
 	}
-	if now, end := time.Now(), rg.server.lifecycle.Ends(); now.Before(end) || now.After(end.Add(linger)) {
+	if now, end := time.Now(), rg.server.lifecycle.Deadline(); now.Before(end) || now.After(end.Add(linger)) {
 		t.Errorf("given up %v after the end", now.Sub(end))
 	}
 	rg.over()
@@ -911,11 +911,11 @@
 func TestTablesEndEmpty(t *testing.T) {
 	rg := start(t, 1024, ready("s-ffffffff", 0))
 	tell := func(rev uint64, all bool, targets ...target) {
-		line, _ := json.Marshal(endpointList{Rev: rev, All: all, Targets: targets})
+		line, _ := json.Marshal(endpointList{Rev: rev, Full: all, Targets: targets})
 		rg.lists <- string(line)
-		rg.until("the list is taken in", func() bool { return rg.stats().Rev == rev })
+		rg.until("the list is taken in", func() bool { return rg.stats().Revision == rev })
 	}
-	full := rg.server.memory.Bodies.Left()
+	full := rg.server.memory.Bodies.Available()
 	rev := uint64(1)
 	for i := range 20 {
 		x := peer(t, fmt.Sprintf("s-%08x", i), func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") })
@@ -934,7 +934,7 @@
 	http.DefaultClient.CloseIdleConnections()
 	rg.until("all is forgotten", func() (done bool) {
 		held := rg.stats()
-		done = len(held.Endpoints)+held.Idle+held.Conns+held.Calls == 0 && rg.server.memory.Bodies.Left() == full
+		done = len(held.Endpoints)+held.IdleConns+held.Conns+held.Calls == 0 && rg.server.memory.Bodies.Available() == full
 		cs := &rg.server.clients
 		cs.mu.Lock()
 		defer cs.mu.Unlock()
@@ -1176,11 +1176,11 @@
 	for name, turn := range map[string]func(*rig){
 		"stop": func(rg *rig) {
 			rg.signals <- syscall.SIGTERM
-			rg.until("answers are the last", func() bool { return rg.server.lifecycle.Closing(lastAnswerWindow) })
+			rg.until("answers are the last", func() bool { return rg.server.lifecycle.IsClosingWithin(lastAnswerWindow) })
 		},
 		"stop, before an endpoint that hangs": func(rg *rig) {
 			rg.signals <- syscall.SIGTERM
-			rg.until("its call is called off", func() bool { return rg.stats().Out == 0 })
+			rg.until("its call is called off", func() bool { return rg.stats().Attempts == 0 })
 		},
 		"drain": func(rg *rig) {
 			rg.server.Drain()
--- a/internal/http1/stages.go
+++ b/internal/http1/stages.go
@@ -12,7 +12,7 @@
 	// Connections that have entered each state.
 	connections [connStates]uint64
 	// Attempts that have entered each phase.
-	attempts [core.AttemptPhases]uint64
+	attempts [core.AttemptPhaseCount]uint64
 }
 
 // ActivePhases returns the phases that connections, attempts and the process are in or have been in
@@ -34,14 +34,14 @@
 	}
 	s.clients.mu.Unlock()
 	stats := s.loop.Stats()
-	report("hd", stats.Held)
-	for phase, name := range map[core.AttemptPhase]string{core.Connecting: "co", core.Writing: "wr", core.Awaiting: "aw",
-		core.Coming: "cm"} {
+	report("hd", stats.Queued)
+	for phase, name := range map[core.AttemptPhase]string{core.PhaseConnecting: "co", core.PhaseSending: "wr", core.PhaseAwaiting: "aw",
+		core.PhaseReceiving: "cm"} {
 		entered := s.upstream.phaseEntries[phase].Load()
 		report(name, stats.Phases[phase]+int(entered-previous.attempts[phase]))
 		previous.attempts[phase] = entered
 	}
-	report("wa", stats.Again)
+	report("wa", stats.AwaitingRetry)
 	switch phase, _, _ := s.lifecycle.Now(); {
 	case phase == core.Draining:
 		names = append(names, "dr")
@@ -53,7 +53,7 @@
 	if at := s.lastReload.Load(); at != 0 && time.Since(time.Unix(0, at)) < reloadWindow {
 		names = append(names, "re")
 	}
-	if stats.Moved {
+	if stats.AwaitingFullList {
 		names = append(names, "di")
 	}
 	return names
@@ -66,5 +66,5 @@
 // BufferedBytes is how many bytes of the memory for bodies are reserved: none once all requests are
 // answered.
 func (s *Server) BufferedBytes() int64 {
-	return core.NewMemory(s.config.Plan()).Bodies.Left() - s.memory.Bodies.Left()
+	return core.NewMemory(s.config.Plan()).Bodies.Available() - s.memory.Bodies.Available()
 }
--- a/internal/http1/stages_test.go
+++ b/internal/http1/stages_test.go
@@ -347,7 +347,7 @@
 // settles waits until nothing is left over: no call, attempt, connection, byte of memory or goroutine.
 func (rg *rig) settles(memory int64, goroutines int, servers ...*standIn) {
 	rg.t.Helper()
-	l := endpointListOf(rg.stats().Rev+1, "Gone", servers...)
+	l := endpointListOf(rg.stats().Revision+1, "Gone", servers...)
 	rg.lists <- l
 	http.DefaultClient.CloseIdleConnections()
 	var s core.Stats
@@ -356,7 +356,7 @@
 		cs := &rg.server.clients
 		cs.mu.Lock()
 		defer cs.mu.Unlock()
-		return s.Calls+s.Out+s.Conns+s.Idle+cs.open == 0 && rg.server.memory.Bodies.Left() == memory &&
+		return s.Calls+s.Attempts+s.Conns+s.IdleConns+cs.open == 0 && rg.server.memory.Bodies.Available() == memory &&
 			runtime.NumGoroutine() <= goroutines
 	})
 }
@@ -414,7 +414,7 @@
 			rg := start(t, 1024, targets...)
 			http.DefaultClient.CloseIdleConnections()
 			rg.until("it is quiet", func() bool { return rg.server.clients.emptyFor(0) })
-			memory, goroutines := rg.server.memory.Bodies.Left(), runtime.NumGoroutine()
+			memory, goroutines := rg.server.memory.Bodies.Available(), runtime.NumGoroutine()
 			var marks []string
 			if f.never {
 				marks = append(marks, "X-Test: never")
@@ -498,11 +498,11 @@
 				rg := start(t, 1024, first.target)
 				http.DefaultClient.CloseIdleConnections()
 				rg.until("it is quiet", func() bool { return rg.server.clients.emptyFor(0) })
-				memory, goroutines := rg.server.memory.Bodies.Left(), runtime.NumGoroutine()
+				memory, goroutines := rg.server.memory.Bodies.Available(), runtime.NumGoroutine()
 				ended := make(chan error, 1)
 				go func() { ended <- rg.stage(l, stage == "written", long[:body], goOn) }()
 				if stage == "written" {
-					rg.until("it goes out", func() bool { return rg.stats().Out == 1 && l.accepted() == 1 })
+					rg.until("it goes out", func() bool { return rg.stats().Attempts == 1 && l.accepted() == 1 })
 				} else {
 					<-came
 				}
@@ -542,7 +542,7 @@
 				}
 				rev++
 				rg.lists <- endpointListOf(rev, "Ready") // what is behind it has been heard, whatever came of it
-				rg.until("it is taken in", func() bool { return rg.stats().Rev == rev })
+				rg.until("it is taken in", func() bool { return rg.stats().Revision == rev })
 				before := l.at(first.UID)
 				var all sync.WaitGroup
 				for range 8 {
@@ -629,7 +629,7 @@
 		for phase, begin := range map[string]func(rg *rig){
 			"drain": func(rg *rig) {
 				rg.server.Drain()
-				rg.until("it drains", func() bool { return !rg.server.lifecycle.Ready() })
+				rg.until("it drains", func() bool { return !rg.server.lifecycle.IsReady() })
 			},
 			"stop": func(rg *rig) {
 				rg.signals <- syscall.SIGTERM
@@ -637,11 +637,11 @@
 			},
 			"reload": func(rg *rig) {
 				rg.reloads <- syscall.SIGHUP
-				rg.until("it follows", func() bool { return rg.stats().Moved })
+				rg.until("it follows", func() bool { return rg.stats().AwaitingFullList })
 			},
 			"servers drain": func(rg *rig) {
 				rg.lists <- `{"rev":9,"all":true,"targets":[]}`
-				rg.until("they drain", func() bool { return rg.stats().Rev == 9 })
+				rg.until("they drain", func() bool { return rg.stats().Revision == 9 })
 			},
 		} {
 			t.Run(fault+", "+phase, func(t *testing.T) {
@@ -660,7 +660,7 @@
 					targets = append(targets, s.target)
 				}
 				rg := start(t, 1024, targets...)
-				memory := rg.server.memory.Bodies.Left()
+				memory := rg.server.memory.Bodies.Available()
 				var marks []string
 				if fault == "full" {
 					marks = append(marks, "X-Test: never")
@@ -676,8 +676,8 @@
 				rg.until("nothing is left", func() bool {
 					http.DefaultClient.CloseIdleConnections() // of start, which asks whether it is ready
 					s := rg.stats()
-					return s.Calls+s.Out == 0 && s.Conns == s.Idle && rg.server.clients.emptyFor(0) &&
-						rg.server.memory.Bodies.Left() == memory
+					return s.Calls+s.Attempts == 0 && s.Conns == s.IdleConns && rg.server.clients.emptyFor(0) &&
+						rg.server.memory.Bodies.Available() == memory
 				})
 				for _, fault := range l.broken(250*time.Millisecond, 5) {
 					t.Error(fault)
--- a/internal/http1/succession_test.go
+++ b/internal/http1/succession_test.go
@@ -14,12 +14,12 @@
 )
 
 // windows is what a sidecar has looked at of the latencies of a class.
-func (rg *rig) windows() int { return rg.server.loop.Word(true).Learnt.Classes[0].Windows }
+func (rg *rig) windows() int { return rg.server.loop.HandoverUpdate(true).Snapshot.Classes[0].Windows }
 
 // out is what a sidecar has at endpoints, and all that it has.
 func (rg *rig) out() (n, all int) {
 	s := rg.stats()
-	return s.Out, s.Calls
+	return s.Attempts, s.Calls
 }
 
 // A successor goes by the figures of the process before, and what that has in flight counts for both: where it
@@ -105,7 +105,7 @@
 	}
 }
 
-func (rg *rig) learnt() decision.Snapshot { return *rg.server.loop.Word(true).Learnt }
+func (rg *rig) learnt() decision.Snapshot { return *rg.server.loop.HandoverUpdate(true).Snapshot }
 
 // A successor of a version that knows no words declines them; it is told no more, and connections still pass.
 func TestSuccessorThatTakesNoWords(t *testing.T) {
--- a/internal/http1/transfer_attempt.go
+++ b/internal/http1/transfer_attempt.go
@@ -22,16 +22,18 @@
 
 // Written implements the host of an attempt: the attempt ends when its answer is no longer waited for, or the
 // process ends.
-func (h *resumedHost) Written(a *core.Attempt) {
+func (h *resumedHost) RequestSent(a *core.Attempt) {
 	end := time.Now().Add(a.Call.Remaining - h.server.config.Settings.GraceToAnswer)
-	if ends := h.server.lifecycle.Ends(); !ends.IsZero() && ends.Before(end) {
+	if ends := h.server.lifecycle.Deadline(); !ends.IsZero() && ends.Before(end) {
 		end = ends
 	}
-	a.EndAt(end)
+	a.SetDeadline(end)
 }
 
 // Begin implements the host of an attempt: it delivers a streamed response.
-func (h *resumedHost) Begin(a *core.Attempt, r core.Response) { h.deliver(core.Answer{Response: r}) }
+func (h *resumedHost) StartResponse(a *core.Attempt, r core.Response) {
+	h.deliver(core.Answer{Response: r})
+}
 
 // deliver delivers the answer if somebody waits for it, and discards it otherwise.
 func (h *resumedHost) deliver(a core.Answer) {
@@ -64,7 +66,7 @@
 	case res.status == decision.OK && res.response != nil && res.response.rest == nil:
 		h.deliver(core.Answer{Response: res.response})
 	case res.status.NeverRan():
-		h.deliver(core.TurnedAway(&h.server.config.Settings))
+		h.deliver(core.RejectedAnswer(&h.server.config.Settings))
 	default:
 		h.deliver(core.Answer{})
 	}
--- a/internal/http1/transfer_message.go
+++ b/internal/http1/transfer_message.go
@@ -22,7 +22,7 @@
 	Relay  *relayState  `json:"relay,omitempty"`
 	Upload *uploadState `json:"upload,omitempty"`
 	// State of the process, in a transfer without a connection.
-	State *core.Word `json:"word,omitempty"`
+	State *core.HandoverUpdate `json:"word,omitempty"`
 }
 
 // uploadState is the state of an upload. The request goes out once and cannot be sent again, so the
--- a/internal/http1/transfer_receive.go
+++ b/internal/http1/transfer_receive.go
@@ -41,20 +41,20 @@
 		return nil, nil, false
 	}
 	if p.State != nil {
-		return func() { s.loop.Heed(p.State) }, func() {}, true
+		return func() { s.loop.ApplyHandoverUpdate(p.State) }, func() {}, true
 	}
 	c := &downstreamConn{Conn: conns[0], tracker: &s.clients, since: time.Now(), readAhead: p.Input}
 	if !s.lifecycle.CanServe() || !s.clients.adopt(c) {
 		return nil, nil, false
 	}
-	if len(conns) > 1 && !s.loop.Reserve() {
+	if len(conns) > 1 && !s.loop.ReserveConn() {
 		c.terminate()
 		return nil, nil, false
 	}
 	drop = func() {
 		c.terminate()
 		if len(conns) > 1 {
-			s.loop.Unreserve()
+			s.loop.ReleaseConn()
 		}
 	}
 	switch {
@@ -100,7 +100,7 @@
 	lasts := w.relay(l)
 	for _, up := range upstream {
 		up.Close()
-		s.loop.Unreserve()
+		s.loop.ReleaseConn()
 	}
 	switch {
 	case w.transferred:
@@ -129,17 +129,17 @@
 	req.upload.transfer = s.uploadTransfer(r, w, req)
 	c.beginServing()
 	c.enforceRate()
-	host := &resumedHost{server: s, answer: req.Final}
+	host := &resumedHost{server: s, answer: req.Answered}
 	e := core.NewEndpoint(0, upstream.RemoteAddr().String())
 	a := core.NewAttempt(req.Call, e, 0, host)
-	s.loop.Adopt(a)
+	s.loop.AdoptAttempt(a)
 	go func() {
 		defer a.Close()
 		res := newAttempt(a, s.network).exchangeOver(newUpstreamConn(upstream, e), s.memory)
 		if res.conn != nil {
 			res.conn.Close()
 		}
-		s.loop.Disown(a)
+		s.loop.AdoptedEnded(a)
 		host.finish(res)
 	}()
 	abandon := func() {
--- a/internal/http1/transfer_state.go
+++ b/internal/http1/transfer_state.go
@@ -12,12 +12,12 @@
 // requests it has in flight. A successor of a release without this message declines it, and is sent
 // no more.
 func (s *Server) sendState(done <-chan struct{}) {
-	tick := time.NewTicker(core.TellEvery)
+	tick := time.NewTicker(core.HandoverInterval)
 	defer tick.Stop()
 	for first, last := true, false; ; first = false {
-		w := core.Word{}
+		w := core.HandoverUpdate{}
 		if !last {
-			w = s.loop.Word(first)
+			w = s.loop.HandoverUpdate(first)
 		}
 		if err := s.sendToSuccessor(connTransfer{State: &w}); err != nil {
 			if errors.Is(err, handover.ErrDeclined) {
--- a/internal/http1/upstream.go
+++ b/internal/http1/upstream.go
@@ -44,7 +44,7 @@
 	memory         *core.Memory
 	connectTimeout time.Duration
 	// How many attempts have entered each phase so far.
-	phaseEntries [core.AttemptPhases]atomic.Uint64
+	phaseEntries [core.AttemptPhaseCount]atomic.Uint64
 }
 
 // Send implements core.Upstream: it makes an attempt, over an idle connection if one is given.
@@ -52,9 +52,9 @@
 	c, _ := over.(*upstreamConn)
 	t := newAttempt(a, u.network)
 	t.phaseEntries = &u.phaseEntries
-	t.enterPhase(core.Connecting)
+	t.enterPhase(core.PhaseConnecting)
 	res := t.run(c, u.connectTimeout, u.memory)
-	told := core.Result{Status: res.status, Took: res.took, Load: res.load, Spent: res.consumed}
+	told := core.Result{Status: res.status, Elapsed: res.took, Load: res.load, NotReplayable: res.consumed}
 	if res.conn != nil {
 		told.Conn = res.conn
 	}
@@ -76,12 +76,12 @@
 	// Watches for a response while a streamed request is being sent.
 	watcher *answerWatcher
 	// Counters of upstream; nil for an attempt that is not counted.
-	phaseEntries *[core.AttemptPhases]atomic.Uint64
+	phaseEntries *[core.AttemptPhaseCount]atomic.Uint64
 }
 
 // enterPhase records the progress of the attempt.
 func (a *attempt) enterPhase(p core.AttemptPhase) {
-	a.At(p)
+	a.SetPhase(p)
 	if a.phaseEntries != nil {
 		a.phaseEntries[p].Add(1)
 	}
@@ -114,7 +114,7 @@
 		}
 	}()
 	if c != nil {
-		time.Sleep(time.Until(c.Since.Add(a.Endpoint.Settle())))
+		time.Sleep(time.Until(c.IdleSince.Add(a.Endpoint.ReuseDelay())))
 		if !c.Alive() {
 			c.Close()
 			c = nil
@@ -154,7 +154,7 @@
 // place of the broken one.
 func (a *attempt) classifyReset(res *result, connectTimeout time.Duration) {
 	time.Sleep(resetSpread)
-	if a.Endpoint.Waiting.Load() > 0 {
+	if a.Endpoint.AwaitingResponse.Load() > 0 {
 		res.status = decision.InvalidResponse
 		return
 	}
@@ -189,28 +189,28 @@
 }
 
 // isLate reports whether the deadline for the request's last byte has passed.
-func (a *attempt) isLate() bool { return !a.OutBy.IsZero() && !time.Now().Before(a.OutBy) }
+func (a *attempt) isLate() bool { return !a.SendBy.IsZero() && !time.Now().Before(a.SendBy) }
 
 // beforeDeadline cuts a timeout off at the deadline for the request's last byte.
 func (a *attempt) beforeDeadline(d time.Duration) time.Duration {
-	if a.OutBy.IsZero() {
+	if a.SendBy.IsZero() {
 		return d
 	}
-	return min(d, max(time.Until(a.OutBy), time.Nanosecond)) // a dialer takes 0 for no bound
+	return min(d, max(time.Until(a.SendBy), time.Nanosecond)) // a dialer takes 0 for no bound
 }
 
 // exchange sends the request and reads the response.
 func (a *attempt) exchange(c *upstreamConn, memory *core.Memory) result {
 	// The dial may have outlasted the endpoint's welcome, the window in which a repeat is dropped, or the caller's patience.
-	if !a.Endpoint.Open() || a.Ctx.Err() != nil || a.isLate() || a.request.clientGone() {
+	if !a.Endpoint.IsOpen() || a.Ctx.Err() != nil || a.isLate() || a.request.clientGone() {
 		return result{status: decision.NotSent}
 	}
-	c.SetWriteDeadline(a.OutBy)
+	c.SetWriteDeadline(a.SendBy)
 	if a.request.upload != nil {
 		return a.exchangeStreaming(c, memory)
 	}
-	a.enterPhase(core.Writing)
-	text := a.request.encodeHead(a.Left - a.Elapsed())
+	a.enterPhase(core.PhaseSending)
+	text := a.request.encodeHead(a.AnswerWithin - a.Elapsed())
 	pieces := net.Buffers{text}
 	if len(a.request.body) > 0 {
 		pieces = append(pieces, a.request.body)
@@ -223,10 +223,10 @@
 
 // awaitResponse reads the response to a request that has been written.
 func (a *attempt) awaitResponse(c *upstreamConn, memory *core.Memory) result {
-	a.enterPhase(core.Awaiting)
-	a.Endpoint.Waiting.Add(1)
+	a.enterPhase(core.PhaseAwaiting)
+	a.Endpoint.AwaitingResponse.Add(1)
 	res, err := a.readResponse(c, memory)
-	a.Endpoint.Waiting.Add(-1)
+	a.Endpoint.AwaitingResponse.Add(-1)
 	if err != nil {
 		res.status = a.failureStatus(err)
 	}
--- a/internal/http1/upstream_conn.go
+++ b/internal/http1/upstream_conn.go
@@ -15,7 +15,7 @@
 // upstreamConn is a connection to an endpoint. It carries one attempt at a time.
 type upstreamConn struct {
 	net.Conn
-	core.Idle
+	core.PoolEntry
 	// Buffers what Read returns.
 	reader *bufio.Reader
 	// Bytes that the predecessor has read from the connection. Read returns them first.
@@ -52,7 +52,7 @@
 func (c *upstreamConn) Alive() bool {
 	n, peek := peekConn(c.Conn)
 	if n > 0 {
-		c.endpoint.SentBeyond()
+		c.endpoint.NoteUnsolicitedData()
 	}
 	return n < 0 && (peek == syscall.EAGAIN || peek == syscall.EINTR)
 }
--- a/internal/http1/upstream_endpointconn.go
+++ b/internal/http1/upstream_endpointconn.go
@@ -47,7 +47,7 @@
 // last response show, and reports whether it can carry another request.
 func (c *EndpointConn) AwaitReusable() bool {
 	if !c.idleSince.IsZero() {
-		time.Sleep(time.Until(c.idleSince.Add(c.conn.endpoint.Settle())))
+		time.Sleep(time.Until(c.idleSince.Add(c.conn.endpoint.ReuseDelay())))
 	}
 	return c.conn.Alive()
 }
@@ -97,7 +97,7 @@
 		if a.Header.Get(idHeader) == id {
 			return a, nil
 		}
-		c.conn.endpoint.SentBeyond()
+		c.conn.endpoint.NoteUnsolicitedData()
 		if _, err := io.Copy(io.Discard, a); err != nil || !a.keepAlive {
 			return nil, errMalformed
 		}
@@ -141,7 +141,7 @@
 func (a *EndpointResponse) Reusable() bool {
 	c := a.conn.conn
 	if c.reader.Buffered() > 0 && a.body.finished {
-		c.endpoint.SentBeyond()
+		c.endpoint.NoteUnsolicitedData()
 	}
 	if !a.keepAlive || !a.body.finished || a.body.untilClose || c.reader.Buffered() > 0 {
 		return false
--- a/internal/http1/upstream_response.go
+++ b/internal/http1/upstream_response.go
@@ -26,7 +26,7 @@
 // Discard implements core.Response: it releases the memory, and ends the attempt of a streamed
 // response that nobody has relayed.
 func (r *response) Discard() {
-	r.memory.Bodies.Give(len(r.body))
+	r.memory.Bodies.Release(len(r.body))
 	if r.rest != nil {
 		select {
 		case r.rest.done <- errClientGone: // nobody has passed it on
@@ -97,7 +97,7 @@
 		}
 	}
 	if c.reader.Buffered() > 0 && body.finished {
-		a.Endpoint.SentBeyond()
+		a.Endpoint.NoteUnsolicitedData()
 	}
 	if lasting && body.finished && !body.untilClose && c.reader.Buffered() == 0 {
 		c.Conn.SetDeadline(time.Time{})
@@ -114,13 +114,13 @@
 	if body.length >= 0 {
 		limit = int(min(body.length, maxBufferedBody))
 	}
-	streamed := body.length > maxBufferedBody || !memory.Bodies.Take(limit)
+	streamed := body.length > maxBufferedBody || !memory.Bodies.TryAcquire(limit)
 	if streamed {
 		limit = streamPrefix
-		memory.Bodies.Force(limit)
+		memory.Bodies.ForceAcquire(limit)
 	}
 	kept := 0
-	defer func() { memory.Bodies.Give(limit - kept) }()
+	defer func() { memory.Bodies.Release(limit - kept) }()
 	bufferUntil := time.Now().Add(bufferTimeout)
 	for !body.finished && (!streamed || len(r.body) == 0) {
 		if body.length < 0 && len(r.body) > 0 {
@@ -153,7 +153,7 @@
 // relayBody has a streamed response relayed and returns when it has been, with the time until the
 // relay began.
 func (a *attempt) relayBody(r *response) (took time.Duration, err error) {
-	took, ok := a.Begin(r)
+	took, ok := a.StartResponse(r)
 	if !ok {
 		return took, context.DeadlineExceeded
 	}
--- a/internal/http1/upstream_stream.go
+++ b/internal/http1/upstream_stream.go
@@ -103,7 +103,7 @@
 	u := a.request.upload
 	if !u.resumed {
 		c.SetWriteDeadline(time.Now().Add(streamStallTimeout))
-		pieces := append(net.Buffers{a.request.encodeHead(a.Left)}, frameChunks(a.request.body, u.body.chunks != nil)...)
+		pieces := append(net.Buffers{a.request.encodeHead(a.AnswerWithin)}, frameChunks(a.request.body, u.body.chunks != nil)...)
 		if _, err := pieces.WriteTo(c.Conn); err != nil {
 			return nil, err
 		}
@@ -112,7 +112,7 @@
 	defer memory.Buffers.Put(buffer)
 	callerErr, writeErr = u.send(a, c, buffer)
 	if callerErr == nil && writeErr == nil {
-		a.Written()
+		a.RequestSent()
 		close(a.fullySent)
 	}
 	return callerErr, writeErr
--- a/internal/http1/upstream_test.go
+++ b/internal/http1/upstream_test.go
@@ -24,7 +24,7 @@
 func attemptAt(in forwardedRequest, address string, open bool, lasts, timeout time.Duration) *attempt {
 	e := core.NewEndpoint(1, address)
 	if !open {
-		e.Shut()
+		e.Close()
 	}
 	c := core.NewCall(decision.Request{}, &in)
 	c.Deadline = time.Now().Add(lasts)
@@ -53,16 +53,16 @@
 // roomFor is memory for so many bytes of bodies.
 func roomFor(n int) *core.Memory {
 	m := &core.Memory{Buffers: core.NewBuffers(0)}
-	m.Bodies.Give(n)
+	m.Bodies.Release(n)
 	return m
 }
 
 // aside is a sidecar that reads what is passed on and tells nobody.
 type aside struct{}
 
-func (aside) Written(*core.Attempt) {}
+func (aside) RequestSent(*core.Attempt) {}
 
-func (aside) Begin(_ *core.Attempt, got core.Response) {
+func (aside) StartResponse(_ *core.Attempt, got core.Response) {
 	r := got.(*response)
 	go func() {
 		rest, err := io.ReadAll(r.rest.body)
@@ -209,12 +209,12 @@
 		return a.exchangeOver(newUpstreamConn(pipe(t, answer), a.Endpoint), b)
 	}
 	tight := roomFor(1)
-	if res := try(tight); res.status != decision.OK || tight.Bodies.Left() != 1-2 {
-		t.Errorf("status %v, %d bytes left", res.status, tight.Bodies.Left())
+	if res := try(tight); res.status != decision.OK || tight.Bodies.Available() != 1-2 {
+		t.Errorf("status %v, %d bytes left", res.status, tight.Bodies.Available())
 	}
 	tight = roomFor(maxBufferedBody)
-	if res := try(tight); res.status != decision.OK || tight.Bodies.Left() != maxBufferedBody-2 {
-		t.Errorf("status %v, %d bytes left", res.status, tight.Bodies.Left())
+	if res := try(tight); res.status != decision.OK || tight.Bodies.Available() != maxBufferedBody-2 {
+		t.Errorf("status %v, %d bytes left", res.status, tight.Bodies.Available())
 	}
 }
 
@@ -249,7 +249,7 @@
 // to send it again: the next request on a connection waits until what is some milliseconds late has come.
 func TestWhoSentBeyondIsGivenTime(t *testing.T) {
 	answer := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-	plain := core.NewEndpoint(1, "").Settle()
+	plain := core.NewEndpoint(1, "").ReuseDelay()
 	for name, see := range map[string]func(*upstreamConn, net.Conn) *core.Endpoint{
 		"behind its answer": func(c *upstreamConn, far net.Conn) *core.Endpoint {
 			io.WriteString(far, answer+answer)
@@ -269,11 +269,11 @@
 	} {
 		c, far := tcpPair(t)
 		e := see(c, far)
-		if e.Settle() < 5*plain {
-			t.Errorf("%s: a connection rests %v, as to others", name, e.Settle())
+		if e.ReuseDelay() < 5*plain {
+			t.Errorf("%s: a connection rests %v, as to others", name, e.ReuseDelay())
 		}
 		c, far = tcpPair(t)
-		c.Since = time.Now()
+		c.IdleSince = time.Now()
 		var came time.Time
 		done := make(chan bool)
 		go func() {
@@ -291,7 +291,7 @@
 		}
 		a.Close()
 		<-done
-		if rest := came.Sub(c.Since); rest < 5*plain {
+		if rest := came.Sub(c.IdleSince); rest < 5*plain {
 			t.Errorf("%s: the next request after %v", name, rest)
 		}
 	}
@@ -346,8 +346,8 @@
 		defer l.Close()
 		a := attemptAt(forwardedRequest{method: "POST", target: "/", host: "h"}, l.Addr().String(), true, 2*patience, 0)
 		defer a.Close()
-		a.OutBy = time.Now().Add(50 * time.Millisecond)
-		a.network = slowNetwork{until: a.OutBy, never: never}
+		a.SendBy = time.Now().Add(50 * time.Millisecond)
+		a.network = slowNetwork{until: a.SendBy, never: never}
 		if res := a.run(nil, patience, roomy()); res.status != decision.NotSent || res.conn != nil {
 			t.Errorf("%s: status %v, conn %v", name, res.status, res.conn)
 		}
@@ -562,7 +562,7 @@
 		return true
 	}}, "127.0.0.1:1", true, patience, 0)
 	defer a.Close()
-	near.Since = time.Now()
+	near.IdleSince = time.Now()
 	if res := a.run(near, patience, roomy()); res.status != decision.NotSent || res.conn != near || asked != 1 {
 		t.Errorf("%v, its connection kept: %v, asked %d times", res.status, res.conn == near, asked)
 	}
--- a/internal/lab/real/standin.go
+++ b/internal/lab/real/standin.go
@@ -198,7 +198,7 @@
 func (d *Discovery) Repeat(stale bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.odd = core.List{Rev: d.rev, All: true}
+	d.odd = core.List{Rev: d.rev, Full: true}
 	if stale && d.rev > 1 {
 		d.odd.Rev--
 	}
@@ -246,8 +246,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	kept := d.rev - uint64(len(d.log)) // the version that the changes that are kept follow on
-	l = core.List{Rev: d.rev, All: since == nil || *since > d.rev || *since < kept}
-	if !l.All {
+	l = core.List{Rev: d.rev, Full: since == nil || *since > d.rev || *since < kept}
+	if !l.Full {
 		l.Targets = append(l.Targets, d.log[*since-kept:]...)
 		return l, d.changed
 	}
--- a/internal/lab/real/standin_test.go
+++ b/internal/lab/real/standin_test.go
@@ -17,8 +17,8 @@
 		all bool
 		n   int
 	}{mostChanges + 3: {false, 2}, mostChanges + 5: {false, 0}, 5: {false, mostChanges}, 4: {true, 1}, 1 << 40: {true, 1}} {
-		if l, _ := d.list(&since); l.All != want.all || len(l.Targets) != want.n || l.Rev != mostChanges+5 {
-			t.Errorf("since %d: %d of version %d, whole %v", since, len(l.Targets), l.Rev, l.All)
+		if l, _ := d.list(&since); l.Full != want.all || len(l.Targets) != want.n || l.Rev != mostChanges+5 {
+			t.Errorf("since %d: %d of version %d, whole %v", since, len(l.Targets), l.Rev, l.Full)
 		}
 	}
 }
