--- a/cmd/dykering-lab/bench.go
+++ b/cmd/dykering-lab/bench.go
@@ -90,16 +90,20 @@
 			return err
 		}
 		go func() {
-			ready := &http.Server{Addr: os.Getenv("BALANCER_CONTROL"), Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}),
-				ReadHeaderTimeout: time.Second}
+			ready := &http.Server{
+				Addr: os.Getenv("BALANCER_CONTROL"), Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}),
+				ReadHeaderTimeout: time.Second,
+			}
 			if err := ready.ListenAndServe(); err != nil {
 				fmt.Fprintln(os.Stderr, err)
 			}
 		}()
-		proxy := &httputil.ReverseProxy{Transport: &http.Transport{MaxIdleConnsPerHost: 1024},
+		proxy := &httputil.ReverseProxy{
+			Transport: &http.Transport{MaxIdleConnsPerHost: 1024},
 			Rewrite: func(r *httputil.ProxyRequest) {
 				r.SetURL(&url.URL{Scheme: "http", Host: targets[rand.IntN(len(targets))]})
-			}}
+			},
+		}
 		web := &http.Server{Handler: proxy, ReadHeaderTimeout: 5 * time.Second}
 		return web.Serve(l) // until it is killed
 	})}
@@ -136,7 +140,8 @@
 	b := &bench{}
 	var asJSON bool
 	var program string
-	c := &cli.Command{Name: "proxy",
+	c := &cli.Command{
+		Name:  "proxy",
 		Usage: "Direct calls, the standard library's reverse proxy with random choice, and the broker, on the same servers",
 		Action: commandline.NoArgs(func(ctx context.Context, c *cli.Command) error {
 			got, err := b.run(ctx, program, c.Root().ErrWriter)
@@ -148,7 +153,8 @@
 			}
 			b.tell(c.Root().Writer, got)
 			return nil
-		})}
+		}),
+	}
 	c.Flags = []cli.Flag{
 		&cli.IntFlag{Name: "callers", Value: 64, Usage: "that ask without rest, for the throughput", Destination: &b.Callers},
 		&cli.DurationFlag{Name: "server-time", Value: 20 * time.Millisecond, Usage: "how long a server takes for an answer", Destination: &b.Took},
@@ -158,8 +164,10 @@
 		&cli.StringFlag{Name: "broker", Usage: "the broker's program; without it, the one that is built in", Destination: &program},
 		&cli.BoolFlag{Name: "json", Usage: "print JSON", Destination: &asJSON},
 	}
-	return &cli.Command{Name: "bench", Usage: "Measure the broker beside others", Commands: []*cli.Command{c},
-		Action: commandline.MissingCommand}
+	return &cli.Command{
+		Name: "bench", Usage: "Measure the broker beside others", Commands: []*cli.Command{c},
+		Action: commandline.MissingCommand,
+	}
 }
 
 // run measures all ways one after another, so that none is beside another.
@@ -255,8 +263,10 @@
 
 // times measures how long answers take at a steady rate.
 func (b *bench) times(ctx context.Context, m *measured, address func() string) error {
-	l := &load.Load{URL: address() + "/bench", Profile: load.Profile{Kind: load.Steady, Rate: b.Rate, Lasts: b.Lasts}, Most: 10000,
-		Run: "times-" + m.Way, Classes: []load.Class{{Name: "read", Share: 1, Method: "GET", Left: 2 * time.Second}}}
+	l := &load.Load{
+		URL: address() + "/bench", Profile: load.Profile{Kind: load.Steady, Rate: b.Rate, Lasts: b.Lasts}, Most: 10000,
+		Run: "times-" + m.Way, Classes: []load.Class{{Name: "read", Share: 1, Method: "GET", Left: 2 * time.Second}},
+	}
 	r, err := l.Play(ctx)
 	if err != nil {
 		return err
@@ -375,7 +385,7 @@
 	for range n {
 		all.Go(func() {
 			for ctx.Err() == nil {
-				r, err := http.NewRequest("GET", c.address()+"/bench", nil)
+				r, err := http.NewRequest(http.MethodGet, c.address()+"/bench", nil)
 				if err != nil {
 					bad.Add(1)
 					return
--- a/cmd/dykering-lab/coresearch.go
+++ b/cmd/dykering-lab/coresearch.go
@@ -15,15 +15,18 @@
 
 // newCoreSearch is the search of the emulated core for a broken promise.
 func newCoreSearch() *cli.Command {
-	return &cli.Command{Name: "control", Usage: "The control plane's core, emulated in virtual time",
+	return &cli.Command{
+		Name: "control", Usage: "The control plane's core, emulated in virtual time",
 		Commands: []*cli.Command{newCoreExplore(), newCoreReplay(), newCoreFlaws(), newCoreRecovery()},
-		Action:   commandline.MissingCommand}
+		Action:   commandline.MissingCommand,
+	}
 }
 
 func newCoreExplore() *cli.Command {
 	var first, schedules uint64
 	var flaw, file, table string
-	c := &cli.Command{Name: "explore", Usage: "Draw schedules of troubles until a promise is broken",
+	c := &cli.Command{
+		Name: "explore", Usage: "Draw schedules of troubles until a promise is broken",
 		Action: commandline.NoArgs(func(_ context.Context, c *cli.Command) error {
 			began := time.Now()
 			failure, covered := coresim.SearchCovering(first, schedules, coresim.Flaw(flaw), func(played uint64) {
@@ -51,7 +54,8 @@
 				}
 			}
 			return commandline.Fault(fmt.Errorf("a promise is broken"))
-		})}
+		}),
+	}
 	c.Flags = []cli.Flag{
 		&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "the first seed", Destination: &first},
 		&cli.Uint64Flag{Name: "schedules", Value: 10000, Usage: "how many schedules", Destination: &schedules},
@@ -71,7 +75,8 @@
 }
 
 func newCoreReplay() *cli.Command {
-	return &cli.Command{Name: "replay", ArgsUsage: "FILE", Usage: "Play a written schedule again",
+	return &cli.Command{
+		Name: "replay", ArgsUsage: "FILE", Usage: "Play a written schedule again",
 		Action: commandline.Args(1, 1, func(_ context.Context, c *cli.Command, args []string) error {
 			text, err := os.ReadFile(args[0])
 			if err != nil {
@@ -86,12 +91,14 @@
 			}
 			fmt.Fprintln(c.Root().Writer, "no promise broken")
 			return nil
-		})}
+		}),
+	}
 }
 
 func newCoreFlaws() *cli.Command {
 	var first, schedules uint64
-	c := &cli.Command{Name: "flaws", Usage: "Plant each flaw and tell how many schedules find it",
+	c := &cli.Command{
+		Name: "flaws", Usage: "Plant each flaw and tell how many schedules find it",
 		Action: commandline.NoArgs(func(_ context.Context, c *cli.Command) error {
 			missed := 0
 			for _, flaw := range coresim.Flaws() {
@@ -107,7 +114,8 @@
 				return commandline.Fault(fmt.Errorf("%d flaws were not found", missed))
 			}
 			return nil
-		})}
+		}),
+	}
 	c.Flags = []cli.Flag{
 		&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "the first seed", Destination: &first},
 		&cli.Uint64Flag{Name: "schedules", Value: 20000, Usage: "how many schedules for each flaw", Destination: &schedules},
@@ -117,7 +125,8 @@
 
 func newCoreRecovery() *cli.Command {
 	var seeds uint64
-	c := &cli.Command{Name: "recovery", Usage: "Measure the time from a trouble to the next acknowledgement",
+	c := &cli.Command{
+		Name: "recovery", Usage: "Measure the time from a trouble to the next acknowledgement",
 		Action: commandline.NoArgs(func(_ context.Context, c *cli.Command) error {
 			kinds := []coresim.Kind{coresim.Kill, coresim.Freeze, coresim.Isolate, coresim.Stall, coresim.Wipe}
 			for _, struck := range []coresim.Struck{coresim.StruckHead, coresim.StruckMiddle, coresim.StruckTail} {
@@ -127,7 +136,8 @@
 			}
 			tellRecovery(c, coresim.StruckAll, coresim.KillAll, seeds)
 			return nil
-		})}
+		}),
+	}
 	c.Flags = []cli.Flag{
 		&cli.Uint64Flag{Name: "seeds", Value: 1000, Usage: "how often each trouble strikes", Destination: &seeds},
 	}
--- a/cmd/dykering-lab/demo.go
+++ b/cmd/dykering-lab/demo.go
@@ -37,7 +37,8 @@
 
 func newDemo() *cli.Command {
 	var lasts time.Duration
-	c := &cli.Command{Name: "demo",
+	c := &cli.Command{
+		Name:  "demo",
 		Usage: "Show the broker on loopback, while servers are drained and killed and a new version takes over",
 		Action: commandline.NoArgs(func(ctx context.Context, c *cli.Command) error {
 			if lasts < 4*time.Second || lasts > 10*time.Minute {
@@ -47,7 +48,8 @@
 				return commandline.Fault(err)
 			}
 			return nil
-		})}
+		}),
+	}
 	c.Flags = []cli.Flag{
 		&cli.DurationFlag{Name: "lasts", Value: 20 * time.Second, Usage: "how long callers ask", Destination: &lasts},
 	}
@@ -156,14 +158,18 @@
 	var failed error
 	go func() {
 		defer close(loaded)
-		l := load.Load{URL: st.URL + "/demo", Profile: load.Profile{Kind: load.Steady, Rate: demoRate, Lasts: lasts}, Most: 1000, Run: "demo",
-			Classes: []load.Class{{Name: "read", Share: 0.67, Method: "GET", Left: 2 * time.Second},
-				{Name: "pay", Share: 0.33, Method: "POST", Left: 2 * time.Second}},
+		l := load.Load{
+			URL: st.URL + "/demo", Profile: load.Profile{Kind: load.Steady, Rate: demoRate, Lasts: lasts}, Most: 1000, Run: "demo",
+			Classes: []load.Class{
+				{Name: "read", Share: 0.67, Method: "GET", Left: 2 * time.Second},
+				{Name: "pay", Share: 0.33, Method: "POST", Left: 2 * time.Second},
+			},
 			Told: func(o load.Outcome) {
 				mu.Lock()
 				defer mu.Unlock()
 				seconds[min(int(o.At.Seconds()), len(seconds)-1)].count(o)
-			}}
+			},
+		}
 		_, failed = l.Play(asking)
 	}()
 	began := time.Now()
--- a/cmd/dykering-lab/explore.go
+++ b/cmd/dykering-lab/explore.go
@@ -24,7 +24,8 @@
 	var at, most int
 	var dir string
 	var lasts time.Duration
-	c := &cli.Command{Name: "explore", Usage: "Search for a broken rule: faults drawn at every turn of the whole program, in virtual time",
+	c := &cli.Command{
+		Name: "explore", Usage: "Search for a broken rule: faults drawn at every turn of the whole program, in virtual time",
 		Action: commandline.NoArgs(func(ctx context.Context, c *cli.Command) error {
 			if at == 0 {
 				at = runtime.GOMAXPROCS(0)
@@ -64,7 +65,8 @@
 				return commandline.Fault(fmt.Errorf("runs in which a rule was broken: %v; replays: %s", r.Broken, strings.Join(r.Finds, ", ")))
 			}
 			return nil
-		})}
+		}),
+	}
 	c.Flags = []cli.Flag{
 		&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "of the draws", Destination: &seed},
 		&cli.IntFlag{Name: "runs", Usage: "how many at the most, with those played before; 0 for no bound", Destination: &most},
--- a/cmd/dykering-lab/fleetview.go
+++ b/cmd/dykering-lab/fleetview.go
@@ -18,7 +18,8 @@
 	var crashes int
 	var loss float64
 	var seed uint64
-	c := &cli.Command{Name: "fleet-view", Usage: "The fleet's view by gossip in virtual time: detection, false suspicion, heal, load",
+	c := &cli.Command{
+		Name: "fleet-view", Usage: "The fleet's view by gossip in virtual time: detection, false suspicion, heal, load",
 		Action: commandline.NoArgs(func(_ context.Context, c *cli.Command) error {
 			if loss < 0 || loss >= 1 || crashes < 1 {
 				return fmt.Errorf("--loss is a share below 1, and --crashes at least 1")
@@ -37,7 +38,8 @@
 
 			}
 			return t.Flush()
-		})}
+		}),
+	}
 	c.Flags = []cli.Flag{
 		&cli.IntSliceFlag{Name: "members", Value: []int{5, 10, 30, 300, 1000}, Usage: "sizes of the fleet", Destination: &sizes},
 		&cli.IntFlag{Name: "crashes", Value: 20, Usage: "crashes one after another, at most half of the fleet", Destination: &crashes},
--- a/cmd/dykering-lab/load.go
+++ b/cmd/dykering-lab/load.go
@@ -27,7 +27,8 @@
 	l := &load.Load{}
 	var classes, teams []string
 	var asJSON bool
-	c := &cli.Command{Name: "load", ArgsUsage: "URL", Usage: "Ask an HTTP/1.1 address for so much, whatever it answers (open loop)",
+	c := &cli.Command{
+		Name: "load", ArgsUsage: "URL", Usage: "Ask an HTTP/1.1 address for so much, whatever it answers (open loop)",
 		DisableSliceFlagSeparator: true, // a class and a team have commas of their own
 		Action: commandline.Args(1, 1, func(ctx context.Context, c *cli.Command, args []string) error {
 			u, err := url.Parse(args[0])
@@ -58,7 +59,8 @@
 				return commandline.Fault(errors.New("not one request was answered"))
 			}
 			return nil
-		})}
+		}),
+	}
 	c.Flags = []cli.Flag{
 		&cli.StringFlag{Name: "profile", Value: load.Steady, Usage: "how the rate goes: steady, ramp, step, spike", Destination: &l.Profile.Kind},
 		&cli.FloatFlag{Name: "rate", Value: 100, Usage: "requests a second, at the beginning or outside of the spike", Destination: &l.Profile.Rate},
--- a/cmd/dykering-lab/main.go
+++ b/cmd/dykering-lab/main.go
@@ -37,16 +37,21 @@
 
 // execute runs a command line, and returns the exit code: 0 well, 1 a fault or a broken rule, 2 a wrong command line.
 func execute(args []string, out, errOut io.Writer, in whole.Bubble) int {
-	root := &cli.Command{Name: "dykering-lab", Usage: "The laboratory of the broker",
-		Commands: []*cli.Command{newCheck(), newSim(), newReal(), newWhole(in), newExplore(in), newRun(in), newCompare(), newLoad(),
-			newBench(), newDemo(), newBroker(), newReverseProxy(), newFleetView(), newCoreSearch(), newTrial()}}
+	root := &cli.Command{
+		Name: "dykering-lab", Usage: "The laboratory of the broker",
+		Commands: []*cli.Command{
+			newCheck(), newSim(), newReal(), newWhole(in), newExplore(in), newRun(in), newCompare(), newLoad(),
+			newBench(), newDemo(), newBroker(), newReverseProxy(), newFleetView(), newCoreSearch(), newTrial(),
+		},
+	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	return commandline.Run(ctx, root, args, out, errOut)
 }
 
 func newCheck() *cli.Command {
-	return &cli.Command{Name: "check", ArgsUsage: "FILE...", Usage: "Check scenarios",
+	return &cli.Command{
+		Name: "check", ArgsUsage: "FILE...", Usage: "Check scenarios",
 		Action: commandline.Args(1, -1, func(_ context.Context, _ *cli.Command, args []string) error {
 			var all []faults.Fault
 			for _, path := range args {
@@ -57,7 +62,8 @@
 				return commandline.Fault(err)
 			}
 			return nil
-		})}
+		}),
+	}
 }
 
 // job is one run of many.
@@ -74,7 +80,8 @@
 	var policies []string
 	var asJSON bool
 	var scale float64
-	c := &cli.Command{Name: "sim", ArgsUsage: "[FILE]", Usage: "Play a scenario in virtual time; without a file, the built-in one",
+	c := &cli.Command{
+		Name: "sim", ArgsUsage: "[FILE]", Usage: "Play a scenario in virtual time; without a file, the built-in one",
 		Action: commandline.Args(0, 1, func(ctx context.Context, c *cli.Command, args []string) error {
 			s, err := loadScenario(args)
 			if err != nil {
@@ -95,7 +102,8 @@
 			began := time.Now()
 			playAll(ctx, s, jobs)
 			return report(c.Root().Writer, jobs, asJSON, time.Since(began))
-		})}
+		}),
+	}
 	c.Flags = []cli.Flag{
 		&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "the first seed", Destination: &seed},
 		&cli.IntFlag{Name: "seeds", Value: 1, Usage: "how many seeds, one after another", Destination: &seeds},
--- a/cmd/dykering-lab/main_test.go
+++ b/cmd/dykering-lab/main_test.go
@@ -94,7 +94,7 @@
 // The load tool's table and JSON say what a server answered; what cannot be asked for is named.
 func TestLoad(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.Header.Get("X-Lane") == "pay" && (r.Header.Get("Idempotency-Key") == "" || r.Method != "POST" || r.Header.Get("X-Org") != "web") {
+		if r.Header.Get("X-Lane") == "pay" && (r.Header.Get("Idempotency-Key") == "" || r.Method != http.MethodPost || r.Header.Get("X-Org") != "web") {
 			w.WriteHeader(http.StatusBadRequest)
 		}
 	}))
@@ -108,8 +108,10 @@
 	if err := json.Unmarshal([]byte(out), &r); err != nil || r.All.Asked < 95 || r.All.Served != r.All.Asked || len(r.Classes) != 2 {
 		t.Errorf("%v, %+v", err, r.All)
 	}
-	for args, want := range map[string]string{"load ftp://x": "not an http", "load http://x --rate 0": "rate 0", "load http://x --class a,shares=1": "not known",
-		"load http://x --profile ramp": "to which it goes", "load http://x --class a,share=0.2": "sum to 0.2", "load": "accepts 1 arg"} {
+	for args, want := range map[string]string{
+		"load ftp://x": "not an http", "load http://x --rate 0": "rate 0", "load http://x --class a,shares=1": "not known",
+		"load http://x --profile ramp": "to which it goes", "load http://x --class a,share=0.2": "sum to 0.2", "load": "accepts 1 arg",
+	} {
 		if code, _, errOut := command(args); code != 2 || !strings.Contains(errOut, want) {
 			t.Errorf("%s: exit %d, %q", args, code, errOut)
 		}
--- a/cmd/dykering-lab/real.go
+++ b/cmd/dykering-lab/real.go
@@ -41,7 +41,8 @@
 	var seed uint64
 	var program, dir string
 	var asJSON bool
-	c := &cli.Command{Name: "real", ArgsUsage: "[FILE]", Usage: "Play a scenario with processes of the broker on loopback sockets",
+	c := &cli.Command{
+		Name: "real", ArgsUsage: "[FILE]", Usage: "Play a scenario with processes of the broker on loopback sockets",
 		Action: commandline.Args(0, 1, func(ctx context.Context, c *cli.Command, args []string) error {
 			s, err := loadScenario(args)
 			if err != nil {
@@ -71,7 +72,8 @@
 				err = errors.Join(err, os.RemoveAll(logs))
 			}
 			return err
-		})}
+		}),
+	}
 	c.Flags = []cli.Flag{
 		&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "the seed", Destination: &seed},
 		&cli.StringFlag{Name: "broker", Usage: "the broker's program; without it, the one that is built in", Destination: &program},
--- a/cmd/dykering-lab/run.go
+++ b/cmd/dykering-lab/run.go
@@ -21,7 +21,8 @@
 	var dir string
 	var fresh bool
 	var at int
-	c := &cli.Command{Name: "run", ArgsUsage: "EXPERIMENT.toml", Usage: "Play an experiment, or what of it has not been played yet",
+	c := &cli.Command{
+		Name: "run", ArgsUsage: "EXPERIMENT.toml", Usage: "Play an experiment, or what of it has not been played yet",
 		Action: commandline.Args(1, 1, func(ctx context.Context, c *cli.Command, args []string) error {
 			e, wrong := experiment.Load(args[0])
 			if err := faults.Join(wrong); err != nil {
@@ -64,7 +65,8 @@
 			}
 			fmt.Fprintf(c.Root().Writer, "\n%d runs; tables and charts are in %s\n", len(runs), dir)
 			return nil
-		})}
+		}),
+	}
 	c.Flags = []cli.Flag{
 		&cli.StringFlag{Name: "out", Usage: "the folder for results; without it, lab/results and the experiment's name", Destination: &dir},
 		&cli.BoolFlag{Name: "fresh", Usage: "begin anew, and forget what was played", Destination: &fresh},
@@ -74,7 +76,8 @@
 }
 
 func newCompare() *cli.Command {
-	return &cli.Command{Name: "compare", ArgsUsage: "BEFORE AFTER", Usage: "Say of two folders of results what is better, worse or noise",
+	return &cli.Command{
+		Name: "compare", ArgsUsage: "BEFORE AFTER", Usage: "Say of two folders of results what is better, worse or noise",
 		Action: commandline.Args(2, 2, func(_ context.Context, c *cli.Command, args []string) error {
 			_, a, err := experiment.ReadRuns(args[0])
 			if err != nil {
@@ -89,5 +92,6 @@
 				return commandline.Fault(err)
 			}
 			return experiment.Markdown(c.Root().Writer, rows)
-		})}
+		}),
+	}
 }
--- a/cmd/dykering-lab/trial.go
+++ b/cmd/dykering-lab/trial.go
@@ -15,7 +15,8 @@
 	spec := trial.Spec{Variants: []trial.Variant{{Name: "base", Tree: "."}, {Name: "changed"}}}
 	var name string
 	var seeds []int64
-	c := &cli.Command{Name: "trial", Usage: "Play the same days with two builds through the bench, and compare",
+	c := &cli.Command{
+		Name: "trial", Usage: "Play the same days with two builds through the bench, and compare",
 		Action: commandline.NoArgs(func(ctx context.Context, c *cli.Command) error {
 			spec.Variants[1].Name = name
 			spec.Why = "trial " + name + ": " + spec.Why
@@ -32,7 +33,8 @@
 				return commandline.Fault(err)
 			}
 			return nil
-		})}
+		}),
+	}
 	c.Flags = []cli.Flag{
 		&cli.StringFlag{Name: "bench", Required: true, Usage: "the bench's program", Destination: &spec.Bench},
 		&cli.StringFlag{Name: "name", Required: true, Usage: "the trial's name", Destination: &name},
--- a/cmd/dykering-lab/whole.go
+++ b/cmd/dykering-lab/whole.go
@@ -21,10 +21,12 @@
 // only the testing package makes.
 func inBubbles(run func(whole.Bubble) int) {
 	os.Args = os.Args[:1] // the rest is not testing's
-	testing.Main(func(_, _ string) (bool, error) { return true, nil }, []testing.InternalTest{{Name: "bubbles",
+	testing.Main(func(_, _ string) (bool, error) { return true, nil }, []testing.InternalTest{{
+		Name: "bubbles",
 		F: func(t *testing.T) {
 			os.Exit(run(func(f func()) { synctest.Test(t, func(*testing.T) { f() }) }))
-		}}}, nil, nil)
+		},
+	}}, nil, nil)
 }
 
 func newWhole(in whole.Bubble) *cli.Command {
@@ -32,7 +34,8 @@
 	var seeds, instances, servers int
 	var scale float64
 	var asJSON bool
-	c := &cli.Command{Name: "whole", ArgsUsage: "[FILE]", Usage: "Play a scenario with the whole program in virtual time, on an emulated network",
+	c := &cli.Command{
+		Name: "whole", ArgsUsage: "[FILE]", Usage: "Play a scenario with the whole program in virtual time, on an emulated network",
 		Action: commandline.Args(0, 1, func(ctx context.Context, c *cli.Command, args []string) error {
 			s, err := loadScenario(args)
 			if err != nil {
@@ -54,7 +57,8 @@
 				jobs = append(jobs, &job{Policy: "dykering", Result: r, Took: time.Since(at)})
 			}
 			return report(c.Root().Writer, jobs, asJSON, time.Since(began))
-		})}
+		}),
+	}
 	c.Flags = []cli.Flag{
 		&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "the first seed", Destination: &seed},
 		&cli.IntFlag{Name: "seeds", Value: 1, Usage: "how many seeds, one after another", Destination: &seeds},
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -377,7 +377,7 @@
 	in := bufio.NewReader(f)
 	for n := 1; ; n++ {
 		line, err := in.ReadBytes('\n')
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			if n == 1 {
 				return h, nil, fmt.Errorf("%s: not a file of runs", path)
 			}
--- a/internal/lab/experiment/summary.go
+++ b/internal/lab/experiment/summary.go
@@ -188,8 +188,10 @@
 			if d.N == 0 {
 				return nil, fmt.Errorf("%s, side %s: no seed in both", g.point, g.side)
 			}
-			rows = append(rows, Row{Point: g.point, Side: g.side, Metric: m.Name, Is: g.estimate(m), Against: "before", Differs: d,
-				Verdict: verdict(d, m.Better)})
+			rows = append(rows, Row{
+				Point: g.point, Side: g.side, Metric: m.Name, Is: g.estimate(m), Against: "before", Differs: d,
+				Verdict: verdict(d, m.Better),
+			})
 		}
 	}
 	if len(rows) == 0 {
@@ -259,8 +261,10 @@
 	number := func(x float64) string { return strconv.FormatFloat(x, 'g', 8, 64) }
 	w.Write([]string{"point", "side", "metric", "seeds", "mean", "half_width", "against", "difference", "difference_half_width", "verdict"})
 	for _, r := range rows {
-		w.Write([]string{r.Point, r.Side, r.Metric, strconv.Itoa(r.Is.N), number(r.Is.Mean), number(r.Is.Half), r.Against,
-			number(r.Differs.Mean), number(r.Differs.Half), r.Verdict})
+		w.Write([]string{
+			r.Point, r.Side, r.Metric, strconv.Itoa(r.Is.N), number(r.Is.Mean), number(r.Is.Half), r.Against,
+			number(r.Differs.Mean), number(r.Differs.Half), r.Verdict,
+		})
 	}
 	w.Flush()
 	return w.Error()
--- a/internal/lab/faultnet/relay.go
+++ b/internal/lab/faultnet/relay.go
@@ -73,8 +73,10 @@
 		tcp.Close()
 		return nil, err
 	}
-	r := &Relay{udp: udp, tcp: tcp, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
-		rules: rules{down: map[[2]string]bool{}, set: map[string]int{}}, done: make(chan struct{})}
+	r := &Relay{
+		udp: udp, tcp: tcp, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
+		rules: rules{down: map[[2]string]bool{}, set: map[string]int{}}, done: make(chan struct{}),
+	}
 	r.wg.Add(2)
 	go r.packets()
 	go r.accept()
--- a/internal/lab/faultnet/schedule.go
+++ b/internal/lab/faultnet/schedule.go
@@ -88,8 +88,10 @@
 	case "loss":
 		r.Loss(st.Share)
 	case "slow":
-		r.Slow(Delay{Fixed: time.Duration(st.Fixed), Jitter: time.Duration(st.Jitter), Tail: st.Tail,
-			TailBy: time.Duration(st.TailBy)})
+		r.Slow(Delay{
+			Fixed: time.Duration(st.Fixed), Jitter: time.Duration(st.Jitter), Tail: st.Tail,
+			TailBy: time.Duration(st.TailBy),
+		})
 	case "cut":
 		sets := make([][]string, len(st.Sets))
 		for i, set := range st.Sets {
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -39,8 +39,14 @@
 			t.Errorf("%s: %v sent, want about %v", tc.p.Kind, n, tc.sent)
 		}
 	}
-	for _, p := range []Profile{{Kind: "wave", Rate: 1, Lasts: s}, {Kind: Steady, Lasts: s}, {Kind: Ramp, Rate: 1, Lasts: s},
-		{Kind: Step, Rate: 1, To: 2, Steps: 1, Lasts: s}, {Kind: Steady, Rate: math.NaN(), Lasts: s}, {Kind: Steady, Rate: 1}} {
+	for _, p := range []Profile{
+		{Kind: "wave", Rate: 1, Lasts: s},
+		{Kind: Steady, Lasts: s},
+		{Kind: Ramp, Rate: 1, Lasts: s},
+		{Kind: Step, Rate: 1, To: 2, Steps: 1, Lasts: s},
+		{Kind: Steady, Rate: math.NaN(), Lasts: s},
+		{Kind: Steady, Rate: 1},
+	} {
 		if p.Check() == nil {
 			t.Errorf("%+v is taken", p)
 		}
@@ -58,8 +64,10 @@
 		}
 	}))
 	defer server.Close()
-	l := &Load{URL: server.URL, Profile: Profile{Kind: Steady, Rate: 100, Lasts: time.Second}, Most: 1000, Conns: 1, Run: "t",
-		Classes: []Class{{Name: "read", Share: 1, Method: "GET", Left: 5 * time.Second}}}
+	l := &Load{
+		URL: server.URL, Profile: Profile{Kind: Steady, Rate: 100, Lasts: time.Second}, Most: 1000, Conns: 1, Run: "t",
+		Classes: []Class{{Name: "read", Share: 1, Method: "GET", Left: 5 * time.Second}},
+	}
 	r, err := l.Play(t.Context())
 	if err != nil || r.All.Served != 100 || r.Unsent != 0 {
 		t.Fatalf("%v, %+v", err, r)
@@ -76,9 +84,9 @@
 		io.Copy(io.Discard, r.Body) // only then net/http sees its caller go
 		switch r.Header.Get("X-Lane") {
 		case "refused":
-			w.WriteHeader(503)
+			w.WriteHeader(http.StatusServiceUnavailable)
 		case "failed":
-			w.WriteHeader(502)
+			w.WriteHeader(http.StatusBadGateway)
 		case "lost":
 			panic(http.ErrAbortHandler)
 		case "slow":
@@ -89,8 +97,10 @@
 	class := func(name string) Class {
 		return Class{Name: name, Share: 0.2, Method: "POST", Left: 300 * time.Millisecond, Body: 10}
 	}
-	l := &Load{URL: server.URL, Profile: Profile{Kind: Steady, Rate: 200, Lasts: time.Second}, Most: 30, Poisson: true, Run: "t",
-		Classes: []Class{class("served"), class("refused"), class("failed"), class("lost"), class("slow")}}
+	l := &Load{
+		URL: server.URL, Profile: Profile{Kind: Steady, Rate: 200, Lasts: time.Second}, Most: 30, Poisson: true, Run: "t",
+		Classes: []Class{class("served"), class("refused"), class("failed"), class("lost"), class("slow")},
+	}
 	told := 0
 	l.Told = func(Outcome) { told++ }
 	r, err := l.Play(t.Context())
--- a/internal/lab/model/caller.go
+++ b/internal/lab/model/caller.go
@@ -53,10 +53,12 @@
 	s := w.S
 	class := scenario.Pick(w.asks, len(s.Classes), func(i int) float64 { return s.Classes[i].Share })
 	all := w.burst + w.flooding()
-	a := &ask{n: w.asked, class: class, team: scenario.Pick(w.asks, len(s.Teams), func(i int) float64 {
-		return s.Teams[i].Share * (w.burst + w.flood[i]) / all
-	}), work: s.Classes[class].Draw(w.asks), born: w.Now(), instance: w.front(),
-		deadline: w.Now() + time.Duration(s.Classes[class].Deadline)}
+	a := &ask{
+		n: w.asked, class: class, team: scenario.Pick(w.asks, len(s.Teams), func(i int) float64 {
+			return s.Teams[i].Share * (w.burst + w.flood[i]) / all
+		}), work: s.Classes[class].Draw(w.asks), born: w.Now(), instance: w.front(),
+		deadline: w.Now() + time.Duration(s.Classes[class].Deadline),
+	}
 	w.asked++
 	if w.open >= s.Callers.Most {
 		w.Result.Unmade++
@@ -103,8 +105,10 @@
 	}
 	a.tries++
 	w.Result.Tries++
-	t := &Try{ID: decision.RequestID(fmt.Sprintf("%d/%d", a.n, a.tries)), Origin: a.origin(), Class: a.class, Team: a.team,
-		Work: a.work, Instance: a.instance, Until: w.Now() + left, Repeat: w.S.Callers.Marks && a.tries > 1, Asker: w, ask: a}
+	t := &Try{
+		ID: decision.RequestID(fmt.Sprintf("%d/%d", a.n, a.tries)), Origin: a.origin(), Class: a.class, Team: a.team,
+		Work: a.work, Instance: a.instance, Until: w.Now() + left, Repeat: w.S.Callers.Marks && a.tries > 1, Asker: w, ask: a,
+	}
 	w.After(w.Latency(), func() { w.brokers.Take(t) })
 	w.After(left, func() {
 		if t.Heard || a.over {
--- a/internal/lab/model/result.go
+++ b/internal/lab/model/result.go
@@ -120,9 +120,11 @@
 )
 
 func newResult(s *scenario.Scenario, seed uint64) *Result {
-	r := &Result{Scenario: s.Name, Engine: "sim", Seed: seed, Instances: s.Broker.Instances, Servers: s.Servers.Count, Back: -1,
+	r := &Result{
+		Scenario: s.Name, Engine: "sim", Seed: seed, Instances: s.Broker.Instances, Servers: s.Servers.Count, Back: -1,
 		Classes: make([]ClassResult, len(s.Classes)), Seconds: make([]Second, 1+int(time.Duration(s.Lasts).Seconds())),
-		latency: hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)}
+		latency: hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3),
+	}
 	for i, c := range s.Classes {
 		r.Classes[i].Name = c.Name
 	}
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -72,8 +72,10 @@
 		kind = drawn
 	}
 	k := &w.S.Kinds[kind]
-	s := &Server{N: len(w.Servers), Tier: t, w: w, ordinal: ordinal, kind: k, kindN: kind, speed: k.Speed.Draw(rng), rng: rng,
-		up: true, slow: 1, bytes: "none", conns: map[int]*conns{}}
+	s := &Server{
+		N: len(w.Servers), Tier: t, w: w, ordinal: ordinal, kind: k, kindN: kind, speed: k.Speed.Draw(rng), rng: rng,
+		up: true, slow: 1, bytes: "none", conns: map[int]*conns{},
+	}
 	t.Servers = append(t.Servers, s)
 	w.Servers = append(w.Servers, s)
 	return s
@@ -98,8 +100,10 @@
 // Entry is what discovery says of the server.
 func (s *Server) Entry() decision.Entry {
 	p := s.place()
-	return decision.Entry{Endpoint: s.ID(), Zone: p.Zone, Cell: p.Cell, Kind: s.kindN, State: s.state, Started: s.started,
-		Weight: float64(s.kind.Cores)}
+	return decision.Entry{
+		Endpoint: s.ID(), Zone: p.Zone, Cell: p.Cell, Kind: s.kindN, State: s.state, Started: s.started,
+		Weight: float64(s.kind.Cores),
+	}
 }
 
 // share is the part of its capacity that a server has that has just started.
@@ -329,8 +333,10 @@
 		wrong := func(x float64) float64 { return x * (1 + k.ReportNoise*(2*s.rng.Float64()-1)) }
 		busy := float64(len(s.works))
 		s.seenAt = now
-		s.seen = decision.Load{InFlight: wrong(busy + float64(len(s.queue)+len(s.calls))), Queue: wrong(float64(len(s.queue))),
-			Util: min(wrong(busy/float64(k.Cores)), 1), Service: -1}
+		s.seen = decision.Load{
+			InFlight: wrong(busy + float64(len(s.queue)+len(s.calls))), Queue: wrong(float64(len(s.queue))),
+			Util: min(wrong(busy/float64(k.Cores)), 1), Service: -1,
+		}
 	}
 	l := s.seen
 	return &l
@@ -426,8 +432,10 @@
 	t := c.a.Try
 	left := time.Duration(float64(t.Until-w.Now()) * (1 - below.below.Keeps))
 	id := fmt.Sprintf("%s:%d-%d", t.ID, c.a.Number, c.left)
-	c.try = &Try{ID: decision.RequestID(id), Origin: id, Class: t.Class, Team: t.Team, Work: max(below.below.Work.Draw(s.rng), 1e-6),
-		Instance: below.Instances[s.ordinal%len(below.Instances)], Until: w.Now() + left, Asker: s, call: c}
+	c.try = &Try{
+		ID: decision.RequestID(id), Origin: id, Class: t.Class, Team: t.Team, Work: max(below.below.Work.Draw(s.rng), 1e-6),
+		Instance: below.Instances[s.ordinal%len(below.Instances)], Until: w.Now() + left, Asker: s, call: c,
+	}
 	try := c.try
 	w.After(w.Latency(), func() { w.brokers.Take(try) })
 	w.After(max(left, 0), func() { s.Hear(try, timedOut, 0) })
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -142,10 +142,14 @@
 // New makes the world of a scenario and a seed. Sockets may be nil; slack is by how much time limits are longer where
 // what is seen is not seen at once.
 func New(s *scenario.Scenario, seed uint64, c Clock, b Brokers, sockets Sockets, slack time.Duration) *World {
-	w := &World{Clock: c, S: s, seed: seed, brokers: b, sockets: sockets, asks: Stream(seed, "callers", 0),
-		wires: Stream(seed, "network", 0), hears: Stream(seed, "discovery", 0), burst: 1, manners: map[string]float64{}, flood: make([]float64, len(s.Teams)), rev: 1}
-	w.Checker = rules.New(rules.Settings{Grace: Grace + slack, DrainGrace: time.Duration(s.Servers.Grace) + slack,
-		Attempts: s.Broker.MaxAttempts, Held: slack <= heldSlack})
+	w := &World{
+		Clock: c, S: s, seed: seed, brokers: b, sockets: sockets, asks: Stream(seed, "callers", 0),
+		wires: Stream(seed, "network", 0), hears: Stream(seed, "discovery", 0), burst: 1, manners: map[string]float64{}, flood: make([]float64, len(s.Teams)), rev: 1,
+	}
+	w.Checker = rules.New(rules.Settings{
+		Grace: Grace + slack, DrainGrace: time.Duration(s.Servers.Grace) + slack,
+		Attempts: s.Broker.MaxAttempts, Held: slack <= heldSlack,
+	})
 	w.Result = newResult(s, seed)
 	w.makeTier(s.Broker.Instances, s.Servers.Count, -1, nil)
 	for i := range s.Below {
@@ -208,15 +212,19 @@
 // Settings are what an instance is told.
 func (w *World) Settings(in *Instance) decision.Settings {
 	b, v := w.S.Broker, w.S.Servers
-	set := decision.Settings{Instances: len(in.Tier.Instances), Ordinal: in.Ordinal, Stage: in.Tier.N, Tiers: len(w.Tiers),
+	set := decision.Settings{
+		Instances: len(in.Tier.Instances), Ordinal: in.Ordinal, Stage: in.Tier.N, Tiers: len(w.Tiers),
 		Quantum: time.Duration(b.Quantum), GoalTotal: 0.7, GoalWorstClass: 0.3, MayCancel: b.MayCancel,
 		MaxAttempts: b.MaxAttempts, MaxRetryAfter: time.Duration(b.RetryAfter), ConnectTimeout: time.Duration(b.Connect),
 		ClientsMarkRetries: w.S.Callers.Marks, ColdCapacity: v.From, WarmUp: time.Duration(v.Cold),
-		OverloadMultiple: v.Tip, OverloadWindow: time.Duration(v.Fall)}
+		OverloadMultiple: v.Tip, OverloadWindow: time.Duration(v.Fall),
+	}
 	for _, c := range w.S.Classes {
-		set.Classes = append(set.Classes, decision.Class{Name: c.Name, LatencyTarget: time.Duration(c.Aim),
+		set.Classes = append(set.Classes, decision.Class{
+			Name: c.Name, LatencyTarget: time.Duration(c.Aim),
 			Deadline: time.Duration(c.Deadline), Value: 1, Effect: decision.Effect(c.Effect), Scope: decision.Scope(c.Scope),
-			Window: time.Duration(c.Window)})
+			Window: time.Duration(c.Window),
+		})
 	}
 	for _, t := range w.S.Teams {
 		set.Tenants = append(set.Tenants, decision.Tenant{Name: t.Name, QuotaPerS: t.Quota})
--- a/internal/lab/netem/conn.go
+++ b/internal/lab/netem/conn.go
@@ -1,6 +1,7 @@
 package netem
 
 import (
+	"errors"
 	"io"
 	"net"
 	"os"
@@ -281,7 +282,7 @@
 }
 
 func (c *Conn) fault(op string, err error) error {
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		return err
 	}
 	return &net.OpError{Op: op, Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: err}
@@ -333,7 +334,7 @@
 			return 0, c.fault("read", os.ErrDeadlineExceeded)
 		}
 		n, next, changed, err := look()
-		if err != syscall.EAGAIN {
+		if !errors.Is(err, syscall.EAGAIN) {
 			if err != nil {
 				err = c.fault("read", err)
 			}
@@ -369,7 +370,7 @@
 func (c *Conn) Ended() bool {
 	closed, _, _, _ := c.state()
 	_, _, _, err := c.end.in.ending()
-	return closed || err != syscall.EAGAIN
+	return closed || !errors.Is(err, syscall.EAGAIN)
 }
 
 // Peek tells how many bytes of one are there; EAGAIN says none, and 0 without an error the end.
@@ -380,7 +381,7 @@
 		return -1, net.ErrClosed
 	}
 	n, _, _, err := c.end.in.look(b[:], false)
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		return 0, nil
 	}
 	if err != nil {
@@ -403,7 +404,7 @@
 		if _, over := passed(deadline, time.Time{}); over {
 			return n, c.fault("write", os.ErrDeadlineExceeded)
 		}
-		if k, _, _, err := c.end.in.look(make([]byte, 1), false); k == 0 && err != nil && err != io.EOF && err != syscall.EAGAIN {
+		if k, _, _, err := c.end.in.look(make([]byte, 1), false); k == 0 && err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, syscall.EAGAIN) {
 			return n, c.fault("write", os.NewSyscallError("write", syscall.ECONNRESET))
 		}
 		room, changed := to.in.room()
--- a/internal/lab/netem/netem.go
+++ b/internal/lab/netem/netem.go
@@ -58,9 +58,11 @@
 	if o.Backlog == 0 {
 		o.Backlog = backlogDefault
 	}
-	return &Network{o: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), machines: map[string]*Machine{},
+	return &Network{
+		o: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), machines: map[string]*Machine{},
 		sockets: map[string]*Socket{}, ports: 1024, conns: map[*line]bool{},
-		wakes: wakes{sooner: make(chan struct{}, 1), closed: make(chan struct{})}}
+		wakes: wakes{sooner: make(chan struct{}, 1), closed: make(chan struct{})},
+	}
 }
 
 // Close ends the network: no deadline passes on it any more.
--- a/internal/lab/real/play.go
+++ b/internal/lab/real/play.go
@@ -89,8 +89,10 @@
 func PlayOn(ctx context.Context, g Ground, s *scenario.Scenario, seed uint64, late time.Duration) (_ *model.Result, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	st := &stage{wall: newWall(), ground: g, late: late, servers: map[int]*server{}, tries: map[decision.RequestID]*try{},
-		failed: make(chan error, 1), ctx: ctx}
+	st := &stage{
+		wall: newWall(), ground: g, late: late, servers: map[int]*server{}, tries: map[decision.RequestID]*try{},
+		failed: make(chan error, 1), ctx: ctx,
+	}
 	defer func() {
 		stop()
 		st.tearDown()
@@ -171,7 +173,8 @@
 		return err
 	}
 	i := &instance{in: in, name: name, zone: zone, seat: place, url: "http://" + place.Address(), client: &http.Client{Transport: &http.Transport{
-		DialContext: st.ground.Dial, MaxIdleConnsPerHost: 1024, IdleConnTimeout: 10 * time.Second, DisableCompression: true}}}
+		DialContext: st.ground.Dial, MaxIdleConnsPerHost: 1024, IdleConnTimeout: 10 * time.Second, DisableCompression: true,
+	}}}
 	st.instances = append(st.instances, i)
 	l, err := st.ground.Listen(discoveryName(name), zone, "")
 	if err != nil {
@@ -196,9 +199,11 @@
 
 // configure writes an instance's file, as the platform does.
 func (st *stage) configure(i *instance) error {
-	text, err := json.MarshalIndent(map[string]any{"name": i.name, "listen": i.seat.Address(), "discovery": i.places.Address,
+	text, err := json.MarshalIndent(map[string]any{
+		"name": i.name, "listen": i.seat.Address(), "discovery": i.places.Address,
 		"seed": fmt.Sprintf("%x", st.w.Seed(i.in)), "limits": map[string]any{"cores": 1, "memory_mb": memoryMB, "sockets": sockets},
-		"settings": told(st.w, i.in)}, "", " ")
+		"settings": told(st.w, i.in),
+	}, "", " ")
 	if err != nil {
 		return err
 	}
@@ -288,8 +293,10 @@
 	effects := map[decision.Effect]string{decision.Safe: "read_like", decision.Keyed: "idempotency_key", decision.Unsafe: "non_idempotent"}
 	var classes, tenants []map[string]any
 	for _, c := range set.Classes {
-		class := map[string]any{"name": c.Name, "aim": micros(c.LatencyTarget), "deadline": micros(c.Deadline), "gain": c.Value,
-			"effect": effects[c.Effect], "window": micros(c.Window)}
+		class := map[string]any{
+			"name": c.Name, "aim": micros(c.LatencyTarget), "deadline": micros(c.Deadline), "gain": c.Value,
+			"effect": effects[c.Effect], "window": micros(c.Window),
+		}
 		if c.Effect == decision.Keyed {
 			class["keyScope"] = c.Scope
 		}
@@ -309,14 +316,18 @@
 		models = append(models, k.Name)
 	}
 	return map[string]any{
-		"allowed": map[string]any{"cancel": set.MayCancel, "connIdle": micros(serverIdle), "connectTimeout": micros(set.ConnectTimeout),
-			"maxRetryAfter": micros(set.MaxRetryAfter), "retryAfter": set.MaxRetryAfter > 0, "sendCap": set.MaxAttempts},
+		"allowed": map[string]any{
+			"cancel": set.MayCancel, "connIdle": micros(serverIdle), "connectTimeout": micros(set.ConnectTimeout),
+			"maxRetryAfter": micros(set.MaxRetryAfter), "retryAfter": set.MaxRetryAfter > 0, "sendCap": set.MaxAttempts,
+		},
 		"clientHabits": map[string]any{"marksRetry": set.ClientsMarkRetries}, "discovery": "push", "models": models, "zones": zones,
 		"goal": map[string]any{"whole": set.GoalTotal, "worstClass": set.GoalWorstClass}, "instances": set.Instances,
 		"ordinal": set.Ordinal, "stage": set.Stage, "tiers": tiers, "quantum": micros(set.Quantum),
 		"services": classes, "tenants": tenants,
-		"rules": map[string]any{"cold": micros(set.WarmUp), "coldFrom": set.ColdCapacity, "fall": micros(set.OverloadWindow),
-			"graceToAnswer": micros(model.Grace), "tipMultiple": set.OverloadMultiple},
+		"rules": map[string]any{
+			"cold": micros(set.WarmUp), "coldFrom": set.ColdCapacity, "fall": micros(set.OverloadWindow),
+			"graceToAnswer": micros(model.Grace), "tipMultiple": set.OverloadMultiple,
+		},
 	}
 }
 
@@ -324,9 +335,11 @@
 
 // target is how discovery says an entry.
 func (st *stage) target(e decision.Entry) core.Target {
-	t := core.Target{UID: fmt.Sprintf("server-%08x", uint32(e.Endpoint)), Address: st.servers[int(e.Endpoint)-1].address,
+	t := core.Target{
+		UID: fmt.Sprintf("server-%08x", uint32(e.Endpoint)), Address: st.servers[int(e.Endpoint)-1].address,
 		Zone: zoneName(e.Zone), Model: st.w.S.Kinds[e.Kind].Name, Cell: e.Cell, Weight: e.Weight,
-		State: [...]string{"Ready", "Terminating", "Gone"}[e.State]}
+		State: [...]string{"Ready", "Terminating", "Gone"}[e.State],
+	}
 	if e.Started > 0 {
 		t.BootMS = st.at(e.Started).UnixMilli()
 	}
@@ -550,8 +563,10 @@
 		return
 	}
 	c := st.w.S.Classes[m.Class]
-	st.w.Checker.Taken(st.Now(), rules.Request{ID: string(m.ID), Origin: m.Origin, Instance: m.Instance.N, Deadline: m.Until,
-		Effect: c.Effect, Scope: c.Scope, Window: time.Duration(c.Window)})
+	st.w.Checker.Taken(st.Now(), rules.Request{
+		ID: string(m.ID), Origin: m.Origin, Instance: m.Instance.N, Deadline: m.Until,
+		Effect: c.Effect, Scope: c.Scope, Window: time.Duration(c.Window),
+	})
 	ctx, cancel := context.WithDeadline(st.ctx, st.at(m.Until+model.Grace+st.late))
 	t := &try{Try: m, cancel: cancel}
 	st.tries[m.ID] = t
@@ -559,8 +574,10 @@
 	if len(st.w.S.Teams) > 0 {
 		team = st.w.S.Teams[m.Team].Name
 	}
-	q := question{url: i.url, id: string(m.ID), class: c.Name, effect: c.Effect, team: team, key: m.Origin, repeat: m.Repeat,
-		left: st.at(m.Until)}
+	q := question{
+		url: i.url, id: string(m.ID), class: c.Name, effect: c.Effect, team: team, key: m.Origin, repeat: m.Repeat,
+		left: st.at(m.Until),
+	}
 	st.behave(t, &q, i)
 	st.work.Go(func() {
 		defer cancel()
--- a/internal/lab/real/play_test.go
+++ b/internal/lab/real/play_test.go
@@ -157,8 +157,10 @@
 				x.Lasts, floor = scenario.Times{From: 200 * time.Millisecond, To: 200 * time.Millisecond}, 0.5
 			}
 			s := brief(t, x)
-			s.Below = []scenario.Below{{Name: "below", Instances: 1, Servers: 2, Calls: scenario.Span{From: 1, To: 1},
-				Work: scenario.Span{From: 0.002, To: 0.004}, Keeps: 0.1}}
+			s.Below = []scenario.Below{{
+				Name: "below", Instances: 1, Servers: 2, Calls: scenario.Span{From: 1, To: 1},
+				Work: scenario.Span{From: 0.002, To: 0.004}, Keeps: 0.1,
+			}}
 			r, err := Play(t.Context(), s, 3, options(t, "right"))
 			if err != nil {
 				t.Fatal(err)
@@ -175,10 +177,14 @@
 
 // Brokers that do what they must not are caught, and named for the right rule.
 func TestWrongBrokersAreCaught(t *testing.T) {
-	drain := scenario.Trouble{What: "drain", Share: 0.5, At: scenario.Times{From: 200 * time.Millisecond, To: 200 * time.Millisecond},
-		Lasts: scenario.Times{From: 4 * time.Second, To: 4 * time.Second}}
-	for how, rule := range map[string]string{"hangs": rules.Time, "forgets": rules.Answer, "sends all twice": rules.Effect,
-		"heeds no drain": rules.Drain} {
+	drain := scenario.Trouble{
+		What: "drain", Share: 0.5, At: scenario.Times{From: 200 * time.Millisecond, To: 200 * time.Millisecond},
+		Lasts: scenario.Times{From: 4 * time.Second, To: 4 * time.Second},
+	}
+	for how, rule := range map[string]string{
+		"hangs": rules.Time, "forgets": rules.Answer, "sends all twice": rules.Effect,
+		"heeds no drain": rules.Drain,
+	} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
 			s := brief(t, drain)
@@ -203,8 +209,10 @@
 // A broker that ends, hangs or never can serve, and a run that is called off: it ends soon, says what happened with the
 // log, and leaves no process behind.
 func TestBadBrokersEndTheRun(t *testing.T) {
-	for how, want := range map[string]string{"exits": "exit status 3", "never ready": "could not serve within", "crashes": "as it is meant to",
-		"hangs": "canceled", "right": "canceled"} {
+	for how, want := range map[string]string{
+		"exits": "exit status 3", "never ready": "could not serve within", "crashes": "as it is meant to",
+		"hangs": "canceled", "right": "canceled",
+	} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
 			o := options(t, how)
@@ -260,9 +268,13 @@
 	at := func(seconds int) strict.Duration { return strict.Duration(time.Duration(seconds) * time.Second) }
 	b := func(i int) string { return fmt.Sprintf("broker-0-%d", i) }
 	s.Faults = []faultnet.Step{
-		{At: at(1), Do: "kill", Member: b(1)}, {At: at(2), Do: "stop", Member: b(2)}, {At: at(3), Do: "cont", Member: b(2)},
-		{At: at(4), Do: "start", Member: b(1)}, {At: at(5), Do: "cut", Sets: [][]string{{b(0), b(1)}, {b(2), b(3)}}},
-		{At: at(9), Do: "heal"}}
+		{At: at(1), Do: "kill", Member: b(1)},
+		{At: at(2), Do: "stop", Member: b(2)},
+		{At: at(3), Do: "cont", Member: b(2)},
+		{At: at(4), Do: "start", Member: b(1)},
+		{At: at(5), Do: "cut", Sets: [][]string{{b(0), b(1)}, {b(2), b(3)}}},
+		{At: at(9), Do: "heal"},
+	}
 	if wrong := s.Check(); len(wrong) > 0 {
 		t.Fatal(wrong)
 	}
--- a/internal/lab/real/process.go
+++ b/internal/lab/real/process.go
@@ -48,8 +48,10 @@
 		return nil, err
 	}
 	defer log.Close()
-	p := &Process{cmd: exec.Command(l.Command[0], l.Command[1:]...), control: loopback.Address(), Log: l.Log,
-		ended: make(chan struct{})}
+	p := &Process{
+		cmd: exec.Command(l.Command[0], l.Command[1:]...), control: loopback.Address(), Log: l.Log,
+		ended: make(chan struct{}),
+	}
 	p.cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+l.File, "BALANCER_ACCEPT_FD=3", "BALANCER_CONTROL="+p.control,
 		"TMPDIR="+l.Dir)
 	p.cmd.Env = append(p.cmd.Env, l.Env...)
--- a/internal/lab/real/site.go
+++ b/internal/lab/real/site.go
@@ -52,8 +52,10 @@
 	if st.socket, err = l.(*net.TCPListener).File(); err != nil {
 		return nil, err
 	}
-	text, err := json.Marshal(map[string]any{"name": "lab", "listen": l.Addr().String(), "discovery": st.Places.Address,
-		"seed": "a1", "limits": limits, "settings": json.RawMessage(settings)})
+	text, err := json.Marshal(map[string]any{
+		"name": "lab", "listen": l.Addr().String(), "discovery": st.Places.Address,
+		"seed": "a1", "limits": limits, "settings": json.RawMessage(settings),
+	})
 	if err != nil {
 		return nil, err
 	}
@@ -66,8 +68,10 @@
 
 // StartBroker starts a process on the callers' socket, and waits until it can serve.
 func (st *Site) StartBroker(ctx context.Context, command []string, env ...string) (*Process, error) {
-	p, err := Launch{Command: command, File: st.file, Socket: st.socket, Dir: st.dir, Env: env,
-		Log: filepath.Join(st.dir, fmt.Sprintf("broker-%d.log", len(st.Brokers)))}.Start()
+	p, err := Launch{
+		Command: command, File: st.file, Socket: st.socket, Dir: st.dir, Env: env,
+		Log: filepath.Join(st.dir, fmt.Sprintf("broker-%d.log", len(st.Brokers))),
+	}.Start()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/real/standin.go
+++ b/internal/lab/real/standin.go
@@ -137,8 +137,10 @@
 
 // discoveryAt is one that answers at a listener.
 func discoveryAt(l net.Listener, servers []*Server) *Discovery {
-	d := &Discovery{Address: l.Addr().String(), targets: map[string]core.Target{}, changed: make(chan struct{}),
-		broken: make(chan struct{}), oddly: make(chan struct{})}
+	d := &Discovery{
+		Address: l.Addr().String(), targets: map[string]core.Target{}, changed: make(chan struct{}),
+		broken: make(chan struct{}), oddly: make(chan struct{}),
+	}
 	for _, s := range servers {
 		d.Tell(s, "Ready", 0)
 	}
@@ -152,8 +154,10 @@
 
 // Tell tells all that a server is Ready, Terminating or Gone; booted is its start in Unix milliseconds, 0 for long past.
 func (d *Discovery) Tell(s *Server, state string, booted int64) {
-	d.TellTarget(core.Target{UID: s.UID, Address: s.Address(), Zone: "hall", Model: "stand-in", State: state, Weight: 1,
-		BootMS: booted})
+	d.TellTarget(core.Target{
+		UID: s.UID, Address: s.Address(), Zone: "hall", Model: "stand-in", State: state, Weight: 1,
+		BootMS: booted,
+	})
 }
 
 // TellTarget tells all of a line of the list.
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -116,8 +116,10 @@
 
 // New makes a checker.
 func New(s Settings) *Checker {
-	return &Checker{set: s, open: map[string]*open{}, runs: map[string][]run{}, told: map[[2]int]bool{},
-		drains: map[[2]int]time.Duration{}, stalls: map[int][]span{}, counts: map[string]int{}}
+	return &Checker{
+		set: s, open: map[string]*open{}, runs: map[string][]run{}, told: map[[2]int]bool{},
+		drains: map[[2]int]time.Duration{}, stalls: map[int][]span{}, counts: map[string]int{},
+	}
 }
 
 // Violations are the first of those that were found.
--- a/internal/lab/sim/budgets.go
+++ b/internal/lab/sim/budgets.go
@@ -69,8 +69,10 @@
 		w.After(decideEvery, g.decide)
 	}
 	id := fmt.Sprintf("%d#%d", s.in.Ordinal, s.lives)
-	p := &purse{Holder: budget.NewHolder(id, 1, leaseTerms, t.granted.floor), seat: s,
-		rng: model.Stream(w.Seed(s.in), "budgets", int(s.lives))}
+	p := &purse{
+		Holder: budget.NewHolder(id, 1, leaseTerms, t.granted.floor), seat: s,
+		rng: model.Stream(w.Seed(s.in), "budgets", int(s.lives)),
+	}
 	t.granted.holders[id] = p
 	p.allot()
 	w.After(time.Duration(p.rng.Int64N(int64(leaseLength/leaseRenewals))), p.ask)
--- a/internal/lab/sim/instance.go
+++ b/internal/lab/sim/instance.go
@@ -101,10 +101,14 @@
 	r := &try{Try: m, seat: i.seat, ends: m.Until - model.Grace}
 	i.tries[m.ID] = r
 	c := w.S.Classes[m.Class]
-	w.Checker.Taken(now, rules.Request{ID: string(m.ID), Origin: m.Origin, Instance: i.in.N, Deadline: m.Until,
-		Effect: c.Effect, Scope: c.Scope, Window: time.Duration(c.Window)})
-	i.seat.policy.Request(now, decision.Request{ID: m.ID, Class: m.Class, Tenant: m.Team, Remaining: r.ends - now,
-		IsRetry: m.Repeat, IdleConns: 1 << 10})
+	w.Checker.Taken(now, rules.Request{
+		ID: string(m.ID), Origin: m.Origin, Instance: i.in.N, Deadline: m.Until,
+		Effect: c.Effect, Scope: c.Scope, Window: time.Duration(c.Window),
+	})
+	i.seat.policy.Request(now, decision.Request{
+		ID: m.ID, Class: m.Class, Tenant: m.Team, Remaining: r.ends - now,
+		IsRetry: m.Repeat, IdleConns: 1 << 10,
+	})
 }
 
 // Lapse tells that whoever asked has given a try up.
@@ -243,8 +247,10 @@
 		final = true
 		s.answer(r, model.Served, 0)
 	}
-	s.policy.Outcome(w.Now(), decision.Outcome{ID: r.ID, Endpoint: a.Server.ID(), Attempt: a.Number, Final: final,
-		Elapsed: w.Now() - a.Sent, Status: status, Load: l})
+	s.policy.Outcome(w.Now(), decision.Outcome{
+		ID: r.ID, Endpoint: a.Server.ID(), Attempt: a.Number, Final: final,
+		Elapsed: w.Now() - a.Sent, Status: status, Load: l,
+	})
 	s.forget(r)
 }
 
--- a/internal/lab/sim/policies.go
+++ b/internal/lab/sim/policies.go
@@ -56,8 +56,10 @@
 
 func simple(pick func(*plain) decision.EndpointID) NewPolicy {
 	return func(set decision.Settings, seed uint64, host decision.Host, truth Truth) (Policy, error) {
-		return &plain{set: set, host: host, rng: rand.New(rand.NewPCG(seed, 1)), truth: truth, pick: pick,
-			out: map[decision.EndpointID]int{}, calls: map[decision.RequestID]*call{}}, nil
+		return &plain{
+			set: set, host: host, rng: rand.New(rand.NewPCG(seed, 1)), truth: truth, pick: pick,
+			out: map[decision.EndpointID]int{}, calls: map[decision.RequestID]*call{},
+		}, nil
 	}
 }
 
--- a/internal/lab/sim/replica.go
+++ b/internal/lab/sim/replica.go
@@ -63,8 +63,10 @@
 		return
 	}
 	w := s.t.w
-	s.mind = &mind{store: replica.New(strconv.Itoa(s.in.Ordinal), replicaLimits),
-		rng: model.Stream(w.Seed(s.in), "replica", int(s.lives))}
+	s.mind = &mind{
+		store: replica.New(strconv.Itoa(s.in.Ordinal), replicaLimits),
+		rng:   model.Stream(w.Seed(s.in), "replica", int(s.lives)),
+	}
 	if s.lives > 1 { // it joins a fleet that is there: a peer tells it what it holds
 		w.After(2*w.Latency(), func() {
 			peer := s.peer()
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -100,15 +100,19 @@
 		"syn":         func(x *scenario.Trouble) { x.What, x.How = "bytes", "syn" },
 	} {
 		t.Run(what, func(t *testing.T) {
-			x := scenario.Trouble{What: what, At: scenario.Times{From: 2 * time.Second, To: 3 * time.Second}, Share: 0.3, Of: 0.5,
-				Lasts: scenario.Times{From: 2 * time.Second, To: 3 * time.Second}, Factor: scenario.Span{From: 2, To: 3}}
+			x := scenario.Trouble{
+				What: what, At: scenario.Times{From: 2 * time.Second, To: 3 * time.Second}, Share: 0.3, Of: 0.5,
+				Lasts: scenario.Times{From: 2 * time.Second, To: 3 * time.Second}, Factor: scenario.Span{From: 2, To: 3},
+			}
 			if change != nil {
 				change(&x)
 			}
 			s := short()
 			s.Lasts = strict.Duration(8 * time.Second)
-			s.Below = []scenario.Below{{Name: "below", Instances: 3, Servers: 6, Calls: scenario.Span{From: 1, To: 2},
-				Work: scenario.Span{From: 0.005, To: 0.02}, Keeps: 0.1}}
+			s.Below = []scenario.Below{{
+				Name: "below", Instances: 3, Servers: 6, Calls: scenario.Span{From: 1, To: 2},
+				Work: scenario.Span{From: 0.005, To: 0.02}, Keeps: 0.1,
+			}}
 			s.Troubles = []scenario.Trouble{x, x}
 			s.Troubles[1].Tier = 1
 			for i := range s.Kinds {
@@ -171,8 +175,10 @@
 
 func wrongly(does string) NewPolicy {
 	return func(set decision.Settings, seed uint64, host decision.Host, truth Truth) (Policy, error) {
-		w := &wrong{set: set, host: host, Host: host, does: does, sent: map[decision.RequestID]int{},
-			gone: map[decision.EndpointID]bool{}, delay: map[uint64]decision.RequestID{}, tokens: 1 << 40}
+		w := &wrong{
+			set: set, host: host, Host: host, does: does, sent: map[decision.RequestID]int{},
+			gone: map[decision.EndpointID]bool{}, delay: map[uint64]decision.RequestID{}, tokens: 1 << 40,
+		}
 		inner, err := Policies["random"](set, seed, w, truth)
 		w.Policy = inner
 		return w, err
--- a/internal/lab/swim/swim.go
+++ b/internal/lab/swim/swim.go
@@ -28,9 +28,11 @@
 
 // LAN is memberlist's DefaultLANConfig.
 func LAN() Settings {
-	return Settings{ProbeInterval: time.Second, ProbeTimeout: 500 * time.Millisecond,
+	return Settings{
+		ProbeInterval: time.Second, ProbeTimeout: 500 * time.Millisecond,
 		GossipInterval: 200 * time.Millisecond, SuspicionMult: 4, SuspicionMaxMult: 6, IndirectChecks: 3,
-		GossipNodes: 3, RetransmitMult: 4, Latency: 200 * time.Microsecond}
+		GossipNodes: 3, RetransmitMult: 4, Latency: 200 * time.Microsecond,
+	}
 }
 
 // update is what gossip carries: a member's state under an incarnation.
@@ -133,13 +135,19 @@
 
 // New makes a fleet of n members that all know each other alive, and starts their timers at random phases.
 func New(n int, s Settings, seed uint64) *Fleet {
-	f := &Fleet{s: s, rng: rand.New(rand.NewPCG(seed, seed+1)), set: make([]int, n),
-		start: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)}
+	f := &Fleet{
+		s: s, rng: rand.New(rand.NewPCG(seed, seed+1)), set: make([]int, n),
+		start: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC),
+	}
 	for i := range n {
-		m := &member{up: true, inc: 1, state: make([]membership.State, n), incs: make([]uint32, n),
-			suspected: make([]time.Duration, n), confirms: make([]int, n), acked: map[uint64]bool{}}
-		m.view = membership.New(f.observation(i, 1, membership.Alive), membership.Limits{Most: n + 1,
-			Kept: 10 * time.Minute}, f.start)
+		m := &member{
+			up: true, inc: 1, state: make([]membership.State, n), incs: make([]uint32, n),
+			suspected: make([]time.Duration, n), confirms: make([]int, n), acked: map[uint64]bool{},
+		}
+		m.view = membership.New(f.observation(i, 1, membership.Alive), membership.Limits{
+			Most: n + 1,
+			Kept: 10 * time.Minute,
+		}, f.start)
 		for j := range n {
 			m.incs[j], m.suspected[j] = 1, -1
 			if j != i {
@@ -155,8 +163,10 @@
 }
 
 func (f *Fleet) observation(i int, inc uint32, s membership.State) membership.Observation {
-	return membership.Observation{ID: fmt.Sprintf("b%04d", i), Incarnation: inc, State: s,
-		Meta: membership.Meta{Started: f.start, Weight: 1}}
+	return membership.Observation{
+		ID: fmt.Sprintf("b%04d", i), Incarnation: inc, State: s,
+		Meta: membership.Meta{Started: f.start, Weight: 1},
+	}
 }
 
 func (f *Fleet) at(d time.Duration, e *event) {
--- a/internal/lab/whole/whole.go
+++ b/internal/lab/whole/whole.go
@@ -357,9 +357,11 @@
 		}
 	}
 	s.started++
-	b := &broker{name: fmt.Sprintf("%s, process %d", s.machine.Name, s.started), process: s.machine.Start(),
+	b := &broker{
+		name: fmt.Sprintf("%s, process %d", s.machine.Name, s.started), process: s.machine.Start(),
 		signals: make(chan os.Signal, 1), reloads: make(chan os.Signal, 1), ended: make(chan struct{}),
-		dies: make(chan struct{}), excused: make(chan struct{})}
+		dies: make(chan struct{}), excused: make(chan struct{}),
+	}
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), zapcore.AddSync(&b.log), zap.WarnLevel)
 	listener := b.process.Listener(s.socket)
 	if !s.g.shared {
@@ -511,7 +513,7 @@
 func (b *broker) Ended() <-chan struct{} { return b.ended }
 
 func (b *broker) Fault(text string) error {
-	return fmt.Errorf("%s %s (%v); its log ends with:\n%s", b.name, text, b.err, b.log.String())
+	return fmt.Errorf("%s %s (%w); its log ends with:\n%s", b.name, text, b.err, b.log.String())
 }
 
 // tail keeps the end of a log.
--- a/internal/lab/whole/whole_test.go
+++ b/internal/lab/whole/whole_test.go
@@ -26,8 +26,10 @@
 	s.Callers.Rate = scenario.Span{From: 60, To: 60}
 	s.Teams = nil
 	s.Troubles = troubles
-	s.Below = []scenario.Below{{Name: "below", Instances: 1, Servers: 2, Calls: scenario.Span{From: 1, To: 1},
-		Work: scenario.Span{From: 0.002, To: 0.004}, Keeps: 0.1}}
+	s.Below = []scenario.Below{{
+		Name: "below", Instances: 1, Servers: 2, Calls: scenario.Span{From: 1, To: 1},
+		Work: scenario.Span{From: 0.002, To: 0.004}, Keeps: 0.1,
+	}}
 	return s
 }
 
@@ -88,8 +90,10 @@
 func TestCallersGoWhileItStandsStill(t *testing.T) {
 	at := scenario.Times{From: time.Second, To: time.Second}
 	s := brief(scenario.Trouble{What: "stall", Of: 1, At: at, Lasts: scenario.Times{From: 400 * time.Millisecond, To: 400 * time.Millisecond}},
-		scenario.Trouble{What: "gone", At: at, Lasts: scenario.Times{From: 300 * time.Millisecond, To: 300 * time.Millisecond},
-			Factor: scenario.Span{From: 1, To: 1}})
+		scenario.Trouble{
+			What: "gone", At: at, Lasts: scenario.Times{From: 300 * time.Millisecond, To: 300 * time.Millisecond},
+			Factor: scenario.Span{From: 1, To: 1},
+		})
 	s.Callers.Rate = scenario.Span{From: 200, To: 200}
 	r, err := Play(t.Context(), bubble(t), s, 3, Options{Dir: t.TempDir()})
 	if err != nil {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -112,7 +112,7 @@
 	for {
 		part, err := s.in.ReadSlice('\n')
 		s.buf = append(s.buf, part...)
-		if err == bufio.ErrBufferFull {
+		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
 		}
 		if err != nil && (err != io.EOF || len(s.buf) == 0) {
@@ -198,8 +198,10 @@
 		f.time("elapsed")
 		return func(b *balancer) { b.ResponseStarted(now, id, n, ep) }
 	case "closed_attempt":
-		o := decision.Outcome{ID: f.id("corr"), Endpoint: f.endpoint(), Final: f.flag("final"),
-			Elapsed: f.time("elapsed"), Status: f.status(), Attempt: int(f.number("n")), Load: f.load()}
+		o := decision.Outcome{
+			ID: f.id("corr"), Endpoint: f.endpoint(), Final: f.flag("final"),
+			Elapsed: f.time("elapsed"), Status: f.status(), Attempt: int(f.number("n")), Load: f.load(),
+		}
 		return func(b *balancer) { b.Outcome(now, o) }
 	case "lapsed":
 		id := f.id("corr")
@@ -311,9 +313,11 @@
 		if err != nil {
 			return err
 		}
-		entries = append(entries, decision.Entry{Endpoint: item.endpoint(), Zone: int(item.number("area")),
+		entries = append(entries, decision.Entry{
+			Endpoint: item.endpoint(), Zone: int(item.number("area")),
 			Kind: int(item.number("kind")), Cell: int(item.number("stripe")), State: item.state(),
-			Weight: item.float("units"), Started: settings.Micros(item.optional("cameUp"))})
+			Weight: item.float("units"), Started: settings.Micros(item.optional("cameUp")),
+		})
 		if k := entries[i].Kind; item.err == nil && (k < 0 || k >= maxKinds) {
 			item.fail("kind", "out of range")
 		}
