--- a/cmd/dykering-lab/bench.go
+++ b/cmd/dykering-lab/bench.go
@@ -206,7 +206,8 @@
 	file := filepath.Join(site.Dir(), "stats")
 	address := func() string { return site.URL }
 	var process *real.Process
-	switch command := []string(nil); way {
+	var command []string
+	switch way {
 	case "direct":
 		var turn atomic.Int64
 		address = func() string { return "http://" + targets[int(turn.Add(1))%len(targets)] }
@@ -382,10 +383,11 @@
 	transport := &http.Transport{MaxIdleConnsPerHost: n}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport, Timeout: 5 * time.Second}
+	complete := context.WithoutCancel(ctx) // a request that was sent in time is counted with its answer
 	for range n {
 		all.Go(func() {
 			for ctx.Err() == nil {
-				r, err := http.NewRequest(http.MethodGet, c.address()+"/bench", nil)
+				r, err := http.NewRequestWithContext(complete, http.MethodGet, c.address()+"/bench", nil)
 				if err != nil {
 					bad.Add(1)
 					return
@@ -414,8 +416,9 @@
 
 // open makes connections that have had an answer and rest, a few at a time.
 func (c *callers) open(ctx context.Context, n int) (conns []net.Conn, err error) {
+	dialer := net.Dialer{Timeout: time.Second}
 	for i := 0; i < n && ctx.Err() == nil; i++ {
-		x, err := net.DialTimeout("tcp", strings.TrimPrefix(c.address(), "http://"), time.Second)
+		x, err := dialer.DialContext(ctx, "tcp", strings.TrimPrefix(c.address(), "http://"))
 		if err != nil {
 			return conns, err
 		}
--- a/cmd/dykering-lab/whole.go
+++ b/cmd/dykering-lab/whole.go
@@ -23,7 +23,7 @@
 	os.Args = os.Args[:1] // the rest is not testing's
 	testing.Main(func(_, _ string) (bool, error) { return true, nil }, []testing.InternalTest{{
 		Name: "bubbles",
-		F: func(t *testing.T) {
+		F: func(t *testing.T) { //nolint:thelper // it is the test
 			os.Exit(run(func(f func()) { synctest.Test(t, func(*testing.T) { f() }) }))
 		},
 	}}, nil, nil)
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -53,8 +53,8 @@
 	return dir, path
 }
 
-// comparable are runs without what a clock says.
-func comparable(t *testing.T, runs []Run) string {
+// withoutClock renders runs without what a clock says.
+func withoutClock(t *testing.T, runs []Run) string {
 	t.Helper()
 	lines := map[string]string{}
 	for _, r := range runs {
@@ -88,7 +88,7 @@
 	}
 	out := t.TempDir()
 	ctx, cancel := context.WithCancel(t.Context())
-	if _, err := e.Play(ctx, out, self, 3, func(done, of int) {
+	if _, err := e.Play(ctx, out, self, 3, func(done, _ int) {
 		if done == 7 {
 			cancel()
 		}
@@ -109,7 +109,7 @@
 	}
 	played := 0
 	runs, err := e.Play(t.Context(), out, self, 4, func(int, int) { played++ })
-	if err != nil || played != 18-len(kept) || comparable(t, runs) != comparable(t, whole) {
+	if err != nil || played != 18-len(kept) || withoutClock(t, runs) != withoutClock(t, whole) {
 		t.Errorf("%d played after %d, %v", played, len(kept), err)
 	}
 	// What another experiment has played is not taken up, and not touched.
--- a/internal/lab/experiment/summary.go
+++ b/internal/lab/experiment/summary.go
@@ -258,10 +258,11 @@
 // CSV writes rows, one a line.
 func CSV(out io.Writer, rows []Row) error {
 	w := csv.NewWriter(out)
+	// An error of a write is kept by the writer and returned at the end.
 	number := func(x float64) string { return strconv.FormatFloat(x, 'g', 8, 64) }
-	w.Write([]string{"point", "side", "metric", "seeds", "mean", "half_width", "against", "difference", "difference_half_width", "verdict"})
+	_ = w.Write([]string{"point", "side", "metric", "seeds", "mean", "half_width", "against", "difference", "difference_half_width", "verdict"})
 	for _, r := range rows {
-		w.Write([]string{
+		_ = w.Write([]string{
 			r.Point, r.Side, r.Metric, strconv.Itoa(r.Is.N), number(r.Is.Mean), number(r.Is.Half), r.Against,
 			number(r.Differs.Mean), number(r.Differs.Half), r.Verdict,
 		})
--- a/internal/lab/explore/explore_test.go
+++ b/internal/lab/explore/explore_test.go
@@ -28,6 +28,7 @@
 )
 
 func bubble(t *testing.T) whole.Bubble {
+	t.Helper()
 	return func(f func()) { synctest.Test(t, func(*testing.T) { f() }) }
 }
 
@@ -247,7 +248,7 @@
 			s := &Search{Explorer: x, Out: t.TempDir(), First: p.first, At: 1}
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
-			s.Most, s.Told = foundWithin, func(runs, _, finds int) {
+			s.Most, s.Told = foundWithin, func(_, _, finds int) {
 				if finds > 0 {
 					stop()
 				}
--- a/internal/lab/faultnet/relay.go
+++ b/internal/lab/faultnet/relay.go
@@ -190,7 +190,7 @@
 		out := gossip.Header(from, payload)
 		if wait == 0 {
 			r.counts.Passed.Add(1)
-			r.udp.WriteToUDP(out, dst)
+			_, _ = r.udp.WriteToUDP(out, dst) // a datagram may be lost
 			continue
 		}
 		if r.delayed.Add(1) > mostDelayed {
@@ -203,7 +203,7 @@
 			defer r.delayed.Add(-1)
 			if !r.closed.Load() {
 				r.counts.Passed.Add(1)
-				r.udp.WriteToUDP(out, dst)
+				_, _ = r.udp.WriteToUDP(out, dst) // a datagram may be lost
 			}
 		})
 	}
@@ -268,7 +268,7 @@
 	r.counts.Streams.Add(1)
 	done := make(chan struct{}, 2)
 	pipe := func(w net.Conn, rd io.Reader) {
-		io.Copy(w, rd)
+		_, _ = io.Copy(w, rd) // either side may break off
 		w.(*net.TCPConn).CloseWrite()
 		done <- struct{}{}
 	}
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -58,7 +58,7 @@
 func TestNoCoordinatedOmission(t *testing.T) {
 	const stop = 500 * time.Millisecond
 	var n atomic.Int64
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		if n.Add(1) == 20 {
 			time.Sleep(stop)
 		}
--- a/internal/lab/model/result.go
+++ b/internal/lab/model/result.go
@@ -142,7 +142,7 @@
 
 func (r *Result) second(a *ask) *Second { return &r.Seconds[int((a.born - Origin).Seconds())] }
 
-func (r *Result) ask(w *World, a *ask) {
+func (r *Result) ask(_ *World, a *ask) {
 	r.Asked++
 	r.Classes[a.class].Asked++
 	if len(r.Teams) > 0 {
--- a/internal/lab/netem/conn.go
+++ b/internal/lab/netem/conn.go
@@ -489,15 +489,24 @@
 	}
 }
 
+// LocalAddr is the address of this end.
 func (c *Conn) LocalAddr() net.Addr  { return c.end.addr }
+
+// RemoteAddr is the address of the other end.
 func (c *Conn) RemoteAddr() net.Addr { return c.end.peer().addr }
 
+// SetDeadline sets both deadlines.
 func (c *Conn) SetDeadline(t time.Time) error {
-	c.SetReadDeadline(t)
+	if err := c.SetReadDeadline(t); err != nil {
+		return err
+	}
 	return c.SetWriteDeadline(t)
 }
 
+// SetReadDeadline sets when a read times out; the zero time is never.
 func (c *Conn) SetReadDeadline(t time.Time) error  { return c.set(&c.read, t) }
+
+// SetWriteDeadline sets when a write times out; the zero time is never.
 func (c *Conn) SetWriteDeadline(t time.Time) error { return c.set(&c.write, t) }
 
 func (c *Conn) set(which *time.Time, t time.Time) error {
--- a/internal/lab/netem/netem_test.go
+++ b/internal/lab/netem/netem_test.go
@@ -129,7 +129,7 @@
 		"a link is cut and whole again": {Options{}, func(b *bench) {
 			near, far := b.pair()
 			began := time.Now()
-			b.n.Cut(func(from, to *Machine) bool { return from == b.caller.Machine })
+			b.n.Cut(func(from, _ *Machine) bool { return from == b.caller.Machine })
 			near.Write(one)
 			_, err := b.dial(2 * time.Second)
 			b.expect("dial", err, os.ErrDeadlineExceeded)
--- a/internal/lab/real/conn.go
+++ b/internal/lab/real/conn.go
@@ -188,7 +188,7 @@
 		return n, errWrong
 	case halfClose:
 		if tcp, ok := c.Conn.(tcpConn); ok {
-			tcp.CloseWrite()
+			_ = tcp.CloseWrite() // an error means that it has ended
 		}
 		return len(p), nil // the rest is nowhere
 	}
@@ -202,7 +202,7 @@
 // reset ends the connection with a reset.
 func (c *conn) reset() {
 	if tcp, ok := c.Conn.(tcpConn); ok {
-		tcp.SetLinger(0) // an error means that it has ended
+		_ = tcp.SetLinger(0) // an error means that it has ended
 	}
 	c.Close()
 }
--- a/internal/lab/real/play_test.go
+++ b/internal/lab/real/play_test.go
@@ -120,6 +120,7 @@
 }
 
 func options(t *testing.T, how string) Options {
+	t.Helper()
 	return Options{Command: []string{os.Args[0], "broker", how}, Dir: t.TempDir()}
 }
 
--- a/internal/lab/real/process.go
+++ b/internal/lab/real/process.go
@@ -136,7 +136,7 @@
 	select {
 	case <-p.ended:
 	case <-time.After(lasts):
-		p.Signal(syscall.SIGCONT) // it may have been killed
+		_ = p.Signal(syscall.SIGCONT) // it may have been killed
 	}
 }
 
@@ -156,13 +156,13 @@
 
 // Kill ends the process at once.
 func (p *Process) Kill() {
-	p.cmd.Process.Kill() // it may have ended already
+	_ = p.cmd.Process.Kill() // it may have ended already
 	<-p.ended
 }
 
 // End ends the process with SIGTERM and, if it does not heed that, by force.
 func (p *Process) End() {
-	p.cmd.Process.Signal(syscall.SIGTERM) // it may have ended already
+	_ = p.cmd.Process.Signal(syscall.SIGTERM) // it may have ended already
 	select {
 	case <-p.ended:
 	case <-time.After(endFor):
--- a/internal/lab/real/site.go
+++ b/internal/lab/real/site.go
@@ -34,7 +34,7 @@
 	st := &Site{Servers: servers}
 	defer func() {
 		if err != nil {
-			st.TearDown()
+			err = errors.Join(err, st.TearDown())
 		}
 	}()
 	if st.dir, err = os.MkdirTemp("", "dykering-lab-"); err != nil {
--- a/internal/lab/real/standin.go
+++ b/internal/lab/real/standin.go
@@ -84,7 +84,7 @@
 
 // ServeHTTP works on a call.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	io.Copy(io.Discard, r.Body)
+	_, _ = io.Copy(io.Discard, r.Body) // what has come of a call that breaks off is worked on all the same
 	select {
 	case s.cores <- struct{}{}:
 		defer func() { <-s.cores }()
@@ -277,7 +277,7 @@
 	_, oddly := d.outOfTurn()
 	l, changed := d.list(since)
 	if r.URL.Query().Get("follow") != "1" {
-		out.Encode(l) // who has gone does not miss it
+		_ = out.Encode(l) // who has gone does not miss it
 		return
 	}
 	beat := time.NewTicker(heartbeat)
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -82,7 +82,7 @@
 			c.Answered(2300*time.Millisecond, r.ID, "served")
 		}},
 		"another's": {0, "map[time:1]", func(c *Checker, r Request) { c.Stalled(0, time.Minute, 2); c.Answered(2*time.Second, r.ID, "served") }},
-		"never":     {time.Second, "map[answer:1]", func(c *Checker, r Request) { c.End(time.Minute) }},
+		"never":     {time.Second, "map[answer:1]", func(c *Checker, _ Request) { c.End(time.Minute) }},
 		"drain, meant to": {time.Second, "map[]", func(c *Checker, r Request) {
 			c.Listed(400*time.Millisecond, 1, 1, false)
 			c.Sent(1500*time.Millisecond, r.ID, 0, 1)
--- a/internal/lab/sim/budgets.go
+++ b/internal/lab/sim/budgets.go
@@ -100,8 +100,9 @@
 func (p *purse) allot() {
 	now, floors := p.seat.t.w.Now(), p.seat.t.granted.floor
 	a := decision.QuotaShares{TenantFallbackRates: floors, RetryRate: -1}
-	leased := false
-	if a.TenantRates, leased = p.May(now); leased {
+	rates, leased := p.May(now)
+	a.TenantRates = rates
+	if leased {
 		a.Until = now + p.Left(now)
 	}
 	p.seat.policy.(*decision.Balancer).SetQuotaShares(now, a)
--- a/internal/lab/swim/measure.go
+++ b/internal/lab/swim/measure.go
@@ -43,7 +43,7 @@
 	load = float64(f.Stats.Bytes) / float64(n) / warm.Seconds()
 	victim, crashed, seen := -1, time.Duration(0), 0
 	var took []time.Duration
-	f.OnChange = func(viewer int, c membership.Change) {
+	f.OnChange = func(_ int, c membership.Change) {
 		if victim >= 0 && c.Member.State == membership.Dead && c.Member.ID == f.observation(victim, 0, 0).ID {
 			if seen++; seen == n-crashedSoFar(f) { // all that work, the victim counted among the crashed
 				took = append(took, f.Now()-crashed)
--- a/internal/lab/trial/trial_test.go
+++ b/internal/lab/trial/trial_test.go
@@ -35,6 +35,7 @@
 type bed struct{ spec Spec }
 
 func newBed(t *testing.T) *bed {
+	t.Helper()
 	folder := t.TempDir()
 	write := func(path, text string, mode os.FileMode) string {
 		whole := filepath.Join(folder, path)
--- a/internal/lab/whole/whole.go
+++ b/internal/lab/whole/whole.go
@@ -103,6 +103,7 @@
 		if o.Look != nil {
 			watch.Go(func() { g.look(over) })
 		}
+		//nolint:contextcheck // the outer context belongs to no bubble; its end is passed on by stop
 		r, err = real.PlayOn(inside, g, s, seed, late)
 		g.close()
 		close(over)
--- a/internal/lab/whole/whole_test.go
+++ b/internal/lab/whole/whole_test.go
@@ -16,6 +16,7 @@
 )
 
 func bubble(t *testing.T) Bubble {
+	t.Helper()
 	return func(f func()) { synctest.Test(t, func(*testing.T) { f() }) }
 }
 
@@ -157,6 +158,7 @@
 	told := ""
 	spin := func() {
 		for once.CompareAndSwap(false, true); spins.Load(); {
+			continue // without waiting, which is the fault to be found
 		}
 	}
 	wrong := func(before func()) func(http1.Network, net.Listener) (http1.Network, net.Listener) {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -344,7 +344,7 @@
 	}
 	b = append(b, '\n')
 	in.s.scratch = b
-	in.s.out.Write(b) // an error sticks in the writer and shows at Flush
+	_, _ = in.s.out.Write(b) // an error sticks in the writer and shows at Flush
 }
 
 // The methods below are the Host.
