--- a/internal/protocol/explain.go
+++ b/internal/protocol/explain.go
@@ -6,16 +6,39 @@
 	"dykering/internal/sessions"
 )
 
-// ExplainRequest asks a control sidecar why a model stands where it does.
-type ExplainRequest struct{ Model string }
+// ExplainRequest asks a control process why a model has the replicas that it has. An operator's command sends it as the
+// only message on a connection; the answer is an Explanation. If either is lost, the command times out.
+type ExplainRequest struct {
+	Model string
+}
+
+// Explanation answers an ExplainRequest.
+type Explanation struct {
+	Model string
+	Now   time.Duration // on the clock of the process that answers, as is the time of each decision
+	// Holds is true if the process is the lease holder of the placement: only then are demand and decisions known.
+	// (gob field name, fixed.)
+	Holds bool
+	// Copies are the replicas of the model. (gob field name, fixed.)
+	Copies    []ModelReplica
+	Demand    []ServiceDemand
+	Decisions []Decision // oldest first; bounded
+}
+
+// ModelReplica is an endpoint that has a model loaded.
+type ModelReplica struct {
+	Endpoint string
+	Zone     string
+	State    sessions.State
+}
 
-// ModelDemand is what is asked of a model at a moment.
+// ModelDemand is the demand for a model at a moment. Package placement describes how it is estimated.
 type ModelDemand struct {
 	Rate     float64 // requests a second
-	InFlight int
-	Waiting  int     // of those in flight, those whose answer has not begun
-	Pressure float64 // averaged waiting requests, ahead of a rate that grows
-	Unplaced bool    // a request has lately found no endpoint
+	InFlight int     // requests in flight
+	Waiting  int     // of those in flight, the ones whose response has not begun
+	Pressure float64 // Waiting, averaged and extrapolated if the rate grows
+	Unplaced bool    // a request has recently found no endpoint
 }
 
 // ServiceDemand is the demand for a model at one service.
@@ -24,32 +47,17 @@
 	ModelDemand
 }
 
-// ModelReplica is an endpoint that holds a model.
-type ModelReplica struct {
-	Endpoint string
-	Zone     string
-	State    sessions.State
-}
-
-// Decision is an order of the placement with the figures it was given by.
+// Decision is an order of the placement, with the figures that led to it.
 type Decision struct {
-	At        time.Duration // on the clock of the holder's process
+	At        time.Duration // on the clock of the lease holder's process
 	Service   string
 	Endpoint  string
-	Operation string
+	Operation string // "loading" or "unloading"
 	Model     string
-	Adapter   string
-	For       string // the model that an unloading makes room for
-	Copies    int    // of the model, when the order was given
-	Demand    ModelDemand
-}
-
-// Explanation answers an ExplainRequest.
-type Explanation struct {
-	Model     string
-	Now       time.Duration // on the clock of the process that answers
-	Holds     bool          // it holds the placement: only then demand and decisions are known
-	Copies    []ModelReplica
-	Demand    []ServiceDemand
-	Decisions []Decision // the oldest first
+	Adapter   string // empty for the model itself
+	// For is the model that an unload frees memory for; empty for a load. (gob field name, fixed.)
+	For string
+	// Copies is the number of the model's replicas before the order. (gob field name, fixed.)
+	Copies int
+	Demand ModelDemand
 }
--- a/internal/protocol/stream.go
+++ b/internal/protocol/stream.go
@@ -1,194 +1,68 @@
-// Package protocol has the messages between processes of the system beside those of the chain: what control sidecars tell
-// the sidecars that carry traffic and one another, and what those report.
 package protocol
 
 import (
 	"time"
 
-	"dykering/internal/chain"
 	"dykering/internal/fleetconfig"
 	"dykering/internal/sessions"
 )
 
-// Subscribe opens a stream of updates.
+// Keepalive is the longest time between two messages of a stream of updates. A proxy that receives nothing for
+// well over this time considers the stream broken.
+const Keepalive = 400 * time.Millisecond
+
+// Subscribe opens a stream of updates. It is the first message of a proxy on a connection to a control process, which
+// answers with Update messages. If it is lost, the proxy times out and subscribes to another control process.
 type Subscribe struct {
-	Name      string
+	Name      string // node_name of the proxy
 	Zone      string
-	ConfigSeq uint64 // what the subscriber has
-}
-
-// ControlProcess is a control sidecar that streams may be had from.
-type ControlProcess struct {
-	Address string
-	Zone    string // empty where it is not known, or the control sidecar cannot be reached now
+	ConfigSeq uint64 // sequence number of the configuration that the proxy has in force; 0 for none
 }
 
-// Configuration is a committed configuration.
+// Update is one message of a stream, from a control process to a proxy. It is sent as soon as something has changed, and
+// otherwise every Keepalive. Parts that have not changed since the last message of the stream are left out. A stream is
+// never resumed after a lost message: a proxy whose queue is full has its stream ended, and the next stream begins with
+// a full sync.
+type Update struct {
+	// Revision is the modify index of the session table that the receiver has after this update.
+	Revision uint64
+	// Whole is true for a full sync: Endpoints are then all that there are, and replace what the proxy has.
+	// (gob field name, fixed.)
+	Whole         bool
+	Endpoints     []sessions.Endpoint // those that were modified since the last update, including departed ones
+	Configuration *Configuration      // nil if it has not changed
+	Members       []ControlProcess    // with the first update and each keepalive
+	Subscribers   int                 // proxies, over all control processes, for the fleet's retry budget; 0 for unknown
+	HasLoads      bool                // Loads is present
+	Loads         []EndpointLoad      // of all proxies together; an endpoint that is not listed has none
+	// Leaving is true in the last message of a stream that the control process can no longer serve: the proxy subscribes
+	// to another of Members. (gob field name, fixed.)
+	Leaving bool
+}
+
+// Configuration is a committed configuration, as part of an Update.
 type Configuration struct {
-	Seq      uint64 // rises with every committed change
+	Seq      uint64 // position in the replicated log; rises with every committed change
 	Document fleetconfig.Document
 }
 
-// Update is one message of the stream. What has not changed is left out.
-type Update struct {
-	Revision      uint64 // of the endpoints
-	Whole         bool   // the endpoints are all there are
-	Endpoints     []sessions.Endpoint
-	Configuration *Configuration
-	Members       []ControlProcess // now and then
-	Subscribers   int              // sidecars that carry traffic, over all control sidecars
-	HasLoads      bool
-	Loads         []EndpointLoad // of all sidecars; an endpoint that is not named has none
-	Leaving       bool           // this control sidecar cannot serve the stream: go to another
+// ControlProcess is a control process that a proxy may subscribe to, as part of an Update.
+type ControlProcess struct {
+	Address string // host:port for internal messages
+	Zone    string // empty if it is not known, or if the process cannot be reached now
 }
 
-// Ack tells what of the stream is in force at the subscriber.
+// Ack acknowledges an Update, from a proxy on its stream. It holds what the proxy has in force after it. Acks are for
+// the operator's status only; a lost one is superseded by the next.
 type Ack struct {
-	Revision  uint64
+	Revision  uint64 // modify index of the session table
 	ConfigSeq uint64
 }
 
-// Demand is what was asked for since the last report.
-type Demand struct {
-	Service  string
-	Model    string
-	Adapter  string
-	Requests int
-	Tokens   float64 // work, in tokens
-	Unplaced int     // requests that found no endpoint with the model or adapter
-	InFlight int     // requests under way now
-	Waiting  int     // of them, those whose answer has not begun
-}
-
-// EndpointLoad is the calls to an endpoint.
-type EndpointLoad struct {
-	ID       string
-	InFlight int
-	Waiting  int // of them, those whose answer has not begun
-	// Good and Failed count the calls that have ended: in a sidecar's report those since the last one, elsewhere those of
-	// all sidecars, the older the less.
-	Good   float64
-	Failed float64
-}
-
-// DemandReport is a sidecar's demand, and its calls to endpoints.
-type DemandReport struct {
-	From    string
-	Demands []Demand
-	Loads   []EndpointLoad
-}
-
-// EndpointLoadSync tells another control sidecar of the calls of all sidecars that follow a stream here.
-type EndpointLoadSync struct {
-	From  string
-	Loads []EndpointLoad
-}
-
-// LoadLedgerSync tells another control sidecar of the loads of weights that the holder of the placement has begun.
-type LoadLedgerSync struct {
-	Token uint64
-	Ages  []uint16 // of the loads, in hundredths of a second
-}
-
-// SessionUpdate tells another control sidecar of sessions. Ask is answered by a SessionAck where it is not 0.
-type SessionUpdate struct {
-	From    string // address
-	Ask     uint64
-	Records []sessions.Record
-	Signs   []sessions.Renewal
-}
-
-// SessionAck tells that a SessionUpdate is in the table.
-type SessionAck struct {
-	From string
-	Ask  uint64
-}
-
-// SessionSnapshotRequest asks for all sessions.
-type SessionSnapshotRequest struct{ From string }
-
-// SessionSnapshot answers a SessionSnapshotRequest.
-type SessionSnapshot struct {
-	From    string
-	Records []sessions.Record
-}
-
-// SessionDigest tells the digests of the parts of a range of the sessions.
-type SessionDigest struct {
-	From    string
-	Range   sessions.Range
-	Digests [sessions.Fanout]uint64
-}
-
-// SessionRange gives the sessions of a range; an answer in kind is asked for where Ask is set.
-type SessionRange struct {
-	From    string
-	Range   sessions.Range
-	Records []sessions.Record
-	Ask     bool
-}
-
-// StatusRequest asks a control sidecar for its status.
-type StatusRequest struct{}
-
-// Status is how a control sidecar sees the system.
-type Status struct {
-	Self        chain.Member
-	View        chain.View
-	InForce     bool // a majority has lately confirmed the view
-	Sealed      bool
-	Seq         uint64
-	Committed   uint64
-	Version     int64 // of the configuration that is committed
-	Holds       bool  // the placement's role
-	Members     []MemberStatus
-	Subscribers []SubscriberStatus
-	Endpoints   map[sessions.State]int
-	DiskBehind  time.Duration
-}
-
-// MemberStatus is what a control sidecar knows of a voter.
-type MemberStatus struct {
-	ID        chain.MemberID
-	Reachable bool
-	InChain   bool
-}
-
-// SubscriberStatus is how far a sidecar is that follows a stream.
-type SubscriberStatus struct {
-	Name string
-	Ack  Ack
-	// Behind is how many of the committed changes it has not acknowledged.
-	Behind uint64
-}
-
-// SubscriberCount tells how many sidecars a control sidecar streams to.
+// SubscriberCount informs the other control processes how many proxies follow a stream of the sender. It is sent with
+// each round of anti-entropy. If it is lost, the last count remains valid for some rounds; after that the receiver
+// assumes that each peer has as many subscribers as itself.
 type SubscriberCount struct {
-	From  string
+	From  string // address of the sender
 	Count int
 }
-
-// Write asks the head for a change of the configuration.
-type Write struct {
-	From   string
-	ID     uint64
-	Change fleetconfig.Change
-}
-
-// Read asks the tail for the configuration.
-type Read struct {
-	From string
-	ID   uint64
-}
-
-// Reply answers a Write or a Read.
-type Reply struct {
-	ID       uint64
-	Failed   bool
-	Kind     int // of error
-	Detail   string
-	Document fleetconfig.Document
-}
-
-// Keepalive is the least time between two messages of a stream.
-const Keepalive = 400 * time.Millisecond
