--- a/internal/decision/advice.go
+++ b/internal/decision/advice.go
@@ -22,22 +22,22 @@
 }
 
 // evidenceFor is how long a good answer is evidence.
-const evidenceFor = 5 * time.Second
+const evidenceMaxAge = 5 * time.Second
 
 // Evidence is what this instance's own calls have shown lately: the endpoints that it has isolated by itself, and of
 // those named the ones that answered well. An isolation on the word of others is none, until a trial of it failed.
 func (b *Balancer) Evidence(now time.Duration, named []EndpointID) (all []Evidence) {
-	for _, e := range b.shunned {
-		if e.advised == 0 || e.trialPause != e.advised {
+	for _, e := range b.ejected {
+		if e.peerTrialBackoff == 0 || e.trialBackoff != e.peerTrialBackoff {
 			all = append(all, Evidence{Endpoint: e.id, Ejected: true})
 		}
 	}
 	for _, id := range named {
 		e := b.byID[id]
-		if e == nil || !e.rostered || e.mark > ramping || e.lastAnswer == 0 || e.errors >= ejectAt/2 {
+		if e == nil || !e.indexed || e.state > stateSlowStart || e.lastAnswer == 0 || e.errorRate >= ejectErrorRate/2 {
 			continue
 		}
-		if age := now - e.lastAnswer; age <= evidenceFor {
+		if age := now - e.lastAnswer; age <= evidenceMaxAge {
 			all = append(all, Evidence{Endpoint: id, Age: age})
 		}
 	}
@@ -49,21 +49,21 @@
 // the list that may be isolated holds, and it gets its trials as any isolated one. That others are answered brings no
 // trial forward: all instances' trials at once pushed servers over that had just returned cold (docs/REPLICATION.md).
 func (b *Balancer) ApplyPeerEjections(now time.Duration, advice []PeerEjection) (heeded int) {
-	if b.recount && len(advice) > 0 {
-		b.count() // who has had no request yet has no subset
+	if b.subsetStale && len(advice) > 0 {
+		b.updateSubset() // who has had no request yet has no subset
 	}
 	for _, a := range advice {
 		e := b.byID[a.Endpoint]
-		if e == nil || e.part == 0 || e.mark > ramping || e.lastAnswer >= now-a.Age || !b.mayEject() {
+		if e == nil || e.subsetWeight == 0 || e.state > stateSlowStart || e.lastAnswer >= now-a.Age || !b.mayEject() {
 			continue
 		}
-		b.isolate(now, e, "by the word of others")
-		e.advised = e.trialPause
+		b.eject(now, e, "by the word of others")
+		e.peerTrialBackoff = e.trialBackoff
 		heeded++
 	}
 	if heeded > 0 {
-		b.place(now)
-		b.arm()
+		b.dispatch(now)
+		b.startTick()
 	}
 	return heeded
 }
@@ -78,7 +78,7 @@
 func (b *Balancer) Usage() []Usage {
 	uses := make([]Usage, len(b.tenants))
 	for i := range b.tenants {
-		uses[i] = b.tenants[i].use
+		uses[i] = b.tenants[i].usage
 	}
 	return uses
 }
@@ -96,21 +96,21 @@
 // it is spent, however late anybody says that it has come.
 func (b *Balancer) SetQuotaShares(now time.Duration, a QuotaShares) {
 	if b.tenants == nil {
-		b.meter(now)
+		b.startTenantBuckets(now)
 	}
 	for i := range min(len(a.TenantRates), len(a.TenantFallbackRates), len(b.tenants)) {
-		b.tenants[i].allot(now, a.TenantRates[i], a.TenantFallbackRates[i], a.Until, bucketLeast)
+		b.tenants[i].setRate(now, a.TenantRates[i], a.TenantFallbackRates[i], a.Until, tenantBurstBase)
 	}
-	b.quota = math.Inf(1)
+	b.totalQuota = math.Inf(1)
 	if a.RetryRate < 0 {
-		b.retries = nil
+		b.fleetRetries = nil
 		return
 	}
-	if b.retries == nil {
-		b.retries = &bucket{at: now}
+	if b.fleetRetries == nil {
+		b.fleetRetries = &tokenBucket{at: now}
 	}
 	// What is left of the budget is what the bucket holds, and what has come since.
-	b.retries.level = b.budget
-	b.retries.allot(now, a.RetryRate, a.RetryFallbackRate, a.Until, 1)
-	b.budget = max(b.retries.level, 0)
+	b.fleetRetries.level = b.retryTokens
+	b.fleetRetries.setRate(now, a.RetryRate, a.RetryFallbackRate, a.Until, 1)
+	b.retryTokens = max(b.fleetRetries.level, 0)
 }
--- a/internal/decision/advice_test.go
+++ b/internal/decision/advice_test.go
@@ -50,7 +50,7 @@
 	within := func(n int) float64 {
 		before := d.b.Usage()[0]
 		for range n {
-			d.b.beyondShare(d.now, Request{})
+			d.b.isOverQuota(d.now, Request{})
 		}
 		after := d.b.Usage()[0]
 		if after.Asked-before.Asked != float64(n) {
@@ -63,12 +63,12 @@
 	}
 	allot(50, 50, 0)
 	d.now += 100 * time.Second
-	if got := within(1000); got != 50*tenantBurst+bucketLeast {
+	if got := within(1000); got != 50*tenantBurstSeconds+tenantBurstBase {
 		t.Errorf("%v within 50 a second after a pause", got)
 	}
 	d.now += 100 * time.Second
 	allot(1, 1, 0)
-	if got := within(1000); got != tenantBurst+bucketLeast {
+	if got := within(1000); got != tenantBurstSeconds+tenantBurstBase {
 		t.Errorf("%v within 1 a second after a pause", got)
 	}
 	// A lease of 50 a second for 2 s, and nobody says that it has ended, as in a process that was stopped: what it brought
@@ -81,7 +81,7 @@
 		t.Errorf("%v within the first second of a lease of 50", got)
 	}
 	d.now += 100 * time.Second
-	if got := within(1000); got != 2*tenantBurst+bucketLeast {
+	if got := within(1000); got != 2*tenantBurstSeconds+tenantBurstBase {
 		t.Errorf("%v after the lease has ended, want the floor's", got)
 	}
 	d.now += time.Second
@@ -90,19 +90,19 @@
 	}
 	// Further attempts come by their rate, and by the floor from its end on; answers earn none.
 	allot(50, 0, d.now+time.Second)
-	d.b.budget = 0
+	d.b.retryTokens = 0
 	for range 100 {
-		d.b.earn()
+		d.b.earnRetry()
 	}
-	if d.b.budget > 0 {
-		t.Errorf("answers earned %v further attempts", d.b.budget)
+	if d.b.retryTokens > 0 {
+		t.Errorf("answers earned %v further attempts", d.b.retryTokens)
 	}
 	d.now += 10 * time.Second
-	if allot(50, 0, 0); d.b.budget != 1 { // 2 came, of which without a rate one is kept
-		t.Errorf("%v further attempts after a second of 2 and nine of none", d.b.budget)
+	if allot(50, 0, 0); d.b.retryTokens != 1 { // 2 came, of which without a rate one is kept
+		t.Errorf("%v further attempts after a second of 2 and nine of none", d.b.retryTokens)
 	}
 	d.b.SetQuotaShares(d.now, QuotaShares{RetryRate: -1})
-	if d.b.earn(); d.b.budget <= 1 {
+	if d.b.earnRetry(); d.b.retryTokens <= 1 {
 		t.Error("answers earn nothing again")
 	}
 }
--- a/internal/decision/balancer_test.go
+++ b/internal/decision/balancer_test.go
@@ -261,7 +261,7 @@
 		}
 		d.pass(20 * ms)
 	}
-	if len(d.b.byID) > goneMost+4 {
+	if len(d.b.byID) > maxDepartedEndpoints+4 {
 		t.Errorf("%d endpoints are remembered", len(d.b.byID))
 	}
 	for len(d.b.requests) > 0 { // what a ramp let go out later
@@ -270,10 +270,10 @@
 		}
 		d.pass(20 * ms)
 	}
-	d.now += d.b.set.WarmUp
+	d.now += d.b.settings.WarmUp
 	d.list(Entry{Endpoint: 99, Weight: 1})
-	if len(d.b.byID) != 1 || len(d.b.listed) != 1 || len(d.b.requests) != 0 || d.b.out != 0 {
-		t.Errorf("%d endpoints, %d listed, %d requests, %d out", len(d.b.byID), len(d.b.listed), len(d.b.requests), d.b.out)
+	if len(d.b.byID) != 1 || len(d.b.listed) != 1 || len(d.b.requests) != 0 || d.b.inFlight != 0 {
+		t.Errorf("%d endpoints, %d listed, %d requests, %d out", len(d.b.byID), len(d.b.listed), len(d.b.requests), d.b.inFlight)
 	}
 }
 
@@ -350,7 +350,7 @@
 	})
 	isolated := 0
 	for _, e := range d.b.listed {
-		if e.mark == isolatedMark {
+		if e.state == isolatedMark {
 			isolated++
 		}
 	}
@@ -359,7 +359,7 @@
 	}
 }
 
-const isolatedMark = isolated
+const isolatedMark = stateEjected
 
 func TestSilentEndpointIsPassedOver(t *testing.T) {
 	d := start(t, settings(), 4)
@@ -422,7 +422,7 @@
 		d.ask(read)
 		d.end(d.last(), OK, 20*ms)
 	}
-	if r := d.b.requests[id]; d.attempts[id] != 1 || r == nil || !r.lost || r.quit || d.b.lost == 0 {
+	if r := d.b.requests[id]; d.attempts[id] != 1 || r == nil || !r.overdue || r.withdrawn || d.b.overdueCalls == 0 {
 		t.Errorf("the unsafe call: %d attempts, %+v", d.attempts[id], r)
 	}
 }
@@ -449,7 +449,7 @@
 	d.end(first, Error, ms)
 	if again := d.last(); again.attempt != 1 || (again.to-1)/2 != (first.to-1)/2 {
 		t.Fatalf("retry %v of %v left the cell", again, first)
-	} else if first.within != 0 || again.within <= 0 || ms+again.within > d.b.set.Classes[book].Window {
+	} else if first.within != 0 || again.within <= 0 || ms+again.within > d.b.settings.Classes[book].Window {
 		t.Errorf("first %v, retry %v: want the retry bound by what is left of the window", first, again)
 	}
 	s := settings()
@@ -472,7 +472,7 @@
 	for _, n := range got {
 		total += n
 	}
-	if total > 500+retryReserve+1 {
+	if total > 500+maxRetryTokens+1 {
 		t.Errorf("%d sends for 500 requests that all fail", total)
 	}
 }
@@ -516,14 +516,14 @@
 	for _, burst := range []int{200, 20000} {
 		d := start(t, s, 2)
 		d.serve(200, nil)
-		rate := d.b.served.value(d.now, d.b.window)
+		rate := d.b.answerRate.value(d.now, d.b.rateWindow)
 		for range burst {
 			d.ask(read)
 		}
 		if len(d.refusals) == 0 {
 			t.Fatalf("nothing of a burst of %d was refused", burst)
 		}
-		queue := seconds(float64(len(d.b.held)) / rate)
+		queue := seconds(float64(len(d.b.queue)) / rate)
 		for _, after := range d.advice {
 			if after > s.MaxRetryAfter || after < min(queue, s.MaxRetryAfter) {
 				t.Fatalf("of a burst of %d: come back after %v, want %v to work off what is held", burst, after, queue)
@@ -532,13 +532,13 @@
 	}
 	d := start(t, s, 2)
 	d.b.Request(d.now, Request{ID: "late", Class: read})
-	if !slices.Equal(d.advice, []time.Duration{d.b.window}) {
+	if !slices.Equal(d.advice, []time.Duration{d.b.rateWindow}) {
 		t.Errorf("advice %v where no rate is known yet", d.advice)
 	}
 	d = start(t, s, 2)
 	d.serve(200, nil)
 	d.b.Request(d.now, Request{ID: "late", Class: read})
-	if len(d.advice) != 1 || d.advice[0] < seconds(leastWait*d.b.window.Seconds()) {
+	if len(d.advice) != 1 || d.advice[0] < seconds(minRetryAfterWindows*d.b.rateWindow.Seconds()) {
 		t.Errorf("advice %v where nothing waits", d.advice)
 	}
 }
@@ -611,12 +611,12 @@
 			l.Entries = append(l.Entries, Entry{Endpoint: id, Weight: []float64{3, 0.5}[id%2]})
 		}
 		d.b.Targets(d.now, l)
-		d.b.count()
+		d.b.updateSubset()
 		n := 0
 		for _, e := range d.b.listed {
-			parts[e.id] += e.part
-			total += e.part
-			if e.part > 0 {
+			parts[e.id] += e.subsetWeight
+			total += e.subsetWeight
+			if e.subsetWeight > 0 {
 				n++
 			}
 		}
@@ -654,9 +654,9 @@
 		for id := EndpointID(5); id <= 14; id++ {
 			d.list(Entry{Endpoint: id, State: Draining, Weight: 1})
 		}
-		d.b.count()
+		d.b.updateSubset()
 		for _, e := range d.b.listed {
-			parts[e.id] += e.part
+			parts[e.id] += e.subsetWeight
 		}
 	}
 	for id, got := range parts {
@@ -742,7 +742,7 @@
 	d.serve(200, nil)
 	var outside *endpoint
 	for _, e := range d.b.listed {
-		if e.part == 0 {
+		if e.subsetWeight == 0 {
 			outside = e
 		}
 	}
@@ -758,15 +758,15 @@
 	}
 	cold := d.b.listed[0]
 	for _, e := range d.b.listed {
-		if e.part > 0 {
+		if e.subsetWeight > 0 {
 			cold = e
 		}
 	}
 	rate := func(part float64) float64 {
-		d.b.turn(cold, ramping)
-		cold.part, cold.coldFrom, cold.tokens, cold.tokensAt = part, d.now, 0, d.now-10*ms
-		d.b.rampRoom(d.now, cold)
-		return cold.tokens
+		d.b.setState(cold, stateSlowStart)
+		cold.subsetWeight, cold.slowStartFrom, cold.slowStartTokens, cold.slowStartTokensAt = part, d.now, 0, d.now-10*ms
+		d.b.hasSlowStartToken(d.now, cold)
+		return cold.slowStartTokens
 	}
 	if whole, sliver := rate(1), rate(0.1); whole == 0 || sliver > 0.11*whole {
 		t.Errorf("%.3f sends allowed for a tenth of a cold endpoint, %.3f for all of it", sliver, whole)
@@ -827,7 +827,7 @@
 	for i := range 60 {
 		id := RequestID(fmt.Sprint("t", i))
 		d.b.Request(d.now, Request{ID: id, Remaining: 1500 * ms})
-		if d.b.requests[id].low {
+		if d.b.requests[id].overQuota {
 			low++
 		}
 		d.pass(20 * ms)
@@ -901,7 +901,7 @@
 			}
 		}
 		for _, e := range d.b.listed {
-			if e.part > 0 {
+			if e.subsetWeight > 0 {
 				parts++
 			}
 		}
@@ -913,8 +913,8 @@
 	for _, n := range []int{1, 2, 3, 7, 10, 50, 300, 1000} {
 		seats := map[int]bool{}
 		for i := range n {
-			seats[scatter(i, n)] = true
-			if apart := (scatter(i+1, n) - scatter(i, n) + n) % n; n >= 10 && (apart < n/4 || apart > 3*n/4) {
+			seats[ringPosition(i, n)] = true
+			if apart := (ringPosition(i+1, n) - ringPosition(i, n) + n) % n; n >= 10 && (apart < n/4 || apart > 3*n/4) {
 				t.Errorf("%d and %d of %d lie %d apart", i, i+1, n, apart)
 			}
 		}
@@ -960,7 +960,7 @@
 			d.ask(read)
 			d.end(d.last(), OK, 100*ms)
 			if i%10 == 0 {
-				d.b.tally(d.now, &d.b.classes[read])
+				d.b.countRequest(d.now, &d.b.classes[read])
 			}
 			d.pass(100 * ms)
 		}
@@ -1221,17 +1221,17 @@
 		d.b.Request(d.now, Request{ID: RequestID(fmt.Sprint("r", d.n)), Class: read, Remaining: 1500 * ms, IdleConns: idle})
 		return len(d.sent) - sends, len(d.refusals) - refusals
 	}
-	if sends, _ := ask(idleLeast); sends != 1 {
+	if sends, _ := ask(minIdleCallerConns); sends != 1 {
 		t.Error("in good time: not sent")
 	}
-	if sends, refusals := ask(idleLeast - 1); sends != 0 || refusals != 1 {
+	if sends, refusals := ask(minIdleCallerConns - 1); sends != 0 || refusals != 1 {
 		t.Errorf("with hardly a connection idle: %d sends, %d refusals", sends, refusals)
 	}
 	d.pass(180 * ms)
-	if sends, refusals := ask(idleLeast); sends != 0 || refusals != 1 {
+	if sends, refusals := ask(minIdleCallerConns); sends != 0 || refusals != 1 {
 		t.Errorf("too late: %d sends, %d refusals", sends, refusals)
 	}
-	if got, want := d.advice[len(d.advice)-1], endsAt+seconds(successor)-d.now; got != want {
+	if got, want := d.advice[len(d.advice)-1], endsAt+seconds(successorStartSeconds)-d.now; got != want {
 		t.Errorf("told to come back after %v, the successor serves after %v", got, want)
 	}
 	d.pass(20 * ms)
@@ -1270,17 +1270,17 @@
 		overdue := func(tails float64) sent {
 			d.ask(read)
 			call, c := d.last(), &d.b.classes[read]
-			for end := d.now + seconds(tails*c.tail*c.mean); d.now < end; {
+			for end := d.now + seconds(tails*c.tailRatio*c.meanLatency); d.now < end; {
 				d.serve(1, nil)
 			}
 			d.pass(10 * ms)
 			return call
 		}
 		for range slow {
-			call := overdue((lostTails + strayTails) / 2)
+			call := overdue((overdueLostTails + overdueMissingTails) / 2)
 			d.end(call, OK, 10*ms)
 		}
-		call := overdue(1.2 * strayTails)
+		call := overdue(1.2 * overdueMissingTails)
 		if got, want := len(d.cancels) == 1 && d.cancels[0].id == call.id, slow == 0; got != want {
 			t.Errorf("after %d slow calls: withdrawn %v", slow, d.cancels)
 		}
@@ -1303,16 +1303,16 @@
 		}
 		d.pass(20 * ms)
 		for _, r := range out {
-			d.end(sent{id: r.id, to: r.to.id, attempt: r.attempts - 1}, OK, 20*ms)
+			d.end(sent{id: r.id, to: r.current.id, attempt: r.attempts - 1}, OK, 20*ms)
 		}
 	}
-	before := d.b.limit
+	before := d.b.inFlightLimit
 	for id := EndpointID(1); id < 8; id++ {
 		d.list(Entry{Endpoint: id, State: Draining})
 	}
 	d.ask(read)
-	if d.b.limit > before/2 {
-		t.Errorf("the limit is %.1f for one endpoint and was %.1f for eight", d.b.limit, before)
+	if d.b.inFlightLimit > before/2 {
+		t.Errorf("the limit is %.1f for one endpoint and was %.1f for eight", d.b.inFlightLimit, before)
 	}
 }
 
@@ -1326,7 +1326,7 @@
 		d.pass(300 * ms)
 		d.end(d.last(), OK, 300*ms)
 	}
-	for len(d.b.held) == 0 {
+	for len(d.b.queue) == 0 {
 		d.ask(read)
 	}
 	asked := d.now
@@ -1362,7 +1362,7 @@
 	}
 	d.b.RequestSent(d.now, "long", 1500*ms)
 	d.b.RequestSent(d.now, "long", 1500*ms) // nothing new
-	if got := d.b.out; got != 1 {
+	if got := d.b.inFlight; got != 1 {
 		t.Errorf("%d calls in flight, want the one", got)
 	}
 	sends := len(d.sent)
@@ -1380,8 +1380,8 @@
 	}
 	d.end(d.last(), OK, ms)
 	for _, e := range d.b.listed {
-		if e.coming != 0 || len(e.calls) != 0 || d.b.out != 0 {
-			t.Errorf("endpoint %d: %d coming, %d calls; %d out", e.id, e.coming, len(e.calls), d.b.out)
+		if e.uploads != 0 || len(e.calls) != 0 || d.b.inFlight != 0 {
+			t.Errorf("endpoint %d: %d coming, %d calls; %d out", e.id, e.uploads, len(e.calls), d.b.inFlight)
 		}
 	}
 }
@@ -1394,13 +1394,13 @@
 	call := d.last()
 	d.pass(20 * ms)
 	d.b.ResponseStarted(d.now, id, 0, call.to)
-	if d.b.out != 0 || d.b.classes[read].mean > 0.1 {
-		t.Errorf("%d out, mean %v", d.b.out, d.b.classes[read].mean)
+	if d.b.inFlight != 0 || d.b.classes[read].meanLatency > 0.1 {
+		t.Errorf("%d out, mean %v", d.b.inFlight, d.b.classes[read].meanLatency)
 	}
 	d.serve(500, nil) // for ten seconds
 	d.b.Outcome(d.now, Outcome{ID: id, Endpoint: call.to, Final: true, Status: Cancelled, Elapsed: 10 * time.Second})
-	if mean := d.b.classes[read].mean; mean > 0.1 || d.b.out != 0 || len(d.cancels) > 0 || len(d.b.requests) > 0 {
-		t.Errorf("mean %v, %d out, withdrawn %v, %d open", mean, d.b.out, d.cancels, len(d.b.requests))
+	if mean := d.b.classes[read].meanLatency; mean > 0.1 || d.b.inFlight != 0 || len(d.cancels) > 0 || len(d.b.requests) > 0 {
+		t.Errorf("mean %v, %d out, withdrawn %v, %d open", mean, d.b.inFlight, d.cancels, len(d.b.requests))
 	}
 }
 
--- a/internal/decision/fleet_test.go
+++ b/internal/decision/fleet_test.go
@@ -17,7 +17,7 @@
 		// It neither keeps calling a dead server nor shuns a good one for long after one bad answer.
 		d := start(t, small(), 300)
 		d.serve(1, nil)
-		dead, spoilt := d.b.mine[0].id, d.b.mine[1].id
+		dead, spoilt := d.b.subset[0].id, d.b.subset[1].id
 		knocks, errors, after := 0, 0, 0
 		for range 60 {
 			at := len(d.sent)
@@ -50,7 +50,7 @@
 		// A broker that has no connection there doesn't knock all day, and serves its callers elsewhere.
 		d := start(t, small(), 300)
 		d.serve(1, nil)
-		full, knocks := d.b.mine[0].id, 0
+		full, knocks := d.b.subset[0].id, 0
 		for range 3000 {
 			at := len(d.sent)
 			d.ask(read)
@@ -89,13 +89,13 @@
 				}
 			}
 		}
-		if n := len(d.b.byID); n > 4000+goneMost || len(d.b.listed) != 2000 || len(d.b.requests) > 0 {
+		if n := len(d.b.byID); n > 4000+maxDepartedEndpoints || len(d.b.listed) != 2000 || len(d.b.requests) > 0 {
 			t.Errorf("%d servers remembered, %d listed, %d requests left", n, len(d.b.listed), len(d.b.requests))
 		}
 		if n := len(d.refusals) + len(d.fails); n > 4 {
 			t.Errorf("%d of 400 not served", n)
 		}
-		d.now += d.b.set.WarmUp
+		d.now += d.b.settings.WarmUp
 		d.b.Targets(d.now, List{Kind: DeltaList, Version: version + 1})
 		if n := len(d.b.byID); n != 2000 {
 			t.Errorf("%d servers remembered once those that left would be warm, want 2000", n)
@@ -143,8 +143,8 @@
 	t.Run("a repeat after a silence", func(t *testing.T) {
 		d := start(t, s, 20)
 		slow(d)
-		if d.b.strain <= 1 {
-			t.Fatalf("strain %.2f: nothing is tested", d.b.strain)
+		if d.b.latencyPressure <= 1 {
+			t.Fatalf("strain %.2f: nothing is tested", d.b.latencyPressure)
 		}
 		d.pass(10 * time.Second)
 		at := len(d.sent)
@@ -158,7 +158,7 @@
 		s.Instances = 30
 		d := start(t, s, 20)
 		slow(d)
-		if !d.b.paced {
+		if !d.b.isPaced {
 			t.Fatal("not paced: nothing is tested")
 		}
 		l := List{Kind: DeltaList, Version: 2}
@@ -168,7 +168,7 @@
 		d.b.Targets(d.now, l)
 		d.pass(2 * time.Second)
 		d.serve(20, nil)
-		if d.b.paced {
+		if d.b.isPaced {
 			t.Error("calls are paced for good once there are more endpoints than instances")
 		}
 	})
@@ -183,7 +183,7 @@
 		if len(d.refusals) > 0 {
 			t.Errorf("%d of 100 refused beside idle servers", len(d.refusals))
 		}
-		if id := d.ask(read); !d.b.requests[id].low {
+		if id := d.ask(read); !d.b.requests[id].overQuota {
 			t.Error("within a share of nothing")
 		}
 	})
--- a/internal/decision/odd_test.go
+++ b/internal/decision/odd_test.go
@@ -36,31 +36,31 @@
 	for name, c := range map[string]struct {
 		before func(d *bed)
 		lists  []Entry // of versions from 3 on, half a second apart
-		want   mark
+		want   endpointState
 		share  float64 // the most that it may be taken to be able to do then
 	}{
-		"drained":                    {nil, []Entry{state(warm, Draining), warm}, ramping, 0.99},
-		"drained twice":              {nil, []Entry{state(warm, Draining), state(warm, Draining), warm, warm}, ramping, 0.99},
-		"gone":                       {nil, []Entry{state(warm, Departed), warm}, ramping, 0.99},
-		"drained, gone":              {nil, []Entry{state(warm, Draining), state(warm, Departed), warm}, ramping, 0.99},
-		"gone, then drains":          {nil, []Entry{state(warm, Departed), state(warm, Draining)}, leaving, 1},
-		"gone twice":                 {nil, []Entry{state(warm, Departed), state(warm, Departed), warm}, ramping, 0.99},
-		"cold, drained":              {nil, []Entry{cold, state(cold, Draining), cold}, ramping, 0.4},
-		"cold, gone":                 {nil, []Entry{cold, state(cold, Departed), cold}, ramping, 0.4},
-		"new start while it drains":  {nil, []Entry{state(warm, Draining), cold}, ramping, 0.4},
-		"its start comes late":       {nil, []Entry{cold, state(cold, Draining), warm}, ramping, 0.4},
-		"isolated, named again":      {breakOff, []Entry{warm}, isolated, 1},
-		"isolated, drained":          {breakOff, []Entry{state(warm, Draining), warm}, isolated, 1},
-		"isolated, drained twice":    {breakOff, []Entry{state(warm, Draining), state(warm, Draining), warm}, isolated, 1},
-		"isolated, gone":             {breakOff, []Entry{state(warm, Departed), warm}, isolated, 1},
-		"isolated, gone, drained":    {breakOff, []Entry{state(warm, Departed), state(warm, Draining), warm}, isolated, 1},
-		"isolated, new start":        {breakOff, []Entry{cold}, ramping, 0.4},
-		"isolated, gone, new start":  {breakOff, []Entry{state(warm, Departed), cold}, ramping, 0.4},
-		"listed for the first time":  {nil, []Entry{{Endpoint: 9, Weight: 1}}, ramping, 0.99},
-		"first of all, draining":     {nil, []Entry{{Endpoint: 9, Weight: 1, State: Draining}}, leaving, 1},
-		"unknown, and already gone":  {nil, []Entry{{Endpoint: 9, Weight: 1, State: Departed}}, leaving, 1},
-		"of a start that is passed":  {nil, []Entry{{Endpoint: 1, Weight: 1, Started: 2 * time.Second}}, ramping, 0.99},
-		"many servers at once, gone": {nil, []Entry{state(warm, Departed)}, leaving, 1},
+		"drained":                    {nil, []Entry{state(warm, Draining), warm}, stateSlowStart, 0.99},
+		"drained twice":              {nil, []Entry{state(warm, Draining), state(warm, Draining), warm, warm}, stateSlowStart, 0.99},
+		"gone":                       {nil, []Entry{state(warm, Departed), warm}, stateSlowStart, 0.99},
+		"drained, gone":              {nil, []Entry{state(warm, Draining), state(warm, Departed), warm}, stateSlowStart, 0.99},
+		"gone, then drains":          {nil, []Entry{state(warm, Departed), state(warm, Draining)}, stateDraining, 1},
+		"gone twice":                 {nil, []Entry{state(warm, Departed), state(warm, Departed), warm}, stateSlowStart, 0.99},
+		"cold, drained":              {nil, []Entry{cold, state(cold, Draining), cold}, stateSlowStart, 0.4},
+		"cold, gone":                 {nil, []Entry{cold, state(cold, Departed), cold}, stateSlowStart, 0.4},
+		"new start while it drains":  {nil, []Entry{state(warm, Draining), cold}, stateSlowStart, 0.4},
+		"its start comes late":       {nil, []Entry{cold, state(cold, Draining), warm}, stateSlowStart, 0.4},
+		"isolated, named again":      {breakOff, []Entry{warm}, stateEjected, 1},
+		"isolated, drained":          {breakOff, []Entry{state(warm, Draining), warm}, stateEjected, 1},
+		"isolated, drained twice":    {breakOff, []Entry{state(warm, Draining), state(warm, Draining), warm}, stateEjected, 1},
+		"isolated, gone":             {breakOff, []Entry{state(warm, Departed), warm}, stateEjected, 1},
+		"isolated, gone, drained":    {breakOff, []Entry{state(warm, Departed), state(warm, Draining), warm}, stateEjected, 1},
+		"isolated, new start":        {breakOff, []Entry{cold}, stateSlowStart, 0.4},
+		"isolated, gone, new start":  {breakOff, []Entry{state(warm, Departed), cold}, stateSlowStart, 0.4},
+		"listed for the first time":  {nil, []Entry{{Endpoint: 9, Weight: 1}}, stateSlowStart, 0.99},
+		"first of all, draining":     {nil, []Entry{{Endpoint: 9, Weight: 1, State: Draining}}, stateDraining, 1},
+		"unknown, and already gone":  {nil, []Entry{{Endpoint: 9, Weight: 1, State: Departed}}, stateDraining, 1},
+		"of a start that is passed":  {nil, []Entry{{Endpoint: 1, Weight: 1, Started: 2 * time.Second}}, stateSlowStart, 0.99},
+		"many servers at once, gone": {nil, []Entry{state(warm, Departed)}, stateDraining, 1},
 	} {
 		d := start(t, settings(), 4)
 		d.now = started // the bed starts at 1 s: all that it knows is warm by now
@@ -73,23 +73,23 @@
 		}
 		e := d.b.byID[c.lists[0].Endpoint]
 		if e == nil {
-			e = &endpoint{mark: leaving} // forgotten: it gets nothing
+			e = &endpoint{state: stateDraining} // forgotten: it gets nothing
 		}
-		if got := d.b.share(d.now, e); e.mark != c.want || got > c.share {
-			t.Errorf("%s: mark %d, share %.2f, want %d and at most %.2f", name, e.mark, got, c.want, c.share)
+		if got := d.b.capacityShare(d.now, e); e.state != c.want || got > c.share {
+			t.Errorf("%s: mark %d, share %.2f, want %d and at most %.2f", name, e.state, got, c.want, c.share)
 		}
-		if d.b.out != 0 {
-			t.Errorf("%s: %d calls out", name, d.b.out)
+		if d.b.inFlight != 0 {
+			t.Errorf("%s: %d calls out", name, d.b.inFlight)
 		}
-		if c.want != isolated {
+		if c.want != stateEjected {
 			continue
 		}
 		// It is not lost for good: a trial that is served has it back.
 		for range 200 {
 			d.serve(1, nil)
 		}
-		if e = d.b.byID[1]; e.mark > ramping {
-			t.Errorf("%s: mark %d after trials that are served", name, e.mark)
+		if e = d.b.byID[1]; e.state > stateSlowStart {
+			t.Errorf("%s: mark %d after trials that are served", name, e.state)
 		}
 	}
 }
@@ -101,10 +101,10 @@
 	d.tell(3, Entry{Endpoint: 1, Weight: 1, Started: d.now})
 	d.now += time.Second
 	e := d.b.byID[1]
-	d.b.isolate(d.now, e, "silent")
+	d.b.eject(d.now, e, "silent")
 	d.b.endEjection(d.now, e)
-	if got := d.b.share(d.now, e); e.mark != ramping || got > 0.3 {
-		t.Errorf("mark %d, share %.2f one second after its start", e.mark, got)
+	if got := d.b.capacityShare(d.now, e); e.state != stateSlowStart || got > 0.3 {
+		t.Errorf("mark %d, share %.2f one second after its start", e.state, got)
 	}
 }
 
@@ -122,21 +122,21 @@
 			}
 		}
 		if during == "isolated" {
-			d.b.isolate(d.now, d.b.byID[1], "silent")
+			d.b.eject(d.now, d.b.byID[1], "silent")
 		}
 		d.tell(3, Entry{Endpoint: 1, State: Departed})
 		d.tell(4, Entry{Endpoint: 1, Weight: 1})
 		e := d.b.byID[1]
-		if got := d.b.load(d.now, e); got != len(at1) || len(at1) == 0 {
+		if got := d.b.callsAt(d.now, e); got != len(at1) || len(at1) == 0 {
 			t.Errorf("%s: load %d with %d calls running", during, got, len(at1))
 		}
-		tokens := e.tokens
+		tokens := e.slowStartTokens
 		for v := uint64(5); v < 25; v += 2 {
 			d.tell(v, Entry{Endpoint: 1, State: Departed})
 			d.tell(v+1, Entry{Endpoint: 1, Weight: 1})
 		}
-		if e = d.b.byID[1]; e.mark == ramping && e.tokens > tokens {
-			t.Errorf("%s: its ramp may send %.2f at once, %.2f before it flapped", during, e.tokens, tokens)
+		if e = d.b.byID[1]; e.state == stateSlowStart && e.slowStartTokens > tokens {
+			t.Errorf("%s: its ramp may send %.2f at once, %.2f before it flapped", during, e.slowStartTokens, tokens)
 		}
 		for _, s := range slices.Clone(d.sent) {
 			if d.b.requests[s.id] != nil {
@@ -144,8 +144,8 @@
 			}
 		}
 		d.pass(100 * ms)
-		if d.b.out != 0 || len(d.b.byID[1].calls) != 0 || len(d.b.requests) != 0 {
-			t.Errorf("%s: %d out, %d at the endpoint, %d requests left", during, d.b.out, len(d.b.byID[1].calls), len(d.b.requests))
+		if d.b.inFlight != 0 || len(d.b.byID[1].calls) != 0 || len(d.b.requests) != 0 {
+			t.Errorf("%s: %d out, %d at the endpoint, %d requests left", during, d.b.inFlight, len(d.b.byID[1].calls), len(d.b.requests))
 		}
 	}
 }
@@ -172,7 +172,7 @@
 		d.tell(7, Entry{Endpoint: 1, Weight: 1, State: c.known})
 		d.b.Targets(d.now, c.late)
 		e := d.b.byID[1]
-		if got := e != nil && e.listed && e.mark <= ramping; got != c.want {
+		if got := e != nil && e.listed && e.state <= stateSlowStart; got != c.want {
 			t.Errorf("%s: may be called %v", name, got)
 		}
 	}
@@ -212,8 +212,8 @@
 		if !over {
 			d.end(now, OK, 20*ms)
 		}
-		if d.b.out != 0 || len(d.b.requests) != 0 || len(d.fails)+len(d.refusals) > 0 {
-			t.Errorf("%s: %d out, %d requests, %v failed, %v refused", name, d.b.out, len(d.b.requests), d.fails, d.refusals)
+		if d.b.inFlight != 0 || len(d.b.requests) != 0 || len(d.fails)+len(d.refusals) > 0 {
+			t.Errorf("%s: %d out, %d requests, %v failed, %v refused", name, d.b.inFlight, len(d.b.requests), d.fails, d.refusals)
 		}
 	}
 }
@@ -230,8 +230,8 @@
 	}
 	held := func(d *bed) RequestID {
 		for {
-			if id := d.ask(read); len(d.b.held) > 0 {
-				return d.b.held[0].id
+			if id := d.ask(read); len(d.b.queue) > 0 {
+				return d.b.queue[0].id
 			} else if d.b.requests[id] == nil {
 				t.Fatal("nothing is ever held")
 			}
@@ -282,7 +282,7 @@
 			d := start(t, s, 4)
 			id := c.play(d)
 			switch r := d.b.requests[id]; {
-			case r != nil && r.held:
+			case r != nil && r.queued:
 				t.Errorf("%s, marks %v: it is held, with %v left", name, marks, r.deadline-d.now)
 			case c.fail != slices.Contains(d.fails, id) || c.fail == slices.Contains(d.refusals, id):
 				t.Errorf("%s, marks %v: failed %v, refused %v", name, marks, d.fails, d.refusals)
@@ -398,7 +398,7 @@
 // names no bound.
 func TestAttemptsAreBounded(t *testing.T) {
 	for _, status := range []Status{Rejected, ConnectFailed, NotSent} {
-		for most, want := range map[int]int{4: 4, 0: retryReserve} {
+		for most, want := range map[int]int{4: 4, 0: maxRetryTokens} {
 			s := settings()
 			s.MaxAttempts = most
 			d := start(t, s, 3)
@@ -444,8 +444,8 @@
 			for ; at < len(d.sent); at++ { // a trial, or what waited a moment
 				d.end(d.sent[at], status, 10*ms)
 			}
-			if len(d.b.held) > 0 {
-				t.Errorf("%v: %s is held after %d attempts, with none out", status, d.b.held[0].id, d.b.held[0].attempts)
+			if len(d.b.queue) > 0 {
+				t.Errorf("%v: %s is held after %d attempts, with none out", status, d.b.queue[0].id, d.b.queue[0].attempts)
 				break
 			}
 		}
--- a/internal/decision/roster_test.go
+++ b/internal/decision/roster_test.go
@@ -47,18 +47,18 @@
 			}
 			check("listed", d.b.listed, func(*endpoint) bool { return true })
 			check("busy", d.b.busy, func(e *endpoint) bool { return len(e.calls) > 0 })
-			check("ramps", d.b.ramps, func(e *endpoint) bool { return e.mark == ramping })
-			check("shunned", d.b.shunned, func(e *endpoint) bool { return e.mark == isolated })
-			check("mine", d.b.mine, func(e *endpoint) bool { return e.part > 0 })
+			check("ramps", d.b.inSlowStart, func(e *endpoint) bool { return e.state == stateSlowStart })
+			check("shunned", d.b.ejected, func(e *endpoint) bool { return e.state == stateEjected })
+			check("mine", d.b.subset, func(e *endpoint) bool { return e.subsetWeight > 0 })
 			usables := 0
 			for _, e := range d.b.listed {
-				if e.mark == usable {
+				if e.state == stateUsable {
 					usables++
 				}
 			}
-			if usables != d.b.whole || len(d.b.listed)+len(d.b.gone) != len(d.b.byID) {
-				t.Fatalf("seed %d, event %d: %d usable for %d; %d listed and %d gone for %d", seed, i, d.b.whole, usables,
-					len(d.b.listed), len(d.b.gone), len(d.b.byID))
+			if usables != d.b.usableCount || len(d.b.listed)+len(d.b.departed) != len(d.b.byID) {
+				t.Fatalf("seed %d, event %d: %d usable for %d; %d listed and %d gone for %d", seed, i, d.b.usableCount, usables,
+					len(d.b.listed), len(d.b.departed), len(d.b.byID))
 			}
 		}
 	}
--- a/internal/decision/state.go
+++ b/internal/decision/state.go
@@ -10,230 +10,230 @@
 // This file holds the state that decisions rest on, and how figures are smoothed; it decides nothing.
 
 // mark is what an endpoint is open to.
-type mark uint8
+type endpointState uint8
 
 const (
-	usable   mark = iota
-	ramping       // usable, but just started or just back: drawn less often
-	isolated      // gets trial calls only
-	leaving       // draining or gone: gets nothing new
+	stateUsable    endpointState = iota
+	stateSlowStart               // usable, but just started or just back: drawn less often
+	stateEjected                 // gets trial calls only
+	stateDraining                // draining or gone: gets nothing new
 )
 
 // endpoint is what this instance knows of one endpoint.
 type endpoint struct {
-	id         EndpointID
-	zone, cell int
-	kind       int
-	weight     float64 // listed size, compared with others'
-	pace       pace
-	service    pace // seconds of service that it reports
-	mark       mark
-	listed     bool          // by the last list,
-	rostered   bool          // and the sets of the roster know;
-	away       bool          // it is among those that have gone
-	started    time.Duration // process start as listed
-	version    uint64        // of the list that named it last
-	coldFrom   time.Duration // since when its ramp counts
-	left       time.Duration // when it was last seen to drain or to be gone,
-	unproven   bool          // and that it was isolated then: coming back proves nothing
-
-	calls      []*request // own calls in flight, oldest first
-	coming     int        // and those whose request is still being sent
-	broke      bool       // a connection broke: it may have restarted, and be cold
-	part       float64    // of its weight that is in this instance's subset; 0 outside of it
-	lastAnswer time.Duration
-	fullUntil  time.Duration // turned a call away: passed over until then
-	errors     float64       // smoothed share of answers that are errors
-	losses     float64       // and of calls that it lost
-	lost       int           // own calls in flight that it will hardly answer
-	trialAt    time.Duration
-	trialPause time.Duration
-	advised    time.Duration // the first pause of an isolation on the word of others; 0 for one by own calls
-	trialFrom  int           // answers of any kind before which there is none
-	tokens     float64       // sends a ramping endpoint may get now
-	tokensAt   time.Duration
+	id            EndpointID
+	zone, cell    int
+	kind          int
+	weight        float64 // listed size, compared with others'
+	latencyRatio  runningMean
+	serviceTime   runningMean // seconds of service that it reports
+	state         endpointState
+	listed        bool          // by the last list,
+	indexed       bool          // and the sets of the roster know;
+	departed      bool          // it is among those that have gone
+	started       time.Duration // process start as listed
+	listVersion   uint64        // of the list that named it last
+	slowStartFrom time.Duration // since when its ramp counts
+	drainingSince time.Duration // when it was last seen to drain or to be gone,
+	wasEjected    bool          // and that it was isolated then: coming back proves nothing
+
+	calls             []*request // own calls in flight, oldest first
+	uploads           int        // and those whose request is still being sent
+	connectionReset   bool       // a connection broke: it may have restarted, and be cold
+	subsetWeight      float64    // of its weight that is in this instance's subset; 0 outside of it
+	lastAnswer        time.Duration
+	rejectingUntil    time.Duration // turned a call away: passed over until then
+	errorRate         float64       // smoothed share of answers that are errors
+	lossRate          float64       // and of calls that it lost
+	overdueCalls      int           // own calls in flight that it will hardly answer
+	trialAt           time.Duration
+	trialBackoff      time.Duration
+	peerTrialBackoff  time.Duration // the first pause of an isolation on the word of others; 0 for one by own calls
+	trialAfterAnswers int           // answers of any kind before which there is none
+	slowStartTokens   float64       // sends a ramping endpoint may get now
+	slowStartTokensAt time.Duration
 }
 
 // request is one request from its arrival to its final answer and last outcome.
 type request struct {
-	id       RequestID
-	at       time.Duration // when it came
-	class    *class
-	low      bool // beyond its tenant's share
-	deadline time.Duration
-	aimBy    time.Duration // an answer after this is worth little
-	attempts int
-	to       *endpoint // of the attempt that is out
-	from     *endpoint // of the last attempt that failed
-	sentAt   time.Duration
-	answered int  // the fleet's answers when it was sent
-	trial    bool // the attempt that is out ends an isolation if it is served
-	mayRun   *endpoint
-	zone     int // of mayRun when it was sent
-	cell     int
-	runAt    time.Duration // when the first attempt that may have run was sent
-	held     bool
-	long     bool // it is sent as it comes,
-	coming   bool // and some of it is still to come
-	stream   bool // its answer is on its way to the client
-	done     bool
-	quit     bool // withdrawn by us: the outcome is still to come
+	id            RequestID
+	arrivedAt     time.Duration // when it came
+	class         *class
+	overQuota     bool // beyond its tenant's share
+	deadline      time.Duration
+	targetAt      time.Duration // an answer after this is worth little
+	attempts      int
+	current       *endpoint // of the attempt that is out
+	lastFailed    *endpoint // of the last attempt that failed
+	sentAt        time.Duration
+	answersAtSend int  // the fleet's answers when it was sent
+	trial         bool // the attempt that is out ends an isolation if it is served
+	mayHaveRunAt  *endpoint
+	ranInZone     int // of mayRun when it was sent
+	ranInCell     int
+	firstRunAt    time.Duration // when the first attempt that may have run was sent
+	queued        bool
+	longBody      bool // it is sent as it comes,
+	uploading     bool // and some of it is still to come
+	responding    bool // its answer is on its way to the client
+	final         bool
+	withdrawn     bool // withdrawn by us: the outcome is still to come
 
 	overtaken int  // answers to calls that were sent after the attempt that is out
-	lost      bool // that attempt will hardly be answered,
-	stray     bool // and was not for longer still
+	overdue   bool // that attempt will hardly be answered,
+	missing   bool // and was not for longer still
 }
 
 // isOut tells whether an attempt is the one that is out.
-func (r *request) isOut(attempt int, at EndpointID) bool {
-	return r.to != nil && r.to.id == at && attempt == r.attempts-1
+func (r *request) isCurrent(attempt int, at EndpointID) bool {
+	return r.current != nil && r.current.id == at && attempt == r.attempts-1
 }
 
 // within is how long a further attempt of a keyed request may take to be out, for repeats to be dropped: its window
 // counts from the first that may have run, and holds for when the last byte is out, not for when it was decided. 0 is
 // no bound.
-func (b *Balancer) within(now time.Duration, r *request) time.Duration {
-	if r.mayRun == nil || r.class.Effect != Keyed {
+func (b *Balancer) replayWindowLeft(now time.Duration, r *request) time.Duration {
+	if r.mayHaveRunAt == nil || r.class.Effect != Keyed {
 		return 0
 	}
-	return r.runAt + r.class.Window - b.tick - now
+	return r.firstRunAt + r.class.Window - b.tick - now
 }
 
 // class is a class of request with what was seen of its latency.
 type class struct {
 	Class
-	mean    float64 // seconds, smoothed
-	base    float64 // seconds, at little load
-	usual   float64 // seconds, at a usual load
-	tail    float64 // means that one answer in a hundred passes
-	sum     float64
-	n       int
-	since   time.Duration // start of the window that sum and n cover
-	windows int           // looked at so far
-	maxLeft time.Duration
-	value   float64 // of serving one more of it
-	asked   float64 // requests of late,
-	good    float64 // and those of them answered within their aim
+	meanLatency   float64 // seconds, smoothed
+	baseLatency   float64 // seconds, at little load
+	usualLatency  float64 // seconds, at a usual load
+	tailRatio     float64 // means that one answer in a hundred passes
+	windowSum     float64
+	windowAnswers int
+	windowStart   time.Duration // start of the window that sum and n cover
+	windows       int           // looked at so far
+	maxRemaining  time.Duration
+	marginalValue float64 // of serving one more of it
+	requests      float64 // requests of late,
+	onTime        float64 // and those of them answered within their aim
 }
 
 // flow is an exponentially smoothed rate and its recent peak.
-type flow struct {
-	sum, top float64
-	at       time.Duration
+type smoothedRate struct {
+	current, peakRate float64
+	at                time.Duration
 }
 
-func (f *flow) add(now, window time.Duration, x float64) {
+func (f *smoothedRate) add(now, window time.Duration, x float64) {
 	dt := float64(now-f.at) / float64(window)
-	f.sum = f.sum*math.Exp(-dt) + x/window.Seconds()
-	f.top = max(f.sum, f.top*math.Exp(-dt/peakHold))
+	f.current = f.current*math.Exp(-dt) + x/window.Seconds()
+	f.peakRate = max(f.current, f.peakRate*math.Exp(-dt/peakHoldWindows))
 	f.at = now
 }
 
 // value is the present rate.
-func (f *flow) value(now, window time.Duration) float64 {
-	return f.sum * math.Exp(-float64(now-f.at)/float64(window))
+func (f *smoothedRate) value(now, window time.Duration) float64 {
+	return f.current * math.Exp(-float64(now-f.at)/float64(window))
 }
 
 // peak is the highest rate of late.
-func (f *flow) peak(now, window time.Duration) float64 {
-	return f.top * math.Exp(-float64(now-f.at)/float64(window)/peakHold)
+func (f *smoothedRate) peak(now, window time.Duration) float64 {
+	return f.peakRate * math.Exp(-float64(now-f.at)/float64(window)/peakHoldWindows)
 }
 
 // average is a rate of events, smoothed over a time, or since the first of them where that is shorter.
-type average struct {
-	sum      float64 // events, less those that have faded
-	at, from time.Duration
+type decayingRate struct {
+	sum         float64 // events, less those that have faded
+	at, firstAt time.Duration
 }
 
-func (a *average) add(now, over time.Duration) {
+func (a *decayingRate) add(now, over time.Duration) {
 	if a.sum == 0 {
-		a.from = now
+		a.firstAt = now
 	}
 	a.sum = a.sum*math.Exp(-float64(now-a.at)/float64(over)) + 1
 	a.at = now
 }
 
 // value is the present rate; until a tenth of the time has passed that is taken to have.
-func (a *average) value(now, over time.Duration) float64 {
-	known := 1 - math.Exp(-max(float64(now-a.from)/float64(over), 0.1))
+func (a *decayingRate) value(now, over time.Duration) float64 {
+	known := 1 - math.Exp(-max(float64(now-a.firstAt)/float64(over), 0.1))
 	return a.sum * math.Exp(-float64(now-a.at)/float64(over)) / over.Seconds() / known
 }
 
 // demandWindows is how many rate windows a broker's demand is averaged over: one that is rarely asked has few requests.
-const demandWindows = 10
+const demandRateWindows = 10
 
 // pace is a smoothed latency ratio and the number of answers, up to a limit, that it rests on.
-type pace struct{ mean, n float64 }
+type runningMean struct{ mean, count float64 }
 
-func (p *pace) add(x, weight float64) {
-	p.n = min(p.n+1, 1/weight)
-	p.mean += (x - p.mean) / p.n
+func (p *runningMean) add(x, weight float64) {
+	p.count = min(p.count+1, 1/weight)
+	p.mean += (x - p.mean) / p.count
 }
 
 // bucket meters what a tenant may ask for within its share.
-type bucket struct {
-	rate, level, most float64
-	least             float64 // of most, whatever the rate
-	at                time.Duration
-	use               Usage
-	floor             float64       // the rate from
-	until             time.Duration // then on; 0 for no end
+type tokenBucket struct {
+	rate, level, capacity float64
+	minCapacity           float64 // of most, whatever the rate
+	at                    time.Duration
+	usage                 Usage
+	fallbackRate          float64       // the rate from
+	rateUntil             time.Duration // then on; 0 for no end
 }
 
 // allot sets a bucket's rate until a time, and the one from then on; saved counts at most for that of now.
-func (b *bucket) allot(now time.Duration, rate, floor float64, until time.Duration, least float64) {
+func (b *tokenBucket) setRate(now time.Duration, rate, floor float64, until time.Duration, least float64) {
 	b.spend(now, 0)
-	b.rate, b.floor, b.until, b.least = rate, floor, until, least
-	b.most = least + rate*tenantBurst
-	b.level = min(b.level, b.most)
+	b.rate, b.fallbackRate, b.rateUntil, b.minCapacity = rate, floor, until, least
+	b.capacity = least + rate*tenantBurstSeconds
+	b.level = min(b.level, b.capacity)
 }
 
 // lapse ends a rate whose time is over, from when it was: whoever looks late, as after a stall, finds no more than that.
-func (b *bucket) lapse(now time.Duration) {
-	if b.until == 0 || now < b.until {
+func (b *tokenBucket) expireRate(now time.Duration) {
+	if b.rateUntil == 0 || now < b.rateUntil {
 		return
 	}
-	until := max(b.until, b.at)
-	b.level = min(b.most, b.level+b.rate*(until-b.at).Seconds())
-	b.rate, b.most, b.at, b.until = b.floor, b.least+b.floor*tenantBurst, until, 0
-	b.level = min(b.level, b.most)
+	until := max(b.rateUntil, b.at)
+	b.level = min(b.capacity, b.level+b.rate*(until-b.at).Seconds())
+	b.rate, b.capacity, b.at, b.rateUntil = b.fallbackRate, b.minCapacity+b.fallbackRate*tenantBurstSeconds, until, 0
+	b.level = min(b.level, b.capacity)
 }
 
 // earn adds what an answered call earns to the further attempts that may be made.
-func (b *Balancer) earn() {
-	if b.retries == nil {
-		b.budget = min(b.budget+retryShare, retryReserve)
+func (b *Balancer) earnRetry() {
+	if b.fleetRetries == nil {
+		b.retryTokens = min(b.retryTokens+retryTokensPerAnswer, maxRetryTokens)
 	}
 }
 
 // newBucket makes a bucket that holds some seconds of its rate, and a few more for chance. It starts with next
 // to nothing: a tier that starts on more than it can do must not fill up before that is known.
-func newBucket(now time.Duration, rate, burst float64) bucket {
-	return bucket{rate: rate, level: bucketStart, most: bucketLeast + rate*burst, at: now}
+func newTokenBucket(now time.Duration, rate, burst float64) tokenBucket {
+	return tokenBucket{rate: rate, level: tenantStartTokens, capacity: tenantBurstBase + rate*burst, at: now}
 }
 
 // take takes n out, if they are there.
-func (b *bucket) take(now time.Duration, n float64) bool {
+func (b *tokenBucket) take(now time.Duration, n float64) bool {
 	b.spend(now, 0)
-	b.use.Asked++
+	b.usage.Asked++
 	if b.level < n {
 		return false
 	}
 	b.level -= n
-	b.use.WithinQuota++
+	b.usage.WithinQuota++
 	return true
 }
 
 // spend takes n out, on credit where they are not there: as much as it can hold.
-func (b *bucket) spend(now time.Duration, n float64) {
-	b.lapse(now)
-	b.level = max(min(b.most, b.level+b.rate*(now-b.at).Seconds())-n, -b.most)
+func (b *tokenBucket) spend(now time.Duration, n float64) {
+	b.expireRate(now)
+	b.level = max(min(b.capacity, b.level+b.rate*(now-b.at).Seconds())-n, -b.capacity)
 	b.at = now
 }
 
 // over is the ratio of a kind's mean to that of one of its endpoints; 1 while nothing is known of it.
-func (p pace) over(own pace) float64 {
-	if own.n == 0 || p.n == 0 {
+func (p runningMean) relativeTo(own runningMean) float64 {
+	if own.count == 0 || p.count == 0 {
 		return 1
 	}
 	return p.mean / own.mean
@@ -241,142 +241,142 @@
 
 // look moves the base latency by the mean of a window. The first window holds only the short ones of the
 // first calls, and is passed over: a base learnt from it would hold back nearly everything.
-func (c *class) look(mean float64) {
+func (c *class) updateBase(mean float64) {
 	c.windows++
 	// The base latency comes to lie well under the mean of an easy tier, as it follows the lowest windows;
 	// strain measured against it held calls back on quiet days.
-	if c.windows <= baseSkip+1 {
-		c.usual, c.base = mean, mean
+	if c.windows <= baseSkippedWindows+1 {
+		c.usualLatency, c.baseLatency = mean, mean
 		return
 	}
-	c.usual = follow(c.usual, mean, usualRise)
-	c.base = follow(c.base, mean, baseRise)
+	c.usualLatency = moveTowards(c.usualLatency, mean, usualRiseWeight)
+	c.baseLatency = moveTowards(c.baseLatency, mean, baseRiseWeight)
 }
 
 // follow moves a latency towards a mean: faster where that is lower.
-func follow(latency, mean, rise float64) float64 {
+func moveTowards(latency, mean, rise float64) float64 {
 	if mean < latency {
-		rise = baseFall
+		rise = baseFallWeight
 	}
 	return latency + rise*(mean-latency)
 }
 
 // notePace takes an answer's latency, over the mean of its class, into the pace of its endpoint and of all
 // endpoints of its kind: an endpoint that is seldom called is judged by its kind.
-func (b *Balancer) notePace(e *endpoint, slow float64) {
-	if e.kind >= len(b.kinds) {
-		b.kinds = append(b.kinds, make([]pace, e.kind+1-len(b.kinds))...)
+func (b *Balancer) recordLatencyRatio(e *endpoint, slow float64) {
+	if e.kind >= len(b.kindLatency) {
+		b.kindLatency = append(b.kindLatency, make([]runningMean, e.kind+1-len(b.kindLatency))...)
 	}
-	b.kinds[e.kind].add(slow, kindWeight)
-	e.pace.add(slow, paceWeight)
+	b.kindLatency[e.kind].add(slow, kindMeanWeight)
+	e.latencyRatio.add(slow, endpointMeanWeight)
 }
 
 // tally counts a request of a class, and lets the past fade.
-func (b *Balancer) tally(now time.Duration, c *class) {
-	b.long.add(now, demandWindows*b.window)
-	if c.asked++; c.asked < classMemory {
+func (b *Balancer) countRequest(now time.Duration, c *class) {
+	b.demandRate.add(now, demandRateWindows*b.rateWindow)
+	if c.requests++; c.requests < classWindowRequests {
 		return
 	}
 	for i := range b.classes {
-		b.classes[i].asked /= 2
-		b.classes[i].good /= 2
+		b.classes[i].requests /= 2
+		b.classes[i].onTime /= 2
 	}
 }
 
 // slow is an endpoint's latency over the fleet's, drawn towards its kind's while its own answers are few.
-func (b *Balancer) slow(e *endpoint) float64 {
-	return (paceTrust*b.kindPace(e) + e.pace.n*e.pace.mean) / (paceTrust + e.pace.n)
+func (b *Balancer) relativeLatency(e *endpoint) float64 {
+	return (kindPriorAnswers*b.kindLatencyRatio(e) + e.latencyRatio.count*e.latencyRatio.mean) / (kindPriorAnswers + e.latencyRatio.count)
 }
 
 // kindPace is the latency over the fleet's of an endpoint's kind; 1 while too few answers tell.
-func (b *Balancer) kindPace(e *endpoint) float64 {
-	if e.kind < len(b.kinds) && b.kinds[e.kind].n >= paceTrust {
-		return b.kinds[e.kind].mean
+func (b *Balancer) kindLatencyRatio(e *endpoint) float64 {
+	if e.kind < len(b.kindLatency) && b.kindLatency[e.kind].count >= kindPriorAnswers {
+		return b.kindLatency[e.kind].mean
 	}
 	return 1
 }
 
 // noteError takes an answer into the error shares of its endpoint and the fleet.
-func (b *Balancer) noteError(e *endpoint, x, weight float64) {
-	e.errors += weight * (x - e.errors)
-	b.errors += fleetWeight * (x - b.errors)
+func (b *Balancer) recordError(e *endpoint, x, weight float64) {
+	e.errorRate += weight * (x - e.errorRate)
+	b.errorRate += fleetErrorWeight * (x - b.errorRate)
 }
 
 // mostWeight is more than any weight can be: with one that cannot, a list tells nothing of sizes.
-const mostWeight = 1e6
+const maxListedWeight = 1e6
 
 // weigh notes, where weights or endpoints are others than before, whether the listed weights are all such as can be, and tell endpoints apart.
-func (b *Balancer) weigh() {
-	if !b.reweigh {
+func (b *Balancer) checkWeights() {
+	if !b.weightsChanged {
 		return
 	}
-	b.reweigh = false
+	b.weightsChanged = false
 	apart := func(e *endpoint) bool { return e.weight != b.listed[0].weight }
-	none := func(e *endpoint) bool { return !(e.weight > 0 && e.weight <= mostWeight) }
+	none := func(e *endpoint) bool { return !(e.weight > 0 && e.weight <= maxListedWeight) }
 	b.weighted = slices.ContainsFunc(b.listed, apart) && !slices.ContainsFunc(b.listed, none)
 }
 
 // able is how many whole endpoints are in service. Rates are kept for each, so that the limit falls at once
 // when some leave: what all could bear would choke the few that are left.
-func (b *Balancer) able(now time.Duration) float64 {
-	n := float64(b.whole)
-	for _, e := range b.ramps {
-		n += b.share(now, e)
+func (b *Balancer) usableCapacity(now time.Duration) float64 {
+	n := float64(b.usableCount)
+	for _, e := range b.inSlowStart {
+		n += b.capacityShare(now, e)
 	}
 	return max(n, 1)
 }
 
 // settled tells whether the base latencies rest on enough to set limits by.
-func (b *Balancer) settled() bool {
-	return slices.ContainsFunc(b.classes, func(c class) bool { return c.windows > baseSkip })
+func (b *Balancer) hasBaseLatency() bool {
+	return slices.ContainsFunc(b.classes, func(c class) bool { return c.windows > baseSkippedWindows })
 }
 
 // warmOdds is the sum of the odds of the subset's warm endpoints.
-func (b *Balancer) warmOdds() float64 {
+func (b *Balancer) warmSubsetWeight() float64 {
 	sum := 0.0
-	for _, e := range b.mine {
-		if e.mark == usable {
-			sum += b.odds(e)
+	for _, e := range b.subset {
+		if e.state == stateUsable {
+			sum += b.drawWeight(e)
 		}
 	}
 	return sum
 }
 
 // sharers is how many instances' subsets an endpoint is in, on average.
-func (b *Balancer) sharers() float64 {
-	return float64(b.set.Instances) * b.subset / float64(max(len(b.listed), 1))
+func (b *Balancer) instancesPerEndpoint() float64 {
+	return float64(b.settings.Instances) * b.subsetSize / float64(max(len(b.listed), 1))
 }
 
 // warmRate is what warm endpoints are sent a second, for their odds; where none has been, what an endpoint of the subset
 // would be, were all of it warm.
-func (b *Balancer) warmRate(now time.Duration) float64 {
-	if b.warm.top > 0 {
-		return b.warm.peak(now, b.window)
+func (b *Balancer) warmSendRate(now time.Duration) float64 {
+	if b.warmSends.peakRate > 0 {
+		return b.warmSends.peak(now, b.rateWindow)
 	}
 	sum := 0.0
-	for _, e := range b.mine {
-		if e.mark != leaving {
-			sum += b.odds(e)
+	for _, e := range b.subset {
+		if e.state != stateDraining {
+			sum += b.drawWeight(e)
 		}
 	}
 	if sum == 0 {
 		return 0
 	}
-	return b.long.value(now, demandWindows*b.window) / sum
+	return b.demandRate.value(now, demandRateWindows*b.rateWindow) / sum
 }
 
 // speed is what the service times that endpoints of its kind report say of an endpoint, beside other kinds.
-func (b *Balancer) speed(e *endpoint) float64 {
+func (b *Balancer) kindSpeed(e *endpoint) float64 {
 	sum, n := 0.0, 0.0
-	for _, k := range b.services {
-		if k.n > 0 {
+	for _, k := range b.kindServiceTime {
+		if k.count > 0 {
 			sum, n = sum+1/k.mean, n+1
 		}
 	}
-	if e.kind >= len(b.services) || b.services[e.kind].n == 0 {
+	if e.kind >= len(b.kindServiceTime) || b.kindServiceTime[e.kind].count == 0 {
 		return 1
 	}
-	return n / sum / b.services[e.kind].mean
+	return n / sum / b.kindServiceTime[e.kind].mean
 }
 
 // weight is an endpoint's listed weight where those tell endpoints apart, else the speed its kind reports.
@@ -384,13 +384,13 @@
 	if b.weighted {
 		return e.weight
 	}
-	return b.speed(e)
+	return b.kindSpeed(e)
 }
 
 // scatter is an instance's place among all: numbers that follow each other lie far apart, in steps of the golden
 // section. Instances of one hall are numbered in a row; when callers came to that hall, their subsets, side by
 // side on the ring, filled up one part of a tier.
-func scatter(ordinal, instances int) int {
+func ringPosition(ordinal, instances int) int {
 	step := max(int(0.618034*float64(instances)), 1)
 	for gcd(step, instances) != 1 {
 		step++
@@ -407,60 +407,60 @@
 
 // Balancer decides for one instance. It is not safe for concurrent use.
 type Balancer struct {
-	set     Settings
-	host    Host
-	rng     *rand.Rand
-	window  time.Duration // over which rates are smoothed
-	tick    time.Duration
-	ticking bool
-
-	roster
-	weighted bool   // the listed weights tell endpoints apart
-	version  uint64 // of the last list
-	requests map[RequestID]*request
-	classes  []class
-	kinds    []pace // by machine kind
-	services []pace // by machine kind: seconds of service that its endpoints report
-	tenants  []bucket
-	shortBy  time.Duration // capacity counts as short until then
-	quota    float64       // requests a second within all shares, at this instance
-	held     []*request
-	scratch  []*endpoint
-
-	out      int // attempts in flight
-	elder    predecessor
-	lost     int     // those of them that no answer is expected for
-	answered int     // answers of any kind
-	rate     flow    // base latencies answered a second: the calls in flight at little load
-	limit    float64 // on calls in flight
-	countAt  time.Duration
-	seat     int     // this instance's place on the ring: not its number, see scatter
-	subset   float64 // endpoints in this instance's subset,
-	wide     float64 // and how many its own calls ask for
-	spare    flow    // the same for the time from base latency to the aim
-	served   flow    // answers a second
-	asked    flow    // requests a second,
-	long     average // and over a longer time
-	strain   float64 // smoothed latency over what it should at most be on average
-	pace     float64 // calls a second that may be sent
-	paced    bool    // the strain was above 1, and has not let go
-	strainAt time.Duration
-	credit   float64
-	creditAt time.Duration
-	warm     flow    // sends a second to warm endpoints, for their odds
-	errors   float64 // smoothed share of answers that are errors
-	strays   float64 // and of overdue calls that stay away for longer
-	budget   float64 // further attempts that may be made
-	retries  *bucket // that the fleet leaves to this instance; nil where answers earn them
-
-	hidden      bool    // clients' repeats do not show what they have spent: see spent
-	repeatSpent float64 // mean time, in seconds, that repeats had spent where they show it
-
-	endsAt              time.Duration // when this instance ends, where that is known,
-	succeeded           bool          // and that another one serves in its place
-	fetchAt             time.Duration // no fetch before
-	watchDue            bool          // after a pause,
-	watchPause, watchAt time.Duration // that counts from when the last watch began
+	settings   Settings
+	host       Host
+	rng        *rand.Rand
+	rateWindow time.Duration // over which rates are smoothed
+	tick       time.Duration
+	ticking    bool
+
+	endpointIndex
+	weighted        bool   // the listed weights tell endpoints apart
+	listVersion     uint64 // of the last list
+	requests        map[RequestID]*request
+	classes         []class
+	kindLatency     []runningMean // by machine kind
+	kindServiceTime []runningMean // by machine kind: seconds of service that its endpoints report
+	tenants         []tokenBucket
+	shortageUntil   time.Duration // capacity counts as short until then
+	totalQuota      float64       // requests a second within all shares, at this instance
+	queue           []*request
+	scratch         []*endpoint
+
+	inFlight        int // attempts in flight
+	predecessor     predecessorCalls
+	overdueCalls    int          // those of them that no answer is expected for
+	answers         int          // answers of any kind
+	baseLoad        smoothedRate // base latencies answered a second: the calls in flight at little load
+	inFlightLimit   float64      // on calls in flight
+	subsetSizedAt   time.Duration
+	position        int          // this instance's place on the ring: not its number, see scatter
+	subsetSize      float64      // endpoints in this instance's subset,
+	demandedSubset  float64      // and how many its own calls ask for
+	slackLoad       smoothedRate // the same for the time from base latency to the aim
+	answerRate      smoothedRate // answers a second
+	requestRate     smoothedRate // requests a second,
+	demandRate      decayingRate // and over a longer time
+	latencyPressure float64      // smoothed latency over what it should at most be on average
+	sendRate        float64      // calls a second that may be sent
+	isPaced         bool         // the strain was above 1, and has not let go
+	pressureAt      time.Duration
+	sendCredit      float64
+	sendCreditAt    time.Duration
+	warmSends       smoothedRate // sends a second to warm endpoints, for their odds
+	errorRate       float64      // smoothed share of answers that are errors
+	missingShare    float64      // and of overdue calls that stay away for longer
+	retryTokens     float64      // further attempts that may be made
+	fleetRetries    *tokenBucket // that the fleet leaves to this instance; nil where answers earn them
+
+	retriesHideElapsed bool    // clients' repeats do not show what they have spent: see spent
+	meanRetryElapsed   float64 // mean time, in seconds, that repeats had spent where they show it
+
+	drainDeadline                time.Duration // when this instance ends, where that is known,
+	hasSuccessor                 bool          // and that another one serves in its place
+	nextFetchAt                  time.Duration // no fetch before
+	watchScheduled               bool          // after a pause,
+	watchBackoff, watchStartedAt time.Duration // that counts from when the last watch began
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/decision/succession.go
+++ b/internal/decision/succession.go
@@ -67,33 +67,35 @@
 }
 
 // learntMost bounds the endpoints whose figures are told. What a successor is not told it learns.
-const learntMost = 512
+const maxSnapshotEndpoints = 512
 
 // predecessor is what the process before this one has in flight.
-type predecessor struct {
+type predecessorCalls struct {
 	calls map[EndpointID]int
-	out   int
+	total int
 	until time.Duration // it is believed until then
 }
 
 // Learnt tells what this process has learnt.
 func (b *Balancer) Snapshot(now time.Duration) Snapshot {
-	rate := func(f *flow) RateSnapshot { return RateSnapshot{f.value(now, b.window), f.peak(now, b.window)} }
-	l := Snapshot{Rate: rate(&b.rate), Spare: rate(&b.spare), Served: rate(&b.served), Asked: rate(&b.asked),
-		Warm: rate(&b.warm), Errors: b.errors, MissingShare: b.strays, Budget: b.budget,
-		RepeatSpent: b.repeatSpent, Kinds: told(b.kinds), Services: told(b.services)}
+	rate := func(f *smoothedRate) RateSnapshot {
+		return RateSnapshot{f.value(now, b.rateWindow), f.peak(now, b.rateWindow)}
+	}
+	l := Snapshot{Rate: rate(&b.baseLoad), Spare: rate(&b.slackLoad), Served: rate(&b.answerRate), Asked: rate(&b.requestRate),
+		Warm: rate(&b.warmSends), Errors: b.errorRate, MissingShare: b.missingShare, Budget: b.retryTokens,
+		RepeatSpent: b.meanRetryElapsed, Kinds: snapshotMeans(b.kindLatency), Services: snapshotMeans(b.kindServiceTime)}
 	for _, c := range b.classes {
-		l.Classes = append(l.Classes, ClassSnapshot{Name: c.Name, Windows: c.windows, Mean: c.mean, Base: c.base,
-			Usual: c.usual, Tail: c.tail, MaxLeft: c.maxLeft, Asked: c.asked, Good: c.good})
+		l.Classes = append(l.Classes, ClassSnapshot{Name: c.Name, Windows: c.windows, Mean: c.meanLatency, Base: c.baseLatency,
+			Usual: c.usualLatency, Tail: c.tailRatio, MaxLeft: c.maxRemaining, Asked: c.requests, Good: c.onTime})
 	}
 	for _, e := range b.listed {
-		x := EndpointSnapshot{ID: e.id, Pace: MeanSnapshot{e.pace.mean, e.pace.n},
-			Service: MeanSnapshot{e.service.mean, e.service.n}, Errors: e.errors, Losses: e.losses,
-			Isolated: e.mark == isolated, Ramping: e.mark == ramping}
+		x := EndpointSnapshot{ID: e.id, Pace: MeanSnapshot{e.latencyRatio.mean, e.latencyRatio.count},
+			Service: MeanSnapshot{e.serviceTime.mean, e.serviceTime.count}, Errors: e.errorRate, Losses: e.lossRate,
+			Isolated: e.state == stateEjected, Ramping: e.state == stateSlowStart}
 		if x.Ramping {
-			x.Ramped = now - e.coldFrom
+			x.Ramped = now - e.slowStartFrom
 		}
-		if len(l.Endpoints) < learntMost && x != (EndpointSnapshot{ID: e.id}) {
+		if len(l.Endpoints) < maxSnapshotEndpoints && x != (EndpointSnapshot{ID: e.id}) {
 			l.Endpoints = append(l.Endpoints, x)
 		}
 	}
@@ -104,9 +106,9 @@
 	return l
 }
 
-func told(paces []pace) (l []MeanSnapshot) {
+func snapshotMeans(paces []runningMean) (l []MeanSnapshot) {
 	for _, p := range paces {
-		l = append(l, MeanSnapshot{p.mean, p.n})
+		l = append(l, MeanSnapshot{p.mean, p.count})
 	}
 	return l
 }
@@ -114,7 +116,7 @@
 // Inherit takes the figures of the process before, unless this one has looked at its classes for as long: the one
 // that saw the tier for longer saw it at little load. Of figures that cannot be, none is taken.
 func (b *Balancer) Restore(now time.Duration, l Snapshot) error {
-	if err := l.check(b.classes); err != nil {
+	if err := l.validate(b.classes); err != nil {
 		return err
 	}
 	own, theirs := 0, 0
@@ -127,49 +129,49 @@
 	}
 	for i, x := range l.Classes {
 		c := &b.classes[i]
-		c.mean, c.base, c.usual, c.tail, c.windows = x.Mean, x.Base, x.Usual, x.Tail, x.Windows
-		c.sum, c.n, c.since = 0, 0, now
-		c.maxLeft, c.asked, c.good = x.MaxLeft, x.Asked, x.Good
+		c.meanLatency, c.baseLatency, c.usualLatency, c.tailRatio, c.windows = x.Mean, x.Base, x.Usual, x.Tail, x.Windows
+		c.windowSum, c.windowAnswers, c.windowStart = 0, 0, now
+		c.maxRemaining, c.requests, c.onTime = x.MaxLeft, x.Asked, x.Good
 	}
-	b.kinds, b.services = heard(l.Kinds), heard(l.Services)
+	b.kindLatency, b.kindServiceTime = restoreMeans(l.Kinds), restoreMeans(l.Services)
 	for _, x := range l.Endpoints {
 		e := b.byID[x.ID]
-		if e == nil || e.kind >= len(b.kinds) && x.Pace.N > 0 || e.kind >= len(b.services) && x.Service.N > 0 {
+		if e == nil || e.kind >= len(b.kindLatency) && x.Pace.N > 0 || e.kind >= len(b.kindServiceTime) && x.Service.N > 0 {
 			continue // the lists differ
 		}
-		e.pace, e.service = pace{x.Pace.Mean, x.Pace.N}, pace{x.Service.Mean, x.Service.N}
-		e.errors, e.losses = x.Errors, x.Losses
-		b.heed(now, e, x)
+		e.latencyRatio, e.serviceTime = runningMean{x.Pace.Mean, x.Pace.N}, runningMean{x.Service.Mean, x.Service.N}
+		e.errorRate, e.lossRate = x.Errors, x.Losses
+		b.restoreEndpointState(now, e, x)
 	}
-	for f, x := range map[*flow]RateSnapshot{&b.rate: l.Rate, &b.spare: l.Spare, &b.served: l.Served,
-		&b.asked: l.Asked, &b.warm: l.Warm} {
-		*f = flow{sum: x.Now, top: x.Peak, at: now}
+	for f, x := range map[*smoothedRate]RateSnapshot{&b.baseLoad: l.Rate, &b.slackLoad: l.Spare, &b.answerRate: l.Served,
+		&b.requestRate: l.Asked, &b.warmSends: l.Warm} {
+		*f = smoothedRate{current: x.Now, peakRate: x.Peak, at: now}
 	}
-	b.errors, b.strays, b.repeatSpent = l.Errors, l.MissingShare, l.RepeatSpent
-	b.budget = min(l.Budget, retryReserve)
+	b.errorRate, b.missingShare, b.meanRetryElapsed = l.Errors, l.MissingShare, l.RepeatSpent
+	b.retryTokens = min(l.Budget, maxRetryTokens)
 	for i := range min(len(b.tenants), len(l.TenantTokens)) {
-		b.tenants[i].hold(now, l.TenantTokens[i])
+		b.tenants[i].setLevel(now, l.TenantTokens[i])
 	}
-	b.recount = true
-	b.place(now)
-	b.arm()
+	b.subsetStale = true
+	b.dispatch(now)
+	b.startTick()
 	return nil
 }
 
-func heard(l []MeanSnapshot) (paces []pace) {
+func restoreMeans(l []MeanSnapshot) (paces []runningMean) {
 	for _, p := range l {
-		paces = append(paces, pace{p.Mean, p.N})
+		paces = append(paces, runningMean{p.Mean, p.N})
 	}
 	return paces
 }
 
 // hold sets what a bucket holds.
-func (b *bucket) hold(now time.Duration, level float64) {
-	b.level, b.at = min(max(level, -b.most), b.most), now
+func (b *tokenBucket) setLevel(now time.Duration, level float64) {
+	b.level, b.at = min(max(level, -b.capacity), b.capacity), now
 }
 
 // check names the first figure that cannot be.
-func (l *Snapshot) check(classes []class) error {
+func (l *Snapshot) validate(classes []class) error {
 	if len(l.Classes) != len(classes) {
 		return fmt.Errorf("learnt: %d classes, here are %d", len(l.Classes), len(classes))
 	}
@@ -247,7 +249,7 @@
 func (b *Balancer) InFlight() map[EndpointID]int {
 	calls := map[EndpointID]int{}
 	for _, e := range b.listed {
-		if n := len(e.calls) + e.coming - e.lost; n > 0 && e.mark != isolated {
+		if n := len(e.calls) + e.uploads - e.overdueCalls; n > 0 && e.state != stateEjected {
 			calls[e.id] = n
 		}
 	}
@@ -257,18 +259,18 @@
 // Beside takes what the process before has in flight. It counts as this one's until the next word of it, and no
 // longer than until the given time, as a process that dies says nothing.
 func (b *Balancer) SetPredecessorCalls(now time.Duration, calls map[EndpointID]int, until time.Duration) {
-	b.elder = predecessor{calls: calls, until: until}
+	b.predecessor = predecessorCalls{calls: calls, until: until}
 	for id, n := range calls {
 		if b.byID[id] != nil {
-			b.elder.out += max(n, 0)
+			b.predecessor.total += max(n, 0)
 		}
 	}
-	b.place(now)
-	b.arm()
+	b.dispatch(now)
+	b.startTick()
 }
 
 // at is what it has in flight at an endpoint.
-func (p *predecessor) at(now time.Duration, e *endpoint) int {
+func (p *predecessorCalls) at(now time.Duration, e *endpoint) int {
 	if now > p.until {
 		return 0
 	}
@@ -276,9 +278,9 @@
 }
 
 // all is what it has in flight at all endpoints.
-func (p *predecessor) all(now time.Duration) int {
+func (p *predecessorCalls) sum(now time.Duration) int {
 	if now > p.until {
 		return 0
 	}
-	return p.out
+	return p.total
 }
--- a/internal/decision/succession_test.go
+++ b/internal/decision/succession_test.go
@@ -61,7 +61,7 @@
 	if most, least := alone.fill(), told.fill(); least > most*2/3 {
 		t.Errorf("%d in flight after inheriting, %d without", least, most)
 	}
-	if base := told.b.classes[read].base; base < 0.09 || base > 0.2 {
+	if base := told.b.classes[read].baseLatency; base < 0.09 || base > 0.2 {
 		t.Errorf("its base latency is %v", base)
 	}
 	fresh := elder.heir(settings(), 6)
@@ -134,7 +134,7 @@
 	if n := heir.serve(10, func(EndpointID) Status { return OK })[broken]; n > 0 {
 		t.Errorf("%d calls to an endpoint that is isolated", n)
 	}
-	for elder.b.byID[broken].mark == isolated {
+	for elder.b.byID[broken].state == stateEjected {
 		elder.work(1, 20*ms, 20*ms)
 	}
 	back := elder.heir(settings(), 6).serve(100, func(EndpointID) Status { return OK })
@@ -189,15 +189,15 @@
 
 // What is told of many endpoints has a bound.
 func TestLearntIsBounded(t *testing.T) {
-	d := start(t, settings(), 3*learntMost)
+	d := start(t, settings(), 3*maxSnapshotEndpoints)
 	for _, e := range d.b.listed {
 		e.id += 4e9
-		d.b.notePace(e, 1/(1+d.b.rng.Float64()))
-		e.service.add(1/(1+d.b.rng.Float64()), reportWeight)
-		e.errors, e.losses = d.b.rng.Float64(), d.b.rng.Float64()
+		d.b.recordLatencyRatio(e, 1/(1+d.b.rng.Float64()))
+		e.serviceTime.add(1/(1+d.b.rng.Float64()), reportMeanWeight)
+		e.errorRate, e.lossRate = d.b.rng.Float64(), d.b.rng.Float64()
 	}
 	text, err := json.Marshal(d.b.Snapshot(d.now))
-	if err != nil || len(text) > 140<<10 || len(d.b.Snapshot(d.now).Endpoints) != learntMost {
+	if err != nil || len(text) > 140<<10 || len(d.b.Snapshot(d.now).Endpoints) != maxSnapshotEndpoints {
 		t.Errorf("%d bytes, %d endpoints, %v", len(text), len(d.b.Snapshot(d.now).Endpoints), err)
 	}
 }
