--- a/internal/chain/chain_test.go
+++ b/internal/chain/chain_test.go
@@ -13,10 +13,10 @@
 	RunSpecs(t, "chain replication")
 }
 
-// add is the operation of these tests: the value is the number of operations.
-func add(value any, _ []byte) any { return value.(int) + 1 }
+// countOperations is the Apply function of these tests: the value is the number of operations.
+func countOperations(value any, _ []byte) any { return value.(int) + 1 }
 
-// chainOf makes the members of a first view, head first.
+// chainOf returns the members of a first view, head first. Each has its name as identifier and address.
 func chainOf(names ...string) []*Node {
 	view := View{Number: 1, Token: 1}
 	for _, name := range names {
@@ -26,7 +26,7 @@
 	view.Holder = view.Chain[0]
 	var nodes []*Node
 	for _, voter := range view.Voters {
-		config := Config{Self: voter, Apply: add, MaxFailures: 1, SuspectTimeout: time.Second, PingInterval: time.Second,
+		config := Config{Self: voter, Apply: countOperations, MaxFailures: 1, SuspectTimeout: time.Second, PingInterval: time.Second,
 			LeaseDuration: time.Second, TakeoverDelay: time.Second, ReturnDelay: 3 * time.Second,
 			Jitter: func(time.Duration) time.Duration { return 0 }}
 		node, _ := NewGenesis(config, 0, view, 0)
@@ -35,7 +35,7 @@
 	return nodes
 }
 
-// messageTo finds the message of a kind to an address.
+// messageTo returns the message of a type to an address.
 func messageTo[T any](out Output, to string) T {
 	GinkgoHelper()
 	for _, envelope := range out.Messages {
@@ -48,7 +48,7 @@
 }
 
 var _ = Describe("the tail", func() {
-	It("counts an entry as committed once it has stored it, not before", func() {
+	It("commits an entry only after its record is persisted", func() {
 		nodes := chainOf("a", "b", "c")
 		head, middle, tail := nodes[0], nodes[1], nodes[2]
 		_, out, ok := head.Propose([]byte("x"))
@@ -56,15 +56,15 @@
 		out = middle.Receive(0, messageTo[Append](out, "b"))
 		out = tail.Receive(0, messageTo[Append](out, "c"))
 		Expect(out.Records).To(HaveLen(1))
-		Expect(tail.LatestState().Value).To(Equal(1), "it has the entry")
-		Expect(tail.CommittedState().Value).To(Equal(0), "its record is not stored yet: a read must not show it")
-		tail.Receive(0, messageTo[Committed](out, "c")) // goes out once the record is stored
+		Expect(tail.LatestState().Value).To(Equal(1), "the tail has the entry")
+		Expect(tail.CommittedState().Value).To(Equal(0), "the record is not persisted yet: a read must not show it")
+		tail.Receive(0, messageTo[Committed](out, "c")) // sent once the record is persisted
 		Expect(tail.CommittedState().Value).To(Equal(1))
 	})
 })
 
 var _ = Describe("the view", func() {
-	It("names the former holders once each, the latest first", func() {
+	It("lists each former holder once, the latest first, up to a bound", func() {
 		view := View{Voters: []Member{{ID: "a/1", Address: "a"}, {ID: "c/1", Address: "c"}}, Holder: "a/1", Token: 4}
 		view.transferLease("b/1", "a")
 		Expect(view.FormerHolders).To(Equal([]string{"a"}))
@@ -73,19 +73,19 @@
 		view.transferLease("d/1", "c")
 		Expect(view.FormerHolders).To(Equal([]string{"c", "b", "a"}))
 		view.transferLease("e/1", "d")
-		Expect(view.FormerHolders).To(Equal([]string{"d", "c", "b", "a"}), "a role that goes round a core of five is known to return")
+		Expect(view.FormerHolders).To(Equal([]string{"d", "c", "b", "a"}), "in a core of five all former holders are listed")
 		Expect(view.Token).To(Equal(uint64(8)))
 		view.transferLease("c/1", "e")
-		Expect(view.isFormerHolder(view.Holder)).To(BeTrue(), "one of those before")
+		Expect(view.isFormerHolder(view.Holder)).To(BeTrue(), "c has held the lease before")
 		view.transferLease("a/1", "c")
 		Expect(view.FormerHolders).To(Equal([]string{"c", "e", "d", "b", "a"}))
 		for i := range 2 * maxFormerHolders {
 			view.transferLease("x/1", string(rune('A'+i)))
 		}
-		Expect(view.FormerHolders).To(HaveLen(maxFormerHolders), "they are bounded")
+		Expect(view.FormerHolders).To(HaveLen(maxFormerHolders), "the list is bounded")
 	})
 
-	It("takes a member for the same holder whose disk was lost in between", func() {
+	It("recognizes a former holder by its address after its disk was replaced", func() {
 		view := View{Voters: []Member{{ID: "a/2", Address: "a"}}, Holder: "b/1", FormerHolders: []string{"a"}}
 		view.transferLease("a/2", "b")
 		Expect(view.isFormerHolder(view.Holder)).To(BeTrue())
@@ -93,7 +93,7 @@
 })
 
 var _ = Describe("a pong", func() {
-	It("that answers a ping of an earlier life confirms nothing", func() {
+	It("that answers a ping of an earlier incarnation does not confirm the view", func() {
 		earlier := chainOf("a", "b", "c")[0]
 		later := chainOf("a", "b", "c")[0]
 		later.lastNonce = 1 << 32 // as the process draws it
@@ -110,8 +110,8 @@
 	})
 })
 
-var _ = Describe("a member that starts again", func() {
-	It("finds those that still ping its address, where all of its seeds have gone", func() {
+var _ = Describe("a restarted member", func() {
+	It("pings the members that ping its address, if all of its seeds have departed", func() {
 		config := chainOf("a")[0].config
 		config.Self, config.Seeds = Member{ID: "c/1", Address: "c"}, []string{"gone"}
 		joiner, _ := NewJoiner(config, 0, 0)
@@ -125,10 +125,10 @@
 		Expect(pinged(0)).To(ConsistOf("gone"))
 		joiner.Receive(time.Second, Ping{From: Member{ID: "a", Address: "a"}, Status: Status{View: 3}})
 		Expect(pinged(time.Second)).To(ConsistOf("gone", "a"))
-		Expect(pinged(time.Minute)).To(ConsistOf("gone"), "it is heard of no more")
+		Expect(pinged(time.Minute)).To(ConsistOf("gone"), "its pings have ended")
 	})
 
-	It("takes each entry once, where a snapshot was stored in place of the first of several records", func() {
+	It("applies each entry once, if a snapshot was persisted in place of the first of several records", func() {
 		nodes := chainOf("a", "b")
 		_, out, _ := nodes[0].Propose([]byte("x"))
 		first := messageTo[Append](out, "b")
--- a/internal/chain/requests_test.go
+++ b/internal/chain/requests_test.go
@@ -8,10 +8,10 @@
 	"github.com/pkg/errors"
 )
 
-var errRefused = errors.New("refused")
+var errRejected = errors.New("rejected")
 
 var _ = Describe("a request", func() {
-	const within = 900 * time.Millisecond
+	const timeout = 900 * time.Millisecond
 	var head, tail *Node
 	var requests *PendingRequests
 	var answers chan error
@@ -19,7 +19,7 @@
 	BeforeEach(func() {
 		nodes := chainOf("a", "b", "c")
 		head, tail = nodes[0], nodes[2]
-		requests, answers = NewPendingRequests(head, within), make(chan error, 4)
+		requests, answers = NewPendingRequests(head, timeout), make(chan error, 4)
 		confirm(head, 0)
 	})
 	write := func(now time.Duration, decision Decision) Output {
@@ -30,7 +30,7 @@
 		})
 	}
 
-	It("to write is acknowledged once it is committed", func() {
+	It("to write is acknowledged once the write is committed", func() {
 		write(0, Decision{Operation: []byte("x")})
 		requests.AnswerReady(0)
 		Expect(answers).NotTo(Receive())
@@ -39,7 +39,7 @@
 		Expect(answers).To(Receive(BeNil()))
 	})
 
-	It("that was taken before is not taken again", func() {
+	It("that is already applied is acknowledged without being appended again", func() {
 		head.Propose([]byte("x"))
 		write(0, Decision{AlreadyApplied: true})
 		Expect(head.LatestState().Seq).To(Equal(uint64(1)))
@@ -48,51 +48,51 @@
 		Expect(answers).To(Receive(BeNil()))
 	})
 
-	It("is refused once a majority has confirmed the view after it came", func() {
-		write(time.Millisecond, Decision{Rejection: errRefused})
+	It("is rejected once a majority has confirmed the view since it was received", func() {
+		write(time.Millisecond, Decision{Rejection: errRejected})
 		requests.AnswerReady(time.Millisecond)
-		Expect(answers).NotTo(Receive(), "what confirmed the view was asked before")
+		Expect(answers).NotTo(Receive(), "the confirming pings were sent before")
 		confirm(head, 2*time.Millisecond)
 		requests.AnswerReady(2 * time.Millisecond)
-		Expect(answers).To(Receive(MatchError(errRefused)))
+		Expect(answers).To(Receive(MatchError(errRejected)))
 	})
 
-	It("is not refused for what is not committed", func() {
+	It("is not rejected because of an uncommitted entry", func() {
 		head.Propose([]byte("x"))
-		write(0, Decision{Rejection: errRefused})
+		write(0, Decision{Rejection: errRejected})
 		confirm(head, time.Millisecond)
 		requests.AnswerReady(time.Millisecond)
 		Expect(answers).NotTo(Receive())
-		requests.AnswerReady(within + time.Millisecond)
+		requests.AnswerReady(timeout + time.Millisecond)
 		Expect(answers).To(Receive(MatchError(ErrNotConfirmed)))
 	})
 
-	It("is not taken by a head that nobody has confirmed lately", func() {
+	It("is not taken by a head whose view no majority has confirmed lately", func() {
 		write(time.Minute, Decision{Operation: []byte("x")})
 		Expect(answers).To(Receive(MatchError(ErrNotHead)))
 		Expect(head.LatestState().Seq).To(BeZero())
 	})
 
-	It("to read is answered at the tail alone, after a majority's word", func() {
-		shown := make(chan State, 1)
+	It("to read is answered only at the tail, after a majority has confirmed the view", func() {
+		states := make(chan State, 1)
 		read := Read{Respond: func(state State, err error) {
-			shown <- state
+			states <- state
 			answers <- err
 		}}
 		requests.Read(0, read)
 		Expect(answers).To(Receive(MatchError(ErrNotTail)))
-		<-shown
-		atTail := NewPendingRequests(tail, within)
+		<-states
+		atTail := NewPendingRequests(tail, timeout)
 		atTail.Read(time.Millisecond, read)
 		atTail.AnswerReady(time.Millisecond)
 		Expect(answers).NotTo(Receive())
 		confirm(tail, 2*time.Millisecond)
 		atTail.AnswerReady(2 * time.Millisecond)
 		Expect(answers).To(Receive(BeNil()))
-		Expect(shown).To(Receive(HaveField("Value", 0)))
+		Expect(states).To(Receive(HaveField("Value", 0)))
 	})
 
-	It("is one of a bounded number", func() {
+	It("is rejected if too many are pending", func() {
 		for range maxPendingRequests {
 			write(0, Decision{Operation: []byte("x")})
 		}
@@ -101,7 +101,7 @@
 	})
 })
 
-// confirm has all other members answer a ping that is sent now.
+// confirm lets all other members answer a ping that is sent now.
 func confirm(node *Node, now time.Duration) {
 	for _, envelope := range node.PingVoters(now).ImmediateMessages {
 		ping := envelope.Message.(Ping)
