--- a/internal/controlplane/anti_entropy.go
+++ b/internal/controlplane/anti_entropy.go
@@ -7,37 +7,36 @@
 	"dykering/internal/protocol"
 )
 
-// repair compares this copy of the sessions with a peer's now and then, and tells peers how many sidecars follow a stream
-// here.
+// runAntiEntropy compares this member's sessions with those of a peer drawn at random, at an interval, so that what a lost
+// broadcast has left different is repaired. It also broadcasts the number of this member's subscribers.
 func (s *Server) runAntiEntropy(now time.Duration) {
 	peers := s.peerAddresses()
-	if len(peers) == 0 || now < s.antiEntropyDue {
+	if len(peers) == 0 || now < s.sessionSync.antiEntropyDue {
 		return
 	}
-	s.antiEntropyDue = now + s.timing.antiEntropyInterval
+	s.sessionSync.antiEntropyDue = now + s.timing.antiEntropyInterval
 	self := s.chain.Self().Address
 	s.send(peers[rand.IntN(len(peers))], protocol.SessionDigest{From: self, Digests: s.table.ChildDigests(nil)})
-	for _, peer := range peers {
-		s.send(peer, protocol.SubscriberCount{From: self, Count: len(s.subscribers)})
-	}
+	s.broadcast(protocol.SubscriberCount{From: self, Count: len(s.subscribers)})
 }
 
-// onSessionDigest looks into the parts of a range that differ: their parts are told in turn, and the sessions themselves
-// once they cannot be divided any further.
+// onSessionDigest compares the children of a range with a peer's digests. For each child that differs it replies with the
+// digests one level down, or, at a leaf, with the sessions themselves and a request for the peer's.
 func (s *Server) onSessionDigest(m protocol.SessionDigest) {
 	if !m.Range.Valid() || m.Range.IsLeaf() {
 		return
 	}
 	self := s.chain.Self().Address
-	for _, part := range s.table.DifferingChildren(m.Range, m.Digests) {
-		if !part.IsLeaf() {
-			s.send(m.From, protocol.SessionDigest{From: self, Range: part, Digests: s.table.ChildDigests(part)})
+	for _, child := range s.table.DifferingChildren(m.Range, m.Digests) {
+		if child.IsLeaf() {
+			s.send(m.From, protocol.SessionRange{From: self, Range: child, Records: s.table.RecordsIn(s.sessionClock, child), Ask: true})
 			continue
 		}
-		s.send(m.From, protocol.SessionRange{From: self, Range: part, Records: s.table.RecordsIn(s.sessionClock, part), Ask: true})
+		s.send(m.From, protocol.SessionDigest{From: self, Range: child, Digests: s.table.ChildDigests(child)})
 	}
 }
 
+// onSessionRange merges a peer's sessions of a leaf, after it has replied with its own where the peer asks for them.
 func (s *Server) onSessionRange(m protocol.SessionRange) {
 	if !m.Range.Valid() || !m.Range.IsLeaf() {
 		return
@@ -46,7 +45,5 @@
 		own := s.table.RecordsIn(s.sessionClock, m.Range)
 		s.send(m.From, protocol.SessionRange{From: s.chain.Self().Address, Range: m.Range, Records: own})
 	}
-	for _, record := range m.Records {
-		s.table.Merge(s.sessionClock, record)
-	}
+	s.mergeSessions(m.Records)
 }
--- a/internal/controlplane/chain_store.go
+++ b/internal/controlplane/chain_store.go
@@ -89,6 +89,9 @@
 // mostRecords is how many records a file holds before the next one is begun: so many are read at a start.
 const maxFileRecords = 64
 
+// startNewFile has the next record begin a new file, with a snapshot that stands for all records before it.
+func (cs *chainStore) startNewFile() { cs.encoder = nil }
+
 // encode makes what is written of a record. Where the file is full, or was begun by another process, the snapshot, that
 // stands for the record too, begins the next one.
 func (cs *chainStore) encode(record any, snapshot func() chain.Snapshot) (ringlog.Record, error) {
--- /dev/null
+++ b/internal/controlplane/configuration_endpoint.go
@@ -0,0 +1,137 @@
+package controlplane
+
+import (
+	"net/http"
+	"strconv"
+
+	"github.com/pkg/errors"
+
+	"dykering/internal/chain"
+	"dykering/internal/errkind"
+	"dykering/internal/fleetconfig"
+	"dykering/internal/protocol"
+)
+
+// maxConfigurationBytes bounds the body of a configuration change.
+const maxConfigurationBytes = 16 << 20
+
+// handleConfigurationChange serves POST /configuration/replace and /modify. A change is answered once it is committed, and
+// may be sent again where no clear answer comes: one that was committed before is not applied twice.
+func (s *Server) handleConfigurationChange(operation fleetconfig.Operation) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		change, err := readChange(r, operation)
+		if err != nil {
+			writeError(w, err)
+			return
+		}
+		if _, err := s.awaitReply(func(answer func(protocol.Reply)) { s.writeConfiguration(change, answer) }); err != nil {
+			s.log.Info("configuration.not_taken", "base", change.Base, "error", err)
+			writeError(w, err)
+			return
+		}
+		writeEmptyObject(w)
+	}
+}
+
+// readChange reads a change from its request. The header X-Base-Version has the version that it is based on.
+func readChange(r *http.Request, operation fleetconfig.Operation) (fleetconfig.Change, error) {
+	body, err := readBody(r, maxConfigurationBytes)
+	if err != nil {
+		return fleetconfig.Change{}, err
+	}
+	base, err := strconv.ParseInt(r.Header.Get("X-Base-Version"), 10, 64)
+	if err != nil {
+		return fleetconfig.Change{}, errkind.New(errkind.Malformed, "X-Base-Version")
+	}
+	return fleetconfig.Change{Operation: operation, Base: base, Body: body}, nil
+}
+
+// handleConfigurationRead serves GET /configuration/read. The tail answers: it has all that any caller was acknowledged.
+func (s *Server) handleConfigurationRead(w http.ResponseWriter, _ *http.Request) {
+	reply, err := s.awaitReply(s.readConfiguration)
+	if err != nil {
+		writeError(w, err)
+		return
+	}
+	text, err := reply.Document.JSON()
+	if err != nil {
+		writeError(w, errors.Wrap(err, "configuration"))
+		return
+	}
+	w.Header().Set("Content-Type", "application/json")
+	w.Write(text)
+}
+
+// awaitReply has the event loop start a write or a read and waits for its reply, or its error of the reply's kind.
+func (s *Server) awaitReply(start func(answer func(protocol.Reply))) (protocol.Reply, error) {
+	var reply protocol.Reply
+	err := s.awaitOutcome(func(answer func(error)) {
+		start(func(received protocol.Reply) {
+			reply = received
+			if received.Failed {
+				answer(&errkind.Error{Kind: errkind.Kind(received.Kind), Detail: received.Detail})
+				return
+			}
+			answer(nil)
+		})
+	})
+	if err != nil {
+		return protocol.Reply{}, err
+	}
+	return reply, nil
+}
+
+// writeConfiguration has the head apply a change.
+func (s *Server) writeConfiguration(change fleetconfig.Change, answer func(protocol.Reply)) {
+	if s.chain.IsHead() {
+		s.proposeAtHead(change, answer)
+		return
+	}
+	view := s.chain.View()
+	head, ok := view.Voter(view.Head())
+	if !ok || !s.chain.IsReachable(s.now(), head.Address) {
+		answer(unavailableReply("no head can be reached"))
+		return
+	}
+	s.callPeer(head.Address, func(number uint64) any {
+		return protocol.Write{From: s.chain.Self().Address, ID: number, Change: change}
+	}, answer)
+}
+
+// proposeAtHead applies a change where this member is the head; the chain answers that it is not otherwise.
+func (s *Server) proposeAtHead(change fleetconfig.Change, answer func(protocol.Reply)) {
+	digests := change.Digests()
+	s.applyOutput(s.requests.Write(s.now(), chain.Write{
+		Decide:    func(latest any) chain.Decision { return decide(latest.(*fleetconfig.State), digests, change) },
+		IsApplied: func(value any) bool { return value.(*fleetconfig.State).HasAny(digests) },
+		Respond:   func(err error) { answer(replyFor(err)) },
+	}))
+}
+
+// readConfiguration has the tail return the configuration.
+func (s *Server) readConfiguration(answer func(protocol.Reply)) {
+	if s.chain.IsTail() {
+		s.readAtTail(answer)
+		return
+	}
+	view := s.chain.View()
+	tail, ok := view.Voter(view.Tail())
+	if !ok || !s.chain.IsReachable(s.now(), tail.Address) {
+		answer(unavailableReply("no tail can be reached"))
+		return
+	}
+	s.callPeer(tail.Address, func(number uint64) any {
+		return protocol.Read{From: s.chain.Self().Address, ID: number}
+	}, answer)
+}
+
+// readAtTail returns the configuration where this member is the tail; the chain answers that it is not otherwise.
+func (s *Server) readAtTail(answer func(protocol.Reply)) {
+	s.applyOutput(s.requests.Read(s.now(), chain.Read{Respond: func(state chain.State, err error) {
+		if err != nil {
+			answer(replyFor(err))
+			return
+		}
+		answer(protocol.Reply{Document: state.Value.(*fleetconfig.State).Document})
+	}}))
+}
--- a/internal/controlplane/drain_ack.go
+++ b/internal/controlplane/drain_ack.go
@@ -8,20 +8,23 @@
 	"dykering/internal/sessions"
 )
 
-// pendingLeave is the notice of an endpoint that it leaves. Its acknowledgement binds all sidecars and must outlive the
-// member that gave it, and a loss of power of all members: it waits until every voter of the view has the notice on disk,
-// or, after a while, a majority.
+// maxPendingDepartures bounds the notices that wait for their acknowledgement.
+const maxPendingDepartures = 4096
+
+// pendingDeparture is an endpoint's notice that it drains or deregisters, on its way to its acknowledgement. Once
+// acknowledged, the endpoint may stop serving: no proxy may take it for ready from then on, whichever member it follows,
+// and whatever members restart, or lose power all at once. So the notice waits until every voter of the view has it on disk
+// or, when its deadline has passed, a majority.
 type pendingDeparture struct {
 	id       string
-	state    sessions.State  // Draining or Gone
-	deadline time.Duration   // when a majority is enough
+	state    sessions.State // Draining or Departed
+	deadline time.Duration
 	storedAt map[string]bool // addresses of the members that have it on disk
 	answer   func(error)
 }
 
-const maxPendingDepartures = 4096
-
-// replicateLeave has the other voters store that an endpoint leaves.
+// replicateDeparture has all voters store that an endpoint has reached a state, and answers the endpoint's notice
+// afterwards.
 func (s *Server) replicateDeparture(id string, state sessions.State, answer func(error)) {
 	if !s.acknowledgedDepartures[id].Before(state) {
 		answer(nil)
@@ -31,65 +34,66 @@
 		answer(errkind.New(errkind.Unavailable, "too many endpoints leave at once"))
 		return
 	}
-	if !s.hasDeparture(id, state) {
-		answer(errkind.New(errkind.Unavailable, "the table of sessions is full"))
+	if !s.hasReached(id, state) {
+		answer(errTableFull())
 		return
 	}
 	number := s.pending.nextNumber()
-	s.departures[number] = &pendingDeparture{id: id, state: state, deadline: s.now() + s.timing.drainAckTimeout,
-		storedAt: map[string]bool{}, answer: answer}
-	s.log.Info("endpoint.leaves", "id", id, "state", string(state))
-	update := protocol.SessionUpdate{From: s.chain.Self().Address, Ask: number, Records: s.table.Records(s.sessionClock, []string{id})}
-	for _, peer := range s.peerAddresses() {
-		s.send(peer, update)
+	s.departures[number] = &pendingDeparture{
+		id: id, state: state, deadline: s.now() + s.timing.drainAckTimeout,
+		storedAt: map[string]bool{}, answer: answer,
 	}
-	s.afterSessionsStored(func() { s.departureStored(number, s.chain.Self().Address) })
+	s.log.Info("endpoint.leaves", "id", id, "state", string(state))
+	self := s.chain.Self().Address
+	s.broadcast(protocol.SessionUpdate{From: self, Ask: number, Records: s.table.Records(s.sessionClock, []string{id})})
+	s.afterSessionsStored(func() { s.onDepartureStored(number, self) })
 }
 
-// knowsLeave tells whether the table has it that an endpoint is at least as far on its way out as a state.
-func (s *Server) hasDeparture(id string, state sessions.State) bool {
+// hasReached reports whether the table has an endpoint at least as far in its life cycle as a state.
+func (s *Server) hasReached(id string, state sessions.State) bool {
 	known, ok := s.table.Get(id)
 	return ok && !known.State.Before(state)
 }
 
-func (s *Server) onSessionAck(m protocol.SessionAck) { s.departureStored(m.Ask, m.From) }
+func (s *Server) onSessionAck(m protocol.SessionAck) { s.onDepartureStored(m.Ask, m.From) }
 
-// leaveStored notes that a member has the notice of an endpoint on disk.
-func (s *Server) departureStored(number uint64, address string) {
-	leave := s.departures[number]
-	if leave == nil {
+// onDepartureStored counts a member that has a notice on disk.
+func (s *Server) onDepartureStored(number uint64, member string) {
+	departure := s.departures[number]
+	if departure == nil {
 		return
 	}
-	leave.storedAt[address] = true
-	s.answerDeparture(number, leave)
+	departure.storedAt[member] = true
+	s.answerDeparture(number, departure)
 }
 
-// answerLeave answers a notice that all voters have stored or, when its time is over, that a majority has or has not.
-func (s *Server) answerDeparture(number uint64, leave *pendingDeparture) {
+// answerDeparture answers a notice that all voters have stored or, after its deadline, by whether a majority has.
+func (s *Server) answerDeparture(number uint64, departure *pendingDeparture) {
 	view := s.chain.View()
 	stored := 0
 	for _, voter := range view.Voters {
-		if leave.storedAt[voter.Address] {
+		if departure.storedAt[voter.Address] {
 			stored++
 		}
 	}
-	over := s.now() > leave.deadline
+	expired := s.now() > departure.deadline
 	switch {
-	case stored == len(view.Voters), over && stored >= view.Majority():
-		s.acknowledgedDepartures[leave.id] = leave.state
-		leave.answer(nil)
-	case over:
-		leave.answer(errkind.New(errkind.Unavailable, "no majority has stored that the endpoint leaves"))
+	case stored == len(view.Voters), expired && stored >= view.Majority():
+		s.acknowledgedDepartures[departure.id] = departure.state
+		departure.answer(nil)
+	case expired:
+		departure.answer(errkind.New(errkind.Unavailable, "no majority has stored that the endpoint leaves"))
 	default:
 		return
 	}
 	delete(s.departures, number)
 }
 
-// expireLeaves answers the notices whose time is over, and forgets endpoints that the table has forgotten.
+// expireDepartures answers the notices whose deadline has passed, and forgets the acknowledgements of endpoints whose
+// session has been deleted.
 func (s *Server) expireDepartures() {
-	for number, leave := range s.departures {
-		s.answerDeparture(number, leave)
+	for number, departure := range s.departures {
+		s.answerDeparture(number, departure)
 	}
 	for id := range s.acknowledgedDepartures {
 		if _, known := s.table.Get(id); !known {
--- a/internal/controlplane/endpoint_loads.go
+++ b/internal/controlplane/endpoint_loads.go
@@ -11,77 +11,83 @@
 )
 
 const (
-	// shareEvery is the time between two words to peers of the calls of the sidecars here.
+	// loadBroadcastInterval is the time between two broadcasts to the peers of the load by this member's subscribers.
 	loadBroadcastInterval = 200 * time.Millisecond
-	// shareFor is how long a peer's word counts.
+	// peerLoadsTTL is how long a peer's broadcast counts: five intervals. After that its proxies report to others.
 	peerLoadsTTL = time.Second
-	// loadsEvery is the least time between two words to sidecars of all calls.
+	// loadStreamInterval is the least time between two updates with loads in a stream.
 	loadStreamInterval = 250 * time.Millisecond
-	// loadBytes is what the word of one endpoint takes, loadRate what a sidecar may be sent of it in a second: with many
-	// endpoints it is sent less often.
+	// encodedLoadBytes is the size of one endpoint's load in an update, and maxLoadBytesPerSecond what a stream may carry
+	// of them: with many endpoints loads are sent less often.
 	encodedLoadBytes      = 18
 	maxLoadBytesPerSecond = 4000
+
+	// minOutcomes is the decayed count of failures below which an endpoint's outcomes are not sent, and of all outcomes
+	// below which they are forgotten.
+	minOutcomes = 0.25
+	// outcomesResolution is what counts are rounded to, so that they take few bytes.
+	outcomesResolution = 0.25
+	// maxOutcomeEndpoints bounds the endpoints whose outcomes are counted: their names come from proxies.
+	maxOutcomeEndpoints = 16384
 )
 
-// loadTable is the calls to endpoints, by the sidecars that make them. The owner of the process owns it.
+// endpointLoadTable holds the requests in flight at each endpoint, and how those that have ended did, over all proxies. The
+// proxies balance by it. The event loop owns it.
 type endpointLoadTable struct {
-	sidecars          map[string][]protocol.EndpointLoad
-	outcomes          map[string]decayedOutcomes // of the sidecars here, by endpoint
-	peers             map[string]peerLoads
-	broadcastDue      time.Duration
-	broadcastNonEmpty bool // the last word to peers told of calls
-	streamDue         time.Duration
-}
+	proxies  map[string][]protocol.EndpointLoad // the last report of each subscriber of this member
+	outcomes map[string]decayedOutcomes         // by this member's subscribers, by endpoint
+	peers    map[string]peerLoads               // the last broadcast of each peer
 
-type peerLoads struct {
-	loads []protocol.EndpointLoad
-	at    time.Duration
+	broadcastDue       time.Duration
+	broadcastWasFilled bool // the last broadcast had loads: one without is due before broadcasts cease
+	streamDue          time.Duration
 }
 
-func newEndpointLoadTable() *endpointLoadTable {
-	return &endpointLoadTable{sidecars: map[string][]protocol.EndpointLoad{}, peers: map[string]peerLoads{}, outcomes: map[string]decayedOutcomes{}}
+type peerLoads struct {
+	loads      []protocol.EndpointLoad
+	receivedAt time.Duration
 }
 
-// outcomeCount is the outcomes at one endpoint, as they counted at a time.
+// decayedOutcomes are the outcomes at one endpoint, with the weight that they had at a time.
 type decayedOutcomes struct {
 	outcomes routing.Outcomes
 	at       time.Duration
 }
 
-const (
-	// leastCount is below what outcomes are forgotten, outcomeStep to what they are rounded on their way.
-	minOutcomes         = 0.25
-	outcomesResolution  = 0.25
-	maxOutcomeEndpoints = 16384
-)
+func newEndpointLoadTable() *endpointLoadTable {
+	return &endpointLoadTable{
+		proxies: map[string][]protocol.EndpointLoad{}, peers: map[string]peerLoads{}, outcomes: map[string]decayedOutcomes{},
+	}
+}
 
-// report takes a sidecar's calls, in the place of those it told before, and counts how those that have ended did.
-func (t *endpointLoadTable) applyReport(now time.Duration, name string, loads []protocol.EndpointLoad) {
+// applyReport replaces a proxy's loads by those of its new report, and adds the outcomes since the last one.
+func (t *endpointLoadTable) applyReport(now time.Duration, proxy string, loads []protocol.EndpointLoad) {
 	for _, load := range loads {
 		t.addOutcomes(now, load.ID, routing.Outcomes{Good: load.Good, Failed: load.Failed})
 	}
-	underWay := lo.Filter(loads, func(load protocol.EndpointLoad, _ int) bool { return load.InFlight > 0 })
-	if len(underWay) == 0 {
-		delete(t.sidecars, name)
+	inFlight := lo.Filter(loads, func(load protocol.EndpointLoad, _ int) bool { return load.InFlight > 0 })
+	if len(inFlight) == 0 {
+		delete(t.proxies, proxy)
 		return
 	}
-	t.sidecars[name] = underWay
+	t.proxies[proxy] = inFlight
 }
 
-// count adds outcomes at an endpoint.
-func (t *endpointLoadTable) addOutcomes(now time.Duration, id string, outcomes routing.Outcomes) {
-	before, known := t.outcomes[id]
+func (t *endpointLoadTable) addOutcomes(now time.Duration, endpoint string, outcomes routing.Outcomes) {
+	before, known := t.outcomes[endpoint]
 	if outcomes == (routing.Outcomes{}) || !known && len(t.outcomes) >= maxOutcomeEndpoints {
 		return
 	}
-	counted := before.outcomes.Decayed(now - before.at)
-	t.outcomes[id] = decayedOutcomes{outcomes: routing.Outcomes{Good: counted.Good + outcomes.Good, Failed: counted.Failed + outcomes.Failed}, at: now}
+	sum := before.outcomes.Decayed(now - before.at)
+	sum.Good += outcomes.Good
+	sum.Failed += outcomes.Failed
+	t.outcomes[endpoint] = decayedOutcomes{outcomes: sum, at: now}
 }
 
-// counted is what outcomes at an endpoint count for now, rounded so that they take few bytes. Good ones are told only
-// beside failures.
-func (c decayedOutcomes) rounded(now time.Duration) routing.Outcomes {
-	outcomes := c.outcomes.Decayed(now - c.at)
+// rounded returns the outcomes with their weight at a time, as they are sent. Good ones are sent only beside failures, as
+// they serve to weigh those.
+func (d decayedOutcomes) rounded(now time.Duration) routing.Outcomes {
+	outcomes := d.outcomes.Decayed(now - d.at)
 	if outcomes.Failed < minOutcomes {
 		return routing.Outcomes{}
 	}
@@ -89,81 +95,72 @@
 	return routing.Outcomes{Good: round(outcomes.Good), Failed: round(outcomes.Failed)}
 }
 
-// share takes a peer's word of the sidecars that follow a stream there.
+// applyPeerLoads replaces the loads by a peer's subscribers.
 func (t *endpointLoadTable) applyPeerLoads(now time.Duration, m protocol.EndpointLoadSync) {
-	t.peers[m.From] = peerLoads{loads: m.Loads, at: now}
+	t.peers[m.From] = peerLoads{loads: m.Loads, receivedAt: now}
 }
 
-// here sums the calls of the sidecars that follow a stream here.
+// localTotals sums the loads by this member's subscribers, by endpoint, and forgets outcomes that weigh next to nothing.
 func (t *endpointLoadTable) localTotals(now time.Duration) map[string]protocol.EndpointLoad {
-	sums := map[string]protocol.EndpointLoad{}
-	for _, loads := range t.sidecars {
+	totals := map[string]protocol.EndpointLoad{}
+	for _, loads := range t.proxies {
 		for _, load := range loads {
-			sum := sums[load.ID]
-			sums[load.ID] = protocol.EndpointLoad{ID: load.ID, InFlight: sum.InFlight + load.InFlight, Waiting: sum.Waiting + load.Waiting}
+			total := totals[load.ID]
+			totals[load.ID] = protocol.EndpointLoad{ID: load.ID, InFlight: total.InFlight + load.InFlight, Waiting: total.Waiting + load.Waiting}
 		}
 	}
-	for id, count := range t.outcomes {
-		told := count.rounded(now)
-		if told != (routing.Outcomes{}) {
-			sum := sums[id]
-			sum.ID, sum.Good, sum.Failed = id, told.Good, told.Failed
-			sums[id] = sum
+	for id, decayed := range t.outcomes {
+		if outcomes := decayed.rounded(now); outcomes != (routing.Outcomes{}) {
+			total := totals[id]
+			total.ID, total.Good, total.Failed = id, outcomes.Good, outcomes.Failed
+			totals[id] = total
 		}
-		if left := count.outcomes.Decayed(now - count.at); left.Good+left.Failed < minOutcomes {
+		if rest := decayed.outcomes.Decayed(now - decayed.at); rest.Good+rest.Failed < minOutcomes {
 			delete(t.outcomes, id)
 		}
 	}
-	return sums
+	return totals
 }
 
-func addLoads(sums map[string]protocol.EndpointLoad, loads []protocol.EndpointLoad) {
+func addLoads(totals map[string]protocol.EndpointLoad, loads []protocol.EndpointLoad) {
 	for _, load := range loads {
-		sum := sums[load.ID]
-		sums[load.ID] = protocol.EndpointLoad{ID: load.ID, InFlight: sum.InFlight + load.InFlight, Waiting: sum.Waiting + load.Waiting,
-			Good: sum.Good + load.Good, Failed: sum.Failed + load.Failed}
-	}
-}
-
-func listed(sums map[string]protocol.EndpointLoad) []protocol.EndpointLoad {
-	loads := make([]protocol.EndpointLoad, 0, len(sums))
-	for _, load := range sums {
-		loads = append(loads, load)
+		total := totals[load.ID]
+		totals[load.ID] = protocol.EndpointLoad{
+			ID: load.ID, InFlight: total.InFlight + load.InFlight, Waiting: total.Waiting + load.Waiting,
+			Good: total.Good + load.Good, Failed: total.Failed + load.Failed,
+		}
 	}
-	return loads
 }
 
-// due gives the calls of all sidecars, where it is time to tell them.
+// totalsIfDue returns the loads by all proxies of the system, where it is time to stream them.
 func (t *endpointLoadTable) totalsIfDue(now time.Duration) ([]protocol.EndpointLoad, bool) {
 	if now < t.streamDue {
 		return nil, false
 	}
-	sums := t.localTotals(now)
+	totals := t.localTotals(now)
 	for from, peer := range t.peers {
-		if now-peer.at > peerLoadsTTL {
+		if now-peer.receivedAt > peerLoadsTTL {
 			delete(t.peers, from)
 			continue
 		}
-		addLoads(sums, peer.loads)
+		addLoads(totals, peer.loads)
 	}
-	pause := time.Duration(len(sums)) * encodedLoadBytes * time.Second / maxLoadBytesPerSecond
-	t.streamDue = now + max(loadStreamInterval, pause)
-	return listed(sums), true
+	sendingTime := time.Duration(len(totals)) * encodedLoadBytes * time.Second / maxLoadBytesPerSecond
+	t.streamDue = now + max(loadStreamInterval, sendingTime)
+	return lo.Values(totals), true
 }
 
-// shareLoads tells peers of the calls of the sidecars here.
+// broadcastEndpointLoads sends the peers the loads by this member's subscribers.
 func (s *Server) broadcastEndpointLoads(now time.Duration) {
 	t := s.endpointLoads
 	if now < t.broadcastDue {
 		return
 	}
 	t.broadcastDue = now + loadBroadcastInterval
-	loads := listed(t.localTotals(now))
-	if len(loads) == 0 && !t.broadcastNonEmpty {
+	loads := lo.Values(t.localTotals(now))
+	if len(loads) == 0 && !t.broadcastWasFilled {
 		return
 	}
-	t.broadcastNonEmpty = len(loads) > 0
-	for _, peer := range s.peerAddresses() {
-		s.send(peer, protocol.EndpointLoadSync{From: s.chain.Self().Address, Loads: loads})
-	}
+	t.broadcastWasFilled = len(loads) > 0
+	s.broadcast(protocol.EndpointLoadSync{From: s.chain.Self().Address, Loads: loads})
 }
--- /dev/null
+++ b/internal/controlplane/eventloop.go
@@ -0,0 +1,118 @@
+package controlplane
+
+import (
+	"os"
+	"time"
+
+	"dykering/internal/nodefile"
+)
+
+const (
+	// commandQueueLength bounds the commands that wait for the event loop. A sender waits while the queue is full.
+	commandQueueLength = 4096
+	// maxSessionClockTicks bounds, in ticks, by how much the session clock advances at once. After a pause of the whole
+	// process (a frozen machine) the heartbeats of that time are still unread: no endpoint may expire by it.
+	maxSessionClockTicks = 4
+	// seedRereadInterval is the time between two readings of the settings' seeds while this member has no quorum.
+	seedRereadInterval = time.Second
+)
+
+// now is the time since the start of the process, by a clock that does not step.
+func (s *Server) now() time.Duration { return time.Since(s.origin) }
+
+// enqueue hands a command to the event loop, which owns all tables. It waits while the queue is full, and drops the command
+// where the process ends. The event loop itself must not call it.
+func (s *Server) enqueue(command func()) {
+	select {
+	case s.commands <- command:
+	case <-s.ctx.Done():
+	}
+}
+
+// runEventLoop runs commands and ticks until a stopping member may end.
+func (s *Server) runEventLoop(stop <-chan os.Signal) {
+	ticker := time.NewTicker(s.timing.tickInterval)
+	defer ticker.Stop()
+	var stopDeadline <-chan time.Time // nil until a signal arrives
+	for {
+		select {
+		case command := <-s.commands:
+			command()
+			s.runQueued()
+		case <-ticker.C:
+			s.tick()
+		case sig := <-stop:
+			s.log.Info("process.stopping", "signal", sig.String())
+			s.chain.Leave()
+			s.endStreams()
+			timer := time.NewTimer(s.timing.stopTimeout)
+			defer timer.Stop()
+			stopDeadline = timer.C
+		case <-stopDeadline:
+			return
+		}
+		s.afterBatch()
+		if stopDeadline != nil && s.chain.CanStop() {
+			return
+		}
+	}
+}
+
+// runQueued runs the commands that are queued already, so that one afterBatch serves all of them.
+func (s *Server) runQueued() {
+	for range commandQueueLength {
+		select {
+		case command := <-s.commands:
+			command()
+		default:
+			return
+		}
+	}
+}
+
+// afterBatch does what a batch of commands has made due: answers, broadcasts, streams, plans and snapshots.
+func (s *Server) afterBatch() {
+	now := s.now()
+	s.requests.AnswerReady(now)
+	s.broadcastSessions(now)
+	s.broadcastEndpointLoads(now)
+	s.streamUpdates(now)
+	s.placement.planIfDue(now)
+	s.snapshotSessions(now)
+}
+
+// tick does what time alone makes due.
+func (s *Server) tick() {
+	now := s.now()
+	sinceLastTick := now - s.lastTick
+	s.lastTick = now
+	hasQuorum := s.chain.HasQuorum(now)
+	if hasQuorum {
+		// Without a quorum the session clock stands still: heartbeats are then refused, and no endpoint may expire by that.
+		s.sessionClock += min(sinceLastTick, maxSessionClockTicks*s.timing.tickInterval)
+	}
+	s.chain.SetDiskHealthy(s.chainStore.writeDuration() < s.timing.maxWriteDuration)
+	s.rereadSeeds(now, hasQuorum)
+	s.applyOutput(s.chain.Tick(now))
+	s.table.ExpireTTLs(s.sessionClock)
+	s.updateFullSync(now, hasQuorum)
+	s.runAntiEntropy(now)
+	s.expireCalls(now)
+	s.expireDepartures()
+	s.placement.tick(now)
+}
+
+// rereadSeeds reads the seeds again while this member has no quorum: all that it started with may have been replaced, and
+// it would else look for its peers at old addresses for ever.
+func (s *Server) rereadSeeds(now time.Duration, hasQuorum bool) {
+	if hasQuorum || now < s.seedsDue {
+		return
+	}
+	s.seedsDue = now + seedRereadInterval
+	settings, err := nodefile.LoadFromEnvironment()
+	if err != nil {
+		s.log.Warn("settings.unreadable", "error", err)
+		return // the seeds known so far stay in use
+	}
+	s.chain.SetSeeds(settings.SeedInternalAddresses())
+}
--- a/internal/controlplane/heartbeat_endpoint.go
+++ b/internal/controlplane/heartbeat_endpoint.go
@@ -1,15 +1,63 @@
 package controlplane
 
 import (
+	"encoding/json"
+	"net/http"
+
 	"dykering/internal/errkind"
 	"dykering/internal/sessions"
 )
 
-// takeHeartbeat takes a heartbeat of an endpoint. One that says that the endpoint leaves is acknowledged once that is
-// replicated.
+// maxHeartbeatBytes bounds the body of a heartbeat.
+const maxHeartbeatBytes = 1 << 20
+
+// handleHeartbeat serves POST /instances/{id}/heartbeat.
+func (s *Server) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
+	heartbeat, err := readHeartbeat(r)
+	if err != nil {
+		writeError(w, err)
+		return
+	}
+	id := r.PathValue("id")
+	if err := s.awaitOutcome(func(answer func(error)) { s.applyHeartbeat(id, heartbeat, answer) }); err != nil {
+		writeError(w, err)
+		return
+	}
+	writeEmptyObject(w)
+}
+
+// readHeartbeat reads and checks the body of a heartbeat.
+func readHeartbeat(r *http.Request) (sessions.Heartbeat, error) {
+	var heartbeat sessions.Heartbeat
+	body, err := readBody(r, maxHeartbeatBytes)
+	if err != nil {
+		return heartbeat, err
+	}
+	if err := json.Unmarshal(body, &heartbeat); err != nil {
+		return heartbeat, errkind.New(errkind.Malformed, err.Error())
+	}
+	validState := heartbeat.State == sessions.Ready || heartbeat.State == sessions.Draining
+	if !validState || heartbeat.Service == "" || heartbeat.Address == "" {
+		return heartbeat, errkind.New(errkind.Malformed, "service, address or state")
+	}
+	return heartbeat, nil
+}
+
+// handleDeregister serves POST /instances/{id}/deregister.
+func (s *Server) handleDeregister(w http.ResponseWriter, r *http.Request) {
+	id := r.PathValue("id")
+	if err := s.awaitOutcome(func(answer func(error)) { s.deregister(id, answer) }); err != nil {
+		writeError(w, err)
+		return
+	}
+	writeEmptyObject(w)
+}
+
+// applyHeartbeat stores a heartbeat of an endpoint. One that announces draining is answered once that is replicated; see
+// pendingDeparture. Without a quorum it is refused, so that the endpoint turns to a member that proxies can follow.
 func (s *Server) applyHeartbeat(id string, heartbeat sessions.Heartbeat, answer func(error)) {
 	if !s.chain.HasQuorum(s.now()) {
-		answer(errkind.New(errkind.Unavailable, "no majority is in touch"))
+		answer(errNoQuorum())
 		return
 	}
 	s.table.ApplyHeartbeat(s.sessionClock, id, heartbeat)
@@ -18,18 +66,22 @@
 		return
 	}
 	if _, ok := s.table.Get(id); !ok {
-		answer(errkind.New(errkind.Unavailable, "the table of sessions is full"))
+		answer(errTableFull())
 		return
 	}
 	answer(nil)
 }
 
-// deregister notes that an endpoint has gone, and acknowledges it once that is replicated.
+// deregister stores that an endpoint has departed, and answers once that is replicated.
 func (s *Server) deregister(id string, answer func(error)) {
 	if !s.chain.HasQuorum(s.now()) {
-		answer(errkind.New(errkind.Unavailable, "no majority is in touch"))
+		answer(errNoQuorum())
 		return
 	}
 	s.table.Deregister(s.sessionClock, id)
 	s.replicateDeparture(id, sessions.Departed, answer)
 }
+
+func errNoQuorum() error { return errkind.New(errkind.Unavailable, "no majority is in touch") }
+
+func errTableFull() error { return errkind.New(errkind.Unavailable, "the table of sessions is full") }
--- a/internal/controlplane/http_server.go
+++ b/internal/controlplane/http_server.go
@@ -1,64 +1,69 @@
 package controlplane
 
 import (
-	"encoding/json"
 	"io"
 	"net/http"
-	"strconv"
 	"time"
 
-	"github.com/pkg/errors"
-
 	"dykering/internal/errkind"
 	"dykering/internal/fleetconfig"
-	"dykering/internal/protocol"
-	"dykering/internal/sessions"
 )
 
 const (
-	headerTimeout         = 3 * time.Second
-	idleTimeout           = 60 * time.Second
-	maxHeartbeatBytes     = 1 << 20
-	maxConfigurationBytes = 16 << 20
+	// headerTimeout is the time within which the header of a request must arrive.
+	headerTimeout = 3 * time.Second
+	// idleTimeout closes a connection without a request; heartbeats come more often.
+	idleTimeout = 60 * time.Second
 )
 
-// handler serves endpoints and the operator.
+// httpHandler serves the HTTP API of endpoints, the operator and the monitoring. Each handler runs in its request's
+// goroutine and reaches the tables through the event loop.
 func (s *Server) httpHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /instances/{id}/heartbeat", s.handleHeartbeat)
 	mux.HandleFunc("POST /instances/{id}/deregister", s.handleDeregister)
-	mux.HandleFunc("POST /configuration/replace", s.handleChange(fleetconfig.Replace))
-	mux.HandleFunc("POST /configuration/modify", s.handleChange(fleetconfig.Modify))
-	mux.HandleFunc("GET /configuration/read", s.handleRead)
+	mux.HandleFunc("POST /configuration/replace", s.handleConfigurationChange(fleetconfig.Replace))
+	mux.HandleFunc("POST /configuration/modify", s.handleConfigurationChange(fleetconfig.Modify))
+	mux.HandleFunc("GET /configuration/read", s.handleConfigurationRead)
 	mux.HandleFunc("GET /metrics", s.handleMetrics)
 	return mux
 }
 
-// refuse answers with an error.
+// writeError responds with the status that belongs to the kind of an error.
 func writeError(w http.ResponseWriter, err error) {
 	answer := errkind.AnswerOf(errkind.KindOf(err))
 	http.Error(w, err.Error(), answer.Status)
 }
 
-func readBody(r *http.Request, most int64) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, most+1))
+// writeEmptyObject responds to a request that was carried out and returns nothing.
+func writeEmptyObject(w http.ResponseWriter) {
+	w.Header().Set("Content-Type", "application/json")
+	io.WriteString(w, "{}\n")
+}
+
+// readBody reads the body of a request of at most maxBytes. Its errors are of the kinds errkind.Malformed and
+// errkind.TooLarge.
+func readBody(r *http.Request, maxBytes int64) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBytes+1))
 	if err != nil {
 		return nil, errkind.New(errkind.Malformed, "the body was cut short")
 	}
-	if int64(len(body)) > most {
+	if int64(len(body)) > maxBytes {
 		return nil, errkind.New(errkind.TooLarge, "")
 	}
 	return body, nil
 }
 
-// outcome waits for the owner's answer.
-func awaitOutcome(s *Server, begin func(answer func(error))) error {
+// awaitOutcome has the event loop start an operation and waits for its outcome. The operation calls answer in the event
+// loop, now or later; calls after the first have no effect. The error is of the kind errkind.Unavailable where no answer
+// comes in time: the operation may have succeeded or not.
+func (s *Server) awaitOutcome(start func(answer func(error))) error {
 	answered := make(chan error, 1)
 	s.enqueue(func() {
-		begin(func(err error) {
+		start(func(err error) {
 			select {
 			case answered <- err:
-			default: // it has its answer
+			default:
 			}
 		})
 	})
@@ -70,93 +75,15 @@
 	}
 }
 
-func (s *Server) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
-	body, err := readBody(r, maxHeartbeatBytes)
-	if err != nil {
-		writeError(w, err)
-		return
-	}
-	var heartbeat sessions.Heartbeat
-	if err := json.Unmarshal(body, &heartbeat); err != nil {
-		writeError(w, errkind.New(errkind.Malformed, err.Error()))
-		return
-	}
-	if heartbeat.State != sessions.Ready && heartbeat.State != sessions.Draining || heartbeat.Service == "" || heartbeat.Address == "" {
-		writeError(w, errkind.New(errkind.Malformed, "service, address or state"))
-		return
-	}
-	id := r.PathValue("id")
-	if err := awaitOutcome(s, func(answer func(error)) { s.applyHeartbeat(id, heartbeat, answer) }); err != nil {
-		writeError(w, err)
-		return
-	}
-	w.Header().Set("Content-Type", "application/json")
-	io.WriteString(w, "{}\n")
-}
-
-func (s *Server) handleDeregister(w http.ResponseWriter, r *http.Request) {
-	id := r.PathValue("id")
-	if err := awaitOutcome(s, func(answer func(error)) { s.deregister(id, answer) }); err != nil {
-		writeError(w, err)
-		return
-	}
-	w.Header().Set("Content-Type", "application/json")
-	io.WriteString(w, "{}\n")
-}
-
-// reply waits for the answer to a write or a read.
-func (s *Server) awaitReply(begin func(answer func(protocol.Reply))) (protocol.Reply, error) {
-	var reply protocol.Reply
-	err := awaitOutcome(s, func(answer func(error)) {
-		begin(func(got protocol.Reply) {
-			reply = got
-			if got.Failed {
-				answer(&errkind.Error{Kind: errkind.Kind(got.Kind), Detail: got.Detail})
-				return
-			}
-			answer(nil)
-		})
-	})
-	if err != nil {
-		return protocol.Reply{}, err
-	}
-	return reply, nil
-}
-
-func (s *Server) handleChange(operation fleetconfig.Operation) http.HandlerFunc {
-	return func(w http.ResponseWriter, r *http.Request) {
-		body, err := readBody(r, maxConfigurationBytes)
-		if err != nil {
-			writeError(w, err)
-			return
-		}
-		base, err := strconv.ParseInt(r.Header.Get("X-Base-Version"), 10, 64)
-		if err != nil {
-			writeError(w, errkind.New(errkind.Malformed, "X-Base-Version"))
-			return
-		}
-		change := fleetconfig.Change{Operation: operation, Base: base, Body: body}
-		if _, err := s.awaitReply(func(answer func(protocol.Reply)) { s.writeConfiguration(change, answer) }); err != nil {
-			s.log.Info("configuration.not_taken", "base", base, "error", err)
-			writeError(w, err)
-			return
-		}
-		w.Header().Set("Content-Type", "application/json")
-		io.WriteString(w, "{}\n")
-	}
-}
-
-func (s *Server) handleRead(w http.ResponseWriter, _ *http.Request) {
-	reply, err := s.awaitReply(s.readConfiguration)
-	if err != nil {
-		writeError(w, err)
-		return
-	}
-	text, err := reply.Document.JSON()
-	if err != nil {
-		writeError(w, errors.Wrap(err, "configuration"))
-		return
+// query has the event loop compute a value and waits for it. It reports false where the process ends first.
+func query[T any](s *Server, compute func() T) (T, bool) {
+	computed := make(chan T, 1)
+	s.enqueue(func() { computed <- compute() })
+	select {
+	case value := <-computed:
+		return value, true
+	case <-s.ctx.Done():
+		var none T
+		return none, false
 	}
-	w.Header().Set("Content-Type", "application/json")
-	w.Write(text)
 }
--- a/internal/controlplane/metrics_endpoint.go
+++ b/internal/controlplane/metrics_endpoint.go
@@ -12,17 +12,15 @@
 	"dykering/internal/sessions"
 )
 
-// handleMetrics tells the process's state as text, in the exposition format of Prometheus.
+// handleMetrics serves GET /metrics: the status of the process, in the exposition format of Prometheus.
 func (s *Server) handleMetrics(w http.ResponseWriter, _ *http.Request) {
-	told := make(chan protocol.Status, 1)
-	s.enqueue(func() { told <- s.status() })
-	select {
-	case status := <-told:
-		w.Header().Set("Content-Type", "text/plain; version=0.0.4")
-		writeMetrics(w, &status)
-	case <-s.ctx.Done():
+	status, ok := query(s, s.status)
+	if !ok {
 		http.Error(w, "the process ends", http.StatusServiceUnavailable)
+		return
 	}
+	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
+	writeMetrics(w, &status)
 }
 
 func writeMetrics(w io.Writer, status *protocol.Status) {
@@ -48,7 +46,7 @@
 	}
 }
 
-// longestLag is by how many changes the subscriber that is furthest behind lags.
+// longestLag returns the number of committed changes that the slowest subscriber has not acknowledged.
 func longestLag(subscribers []protocol.SubscriberStatus) uint64 {
 	var longest uint64
 	for _, subscriber := range subscribers {
--- a/internal/controlplane/pending_calls.go
+++ b/internal/controlplane/pending_calls.go
@@ -6,15 +6,16 @@
 
 	"github.com/pkg/errors"
 
-	"dykering/internal/chain"
 	"dykering/internal/errkind"
-	"dykering/internal/fleetconfig"
 	"dykering/internal/protocol"
 )
 
-// calls are those of this process to other control sidecars that wait for a reply.
+// maxPendingCalls bounds the calls that wait for a peer's reply.
+const maxPendingCalls = 1024
+
+// pendingCalls are this process's calls to peers that wait for a reply.
 type pendingCalls struct {
-	lastNumber uint64 // number given to a call
+	lastNumber uint64
 	byNumber   map[uint64]pendingCall
 }
 
@@ -23,31 +24,22 @@
 	answer   func(protocol.Reply)
 }
 
-const maxPendingCalls = 1024
-
 func newPendingCalls() pendingCalls {
 	return pendingCalls{lastNumber: randomCallNumber(), byNumber: map[uint64]pendingCall{}}
 }
 
-// firstNumber draws the number that a life of a process begins to count its calls from. A reply carries the number of its
-// call alone and may arrive after the caller has started again: it must not answer a call of the later life.
+// randomCallNumber returns the number from which a process counts its calls. It is drawn anew at each start: a reply
+// carries only the number of its call, and may arrive after the caller has been started again. A late reply must not
+// answer a call of the new process.
 func randomCallNumber() uint64 { return mathrand.Uint64()>>1 + 1 }
 
-// number gives the next call its number. It is never 0.
+// nextNumber returns the number of the next call. It is never 0, which stands for no call.
 func (c *pendingCalls) nextNumber() uint64 {
 	c.lastNumber++
 	return c.lastNumber
 }
 
-func errorReply(err error) protocol.Reply {
-	return protocol.Reply{Failed: true, Kind: int(errkind.KindOf(err)), Detail: err.Error()}
-}
-
-func unavailableReply(detail string) protocol.Reply {
-	return errorReply(errkind.New(errkind.Unavailable, detail))
-}
-
-// forward sends a call to another control sidecar and notes who waits for the reply.
+// callPeer sends a call to a peer. The answer is the peer's reply, or one that says that it is unavailable.
 func (s *Server) callPeer(address string, message func(number uint64) any, answer func(protocol.Reply)) {
 	if len(s.pending.byNumber) >= maxPendingCalls {
 		answer(unavailableReply("too many calls are waiting"))
@@ -58,6 +50,7 @@
 	s.send(address, message(number))
 }
 
+// onReply answers the call that a reply belongs to, if it still waits.
 func (s *Server) onReply(reply protocol.Reply) {
 	if call, ok := s.pending.byNumber[reply.ID]; ok {
 		delete(s.pending.byNumber, reply.ID)
@@ -65,91 +58,33 @@
 	}
 }
 
-// write has a change taken by the head.
-func (s *Server) writeConfiguration(change fleetconfig.Change, answer func(protocol.Reply)) {
-	if s.chain.IsHead() {
-		s.proposeAtHead(change, answer)
-		return
-	}
-	view := s.chain.View()
-	head, ok := view.Voter(view.Head())
-	if !ok || !s.chain.IsReachable(s.now(), head.Address) {
-		answer(unavailableReply("no head can be reached"))
-		return
-	}
-	s.callPeer(head.Address, func(id uint64) any {
-		return protocol.Write{From: s.chain.Self().Address, ID: id, Change: change}
-	}, answer)
-}
-
-// writeHere takes a change where this member is the head.
-func (s *Server) proposeAtHead(change fleetconfig.Change, answer func(protocol.Reply)) {
-	digests := change.Digests()
-	s.applyOutput(s.requests.Write(s.now(), chain.Write{
-		Decide:    func(latest any) chain.Decision { return decide(latest.(*fleetconfig.State), digests, change) },
-		IsApplied: func(value any) bool { return value.(*fleetconfig.State).HasAny(digests) },
-		Respond:   func(err error) { answer(replyFor(err)) },
-	}))
-}
-
-// decide tells what the newest state makes of a change.
-func decide(latest *fleetconfig.State, digests [2]fleetconfig.Digest, change fleetconfig.Change) chain.Decision {
-	if latest.HasAny(digests) {
-		return chain.Decision{AlreadyApplied: true}
-	}
-	if _, refusal := latest.Next(&change); refusal != nil {
-		return chain.Decision{Rejection: refusal}
-	}
-	operation, err := encodeOperation(change)
-	if err != nil {
-		return chain.Decision{Rejection: err}
+// expireCalls answers the calls whose deadline has passed.
+func (s *Server) expireCalls(now time.Duration) {
+	for number, call := range s.pending.byNumber {
+		if now > call.deadline {
+			delete(s.pending.byNumber, number)
+			call.answer(unavailableReply("no reply in time"))
+		}
 	}
-	return chain.Decision{Operation: operation}
 }
 
-// replyOf is the reply to a request that ended with an error or nil.
+// replyFor returns the reply to a request that ended with an error, or nil. An error without a kind, as of the chain, says
+// that the outcome is not known.
 func replyFor(err error) protocol.Reply {
-	var refusal *errkind.Error
+	var classified *errkind.Error
 	switch {
 	case err == nil:
 		return protocol.Reply{}
-	case errors.As(err, &refusal):
+	case errors.As(err, &classified):
 		return errorReply(err)
 	}
 	return unavailableReply(err.Error())
 }
 
-// read has the tail give the configuration.
-func (s *Server) readConfiguration(answer func(protocol.Reply)) {
-	if s.chain.IsTail() {
-		s.readAtTail(answer)
-		return
-	}
-	view := s.chain.View()
-	tail, ok := view.Voter(view.Tail())
-	if !ok || !s.chain.IsReachable(s.now(), tail.Address) {
-		answer(unavailableReply("no tail can be reached"))
-		return
-	}
-	s.callPeer(tail.Address, func(id uint64) any { return protocol.Read{From: s.chain.Self().Address, ID: id} }, answer)
-}
-
-// readHere gives the configuration where this member is the tail.
-func (s *Server) readAtTail(answer func(protocol.Reply)) {
-	s.applyOutput(s.requests.Read(s.now(), chain.Read{Respond: func(state chain.State, err error) {
-		if err != nil {
-			answer(replyFor(err))
-			return
-		}
-		answer(protocol.Reply{Document: state.Value.(*fleetconfig.State).Document})
-	}}))
+func errorReply(err error) protocol.Reply {
+	return protocol.Reply{Failed: true, Kind: int(errkind.KindOf(err)), Detail: err.Error()}
 }
 
-func (s *Server) expireCalls(now time.Duration) {
-	for id, call := range s.pending.byNumber {
-		if now > call.deadline {
-			delete(s.pending.byNumber, id)
-			call.answer(unavailableReply("no reply in time"))
-		}
-	}
+func unavailableReply(detail string) protocol.Reply {
+	return errorReply(errkind.New(errkind.Unavailable, detail))
 }
--- a/internal/controlplane/rpc.go
+++ b/internal/controlplane/rpc.go
@@ -10,13 +10,17 @@
 )
 
 const (
+	// firstMessageTimeout is the time within which a connection must say what it is for.
 	firstMessageTimeout = 5 * time.Second
-	// quietLink is how long a link of a peer may be quiet. Pings come far more often.
+	// peerIdleTimeout closes the connection of a peer that has gone. Pings come far more often.
 	peerIdleTimeout = 30 * time.Second
-	acceptBackoff   = 20 * time.Millisecond
+	// acceptBackoff is the pause after a failed accept, which lacks a file descriptor as a rule.
+	acceptBackoff = 20 * time.Millisecond
+	// maxLinks bounds the links to peers. A core has a handful of members, but their addresses come from messages.
+	maxLinks = 64
 )
 
-// acceptPeers serves connections of other processes of the system.
+// acceptPeers serves connections of other processes of the system until the process ends.
 func (s *Server) acceptPeers(listener net.Listener) {
 	for {
 		raw, err := listener.Accept()
@@ -31,25 +35,29 @@
 	}
 }
 
-// servePeer serves one connection: a subscriber's, or a peer's that carries its messages.
+// servePeer serves one connection. Its first message says what it is for: a proxy's stream of updates, a command of the
+// command line, or a peer's messages.
 func (s *Server) servePeer(conn *peerlink.Conn) {
 	defer conn.Close()
 	message, err := conn.Receive(firstMessageTimeout)
 	if err != nil {
 		return
 	}
-	if subscribe, ok := message.(protocol.Subscribe); ok {
-		s.serveSubscriber(conn, subscribe)
-		return
-	}
-	if _, ok := message.(protocol.StatusRequest); ok {
+	switch m := message.(type) {
+	case protocol.Subscribe:
+		s.serveSubscriber(conn, m)
+	case protocol.StatusRequest:
 		s.serveStatus(conn)
-		return
-	}
-	if ask, ok := message.(protocol.ExplainRequest); ok {
-		s.serveExplain(conn, ask)
-		return
+	case protocol.ExplainRequest:
+		s.serveExplain(conn, m)
+	default:
+		s.servePeerMessages(conn, message)
 	}
+}
+
+// servePeerMessages dispatches the messages of a peer, from the first one on, until the connection ends.
+func (s *Server) servePeerMessages(conn *peerlink.Conn, message any) {
+	var err error
 	for err == nil {
 		received := message
 		s.enqueue(func() { s.dispatch(received) })
@@ -57,7 +65,7 @@
 	}
 }
 
-// receive takes a message of a peer.
+// dispatch handles a message of a peer. A message of a type that is not known here, as of a later version, is ignored.
 func (s *Server) dispatch(message any) {
 	now := s.now()
 	switch m := message.(type) {
@@ -66,17 +74,17 @@
 	case protocol.SessionAck:
 		s.onSessionAck(m)
 	case protocol.SessionSnapshotRequest:
-		s.send(m.From, protocol.SessionSnapshot{From: s.chain.Self().Address, Records: s.table.AllRecords(s.sessionClock)})
+		s.onSessionSnapshotRequest(m)
 	case protocol.SessionSnapshot:
-		s.onSessionFullSync(m)
-	case protocol.EndpointLoadSync:
-		s.endpointLoads.applyPeerLoads(now, m)
-	case protocol.LoadLedgerSync:
-		s.placement.applyPeerLedger(now, m)
+		s.onSessionSnapshot(m)
 	case protocol.SessionDigest:
 		s.onSessionDigest(m)
 	case protocol.SessionRange:
 		s.onSessionRange(m)
+	case protocol.EndpointLoadSync:
+		s.endpointLoads.applyPeerLoads(now, m)
+	case protocol.LoadLedgerSync:
+		s.placement.applyPeerLedger(now, m)
 	case protocol.SubscriberCount:
 		s.peerSubscribers[m.From] = peerSubscriberCount{count: m.Count, receivedAt: now}
 	case protocol.Write:
@@ -88,9 +96,7 @@
 	case protocol.DemandReport:
 		s.placement.applyDemand(m)
 	case chain.Ping:
-		if link := s.links[m.From.Address]; link != nil && !s.chain.IsReachable(now, m.From.Address) {
-			link.Wake()
-		}
+		s.wakeLink(now, m.From.Address)
 		s.applyOutput(s.chain.Receive(now, m))
 	case chain.Pong, chain.Prepare, chain.Promise, chain.Reject, chain.Accept, chain.AcceptedReply, chain.Install,
 		chain.Append, chain.Committed:
@@ -98,9 +104,60 @@
 	}
 }
 
+// wakeLink dials a peer at once that pings although it counted as unreachable. Without that the link would wait out its
+// backoff, and the member would stay out of the view for that long.
+func (s *Server) wakeLink(now time.Duration, address string) {
+	if link := s.links[address]; link != nil && !s.chain.IsReachable(now, address) {
+		link.Wake()
+	}
+}
+
+// replyTo returns a function that sends the reply to a call of a peer.
 func (s *Server) replyTo(address string, id uint64) func(protocol.Reply) {
 	return func(reply protocol.Reply) {
 		reply.ID = id
 		s.send(address, reply)
 	}
 }
+
+// send queues a message to a peer. It does not wait; a message that cannot be delivered is lost.
+func (s *Server) send(address string, message any) {
+	if address == "" || address == s.chain.Self().Address {
+		return
+	}
+	link := s.links[address]
+	if link == nil {
+		if len(s.links) >= maxLinks {
+			s.closeLinks()
+		}
+		link = peerlink.NewLink(s.ctx, address)
+		s.links[address] = link
+	}
+	link.Send(message)
+}
+
+// broadcast queues a message to all peers.
+func (s *Server) broadcast(message any) {
+	for _, peer := range s.peerAddresses() {
+		s.send(peer, message)
+	}
+}
+
+func (s *Server) closeLinks() {
+	for address, link := range s.links {
+		link.Close()
+		delete(s.links, address)
+	}
+}
+
+// peerAddresses lists the addresses of the other voters of the view.
+func (s *Server) peerAddresses() []string {
+	var addresses []string
+	view := s.chain.View()
+	for _, voter := range view.Voters {
+		if voter.Address != s.chain.Self().Address {
+			addresses = append(addresses, voter.Address)
+		}
+	}
+	return addresses
+}
--- a/internal/controlplane/session_store.go
+++ b/internal/controlplane/session_store.go
@@ -14,45 +14,44 @@
 )
 
 const (
-	// saveEvery is the least time between two copies of the sessions on disk.
+	// sessionSnapshotInterval is the least time between two snapshots of the sessions on disk, but for one that a
+	// departure waits for.
 	sessionSnapshotInterval = time.Second
-	sessionFiles            = 2
-	sessionFileSize         = 256 << 10
+	// sessionFiles is the number of files of the ring: the last snapshot stays until the next one is complete.
+	sessionFiles = 2
+	// sessionFileSize is the preallocated size of a file, in bytes.
+	sessionFileSize = 256 << 10
 )
 
-// sessionSaver keeps a copy of the sessions on disk, so that a control sidecar which starts again knows the endpoints
-// before their next heartbeats, and those that leave. Its goroutine alone touches the ring.
+// sessionStore keeps a snapshot of the sessions on disk, so that a control process which starts again knows the endpoints
+// before their next heartbeats, and does not take one that drains for ready. Only runSessionStore touches the ring.
 type sessionStore struct {
 	ring      *ringlog.Ring // nil where it cannot be opened
 	log       *slog.Logger
-	snapshots chan sessionSnapshot // holds one
+	snapshots chan sessionSnapshot // to runSessionStore; holds one
 
-	// Of the owner of the tables.
-	savedIndex uint64 // revision of the table
-	due        time.Duration
-	onStored   []func() // called once what the table has now is on disk
-	retryAfter time.Duration
+	// Of the event loop.
+	savedIndex uint64        // modify index of the last snapshot
+	due        time.Duration // of the next one
+	retryAfter time.Duration // no snapshot is written before, as the last one failed
+	onStored   []func()      // to be called once the table as it is now is on disk
 }
 
-// sessionCopy is a copy of the sessions to be written, and what is called once it is on disk.
+// sessionSnapshot is a snapshot to be written, and what the event loop calls once it is on disk.
 type sessionSnapshot struct {
 	records  []sessions.Record
 	onStored []func()
 }
 
-// afterSaved calls a function of the owner once the sessions as they are now are on disk. What cannot be written is tried
-// again with the next copy.
-func (s *Server) afterSessionsStored(stored func()) {
-	if s.sessionStore.ring == nil || len(s.sessionStore.onStored) >= maxPendingDepartures {
-		return
-	}
-	s.sessionStore.onStored = append(s.sessionStore.onStored, stored)
-}
-
-// restoreSessions reads the copy on disk into the table.
+// openSessionStore opens the store and restores the table from it. The sessions come back with the endpoints' heartbeats
+// too, so a store that cannot be read does not keep the process from starting. Without a store this member acknowledges no
+// departure, to its peers or by itself.
 func (s *Server) openSessionStore() *sessionStore {
 	store := &sessionStore{log: s.log, snapshots: make(chan sessionSnapshot, 1)}
-	options := ringlog.Options{Directory: filepath.Join(s.settings.DataDirectory, "sessions"), Files: sessionFiles, FileSize: sessionFileSize}
+	options := ringlog.Options{
+		Directory: filepath.Join(s.settings.DataDirectory, "sessions"),
+		Files:     sessionFiles, FileSize: sessionFileSize,
+	}
 	ring, payloads, _, err := openRing(options, s.log)
 	if err != nil {
 		s.log.Warn("sessions.not_restored", "error", err)
@@ -67,10 +66,10 @@
 		s.log.Warn("sessions.not_restored", "error", err)
 		return store
 	}
-	for _, record := range records {
-		record.Age = 0 // how long this process was away is not known
-		s.table.Merge(s.sessionClock, record)
+	for i := range records {
+		records[i].Age = 0 // for how long this process was down is not known: each endpoint gets a full TTL
 	}
+	s.mergeSessions(records)
 	return store
 }
 
@@ -85,7 +84,17 @@
 	return records, errors.Wrap(err, "sessions")
 }
 
-// saveSessions hands a copy over where something has changed.
+// afterSessionsStored has the event loop call a function once the sessions as they are now are on disk. A snapshot that
+// cannot be written is tried again with the next one.
+func (s *Server) afterSessionsStored(call func()) {
+	if s.sessionStore.ring == nil || len(s.sessionStore.onStored) >= maxPendingDepartures {
+		return
+	}
+	s.sessionStore.onStored = append(s.sessionStore.onStored, call)
+}
+
+// snapshotSessions hands a snapshot to the store where the interval is over and something has changed, or where something
+// waits for it.
 func (s *Server) snapshotSessions(now time.Duration) {
 	store := s.sessionStore
 	due := s.table.ModifyIndex() != store.savedIndex && now >= store.due
@@ -95,24 +104,24 @@
 	select {
 	case store.snapshots <- sessionSnapshot{records: s.table.AllRecords(s.sessionClock), onStored: store.onStored}:
 		store.savedIndex, store.due, store.onStored = s.table.ModifyIndex(), now+sessionSnapshotInterval, nil
-	default: // the disk is slow: the next copy has it all
+	default: // the disk is still busy with the last one: the next snapshot has everything
 	}
 }
 
-// writeSessions writes the copies until the process ends, and hands the owner what waited for each.
+// runSessionStore writes the snapshots until the process ends.
 func (s *Server) runSessionStore() {
 	store := s.sessionStore
 	for {
 		select {
 		case <-s.ctx.Done():
 			return
-		case c := <-store.snapshots:
-			err := store.write(c.records)
+		case snapshot := <-store.snapshots:
+			err := store.write(snapshot.records)
 			if err != nil {
 				store.log.Warn("sessions.not_saved", "error", err)
 			}
-			if len(c.onStored) > 0 {
-				s.enqueue(func() { s.onSessionsStored(c.onStored, err) })
+			if len(snapshot.onStored) > 0 {
+				s.enqueue(func() { s.onSessionsStored(snapshot.onStored, err) })
 			}
 		}
 	}
@@ -126,16 +135,16 @@
 	return store.ring.Append([]ringlog.Record{{Payload: payload, Rotate: true}})
 }
 
-// onSessionsWritten calls what waited for a copy, or has it wait for the next one where this one could not be written.
-func (s *Server) onSessionsStored(stored []func(), err error) {
-	for _, call := range stored {
-		if err != nil {
+// onSessionsStored calls what has waited for a snapshot, or has it wait for the next one where this one was not written.
+func (s *Server) onSessionsStored(calls []func(), err error) {
+	if err != nil {
+		for _, call := range calls {
 			s.afterSessionsStored(call)
-			continue
 		}
-		call()
-	}
-	if err != nil {
 		s.sessionStore.retryAfter = s.now() + storeRetryInterval
+		return
+	}
+	for _, call := range calls {
+		call()
 	}
 }
--- a/internal/controlplane/status_endpoint.go
+++ b/internal/controlplane/status_endpoint.go
@@ -11,42 +11,48 @@
 	"dykering/internal/sessions"
 )
 
+// statusTimeout bounds each step of a call of the command line.
 const statusTimeout = 2 * time.Second
 
-// AskStatus asks the control sidecar at an internal address how it sees the system.
+// AskStatus asks the control process at an internal address how it sees the system.
 func AskStatus(address string) (protocol.Status, error) {
+	return ask[protocol.Status](address, protocol.StatusRequest{}, "status")
+}
+
+// ask sends a request to a control process and returns its reply. The operation names the request in errors.
+func ask[Reply any](address string, request any, operation string) (Reply, error) {
+	var none Reply
 	conn, err := peerlink.Dial(address, statusTimeout)
 	if err != nil {
-		return protocol.Status{}, errors.Wrap(err, "status")
+		return none, errors.Wrap(err, operation)
 	}
 	defer conn.Close()
-	if err := conn.Send(protocol.StatusRequest{}, statusTimeout); err != nil {
-		return protocol.Status{}, errors.Wrap(err, "status")
+	if err := conn.Send(request, statusTimeout); err != nil {
+		return none, errors.Wrap(err, operation)
 	}
 	message, err := conn.Receive(statusTimeout)
 	if err != nil {
-		return protocol.Status{}, errors.Wrap(err, "status")
+		return none, errors.Wrap(err, operation)
 	}
-	status, ok := message.(protocol.Status)
+	reply, ok := message.(Reply)
 	if !ok {
-		return protocol.Status{}, errors.Errorf("status: %s answers with a %T", address, message)
+		return none, errors.Errorf("%s: %s answers with a %T", operation, address, message)
 	}
-	return status, nil
+	return reply, nil
 }
 
-// serveStatus answers one call for the status.
+// serveStatus replies to a protocol.StatusRequest.
 func (s *Server) serveStatus(conn *peerlink.Conn) {
-	told := make(chan protocol.Status, 1)
-	s.enqueue(func() { told <- s.status() })
-	select {
-	case status := <-told:
-		if err := conn.Send(status, statusTimeout); err != nil {
-			s.log.Debug("status.not_sent", "error", err)
-		}
-	case <-s.ctx.Done():
+	status, ok := query(s, s.status)
+	if !ok {
+		return
+	}
+	if err := conn.Send(status, statusTimeout); err != nil {
+		s.log.Debug("status.not_sent", "error", err)
 	}
 }
 
+// status is how this member sees the system. Its field names are fixed, by gob and by the command line's JSON.
 func (s *Server) status() protocol.Status {
 	now := s.now()
 	committed := s.chain.CommittedState()
--- a/internal/controlplane/timing.go
+++ b/internal/controlplane/timing.go
@@ -1,6 +1,3 @@
-// Package controlplane is the process that serves the control plane: it takes heartbeats of endpoints and changes of
-// the operator, replicates both with its peers, streams them to the sidecars that carry traffic, and, on the member that
-// holds the role, places models.
 package controlplane
 
 import (
@@ -9,30 +6,68 @@
 	"dykering/internal/nodefile"
 )
 
-// timing are the process's times. Each derives from the settings.
+// timing holds the time-outs and intervals of a control process. Each derives from a bound of the settings file: ContactMs
+// is the time within which the loss of a member must be repaired, and most times here are fractions of it that have to fit
+// into it one after another.
 type timing struct {
-	tickInterval         time.Duration // between two looks at what is due
-	pingInterval         time.Duration
-	suspectAfter         time.Duration // a silent member is suspected
-	proposeTimeout       time.Duration // a proposed view is proposed again
-	maxWriteDuration     time.Duration // a write that takes longer makes a member unfit for the chain
-	callTimeout          time.Duration // a caller is answered; it goes elsewhere after a second of silence
-	drainAckTimeout      time.Duration // peers acknowledge a drain
-	fullSyncTimeout      time.Duration // a started member has its peers' sessions
-	sessionTTL           time.Duration // an endpoint without heartbeat is no longer offered
-	renewalInterval      time.Duration // signs of life are passed on
-	antiEntropyInterval  time.Duration // copies of the sessions are compared with a peer's
-	lease                time.Duration // a majority's word counts for the holder of the placement
-	newHolderDelay       time.Duration // a new holder waits before it acts, by when its predecessor's last order has ended
-	returningHolderDelay time.Duration // a former holder that holds the role again waits before it acts
-	maxUnconfirmed       time.Duration // a member that no majority confirms ends its streams
-	stopTimeout          time.Duration // a stopping member waits to be out of the chain
+	// tickInterval is the time between two ticks of the event loop, which is the resolution of all times below.
+	// Source: ContactMs / 60.
+	tickInterval time.Duration
+
+	// pingInterval is the time between two pings of a voter: six fit into suspectAfter, so that one lost packet does not
+	// make a member suspected. Source: ContactMs / 30.
+	pingInterval time.Duration
+	// suspectAfter is the silence after which a member is suspected and a view without it is proposed.
+	// Source: ContactMs / 5.
+	suspectAfter time.Duration
+	// proposeTimeout is the time after which a proposal that was not decided is made again. Source: ContactMs / 6.
+	proposeTimeout time.Duration
+	// maxWriteDuration is the time that a write to disk may take before this member counts as unfit for the chain, in
+	// which it would delay every change. Source: ContactMs / 6.
+	maxWriteDuration time.Duration
+
+	// callTimeout is the time within which a caller is answered, be it with an error. The operator and the endpoints turn
+	// to another member after a second without an answer, which has to leave time for that. Source: AcknowledgeMs / 4, at
+	// most 900 ms.
+	callTimeout time.Duration
+	// drainAckTimeout is the time that all voters have to store a departure before a majority is enough. A voter that is
+	// down must not use up the endpoint's time to drain. Source: the lesser of ContactMs / 6 and DrainTimeoutMs / 4.
+	drainAckTimeout time.Duration
+	// stopTimeout is the time that a stopping member waits to be out of the chain. Source: GracePeriodS / 2, which leaves
+	// the other half to the rest of the shutdown.
+	stopTimeout time.Duration
+
+	// sessionTTL is the time without a heartbeat after which an endpoint is no longer offered. Source: three heartbeat
+	// intervals, so that two may be lost, and a second for their way.
+	sessionTTL time.Duration
+	// renewalInterval is the time between two broadcasts of session renewals to the peers. Source: a quarter of the
+	// heartbeat interval, by which a renewal is late at the most.
+	renewalInterval time.Duration
+	// antiEntropyInterval is the time between two comparisons of the sessions with a peer. Source: the heartbeat interval.
+	antiEntropyInterval time.Duration
+	// fullSyncTimeout is the time after which a started member serves streams although peers have not sent their
+	// sessions. Source: ContactMs / 4.
+	fullSyncTimeout time.Duration
+	// maxUnconfirmed is the time without a majority's confirmation of the view after which a member ends its streams:
+	// proxies must not follow a member that is cut off. Source: ContactMs / 4.
+	maxUnconfirmed time.Duration
+
+	// lease is the time for which a majority's confirmation lets the holder of the placement act. Source: ContactMs / 4.
+	lease time.Duration
+	// newHolderDelay is the time that a new lease holder waits before it acts, by when the last order of its predecessor
+	// has reached its endpoint or failed. Source: lease + orderTimeout + ThawSlackMs, the time by which the predecessor's
+	// process may have been frozen between the check of its lease and the order.
+	newHolderDelay time.Duration
+	// returningHolderDelay is that time for a member that has held the lease before, so that two members which lose contact
+	// in turns do not hand the role to and fro. Source: newHolderDelay + LeaseDurationMs.
+	returningHolderDelay time.Duration
 }
 
+// newTiming derives the times from the settings.
 func newTiming(settings *nodefile.Settings) timing {
 	contact := nodefile.Milliseconds(settings.Bounds.ContactMs)
 	lease := contact / 4
-	predecessorEnds := lease + orderTimeout + nodefile.Milliseconds(settings.Bounds.ThawSlackMs)
+	newHolderDelay := lease + orderTimeout + nodefile.Milliseconds(settings.Bounds.ThawSlackMs)
 	return timing{
 		tickInterval:         contact / 60,
 		pingInterval:         contact / 30,
@@ -41,14 +76,14 @@
 		maxWriteDuration:     contact / 6,
 		callTimeout:          min(900*time.Millisecond, nodefile.Milliseconds(settings.Bounds.AcknowledgeMs)/4),
 		drainAckTimeout:      min(contact/6, nodefile.Milliseconds(settings.Bounds.DrainTimeoutMs)/4),
-		fullSyncTimeout:      contact / 4,
+		stopTimeout:          nodefile.Seconds(settings.Bounds.GracePeriodS) / 2,
 		sessionTTL:           3*settings.HeartbeatInterval() + time.Second,
 		renewalInterval:      settings.HeartbeatInterval() / 4,
 		antiEntropyInterval:  settings.HeartbeatInterval(),
-		lease:                lease,
-		newHolderDelay:       predecessorEnds,
-		returningHolderDelay: predecessorEnds + nodefile.Milliseconds(settings.Bounds.LeaseDurationMs),
+		fullSyncTimeout:      contact / 4,
 		maxUnconfirmed:       contact / 4,
-		stopTimeout:          nodefile.Seconds(settings.Bounds.GracePeriodS) / 2,
+		lease:                lease,
+		newHolderDelay:       newHolderDelay,
+		returningHolderDelay: newHolderDelay + nodefile.Milliseconds(settings.Bounds.LeaseDurationMs),
 	}
 }
--- a/internal/controlplane/update_stream.go
+++ b/internal/controlplane/update_stream.go
@@ -9,29 +9,45 @@
 )
 
 const (
+	// updateQueueLength bounds the updates that wait for one proxy's connection. A proxy that falls further behind
+	// subscribes anew elsewhere, with a full update.
 	updateQueueLength = 64
-	maxSubscribers    = 2048
-	// quietSubscriber is how long a subscriber may be quiet; it acknowledges each message.
+	// maxSubscribers bounds the streams of one member.
+	maxSubscribers = 2048
+	// subscriberIdleTimeout ends the stream of a proxy that has gone: it acknowledges each message, of which there is one
+	// at least every protocol.Keepalive.
 	subscriberIdleTimeout = 5 * time.Second
-	updateWriteTimeout    = time.Second
+	// updateWriteTimeout ends a stream whose connection takes no more bytes.
+	updateWriteTimeout = time.Second
 )
 
-// subscriber is a sidecar that this one streams updates to.
+// subscriber is a proxy that follows a stream of this member.
 type subscriber struct {
-	name          string
-	zone          string
-	conn          *peerlink.Conn
-	updates       chan protocol.Update
-	sentIndex     uint64 // sent
-	sentConfigSeq uint64 // sent
-	sentAt        time.Duration
-	fullSyncSent  bool
-	acked         protocol.Ack
+	name    string
+	zone    string
+	conn    *peerlink.Conn
+	updates chan protocol.Update // to writeUpdates; closed when the subscriber is removed
+
+	// Of the event loop: what has been queued for the proxy, and what it has acknowledged.
+	fullUpdateSent bool
+	sentIndex      uint64 // modify index of the sessions
+	sentConfigSeq  uint64
+	sentAt         time.Duration
+	acked          protocol.Ack
+}
+
+// peerSubscriberCount is the number of subscribers that a peer has reported.
+type peerSubscriberCount struct {
+	count      int
+	receivedAt time.Duration
 }
 
-// serveSubscriber streams updates to a sidecar until either side ends it.
+// serveSubscriber streams updates to a proxy until either side ends the stream.
 func (s *Server) serveSubscriber(conn *peerlink.Conn, hello protocol.Subscribe) {
-	sub := &subscriber{name: hello.Name, zone: hello.Zone, conn: conn, sentConfigSeq: hello.ConfigSeq, updates: make(chan protocol.Update, updateQueueLength)}
+	sub := &subscriber{
+		name: hello.Name, zone: hello.Zone, conn: conn, sentConfigSeq: hello.ConfigSeq,
+		updates: make(chan protocol.Update, updateQueueLength),
+	}
 	s.enqueue(func() { s.addSubscriber(sub) })
 	go sub.writeUpdates()
 	for {
@@ -44,13 +60,14 @@
 	s.enqueue(func() { s.removeSubscriber(sub) })
 }
 
-// write sends the updates. It ends when the queue is closed, and closes the connection.
+// writeUpdates sends the queued updates and closes the connection when the queue is closed, or a write fails. It then
+// empties the queue until the event loop closes it.
 func (sub *subscriber) writeUpdates() {
 	defer sub.conn.Close()
 	for update := range sub.updates {
 		if sub.conn.Send(update, updateWriteTimeout) != nil {
 			sub.conn.Close()
-			for range sub.updates { // until the owner has dropped it
+			for range sub.updates {
 			}
 			return
 		}
@@ -59,7 +76,7 @@
 
 func (s *Server) addSubscriber(sub *subscriber) {
 	s.subscribers[sub] = true
-	if len(s.subscribers) > maxSubscribers || !s.canStream(s.now()) || !s.synced {
+	if len(s.subscribers) > maxSubscribers || !s.canStream(s.now()) || !s.sessionSync.complete {
 		s.endStream(sub)
 	}
 }
@@ -72,34 +89,36 @@
 	}
 }
 
-// endStream sends a subscriber to another control sidecar.
+// endStream has a subscriber follow another member.
 func (s *Server) endStream(sub *subscriber) {
 	select {
-	case sub.updates <- protocol.Update{Leaving: true, Members: s.controlSidecars(s.now())}:
-	default:
+	case sub.updates <- protocol.Update{Leaving: true, Members: s.streamMembers(s.now())}:
+	default: // the queue is full: it sees the end of the connection
 	}
 	s.removeSubscriber(sub)
 }
 
-// controlSidecars are the voters of the view, from whom streams may be had.
-func (s *Server) controlSidecars(now time.Duration) []protocol.ControlProcess {
-	view := s.chain.View()
-	sidecars := make([]protocol.ControlProcess, 0, len(view.Voters))
-	for _, voter := range view.Voters {
-		sidecars = append(sidecars, protocol.ControlProcess{Address: voter.Address, Zone: s.chain.ZoneOf(now, voter)})
-	}
-	return sidecars
-}
-
 func (s *Server) endStreams() {
 	for sub := range s.subscribers {
 		s.endStream(sub)
 	}
 }
 
+// streamMembers lists the voters of the view, any of which a proxy may subscribe to.
+func (s *Server) streamMembers(now time.Duration) []protocol.ControlProcess {
+	view := s.chain.View()
+	members := make([]protocol.ControlProcess, 0, len(view.Voters))
+	for _, voter := range view.Voters {
+		members = append(members, protocol.ControlProcess{Address: voter.Address, Zone: s.chain.ZoneOf(now, voter)})
+	}
+	return members
+}
+
 func (s *Server) onSubscriberMessage(sub *subscriber, message any) {
 	if !s.subscribers[sub] {
-		return // what was under way when its stream ended: it tells another control sidecar from now on
+		// It was queued when the stream ended. The proxy reports to another member from now on: its requests would count
+		// twice, and here for ever.
+		return
 	}
 	switch m := message.(type) {
 	case protocol.Ack:
@@ -111,59 +130,70 @@
 	}
 }
 
-// streams tells whether this member may serve streams: it is in the chain and a majority has confirmed its view.
+// canStream reports whether this member may serve streams: it is in the chain, knows what is committed, and a majority has
+// confirmed its view lately. A member that is cut off must not keep proxies on old knowledge.
 func (s *Server) canStream(now time.Duration) bool {
 	return s.chain.IsInChain() && s.chain.IsCommitKnown() && now-s.chain.QuorumConfirmedAt(now) < s.timing.maxUnconfirmed
 }
 
-// sendUpdates sends what is new to those who have not got it.
+// streamUpdates queues for each subscriber what is new to it.
 func (s *Server) streamUpdates(now time.Duration) {
 	if !s.canStream(now) {
 		if s.chain.IsSealed() && s.chain.HasQuorum(now) {
-			return // the next view is under way
+			// The next view is being agreed on. Ending the streams would move all proxies at each change of the view.
+			return
 		}
 		s.endStreams()
 		return
 	}
 	committed := s.chain.CommittedState()
-	count := s.subscriberCount(now)
+	subscriberCount := s.subscriberCount(now)
 	loads, loadsDue := s.endpointLoads.totalsIfDue(now)
 	for sub := range s.subscribers {
-		fresh := !sub.fullSyncSent
-		due := now-sub.sentAt >= protocol.Keepalive
-		if !fresh && !due && !loadsDue && sub.sentIndex >= s.table.ModifyIndex() && sub.sentConfigSeq >= committed.Seq {
+		keepaliveDue := now-sub.sentAt >= protocol.Keepalive
+		if sub.fullUpdateSent && !keepaliveDue && !loadsDue && sub.sentIndex >= s.table.ModifyIndex() && sub.sentConfigSeq >= committed.Seq {
 			continue
 		}
-		update := protocol.Update{Revision: s.table.ModifyIndex(), Subscribers: count, Whole: fresh}
-		if fresh || sub.sentIndex < update.Revision {
+		update := protocol.Update{
+			Revision: s.table.ModifyIndex(), Subscribers: subscriberCount, Whole: !sub.fullUpdateSent,
+			HasLoads: loadsDue, Loads: loads,
+		}
+		if update.Whole || sub.sentIndex < update.Revision {
 			update.Endpoints = s.table.ModifiedSince(sub.sentIndex)
 		}
 		if sub.sentConfigSeq < committed.Seq {
 			document := committed.Value.(*fleetconfig.State).Document
 			update.Configuration = &protocol.Configuration{Seq: committed.Seq, Document: document}
 		}
-		if fresh || due {
-			update.Members = s.controlSidecars(now)
+		if update.Whole || keepaliveDue {
+			update.Members = s.streamMembers(now)
 		}
-		update.HasLoads, update.Loads = loadsDue, loads
-		select {
-		case sub.updates <- update:
-			sub.fullSyncSent, sub.sentIndex, sub.sentConfigSeq, sub.sentAt = true, update.Revision, max(sub.sentConfigSeq, committed.Seq), now
-		default:
-			s.endStream(sub) // it does not keep up; it begins anew elsewhere
+		if !sub.queue(now, update, committed.Seq) {
+			s.endStream(sub) // it does not keep up: it gets a full update elsewhere
 		}
 	}
 }
 
-// subscriberCount is how many sidecars carry traffic, as far as is known: at least as many as if each voter had this
-// one's. Too many only makes the budget of repeats smaller.
+// queue hands an update to the stream's connection. It reports false where the queue is full.
+func (sub *subscriber) queue(now time.Duration, update protocol.Update, configSeq uint64) bool {
+	select {
+	case sub.updates <- update:
+	default:
+		return false
+	}
+	sub.fullUpdateSent, sub.sentIndex, sub.sentAt = true, update.Revision, now
+	sub.sentConfigSeq = max(sub.sentConfigSeq, configSeq)
+	return true
+}
+
+// subscriberCount is the number of proxies in the system as far as it is known, and at least as many as if each voter had
+// as many as this one. An estimate that is too high only makes a proxy's quota of retries smaller.
 func (s *Server) subscriberCount(now time.Duration) int {
 	count := len(s.subscribers)
-	for _, other := range s.peerSubscribers {
-		if now-other.receivedAt < subscriberIdleTimeout {
-			count += other.count
+	for _, peer := range s.peerSubscribers {
+		if now-peer.receivedAt < subscriberIdleTimeout {
+			count += peer.count
 		}
 	}
-	view := s.chain.View()
-	return max(count, len(s.subscribers)*len(view.Voters))
+	return max(count, len(s.subscribers)*len(s.chain.View().Voters))
 }
