--- a/cmd/dykering-lab/bench.go
+++ b/cmd/dykering-lab/bench.go
@@ -6,19 +6,11 @@
 	"errors"
 	"fmt"
 	"io"
-	"math/rand/v2"
-	"net"
-	"net/http"
-	"net/http/httputil"
-	"net/url"
 	"os"
-	"os/signal"
 	"path/filepath"
-	"runtime"
 	"slices"
 	"strconv"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"syscall"
 	"text/tabwriter"
@@ -43,72 +35,6 @@
 	ticks = 100
 )
 
-// statsFile names, in the environment, the file that a process writes what it has allocated to, on SIGUSR2.
-const statsFile = "DYKERING_LAB_STATS"
-
-// writeStats writes it at each signal.
-func writeStats() {
-	path := os.Getenv(statsFile)
-	if path == "" {
-		return
-	}
-	signals := make(chan os.Signal, 1)
-	signal.Notify(signals, syscall.SIGUSR2)
-	go func() { // as long as the process
-		for n := 1; ; n++ {
-			<-signals
-			var m runtime.MemStats
-			runtime.GC()
-			runtime.ReadMemStats(&m)
-			text, err := json.Marshal(stats{n, m.Mallocs, m.TotalAlloc, m.HeapInuse + m.StackInuse})
-			if err == nil {
-				err = errors.Join(os.WriteFile(path+".new", text, 0o600), os.Rename(path+".new", path))
-			}
-			if err != nil {
-				fmt.Fprintln(os.Stderr, err)
-			}
-		}
-	}()
-}
-
-// stats are what a process has allocated, and has in use after a collection.
-type stats struct {
-	N       int
-	Mallocs uint64
-	Bytes   uint64
-	InUse   uint64
-}
-
-// newReverseProxy is what the broker is measured against: the standard library's proxy with random choice.
-func newReverseProxy() *cli.Command {
-	return &cli.Command{Name: "reverse-proxy", ArgsUsage: "TARGETS", Hidden: true, Action: commandline.Args(1, 1, func(_ context.Context, _ *cli.Command, args []string) error {
-		writeStats()
-		runtime.GOMAXPROCS(1) // as the broker with one core
-		targets := strings.Split(args[0], ",")
-		l, err := net.FileListener(os.NewFile(3, "socket"))
-		if err != nil {
-			return err
-		}
-		go func() {
-			ready := &http.Server{
-				Addr: os.Getenv("BALANCER_CONTROL"), Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}),
-				ReadHeaderTimeout: time.Second,
-			}
-			if err := ready.ListenAndServe(); err != nil {
-				fmt.Fprintln(os.Stderr, err)
-			}
-		}()
-		proxy := &httputil.ReverseProxy{
-			Transport: &http.Transport{MaxIdleConnsPerHost: 1024},
-			Rewrite: func(r *httputil.ProxyRequest) {
-				r.SetURL(&url.URL{Scheme: "http", Host: targets[rand.IntN(len(targets))]})
-			},
-		}
-		web := &http.Server{Handler: proxy, ReadHeaderTimeout: 5 * time.Second}
-		return web.Serve(l) // until it is killed
-	})}
-}
-
 // measured is what came of one way to the servers.
 type measured struct {
 	Way         string  `json:"way"`
@@ -367,77 +293,6 @@
 	return s, nil
 }
 
-// callers ask, each on a connection of its own.
-type callers struct {
-	address func() string
-	way     string
-	n       atomic.Int64
-}
-
-// busy has so many ask without rest for a time.
-func (c *callers) busy(ctx context.Context, n int, lasts time.Duration) (served, refused int, err error) {
-	ctx, stop := context.WithTimeout(ctx, lasts)
-	defer stop()
-	var all sync.WaitGroup
-	var good, bad atomic.Int64
-	transport := &http.Transport{MaxIdleConnsPerHost: n}
-	defer transport.CloseIdleConnections()
-	client := &http.Client{Transport: transport, Timeout: 5 * time.Second}
-	complete := context.WithoutCancel(ctx) // a request that was sent in time is counted with its answer
-	for range n {
-		all.Go(func() {
-			for ctx.Err() == nil {
-				r, err := http.NewRequestWithContext(complete, http.MethodGet, c.address()+"/bench", nil)
-				if err != nil {
-					bad.Add(1)
-					return
-				}
-				r.Header = http.Header{"X-Txn": {fmt.Sprintf("%s-%d", c.way, c.n.Add(1))}, "X-Lane": {"read"}, "X-Remaining": {"2000m"}}
-				res, err := client.Do(r)
-				if err != nil {
-					bad.Add(1)
-					continue
-				}
-				if _, err = io.Copy(io.Discard, res.Body); err != nil || res.StatusCode != http.StatusOK {
-					bad.Add(1)
-				} else {
-					good.Add(1)
-				}
-				res.Body.Close()
-			}
-		})
-	}
-	all.Wait()
-	if good.Load() == 0 {
-		return 0, 0, fmt.Errorf("none of %d requests was served", bad.Load())
-	}
-	return int(good.Load()), int(bad.Load()), nil
-}
-
-// open makes connections that have had an answer and rest, a few at a time.
-func (c *callers) open(ctx context.Context, n int) (conns []net.Conn, err error) {
-	dialer := net.Dialer{Timeout: time.Second}
-	for i := 0; i < n && ctx.Err() == nil; i++ {
-		x, err := dialer.DialContext(ctx, "tcp", strings.TrimPrefix(c.address(), "http://"))
-		if err != nil {
-			return conns, err
-		}
-		conns = append(conns, x)
-		if err := errors.Join(x.SetDeadline(time.Now().Add(30*time.Second)), c.write(x, fmt.Sprintf("idle-%d", i))); err != nil {
-			return conns, err
-		}
-		if _, err := x.Read(make([]byte, 4096)); err != nil { // all of it comes at once: it is short
-			return conns, err
-		}
-	}
-	return conns, ctx.Err()
-}
-
-func (c *callers) write(x net.Conn, id string) error {
-	_, err := fmt.Fprintf(x, "GET /bench HTTP/1.1\r\nHost: lab\r\nX-Txn: %s\r\nX-Lane: read\r\nX-Remaining: 2000m\r\n\r\n", id)
-	return err
-}
-
 func (b *bench) tell(out io.Writer, all []measured) {
 	fmt.Fprintf(out, "%d servers that take %v and bear any number of calls; %d callers that never rest, then %.0f requests a second; %v each\n\n",
 		benchServers, b.Took, b.Callers, b.Rate, b.Lasts)
--- /dev/null
+++ b/internal/lab/real/instance.go
@@ -0,0 +1,183 @@
+package real
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"os"
+	"path/filepath"
+	"time"
+
+	"dykering/internal/core"
+	"dykering/internal/decision"
+	"dykering/internal/lab/model"
+)
+
+// instance is an instance of the broker: a socket that is held for it, its discovery, and its process.
+type instance struct {
+	in       *model.Instance
+	seat     Seat
+	url      string
+	places   *Discovery
+	file     string // the platform's
+	operator string // empty for none
+	client   *http.Client
+	name     string
+	zone     int
+	process  Broker // nil while there is none
+	leaving  Broker // that was told to end, with no successor beside it
+	all      []Broker
+}
+
+// begin makes an instance and starts its process.
+func (st *stage) begin(in *model.Instance) error {
+	name, zone := fmt.Sprintf("broker-%d-%d", in.Tier.N, in.Ordinal), 0
+	if len(in.Tier.Servers) > 0 {
+		zone = in.Ordinal % max(st.w.S.Servers.Zones, 1)
+	}
+	place, err := st.ground.Seat(name, zone)
+	if err != nil {
+		return err
+	}
+	i := &instance{in: in, name: name, zone: zone, seat: place, url: "http://" + place.Address(), client: &http.Client{Transport: &http.Transport{
+		DialContext: st.ground.Dial, MaxIdleConnsPerHost: 1024, IdleConnTimeout: 10 * time.Second, DisableCompression: true,
+	}}}
+	st.instances = append(st.instances, i)
+	l, err := st.ground.Listen(discoveryName(name), zone, "")
+	if err != nil {
+		return err
+	}
+	i.places = discoveryAt(l, nil)
+	for _, e := range st.w.List(in).Entries {
+		i.places.TellTarget(st.target(e))
+	}
+	i.file = filepath.Join(place.Dir(), "config.json")
+	if err := st.configure(i); err != nil {
+		return err
+	}
+	if st.fleet != nil && in.Tier.N == 0 {
+		if err := st.fleet.enlist(i, name, place.Dir()); err != nil {
+			return err
+		}
+	}
+	i.process, err = st.start(i)
+	return err
+}
+
+// configure writes an instance's file, as the platform does.
+func (st *stage) configure(i *instance) error {
+	text, err := json.MarshalIndent(map[string]any{
+		"name": i.name, "listen": i.seat.Address(), "discovery": i.places.Address,
+		"seed": fmt.Sprintf("%x", st.w.Seed(i.in)), "limits": map[string]any{"cores": 1, "memory_mb": memoryMB, "sockets": sockets},
+		"settings": told(st.w, i.in),
+	}, "", " ")
+	if err != nil {
+		return err
+	}
+	next := i.file + ".new" // a process may be reading it
+	if err := os.WriteFile(next, text, 0o600); err != nil {
+		return err
+	}
+	return os.Rename(next, i.file)
+}
+
+// start starts a process of an instance, and watches it.
+func (st *stage) start(i *instance) (Broker, error) {
+	p, err := i.seat.Start(i.file, i.operator)
+	if err != nil {
+		return nil, err
+	}
+	i.all = append(i.all, p)
+	st.work.Go(func() {
+		dies, excused := dies(p)
+		defer excused()
+		select {
+		case <-dies:
+			heard := make(chan struct{})
+			st.post(func() {
+				defer close(heard)
+				st.excuse(i.in) // as Kill does
+				if i.process == p {
+					i.process = nil
+					st.After(killedFor, func() { st.succeed(i, nil) })
+				}
+			})
+			select {
+			case <-heard:
+			case <-st.done:
+			}
+			return
+		case <-p.Ended():
+		case <-st.ctx.Done():
+			return
+		}
+		st.post(func() {
+			if i.process == p && i.leaving != p {
+				st.fail(p.Fault("ended by itself"))
+			}
+		})
+	})
+	return p, nil
+}
+
+// told are the settings that the platform would give an instance.
+func told(w *model.World, in *model.Instance) map[string]any {
+	set := w.Settings(in)
+	micros := func(d time.Duration) int64 { return d.Microseconds() }
+	effects := map[decision.Effect]string{decision.Safe: "read_like", decision.Keyed: "idempotency_key", decision.Unsafe: "non_idempotent"}
+	var classes, tenants []map[string]any
+	for _, c := range set.Classes {
+		class := map[string]any{
+			"name": c.Name, "aim": micros(c.LatencyTarget), "deadline": micros(c.Deadline), "gain": c.Value,
+			"effect": effects[c.Effect], "window": micros(c.Window),
+		}
+		if c.Effect == decision.Keyed {
+			class["keyScope"] = c.Scope
+		}
+		classes = append(classes, class)
+	}
+	for _, t := range set.Tenants {
+		tenants = append(tenants, map[string]any{"name": t.Name, "quotaPerS": t.QuotaPerS})
+	}
+	var tiers, zones, models []string
+	for i := range w.Tiers {
+		tiers = append(tiers, fmt.Sprint("tier", i))
+	}
+	for i := range w.S.Servers.Zones {
+		zones = append(zones, zoneName(i))
+	}
+	for _, k := range w.S.Kinds {
+		models = append(models, k.Name)
+	}
+	return map[string]any{
+		"allowed": map[string]any{
+			"cancel": set.MayCancel, "connIdle": micros(serverIdle), "connectTimeout": micros(set.ConnectTimeout),
+			"maxRetryAfter": micros(set.MaxRetryAfter), "retryAfter": set.MaxRetryAfter > 0, "sendCap": set.MaxAttempts,
+		},
+		"clientHabits": map[string]any{"marksRetry": set.ClientsMarkRetries}, "discovery": "push", "models": models, "zones": zones,
+		"goal": map[string]any{"whole": set.GoalTotal, "worstClass": set.GoalWorstClass}, "instances": set.Instances,
+		"ordinal": set.Ordinal, "stage": set.Stage, "tiers": tiers, "quantum": micros(set.Quantum),
+		"services": classes, "tenants": tenants,
+		"rules": map[string]any{
+			"cold": micros(set.WarmUp), "coldFrom": set.ColdCapacity, "fall": micros(set.OverloadWindow),
+			"graceToAnswer": micros(model.Grace), "tipMultiple": set.OverloadMultiple,
+		},
+	}
+}
+
+func zoneName(i int) string { return fmt.Sprint("zone-", i) }
+
+// target is how discovery says an entry.
+func (st *stage) target(e decision.Entry) core.Target {
+	t := core.Target{
+		UID: fmt.Sprintf("server-%08x", uint32(e.Endpoint)), Address: st.servers[int(e.Endpoint)-1].address,
+		Zone: zoneName(e.Zone), Model: st.w.S.Kinds[e.Kind].Name, Cell: e.Cell, Weight: e.Weight,
+		State: [...]string{"Ready", "Terminating", "Gone"}[e.State],
+	}
+	if e.Started > 0 {
+		t.BootMS = st.at(e.Started).UnixMilli()
+	}
+	return t
+}
+
+func (st *stage) of(in *model.Instance) *instance { return st.instances[len(st.instances)-1-in.N] }
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -224,7 +224,7 @@
 }
 
 func (w *wrong) Refuse(id decision.RequestID, _ time.Duration) { w.late(id) }
-func (w *wrong) Fail(id decision.RequestID)                        { w.late(id) }
+func (w *wrong) Fail(id decision.RequestID)                    { w.late(id) }
 
 // late refuses, or, where that is what it does wrong, long after the time.
 func (w *wrong) late(id decision.RequestID) {
--- a/internal/lab/swim/swim.go
+++ b/internal/lab/swim/swim.go
@@ -10,9 +10,7 @@
 import (
 	"container/heap"
 	"fmt"
-	"math"
 	"math/rand/v2"
-	"slices"
 	"time"
 
 	"dykering/internal/fleet/membership"
@@ -35,13 +33,6 @@
 	}
 }
 
-// update is what gossip carries: a member's state under an incarnation.
-type update struct {
-	of    int
-	inc   uint32
-	state membership.State
-}
-
 // Message sizes, in bytes, for the load a member carries: a header, and an update.
 const (
 	headerBytes = 40
@@ -65,11 +56,6 @@
 	reconnect   int
 }
 
-type queued struct {
-	update
-	sent int
-}
-
 // event kinds.
 const (
 	probeTick = iota
@@ -84,30 +70,6 @@
 	reconnectTry // a dead member asked to join again
 )
 
-type event struct {
-	at          time.Duration
-	kind        int
-	from, to    int
-	target, seq uint64
-	msg         []update
-	id          int // order among events at the same time
-}
-
-type events []*event
-
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].id < e[j].id
-}
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(*event)) }
-func (e *events) Pop() any {
-	old := *e
-	x := old[len(old)-1]
-	*e = old[:len(old)-1]
-	return x
-}
-
 // Fleet is N members playing the protocol.
 type Fleet struct {
 	s        Settings
@@ -274,221 +236,6 @@
 	}
 }
 
-// probe pings the next member in turn that this one holds alive or suspect.
-func (f *Fleet) probe(i int) {
-	m := f.members[i]
-	for range len(m.order) {
-		t := m.order[m.next]
-		if m.next++; m.next == len(m.order) {
-			m.next = 0
-			f.rng.Shuffle(len(m.order), func(a, b int) { m.order[a], m.order[b] = m.order[b], m.order[a] })
-		}
-		if t == i || m.state[t] == membership.Dead || m.state[t] == membership.Left {
-			continue
-		}
-		f.seq++
-		m.acked[f.seq] = false
-		f.send(i, t, &event{kind: deliverPing, seq: f.seq, target: uint64(i), msg: f.take(i)})
-		f.at(f.s.ProbeTimeout, &event{kind: probeLate, from: i, target: uint64(t), seq: f.seq})
-		f.at(f.s.ProbeInterval, &event{kind: probeEnd, from: i, target: uint64(t), seq: f.seq})
-		break
-	}
-	if m.reconnect++; m.reconnect%5 == 0 {
-		f.at(0, &event{kind: reconnectTry, from: i})
-	}
-}
-
-// indirect asks some others to probe a member whose ack is late.
-func (f *Fleet) indirect(i, t int, seq uint64) {
-	m := f.members[i]
-	if !m.working() || m.acked[seq] {
-		return
-	}
-	for _, k := range f.pick(i, f.s.IndirectChecks, t) {
-		f.send(i, k, &event{kind: deliverAsk, seq: seq, target: uint64(t)})
-	}
-	// memberlist's fallback: a ping over TCP at the same time, which a lost link refuses as it does packets.
-	f.send(i, t, &event{kind: deliverPing, seq: seq, target: uint64(i)})
-}
-
-// pick draws up to n members that i holds alive, other than i and but.
-func (f *Fleet) pick(i, n, but int) []int {
-	m := f.members[i]
-	var got []int
-	for tries := 0; len(got) < n && tries < 4*n+8; tries++ {
-		k := f.rng.IntN(len(f.members))
-		if k != i && k != but && m.state[k] == membership.Alive && !slices.Contains(got, k) {
-			got = append(got, k)
-		}
-	}
-	return got
-}
-
-// gossip sends the updates that are due to a few random members.
-func (f *Fleet) gossip(i int) {
-	for _, k := range f.pick(i, f.s.GossipNodes, -1) {
-		if msg := f.take(i); len(msg) > 0 {
-			f.send(i, k, &event{kind: deliver, msg: msg})
-		}
-	}
-}
-
-// take is the updates that a message carries, those sent least often first; an update is sent at most
-// RetransmitMult * log10(N+1) times.
-func (f *Fleet) take(i int) []update {
-	m := f.members[i]
-	if len(m.queue) == 0 {
-		return nil
-	}
-	limit := f.s.RetransmitMult * int(math.Ceil(math.Log10(float64(len(f.members)+1))))
-	slices.SortStableFunc(m.queue, func(a, b queued) int { return a.sent - b.sent })
-	var msg []update
-	for k := 0; k < len(m.queue) && len(msg) < mostPerMsg; k++ {
-		msg = append(msg, m.queue[k].update)
-		m.queue[k].sent++
-	}
-	m.queue = slices.DeleteFunc(m.queue, func(q queued) bool { return q.sent >= limit })
-	return msg
-}
-
-// broadcast queues an update to be gossiped, in place of an older one of the same member.
-func (f *Fleet) broadcast(i int, u update) {
-	m := f.members[i]
-	m.queue = slices.DeleteFunc(m.queue, func(q queued) bool { return q.of == u.of })
-	m.queue = append(m.queue, queued{update: u})
-}
-
-// suspect starts a suspicion of t by i.
-func (f *Fleet) suspect(i, t int) {
-	m := f.members[i]
-	if m.state[t] != membership.Alive {
-		return
-	}
-	f.learn(i, update{t, m.incs[t], membership.Suspect})
-}
-
-// suspicion is how long i's suspicion of t lasts now: memberlist's formula, from the longest down to the shortest
-// as independent confirmations come.
-func (f *Fleet) suspicion(i, t int) time.Duration {
-	n := float64(len(f.members))
-	least := time.Duration(float64(f.s.SuspicionMult) * math.Max(1, math.Log10(n)) * float64(f.s.ProbeInterval))
-	most := time.Duration(f.s.SuspicionMaxMult) * least
-	k := float64(f.s.SuspicionMult - 2)
-	c := float64(f.members[i].confirms[t])
-	if k < 1 {
-		return least
-	}
-	frac := math.Log(c+1) / math.Log(k+1)
-	return max(least, most-time.Duration(frac*float64(most-least)))
-}
-
-// learn takes an update at member i, by SWIM's rules, refuting what is said of i itself.
-func (f *Fleet) learn(i int, u update) {
-	m := f.members[i]
-	if u.of == i {
-		if u.state != membership.Alive && u.inc >= m.inc {
-			m.inc = u.inc + 1
-			m.incs[i] = m.inc
-			f.Stats.Refutations++
-			f.broadcast(i, update{i, m.inc, membership.Alive})
-			m.view.Observe(f.observation(i, m.inc, membership.Alive), f.start.Add(f.now))
-		}
-		return
-	}
-	held, inc := m.state[u.of], m.incs[u.of]
-	switch u.state {
-	case membership.Alive:
-		if u.inc <= inc {
-			return
-		}
-	case membership.Suspect:
-		if u.inc < inc || held == membership.Dead || held == membership.Left {
-			return
-		}
-		if held == membership.Suspect && u.inc == inc {
-			m.confirms[u.of]++ // a confirmation shortens the suspicion: look again when the shorter one ends
-			f.at(max(0, m.suspected[u.of]+f.suspicion(i, u.of)-f.now)+1,
-				&event{kind: suspectEnd, from: i, target: uint64(u.of)})
-			return
-		}
-		m.suspected[u.of], m.confirms[u.of] = f.now, 0
-		f.at(f.suspicion(i, u.of)+1, &event{kind: suspectEnd, from: i, target: uint64(u.of)})
-		f.Stats.Suspicions++
-		f.episode(u, &f.Stats.FalseSuspicions)
-	case membership.Dead, membership.Left:
-		if u.inc < inc || held == membership.Dead || held == membership.Left {
-			return
-		}
-		f.Stats.Deaths++
-		f.episode(u, &f.Stats.FalseDeaths)
-	}
-	if u.state != membership.Suspect {
-		m.suspected[u.of] = -1
-	}
-	m.state[u.of], m.incs[u.of] = u.state, u.inc
-	f.broadcast(i, u)
-	at := f.start.Add(f.now)
-	if c, news := m.view.Observe(f.observation(u.of, u.inc, u.state), at); news && f.OnChange != nil {
-		f.OnChange(i, c)
-	}
-}
-
-// episode counts an update of a working member, once for each incarnation.
-func (f *Fleet) episode(u update, count *int) {
-	key := [3]uint32{uint32(u.of), u.inc, uint32(u.state)}
-	if f.members[u.of].up && !f.Stats.episodes[key] {
-		if f.Stats.episodes == nil {
-			f.Stats.episodes = map[[3]uint32]bool{}
-		}
-		f.Stats.episodes[key] = true
-		*count++
-	}
-}
-
-// reconnect has member i ask one member that it holds dead to join again: a full exchange of states both ways, if
-// both can reach each other.
-func (f *Fleet) reconnect(i int) {
-	m := f.members[i]
-	if !m.working() {
-		return
-	}
-	var dead []int
-	for k, s := range m.state {
-		if s == membership.Dead && k != i {
-			dead = append(dead, k)
-		}
-	}
-	if len(dead) == 0 {
-		return
-	}
-	k := dead[f.rng.IntN(len(dead))]
-	a, b := f.set[i], f.set[k]
-	if a != 0 && b != 0 && a != b || !f.members[k].working() || f.rng.Float64() < f.loss {
-		f.Stats.Messages++
-		return
-	}
-	f.Stats.Messages += 2
-	f.Stats.Bytes += uint64(2 * (headerBytes + updateBytes*len(f.members)))
-	mine, theirs := f.states(i), f.states(k)
-	for _, u := range theirs {
-		f.learn(i, u)
-	}
-	for _, u := range mine {
-		f.learn(k, u)
-	}
-}
-
-// states is all that a member holds, itself among them.
-func (f *Fleet) states(i int) []update {
-	m := f.members[i]
-	all := make([]update, len(m.state))
-	for k := range m.state {
-		all[k] = update{k, m.incs[k], m.state[k]}
-	}
-	all[i] = update{i, m.inc, membership.Alive}
-	return all
-}
-
 // Holds tells what member i holds of member k.
 func (f *Fleet) Holds(i, k int) membership.State { return f.members[i].state[k] }
 
