--- a/internal/placement/adapters.go
+++ b/internal/placement/adapters.go
@@ -7,79 +7,81 @@
 	"time"
 )
 
-// adapterCrowded is how many requests under way for each copy of an adapter ask for a further one.
-const adapterCrowded = 12
+// planAdapters orders replicas of the adapters that need one more, on endpoints that have their model.
+func (p *planner) planAdapters() {
+	for _, key := range p.adaptersToLoad() {
+		p.addAdapterReplica(key)
+	}
+}
 
-// placeAdapters loads adapters that are asked for beside their models.
-func (p *planner) placeAdapters() {
-	var lacking []Key
+// adaptersToLoad returns the adapters that should have one more replica, by model and name.
+func (p *planner) adaptersToLoad() []Key {
+	var keys []Key
 	for _, key := range p.Demand.Keys(p.Service) {
-		if _, known := p.models[key.Model]; known && key.Adapter != "" && p.lacks(key) {
-			lacking = append(lacking, key)
+		if _, known := p.models[key.Model]; known && key.Adapter != "" && p.needsAdapterReplica(key) {
+			keys = append(keys, key)
 		}
 	}
-	sort.Slice(lacking, func(i, j int) bool {
-		if lacking[i].Model != lacking[j].Model {
-			return lacking[i].Model < lacking[j].Model
+	sort.Slice(keys, func(i, j int) bool {
+		if keys[i].Model != keys[j].Model {
+			return keys[i].Model < keys[j].Model
 		}
-		return lacking[i].Adapter < lacking[j].Adapter
+		return keys[i].Adapter < keys[j].Adapter
 	})
-	for _, key := range lacking {
-		p.placeAdapter(key)
-	}
+	return keys
 }
 
-// lacks tells whether an adapter should have one more copy.
-func (p *planner) lacks(key Key) bool {
-	need, copies := p.need(key), p.adapters[key]
-	if copies == 0 {
-		return need.Unplaced || need.Rate > idleRate
+// needsAdapterReplica reports whether an adapter should have one more replica.
+func (p *planner) needsAdapterReplica(key Key) bool {
+	demand, replicas := p.estimate(key), p.adapterReplicas[key]
+	if replicas == 0 {
+		return demand.Unplaced || demand.Rate > idleRate
 	}
-	return need.InFlight > adapterCrowded*copies
+	return demand.InFlight > inFlightPerAdapterReplica*replicas
 }
 
-// placeAdapter loads an adapter on the endpoint with its model that has the most places for adapters left.
-func (p *planner) placeAdapter(key Key) {
-	var best *Endpoint
-	bestCount := math.MaxInt
-	if len(p.orders) >= mostOrders {
+// addAdapterReplica orders an adapter to be loaded on the endpoint that has its model and the fewest adapters. Where that
+// one has no slot or memory left, the order unloads its longest idle adapter instead; the load follows in a later plan.
+func (p *planner) addAdapterReplica(key Key) {
+	if p.isFull() {
 		return
 	}
-	for _, e := range p.byModel[key.Model] {
-		if p.taken[e.ID] || slices.Contains(e.Models[key.Model], key.Adapter) {
-			continue
-		}
-		if count := adapterCount(e); count < bestCount {
-			best, bestCount = e, count
-		}
-	}
-	if best == nil {
+	chosen := p.endpointForAdapter(key)
+	if chosen == nil {
 		return
 	}
-	size := p.models[key.Model].AdapterSizeMB
-	if bestCount < int(p.Engine.AdapterSlots) && p.used(best)+size <= p.Engine.WeightsSizeMB {
-		p.order(best, Order{Endpoint: best.ID, Operation: Load, Model: key.Model, Adapter: key.Adapter})
+	sizeMB := p.models[key.Model].AdapterSizeMB
+	if chosen.adapterCount() < int(p.Engine.AdapterSlots) && p.models.usedMB(chosen)+sizeMB <= p.Engine.WeightsSizeMB {
+		p.addOrder(Order{Endpoint: chosen.ID, Operation: Load, Model: key.Model, Adapter: key.Adapter})
 		return
 	}
-	if model, adapter, ok := p.idleAdapter(best); ok {
-		p.order(best, Order{Endpoint: best.ID, Operation: Unload, Model: model, Adapter: adapter})
+	if model, adapter, ok := p.longestIdleAdapter(chosen); ok {
+		p.addOrder(Order{Endpoint: chosen.ID, Operation: Unload, Model: model, Adapter: adapter})
 	}
 }
 
-func adapterCount(e *Endpoint) int {
-	count := 0
-	for _, adapters := range e.Models {
-		count += len(adapters)
+// endpointForAdapter returns the endpoint with the fewest adapters among those that have the adapter's model, not the
+// adapter, and no order; nil if there is none.
+func (p *planner) endpointForAdapter(key Key) *Endpoint {
+	var chosen *Endpoint
+	fewest := math.MaxInt
+	for _, e := range p.orderable[key.Model] {
+		if p.assigned[e.ID] || slices.Contains(e.Models[key.Model], key.Adapter) {
+			continue
+		}
+		if count := e.adapterCount(); count < fewest {
+			chosen, fewest = e, count
+		}
 	}
-	return count
+	return chosen
 }
 
-// idleAdapter is the adapter of an endpoint that was not asked for for the longest time.
-func (p *planner) idleAdapter(e *Endpoint) (model, adapter string, ok bool) {
+// longestIdleAdapter returns the adapter of an endpoint whose last request is the longest ago.
+func (p *planner) longestIdleAdapter(e *Endpoint) (model, adapter string, ok bool) {
 	oldest := time.Duration(math.MaxInt64)
 	for name, adapters := range e.Models {
 		for _, a := range adapters {
-			if at := p.need(p.key(name, a)).LastRequestAt; at < oldest || at == oldest && a < adapter {
+			if at := p.estimate(p.key(name, a)).LastRequestAt; at < oldest || at == oldest && a < adapter {
 				model, adapter, oldest, ok = name, a, at, true
 			}
 		}
--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -1,5 +1,3 @@
-// Package placement decides which models and adapters stand on which endpoints, from the demand that the sidecars
-// report, and keeps account of the orders that were given. It does no input or output and reads no clock.
 package placement
 
 import (
@@ -7,205 +5,220 @@
 	"time"
 )
 
-// Key names a model of a service, or one of its adapters.
-type Key struct{ Service, Model, Adapter string }
+// Key identifies a model of a service, or one of its adapters.
+type Key struct {
+	Service string
+	Model   string
+	Adapter string // empty for the model itself
+}
 
 // ModelKey is the key of a key's model.
 func (k Key) ModelKey() Key { return Key{Service: k.Service, Model: k.Model} }
 
-const (
-	// rateOver is the time over which rates are averaged.
-	rateOver = 3 * time.Second
-	// fastOver is the time over which the rates are averaged that tell growth.
-	fastOver = time.Second
-	// pressureOver is the time over which waiting requests are averaged.
-	pressureOver = 500 * time.Millisecond
-	// mostGrowth bounds how much a growing rate counts for more.
-	mostGrowth = 2
-	// recently is how long a request that found no endpoint asks for its model.
-	recently = 2 * time.Second
-	// inFlightFor is how long a sidecar's word of its requests under way counts.
-	inFlightFor = time.Second
-	// forgetAfter is when a key that nobody asks for is forgotten.
-	forgetAfter  = 5 * time.Minute
-	mostKeys     = 65536
-	mostSidecars = 8192
-)
-
-// Sample is what one sidecar reports of a key.
+// Sample is what a proxy reports of one key.
 type Sample struct {
 	Key      Key
-	Requests int
-	Unplaced int
-	InFlight int
-	Waiting  int // of them, those whose answer has not begun
+	Requests int // since its last report
+	Unplaced int // of these, those that found no endpoint with the model or adapter
+	InFlight int // now
+	Waiting  int // of those in flight, the ones whose response has not begun
 }
 
-// wanted is the demand for a key, over all sidecars.
-type wanted struct {
-	count      float64 // decays
-	fast       float64 // like count, over a shorter time
-	countedAt  time.Duration
-	askedAt    time.Duration
-	unplacedAt time.Duration
-	inFlight   int
-	waiting    int
-	pressure   float64 // averaged waiting requests
-	pressureAt time.Duration
-}
+// noRequest is the time of the last request for a key that has none: long before any other.
+const noRequest = -time.Hour
 
-// flights are a sidecar's requests under way, by its last report.
-type flights struct {
-	at    time.Duration
-	byKey map[Key]flight
+// Demand estimates the demand for models and adapters from the reports of all proxies. It is not safe for concurrent use.
+type Demand struct {
+	counters map[Key]*counter
+	reports  map[string]*report // the last of each proxy
 }
 
-type flight struct{ inFlight, waiting int }
+// counter is the demand for one key, over all proxies.
+type counter struct {
+	requests      float64 // decays with rateWindow
+	burstRequests float64 // decays with burstRateWindow
+	countedAt     time.Duration
+	lastRequestAt time.Duration
+	unplacedAt    time.Duration
+	inFlight      int
+	waiting       int
+	pressure      float64 // average of waiting over pressureWindow
+	pressureAt    time.Duration
+}
 
-// Demand is what is asked for, over all sidecars.
-type Demand struct {
-	keys     map[Key]*wanted
-	sidecars map[string]*flights
+// report is a proxy's requests in flight.
+type report struct {
+	receivedAt time.Duration
+	active     map[Key]activeRequests
 }
 
-// NewDemand makes an empty table.
+type activeRequests struct{ inFlight, waiting int }
+
+// NewDemand returns an estimator without any demand.
 func NewDemand() *Demand {
-	return &Demand{keys: map[Key]*wanted{}, sidecars: map[string]*flights{}}
+	return &Demand{counters: map[Key]*counter{}, reports: map[string]*report{}}
 }
 
-// Report takes a sidecar's report. What an adapter is asked for counts for its model too.
-func (d *Demand) Report(now time.Duration, from string, samples []Sample) {
-	merged := map[Key]Sample{}
-	for _, s := range samples {
-		add(merged, s.Key, s)
-		if s.Key.Adapter != "" {
-			s.Unplaced = 0 // the model may stand all the same
-			add(merged, s.Key.ModelKey(), s)
+// Report applies a proxy's report: its requests are added to the rates, its requests in flight replace those of its last
+// report. What an adapter is asked for counts for its model too.
+func (d *Demand) Report(now time.Duration, proxy string, samples []Sample) {
+	received := &report{receivedAt: now, active: map[Key]activeRequests{}}
+	for key, sample := range mergeSamples(samples) {
+		if d.count(now, key, sample) && (sample.InFlight > 0 || sample.Waiting > 0) {
+			received.active[key] = activeRequests{inFlight: sample.InFlight, waiting: sample.Waiting}
 		}
 	}
-	fresh := &flights{at: now, byKey: map[Key]flight{}}
-	for key, s := range merged {
-		if d.count(now, key, s) && (s.InFlight > 0 || s.Waiting > 0) {
-			fresh.byKey[key] = flight{inFlight: s.InFlight, waiting: s.Waiting}
-		}
+	if len(d.reports) < maxReporters || d.reports[proxy] != nil {
+		d.removeReport(proxy)
+		d.addReport(proxy, received)
 	}
-	if len(d.sidecars) < mostSidecars || d.sidecars[from] != nil {
-		d.replace(from, fresh)
+}
+
+// mergeSamples sums samples by key, those of adapters for their model too.
+func mergeSamples(samples []Sample) map[Key]Sample {
+	merged := map[Key]Sample{}
+	for _, sample := range samples {
+		addSample(merged, sample.Key, sample)
+		if sample.Key.Adapter != "" {
+			sample.Unplaced = 0 // the adapter is missing; the model may well be loaded
+			addSample(merged, sample.Key.ModelKey(), sample)
+		}
 	}
+	return merged
 }
 
-func add(merged map[Key]Sample, key Key, s Sample) {
+func addSample(merged map[Key]Sample, key Key, sample Sample) {
 	sum := merged[key]
-	sum.Requests += s.Requests
-	sum.Unplaced += s.Unplaced
-	sum.InFlight += s.InFlight
-	sum.Waiting += s.Waiting
+	sum.Requests += sample.Requests
+	sum.Unplaced += sample.Unplaced
+	sum.InFlight += sample.InFlight
+	sum.Waiting += sample.Waiting
 	merged[key] = sum
 }
 
-// count notes requests for a key. It is false where there are too many keys.
-func (d *Demand) count(now time.Duration, key Key, s Sample) bool {
-	w := d.keys[key]
-	if w == nil {
-		if len(d.keys) >= mostKeys {
+// count adds a sample to the counter of a key. It returns false if the key is not known and there are too many.
+func (d *Demand) count(now time.Duration, key Key, sample Sample) bool {
+	c := d.counters[key]
+	if c == nil {
+		if len(d.counters) >= maxKeys {
 			return false
 		}
-		w = &wanted{askedAt: -time.Hour, unplacedAt: -time.Hour, pressureAt: now}
-		d.keys[key] = w
+		c = &counter{lastRequestAt: noRequest, unplacedAt: noRequest, pressureAt: now}
+		d.counters[key] = c
 	}
-	w.fast = w.fast*math.Exp(-float64(now-w.countedAt)/float64(fastOver)) + float64(s.Requests)
-	w.count = w.decayed(now) + float64(s.Requests)
-	w.countedAt = now
-	if s.Requests > 0 || s.Unplaced > 0 || s.InFlight > 0 {
-		w.askedAt = now
+	c.burstRequests = c.burstRequestsAt(now) + float64(sample.Requests)
+	c.requests = c.requestsAt(now) + float64(sample.Requests)
+	c.countedAt = now
+	if sample.Requests > 0 || sample.Unplaced > 0 || sample.InFlight > 0 {
+		c.lastRequestAt = now
 	}
-	if s.Unplaced > 0 {
-		w.unplacedAt = now
+	if sample.Unplaced > 0 {
+		c.unplacedAt = now
 	}
 	return true
 }
 
-// replace puts a sidecar's requests under way in the place of those it had before.
-func (d *Demand) replace(from string, fresh *flights) {
-	if old := d.sidecars[from]; old != nil {
-		for key, f := range old.byKey {
-			if w := d.keys[key]; w != nil {
-				w.inFlight -= f.inFlight
-				w.waiting -= f.waiting
-			}
-		}
+// addReport counts a proxy's requests in flight. Their keys have counters.
+func (d *Demand) addReport(proxy string, added *report) {
+	for key, active := range added.active {
+		d.counters[key].inFlight += active.inFlight
+		d.counters[key].waiting += active.waiting
 	}
-	if fresh == nil {
-		delete(d.sidecars, from)
+	d.reports[proxy] = added
+}
+
+// removeReport no longer counts the requests in flight of a proxy's last report.
+func (d *Demand) removeReport(proxy string) {
+	removed := d.reports[proxy]
+	if removed == nil {
 		return
 	}
-	for key, f := range fresh.byKey {
-		d.keys[key].inFlight += f.inFlight
-		d.keys[key].waiting += f.waiting
+	for key, active := range removed.active {
+		if c := d.counters[key]; c != nil {
+			c.inFlight -= active.inFlight
+			c.waiting -= active.waiting
+		}
 	}
-	d.sidecars[from] = fresh
+	delete(d.reports, proxy)
 }
 
-// Expire drops what sidecars have said that have been quiet since, and keys that nobody has asked for in a long time.
+// Expire removes the reports of proxies that have sent none for inFlightTTL, and keys without requests for keyTTL.
 func (d *Demand) Expire(now time.Duration) {
-	for from, f := range d.sidecars {
-		if now-f.at >= inFlightFor {
-			d.replace(from, nil)
+	for proxy, r := range d.reports {
+		if now-r.receivedAt >= inFlightTTL {
+			d.removeReport(proxy)
 		}
 	}
-	for key, w := range d.keys {
-		if now-w.askedAt > forgetAfter && w.inFlight == 0 {
-			delete(d.keys, key)
+	for key, c := range d.counters {
+		if now-c.lastRequestAt > keyTTL && c.inFlight == 0 {
+			delete(d.counters, key)
 		}
 	}
 }
 
-func (w *wanted) decayed(now time.Duration) float64 {
-	return w.count * math.Exp(-float64(now-w.countedAt)/float64(rateOver))
-}
-
-// growth is by how much the rate of the last moments exceeds that of the last seconds.
-func (w *wanted) growth(now time.Duration) float64 {
-	slow := w.decayed(now) / rateOver.Seconds()
-	fast := w.fast * math.Exp(-float64(now-w.countedAt)/float64(fastOver)) / fastOver.Seconds()
-	if slow <= 0 {
-		return 1
-	}
-	return min(max(fast/slow, 1), mostGrowth)
-}
-
-// Estimate is the demand for one key at a moment.
+// Estimate is the demand for one key at a moment, over all proxies.
 type Estimate struct {
-	Rate     float64 // requests a second
-	InFlight int     // requests under way
-	Waiting  int     // of them, those whose answer has not begun
-	// Pressure is how many requests wait for the beginning of their answer, averaged, and ahead of a rate that grows.
+	Rate     float64 // requests a second, averaged over rateWindow
+	InFlight int     // requests in flight
+	Waiting  int     // of those in flight, the ones whose response has not begun
+	// Pressure is Waiting averaged over pressureWindow, and multiplied by the growth of the rate where it grows.
 	Pressure      float64
-	Unplaced      bool          // a request has lately found no endpoint
-	LastRequestAt time.Duration // the last request; long ago for none
+	Unplaced      bool          // a request has found no endpoint within unplacedTTL
+	LastRequestAt time.Duration // an hour before the origin of the clock if there was none
 }
 
-// Estimate tells the demand for a key now.
+// Estimate returns the demand for a key now. It brings the average of waiting requests up to date.
 func (d *Demand) Estimate(now time.Duration, key Key) Estimate {
-	w := d.keys[key]
-	if w == nil {
-		return Estimate{LastRequestAt: -time.Hour}
+	c := d.counters[key]
+	if c == nil {
+		return Estimate{LastRequestAt: noRequest}
 	}
-	w.pressure += (float64(w.waiting) - w.pressure) * (1 - math.Exp(-float64(now-w.pressureAt)/float64(pressureOver)))
-	w.pressureAt = now
+	c.updatePressure(now)
 	return Estimate{
-		Rate: w.decayed(now) / rateOver.Seconds(), InFlight: w.inFlight, Waiting: w.waiting,
-		Pressure: w.pressure * w.growth(now), Unplaced: now-w.unplacedAt < recently, LastRequestAt: w.askedAt,
+		Rate:          c.requestsAt(now) / rateWindow.Seconds(),
+		InFlight:      c.inFlight,
+		Waiting:       c.waiting,
+		Pressure:      c.pressure * c.growth(now),
+		Unplaced:      now-c.unplacedAt < unplacedTTL,
+		LastRequestAt: c.lastRequestAt,
 	}
 }
 
-// Keys lists the keys of a service that have been asked for.
+// Keys returns the keys of a service that have been asked for, in no particular order.
 func (d *Demand) Keys(service string) []Key {
 	var keys []Key
-	for key := range d.keys {
+	for key := range d.counters {
 		if key.Service == service {
 			keys = append(keys, key)
 		}
 	}
 	return keys
 }
+
+func (c *counter) requestsAt(now time.Duration) float64 {
+	return c.requests * decay(now-c.countedAt, rateWindow)
+}
+
+func (c *counter) burstRequestsAt(now time.Duration) float64 {
+	return c.burstRequests * decay(now-c.countedAt, burstRateWindow)
+}
+
+func (c *counter) updatePressure(now time.Duration) {
+	c.pressure += (float64(c.waiting) - c.pressure) * (1 - decay(now-c.pressureAt, pressureWindow))
+	c.pressureAt = now
+}
+
+// growth is the factor by which the rate over burstRateWindow exceeds that over rateWindow, from 1 to maxGrowth.
+func (c *counter) growth(now time.Duration) float64 {
+	rate := c.requestsAt(now) / rateWindow.Seconds()
+	burstRate := c.burstRequestsAt(now) / burstRateWindow.Seconds()
+	if rate <= 0 {
+		return 1
+	}
+	return min(max(burstRate/rate, 1), maxGrowth)
+}
+
+// decay is the factor by which an exponential average with a time constant has decayed after some time.
+func decay(elapsed, timeConstant time.Duration) float64 {
+	return math.Exp(-float64(elapsed) / float64(timeConstant))
+}
--- a/internal/placement/endpoint.go
+++ b/internal/placement/endpoint.go
@@ -1,80 +1,126 @@
 package placement
 
 import (
+	"maps"
 	"slices"
 
 	"dykering/internal/fleetconfig"
 )
 
-// Operation of an order.
+// Operation is what an order has an endpoint do. Its values are those of the endpoints' API.
 type Operation string
 
-// The operations.
+// The operations of the endpoints' API.
 const (
 	Load   Operation = "loading"
 	Unload Operation = "unloading"
 )
 
-// Order has an endpoint load or unload a model, or an adapter of a model that it holds.
+// Order has an endpoint load or unload a model, or an adapter of a model that it has loaded.
 type Order struct {
-	Endpoint  string
+	Endpoint  string // ID
 	Operation Operation
 	Model     string
-	Adapter   string
-	// FreesMemoryFor is the model that an unload frees memory for; empty for a load.
+	Adapter   string // empty for the model itself
+	// FreesMemoryFor is the model that an unload of a model frees memory for; empty otherwise.
 	FreesMemoryFor string
 }
 
-// Endpoint is an endpoint as the planner sees it, with the order that is under way counted as done.
+// Endpoint is an endpoint as the planner sees it: as it will be when the order in flight, if any, has been executed.
 type Endpoint struct {
-	ID            string
-	Models        map[string][]string // adapters by model
-	Excluded      bool                // it gets no orders, and what it holds does not count
-	OrderInFlight bool                // an order is under way
-	ReservedFor   string              // the model that memory is being freed for
+	ID     string
+	Models map[string][]string // loaded models, each with its loaded adapters
+	// Excluded is true for an endpoint that is not ready, for example since it is draining: it gets no orders, and its
+	// models do not count as replicas.
+	Excluded bool
+	// OrderInFlight is true until the last order has ended: the endpoint gets no other one.
+	OrderInFlight bool
+	// ReservedFor is the model that the order in flight frees memory for; empty if there is none.
+	ReservedFor string
 }
 
-// Apply counts an order as done.
+// Apply changes Models as an order does once it has been executed. The former map and its lists are not modified.
 func (e *Endpoint) Apply(order Order) {
-	models := map[string][]string{}
-	for name, adapters := range e.Models {
-		models[name] = adapters
-	}
+	models := make(map[string][]string, len(e.Models)+1)
+	maps.Copy(models, e.Models)
+	adapters := models[order.Model]
 	switch {
 	case order.Operation == Load && order.Adapter == "":
-		if models[order.Model] == nil {
+		if adapters == nil {
 			models[order.Model] = []string{}
 		}
 	case order.Operation == Load:
-		if !slices.Contains(models[order.Model], order.Adapter) {
-			models[order.Model] = append(append([]string{}, models[order.Model]...), order.Adapter)
+		if !slices.Contains(adapters, order.Adapter) {
+			models[order.Model] = append(append([]string{}, adapters...), order.Adapter)
 		}
 	case order.Adapter == "":
 		delete(models, order.Model)
 	default:
-		kept := []string{}
-		for _, adapter := range models[order.Model] {
-			if adapter != order.Adapter {
-				kept = append(kept, adapter)
-			}
-		}
-		models[order.Model] = kept
+		models[order.Model] = without(adapters, order.Adapter)
 	}
 	e.Models = models
 }
 
-// Fits tells whether an endpoint has room for what an order loads.
+// without returns a copy of a list without one of its items. It is not nil: a model with a nil list counts as one that is
+// not loaded.
+func without(adapters []string, removed string) []string {
+	kept := []string{}
+	for _, adapter := range adapters {
+		if adapter != removed {
+			kept = append(kept, adapter)
+		}
+	}
+	return kept
+}
+
+// Fits reports whether an endpoint has the memory and the adapter slots for what an order loads. It is false for an
+// endpoint with a model that the engine does not list, since that one's size is unknown.
 func (e *Endpoint) Fits(order Order, engine *fleetconfig.Engine) bool {
 	if order.Operation != Load {
 		return true
 	}
 	after := Endpoint{Models: e.Models}
 	after.Apply(order)
-	p := &planner{Input: Input{Engine: engine}, models: modelsByName(engine)}
+	models := newModelCatalog(engine)
 	for name := range after.Models {
-		if _, known := p.models[name]; !known {
-			return false // what it takes is not known
+		if _, known := models[name]; !known {
+			return false
 		}
 	}
-	return p.used(&after) <= engine.WeightsSizeMB && adapterCount(&after) <= int(engine.AdapterSlots)
+	return models.usedMB(&after) <= engine.WeightsSizeMB && after.adapterCount() <= int(engine.AdapterSlots)
+}
+
+// adapterCount is the number of adapters that an endpoint has loaded, over all models.
+func (e *Endpoint) adapterCount() int {
+	count := 0
+	for _, adapters := range e.Models {
+		count += len(adapters)
+	}
+	return count
+}
+
+// modelCatalog is the models that an engine lists, by name.
+type modelCatalog map[string]fleetconfig.Model
+
+func newModelCatalog(engine *fleetconfig.Engine) modelCatalog {
+	models := make(modelCatalog, len(engine.Models))
+	for _, model := range engine.Models {
+		models[model.Name] = model
+	}
+	return models
+}
+
+// replicaMB is the memory that a model with a number of adapters takes. A model that is not listed counts as 0.
+func (c modelCatalog) replicaMB(model string, adapters int) float64 {
+	listed := c[model]
+	return listed.WeightsSizeMB + float64(adapters)*listed.AdapterSizeMB
+}
+
+// usedMB is the memory that an endpoint's models and adapters take.
+func (c modelCatalog) usedMB(e *Endpoint) float64 {
+	var used float64
+	for model, adapters := range e.Models {
+		used += c.replicaMB(model, len(adapters))
+	}
+	return used
 }
--- a/internal/placement/loadledger.go
+++ b/internal/placement/loadledger.go
@@ -2,108 +2,103 @@
 
 import (
 	"math"
+	"slices"
 	"time"
 )
 
-// LoadLedger keeps account of the loads of weights that have begun, so that they stay below the store's ceiling in every
-// window.
+// LoadLedger is the accounting for the rate limit of the store that the weights of models are loaded from. It records when
+// each load of the last window has started, and how many more may start.
+//
+// The store's limit is rate * window * overshoot + rateLimitSlack loads in any window. The ledger lets only rate * window
+// loads start; the difference covers loads that start later than they were recorded, and loads that a predecessor has
+// started without a successor's knowledge. It is not safe for concurrent use.
 type LoadLedger struct {
 	window    time.Duration
-	overshoot float64 // by which the ceiling may be passed
-	begun     []time.Duration
+	overshoot float64
+	startedAt []time.Duration
 }
 
-const (
-	// ceilingSlack is how many loads any window may have beyond the ceiling.
-	ceilingSlack = 3
-	// paceWindow and paceShare bound how many loads begin in a short time: a successor that has not heard of the last ones
-	// assumes no more than that.
-	paceWindow = time.Second
-	paceShare  = 1.2
-)
-
-// NewLoadLedger makes a ledger for a window.
+// NewLoadLedger returns an empty ledger for a window of the rate limit, and the factor by which the store's limit exceeds
+// the nominal rate.
 func NewLoadLedger(window time.Duration, overshoot float64) *LoadLedger {
 	return &LoadLedger{window: window, overshoot: overshoot}
 }
 
-// Begin notes a load.
-func (l *LoadLedger) RecordStart(now time.Duration) { l.begun = append(l.begun, now) }
+// RecordStart records that a load starts.
+func (l *LoadLedger) RecordStart(now time.Duration) { l.startedAt = append(l.startedAt, now) }
 
-// Delay notes that a load which was noted before begins only now.
-func (l *LoadLedger) Reschedule(noted, now time.Duration) {
-	for i, at := range l.begun {
-		if at == noted {
-			l.begun[i] = now
-			return
-		}
+// Reschedule records that a load which was recorded at one time starts only now. It does nothing if there is no such load.
+func (l *LoadLedger) Reschedule(recordedAt, now time.Duration) {
+	if i := slices.Index(l.startedAt, recordedAt); i >= 0 {
+		l.startedAt[i] = now
 	}
 }
 
-// Ages tells how long ago the loads of the window began.
+// Ages returns how long ago each load of the window has started, in the order in which they were recorded.
 func (l *LoadLedger) Ages(now time.Duration) []time.Duration {
-	l.forget(now)
-	ages := make([]time.Duration, len(l.begun))
-	for i, at := range l.begun {
+	l.removeExpired(now)
+	ages := make([]time.Duration, len(l.startedAt))
+	for i, at := range l.startedAt {
 		ages[i] = now - at
 	}
 	return ages
 }
 
-// AssumeUnreported notes as many loads as a predecessor may have begun between the time at which its ledger was last heard of and
-// the time at which it must have stopped, less those that the ceiling leaves beyond what is used of it.
-func (l *LoadLedger) AssumeUnreported(heard, until time.Duration, perS float64) {
-	slack := l.ceiling(perS) - l.most(perS)
-	unheard := int(math.Ceil(float64(max(until-heard, 0))/float64(paceWindow))) * l.pace(perS)
-	for range max(min(unheard, l.most(perS))-slack, 0) {
-		l.begun = append(l.begun, until)
+// Available returns how many loads may start now, for a rate limit in loads a second.
+func (l *LoadLedger) Available(now time.Duration, loadsPerSecond float64) int {
+	l.removeExpired(now)
+	recent := 0
+	for _, at := range l.startedAt {
+		if now-at < burstWindow {
+			recent++
+		}
 	}
+	inWindow := l.windowLimit(loadsPerSecond) - len(l.startedAt)
+	inBurst := l.burstLimit(loadsPerSecond) - recent
+	return max(min(inWindow, inBurst), 0)
 }
 
-// AssumeFullWindow notes as many loads as a predecessor may have begun of which nothing is known.
-func (l *LoadLedger) AssumeFullWindow(until time.Duration, perS float64) {
-	l.AssumeUnreported(until-l.window, until, perS)
+// AssumeUnreported records, at the time until, as many loads as a predecessor may have started between its last report
+// and until, when its lease had ended. The loads that the store's limit allows beyond what a ledger uses are subtracted.
+//
+// Without it a successor could start a full window of loads right after a predecessor that it was not informed of has done
+// the same, and exceed the store's limit.
+func (l *LoadLedger) AssumeUnreported(lastReportAt, until time.Duration, loadsPerSecond float64) {
+	unused := l.storeLimit(loadsPerSecond) - l.windowLimit(loadsPerSecond)
+	bursts := int(math.Ceil(float64(max(until-lastReportAt, 0)) / float64(burstWindow)))
+	unreported := bursts * l.burstLimit(loadsPerSecond)
+	for range max(min(unreported, l.windowLimit(loadsPerSecond))-unused, 0) {
+		l.startedAt = append(l.startedAt, until)
+	}
 }
 
-// most is how many loads are begun in a window: what the ceiling allows beyond stays free for those that begin later than
-// they are noted.
-func (l *LoadLedger) most(perS float64) int {
-	return max(int(perS*l.window.Seconds()), 1)
+// AssumeFullWindow records as many loads as a predecessor may have started that has never reported any.
+func (l *LoadLedger) AssumeFullWindow(until time.Duration, loadsPerSecond float64) {
+	l.AssumeUnreported(until-l.window, until, loadsPerSecond)
 }
 
-// pace is how many loads are begun in a short window.
-func (l *LoadLedger) pace(perS float64) int {
-	return int(math.Ceil(perS*paceShare*paceWindow.Seconds())) + 1
+// windowLimit is the number of loads that a ledger lets start in a window.
+func (l *LoadLedger) windowLimit(loadsPerSecond float64) int {
+	return max(int(loadsPerSecond*l.window.Seconds()), 1)
 }
 
-func (l *LoadLedger) ceiling(perS float64) int {
-	return int(math.Floor(perS*l.window.Seconds()*l.overshoot)) + ceilingSlack
+// burstLimit is the number of loads that a ledger lets start within burstWindow.
+func (l *LoadLedger) burstLimit(loadsPerSecond float64) int {
+	return int(math.Ceil(loadsPerSecond*burstFactor*burstWindow.Seconds())) + 1
 }
 
-// forget drops the loads that no window counts any more.
-func (l *LoadLedger) forget(now time.Duration) {
-	kept := l.begun[:0]
-	for _, at := range l.begun {
-		if now-at <= l.window {
-			kept = append(kept, at)
-		}
-	}
-	l.begun = kept
+// storeLimit is the number of loads that the store allows in any window.
+func (l *LoadLedger) storeLimit(loadsPerSecond float64) int {
+	return int(math.Floor(loadsPerSecond*l.window.Seconds()*l.overshoot)) + rateLimitSlack
 }
 
-// Room is how many loads may begin now.
-func (l *LoadLedger) Available(now time.Duration, perS float64) int {
-	l.forget(now)
-	lately := 0
-	for _, at := range l.begun {
-		if now-at < paceWindow {
-			lately++
-		}
-	}
-	return max(min(l.most(perS)-len(l.begun), l.pace(perS)-lately), 0)
+// removeExpired removes the loads that have left the window.
+func (l *LoadLedger) removeExpired(now time.Duration) {
+	l.startedAt = slices.DeleteFunc(l.startedAt, func(at time.Duration) bool { return now-at > l.window })
 }
 
-// ConcurrentLoads is how many loads the store carries at full speed: as many as it allows to begin while one takes its time.
-func ConcurrentLoads(perS, loadSeconds float64) int {
-	return int(math.Max(math.Ceil(perS*loadSeconds), 1))
+// ConcurrentLoads is the number of loads that the store serves at full speed: as many as the rate limit lets start while
+// one of a duration in seconds is in progress. It is at least 1.
+func ConcurrentLoads(loadsPerSecond, loadSeconds float64) int {
+	return int(math.Max(math.Ceil(loadsPerSecond*loadSeconds), 1))
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -241,8 +241,8 @@
 	It("does not count a sidecar that has gone quiet as busy", func() {
 		demand := NewDemand()
 		demand.Report(now, "p1", []Sample{{Key: key("hot", ""), InFlight: 2}})
-		demand.Expire(now + inFlightFor)
-		Expect(demand.Estimate(now+inFlightFor, key("hot", "")).InFlight).To(Equal(0))
+		demand.Expire(now + inFlightTTL)
+		Expect(demand.Estimate(now+inFlightTTL, key("hot", "")).InFlight).To(Equal(0))
 	})
 
 	It("counts a sidecar's last report alone", func() {
@@ -256,7 +256,7 @@
 	It("forgets what nobody asks for", func() {
 		demand := NewDemand()
 		demand.Report(now, "p1", []Sample{{Key: key("hot", ""), Requests: 1}})
-		demand.Expire(now + forgetAfter + 1)
+		demand.Expire(now + keyTTL + 1)
 		Expect(demand.Keys("s")).To(BeEmpty())
 	})
 })
