--- a/cmd/dykering-lab/main.go
+++ b/cmd/dykering-lab/main.go
@@ -37,16 +37,20 @@
 
 // execute runs a command line, and returns the exit code: 0 well, 1 a fault or a broken rule, 2 a wrong command line.
 func execute(args []string, out, errOut io.Writer, in whole.Bubble) int {
-	root := &cli.Command{
+	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	defer stop()
+	return commandline.Run(ctx, newRoot(in), args, out, errOut)
+}
+
+// newRoot makes the command line.
+func newRoot(in whole.Bubble) *cli.Command {
+	return &cli.Command{
 		Name: "dykering-lab", Usage: "The laboratory of the broker",
 		Commands: []*cli.Command{
 			newCheck(), newSim(), newReal(), newWhole(in), newExplore(in), newRun(in), newCompare(), newLoad(),
 			newBench(), newDemo(), newBroker(), newReverseProxy(), newFleetView(), newCoreSearch(), newTrial(),
 		},
 	}
-	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	defer stop()
-	return commandline.Run(ctx, root, args, out, errOut)
 }
 
 func newCheck() *cli.Command {
--- /dev/null
+++ b/cmd/dykering/output_test.go
@@ -0,0 +1,82 @@
+package main
+
+import (
+	"bytes"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"dykering/internal/fixture"
+	"dykering/internal/protocol"
+	"dykering/internal/sessions"
+)
+
+// compareOutput compares what a command prints with what released builds print.
+func compareOutput(t *testing.T, name string, show func(out io.Writer) error) {
+	t.Helper()
+	var out bytes.Buffer
+	if err := show(&out); err != nil {
+		t.Fatalf("%s: %v", name, err)
+	}
+	released := fixture.Bytes(t, "testdata/compatibility/"+name+".txt", out.Bytes)
+	if out.String() != string(released) {
+		t.Errorf("%s: released builds print\n%s\nthis one prints\n%s", name, released, out.String())
+	}
+}
+
+func TestStatusIsPrintedAsByReleasedBuilds(t *testing.T) {
+	var status protocol.Status
+	fixture.JSON(t, "testdata/compatibility/status.json", &status)
+	status.Endpoints = map[sessions.State]int{"ready": 11, "silent": 12, "draining": 13, "gone": 14}
+	compareOutput(t, "status", func(out io.Writer) error { return showStatus(out, status) })
+	status.Sealed, status.Holds = false, false
+	compareOutput(t, "status-other", func(out io.Writer) error { return showStatus(out, status) })
+}
+
+func TestModelExplanationIsPrintedAsByReleasedBuilds(t *testing.T) {
+	var model protocol.Explanation
+	fixture.JSON(t, "testdata/compatibility/explain-model.json", &model)
+	model.Now = time.Minute
+	compareOutput(t, "explain-model", func(out io.Writer) error { return showExplanation(out, model) })
+}
+
+// answering serves files as the answers to paths, and returns its address.
+func answering(t *testing.T, files map[string]string) string {
+	t.Helper()
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		text, err := os.ReadFile(files[r.URL.Path])
+		if err != nil {
+			http.NotFound(w, r)
+			return
+		}
+		w.Header().Set("Content-Type", "application/json")
+		w.Write(text)
+	}))
+	t.Cleanup(server.Close)
+	return strings.TrimPrefix(server.URL, "http://")
+}
+
+func TestExplainedRequestsArePrintedAsByReleasedBuilds(t *testing.T) {
+	address := answering(t, map[string]string{"/explain": "testdata/compatibility/explain-requests.json"})
+	requests, err := askRequests(address, "")
+	if err != nil {
+		t.Fatal(err)
+	}
+	compareOutput(t, "explain-requests", func(out io.Writer) error { return showRequests(out, requests) })
+}
+
+// The answers are those that the fleet's fixtures hold.
+func TestFleetIsPrintedAsByReleasedBuilds(t *testing.T) {
+	address := answering(t, map[string]string{
+		"/-/fleet":         "../../internal/fleet/gossip/testdata/compatibility/view.json",
+		"/-/fleet/state":   "../../internal/fleet/replication/testdata/compatibility/state.json",
+		"/-/fleet/budgets": "../../internal/fleet/budgets/testdata/compatibility/state.json",
+	})
+	compareOutput(t, "fleet-members", func(out io.Writer) error { return showMembers(out, address) })
+	compareOutput(t, "fleet-state", func(out io.Writer) error { return showState(out, address) })
+	compareOutput(t, "fleet-budgets", func(out io.Writer) error { return showBudgets(out, address) })
+}
