--- a/internal/dataplane/metrics_names_test.go
+++ b/internal/dataplane/metrics_names_test.go
@@ -11,10 +11,10 @@
 
 var _ = Describe("the names of the metrics", func() {
 	It("are those of the page", func() {
-		s := newSidecar(route("non_idempotent", ""), newStandIn("i-1", says(200, "hello", stamped)))
+		proxy := newTestProxy(route("non_idempotent", ""), newFakeEndpoint("i-1", responds(200, "hello", signed)))
 		recorder := httptest.NewRecorder()
-		s.process.health().ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/metrics", nil))
-		writeEndings(recorder.Body, map[ending]uint64{{result: resultInTime}: 1})
+		proxy.server.adminHandler().ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+		writeOutcomes(recorder.Body, map[requestOutcome]uint64{{result: resultInTime}: 1})
 		page := fixture.Names(GinkgoTB(), "../../docs/FIXED.md", "Metrics of the proxy")
 		fixture.SameNames(GinkgoTB(), "metrics", page, fixture.MetricNames(recorder.Body.String()))
 	})
