--- a/cmd/dykering-lab/main_test.go
+++ b/cmd/dykering-lab/main_test.go
@@ -21,7 +21,7 @@
 }
 
 // What the command line does, and its exit codes; runs side by side are what each is alone.
-func TestCommands(t *testing.T) {
+func TestCommandsGiveTheirOutputAndExitCode(t *testing.T) {
 	dir := t.TempDir()
 	faulty, small := filepath.Join(dir, "faulty.toml"), filepath.Join(dir, "small.toml")
 	text, err := os.ReadFile("../../lab/scenarios/release.toml")
--- /dev/null
+++ b/cmd/dykering/config_command.go
@@ -0,0 +1,65 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"os"
+	"text/tabwriter"
+
+	"github.com/pkg/errors"
+	"github.com/urfave/cli/v3"
+
+	"dykering/internal/config"
+	"dykering/internal/faults"
+	"dykering/internal/operator"
+)
+
+func newConfig() *cli.Command {
+	return &cli.Command{
+		Name: "config", Usage: "Look at the configuration", Commands: []*cli.Command{newShow(), newDefault()},
+		Action: func(context.Context, *cli.Command) error { return errors.New("config: show or default is missing") },
+	}
+}
+
+func newShow() *cli.Command {
+	var f files
+	return &cli.Command{
+		Name: "show", Usage: "Show what holds, and where each value comes from", Flags: f.flags(),
+		Action: action(func(c *cli.Command) error { return f.show(c.Root().Writer) }),
+	}
+}
+
+func (f *files) show(out io.Writer) error {
+	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	if f.getenv("BALANCER_CONFIG") != "" {
+		c, err := config.Load(f.getenv)
+		if err != nil {
+			return err
+		}
+		for _, v := range c.Values() {
+			fmt.Fprintf(t, "%s\t= %s\t# %s\n", v.Key, v.Text, v.Source)
+		}
+	}
+	o := operator.Defaults()
+	if f.operator != "" {
+		var wrong []faults.Fault
+		if o, wrong = operator.Load(f.operator, os.LookupEnv); len(wrong) > 0 {
+			return faults.Join(wrong)
+		}
+	}
+	for _, v := range o.Values() {
+		fmt.Fprintf(t, "%s\t= %s\t# %s\n", v.Key, v.Text, v.Source)
+	}
+	return t.Flush()
+}
+
+func newDefault() *cli.Command {
+	return &cli.Command{
+		Name: "default", Usage: "Print an operator's file with every key and its default",
+		Action: action(func(c *cli.Command) error {
+			_, err := fmt.Fprint(c.Root().Writer, operator.Example())
+			return err
+		}),
+	}
+}
--- a/cmd/dykering/terms_test.go
+++ b/cmd/dykering/deployment_test.go
@@ -33,7 +33,7 @@
 
 // What is deployed is linked against the C library, and README and Makefile build it by the same line; `run` ends in
 // one process, that keeps the platform's terms.
-func TestDeployedProgram(t *testing.T) {
+func TestDeployedProgramKeepsThePlatformsTerms(t *testing.T) {
 	build := deployed(t, "build")
 	_, goBuild, _ := strings.Cut(build, "&& ")
 	for _, file := range []string{"../../README.md", "../../Makefile"} {
--- a/cmd/dykering/crowd_test.go
+++ b/cmd/dykering/discovery_down_test.go
@@ -22,9 +22,9 @@
 // Idle and mute clients fill every descriptor that a process may have while discovery is down, and go on coming. It asks
 // discovery all the same, has what that says within the operators' 6 s, and serves who asks; it is never without a
 // descriptor to accept with.
-func TestCrowdWhileDiscoveryIsDown(t *testing.T) {
+func TestIdleClientsFillDescriptorsWhileDiscoveryIsDownAndServiceResumes(t *testing.T) {
 	const sockets = 256 // as configure says
-	endpoint := loopbackServer(t, loopback.Address(), func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "ok") })
+	endpoint := loopbackServer(t, loopback.Address(), func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") })
 	place := loopback.Address()
 	logs := filepath.Join(t.TempDir(), "log")
 	out, err := os.Create(logs)
@@ -106,7 +106,7 @@
 	began := time.Now()
 	client := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
 	for n := 0; ; n++ {
-		r, _ := http.NewRequest("GET", "http://"+address+"/x", nil)
+		r, _ := http.NewRequest(http.MethodGet, "http://"+address+"/x", nil)
 		r.Header = http.Header{"X-Txn": {fmt.Sprint("a", n)}, "X-Lane": {"read"}, "X-Remaining": {"900m"}}
 		if res, err := client.Do(r); err == nil {
 			io.Copy(io.Discard, res.Body)
--- a/cmd/dykering/explain.go
+++ b/cmd/dykering/explain_command.go
@@ -21,13 +21,16 @@
 const explainWithin = 3 * time.Second
 
 func newExplain() *cli.Command {
-	return &cli.Command{Name: "explain", Usage: "Why a model stands where it does, or why requests were late, refused or failed",
-		Commands: []*cli.Command{newExplainModel(), newExplainRequests()}}
+	return &cli.Command{
+		Name: "explain", Usage: "Why a model stands where it does, or why requests were late, refused or failed",
+		Commands: []*cli.Command{newExplainModel(), newExplainRequests()},
+	}
 }
 
 func newExplainModel() *cli.Command {
 	var address, model string
-	return &cli.Command{Name: "model", Usage: "Where a model stands, what is asked for, and the last orders that concerned it",
+	return &cli.Command{
+		Name: "model", Usage: "Where a model stands, what is asked for, and the last orders that concerned it",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "address", Usage: "the internal address of the control sidecar that holds the placement, HOST:PORT", Destination: &address, Required: true},
 			&cli.StringFlag{Name: "model", Usage: "the model's name", Destination: &model, Required: true},
@@ -39,7 +42,8 @@
 				return err
 			}
 			return showExplanation(c.Root().Writer, explanation)
-		})}
+		}),
+	}
 }
 
 func showExplanation(out io.Writer, e protocol.Explanation) error {
@@ -73,7 +77,8 @@
 
 func newExplainRequests() *cli.Command {
 	var address, id string
-	return &cli.Command{Name: "requests", Usage: "Where the time of the last requests went that a proxy did not answer in time",
+	return &cli.Command{
+		Name: "requests", Usage: "Where the time of the last requests went that a proxy did not answer in time",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "address", Usage: "the proxy's readiness address, HOST:PORT", Destination: &address, Required: true},
 			&cli.StringFlag{Name: "request", Usage: "one request's id", Destination: &id},
@@ -84,7 +89,8 @@
 				return err
 			}
 			return showRequests(c.Root().Writer, requests)
-		})}
+		}),
+	}
 }
 
 func askRequests(address, id string) ([]dataplane.RequestExplanation, error) {
@@ -98,7 +104,8 @@
 		return nil, errors.Wrap(err, "explain")
 	}
 	var requests []dataplane.RequestExplanation
-	response, err := sling.New().Do(request.WithContext(ctx), &requests, nil)
+	response, err := sling.New().Do( //nolint:bodyclose // sling closes the body it has decoded
+		request.WithContext(ctx), &requests, nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "explain")
 	}
--- a/cmd/dykering/explain_test.go
+++ b/cmd/dykering/explain_command_test.go
@@ -12,10 +12,12 @@
 
 func TestExplainModelShowsCopiesDemandAndOrders(t *testing.T) {
 	var out strings.Builder
-	err := showExplanation(&out, protocol.Explanation{Model: "m1", Now: 10 * time.Second, Holds: true,
+	err := showExplanation(&out, protocol.Explanation{
+		Model: "m1", Now: 10 * time.Second, Holds: true,
 		Copies:    []protocol.ModelReplica{{Endpoint: "i-1", Zone: "z", State: "ready"}},
 		Demand:    []protocol.ServiceDemand{{Service: "s", ModelDemand: protocol.ModelDemand{Rate: 2.5, Unplaced: true}}},
-		Decisions: []protocol.Decision{{At: 8 * time.Second, Operation: "loading", Model: "m1", Endpoint: "i-1", Copies: 1}}})
+		Decisions: []protocol.Decision{{At: 8 * time.Second, Operation: "loading", Model: "m1", Endpoint: "i-1", Copies: 1}},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,7 +28,7 @@
 	}
 }
 
-func TestExplainModelNamesWhomToAskElsewhere(t *testing.T) {
+func TestExplainModelNamesTheLeaseHolderToAsk(t *testing.T) {
 	var out strings.Builder
 	if err := showExplanation(&out, protocol.Explanation{Model: "m1"}); err != nil || !strings.Contains(out.String(), "does not hold the placement") {
 		t.Errorf("%v: %s", err, out.String())
--- a/cmd/dykering/fleet_budgets_test.go
+++ b/cmd/dykering/fleet_budgets_test.go
@@ -34,6 +34,7 @@
 }
 
 func newShares(t *testing.T, members int) *shares {
+	t.Helper()
 	return &shares{fleet: newTestFleet(t), dirs: t.TempDir(), of: members}
 }
 
@@ -71,6 +72,7 @@
 }
 
 func leased(t *testing.T) func(*broker) bool {
+	t.Helper()
 	return func(b *broker) bool { return b.budget(t).Leased }
 }
 
@@ -156,7 +158,7 @@
 // A cut into a majority and a minority, under uneven load: the minority falls to its floor once its leases have ended,
 // the majority's parts grow only by then, and the sum by the logs never passes the whole. What a part allows is what
 // is admitted. After the heal all have leases again.
-func TestFleetBudgetsCut(t *testing.T) {
+func TestFleetBudgetsPartitionedMinorityFallsToItsFloor(t *testing.T) {
 	t.Parallel()
 	s := newShares(t, 6) // one comes later
 	all := s.beginAll(5)
@@ -210,7 +212,7 @@
 
 // The voter that leads is stalled for longer than a lease, then killed, and its links are slow: another leads, no part is
 // given twice, and those whose leases ended have leases again.
-func TestFleetBudgetsLead(t *testing.T) {
+func TestFleetBudgetsLeaderStalledThenKilledIsReplaced(t *testing.T) {
 	t.Parallel()
 	s := newShares(t, 5)
 	all := s.beginAll(5)
@@ -248,7 +250,7 @@
 
 // All members restart one by one, a further one joins, and clocks run fast and slow at the bound: the parts never pass
 // the whole.
-func TestFleetBudgetsRoll(t *testing.T) {
+func TestFleetBudgetsRollingRestartNeverExceedsTheQuota(t *testing.T) {
 	t.Parallel()
 	s := newShares(t, 4)
 	rates := []string{"clock_rate = 0.9", "clock_rate = 1.1", "clock_rate = 1.0", "clock_rate = 0.9"}
--- a/cmd/dykering/fleet.go
+++ b/cmd/dykering/fleet_command.go
@@ -26,10 +26,13 @@
 func newFleet() *cli.Command {
 	var control string
 	look := func(name, usage string, show func(out io.Writer, control string) error) *cli.Command {
-		return &cli.Command{Name: name, Usage: usage,
-			Action: action(func(c *cli.Command) error { return show(c.Root().Writer, control) })}
+		return &cli.Command{
+			Name: name, Usage: usage,
+			Action: action(func(c *cli.Command) error { return show(c.Root().Writer, control) }),
+		}
 	}
-	return &cli.Command{Name: "fleet", Usage: "Look at the view of the fleet of a running process",
+	return &cli.Command{
+		Name: "fleet", Usage: "Look at the view of the fleet of a running process",
 		Flags: []cli.Flag{&cli.StringFlag{Name: "control", Value: "127.0.0.1:9901", Usage: "the process's second address", Destination: &control}},
 		Action: func(context.Context, *cli.Command) error {
 			return errors.New("fleet: members, state or budgets is missing")
@@ -38,13 +41,19 @@
 			look("members", "The members that a process holds: id, state, incarnation, zone, since", showMembers),
 			look("state", "The facts that a process holds of servers: origin, what it says, how much longer it holds", showState),
 			look("budgets", "What a process may spend of each whole, by which lease; at a voter, what all may", showBudgets),
-		}}
+		},
+	}
 }
 
 // askFleet asks a process for a part of what it keeps of the fleet.
 func askFleet[T any](control, path, without string) (got T, err error) {
-	client := http.Client{Timeout: askTimeout}
-	res, err := client.Get("http://" + control + path)
+	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
+	defer cancel()
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+control+path, nil)
+	if err != nil {
+		return got, fmt.Errorf("fleet: %w", err)
+	}
+	res, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return got, fmt.Errorf("fleet: %w", err)
 	}
--- a/cmd/dykering/fleet_state_test.go
+++ b/cmd/dykering/fleet_state_test.go
@@ -36,6 +36,7 @@
 }
 
 func newShared(t *testing.T, servers int, replication string) *shared {
+	t.Helper()
 	s := &shared{fleet: newTestFleet(t)}
 	for i := range servers {
 		x, err := real.StartServer(fmt.Sprintf("s-%08x", i+1), 8, time.Millisecond)
@@ -125,7 +126,7 @@
 
 // A cut into two sides for 30 s, while each learns of other servers that they are bad: after the heal all copies are
 // the same, and the one that the merge rule makes of both sides' facts.
-func TestFleetStatePartition(t *testing.T) {
+func TestFleetStateConvergesAfterAPartition(t *testing.T) {
 	t.Parallel()
 	s := newShared(t, 12, "ttl = \"120s\"\n")
 	all := s.start(5)
@@ -162,12 +163,12 @@
 		all[0].copied(t).Counters.BytesTold, all[0].copied(t).Counters.BytesSent)
 }
 
-var away = flag.Duration("away", 0, "how long a member stays away once more in TestFleetStateRestart, above 2m")
+var away = flag.Duration("away", 0, "how long a member stays away once more in TestFleetStateSurvivesARestartOrCatchesUp, above 2m")
 
 // A member that is killed comes back after 5 s with what it had on disk; with a corrupt or foreign file it starts cold,
 // says so, and catches up from a peer. Meanwhile links lose a fifth and are slow. Its first seconds are served as well
 // as its peers'.
-func TestFleetStateRestart(t *testing.T) {
+func TestFleetStateSurvivesARestartOrCatchesUp(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "replica.db")
 	s := newShared(t, 12, "ttl = \"120s\"\n")
@@ -236,7 +237,7 @@
 
 // A member whose clock is 5 s ahead is wrong about a server, another sends garbage and says that all servers failed:
 // nobody marks a server for it, all is served, and the one that was wrong tries the server and takes its word back.
-func TestFleetStateLiars(t *testing.T) {
+func TestFleetStateIgnoresASingleWrongMember(t *testing.T) {
 	t.Parallel()
 	s := newShared(t, 10, "")
 	all := s.start(3)
@@ -250,9 +251,11 @@
 		t.Fatal(err)
 	}
 	s.waitAll(10*time.Second, "hears it", func(b *broker) bool { return b.holds(t, "fast", s.servers[3].UID, replica.Bad) }, all[0])
-	liar, err := gossip.Start(gossip.Section{Enabled: true, ID: "liar", Bind: "127.0.0.1:0", Seeds: []string{all[1].addr},
+	liar, err := gossip.Start(gossip.Section{
+		Enabled: true, ID: "liar", Bind: "127.0.0.1:0", Seeds: []string{all[1].addr},
 		Weight: 1, ProbeInterval: strict.Duration(200 * time.Millisecond), ProbeTimeout: strict.Duration(100 * time.Millisecond),
-		SuspicionMult: 3, IndirectChecks: 3, DeadKept: strict.Duration(time.Minute), Most: 16, Relay: s.relay.Addr()},
+		SuspicionMult: 3, IndirectChecks: 3, DeadKept: strict.Duration(time.Minute), Most: 16, Relay: s.relay.Addr(),
+	},
 		membership.Meta{Started: time.Now()}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
@@ -262,8 +265,10 @@
 	for i, origin := range []string{"liar", "liar", "accomplice"} {
 		var facts []replica.Fact
 		for _, x := range s.servers {
-			facts = append(facts, replica.Fact{Origin: origin, Subject: x.UID + "@0", Word: replica.Bad, Left: 10 * time.Second,
-				Stamp: replica.Stamp{Wall: time.Now().Add(time.Duration(i) * 8 * time.Second).UnixMilli()}})
+			facts = append(facts, replica.Fact{
+				Origin: origin, Subject: x.UID + "@0", Word: replica.Bad, Left: 10 * time.Second,
+				Stamp: replica.Stamp{Wall: time.Now().Add(time.Duration(i) * 8 * time.Second).UnixMilli()},
+			})
 		}
 		liar.Channel(gossip.KindFacts).Tell(fmt.Sprint("lie", i), encoded(t, facts))
 	}
--- a/cmd/dykering/fleet_test.go
+++ b/cmd/dykering/fleet_test.go
@@ -136,8 +136,10 @@
 	}
 	starting.Lock()
 	defer starting.Unlock()
-	b := &broker{program: startWith(f.t, text, withControl), id: id, states: map[string]string{},
-		changed: make(chan struct{}, 1)}
+	b := &broker{
+		program: startWith(f.t, text, withControl), id: id, states: map[string]string{},
+		changed: make(chan struct{}, 1),
+	}
 	for _, line := range b.seen {
 		b.take(line)
 	}
@@ -293,7 +295,7 @@
 
 // The failure on-call fears most: a broker that crashes. All others see it dead within SWIM's bound, and no other
 // is ever suspected.
-func TestFleetCrash(t *testing.T) {
+func TestFleetCrashedMemberIsDeclaredDeadAndNoOther(t *testing.T) {
 	for _, n := range []int{5, 10, 30} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			t.Parallel()
@@ -334,7 +336,7 @@
 
 // A stall of 10 s: the member is declared dead, as the settings say (its suspicion ends within 4 s); once it
 // resumes it refutes, the view settles on all ten again, and nobody else flaps.
-func TestFleetStall(t *testing.T) {
+func TestFleetStalledMemberIsDeclaredDeadAndRejoins(t *testing.T) {
 	f := newTestFleet(t)
 	all := f.start(10)
 	victim, rest := all[5], except(all, all[5])
@@ -373,7 +375,7 @@
 }
 
 // Not parallel, as nobody may be suspected. A link lost one way between two members only: the indirect probes through the others keep both alive in all views.
-func TestFleetOneWayLoss(t *testing.T) {
+func TestFleetOneWayLossKeepsBothMembersAlive(t *testing.T) {
 	f := newTestFleet(t)
 	all := f.start(5)
 	a, b := all[1], all[2]
@@ -408,7 +410,7 @@
 
 // A cut of ten into six and four for 30 s: each side settles on itself; after the heal, one view with the same
 // digest everywhere.
-func TestFleetCut(t *testing.T) {
+func TestFleetPartitionHealsIntoOneView(t *testing.T) {
 	t.Parallel()
 	f := newTestFleet(t)
 	all := f.start(10)
@@ -433,7 +435,7 @@
 
 // 20% of all packets and streams lost for 60 s, on every link both ways: at most two members that live are declared
 // dead by anybody (with these settings 0 to 2 in the runs so far), and once the loss ends all are alive in all views.
-func TestFleetLoss(t *testing.T) {
+func TestFleetPacketLossDeclaresFewMembersDead(t *testing.T) {
 	t.Parallel()
 	f := newTestFleet(t)
 	all := f.start(10)
@@ -486,7 +488,7 @@
 
 // Bad input: a packet of garbage, a member that claims to start in the future, a second process under a taken id.
 // Each has a clear line in the log, and the view stays whole.
-func TestFleetBadInput(t *testing.T) {
+func TestFleetBadInputIsRefusedAndLogged(t *testing.T) {
 	t.Parallel()
 	f := newTestFleet(t)
 	all := f.start(4)
@@ -496,10 +498,12 @@
 	}
 	garbage.Write(gossip.Header(all[0].addr, []byte("\x01garbage that is no message of memberlist's")))
 	garbage.Close()
-	future, err := gossip.Start(gossip.Section{Enabled: true, ID: "from-the-future", Bind: "127.0.0.1:0",
+	future, err := gossip.Start(gossip.Section{
+		Enabled: true, ID: "from-the-future", Bind: "127.0.0.1:0",
 		Seeds: []string{all[1].addr}, Weight: 1, ProbeInterval: strict.Duration(200 * time.Millisecond),
 		ProbeTimeout: strict.Duration(100 * time.Millisecond), SuspicionMult: 3, IndirectChecks: 3,
-		DeadKept: strict.Duration(time.Minute), Most: 16, Relay: f.relay.Addr()},
+		DeadKept: strict.Duration(time.Minute), Most: 16, Relay: f.relay.Addr(),
+	},
 		membership.Meta{Started: time.Now().Add(time.Hour)}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/dykering/main_test.go
+++ b/cmd/dykering/main_test.go
@@ -58,7 +58,7 @@
 }
 
 // An address or a descriptor that cannot be listened on is named in one line, and nothing runs.
-func TestPlacesThatCannotBeListenedOn(t *testing.T) {
+func TestAddressThatCannotBeListenedOnEndsTheProgram(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -97,7 +97,7 @@
 }
 
 // SIGHUP makes the program read its file again; uncaught it would end it. After SIGTERM it ends by itself.
-func TestSignals(t *testing.T) {
+func TestSignalsReloadAndStopTheProgram(t *testing.T) {
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, `{"rev":1,"all":true,"targets":[]}`+"\n")
 		http.NewResponseController(w).Flush()
--- a/cmd/dykering/operate_test.go
+++ b/cmd/dykering/operate_test.go
@@ -43,7 +43,7 @@
 }
 
 // The file under deploy/ names every key with its default.
-func TestExampleIsCurrent(t *testing.T) {
+func TestExampleOperatorFileNamesEveryDefault(t *testing.T) {
 	const path = "../../deploy/dykering.toml"
 	text, err := os.ReadFile(path)
 	if _, example, _ := command("config", "default"); err != nil || string(text) != example {
@@ -55,7 +55,7 @@
 }
 
 // Each key that is registered, misspelt, of a wrong type or out of its bounds, is named with its line.
-func TestEveryKeysFaults(t *testing.T) {
+func TestFaultOfEveryKeyIsNamedWithItsLine(t *testing.T) {
 	text := strings.Split(operator.Example(), "\n")
 	keyLine := regexp.MustCompile(`^([a-z_.]+) = (.*)$`)
 	limits := regexp.MustCompile(` \((\S+) to (\S+)\)$`)
@@ -99,7 +99,7 @@
 }
 
 // What the command line does, and its exit codes.
-func TestCommands(t *testing.T) {
+func TestCommandsGiveTheirOutputAndExitCode(t *testing.T) {
 	t.Setenv("BALANCER_CONFIG", "")
 	platform := configure(t, "127.0.0.1:9")
 	broken := write(t, "broken.json", "{\n\"name\":\"n\",\n\"limits\":{\"cores\":0,\n\"sockets\":9}}")
@@ -127,8 +127,10 @@
 		{"check " + settings + " " + configuration, commandline.ExitOK, nil},
 		{"check " + noSettings + " " + noConfiguration, commandline.ExitFault, []string{"ip_address", "unknown service s2"}},
 		{"check " + platform, commandline.ExitOK, nil},
-		{"check " + platform + " " + broken + " " + half, commandline.ExitFault, []string{broken + ":3: limits.cores", broken + ":4: limits.sockets",
-			broken + ": seed", broken + ": settings: missing", half + ":2: unexpected end"}},
+		{"check " + platform + " " + broken + " " + half, commandline.ExitFault, []string{
+			broken + ":3: limits.cores", broken + ":4: limits.sockets",
+			broken + ": seed", broken + ": settings: missing", half + ":2: unexpected end",
+		}},
 		{"config show --config " + platform, commandline.ExitOK, []string{"limits.memory_mb = 64", platform + ":2", "log.level", "# default"}},
 		{"config show --config " + broken, commandline.ExitFault, []string{"limits.cores"}},
 		{"run --config " + platform + " --operator " + broken, commandline.ExitFault, []string{broken + ":1: "}},
@@ -156,12 +158,15 @@
 	seen []string // lines of the log that were read
 }
 
-func start(t *testing.T, text string) *program { return startWith(t, text, nil) }
+func start(t *testing.T, text string) *program {
+	t.Helper()
+	return startWith(t, text, nil)
+}
 
 // startWith starts it with a change to how.
 func startWith(t *testing.T, text string, change func(*exec.Cmd)) *program {
 	t.Helper()
-	endpoint := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "ok") }))
+	endpoint := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") }))
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintf(w, `{"rev":1,"all":true,"targets":[{"uid":"s-1","endpoint":%q,"az":"z","model":"m","state":"Ready","capacity_hint":1}]}`, endpoint.Listener.Addr())
 		fmt.Fprintln(w)
@@ -236,7 +241,7 @@
 
 // ask sends a request, and tells how long its answer took.
 func (p *program) ask(id string) (status int, took time.Duration) {
-	r, _ := http.NewRequest("GET", p.url+"/x", nil)
+	r, _ := http.NewRequest(http.MethodGet, p.url+"/x", nil)
 	r.Header = http.Header{"X-Txn": {id}, "X-Lane": {"read"}, "X-Remaining": {"900m"}, "X-Org": {"one"}}
 	began := time.Now()
 	res, err := http.DefaultClient.Do(r)
@@ -250,7 +255,7 @@
 
 // A file that is taken is a generation, with what has changed in the log; one that cannot be leaves the generation
 // before it whole, and one line says why and where.
-func TestGenerations(t *testing.T) {
+func TestValidReloadBecomesAGenerationAndInvalidOneIsRefused(t *testing.T) {
 	p := start(t, "version = 1\n")
 	for i, step := range []struct{ text, want string }{
 		{"version = 1\n[log]\nburst = 30\n", `operator.taken	{"changes": ["log.burst: 20 -> 30"], "generation": 2}`},
@@ -292,7 +297,7 @@
 }
 
 // Where nobody reads the log, under load, no request is late for it, and what was lost is told afterwards.
-func TestLogThatNobodyReads(t *testing.T) {
+func TestUnreadLogDelaysNoRequest(t *testing.T) {
 	p := start(t, "version = 1\n[log]\nlevel = \"debug\"\nburst = 1000\nmost = 10000\nbuffer = \"16KiB\"\n")
 	var all sync.WaitGroup
 	for i := range 8 {
@@ -310,7 +315,7 @@
 }
 
 // Where whoever read the log has gone, the process goes on, and ends in its own time.
-func TestLogWhoseReaderHasGone(t *testing.T) {
+func TestProcessOutlivesTheReaderOfItsLog(t *testing.T) {
 	p := start(t, "version = 1\n[log]\nlevel = \"debug\"\nburst = 1000\nmost = 10000\n")
 	p.pipe.Close()
 	for k := range 50 {
@@ -326,7 +331,7 @@
 }
 
 // A reload in a drain leaves the drain, and what comes is still served.
-func TestReloadInADrain(t *testing.T) {
+func TestReloadWhileDrainingKeepsServing(t *testing.T) {
 	place := loopback.Address()
 	p := startWith(t, "version = 1\n", func(c *exec.Cmd) { c.Env = append(c.Env, "BALANCER_CONTROL="+place) })
 	call := func(name string) {
@@ -361,7 +366,7 @@
 }
 
 // Two processes on one socket reload while one takes over from the other: nobody is turned away, and the old one ends.
-func TestReloadInAHandover(t *testing.T) {
+func TestReloadDuringAHandoverRejectsNobody(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -396,6 +401,7 @@
 	}
 	wait := func(n int64) {
 		for end := time.Now().Add(patience); asked.Load() < n && time.Now().Before(end); time.Sleep(time.Millisecond) {
+			continue
 		}
 	}
 	wait(50)
--- a/cmd/dykering/status.go
+++ b/cmd/dykering/status_command.go
@@ -16,7 +16,8 @@
 
 func newStatus() *cli.Command {
 	var address string
-	return &cli.Command{Name: "status", Usage: "How a control sidecar sees the system: view, chain, holder, sidecars, endpoints",
+	return &cli.Command{
+		Name: "status", Usage: "How a control sidecar sees the system: view, chain, holder, sidecars, endpoints",
 		Flags: []cli.Flag{&cli.StringFlag{Name: "address", Usage: "the control sidecar's internal address, HOST:PORT", Destination: &address, Required: true}},
 		Action: action(func(c *cli.Command) error {
 			protocol.Register()
@@ -25,7 +26,8 @@
 				return err
 			}
 			return showStatus(c.Root().Writer, status)
-		})}
+		}),
+	}
 }
 
 func showStatus(out io.Writer, s protocol.Status) error {
