--- /dev/null
+++ b/internal/nodefile/load.go
@@ -0,0 +1,115 @@
+package nodefile
+
+import (
+	"fmt"
+	"net"
+	"os"
+
+	"github.com/pelletier/go-toml/v2"
+	"github.com/pkg/errors"
+)
+
+// Variable is the environment variable that holds the path of the settings file.
+const Variable = "DYKERING_NODE_FILE"
+
+// ErrVariableNotSet is the error for an environment without a path of a settings file.
+var ErrVariableNotSet = errors.New(Variable + " is not set: it names the settings file")
+
+// InvalidSettingError is the error for a setting whose value breaks a rule.
+type InvalidSettingError struct {
+	Key     string // as in the file, with its table
+	Problem string
+}
+
+// Error returns the key and the problem.
+func (e *InvalidSettingError) Error() string { return e.Key + ": " + e.Problem }
+
+func invalid(key, format string, args ...any) error {
+	return &InvalidSettingError{Key: key, Problem: fmt.Sprintf(format, args...)}
+}
+
+// LoadFromEnvironment reads and validates the settings file that the environment names. Its errors are ErrVariableNotSet
+// and those of Load.
+func LoadFromEnvironment() (Settings, error) {
+	path := os.Getenv(Variable)
+	if path == "" {
+		return Settings{}, ErrVariableNotSet
+	}
+	return Load(path)
+}
+
+// Load reads and validates a settings file. Its errors wrap those of the file system and those of Parse.
+func Load(path string) (Settings, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return Settings{}, errors.Wrap(err, "settings file")
+	}
+	s, err := Parse(text)
+	return s, errors.Wrapf(err, "settings file %s", path)
+}
+
+// Parse reads settings from TOML and validates them. A value that breaks a rule is an *InvalidSettingError; text that is
+// not TOML, or a value of a wrong type, is an error that wraps the parser's.
+func Parse(text []byte) (Settings, error) {
+	s := Defaults()
+	if err := toml.Unmarshal(text, &s); err != nil {
+		return Settings{}, errors.Wrap(err, "not valid TOML")
+	}
+	return s, s.validate()
+}
+
+func (s *Settings) validate() error {
+	if net.ParseIP(s.IPAddress) == nil {
+		return invalid("ip_address", "%q is not an IP address", s.IPAddress)
+	}
+	if !isPortRange(s.InternalPortRange) {
+		return invalid("internal_port_range", "%v is not a range of ports", s.InternalPortRange)
+	}
+	if err := validateSeeds(s.SeedNodes); err != nil {
+		return err
+	}
+	if s.HeartbeatIntervalMs <= 0 {
+		return invalid("heartbeat_interval_ms", "%d is not above 0", s.HeartbeatIntervalMs)
+	}
+	return s.Bounds.validate()
+}
+
+func isPortRange(ports []int) bool {
+	const lowest, highest = 1, 65535
+	return len(ports) == 2 && lowest <= ports[0] && ports[0] <= ports[1] && ports[1] <= highest
+}
+
+func validateSeeds(seeds []string) error {
+	if len(seeds) == 0 {
+		return invalid("seed_nodes", "none given")
+	}
+	for _, seed := range seeds {
+		if _, _, err := net.SplitHostPort(seed); err != nil {
+			return invalid("seed_nodes", "%q is not an address", seed)
+		}
+	}
+	return nil
+}
+
+// validate rejects bounds of 0 or less where a time-out or a window is a fraction of the bound.
+func (b *Bounds) validate() error {
+	positive := []struct {
+		key   string
+		value float64
+	}{
+		{"contact_ms", b.ContactMs},
+		{"acknowledge_ms", b.AcknowledgeMs},
+		{"drain_timeout_ms", b.DrainTimeoutMs},
+		{"grace_period_s", b.GracePeriodS},
+		{"config_apply_ms", b.ConfigApplyMs},
+		{"budget_window_s", b.BudgetWindowS},
+		{"lease_duration_ms", b.LeaseDurationMs},
+		{"ceiling_window_s", b.CeilingWindowS},
+	}
+	for _, bound := range positive {
+		if bound.value <= 0 {
+			return invalid("bounds."+bound.key, "%v is not above 0", bound.value)
+		}
+	}
+	return nil
+}
--- a/internal/nodefile/nodefile_test.go
+++ b/internal/nodefile/nodefile_test.go
@@ -1,6 +1,7 @@
 package nodefile
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"testing"
@@ -15,7 +16,7 @@
 	RunSpecs(t, "the settings file")
 }
 
-const whole = `
+const completeFile = `
 node_name = "core-a-1"
 role = "control"
 ip_address = "10.1.0.37"
@@ -32,8 +33,8 @@
 `
 
 var _ = Describe("the settings file", func() {
-	It("is read, with defaults for what it leaves out and without what is not known", func() {
-		s, err := Parse([]byte(whole))
+	It("is read with defaults for missing keys, ignoring unknown ones", func() {
+		s, err := Parse([]byte(completeFile))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.NodeName).To(Equal("core-a-1"))
 		Expect(s.Bounds.ContactMs).To(Equal(4000.0))
@@ -43,29 +44,40 @@
 		Expect(s.SeedInternalAddresses()).To(Equal([]string{"10.1.0.37:7660", "10.2.0.30:7660"}))
 	})
 
-	DescribeTable("is refused with the name of the field",
+	DescribeTable("is rejected with the name of the invalid key",
 		func(change, expected string) {
 			_, err := Parse([]byte(change))
 			Expect(err).To(MatchError(ContainSubstring(expected)))
 		},
-		Entry("no TOML", "= 3", "TOML"),
-		Entry("no address", `internal_port_range = [1,2]`, "ip_address"),
-		Entry("no ports", "ip_address = \"10.0.0.1\"", "internal_port_range"),
-		Entry("ports the wrong way round", "ip_address = \"10.0.0.1\"\ninternal_port_range = [9,3]", "internal_port_range"),
-		Entry("no seeds", "ip_address = \"10.0.0.1\"\ninternal_port_range = [3,9]", "seed_nodes"),
+		Entry("not TOML", "= 3", "TOML"),
+		Entry("no IP address", `internal_port_range = [1,2]`, "ip_address"),
+		Entry("no port range", "ip_address = \"10.0.0.1\"", "internal_port_range"),
+		Entry("a port range that ends before it begins", "ip_address = \"10.0.0.1\"\ninternal_port_range = [9,3]", "internal_port_range"),
+		Entry("no seed", "ip_address = \"10.0.0.1\"\ninternal_port_range = [3,9]", "seed_nodes"),
 		Entry("a seed without a port", "ip_address = \"10.0.0.1\"\ninternal_port_range = [3,9]\nseed_nodes = [\"x\"]", "seed_nodes"),
-		Entry("a bound of 0", whole+"lease_duration_ms = 0\n", "lease_duration_ms"),
-		Entry("a field of another kind", "node_name = 3", "TOML"),
+		Entry("a bound of 0", completeFile+"lease_duration_ms = 0\n", "lease_duration_ms"),
+		Entry("a value of a wrong type", "node_name = 3", "TOML"),
 	)
 
-	It("is found by the variable", func() {
+	It("names the key of an invalid value in the type of the error, also behind the file's path", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "boot.toml")
-		Expect(os.WriteFile(path, []byte(whole), 0o600)).To(Succeed())
+		Expect(os.WriteFile(path, []byte(completeFile+"lease_duration_ms = 0\n"), 0o600)).To(Succeed())
+		_, err := Load(path)
+		var invalidSetting *InvalidSettingError
+		Expect(errors.As(err, &invalidSetting)).To(BeTrue())
+		Expect(invalidSetting.Key).To(Equal("bounds.lease_duration_ms"))
+		Expect(err).To(MatchError("settings file " + path + ": bounds.lease_duration_ms: 0 is not above 0"))
+	})
+
+	It("is found by the environment variable, whose absence is an error of its own", func() {
+		path := filepath.Join(GinkgoT().TempDir(), "boot.toml")
+		Expect(os.WriteFile(path, []byte(completeFile), 0o600)).To(Succeed())
 		GinkgoT().Setenv(Variable, path)
 		_, err := LoadFromEnvironment()
 		Expect(err).NotTo(HaveOccurred())
 		GinkgoT().Setenv(Variable, "")
 		_, err = LoadFromEnvironment()
 		Expect(err).To(MatchError(ContainSubstring(Variable)))
+		Expect(errors.Is(err, ErrVariableNotSet)).To(BeTrue())
 	})
 })
--- a/internal/nodefile/settings.go
+++ b/internal/nodefile/settings.go
@@ -1,195 +1,203 @@
-// Package nodefile reads the settings file of a system process: who it is, where it listens, what it may use, and the
-// bounds that every timer of the system derives from. Unknown fields are ignored, as new ones may be added.
 package nodefile
 
 import (
 	"net"
-	"os"
 	"strconv"
 	"time"
-
-	"github.com/pelletier/go-toml/v2"
-	"github.com/pkg/errors"
 )
 
-// Variable is the environment variable that holds the path of the settings file.
-const Variable = "DYKERING_NODE_FILE"
-
-// Settings is the content of a settings file.
+// Settings is the content of a settings file. Each field is one key. Fields that this program does not use are read all the
+// same, so that a value of a wrong type is an error.
 type Settings struct {
-	NodeName            string            `toml:"node_name"`
-	Role                string            `toml:"role"`
-	MachineClass        string            `toml:"machine_class"`
-	Serves              []string          `toml:"serves"`
-	IPAddress           string            `toml:"ip_address"`
-	Zone                string            `toml:"zone"`
-	Region              string            `toml:"region"`
-	InternalPortRange   []int             `toml:"internal_port_range"`
-	SeedNodes           []string          `toml:"seed_nodes"`
-	InitialStart        bool              `toml:"initial_start"`
-	CountsForQuorum     bool              `toml:"counts_for_quorum"`
-	DataDirectory       string            `toml:"data_directory"`
-	HeartbeatIntervalMs int               `toml:"heartbeat_interval_ms"`
-	Zones               map[string]string `toml:"zones"`
-	Listen              ListenAddresses   `toml:"listen_addresses"`
-	Limits              Limits            `toml:"limits"`
-	Tolerance           FaultTolerance    `toml:"fault_tolerance"`
-	Bounds              Bounds            `toml:"bounds"`
+	// NodeName identifies the process in logs, in the status and as lease holder in orders to endpoints. It is unique.
+	NodeName string `toml:"node_name"`
+	// Role is the name that the deploy file gives the process. It is logged only.
+	Role string `toml:"role"`
+	// MachineClass is the class of the machine, as in the deploy file. Not used.
+	MachineClass string `toml:"machine_class"`
+	// Serves lists who may call the role from outside: "frontend" (clients), "control_plane" (endpoints and operators). Not
+	// used: the addresses in Listen say the same.
+	Serves []string `toml:"serves"`
+	// IPAddress is the machine's address. Required.
+	IPAddress string `toml:"ip_address"`
+	// Zone is the zone of the machine, compared with those of endpoints and of control processes. Default: none.
+	Zone string `toml:"zone"`
+	// Region is the region of the machine. Not used.
+	Region string `toml:"region"`
+	// InternalPortRange is the first and the last of the ports that are free for messages between processes, from 1 to
+	// 65535. The first one is used. It is the same on all machines. Required.
+	InternalPortRange []int `toml:"internal_port_range"`
+	// SeedNodes are the control_plane addresses (host:port) of some control processes, to contact first. The machine's own
+	// may be among them. At least one is required.
+	SeedNodes []string `toml:"seed_nodes"`
+	// InitialStart is true when the whole system starts for the first time, with empty disks: only then may the control
+	// processes found a new chain. Default: false.
+	InitialStart bool `toml:"initial_start"`
+	// CountsForQuorum is true if the machine counts for FaultTolerance. Not used.
+	CountsForQuorum bool `toml:"counts_for_quorum"`
+	// DataDirectory is the folder for files that must survive the process. A control process requires it. Default: none, for a
+	// machine without a disk.
+	DataDirectory string `toml:"data_directory"`
+	// HeartbeatIntervalMs is the time between two heartbeats of an endpoint, in milliseconds, above 0. Sessions expire after
+	// three of these and a second. Default: 1200.
+	HeartbeatIntervalMs int `toml:"heartbeat_interval_ms"`
+	// Zones maps each zone to its region. Not used.
+	Zones map[string]string `toml:"zones"`
+
+	Listen    ListenAddresses `toml:"listen_addresses"`
+	Limits    Limits          `toml:"limits"`
+	Tolerance FaultTolerance  `toml:"fault_tolerance"`
+	Bounds    Bounds          `toml:"bounds"`
 }
 
-// ListenAddresses are the addresses at which a role is called from outside.
+// ListenAddresses are the addresses (host:port) at which a role is called from outside. Those of what the role does not
+// serve are empty.
 type ListenAddresses struct {
-	Frontend     string `toml:"frontend"`
-	Readiness    string `toml:"readiness"`
+	// Frontend is where a proxy serves clients.
+	Frontend string `toml:"frontend"`
+	// Readiness is where a proxy answers readiness probes and serves its metrics.
+	Readiness string `toml:"readiness"`
+	// ControlPlane is where a control process serves endpoints and operators.
 	ControlPlane string `toml:"control_plane"`
 }
 
-// Limits bound what the process may use.
+// Limits bound the resources that the process may use. The default of each is 0.
 type Limits struct {
-	CPUShare        float64 `toml:"cpu_share"`
-	CPUCores        int     `toml:"cpu_cores"`
-	MemoryMB        int     `toml:"memory_mb"`
-	FileDescriptors int     `toml:"file_descriptors"`
-	LinkMbps        float64 `toml:"link_mbps"`
-	DiskMB          int     `toml:"disk_mb"`
+	// CPUShare is the fraction of a core that the process gets. Not used.
+	CPUShare float64 `toml:"cpu_share"`
+	// CPUCores is the number of cores, to which GOMAXPROCS is set. 0 counts as 1.
+	CPUCores int `toml:"cpu_cores"`
+	// MemoryMB is the memory, in MiB, above which the process is killed. The memory limit of the Go runtime and the memory
+	// for request bodies derive from it. 0 sets no limit for the runtime.
+	MemoryMB int `toml:"memory_mb"`
+	// FileDescriptors is the number of file descriptors. A proxy derives the number of its connections from it.
+	FileDescriptors int `toml:"file_descriptors"`
+	// LinkMbps is the bandwidth of the machine's link, in megabits a second. Not used.
+	LinkMbps float64 `toml:"link_mbps"`
+	// DiskMB is the size of the disk, in MiB. The size of the log files derives from it.
+	DiskMB int `toml:"disk_mb"`
 }
 
 // FaultTolerance is what may be lost at once while all rules are kept.
 type FaultTolerance struct {
+	// MachineFailures is the number of machines that count for the quorum which may be lost at once. The number of replicas
+	// of the chain and of voters derives from it. Default: 1.
 	MachineFailures int `toml:"machine_failures"`
-	Zones           int `toml:"zones"`
-	RegionFailures  int `toml:"region_failures"`
+	// Zones is the number of zones. Not used.
+	Zones int `toml:"zones"`
+	// RegionFailures is the number of regions. Not used.
+	RegionFailures int `toml:"region_failures"`
 }
 
-// Bounds are the figures of the rules in force.
+// Bounds are the figures of the rules that are in force. Names end in their unit. docs/SYSTEM.md lists what derives from
+// each.
 type Bounds struct {
-	SeedLagS            float64 `toml:"seed_lag_s"`
-	AddressReuseS       float64 `toml:"address_reuse_s"`
-	ContactMs           float64 `toml:"contact_ms"`
-	AcknowledgeMs       float64 `toml:"acknowledge_ms"`
-	CatchUpS            float64 `toml:"catch_up_s"`
-	DrainTimeoutMs      float64 `toml:"drain_timeout_ms"`
-	GracePeriodS        float64 `toml:"grace_period_s"`
-	LossSlackMs         float64 `toml:"loss_slack_ms"`
-	ConfigApplyMs       float64 `toml:"config_apply_ms"`
-	RollbackSlackMs     float64 `toml:"rollback_slack_ms"`
-	InstabilityBoundMs  float64 `toml:"instability_bound_ms"`
-	RetryBudgetRatio    float64 `toml:"retry_budget_ratio"`
-	BudgetWindowS       float64 `toml:"budget_window_s"`
-	RetryBudgetSlack    float64 `toml:"retry_budget_slack"`
-	RecoveryS           float64 `toml:"recovery_s"`
-	PassMs              float64 `toml:"pass_ms"`
-	FencingEnabled      bool    `toml:"fencing_enabled"`
-	LeaseDurationMs     float64 `toml:"lease_duration_ms"`
-	ThawSlackMs         float64 `toml:"thaw_slack_ms"`
-	CeilingWindowS      float64 `toml:"ceiling_window_s"`
+	// SeedLagS is how far SeedNodes may lag behind. Default: 3. Not used.
+	SeedLagS float64 `toml:"seed_lag_s"`
+	// AddressReuseS is how long after the end of an endpoint its address may go to another. Default: 2. Not used: requests
+	// name the endpoint that they expect.
+	AddressReuseS float64 `toml:"address_reuse_s"`
+	// ContactMs is the time within which processes that can reach each other have noticed. Intervals of pings, suspicion of
+	// members, the lease and the end of a stream are fractions of it. Above 0. Default: 3000.
+	ContactMs float64 `toml:"contact_ms"`
+	// AcknowledgeMs bounds the time for acknowledging a change of the configuration. Above 0. Default: 4000.
+	AcknowledgeMs float64 `toml:"acknowledge_ms"`
+	// CatchUpS is the time after which a machine that has returned counts as present. Default: 4. Not used.
+	CatchUpS float64 `toml:"catch_up_s"`
+	// DrainTimeoutMs is the time for which an endpoint still serves once its drain has been acknowledged. Above 0.
+	// Default: 2000.
+	DrainTimeoutMs float64 `toml:"drain_timeout_ms"`
+	// GracePeriodS is the time between SIGTERM and SIGKILL. Above 0. Default: 8.
+	GracePeriodS float64 `toml:"grace_period_s"`
+	// LossSlackMs. Default: 200. Not used.
+	LossSlackMs float64 `toml:"loss_slack_ms"`
+	// ConfigApplyMs is the time within which all proxies apply an acknowledged configuration. Above 0. Default: 2000. It is
+	// validated only: configurations are streamed as soon as they are committed.
+	ConfigApplyMs float64 `toml:"config_apply_ms"`
+	// RollbackSlackMs. Default: 250. Not used.
+	RollbackSlackMs float64 `toml:"rollback_slack_ms"`
+	// InstabilityBoundMs. Default: 5000. Not used.
+	InstabilityBoundMs float64 `toml:"instability_bound_ms"`
+	// RetryBudgetRatio is the number of retries that the fleet may make for each request. Default: 0.2.
+	RetryBudgetRatio float64 `toml:"retry_budget_ratio"`
+	// BudgetWindowS is the window over which the retry budget is counted. Above 0. Default: 10.
+	BudgetWindowS float64 `toml:"budget_window_s"`
+	// RetryBudgetSlack is the number of retries that the fleet may make in each window beyond the ratio. Default: 0.
+	RetryBudgetSlack float64 `toml:"retry_budget_slack"`
+	// RecoveryS. Default: 12. Not used.
+	RecoveryS float64 `toml:"recovery_s"`
+	// PassMs. Default: 120. Not used.
+	PassMs float64 `toml:"pass_ms"`
+	// FencingEnabled is true if endpoints reject orders with a lower fencing token than they have seen. Default: false. Not
+	// used: orders always carry the token.
+	FencingEnabled bool `toml:"fencing_enabled"`
+	// LeaseDurationMs is the time within which two lease holders may not alternate. Above 0. Default: 3000.
+	LeaseDurationMs float64 `toml:"lease_duration_ms"`
+	// ThawSlackMs is for how long a process that was frozen may go on acting with a lease that has expired meanwhile. A new
+	// lease holder waits for it. Default: 300.
+	ThawSlackMs float64 `toml:"thaw_slack_ms"`
+	// CeilingWindowS is the window of the weight store's rate limit (loads_per_s of a service). Above 0. Default: 5.
+	CeilingWindowS float64 `toml:"ceiling_window_s"`
+	// OriginRateOvershoot is the factor by which loads in a window may exceed the rate limit. Default: 1.
 	OriginRateOvershoot float64 `toml:"origin_rate_overshoot"`
 }
 
-// Defaults are the bounds of a file that leaves them out.
+// Defaults returns the settings that hold for keys which a file leaves out.
 func Defaults() Settings {
 	return Settings{
 		HeartbeatIntervalMs: 1200,
 		Tolerance:           FaultTolerance{MachineFailures: 1},
 		Bounds: Bounds{
-			SeedLagS: 3, AddressReuseS: 2, ContactMs: 3000, AcknowledgeMs: 4000, CatchUpS: 4, DrainTimeoutMs: 2000,
-			GracePeriodS: 8, LossSlackMs: 200, ConfigApplyMs: 2000, RollbackSlackMs: 250, InstabilityBoundMs: 5000,
-			RetryBudgetRatio: 0.2, BudgetWindowS: 10, RetryBudgetSlack: 0, RecoveryS: 12, PassMs: 120,
-			LeaseDurationMs: 3000, ThawSlackMs: 300, CeilingWindowS: 5, OriginRateOvershoot: 1,
+			SeedLagS:            3,
+			AddressReuseS:       2,
+			ContactMs:           3000,
+			AcknowledgeMs:       4000,
+			CatchUpS:            4,
+			DrainTimeoutMs:      2000,
+			GracePeriodS:        8,
+			LossSlackMs:         200,
+			ConfigApplyMs:       2000,
+			RollbackSlackMs:     250,
+			InstabilityBoundMs:  5000,
+			RetryBudgetRatio:    0.2,
+			BudgetWindowS:       10,
+			RetryBudgetSlack:    0,
+			RecoveryS:           12,
+			PassMs:              120,
+			LeaseDurationMs:     3000,
+			ThawSlackMs:         300,
+			CeilingWindowS:      5,
+			OriginRateOvershoot: 1,
 		},
 	}
 }
 
-// LoadFromEnvironment reads the file that the environment variable names.
-func LoadFromEnvironment() (Settings, error) {
-	path := os.Getenv(Variable)
-	if path == "" {
-		return Settings{}, errors.Errorf("%s is not set: it names the settings file", Variable)
-	}
-	return Load(path)
-}
-
-// Load reads and checks a settings file.
-func Load(path string) (Settings, error) {
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return Settings{}, errors.Wrap(err, "settings file")
-	}
-	s, err := Parse(text)
-	return s, errors.Wrapf(err, "settings file %s", path)
-}
-
-// Parse reads settings from text and checks them.
-func Parse(text []byte) (Settings, error) {
-	s := Defaults()
-	if err := toml.Unmarshal(text, &s); err != nil {
-		return Settings{}, errors.Wrap(err, "not valid TOML")
-	}
-	return s, s.check()
-}
-
-func (s *Settings) check() error {
-	if net.ParseIP(s.IPAddress) == nil {
-		return errors.Errorf("ip_address: %q is not an IP address", s.IPAddress)
-	}
-	if len(s.InternalPortRange) != 2 || s.InternalPortRange[0] < 1 || s.InternalPortRange[1] > 65535 ||
-		s.InternalPortRange[0] > s.InternalPortRange[1] {
-		return errors.Errorf("internal_port_range: %v is not a range of ports", s.InternalPortRange)
-	}
-	if len(s.SeedNodes) == 0 {
-		return errors.New("seed_nodes: none given")
-	}
-	for _, seed := range s.SeedNodes {
-		if _, _, err := net.SplitHostPort(seed); err != nil {
-			return errors.Errorf("seed_nodes: %q is not an address", seed)
-		}
-	}
-	if s.HeartbeatIntervalMs <= 0 {
-		return errors.Errorf("heartbeat_interval_ms: %d is not above 0", s.HeartbeatIntervalMs)
-	}
-	positive := []struct {
-		key   string
-		value float64
-	}{
-		{"contact_ms", s.Bounds.ContactMs}, {"acknowledge_ms", s.Bounds.AcknowledgeMs},
-		{"drain_timeout_ms", s.Bounds.DrainTimeoutMs}, {"grace_period_s", s.Bounds.GracePeriodS},
-		{"config_apply_ms", s.Bounds.ConfigApplyMs}, {"budget_window_s", s.Bounds.BudgetWindowS},
-		{"lease_duration_ms", s.Bounds.LeaseDurationMs}, {"ceiling_window_s", s.Bounds.CeilingWindowS},
-	}
-	for _, figure := range positive {
-		if figure.value <= 0 {
-			return errors.Errorf("bounds.%s: %v is not above 0", figure.key, figure.value)
-		}
-	}
-	return nil
-}
-
-// InternalAddress is where the control process of a machine is called by other processes of the system. Ports are
-// alike on all machines.
+// InternalAddress returns the address (host:port) for messages between processes of the control process on a host. Ports
+// are the same on all machines.
 func (s *Settings) InternalAddress(host string) string {
 	return net.JoinHostPort(host, strconv.Itoa(s.InternalPortRange[0]))
 }
 
-// SeedInternalAddresses are the internal addresses of the seeds.
+// SeedInternalAddresses returns the internal addresses of the seeds.
 func (s *Settings) SeedInternalAddresses() []string {
 	var addresses []string
 	for _, seed := range s.SeedNodes {
 		host, _, err := net.SplitHostPort(seed)
 		if err != nil {
-			continue // checked by Parse
+			continue // validate has rejected it
 		}
 		addresses = append(addresses, s.InternalAddress(host))
 	}
 	return addresses
 }
 
-// HeartbeatInterval is the time between two heartbeats of an endpoint.
+// HeartbeatInterval returns HeartbeatIntervalMs as a duration.
 func (s *Settings) HeartbeatInterval() time.Duration {
 	return Milliseconds(float64(s.HeartbeatIntervalMs))
 }
 
-// Milliseconds makes a duration of a figure in milliseconds.
+// Milliseconds returns a number of milliseconds as a duration.
 func Milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Seconds makes a duration of a figure in seconds.
+// Seconds returns a number of seconds as a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
