--- a/internal/http1/doc.go
+++ b/internal/http1/doc.go
@@ -45,7 +45,7 @@
 // # Goroutines
 //
 //   - One for each downstream connection owns its reading and its answer. It waits for the core's
-//     answer on Call.Final, and has one helper that watches for the client's hang-up meanwhile.
+//     answer on Call.Answered, and has one helper that watches for the client's hang-up meanwhile.
 //   - One for each attempt, owned by the core, owns the upstream connection until its result is
 //     returned. A streamed request has one helper that writes the body and one that waits for the
 //     response.
@@ -55,7 +55,7 @@
 //
 // # Bounds
 //
-// Connections: config.Plan().Inbound() and core.ExcessSockets. Heads: maxHead, maxResponseHead.
+// Connections: config.Plan().Inbound() and core.OverflowSockets. Heads: maxHead, maxResponseHead.
 // Bodies: maxBufferedBody in memory, which core.Memory accounts for, and maxStreamedBody streamed
 // through one buffer of core.Buffers each. Time: headTimeout, minBodyRate, idleTimeout,
 // streamStallTimeout, writeTimeout, lingerTimeout.
--- a/internal/http1/downstream_body.go
+++ b/internal/http1/downstream_body.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"io"
 	"net/http"
 )
@@ -52,9 +53,57 @@
 	}
 	h, err := b.chunks.trailer()
 	if err != nil {
-		return nil // what cannot be read is not passed on
+		return nil
 	}
 	removeHopByHop(h)
-	h.Del("Content-Length") // a second length, for who merges trailers into the head
+	// A parser that merges trailers into the head would have two lengths (RFC 9110, section 6.5.1).
+	h.Del("Content-Length")
 	return h
 }
+
+// readBody reads the body of a request into memory, or the beginning of one that is streamed. It
+// returns how many bytes it has reserved of the memory for bodies, which the caller releases.
+func (s *Server) readBody(c *downstreamConn, head *http.Request, req *request, from *requestBody) (reserved int, err error) {
+	header := head.Header
+	removeHopByHop(header)
+	req.forwardedRequest = forwardedRequest{method: head.Method, target: head.RequestURI, host: head.Host, header: header}
+	if head.ContentLength == 0 {
+		return 0, nil
+	}
+	reserved = maxBufferedBody
+	if head.ContentLength > 0 {
+		reserved = min(reserved, int(head.ContentLength))
+	}
+	if !s.memory.Bodies.TryAcquire(reserved) {
+		return 0, errNoMemory
+	}
+	c.enforceRate()
+	body, complete, err := readUpTo(from, reserved)
+	complete = complete || int64(len(body)) == head.ContentLength
+	c.rateEnforced = !complete
+	if req.body = body; err != nil || complete {
+		return reserved, err
+	}
+	req.upload = newUpload(c, from, s.uploadTooLate)
+	req.LongBody = true
+	return reserved, nil
+}
+
+// readUpTo reads up to a number of bytes of a body and reports whether it is complete. The buffer
+// grows with the input: a Content-Length is no evidence that so much is sent.
+func readUpTo(body io.Reader, limit int) (data []byte, complete bool, err error) {
+	for len(data) < limit {
+		if len(data) == cap(data) {
+			data = append(make([]byte, 0, min(limit, max(512, 2*cap(data)))), data...)
+		}
+		n, err := body.Read(data[len(data):cap(data)])
+		data = data[:len(data)+n]
+		if errors.Is(err, io.EOF) {
+			return data, true, nil
+		}
+		if err != nil {
+			return data, false, err
+		}
+	}
+	return data, false, nil
+}
--- a/internal/http1/downstream_conn.go
+++ b/internal/http1/downstream_conn.go
@@ -151,6 +151,18 @@
 	c.tracker.remove(c)
 }
 
+const (
+	// minBodyRate is the rate in bytes per second at which a client has to send a body. A client below
+	// the rate uses up its credit: initialRateCredit at the start, and the time by which it is ahead of
+	// the rate, up to maxRateCredit.
+	minBodyRate       = 48 << 10
+	initialRateCredit = 2 * time.Second
+	maxRateCredit     = 2 * time.Second
+	// readGrace is the time to read input that was received while the goroutine of the connection was
+	// not scheduled.
+	readGrace = 200 * time.Millisecond
+)
+
 // enforceRate begins to enforce minBodyRate on the body that is read next.
 func (c *downstreamConn) enforceRate() {
 	c.rateEnforced, c.rateCredit = true, initialRateCredit
@@ -229,7 +241,7 @@
 		return
 	}
 	tcp.SetReadDeadline(time.Now().Add(lingerTimeout))
-	io.Copy(io.Discard, tcp) // whatever ends it
+	io.Copy(io.Discard, tcp) // any error ends the connection
 }
 
 // beginServing notes that the request has been read, and returns the number of idle connections.
--- a/internal/http1/downstream_drain.go
+++ b/internal/http1/downstream_drain.go
@@ -1,6 +1,7 @@
 package http1
 
 import (
+	"bufio"
 	"time"
 
 	"dykering/internal/core"
@@ -44,15 +45,15 @@
 		phase, since, changed := s.lifecycle.Now()
 		var next <-chan time.Time
 		if s.redirects(phase) {
-			took, after := time.Since(since), s.redirectGrace()
-			mute := after
-			if took > after {
-				mute = drainedNewConnTimeout
+			elapsed, grace := time.Since(since), s.redirectGrace()
+			newFor := grace
+			if elapsed > grace {
+				newFor = drainedNewConnTimeout
 			}
 			if s.hasSuccessor() {
 				s.clients.interruptStreams()
 			}
-			s.clients.expire(max(after-took, 0), mute)
+			s.clients.expire(max(grace-elapsed, 0), newFor)
 			next = time.After(drainPollInterval)
 		}
 		select {
@@ -80,13 +81,13 @@
 
 // redirectAnswer returns the rejection for requests after the grace, and whether the grace has
 // passed.
-func (s *Server) redirectAnswer() (a core.Answer, away bool) {
+func (s *Server) redirectAnswer() (rejection core.Answer, graceOver bool) {
 	phase, since, _ := s.lifecycle.Now()
-	a = core.RejectedAnswer(&s.config.Settings)
+	rejection = core.RejectedAnswer(&s.config.Settings)
 	if phase == core.Stopping {
-		a.RetryAfter = min(a.RetryAfter, handoverRetryAfter)
+		rejection.RetryAfter = min(rejection.RetryAfter, handoverRetryAfter)
 	}
-	return a, s.redirects(phase) && time.Since(since) > s.redirectGrace()
+	return rejection, s.redirects(phase) && time.Since(since) > s.redirectGrace()
 }
 
 // uploadTooLate reports whether the last byte of an upload is received too late to be answered by
@@ -95,21 +96,23 @@
 	if s.hasSuccessor() {
 		return time.Until(s.lifecycle.Deadline()) < minAnswerTime
 	}
-	_, away := s.redirectAnswer()
-	return away
+	_, graceOver := s.redirectAnswer()
+	return graceOver
 }
 
 // closesAfterAnswer reports whether the connection closes with the answer that is written now,
 // because its client is to go elsewhere or the process ends. Requests that have been read behind
 // the answered one are still answered for a while: to close the connection would lose them. The
 // reader is that of the connection.
-func (s *Server) closesAfterAnswer(c *downstreamConn, buffered int) bool {
+func (s *Server) closesAfterAnswer(c *downstreamConn, r *bufio.Reader) bool {
+	buffered := r.Buffered() + len(c.readAhead)
 	phase, since, _ := s.lifecycle.Now()
 	switch {
 	case s.redirects(phase):
 		late := time.Since(since) - s.redirectGrace()
 		return late > headTimeout || buffered == 0 && (late > 0 || !c.hasInput())
-	case buffered > 0 && time.Until(s.lifecycle.Deadline()) > -lingerTimeout: // also behind what was called off at the end
+	case buffered > 0 && time.Until(s.lifecycle.Deadline()) > -lingerTimeout:
+		// Also behind a request that abortReads has rejected at the end.
 		return false
 	}
 	return s.lifecycle.IsClosingWithin(lastAnswerWindow)
--- a/internal/http1/downstream_reply.go
+++ b/internal/http1/downstream_reply.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"net"
 	"net/http"
@@ -28,7 +29,7 @@
 
 // answer writes the final answer. Like the other methods it reports whether the connection stays
 // open.
-func (w *reply) answer(a core.Answer) (lasts bool) {
+func (w *reply) answer(a core.Answer) (keepAlive bool) {
 	response, _ := a.Response.(*response)
 	switch {
 	case response != nil && response.rest != nil:
@@ -48,18 +49,26 @@
 
 // error writes an answer about an invalid request and closes the connection after it: what follows
 // on the connection may not be a request.
-func (w *reply) error(status int, text string) (lasts bool) {
+func (w *reply) error(status int, text string) (keepAlive bool) {
 	w.keepAlive = false
 	return w.status(status, text)
 }
 
+// bodyError answers a request whose body could not be read.
+func (w *reply) bodyError(err error) (keepAlive bool) {
+	if errors.Is(err, errTooLarge) {
+		return w.error(http.StatusRequestEntityTooLarge, "request body too large")
+	}
+	return w.error(http.StatusBadRequest, "request body cut short")
+}
+
 // status writes an answer with a status and a line of text.
-func (w *reply) status(status int, text string) (lasts bool) {
+func (w *reply) status(status int, text string) (keepAlive bool) {
 	return w.text(status, http.Header{}, text)
 }
 
 // text writes an answer with a plain-text body, empty for no text.
-func (w *reply) text(status int, header http.Header, text string) (lasts bool) {
+func (w *reply) text(status int, header http.Header, text string) (keepAlive bool) {
 	if text != "" {
 		header.Set("Content-Type", "text/plain; charset=utf-8")
 		text += "\n"
@@ -68,7 +77,7 @@
 }
 
 // complete writes an answer whose body is in memory.
-func (w *reply) complete(status int, header http.Header, body []byte) (lasts bool) {
+func (w *reply) complete(status int, header http.Header, body []byte) (keepAlive bool) {
 	return w.write(w.head(status, header, fmt.Sprintf("Content-Length: %d\r\n", len(body))), body) && w.keepAlive
 }
 
--- a/internal/http1/downstream_serve.go
+++ b/internal/http1/downstream_serve.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"errors"
-	"io"
 	"net"
 	"net/http"
 	"os"
@@ -30,7 +29,7 @@
 			return err
 		}
 		if err != nil {
-			s.log.Warn("caller.accept_failed", zap.Error(err))
+			s.log.Warn("client.accept_failed", zap.Error(err))
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
@@ -59,18 +58,20 @@
 		}
 		if r == nil {
 			if c.awaitRequest(until) != nil {
-				passed := s.hasSuccessor() && s.transferIdle(c, r)
-				if passed || !c.hasInput() { // something may have come while a successor that does not take it was asked to
+				transferred := s.hasSuccessor() && s.transferIdle(c, r)
+				// A request may have been received while a successor that declined was asked.
+				if transferred || !c.hasInput() {
 					return
 				}
 			}
 			r = readerPool.Get().(*bufio.Reader)
 			r.Reset(c)
 		}
-		switch lasts, passed := s.exchange(c, r); {
-		case passed:
+		keepAlive, transferred := s.exchange(c, r)
+		if transferred {
 			return
-		case !lasts:
+		}
+		if !keepAlive {
 			c.lingeringClose()
 			return
 		}
@@ -78,154 +79,158 @@
 	}
 }
 
+// serveAfterAnswer goes on with a connection whose first answer was written outside of
+// serveRequests. The reader, if not nil, has read some of the input.
+func (s *Server) serveAfterAnswer(c *downstreamConn, w *reply, keepAlive bool, r *bufio.Reader) {
+	switch {
+	case w.transferred:
+	case keepAlive:
+		s.serveRequests(c, c.finishRequest(r), r)
+	default:
+		c.lingeringClose()
+	}
+}
+
 // exchange reads one request and answers it. It reports whether the connection stays open for
 // another one, and whether the successor has the connection now.
-func (s *Server) exchange(c *downstreamConn, r *bufio.Reader) (lasts, passed bool) {
+func (s *Server) exchange(c *downstreamConn, r *bufio.Reader) (keepAlive, transferred bool) {
 	w := &reply{client: c, transfer: s.relayTransfer(r)}
-	lasts = s.answerRequest(c, r, w)
-	return lasts, w.transferred
+	keepAlive = s.answerRequest(c, r, w)
+	return keepAlive, w.transferred
 }
 
 // answerRequest reads one request and answers it, or transfers it to the successor.
-func (s *Server) answerRequest(c *downstreamConn, r *bufio.Reader, w *reply) (lasts bool) {
+func (s *Server) answerRequest(c *downstreamConn, r *bufio.Reader, w *reply) (keepAlive bool) {
 	until, overLimit := c.beginRequest()
 	c.Conn.SetReadDeadline(until)
 	head, err := readRequest(r)
-	var invalid *requestError
-	switch {
-	case c.readAborted.Load() && errors.Is(err, os.ErrDeadlineExceeded):
-		w.keepAlive = false
-		return w.answer(core.RejectedAnswer(&s.config.Settings))
-	case errors.As(err, &invalid):
-		s.logRequestError(invalid.status, invalid.text)
-		return w.error(invalid.status, invalid.text)
-	case errors.Is(err, os.ErrDeadlineExceeded) && r.Buffered() > 0:
-		return w.error(http.StatusRequestTimeout, "the head did not come in time")
-	case err != nil:
-		return false
+	if err != nil {
+		return s.answerHeadError(c, r, w, err)
 	}
 	w.http10 = !head.ProtoAtLeast(1, 1)
-	body := newRequestBody(head, r)
 	w.keepAlive = !head.Close && !w.http10
-	unread := head.ContentLength != 0 // what stands in its place in the connection's stream is no request
-	if !unread && s.transfersRequests() {
-		if w.transferred = s.transferRequest(c, r, head, nil, nil); w.transferred {
-			return false
-		}
+	body := newRequestBody(head, r)
+	hasBody := head.ContentLength != 0
+	if !hasBody && s.transfersRequests() && s.transferRequest(c, r, head, nil, nil) {
+		w.transferred = true
+		return false
 	}
-	if head.URL.Path == "/ready" && head.Header.Get("X-Txn") == "" {
-		w.keepAlive = w.keepAlive && !unread && !s.closesAfterAnswer(c, r.Buffered()+len(c.readAhead))
-		if !s.lifecycle.IsReady() {
-			return w.status(http.StatusServiceUnavailable, "not ready")
-		}
-		return w.status(http.StatusOK, "")
+	if isReadinessCheck(head) {
+		return s.answerReadiness(c, r, w, hasBody)
 	}
-	complete := head.ContentLength > 0 && int64(r.Buffered()) >= head.ContentLength // and what stands behind it may be a request
-	if answer, redirected := s.redirectAnswer(); overLimit || redirected && !(unread && (complete || s.transfersRequests())) {
-		w.keepAlive = w.keepAlive && !overLimit && !unread && !s.closesAfterAnswer(c, r.Buffered()+len(c.readAhead))
+	if answer, rejected := s.rejectUnread(r, head, overLimit); rejected {
+		// An unread body stands where the next request would begin.
+		w.keepAlive = w.keepAlive && !overLimit && !hasBody && !s.closesAfterAnswer(c, r)
 		return w.answer(answer)
 	}
-	req, status, text := s.parseRequest(head)
-	if text != "" {
-		s.logRequestError(status, text)
-		return w.error(status, text) // what follows on the connection may be no request
+	req, invalid := s.parseRequest(head)
+	if invalid != nil {
+		return s.answerInvalid(w, invalid)
 	}
-	if unread && expectsContinue(head) && !w.http10 {
-		if !w.informational("HTTP/1.1 100 Continue\r\n\r\n") {
-			return false
-		}
+	if hasBody && expectsContinue(head) && !w.http10 && !w.informational("HTTP/1.1 100 Continue\r\n\r\n") {
+		return false
+	}
+	return s.answerParsed(c, r, w, head, body, req)
+}
+
+// answerHeadError answers a request whose head could not be read.
+func (s *Server) answerHeadError(c *downstreamConn, r *bufio.Reader, w *reply, err error) (keepAlive bool) {
+	var invalid *requestError
+	switch {
+	case c.readAborted.Load() && errors.Is(err, os.ErrDeadlineExceeded):
+		return s.rejectAndClose(w)
+	case errors.As(err, &invalid):
+		return s.answerInvalid(w, invalid)
+	case errors.Is(err, os.ErrDeadlineExceeded) && r.Buffered() > 0:
+		return w.error(http.StatusRequestTimeout, "the head did not come in time")
 	}
+	return false // the connection has ended
+}
+
+// answerInvalid logs and answers an invalid request. What follows on the connection may not be a
+// request, so it closes. The text behind a colon may quote the client's input, which can be
+// anything, and is left out of the log.
+func (s *Server) answerInvalid(w *reply, invalid *requestError) (keepAlive bool) {
+	text, _, _ := strings.Cut(invalid.text, ":")
+	s.log.Info("client.invalid_request", zap.Int("status", invalid.status), zap.String("fault", text))
+	return w.error(invalid.status, invalid.text)
+}
+
+// rejectAndClose rejects a request that has not been read completely.
+func (s *Server) rejectAndClose(w *reply) (keepAlive bool) {
+	w.keepAlive = false
+	return w.answer(core.RejectedAnswer(&s.config.Settings))
+}
+
+// isReadinessCheck reports whether a request is a load balancer's check of this process, which has
+// no request id, and not a request to be forwarded.
+func isReadinessCheck(head *http.Request) bool {
+	return head.URL.Path == "/ready" && head.Header.Get("X-Txn") == ""
+}
+
+// answerReadiness answers a load balancer's check.
+func (s *Server) answerReadiness(c *downstreamConn, r *bufio.Reader, w *reply, hasBody bool) (keepAlive bool) {
+	w.keepAlive = w.keepAlive && !hasBody && !s.closesAfterAnswer(c, r)
+	if !s.lifecycle.IsReady() {
+		return w.status(http.StatusServiceUnavailable, "not ready")
+	}
+	return w.status(http.StatusOK, "")
+}
+
+// rejectUnread returns the answer to a request that is rejected before its body is read: on a
+// connection beyond the limit, or because clients have been redirected for long enough. A redirected
+// request whose body is in memory already, or that can be transferred, is read first: behind its
+// body there may be another request.
+func (s *Server) rejectUnread(r *bufio.Reader, head *http.Request, overLimit bool) (answer core.Answer, rejected bool) {
+	answer, redirected := s.redirectAnswer()
+	if overLimit || !redirected {
+		return answer, overLimit
+	}
+	inMemory := head.ContentLength > 0 && int64(r.Buffered()) >= head.ContentLength
+	readable := head.ContentLength != 0 && (inMemory || s.transfersRequests())
+	return answer, !readable
+}
+
+// answerParsed reads the body of a request and dispatches it, or transfers it to the successor.
+func (s *Server) answerParsed(c *downstreamConn, r *bufio.Reader, w *reply, head *http.Request, body *requestBody,
+	req *request) (keepAlive bool) {
 	w.writeTimeout = min(max(req.Remaining, minWriteTimeout), writeTimeout)
-	held, err := s.readBody(c, head, req, body)
-	defer s.memory.Bodies.Release(held)
+	reserved, err := s.readBody(c, head, req, body)
+	defer s.memory.Bodies.Release(reserved)
 	switch {
 	case errors.Is(err, errNoMemory), err != nil && c.readAborted.Load():
-		w.keepAlive = false
-		return w.answer(core.RejectedAnswer(&s.config.Settings))
-	case errors.Is(err, errTooLarge):
-		return w.error(http.StatusRequestEntityTooLarge, "request body too large")
+		return s.rejectAndClose(w)
 	case err != nil:
-		return w.error(http.StatusBadRequest, "request body cut short")
+		return w.bodyError(err)
 	}
-	if unread && s.transfersRequests() {
+	if head.ContentLength != 0 && s.transfersRequests() {
 		rest := body
 		if req.upload == nil {
 			rest = nil
 		}
-		if w.transferred = s.transferRequest(c, r, head, req.body, rest); w.transferred {
+		if s.transferRequest(c, r, head, req.body, rest) {
+			w.transferred = true
 			return false
 		}
 	}
 	if answer, redirected := s.redirectAnswer(); redirected && req.upload == nil {
-		w.keepAlive = w.keepAlive && !s.closesAfterAnswer(c, r.Buffered()+len(c.readAhead))
-		return w.answer(answer) // its last byte came too late
+		// The last byte of the body was received after the grace.
+		w.keepAlive = w.keepAlive && !s.closesAfterAnswer(c, r)
+		return w.answer(answer)
 	}
 	return s.dispatch(c, r, w, req)
 }
 
-// logRequestError logs why a request is invalid. The text behind a colon may quote the client's
-// input, which can be anything, and is left out.
-func (s *Server) logRequestError(status int, text string) {
-	text, _, _ = strings.Cut(text, ":")
-	s.log.Info("caller.fault", zap.Int("status", status), zap.String("fault", text))
-}
-
-// readBody reads the body of a request into memory, or the beginning of one that is streamed. It
-// returns how many bytes it has reserved of the memory for bodies, which the caller releases.
-func (s *Server) readBody(c *downstreamConn, in *http.Request, req *request, from *requestBody) (held int, err error) {
-	header := in.Header
-	removeHopByHop(header)
-	req.forwardedRequest = forwardedRequest{method: in.Method, target: in.RequestURI, host: in.Host, header: header}
-	if in.ContentLength == 0 {
-		return 0, nil
-	}
-	held = maxBufferedBody
-	if in.ContentLength > 0 {
-		held = min(held, int(in.ContentLength))
-	}
-	if !s.memory.Bodies.TryAcquire(held) {
-		return 0, errNoMemory
-	}
-	c.enforceRate()
-	body, whole, err := readUpTo(from, held)
-	whole = whole || int64(len(body)) == in.ContentLength
-	c.rateEnforced = !whole
-	if req.body = body; err != nil || whole {
-		return held, err
-	}
-	req.upload = newUpload(c, from, s.uploadTooLate)
-	req.LongBody = true
-	return held, nil
-}
-
-// readUpTo reads up to a number of bytes of a body and reports whether it is complete. The buffer
-// grows with the input: a Content-Length is no evidence that so much is sent.
-func readUpTo(body io.Reader, most int) (got []byte, whole bool, err error) {
-	for len(got) < most {
-		if len(got) == cap(got) {
-			got = append(make([]byte, 0, min(most, max(512, 2*cap(got)))), got...)
-		}
-		n, err := body.Read(got[len(got):cap(got)])
-		got = got[:len(got)+n]
-		if errors.Is(err, io.EOF) {
-			return got, true, nil
-		}
-		if err != nil {
-			return got, false, err
-		}
-	}
-	return got, false, nil
-}
-
 // dispatch submits a request to the core loop and writes the answer.
-func (s *Server) dispatch(c *downstreamConn, r *bufio.Reader, w *reply, req *request) (lasts bool) {
+func (s *Server) dispatch(c *downstreamConn, r *bufio.Reader, w *reply, req *request) (keepAlive bool) {
 	received := time.Now()
 	req.IdleConns = c.beginServing()
 	if req.upload != nil {
 		req.upload.transfer = s.uploadTransfer(r, w, req)
 	}
 	abandon := func() { s.loop.Abandon(req.Call) }
-	if req.upload == nil { // else its body is read on, which shows it: see exchangeLong
+	if req.upload == nil {
+		// With an upload, the reading of the body shows a hang-up; see exchangeStreaming.
 		req.clientHungUp = func() bool {
 			hungUp := c.hasHungUp()
 			if hungUp {
@@ -240,7 +245,7 @@
 
 // awaitAnswer writes the answer to a submitted request. It calls abandon where nobody waits for the
 // answer any more.
-func (s *Server) awaitAnswer(c *downstreamConn, r *bufio.Reader, w *reply, req *request, abandon func()) (lasts bool) {
+func (s *Server) awaitAnswer(c *downstreamConn, r *bufio.Reader, w *reply, req *request, abandon func()) (keepAlive bool) {
 	var transferred <-chan struct{}
 	bodyRead, readFailed := make(chan struct{}), (chan error)(nil)
 	if req.upload != nil {
@@ -260,13 +265,11 @@
 			return false
 		case err := <-readFailed:
 			abandon()
-			if errors.Is(err, errTooLarge) {
-				return w.error(http.StatusRequestEntityTooLarge, "request body too large")
-			}
-			return w.error(http.StatusBadRequest, "request body cut short")
+			return w.bodyError(err)
 		case err := <-hungUp:
 			if errors.Is(err, os.ErrDeadlineExceeded) {
-				hungUp = c.watchHangup() // an attempt that ended stopped the reading of a body that had just ended
+				// An attempt that ended stopped the reading of a body that had just been read to its end.
+				hungUp = c.watchHangup()
 				continue
 			}
 			abandon()
@@ -280,15 +283,16 @@
 			if hungUp != nil {
 				c.stopWatching(hungUp)
 			}
+			// The body may have ended at the same time as the answer came: select chooses either first.
 			select {
-			case <-bodyRead: // both at once: either may be chosen first
+			case <-bodyRead:
 				bodyRead = nil
 			default:
 			}
-			w.keepAlive = w.keepAlive && bodyRead == nil && !s.closesAfterAnswer(c, r.Buffered()+len(c.readAhead))
-			lasts := w.answer(a)
+			w.keepAlive = w.keepAlive && bodyRead == nil && !s.closesAfterAnswer(c, r)
+			keepAlive := w.answer(a)
 			a.Discard()
-			return lasts
+			return keepAlive
 		}
 	}
 }
--- a/internal/http1/downstream_tracker.go
+++ b/internal/http1/downstream_tracker.go
@@ -14,7 +14,7 @@
 // hold a request.
 type connTracker struct {
 	net.Listener
-	// Connections beyond the limit are accepted only to reject their request, up to core.ExcessSockets
+	// Connections beyond the limit are accepted only to reject their request, up to core.OverflowSockets
 	// of them.
 	limit int
 
@@ -28,32 +28,20 @@
 	lastAccepted time.Time // when the last connection came
 }
 
-const (
-	// stallTimeout is how long a partly received request may make no progress before its connection
-	// may be evicted for a new one. A slow client goes on sending; clients of a connection flood send
-	// once.
-	stallTimeout = 700 * time.Millisecond
-	// minBodyRate is the rate in bytes per second at which a client has to send a body. A client below
-	// the rate uses up its credit: initialRateCredit at the start, and the time by which it is ahead
-	// of the rate, up to maxRateCredit.
-	minBodyRate       = 48 << 10
-	initialRateCredit = 2 * time.Second
-	maxRateCredit     = 2 * time.Second
-	// readGrace is the time to read input that was received while the goroutine of the connection was
-	// not scheduled.
-	readGrace = 200 * time.Millisecond
-)
+// stallTimeout is how long a partly received request may make no progress before its connection may
+// be evicted for a new one. A slow client goes on sending; clients of a connection flood send once.
+const stallTimeout = 700 * time.Millisecond
 
 // accept returns the next connection that is admitted. Connections beyond the limit and the excess
 // are closed.
-func (cs *connTracker) accept() (*downstreamConn, error) {
+func (t *connTracker) accept() (*downstreamConn, error) {
 	for {
-		raw, err := cs.Listener.Accept()
+		raw, err := t.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		c := &downstreamConn{Conn: raw, tracker: cs, since: time.Now()}
-		if cs.admit(c) {
+		c := &downstreamConn{Conn: raw, tracker: t, since: time.Now()}
+		if t.admit(c) {
 			return c, nil
 		}
 		raw.Close()
@@ -64,10 +52,10 @@
 // is shared by all processes that have a copy, and one that hands its copy on (as os/exec does with
 // ExtraFiles) makes it blocking for all. A connection that such an accept still returns is served
 // or transferred like the earlier ones.
-func (cs *connTracker) closeListener() {
+func (t *connTracker) closeListener() {
 	closed := make(chan struct{})
 	go func() {
-		cs.Listener.Close()
+		t.Listener.Close()
 		close(closed)
 	}()
 	select {
@@ -79,33 +67,33 @@
 // admit tracks a new connection. At the limit it evicts another connection for it. Where none can
 // be evicted, the new connection is admitted as overLimit and its request is rejected, for to close
 // the connection would lose the request. It reports false beyond the limit and the excess.
-func (cs *connTracker) admit(c *downstreamConn) bool {
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	cs.lastAccepted = c.since
-	if cs.open >= cs.limit && !cs.evictOne(c.since) {
-		if cs.open >= cs.limit+core.OverflowSockets {
+func (t *connTracker) admit(c *downstreamConn) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.lastAccepted = c.since
+	if t.open >= t.limit && !t.evictOne(c.since) {
+		if t.open >= t.limit+core.OverflowSockets {
 			return false
 		}
 		c.overLimit = true
 	}
-	cs.open++
-	c.element = cs.byState[stateNew].PushBack(c)
-	cs.entered[stateNew]++
+	t.open++
+	c.element = t.byState[stateNew].PushBack(c)
+	t.entered[stateNew]++
 	return true
 }
 
 // adopt tracks a connection of the predecessor. It reports false at the limit.
-func (cs *connTracker) adopt(c *downstreamConn) bool {
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	if cs.open >= cs.limit {
+func (t *connTracker) adopt(c *downstreamConn) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.open >= t.limit {
 		return false
 	}
-	cs.lastAccepted = c.since
-	cs.open++
+	t.lastAccepted = c.since
+	t.open++
 	c.state = c.restingState(nil)
-	c.element = cs.byState[c.state].PushBack(c)
+	c.element = t.byState[c.state].PushBack(c)
 	return true
 }
 
@@ -113,18 +101,18 @@
 // their last answer, then idle ones, whose clients can send a request that crosses the close on
 // another connection, and last those whose request makes no progress. A connection with unread
 // input is never closed.
-func (cs *connTracker) evictOne(now time.Time) bool {
-	for _, stage := range []connState{stateNew, stateLingering, stateIdle} {
-		for at := cs.byState[stage].Front(); at != nil; at = at.Next() {
-			if c := at.Value.(*downstreamConn); !c.hasInput() {
-				cs.evict(c)
+func (t *connTracker) evictOne(now time.Time) bool {
+	for _, state := range []connState{stateNew, stateLingering, stateIdle} {
+		for element := t.byState[state].Front(); element != nil; element = element.Next() {
+			if c := element.Value.(*downstreamConn); !c.hasInput() {
+				t.evict(c)
 				return true
 			}
 		}
 	}
-	for at := cs.byState[stateReading].Front(); at != nil; at = at.Next() {
-		if c := at.Value.(*downstreamConn); now.UnixNano()-c.lastReceived.Load() > int64(stallTimeout) && !c.hasInput() {
-			cs.evict(c)
+	for element := t.byState[stateReading].Front(); element != nil; element = element.Next() {
+		if c := element.Value.(*downstreamConn); now.UnixNano()-c.lastReceived.Load() > int64(stallTimeout) && !c.hasInput() {
+			t.evict(c)
 			return true
 		}
 	}
@@ -134,55 +122,55 @@
 // expire ends the connections that have been idle or new for the given times. It ends the wait for
 // a request, not the connection: a request that is received at this moment is served, so no close
 // crosses it.
-func (cs *connTracker) expire(idleFor, muteFor time.Duration) {
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
+func (t *connTracker) expire(idleFor, newFor time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	now := time.Now()
-	for stage, least := range map[connState]time.Duration{stateIdle: idleFor, stateNew: muteFor} {
-		for at := cs.byState[stage].Front(); at != nil; at = at.Next() {
-			c := at.Value.(*downstreamConn)
-			if now.Sub(c.since) < least {
-				break // the others are younger
+	for state, minimum := range map[connState]time.Duration{stateIdle: idleFor, stateNew: newFor} {
+		for element := t.byState[state].Front(); element != nil; element = element.Next() {
+			c := element.Value.(*downstreamConn)
+			if now.Sub(c.since) < minimum {
+				break // the rest of the list is younger
 			}
-			c.Conn.SetReadDeadline(now) // its goroutine closes it then
+			c.Conn.SetReadDeadline(now) // ends the goroutine's awaitRequest, and it closes the connection
 		}
 	}
 }
 
 // evict closes a connection and stops tracking it; its goroutine finds out at its next read.
-func (cs *connTracker) evict(c *downstreamConn) {
+func (t *connTracker) evict(c *downstreamConn) {
 	c.closeSocket()
-	cs.remove(c)
+	t.remove(c)
 }
 
 // remove stops tracking a connection. It does nothing for one that is not tracked.
-func (cs *connTracker) remove(c *downstreamConn) {
+func (t *connTracker) remove(c *downstreamConn) {
 	if c.element != nil {
-		cs.byState[c.state].Remove(c.element)
+		t.byState[c.state].Remove(c.element)
 		c.element = nil
-		cs.open--
+		t.open--
 	}
 }
 
 // setState moves a connection to the end of a state's list. It does nothing for one that is not
 // tracked.
-func (cs *connTracker) setState(c *downstreamConn, to connState) {
+func (t *connTracker) setState(c *downstreamConn, to connState) {
 	if c.element != nil {
-		cs.byState[c.state].Remove(c.element)
+		t.byState[c.state].Remove(c.element)
 		c.state = to
-		c.element = cs.byState[to].PushBack(c)
-		cs.entered[to]++
+		c.element = t.byState[to].PushBack(c)
+		t.entered[to]++
 	}
 }
 
 // interruptStreams asks all uploads and relays to pause and to transfer themselves to the
 // successor.
-func (cs *connTracker) interruptStreams() {
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	for _, stage := range []connState{stateServing, stateStreaming} {
-		for at := cs.byState[stage].Front(); at != nil; at = at.Next() {
-			if p := at.Value.(*downstreamConn).stream; p != nil {
+func (t *connTracker) interruptStreams() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, state := range []connState{stateServing, stateStreaming} {
+		for element := t.byState[state].Front(); element != nil; element = element.Next() {
+			if p := element.Value.(*downstreamConn).stream; p != nil {
 				p.interrupt()
 			}
 		}
@@ -190,27 +178,27 @@
 }
 
 // onlyAnswering reports whether all connections are served an answer or have had their last one.
-func (cs *connTracker) onlyAnswering() bool {
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	return cs.open == cs.byState[stateStreaming].Len()+cs.byState[stateServing].Len()+cs.byState[stateLingering].Len()
+func (t *connTracker) onlyAnswering() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.open == t.byState[stateStreaming].Len()+t.byState[stateServing].Len()+t.byState[stateLingering].Len()
 }
 
 // emptyFor reports whether no connection is open and none has been accepted for the given time.
-func (cs *connTracker) emptyFor(d time.Duration) bool {
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	return cs.open == 0 && time.Since(cs.lastAccepted) >= d
+func (t *connTracker) emptyFor(d time.Duration) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.open == 0 && time.Since(t.lastAccepted) >= d
 }
 
 // abortReads ends the reading of partly received requests, which are rejected at once, when the
 // process ends. Their connections end by a lingering close: an immediate one would destroy the
 // answer.
-func (cs *connTracker) abortReads() {
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	for at := cs.byState[stateReading].Front(); at != nil; at = at.Next() {
-		c := at.Value.(*downstreamConn)
+func (t *connTracker) abortReads() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for element := t.byState[stateReading].Front(); element != nil; element = element.Next() {
+		c := element.Value.(*downstreamConn)
 		c.readAborted.Store(true)
 		c.Conn.SetReadDeadline(time.Now())
 	}
@@ -218,12 +206,12 @@
 
 // closeInStates closes the connections in the given states. No complete request has been received
 // on them.
-func (cs *connTracker) closeInStates(in ...connState) {
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
-	for _, stage := range in {
-		for cs.byState[stage].Len() > 0 {
-			cs.evict(cs.byState[stage].Front().Value.(*downstreamConn))
+func (t *connTracker) closeInStates(in ...connState) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, state := range in {
+		for t.byState[state].Len() > 0 {
+			t.evict(t.byState[state].Front().Value.(*downstreamConn))
 		}
 	}
 }
--- a/internal/http1/errors.go
+++ b/internal/http1/errors.go
@@ -12,7 +12,7 @@
 	// errNoMemory is a body for which no memory can be reserved.
 	errNoMemory = errors.New("no memory for the body")
 	// errClientGone is a client that has closed its connection.
-	errClientGone = errors.New("the caller has gone")
+	errClientGone = errors.New("the client has gone")
 	// errTransferred ends what the successor continues.
 	errTransferred = errors.New("passed on to the successor")
 )
--- a/internal/http1/lifecycle.go
+++ b/internal/http1/lifecycle.go
@@ -15,7 +15,8 @@
 // shutdown, or the error of the listener.
 func (s *Server) Run(listener net.Listener, stop, reload <-chan os.Signal) error {
 	s.clients.Listener = listener
-	// First of all: as soon as this process can serve, the one before may be told to end, and looks for it.
+	// Before anything else: once this process can serve, its predecessor may be stopped and then looks
+	// for the receiver.
 	if close := s.receiveTransfers(); close != nil {
 		defer close()
 	}
@@ -46,8 +47,8 @@
 		case <-ended:
 			return
 		}
-		held := s.loop.Stats()
-		s.log.Info("process.stopping", zap.Stringer("signal", sig), zap.Int("calls", held.Calls), zap.Int("out", held.Attempts))
+		stats := s.loop.Stats()
+		s.log.Info("process.stopping", zap.Stringer("signal", sig), zap.Int("calls", stats.Calls), zap.Int("out", stats.Attempts))
 		s.shutdown()
 	}()
 	s.log.Info("process.serving", zap.String("name", s.config.Name), zap.Stringer("address", listener.Addr()))
@@ -62,7 +63,8 @@
 			return err
 		}
 		<-stopped
-	case <-stopped: // an accept may still hang: see callers.close
+	case <-stopped:
+		// An accept may still block; see connTracker.closeListener.
 	}
 	return nil
 }
@@ -71,8 +73,8 @@
 // socket. Without a list this process could only reject what it accepts, while its predecessor can
 // serve it. After firstListTimeout it accepts nevertheless, for there may be no other process.
 func (s *Server) awaitFirstList() {
-	enough := time.NewTimer(s.firstListTimeout)
-	defer enough.Stop()
+	timeout := time.NewTimer(s.firstListTimeout)
+	defer timeout.Stop()
 	for {
 		phase, _, changed := s.lifecycle.Now()
 		if phase == core.Stopping || s.lifecycle.CanServe() {
@@ -80,7 +82,7 @@
 		}
 		select {
 		case <-changed:
-		case <-enough.C:
+		case <-timeout.C:
 			s.log.Warn("process.accepts_without_list", zap.Duration("after", s.firstListTimeout))
 			return
 		}
@@ -93,7 +95,7 @@
 	s.lastReload.Store(time.Now().UnixNano())
 	c, err := s.config.Reload()
 	if err != nil {
-		s.log.Warn("reload.refused", zap.Error(err)) // the old configuration stays
+		s.log.Warn("reload.refused", zap.Error(err))
 		return
 	}
 	s.log.Info("reload.taken", zap.String("discovery", c.Discovery))
@@ -132,7 +134,7 @@
 	}
 	s.lifecycle.Stop(last, end)
 	if s.sharesListener() {
-		s.clients.closeListener() // its own copy: the successor has the socket
+		s.clients.closeListener() // this process's copy; the successor accepts on its own
 	}
 	s.loop.Drain(end, s.sharesListener())
 	for time.Now().Before(last) && !s.canExit(time.Since(began)) {
@@ -146,7 +148,8 @@
 	s.clients.abortReads()
 	s.clients.closeInStates(stateNew, stateIdle)
 	for !s.clients.emptyFor(0) {
-		time.Sleep(shutdownPollInterval) // answers end with their peers, which must make progress, or with the successor
+		// Answers end because their peers have to make progress, or with a transfer.
+		time.Sleep(shutdownPollInterval)
 	}
 }
 
--- a/internal/http1/network_wait.go
+++ b/internal/http1/network_wait.go
@@ -52,7 +52,7 @@
 // peekByte is peekConn on a descriptor.
 func peekByte(raw syscall.RawConn) (n int, err error) {
 	n = -1
-	// Not raw.Read: that would wait for another goroutine's Read to end.
+	// Control, not Read: the latter would wait for another goroutine's Read to end.
 	if fault := raw.Control(func(fd uintptr) { n, err = peek(fd) }); fault != nil {
 		return -1, fault
 	}
--- a/internal/http1/parse_chunked.go
+++ b/internal/http1/parse_chunked.go
@@ -86,7 +86,7 @@
 				c.Stage = chunkEnd
 			}
 			if n > 0 {
-				return n, nil // an error comes again
+				return n, nil // the next read returns the error again
 			}
 			return 0, unexpectedEOF(err)
 		case chunkEnd:
@@ -117,11 +117,11 @@
 
 // readLine reads a line of up to limit bytes and returns it without its end. After an error it can
 // be called again: the received part is kept.
-func (c *chunkedReader) readLine(most int) ([]byte, error) {
+func (c *chunkedReader) readLine(limit int) ([]byte, error) {
 	for {
 		part, err := c.r.ReadSlice('\n')
 		c.Line = append(c.Line, part...)
-		if len(c.Line) > most+2 {
+		if len(c.Line) > limit+2 {
 			return nil, errMalformed
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
@@ -132,7 +132,9 @@
 		}
 		line, ok := bytes.CutSuffix(c.Line, []byte("\r\n"))
 		if c.Line = c.Line[:0]; !ok || bytes.IndexByte(line, '\r') >= 0 {
-			return nil, errMalformed // a bare line feed or carriage return ends a line for some readers and not for others
+			// A bare line feed or carriage return ends a line for some parsers and not for others (RFC 9112,
+			// section 2.2).
+			return nil, errMalformed
 		}
 		return line, nil
 	}
--- a/internal/http1/parse_head.go
+++ b/internal/http1/parse_head.go
@@ -21,7 +21,12 @@
 }
 
 // Error implements error.
-func (f *requestError) Error() string { return f.text }
+func (e *requestError) Error() string { return e.text }
+
+// badRequest returns the error for a request with a syntax error.
+func badRequest(text string) *requestError {
+	return &requestError{http.StatusBadRequest, text}
+}
 
 // readRequest reads a request up to its body. It waits for the complete head and checks it before
 // http.ReadRequest parses it, because the latter normalizes away what checkHead looks for. An error
@@ -31,12 +36,12 @@
 	if err != nil {
 		return nil, err
 	}
-	if f := checkHead(head); f != nil {
-		return nil, f
+	if invalid := checkHead(head); invalid != nil {
+		return nil, invalid
 	}
 	req, err := http.ReadRequest(r)
 	if err != nil {
-		return nil, &requestError{http.StatusBadRequest, "not a request: " + err.Error()}
+		return nil, badRequest("not a request: " + err.Error())
 	}
 	if req.ProtoMajor != 1 {
 		return nil, &requestError{http.StatusHTTPVersionNotSupported, "HTTP/1.1 is spoken here"}
@@ -92,7 +97,7 @@
 	for i, line := range lines {
 		line = strings.TrimSuffix(line, "\r")
 		if strings.IndexFunc(line, func(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f }) >= 0 {
-			return &requestError{http.StatusBadRequest, "a control character in the head"}
+			return badRequest("a control character in the head")
 		}
 		if i == 0 {
 			continue
@@ -107,45 +112,48 @@
 			hosts++
 		}
 	}
-	old := strings.HasSuffix(strings.TrimSuffix(lines[0], "\r"), " HTTP/1.0")
+	http10 := strings.HasSuffix(strings.TrimSuffix(lines[0], "\r"), " HTTP/1.0")
 	switch {
 	case lengths > 0 && codings > 0:
-		// The body may hide another request from one who goes by the other.
-		return &requestError{http.StatusBadRequest, "both Content-Length and Transfer-Encoding"}
+		// A parser that uses the other one would find another request in the body (RFC 9112, section 6.3).
+		return badRequest("both Content-Length and Transfer-Encoding")
 	case lengths > 1 || codings > 1:
-		return &requestError{http.StatusBadRequest, "a length that is repeated"}
-	case old && codings > 0:
-		return &requestError{http.StatusBadRequest, "Transfer-Encoding in HTTP/1.0"}
-	case hosts > 1 || hosts == 0 && !old:
-		return &requestError{http.StatusBadRequest, "one Host is needed"}
+		// Parsers differ in which of the values they use.
+		return badRequest("a length that is repeated")
+	case http10 && codings > 0:
+		// An HTTP/1.0 parser takes the chunks for data (RFC 9112, section 6.1).
+		return badRequest("Transfer-Encoding in HTTP/1.0")
+	case hosts > 1 || hosts == 0 && !http10:
+		// RFC 9112, section 3.2.
+		return badRequest("one Host is needed")
 	}
 	return nil
 }
 
-// readHead reads the status and headers of a response, and whether its connection persists (RFC
-// 9112, section 9.3).
-func readHead(r *bufio.Reader) (code int, header textproto.MIMEHeader, lasting bool, err error) {
+// readHead reads the head of a response.
+func readHead(r *bufio.Reader) (head responseHead, err error) {
 	text := textproto.NewReader(r)
 	line, err := text.ReadLine()
 	if err != nil {
-		return 0, nil, false, err
+		return head, err
 	}
 	version, rest, _ := strings.Cut(line, " ")
 	digits, _, _ := strings.Cut(rest, " ")
-	n, err := strconv.ParseUint(digits, 10, 16)
-	if version != "HTTP/1.1" && version != "HTTP/1.0" || err != nil || len(digits) != 3 || n < 100 {
-		return 0, nil, false, errMalformed
+	code, err := strconv.ParseUint(digits, 10, 16)
+	if version != "HTTP/1.1" && version != "HTTP/1.0" || err != nil || len(digits) != 3 || code < 100 {
+		return head, errMalformed
 	}
-	if header, err = text.ReadMIMEHeader(); err != nil {
-		return 0, nil, false, err
+	if head.header, err = text.ReadMIMEHeader(); err != nil {
+		return head, err
 	}
-	if len(header["Transfer-Encoding"]) > 0 && version == "HTTP/1.0" {
-		// RFC 9112, 6.1: its framing is faulty. Who reads 1.0 by the letter takes its chunks for the body itself.
-		return 0, nil, false, errMalformed
+	if len(head.header["Transfer-Encoding"]) > 0 && version == "HTTP/1.0" {
+		// RFC 9112, section 6.1: the framing is faulty. A strict HTTP/1.0 parser takes the chunks for data.
+		return head, errMalformed
 	}
-	lasting = version == "HTTP/1.1"
-	for _, value := range header["Connection"] {
-		lasting = lasting && !strings.Contains(strings.ToLower(value), "close")
+	head.code = int(code)
+	head.keepAlive = version == "HTTP/1.1" // RFC 9112, section 9.3
+	for _, value := range head.header["Connection"] {
+		head.keepAlive = head.keepAlive && !strings.Contains(strings.ToLower(value), "close")
 	}
-	return int(n), header, lasting, nil
+	return head, nil
 }
--- a/internal/http1/parse_request.go
+++ b/internal/http1/parse_request.go
@@ -13,63 +13,73 @@
 // singletonHeaders must not be repeated: of two values, an endpoint may use the other one.
 var singletonHeaders = []string{"X-Txn", "X-Lane", "X-Org", "X-Remaining", "Idempotency-Key"}
 
-// parseRequest reads what the Balancer is told of a request, or names what is wrong with it.
-func (s *Server) parseRequest(r *http.Request) (req *request, status int, fault string) {
+// parseRequest reads what the core needs to know of a request from its head.
+func (s *Server) parseRequest(head *http.Request) (*request, *requestError) {
 	switch {
-	case r.ContentLength > maxStreamedBody:
-		return nil, http.StatusRequestEntityTooLarge, "request body too large"
-	case r.Header.Get("Expect") != "" && !expectsContinue(r):
-		return nil, http.StatusExpectationFailed, "Expect: only 100-continue is known"
-	}
-	if req, fault = s.parseHeaders(r); fault != "" {
-		return nil, http.StatusBadRequest, fault
-	}
-	return req, 0, ""
-}
-
-func (s *Server) parseHeaders(r *http.Request) (req *request, fault string) {
-	if !strings.HasPrefix(r.RequestURI, "/") {
-		return nil, "not a path: this is no proxy for other hosts"
+	case head.ContentLength > maxStreamedBody:
+		return nil, &requestError{http.StatusRequestEntityTooLarge, "request body too large"}
+	case head.Header.Get("Expect") != "" && !expectsContinue(head):
+		return nil, &requestError{http.StatusExpectationFailed, "Expect: only 100-continue is known"}
+	case !strings.HasPrefix(head.RequestURI, "/"):
+		return nil, badRequest("not a path: this is no proxy for other hosts")
 	}
 	for _, name := range singletonHeaders {
-		if len(r.Header[name]) > 1 {
-			return nil, name + ": repeated"
+		if len(head.Header[name]) > 1 {
+			return nil, badRequest(name + ": repeated")
 		}
 	}
-	req = newRequest()
-	req.ID = decision.RequestID(r.Header.Get("X-Txn"))
+	req := newRequest()
+	if invalid := s.parseHeaders(req, head.Header); invalid != nil {
+		return nil, invalid
+	}
+	if invalid := s.checkMethod(req, head); invalid != nil {
+		return nil, invalid
+	}
+	req.IsRetry = head.Header.Get("X-Resent") == "1"
+	return req, nil
+}
+
+// parseHeaders reads id, class, remaining time and tenant of a request.
+func (s *Server) parseHeaders(req *request, header http.Header) *requestError {
+	req.ID = decision.RequestID(header.Get("X-Txn"))
 	if req.ID == "" || len(req.ID) > maxIDLength {
-		return nil, "X-Txn: missing or too long"
+		return badRequest("X-Txn: missing or too long")
 	}
 	var ok bool
-	if req.Class, ok = s.classes[r.Header.Get("X-Lane")]; !ok {
-		return nil, "X-Lane: unknown class"
+	if req.Class, ok = s.classes[header.Get("X-Lane")]; !ok {
+		return badRequest("X-Lane: unknown class")
 	}
-	class := &s.config.Settings.Classes[req.Class]
-	if req.Remaining, ok = parseRemaining(r.Header.Get("X-Remaining")); !ok {
-		return nil, "X-Remaining: not a time in m or u that can be waited"
+	if req.Remaining, ok = parseRemaining(header.Get("X-Remaining")); !ok {
+		return badRequest("X-Remaining: not a time in m or u that can be waited")
 	}
-	if class.Deadline > 0 {
-		// No client waits longer; the Balancer would learn from it how long they do.
-		req.Remaining = min(req.Remaining, class.Deadline)
+	if deadline := s.config.Settings.Classes[req.Class].Deadline; deadline > 0 {
+		// No client waits longer than its class's deadline. The balancer learns from this time how
+		// long clients wait.
+		req.Remaining = min(req.Remaining, deadline)
 	}
 	if len(s.tenants) > 0 {
-		if req.Tenant, ok = s.tenants[r.Header.Get("X-Org")]; !ok {
-			return nil, "X-Org: unknown tenant"
+		if req.Tenant, ok = s.tenants[header.Get("X-Org")]; !ok {
+			return badRequest("X-Org: unknown tenant")
 		}
 	}
-	if class.Effect == decision.Keyed && r.Header.Get("Idempotency-Key") == "" {
-		return nil, "Idempotency-Key: missing" // endpoints could not drop a repeat
+	return nil
+}
+
+// checkMethod checks that a request's method and key are those of its class.
+func (s *Server) checkMethod(req *request, head *http.Request) *requestError {
+	effect := s.config.Settings.Classes[req.Class].Effect
+	if effect == decision.Keyed && head.Header.Get("Idempotency-Key") == "" {
+		return badRequest("Idempotency-Key: missing") // endpoints could not recognize a retry
 	}
-	if (class.Effect == decision.Safe) != (r.Method == http.MethodGet) || r.Method != http.MethodGet && r.Method != http.MethodPost {
-		return nil, r.Method + ": not the method of this class"
+	isGet := head.Method == http.MethodGet
+	if (effect == decision.Safe) != isGet || !isGet && head.Method != http.MethodPost {
+		return badRequest(head.Method + ": not the method of this class")
 	}
-	req.IsRetry = r.Header.Get("X-Resent") == "1"
-	return req, ""
+	return nil
 }
 
 // parseRemaining parses a decimal number with its unit, m for milliseconds or u for microseconds.
-func parseRemaining(text string) (left time.Duration, ok bool) {
+func parseRemaining(text string) (remaining time.Duration, ok bool) {
 	unit := time.Millisecond
 	digits, ok := strings.CutSuffix(text, "m")
 	if !ok {
@@ -79,7 +89,7 @@
 		}
 	}
 	if strings.Trim(digits, "0123456789.") != "" {
-		return 0, false // ParseFloat takes signs, exponents and words as well
+		return 0, false // ParseFloat also accepts signs, exponents, "inf" and "nan"
 	}
 	n, err := strconv.ParseFloat(digits, 64)
 	if err != nil || !(n >= 0 && n <= float64(maxRemaining/unit)) {
--- a/internal/http1/relay_frame.go
+++ b/internal/http1/relay_frame.go
@@ -24,12 +24,12 @@
 
 // frameInPlace is the piece of n bytes in a buffer that has room around it, framed in place as a
 // chunk if chunked.
-func frameInPlace(buffer []byte, n int, framed bool) []byte {
+func frameInPlace(buffer []byte, n int, chunked bool) []byte {
 	if n == 0 {
 		return nil
 	}
 	from, to := chunkHeaderRoom, chunkHeaderRoom+n
-	if framed {
+	if chunked {
 		size := fmt.Appendf(nil, "%x\r\n", n)
 		from -= copy(buffer[chunkHeaderRoom-len(size):], size)
 		to += copy(buffer[to:], "\r\n")
--- a/internal/http1/relay_response.go
+++ b/internal/http1/relay_response.go
@@ -65,7 +65,7 @@
 // relay relays a streamed response. If the response is cut the client can see it: its connection
 // ends before the stated length or the last chunk, or with a reset where the body ends with the
 // connection (RFC 9112, section 8).
-func (w *reply) relay(l *relay) (lasts bool) {
+func (w *reply) relay(l *relay) (keepAlive bool) {
 	w.client.beginStreaming(l)
 	err := l.run()
 	l.reportDone(err)
@@ -76,7 +76,7 @@
 // reportDone reports, once, how the endpoint's side ended.
 func (l *relay) reportDone(err error) {
 	l.mu.Lock()
-	l.source = nil // it may be another's in a moment
+	l.source = nil // the connection may carry another attempt from now on
 	l.mu.Unlock()
 	if l.done != nil {
 		l.done <- err
--- a/internal/http1/relay_upload.go
+++ b/internal/http1/relay_upload.go
@@ -53,7 +53,7 @@
 	u := &upload{client: c, body: body, isLate: late,
 		bodyRead: make(chan struct{}), readFailed: make(chan error, 1), transferred: make(chan struct{})}
 	if u.received = body.length - body.remaining; body.chunks != nil {
-		u.received = maxBufferedBody // what is held of it
+		u.received = maxBufferedBody // readBody has read so much of it
 	}
 	return u
 }
@@ -63,7 +63,7 @@
 
 // send copies the rest of the body to a connection. It returns the errors of the client's and of
 // the endpoint's side apart.
-func (u *upload) send(a *attempt, c *upstreamConn, buffer []byte) (callerErr, writeErr error) {
+func (u *upload) send(a *attempt, c *upstreamConn, buffer []byte) (clientErr, writeErr error) {
 	u.consumed = true
 	u.setTarget(c)
 	defer u.setTarget(nil)
@@ -80,8 +80,8 @@
 		case u.complete:
 			return nil, nil
 		default:
-			if callerErr, writeErr = u.readNext(buffer); callerErr != nil || writeErr != nil {
-				return callerErr, writeErr
+			if clientErr, writeErr = u.readNext(buffer); clientErr != nil || writeErr != nil {
+				return clientErr, writeErr
 			}
 		}
 	}
@@ -96,22 +96,23 @@
 }
 
 // readNext reads the next piece of the body.
-func (u *upload) readNext(buffer []byte) (callerErr, writeErr error) {
+func (u *upload) readNext(buffer []byte) (clientErr, writeErr error) {
 	n, err := u.body.Read(buffer[chunkHeaderRoom : len(buffer)-chunkEndRoom])
 	if u.received += int64(n); u.received > maxStreamedBody {
 		u.reportReadError(errTooLarge)
 		return errTooLarge, nil
 	}
-	framed := u.body.chunks != nil
-	u.pending = frameInPlace(buffer, n, framed)
+	chunked := u.body.chunks != nil
+	u.pending = frameInPlace(buffer, n, chunked)
 	switch {
 	case errors.Is(err, io.EOF):
 		u.complete, u.client.rateEnforced = true, false
 		close(u.bodyRead)
 		if u.isLate() {
-			return nil, errTooLate // without its end it does not run
+			// Without its last byte the endpoint does not execute the request.
+			return nil, errTooLate
 		}
-		if framed {
+		if chunked {
 			u.pending = append(u.pending[:len(u.pending):len(u.pending)], lastChunk(u.body.trailer())...)
 		}
 	case errors.Is(err, errPaused):
@@ -144,7 +145,8 @@
 func (u *upload) interrupt() {
 	u.requestPause(func(now time.Time) {
 		if u.target == nil {
-			u.requested = false // it does not go out yet, or any more
+			// The upload has not begun or has ended.
+			u.requested = false
 			return
 		}
 		u.target.SetWriteDeadline(now)
--- a/internal/http1/stages.go
+++ b/internal/http1/stages.go
@@ -27,10 +27,10 @@
 		}
 	}
 	s.clients.mu.Lock()
-	for stage, name := range map[connState]string{stateNew: "ac", stateReading: "he"} {
-		moved := s.clients.entered[stage]
-		report(name, s.clients.byState[stage].Len()+int(moved-previous.connections[stage]))
-		previous.connections[stage] = moved
+	for state, name := range map[connState]string{stateNew: "ac", stateReading: "he"} {
+		moved := s.clients.entered[state]
+		report(name, s.clients.byState[state].Len()+int(moved-previous.connections[state]))
+		previous.connections[state] = moved
 	}
 	s.clients.mu.Unlock()
 	stats := s.loop.Stats()
--- a/internal/http1/transfer_message.go
+++ b/internal/http1/transfer_message.go
@@ -68,19 +68,19 @@
 
 // validFor reports whether the state is valid and matches the connections that came with it.
 func (p *connTransfer) validFor(conns []net.Conn) bool {
-	want := 1
+	expected := 1
 	if p.State != nil {
 		return len(conns) == 0 && p.Relay == nil && p.Upload == nil && p.Input == nil
 	}
 	if p.Relay != nil && !p.Relay.Finished || p.Upload != nil {
-		want = 2
+		expected = 2
 	}
 	for _, c := range conns {
 		if _, ok := c.(tcpConn); !ok {
 			return false
 		}
 	}
-	return len(conns) == want && (p.Relay == nil || p.Relay.valid()) &&
+	return len(conns) == expected && (p.Relay == nil || p.Relay.valid()) &&
 		(p.Upload == nil || p.Relay == nil && p.Upload.valid())
 }
 
--- a/internal/http1/transfer_receive.go
+++ b/internal/http1/transfer_receive.go
@@ -97,18 +97,12 @@
 func (s *Server) serveRelay(c *downstreamConn, l *relay, upstream []net.Conn) {
 	defer c.terminate()
 	w := &reply{client: c}
-	lasts := w.relay(l)
+	keepAlive := w.relay(l)
 	for _, up := range upstream {
 		up.Close()
 		s.loop.ReleaseConn()
 	}
-	switch {
-	case w.transferred:
-	case lasts:
-		s.serveRequests(c, c.finishRequest(nil), nil)
-	default:
-		c.lingeringClose()
-	}
+	s.serveAfterAnswer(c, w, keepAlive, nil)
 }
 
 // serveUpload continues a transferred upload, relays its response, and then serves its client's
@@ -146,11 +140,6 @@
 		host.abandon()
 		a.Cancel()
 	}
-	switch lasts := s.awaitAnswer(c, r, w, req, abandon); {
-	case w.transferred:
-	case lasts:
-		s.serveRequests(c, c.finishRequest(r), r)
-	default:
-		c.lingeringClose()
-	}
+	keepAlive := s.awaitAnswer(c, r, w, req, abandon)
+	s.serveAfterAnswer(c, w, keepAlive, r)
 }
--- a/internal/http1/transfer_send.go
+++ b/internal/http1/transfer_send.go
@@ -23,7 +23,7 @@
 	}
 	successor, err := s.network.FindSuccessor(s.config.Handover, s.handoverName(), s.receiver)
 	if err != nil {
-		s.log.Warn("handover.no_successor", zap.Error(err)) // callers are sent away instead
+		s.log.Warn("handover.no_successor", zap.Error(err))
 		return
 	}
 	s.successor.Store(&successor)
@@ -70,7 +70,7 @@
 	}
 	err = (*s.successor.Load()).Pass(state, raw...)
 	if err != nil && !errors.Is(err, handover.ErrDeclined) {
-		s.log.Warn("handover.broke_off", zap.Error(err))
+		s.log.Warn("handover.transfer_failed", zap.Error(err))
 	}
 	return err
 }
@@ -80,8 +80,8 @@
 	if r == nil {
 		return c.readAhead
 	}
-	got, _ := r.Peek(r.Buffered()) // never more than there is
-	return append(bytes.Clone(got), c.readAhead...)
+	buffered, _ := r.Peek(r.Buffered()) // cannot fail: no more than is buffered
+	return append(bytes.Clone(buffered), c.readAhead...)
 }
 
 // transferIdle transfers a connection on which no answer is outstanding, and reports whether it
@@ -94,13 +94,13 @@
 // whether it did. The request is encoded again, with the part of the body that has been read; rest
 // is the body if more of it is to come, else nil. The successor reads it as if it had been received
 // there.
-func (s *Server) transferRequest(c *downstreamConn, r *bufio.Reader, in *http.Request, body []byte, rest *requestBody) bool {
+func (s *Server) transferRequest(c *downstreamConn, r *bufio.Reader, head *http.Request, body []byte, rest *requestBody) bool {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "%s %s %s\r\n", in.Method, in.RequestURI, in.Proto)
-	if in.Host != "" {
-		fmt.Fprintf(&b, "Host: %s\r\n", in.Host)
+	fmt.Fprintf(&b, "%s %s %s\r\n", head.Method, head.RequestURI, head.Proto)
+	if head.Host != "" {
+		fmt.Fprintf(&b, "Host: %s\r\n", head.Host)
 	}
-	if in.Close {
+	if head.Close {
 		b.WriteString("Connection: close\r\n")
 	}
 	chunks := rest != nil && rest.chunks != nil
@@ -109,10 +109,10 @@
 		b.WriteString("Transfer-Encoding: chunked\r\n")
 	case rest != nil:
 		fmt.Fprintf(&b, "Content-Length: %d\r\n", rest.length)
-	case len(body) > 0 || in.Method != http.MethodGet:
+	case len(body) > 0 || head.Method != http.MethodGet:
 		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(body))
 	}
-	in.Header.WriteSubset(&b, map[string]bool{"Content-Length": true, "Connection": true, "Host": true})
+	head.Header.WriteSubset(&b, map[string]bool{"Content-Length": true, "Connection": true, "Host": true})
 	b.WriteString("\r\n")
 	if chunks {
 		rest.chunks.reencode(&b, body)
@@ -134,8 +134,8 @@
 		var upstream *upstreamConn
 		if !l.body.finished {
 			upstream = l.body.conn
-			got, _ := upstream.reader.Peek(upstream.reader.Buffered())
-			state.Input = append(bytes.Clone(got), upstream.readAhead...)
+			buffered, _ := upstream.reader.Peek(upstream.reader.Buffered())
+			state.Input = append(bytes.Clone(buffered), upstream.readAhead...)
 			state.ReadLimit, state.Length, state.Read = upstream.readLimit, l.body.length, l.body.read
 			state.UntilClose, state.Chunks = l.body.untilClose, l.body.chunks
 		}
--- a/internal/http1/transfer_state.go
+++ b/internal/http1/transfer_state.go
@@ -21,7 +21,7 @@
 		}
 		if err := s.sendToSuccessor(connTransfer{State: &w}); err != nil {
 			if errors.Is(err, handover.ErrDeclined) {
-				s.log.Info("handover.figures_declined")
+				s.log.Info("handover.state_declined")
 			}
 			return
 		}
--- a/internal/http1/upstream.go
+++ b/internal/http1/upstream.go
@@ -6,7 +6,6 @@
 	"io"
 	"net"
 	"sync/atomic"
-	"syscall"
 	"time"
 
 	"dykering/internal/core"
@@ -54,14 +53,14 @@
 	t.phaseEntries = &u.phaseEntries
 	t.enterPhase(core.PhaseConnecting)
 	res := t.run(c, u.connectTimeout, u.memory)
-	told := core.Result{Status: res.status, Elapsed: res.took, Load: res.load, NotReplayable: res.consumed}
+	outcome := core.Result{Status: res.status, Elapsed: res.took, Load: res.load, NotReplayable: res.consumed}
 	if res.conn != nil {
-		told.Conn = res.conn
+		outcome.Conn = res.conn
 	}
 	if res.response != nil && res.response.rest == nil {
-		told.Response = res.response
+		outcome.Response = res.response
 	}
-	return told
+	return outcome
 }
 
 // attempt sends a request to an endpoint once and reads the response.
@@ -138,10 +137,7 @@
 
 // dial connects to the endpoint.
 func (a *attempt) dial(timeout time.Duration) (*upstreamConn, error) {
-	raw, err := a.network.Dial(a.Ctx, a.Endpoint.Address, timeout)
-	if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) {
-		raw, err = a.network.Dial(a.Ctx, a.Endpoint.Address, timeout)
-	}
+	raw, err := dialTwice(a.Ctx, a.network, a.Endpoint.Address, timeout)
 	if err != nil {
 		return nil, err
 	}
@@ -196,12 +192,14 @@
 	if a.SendBy.IsZero() {
 		return d
 	}
-	return min(d, max(time.Until(a.SendBy), time.Nanosecond)) // a dialer takes 0 for no bound
+	// A dialer takes 0 for no timeout.
+	return min(d, max(time.Until(a.SendBy), time.Nanosecond))
 }
 
 // exchange sends the request and reads the response.
 func (a *attempt) exchange(c *upstreamConn, memory *core.Memory) result {
-	// The dial may have outlasted the endpoint's welcome, the window in which a repeat is dropped, or the caller's patience.
+	// While the connection was dialed, the endpoint may have begun to drain, the window in which it
+	// recognizes a retry may have passed, or the client may have gone.
 	if !a.Endpoint.IsOpen() || a.Ctx.Err() != nil || a.isLate() || a.request.clientGone() {
 		return result{status: decision.NotSent}
 	}
@@ -240,7 +238,7 @@
 	case errors.Is(err, errClientGone):
 		return decision.Cancelled
 	case errors.Is(err, errTransferred):
-		return decision.OK // the successor has the rest of the answer, and both connections
+		return decision.OK // the successor relays the rest, and has both connections
 	case errors.Is(cause, context.DeadlineExceeded):
 		return decision.Timeout
 	case cause != nil:
@@ -249,6 +247,6 @@
 		errors.Is(err, io.ErrClosedPipe):
 		return decision.Reset
 	}
-	// The endpoint has run it and is well, but what it says cannot be used.
+	// The endpoint is healthy and has executed the request, but its response cannot be used.
 	return decision.InvalidResponse
 }
--- a/internal/http1/upstream_body.go
+++ b/internal/http1/upstream_body.go
@@ -54,7 +54,8 @@
 	default:
 		return nil, errMalformed
 	}
-	// Beside the body, what its chunks take: the chunked reader bounds that by what they hold.
+	// Beside the data, the framing of chunks is read: the limit allows as many bytes for it as for the
+	// data. chunkedReader.Digest bounds extensions and the trailer section.
 	c.readLimit = int(2*longest) + maxResponseHead
 	b.finished = b.length == 0
 	return b, nil
@@ -84,7 +85,8 @@
 			return n, fault
 		}
 		removeHopByHop(trailer)
-		trailer.Del("Content-Length") // a second length, as in an upload's
+		// A parser that merges trailers into the head would have two lengths (RFC 9110, section 6.5.1).
+		trailer.Del("Content-Length")
 		b.trailer = trailer
 	}
 	b.finished = errors.Is(err, io.EOF)
--- a/internal/http1/upstream_conn.go
+++ b/internal/http1/upstream_conn.go
@@ -2,9 +2,12 @@
 
 import (
 	"bufio"
+	"context"
 	"errors"
 	"io"
 	"net"
+	"net/http"
+	"net/textproto"
 	"os"
 	"syscall"
 	"time"
@@ -32,6 +35,16 @@
 	return c
 }
 
+// dialTwice connects to an endpoint, and tries once more if the connection is refused or reset:
+// endpoints reset new connections now and then, and a dead one does it twice.
+func dialTwice(ctx context.Context, network Network, address string, timeout time.Duration) (net.Conn, error) {
+	raw, err := network.Dial(ctx, address, timeout)
+	if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) {
+		raw, err = network.Dial(ctx, address, timeout)
+	}
+	return raw, err
+}
+
 // Read implements io.Reader and enforces readLimit: an endpoint may send without end.
 func (c *upstreamConn) Read(b []byte) (int, error) {
 	if len(c.readAhead) > 0 {
@@ -76,3 +89,25 @@
 	}
 	return false, err
 }
+
+// responseHead is the head of a response.
+type responseHead struct {
+	code   int
+	header textproto.MIMEHeader
+	// The connection persists after the response.
+	keepAlive bool
+}
+
+// readFinalHead reads the head of the next final response. Interim responses (1xx) are skipped.
+func (c *upstreamConn) readFinalHead() (head responseHead, err error) {
+	c.readLimit = maxResponseHead
+	for range maxInformational + 1 {
+		if head, err = readHead(c.reader); err != nil {
+			return head, err
+		}
+		if head.code >= http.StatusOK {
+			return head, nil
+		}
+	}
+	return head, errMalformed
+}
--- a/internal/http1/upstream_endpointconn.go
+++ b/internal/http1/upstream_endpointconn.go
@@ -3,13 +3,10 @@
 import (
 	"bytes"
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"net/textproto"
-	"syscall"
 	"time"
 
 	"dykering/internal/core"
@@ -25,10 +22,7 @@
 
 // DialEndpoint connects to an endpoint within a time.
 func DialEndpoint(ctx context.Context, to *core.Endpoint, within time.Duration) (*EndpointConn, error) {
-	raw, err := Kernel{}.Dial(ctx, to.Address, within)
-	if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) {
-		raw, err = Kernel{}.Dial(ctx, to.Address, within)
-	}
+	raw, err := dialTwice(ctx, Kernel{}, to.Address, within)
 	if err != nil {
 		return nil, err
 	}
@@ -107,28 +101,22 @@
 
 // readResponse reads the head of the next response.
 func (c *EndpointConn) readResponse() (*EndpointResponse, error) {
-	c.conn.readLimit = maxResponseHead
-	var code int
-	var header textproto.MIMEHeader
-	var lasts bool
-	var err error
-	for range maxInformational + 1 {
-		if code, header, lasts, err = readHead(c.conn.reader); err != nil {
-			return nil, err
-		}
-		if code >= http.StatusOK {
-			break
-		}
-	}
-	if code < http.StatusOK {
-		return nil, errMalformed
+	head, err := c.conn.readFinalHead()
+	if err != nil {
+		return nil, err
 	}
-	body, err := newResponseBody(c.conn, code, header, maxStreamedBody)
+	body, err := newResponseBody(c.conn, head.code, head.header, maxStreamedBody)
 	if err != nil {
 		return nil, err
 	}
-	a := &EndpointResponse{Status: code, Header: http.Header(header), Length: body.length, conn: c, body: body, keepAlive: lasts}
-	return a, nil
+	return &EndpointResponse{
+		Status:    head.code,
+		Header:    http.Header(head.header),
+		Length:    body.length,
+		conn:      c,
+		body:      body,
+		keepAlive: head.keepAlive,
+	}, nil
 }
 
 // Read reads the body. Its end is io.EOF; a connection that ends early is another error.
--- a/internal/http1/upstream_response.go
+++ b/internal/http1/upstream_response.go
@@ -29,7 +29,7 @@
 	r.memory.Bodies.Release(len(r.body))
 	if r.rest != nil {
 		select {
-		case r.rest.done <- errClientGone: // nobody has passed it on
+		case r.rest.done <- errClientGone:
 		default:
 		}
 	}
@@ -46,32 +46,23 @@
 // readResponse reads the response to the request that was written. After an error the connection
 // cannot be reused; one that is not the connection's means that the response cannot be used.
 func (a *attempt) readResponse(c *upstreamConn, memory *core.Memory) (res result, err error) {
-	c.readLimit = maxResponseHead
-	var code int
-	var header textproto.MIMEHeader
-	var lasting bool
-	for range maxInformational + 1 {
-		if code, header, lasting, err = readHead(c.reader); err != nil {
-			return res, err
-		}
-		if code >= http.StatusOK {
-			break
-		}
-	}
-	if code < http.StatusOK {
-		return res, errMalformed // its real answer is still to come
+	head, err := c.readFinalHead()
+	if err != nil {
+		return res, err
 	}
+	code, header := head.code, head.header
 	body, err := newResponseBody(c, code, header, a.maxBody)
 	if err != nil {
 		return res, err
 	}
 	res.status = decision.Error
 	if report := header.Get("X-Pressure"); report != "" {
-		res.load, _ = settings.ParseLoad(report, "=") // a report that cannot be read is none
+		res.load, _ = settings.ParseLoad(report, "=") // an invalid report counts as none
 	}
 	switch {
 	case code == http.StatusOK && !a.isFullySent():
-		return res, errMalformed // it has not been asked yet
+		// A success before the request's last byte is surplus to an earlier request.
+		return res, errMalformed
 	case code == http.StatusOK:
 		res.status = decision.OK
 		removeHopByHop(http.Header(header))
@@ -82,7 +73,8 @@
 		}
 		err = body.discard()
 	case code < http.StatusInternalServerError:
-		res.status = decision.InvalidResponse // the request is at fault, not the endpoint
+		// The request is at fault, not the endpoint.
+		res.status = decision.InvalidResponse
 		fallthrough
 	default:
 		err = body.discard()
@@ -91,7 +83,7 @@
 		return res, err
 	}
 	if res.response != nil && res.response.rest != nil {
-		// Nobody else has the connection until the answer has been passed on.
+		// The relay uses the connection until it ends.
 		if res.took, err = a.relayBody(res.response); err != nil {
 			return res, err
 		}
@@ -99,7 +91,7 @@
 	if c.reader.Buffered() > 0 && body.finished {
 		a.Endpoint.NoteUnsolicitedData()
 	}
-	if lasting && body.finished && !body.untilClose && c.reader.Buffered() == 0 {
+	if head.keepAlive && body.finished && !body.untilClose && c.reader.Buffered() == 0 {
 		c.Conn.SetDeadline(time.Time{})
 		res.conn = c
 	}
@@ -129,7 +121,7 @@
 				return nil, err
 			}
 			if !came {
-				break // it comes slowly, and may be long
+				break // a slow response may be a long one: it is streamed
 			}
 		}
 		if len(r.body) == limit && body.length < 0 {
--- a/internal/http1/upstream_stream.go
+++ b/internal/http1/upstream_stream.go
@@ -11,66 +11,87 @@
 	"dykering/internal/decision"
 )
 
+// sendResult is how the sending of a streamed request ended: with the error of the client's side, of
+// the endpoint's side, or with none when its last byte is written.
+type sendResult struct{ client, endpoint error }
+
 // exchangeStreaming sends a streamed request and watches for a response at the same time: an
 // endpoint may reject the request before its end. The endpoint does not execute a request before it
 // has the last byte.
 func (a *attempt) exchangeStreaming(c *upstreamConn, memory *core.Memory) (res result) {
 	if u := a.request.upload; !u.resumed && u.client.hasHungUp() {
-		// Nobody has read on while it waited: that its caller has gone stands behind the body.
+		// Nobody has read from the client while the request was queued, so its hang-up has not shown.
 		u.reportReadError(errClientGone)
 		return result{status: decision.NotSent, consumed: u.consumed}
 	}
-	type ending struct{ caller, write error }
-	sent := make(chan ending, 1)
-	go func() {
-		var e ending
-		e.caller, e.write = a.sendStreaming(c, memory)
-		switch {
-		case e.caller != nil, e.write == errTooLate:
-			a.Cancel()
-		case errors.Is(e.write, errTransferred):
-		case e.write != nil:
-			c.SetReadDeadline(time.Now().Add(earlyAnswerTimeout)) // what it said before it broke off
-		}
-		sent <- e
-	}()
+	sent := make(chan sendResult, 1)
+	go func() { sent <- a.sendAndCancel(c, memory) }()
 	answer := make(chan result, 1)
 	go func() {
 		if a.watcher.wait(c) != nil {
-			return // it is passed on
+			return // the connection is the successor's
 		}
 		answer <- a.awaitResponse(c, memory)
 	}()
-	var e ending
+	var send sendResult
 	select {
-	case e = <-sent:
-		if errors.Is(e.write, errTransferred) {
+	case send = <-sent:
+		if errors.Is(send.endpoint, errTransferred) {
 			return result{status: decision.Cancelled, consumed: true}
 		}
 		res = <-answer
 	case res = <-answer:
-		select {
-		case e = <-sent:
-		case <-a.fullySent: // its last byte is out, and its sender about to say so
-			e = <-sent
-		default:
-			a.Cancel() // ends the sending, unless that has just ended: then it has run
-			if e = <-sent; e != (ending{}) {
-				e = ending{write: errAnsweredEarly}
-			}
-		}
+		send = a.stopSending(sent)
 	}
-	if e == (ending{}) {
+	if send == (sendResult{}) {
 		res.consumed = true
 		return res
 	}
-	// Its last byte is not out: whatever was answered, it has not run.
-	early := res.status
-	res = result{status: decision.NotSent, consumed: a.request.upload.consumed}
+	return a.partlySent(res, send)
+}
+
+// sendAndCancel sends a streamed request, and cancels the attempt if the request cannot be
+// completed.
+func (a *attempt) sendAndCancel(c *upstreamConn, memory *core.Memory) (send sendResult) {
+	send.client, send.endpoint = a.sendStreaming(c, memory)
+	switch {
+	case send.client != nil, send.endpoint == errTooLate:
+		a.Cancel()
+	case errors.Is(send.endpoint, errTransferred):
+	case send.endpoint != nil:
+		// The endpoint may have sent a response before it closed.
+		c.SetReadDeadline(time.Now().Add(earlyAnswerTimeout))
+	}
+	return send
+}
+
+// stopSending ends the sending of a request whose response has been received, and returns its
+// result.
+func (a *attempt) stopSending(sent <-chan sendResult) sendResult {
+	select {
+	case send := <-sent:
+		return send
+	case <-a.fullySent:
+		// The sender has written the last byte and is about to report it.
+		return <-sent
+	default:
+	}
+	// This ends the sending, unless it has just ended: then the request was executed.
+	a.Cancel()
+	if <-sent == (sendResult{}) {
+		return sendResult{}
+	}
+	return sendResult{endpoint: errAnsweredEarly}
+}
+
+// partlySent is the result of an attempt whose last byte was not written: whatever the response, the
+// request was not executed.
+func (a *attempt) partlySent(answered result, send sendResult) result {
+	res := result{status: decision.NotSent, consumed: a.request.upload.consumed}
 	switch {
-	case early == decision.Rejected:
+	case answered.status == decision.Rejected:
 		res.status = decision.Rejected
-	case e.caller == nil && e.write != errAnsweredEarly && e.write != errTooLate:
+	case send.client == nil && send.endpoint != errAnsweredEarly && send.endpoint != errTooLate:
 		res.status = a.unsentStatus()
 	}
 	return res
@@ -99,7 +120,7 @@
 
 // sendStreaming writes a request with a streamed body. It returns the errors of the client's and of
 // the endpoint's side apart.
-func (a *attempt) sendStreaming(c *upstreamConn, memory *core.Memory) (callerErr, writeErr error) {
+func (a *attempt) sendStreaming(c *upstreamConn, memory *core.Memory) (clientErr, writeErr error) {
 	u := a.request.upload
 	if !u.resumed {
 		c.SetWriteDeadline(time.Now().Add(streamStallTimeout))
@@ -110,12 +131,12 @@
 	}
 	buffer := memory.Buffers.Get()
 	defer memory.Buffers.Put(buffer)
-	callerErr, writeErr = u.send(a, c, buffer)
-	if callerErr == nil && writeErr == nil {
+	clientErr, writeErr = u.send(a, c, buffer)
+	if clientErr == nil && writeErr == nil {
 		a.RequestSent()
 		close(a.fullySent)
 	}
-	return callerErr, writeErr
+	return clientErr, writeErr
 }
 
 // answerWatcher waits for a response while a streamed request is being sent. Until input is
@@ -143,18 +164,18 @@
 	for {
 		err := awaitInput(c.Conn)
 		e.mu.Lock()
-		still := e.pauseRequested
+		pausing := e.pauseRequested
 		e.pauseRequested = false
-		if still {
+		if pausing {
 			c.SetReadDeadline(time.Time{})
 		}
-		silent := still && errors.Is(err, os.ErrDeadlineExceeded)
-		if !silent {
+		interrupted := pausing && errors.Is(err, os.ErrDeadlineExceeded)
+		if !interrupted {
 			close(e.received)
 		}
 		e.mu.Unlock()
-		if !silent {
-			return nil // whatever it is, it shows when it is read
+		if !interrupted {
+			return nil // an error shows again when the response is read
 		}
 		e.paused <- struct{}{}
 		if !<-e.resume {
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -109,7 +109,7 @@
 	const each, periods = 10000, 3
 	for range periods {
 		for i := range each {
-			log.Info("caller.fault", zap.Int("status", 400+i%9))
+			log.Info("client.invalid_request", zap.Int("status", 400+i%9))
 			for j := range 3 {
 				if i < 100 {
 					log.Info(fmt.Sprint("other.", j))
@@ -139,7 +139,7 @@
 	for _, n := range left {
 		total += n
 	}
-	if total != periods*(each+3*100) || seen["caller.fault"] == 0 || left["caller.fault"] < periods*(each-s.Burst) {
+	if total != periods*(each+3*100) || seen["client.invalid_request"] == 0 || left["client.invalid_request"] < periods*(each-s.Burst) {
 		t.Errorf("seen %v, left out %v", seen, left)
 	}
 }
