--- a/internal/http1/sidecar_test.go
+++ b/internal/http1/sidecar_test.go
@@ -359,14 +359,19 @@
 	}
 }
 
-// heldDials is a network whose next connection is handed over once it is let go.
+// heldDials is a network that holds the next connection to an address back until it is let go. Discovery dials on the
+// same network: a connection of its own must not be taken for the one that the test waits for.
 type heldDials struct {
 	Kernel
+	address     string
 	made, letGo chan bool
 }
 
 func (n heldDials) Dial(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
 	c, err := n.Kernel.Dial(ctx, address, within)
+	if address != n.address {
+		return c, err
+	}
 	select {
 	case n.made <- true:
 		<-n.letGo
@@ -383,7 +388,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	n := heldDials{made: make(chan bool), letGo: make(chan bool)}
+	n := heldDials{address: l.Addr().String(), made: make(chan bool), letGo: make(chan bool)}
 	rg := startOn(t, n, 1, 1024, func(*config.Config) {}, target{UID: "s-1", Address: l.Addr().String(), State: "Ready", Weight: 1})
 	c := rg.dial()
 	rg.request("once", 9*time.Second).Write(c)
