--- a/internal/controlplane/chain_store.go
+++ b/internal/controlplane/chain_store.go
@@ -98,9 +98,9 @@
 	_, begins := record.(chain.Snapshot)
 	if !begins && cs.encoder != nil && cs.fileRecords < maxFileRecords {
 		payload, err := cs.encoder.encode(record)
-		if err != nil || cs.fileSize+ringlog.Size(payload) <= cs.ring.Capacity() {
+		if err != nil || cs.fileSize+ringlog.RecordSize(payload) <= cs.ring.FileCapacity() {
 			cs.fileRecords++
-			cs.fileSize += ringlog.Size(payload)
+			cs.fileSize += ringlog.RecordSize(payload)
 			return ringlog.Record{Payload: payload}, err
 		}
 	}
@@ -109,7 +109,7 @@
 	}
 	cs.encoder = newRecordEncoder()
 	payload, err := cs.encoder.encode(record)
-	cs.fileRecords, cs.fileSize = 1, ringlog.Size(payload)
+	cs.fileRecords, cs.fileSize = 1, ringlog.RecordSize(payload)
 	return ringlog.Record{Payload: payload, Rotate: true}, err
 }
 
--- a/internal/ringlog/recover.go
+++ b/internal/ringlog/recovery.go
@@ -10,13 +10,13 @@
 )
 
 // scanAhead is how far behind an unreadable copy the next readable one is looked for, where the log may just end there.
-const scanAhead = 256 << 10
+const maxScanDistance = 256 << 10
 
 // recover finds the newest file and reads its records.
 func (r *Ring) recover() ([][]byte, error) {
-	newest, first := -1, place{}
+	newest, first := -1, locatedRecord{}
 	for i, file := range r.files {
-		found, err := findFirst(file)
+		found, err := findFirstRecord(file)
 		if err != nil {
 			return nil, err
 		}
@@ -34,7 +34,7 @@
 		return nil, err
 	}
 	for i, file := range r.files {
-		if i != newest && beginningLost(file, r.seq) {
+		if i != newest && hasLostBeginning(file, r.seq) {
 			return nil, ErrDamaged
 		}
 	}
@@ -42,28 +42,28 @@
 }
 
 // place is a copy of a record, and the place behind all copies of it.
-type place struct {
-	record stored
-	behind int64
+type locatedRecord struct {
+	record storedRecord
+	end    int64
 	ok     bool
 }
 
 // findFirst finds the record that begins a file: at its beginning, or, where that cannot be read, its other copy.
-func findFirst(file *os.File) (place, error) {
-	limit, err := size(file)
+func findFirstRecord(file *os.File) (locatedRecord, error) {
+	limit, err := fileSize(file)
 	if err != nil {
-		return place{}, err
+		return locatedRecord{}, err
 	}
-	if record, ok := readRecord(file, 0, limit); ok {
-		return place{record: record, behind: record.behind(0, copies-1), ok: true}, nil
+	if record, ok := readCopy(file, 0, limit); ok {
+		return locatedRecord{record: record, end: record.end(0, copiesPerRecord-1), ok: true}, nil
 	}
-	if empty(file) {
-		return place{}, nil
+	if isUnwritten(file) {
+		return locatedRecord{}, nil
 	}
-	var found place
-	scan(file, 1, limit, limit, func(at int64, record stored) bool {
-		if record.mark == markFirst && at == copySize(record.payload) {
-			found = place{record: record, behind: record.behind(at, 0), ok: true}
+	var found locatedRecord
+	scanCopies(file, 1, limit, limit, func(at int64, record storedRecord) bool {
+		if record.magic == magicFirst && at == copySize(record.payload) {
+			found = locatedRecord{record: record, end: record.end(at, 0), ok: true}
 		}
 		return !found.ok
 	})
@@ -71,7 +71,7 @@
 }
 
 // empty tells whether a file has never been written at its beginning.
-func empty(file io.ReaderAt) bool {
+func isUnwritten(file io.ReaderAt) bool {
 	var header [headerSize]byte
 	_, err := file.ReadAt(header[:], 0)
 	return err != nil || header == [headerSize]byte{}
@@ -79,23 +79,23 @@
 
 // beginningLost tells whether a file whose first record cannot be read has records that were written when one behind the
 // last that was read elsewhere was stored already.
-func beginningLost(file *os.File, last uint64) bool {
-	limit, err := size(file)
+func hasLostBeginning(file *os.File, last uint64) bool {
+	limit, err := fileSize(file)
 	if err != nil {
 		return true
 	}
-	if _, ok := readRecord(file, 0, limit); ok || empty(file) {
+	if _, ok := readCopy(file, 0, limit); ok || isUnwritten(file) {
 		return false
 	}
 	lost := false
-	scan(file, 1, limit, limit, func(_ int64, record stored) bool {
+	scanCopies(file, 1, limit, limit, func(_ int64, record storedRecord) bool {
 		lost = record.seq > last && record.synced > last
 		return !lost
 	})
 	return lost
 }
 
-func size(file *os.File) (int64, error) {
+func fileSize(file *os.File) (int64, error) {
 	info, err := file.Stat()
 	if err != nil {
 		return 0, errors.Wrap(err, "ring")
@@ -104,18 +104,18 @@
 }
 
 // readFile reads the records of a file whose first one was found.
-func (r *Ring) readFile(file *os.File, first place) ([][]byte, error) {
-	limit, err := size(file)
+func (r *Ring) readFile(file *os.File, first locatedRecord) ([][]byte, error) {
+	limit, err := fileSize(file)
 	if err != nil {
 		return nil, err
 	}
-	ahead := &readAhead{file: file}
+	ahead := &bufferedReaderAt{file: file}
 	var records [][]byte
 	next := first
 	for next.ok {
 		records = append(records, next.record.payload)
-		r.seq, r.synced, r.offset = next.record.seq, next.record.seq, next.behind
-		if next, err = nextRecord(ahead, file, r.offset, limit, r.seq); err != nil {
+		r.seq, r.synced, r.offset = next.record.seq, next.record.seq, next.end
+		if next, err = findNextRecord(ahead, file, r.offset, limit, r.seq); err != nil {
 			return nil, err
 		}
 	}
@@ -124,34 +124,34 @@
 
 // nextRecord finds the record behind the last one: at an offset, or, where that cannot be read, its other copy. None ends
 // the log; one further on that was written when a lost one was stored already proves damage.
-func nextRecord(ahead, file io.ReaderAt, offset, limit int64, last uint64) (place, error) {
-	if record, ok := readRecord(ahead, offset, limit); ok && record.seq == last+1 {
-		return place{record: record, behind: record.behind(offset, copies-1), ok: true}, nil
+func findNextRecord(ahead, file io.ReaderAt, offset, limit int64, last uint64) (locatedRecord, error) {
+	if record, ok := readCopy(ahead, offset, limit); ok && record.seq == last+1 {
+		return locatedRecord{record: record, end: record.end(offset, copiesPerRecord-1), ok: true}, nil
 	}
-	var found place
+	var found locatedRecord
 	damaged := false
-	scan(file, offset+1, min(limit, offset+scanAhead), limit, func(at int64, record stored) bool {
+	scanCopies(file, offset+1, min(limit, offset+maxScanDistance), limit, func(at int64, record storedRecord) bool {
 		switch {
-		case record.seq == last+1 && record.mark == markTwice:
-			found = place{record: record, behind: record.behind(at, 0), ok: true}
+		case record.seq == last+1 && record.magic == magicDouble:
+			found = locatedRecord{record: record, end: record.end(at, 0), ok: true}
 		case record.seq > last+1 && record.synced > last:
 			damaged = true
 		}
 		return !found.ok && !damaged
 	})
 	if damaged {
-		return place{}, ErrDamaged
+		return locatedRecord{}, ErrDamaged
 	}
 	return found, nil
 }
 
 // scan looks for copies of records that begin between two offsets and can be read, until it is told to stop. The file ends
 // at a limit.
-func scan(file io.ReaderAt, from, until, limit int64, found func(at int64, record stored) (goOn bool)) {
+func scanCopies(file io.ReaderAt, from, until, limit int64, found func(at int64, record storedRecord) (goOn bool)) {
 	var mark [4]byte
-	binary.BigEndian.PutUint32(mark[:], markSingle)
+	binary.BigEndian.PutUint32(mark[:], magicSingle)
 	prefix := mark[:3] // that all marks share
-	piece := make([]byte, readAheadSize)
+	piece := make([]byte, readBufferSize)
 	for at := from; at < until; {
 		n, _ := file.ReadAt(piece[:min(int64(len(piece)), until-at)], at)
 		if n < len(mark) {
@@ -163,7 +163,7 @@
 			continue
 		}
 		at += int64(i)
-		if record, ok := readRecord(file, at, limit); ok && !found(at, record) {
+		if record, ok := readCopy(file, at, limit); ok && !found(at, record) {
 			return
 		}
 		at++
@@ -171,25 +171,25 @@
 }
 
 // readAhead reads a file in larger pieces than it is asked for.
-type readAhead struct {
-	file  io.ReaderAt
-	at    int64 // where the piece begins
-	piece []byte
+type bufferedReaderAt struct {
+	file   io.ReaderAt
+	start  int64 // where the piece begins
+	buffer []byte
 }
 
-const readAheadSize = 64 << 10
+const readBufferSize = 64 << 10
 
-func (r *readAhead) ReadAt(b []byte, offset int64) (int, error) {
-	if offset < r.at || offset+int64(len(b)) > r.at+int64(len(r.piece)) {
-		if len(b) > readAheadSize {
+func (r *bufferedReaderAt) ReadAt(b []byte, offset int64) (int, error) {
+	if offset < r.start || offset+int64(len(b)) > r.start+int64(len(r.buffer)) {
+		if len(b) > readBufferSize {
 			return r.file.ReadAt(b, offset)
 		}
-		piece := make([]byte, readAheadSize)
+		piece := make([]byte, readBufferSize)
 		n, err := r.file.ReadAt(piece, offset)
-		r.at, r.piece = offset, piece[:n]
+		r.start, r.buffer = offset, piece[:n]
 		if n < len(b) {
-			return copy(b, r.piece), err
+			return copy(b, r.buffer), err
 		}
 	}
-	return copy(b, r.piece[offset-r.at:]), nil
+	return copy(b, r.buffer[offset-r.start:]), nil
 }
--- a/internal/ringlog/ringlog.go
+++ b/internal/ringlog/ringlog.go
@@ -26,13 +26,13 @@
 
 // Ring is an open ring. It is used by one goroutine.
 type Ring struct {
-	options Options
-	files   []*os.File
-	current int   // index of the file that is written
-	offset  int64 // in it
-	seq     uint64
-	synced  uint64
-	dirty   map[int]bool
+	options  Options
+	files    []*os.File
+	current  int   // index of the file that is written
+	offset   int64 // in it
+	seq      uint64
+	synced   uint64
+	unsynced map[int]bool
 }
 
 // Record is one to be appended.
@@ -47,7 +47,7 @@
 	if err := os.MkdirAll(options.Directory, 0o755); err != nil {
 		return nil, nil, errors.Wrap(err, "ring")
 	}
-	r := &Ring{options: options, dirty: map[int]bool{}}
+	r := &Ring{options: options, unsynced: map[int]bool{}}
 	created := false
 	for i := range options.Files {
 		file, fresh, err := openFile(filepath.Join(options.Directory, "ring-"+strconv.Itoa(i)), options.FileSize)
@@ -74,14 +74,14 @@
 	return r, records, nil
 }
 
-func openFile(path string, size int64) (file *os.File, fresh bool, err error) {
+func openFile(path string, size int64) (file *os.File, created bool, err error) {
 	file, err = os.OpenFile(path, os.O_RDWR|os.O_CREATE, fileMode)
 	if err != nil {
 		return nil, false, errors.Wrap(err, "ring")
 	}
 	info, err := file.Stat()
 	if err == nil && info.Size() < size {
-		fresh = true
+		created = true
 		err = file.Truncate(size)
 		if err == nil {
 			err = file.Sync()
@@ -91,7 +91,7 @@
 		file.Close()
 		return nil, false, errors.Wrap(err, "ring")
 	}
-	return file, fresh, nil
+	return file, created, nil
 }
 
 func syncDirectory(path string) error {
@@ -110,8 +110,8 @@
 	}
 }
 
-// Capacity is how many bytes of records a file is meant for.
-func (r *Ring) Capacity() int64 { return r.options.FileSize }
+// FileCapacity is how many bytes of records a file is meant for.
+func (r *Ring) FileCapacity() int64 { return r.options.FileSize }
 
 // Append writes records and syncs them. After an error the same records may be appended again.
 func (r *Ring) Append(records []Record) error {
@@ -134,7 +134,7 @@
 		if len(buffer) == 0 {
 			return nil
 		}
-		r.dirty[r.current] = true
+		r.unsynced[r.current] = true
 		if _, err := r.files[r.current].WriteAt(buffer, r.offset); err != nil {
 			return errors.Wrap(err, "ring")
 		}
@@ -157,11 +157,11 @@
 }
 
 func (r *Ring) sync() error {
-	for i := range r.dirty {
+	for i := range r.unsynced {
 		if err := r.files[i].Sync(); err != nil {
 			return errors.Wrap(err, "ring")
 		}
-		delete(r.dirty, i)
+		delete(r.unsynced, i)
 	}
 	return nil
 }
--- a/internal/ringlog/ringlog_test.go
+++ b/internal/ringlog/ringlog_test.go
@@ -149,7 +149,7 @@
 			var at []int64
 			for i, text := range texts {
 				add(ring, i == 0, text)
-				at = append(at, ring.offset-Size([]byte(text)))
+				at = append(at, ring.offset-RecordSize([]byte(text)))
 			}
 			for i := range copySize([]byte(texts[record])) {
 				change(file(0), at[record]+copy*copySize([]byte(texts[record]))+i, []byte{0xff})
@@ -183,8 +183,8 @@
 		open()
 		single := func(seq uint64, text string) []byte {
 			b := appendRecord(nil, seq, seq-1, Record{Payload: []byte(text)})[:copySize([]byte(text))]
-			binary.BigEndian.PutUint32(b, markSingle)
-			binary.BigEndian.PutUint32(b[headerSize-4:], crc32.Update(crc32.Checksum(b[:headerSize-4], castagnoli), castagnoli, []byte(text)))
+			binary.BigEndian.PutUint32(b, magicSingle)
+			binary.BigEndian.PutUint32(b[headerSize-4:], crc32.Update(crc32.Checksum(b[:headerSize-4], checksumTable), checksumTable, []byte(text)))
 			return b
 		}
 		change(file(0), 0, append(single(1, "s"), single(2, "a")...))
@@ -214,7 +214,7 @@
 			}
 			current, offset := ring.current, ring.offset
 			add(ring, random.IntN(4) == 0, "not synced")
-			path, from, length := file(current), offset, Size([]byte("not synced"))
+			path, from, length := file(current), offset, RecordSize([]byte("not synced"))
 			if ring.current != current {
 				path, from = file(ring.current), 0
 			}
