--- /dev/null
+++ b/internal/ringlog/example_test.go
@@ -0,0 +1,48 @@
+package ringlog_test
+
+import (
+	"fmt"
+	"os"
+
+	"dykering/internal/ringlog"
+)
+
+// A counter is logged: snapshots hold its value, other records add to it. The snapshot begins the next file of the ring.
+func Example() {
+	directory, err := os.MkdirTemp("", "ringlog")
+	if err != nil {
+		panic(err)
+	}
+	defer os.RemoveAll(directory)
+	options := ringlog.Options{Directory: directory, Files: 2, FileSize: 4096}
+
+	ring, _, err := ringlog.Open(options)
+	if err != nil {
+		panic(err)
+	}
+	for _, record := range []ringlog.Record{
+		{Payload: []byte("value 0"), Rotate: true},
+		{Payload: []byte("add 2")},
+		{Payload: []byte("add 3")},
+		{Payload: []byte("value 5"), Rotate: true},
+		{Payload: []byte("add 1")},
+	} {
+		if err := ring.Append([]ringlog.Record{record}); err != nil {
+			panic(err)
+		}
+	}
+	ring.Close()
+
+	ring, payloads, err := ringlog.Open(options)
+	if err != nil {
+		panic(err)
+	}
+	defer ring.Close()
+	for _, payload := range payloads {
+		fmt.Printf("%s\n", payload)
+	}
+
+	// Output:
+	// value 5
+	// add 1
+}
--- a/internal/ringlog/record.go
+++ b/internal/ringlog/record.go
@@ -6,33 +6,50 @@
 	"io"
 )
 
-// The first word of a record tells how it is stored.
+// Magic numbers begin each copy of a record and state how the record is stored. They share their first three bytes.
 const (
-	magicSingle uint32 = 0x6472_6c31 + iota // once, by an earlier version of this program
-	magicDouble                             // twice, one copy behind the other
-	magicFirst                              // twice, and it begins a file
+	// magicSingle ("drl1") begins a record with a single copy, written by an earlier version of this program.
+	magicSingle uint32 = 0x6472_6c31 + iota
+	// magicDouble ("drl2") begins a record with two copies.
+	magicDouble
+	// magicFirst ("drl3") begins a record with two copies that is the first one of its file.
+	magicFirst
 )
 
+// Offsets of the fields of a header, in bytes.
 const (
-	headerSize      = 4 + 4 + 8 + 8 + 4
-	copiesPerRecord = 2
+	magicOffset    = 0
+	lengthOffset   = 4
+	seqOffset      = 8
+	syncedOffset   = 16
+	checksumOffset = 24
+	headerSize     = 28
 )
 
+const copiesPerRecord = 2
+
 var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-// RecordSize is what a payload takes.
+// checksum returns the checksum of a copy from its header without the checksum and its payload.
+func checksum(header, payload []byte) uint32 {
+	return crc32.Update(crc32.Checksum(header, checksumTable), checksumTable, payload)
+}
+
+// RecordSize returns the number of bytes that a record with a payload takes in a file, with both copies.
 func RecordSize(payload []byte) int64 { return copiesPerRecord * copySize(payload) }
 
 func copySize(payload []byte) int64 { return headerSize + int64(len(payload)) }
 
-// stored is a record as it was read.
+// storedRecord is a record as it was read from a file.
 type storedRecord struct {
-	magic       uint32
-	seq, synced uint64
-	payload     []byte
+	magic uint32
+	seq   uint64
+	// synced is the sequence number up to which all records had been synced when this one was written.
+	synced  uint64
+	payload []byte
 }
 
-// appendRecord renders a record with all of its copies.
+// appendRecord appends both copies of a record to a buffer.
 func appendRecord(buffer []byte, seq, synced uint64, record Record) []byte {
 	magic := magicDouble
 	if record.Rotate {
@@ -43,38 +60,46 @@
 	buffer = binary.BigEndian.AppendUint32(buffer, uint32(len(record.Payload)))
 	buffer = binary.BigEndian.AppendUint64(buffer, seq)
 	buffer = binary.BigEndian.AppendUint64(buffer, synced)
-	sum := crc32.Update(crc32.Checksum(buffer[start:], checksumTable), checksumTable, record.Payload)
-	buffer = binary.BigEndian.AppendUint32(buffer, sum)
+	buffer = binary.BigEndian.AppendUint32(buffer, checksum(buffer[start:], record.Payload))
 	buffer = append(buffer, record.Payload...)
 	return append(buffer, buffer[start:]...)
 }
 
-// readRecord reads one copy of a record at an offset; it is false where there is none that can be read.
+// readCopy reads the copy of a record that begins at an offset. It is false if there is none, or if its checksum is wrong.
+// The limit is the size of the file.
 func readCopy(file io.ReaderAt, offset, limit int64) (storedRecord, bool) {
 	var header [headerSize]byte
 	if _, err := file.ReadAt(header[:], offset); err != nil {
 		return storedRecord{}, false
 	}
-	mark := binary.BigEndian.Uint32(header[:])
-	length := int64(binary.BigEndian.Uint32(header[4:]))
-	if mark < magicSingle || mark > magicFirst || offset+headerSize+length > limit {
+	magic := binary.BigEndian.Uint32(header[magicOffset:])
+	length := int64(binary.BigEndian.Uint32(header[lengthOffset:]))
+	if magic < magicSingle || magic > magicFirst || offset+headerSize+length > limit {
 		return storedRecord{}, false
 	}
 	payload := make([]byte, length)
 	if _, err := file.ReadAt(payload, offset+headerSize); err != nil {
 		return storedRecord{}, false
 	}
-	sum := crc32.Update(crc32.Checksum(header[:headerSize-4], checksumTable), checksumTable, payload)
-	if binary.BigEndian.Uint32(header[headerSize-4:]) != sum {
+	if binary.BigEndian.Uint32(header[checksumOffset:]) != checksum(header[:checksumOffset], payload) {
 		return storedRecord{}, false
 	}
-	return storedRecord{magic: mark, seq: binary.BigEndian.Uint64(header[8:]), synced: binary.BigEndian.Uint64(header[16:]), payload: payload}, true
+	record := storedRecord{
+		magic:   magic,
+		seq:     binary.BigEndian.Uint64(header[seqOffset:]),
+		synced:  binary.BigEndian.Uint64(header[syncedOffset:]),
+		payload: payload,
+	}
+	return record, true
 }
 
-// behind gives the place behind a record of which one copy was read at an offset and some more follow.
-func (s storedRecord) end(offset int64, more int64) int64 {
+// endOfFirstCopy returns the offset after a record whose first copy begins at an offset.
+func (s storedRecord) endOfFirstCopy(offset int64) int64 {
 	if s.magic == magicSingle {
 		return offset + copySize(s.payload)
 	}
-	return offset + (1+more)*copySize(s.payload)
+	return offset + RecordSize(s.payload)
 }
+
+// endOfLastCopy returns the offset after a record whose last copy begins at an offset.
+func (s storedRecord) endOfLastCopy(offset int64) int64 { return offset + copySize(s.payload) }
--- a/internal/ringlog/ringlog.go
+++ b/internal/ringlog/ringlog.go
@@ -1,7 +1,3 @@
-// Package ringlog stores records in a ring of preallocated files. Each file begins with a snapshot, so that the files
-// before it may be written over. A record carries its sequence number, the one up to which all was known to be stored
-// when it was written, and a checksum, and is written twice: what a loss of power has torn ends the log, a record of which
-// one copy can no longer be read is read from the other, and what was stored and cannot be read at all is told as damage.
 package ringlog
 
 import (
@@ -12,39 +8,52 @@
 	"github.com/pkg/errors"
 )
 
-const fileMode = 0o644
+const (
+	fileMode      = 0o644
+	directoryMode = 0o755
+)
 
-// ErrDamaged tells that records which were stored can no longer be read: this copy must not be trusted.
+// ErrDamaged is returned by Open if records that were synced can no longer be read. What is left must not be used.
 var ErrDamaged = errors.New("stored records cannot be read")
 
-// Options of a ring.
+// Options configure a Ring. They must be the same each time that the ring is opened.
 type Options struct {
+	// Directory holds the files. It is created if it does not exist.
 	Directory string
-	Files     int
-	FileSize  int64 // preallocated for each file
+	// Files is the number of files, at least 2: the newest snapshot must survive while the next one is written.
+	Files int
+	// FileSize is the number of bytes preallocated for each file.
+	FileSize int64
 }
 
-// Ring is an open ring. It is used by one goroutine.
+// Ring is an open log. It is not safe for concurrent use.
 type Ring struct {
-	options  Options
-	files    []*os.File
-	current  int   // index of the file that is written
-	offset   int64 // in it
-	seq      uint64
-	synced   uint64
+	options Options
+	files   []*os.File
+	// current is the index of the file that is written.
+	current int
+	// offset is where the next record of the current file begins.
+	offset int64
+	// seq is the sequence number of the last record that was written.
+	seq uint64
+	// synced is the sequence number of the last record that was synced.
+	synced uint64
+	// unsynced are the indexes of the files that were written since the last sync.
 	unsynced map[int]bool
 }
 
-// Record is one to be appended.
+// Record is a record to append.
 type Record struct {
 	Payload []byte
-	// Rotate begins a new file with this record, that stands for all before it.
+	// Rotate begins the next file with this record, which must stand for all records before it. The first record of a log
+	// must have it set.
 	Rotate bool
 }
 
-// Open opens a ring, and makes it where there is none. It returns the records since the newest snapshot.
+// Open opens the ring in a directory, and creates it if there is none. It returns the payloads of the newest snapshot and of
+// all records after it, or none for a new ring. The error is ErrDamaged if synced records cannot be read.
 func Open(options Options) (*Ring, [][]byte, error) {
-	if err := os.MkdirAll(options.Directory, 0o755); err != nil {
+	if err := os.MkdirAll(options.Directory, directoryMode); err != nil {
 		return nil, nil, errors.Wrap(err, "ring")
 	}
 	r := &Ring{options: options, unsynced: map[int]bool{}}
@@ -74,6 +83,7 @@
 	return r, records, nil
 }
 
+// openFile opens a file of the ring, and extends it to its size if it is shorter. Created reports whether it did.
 func openFile(path string, size int64) (file *os.File, created bool, err error) {
 	file, err = os.OpenFile(path, os.O_RDWR|os.O_CREATE, fileMode)
 	if err != nil {
@@ -94,6 +104,7 @@
 	return file, created, nil
 }
 
+// syncDirectory makes new files in a directory survive a loss of power.
 func syncDirectory(path string) error {
 	directory, err := os.Open(path)
 	if err != nil {
@@ -103,17 +114,19 @@
 	return errors.Wrap(directory.Sync(), "ring")
 }
 
-// Close closes the files.
+// Close closes the files. It does not sync: all appended records are synced already.
 func (r *Ring) Close() {
 	for _, file := range r.files {
 		file.Close()
 	}
 }
 
-// FileCapacity is how many bytes of records a file is meant for.
+// FileCapacity returns the number of bytes of records that a file is meant for: Options.FileSize. The caller appends a
+// snapshot before the records of a file exceed it; the ring itself begins a new file only for a snapshot.
 func (r *Ring) FileCapacity() int64 { return r.options.FileSize }
 
-// Append writes records and syncs them. After an error the same records may be appended again.
+// Append writes records and syncs them. After an error it is unknown whether they survive a loss of power; the same records
+// may be appended again, and take the same place in the log.
 func (r *Ring) Append(records []Record) error {
 	seq, current, offset := r.seq, r.current, r.offset
 	err := r.write(records)
@@ -121,13 +134,16 @@
 		err = r.sync()
 	}
 	if err != nil {
-		r.seq, r.current, r.offset = seq, current, offset
+		r.seq = seq
+		r.current = current
+		r.offset = offset
 		return err
 	}
 	r.synced = r.seq
 	return nil
 }
 
+// write writes records without syncing them. Those of one file are written with a single call.
 func (r *Ring) write(records []Record) error {
 	var buffer []byte
 	flush := func() error {
@@ -156,6 +172,7 @@
 	return flush()
 }
 
+// sync syncs the files that were written since the last time. A file whose sync fails remains to be synced.
 func (r *Ring) sync() error {
 	for i := range r.unsynced {
 		if err := r.files[i].Sync(); err != nil {
--- a/internal/ringlog/ringlog_test.go
+++ b/internal/ringlog/ringlog_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/binary"
-	"hash/crc32"
 	"math/rand/v2"
 	"os"
 	"path/filepath"
@@ -16,10 +15,10 @@
 
 func TestRinglog(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "the ring of files")
+	RunSpecs(t, "ring log")
 }
 
-var _ = Describe("a ring", func() {
+var _ = Describe("a ring of files", func() {
 	var options Options
 
 	BeforeEach(func() {
@@ -36,11 +35,11 @@
 		}
 		return ring, texts
 	}
-	add := func(ring *Ring, rotate bool, text string) {
+	appendText := func(ring *Ring, rotate bool, text string) {
 		Expect(ring.Append([]Record{{Payload: []byte(text), Rotate: rotate}})).To(Succeed())
 	}
 	file := func(i int) string { return filepath.Join(options.Directory, "ring-"+strconv.Itoa(i)) }
-	change := func(path string, at int64, b []byte) {
+	overwrite := func(path string, at int64, b []byte) {
 		f, err := os.OpenFile(path, os.O_RDWR, 0)
 		Expect(err).NotTo(HaveOccurred())
 		defer f.Close()
@@ -48,13 +47,13 @@
 		Expect(err).NotTo(HaveOccurred())
 	}
 
-	// spoil makes both copies of a record unreadable.
-	spoil := func(path string, at int64, payload string) {
-		change(path, at+headerSize, []byte{'?'})
-		change(path, at+copySize([]byte(payload))+headerSize, []byte{'?'})
+	// damage makes both copies of a record unreadable.
+	damage := func(path string, at int64, payload string) {
+		overwrite(path, at+headerSize, []byte{'?'})
+		overwrite(path, at+copySize([]byte(payload))+headerSize, []byte{'?'})
 	}
 
-	It("is empty at first, and preallocated", func() {
+	It("is empty and preallocated when it is created", func() {
 		_, records := open()
 		Expect(records).To(BeEmpty())
 		info, err := os.Stat(file(0))
@@ -62,101 +61,101 @@
 		Expect(info.Size()).To(Equal(options.FileSize))
 	})
 
-	It("gives back what was appended since the newest snapshot", func() {
+	It("returns the records since the newest snapshot", func() {
 		ring, _ := open()
-		add(ring, true, "s1")
-		add(ring, false, "a")
-		add(ring, true, "s2")
-		add(ring, false, "b")
-		add(ring, false, "c")
+		appendText(ring, true, "s1")
+		appendText(ring, false, "a")
+		appendText(ring, true, "s2")
+		appendText(ring, false, "b")
+		appendText(ring, false, "c")
 		_, records := open()
 		Expect(records).To(Equal([]string{"s2", "b", "c"}))
 	})
 
-	It("goes round over its files", func() {
+	It("reuses its files in turn", func() {
 		ring, _ := open()
 		for i := range 10 {
-			add(ring, true, "s"+strconv.Itoa(i))
-			add(ring, false, "x"+strconv.Itoa(i))
+			appendText(ring, true, "s"+strconv.Itoa(i))
+			appendText(ring, false, "x"+strconv.Itoa(i))
 		}
 		again, records := open()
 		Expect(records).To(Equal([]string{"s9", "x9"}))
-		add(again, false, "y")
+		appendText(again, false, "y")
 		_, records = open()
 		Expect(records).To(Equal([]string{"s9", "x9", "y"}))
 	})
 
-	It("takes a record larger than a file", func() {
+	It("stores a record that is larger than a file", func() {
 		ring, _ := open()
 		large := string(make([]byte, 3*options.FileSize))
-		add(ring, true, large)
-		add(ring, false, "a")
+		appendText(ring, true, large)
+		appendText(ring, false, "a")
 		_, records := open()
 		Expect(records).To(Equal([]string{large, "a"}))
 	})
 
 	It("ends at a torn record that was not synced", func() {
 		ring, _ := open()
-		add(ring, true, "s")
-		add(ring, false, "a")
+		appendText(ring, true, "s")
+		appendText(ring, false, "a")
 		at := ring.offset
-		add(ring, false, "torn")
-		spoil(file(0), at, "torn")
+		appendText(ring, false, "torn")
+		damage(file(0), at, "torn")
 		again, records := open()
 		Expect(records).To(Equal([]string{"s", "a"}))
-		add(again, false, "b")
+		appendText(again, false, "b")
 		_, records = open()
 		Expect(records).To(Equal([]string{"s", "a", "b"}))
 	})
 
-	It("does not take an old record behind the end for a new one", func() {
+	It("does not return a record of an earlier use of the file after the end", func() {
 		ring, _ := open()
-		add(ring, true, "s0")
-		add(ring, false, "old1")
-		add(ring, false, "old2")
-		add(ring, true, "s1")
-		add(ring, true, "s2")
-		add(ring, true, "s3") // over s0, old1 and old2
+		appendText(ring, true, "s0")
+		appendText(ring, false, "old1")
+		appendText(ring, false, "old2")
+		appendText(ring, true, "s1")
+		appendText(ring, true, "s2")
+		appendText(ring, true, "s3") // over s0, old1 and old2
 		_, records := open()
 		Expect(records).To(Equal([]string{"s3"}))
 	})
 
-	It("falls back on the file before where a snapshot was torn", func() {
+	It("returns the records of the previous file if a snapshot was torn", func() {
 		ring, _ := open()
-		add(ring, true, "s0")
-		add(ring, false, "a")
-		add(ring, true, "s1")
-		spoil(file(1), 0, "s1")
+		appendText(ring, true, "s0")
+		appendText(ring, false, "a")
+		appendText(ring, true, "s1")
+		damage(file(1), 0, "s1")
 		_, records := open()
 		Expect(records).To(Equal([]string{"s0", "a"}))
 	})
 
-	It("tells damage in what was synced", func() {
+	It("reports damage to a synced record", func() {
 		ring, _ := open()
-		add(ring, true, "s")
+		appendText(ring, true, "s")
 		at := ring.offset
-		add(ring, false, "damaged")
-		add(ring, false, "behind")
-		spoil(file(0), at, "damaged")
+		appendText(ring, false, "damaged")
+		appendText(ring, false, "behind")
+		damage(file(0), at, "damaged")
 		_, _, err := Open(options)
 		Expect(err).To(MatchError(ErrDamaged))
 	})
 
-	DescribeTable("reads a record of which one copy is unreadable",
+	DescribeTable("returns a record with one unreadable copy",
 		func(copy int64, record int) {
 			ring, _ := open()
 			texts := []string{"snapshot", "first", "last"}
 			var at []int64
 			for i, text := range texts {
-				add(ring, i == 0, text)
+				appendText(ring, i == 0, text)
 				at = append(at, ring.offset-RecordSize([]byte(text)))
 			}
 			for i := range copySize([]byte(texts[record])) {
-				change(file(0), at[record]+copy*copySize([]byte(texts[record]))+i, []byte{0xff})
+				overwrite(file(0), at[record]+copy*copySize([]byte(texts[record]))+i, []byte{0xff})
 			}
 			again, records := open()
 			Expect(records).To(Equal(texts))
-			add(again, false, "more")
+			appendText(again, false, "more")
 			_, records = open()
 			Expect(records).To(Equal(append(texts, "more")))
 		},
@@ -167,35 +166,35 @@
 		Entry("the first copy of one in between", int64(0), 1),
 	)
 
-	It("tells damage where a file's first record is lost that was synced", func() {
+	It("reports damage if a file's synced first record is lost", func() {
 		ring, _ := open()
-		add(ring, true, "s0")
-		add(ring, false, "a")
-		add(ring, true, "s1")
-		add(ring, false, "b")
-		add(ring, false, "c")
-		spoil(file(1), 0, "s1")
+		appendText(ring, true, "s0")
+		appendText(ring, false, "a")
+		appendText(ring, true, "s1")
+		appendText(ring, false, "b")
+		appendText(ring, false, "c")
+		damage(file(1), 0, "s1")
 		_, _, err := Open(options)
 		Expect(err).To(MatchError(ErrDamaged))
 	})
 
-	It("reads what an earlier version has written, and goes on with it", func() {
+	It("reads the records of an earlier version and appends to them", func() {
 		open()
 		single := func(seq uint64, text string) []byte {
 			b := appendRecord(nil, seq, seq-1, Record{Payload: []byte(text)})[:copySize([]byte(text))]
 			binary.BigEndian.PutUint32(b, magicSingle)
-			binary.BigEndian.PutUint32(b[headerSize-4:], crc32.Update(crc32.Checksum(b[:headerSize-4], checksumTable), checksumTable, []byte(text)))
+			binary.BigEndian.PutUint32(b[checksumOffset:], checksum(b[:checksumOffset], []byte(text)))
 			return b
 		}
-		change(file(0), 0, append(single(1, "s"), single(2, "a")...))
+		overwrite(file(0), 0, append(single(1, "s"), single(2, "a")...))
 		ring, records := open()
 		Expect(records).To(Equal([]string{"s", "a"}))
-		add(ring, false, "b")
+		appendText(ring, false, "b")
 		_, records = open()
 		Expect(records).To(Equal([]string{"s", "a", "b"}))
 	})
 
-	It("keeps what was synced, whatever a loss of power makes of what was not", func() {
+	It("returns all synced records after a loss of power, in any state of the unsynced one", func() {
 		random := rand.New(rand.NewPCG(1, 1))
 		for range 300 {
 			options.Directory = GinkgoT().TempDir()
@@ -210,17 +209,17 @@
 					texts = nil
 				}
 				texts = append(texts, text)
-				add(ring, rotate, text)
+				appendText(ring, rotate, text)
 			}
 			current, offset := ring.current, ring.offset
-			add(ring, random.IntN(4) == 0, "not synced")
+			appendText(ring, random.IntN(4) == 0, "not synced")
 			path, from, length := file(current), offset, RecordSize([]byte("not synced"))
 			if ring.current != current {
 				path, from = file(ring.current), 0
 			}
 			for i := range length { // each byte is there or not
 				if random.IntN(8) == 0 {
-					change(path, from+i, []byte{0})
+					overwrite(path, from+i, []byte{0})
 				}
 			}
 			ring.Close()
@@ -241,17 +240,17 @@
 		}
 	})
 
-	It("appends again what could not be written", func() {
+	It("appends the same records after a failed write", func() {
 		ring, _ := open()
-		add(ring, true, "s")
-		whole := ring.files
-		broken, err := os.Open(file(0)) // read only
+		appendText(ring, true, "s")
+		files := ring.files
+		readOnly, err := os.Open(file(0))
 		Expect(err).NotTo(HaveOccurred())
-		ring.files = []*os.File{broken, whole[1], whole[2]}
+		ring.files = []*os.File{readOnly, files[1], files[2]}
 		Expect(ring.Append([]Record{{Payload: []byte("a")}})).NotTo(Succeed())
-		ring.files = whole
-		add(ring, false, "a")
-		add(ring, false, "b")
+		ring.files = files
+		appendText(ring, false, "a")
+		appendText(ring, false, "b")
 		_, records := open()
 		Expect(records).To(Equal([]string{"s", "a", "b"}))
 	})
