--- a/internal/controlplane/restore.go
+++ b/internal/controlplane/chain_restore.go
@@ -15,7 +15,8 @@
 	"dykering/internal/ringlog"
 )
 
-// restore reads what is on disk, or begins anew.
+// restoreChain restores the chain's node from disk, or starts one without state. It returns an error where the data
+// directory is not set or cannot be opened.
 func (s *Server) restoreChain() error {
 	directory := s.settings.DataDirectory
 	if directory == "" {
@@ -35,7 +36,7 @@
 	return nil
 }
 
-// openRing opens a ring, and makes it anew where what was stored cannot be read. Discarded tells that it did.
+// openRing opens a ring and returns its payloads. One that is damaged is discarded and made anew, which it reports.
 func openRing(options ringlog.Options, log *slog.Logger) (ring *ringlog.Ring, payloads [][]byte, discarded bool, err error) {
 	ring, payloads, err = ringlog.Open(options)
 	if errors.Is(err, ringlog.ErrDamaged) {
@@ -45,9 +46,9 @@
 	return ring, payloads, false, err
 }
 
-// discardRing makes a ring anew whose records cannot be used.
-func discardRing(options ringlog.Options, log *slog.Logger, why error) (*ringlog.Ring, error) {
-	log.Error("disk.damaged", "error", why, "directory", filepath.Base(options.Directory), "action", "the copy is discarded")
+// discardRing deletes a ring whose records cannot be used, and makes it anew.
+func discardRing(options ringlog.Options, log *slog.Logger, cause error) (*ringlog.Ring, error) {
+	log.Error("disk.damaged", "error", cause, "directory", filepath.Base(options.Directory), "action", "the copy is discarded")
 	if err := os.RemoveAll(options.Directory); err != nil {
 		return nil, errors.Wrap(err, "damaged copy")
 	}
@@ -55,8 +56,8 @@
 	return ring, err
 }
 
-// openRecords opens the ring of the chain and decodes its records. A copy that cannot be decoded is made anew likewise: the
-// process would else end again and again.
+// openRecords opens the ring of the chain and decodes its records. A ring whose records cannot be decoded is discarded too:
+// the process could else never start again.
 func openRecords(options ringlog.Options, log *slog.Logger) (ring *ringlog.Ring, records []any, discarded bool, err error) {
 	ring, payloads, discarded, err := openRing(options, log)
 	if err != nil {
@@ -71,8 +72,9 @@
 	return ring, nil, true, err
 }
 
-// begin makes a member that has nothing on disk: one of the first view where the whole system starts for the first time,
-// else one that joins. Who has had a copy, and discarded it, joins: it may have voted in the first view.
+// startFresh makes a node that has nothing on disk: a member of the first view where the whole system starts for the first
+// time, else one that joins. A member that has discarded its records must join under another ID: it may have voted, and
+// would break its promises by voting again.
 func (s *Server) startFresh(first bool) {
 	seeds := s.settings.SeedInternalAddresses()
 	own := s.settings.InternalAddress(s.settings.IPAddress)
@@ -91,8 +93,10 @@
 	s.persist(out.Records, nil)
 }
 
+// genesisID is the ID of a member of the first view. All members compute the same ones.
 func genesisID(address string) chain.MemberID { return chain.MemberID(address + "/0") }
 
+// freshID is the ID of a member that joins. It is unique, as a member whose disk was lost is another one.
 func freshID(address string) chain.MemberID {
 	var b [8]byte
 	rand.Read(b[:])
--- a/internal/controlplane/chain_store.go
+++ b/internal/controlplane/chain_store.go
@@ -15,25 +15,33 @@
 )
 
 const (
-	ringFiles     = 3
-	minRingFileMB = 2
-	maxRingFileMB = 8
-	// ringFileShare is the part of the disk that one file of the ring takes at the most.
-	ringFileDivisor    = 16
-	storeQueueLength   = 4096
+	// ringFiles is the number of files of the ring of the chain's records.
+	ringFiles = 3
+	// minRingFileMB and maxRingFileMB bound the size of a file, in MB; between them it is the disk's limit divided by
+	// ringFileDivisor.
+	minRingFileMB   = 2
+	maxRingFileMB   = 8
+	ringFileDivisor = 16
+	// maxFileRecords is how many records a file holds before the next one is begun. So many are read at a start, at most.
+	maxFileRecords = 64
+	// storeQueueLength bounds the jobs that wait for the disk; see Server.persist for what happens beyond.
+	storeQueueLength = 4096
+	// storeRetryInterval is the pause after a failed write.
 	storeRetryInterval = 100 * time.Millisecond
 )
 
+// ringOptions are the options of the ring of the chain's records, in a data directory with a limit in MB.
 func ringOptions(directory string, diskMB int) ringlog.Options {
 	fileMB := min(max(diskMB/ringFileDivisor, minRingFileMB), maxRingFileMB)
 	return ringlog.Options{Directory: filepath.Join(directory, "chain"), Files: ringFiles, FileSize: int64(fileMB) << 20}
 }
 
-// recordBox is how a record is stored: gob needs a struct around an interface value.
+// recordBox is the stored form of a record: gob needs a struct around an interface value. Its field name is fixed by what
+// is on disk.
 type recordBox struct{ Record any }
 
-// recordEncoder encodes the records of one file. A record rests on those before it in its file: what types there are is
-// written once.
+// recordEncoder encodes the records of one file. A record can be decoded only after those before it in its file, as gob
+// writes the description of a type once.
 type recordEncoder struct {
 	buffer  bytes.Buffer
 	encoder *gob.Encoder
@@ -53,7 +61,7 @@
 	return bytes.Clone(e.buffer.Bytes()), nil
 }
 
-// decodeRecords reads the records of one file.
+// decodeRecords decodes the records of one file.
 func decodeRecords(payloads [][]byte) ([]any, error) {
 	decoder := gob.NewDecoder(bytes.NewReader(bytes.Join(payloads, nil)))
 	var records []any
@@ -67,36 +75,39 @@
 	return records, nil
 }
 
-// diskJob is records to be stored, and messages that may go out once they are.
+// storeJob is records to be stored, and messages that may leave once they are.
 type storeJob struct {
 	records  []ringlog.Record
 	messages []chain.Envelope
 }
 
-// disk stores records in order. Its goroutine is the only one that touches the ring.
+// chainStore stores the chain's records in order. Only run touches the ring.
 type chainStore struct {
 	ring         *ringlog.Ring
 	log          *slog.Logger
 	jobs         chan storeJob
-	onStored     func([]chain.Envelope)
-	writingSince atomic.Int64 // Unix nanoseconds of the steady clock's reading; 0 while nothing is written
+	onStored     func([]chain.Envelope) // called by run
 	origin       time.Time
-	fileSize     int64 // of the current file, as jobs were handed over; the owner's
-	fileRecords  int   // in it; the owner's
-	encoder      *recordEncoder
+	writingSince atomic.Int64 // nanoseconds since origin, and 1, when the write in progress began; 0 while there is none
+
+	// Of the event loop: the file that jobs are encoded for, ahead of what is written.
+	encoder     *recordEncoder // nil where the next record begins a file
+	fileSize    int64          // bytes
+	fileRecords int
 }
 
-// mostRecords is how many records a file holds before the next one is begun: so many are read at a start.
-const maxFileRecords = 64
+func newChainStore(ring *ringlog.Ring, log *slog.Logger, onStored func([]chain.Envelope)) *chainStore {
+	return &chainStore{ring: ring, log: log, jobs: make(chan storeJob, storeQueueLength), onStored: onStored, origin: time.Now()}
+}
 
 // startNewFile has the next record begin a new file, with a snapshot that stands for all records before it.
 func (cs *chainStore) startNewFile() { cs.encoder = nil }
 
-// encode makes what is written of a record. Where the file is full, or was begun by another process, the snapshot, that
-// stands for the record too, begins the next one.
+// encode returns the stored form of a record. Where the file is full, or was begun by another process, a snapshot begins the
+// next one instead; it stands for the record too, which the node has applied already.
 func (cs *chainStore) encode(record any, snapshot func() chain.Snapshot) (ringlog.Record, error) {
-	_, begins := record.(chain.Snapshot)
-	if !begins && cs.encoder != nil && cs.fileRecords < maxFileRecords {
+	_, isSnapshot := record.(chain.Snapshot)
+	if !isSnapshot && cs.encoder != nil && cs.fileRecords < maxFileRecords {
 		payload, err := cs.encoder.encode(record)
 		if err != nil || cs.fileSize+ringlog.RecordSize(payload) <= cs.ring.FileCapacity() {
 			cs.fileRecords++
@@ -104,7 +115,7 @@
 			return ringlog.Record{Payload: payload}, err
 		}
 	}
-	if !begins {
+	if !isSnapshot {
 		record = snapshot()
 	}
 	cs.encoder = newRecordEncoder()
@@ -113,11 +124,7 @@
 	return ringlog.Record{Payload: payload, Rotate: true}, err
 }
 
-func newChainStore(ring *ringlog.Ring, log *slog.Logger, stored func([]chain.Envelope)) *chainStore {
-	return &chainStore{ring: ring, log: log, jobs: make(chan storeJob, storeQueueLength), onStored: stored, origin: time.Now()}
-}
-
-// run stores what is handed over until done is closed.
+// run stores the jobs until done is closed.
 func (cs *chainStore) run(done <-chan struct{}) {
 	for {
 		select {
@@ -129,7 +136,7 @@
 	}
 }
 
-// gather takes along what else waits, so that one sync serves all.
+// batch adds the jobs that are queued already, so that one sync serves all.
 func (cs *chainStore) batch(job storeJob) storeJob {
 	for {
 		select {
@@ -142,6 +149,8 @@
 	}
 }
 
+// write stores the records of a job, with retries until it succeeds, and then releases its messages. It never gives up: a
+// message whose record is not on disk must not leave. The chain goes on without this member meanwhile; see writeDuration.
 func (cs *chainStore) write(job storeJob, done <-chan struct{}) {
 	if len(job.records) > 0 {
 		cs.writingSince.Store(int64(time.Since(cs.origin)) + 1)
@@ -164,7 +173,7 @@
 	cs.onStored(job.messages)
 }
 
-// behind is how long the write that is under way has taken.
+// writeDuration is how long the write in progress has taken; 0 where there is none. Any goroutine may call it.
 func (cs *chainStore) writeDuration() time.Duration {
 	since := cs.writingSince.Load()
 	if since == 0 {
--- a/internal/controlplane/load_ledger_sync_test.go
+++ b/internal/controlplane/load_ledger_sync_test.go
@@ -41,8 +41,8 @@
 
 	It("counts a load for the store until it should have ended, and again once that should have been heard", func() {
 		order := inFlightOrder{expectedEnd: 10 * time.Second}
-		Expect(order.usesOriginBandwidth(9 * time.Second)).To(BeTrue())
-		Expect(order.usesOriginBandwidth(10*time.Second + maxReportAge)).To(BeFalse())
-		Expect(order.usesOriginBandwidth(10*time.Second + maxReportAge + completionPollInterval + time.Millisecond)).To(BeTrue())
+		Expect(order.usesOrigin(9 * time.Second)).To(BeTrue())
+		Expect(order.usesOrigin(10*time.Second + maxReportAge)).To(BeFalse())
+		Expect(order.usesOrigin(10*time.Second + maxReportAge + completionPollInterval + time.Millisecond)).To(BeTrue())
 	})
 })
--- a/internal/controlplane/order_client.go
+++ b/internal/controlplane/order_client.go
@@ -13,30 +13,17 @@
 	"dykering/internal/sessions"
 )
 
-const (
-	orderTimeout = 500 * time.Millisecond
-	// reportLag is how old an endpoint's report may be.
-	maxReportAge = 300 * time.Millisecond
-	// adapterLoad is how long an adapter takes to load, and unloadWait how often the end of an order is looked for.
-	adapterLoadTime        = 25 * time.Millisecond
-	completionPollInterval = 100 * time.Millisecond
-	// orderPause is how long an endpoint is left alone after an order that it did not take.
-	failedOrderBackoff = 300 * time.Millisecond
-	// conflictTries is how often an order is given again that another one stands in the way of.
-	maxConflictRetries = 5
-	conflictBackoff    = 60 * time.Millisecond
-	// orderPatience is how much longer than expected an order may take.
-	orderTimeoutMargin = 5 * time.Second
-)
+// orderTimeout bounds each request to an endpoint. A new lease holder waits for it too; see timing.newHolderDelay.
+const orderTimeout = 500 * time.Millisecond
 
-// endpointReport is what an endpoint tells on GET /report.
+// endpointReport is the body of GET /report.
 type endpointReport struct {
 	Models   []sessions.LoadedModel `json:"models"`
-	Busy     bool                   `json:"busy"`
-	Sequence uint64                 `json:"sequence"`
+	Busy     bool                   `json:"busy"`     // an order is in flight
+	Sequence uint64                 `json:"sequence"` // rises with each accepted order
 }
 
-// orderBody is the body of POST /order.
+// orderRequest is the body of POST /order.
 type orderRequest struct {
 	Operation    placement.Operation `json:"operation"`
 	Model        string              `json:"model"`
@@ -46,7 +33,7 @@
 	FencingToken uint64              `json:"fencing_token"`
 }
 
-// orderClient calls endpoints.
+// orderClient sends requests to endpoints.
 type orderClient struct{ http *http.Client }
 
 func newOrderClient() *orderClient {
@@ -54,7 +41,8 @@
 		Transport: &http.Transport{DialContext: dialAbortive, MaxIdleConnsPerHost: 1, IdleConnTimeout: 3 * time.Second}}}
 }
 
-// dialAbortive makes a connection that is reset when it is closed: an order that was given up is not delivered late.
+// dialAbortive makes a connection that is reset when it is closed. What is still in its buffers is then discarded: an order
+// whose request has timed out must not reach its endpoint later, when another member may hold the lease.
 func dialAbortive(ctx context.Context, network, address string) (net.Conn, error) {
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, network, address)
@@ -70,7 +58,7 @@
 	return conn, nil
 }
 
-// report asks an endpoint what it holds.
+// report fetches an endpoint's report.
 func (c *orderClient) report(ctx context.Context, address string) (endpointReport, error) {
 	request, err := sling.New().Get("http://" + address + "/report").Request()
 	if err != nil {
@@ -87,7 +75,7 @@
 	return report, nil
 }
 
-// order gives an endpoint an order, and tells the status of the answer.
+// order posts an order to an endpoint and returns the status of the response.
 func (c *orderClient) order(ctx context.Context, address string, body orderRequest) (status int, err error) {
 	request, err := sling.New().Post("http://" + address + "/order").BodyJSON(body).Request()
 	if err != nil {
@@ -100,29 +88,3 @@
 	response.Body.Close()
 	return response.StatusCode, nil
 }
-
-// orderResult is how an order ended.
-type orderResult int
-
-const (
-	orderDone    orderResult = iota
-	orderRefused             // it was not taken
-	orderNotSent             // it was not sent
-	orderUnknown             // it may have been taken
-)
-
-// endpointState is what the holder knows an endpoint to hold: its report, and the orders that it has taken since.
-type endpointState struct {
-	known     bool
-	sequence  uint64
-	models    map[string][]string
-	notBefore time.Duration // a report from before this time does not count
-}
-
-func modelsOf(loaded []sessions.LoadedModel) map[string][]string {
-	models := map[string][]string{}
-	for _, m := range loaded {
-		models[m.Name] = append([]string{}, m.Adapters...)
-	}
-	return models
-}
--- a/internal/controlplane/order_executor.go
+++ b/internal/controlplane/order_executor.go
@@ -7,61 +7,98 @@
 
 	"dykering/internal/fleetconfig"
 	"dykering/internal/placement"
-	"dykering/internal/sessions"
 )
 
-// orderRun is an order on its way.
+const (
+	// unloadDelay is the time between the publication that a model is unloaded and the order: proxies stop sending it
+	// requests by then.
+	unloadDelay = 30 * time.Millisecond
+	// maxReportAge is how old an endpoint's report may be.
+	maxReportAge = 300 * time.Millisecond
+	// adapterLoadTime is the expected duration of loading an adapter, and of unloading anything.
+	adapterLoadTime = 25 * time.Millisecond
+	// completionPollInterval is the time between two reports that are fetched while an order takes longer than expected.
+	completionPollInterval = 100 * time.Millisecond
+	// failedOrderBackoff is how long an endpoint gets no order after one that did not end well.
+	failedOrderBackoff = 300 * time.Millisecond
+	// maxConflictRetries is how often an order is retried while another one is just ending at the endpoint, and
+	// conflictBackoff the pause before each retry.
+	maxConflictRetries = 5
+	conflictBackoff    = 60 * time.Millisecond
+	// orderTimeoutMargin is how much longer than expected an order may take.
+	orderTimeoutMargin = 5 * time.Second
+)
+
+// orderExecutor issues one order and waits for its end, in a goroutine of its own.
 type orderExecutor struct {
 	controller       *placementController
 	order            placement.Order
 	engine           *fleetconfig.Engine
-	address          string
+	address          string // of the endpoint
 	fencingToken     uint64
-	state            endpointState // as it was when the order was begun
-	expectedDuration time.Duration // how long it is expected to take
-	hadRequests      bool          // requests for what it concerns are under way
-	ledgerStart      time.Duration // when the ledger has it begin
+	state            endpointState // of the endpoint; a copy that the executor carries on
+	expectedDuration time.Duration
+	hadRequests      bool          // requests for the model or adapter were in flight when the order was started
+	ledgerStart      time.Duration // when the ledger has the load start; the event loop's
 }
 
-// begin begins an order.
+// startOrder starts an order, unless its endpoint has left or has one in flight.
 func (c *placementController) startOrder(now time.Duration, service fleetconfig.Service, order placement.Order) {
-	s := c.server
-	endpoint, ok := s.table.Get(order.Endpoint)
+	session, ok := c.server.table.Get(order.Endpoint)
 	if !ok || c.inFlight[order.Endpoint] != nil {
 		return
 	}
-	run := &orderExecutor{controller: c, order: order, engine: service.Engine, address: endpoint.Heartbeat.Address, fencingToken: c.fencingToken,
-		expectedDuration: expectedDuration(service.Engine, order), ledgerStart: now,
-		hadRequests: c.demand.Estimate(now, placement.Key{Service: service.Name, Model: order.Model, Adapter: order.Adapter}).InFlight > 0}
+	key := placement.Key{Service: service.Name, Model: order.Model, Adapter: order.Adapter}
+	executor := &orderExecutor{
+		controller: c, order: order, engine: service.Engine, address: session.Heartbeat.Address, fencingToken: c.fencingToken,
+		expectedDuration: expectedDuration(service.Engine, order),
+		hadRequests:      c.demand.Estimate(now, key).InFlight > 0,
+		ledgerStart:      now,
+	}
 	if state := c.endpointStates[order.Endpoint]; state != nil {
-		run.state = *state
+		executor.state = *state
 	}
-	c.inFlight[order.Endpoint] = &inFlightOrder{order: order, service: service.Name, expectedEnd: now + run.expectedDuration,
-		deadline: now + run.expectedDuration + orderTimeoutMargin}
-	if order.Operation == placement.Load && order.Adapter == "" {
+	c.inFlight[order.Endpoint] = &inFlightOrder{
+		order: order, expectedEnd: now + executor.expectedDuration, deadline: now + executor.expectedDuration + orderTimeoutMargin,
+	}
+	if loadsWeights(order) {
 		c.ledger.RecordStart(now)
 	}
 	if order.Operation == placement.Unload {
-		c.addOverride(now, order.Endpoint, sessions.ModelOverride{Model: order.Model, Adapter: order.Adapter, Present: false})
+		// Published before the order: a request that reaches the endpoint after it would find the model missing.
+		c.addOverride(now, order.Endpoint, override(order))
 	}
-	s.log.Info("order.begun", "endpoint", order.Endpoint, "operation", string(order.Operation), "model", order.Model, "adapter", order.Adapter)
-	go run.run()
+	c.server.log.Info("order.begun", "endpoint", order.Endpoint, "operation", string(order.Operation), "model", order.Model,
+		"adapter", order.Adapter)
+	go executor.run()
 }
 
-// duration is how long an order is expected to take.
-func expectedDuration(engine *fleetconfig.Engine, order placement.Order) time.Duration {
-	if order.Operation == placement.Unload || order.Adapter != "" {
-		return adapterLoadTime
-	}
-	for _, m := range engine.Models {
-		if m.Name == order.Model {
-			return time.Duration(m.LoadTimeS * float64(time.Second))
-		}
+// onOrderFinished applies the result of an order, unless the lease has changed hands since or another order has taken its
+// place.
+func (c *placementController) onOrderFinished(executor *orderExecutor, result orderResult) {
+	now, order := c.server.now(), executor.order
+	if !c.holdsLease || c.fencingToken != executor.fencingToken {
+		return
+	}
+	inFlight := c.inFlight[order.Endpoint]
+	if inFlight == nil || inFlight.order != order {
+		return
+	}
+	state := executor.state.after(now, order, result)
+	c.endpointStates[order.Endpoint] = &state
+	c.planDue = 0
+	if result != orderDone {
+		inFlight.deadline = now + failedOrderBackoff
+		c.clearOverrides(now, order.Endpoint)
+		return
+	}
+	delete(c.inFlight, order.Endpoint)
+	if order.Operation == placement.Load {
+		c.addOverride(now, order.Endpoint, override(order))
 	}
-	return adapterLoadTime
 }
 
-// run gives the order and waits for its end.
+// run executes the order and hands its result to the event loop.
 func (e *orderExecutor) run() {
 	s := e.controller.server
 	ctx, cancel := context.WithTimeout(s.ctx, e.expectedDuration+orderTimeoutMargin)
@@ -69,79 +106,79 @@
 	if e.order.Operation == placement.Unload {
 		time.Sleep(unloadDelay)
 	}
-	result := e.issue(ctx)
+	result := e.execute(ctx)
 	s.enqueue(func() { e.controller.onOrderFinished(e, result) })
 }
 
-func (e *orderExecutor) issue(ctx context.Context) orderResult {
-	s := e.controller.server
+// execute checks that the order still fits the endpoint, issues it and waits for its end.
+func (e *orderExecutor) execute(ctx context.Context) orderResult {
 	if !e.state.known && !e.fetchState(ctx) {
 		return orderNotSent
 	}
-	seen := placement.Endpoint{Models: e.state.models}
-	if !seen.Fits(e.order, e.engine) {
+	endpoint := placement.Endpoint{Models: e.state.models}
+	if !endpoint.Fits(e.order, e.engine) || !e.confirmLease() {
 		return orderNotSent
 	}
-	if !e.confirmLease() {
-		return orderNotSent
-	}
-	status, err := e.post(ctx)
-	for range maxConflictRetries {
-		if err != nil || status != http.StatusConflict || !e.backOff(ctx) || !e.confirmLease() {
-			break
-		}
-		status, err = e.post(ctx) // the order before this one may just be ending
-	}
+	status, err := e.issue(ctx)
 	switch {
 	case err != nil:
+		// It may have been accepted. Until it would have ended, the endpoint's reports do not say whether it was.
 		time.Sleep(e.expectedDuration + maxReportAge)
 		return orderUnknown
 	case status == http.StatusOK:
 		return orderDone
 	case status != http.StatusAccepted:
-		s.log.Warn("order.refused", "endpoint", e.order.Endpoint, "status", status)
+		e.controller.server.log.Warn("order.refused", "endpoint", e.order.Endpoint, "status", status)
 		return orderRefused
 	}
 	e.state.sequence++
 	return e.awaitCompletion(ctx)
 }
 
+// issue posts the order, with retries while the order before it is just ending. The lease is confirmed before each.
+func (e *orderExecutor) issue(ctx context.Context) (status int, err error) {
+	status, err = e.post(ctx)
+	for range maxConflictRetries {
+		if err != nil || status != http.StatusConflict || !e.backOff(ctx) || !e.confirmLease() {
+			break
+		}
+		status, err = e.post(ctx)
+	}
+	return status, err
+}
+
 func (e *orderExecutor) post(ctx context.Context) (status int, err error) {
-	s := e.controller.server
-	return s.placement.client.order(ctx, e.address, orderRequest{
+	return e.controller.client.order(ctx, e.address, orderRequest{
 		Operation: e.order.Operation, Model: e.order.Model, Adapter: e.order.Adapter, IfRevision: e.state.sequence,
-		LeaseHolder: s.settings.NodeName, FencingToken: e.fencingToken,
+		LeaseHolder: e.controller.server.settings.NodeName, FencingToken: e.fencingToken,
 	})
 }
 
-// pause waits before an order is given again.
+// backOff pauses before a retry. It reports false where the order's time is over.
 func (e *orderExecutor) backOff(ctx context.Context) bool {
 	time.Sleep(conflictBackoff)
 	return ctx.Err() == nil
 }
 
-// permitted asks whether this member still holds the role, just before an order goes out.
+// confirmLease reports whether this member still holds the lease that the order was made under. It is asked just before an
+// order goes out: a new holder may act by the time that the lease has expired and a request in flight has ended.
 func (e *orderExecutor) confirmLease() bool {
 	s := e.controller.server
-	allowed := make(chan bool, 1)
-	s.enqueue(func() {
+	confirmed, ok := query(s, func() bool {
 		token, holds := s.chain.HoldsLease(s.now())
-		if holds && token == e.fencingToken {
-			e.restampLedger()
+		if !holds || token != e.fencingToken {
+			return false
 		}
-		allowed <- holds && token == e.fencingToken
+		e.rescheduleLoad()
+		return true
 	})
-	select {
-	case ok := <-allowed:
-		return ok
-	case <-s.ctx.Done():
-		return false
-	}
+	return ok && confirmed
 }
 
-// begins notes that the order goes out now, which may be later than it was planned.
-func (e *orderExecutor) restampLedger() {
-	if e.order.Operation != placement.Load || e.order.Adapter != "" {
+// rescheduleLoad has the ledger count the load from now, as it may go out later than planned: the origin's rate holds for
+// when loads take place. The event loop calls it.
+func (e *orderExecutor) rescheduleLoad() {
+	if !loadsWeights(e.order) {
 		return
 	}
 	now := e.controller.server.now()
@@ -149,28 +186,28 @@
 	e.ledgerStart = now
 }
 
-// look takes an endpoint's report for its state. It is false where none can be had or an order is under way there.
+// fetchState fetches the endpoint's report. It reports false where there is none or an order is in flight at the endpoint.
 func (e *orderExecutor) fetchState(ctx context.Context) bool {
-	s := e.controller.server
-	if wait := e.state.notBefore - s.now(); wait > 0 {
+	if wait := e.state.notBefore - e.controller.server.now(); wait > 0 {
 		time.Sleep(wait)
 	}
-	report, err := s.placement.client.report(ctx, e.address)
+	report, err := e.controller.client.report(ctx, e.address)
 	if err != nil || report.Busy {
 		return false
 	}
-	e.state.known, e.state.sequence, e.state.models = true, report.Sequence, modelsOf(report.Models)
+	e.state.known, e.state.sequence, e.state.models = true, report.Sequence, adaptersByModel(report.Models)
 	return true
 }
 
-// await waits until an order that was taken is done.
+// awaitCompletion waits until an accepted order is done. An order that is short as a rule is not asked after: where it takes
+// longer, the next order to the endpoint meets a conflict and is retried.
 func (e *orderExecutor) awaitCompletion(ctx context.Context) orderResult {
 	time.Sleep(e.expectedDuration)
 	if e.order.Adapter != "" || e.order.Operation == placement.Unload && !e.hadRequests {
-		return orderDone // the next order finds out where it takes longer
+		return orderDone
 	}
 	for ctx.Err() == nil {
-		report, err := e.controller.server.placement.client.report(ctx, e.address)
+		report, err := e.controller.client.report(ctx, e.address)
 		if err == nil && report.Sequence >= e.state.sequence && !report.Busy {
 			return orderDone
 		}
@@ -178,32 +215,3 @@
 	}
 	return orderUnknown
 }
-
-// ended takes the end of an order.
-func (c *placementController) onOrderFinished(r *orderExecutor, result orderResult) {
-	now := c.server.now()
-	id := r.order.Endpoint
-	if !c.holdsLease || c.fencingToken != r.fencingToken {
-		return
-	}
-	if u := c.inFlight[id]; u == nil || u.order != r.order {
-		return
-	}
-	state := r.state
-	switch result {
-	case orderDone:
-		seen := placement.Endpoint{Models: state.models}
-		seen.Apply(r.order)
-		state.models = seen.Models
-		delete(c.inFlight, id)
-		if r.order.Operation == placement.Load {
-			c.addOverride(now, id, sessions.ModelOverride{Model: r.order.Model, Adapter: r.order.Adapter, Present: true})
-		}
-	default:
-		state = endpointState{notBefore: now + maxReportAge}
-		c.inFlight[id].deadline = now + failedOrderBackoff
-		c.clearOverrides(now, id)
-	}
-	c.endpointStates[id] = &state
-	c.planDue = 0
-}
--- a/internal/controlplane/overlays.go
+++ b/internal/controlplane/overlays.go
@@ -6,48 +6,57 @@
 	"dykering/internal/sessions"
 )
 
-// overlay tells all sidecars what an order has made of an endpoint.
-func (c *placementController) addOverride(now time.Duration, id string, holding sessions.ModelOverride) {
-	known := c.overlays[id]
-	holdings := []sessions.ModelOverride{holding}
-	for _, h := range known.overrides {
-		if h.Model != holding.Model || h.Adapter != holding.Adapter {
-			holdings = append(holdings, h)
+// overlayHeartbeats is how many heartbeat intervals an overlay outlives its order: by then the endpoint's own heartbeats
+// say the same.
+const overlayHeartbeats = 2
+
+// publishedOverlay is an overlay that is in the table of sessions, of this lease holder or of its predecessor. Proxies
+// learn by it what an order has changed, ahead of the endpoint's next heartbeat.
+type publishedOverlay struct {
+	overrides []sessions.ModelOverride
+	setAt     time.Duration
+}
+
+// addOverride publishes what an order has changed at an endpoint, in place of what was published of the same model.
+func (c *placementController) addOverride(now time.Duration, id string, override sessions.ModelOverride) {
+	overrides := []sessions.ModelOverride{override}
+	for _, other := range c.overlays[id].overrides {
+		if other.Model != override.Model || other.Adapter != override.Adapter {
+			overrides = append(overrides, other)
 		}
 	}
-	c.setOverrides(now, id, holdings)
+	c.setOverrides(now, id, overrides)
 }
 
-func (c *placementController) setOverrides(now time.Duration, id string, holdings []sessions.ModelOverride) {
+// setOverrides publishes an overlay. Its version is the fencing token and a counter, so that the overlay of a later lease
+// holder replaces all of an earlier one.
+func (c *placementController) setOverrides(now time.Duration, id string, overrides []sessions.ModelOverride) {
 	c.overlayCounter++
 	version := c.fencingToken<<32 | c.overlayCounter
-	c.overlays[id] = publishedOverlay{overrides: holdings, setAt: now}
-	c.server.table.SetOverlay(id, sessions.Overlay{Version: version, Holdings: holdings})
+	c.overlays[id] = publishedOverlay{overrides: overrides, setAt: now}
+	c.server.table.SetOverlay(id, sessions.Overlay{Version: version, Holdings: overrides})
 }
 
+// clearOverrides has an endpoint's heartbeats alone count again.
 func (c *placementController) clearOverrides(now time.Duration, id string) {
 	c.setOverrides(now, id, nil)
 }
 
-// retireOverlays ends overlays that the endpoints' own heartbeats have caught up with, also those of a predecessor.
+// expireOverlays clears the overlays that the endpoints' heartbeats have caught up with. Those that a predecessor has left
+// are adopted, so that they are cleared too.
 func (c *placementController) expireOverlays(now time.Duration) {
-	keep := overlayHeartbeats*c.server.settings.HeartbeatInterval() + maxReportAge
-	for id, o := range c.overlays {
-		if now-o.setAt > keep && c.inFlight[id] == nil {
-			if len(o.overrides) > 0 {
+	lifetime := overlayHeartbeats*c.server.settings.HeartbeatInterval() + maxReportAge
+	for id, overlay := range c.overlays {
+		if now-overlay.setAt > lifetime && c.inFlight[id] == nil {
+			if len(overlay.overrides) > 0 {
 				c.clearOverrides(now, id)
 			}
 			delete(c.overlays, id)
 		}
 	}
-	for _, e := range c.server.table.Endpoints() {
-		if _, own := c.overlays[e.ID]; !own && len(e.Overlay.Holdings) > 0 {
-			c.overlays[e.ID] = publishedOverlay{overrides: e.Overlay.Holdings, setAt: now}
-		}
-	}
-	for id := range c.endpointStates {
-		if _, ok := c.server.table.Get(id); !ok {
-			delete(c.endpointStates, id)
+	for _, session := range c.server.table.Endpoints() {
+		if _, own := c.overlays[session.ID]; !own && len(session.Overlay.Holdings) > 0 {
+			c.overlays[session.ID] = publishedOverlay{overrides: session.Overlay.Holdings, setAt: now}
 		}
 	}
 }
--- a/internal/controlplane/placement_controller.go
+++ b/internal/controlplane/placement_controller.go
@@ -11,91 +11,84 @@
 )
 
 const (
-	// planEvery is the time between two plans where nothing urgent has been reported.
+	// planInterval is the time between two plans where no proxy has reported an unplaced request since.
 	planInterval = 250 * time.Millisecond
-	// planPause is the least time between two plans, planShare the part of the time that plans may take.
-	minPlanPause        = 15 * time.Millisecond
+	// minPlanPause is the least time between two plans.
+	minPlanPause = 15 * time.Millisecond
+	// maxPlanningFraction is the part of the event loop's time that plans may take: with many endpoints a plan takes long,
+	// and heartbeats and changes must not wait for it.
 	maxPlanningFraction = 0.1
-	// overlayBeats is how many heartbeats an overlay outlives, so that an endpoint's own word is back by then.
-	overlayHeartbeats = 2
-	// unloadNotice is the time that the sidecars have to hear that a model is unloaded before the order goes out.
-	unloadDelay = 30 * time.Millisecond
 )
 
-// placer places models while this member holds the role. The owner of the process owns it.
+// placementController orders endpoints to load and unload models while this member holds the lease of the singleton role
+// "placement". The decisions are those of the package placement. The event loop owns the controller.
 type placementController struct {
-	server             *Server
-	client             *orderClient
-	demand             *placement.Demand
-	ledger             *placement.LoadLedger
-	holdsLease         bool
-	fencingToken       uint64
-	overlayCounter     uint64
+	server *Server
+	client *orderClient
+
+	holdsLease   bool
+	fencingToken uint64 // of the lease that this member holds, or has held last
+
+	demand         *placement.Demand
+	ledger         *placement.LoadLedger
+	peerLedger     receivedLedger            // of another lease holder
+	endpointStates map[string]*endpointState // by endpoint
+	inFlight       map[string]*inFlightOrder // by endpoint
+	overlays       map[string]publishedOverlay
+	overlayCounter uint64
+	decisions      decisionLog
+
 	planDue            time.Duration
-	planNotBefore      time.Duration // no plan is made before
+	planNotBefore      time.Duration
 	cleanupDue         time.Duration
-	inFlight           map[string]*inFlightOrder   // by endpoint
-	overlays           map[string]publishedOverlay // by endpoint
-	endpointStates     map[string]*endpointState   // by endpoint
-	decisions          decisionLog
-	peerLedger         receivedLedger // of another holder
 	ledgerBroadcastDue time.Duration
-	parsed             *fleetconfig.Parsed
-	parsedSeq          uint64
-}
-
-// orderUnderWay is an order that was begun and has not ended.
-type inFlightOrder struct {
-	order       placement.Order
-	service     string
-	deadline    time.Duration // when it counts as ended whatever is heard
-	expectedEnd time.Duration // when it should have ended
-}
 
-// overlay is what this member has said of an endpoint ahead of its heartbeats.
-type publishedOverlay struct {
-	overrides []sessions.ModelOverride
-	setAt     time.Duration
+	// The committed configuration, parsed once a change.
+	parsed    *fleetconfig.Parsed
+	parsedSeq uint64
 }
 
 func newPlacementController(s *Server) *placementController {
 	return &placementController{
-		server: s, client: newOrderClient(), demand: placement.NewDemand(),
-		ledger:   newLedger(s),
+		server: s, client: newOrderClient(), demand: placement.NewDemand(), ledger: newLedger(s),
 		inFlight: map[string]*inFlightOrder{}, overlays: map[string]publishedOverlay{}, endpointStates: map[string]*endpointState{},
 	}
 }
 
-// forward passes a report on to the member that places models.
+func newLedger(s *Server) *placement.LoadLedger {
+	return placement.NewLoadLedger(nodefile.Seconds(s.settings.Bounds.CeilingWindowS), s.settings.Bounds.OriginRateOvershoot)
+}
+
+// forwardDemand passes a proxy's report on to the lease holder.
 func (c *placementController) forwardDemand(report protocol.DemandReport) {
-	s := c.server
-	view := s.chain.View()
-	if view.Holder == s.chain.Self().ID {
+	view := c.server.chain.View()
+	if view.Holder == c.server.chain.Self().ID {
 		c.applyDemand(report)
 		return
 	}
 	if holder, ok := view.Voter(view.Holder); ok {
-		s.send(holder.Address, report)
+		c.server.send(holder.Address, report)
 	}
 }
 
-// report takes a sidecar's demand.
+// applyDemand adds a proxy's report to the demand. An unplaced request makes a plan due at once.
 func (c *placementController) applyDemand(report protocol.DemandReport) {
 	samples := make([]placement.Sample, 0, len(report.Demands))
-	urgent := false
-	for _, d := range report.Demands {
-		urgent = urgent || d.Unplaced > 0
+	unplaced := false
+	for _, demand := range report.Demands {
+		unplaced = unplaced || demand.Unplaced > 0
 		samples = append(samples, placement.Sample{
-			Key:      placement.Key{Service: d.Service, Model: d.Model, Adapter: d.Adapter},
-			Requests: d.Requests, Unplaced: d.Unplaced, InFlight: d.InFlight, Waiting: d.Waiting,
+			Key:      placement.Key{Service: demand.Service, Model: demand.Model, Adapter: demand.Adapter},
+			Requests: demand.Requests, Unplaced: demand.Unplaced, InFlight: demand.InFlight, Waiting: demand.Waiting,
 		})
 	}
 	c.demand.Report(c.server.now(), report.From, samples)
-	if urgent {
+	if unplaced {
 		c.planDue = 0
 	}
 }
 
+// tick follows the lease, and removes what has expired.
 func (c *placementController) tick(now time.Duration) {
 	token, holds := c.server.chain.HoldsLease(now)
 	if holds && (!c.holdsLease || token != c.fencingToken) {
@@ -105,9 +98,9 @@
 	if !holds {
 		return
 	}
-	for id, u := range c.inFlight {
-		if now > u.deadline {
-			delete(c.inFlight, id)
+	for endpoint, order := range c.inFlight {
+		if now > order.deadline {
+			delete(c.inFlight, endpoint)
 		}
 	}
 	c.broadcastLedger(now)
@@ -115,14 +108,16 @@
 		c.cleanupDue = now + planInterval
 		c.demand.Expire(now)
 		c.expireOverlays(now)
+		c.expireEndpointStates()
 	}
 }
 
-// take begins to hold the role. What a predecessor may have begun counts.
+// onLeaseAcquired starts from nothing but the ledger: what this member knew of endpoints and orders, if it ever did, is
+// out of date. The ledger is kept where the lease comes back before another member has had it, and else rebuilt with what
+// its predecessor may have loaded.
 func (c *placementController) onLeaseAcquired(now time.Duration, token uint64) {
-	s := c.server
-	s.log.Info("placement.held", "token", token)
-	regained := token == c.fencingToken // nobody else has held the role since
+	c.server.log.Info("placement.held", "token", token)
+	regained := token == c.fencingToken
 	c.fencingToken = token
 	c.inFlight, c.overlays = map[string]*inFlightOrder{}, map[string]publishedOverlay{}
 	c.endpointStates = map[string]*endpointState{}
@@ -131,17 +126,28 @@
 	}
 }
 
-// loads tells whether an order to load still takes part of what the store carries: until it should have ended, and again from
-// when its end should have been heard of.
-func (u *inFlightOrder) usesOriginBandwidth(now time.Duration) bool {
-	return now < u.expectedEnd || now > u.expectedEnd+maxReportAge+completionPollInterval
-}
-
-func newLedger(s *Server) *placement.LoadLedger {
-	return placement.NewLoadLedger(nodefile.Seconds(s.settings.Bounds.CeilingWindowS), s.settings.Bounds.OriginRateOvershoot)
+// planIfDue makes a plan for each service and starts its orders.
+func (c *placementController) planIfDue(now time.Duration) {
+	if !c.holdsLease || now < c.planDue || now < c.planNotBefore {
+		return
+	}
+	c.planDue = now + planInterval
+	for _, service := range c.modelServices() {
+		input := placement.Input{
+			Service: service.Name, Engine: service.Engine, Demand: c.demand,
+			Endpoints: c.plannerEndpoints(service.Name), MaxLoads: c.permittedLoads(now, service.Engine),
+		}
+		orders := placement.Plan(now, input)
+		c.decisions.record(now, service.Name, orders, &input)
+		for _, order := range orders {
+			c.startOrder(now, service, order)
+		}
+	}
+	finished := c.server.now()
+	c.planNotBefore = finished + max(minPlanPause, time.Duration(float64(finished-now)/maxPlanningFraction))
 }
 
-// services are those with model endpoints, as the committed configuration has them.
+// modelServices lists the services of the committed configuration that have an engine, that is, endpoints with models.
 func (c *placementController) modelServices() []fleetconfig.Service {
 	state := c.server.chain.CommittedState()
 	if c.parsed == nil || c.parsedSeq != state.Seq {
@@ -164,59 +170,38 @@
 	return services
 }
 
-// afterCommands plans where it is due, and begins the orders.
-func (c *placementController) planIfDue(now time.Duration) {
-	if !c.holdsLease || now < c.planDue || now < c.planNotBefore {
-		return
-	}
-	c.planDue = now + planInterval
-	defer func() {
-		ended := c.server.now()
-		c.planNotBefore = ended + max(minPlanPause, time.Duration(float64(ended-now)/maxPlanningFraction))
-	}()
-	for _, service := range c.modelServices() {
-		input := placement.Input{Service: service.Name, Engine: service.Engine, Demand: c.demand,
-			Endpoints: c.plannerEndpoints(service.Name), MaxLoads: c.permittedLoads(now, service.Engine)}
-		orders := placement.Plan(now, input)
-		c.decisions.record(now, service.Name, orders, &input)
-		for _, order := range orders {
-			c.startOrder(now, service, order)
-		}
-	}
-}
-
-// loads is how many loads of weights may begin now.
+// permittedLoads is how many loads of weights may start now, by the origin's rate and by what is in flight.
 func (c *placementController) permittedLoads(now time.Duration, engine *fleetconfig.Engine) int {
 	running := 0
-	for _, u := range c.inFlight {
-		if u.order.Operation == placement.Load && u.order.Adapter == "" && u.usesOriginBandwidth(now) {
+	for _, order := range c.inFlight {
+		if loadsWeights(order.order) && order.usesOrigin(now) {
 			running++
 		}
 	}
 	var longest float64
-	for _, m := range engine.Models {
-		longest = max(longest, m.LoadTimeS)
+	for _, model := range engine.Models {
+		longest = max(longest, model.LoadTimeS)
 	}
 	return min(placement.ConcurrentLoads(engine.LoadsPerS, longest)-running, c.ledger.Available(now, engine.LoadsPerS))
 }
 
-// endpoints are those of a service, as the planner sees them.
+// plannerEndpoints lists the endpoints of a service as the planner sees them.
 func (c *placementController) plannerEndpoints(service string) []placement.Endpoint {
-	var out []placement.Endpoint
-	for _, e := range c.server.table.Endpoints() {
-		if e.Heartbeat.Service != service || e.State == sessions.Departed {
+	var endpoints []placement.Endpoint
+	for _, session := range c.server.table.Endpoints() {
+		if session.Heartbeat.Service != service || session.State == sessions.Departed {
 			continue
 		}
-		seen := placement.Endpoint{ID: e.ID, Models: modelsOf(e.Heartbeat.Models), Excluded: e.State != sessions.Ready}
-		if state := c.endpointStates[e.ID]; state != nil && state.known {
-			seen.Models = state.models
-		}
-		if u := c.inFlight[e.ID]; u != nil {
-			seen.OrderInFlight = true
-			seen.Apply(u.order)
-			seen.ReservedFor = u.order.FreesMemoryFor
+		endpoints = append(endpoints, plannerEndpoint(&session, c.endpointStates[session.ID], c.inFlight[session.ID]))
+	}
+	return endpoints
+}
+
+// expireEndpointStates forgets the endpoints whose session has been deleted.
+func (c *placementController) expireEndpointStates() {
+	for id := range c.endpointStates {
+		if _, ok := c.server.table.Get(id); !ok {
+			delete(c.endpointStates, id)
 		}
-		out = append(out, seen)
 	}
-	return out
 }
