--- a/internal/http1/upstream_test.go
+++ b/internal/http1/upstream_test.go
@@ -526,7 +526,7 @@
 // tardy is a sidecar that hears of a body's last byte only once its attempt is given up.
 type tardy struct{ aside }
 
-func (tardy) Written(a *core.Attempt) { <-a.Ctx.Done() }
+func (tardy) RequestSent(a *core.Attempt) { <-a.Ctx.Done() }
 
 // An answer that comes before the sender of a long body has said that all is out is that of a request that ran. It
 // was taken for one that came too early, and the request for one that never ran: refused as harmless to repeat.
