--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -1,11 +1,3 @@
-// Package membership keeps a broker's view of the fleet: which brokers there are, and whether each is alive,
-// suspect, dead or has left. The view is a state machine fed by observations of the gossip (package gossip, on
-// hashicorp/memberlist) and by the time that the caller passes in; it does no I/O and reads no clock, so that the
-// laboratory can play it in virtual time and the tests can drive it event by event.
-//
-// What the view decides that memberlist does not: which observation is news (a lower incarnation never is), what
-// a change is called and why, when a member that is gone is forgotten, how many members are held at most, and
-// what two brokers compare to tell that they see the same fleet (Number and Digest).
 package membership
 
 import (
@@ -16,101 +8,6 @@
 	"time"
 )
 
-// State is what the view holds of a member.
-type State uint8
-
-// The states, as SWIM names them. Left is a member that said it goes; Dead one that stopped answering.
-const (
-	Alive State = iota
-	Suspect
-	Dead
-	Left
-)
-
-func (s State) String() string {
-	switch s {
-	case Alive:
-		return "alive"
-	case Suspect:
-		return "suspect"
-	case Dead:
-		return "dead"
-	case Left:
-		return "left"
-	}
-	return fmt.Sprintf("state(%d)", uint8(s))
-}
-
-// MarshalText writes a state's name.
-func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
-
-// UnmarshalText reads it.
-func (s *State) UnmarshalText(text []byte) error {
-	for k := Alive; k <= Left; k++ {
-		if k.String() == string(text) {
-			*s = k
-			return nil
-		}
-	}
-	return fmt.Errorf("%q is no state of a member", text)
-}
-
-// gone tells whether a member in this state takes no part in the fleet.
-func (s State) gone() bool { return s == Dead || s == Left }
-
-// Meta is what a member tells of itself. It travels in memberlist's node meta, 512 bytes at most.
-type Meta struct {
-	Zone    string    `json:"z,omitempty"`
-	Tier    string    `json:"t,omitempty"`
-	Version string    `json:"v,omitempty"` // the build
-	Started time.Time `json:"s"`           // when its process started: a new process under an old id is newer
-	Weight  uint16    `json:"w"`           // its part of fleet-wide budgets, 1 by default
-}
-
-// Member is one broker as the view holds it.
-type Member struct {
-	ID          string
-	Addr        string // host:port of its gossip
-	Incarnation uint32
-	State       State
-	Meta        Meta
-	Since       time.Time // of its state
-}
-
-// Observation is what the gossip says of one member now.
-type Observation struct {
-	ID          string
-	Addr        string
-	Incarnation uint32
-	State       State
-	Meta        Meta
-}
-
-// Reason says why a member's state changed.
-type Reason string
-
-// The reasons. memberlist suspects a member only when its direct probe and the indirect ones through others failed,
-// and declares it dead when the suspicion was not refuted in time.
-const (
-	Joined    Reason = "joined"
-	Probes    Reason = "direct and indirect probes failed"
-	Expired   Reason = "suspicion not refuted in time"
-	Refuted   Reason = "refuted with a newer incarnation"
-	Returned  Reason = "came back with a newer incarnation"
-	Restarted Reason = "a new process under the same id"
-	Said      Reason = "left"
-	Updated   Reason = "told new meta"
-	Forgotten Reason = "gone for longer than it is remembered"
-)
-
-// Change is one change of the view.
-type Change struct {
-	Member Member // as it is after the change
-	From   State  // before it; the same as Member.State for a member that is new or forgotten
-	Reason Reason
-	Number uint64 // of the view after it
-}
-
 // Limits bound the view.
 type Limits struct {
 	Most int           // members held, itself among them; observations of further ones are refused
@@ -172,31 +69,6 @@
 	return v.change(m, from, reason, now), true
 }
 
-// transition names a change from what is held to what is observed, or says there is none.
-func transition(m *Member, o Observation, restarted bool) (Reason, bool) {
-	newer := o.Incarnation > m.Incarnation
-	switch {
-	case restarted && !o.State.gone():
-		return Restarted, true
-	case m.State == o.State && newer && o.State == Alive:
-		return Refuted, true // a suspicion that this view had not heard of yet
-	case m.State == o.State:
-		if m.Meta != o.Meta || m.Addr != o.Addr || newer {
-			return Updated, true
-		}
-		return "", false
-	case o.State == Suspect:
-		return Probes, m.State == Alive || newer
-	case o.State == Dead:
-		return Expired, true
-	case o.State == Left:
-		return Said, true
-	case m.State == Suspect: // and alive now
-		return Refuted, true
-	}
-	return Returned, true // alive from dead or left
-}
-
 // change counts a change.
 func (v *View) change(m *Member, from State, r Reason, now time.Time) Change {
 	v.number++
