--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -148,7 +148,7 @@
 		return nil, fmt.Errorf("gossip: %w", err)
 	}
 	g.self.Addr = g.list.LocalNode().Address()
-	view := membership.New(g.self, membership.Limits{Most: s.Most, Kept: time.Duration(s.DeadKept)}, time.Now())
+	view := membership.New(g.self, membership.Limits{MaxMembers: s.Most, Retention: time.Duration(s.DeadKept)}, time.Now())
 	g.publish(view)
 	go g.own(view)
 	g.log.Info("fleet.started", zap.String("id", s.ID), zap.String("addr", g.self.Addr))
@@ -402,15 +402,15 @@
 // tell logs a change, counts it and hands it on.
 func (g *Gossip) tell(c membership.Change, view *membership.View) {
 	switch c.Reason {
-	case membership.Probes:
+	case membership.ProbesFailed:
 		g.counters.Suspicions.Add(1)
 	case membership.Refuted:
 		g.counters.Refutations.Add(1)
-	case membership.Expired:
+	case membership.SuspicionExpired:
 		g.counters.Deaths.Add(1)
 	case membership.Joined, membership.Returned, membership.Restarted:
 		g.counters.Joins.Add(1)
-	case membership.Said:
+	case membership.LeaveAnnounced:
 		g.counters.Leaves.Add(1)
 	}
 	g.log.Info("fleet.member", zap.String("id", c.Member.ID), zap.Stringer("from", c.From),
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -30,7 +30,7 @@
 	defer a.Close()
 	changes := a.Changes()
 	b := member(t, "b", a.View().Members[0].Addr)
-	want := []membership.Reason{membership.Joined, membership.Said}
+	want := []membership.Reason{membership.Joined, membership.LeaveAnnounced}
 	for _, reason := range want {
 		select {
 		case c := <-changes:
--- a/internal/fleet/membership/change.go
+++ b/internal/fleet/membership/change.go
@@ -1,51 +1,50 @@
 package membership
 
-// Reason says why a member's state changed.
+// Reason is why a member changed. Its text is in the log.
 type Reason string
 
-// The reasons. memberlist suspects a member only when its direct probe and the indirect ones through others failed,
-// and declares it dead when the suspicion was not refuted in time.
+// The reasons. memberlist suspects a member only when its direct probe and the indirect probes through other members have
+// failed, and declares it dead when the suspicion was not refuted in time.
 const (
-	Joined    Reason = "joined"
-	Probes    Reason = "direct and indirect probes failed"
-	Expired   Reason = "suspicion not refuted in time"
-	Refuted   Reason = "refuted with a newer incarnation"
-	Returned  Reason = "came back with a newer incarnation"
-	Restarted Reason = "a new process under the same id"
-	Said      Reason = "left"
-	Updated   Reason = "told new meta"
-	Forgotten Reason = "gone for longer than it is remembered"
+	Joined            Reason = "joined"
+	ProbesFailed      Reason = "direct and indirect probes failed"
+	SuspicionExpired  Reason = "suspicion not refuted in time"
+	Refuted           Reason = "refuted with a newer incarnation"
+	Returned          Reason = "came back with a newer incarnation"
+	Restarted         Reason = "a new process under the same id"
+	LeaveAnnounced    Reason = "left"
+	MetaChanged       Reason = "told new meta"
+	RetentionExceeded Reason = "gone for longer than it is remembered"
 )
 
-// Change is one change of the view.
+// Change is one change of a view.
 type Change struct {
-	Member Member // as it is after the change
-	From   State  // before it; the same as Member.State for a member that is new or forgotten
+	Member Member // Member is the member after the change.
+	From   State  // From is its state before; the same as Member.State for a member that is new or forgotten.
 	Reason Reason
-	Number uint64 // of the view after it
+	Number uint64 // Number is that of the view after the change.
 }
 
-// transition names a change from what is held to what is observed, or says there is none.
-func transition(m *Member, o Observation, restarted bool) (Reason, bool) {
-	newer := o.Incarnation > m.Incarnation
+// transition returns the reason of the change from a held member to an observation of it, or false for no change.
+// A restarted member is one whose process started after the held one.
+func transition(held *Member, observed Observation, restarted bool) (Reason, bool) {
+	newer := observed.Incarnation > held.Incarnation
 	switch {
-	case restarted && !o.State.gone():
+	case restarted && !observed.State.hasDeparted():
 		return Restarted, true
-	case m.State == o.State && newer && o.State == Alive:
-		return Refuted, true // a suspicion that this view had not heard of yet
-	case m.State == o.State:
-		if m.Meta != o.Meta || m.Addr != o.Addr || newer {
-			return Updated, true
-		}
-		return "", false
-	case o.State == Suspect:
-		return Probes, m.State == Alive || newer
-	case o.State == Dead:
-		return Expired, true
-	case o.State == Left:
-		return Said, true
-	case m.State == Suspect: // and alive now
+	case held.State == observed.State && newer && observed.State == Alive:
+		return Refuted, true // of a suspicion that never reached this view
+	case held.State == observed.State:
+		changed := held.Meta != observed.Meta || held.Addr != observed.Addr || newer
+		return MetaChanged, changed
+	case observed.State == Suspect:
+		return ProbesFailed, held.State == Alive || newer
+	case observed.State == Dead:
+		return SuspicionExpired, true
+	case observed.State == Left:
+		return LeaveAnnounced, true
+	case held.State == Suspect:
 		return Refuted, true
 	}
-	return Returned, true // alive from dead or left
+	return Returned, true
 }
--- a/internal/fleet/membership/member.go
+++ b/internal/fleet/membership/member.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// State is what the view holds of a member.
+// State is the state of a member in a view. Its names, not its numbers, are on the wire.
 type State uint8
 
-// The states, as SWIM names them. Left is a member that said it goes; Dead one that stopped answering.
+// The states of SWIM. A member that has Left announced it; one that is Dead stopped answering.
 const (
 	Alive State = iota
 	Suspect
@@ -16,6 +16,7 @@
 	Left
 )
 
+// String returns the state's name.
 func (s State) String() string {
 	switch s {
 	case Alive:
@@ -30,43 +31,44 @@
 	return fmt.Sprintf("state(%d)", uint8(s))
 }
 
-// MarshalText writes a state's name.
+// MarshalText writes the state's name.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText reads it.
+// UnmarshalText reads a state's name.
 func (s *State) UnmarshalText(text []byte) error {
-	for k := Alive; k <= Left; k++ {
-		if k.String() == string(text) {
-			*s = k
+	for state := Alive; state <= Left; state++ {
+		if state.String() == string(text) {
+			*s = state
 			return nil
 		}
 	}
 	return fmt.Errorf("%q is no state of a member", text)
 }
 
-// gone tells whether a member in this state takes no part in the fleet.
-func (s State) gone() bool { return s == Dead || s == Left }
+// hasDeparted reports whether a member in this state takes no part in the fleet.
+func (s State) hasDeparted() bool { return s == Dead || s == Left }
 
-// Meta is what a member tells of itself. It travels in memberlist's node meta, 512 bytes at most.
+// Meta is what a member announces about itself. It travels as JSON in memberlist's node metadata, of which there are at
+// most 512 bytes; its keys are on the wire.
 type Meta struct {
 	Zone    string    `json:"z,omitempty"`
 	Tier    string    `json:"t,omitempty"`
-	Version string    `json:"v,omitempty"` // the build
-	Started time.Time `json:"s"`           // when its process started: a new process under an old id is newer
-	Weight  uint16    `json:"w"`           // its part of fleet-wide budgets, 1 by default
+	Version string    `json:"v,omitempty"` // Version is that of the build.
+	Started time.Time `json:"s"`           // Started is the start of the process: a later one under the same ID replaces an earlier one.
+	Weight  uint16    `json:"w"`           // Weight is the member's share weight in fleet-wide budgets.
 }
 
-// Member is one broker as the view holds it.
+// Member is a broker as the view holds it. Its field names are JSON keys of the view that the control address serves.
 type Member struct {
 	ID          string
-	Addr        string // host:port of its gossip
+	Addr        string // Addr is the host and port of its gossip.
 	Incarnation uint32
 	State       State
 	Meta        Meta
-	Since       time.Time // of its state
+	Since       time.Time // Since is when the member entered its state.
 }
 
-// Observation is what the gossip says of one member now.
+// Observation is what the gossip reports of a member at a time.
 type Observation struct {
 	ID          string
 	Addr        string
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -8,16 +8,10 @@
 	"time"
 )
 
-// Limits bound the view.
+// Limits bound a view.
 type Limits struct {
-	Most int           // members held, itself among them; observations of further ones are refused
-	Kept time.Duration // how long a dead or left member is remembered
-}
-
-// Refusal counts observations that the view did not take, by why.
-type Refusal struct {
-	Full  uint64 // of a new member while Most are held
-	Stale uint64 // of an incarnation older than the one held
+	MaxMembers int           // MaxMembers includes the broker itself; observations of further members are rejected.
+	Retention  time.Duration // Retention is how long a dead or left member is remembered.
 }
 
 // View is a broker's view of the fleet. It is not safe for concurrent use: one goroutine owns it.
@@ -26,120 +20,119 @@
 	self    string
 	members map[string]*Member
 	number  uint64
-	changed time.Time
-	refused Refusal
 }
 
-// New makes a view that holds its own member.
+// initialMembers bounds the memory that a new view allocates before members join.
+const initialMembers = 1024
+
+// New returns a view that holds the broker itself.
 func New(self Observation, limits Limits, now time.Time) *View {
-	v := &View{limits: limits, self: self.ID, members: make(map[string]*Member, min(limits.Most, 1024))}
+	v := &View{limits: limits, self: self.ID, members: make(map[string]*Member, min(limits.MaxMembers, initialMembers))}
 	v.Observe(self, now)
 	return v
 }
 
-// Observe takes what the gossip says of a member, and returns what changed, if anything.
-func (v *View) Observe(o Observation, now time.Time) (Change, bool) {
-	m, known := v.members[o.ID]
+// Observe applies an observation. It returns the change, or false for an observation that is stale, known or rejected.
+func (v *View) Observe(observed Observation, now time.Time) (Change, bool) {
+	held, known := v.members[observed.ID]
 	if !known {
-		if len(v.members) >= v.limits.Most {
-			v.refused.Full++
-			return Change{}, false
-		}
-		if o.State.gone() {
-			return Change{}, false // what was never seen alive is nothing to remember
-		}
-		m = &Member{ID: o.ID, Addr: o.Addr, Incarnation: o.Incarnation, State: o.State, Meta: o.Meta, Since: now}
-		v.members[o.ID] = m
-		return v.change(m, o.State, Joined, now), true
+		return v.add(observed, now)
 	}
-	restarted := o.Meta.Started.After(m.Meta.Started)
-	if o.Incarnation < m.Incarnation && !restarted {
-		v.refused.Stale++
+	restarted := observed.Meta.Started.After(held.Meta.Started)
+	if observed.Incarnation < held.Incarnation && !restarted {
 		return Change{}, false
 	}
-	from := m.State
-	reason, ok := transition(m, o, restarted)
-	if !ok {
+	from := held.State
+	reason, changed := transition(held, observed, restarted)
+	if !changed {
 		return Change{}, false
 	}
-	m.Addr, m.Incarnation, m.Meta = o.Addr, o.Incarnation, o.Meta
-	if m.State != o.State {
-		m.State, m.Since = o.State, now
+	held.Addr, held.Incarnation, held.Meta = observed.Addr, observed.Incarnation, observed.Meta
+	if held.State != observed.State {
+		held.State, held.Since = observed.State, now
 	}
-	return v.change(m, from, reason, now), true
+	return v.change(held, from, reason), true
 }
 
-// change counts a change.
-func (v *View) change(m *Member, from State, r Reason, now time.Time) Change {
+// add applies the first observation of a member.
+func (v *View) add(observed Observation, now time.Time) (Change, bool) {
+	if len(v.members) >= v.limits.MaxMembers {
+		return Change{}, false
+	}
+	if observed.State.hasDeparted() {
+		return Change{}, false // a member that was never alive here has nothing to be remembered for
+	}
+	member := &Member{
+		ID: observed.ID, Addr: observed.Addr, Incarnation: observed.Incarnation, State: observed.State, Meta: observed.Meta,
+		Since: now,
+	}
+	v.members[observed.ID] = member
+	return v.change(member, observed.State, Joined), true
+}
+
+func (v *View) change(member *Member, from State, reason Reason) Change {
 	v.number++
-	v.changed = now
-	return Change{Member: *m, From: from, Reason: r, Number: v.number}
+	return Change{Member: *member, From: from, Reason: reason, Number: v.number}
 }
 
-// Expire forgets members that have been dead or left for longer than they are kept, and returns them.
+// Expire forgets members that departed longer ago than the retention, and returns the changes by member ID.
 func (v *View) Expire(now time.Time) []Change {
 	var forgotten []Change
-	for id, m := range v.members {
-		if m.State.gone() && now.Sub(m.Since) >= v.limits.Kept && id != v.self {
+	for id, member := range v.members {
+		if member.State.hasDeparted() && now.Sub(member.Since) >= v.limits.Retention && id != v.self {
 			delete(v.members, id)
-			forgotten = append(forgotten, v.change(m, m.State, Forgotten, now))
+			forgotten = append(forgotten, v.change(member, member.State, RetentionExceeded))
 		}
 	}
 	slices.SortFunc(forgotten, func(a, b Change) int { return cmp.Compare(a.Member.ID, b.Member.ID) })
 	return forgotten
 }
 
-// Members are all that are held, by id.
+// Members returns copies of all members, by ID.
 func (v *View) Members() []Member {
 	all := make([]Member, 0, len(v.members))
-	for _, m := range v.members {
-		all = append(all, *m)
+	for _, member := range v.members {
+		all = append(all, *member)
 	}
 	slices.SortFunc(all, func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
 	return all
 }
 
-// Member is one that is held.
+// Member returns a copy of a member.
 func (v *View) Member(id string) (Member, bool) {
-	if m := v.members[id]; m != nil {
-		return *m, true
+	if member := v.members[id]; member != nil {
+		return *member, true
 	}
 	return Member{}, false
 }
 
 // Live counts the members that are alive or suspect, and sums their weights.
-func (v *View) Live() (n int, weight uint64) {
-	for _, m := range v.members {
-		if !m.State.gone() {
-			n++
-			weight += uint64(m.Meta.Weight)
+func (v *View) Live() (count int, weight uint64) {
+	for _, member := range v.members {
+		if !member.State.hasDeparted() {
+			count++
+			weight += uint64(member.Meta.Weight)
 		}
 	}
-	return n, weight
+	return count, weight
 }
 
-// Number counts the changes of this view since it began. Two views with the same number need not be the same.
+// Number counts the changes of this view. Two views with the same number need not be the same; see Digest.
 func (v *View) Number() uint64 { return v.number }
 
-// Digest is a short hash of who takes part, and under which incarnation: the same in two views that agree on it.
-// Suspect counts as taking part, as it may still refute; dead and left members do not.
+// Digest returns a short hash of the live members and their incarnations, which is the same in two views that agree on
+// them. A suspect counts as live, as it may still refute.
 func (v *View) Digest() string {
 	live := make([]*Member, 0, len(v.members))
-	for _, m := range v.members {
-		if !m.State.gone() {
-			live = append(live, m)
+	for _, member := range v.members {
+		if !member.State.hasDeparted() {
+			live = append(live, member)
 		}
 	}
 	slices.SortFunc(live, func(a, b *Member) int { return cmp.Compare(a.ID, b.ID) })
-	h := fnv.New64a()
-	for _, m := range live {
-		fmt.Fprintf(h, "%s@%d;", m.ID, m.Incarnation)
+	hash := fnv.New64a()
+	for _, member := range live {
+		fmt.Fprintf(hash, "%s@%d;", member.ID, member.Incarnation)
 	}
-	return fmt.Sprintf("%d-%016x", len(live), h.Sum64())
+	return fmt.Sprintf("%d-%016x", len(live), hash.Sum64())
 }
-
-// Settled tells whether nothing has changed for quiet.
-func (v *View) Settled(now time.Time, quiet time.Duration) bool { return now.Sub(v.changed) >= quiet }
-
-// Refused counts what was not taken.
-func (v *View) Refused() Refusal { return v.refused }
--- a/internal/lab/swim/swim.go
+++ b/internal/lab/swim/swim.go
@@ -107,8 +107,8 @@
 			suspected: make([]time.Duration, n), confirms: make([]int, n), acked: map[uint64]bool{},
 		}
 		m.view = membership.New(f.observation(i, 1, membership.Alive), membership.Limits{
-			Most: n + 1,
-			Kept: 10 * time.Minute,
+			MaxMembers: n + 1,
+			Retention:  10 * time.Minute,
 		}, f.start)
 		for j := range n {
 			m.incs[j], m.suspected[j] = 1, -1
