--- a/internal/peerlink/conn.go
+++ b/internal/peerlink/conn.go
@@ -1,4 +1,3 @@
-// Package peerlink carries the messages between processes of the system: gob over TCP, in frames of bounded length.
 package peerlink
 
 import (
@@ -7,7 +6,6 @@
 	"context"
 	"encoding/binary"
 	"encoding/gob"
-	"io"
 	"net"
 	"syscall"
 	"time"
@@ -16,41 +14,41 @@
 	"golang.org/x/sys/unix"
 )
 
-// MostFrame bounds one message.
-const MostFrame = 24 << 20
-
-// userTimeout is how long what was sent may stay without acknowledgement before a connection counts as broken.
+// userTimeout is how long sent data may remain unacknowledged before the kernel breaks the connection
+// (TCP_USER_TIMEOUT). A peer without power or behind a partition says nothing, and the default is many minutes.
 const userTimeout = 1500 * time.Millisecond
 
-// message is how messages go over a connection: gob needs a struct around an interface value.
+// message is what gob encodes on a connection: it needs a struct around an interface value. The field's name is part of
+// the wire format.
 type message struct{ Body any }
 
-// Conn sends and receives messages on a connection. One goroutine may send while another receives.
+// Conn sends and receives messages on a connection. One goroutine may send while another receives; neither method may be
+// called from two.
 type Conn struct {
 	raw     net.Conn
 	out     bytes.Buffer
 	encoder *gob.Encoder
-	in      frames
+	in      frameReader
 	decoder *gob.Decoder
 }
 
-// NewConn speaks messages on a connection.
+// NewConn returns a Conn that uses a connection and owns it.
 func NewConn(raw net.Conn) *Conn {
-	c := &Conn{raw: raw, in: frames{from: bufio.NewReader(raw)}}
+	c := &Conn{raw: raw, in: frameReader{source: bufio.NewReader(raw)}}
 	c.encoder = gob.NewEncoder(&c.out)
 	c.decoder = gob.NewDecoder(&c.in)
 	return c
 }
 
-// Dial makes a connection to another process within a time.
-func Dial(address string, within time.Duration) (*Conn, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+// Dial connects to another process at a host:port.
+func Dial(address string, timeout time.Duration) (*Conn, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	return dialContext(ctx, address)
 }
 
 func dialContext(ctx context.Context, address string) (*Conn, error) {
-	dialer := net.Dialer{Control: control}
+	dialer := net.Dialer{Control: setUserTimeout}
 	raw, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
@@ -58,40 +56,45 @@
 	return NewConn(raw), nil
 }
 
-// control has a connection to a silent peer break in bounded time.
-func control(_, _ string, raw syscall.RawConn) error {
-	var fault error
+// setUserTimeout sets TCP_USER_TIMEOUT on a socket before it connects.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
+	var optionErr error
 	err := raw.Control(func(fd uintptr) {
-		fault = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+		optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return fault
+	return optionErr
 }
 
-// Send writes one message within a time.
-func (c *Conn) Send(body any, within time.Duration) error {
+// Send writes one message. It fails with a *FrameTooLongError, before anything is written, if the message is too long, and
+// with the connection's error if it is not written in time. After an error the connection must be closed: the peer may
+// have received a part of a frame, or lack type definitions of the gob stream.
+func (c *Conn) Send(body any, timeout time.Duration) error {
 	c.out.Reset()
-	c.out.Write(make([]byte, 4))
+	c.out.Write(make([]byte, headerBytes))
 	if err := c.encoder.Encode(message{Body: body}); err != nil {
 		return errors.Wrap(err, "message cannot be encoded")
 	}
 	frame := c.out.Bytes()
-	if len(frame)-4 > MostFrame {
-		return errors.Errorf("message of %d bytes is too long", len(frame)-4)
+	length := len(frame) - headerBytes
+	if length > MaxFrameBytes {
+		return errors.Wrap(&FrameTooLongError{Bytes: length}, "message cannot be sent")
 	}
-	binary.BigEndian.PutUint32(frame, uint32(len(frame)-4))
-	if err := c.raw.SetWriteDeadline(time.Now().Add(within)); err != nil {
+	binary.BigEndian.PutUint32(frame, uint32(length))
+	if err := c.raw.SetWriteDeadline(time.Now().Add(timeout)); err != nil {
 		return err
 	}
 	_, err := c.raw.Write(frame)
 	return err
 }
 
-// Receive reads one message within a time.
-func (c *Conn) Receive(within time.Duration) (any, error) {
-	if err := c.raw.SetReadDeadline(time.Now().Add(within)); err != nil {
+// Receive reads one message. It fails if none arrives in time, if the connection has ended, or if what arrives is not a
+// message of a registered type; the error wraps a *FrameTooLongError for a frame that is too long. After an error the
+// connection must be closed.
+func (c *Conn) Receive(timeout time.Duration) (any, error) {
+	if err := c.raw.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		return nil, err
 	}
 	var m message
@@ -101,37 +104,5 @@
 	return m.Body, nil
 }
 
-// Close closes the connection.
+// Close closes the connection. It may be called from any goroutine, more than once.
 func (c *Conn) Close() error { return c.raw.Close() }
-
-// RemoteHost is the host of the peer.
-func (c *Conn) RemoteHost() string {
-	host, _, err := net.SplitHostPort(c.raw.RemoteAddr().String())
-	if err != nil {
-		return c.raw.RemoteAddr().String()
-	}
-	return host
-}
-
-// frames gives the decoder what frames hold, and refuses lengths beyond the bound.
-type frames struct {
-	from io.Reader
-	left int
-}
-
-func (f *frames) Read(b []byte) (int, error) {
-	for f.left == 0 {
-		var header [4]byte
-		if _, err := io.ReadFull(f.from, header[:]); err != nil {
-			return 0, err
-		}
-		length := binary.BigEndian.Uint32(header[:])
-		if length > MostFrame {
-			return 0, errors.Errorf("frame of %d bytes is too long", length)
-		}
-		f.left = int(length)
-	}
-	n, err := f.from.Read(b[:min(len(b), f.left)])
-	f.left -= n
-	return n, err
-}
--- a/internal/peerlink/link.go
+++ b/internal/peerlink/link.go
@@ -6,15 +6,19 @@
 )
 
 const (
-	queueLength  = 512
-	sendTimeout  = 2 * time.Second
-	dialTimeout  = 500 * time.Millisecond
-	firstBackoff = 50 * time.Millisecond
-	mostBackoff  = 400 * time.Millisecond
+	// queueLength is the number of messages that a link holds before it drops further ones.
+	queueLength = 512
+	// sendTimeout bounds the time for writing one message.
+	sendTimeout = 2 * time.Second
+	// dialTimeout bounds the time for connecting, over all attempts that Wake restarts.
+	dialTimeout = 500 * time.Millisecond
+	// minBackoff and maxBackoff bound the pause after a dial that failed. It doubles with each failure.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 400 * time.Millisecond
 )
 
-// Link sends messages to one address. It dials when there is something to send, and drops what cannot be sent: those
-// who use it send again what matters.
+// Link sends messages to one address. Its goroutine dials when there is something to send, and again when the connection
+// has broken. Messages that cannot be sent are dropped, in particular all that are queued while the peer is unreachable.
 type Link struct {
 	address string
 	queue   chan any
@@ -22,15 +26,21 @@
 	cancel  context.CancelFunc
 }
 
-// NewLink makes a link that lives until its context ends or it is closed.
+// NewLink returns a link to a host:port. Its goroutine ends with the context or with Close.
 func NewLink(ctx context.Context, address string) *Link {
 	ctx, cancel := context.WithCancel(ctx)
-	l := &Link{address: address, queue: make(chan any, queueLength), wake: make(chan struct{}, 1), cancel: cancel}
+	l := &Link{
+		address: address,
+		queue:   make(chan any, queueLength),
+		wake:    make(chan struct{}, 1),
+		cancel:  cancel,
+	}
 	go l.run(ctx)
 	return l
 }
 
-// Send queues a message. It never blocks; a full queue drops it.
+// Send queues a message. It never blocks: if the queue is full, the message is dropped. The message must not be modified
+// afterwards.
 func (l *Link) Send(body any) {
 	select {
 	case l.queue <- body:
@@ -38,7 +48,8 @@
 	}
 }
 
-// Wake tells that the peer was heard of: a dial that hangs, or a pause after one that failed, ends.
+// Wake ends a backoff and restarts a dial in progress. It is called when something has been received from the peer, which
+// is therefore reachable again.
 func (l *Link) Wake() {
 	select {
 	case l.wake <- struct{}{}:
@@ -46,9 +57,11 @@
 	}
 }
 
-// Close ends the link.
+// Close ends the link and drops what is queued.
 func (l *Link) Close() { l.cancel() }
 
+// run sends queued messages until the context ends. A message that the present connection fails to send is sent once more
+// on a new one: the peer may just have closed it.
 func (l *Link) run(ctx context.Context) {
 	var conn *Conn
 	defer func() {
@@ -56,26 +69,26 @@
 			conn.Close()
 		}
 	}()
-	backoff := firstBackoff
+	backoff := minBackoff
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case body := <-l.queue:
-			if conn != nil && conn.Send(body, sendTimeout) == nil {
-				continue
-			}
 			if conn != nil {
+				if conn.Send(body, sendTimeout) == nil {
+					continue
+				}
 				conn.Close()
 				conn = nil
 			}
-			fresh, err := l.dial(ctx)
+			dialed, err := l.dial(ctx)
 			if err != nil {
-				l.pause(ctx, backoff)
-				backoff = min(2*backoff, mostBackoff)
+				l.waitBackoff(ctx, backoff)
+				backoff = min(2*backoff, maxBackoff)
 				continue
 			}
-			conn, backoff = fresh, firstBackoff
+			conn, backoff = dialed, minBackoff
 			go closeWithPeer(conn)
 			if conn.Send(body, sendTimeout) != nil {
 				conn.Close()
@@ -85,25 +98,25 @@
 	}
 }
 
-// dial connects to the peer. A dial that hangs, as one to a machine without power does, is begun anew when the peer is
-// heard of.
+// dial connects to the peer within dialTimeout. Wake restarts an attempt: one to a machine without power hangs, since its
+// opening packet was lost, and does not notice that the machine is back until the packet is sent again after seconds.
 func (l *Link) dial(ctx context.Context) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	select {
-	case <-l.wake: // of before
+	case <-l.wake: // a call before this dial does not concern it
 	default:
 	}
 	for {
-		conn, again, err := l.dialOnce(ctx)
-		if !again {
+		conn, restart, err := l.dialUntilWoken(ctx)
+		if !restart {
 			return conn, err
 		}
 	}
 }
 
-// dialOnce dials until that ends or the peer is heard of; then it is to be done again.
-func (l *Link) dialOnce(ctx context.Context) (conn *Conn, again bool, err error) {
+// dialUntilWoken makes one attempt to connect. If Wake interrupts it, restart is true.
+func (l *Link) dialUntilWoken(ctx context.Context) (conn *Conn, restart bool, err error) {
 	ctx, abandon := context.WithCancel(ctx)
 	defer abandon()
 	done := make(chan struct{})
@@ -121,16 +134,18 @@
 	}
 }
 
-// closeWithPeer closes a connection once its peer has: nothing is received on it. It ends with the connection.
+// closeWithPeer closes a connection as soon as the peer has, so that the next message finds that out without being lost.
+// Nothing is ever received on a link's connection. It returns when the connection ends.
 func closeWithPeer(conn *Conn) {
 	var b [1]byte
-	conn.raw.Read(b[:]) // whatever ends it
+	conn.raw.Read(b[:]) // it returns only at the end of the connection; which error ended it does not matter
 	conn.Close()
 }
 
-// pause waits after a failed dial, and drops what was queued for a peer that is not there.
-func (l *Link) pause(ctx context.Context, wait time.Duration) {
-	timer := time.NewTimer(wait)
+// waitBackoff waits after a dial that failed. It drops what is queued meanwhile, so that a peer which returns does not get
+// messages that are out of date.
+func (l *Link) waitBackoff(ctx context.Context, backoff time.Duration) {
+	timer := time.NewTimer(backoff)
 	defer timer.Stop()
 	for {
 		select {
--- a/internal/peerlink/peerlink_test.go
+++ b/internal/peerlink/peerlink_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/binary"
 	"encoding/gob"
+	"errors"
 	"net"
 	"testing"
 	"time"
@@ -13,16 +14,16 @@
 
 func TestPeerlink(t *testing.T) {
 	RegisterFailHandler(Fail)
-	gob.Register(note{})
+	gob.Register(testMessage{})
 	RunSpecs(t, "links between processes")
 }
 
-type note struct {
+type testMessage struct {
 	Text string
 	Blob []byte
 }
 
-const patience = 5 * time.Second
+const timeout = 5 * time.Second
 
 var _ = Describe("a connection", func() {
 	pair := func() (*Conn, *Conn, net.Conn) {
@@ -32,47 +33,53 @@
 		return NewConn(a), NewConn(b), a
 	}
 
-	It("carries messages in order", func() {
+	It("delivers messages in the order in which they were sent", func() {
 		from, to, _ := pair()
 		go func() {
 			defer GinkgoRecover()
-			Expect(from.Send(note{Text: "one"}, patience)).To(Succeed())
-			Expect(from.Send(note{Text: "two", Blob: make([]byte, 100000)}, patience)).To(Succeed())
+			Expect(from.Send(testMessage{Text: "one"}, timeout)).To(Succeed())
+			Expect(from.Send(testMessage{Text: "two", Blob: make([]byte, 100000)}, timeout)).To(Succeed())
 		}()
-		first, err := to.Receive(patience)
+		first, err := to.Receive(timeout)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(first).To(Equal(note{Text: "one"}))
-		second, err := to.Receive(patience)
+		Expect(first).To(Equal(testMessage{Text: "one"}))
+		second, err := to.Receive(timeout)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(second.(note).Blob).To(HaveLen(100000))
+		Expect(second.(testMessage).Blob).To(HaveLen(100000))
 	})
 
-	It("refuses a message beyond the bound before it is sent", func() {
+	It("rejects a message above the limit before it is sent", func() {
 		from, _, _ := pair()
-		Expect(from.Send(note{Blob: make([]byte, MostFrame+1)}, patience)).To(MatchError(ContainSubstring("too long")))
+		err := from.Send(testMessage{Blob: make([]byte, MaxFrameBytes+1)}, timeout)
+		var tooLong *FrameTooLongError
+		Expect(errors.As(err, &tooLong)).To(BeTrue())
+		Expect(tooLong.Bytes).To(BeNumerically(">", MaxFrameBytes))
+		Expect(err).To(MatchError(ContainSubstring("too long")))
 	})
 
-	It("refuses a frame that says it is longer than any may be", func() {
+	It("rejects a frame whose header claims a length above the limit", func() {
 		_, to, raw := pair()
 		go func() {
 			var header [4]byte
-			binary.BigEndian.PutUint32(header[:], MostFrame+1)
+			binary.BigEndian.PutUint32(header[:], MaxFrameBytes+1)
 			raw.Write(header[:])
 		}()
-		_, err := to.Receive(patience)
+		_, err := to.Receive(timeout)
+		var tooLong *FrameTooLongError
+		Expect(errors.As(err, &tooLong)).To(BeTrue())
 		Expect(err).To(MatchError(ContainSubstring("too long")))
 	})
 
-	It("refuses what is no message", func() {
+	It("rejects bytes that are not a gob message", func() {
 		_, to, raw := pair()
 		go raw.Write([]byte{0, 0, 0, 3, 0xff, 0xff, 0xff})
-		_, err := to.Receive(patience)
+		_, err := to.Receive(timeout)
 		Expect(err).To(HaveOccurred())
 	})
 })
 
 var _ = Describe("a link", func() {
-	It("dials again when its peer has gone and come back", func() {
+	It("dials again after its peer has closed the connection", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		defer listener.Close()
@@ -83,11 +90,11 @@
 			Expect(err).NotTo(HaveOccurred())
 			return NewConn(raw)
 		}
-		link.Send(note{Text: "one"})
+		link.Send(testMessage{Text: "one"})
 		first := accept()
-		got, err := first.Receive(patience)
+		got, err := first.Receive(timeout)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(got).To(Equal(note{Text: "one"}))
+		Expect(got).To(Equal(testMessage{Text: "one"}))
 		first.Close()
 		accepted := make(chan *Conn, 1)
 		go func() {
@@ -96,25 +103,25 @@
 		}()
 		var second *Conn
 		Eventually(func() bool {
-			link.Send(note{Text: "again"})
+			link.Send(testMessage{Text: "again"})
 			select {
 			case second = <-accepted:
 				return true
 			default:
 				return false
 			}
-		}, patience).Should(BeTrue())
+		}, timeout).Should(BeTrue())
 		defer second.Close()
-		got, err = second.Receive(patience)
+		got, err = second.Receive(timeout)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(got).To(Equal(note{Text: "again"}))
+		Expect(got).To(Equal(testMessage{Text: "again"}))
 	})
 
-	It("never blocks who sends to a peer that is not there", func() {
+	It("never blocks the sender while its peer is unreachable", func() {
 		link := NewLink(GinkgoT().Context(), "127.0.0.1:1")
 		defer link.Close()
 		for range 10 * queueLength {
-			link.Send(note{Text: "lost"})
+			link.Send(testMessage{Text: "lost"})
 		}
 	})
 })
