--- a/cmd/dykering-lab/explore.go
+++ b/cmd/dykering-lab/explore.go
@@ -15,11 +15,11 @@
 	"github.com/urfave/cli/v3"
 
 	"dykering/internal/commandline"
+	"dykering/internal/lab/emulation"
 	"dykering/internal/lab/explore"
-	"dykering/internal/lab/whole"
 )
 
-func newExplore(in whole.Bubble) *cli.Command {
+func newExplore(in emulation.Bubble) *cli.Command {
 	var seed uint64
 	var at, most int
 	var dir string
--- a/cmd/dykering-lab/main.go
+++ b/cmd/dykering-lab/main.go
@@ -21,29 +21,29 @@
 
 	"dykering/internal/commandline"
 	"dykering/internal/faults"
+	"dykering/internal/lab/emulation"
 	"dykering/internal/lab/model"
 	"dykering/internal/lab/scenario"
 	"dykering/internal/lab/sim"
-	"dykering/internal/lab/whole"
 )
 
 func main() {
 	args := os.Args[1:]
 	if len(args) > 0 && bubbled[args[0]] {
-		inBubbles(func(in whole.Bubble) int { return execute(args, os.Stdout, os.Stderr, in) })
+		inBubbles(func(in emulation.Bubble) int { return execute(args, os.Stdout, os.Stderr, in) })
 	}
 	os.Exit(execute(args, os.Stdout, os.Stderr, nil))
 }
 
 // execute runs a command line, and returns the exit code: 0 well, 1 a fault or a broken rule, 2 a wrong command line.
-func execute(args []string, out, errOut io.Writer, in whole.Bubble) int {
+func execute(args []string, out, errOut io.Writer, in emulation.Bubble) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	return commandline.Run(ctx, newRoot(in), args, out, errOut)
 }
 
 // newRoot makes the command line.
-func newRoot(in whole.Bubble) *cli.Command {
+func newRoot(in emulation.Bubble) *cli.Command {
 	return &cli.Command{
 		Name: "dykering-lab", Usage: "The laboratory of the broker",
 		Commands: []*cli.Command{
--- a/cmd/dykering-lab/run.go
+++ b/cmd/dykering-lab/run.go
@@ -13,11 +13,11 @@
 
 	"dykering/internal/commandline"
 	"dykering/internal/faults"
+	"dykering/internal/lab/emulation"
 	"dykering/internal/lab/experiment"
-	"dykering/internal/lab/whole"
 )
 
-func newRun(in whole.Bubble) *cli.Command {
+func newRun(in emulation.Bubble) *cli.Command {
 	var dir string
 	var fresh bool
 	var at int
--- a/cmd/dykering-lab/whole.go
+++ b/cmd/dykering-lab/whole.go
@@ -11,7 +11,7 @@
 	"github.com/urfave/cli/v3"
 
 	"dykering/internal/commandline"
-	"dykering/internal/lab/whole"
+	"dykering/internal/lab/emulation"
 )
 
 // bubbled are the commands that play in virtual time with the whole program.
@@ -19,7 +19,7 @@
 
 // inBubbles runs a program that makes bubbles, and ends this process with its code. A bubble needs a testing.T, which
 // only the testing package makes.
-func inBubbles(run func(whole.Bubble) int) {
+func inBubbles(run func(emulation.Bubble) int) {
 	os.Args = os.Args[:1] // the rest is not testing's
 	testing.Main(func(_, _ string) (bool, error) { return true, nil }, []testing.InternalTest{{
 		Name: "bubbles",
@@ -29,7 +29,7 @@
 	}}, nil, nil)
 }
 
-func newWhole(in whole.Bubble) *cli.Command {
+func newWhole(in emulation.Bubble) *cli.Command {
 	var seed uint64
 	var seeds, instances, servers int
 	var scale float64
@@ -50,7 +50,7 @@
 					return err
 				}
 				at := time.Now()
-				r, err := whole.Play(ctx, in, s, seed+uint64(i), whole.Options{Dir: dir})
+				r, err := emulation.Play(ctx, in, s, seed+uint64(i), emulation.Options{Dir: dir})
 				if err = errors.Join(err, os.RemoveAll(dir)); err != nil {
 					return commandline.Fault(err)
 				}
--- a/internal/lab/whole/whole.go
+++ b/internal/lab/emulation/play.go
@@ -1,8 +1,4 @@
-// Package whole plays a scenario with the whole program in virtual time: each broker is an http1.Server as it ships, with
-// its core, its discovery and its handover, on an emulated network in this process, round the laboratory's servers,
-// callers, discoveries and checker that play on real sockets too (package real). Time is that of a testing/synctest
-// bubble: it goes on when all goroutines wait, so that nothing is late for want of a processor.
-package whole
+package emulation
 
 import (
 	"cmp"
--- a/internal/lab/whole/seat.go
+++ b/internal/lab/emulation/seat.go
@@ -1,4 +1,4 @@
-package whole
+package emulation
 
 import (
 	"context"
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -17,11 +17,11 @@
 	"time"
 
 	"dykering/internal/faults"
+	"dykering/internal/lab/emulation"
 	"dykering/internal/lab/model"
 	"dykering/internal/lab/real"
 	"dykering/internal/lab/scenario"
 	"dykering/internal/lab/sim"
-	"dykering/internal/lab/whole"
 	"dykering/internal/strict"
 )
 
@@ -41,11 +41,11 @@
 
 	path   string
 	text   []byte
-	bubble whole.Bubble
+	bubble emulation.Bubble
 }
 
 // In has the engine whole play in bubbles.
-func (e *Experiment) In(b whole.Bubble) { e.bubble = b }
+func (e *Experiment) In(b emulation.Bubble) { e.bubble = b }
 
 // Side is one of what is compared. The first is what the others are compared with.
 type Side struct {
@@ -332,7 +332,7 @@
 		if dir, err = os.MkdirTemp("", "dykering-lab-"); err != nil {
 			return r, err
 		}
-		r.Result, err = whole.Play(ctx, e.bubble, s, j.seed, whole.Options{Dir: dir})
+		r.Result, err = emulation.Play(ctx, e.bubble, s, j.seed, emulation.Options{Dir: dir})
 		err = errors.Join(err, os.RemoveAll(dir))
 	default:
 		if j.side.Broker != "" {
--- a/internal/lab/explore/explore.go
+++ b/internal/lab/explore/explore.go
@@ -17,9 +17,9 @@
 	"time"
 
 	"dykering/internal/faults"
+	"dykering/internal/lab/emulation"
 	"dykering/internal/lab/rules"
 	"dykering/internal/lab/scenario"
-	"dykering/internal/lab/whole"
 	"dykering/internal/strict"
 )
 
@@ -154,10 +154,10 @@
 
 // Explorer plays schedules.
 type Explorer struct {
-	Bubble whole.Bubble
-	Dir    string        // for configurations; it is empty between runs
-	Wrong  whole.Options // what is changed of each run, for brokers that are to do what they must not
-	Within int           // runs that shrinking takes at the most; 0 for 200
+	Bubble emulation.Bubble
+	Dir    string            // for configurations; it is empty between runs
+	Wrong  emulation.Options // what is changed of each run, for brokers that are to do what they must not
+	Within int               // runs that shrinking takes at the most; 0 for 200
 }
 
 // Draw makes a schedule. Wanted, if it names one, is a pair of a fault and a turn in a broker's life that are to meet.
@@ -250,7 +250,7 @@
 			}
 		}
 	}
-	r, err := whole.Play(ctx, x.Bubble, sc, s.Seed, options)
+	r, err := emulation.Play(ctx, x.Bubble, sc, s.Seed, options)
 	o.Err = errors.Join(err, os.RemoveAll(dir))
 	if r != nil {
 		o.Broken, o.Told, o.Asked, o.Service = r.Broken, r.Violations, r.Asked, r.Service
--- a/internal/lab/explore/explore_test.go
+++ b/internal/lab/explore/explore_test.go
@@ -21,13 +21,13 @@
 	"time"
 
 	"dykering/internal/http1"
+	"dykering/internal/lab/emulation"
 	"dykering/internal/lab/netem"
 	"dykering/internal/lab/rules"
 	"dykering/internal/lab/scenario"
-	"dykering/internal/lab/whole"
 )
 
-func bubble(t *testing.T) whole.Bubble {
+func bubble(t *testing.T) emulation.Bubble {
 	t.Helper()
 	return func(f func()) { synctest.Test(t, func(*testing.T) { f() }) }
 }
@@ -244,7 +244,7 @@
 	for name, p := range planted {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			x := &Explorer{Bubble: bubble(t), Dir: t.TempDir(), Wrong: whole.Options{Wrong: p.wrong}, Within: 6}
+			x := &Explorer{Bubble: bubble(t), Dir: t.TempDir(), Wrong: emulation.Options{Wrong: p.wrong}, Within: 6}
 			s := &Search{Explorer: x, Out: t.TempDir(), First: p.first, At: 1}
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
@@ -393,7 +393,7 @@
 			t.Fatalf("%s: no seed, or %v", file, wrong)
 		}
 		seed, _ := strconv.ParseUint(string(found[1]), 10, 64)
-		r, err := whole.Play(t.Context(), bubble(t), s, seed, whole.Options{Dir: t.TempDir()})
+		r, err := emulation.Play(t.Context(), bubble(t), s, seed, emulation.Options{Dir: t.TempDir()})
 		if err != nil || len(r.Broken) > 0 {
 			t.Errorf("%s: %v, %+v", file, err, r)
 		}
