--- a/internal/lab/coresim/clients.go
+++ b/internal/lab/coresim/clients.go
@@ -47,11 +47,6 @@
 	w.after(writePause, read)
 }
 
-// jitter draws a part of a duration.
-func (w *World) jitter(d time.Duration) time.Duration {
-	return time.Duration(w.random.Int64N(int64(d)))
-}
-
 // pick draws one of the members that take themselves for something; nil for none.
 func (w *World) pick(is func(*machine) bool) *machine {
 	var fit []*machine
@@ -210,29 +205,3 @@
 		}
 	}}))
 }
-
-// Progress tells whether operations are still acknowledged, by waiting until one is.
-func (w *World) Progress(within time.Duration) bool {
-	before := w.checker.Acks
-	until := w.now + within
-	for w.now < until {
-		if w.Run(w.now+callPatience/4) != nil {
-			return false
-		}
-		if w.checker.Acks > before {
-			return true
-		}
-	}
-	return false
-}
-
-// State describes the members, for those who look at a failure.
-func (w *World) State() []chain.View {
-	var views []chain.View
-	for _, m := range w.machines {
-		if m.up {
-			views = append(views, m.node.View())
-		}
-	}
-	return views
-}
--- a/internal/lab/coresim/schedule.go
+++ b/internal/lab/coresim/schedule.go
@@ -4,8 +4,6 @@
 	"fmt"
 	"math/rand/v2"
 	"time"
-
-	"dykering/internal/chain"
 )
 
 // Kind is a kind of trouble.
@@ -137,49 +135,3 @@
 	w.checkCopies(nil)
 	return w.coverage, w.checker.broken
 }
-
-// checkCopies checks that each acknowledged operation is on one disk more than may be lost, without that of a member that
-// has just left. A disk that was lost and has not caught up yet is one that has been lost.
-func (w *World) checkCopies(left *machine) {
-	acked := 0
-	for _, number := range w.checker.acked {
-		acked = max(acked, w.checker.place[number]+1)
-	}
-	copies, lost := 0, 0
-	for _, m := range w.machines {
-		if m.removed || m == left {
-			continue
-		}
-		switch {
-		case m.storedOperations() >= acked:
-			copies++
-		case m.lost > 0 || m.newcomer:
-			lost++
-		}
-	}
-	if least := w.options.MostFailures + 1 - lost; copies < max(least, 1) {
-		w.checker.fail("%d operations are acknowledged, and %d disks hold them all, with %d lost", acked, copies, lost)
-	}
-}
-
-// storedOperations is how many operations a machine's disk holds.
-func (m *machine) storedOperations() int {
-	if len(m.disk) == 0 {
-		return 0
-	}
-	return len(chain.Restore(m.config(), m.world.now, m.disk).LatestOrAcceptedState().Value.(log).operations)
-}
-
-// caughtUp checks that every member that runs is in the chain of the newest view.
-func (w *World) caughtUp() error {
-	var newest uint64
-	for _, m := range w.present() {
-		newest = max(newest, m.node.View().Number)
-	}
-	for _, m := range w.present() {
-		if view := m.node.View(); view.Number < newest || !m.node.IsInChain() {
-			return fmt.Errorf("%s has not caught up: it has view %d of %d", m.address, view.Number, newest)
-		}
-	}
-	return nil
-}
