--- a/internal/controlplane/configuration_endpoint.go
+++ b/internal/controlplane/configuration_endpoint.go
@@ -103,7 +103,7 @@
 	digests := change.Digests()
 	s.applyOutput(s.requests.Write(s.now(), chain.Write{
 		Decide:    func(latest any) chain.Decision { return decide(latest.(*fleetconfig.State), digests, change) },
-		IsApplied: func(value any) bool { return value.(*fleetconfig.State).HasAny(digests) },
+		IsApplied: func(value any) bool { return value.(*fleetconfig.State).HasAppliedAny(digests) },
 		Respond:   func(err error) { answer(replyFor(err)) },
 	}))
 }
--- a/internal/controlplane/configuration_fsm.go
+++ b/internal/controlplane/configuration_fsm.go
@@ -10,7 +10,7 @@
 
 // decide returns what the head does with a change in its newest state.
 func decide(latest *fleetconfig.State, digests [2]fleetconfig.Digest, change fleetconfig.Change) chain.Decision {
-	if latest.HasAny(digests) {
+	if latest.HasAppliedAny(digests) {
 		return chain.Decision{AlreadyApplied: true} // it was sent again after an answer that got lost
 	}
 	if _, rejection := latest.Next(&change); rejection != nil {
--- a/internal/controlplane/placement_controller.go
+++ b/internal/controlplane/placement_controller.go
@@ -44,7 +44,7 @@
 	ledgerBroadcastDue time.Duration
 
 	// The committed configuration, parsed once a change.
-	parsed    *fleetconfig.Parsed
+	parsed    *fleetconfig.Config
 	parsedSeq uint64
 }
 
--- a/internal/dataplane/handler.go
+++ b/internal/dataplane/handler.go
@@ -86,7 +86,7 @@
 }
 
 // classify completes a request by what the proxy knows beside it: its service, and how it compares with other requests.
-func (s *Server) classify(req *request, config *fleetconfig.Parsed) {
+func (s *Server) classify(req *request, config *fleetconfig.Config) {
 	req.isRetry = s.deadlines.observe(req.route.Name, req.header.Get(headerDeadline))
 	req.service = routing.SelectService(req.route, rand.Float64())
 	if service, ok := config.Service(req.service); ok {
--- a/internal/dataplane/request_outcomes.go
+++ b/internal/dataplane/request_outcomes.go
@@ -122,11 +122,11 @@
 // latenessCause is why a response is late; empty for one in time.
 func (x *exchange) latenessCause() string {
 	timing, route := &x.timing, x.request.route
-	target := route.Target()
+	target := route.TargetLatency()
 	if target > 0 && (timing.startedAt.IsZero() || timing.startedAt.Sub(x.request.arrivedAt) > target) {
 		return phaseNames[timing.longestPhase()]
 	}
-	maxPause := time.Duration(route.GapAimMs * float64(time.Millisecond))
+	maxPause := time.Duration(route.TargetGapMs * float64(time.Millisecond))
 	if route.Kind == fleetconfig.Streaming && maxPause > 0 && timing.longestPause > maxPause {
 		return causePause
 	}
--- a/internal/dataplane/response.go
+++ b/internal/dataplane/response.go
@@ -64,7 +64,7 @@
 		return attemptResult{mayHaveRun: true, call: routing.Succeeded, kind: errkind.EndpointFailed, detail: "the stream cannot go on"}
 	case !isSuccess || route.Kind != fleetconfig.Streaming:
 		return x.copyBuffered(response)
-	case route.Repeatable():
+	case route.IsRetryable():
 		return x.streamEvents(response)
 	}
 	return x.stream(response)
--- a/internal/dataplane/retries.go
+++ b/internal/dataplane/retries.go
@@ -22,7 +22,7 @@
 	if x.responseStarted && !x.canResume() {
 		return &rejection{kind: result.kind}
 	}
-	if result.mayHaveRun && (!route.Repeatable() || x.mayHaveRun >= max(int(route.MaxAttempts), 1)) {
+	if result.mayHaveRun && (!route.IsRetryable() || x.mayHaveRun >= max(int(route.MaxAttempts), 1)) {
 		return &rejection{kind: result.kind, detail: result.detail}
 	}
 	if result.call != routing.RejectedFull {
@@ -36,7 +36,7 @@
 
 // canResume reports whether another endpoint can go on with a response that has started: the client has an event after which
 // to resume.
-func (x *exchange) canResume() bool { return x.request.route.Repeatable() && x.lastEventID != "" }
+func (x *exchange) canResume() bool { return x.request.route.IsRetryable() && x.lastEventID != "" }
 
 // allowRetry takes a retry from the budget.
 func (x *exchange) allowRetry() bool {
--- a/internal/dataplane/selection.go
+++ b/internal/dataplane/selection.go
@@ -101,14 +101,14 @@
 func (x *exchange) waitTime(result routing.SelectionResult, waited time.Duration) (time.Duration, *rejection) {
 	req := x.request
 	rejected := &rejection{kind: errkind.NoEndpoint, retryAfter: overloadPause()}
-	limit := fractionOf(req.route.Target(), firstWaitFraction)
+	limit := fractionOf(req.route.TargetLatency(), firstWaitFraction)
 	switch result {
 	case routing.NoneAvailable:
 		rejected.kind = errkind.Overloaded
 	case routing.ModelNotLoaded:
 		loadTime := modelLoadTime(req.engine, req.model) + modelLoadMargin
 		rejected.retryAfter = loadTime
-		if limitForLoad := fractionOf(req.route.Target(), modelLoadWaitFraction); loadTime < limitForLoad {
+		if limitForLoad := fractionOf(req.route.TargetLatency(), modelLoadWaitFraction); loadTime < limitForLoad {
 			limit = limitForLoad
 		}
 	}
--- a/internal/dataplane/server.go
+++ b/internal/dataplane/server.go
@@ -61,7 +61,7 @@
 
 // activeConfig is a configuration that is in force here. It is immutable.
 type activeConfig struct {
-	parsed *fleetconfig.Parsed
+	parsed *fleetconfig.Config
 	routes *routing.Routes
 }
 
--- a/internal/fleetconfig/change.go
+++ b/internal/fleetconfig/change.go
@@ -80,8 +80,8 @@
 	Forgotten int64
 }
 
-// Has tells whether a change has been taken.
-func (s *State) Has(d Digest) bool {
+// HasApplied tells whether a change has been taken.
+func (s *State) HasApplied(d Digest) bool {
 	for i := len(s.Taken) - 1; i >= 0; i-- {
 		if s.Taken[i] == d {
 			return true
@@ -90,8 +90,10 @@
 	return false
 }
 
-// HasAny tells whether a change has been taken that is known by one of some digests.
-func (s *State) HasAny(digests [2]Digest) bool { return s.Has(digests[0]) || s.Has(digests[1]) }
+// HasAppliedAny tells whether a change has been taken that is known by one of some digests.
+func (s *State) HasAppliedAny(digests [2]Digest) bool {
+	return s.HasApplied(digests[0]) || s.HasApplied(digests[1])
+}
 
 type rawModification struct {
 	Version int64 `json:"version"`
--- a/internal/fleetconfig/parsed.go
+++ b/internal/fleetconfig/config.go
@@ -22,29 +22,29 @@
 
 // Route says where requests of a host and path go.
 type Route struct {
-	Name            string          `json:"name"`
-	Host            string          `json:"host"`
-	PathPrefix      string          `json:"path_prefix"`
-	Kind            RouteKind       `json:"kind"`
-	TimeoutMs       float64         `json:"timeout_ms"`
-	TargetLatencyMs float64         `json:"target_latency_ms"`
-	GapAimMs        float64         `json:"gap_aim_ms"`
-	Priority        float64         `json:"priority"`
-	MaxAttempts     float64         `json:"max_attempts"`
-	StickySessions  bool            `json:"sticky_sessions"`
-	Resumable       bool            `json:"resumable"`
-	Service         string          `json:"service"`
-	TrafficSplit    []WeightedShare `json:"traffic_split"`
+	Name            string            `json:"name"`
+	Host            string            `json:"host"`
+	PathPrefix      string            `json:"path_prefix"`
+	Kind            RouteKind         `json:"kind"`
+	TimeoutMs       float64           `json:"timeout_ms"`
+	TargetLatencyMs float64           `json:"target_latency_ms"`
+	TargetGapMs     float64           `json:"gap_aim_ms"`
+	Priority        float64           `json:"priority"`
+	MaxAttempts     float64           `json:"max_attempts"`
+	StickySessions  bool              `json:"sticky_sessions"`
+	Resumable       bool              `json:"resumable"`
+	Service         string            `json:"service"`
+	TrafficSplit    []WeightedService `json:"traffic_split"`
 }
 
-// WeightedShare is a service's share of a route.
-type WeightedShare struct {
+// WeightedService is a service's share of a route.
+type WeightedService struct {
 	Service string  `json:"service"`
 	Weight  float64 `json:"weight"`
 }
 
-// Repeatable tells whether a request of the route may run more than once.
-func (r *Route) Repeatable() bool {
+// IsRetryable tells whether a request of the route may run more than once.
+func (r *Route) IsRetryable() bool {
 	return r.Kind == Idempotent || r.Kind == Streaming && r.Resumable
 }
 
@@ -53,17 +53,17 @@
 	return time.Duration(r.TimeoutMs * float64(time.Millisecond))
 }
 
-// Target is the time within which an answer earns its full worth.
-func (r *Route) Target() time.Duration {
+// TargetLatency is the time within which an answer earns its full worth.
+func (r *Route) TargetLatency() time.Duration {
 	return time.Duration(r.TargetLatencyMs * float64(time.Millisecond))
 }
 
-// Shares are the services that the route goes to.
-func (r *Route) Shares() []WeightedShare {
+// WeightedServices are the services that the route goes to.
+func (r *Route) WeightedServices() []WeightedService {
 	if len(r.TrafficSplit) > 0 {
 		return r.TrafficSplit
 	}
-	return []WeightedShare{{Service: r.Service, Weight: 1}}
+	return []WeightedService{{Service: r.Service, Weight: 1}}
 }
 
 // Service describes a service.
@@ -101,8 +101,8 @@
 	IdleTimeoutMs   float64 `json:"idle_timeout_ms"`
 }
 
-// Parsed is a configuration in the terms of the program.
-type Parsed struct {
+// Config is a configuration in the terms of the program.
+type Config struct {
 	Version  int64
 	Routes   []Route
 	Services []Service
@@ -110,13 +110,13 @@
 }
 
 // Service finds a service by name.
-func (p *Parsed) Service(name string) (Service, bool) {
+func (p *Config) Service(name string) (Service, bool) {
 	return lo.Find(p.Services, func(s Service) bool { return s.Name == name })
 }
 
 // Parse reads a document and checks what a schema cannot: references, shared places, weights and time-outs.
-func Parse(d *Document) (*Parsed, error) {
-	p := &Parsed{Version: d.Version}
+func Parse(d *Document) (*Config, error) {
+	p := &Config{Version: d.Version}
 	for _, item := range d.Services {
 		var s Service
 		if err := json.Unmarshal(item.Text, &s); err != nil {
@@ -139,7 +139,7 @@
 	return p, p.check()
 }
 
-func (p *Parsed) check() error {
+func (p *Config) check() error {
 	services := map[string]bool{}
 	for _, s := range p.Services {
 		if services[s.Name] {
@@ -171,7 +171,7 @@
 		return invalid("route " + r.Name + ": timeout_ms is 0")
 	}
 	var sum float64
-	for _, share := range r.Shares() {
+	for _, share := range r.WeightedServices() {
 		if !services[share.Service] {
 			return invalid("route " + r.Name + ": unknown service " + share.Service)
 		}
--- a/internal/fleetconfig/fleetconfig_test.go
+++ b/internal/fleetconfig/fleetconfig_test.go
@@ -107,8 +107,8 @@
 		state := taken(first)
 		next, err := state.Next(replace(4, 3, "", `{"name":"s1"}`))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(next.Has(first.Digest())).To(BeTrue())
-		Expect(next.Has(replace(3, 1, route, `{"name":"s1"}`).Digest())).To(BeFalse())
+		Expect(next.HasApplied(first.Digest())).To(BeTrue())
+		Expect(next.HasApplied(replace(3, 1, route, `{"name":"s1"}`).Digest())).To(BeFalse())
 	})
 
 	It("is the same at each replica", func() {
@@ -120,15 +120,15 @@
 		first := &Change{Operation: Replace, Body: []byte(`{"version":3,"routes":[],"services":[{"name":"s1","weight":1.50}]}`)}
 		again := &Change{Operation: Replace, Body: []byte("{ \"services\": [ {\"weight\": 1.50, \"name\": \"s1\"} ],\n\"routes\": [], \"version\": 3 }")}
 		other := &Change{Operation: Replace, Body: []byte(`{"version":3,"routes":[],"services":[{"name":"s2","weight":1.50}]}`)}
-		Expect(taken(first).Has(again.Digest())).To(BeTrue())
-		Expect(taken(first).Has(other.Digest())).To(BeFalse())
+		Expect(taken(first).HasApplied(again.Digest())).To(BeTrue())
+		Expect(taken(first).HasApplied(other.Digest())).To(BeFalse())
 	})
 
 	It("is known also where a member of an earlier version has taken it, by its exact bytes", func() {
 		change := &Change{Operation: Replace, Body: []byte(`{ "version": 3, "services": [], "routes": [] }`)}
 		state := &State{Taken: []Digest{change.digestOf(change.Body)}}
-		Expect(state.Has(change.Digest())).To(BeFalse())
-		Expect(state.HasAny(change.Digests())).To(BeTrue())
+		Expect(state.HasApplied(change.Digest())).To(BeFalse())
+		Expect(state.HasAppliedAny(change.Digests())).To(BeTrue())
 	})
 
 	DescribeTable("is not refused when it comes again after very many others",
@@ -138,7 +138,7 @@
 			for version := int64(2); version < int64(others+2); version++ {
 				state = state.take(Document{Version: version}, Digest{byte(version), byte(version >> 8), byte(version >> 16)})
 			}
-			Expect(state.Has(first.Digest())).To(Equal(has))
+			Expect(state.HasApplied(first.Digest())).To(Equal(has))
 			_, err := state.Next(first)
 			if !has {
 				Expect(errkind.KindOf(err)).To(Equal(errkind.Unavailable), "no clear answer")
--- a/internal/routing/routes.go
+++ b/internal/routing/routes.go
@@ -14,7 +14,7 @@
 }
 
 // NewRoutes builds the route table of a configuration. It keeps pointers into the configuration.
-func NewRoutes(p *fleetconfig.Parsed) *Routes {
+func NewRoutes(p *fleetconfig.Config) *Routes {
 	r := &Routes{byHost: map[string][]*fleetconfig.Route{}}
 	for i := range p.Routes {
 		route := &p.Routes[i]
@@ -47,7 +47,7 @@
 
 // SelectService selects one of a route's services by weight; chance is drawn from [0, 1).
 func SelectService(route *fleetconfig.Route, chance float64) string {
-	shares := route.Shares()
+	shares := route.WeightedServices()
 	var sum float64
 	for _, share := range shares {
 		sum += share.Weight
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -15,7 +15,7 @@
 }
 
 var _ = Describe("routes", func() {
-	routes := NewRoutes(&fleetconfig.Parsed{Routes: []fleetconfig.Route{
+	routes := NewRoutes(&fleetconfig.Config{Routes: []fleetconfig.Route{
 		{Name: "all", Host: "a.example", PathPrefix: "/"},
 		{Name: "long", Host: "A.example", PathPrefix: "/x/y/"},
 		{Name: "short", Host: "a.example", PathPrefix: "/x/"},
@@ -42,7 +42,7 @@
 
 	DescribeTable("share their requests by weight",
 		func(chance float64, expected string) {
-			route := &fleetconfig.Route{TrafficSplit: []fleetconfig.WeightedShare{{Service: "s0", Weight: 0}, {Service: "s1", Weight: 90}, {Service: "s2", Weight: 10}}}
+			route := &fleetconfig.Route{TrafficSplit: []fleetconfig.WeightedService{{Service: "s0", Weight: 0}, {Service: "s1", Weight: 90}, {Service: "s2", Weight: 10}}}
 			Expect(SelectService(route, chance)).To(Equal(expected))
 		},
 		Entry("none to a weight of 0", 0.0, "s1"),
