--- a/internal/controlplane/configuration_endpoint.go
+++ b/internal/controlplane/configuration_endpoint.go
@@ -25,7 +25,7 @@
 			return
 		}
 		if _, err := s.awaitReply(func(answer func(protocol.Reply)) { s.writeConfiguration(change, answer) }); err != nil {
-			s.log.Info("configuration.not_taken", "base", change.Base, "error", err)
+			s.log.Info("configuration.not_acknowledged", "base", change.Base, "error", err)
 			writeError(w, err)
 			return
 		}
--- a/internal/controlplane/drain_ack.go
+++ b/internal/controlplane/drain_ack.go
@@ -43,7 +43,7 @@
 		id: id, state: state, deadline: s.now() + s.timing.drainAckTimeout,
 		storedAt: map[string]bool{}, answer: answer,
 	}
-	s.log.Info("endpoint.leaves", "id", id, "state", string(state))
+	s.log.Info("endpoint.departing", "id", id, "state", string(state))
 	self := s.chain.Self().Address
 	s.broadcast(protocol.SessionUpdate{From: self, Ask: number, Records: s.table.Records(s.sessionClock, []string{id})})
 	s.afterSessionsStored(func() { s.onDepartureStored(number, self) })
--- a/internal/controlplane/explain_endpoint.go
+++ b/internal/controlplane/explain_endpoint.go
@@ -28,8 +28,11 @@
 	}
 	for _, order := range orders {
 		estimate := input.Demand.Estimate(now, placement.Key{Service: service, Model: order.Model})
-		l.decisions = append(l.decisions, protocol.Decision{At: now, Service: service, Endpoint: order.Endpoint, Operation: string(order.Operation),
-			Model: order.Model, Adapter: order.Adapter, For: order.FreesMemoryFor, Copies: replicas[order.Model], Demand: demandOf(estimate)})
+		l.decisions = append(l.decisions, protocol.Decision{
+			At: now, Service: service, Endpoint: order.Endpoint, Operation: string(order.Operation),
+			Model: order.Model, Adapter: order.Adapter, For: order.FreesMemoryFor,
+			Copies: replicas[order.Model], Demand: demandOf(estimate),
+		})
 	}
 	if excess := len(l.decisions) - maxDecisions; excess > 0 {
 		l.decisions = append(l.decisions[:0], l.decisions[excess:]...)
--- a/internal/controlplane/order_client.go
+++ b/internal/controlplane/order_client.go
@@ -16,6 +16,9 @@
 // orderTimeout bounds each request to an endpoint. A new lease holder waits for it too; see timing.newHolderDelay.
 const orderTimeout = 500 * time.Millisecond
 
+// orderIdleTimeout closes the connection to an endpoint that gets no more orders.
+const orderIdleTimeout = 3 * time.Second
+
 // endpointReport is the body of GET /report.
 type endpointReport struct {
 	Models   []sessions.LoadedModel `json:"models"`
@@ -37,8 +40,8 @@
 type orderClient struct{ http *http.Client }
 
 func newOrderClient() *orderClient {
-	return &orderClient{http: &http.Client{Timeout: orderTimeout,
-		Transport: &http.Transport{DialContext: dialAbortive, MaxIdleConnsPerHost: 1, IdleConnTimeout: 3 * time.Second}}}
+	transport := &http.Transport{DialContext: dialAbortive, MaxIdleConnsPerHost: 1, IdleConnTimeout: orderIdleTimeout}
+	return &orderClient{http: &http.Client{Timeout: orderTimeout, Transport: transport}}
 }
 
 // dialAbortive makes a connection that is reset when it is closed. What is still in its buffers is then discarded: an order
@@ -65,6 +68,7 @@
 		return endpointReport{}, errors.Wrap(err, "report")
 	}
 	var report endpointReport
+	//nolint:bodyclose // sling closes the body once it has decoded it
 	response, err := sling.New().Client(c.http).Do(request.WithContext(ctx), &report, nil)
 	if err != nil {
 		return endpointReport{}, errors.Wrap(err, "report")
--- a/internal/controlplane/order_executor.go
+++ b/internal/controlplane/order_executor.go
@@ -68,7 +68,7 @@
 		// Published before the order: a request that reaches the endpoint after it would find the model missing.
 		c.addOverride(now, order.Endpoint, override(order))
 	}
-	c.server.log.Info("order.begun", "endpoint", order.Endpoint, "operation", string(order.Operation), "model", order.Model,
+	c.server.log.Info("order.started", "endpoint", order.Endpoint, "operation", string(order.Operation), "model", order.Model,
 		"adapter", order.Adapter)
 	go executor.run()
 }
--- a/internal/controlplane/placement_controller.go
+++ b/internal/controlplane/placement_controller.go
@@ -116,7 +116,7 @@
 // out of date. The ledger is kept where the lease comes back before another member has had it, and else rebuilt with what
 // its predecessor may have loaded.
 func (c *placementController) onLeaseAcquired(now time.Duration, token uint64) {
-	c.server.log.Info("placement.held", "token", token)
+	c.server.log.Info("placement.lease_acquired", "token", token)
 	regained := token == c.fencingToken
 	c.fencingToken = token
 	c.inFlight, c.overlays = map[string]*inFlightOrder{}, map[string]publishedOverlay{}
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -68,14 +68,15 @@
 	go s.runSessionStore()
 	go s.chainStore.run(ctx.Done())
 
-	internal, err := net.Listen("tcp", settings.InternalAddress(settings.IPAddress))
+	var listenConfig net.ListenConfig
+	internal, err := listenConfig.Listen(ctx, "tcp", settings.InternalAddress(settings.IPAddress))
 	if err != nil {
 		return errors.Wrap(err, "internal address")
 	}
 	defer internal.Close()
 	go s.acceptPeers(internal)
 
-	external, err := net.Listen("tcp", settings.Listen.ControlPlane)
+	external, err := listenConfig.Listen(ctx, "tcp", settings.Listen.ControlPlane)
 	if err != nil {
 		return errors.Wrap(err, "control plane address")
 	}
--- a/internal/controlplane/status_endpoint.go
+++ b/internal/controlplane/status_endpoint.go
@@ -58,22 +58,24 @@
 	committed := s.chain.CommittedState()
 	_, holds := s.chain.HoldsLease(now)
 	status := protocol.Status{
-		Self: s.chain.Self(), View: s.chain.View(), InForce: s.chain.IsViewConfirmed(now), Sealed: s.chain.IsSealed(), Seq: s.chain.LatestState().Seq,
-		Committed: committed.Seq, Holds: holds, Endpoints: map[sessions.State]int{}, DiskBehind: s.chainStore.writeDuration(),
+		Self: s.chain.Self(), View: s.chain.View(), InForce: s.chain.IsViewConfirmed(now), Sealed: s.chain.IsSealed(),
+		Seq: s.chain.LatestState().Seq, Committed: committed.Seq, Holds: holds,
+		Endpoints: map[sessions.State]int{}, DiskBehind: s.chainStore.writeDuration(),
 	}
 	if value, ok := committed.Value.(*fleetconfig.State); ok {
 		status.Version = value.Document.Version
 	}
 	for _, voter := range status.View.Voters {
-		status.Members = append(status.Members, protocol.MemberStatus{ID: voter.ID, Reachable: s.chain.IsReachable(now, voter.Address),
-			InChain: status.View.Position(voter.ID) >= 0})
+		status.Members = append(status.Members, protocol.MemberStatus{
+			ID: voter.ID, Reachable: s.chain.IsReachable(now, voter.Address), InChain: status.View.Position(voter.ID) >= 0,
+		})
 	}
 	for sub := range s.subscribers {
 		behind := committed.Seq - min(sub.acked.ConfigSeq, committed.Seq)
 		status.Subscribers = append(status.Subscribers, protocol.SubscriberStatus{Name: sub.name, Ack: sub.acked, Behind: behind})
 	}
-	for _, e := range s.table.Endpoints() {
-		status.Endpoints[e.State]++
+	for _, session := range s.table.Endpoints() {
+		status.Endpoints[session.State]++
 	}
 	return status
 }
