--- a/Makefile
+++ b/Makefile
@@ -1,7 +1,7 @@
 # Development only: the build line stands in deploy/balancer.toml.
 GO_FILES := $(shell find . -name '*.go' -not -path './journal/*')
 
-POLICY := $(addprefix internal/decision/,balancer.go admit.go pick.go outcome.go lists.go)
+POLICY := $(addprefix internal/decision/,balancer.go tunables.go admission.go quotas.go queue.go limits.go selection.go subset.go attempts.go outcomes.go statistics.go ejection.go slow_start.go retries.go overdue.go endpoint_list.go)
 
 # Tests that start processes and go by the wall's clock: they run once the others are done, which would crowd them out.
 ON_THE_WALLS_CLOCK := internal/lab/real cmd/dykering internal/controlplane internal/http1
--- a/internal/decision/balancer.go
+++ b/internal/decision/balancer.go
@@ -10,103 +10,63 @@
 	"time"
 )
 
-// Tunables. Times are ratios of settings or of what is observed.
-const (
-	drawCandidates = 2 // distinct endpoints drawn for a pick, as the design has it
-	// callers is how many instances should call one endpoint; where more would, each keeps to a subset, in
-	// which its own counts and answers tell it something.
-	callersPerEndpoint = 3
-	// subsetLeast is the fewest endpoints' worth of weight in a subset: with one, there is nothing to compare.
-	minSubset = 2.0
-	// ownCalls is how many endpoints a subset has at least for each call in flight. An instance to which more
-	// callers come than to others would else fill up its few, and with them the other instances' that call them.
-	subsetPerCall = 2.0
-
-	// Limits: in flight there may be what is answered at base latency, and a queue: so many calls for each
-	// endpoint and tier from here on, no more than a share of the first, and none that would use up the time to
-	// the aim. More only waits there instead of here, is answered late, and may choke endpoints.
-	queuePerEndpoint      = 0.75 // calls for each endpoint and tier
-	maxQueueShare         = 0.8
-	slackShare            = 0.5  // of the time from base latency to the aim; the rest is for slow calls
-	startCallsPerEndpoint = 5.0  // the limit at first, for each endpoint that is this instance's share of the tier
-	minCallsPerEndpoint   = 1.2  // and the least it may come to
-	limitSlack            = 2.0  // calls that any endpoint, and the fleet, may hold beyond its share
-	endpointLimitFactor   = 1.5  // of an even share of the limit, that one endpoint may hold
-	sendSlackMeans        = 1.8  // mean latencies that must be left until the aim when a call is sent
-	peakHoldWindows       = 5.0  // how long a peak rate is remembered, in rate windows
-	baseWindowAnswers     = 16   // answers, and one rate window, averaged for one look at the base latency
-	baseFallWeight        = 0.3  // how fast the base latency follows lower ones
-	baseSkippedWindows    = 1    // first windows that do not count
-	baseRiseWeight        = 0.02 // and higher ones: slowly, so that an overload is not taken for normal
-	usualRiseWeight       = 0.08 // and how fast the usual latency, that strain is measured against, follows higher ones
-	kindMeanWeight        = 0.02 // of one answer in the pace of a kind,
-	endpointMeanWeight    = 0.1  // and of an endpoint
-	reportMeanWeight      = 0.3  // of one report in an endpoint's service time
-	kindPriorAnswers      = 4.0  // answers that the pace of its kind counts for
-	classMeanWeight       = 0.05 // weight of one answer in a class's mean latency
+// Balancer decides for one instance. It is not safe for concurrent use.
+type Balancer struct {
+	settings   Settings
+	host       Host
+	rng        *rand.Rand
+	rateWindow time.Duration // over which rates are smoothed
+	tick       time.Duration
+	ticking    bool
 
-	tenantBurstBase    = 8.0  // requests that chance may bring together, at any rate,
-	tenantStartTokens  = 2.0  // and at the start
-	evenShareTolerance = 1.17 // of all shares at an instance that is served where callers come evenly: all of capacity
-	quotaRelaxation    = 1.5  // of the shares, over what is served beyond that
-	tenantBurstSeconds = 4.0  // seconds of its share that a tenant may save up
+	endpointIndex
+	weighted        bool   // the listed weights tell endpoints apart
+	listVersion     uint64 // of the last list
+	requests        map[RequestID]*request
+	classes         []class
+	kindLatency     []runningMean // by machine kind
+	kindServiceTime []runningMean // by machine kind: seconds of service that its endpoints report
+	tenants         []tokenBucket
+	shortageUntil   time.Duration // capacity counts as short until then
+	totalQuota      float64       // requests a second within all shares, at this instance
+	queue           []*request
+	scratch         []*endpoint
 
-	// Strain: what calls take, over what they should at most take on average. Above 1 calls are paced, for where
-	// an instance has a call or two in flight a limit on their number holds nothing back.
-	pressureUsualFactor = 1.5  // usual latencies that calls should take at most on average,
-	pressureTargetShare = 0.55 // and part of the aim
-	pressureMaxWeight   = 0.12 // of one answer at most,
-	pressureTargets     = 2.0  // and all those of so many aims count alike
-	pacingGain          = 1.5  // part of the pace that one second of a strain of 2 takes off
-	pressureMaxSample   = 4.0  // the most that one call may tell
-	pacingStartFactor   = 1.5  // of the peak rate of requests: the pace when nothing is held back
-	pacingMinFactor     = 0.15 // and the least, of that
-	overQuotaPressure   = 0.7  // strain at which what is beyond a share yields, before calls are paced
-	pacingBurst         = 2.0  // calls that may be sent at once, or those of half a second
+	inFlight        int // attempts in flight
+	predecessor     predecessorCalls
+	overdueCalls    int          // those of them that no answer is expected for
+	answers         int          // answers of any kind
+	baseLoad        smoothedRate // base latencies answered a second: the calls in flight at little load
+	inFlightLimit   float64      // on calls in flight
+	subsetSizedAt   time.Duration
+	position        int          // this instance's place on the ring: not its number, see scatter
+	subsetSize      float64      // endpoints in this instance's subset,
+	demandedSubset  float64      // and how many its own calls ask for
+	slackLoad       smoothedRate // the same for the time from base latency to the aim
+	answerRate      smoothedRate // answers a second
+	requestRate     smoothedRate // requests a second,
+	demandRate      decayingRate // and over a longer time
+	latencyPressure float64      // smoothed latency over what it should at most be on average
+	sendRate        float64      // calls a second that may be sent
+	isPaced         bool         // the strain was above 1, and has not let go
+	pressureAt      time.Duration
+	sendCredit      float64
+	sendCreditAt    time.Duration
+	warmSends       smoothedRate // sends a second to warm endpoints, for their odds
+	errorRate       float64      // smoothed share of answers that are errors
+	missingShare    float64      // and of overdue calls that stay away for longer
+	retryTokens     float64      // further attempts that may be made
+	fleetRetries    *tokenBucket // that the fleet leaves to this instance; nil where answers earn them
 
-	// Silence: no answer of any kind since a call was sent, while others answer.
-	silenceSuspectMeans   = 3.0 // mean latencies until an endpoint is passed over
-	tailStartRatio        = 6.0 // first guess of the latency that one answer in a hundred passes, in means
-	tailQuantile          = 0.01
-	tailStep              = 0.3  // how far one answer moves that guess, in means
-	silenceEjectTails     = 4.0  // such latencies until silence isolates on one call
-	silenceEjectCalls     = 2    // so many calls isolate it at suspectAfter already
-	silenceOtherAnswers   = 4    // answers of others in that time that make silence its own
-	lossRateWeight        = 0.05 // of one call in an endpoint's share of lost ones: two in a row pass losesAt
-	lossRateThreshold     = 0.12 // share of calls that an endpoint loses, not one that is slow now and then
-	overdueStuckTails     = 0.6  // such latencies until a call that so many later ones overtook leaves room for others,
-	overdueLostTails      = 1.1  // and until it counts as lost
-	overdueMissingTails   = 1.5  // and until it is sent again, where most that count as lost go unanswered until then
-	missingShareWeight    = 0.3  // of one call that counts as lost, in the fleet's share of those that do
-	missingShareThreshold = 0.6  // that share from which on it is; at first it is taken for a half
+	retriesHideElapsed bool    // clients' repeats do not show what they have spent: see spent
+	meanRetryElapsed   float64 // mean time, in seconds, that repeats had spent where they show it
 
-	// Errors: an endpoint is judged against the fleet, for the tier below may be at fault.
-	errorRateWeight           = 0.3  // of one answer in an endpoint's error share: two in a row pass ejectAt
-	invalidResponseWeight     = 0.08 // of one that is of no use, as every endpoint sends some: eight in a row pass it
-	fleetErrorWeight          = 0.02 // of one answer in the fleet's
-	ejectErrorRate            = 0.45 // error share that ejects
-	ejectFleetRatio           = 3.0  // and at least so many times the fleet's
-	maxEjectedShare           = 0.5  // share of the list that errors and silence may isolate
-	firstTrialConnectTimeouts = 4.0  // connect time-outs from isolation to the first trial call
-	fetchIntervalShare        = 0.5  // of AskEvery (or Cold): the pace of fetching lists after broken connections
-	watchBackoffShare         = 0.05 // of AskEvery: spread of the first Watch; it doubles with each failure,
-	watchBackoffMaxSeconds    = 1.8  // up to so many seconds: with a hung call before, a slow one after, under 6
-	returnedWarmShare         = 0.75 // share of Cold that an endpoint skips in its ramp if nothing showed a restart
-	slowStartHeadroom         = 0.7  // of TipMultiple: a ramping endpoint's rate over its share of what warm ones are sent
-	retryTokensPerAnswer      = 0.2  // further attempts earned by each answered call
-	maxRetryTokens            = 10.0 // and how many may be saved up
-	queueSecondsMax           = 2.0  // seconds of calls, at the present rate, that may be held,
-	queueSecondsMaxHidden     = 0.5  // and where repeats do not show what they have spent
-	retryElapsedWeight        = 0.05 // of one repeat in the mean time that repeats have spent
-	firstAttemptShare         = 0.97 // of the longest time left seen: less tells of a repeat
-	classWindowRequests       = 100  // requests of a class that its part served in time is remembered over
-	classMinRequests          = 5    // and requests from which it counts
-	minRetryAfterWindows      = 0.25 // rate windows that a refused client should wait, at least
-	successorStartSeconds     = 1.5  // seconds from an instance's end until the next one serves in its place
-	maxDepartedEndpoints      = 64   // endpoints that have gone and are still remembered, beside twice those listed
-	minIdleCallerConns        = 3    // callers' connections that the only instance keeps idle once it is told to end
-	tickQuanta                = 4    // quanta between looks at held and overdue calls
-)
+	drainDeadline                time.Duration // when this instance ends, where that is known,
+	hasSuccessor                 bool          // and that another one serves in its place
+	nextFetchAt                  time.Duration // no fetch before
+	watchScheduled               bool          // after a pause,
+	watchBackoff, watchStartedAt time.Duration // that counts from when the last watch began
+}
 
 // Timer tokens.
 const (
@@ -131,3 +91,40 @@
 	}
 	return b, nil
 }
+
+// Timer takes a timer that fell due.
+func (b *Balancer) Timer(now time.Duration, token uint64) {
+	switch token {
+	case tokenTick:
+		b.ticking = false
+		b.overdueCalls = 0
+		for _, e := range b.overdue {
+			e.overdueCalls = 0
+		}
+		b.overdue = b.overdue[:0]
+		for _, e := range append(b.scratch[:0], b.inSlowStart...) {
+			if b.capacityShare(now, e) >= 1 {
+				b.setState(e, stateUsable)
+			}
+		}
+		for _, e := range append(b.scratch[:0], b.busy...) {
+			b.ejectIfSilent(now, e)
+			b.withdrawOverdue(now, e)
+		}
+		b.dispatch(now)
+		b.startTick()
+	case tokenWatch:
+		b.watchScheduled, b.watchStartedAt = false, now
+		b.host.Watch(true)
+	}
+}
+
+// arm keeps the tick going while anything is held or in flight.
+func (b *Balancer) startTick() {
+	if !b.ticking && len(b.requests) > 0 {
+		b.ticking = true
+		b.host.SetTimer(tokenTick, b.tick)
+	}
+}
+
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/decision/lists.go
+++ b/internal/decision/endpoint_list.go
@@ -3,6 +3,7 @@
 package decision
 
 import (
+	"cmp"
 	"time"
 )
 
@@ -55,6 +56,16 @@
 	b.host.SetTimer(tokenWatch, max(b.watchBackoff+b.watchStartedAt-now, first)-seconds(first.Seconds()*b.rng.Float64()))
 }
 
+// refresh asks for a fresh list after a broken connection, at a pace.
+func (b *Balancer) fetchSoon(now time.Duration) {
+	if now < b.nextFetchAt {
+		return
+	}
+	pace := cmp.Or(b.settings.DiscoveryInterval, max(b.settings.WarmUp, b.rateWindow))
+	b.nextFetchAt = now + b.jitter(seconds(fetchIntervalShare*pace.Seconds()))
+	b.host.Fetch()
+}
+
 // entry takes one line of a list.
 func (b *Balancer) applyEntry(now time.Duration, l List, x Entry) {
 	e := b.byID[x.Endpoint]
@@ -93,20 +104,3 @@
 		b.setState(e, stateDraining)
 	}
 }
-
-// since is from when on the ramp of an endpoint counts that is back, where nothing showed a restart: it need
-// not begin anew, but what was cold before is no warmer for having been away.
-func (b *Balancer) slowStartOrigin(now time.Duration, e *endpoint) time.Duration {
-	from := now - seconds(returnedWarmShare*b.settings.WarmUp.Seconds())
-	if last := max(e.slowStartFrom, e.started); last > 0 {
-		from = max(from, last)
-	}
-	return from
-}
-
-// reopen counts an isolated endpoint's calls in flight again, as it is isolated no longer.
-func (b *Balancer) recountCalls(e *endpoint) {
-	if e.state == stateEjected {
-		b.inFlight += len(e.calls)
-	}
-}
--- a/internal/decision/advice.go
+++ b/internal/decision/evidence.go
@@ -1,7 +1,6 @@
 package decision
 
 import (
-	"math"
 	"time"
 )
 
@@ -67,50 +66,3 @@
 	}
 	return heeded
 }
-
-// Use is what came of one tenant since the start.
-type Usage struct {
-	Asked       float64 // requests that are no repeats
-	WithinQuota float64 // of them, within its share at this instance
-}
-
-// Uses tell what came of each tenant.
-func (b *Balancer) Usage() []Usage {
-	uses := make([]Usage, len(b.tenants))
-	for i := range b.tenants {
-		uses[i] = b.tenants[i].usage
-	}
-	return uses
-}
-
-// Allotment is what may be spent a second: the parts until a time, and the floors from then on.
-type QuotaShares struct {
-	TenantRates, TenantFallbackRates []float64     // by tenant
-	RetryRate                        float64       // further attempts, in place of those that answers earn; negative leaves it to answers
-	RetryFallbackRate                float64       // and from Until on
-	Until                            time.Duration // 0 for no end
-}
-
-// Allot sets what each tenant may ask for within its share at this instance, in place of an even part of its quota. What
-// it may ask for is then the same however much is served here: the parts of all instances add up. The end holds where
-// it is spent, however late anybody says that it has come.
-func (b *Balancer) SetQuotaShares(now time.Duration, a QuotaShares) {
-	if b.tenants == nil {
-		b.startTenantBuckets(now)
-	}
-	for i := range min(len(a.TenantRates), len(a.TenantFallbackRates), len(b.tenants)) {
-		b.tenants[i].setRate(now, a.TenantRates[i], a.TenantFallbackRates[i], a.Until, tenantBurstBase)
-	}
-	b.totalQuota = math.Inf(1)
-	if a.RetryRate < 0 {
-		b.fleetRetries = nil
-		return
-	}
-	if b.fleetRetries == nil {
-		b.fleetRetries = &tokenBucket{at: now}
-	}
-	// What is left of the budget is what the bucket holds, and what has come since.
-	b.fleetRetries.level = b.retryTokens
-	b.fleetRetries.setRate(now, a.RetryRate, a.RetryFallbackRate, a.Until, 1)
-	b.retryTokens = max(b.fleetRetries.level, 0)
-}
--- /dev/null
+++ b/internal/decision/outcomes.go
@@ -0,0 +1,92 @@
+// What is made of outcomes and of silence, and whether a call is sent again.
+
+package decision
+
+import (
+	"time"
+)
+
+// Outcome takes the end of an attempt.
+func (b *Balancer) Outcome(now time.Duration, o Outcome) {
+	r := b.requests[o.ID]
+	if r == nil || !r.isCurrent(o.Attempt, o.Endpoint) {
+		return // told twice, or late: another attempt may be out, and is still to end
+	}
+	e := r.current
+	if !r.responding {
+		b.endCall(e, r)
+	}
+	r.current = nil
+	b.recordLoadReport(now, e, o.Load)
+	if !r.responding || o.Status == Reset {
+		b.recordOutcome(now, r, e, o)
+	}
+	if o.Final || r.final || r.responding {
+		if !o.Final && !r.final {
+			b.host.Fail(r.id)
+		}
+		delete(b.requests, r.id)
+	} else {
+		b.retryOrFinish(now, r, e, o)
+	}
+	b.dispatch(now)
+	b.startTick()
+}
+
+// judge learns from an outcome about its endpoint and the fleet.
+func (b *Balancer) recordOutcome(now time.Duration, r *request, e *endpoint, o Outcome) {
+	switch o.Status {
+	case OK, Error, Rejected, Reset, InvalidResponse:
+		e.lastAnswer = now
+		b.answers++
+	}
+	switch o.Status {
+	case OK:
+		b.recordOvertaken(r)
+		e.lossRate -= lossRateWeight * e.lossRate
+		if r.overdue {
+			b.missingShare -= missingShareWeight * b.missingShare // it was slow
+		}
+		b.recordLatency(now, r, e, o.Elapsed)
+		b.recordPressure(now, r.class, o.Elapsed)
+		if now <= r.targetAt {
+			r.class.onTime++
+		}
+		b.recordError(e, 0, errorRateWeight)
+		b.earnRetry()
+		if r.trial && e.state == stateEjected {
+			b.endEjection(now, e)
+		}
+		return
+	case Error, InvalidResponse:
+		b.recordError(e, 1, map[Status]float64{Error: errorRateWeight, InvalidResponse: invalidResponseWeight}[o.Status])
+		if e.errorRate >= ejectErrorRate && e.errorRate >= ejectFleetRatio*b.errorRate && b.mayEject() {
+			b.eject(now, e, "errors")
+		}
+	case Rejected:
+		e.rejectingUntil = now + seconds(r.class.baseLatency)
+	case ConnectFailed:
+		// A full connection table refuses as a dead process does, but its open calls go on.
+		if len(e.calls) > 0 || e.lastAnswer > r.sentAt {
+			e.rejectingUntil = now + b.settings.ConnectTimeout
+		} else {
+			b.eject(now, e, "connect failed")
+			b.fetchSoon(now)
+		}
+	case Reset:
+		e.connectionReset = true
+		b.eject(now, e, "connection reset")
+		b.fetchSoon(now)
+	case Timeout:
+		// Its answers alone would make a choked endpoint, that answers few in time, look well.
+		if r.class.meanLatency > 0 {
+			b.recordLatencyRatio(e, o.Elapsed.Seconds()/r.class.meanLatency)
+		}
+		fallthrough
+	case Cancelled:
+		b.recordPressure(now, r.class, o.Elapsed)
+	}
+	if r.trial && e.state == stateEjected {
+		b.backOffTrial(now, e)
+	}
+}
--- a/internal/decision/succession.go
+++ b/internal/decision/snapshot.go
@@ -1,8 +1,6 @@
 package decision
 
 import (
-	"fmt"
-	"math"
 	"time"
 )
 
@@ -69,13 +67,6 @@
 // learntMost bounds the endpoints whose figures are told. What a successor is not told it learns.
 const maxSnapshotEndpoints = 512
 
-// predecessor is what the process before this one has in flight.
-type predecessorCalls struct {
-	calls map[EndpointID]int
-	total int
-	until time.Duration // it is believed until then
-}
-
 // Learnt tells what this process has learnt.
 func (b *Balancer) Snapshot(now time.Duration) Snapshot {
 	rate := func(f *smoothedRate) RateSnapshot {
@@ -165,122 +156,11 @@
 	return paces
 }
 
-// hold sets what a bucket holds.
-func (b *tokenBucket) setLevel(now time.Duration, level float64) {
-	b.level, b.at = min(max(level, -b.capacity), b.capacity), now
-}
-
-// check names the first figure that cannot be.
-func (l *Snapshot) validate(classes []class) error {
-	if len(l.Classes) != len(classes) {
-		return fmt.Errorf("learnt: %d classes, here are %d", len(l.Classes), len(classes))
-	}
-	type figure struct {
-		key   string
-		value float64
-		most  float64
-	}
-	const huge = math.MaxFloat32
-	figures := []figure{{"errors", l.Errors, 1}, {"strays", l.MissingShare, 1},
-		{"budget", l.Budget, huge}, {"repeatSpent", l.RepeatSpent, huge}}
-	for i, c := range l.Classes {
-		if c.Name != classes[i].Name {
-			return fmt.Errorf("learnt: classes[%d] is %q, here it is %q", i, c.Name, classes[i].Name)
-		}
-		key, longest := fmt.Sprintf("classes[%d].", i), huge
-		if d := classes[i].Deadline; d > 0 {
-			longest = d.Seconds() // more would make all that comes look long waited for
-		}
-		figures = append(figures, figure{key + "windows", float64(c.Windows), huge}, figure{key + "mean", c.Mean, huge},
-			figure{key + "base", c.Base, huge}, figure{key + "usual", c.Usual, huge}, figure{key + "tail", c.Tail, huge},
-			figure{key + "maxLeft", c.MaxLeft.Seconds(), longest}, figure{key + "asked", c.Asked, huge},
-			figure{key + "good", c.Good, huge})
-		if c.Windows > 0 && !(c.Mean > 0 && c.Base > 0 && c.Usual > 0 && c.Tail > 0) {
-			return fmt.Errorf("learnt: %s a latency is not above 0", key)
-		}
-	}
-	for _, x := range []struct {
-		key string
-		RateSnapshot
-	}{{"rate", l.Rate}, {"spare", l.Spare}, {"served", l.Served}, {"asked", l.Asked}, {"warm", l.Warm}} {
-		figures = append(figures, figure{x.key + ".now", x.Now, huge}, figure{x.key + ".peak", x.Peak, huge})
-	}
-	addPace := func(key string, p MeanSnapshot) error {
-		figures = append(figures, figure{key + ".mean", p.Mean, huge}, figure{key + ".n", p.N, huge})
-		if p.N > 0 && !(p.Mean > 0) {
-			return fmt.Errorf("learnt: %s.mean is not above 0", key)
-		}
-		return nil
-	}
-	for _, list := range []struct {
-		key   string
-		paces []MeanSnapshot
-	}{{"kinds", l.Kinds}, {"services", l.Services}} {
-		for i, p := range list.paces {
-			if err := addPace(fmt.Sprintf("%s[%d]", list.key, i), p); err != nil {
-				return err
-			}
-		}
-	}
-	for i, e := range l.Endpoints {
-		key := fmt.Sprintf("endpoints[%d].", i)
-		if err := addPace(key+"pace", e.Pace); err != nil {
-			return err
-		}
-		if err := addPace(key+"service", e.Service); err != nil {
-			return err
-		}
-		figures = append(figures, figure{key + "errors", e.Errors, 1}, figure{key + "losses", e.Losses, 1},
-			figure{key + "ramped", e.Ramped.Seconds(), huge})
-	}
-	for i, s := range l.TenantTokens {
-		figures = append(figures, figure{fmt.Sprintf("shares[%d]", i), math.Abs(s), huge})
-	}
-	for _, f := range figures {
-		if !(f.value >= 0 && f.value <= f.most) {
-			return fmt.Errorf("learnt: %s: %v is not from 0 to %v", f.key, f.value, f.most)
-		}
-	}
-	return nil
-}
-
-// Calls tells how many calls this process has in flight at each endpoint that it may call, less those that it does
-// not expect to be answered.
-func (b *Balancer) InFlight() map[EndpointID]int {
-	calls := map[EndpointID]int{}
-	for _, e := range b.listed {
-		if n := len(e.calls) + e.uploads - e.overdueCalls; n > 0 && e.state != stateEjected {
-			calls[e.id] = n
-		}
-	}
-	return calls
-}
-
-// Beside takes what the process before has in flight. It counts as this one's until the next word of it, and no
-// longer than until the given time, as a process that dies says nothing.
-func (b *Balancer) SetPredecessorCalls(now time.Duration, calls map[EndpointID]int, until time.Duration) {
-	b.predecessor = predecessorCalls{calls: calls, until: until}
-	for id, n := range calls {
-		if b.byID[id] != nil {
-			b.predecessor.total += max(n, 0)
-		}
-	}
-	b.dispatch(now)
-	b.startTick()
-}
-
-// at is what it has in flight at an endpoint.
-func (p *predecessorCalls) at(now time.Duration, e *endpoint) int {
-	if now > p.until {
-		return 0
-	}
-	return max(p.calls[e.id], 0)
-}
-
-// all is what it has in flight at all endpoints.
-func (p *predecessorCalls) sum(now time.Duration) int {
-	if now > p.until {
-		return 0
+// heed takes what the process before an instance's has an endpoint open to.
+func (b *Balancer) restoreEndpointState(now time.Duration, e *endpoint, x EndpointSnapshot) {
+	if x.Isolated && b.mayEject() {
+		b.eject(now, e, "by the process before")
+	} else if x.Ramping && e.state == stateUsable {
+		b.startSlowStart(now, e, now-x.Ramped)
 	}
-	return p.total
 }
