--- a/internal/decision/api.go
+++ b/internal/decision/api.go
@@ -1,13 +1,3 @@
-// Package decision makes the decisions of a load balancer for services that
-// call services: which endpoint gets a call, when a call is tried again, held,
-// refused or failed, and how the endpoint list is followed.
-//
-// This file is the interface: the settings a Balancer is started with, the
-// values its events carry, and the actions it takes through a Host. All
-// decisions are in admit.go, pick.go, outcome.go and lists.go. The package
-// does no input or output, reads no clock and starts no goroutine: the program that embeds it hands over each
-// event with the time, counted from an arbitrary start, and carries out the
-// actions in the order they are asked for.
 package decision
 
 import (
@@ -24,30 +14,30 @@
 // Request is one client request as it arrives.
 type Request struct {
 	ID        RequestID
-	Class     int
-	Tenant    int
-	Remaining time.Duration // time until the client gives this try up
-	IsRetry   bool          // the client marks it as a repeat
-	IdleConns int           // callers' connections to this instance that stand idle beside its own
-	// Long says that most of it is still to come, and goes out as it does: Written tells of its end, and Left
-	// counts from there.
+	Class     int           // index in Settings.Classes
+	Tenant    int           // index in Settings.Tenants; another one is of no tenant
+	Remaining time.Duration // until the client gives up this attempt of its own
+	IsRetry   bool          // the client marks it as a retry
+	IdleConns int           // connections of callers to this instance that are idle, beside its own
+	// LongBody says that most of the body is still to come, and is sent as it arrives. RequestSent reports its
+	// end, and Remaining counts from there.
 	LongBody bool
 }
 
-// Status is how an attempt ended.
+// Status is how an attempt ended. Its String form is in logs and the laboratory's records.
 type Status int
 
 // The outcomes of an attempt.
 const (
 	OK              Status = iota
 	Error                  // answered with an error; may have run
-	Rejected               // turned away unseen
+	Rejected               // rejected unseen; never ran ("full")
 	Timeout                // no answer in time; may have run
 	ConnectFailed          // no connection in time; never ran
 	Reset                  // the connection broke; may have run
-	Cancelled              // withdrawn; may have run
-	NotSent                // never sent
-	InvalidResponse        // what came is of no use, or its connection alone broke; may have run
+	Cancelled              // withdrawn by the Balancer; may have run
+	NotSent                // never sent ("moot")
+	InvalidResponse        // the response cannot be used, or its connection alone broke; may have run ("spoilt")
 )
 
 // String is the status's name in a log.
@@ -75,12 +65,12 @@
 type Outcome struct {
 	ID            RequestID
 	Endpoint      EndpointID
-	Attempt       int
-	Final         bool // the request is finished, by this outcome or before it
+	Attempt       int  // number of the attempt of its request, from 0
+	Final         bool // the request has its final answer, by this outcome or before it
 	Elapsed       time.Duration
 	Status        Status
 	Load          *Load // nil without a report
-	NotReplayable bool  // the request cannot be sent again: what went out of it is not kept
+	NotReplayable bool  // the request cannot be sent again: the body that was sent is not kept
 }
 
 // State is an endpoint's state in the list.
@@ -89,7 +79,7 @@
 // The states of a listed endpoint.
 const (
 	Ready    State = iota
-	Draining       // finishing its work; send it nothing new
+	Draining       // finishes its calls; nothing new may be sent
 	Departed       // removed; only in deltas
 )
 
@@ -97,43 +87,78 @@
 type Entry struct {
 	Endpoint EndpointID
 	Zone     int
-	Kind     int
+	Kind     int // of machine
 	Cell     int
 	State    State
 	Weight   float64
 	Started  time.Duration // latest start, on the event clock; 0 for long past
 }
 
-// ListKind tells how a list is to be read.
+// ListKind says how a list is to be read.
 type ListKind int
 
 // The kinds of list.
 const (
 	DeltaList  ListKind = iota // only entries that changed
-	FullList                   // every endpoint there is
+	FullList                   // every endpoint
 	CachedList                 // every endpoint, as this instance last knew them
-	FailedList                 // the request for a list failed; the old one stands
+	FailedList                 // the list could not be had; the last one stands
 )
 
-// List is what discovery tells about the endpoints.
+// List is an update of the endpoint list.
 type List struct {
-	Kind            ListKind
-	Version         uint64
-	VersionsRestart bool // versions count from this one on: it is another discovery's, or one that has begun anew
+	Kind    ListKind
+	Version uint64
+	// VersionsRestart says that versions count from this one on: the list is of another discovery, or of one
+	// that has begun to count anew.
+	VersionsRestart bool
 	Entries         []Entry
 }
 
-// Host carries out a Balancer's actions. It is called only from within the
-// Balancer's event methods and must not call back into the Balancer.
+// The roles of a Host. Their methods are called only from within the Balancer's events, and must not call
+// back.
+type (
+	// Sender makes and cancels attempts.
+	Sender interface {
+		// Send makes an attempt. A timeout of 0 lasts until the client gives up. Within is the time by which the
+		// last byte must be sent, 0 for no bound; an attempt that cannot begin by then ends as NotSent.
+		Send(id RequestID, to EndpointID, timeout, within time.Duration)
+		// Cancel withdraws an attempt that is in flight; its outcome is still reported.
+		Cancel(id RequestID, attempt int)
+	}
+
+	// Answerer gives the final answers that are not an endpoint's.
+	Answerer interface {
+		// Refuse answers that the request was not served and that the client may safely retry it after a time.
+		Refuse(id RequestID, retryAfter time.Duration)
+		// Fail answers that the request failed, and promises nothing about retries.
+		Fail(id RequestID)
+	}
+
+	// ListSource asks discovery for the endpoint list; answers are reported to Targets.
+	ListSource interface {
+		// Watch begins (again) or ends to follow changes.
+		Watch(on bool)
+		// Fetch asks for the full list once.
+		Fetch()
+	}
+
+	// TimerSetter sets timers that are reported to Timer.
+	TimerSetter interface {
+		SetTimer(token uint64, after time.Duration)
+	}
+
+	// Logger takes notes for the operator.
+	Logger interface {
+		Log(text string)
+	}
+)
+
+// Host carries out a Balancer's actions.
 type Host interface {
-	// Send makes an attempt. Timeout 0 is until the client gives up. Within is how long its last byte may take
-	// to be out, 0 for no bound: what cannot begin so soon, as its connection comes up late, ends as Moot.
-	Send(id RequestID, to EndpointID, timeout, within time.Duration)
-	Refuse(id RequestID, retryAfter time.Duration) // final answer: try again, it is harmless
-	Fail(id RequestID)                             // final answer: failed, promising nothing
-	Cancel(id RequestID, attempt int)
-	SetTimer(token uint64, after time.Duration)
-	Watch(on bool)
-	Fetch()
-	Log(text string)
+	Sender
+	Answerer
+	ListSource
+	TimerSetter
+	Logger
 }
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// send makes an attempt.
+// send makes an attempt. Where the Balancer may not cancel, the attempt gets a time-out at the age from
+// which an endpoint counts as silent.
 func (b *Balancer) send(now time.Duration, r *request, e *endpoint, trial bool) {
 	r.current, r.sentAt, r.trial, r.answersAtSend, r.withdrawn = e, now, trial, b.answers, false
 	r.overtaken, r.overdue, r.missing = 0, false, false
@@ -32,7 +33,8 @@
 	b.host.Send(r.id, e.id, timeout, b.replayWindowLeft(now, r))
 }
 
-// enter counts a call as in flight. One whose body is long counts once the endpoint has it and can begin.
+// startCall counts a call as in flight. One with a long body counts once the endpoint has all of it and can
+// begin.
 func (b *Balancer) startCall(e *endpoint, r *request) {
 	if e.state != stateEjected {
 		b.inFlight++
@@ -41,7 +43,7 @@
 	b.updateSets(e)
 }
 
-// depart ends that.
+// endCall ends what startCall, or the upload of a long body, has counted.
 func (b *Balancer) endCall(e *endpoint, r *request) {
 	if r.uploading {
 		e.uploads--
@@ -54,7 +56,8 @@
 	b.updateSets(e)
 }
 
-// Written tells that the last byte of a long request is out: its time counts from here on.
+// RequestSent is the event of the last byte of a long body being sent: the remaining time and the
+// endpoint's latency count from here.
 func (b *Balancer) RequestSent(now time.Duration, id RequestID, left time.Duration) {
 	r := b.requests[id]
 	if r == nil || r.current == nil || !r.uploading {
@@ -67,7 +70,8 @@
 	b.startTick()
 }
 
-// Begun tells that a long answer has started: its endpoint has done its work, whatever the client's pace.
+// ResponseStarted is the event of a streamed response that has begun: the endpoint has done its work,
+// however slowly the client reads.
 func (b *Balancer) ResponseStarted(now time.Duration, id RequestID, attempt int, from EndpointID) {
 	r := b.requests[id]
 	if r == nil || r.responding || !r.isCurrent(attempt, from) {
@@ -79,6 +83,7 @@
 	b.dispatch(now)
 }
 
+// withdraw cancels the attempt in flight, once, where the site permits it and no response has begun.
 func (b *Balancer) withdraw(r *request) {
 	if b.settings.MayCancel && !r.withdrawn && !r.responding {
 		r.withdrawn = true
--- a/internal/decision/endpoint_index.go
+++ b/internal/decision/endpoint_index.go
@@ -5,123 +5,130 @@
 	"slices"
 )
 
-// This file holds which endpoints there are, and sets of those that a decision has to look at; it decides nothing.
-// With two thousand listed, of which an instance calls a few, a tick that looked at all of them cost most of its time.
-
-// roster is the endpoints that an instance knows. All sets are of listed ones, in the order of their ids: to go over
-// one is to go over the list and pass over the others.
+// endpointIndex holds the known endpoints and the sets that decisions go over, so that a tick over a list of
+// thousands looks only at the few that matter. All sets but departed are of listed endpoints, in the order of
+// their ids: going over one is the same as going over the list and skipping the others.
 type endpointIndex struct {
-	byID           map[EndpointID]*endpoint
-	listed         []*endpoint
-	departed       []*endpoint // no longer listed, and still remembered; in no order
-	subset         []*endpoint // in this instance's subset
-	busy           []*endpoint // with own calls in flight
-	inSlowStart    []*endpoint // ramping
-	ejected        []*endpoint // isolated
-	overdue        []*endpoint // with calls in flight that they will hardly answer, as of the last tick
-	usableCount    int         // usable
-	weightsChanged bool        // who is listed, or a weight, has changed since they were weighed
-	subsetStale    bool        // marks, the list or this instance's needs have changed since the subset was counted
+	byID        map[EndpointID]*endpoint
+	listed      []*endpoint
+	departed    []*endpoint // no longer listed, but still remembered; in no order
+	subset      []*endpoint // in this instance's subset
+	busy        []*endpoint // with own calls in flight
+	inSlowStart []*endpoint
+	ejected     []*endpoint
+	overdue     []*endpoint // with overdue calls, as of the last tick
+	usableCount int         // listed endpoints that are usable
+
+	weightsChanged bool // the listed endpoints, or a weight, have changed since checkWeights
+	subsetStale    bool // states, the list or the demand have changed since updateSubset
 }
 
+// compareIDs orders endpoints by id.
 func compareIDs(x, y *endpoint) int { return cmp.Compare(x.id, y.id) }
 
+// sortByID sorts endpoints by id.
 func sortByID(set []*endpoint) { slices.SortFunc(set, compareIDs) }
 
-// keep has a set hold an endpoint, or not.
-func setMembership(set *[]*endpoint, e *endpoint, in bool) {
+// setMembership adds an endpoint to a set, or removes it.
+func setMembership(set *[]*endpoint, e *endpoint, isMember bool) {
 	switch at, has := slices.BinarySearchFunc(*set, e, compareIDs); {
-	case in && !has:
+	case isMember && !has:
 		*set = slices.Insert(*set, at, e)
-	case !in && has:
+	case !isMember && has:
 		*set = slices.Delete(*set, at, at+1)
 	}
 }
 
-// turn changes an endpoint's mark.
-func (r *endpointIndex) setState(e *endpoint, to endpointState) {
+// setState changes an endpoint's state, and the sets with it.
+func (x *endpointIndex) setState(e *endpoint, to endpointState) {
 	if e.state == to {
 		return
 	}
 	if e.indexed {
-		r.countUsable(e, -1)
+		x.countUsable(e, -1)
 	}
 	e.state, e.peerTrialBackoff = to, 0
 	if e.indexed {
-		r.countUsable(e, 1)
+		x.countUsable(e, 1)
 	}
-	r.updateSets(e)
-	r.subsetStale = true
+	x.updateSets(e)
+	x.subsetStale = true
 }
 
-// sum counts a listed endpoint in, or out.
-func (r *endpointIndex) countUsable(e *endpoint, n int) {
+// countUsable adds n to the number of usable endpoints if this is one.
+func (x *endpointIndex) countUsable(e *endpoint, n int) {
 	if e.state == stateUsable {
-		r.usableCount += n
+		x.usableCount += n
 	}
 }
 
-// note has the sets tell of an endpoint's mark and calls as they are now.
-func (r *endpointIndex) updateSets(e *endpoint) {
-	setMembership(&r.busy, e, e.indexed && len(e.calls) > 0)
-	setMembership(&r.inSlowStart, e, e.indexed && e.state == stateSlowStart)
-	setMembership(&r.ejected, e, e.indexed && e.state == stateEjected)
+// updateSets updates the sets by an endpoint's state and calls.
+func (x *endpointIndex) updateSets(e *endpoint) {
+	setMembership(&x.busy, e, e.indexed && len(e.calls) > 0)
+	setMembership(&x.inSlowStart, e, e.indexed && e.state == stateSlowStart)
+	setMembership(&x.ejected, e, e.indexed && e.state == stateEjected)
 }
 
-// relist takes in who is listed now, after the entries of a list were noted, and tells who no longer is.
-func (r *endpointIndex) relist(l List) (left []*endpoint) {
-	r.subsetStale = true
-	list := func(e *endpoint, in bool) {
-		if e.indexed != in {
-			e.indexed = in
-			r.countUsable(e, map[bool]int{false: -1, true: 1}[in])
-			r.updateSets(e)
-			r.weightsChanged = true
-			if !in {
-				left = append(left, e)
-			}
+// relist takes in which endpoints are listed, after the entries of a list were applied to the endpoints, and returns
+// those that no longer are.
+func (x *endpointIndex) relist(l List) (removed []*endpoint) {
+	x.subsetStale = true
+	if l.Kind == DeltaList {
+		for _, entry := range l.Entries {
+			e := x.byID[entry.Endpoint]
+			setMembership(&x.listed, e, e.listed)
+			removed = x.setListed(e, e.listed, removed)
 		}
-		if in == e.departed { // it is back, has gone, or was never there
-			if e.departed = !in; e.departed {
-				r.departed = append(r.departed, e)
-			} else {
-				r.departed = slices.DeleteFunc(r.departed, func(x *endpoint) bool { return x == e })
-			}
+		return removed
+	}
+	old := x.listed
+	x.listed = make([]*endpoint, 0, len(l.Entries))
+	for _, e := range old {
+		if !e.listed {
+			removed = x.setListed(e, false, removed)
 		}
 	}
-	if l.Kind == DeltaList {
-		for _, x := range l.Entries {
-			e := r.byID[x.Endpoint]
-			setMembership(&r.listed, e, e.listed)
-			list(e, e.listed)
+	for _, entry := range l.Entries {
+		e := x.byID[entry.Endpoint]
+		if removed = x.setListed(e, e.listed, removed); e.listed {
+			x.listed = append(x.listed, e)
 		}
-	} else {
-		old := r.listed
-		r.listed = make([]*endpoint, 0, len(l.Entries))
-		for _, e := range old {
-			if !e.listed {
-				list(e, false)
-			}
+	}
+	sortByID(x.listed)
+	x.listed = slices.Compact(x.listed)
+	return removed
+}
+
+// setListed takes in whether one endpoint is listed. It returns removed, with the endpoint if it no longer is.
+func (x *endpointIndex) setListed(e *endpoint, isListed bool, removed []*endpoint) []*endpoint {
+	if e.indexed != isListed {
+		e.indexed = isListed
+		n := 1
+		if !isListed {
+			n = -1
+			removed = append(removed, e)
 		}
-		for _, x := range l.Entries {
-			e := r.byID[x.Endpoint]
-			if list(e, e.listed); e.listed {
-				r.listed = append(r.listed, e)
-			}
+		x.countUsable(e, n)
+		x.updateSets(e)
+		x.weightsChanged = true
+	}
+	if isListed == e.departed { // it has come back, has departed, or was never listed
+		if e.departed = !isListed; e.departed {
+			x.departed = append(x.departed, e)
+		} else {
+			x.departed = slices.DeleteFunc(x.departed, func(other *endpoint) bool { return other == e })
 		}
-		sortByID(r.listed)
-		r.listed = slices.Compact(r.listed)
 	}
-	return left
+	return removed
 }
 
-// forget forgets those that have gone of which nothing is to be remembered.
-func (r *endpointIndex) forget(may func(*endpoint) bool) {
-	r.departed = slices.DeleteFunc(r.departed, func(e *endpoint) bool {
-		if !may(e) {
+// forget drops departed endpoints for which a condition holds.
+func (x *endpointIndex) forget(mayForget func(*endpoint) bool) {
+	x.departed = slices.DeleteFunc(x.departed, func(e *endpoint) bool {
+		if !mayForget(e) {
 			return false
 		}
-		delete(r.byID, e.id)
+		delete(x.byID, e.id)
 		return true
 	})
 }
--- a/internal/decision/endpoint_list.go
+++ b/internal/decision/endpoint_list.go
@@ -1,5 +1,3 @@
-// How the list of endpoints is followed.
-
 package decision
 
 import (
@@ -7,14 +5,15 @@
 	"time"
 )
 
-// Targets takes news of the endpoint list.
+// Targets is the event of an update of the endpoint list, or of a failure to get one. A list that is older
+// than the last one taken is ignored: an endpoint that has left would come back.
 func (b *Balancer) Targets(now time.Duration, l List) {
 	if l.Kind == FailedList {
 		b.scheduleWatch(now)
 		return
 	}
 	if l.Version < b.listVersion && !l.VersionsRestart {
-		return // older than what is known: an endpoint that has left would come back
+		return
 	}
 	b.listVersion = l.Version
 	if b.tenants == nil {
@@ -31,10 +30,10 @@
 	for _, e := range b.relist(l) {
 		b.startDraining(now, e)
 	}
-	// Until it is warm, and its calls have ended, one that comes back is still the same.
-	crowd := len(b.byID) > maxDepartedEndpoints+2*len(b.listed)
+	// An endpoint that comes back before its warm-up is over or its calls have ended is still the same.
+	isCrowded := len(b.byID) > maxDepartedEndpoints+2*len(b.listed)
 	b.forget(func(e *endpoint) bool {
-		return len(e.calls)+e.uploads == 0 && (crowd || now-e.drainingSince >= b.settings.WarmUp)
+		return len(e.calls)+e.uploads == 0 && (isCrowded || now-e.drainingSince >= b.settings.WarmUp)
 	})
 	if l.Kind == CachedList {
 		b.scheduleWatch(now)
@@ -45,28 +44,33 @@
 	b.startTick()
 }
 
-// rewatch subscribes after a pause that grows with each failure, spread; a call that hung has used it up.
+// scheduleWatch watches the list again after a pause that doubles with each failure, with jitter, where
+// discovery must be asked. The pause counts from the start of the last watch, so a call that hung has used
+// it up.
 func (b *Balancer) scheduleWatch(now time.Duration) {
 	if !b.settings.PullDiscovery || b.watchScheduled {
 		return
 	}
 	b.watchScheduled = true
-	first := max(seconds(min(watchBackoffShare*b.settings.DiscoveryInterval.Seconds(), watchBackoffMaxSeconds/3)), b.tick)
-	b.watchBackoff = min(max(2*b.watchBackoff, first), max(min(b.settings.DiscoveryInterval, seconds(watchBackoffMaxSeconds)), first))
-	b.host.SetTimer(tokenWatch, max(b.watchBackoff+b.watchStartedAt-now, first)-seconds(first.Seconds()*b.rng.Float64()))
+	interval := b.settings.DiscoveryInterval
+	first := max(seconds(min(watchBackoffShare*interval.Seconds(), watchBackoffMaxSeconds/3)), b.tick)
+	longest := max(min(interval, seconds(watchBackoffMaxSeconds)), first)
+	b.watchBackoff = min(max(2*b.watchBackoff, first), longest)
+	pause := max(b.watchBackoff+b.watchStartedAt-now, first)
+	b.host.SetTimer(tokenWatch, pause-seconds(first.Seconds()*b.rng.Float64()))
 }
 
-// refresh asks for a fresh list after a broken connection, at a pace.
+// fetchSoon fetches the list after a broken connection, at most once in an interval.
 func (b *Balancer) fetchSoon(now time.Duration) {
 	if now < b.nextFetchAt {
 		return
 	}
-	pace := cmp.Or(b.settings.DiscoveryInterval, max(b.settings.WarmUp, b.rateWindow))
-	b.nextFetchAt = now + b.jitter(seconds(fetchIntervalShare*pace.Seconds()))
+	interval := cmp.Or(b.settings.DiscoveryInterval, max(b.settings.WarmUp, b.rateWindow))
+	b.nextFetchAt = now + b.jitter(seconds(fetchIntervalShare*interval.Seconds()))
 	b.host.Fetch()
 }
 
-// entry takes one line of a list.
+// applyEntry updates one endpoint by its line of a list.
 func (b *Balancer) applyEntry(now time.Duration, l List, x Entry) {
 	e := b.byID[x.Endpoint]
 	if e == nil {
@@ -90,13 +94,15 @@
 		b.setState(e, stateUsable)
 		b.eject(now, e, "as before it left")
 	case len(b.listed) == 0 && (e.started == 0 || now-e.started >= b.settings.WarmUp):
-		b.setState(e, stateUsable) // of the first list: were all to ramp, none would be there to measure them by
+		// The first list: with all endpoints in slow start none would be left to measure them by.
+		b.setState(e, stateUsable)
 	default:
 		b.startSlowStart(now, e, b.slowStartOrigin(now, e))
 	}
 }
 
-// leave marks an endpoint that drains or is gone: nothing new goes there, what runs may end.
+// startDraining marks an endpoint that drains or has departed: it gets no new calls, and those in flight go
+// on.
 func (b *Balancer) startDraining(now time.Duration, e *endpoint) {
 	if e.state != stateDraining {
 		e.wasEjected, e.drainingSince = e.state == stateEjected, now
--- a/internal/decision/evidence.go
+++ b/internal/decision/evidence.go
@@ -4,27 +4,23 @@
 	"time"
 )
 
-// This file holds what an instance tells others of endpoints, and takes from them. Which word of others counts is
-// decided elsewhere (package replica); here it can do no more than hasten a mark that own calls would come to.
-
-// Evidence is what an instance knows of an endpoint by its own calls.
+// Evidence is what an instance knows of an endpoint by its own calls. Instances exchange it
+// (internal/fleet/replication); which evidence of others counts is decided there.
 type Evidence struct {
 	Endpoint EndpointID
-	Ejected  bool          // it is isolated; otherwise it answered well
-	Age      time.Duration // of the last answer of any kind, where it is not bad
+	Ejected  bool          // it is ejected; else it has answered well
+	Age      time.Duration // of the last answer of any kind, where it is not ejected
 }
 
-// Advice is an endpoint that others have isolated.
+// PeerEjection is an endpoint that other instances have ejected, by the evidence that the fleet accepts.
 type PeerEjection struct {
 	Endpoint EndpointID
 	Age      time.Duration // of the evidence
 }
 
-// evidenceFor is how long a good answer is evidence.
-const evidenceMaxAge = 5 * time.Second
-
-// Evidence is what this instance's own calls have shown lately: the endpoints that it has isolated by itself, and of
-// those named the ones that answered well. An isolation on the word of others is none, until a trial of it failed.
+// Evidence returns what this instance's own calls have shown lately: the endpoints that it has ejected by
+// itself and, of those named, the ones that answered well. An ejection by other instances' evidence counts
+// only once an own trial call has failed.
 func (b *Balancer) Evidence(now time.Duration, named []EndpointID) (all []Evidence) {
 	for _, e := range b.ejected {
 		if e.peerTrialBackoff == 0 || e.trialBackoff != e.peerTrialBackoff {
@@ -33,7 +29,10 @@
 	}
 	for _, id := range named {
 		e := b.byID[id]
-		if e == nil || !e.indexed || e.state > stateSlowStart || e.lastAnswer == 0 || e.errorRate >= ejectErrorRate/2 {
+		if e == nil || !e.indexed || e.state > stateSlowStart {
+			continue
+		}
+		if e.lastAnswer == 0 || e.errorRate >= ejectErrorRate/2 {
 			continue
 		}
 		if age := now - e.lastAnswer; age <= evidenceMaxAge {
@@ -43,26 +42,30 @@
 	return all
 }
 
-// Advise takes the word of others, and tells how much of it changed anything. Own evidence decides: an endpoint that
-// has answered this instance since is not marked, nor one that it does not call, as it would get no trial; the share of
-// the list that may be isolated holds, and it gets its trials as any isolated one. That others are answered brings no
-// trial forward: all instances' trials at once pushed servers over that had just returned cold (docs/REPLICATION.md).
-func (b *Balancer) ApplyPeerEjections(now time.Duration, advice []PeerEjection) (heeded int) {
-	if b.subsetStale && len(advice) > 0 {
-		b.updateSubset() // who has had no request yet has no subset
+// ApplyPeerEjections ejects endpoints by the evidence of other instances, and returns how many it has
+// ejected. It only hastens what own calls would come to: an endpoint that has answered here since is not
+// ejected, nor one outside of the subset, which would get no trial call; the bound on ejected endpoints
+// holds, and trial calls follow as for any other. Good answers elsewhere bring no trial call forward: all
+// instances' trials at once pushed over endpoints that had just returned cold (docs/REPLICATION.md).
+func (b *Balancer) ApplyPeerEjections(now time.Duration, ejections []PeerEjection) (ejected int) {
+	if b.subsetStale && len(ejections) > 0 {
+		b.updateSubset() // an instance without a request so far has none
 	}
-	for _, a := range advice {
-		e := b.byID[a.Endpoint]
-		if e == nil || e.subsetWeight == 0 || e.state > stateSlowStart || e.lastAnswer >= now-a.Age || !b.mayEject() {
+	for _, x := range ejections {
+		e := b.byID[x.Endpoint]
+		if e == nil || e.subsetWeight == 0 || e.state > stateSlowStart {
+			continue
+		}
+		if e.lastAnswer >= now-x.Age || !b.mayEject() {
 			continue
 		}
 		b.eject(now, e, "by the word of others")
 		e.peerTrialBackoff = e.trialBackoff
-		heeded++
+		ejected++
 	}
-	if heeded > 0 {
+	if ejected > 0 {
 		b.dispatch(now)
 		b.startTick()
 	}
-	return heeded
+	return ejected
 }
--- a/internal/decision/limits.go
+++ b/internal/decision/limits.go
@@ -5,42 +5,55 @@
 	"time"
 )
 
-// refit sets the limit on calls in flight: those answered at base latency at the best rate of late, and a
-// queue. It has a floor, for calls that got stuck would else lower rate and limit in turn, without end.
+// updateInFlightLimit sets the limit on calls in flight: the calls that are answered at base latency at the
+// best recent rate, and a queue at the endpoints. It has a floor: stuck calls would else lower the answer
+// rate and with it the limit in turn, without end. It also refills the credit of paced sends.
 func (b *Balancer) updateInFlightLimit(now time.Duration) {
 	b.sendCredit = min(b.sendCredit+b.sendRate*(now-b.sendCreditAt).Seconds(), max(pacingBurst, b.sendRate/2))
 	b.sendCreditAt = now
-	able := b.usableCapacity(now)
-	calls := minCallsPerEndpoint
+	capacity := b.usableCapacity(now)
+	minCalls := minCallsPerEndpoint
 	if !b.hasBaseLatency() {
-		calls = startCallsPerEndpoint
+		minCalls = startCallsPerEndpoint
 	}
-	base := able * b.baseLoad.peak(now, b.rateWindow)
+	base := capacity * b.baseLoad.peak(now, b.rateWindow)
 	if now-b.subsetSizedAt > b.rateWindow {
 		b.demandedSubset, b.subsetSizedAt, b.subsetStale = subsetPerCall*base, now, true
 	}
-	queue := queuePerEndpoint * able * float64(max(b.settings.Tiers-b.settings.Stage, 1)) / float64(b.settings.Instances)
-	queue = min(queue, maxQueueShare*base, able*b.slackLoad.peak(now, b.rateWindow))
-	b.inFlightLimit = limitSlack + max(base+queue, calls*able/float64(b.settings.Instances))
+	instances := float64(b.settings.Instances)
+	tiers := float64(max(b.settings.Tiers-b.settings.Stage, 1))
+	queue := queuePerEndpoint * capacity * tiers / instances
+	queue = min(queue, maxQueueShare*base, capacity*b.slackLoad.peak(now, b.rateWindow))
+	b.inFlightLimit = limitSlack + max(base+queue, minCalls*capacity/instances)
 }
 
-// room tells whether an endpoint may get one more call.
+// hasCapacity reports whether an endpoint may get one more call by its part of the limit, its slow start
+// and its rejections.
 func (b *Balancer) hasCapacity(now time.Duration, e *endpoint) bool {
 	if e.rejectingUntil > now || e.state == stateSlowStart && !b.hasSlowStartToken(now, e) {
 		return false
 	}
-	// A cold endpoint with a warm one's calls in flight would answer none of them in time.
-	most := (endpointLimitFactor*b.inFlightLimit/max(b.subsetSize, 1)/b.relativeLatency(e) + limitSlack) * b.capacityShare(now, e)
-	return float64(b.callsAt(now, e)-e.overdueCalls) < max(most, limitSlack)
+	// Where it is warming up its limit is lower: with a warm endpoint's calls it would answer none of them in
+	// time.
+	limit := endpointLimitFactor*b.inFlightLimit/max(b.subsetSize, 1)/b.relativeLatency(e) + limitSlack
+	limit *= b.capacityShare(now, e)
+	return float64(b.callsAt(now, e)-e.overdueCalls) < max(limit, limitSlack)
 }
 
-// load is the number of own calls in flight, the process before's too.
+// countedInFlight is the number of calls that count in the limit: those in flight, with the preceding
+// process's, without those that are overdue.
+func (b *Balancer) countedInFlight(now time.Duration) float64 {
+	return float64(b.inFlight - b.overdueCalls + b.predecessor.sum(now))
+}
+
+// callsAt is the number of calls in flight at an endpoint, with those of the preceding process.
 func (b *Balancer) callsAt(now time.Duration, e *endpoint) int {
 	return len(e.calls) + e.uploads + b.predecessor.at(now, e)
 }
 
-// able is how many whole endpoints are in service. Rates are kept for each, so that the limit falls at once
-// when some leave: what all could bear would choke the few that are left.
+// usableCapacity is the number of endpoints in service, those in slow start counted by their share of
+// capacity. Rates are kept for each of them, so that the limit falls at once when some leave: what all
+// could bear would overload the few that are left.
 func (b *Balancer) usableCapacity(now time.Duration) float64 {
 	n := float64(b.usableCount)
 	for _, e := range b.inSlowStart {
@@ -49,32 +62,34 @@
 	return max(n, 1)
 }
 
-// settled tells whether the base latencies rest on enough to set limits by.
+// hasBaseLatency reports whether any class has seen enough answers for a limit by base latencies.
 func (b *Balancer) hasBaseLatency() bool {
 	return slices.ContainsFunc(b.classes, func(c class) bool { return c.windows > baseSkippedWindows })
 }
 
-// press takes what a call took into the strain, and moves the pace of calls by it where instances outnumber
-// endpoints: there each has a call or two in flight, and no limit on their number keeps a tier from filling
-// up. It goes by clients' requests only: what the tiers above have worked on is not refused below.
+// recordPressure takes the latency of a call into the latency pressure and adapts the send rate to it where
+// instances outnumber endpoints: there each has a call or two in flight, and no limit on their number keeps
+// the tier from filling up. Only the first tier does so: requests that the tiers above have worked on are
+// not rejected below.
 func (b *Balancer) recordPressure(now time.Duration, c *class, took time.Duration) {
-	due := min(pressureUsualFactor*c.usualLatency, pressureTargetShare*c.LatencyTarget.Seconds())
-	if due <= 0 || b.settings.Stage > 0 {
+	expected := min(pressureUsualFactor*c.usualLatency, pressureTargetShare*c.LatencyTarget.Seconds())
+	if expected <= 0 || b.settings.Stage > 0 {
 		return
 	}
 	dt := (now - b.pressureAt).Seconds()
 	weight := min(pressureMaxWeight, dt/(pressureTargets*c.LatencyTarget.Seconds()))
-	b.latencyPressure += weight * (min(took.Seconds()/due, pressureMaxSample) - b.latencyPressure)
+	b.latencyPressure += weight * (min(took.Seconds()/expected, pressureMaxSample) - b.latencyPressure)
 	b.pressureAt = now
 	if b.settings.Instances <= len(b.listed) {
-		b.isPaced = false // instances were more when it began
+		b.isPaced = false // instances outnumbered the endpoints when it began
 		return
 	}
-	most := pacingStartFactor * b.requestRate.peak(now, b.rateWindow)
+	startRate := pacingStartFactor * b.requestRate.peak(now, b.rateWindow)
 	if !b.isPaced {
-		b.isPaced, b.sendRate, b.sendCredit, b.sendCreditAt = b.latencyPressure > 1, most, pacingBurst, now
+		b.isPaced, b.sendRate, b.sendCredit, b.sendCreditAt = b.latencyPressure > 1, startRate, pacingBurst, now
 	} else {
-		b.sendRate = max(b.sendRate*(1-pacingGain*min(b.latencyPressure-1, 1)*min(dt, 1)), pacingMinFactor*most)
+		reduction := pacingGain * min(b.latencyPressure-1, 1) * min(dt, 1)
+		b.sendRate = max(b.sendRate*(1-reduction), pacingMinFactor*startRate)
 		b.isPaced = b.latencyPressure > 1
 	}
 }
--- a/internal/decision/outcomes.go
+++ b/internal/decision/outcomes.go
@@ -1,16 +1,15 @@
-// What is made of outcomes and of silence, and whether a call is sent again.
-
 package decision
 
 import (
 	"time"
 )
 
-// Outcome takes the end of an attempt.
+// Outcome is the event of an attempt's end. One that is not the attempt in flight is ignored: it was
+// reported twice, or after a further attempt had begun.
 func (b *Balancer) Outcome(now time.Duration, o Outcome) {
 	r := b.requests[o.ID]
 	if r == nil || !r.isCurrent(o.Attempt, o.Endpoint) {
-		return // told twice, or late: another attempt may be out, and is still to end
+		return
 	}
 	e := r.current
 	if !r.responding {
@@ -33,7 +32,7 @@
 	b.startTick()
 }
 
-// judge learns from an outcome about its endpoint and the fleet.
+// recordOutcome updates the statistics and the state of an endpoint by the outcome of one attempt.
 func (b *Balancer) recordOutcome(now time.Duration, r *request, e *endpoint, o Outcome) {
 	switch o.Status {
 	case OK, Error, Rejected, Reset, InvalidResponse:
@@ -45,7 +44,7 @@
 		b.recordOvertaken(r)
 		e.lossRate -= lossRateWeight * e.lossRate
 		if r.overdue {
-			b.missingShare -= missingShareWeight * b.missingShare // it was slow
+			b.missingShare -= missingShareWeight * b.missingShare // slow, but not missing
 		}
 		b.recordLatency(now, r, e, o.Elapsed)
 		b.recordPressure(now, r.class, o.Elapsed)
@@ -59,14 +58,18 @@
 		}
 		return
 	case Error, InvalidResponse:
-		b.recordError(e, 1, map[Status]float64{Error: errorRateWeight, InvalidResponse: invalidResponseWeight}[o.Status])
+		weight := errorRateWeight
+		if o.Status == InvalidResponse {
+			weight = invalidResponseWeight
+		}
+		b.recordError(e, 1, weight)
 		if e.errorRate >= ejectErrorRate && e.errorRate >= ejectFleetRatio*b.errorRate && b.mayEject() {
 			b.eject(now, e, "errors")
 		}
 	case Rejected:
 		e.rejectingUntil = now + seconds(r.class.baseLatency)
 	case ConnectFailed:
-		// A full connection table refuses as a dead process does, but its open calls go on.
+		// A full connection table refuses connections as a dead process does, but its open calls go on.
 		if len(e.calls) > 0 || e.lastAnswer > r.sentAt {
 			e.rejectingUntil = now + b.settings.ConnectTimeout
 		} else {
@@ -78,7 +81,7 @@
 		b.eject(now, e, "connection reset")
 		b.fetchSoon(now)
 	case Timeout:
-		// Its answers alone would make a choked endpoint, that answers few in time, look well.
+		// By its answers alone, an overloaded endpoint that answers few calls in time would look fast.
 		if r.class.meanLatency > 0 {
 			b.recordLatencyRatio(e, o.Elapsed.Seconds()/r.class.meanLatency)
 		}
--- a/internal/decision/overdue.go
+++ b/internal/decision/overdue.go
@@ -4,11 +4,11 @@
 	"time"
 )
 
-// overtake notes that a call was answered before others that were sent earlier.
-func (b *Balancer) recordOvertaken(by *request) {
+// recordOvertaken counts, at each call that was sent earlier, that a later one has been answered before it.
+func (b *Balancer) recordOvertaken(answered *request) {
 	for _, e := range b.busy {
 		for _, r := range e.calls {
-			if r.sentAt >= by.sentAt {
+			if r.sentAt >= answered.sentAt {
 				break
 			}
 			r.overtaken++
@@ -16,26 +16,28 @@
 	}
 }
 
-// miss looks for calls that an endpoint has lost, though it answers others: out for longer than hardly any,
-// and overtaken. They are sent again while there is time, and do not use up the limit: the limit falls as
-// answers fail to come. That serves for lost answers, mute connections and stuck tiers below alike. Where all
-// turn slow at once, some slow calls run twice.
+// withdrawOverdue finds the calls that an endpoint has lost though it answers others: they are older than
+// nearly all calls get, and were overtaken. They are sent again while there is time, and do not count in
+// the limit on calls in flight, which falls by itself as answers fail to come. This serves for lost
+// answers, connections that are cut without notice and stuck tiers below alike. Where a whole tier becomes
+// slow at once, some slow calls run twice.
 func (b *Balancer) withdrawOverdue(now time.Duration, e *endpoint) {
 	for _, r := range e.calls {
-		age, long := now-r.sentAt, r.class.tailRatio*r.class.meanLatency
-		if r.overtaken < silenceOtherAnswers || age <= seconds(overdueStuckTails*long) {
+		age, tail := now-r.sentAt, r.class.tailRatio*r.class.meanLatency
+		if r.overtaken < silenceOtherAnswers || age <= seconds(overdueStuckTails*tail) {
 			continue
 		}
 		e.overdueCalls++
-		if !r.overdue && age > seconds(overdueLostTails*long) {
+		if !r.overdue && age > seconds(overdueLostTails*tail) {
 			r.overdue = true
 			e.lossRate += lossRateWeight * (1 - e.lossRate)
 		}
-		if !r.missing && age > seconds(overdueMissingTails*long) {
+		if !r.missing && age > seconds(overdueMissingTails*tail) {
 			r.missing = true
 			b.missingShare += missingShareWeight * (1 - b.missingShare)
 		}
-		if (r.overdue && e.lossRate > lossRateThreshold || r.missing && b.missingShare > missingShareThreshold) && b.canWithdrawAndRetry(now, r) {
+		isLost := r.overdue && e.lossRate > lossRateThreshold || r.missing && b.missingShare > missingShareThreshold
+		if isLost && b.canWithdrawAndRetry(now, r) {
 			b.withdraw(r)
 		}
 	}
@@ -47,7 +49,8 @@
 	}
 }
 
-// retriable tells whether a call that is out can be withdrawn and sent again in time; a long one is not kept.
+// canWithdrawAndRetry reports whether a call in flight can be withdrawn and sent again in time. A long body
+// is not kept, so it cannot.
 func (b *Balancer) canWithdrawAndRetry(now time.Duration, r *request) bool {
 	return !r.final && !r.longBody && r.class.Effect != Unsafe && b.retryTokens >= 1 &&
 		now+seconds(r.class.baseLatency) < r.targetAt && r.attempts < b.settings.MaxAttempts
--- a/internal/decision/predecessor.go
+++ b/internal/decision/predecessor.go
@@ -4,15 +4,15 @@
 	"time"
 )
 
-// predecessor is what the process before this one has in flight.
+// predecessorCalls are the calls that the preceding process of this instance still has in flight.
 type predecessorCalls struct {
 	calls map[EndpointID]int
 	total int
 	until time.Duration // it is believed until then
 }
 
-// Calls tells how many calls this process has in flight at each endpoint that it may call, less those that it does
-// not expect to be answered.
+// InFlight is the number of calls in flight at each endpoint that may be called, without those that are
+// overdue: what a process that ends tells its successor.
 func (b *Balancer) InFlight() map[EndpointID]int {
 	calls := map[EndpointID]int{}
 	for _, e := range b.listed {
@@ -23,8 +23,9 @@
 	return calls
 }
 
-// Beside takes what the process before has in flight. It counts as this one's until the next word of it, and no
-// longer than until the given time, as a process that dies says nothing.
+// SetPredecessorCalls takes the calls that the preceding process has in flight. They count as this
+// process's own until the next update, but no longer than until the given time: a process that is killed
+// sends no more updates.
 func (b *Balancer) SetPredecessorCalls(now time.Duration, calls map[EndpointID]int, until time.Duration) {
 	b.predecessor = predecessorCalls{calls: calls, until: until}
 	for id, n := range calls {
@@ -36,7 +37,7 @@
 	b.startTick()
 }
 
-// at is what it has in flight at an endpoint.
+// at is the number of its calls at an endpoint.
 func (p *predecessorCalls) at(now time.Duration, e *endpoint) int {
 	if now > p.until {
 		return 0
@@ -44,7 +45,7 @@
 	return max(p.calls[e.id], 0)
 }
 
-// all is what it has in flight at all endpoints.
+// sum is the number of its calls at all endpoints.
 func (p *predecessorCalls) sum(now time.Duration) int {
 	if now > p.until {
 		return 0
--- a/internal/decision/queue.go
+++ b/internal/decision/queue.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// hold puts a request among those waiting for an endpoint.
+// enqueue adds a request to those that wait for an endpoint.
 func (b *Balancer) enqueue(r *request) {
 	r.queued = true
 	b.queue = append(b.queue, r)
 }
 
-// place sends held requests, the most worth first, while there is room.
+// dispatch sends queued requests, the most valuable first, while the limits allow it, and then sheds what
+// cannot be served.
 func (b *Balancer) dispatch(now time.Duration) {
 	b.updateInFlightLimit(now)
 	if b.subsetStale && len(b.queue) > 0 {
@@ -21,13 +22,13 @@
 		b.updateMarginalValues()
 	}
 	for len(b.queue) > 0 {
-		if float64(b.inFlight-b.overdueCalls+b.predecessor.sum(now)) >= b.inFlightLimit || b.isPaced && b.sendCredit < 1 {
+		if b.countedInFlight(now) >= b.inFlightLimit || b.isPaced && b.sendCredit < 1 {
 			break
 		}
 		first := b.next(now)
 		at := first
 		e, trial := b.pick(now, b.queue[at])
-		// The first in line may be bound or barred by its last attempt, and another one not.
+		// The first one may be restricted by its earlier attempts, and another one not.
 		for i := 0; e == nil && b.queue[first].attempts > 0 && i < len(b.queue); i++ {
 			at = i
 			e, trial = b.pick(now, b.queue[i])
@@ -42,15 +43,13 @@
 	b.shedLoad(now)
 }
 
+// dequeue removes the request at an index of the queue.
 func (b *Balancer) dequeue(i int) {
 	b.queue[i].queued = false
 	b.queue = slices.Delete(b.queue, i, i+1)
 }
 
-// next is the held request to place first: one that can still meet its aim before one that cannot, one
-// within its tenant's share before one beyond, one of a class that adds more to what the site counts, then
-// the one that must be sent first to meet its aim. Where repeats hide what they have spent it is the newest:
-// the one at the edge of its aim, as far as can be seen, may long be past it.
+// next is the index of the queued request to send first, by isDispatchedBefore.
 func (b *Balancer) next(now time.Duration) int {
 	best := 0
 	for i := 1; i < len(b.queue); i++ {
@@ -61,7 +60,11 @@
 	return best
 }
 
-// before tells whether one held request is placed before another.
+// isDispatchedBefore orders queued requests: those that can still meet their latency target, or have a
+// value after it, before the others; those within their tenant's quota before those beyond; those of a
+// class with the higher marginal value; then those that must be sent first to meet their target. Where
+// retries hide how long the client has waited, the newest goes first instead: one that seems to be at the
+// edge of its target may long be past it.
 func (b *Balancer) isDispatchedBefore(now time.Duration, x, y *request) bool {
 	if rx, ry := b.rank(now, x), b.rank(now, y); rx != ry {
 		return rx > ry
@@ -75,6 +78,8 @@
 	return x.sendBy() < y.sendBy()
 }
 
+// rank is the first criterion of isDispatchedBefore: 2 for a request that can still earn its value, and 1
+// for one within its quota.
 func (b *Balancer) rank(now time.Duration, r *request) int {
 	rank := 0
 	if r.sendBy() > now || r.class.LateValue > 0 {
@@ -86,9 +91,9 @@
 	return rank
 }
 
-// rateClasses sets what serving one more unit of each class's work adds to what the site counts: its part of
-// all worth, and for the class that is served worst the weight of being that. Held requests that went by
-// their time alone cost the dearest class as many answers as the cheapest.
+// updateMarginalValues sets, for each class, what serving one more unit of its work adds to the site's
+// score: its part of the total value and, for the class that is served worst, the weight of that goal. An
+// order by time alone would cost the most valuable class as many answers as the least valuable.
 func (b *Balancer) updateMarginalValues() {
 	all, work := 0.0, 0.0
 	worst := &b.classes[0]
@@ -96,7 +101,8 @@
 		c := &b.classes[i]
 		all += c.requests * c.meanLatency * b.valueDensity(c)
 		work += c.requests * c.meanLatency
-		if c.requests >= classMinRequests && (worst.requests < classMinRequests || c.onTime*worst.requests < worst.onTime*c.requests) {
+		isWorse := worst.requests < classMinRequests || c.onTime*worst.requests < worst.onTime*c.requests
+		if c.requests >= classMinRequests && isWorse {
 			worst = c
 		}
 	}
@@ -112,7 +118,7 @@
 	}
 }
 
-// density is the worth of a unit of a class's work, taken to be as its latency.
+// valueDensity is the value of a unit of a class's work, which is taken to be proportional to its latency.
 func (b *Balancer) valueDensity(c *class) float64 {
 	if b.settings.ValueByWork || c.meanLatency == 0 {
 		return c.Value
@@ -120,7 +126,8 @@
 	return c.Value / c.meanLatency
 }
 
-// tally counts a request of a class, and lets the past fade.
+// countRequest counts a request of a class, and halves all classes' counts when one is full, so that the
+// past fades.
 func (b *Balancer) countRequest(now time.Duration, c *class) {
 	b.demandRate.add(now, demandRateWindows*b.rateWindow)
 	if c.requests++; c.requests < classWindowRequests {
@@ -132,13 +139,14 @@
 	}
 }
 
-// shed refuses what is held beyond what can be sent in time, as soon as that shows: what no endpoint may
-// serve, will miss its aim or could not even be answered at little load, and the least worth when more is
-// held than the rate works off.
+// shedLoad finishes queued requests that cannot be served, as soon as that shows: those that no endpoint
+// may serve, that will miss their target or could not be answered before the deadline even at little load,
+// and the least valuable ones where the queue is longer than the answer rate works off in time.
 func (b *Balancer) shedLoad(now time.Duration) {
-	room := max(int(queueSecondsMax*b.answerRate.value(now, b.rateWindow)), len(b.listed))
+	rate := b.answerRate.value(now, b.rateWindow)
+	limit := max(int(queueSecondsMax*rate), len(b.listed))
 	if b.retriesHideElapsed {
-		room = max(int(queueSecondsMaxHidden*b.answerRate.value(now, b.rateWindow)), 1+len(b.listed)/b.settings.Instances)
+		limit = max(int(queueSecondsMaxHidden*rate), 1+len(b.listed)/b.settings.Instances)
 	}
 	for i := len(b.queue) - 1; i >= 0; i-- {
 		r := b.queue[i]
@@ -148,7 +156,7 @@
 			b.finish(now, r)
 		}
 	}
-	for len(b.queue) > room {
+	for len(b.queue) > limit {
 		worst := len(b.queue) - 1
 		for i := len(b.queue) - 2; i >= 0; i-- {
 			if b.isDispatchedBefore(now, b.queue[worst], b.queue[i]) {
@@ -161,7 +169,7 @@
 	}
 }
 
-// reachable tells whether any listed endpoint may come to serve a request.
+// reachable reports whether any listed endpoint may come to serve a request.
 func (b *Balancer) reachable(now time.Duration, r *request) bool {
 	return slices.ContainsFunc(b.listed, func(e *endpoint) bool {
 		return e.state != stateDraining && b.permitted(now, r, e)
--- a/internal/decision/rates.go
+++ b/internal/decision/rates.go
@@ -5,66 +5,76 @@
 	"time"
 )
 
-// flow is an exponentially smoothed rate and its recent peak.
+// smoothedRate is an exponentially smoothed rate, a second, and its recent peak, which fades over
+// peakHoldWindows.
 type smoothedRate struct {
-	current, peakRate float64
-	at                time.Duration
+	current  float64 // at the time at
+	peakRate float64 // at the time at
+	at       time.Duration
 }
 
-func (f *smoothedRate) add(now, window time.Duration, x float64) {
-	dt := float64(now-f.at) / float64(window)
-	f.current = f.current*math.Exp(-dt) + x/window.Seconds()
-	f.peakRate = max(f.current, f.peakRate*math.Exp(-dt/peakHoldWindows))
-	f.at = now
+// add counts an event of the given size.
+func (r *smoothedRate) add(now, window time.Duration, x float64) {
+	dt := float64(now-r.at) / float64(window)
+	r.current = r.current*math.Exp(-dt) + x/window.Seconds()
+	r.peakRate = max(r.current, r.peakRate*math.Exp(-dt/peakHoldWindows))
+	r.at = now
 }
 
 // value is the present rate.
-func (f *smoothedRate) value(now, window time.Duration) float64 {
-	return f.current * math.Exp(-float64(now-f.at)/float64(window))
+func (r *smoothedRate) value(now, window time.Duration) float64 {
+	return r.current * math.Exp(-float64(now-r.at)/float64(window))
 }
 
-// peak is the highest rate of late.
-func (f *smoothedRate) peak(now, window time.Duration) float64 {
-	return f.peakRate * math.Exp(-float64(now-f.at)/float64(window)/peakHoldWindows)
+// peak is the highest recent rate.
+func (r *smoothedRate) peak(now, window time.Duration) float64 {
+	return r.peakRate * math.Exp(-float64(now-r.at)/float64(window)/peakHoldWindows)
 }
 
-// average is a rate of events, smoothed over a time, or since the first of them where that is shorter.
+// decayingRate is a rate of events, smoothed over a time, or over the time since the first event where that
+// is shorter.
 type decayingRate struct {
-	sum         float64 // events, less those that have faded
-	at, firstAt time.Duration
+	sum     float64 // events, less those that have faded
+	at      time.Duration
+	firstAt time.Duration
 }
 
-func (a *decayingRate) add(now, over time.Duration) {
-	if a.sum == 0 {
-		a.firstAt = now
+// add counts an event.
+func (r *decayingRate) add(now, over time.Duration) {
+	if r.sum == 0 {
+		r.firstAt = now
 	}
-	a.sum = a.sum*math.Exp(-float64(now-a.at)/float64(over)) + 1
-	a.at = now
+	r.sum = r.sum*math.Exp(-float64(now-r.at)/float64(over)) + 1
+	r.at = now
 }
 
-// value is the present rate; until a tenth of the time has passed that is taken to have.
-func (a *decayingRate) value(now, over time.Duration) float64 {
-	known := 1 - math.Exp(-max(float64(now-a.firstAt)/float64(over), 0.1))
-	return a.sum * math.Exp(-float64(now-a.at)/float64(over)) / over.Seconds() / known
+// value is the present rate, a second. A tenth of the smoothing time is taken to have passed at the least.
+func (r *decayingRate) value(now, over time.Duration) float64 {
+	known := 1 - math.Exp(-max(float64(now-r.firstAt)/float64(over), 0.1))
+	return r.sum * math.Exp(-float64(now-r.at)/float64(over)) / over.Seconds() / known
 }
 
-// pace is a smoothed latency ratio and the number of answers, up to a limit, that it rests on.
+// runningMean is a mean in which each value has a weight, and the number of values, up to the inverse of
+// that weight, that it rests on.
 type runningMean struct{ mean, count float64 }
 
-func (p *runningMean) add(x, weight float64) {
-	p.count = min(p.count+1, 1/weight)
-	p.mean += (x - p.mean) / p.count
+// add takes a value with its weight; while there are few values it is their arithmetic mean.
+func (m *runningMean) add(x, weight float64) {
+	m.count = min(m.count+1, 1/weight)
+	m.mean += (x - m.mean) / m.count
 }
 
-// over is the ratio of a kind's mean to that of one of its endpoints; 1 while nothing is known of it.
-func (p runningMean) relativeTo(own runningMean) float64 {
-	if own.count == 0 || p.count == 0 {
+// relativeTo is the ratio of this mean, of a machine kind, to that of one of its endpoints; 1 while either
+// is unknown.
+func (m runningMean) relativeTo(own runningMean) float64 {
+	if own.count == 0 || m.count == 0 {
 		return 1
 	}
-	return p.mean / own.mean
+	return m.mean / own.mean
 }
 
-// follow moves a latency towards a mean: faster where that is lower.
+// moveTowards moves a latency by the mean of a window: by the weight of a rise, or by baseFallWeight where
+// the mean is lower.
 func moveTowards(latency, mean, rise float64) float64 {
 	if mean < latency {
 		rise = baseFallWeight
--- a/internal/decision/request.go
+++ b/internal/decision/request.go
@@ -4,44 +4,47 @@
 	"time"
 )
 
-// request is one request from its arrival to its final answer and last outcome.
+// request is the state of one request from its arrival to its final answer and last outcome.
 type request struct {
-	id            RequestID
-	arrivedAt     time.Duration // when it came
-	class         *class
-	overQuota     bool // beyond its tenant's share
-	deadline      time.Duration
-	targetAt      time.Duration // an answer after this is worth little
-	attempts      int
-	current       *endpoint // of the attempt that is out
-	lastFailed    *endpoint // of the last attempt that failed
+	id        RequestID
+	class     *class
+	arrivedAt time.Duration
+	deadline  time.Duration
+	targetAt  time.Duration // end of the latency target: a later answer is worth little
+	overQuota bool          // beyond its tenant's quota
+	queued    bool          // in Balancer.queue
+	final     bool          // it has its final answer
+
+	// The attempt in flight.
+	attempts      int       // made so far
+	current       *endpoint // nil for none
 	sentAt        time.Duration
-	answersAtSend int  // the fleet's answers when it was sent
-	trial         bool // the attempt that is out ends an isolation if it is served
-	mayHaveRunAt  *endpoint
-	ranInZone     int // of mayRun when it was sent
-	ranInCell     int
-	firstRunAt    time.Duration // when the first attempt that may have run was sent
-	queued        bool
-	longBody      bool // it is sent as it comes,
-	uploading     bool // and some of it is still to come
-	responding    bool // its answer is on its way to the client
-	final         bool
-	withdrawn     bool // withdrawn by us: the outcome is still to come
+	answersAtSend int  // Balancer.answers when it was sent
+	trial         bool // a success ends the ejection of its endpoint
+	longBody      bool // the body is sent as it arrives
+	uploading     bool // some of the body is still to be sent
+	responding    bool // the response has started
+	withdrawn     bool // cancelled by the Balancer; the outcome is still to come
+	overtaken     int  // answers to calls that were sent later
+	overdue       bool // it counts as lost by its endpoint
+	missing       bool // it counts as missing
 
-	overtaken int  // answers to calls that were sent after the attempt that is out
-	overdue   bool // that attempt will hardly be answered,
-	missing   bool // and was not for longer still
+	// Earlier attempts.
+	lastFailed   *endpoint     // endpoint of the last one
+	mayHaveRunAt *endpoint     // endpoint of the first one that may have run; nil for none
+	ranInZone    int           // zone of mayHaveRunAt at that time
+	ranInCell    int           // cell of mayHaveRunAt at that time
+	firstRunAt   time.Duration // when that one was sent
 }
 
-// isOut tells whether an attempt is the one that is out.
+// isCurrent reports whether an attempt is the one in flight.
 func (r *request) isCurrent(attempt int, at EndpointID) bool {
 	return r.current != nil && r.current.id == at && attempt == r.attempts-1
 }
 
-// within is how long a further attempt of a keyed request may take to be out, for repeats to be dropped: its window
-// counts from the first that may have run, and holds for when the last byte is out, not for when it was decided. 0 is
-// no bound.
+// replayWindowLeft is the time within which the last byte of a further attempt of a keyed request must be
+// sent for endpoints to drop it as a duplicate. The window counts from the first attempt that may have run.
+// 0 is no bound.
 func (b *Balancer) replayWindowLeft(now time.Duration, r *request) time.Duration {
 	if r.mayHaveRunAt == nil || r.class.Effect != Keyed {
 		return 0
@@ -49,7 +52,7 @@
 	return r.firstRunAt + r.class.Window - b.tick - now
 }
 
-// sendBy is until when a call must be sent to meet its aim, slow as it may be.
+// sendBy is the time by which a request must be sent to meet its latency target, with room for a slow answer.
 func (r *request) sendBy() time.Duration {
 	return r.targetAt - seconds(sendSlackMeans*r.class.meanLatency)
 }
--- a/internal/decision/retries.go
+++ b/internal/decision/retries.go
@@ -4,7 +4,9 @@
 	"time"
 )
 
-// again decides what follows an attempt that failed: another where rules, budget and time allow, or the end.
+// retryOrFinish decides what follows an attempt that failed: it queues the request again where its class,
+// the retry budget, the limit on attempts and the time left allow that, else it gives the final answer. An
+// attempt that never ran costs nothing of the budget.
 func (b *Balancer) retryOrFinish(now time.Duration, r *request, e *endpoint, o Outcome) {
 	r.lastFailed = e
 	if !o.Status.NeverRan() {
@@ -24,7 +26,7 @@
 	b.enqueue(r)
 }
 
-// finish gives the final answer: refused where a repeat is proven harmless, else failed.
+// finish gives the final answer: Refuse where a retry by the client is proven harmless, else Fail.
 func (b *Balancer) finish(now time.Duration, r *request) {
 	r.final = true
 	if r.mayHaveRunAt == nil && r.current == nil || r.class.Effect == Safe ||
@@ -38,29 +40,32 @@
 	}
 }
 
-// comeBack is when a refused client should ask again: when what is held and in flight now will have been
-// answered at the present rate, no sooner than after the time that it waited here in vain, or, where that
-// outlasts the only instance, when its successor serves. Clients that come sooner find the same queue, or
-// nobody. Where no rate is known, or nobody there who could serve it, a rate window may tell more.
+// retryAfter is the time after which a refused client should return: when what is queued and in flight now
+// has been answered at the present rate, but no sooner than after the time that it has waited here in vain.
+// Clients that return sooner find the same queue. Where no rate is known, or no listed endpoint may serve
+// the request, it is a rate window. Where this instance ends before that, it is the time until its
+// successor serves.
 func (b *Balancer) retryAfter(now time.Duration, r *request) (wait time.Duration) {
 	if r.attempts == 0 {
 		wait = now - r.arrivedAt
 	}
-	queue := b.rateWindow
+	longest := b.settings.MaxRetryAfter
+	backlog := b.rateWindow
 	if rate := b.answerRate.value(now, b.rateWindow); rate > 0 && b.reachable(now, r) {
-		queue = seconds(min(float64(len(b.queue)+b.inFlight+b.predecessor.sum(now))/rate, b.settings.MaxRetryAfter.Seconds()))
+		calls := len(b.queue) + b.inFlight + b.predecessor.sum(now)
+		backlog = seconds(min(float64(calls)/rate, longest.Seconds()))
 	}
-	wait = min(max(wait, queue, seconds(minRetryAfterWindows*b.rateWindow.Seconds())), b.settings.MaxRetryAfter)
+	wait = min(max(wait, backlog, seconds(minRetryAfterWindows*b.rateWindow.Seconds())), longest)
 	switch {
 	case b.hasSuccessor:
-		wait = min(b.tick, b.settings.MaxRetryAfter) // the other one's queue is not this one's
+		wait = min(b.tick, longest) // its queue is its own
 	case b.settings.Instances == 1 && b.endsBeforeAnswer(now+wait, r.class):
-		wait = min(b.drainDeadline+seconds(successorStartSeconds)-now, b.settings.MaxRetryAfter)
+		wait = min(b.drainDeadline+seconds(successorStartSeconds)-now, longest)
 	}
 	return wait
 }
 
-// earn adds what an answered call earns to the further attempts that may be made.
+// earnRetry adds what an answered call earns to the retry budget, where the fleet does not set its rate.
 func (b *Balancer) earnRetry() {
 	if b.fleetRetries == nil {
 		b.retryTokens = min(b.retryTokens+retryTokensPerAnswer, maxRetryTokens)
--- a/internal/decision/selection.go
+++ b/internal/decision/selection.go
@@ -1,53 +1,64 @@
-// Which endpoint a call is sent to.
-
 package decision
 
 import (
 	"time"
 )
 
-// pick chooses an endpoint for a request: a due trial, else the fewer in flight of two drawn among those
-// with room; ramping ones are drawn less often. Where none is in good health, suspect and then isolated
-// ones serve: isolation never empties the set.
+// pick chooses an endpoint for a request: an ejected one that is due for a trial call, else the less loaded
+// of two that are drawn among the healthy endpoints with capacity. Where no endpoint is healthy, silent and
+// ejected ones serve: ejection never empties the set. It returns nil where the request has to wait.
 func (b *Balancer) pick(now time.Duration, r *request) (to *endpoint, trial bool) {
 	if e := b.dueTrial(now, r); e != nil {
 		return e, true
 	}
 	healthy := 0
-	c, from := b.scratch[:0], b.subset
+	candidates, from := b.scratch[:0], b.subset
 	if r.attempts > 0 {
 		from = b.listed
 	}
 	for _, e := range from {
-		// Further attempts may leave the subset, but not for a ramping endpoint: all instances' together would
-		// push it over.
-		mine := e.subsetWeight > 0 || e.state == stateUsable
-		failed := e == r.lastFailed && len(b.listed) > 1 // there it goes again only where no other is in good health
-		if failed || e.state > stateSlowStart || !mine || !b.permitted(now, r, e) || b.isSilent(now, e, silenceSuspectMeans) {
+		if !b.isHealthyFor(now, r, e) {
 			continue
 		}
 		healthy++
 		if b.hasCapacity(now, e) {
-			c = append(c, e)
+			candidates = append(candidates, e)
 		}
 	}
-	b.scratch = c
+	b.scratch = candidates
 	if healthy > 0 {
-		return b.drawTwo(now, c), false
+		return b.drawLeastLoaded(now, candidates), false
 	}
 	for _, e := range b.listed {
-		if e.state != stateDraining && b.permitted(now, r, e) && b.hasCapacity(now, e) && float64(b.callsAt(now, e)) < limitSlack {
-			c = append(c, e)
+		if e.state == stateDraining || !b.permitted(now, r, e) || !b.hasCapacity(now, e) {
+			continue
+		}
+		if float64(b.callsAt(now, e)) < limitSlack {
+			candidates = append(candidates, e)
 		}
 	}
-	b.scratch = c
-	e := b.drawTwo(now, c)
+	b.scratch = candidates
+	e := b.drawLeastLoaded(now, candidates)
 	return e, e != nil && e.state == stateEjected
 }
 
-// draw takes distinct candidates at random, each by its odds, and returns the one with the fewest own calls
-// in flight for its odds; of equals, the one drawn first, so that ties fall at random and by the odds.
-func (b *Balancer) drawTwo(now time.Duration, c []*endpoint) *endpoint {
+// isHealthyFor reports whether an endpoint is a healthy choice for a request, capacity aside. A further
+// attempt goes to the endpoint of the last one only where no other is healthy. It may leave the subset, but
+// not for an endpoint in slow start: the further attempts of all instances together would overload that.
+func (b *Balancer) isHealthyFor(now time.Duration, r *request, e *endpoint) bool {
+	if e == r.lastFailed && len(b.listed) > 1 {
+		return false
+	}
+	if e.state > stateSlowStart || e.subsetWeight == 0 && e.state != stateUsable {
+		return false
+	}
+	return b.permitted(now, r, e) && !b.isSilent(now, e, silenceSuspectMeans)
+}
+
+// drawLeastLoaded draws distinct candidates at random by their draw weight and returns the one with the
+// fewest calls in flight for its weight; of equals the one drawn first, so that ties follow the weights. A
+// coin between equals gave both endpoints of a subset of two the same, whatever their weights.
+func (b *Balancer) drawLeastLoaded(now time.Duration, c []*endpoint) *endpoint {
 	var best *endpoint
 	least := 0.0
 	for n := 0; n < drawCandidates && len(c) > 0; n++ {
@@ -64,8 +75,7 @@
 		e := c[i]
 		c[i] = c[len(c)-1]
 		c = c[:len(c)-1]
-		// The same calls in flight are a longer queue at a smaller endpoint. Of equals the first drawn stays: a
-		// coin, in a subset of two, gave both the same whatever their odds.
+		// The same number of calls in flight is a longer queue at a smaller endpoint.
 		if load := float64(b.callsAt(now, e)) / b.drawWeight(e); best == nil || load < least {
 			best, least = e, load
 		}
@@ -73,7 +83,8 @@
 	return best
 }
 
-// permitted tells whether the rules let a request go to an endpoint.
+// permitted reports whether a request may be sent to an endpoint without the risk of a duplicate run: a
+// request that may have run goes on only if it is Safe, or Keyed within its scope and window.
 func (b *Balancer) permitted(now time.Duration, r *request, e *endpoint) bool {
 	if r.mayHaveRunAt == nil || r.class.Effect == Safe {
 		return true
@@ -90,9 +101,9 @@
 	return true
 }
 
-// odds is an endpoint's chance in a draw: by the part of its weight in the subset, or by its whole size for
-// a further attempt that has left the subset. At full size an instance has so few calls in flight that the
-// draw, not the comparison, keeps small machines from getting what large ones get.
+// drawWeight is an endpoint's weight in a draw: its relative capacity, by the part of it in the subset, or
+// in full for a further attempt that has left the subset. An instance has so few calls in flight that the
+// draw, and not the comparison of loads, keeps small machines from getting as much as large ones.
 func (b *Balancer) drawWeight(e *endpoint) float64 {
 	if e.subsetWeight > 0 {
 		return b.relativeCapacity(e) * e.subsetWeight / b.weight(e)
@@ -100,8 +111,9 @@
 	return b.relativeCapacity(e)
 }
 
-// size is what an endpoint can do beside others: its listed weight, less what it is slower than its kind by;
-// where the list weighs all alike, what its pace tells.
+// relativeCapacity is what an endpoint can serve beside others: its listed weight, corrected by how much
+// slower it is than its machine kind; where the list weighs all alike, what its reported service time or
+// its latency shows.
 func (b *Balancer) relativeCapacity(e *endpoint) float64 {
 	if len(b.kindServiceTime) > 0 && !b.weighted {
 		return b.kindSpeed(e) * b.kindServiceTime[min(e.kind, len(b.kindServiceTime)-1)].relativeTo(e.serviceTime)
@@ -112,7 +124,8 @@
 	return e.weight * b.kindLatencyRatio(e) / b.relativeLatency(e)
 }
 
-// weight is an endpoint's listed weight where those tell endpoints apart, else the speed its kind reports.
+// weight is an endpoint's listed weight where the list tells endpoints apart, else the speed of its machine
+// kind.
 func (b *Balancer) weight(e *endpoint) float64 {
 	if b.weighted {
 		return e.weight
@@ -120,7 +133,8 @@
 	return b.kindSpeed(e)
 }
 
-// speed is what the service times that endpoints of its kind report say of an endpoint, beside other kinds.
+// kindSpeed is the speed of an endpoint's machine kind, relative to the mean of all kinds, by the service
+// times that endpoints report; 1 without reports.
 func (b *Balancer) kindSpeed(e *endpoint) float64 {
 	sum, n := 0.0, 0.0
 	for _, k := range b.kindServiceTime {
--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Effect tells how far requests of a class may be repeated.
+// Effect is what a repeated run of a request does, and so how it may be retried.
 type Effect string
 
-// The effects a class can have.
+// The effects that a class can have.
 const (
 	Safe   Effect = "safe"   // may run any number of times
-	Keyed  Effect = "keyed"  // repeats are dropped within Scope for Window
+	Keyed  Effect = "keyed"  // endpoints within Scope drop duplicates for Window
 	Unsafe Effect = "unsafe" // must not run twice
 )
 
-// Scope is the group of endpoints that drops repeats of a keyed request.
+// Scope is the group of endpoints that drops duplicates of a keyed request.
 type Scope string
 
 // The scopes of a keyed class.
@@ -25,61 +25,63 @@
 	ScopeCell Scope = "cell"
 )
 
-// Class describes one class of request.
+// Class describes one class of requests.
 type Class struct {
 	Name          string
-	LatencyTarget time.Duration // an answer within this earns full worth
-	Deadline      time.Duration // the client's total wait, over all its tries
-	Value         float64       // worth of one answer
-	LateValue     float64       // share of Worth for an answer after Aim
+	LatencyTarget time.Duration // an answer within it earns the full value
+	Deadline      time.Duration // the client's total wait, over all its attempts
+	Value         float64       // of one answer
+	LateValue     float64       // share of Value for an answer after LatencyTarget, from 0 to 1
 	Effect        Effect
-	Scope         Scope         // for Keyed
-	Window        time.Duration // for Keyed: how long repeats are dropped
-	Streamed      bool          // answers stream; Begun is reported
+	Scope         Scope         // of Keyed
+	Window        time.Duration // of Keyed: how long duplicates are dropped
+	Streamed      bool          // answers are streamed, and ResponseStarted is reported
 }
 
 // Tenant is one of several customers that share the service.
 type Tenant struct {
 	Name      string
-	QuotaPerS float64 // requests a second, over all instances, within its share
+	QuotaPerS float64 // requests a second, over all instances
 }
 
-// Settings is what an instance is told at its start.
+// Settings is the configuration of an instance. The site states all of it; nothing is tuned here (see
+// tunables.go).
 type Settings struct {
-	Instances int           // instances in this tier
-	Ordinal   int           // this instance's number among them, from 0
-	Stage     int           // index of the tier this instance sends into
-	Tiers     int           // how many tiers there are; a call may wait in each from Stage on
-	Quantum   time.Duration // smallest time between two rounds of events
+	// The tier that this instance belongs to.
+	Instances int           // in this tier, at least 1
+	Ordinal   int           // of this instance, from 0
+	Stage     int           // index of the tier that this instance sends to; 0 is the one that clients call
+	Tiers     int           // in all; a call may wait in each from Stage on
+	Quantum   time.Duration // least time between two batches of events
 
+	// What is served, and how the site values it.
 	Classes        []Class
 	Tenants        []Tenant
-	ValueByWork    bool    // worth counts for each unit of work, not for each request
-	GoalTotal      float64 // weight of all worth served in what the site counts,
-	GoalWorstClass float64 // and of the part of the worst-served class that is
+	ValueByWork    bool    // Class.Value is of a unit of work, not of a request
+	GoalTotal      float64 // weight of the value served, in the site's score
+	GoalWorstClass float64 // weight of the share that the worst-served class has served
 
 	// What the site permits.
 	MayCancel      bool
-	MaxAttempts    int // sends for each request; 0 where the site names no limit
+	MaxAttempts    int // of each request; 0 where the site states no limit
 	MaxRetryAfter  time.Duration
 	ConnectTimeout time.Duration
 
-	// Where the list of endpoints comes from.
-	PullDiscovery     bool          // changes come only after Watch or Fetch
-	DiscoveryInterval time.Duration // without asking for this long an instance counts as told
+	// Discovery of the endpoint list.
+	PullDiscovery     bool          // changes come only after Watch or Fetch; else they are pushed
+	DiscoveryInterval time.Duration // an instance that has not asked for so long is taken to be informed
 
-	ClientsMarkRetries bool // clients flag their repeats
+	// ClientsMarkRetries says that clients flag their retries.
+	ClientsMarkRetries bool
 
-	// Cold endpoints: the share of capacity they start with, the time until
-	// they are warm, and the load (a multiple of present capacity, held for
-	// Fall) under which they fall over.
-	ColdCapacity     float64
-	WarmUp           time.Duration
-	OverloadMultiple float64
-	OverloadWindow   time.Duration
+	// Warm-up of endpoints that have just started, and what overload does to any.
+	ColdCapacity     float64       // share of its capacity that an endpoint starts with, from 0 to 1
+	WarmUp           time.Duration // until it has all of it
+	OverloadMultiple float64       // load, as a multiple of the present capacity,
+	OverloadWindow   time.Duration // that pushes an endpoint over when held for so long
 }
 
-// Check names the first setting that cannot be acted on.
+// Check returns an error that names the first setting that cannot be acted on.
 func (s *Settings) Check() error {
 	if len(s.Classes) == 0 {
 		return fmt.Errorf("settings: classes: none given")
--- a/internal/decision/snapshot.go
+++ b/internal/decision/snapshot.go
@@ -4,144 +4,182 @@
 	"time"
 )
 
-// This file holds what a process of an instance tells the one that takes its place: the figures that it has learnt,
-// and the calls that it still has in flight. Without the first, a process that starts on a crowded tier takes
-// crowded latencies for those at little load; without the second, two processes each fill the tier to its limit.
-
-// Learnt are the figures of a process. All times are relative, as the processes' clocks differ.
+// Snapshot is the statistics of a process, which its successor starts from. Without it a process that
+// starts on an overloaded tier would learn overloaded latencies as those of little load. Times are
+// relative, as the processes' clocks differ. The JSON keys are fixed: processes of different builds
+// exchange snapshots.
 type Snapshot struct {
-	Classes      []ClassSnapshot    `json:"classes"` // in the order of the settings
-	Endpoints    []EndpointSnapshot `json:"endpoints,omitempty"`
-	Kinds        []MeanSnapshot     `json:"kinds,omitempty"`    // by machine kind: latency over its class's mean
-	Services     []MeanSnapshot     `json:"services,omitempty"` // and reported seconds of service
-	Rate         RateSnapshot       `json:"rate"`               // base latencies answered a second, for each endpoint
-	Spare        RateSnapshot       `json:"spare"`              // and the time from them to the aim
-	Served       RateSnapshot       `json:"served"`             // answers a second
-	Asked        RateSnapshot       `json:"asked"`              // requests a second
-	Warm         RateSnapshot       `json:"warm"`               // sends a second to warm endpoints, for their odds
-	Errors       float64            `json:"errors"`             // share of answers that are errors
-	MissingShare float64            `json:"strays"`             // share of overdue calls that stay away
-	Budget       float64            `json:"budget"`             // further attempts
-	RepeatSpent  float64            `json:"repeatSpent"`        // seconds
-	TenantTokens []float64          `json:"shares,omitempty"`   // requests that each tenant may have at once
+	Classes          []ClassSnapshot    `json:"classes"` // in the order of Settings.Classes
+	Endpoints        []EndpointSnapshot `json:"endpoints,omitempty"`
+	KindLatency      []MeanSnapshot     `json:"kinds,omitempty"`    // by machine kind: latency over the class's mean
+	KindServiceTime  []MeanSnapshot     `json:"services,omitempty"` // by machine kind: reported seconds of service
+	BaseLoad         RateSnapshot       `json:"rate"`               // base latencies answered, for each endpoint
+	SlackLoad        RateSnapshot       `json:"spare"`              // share of the time from there to the target
+	AnswerRate       RateSnapshot       `json:"served"`
+	RequestRate      RateSnapshot       `json:"asked"`
+	WarmSends        RateSnapshot       `json:"warm"`             // for each unit of warm draw weight
+	ErrorRate        float64            `json:"errors"`           // share of answers that are errors
+	MissingShare     float64            `json:"strays"`           // share of lost calls that go missing
+	RetryTokens      float64            `json:"budget"`           // further attempts that may be made
+	MeanRetryElapsed float64            `json:"repeatSpent"`      // seconds
+	TenantTokens     []float64          `json:"shares,omitempty"` // in the order of Settings.Tenants
 }
 
-// LearntClass are the figures of a class; latencies are in seconds.
+// ClassSnapshot is the statistics of a class; latencies are in seconds.
 type ClassSnapshot struct {
-	Name    string        `json:"name"`
-	Windows int           `json:"windows"` // looked at; 0 says that nothing is known
-	Mean    float64       `json:"mean"`
-	Base    float64       `json:"base"`
-	Usual   float64       `json:"usual"`
-	Tail    float64       `json:"tail"` // in means
-	MaxLeft time.Duration `json:"maxLeft"`
-	Asked   float64       `json:"asked"`
-	Good    float64       `json:"good"`
+	Name         string        `json:"name"`
+	Windows      int           `json:"windows"` // seen so far; 0 where nothing is known
+	MeanLatency  float64       `json:"mean"`
+	BaseLatency  float64       `json:"base"`
+	UsualLatency float64       `json:"usual"`
+	TailRatio    float64       `json:"tail"` // in mean latencies
+	MaxRemaining time.Duration `json:"maxLeft"`
+	Requests     float64       `json:"asked"` // recent ones
+	OnTime       float64       `json:"good"`  // of them, those answered within their latency target
 }
 
-// LearntEndpoint are the figures of an endpoint.
+// EndpointSnapshot is the statistics and the state of an endpoint.
 type EndpointSnapshot struct {
-	ID      EndpointID   `json:"id"`
-	Pace    MeanSnapshot `json:"pace"`
-	Service MeanSnapshot `json:"service"`
-	Errors  float64      `json:"errors,omitempty"`
-	Losses  float64      `json:"losses,omitempty"`
-	// Isolated says that it gets trial calls only; Ramping that it starts or is back, since Ramped.
-	Isolated bool          `json:"isolated,omitempty"`
-	Ramping  bool          `json:"ramping,omitempty"`
-	Ramped   time.Duration `json:"ramped,omitempty"`
+	ID           EndpointID    `json:"id"`
+	LatencyRatio MeanSnapshot  `json:"pace"`    // latency over the class's mean
+	ServiceTime  MeanSnapshot  `json:"service"` // reported seconds of service
+	ErrorRate    float64       `json:"errors,omitempty"`
+	LossRate     float64       `json:"losses,omitempty"`
+	Ejected      bool          `json:"isolated,omitempty"`
+	InSlowStart  bool          `json:"ramping,omitempty"`
+	SlowStartAge time.Duration `json:"ramped,omitempty"` // since its warm-up began
 }
 
-// LearntPace is a mean and the answers that it rests on.
+// MeanSnapshot is a mean and the number of answers that it rests on.
 type MeanSnapshot struct {
-	Mean float64 `json:"mean"`
-	N    float64 `json:"n"`
+	Mean  float64 `json:"mean"`
+	Count float64 `json:"n"`
 }
 
-// LearntRate is a rate and its recent peak.
+// RateSnapshot is a rate, a second, and its recent peak.
 type RateSnapshot struct {
-	Now  float64 `json:"now"`
-	Peak float64 `json:"peak"`
+	Current float64 `json:"now"`
+	Peak    float64 `json:"peak"`
 }
 
-// learntMost bounds the endpoints whose figures are told. What a successor is not told it learns.
-const maxSnapshotEndpoints = 512
-
-// Learnt tells what this process has learnt.
+// Snapshot returns the statistics of this process.
 func (b *Balancer) Snapshot(now time.Duration) Snapshot {
-	rate := func(f *smoothedRate) RateSnapshot {
-		return RateSnapshot{f.value(now, b.rateWindow), f.peak(now, b.rateWindow)}
+	rate := func(r *smoothedRate) RateSnapshot {
+		return RateSnapshot{r.value(now, b.rateWindow), r.peak(now, b.rateWindow)}
+	}
+	s := Snapshot{
+		KindLatency:      snapshotMeans(b.kindLatency),
+		KindServiceTime:  snapshotMeans(b.kindServiceTime),
+		BaseLoad:         rate(&b.baseLoad),
+		SlackLoad:        rate(&b.slackLoad),
+		AnswerRate:       rate(&b.answerRate),
+		RequestRate:      rate(&b.requestRate),
+		WarmSends:        rate(&b.warmSends),
+		ErrorRate:        b.errorRate,
+		MissingShare:     b.missingShare,
+		RetryTokens:      b.retryTokens,
+		MeanRetryElapsed: b.meanRetryElapsed,
 	}
-	l := Snapshot{Rate: rate(&b.baseLoad), Spare: rate(&b.slackLoad), Served: rate(&b.answerRate), Asked: rate(&b.requestRate),
-		Warm: rate(&b.warmSends), Errors: b.errorRate, MissingShare: b.missingShare, Budget: b.retryTokens,
-		RepeatSpent: b.meanRetryElapsed, Kinds: snapshotMeans(b.kindLatency), Services: snapshotMeans(b.kindServiceTime)}
-	for _, c := range b.classes {
-		l.Classes = append(l.Classes, ClassSnapshot{Name: c.Name, Windows: c.windows, Mean: c.meanLatency, Base: c.baseLatency,
-			Usual: c.usualLatency, Tail: c.tailRatio, MaxLeft: c.maxRemaining, Asked: c.requests, Good: c.onTime})
+	for i := range b.classes {
+		s.Classes = append(s.Classes, b.classes[i].snapshot())
 	}
 	for _, e := range b.listed {
-		x := EndpointSnapshot{ID: e.id, Pace: MeanSnapshot{e.latencyRatio.mean, e.latencyRatio.count},
-			Service: MeanSnapshot{e.serviceTime.mean, e.serviceTime.count}, Errors: e.errorRate, Losses: e.lossRate,
-			Isolated: e.state == stateEjected, Ramping: e.state == stateSlowStart}
-		if x.Ramping {
-			x.Ramped = now - e.slowStartFrom
-		}
-		if len(l.Endpoints) < maxSnapshotEndpoints && x != (EndpointSnapshot{ID: e.id}) {
-			l.Endpoints = append(l.Endpoints, x)
+		x := e.snapshot(now)
+		if len(s.Endpoints) < maxSnapshotEndpoints && x != (EndpointSnapshot{ID: e.id}) {
+			s.Endpoints = append(s.Endpoints, x)
 		}
 	}
 	for i := range b.tenants {
 		b.tenants[i].spend(now, 0)
-		l.TenantTokens = append(l.TenantTokens, b.tenants[i].level)
+		s.TenantTokens = append(s.TenantTokens, b.tenants[i].level)
+	}
+	return s
+}
+
+// snapshot returns the statistics of a class.
+func (c *class) snapshot() ClassSnapshot {
+	return ClassSnapshot{
+		Name:         c.Name,
+		Windows:      c.windows,
+		MeanLatency:  c.meanLatency,
+		BaseLatency:  c.baseLatency,
+		UsualLatency: c.usualLatency,
+		TailRatio:    c.tailRatio,
+		MaxRemaining: c.maxRemaining,
+		Requests:     c.requests,
+		OnTime:       c.onTime,
+	}
+}
+
+// restore takes the statistics of a class; its window of answers begins anew.
+func (c *class) restore(now time.Duration, s ClassSnapshot) {
+	c.windows = s.Windows
+	c.meanLatency = s.MeanLatency
+	c.baseLatency = s.BaseLatency
+	c.usualLatency = s.UsualLatency
+	c.tailRatio = s.TailRatio
+	c.maxRemaining = s.MaxRemaining
+	c.requests = s.Requests
+	c.onTime = s.OnTime
+	c.windowSum, c.windowAnswers, c.windowStart = 0, 0, now
+}
+
+// snapshot returns the statistics and the state of an endpoint.
+func (e *endpoint) snapshot(now time.Duration) EndpointSnapshot {
+	s := EndpointSnapshot{
+		ID:           e.id,
+		LatencyRatio: MeanSnapshot{e.latencyRatio.mean, e.latencyRatio.count},
+		ServiceTime:  MeanSnapshot{e.serviceTime.mean, e.serviceTime.count},
+		ErrorRate:    e.errorRate,
+		LossRate:     e.lossRate,
+		Ejected:      e.state == stateEjected,
+		InSlowStart:  e.state == stateSlowStart,
 	}
-	return l
+	if s.InSlowStart {
+		s.SlowStartAge = now - e.slowStartFrom
+	}
+	return s
 }
 
-func snapshotMeans(paces []runningMean) (l []MeanSnapshot) {
-	for _, p := range paces {
-		l = append(l, MeanSnapshot{p.mean, p.count})
+// snapshotMeans converts means to their snapshots.
+func snapshotMeans(means []runningMean) (snapshots []MeanSnapshot) {
+	for _, m := range means {
+		snapshots = append(snapshots, MeanSnapshot{m.mean, m.count})
 	}
-	return l
+	return snapshots
 }
 
-// Inherit takes the figures of the process before, unless this one has looked at its classes for as long: the one
-// that saw the tier for longer saw it at little load. Of figures that cannot be, none is taken.
-func (b *Balancer) Restore(now time.Duration, l Snapshot) error {
-	if err := l.validate(b.classes); err != nil {
+// Restore takes the statistics of the preceding process, unless this one has seen as many latency windows
+// itself: the one that has seen the tier for longer saw it at little load. Where any value is impossible
+// none is taken, and the error names it.
+func (b *Balancer) Restore(now time.Duration, s Snapshot) error {
+	if err := s.validate(b.classes); err != nil {
 		return err
 	}
 	own, theirs := 0, 0
 	for i, c := range b.classes {
 		own += c.windows
-		theirs += l.Classes[i].Windows
+		theirs += s.Classes[i].Windows
 	}
 	if theirs <= own {
 		return nil
 	}
-	for i, x := range l.Classes {
-		c := &b.classes[i]
-		c.meanLatency, c.baseLatency, c.usualLatency, c.tailRatio, c.windows = x.Mean, x.Base, x.Usual, x.Tail, x.Windows
-		c.windowSum, c.windowAnswers, c.windowStart = 0, 0, now
-		c.maxRemaining, c.requests, c.onTime = x.MaxLeft, x.Asked, x.Good
-	}
-	b.kindLatency, b.kindServiceTime = restoreMeans(l.Kinds), restoreMeans(l.Services)
-	for _, x := range l.Endpoints {
-		e := b.byID[x.ID]
-		if e == nil || e.kind >= len(b.kindLatency) && x.Pace.N > 0 || e.kind >= len(b.kindServiceTime) && x.Service.N > 0 {
-			continue // the lists differ
-		}
-		e.latencyRatio, e.serviceTime = runningMean{x.Pace.Mean, x.Pace.N}, runningMean{x.Service.Mean, x.Service.N}
-		e.errorRate, e.lossRate = x.Errors, x.Losses
-		b.restoreEndpointState(now, e, x)
+	for i, class := range s.Classes {
+		b.classes[i].restore(now, class)
 	}
-	for f, x := range map[*smoothedRate]RateSnapshot{&b.baseLoad: l.Rate, &b.slackLoad: l.Spare, &b.answerRate: l.Served,
-		&b.requestRate: l.Asked, &b.warmSends: l.Warm} {
-		*f = smoothedRate{current: x.Now, peakRate: x.Peak, at: now}
+	b.kindLatency, b.kindServiceTime = restoreMeans(s.KindLatency), restoreMeans(s.KindServiceTime)
+	for _, x := range s.Endpoints {
+		b.restoreEndpoint(now, x)
 	}
-	b.errorRate, b.missingShare, b.meanRetryElapsed = l.Errors, l.MissingShare, l.RepeatSpent
-	b.retryTokens = min(l.Budget, maxRetryTokens)
-	for i := range min(len(b.tenants), len(l.TenantTokens)) {
-		b.tenants[i].setLevel(now, l.TenantTokens[i])
+	b.baseLoad = s.BaseLoad.rate(now)
+	b.slackLoad = s.SlackLoad.rate(now)
+	b.answerRate = s.AnswerRate.rate(now)
+	b.requestRate = s.RequestRate.rate(now)
+	b.warmSends = s.WarmSends.rate(now)
+	b.errorRate, b.missingShare, b.meanRetryElapsed = s.ErrorRate, s.MissingShare, s.MeanRetryElapsed
+	b.retryTokens = min(s.RetryTokens, maxRetryTokens)
+	for i := range min(len(b.tenants), len(s.TenantTokens)) {
+		b.tenants[i].setLevel(now, s.TenantTokens[i])
 	}
 	b.subsetStale = true
 	b.dispatch(now)
@@ -149,18 +187,36 @@
 	return nil
 }
 
-func restoreMeans(l []MeanSnapshot) (paces []runningMean) {
-	for _, p := range l {
-		paces = append(paces, runningMean{p.Mean, p.N})
+// rate converts a snapshot back to a rate.
+func (s RateSnapshot) rate(now time.Duration) smoothedRate {
+	return smoothedRate{current: s.Current, peakRate: s.Peak, at: now}
+}
+
+// restoreMeans converts snapshots back to means.
+func restoreMeans(snapshots []MeanSnapshot) (means []runningMean) {
+	for _, s := range snapshots {
+		means = append(means, runningMean{s.Mean, s.Count})
 	}
-	return paces
+	return means
 }
 
-// heed takes what the process before an instance's has an endpoint open to.
-func (b *Balancer) restoreEndpointState(now time.Duration, e *endpoint, x EndpointSnapshot) {
-	if x.Isolated && b.mayEject() {
+// restoreEndpoint takes the statistics and the state that an endpoint had at the preceding process. It is
+// skipped where that had another list: the endpoint is unknown here, or its machine kind was unknown there.
+func (b *Balancer) restoreEndpoint(now time.Duration, s EndpointSnapshot) {
+	e := b.byID[s.ID]
+	if e == nil {
+		return
+	}
+	if e.kind >= len(b.kindLatency) && s.LatencyRatio.Count > 0 ||
+		e.kind >= len(b.kindServiceTime) && s.ServiceTime.Count > 0 {
+		return
+	}
+	e.latencyRatio = runningMean{s.LatencyRatio.Mean, s.LatencyRatio.Count}
+	e.serviceTime = runningMean{s.ServiceTime.Mean, s.ServiceTime.Count}
+	e.errorRate, e.lossRate = s.ErrorRate, s.LossRate
+	if s.Ejected && b.mayEject() {
 		b.eject(now, e, "by the process before")
-	} else if x.Ramping && e.state == stateUsable {
-		b.startSlowStart(now, e, now-x.Ramped)
+	} else if s.InSlowStart && e.state == stateUsable {
+		b.startSlowStart(now, e, now-s.SlowStartAge)
 	}
 }
--- a/internal/decision/snapshot_validate.go
+++ b/internal/decision/snapshot_validate.go
@@ -5,76 +5,122 @@
 	"math"
 )
 
-// check names the first figure that cannot be.
-func (l *Snapshot) validate(classes []class) error {
-	if len(l.Classes) != len(classes) {
-		return fmt.Errorf("learnt: %d classes, here are %d", len(l.Classes), len(classes))
+// snapshotField is one value of a snapshot with its JSON key and its greatest possible value; the least is 0.
+type snapshotField struct {
+	key   string
+	value float64
+	most  float64
+}
+
+// unboundedField is the greatest value of a field without a bound of its own: neither infinite nor absurd.
+const unboundedField = math.MaxFloat32
+
+// validate returns an error that names the first value that cannot be, or the first difference to the classes here.
+func (s *Snapshot) validate(classes []class) error {
+	fields, err := s.classFields(classes)
+	if err != nil {
+		return err
 	}
-	type figure struct {
+	fields = append(fields, s.tierFields()...)
+	for _, list := range []struct {
 		key   string
-		value float64
-		most  float64
-	}
-	const huge = math.MaxFloat32
-	figures := []figure{{"errors", l.Errors, 1}, {"strays", l.MissingShare, 1},
-		{"budget", l.Budget, huge}, {"repeatSpent", l.RepeatSpent, huge}}
-	for i, c := range l.Classes {
-		if c.Name != classes[i].Name {
-			return fmt.Errorf("learnt: classes[%d] is %q, here it is %q", i, c.Name, classes[i].Name)
+		means []MeanSnapshot
+	}{{"kinds", s.KindLatency}, {"services", s.KindServiceTime}} {
+		for i, mean := range list.means {
+			more, err := mean.fields(fmt.Sprintf("%s[%d]", list.key, i))
+			if err != nil {
+				return err
+			}
+			fields = append(fields, more...)
 		}
-		key, longest := fmt.Sprintf("classes[%d].", i), huge
-		if d := classes[i].Deadline; d > 0 {
-			longest = d.Seconds() // more would make all that comes look long waited for
+	}
+	for i := range s.Endpoints {
+		more, err := s.Endpoints[i].fields(fmt.Sprintf("endpoints[%d].", i))
+		if err != nil {
+			return err
 		}
-		figures = append(figures, figure{key + "windows", float64(c.Windows), huge}, figure{key + "mean", c.Mean, huge},
-			figure{key + "base", c.Base, huge}, figure{key + "usual", c.Usual, huge}, figure{key + "tail", c.Tail, huge},
-			figure{key + "maxLeft", c.MaxLeft.Seconds(), longest}, figure{key + "asked", c.Asked, huge},
-			figure{key + "good", c.Good, huge})
-		if c.Windows > 0 && !(c.Mean > 0 && c.Base > 0 && c.Usual > 0 && c.Tail > 0) {
-			return fmt.Errorf("learnt: %s a latency is not above 0", key)
+		fields = append(fields, more...)
+	}
+	for i, tokens := range s.TenantTokens {
+		fields = append(fields, snapshotField{fmt.Sprintf("shares[%d]", i), math.Abs(tokens), unboundedField})
+	}
+	for _, f := range fields {
+		if !(f.value >= 0 && f.value <= f.most) { // false for NaN too
+			return fmt.Errorf("learnt: %s: %v is not from 0 to %v", f.key, f.value, f.most)
 		}
 	}
-	for _, x := range []struct {
+	return nil
+}
+
+// tierFields are the values of the tier as a whole.
+func (s *Snapshot) tierFields() []snapshotField {
+	fields := []snapshotField{
+		{"errors", s.ErrorRate, 1},
+		{"strays", s.MissingShare, 1},
+		{"budget", s.RetryTokens, unboundedField},
+		{"repeatSpent", s.MeanRetryElapsed, unboundedField},
+	}
+	for _, rate := range []struct {
 		key string
 		RateSnapshot
-	}{{"rate", l.Rate}, {"spare", l.Spare}, {"served", l.Served}, {"asked", l.Asked}, {"warm", l.Warm}} {
-		figures = append(figures, figure{x.key + ".now", x.Now, huge}, figure{x.key + ".peak", x.Peak, huge})
+	}{{"rate", s.BaseLoad}, {"spare", s.SlackLoad}, {"served", s.AnswerRate}, {"asked", s.RequestRate}, {"warm", s.WarmSends}} {
+		fields = append(fields,
+			snapshotField{rate.key + ".now", rate.Current, unboundedField},
+			snapshotField{rate.key + ".peak", rate.Peak, unboundedField})
 	}
-	addPace := func(key string, p MeanSnapshot) error {
-		figures = append(figures, figure{key + ".mean", p.Mean, huge}, figure{key + ".n", p.N, huge})
-		if p.N > 0 && !(p.Mean > 0) {
-			return fmt.Errorf("learnt: %s.mean is not above 0", key)
-		}
-		return nil
+	return fields
+}
+
+// classFields are the values of the classes, which must be those of this process, in its order.
+func (s *Snapshot) classFields(classes []class) (fields []snapshotField, err error) {
+	if len(s.Classes) != len(classes) {
+		return nil, fmt.Errorf("learnt: %d classes, here are %d", len(s.Classes), len(classes))
 	}
-	for _, list := range []struct {
-		key   string
-		paces []MeanSnapshot
-	}{{"kinds", l.Kinds}, {"services", l.Services}} {
-		for i, p := range list.paces {
-			if err := addPace(fmt.Sprintf("%s[%d]", list.key, i), p); err != nil {
-				return err
-			}
+	for i, c := range s.Classes {
+		if c.Name != classes[i].Name {
+			return nil, fmt.Errorf("learnt: classes[%d] is %q, here it is %q", i, c.Name, classes[i].Name)
 		}
-	}
-	for i, e := range l.Endpoints {
-		key := fmt.Sprintf("endpoints[%d].", i)
-		if err := addPace(key+"pace", e.Pace); err != nil {
-			return err
+		key, longest := fmt.Sprintf("classes[%d].", i), unboundedField
+		if d := classes[i].Deadline; d > 0 {
+			longest = d.Seconds() // a longer remaining time would make every request look like a late retry
 		}
-		if err := addPace(key+"service", e.Service); err != nil {
-			return err
+		if c.Windows > 0 && !(c.MeanLatency > 0 && c.BaseLatency > 0 && c.UsualLatency > 0 && c.TailRatio > 0) {
+			return nil, fmt.Errorf("learnt: %s a latency is not above 0", key)
 		}
-		figures = append(figures, figure{key + "errors", e.Errors, 1}, figure{key + "losses", e.Losses, 1},
-			figure{key + "ramped", e.Ramped.Seconds(), huge})
+		fields = append(fields,
+			snapshotField{key + "windows", float64(c.Windows), unboundedField},
+			snapshotField{key + "mean", c.MeanLatency, unboundedField},
+			snapshotField{key + "base", c.BaseLatency, unboundedField},
+			snapshotField{key + "usual", c.UsualLatency, unboundedField},
+			snapshotField{key + "tail", c.TailRatio, unboundedField},
+			snapshotField{key + "maxLeft", c.MaxRemaining.Seconds(), longest},
+			snapshotField{key + "asked", c.Requests, unboundedField},
+			snapshotField{key + "good", c.OnTime, unboundedField})
 	}
-	for i, s := range l.TenantTokens {
-		figures = append(figures, figure{fmt.Sprintf("shares[%d]", i), math.Abs(s), huge})
+	return fields, nil
+}
+
+// fields are the values of an endpoint.
+func (e *EndpointSnapshot) fields(key string) ([]snapshotField, error) {
+	pace, err := e.LatencyRatio.fields(key + "pace")
+	if err != nil {
+		return nil, err
 	}
-	for _, f := range figures {
-		if !(f.value >= 0 && f.value <= f.most) {
-			return fmt.Errorf("learnt: %s: %v is not from 0 to %v", f.key, f.value, f.most)
-		}
+	service, err := e.ServiceTime.fields(key + "service")
+	if err != nil {
+		return nil, err
 	}
-	return nil
+	fields := append(pace, service...)
+	return append(fields,
+		snapshotField{key + "errors", e.ErrorRate, 1},
+		snapshotField{key + "losses", e.LossRate, 1},
+		snapshotField{key + "ramped", e.SlowStartAge.Seconds(), unboundedField}), nil
+}
+
+// fields are the values of a mean, which must be positive where it rests on any.
+func (m MeanSnapshot) fields(key string) ([]snapshotField, error) {
+	if m.Count > 0 && !(m.Mean > 0) {
+		return nil, fmt.Errorf("learnt: %s.mean is not above 0", key)
+	}
+	return []snapshotField{{key + ".mean", m.Mean, unboundedField}, {key + ".n", m.Count, unboundedField}}, nil
 }
--- a/internal/decision/statistics.go
+++ b/internal/decision/statistics.go
@@ -4,29 +4,29 @@
 	"time"
 )
 
-// class is a class of request with what was seen of its latency.
+// class is a class of requests with its statistics of latency.
 type class struct {
 	Class
-	meanLatency   float64 // seconds, smoothed
-	baseLatency   float64 // seconds, at little load
-	usualLatency  float64 // seconds, at a usual load
-	tailRatio     float64 // means that one answer in a hundred passes
-	windowSum     float64
-	windowAnswers int
-	windowStart   time.Duration // start of the window that sum and n cover
-	windows       int           // looked at so far
-	maxRemaining  time.Duration
-	marginalValue float64 // of serving one more of it
-	requests      float64 // requests of late,
-	onTime        float64 // and those of them answered within their aim
+	meanLatency   float64       // seconds, smoothed
+	baseLatency   float64       // seconds, at little load
+	usualLatency  float64       // seconds, at a usual load
+	tailRatio     float64       // 99th percentile, in mean latencies
+	windows       int           // windows of answers that are complete
+	windowSum     float64       // seconds of latency in the present window
+	windowAnswers int           // answers in it
+	windowStart   time.Duration // its start
+	maxRemaining  time.Duration // longest remaining time of a request so far
+	requests      float64       // recent requests
+	onTime        float64       // of them, those answered within their latency target
+	marginalValue float64       // what serving one more unit of work adds to the site's score
 }
 
-// look moves the base latency by the mean of a window. The first window holds only the short ones of the
-// first calls, and is passed over: a base learnt from it would hold back nearly everything.
+// updateBase moves the base and the usual latency by the mean of a window. The first window has only the
+// answers to the first calls, which are short, and is skipped: a base learned from it would hold back
+// nearly everything. The base latency follows the lowest windows and comes to lie well under the mean of a
+// lightly loaded tier, so pressure is measured against the usual latency instead.
 func (c *class) updateBase(mean float64) {
 	c.windows++
-	// The base latency comes to lie well under the mean of an easy tier, as it follows the lowest windows;
-	// strain measured against it held calls back on quiet days.
 	if c.windows <= baseSkippedWindows+1 {
 		c.usualLatency, c.baseLatency = mean, mean
 		return
@@ -35,7 +35,8 @@
 	c.baseLatency = moveTowards(c.baseLatency, mean, baseRiseWeight)
 }
 
-// learn takes an answer's latency into the class's figures and the rates.
+// recordLatency takes an answer's latency into the statistics of its class and its endpoint and into the
+// rates.
 func (b *Balancer) recordLatency(now time.Duration, r *request, e *endpoint, took time.Duration) {
 	c, s := r.class, took.Seconds()
 	if c.meanLatency == 0 {
@@ -62,8 +63,8 @@
 	b.answerRate.add(now, b.rateWindow, 1)
 }
 
-// report takes the service time that an endpoint reports. It tells how fast a machine is within an answer or
-// two; the latency of calls does not, as it holds the time of the tiers below.
+// recordLoadReport takes the service time that an endpoint reports. It shows how fast a machine is within
+// an answer or two; the latency of calls does not, as it includes the time of the tiers below.
 func (b *Balancer) recordLoadReport(now time.Duration, e *endpoint, l *Load) {
 	if l == nil || l.Service <= 0 {
 		return
@@ -80,8 +81,8 @@
 	e.serviceTime.add(l.Service.Seconds(), reportMeanWeight)
 }
 
-// notePace takes an answer's latency, over the mean of its class, into the pace of its endpoint and of all
-// endpoints of its kind: an endpoint that is seldom called is judged by its kind.
+// recordLatencyRatio takes an answer's latency, relative to the mean of its class, into the ratios of its
+// endpoint and of the endpoint's machine kind: a rarely called endpoint is judged by its kind.
 func (b *Balancer) recordLatencyRatio(e *endpoint, slow float64) {
 	if e.kind >= len(b.kindLatency) {
 		b.kindLatency = append(b.kindLatency, make([]runningMean, e.kind+1-len(b.kindLatency))...)
@@ -90,12 +91,15 @@
 	e.latencyRatio.add(slow, endpointMeanWeight)
 }
 
-// slow is an endpoint's latency over the fleet's, drawn towards its kind's while its own answers are few.
+// relativeLatency is an endpoint's latency over the tier's, drawn towards that of its machine kind while
+// its own answers are few.
 func (b *Balancer) relativeLatency(e *endpoint) float64 {
-	return (kindPriorAnswers*b.kindLatencyRatio(e) + e.latencyRatio.count*e.latencyRatio.mean) / (kindPriorAnswers + e.latencyRatio.count)
+	own := &e.latencyRatio
+	return (kindPriorAnswers*b.kindLatencyRatio(e) + own.count*own.mean) / (kindPriorAnswers + own.count)
 }
 
-// kindPace is the latency over the fleet's of an endpoint's kind; 1 while too few answers tell.
+// kindLatencyRatio is the latency of an endpoint's machine kind over the tier's; 1 while there are too few
+// answers.
 func (b *Balancer) kindLatencyRatio(e *endpoint) float64 {
 	if e.kind < len(b.kindLatency) && b.kindLatency[e.kind].count >= kindPriorAnswers {
 		return b.kindLatency[e.kind].mean
@@ -103,11 +107,9 @@
 	return 1
 }
 
-// noteError takes an answer into the error shares of its endpoint and the fleet.
+// recordError takes an answer into the error rates of its endpoint and of the tier: x is 1 for an error and
+// 0 for none.
 func (b *Balancer) recordError(e *endpoint, x, weight float64) {
 	e.errorRate += weight * (x - e.errorRate)
 	b.errorRate += fleetErrorWeight * (x - b.errorRate)
 }
-
-// demandWindows is how many rate windows a broker's demand is averaged over: one that is rarely asked has few requests.
-const demandRateWindows = 10
--- a/internal/decision/subset.go
+++ b/internal/decision/subset.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// count notes which endpoints are in this instance's subset, and with what part of their weight. Many
-// instances that each call every endpoint fill its connection table with idle connections, and know nothing
-// of any. The subsets tile a ring of the listed weights by ordinal, so that together they reach each endpoint
-// in proportion to its weight, few as one instance's endpoints are; an instance that has isolated some goes
-// on along the ring. Endpoints that leave are no part of it: when many left at once, their shares fell to the
-// few that came after them.
+// updateSubset sets which endpoints are in this instance's subset, and with what part of their weight.
+// Where many instances each call every endpoint, idle connections fill the endpoints' tables, and no
+// instance learns much of any endpoint. The subsets tile a ring of the listed weights by the instances'
+// positions, so that together they reach each endpoint in proportion to its weight; an instance that has
+// ejected some goes on along the ring. Draining endpoints are not on the ring: when many left at once,
+// their part fell to the few that came after them.
 func (b *Balancer) updateSubset() {
 	b.checkWeights()
 	b.subsetStale = false
@@ -57,10 +57,8 @@
 	sortByID(b.subset)
 }
 
-// mostWeight is more than any weight can be: with one that cannot, a list tells nothing of sizes.
-const maxListedWeight = 1e6
-
-// weigh notes, where weights or endpoints are others than before, whether the listed weights are all such as can be, and tell endpoints apart.
+// checkWeights sets, when weights or endpoints have changed, whether the listed weights are all plausible
+// and tell endpoints apart.
 func (b *Balancer) checkWeights() {
 	if !b.weightsChanged {
 		return
@@ -71,9 +69,9 @@
 	b.weighted = slices.ContainsFunc(b.listed, apart) && !slices.ContainsFunc(b.listed, none)
 }
 
-// scatter is an instance's place among all: numbers that follow each other lie far apart, in steps of the golden
-// section. Instances of one hall are numbered in a row; when callers came to that hall, their subsets, side by
-// side on the ring, filled up one part of a tier.
+// ringPosition is an instance's position on the ring: consecutive ordinals are scattered in steps of the
+// golden section. Instances of one zone are numbered consecutively; when callers moved to that zone,
+// subsets side by side on the ring overloaded one part of the tier.
 func ringPosition(ordinal, instances int) int {
 	step := max(int(0.618034*float64(instances)), 1)
 	for gcd(step, instances) != 1 {
@@ -82,6 +80,7 @@
 	return ordinal % instances * step % instances
 }
 
+// gcd is the greatest common divisor.
 func gcd(a, b int) int {
 	for b != 0 {
 		a, b = b, a%b
--- a/internal/decision/token_bucket.go
+++ b/internal/decision/token_bucket.go
@@ -4,42 +4,48 @@
 	"time"
 )
 
-// bucket meters what a tenant may ask for within its share.
+// tokenBucket meters events at a rate a second, with a fallback rate after a time.
 type tokenBucket struct {
-	rate, level, capacity float64
-	minCapacity           float64 // of most, whatever the rate
-	at                    time.Duration
-	usage                 Usage
-	fallbackRate          float64       // the rate from
-	rateUntil             time.Duration // then on; 0 for no end
+	level        float64 // tokens now; negative on credit
+	at           time.Duration
+	rate         float64       // tokens a second
+	rateUntil    time.Duration // end of rate; 0 for none
+	fallbackRate float64       // from rateUntil on
+	capacity     float64       // tokens at the most
+	minCapacity  float64       // part of capacity that does not depend on the rate
+	usage        Usage
 }
 
-// newBucket makes a bucket that holds some seconds of its rate, and a few more for chance. It starts with next
-// to nothing: a tier that starts on more than it can do must not fill up before that is known.
+// newTokenBucket makes a bucket with a capacity of some seconds of its rate and a few tokens more for
+// chance. It starts nearly empty: a tier that starts overloaded must not be filled with a full burst before
+// that is known.
 func newTokenBucket(now time.Duration, rate, burst float64) tokenBucket {
 	return tokenBucket{rate: rate, level: tenantStartTokens, capacity: tenantBurstBase + rate*burst, at: now}
 }
 
-// allot sets a bucket's rate until a time, and the one from then on; saved counts at most for that of now.
-func (b *tokenBucket) setRate(now time.Duration, rate, floor float64, until time.Duration, least float64) {
+// setRate sets a rate until a time, and the one from then on. What was saved before counts up to the
+// capacity at the new rate.
+func (b *tokenBucket) setRate(now time.Duration, rate, fallback float64, until time.Duration, minCapacity float64) {
 	b.spend(now, 0)
-	b.rate, b.fallbackRate, b.rateUntil, b.minCapacity = rate, floor, until, least
-	b.capacity = least + rate*tenantBurstSeconds
+	b.rate, b.fallbackRate, b.rateUntil, b.minCapacity = rate, fallback, until, minCapacity
+	b.capacity = minCapacity + rate*tenantBurstSeconds
 	b.level = min(b.level, b.capacity)
 }
 
-// lapse ends a rate whose time is over, from when it was: whoever looks late, as after a stall, finds no more than that.
+// expireRate changes to the fallback rate at the time when that was due, however late it is called, as
+// after a stall.
 func (b *tokenBucket) expireRate(now time.Duration) {
 	if b.rateUntil == 0 || now < b.rateUntil {
 		return
 	}
 	until := max(b.rateUntil, b.at)
 	b.level = min(b.capacity, b.level+b.rate*(until-b.at).Seconds())
-	b.rate, b.capacity, b.at, b.rateUntil = b.fallbackRate, b.minCapacity+b.fallbackRate*tenantBurstSeconds, until, 0
+	b.rate, b.rateUntil, b.at = b.fallbackRate, 0, until
+	b.capacity = b.minCapacity + b.rate*tenantBurstSeconds
 	b.level = min(b.level, b.capacity)
 }
 
-// take takes n out, if they are there.
+// take takes n tokens if they are there, and counts the usage.
 func (b *tokenBucket) take(now time.Duration, n float64) bool {
 	b.spend(now, 0)
 	b.usage.Asked++
@@ -51,14 +57,14 @@
 	return true
 }
 
-// spend takes n out, on credit where they are not there: as much as it can hold.
+// spend takes n tokens, on credit where they are not there, down to minus the capacity.
 func (b *tokenBucket) spend(now time.Duration, n float64) {
 	b.expireRate(now)
 	b.level = max(min(b.capacity, b.level+b.rate*(now-b.at).Seconds())-n, -b.capacity)
 	b.at = now
 }
 
-// hold sets what a bucket holds.
+// setLevel sets the number of tokens, within what the bucket can hold.
 func (b *tokenBucket) setLevel(now time.Duration, level float64) {
 	b.level, b.at = min(max(level, -b.capacity), b.capacity), now
 }
--- a/internal/decision/tunables.go
+++ b/internal/decision/tunables.go
@@ -1,99 +1,272 @@
 package decision
 
-// Tunables. Times are ratios of settings or of what is observed.
+import "time"
+
+// The constants below are all that is tuned, grouped by mechanism. A constant without a unit is a ratio of
+// the quantity that its comment names. The times, capacities and limits that a site states are in Settings.
+//
+// The effect of half and of double the value is given where a run has measured it (docs/FLEET.md); where
+// nothing is said it has not been measured.
+
+// Endpoint selection: power of two choices (Mitzenmacher 2001), as the design page (DESIGN) asks for.
 const (
-	drawCandidates = 2 // distinct endpoints drawn for a pick, as the design has it
-	// callers is how many instances should call one endpoint; where more would, each keeps to a subset, in
-	// which its own counts and answers tell it something.
+	// drawCandidates is the number of distinct endpoints drawn for a pick. Source: DESIGN.
+	drawCandidates = 2
+)
+
+// Subsets: each instance calls a part of a large tier, so that its own counts and answers are informative.
+const (
+	// callersPerEndpoint is the number of instances that should call one endpoint. Where more would, each
+	// keeps to a subset. Measured (docs/FLEET.md): eight, in place of subsets sized by the own calls, 0.963
+	// for 0.990 of fleet-flood without its flood.
 	callersPerEndpoint = 3
-	// subsetLeast is the fewest endpoints' worth of weight in a subset: with one, there is nothing to compare.
+	// minSubset is the least size of a subset, in endpoints: with one there is nothing to compare.
 	minSubset = 2.0
-	// ownCalls is how many endpoints a subset has at least for each call in flight. An instance to which more
-	// callers come than to others would else fill up its few, and with them the other instances' that call them.
+	// subsetPerCall is the least number of endpoints in the subset for each call in flight. Without it an
+	// instance with more callers than the others overloads its few endpoints, and the other instances that
+	// call them. Measured (docs/FLEET.md): double, 0.992 for 0.990 in fleet-flood and 0.960 for 0.967 in the
+	// fleet, with half as many connections again.
 	subsetPerCall = 2.0
+)
 
-	// Limits: in flight there may be what is answered at base latency, and a queue: so many calls for each
-	// endpoint and tier from here on, no more than a share of the first, and none that would use up the time to
-	// the aim. More only waits there instead of here, is answered late, and may choke endpoints.
-	queuePerEndpoint      = 0.75 // calls for each endpoint and tier
-	maxQueueShare         = 0.8
-	slackShare            = 0.5  // of the time from base latency to the aim; the rest is for slow calls
-	startCallsPerEndpoint = 5.0  // the limit at first, for each endpoint that is this instance's share of the tier
-	minCallsPerEndpoint   = 1.2  // and the least it may come to
-	limitSlack            = 2.0  // calls that any endpoint, and the fleet, may hold beyond its share
-	endpointLimitFactor   = 1.5  // of an even share of the limit, that one endpoint may hold
-	sendSlackMeans        = 1.8  // mean latencies that must be left until the aim when a call is sent
-	peakHoldWindows       = 5.0  // how long a peak rate is remembered, in rate windows
-	baseWindowAnswers     = 16   // answers, and one rate window, averaged for one look at the base latency
-	baseFallWeight        = 0.3  // how fast the base latency follows lower ones
-	baseSkippedWindows    = 1    // first windows that do not count
-	baseRiseWeight        = 0.02 // and higher ones: slowly, so that an overload is not taken for normal
-	usualRiseWeight       = 0.08 // and how fast the usual latency, that strain is measured against, follows higher ones
-	kindMeanWeight        = 0.02 // of one answer in the pace of a kind,
-	endpointMeanWeight    = 0.1  // and of an endpoint
-	reportMeanWeight      = 0.3  // of one report in an endpoint's service time
-	kindPriorAnswers      = 4.0  // answers that the pace of its kind counts for
-	classMeanWeight       = 0.05 // weight of one answer in a class's mean latency
-
-	tenantBurstBase    = 8.0  // requests that chance may bring together, at any rate,
-	tenantStartTokens  = 2.0  // and at the start
-	evenShareTolerance = 1.17 // of all shares at an instance that is served where callers come evenly: all of capacity
-	quotaRelaxation    = 1.5  // of the shares, over what is served beyond that
-	tenantBurstSeconds = 4.0  // seconds of its share that a tenant may save up
-
-	// Strain: what calls take, over what they should at most take on average. Above 1 calls are paced, for where
-	// an instance has a call or two in flight a limit on their number holds nothing back.
-	pressureUsualFactor = 1.5  // usual latencies that calls should take at most on average,
-	pressureTargetShare = 0.55 // and part of the aim
-	pressureMaxWeight   = 0.12 // of one answer at most,
-	pressureTargets     = 2.0  // and all those of so many aims count alike
-	pacingGain          = 1.5  // part of the pace that one second of a strain of 2 takes off
-	pressureMaxSample   = 4.0  // the most that one call may tell
-	pacingStartFactor   = 1.5  // of the peak rate of requests: the pace when nothing is held back
-	pacingMinFactor     = 0.15 // and the least, of that
-	overQuotaPressure   = 0.7  // strain at which what is beyond a share yields, before calls are paced
-	pacingBurst         = 2.0  // calls that may be sent at once, or those of half a second
-
-	// Silence: no answer of any kind since a call was sent, while others answer.
-	silenceSuspectMeans   = 3.0 // mean latencies until an endpoint is passed over
-	tailStartRatio        = 6.0 // first guess of the latency that one answer in a hundred passes, in means
-	tailQuantile          = 0.01
-	tailStep              = 0.3  // how far one answer moves that guess, in means
-	silenceEjectTails     = 4.0  // such latencies until silence isolates on one call
-	silenceEjectCalls     = 2    // so many calls isolate it at suspectAfter already
-	silenceOtherAnswers   = 4    // answers of others in that time that make silence its own
-	lossRateWeight        = 0.05 // of one call in an endpoint's share of lost ones: two in a row pass losesAt
-	lossRateThreshold     = 0.12 // share of calls that an endpoint loses, not one that is slow now and then
-	overdueStuckTails     = 0.6  // such latencies until a call that so many later ones overtook leaves room for others,
-	overdueLostTails      = 1.1  // and until it counts as lost
-	overdueMissingTails   = 1.5  // and until it is sent again, where most that count as lost go unanswered until then
-	missingShareWeight    = 0.3  // of one call that counts as lost, in the fleet's share of those that do
-	missingShareThreshold = 0.6  // that share from which on it is; at first it is taken for a half
-
-	// Errors: an endpoint is judged against the fleet, for the tier below may be at fault.
-	errorRateWeight           = 0.3  // of one answer in an endpoint's error share: two in a row pass ejectAt
-	invalidResponseWeight     = 0.08 // of one that is of no use, as every endpoint sends some: eight in a row pass it
-	fleetErrorWeight          = 0.02 // of one answer in the fleet's
-	ejectErrorRate            = 0.45 // error share that ejects
-	ejectFleetRatio           = 3.0  // and at least so many times the fleet's
-	maxEjectedShare           = 0.5  // share of the list that errors and silence may isolate
-	firstTrialConnectTimeouts = 4.0  // connect time-outs from isolation to the first trial call
-	fetchIntervalShare        = 0.5  // of AskEvery (or Cold): the pace of fetching lists after broken connections
-	watchBackoffShare         = 0.05 // of AskEvery: spread of the first Watch; it doubles with each failure,
-	watchBackoffMaxSeconds    = 1.8  // up to so many seconds: with a hung call before, a slow one after, under 6
-	returnedWarmShare         = 0.75 // share of Cold that an endpoint skips in its ramp if nothing showed a restart
-	slowStartHeadroom         = 0.7  // of TipMultiple: a ramping endpoint's rate over its share of what warm ones are sent
-	retryTokensPerAnswer      = 0.2  // further attempts earned by each answered call
-	maxRetryTokens            = 10.0 // and how many may be saved up
-	queueSecondsMax           = 2.0  // seconds of calls, at the present rate, that may be held,
-	queueSecondsMaxHidden     = 0.5  // and where repeats do not show what they have spent
-	retryElapsedWeight        = 0.05 // of one repeat in the mean time that repeats have spent
-	firstAttemptShare         = 0.97 // of the longest time left seen: less tells of a repeat
-	classWindowRequests       = 100  // requests of a class that its part served in time is remembered over
-	classMinRequests          = 5    // and requests from which it counts
-	minRetryAfterWindows      = 0.25 // rate windows that a refused client should wait, at least
-	successorStartSeconds     = 1.5  // seconds from an instance's end until the next one serves in its place
-	maxDepartedEndpoints      = 64   // endpoints that have gone and are still remembered, beside twice those listed
-	minIdleCallerConns        = 3    // callers' connections that the only instance keeps idle once it is told to end
-	tickQuanta                = 4    // quanta between looks at held and overdue calls
+// Limit on calls in flight: the calls that are answered at base latency, and a queue at the endpoints. More
+// calls would wait there instead of here, be answered late, and may push endpoints over.
+const (
+	// queuePerEndpoint is the length of that queue for each endpoint and tier from this one on, in calls.
+	queuePerEndpoint = 0.75
+	// maxQueueShare bounds the queue by a share of the calls at base latency.
+	maxQueueShare = 0.8
+	// slackShare bounds the queue by a share of the time from base latency to latency target; the rest is left
+	// for calls that are slow by themselves.
+	slackShare = 0.5
+	// startCallsPerEndpoint is the least limit before base latencies are known, and minCallsPerEndpoint the
+	// least from then on: calls for each endpoint that is this instance's share of the tier.
+	startCallsPerEndpoint = 5.0
+	minCallsPerEndpoint   = 1.2
+	// limitSlack is the number of calls that any endpoint, and the tier, may have beyond its computed limit.
+	// Measured (docs/FLEET.md): 3, 0.789 for 0.805 on ten overloaded days; 8, 0.979 for 0.967 on the calm day.
+	limitSlack = 2.0
+	// endpointLimitFactor is how much of the limit one endpoint may have, in even shares of it.
+	endpointLimitFactor = 1.5
+	// peakHoldWindows is the time constant with which a peak rate fades, in rate windows.
+	peakHoldWindows = 5.0
+	// demandRateWindows is the time over which the demand rate is averaged, in rate windows: an instance that is
+	// rarely called has few requests to average over.
+	demandRateWindows = 10
+)
+
+// Base and usual latency of a class: exponential averages over windows of answers. The base latency follows
+// the lowest windows and stands for little load; the usual latency is what latency pressure is measured
+// against.
+const (
+	// baseWindowAnswers is the least number of answers in a window; a window also lasts one rate window at
+	// least.
+	baseWindowAnswers = 16
+	// baseSkippedWindows is the number of first windows that are not counted.
+	baseSkippedWindows = 1
+	// baseFallWeight is the weight of a window that is lower than the average.
+	baseFallWeight = 0.3
+	// baseRiseWeight and usualRiseWeight are the weights of a higher window in the base and the usual latency:
+	// small, so that an overload is not learned as normal.
+	baseRiseWeight  = 0.02
+	usualRiseWeight = 0.08
+)
+
+// Running means of latency and service time.
+const (
+	// classMeanWeight is the weight of one answer in the mean latency of its class.
+	classMeanWeight = 0.05
+	// kindMeanWeight is the weight of one answer in the latency ratio of a machine kind, and
+	// endpointMeanWeight in that of an endpoint.
+	kindMeanWeight     = 0.02
+	endpointMeanWeight = 0.1
+	// reportMeanWeight is the weight of one load report in the service time of an endpoint.
+	reportMeanWeight = 0.3
+	// kindPriorAnswers is how many answers the machine kind's latency ratio counts for in that of an endpoint.
+	kindPriorAnswers = 4.0
+)
+
+// Tenant quotas: a token bucket for each tenant (docs/FLEET.md, docs/BUDGETS.md).
+const (
+	// tenantBurstBase is the capacity of a bucket at any rate, in requests, and tenantStartTokens its first
+	// level: an instance that starts on an overloaded tier must not admit a full burst before it knows of the
+	// overload.
+	tenantBurstBase   = 8.0
+	tenantStartTokens = 2.0
+	// tenantBurstSeconds is the capacity beyond that, in seconds of the tenant's rate.
+	tenantBurstSeconds = 4.0
+	// evenShareTolerance is the ratio of the answer rate to the sum of quotas above which an instance serves
+	// more than an even part of the tenants' requests. Measured (docs/FLEET.md): no difference from 1.17 to
+	// 1.35; at 1.0 two of four sites lose 0.02 to 0.03 and one gains as much.
+	evenShareTolerance = 1.17
+	// quotaRelaxation is the growth of the quotas for each unit of that ratio beyond the tolerance.
+	quotaRelaxation = 1.5
+)
+
+// Latency pressure: the latency of calls over what it should at most be on average. Above 1, instances that
+// outnumber the endpoints pace their sends: with a call or two in flight each, no limit on their number
+// holds anything back. Measured (docs/FLEET.md): without pacing, those within their quotas get 0.937 for
+// 0.916 in a flood, but a storm before endpoints that fail under load is served 0.319 for 0.484.
+const (
+	// pressureUsualFactor is the latency that counts as pressure 1, in usual latencies, and
+	// pressureTargetShare the same as a share of the latency target; the lower one counts.
+	pressureUsualFactor = 1.5
+	pressureTargetShare = 0.55
+	// pressureMaxWeight is the greatest weight of one answer, and pressureTargets the number of latency targets
+	// over which all answers weigh alike.
+	pressureMaxWeight = 0.12
+	pressureTargets   = 2.0
+	// pressureMaxSample bounds what one call contributes.
+	pressureMaxSample = 4.0
+	// pacingGain is the share of the send rate that one second at pressure 2 takes off.
+	pacingGain = 1.5
+	// pacingStartFactor is the send rate at which pacing begins, and pacingMinFactor the least of that: in peak
+	// rates of requests and in start rates.
+	pacingStartFactor = 1.5
+	pacingMinFactor   = 0.15
+	// pacingBurst is the number of calls that may be sent at once, where half a second of the rate is less.
+	pacingBurst = 2.0
+	// overQuotaPressure is the pressure from which requests beyond a quota are rejected where instances
+	// outnumber the endpoints: before calls are paced.
+	overQuotaPressure = 0.7
+)
+
+// Silence: an endpoint that answers nothing while others do.
+const (
+	// silenceSuspectMeans is the age of its oldest call, in mean latencies, from which an endpoint is passed
+	// over.
+	silenceSuspectMeans = 3.0
+	// silenceEjectTails is the age, in tail latencies, that ejects it for one call, and silenceEjectCalls the
+	// number of calls that eject it at silenceSuspectMeans.
+	silenceEjectTails = 4.0
+	silenceEjectCalls = 2
+	// silenceOtherAnswers is the number of answers by other endpoints in that time without which the cause is
+	// not taken to be the endpoint's own.
+	silenceOtherAnswers = 4
+)
+
+// Tail latency of a class: a running estimate of the 99th percentile, in mean latencies (stochastic
+// approximation).
+const (
+	// tailStartRatio is the first estimate, tailQuantile the share of answers beyond it, and tailStep how far
+	// one answer moves it.
+	tailStartRatio = 6.0
+	tailQuantile   = 0.01
+	tailStep       = 0.3
 )
+
+// Overdue calls: calls that later ones overtook and that will hardly be answered. Ages are in tail latencies.
+const (
+	// overdueStuckTails is the age from which such a call leaves room for others in the limit.
+	overdueStuckTails = 0.6
+	// overdueLostTails is the age from which it counts as lost by its endpoint.
+	overdueLostTails = 1.1
+	// lossRateWeight is the weight of one call in an endpoint's loss rate, and lossRateThreshold the rate above
+	// which lost calls are sent again: two in a row pass it, a single slow one does not.
+	lossRateWeight    = 0.05
+	lossRateThreshold = 0.12
+	// overdueMissingTails is the age from which it counts as missing, missingShareWeight the weight of one lost
+	// call in the tier's share of those that go missing, and missingShareThreshold the share above which missing
+	// calls are sent again. At first the share is taken to be missingShareStart.
+	overdueMissingTails   = 1.5
+	missingShareWeight    = 0.3
+	missingShareThreshold = 0.6
+	missingShareStart     = 0.5
+)
+
+// Outlier ejection by errors: an endpoint is compared with the tier, as the tier below may be the cause.
+const (
+	// errorRateWeight is the weight of one answer in an endpoint's error rate: two errors in a row pass
+	// ejectErrorRate.
+	errorRateWeight = 0.3
+	// invalidResponseWeight is the weight of a response that cannot be used: any endpoint sends some, eight in a
+	// row eject.
+	invalidResponseWeight = 0.08
+	// fleetErrorWeight is the weight of one answer in the tier's error rate.
+	fleetErrorWeight = 0.02
+	// ejectErrorRate is the error rate that ejects, and ejectFleetRatio how many times the tier's it must also
+	// be.
+	ejectErrorRate  = 0.45
+	ejectFleetRatio = 3.0
+	// maxEjectedShare bounds the share of the listed endpoints that may be ejected for errors or silence.
+	maxEjectedShare = 0.5
+	// firstTrialConnectTimeouts is the time from an ejection to the first trial call, in connect time-outs; it
+	// doubles with each trial that fails.
+	firstTrialConnectTimeouts = 4.0
+	// evidenceMaxAge is how long a good answer is evidence of health for other instances.
+	evidenceMaxAge = 5 * time.Second
+)
+
+// Slow start of endpoints that have just started or come back (Settings.WarmUp and others; DESIGN).
+const (
+	// returnedWarmShare is the share of WarmUp that an endpoint skips where nothing showed a restart.
+	returnedWarmShare = 0.75
+	// slowStartHeadroom is the share of OverloadMultiple that bounds the send rate to a cold endpoint,
+	// relative to its share of what warm ones are sent.
+	slowStartHeadroom = 0.7
+)
+
+// Retry budget: a token bucket that answered calls fill.
+const (
+	// retryTokensPerAnswer is the number of further attempts that one answer earns.
+	retryTokensPerAnswer = 0.2
+	// maxRetryTokens is the capacity of the bucket, and the most attempts of one request where the site states
+	// no limit.
+	maxRetryTokens = 10.0
+)
+
+// Queue of requests that wait here, and when rejected clients should return.
+const (
+	// queueSecondsMax is the capacity of the queue, in seconds of the answer rate, and queueSecondsMaxHidden the
+	// same where retries by clients do not show how long the client has waited.
+	queueSecondsMax       = 2.0
+	queueSecondsMaxHidden = 0.5
+	// sendSlackMeans is the time that must be left until the latency target when a call is sent, in mean
+	// latencies.
+	sendSlackMeans = 1.8
+	// classWindowRequests is the number of requests over which a class's share of answers in time is remembered,
+	// and classMinRequests the number from which that share counts.
+	classWindowRequests = 100
+	classMinRequests    = 5
+	// minRetryAfterWindows is the least time to wait that a rejected client is told, in rate windows.
+	minRetryAfterWindows = 0.25
+	// successorStartSeconds is the time from the end of the only instance until the next one serves, in seconds.
+	successorStartSeconds = 1.5
+	// minIdleCallerConns is the number of idle connections of callers that the only instance keeps while it
+	// drains.
+	minIdleCallerConns = 3
+)
+
+// Retries by clients.
+const (
+	// retryElapsedWeight is the weight of one retry in the mean time that clients had waited before it.
+	retryElapsedWeight = 0.05
+	// firstAttemptShare is the share of the longest remaining time seen below which a request is taken to be a
+	// retry.
+	firstAttemptShare = 0.97
+)
+
+// Endpoint list.
+const (
+	// fetchIntervalShare is the interval between fetches of the list after broken connections, as a share of
+	// DiscoveryInterval (or WarmUp).
+	fetchIntervalShare = 0.5
+	// watchBackoffShare is the first pause before a watch, as a share of DiscoveryInterval, and
+	// watchBackoffMaxSeconds the longest: with a call that hung before and a slow one after, under the 6 s that
+	// discovery has.
+	watchBackoffShare      = 0.05
+	watchBackoffMaxSeconds = 1.8
+	// maxDepartedEndpoints is the number of endpoints that are remembered after they have left the list, beside
+	// twice the number listed.
+	maxDepartedEndpoints = 64
+)
+
+// tickQuanta is the interval at which queued and overdue calls are looked at, in quanta of Settings.Quantum.
+const tickQuanta = 4
+
+// maxListedWeight is more than any endpoint weight can be; a list with a greater one, or with one that is not
+// positive, is taken to state no weights.
+const maxListedWeight = 1e6
+
+// maxSnapshotEndpoints bounds the endpoints whose statistics a snapshot has; a successor learns the others.
+const maxSnapshotEndpoints = 512
