--- a/internal/dataplane/request_outcomes.go
+++ b/internal/dataplane/request_outcomes.go
@@ -126,7 +126,7 @@
 	if target > 0 && (timing.startedAt.IsZero() || timing.startedAt.Sub(x.request.arrivedAt) > target) {
 		return phaseNames[timing.longestPhase()]
 	}
-	maxPause := time.Duration(route.TargetGapMs * float64(time.Millisecond))
+	maxPause := route.TargetGap()
 	if route.Kind == fleetconfig.Streaming && maxPause > 0 && timing.longestPause > maxPause {
 		return causePause
 	}
--- a/internal/fleetconfig/document.go
+++ b/internal/fleetconfig/document.go
@@ -1,29 +1,28 @@
-// Package fleetconfig is the operator's configuration as a replicated value: documents and the changes that lead from
-// one to the next, their validation, and the state that the core replicates. It does no input or output.
 package fleetconfig
 
 import (
 	"bytes"
 	"encoding/json"
 
+	"github.com/pkg/errors"
 	"github.com/samber/lo"
 )
 
-// Item is a named part of a configuration. Its text is kept as it was sent.
-type Item struct {
-	Name string
-	Text []byte // JSON
-}
-
-// Document is a configuration in full.
+// Document is a complete configuration. It is immutable.
 type Document struct {
-	Version  int64
+	Version  int64 // chosen by the operator; rises with every change, by any step
 	Routes   []Item
 	Services []Item
 	Limits   []byte // JSON; empty for none
 }
 
-// rawDocument is a document's form in JSON.
+// Item is a named part of a configuration, a route or a service.
+type Item struct {
+	Name string
+	Text []byte // JSON, as it was sent
+}
+
+// rawDocument is the JSON form of a document. Its name is part of the parser's messages.
 type rawDocument struct {
 	Version  int64             `json:"version"`
 	Routes   []json.RawMessage `json:"routes"`
@@ -31,7 +30,7 @@
 	Limits   json.RawMessage   `json:"limits,omitempty"`
 }
 
-// JSON renders a document.
+// JSON returns the JSON form of a document, with the text of each item as it was sent.
 func (d *Document) JSON() ([]byte, error) {
 	raw := rawDocument{Version: d.Version, Routes: texts(d.Routes), Services: texts(d.Services), Limits: d.Limits}
 	var out bytes.Buffer
@@ -47,8 +46,23 @@
 	return lo.Map(items, func(item Item, _ int) json.RawMessage { return item.Text })
 }
 
-// named reads the names of items. The schema has checked that they have one.
-func named(raw []json.RawMessage) ([]Item, error) {
+// parseDocument reads the JSON form of a document.
+func parseDocument(body []byte) (Document, error) {
+	var raw rawDocument
+	if err := json.Unmarshal(body, &raw); err != nil {
+		return Document{}, errors.Wrap(err, "not valid JSON")
+	}
+	document := Document{Version: raw.Version, Limits: append([]byte(nil), raw.Limits...)}
+	var err error
+	if document.Routes, err = parseItems(raw.Routes); err != nil {
+		return Document{}, err
+	}
+	document.Services, err = parseItems(raw.Services)
+	return document, err
+}
+
+// parseItems reads the names of items. The schema has ensured that each has one.
+func parseItems(raw []json.RawMessage) ([]Item, error) {
 	items := make([]Item, 0, len(raw))
 	for _, text := range raw {
 		var named struct {
@@ -62,26 +76,27 @@
 	return items, nil
 }
 
-// upserted is a list with items added, or replaced by name, and others removed.
-func upserted(items, upsert []Item, remove []string) []Item {
-	gone := lo.Associate(remove, func(name string) (string, bool) { return name, true })
-	fresh := lo.SliceToMap(upsert, func(item Item) (string, Item) { return item.Name, item })
-	var out []Item
+// modifyItems returns a list with some items replaced by name or appended, and others removed. Names to remove that are not
+// in the list are ignored; an item that is both replaced and removed stays.
+func modifyItems(items, upserts []Item, removals []string) []Item {
+	removed := lo.Associate(removals, func(name string) (string, bool) { return name, true })
+	pending := lo.SliceToMap(upserts, func(item Item) (string, Item) { return item.Name, item })
+	var modified []Item
 	for _, item := range items {
-		if replacement, ok := fresh[item.Name]; ok {
-			out = append(out, replacement)
-			delete(fresh, item.Name)
+		if replacement, ok := pending[item.Name]; ok {
+			modified = append(modified, replacement)
+			delete(pending, item.Name)
 			continue
 		}
-		if !gone[item.Name] {
-			out = append(out, item)
+		if !removed[item.Name] {
+			modified = append(modified, item)
 		}
 	}
-	for _, item := range upsert {
-		if _, ok := fresh[item.Name]; ok {
-			out = append(out, item)
-			delete(fresh, item.Name)
+	for _, item := range upserts {
+		if _, ok := pending[item.Name]; ok {
+			modified = append(modified, item)
+			delete(pending, item.Name)
 		}
 	}
-	return out
+	return modified
 }
--- a/internal/fleetconfig/fleetconfig_test.go
+++ b/internal/fleetconfig/fleetconfig_test.go
@@ -23,38 +23,38 @@
 	return &Change{Operation: Replace, Base: base, Body: []byte(body)}
 }
 
-func taken(c *Change) *State {
+func applied(c *Change) *State {
 	next, err := (&State{}).Next(c)
 	Expect(err).NotTo(HaveOccurred())
 	return next
 }
 
-var _ = Describe("a whole configuration", func() {
-	DescribeTable("is refused where it is invalid",
+var _ = Describe("a complete configuration", func() {
+	DescribeTable("is rejected if it is invalid",
 		func(change *Change, kind errkind.Kind) {
-			state := taken(replace(3, 0, route, `{"name":"s1"}`))
+			state := applied(replace(3, 0, route, `{"name":"s1"}`))
 			_, err := state.Next(change)
 			Expect(err).To(HaveOccurred())
 			Expect(errkind.KindOf(err)).To(Equal(kind))
 		},
-		Entry("cut short", &Change{Operation: Replace, Base: 3, Body: []byte(`{"version":4,"routes":[`)}, errkind.InvalidConfig),
+		Entry("truncated JSON", &Change{Operation: Replace, Base: 3, Body: []byte(`{"version":4,"routes":[`)}, errkind.InvalidConfig),
 		Entry("not an object", &Change{Operation: Replace, Base: 3, Body: []byte(`[]`)}, errkind.InvalidConfig),
-		Entry("followed by more", &Change{Operation: Replace, Base: 3, Body: []byte(`{"version":4,"routes":[],"services":[]} {}`)}, errkind.InvalidConfig),
+		Entry("JSON followed by more", &Change{Operation: Replace, Base: 3, Body: []byte(`{"version":4,"routes":[],"services":[]} {}`)}, errkind.InvalidConfig),
 		Entry("an unknown service", replace(4, 3, route, `{"name":"s2"}`), errkind.InvalidConfig),
-		Entry("two routes in one place", replace(4, 3, route+`,{"name":"r2","host":"A.example","path_prefix":"/x/","timeout_ms":1,"service":"s1"}`, `{"name":"s1"}`), errkind.InvalidConfig),
-		Entry("two routes of one name", replace(4, 3, route+`,{"name":"r1","host":"b.example","path_prefix":"/x/","timeout_ms":1,"service":"s1"}`, `{"name":"s1"}`), errkind.InvalidConfig),
+		Entry("two routes with the same host and prefix", replace(4, 3, route+`,{"name":"r2","host":"A.example","path_prefix":"/x/","timeout_ms":1,"service":"s1"}`, `{"name":"s1"}`), errkind.InvalidConfig),
+		Entry("two routes with the same name", replace(4, 3, route+`,{"name":"r1","host":"b.example","path_prefix":"/x/","timeout_ms":1,"service":"s1"}`, `{"name":"s1"}`), errkind.InvalidConfig),
 		Entry("weights that sum to 0", replace(4, 3, `{"name":"r1","host":"a.example","path_prefix":"/x/","timeout_ms":1,"traffic_split":[{"service":"s1","weight":0}]}`, `{"name":"s1"}`), errkind.InvalidConfig),
-		Entry("a time-out of 0", replace(4, 3, `{"name":"r1","host":"a.example","path_prefix":"/x/","timeout_ms":0,"service":"s1"}`, `{"name":"s1"}`), errkind.InvalidConfig),
-		Entry("no time-out", replace(4, 3, `{"name":"r1","host":"a.example","path_prefix":"/x/","service":"s1"}`, `{"name":"s1"}`), errkind.InvalidConfig),
+		Entry("a timeout of 0", replace(4, 3, `{"name":"r1","host":"a.example","path_prefix":"/x/","timeout_ms":0,"service":"s1"}`, `{"name":"s1"}`), errkind.InvalidConfig),
+		Entry("no timeout", replace(4, 3, `{"name":"r1","host":"a.example","path_prefix":"/x/","service":"s1"}`, `{"name":"s1"}`), errkind.InvalidConfig),
 		Entry("the current version", replace(3, 3, "", `{"name":"s1"}`), errkind.InvalidConfig),
 		Entry("an older version", replace(2, 3, "", `{"name":"s1"}`), errkind.InvalidConfig),
-		Entry("a version that is no number", &Change{Operation: Replace, Base: 3, Body: []byte(`{"version":"4","routes":[],"services":[]}`)}, errkind.InvalidConfig),
+		Entry("a version that is not a number", &Change{Operation: Replace, Base: 3, Body: []byte(`{"version":"4","routes":[],"services":[]}`)}, errkind.InvalidConfig),
 		Entry("another base", replace(5, 2, route, `{"name":"s1"}`), errkind.VersionConflict),
 	)
 
-	It("is given back as it was sent, with what this program does not know", func() {
+	It("is rendered as it was sent, with keys that this program does not know", func() {
 		const odd = `{"name":"r1","host":"a.example","path_prefix":"/x/","timeout_ms":5000.0,"service":"s1","colour":"<blue>"}`
-		state := taken(replace(3, 0, odd, `{"name":"s1","big":65099.99999999999}`))
+		state := applied(replace(3, 0, odd, `{"name":"s1","big":65099.99999999999}`))
 		text, err := state.Document.JSON()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(text).To(MatchJSON(`{"version":3,"routes":[` + odd + `],"services":[{"name":"s1","big":65099.99999999999}],"limits":{"idle_timeout_ms":15000}}`))
@@ -68,8 +68,8 @@
 		return &Change{Operation: Modify, Base: base, Body: []byte(body)}
 	}
 
-	It("adds, replaces in place and removes", func() {
-		state := taken(replace(3, 0, route+`,{"name":"r2","host":"b.example","path_prefix":"/","timeout_ms":1,"service":"s1"}`, `{"name":"s1"}`))
+	It("appends, replaces in place and removes items", func() {
+		state := applied(replace(3, 0, route+`,{"name":"r2","host":"b.example","path_prefix":"/","timeout_ms":1,"service":"s1"}`, `{"name":"s1"}`))
 		next, err := state.Next(modify(3, `{"version":9,"upsert":{"routes":[
 			{"name":"r1","host":"c.example","path_prefix":"/y/","timeout_ms":7,"service":"s1"},
 			{"name":"r3","host":"d.example","path_prefix":"/","timeout_ms":7,"service":"s1"}]},"remove":{"routes":["r2","r-none"]}}`))
@@ -83,14 +83,14 @@
 		Expect(string(next.Document.Limits)).To(Equal(string(state.Document.Limits)))
 	})
 
-	It("is refused where what it leaves is invalid", func() {
-		state := taken(replace(3, 0, route, `{"name":"s1"}`))
+	It("is rejected if the configuration after it is invalid", func() {
+		state := applied(replace(3, 0, route, `{"name":"s1"}`))
 		_, err := state.Next(modify(3, `{"version":4,"remove":{"services":["s1"]}}`))
 		Expect(errkind.KindOf(err)).To(Equal(errkind.InvalidConfig))
 	})
 
-	It("leaves the state it was made of as it is", func() {
-		state := taken(replace(3, 0, route, `{"name":"s1"}`))
+	It("does not modify the state that it is applied to", func() {
+		state := applied(replace(3, 0, route, `{"name":"s1"}`))
 		before, err := state.Document.JSON()
 		Expect(err).NotTo(HaveOccurred())
 		_, err = state.Next(modify(3, `{"version":4,"remove":{"routes":["r1"]}}`))
@@ -101,46 +101,46 @@
 	})
 })
 
-var _ = Describe("a change that was taken", func() {
-	It("is known by its digest, also after others", func() {
+var _ = Describe("a change that was applied", func() {
+	It("is recognised by its digest, also after other changes", func() {
 		first := replace(3, 0, route, `{"name":"s1"}`)
-		state := taken(first)
+		state := applied(first)
 		next, err := state.Next(replace(4, 3, "", `{"name":"s1"}`))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(next.HasApplied(first.Digest())).To(BeTrue())
 		Expect(next.HasApplied(replace(3, 1, route, `{"name":"s1"}`).Digest())).To(BeFalse())
 	})
 
-	It("is the same at each replica", func() {
+	It("leads to the same state at each replica", func() {
 		change := replace(3, 0, route, `{"name":"s1"}`)
-		Expect((&State{}).Apply(change)).To(Equal(taken(change)))
+		Expect((&State{}).Apply(change)).To(Equal(applied(change)))
 	})
 
-	It("is known with other white space and another order of keys", func() {
+	It("is recognised with other white space and another order of keys", func() {
 		first := &Change{Operation: Replace, Body: []byte(`{"version":3,"routes":[],"services":[{"name":"s1","weight":1.50}]}`)}
 		again := &Change{Operation: Replace, Body: []byte("{ \"services\": [ {\"weight\": 1.50, \"name\": \"s1\"} ],\n\"routes\": [], \"version\": 3 }")}
 		other := &Change{Operation: Replace, Body: []byte(`{"version":3,"routes":[],"services":[{"name":"s2","weight":1.50}]}`)}
-		Expect(taken(first).HasApplied(again.Digest())).To(BeTrue())
-		Expect(taken(first).HasApplied(other.Digest())).To(BeFalse())
+		Expect(applied(first).HasApplied(again.Digest())).To(BeTrue())
+		Expect(applied(first).HasApplied(other.Digest())).To(BeFalse())
 	})
 
-	It("is known also where a member of an earlier version has taken it, by its exact bytes", func() {
+	It("is recognised by its exact bytes where a member of an earlier build has applied it", func() {
 		change := &Change{Operation: Replace, Body: []byte(`{ "version": 3, "services": [], "routes": [] }`)}
 		state := &State{Taken: []Digest{change.digestOf(change.Body)}}
 		Expect(state.HasApplied(change.Digest())).To(BeFalse())
 		Expect(state.HasAppliedAny(change.Digests())).To(BeTrue())
 	})
 
-	DescribeTable("is not refused when it comes again after very many others",
-		func(others int, has bool) {
+	DescribeTable("is not rejected when it is sent again after very many others",
+		func(others int, isKnown bool) {
 			first := replace(1, 0, "", "")
-			state := taken(first)
+			state := applied(first)
 			for version := int64(2); version < int64(others+2); version++ {
-				state = state.take(Document{Version: version}, Digest{byte(version), byte(version >> 8), byte(version >> 16)})
+				state = state.withApplied(Document{Version: version}, Digest{byte(version), byte(version >> 8), byte(version >> 16)})
 			}
-			Expect(state.HasApplied(first.Digest())).To(Equal(has))
+			Expect(state.HasApplied(first.Digest())).To(Equal(isKnown))
 			_, err := state.Next(first)
-			if !has {
+			if !isKnown {
 				Expect(errkind.KindOf(err)).To(Equal(errkind.Unavailable), "no clear answer")
 			}
 			late := replace(state.Document.Version+1, state.Document.Version-1, "", "")
@@ -148,12 +148,12 @@
 			Expect(errkind.KindOf(err)).To(Equal(errkind.VersionConflict), "one that cannot have been taken")
 		},
 		Entry("some", 500, true),
-		Entry("more than are kept", 10000, false),
+		Entry("more than digests are kept", 10000, false),
 	)
 
-	It("is one of a bounded number", func() {
-		state := taken(replace(1, 0, "", ""))
-		state.Taken = make([]Digest, mostTaken)
-		Expect(state.Apply(replace(2, 1, "", "")).Taken).To(HaveLen(mostTaken))
+	It("is one of a bounded number of kept digests", func() {
+		state := applied(replace(1, 0, "", ""))
+		state.Taken = make([]Digest, maxKeptDigests)
+		Expect(state.Apply(replace(2, 1, "", "")).Taken).To(HaveLen(maxKeptDigests))
 	})
 })
--- a/internal/fleetconfig/validation.go
+++ b/internal/fleetconfig/validation.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	_ "embed"
+	"strings"
 	"sync"
 
 	"github.com/santhosh-tekuri/jsonschema/v6"
@@ -13,13 +14,14 @@
 //go:embed schema.json
 var schemaText []byte
 
+// schemaName is the name under which the compiler knows the schema. It is part of the messages of validation errors.
 const schemaName = "configuration.json"
 
-// schemas are compiled once, at the first use.
+// schemas returns the schema of each operation's body. They are compiled at the first use.
 var schemas = sync.OnceValue(func() map[Operation]*jsonschema.Schema {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(schemaText))
 	if err != nil {
-		panic(err) // part of the program; every test of this package finds it
+		panic(err) // the schema is part of the program; every test of this package compiles it
 	}
 	compiler := jsonschema.NewCompiler()
 	if err := compiler.AddResource(schemaName, document); err != nil {
@@ -31,18 +33,67 @@
 	}
 })
 
-// checkSchema tells what is wrong with the form of a change.
-func checkSchema(c *Change) error {
+// validateSchema checks the form of a change.
+func validateSchema(c *Change) error {
 	schema := schemas()[c.Operation]
 	if schema == nil {
 		return errkind.New(errkind.Malformed, "unknown operation")
 	}
 	instance, err := jsonschema.UnmarshalJSON(bytes.NewReader(c.Body))
 	if err != nil {
-		return errkind.New(errkind.InvalidConfig, "not valid JSON")
+		return invalid("not valid JSON")
 	}
 	if err := schema.Validate(instance); err != nil {
-		return errkind.New(errkind.InvalidConfig, err.Error())
+		return invalid(err.Error())
 	}
 	return nil
 }
+
+// validate checks the rules that a schema cannot express: names are unique, no two routes have the same host and prefix,
+// and each route is valid.
+func (c *Config) validate() error {
+	services := map[string]bool{}
+	for _, service := range c.Services {
+		if services[service.Name] {
+			return invalid("two services are named " + service.Name)
+		}
+		services[service.Name] = true
+	}
+	type match struct{ host, prefix string }
+	matches, names := map[match]bool{}, map[string]bool{}
+	for i := range c.Routes {
+		route := &c.Routes[i]
+		matched := match{strings.ToLower(route.Host), route.PathPrefix}
+		if matches[matched] {
+			return invalid("two routes share host and prefix: " + route.Name)
+		}
+		if names[route.Name] {
+			return invalid("two routes are named " + route.Name)
+		}
+		matches[matched], names[route.Name] = true, true
+		if err := route.validate(services); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// validate checks that a route has a time-out, and services that exist, with a weight among them.
+func (r *Route) validate(services map[string]bool) error {
+	if r.TimeoutMs <= 0 {
+		return invalid("route " + r.Name + ": timeout_ms is 0")
+	}
+	var totalWeight float64
+	for _, weighted := range r.WeightedServices() {
+		if !services[weighted.Service] {
+			return invalid("route " + r.Name + ": unknown service " + weighted.Service)
+		}
+		totalWeight += weighted.Weight
+	}
+	if totalWeight <= 0 {
+		return invalid("route " + r.Name + ": the weights sum to 0")
+	}
+	return nil
+}
+
+func invalid(detail string) error { return errkind.New(errkind.InvalidConfig, detail) }
