--- a/cmd/dykering-lab/coresearch.go
+++ b/cmd/dykering-lab/coresearch.go
@@ -29,7 +29,7 @@
 		Name: "explore", Usage: "Draw schedules of troubles until a promise is broken",
 		Action: commandline.NoArgs(func(_ context.Context, c *cli.Command) error {
 			began := time.Now()
-			failure, covered := coresim.SearchCovering(first, schedules, coresim.Flaw(flaw), func(played uint64) {
+			failure, covered := coresim.SearchWithCoverage(first, schedules, coresim.Flaw(flaw), func(played uint64) {
 				left := time.Duration(float64(time.Since(began)) / float64(played) * float64(schedules-played))
 				fmt.Fprintf(c.Root().ErrWriter, "%d of %d played, %v left\n", played, schedules, left.Round(time.Second))
 			})
@@ -86,7 +86,7 @@
 			if err := json.Unmarshal(text, &s); err != nil {
 				return commandline.Fault(fmt.Errorf("%s: %w", args[0], err))
 			}
-			if err := s.Play(); err != nil {
+			if err := s.Run(); err != nil {
 				return commandline.Fault(err)
 			}
 			fmt.Fprintln(c.Root().Writer, "no promise broken")
@@ -128,13 +128,13 @@
 	c := &cli.Command{
 		Name: "recovery", Usage: "Measure the time from a trouble to the next acknowledgement",
 		Action: commandline.NoArgs(func(_ context.Context, c *cli.Command) error {
-			kinds := []coresim.Kind{coresim.Kill, coresim.Freeze, coresim.Isolate, coresim.Stall, coresim.Wipe}
-			for _, struck := range []coresim.Struck{coresim.StruckHead, coresim.StruckMiddle, coresim.StruckTail} {
+			kinds := []coresim.FaultKind{coresim.Kill, coresim.Freeze, coresim.Isolate, coresim.StallDisk, coresim.LoseDisk}
+			for _, struck := range []coresim.RecoveryTarget{coresim.TargetHead, coresim.TargetMiddle, coresim.TargetTail} {
 				for _, kind := range kinds {
 					tellRecovery(c, struck, kind, seeds)
 				}
 			}
-			tellRecovery(c, coresim.StruckAll, coresim.KillAll, seeds)
+			tellRecovery(c, coresim.TargetAll, coresim.KillAll, seeds)
 			return nil
 		}),
 	}
@@ -144,7 +144,7 @@
 	return c
 }
 
-func tellRecovery(c *cli.Command, struck coresim.Struck, kind coresim.Kind, seeds uint64) {
+func tellRecovery(c *cli.Command, struck coresim.RecoveryTarget, kind coresim.FaultKind, seeds uint64) {
 	times := coresim.MeasureRecovery(struck, kind, seeds)
 	fmt.Fprintf(c.Root().Writer, "| %s | %s | %v | %v | %v |\n", struck, kind, times.Percentile(0.5), times.Percentile(0.99), times.Percentile(1))
 }
--- a/internal/lab/coresim/checker.go
+++ b/internal/lab/coresim/checker.go
@@ -7,79 +7,79 @@
 )
 
 // watchedHolders is how many former holders may not take turns with the present one.
-const watchedHolders = 2
+const formerHolderCount = 2
 
 // checker knows only what callers saw.
 type checker struct {
-	broken                         error
-	order                          []operation // in the order in which they were seen committed
-	acked                          []uint64
-	ackedBases                     map[uint64]uint64 // by the version that an acknowledged operation builds on, its number
-	refusals                       map[uint64]bool   // operations that were refused
-	shown                          map[string]shown  // by a member's address, what was checked of it
-	place                          map[uint64]int    // of an operation in the order
-	before                         map[uint64]int    // how many operations were acknowledged when one began
-	longest                        int               // how many operations the longest read that has ended showed
-	holder                         string
-	token                          uint64
-	actedAt                        time.Duration
-	former                         []string // the holders before, the latest first
-	Acks, Reads, Refusals, Holders int
+	violation                        error
+	order                            []operation // in the order in which they were seen committed
+	acked                            []uint64
+	ackedBases                       map[uint64]uint64      // by the version that an acknowledged operation builds on, its number
+	rejected                         map[uint64]bool        // operations that were refused
+	shown                            map[string]observation // by a member's address, what was checked of it
+	position                         map[uint64]int         // of an operation in the order
+	ackedBefore                      map[uint64]int         // how many operations were acknowledged when one began
+	longestRead                      int                    // how many operations the longest read that has ended showed
+	holder                           string
+	token                            uint64
+	lastHeldAt                       time.Duration
+	formerHolders                    []string // the holders before, the latest first
+	acks, reads, rejections, holders int
 }
 
 // shown is what a member has shown last.
-type shown struct {
-	view uint64
-	life int
-	last int // number of operations
+type observation struct {
+	view        uint64
+	incarnation int
+	operations  int // number of operations
 }
 
 func newChecker() *checker {
-	return &checker{actedAt: -time.Hour, place: map[uint64]int{}, before: map[uint64]int{}, ackedBases: map[uint64]uint64{},
-		refusals: map[uint64]bool{}, shown: map[string]shown{}}
+	return &checker{lastHeldAt: -time.Hour, position: map[uint64]int{}, ackedBefore: map[uint64]int{}, ackedBases: map[uint64]uint64{},
+		rejected: map[uint64]bool{}, shown: map[string]observation{}}
 }
 
 func (c *checker) fail(format string, arguments ...any) {
-	if c.broken == nil {
-		c.broken = fmt.Errorf(format, arguments...)
+	if c.violation == nil {
+		c.violation = fmt.Errorf(format, arguments...)
 	}
 }
 
 // watch looks at what a member would show its callers now.
-func (c *checker) watch(m *machine) {
-	if !m.runs() || m.node.View().Number == 0 {
+func (c *checker) observe(m *machine) {
+	if !m.isRunning() || m.node.View().Number == 0 {
 		return
 	}
 	if m.node.IsInChain() {
-		c.committed(m)
+		c.checkOrder(m)
 	}
 	now := m.world.now
 	token, holds := m.node.HoldsLease(now)
-	if m.world.options.Flaw == HoldUnconfirmed {
+	if m.world.options.Flaw == LeaseUnconfirmed {
 		view := m.node.View()
 		holds, token = view.Holder == m.node.Self().ID, view.Token
 	}
-	if m.world.options.Flaw == TokenStays {
+	if m.world.options.Flaw == ConstantToken {
 		token = 1
 	}
 	if holds {
-		c.act(now, m.address, token)
+		c.checkHolder(now, m.address, token)
 	}
 }
 
 // committed checks that all members show the same operations in the same order. What a member has shown before in the
 // same view and life is not compared again, but for the last of it.
-func (c *checker) committed(m *machine) {
+func (c *checker) checkOrder(m *machine) {
 	operations := m.node.CommittedState().Value.(log).operations
-	now := shown{view: m.node.View().Number, life: m.life, last: len(operations)}
+	now := observation{view: m.node.View().Number, incarnation: m.incarnation, operations: len(operations)}
 	from := 0
-	if before := c.shown[m.address]; before.view == now.view && before.life == now.life && before.last <= now.last {
-		from = max(before.last-1, 0)
+	if before := c.shown[m.address]; before.view == now.view && before.incarnation == now.incarnation && before.operations <= now.operations {
+		from = max(before.operations-1, 0)
 	}
 	c.shown[m.address] = now
 	for i := from; i < len(operations); i++ {
 		if i == len(c.order) {
-			c.inOrder(operations[i])
+			c.appendToOrder(operations[i])
 		}
 		if c.order[i] != operations[i] {
 			c.fail("%s shows operation %d as number %d, another member showed %d", m.address, operations[i].number, i, c.order[i].number)
@@ -90,17 +90,17 @@
 
 // inOrder takes the next operation of the order. It must build on the version before it, come after all that were
 // acknowledged before it began, and never have been refused.
-func (c *checker) inOrder(op operation) {
+func (c *checker) appendToOrder(op operation) {
 	if op.base != uint64(len(c.order)) {
 		c.fail("operation %d builds on version %d and is taken on top of version %d", op.number, op.base, len(c.order))
 	}
-	if c.refusals[op.number] {
+	if c.rejected[op.number] {
 		c.fail("operation %d was refused and is in force", op.number)
 	}
-	c.place[op.number] = len(c.order)
+	c.position[op.number] = len(c.order)
 	c.order = append(c.order, op)
-	for _, earlier := range c.acked[:c.before[op.number]] {
-		if _, ok := c.place[earlier]; !ok {
+	for _, earlier := range c.acked[:c.ackedBefore[op.number]] {
+		if _, ok := c.position[earlier]; !ok {
 			c.fail("operation %d comes before %d, which was acknowledged before it began", op.number, earlier)
 			return
 		}
@@ -108,14 +108,14 @@
 }
 
 // begin notes that a caller sends an operation.
-func (c *checker) begin(op operation) { c.before[op.number] = len(c.acked) }
+func (c *checker) begin(op operation) { c.ackedBefore[op.number] = len(c.acked) }
 
 // refused notes that a caller was told another version is in place: its operation was never taken, and one that builds on
 // the same version was.
-func (c *checker) refused(op operation) {
-	c.Refusals++
-	c.refusals[op.number] = true
-	if _, taken := c.place[op.number]; taken {
+func (c *checker) reject(op operation) {
+	c.rejections++
+	c.rejected[op.number] = true
+	if _, taken := c.position[op.number]; taken {
 		c.fail("operation %d was taken and is refused", op.number)
 	}
 	if uint64(len(c.order)) <= op.base {
@@ -124,7 +124,7 @@
 }
 
 // act checks that one holder acts at a time, with tokens that rise.
-func (c *checker) act(now time.Duration, address string, token uint64) {
+func (c *checker) checkHolder(now time.Duration, address string, token uint64) {
 	switch {
 	case address == c.holder:
 		if token < c.token {
@@ -132,36 +132,36 @@
 		}
 	case token <= c.token:
 		c.fail("%s acts with token %d, %s has acted with %d", address, token, c.holder, c.token)
-	case now-c.actedAt < thawSlack:
-		c.fail("%s acts %v after %s", address, now-c.actedAt, c.holder)
-	case now-c.actedAt < leaseDuration && slices.Contains(c.former, address):
-		c.fail("%s takes turns with %s: it acts again %v after it", address, c.holder, now-c.actedAt)
+	case now-c.lastHeldAt < takeoverSlack:
+		c.fail("%s acts %v after %s", address, now-c.lastHeldAt, c.holder)
+	case now-c.lastHeldAt < leaseDuration && slices.Contains(c.formerHolders, address):
+		c.fail("%s takes turns with %s: it acts again %v after it", address, c.holder, now-c.lastHeldAt)
 	default:
-		c.Holders++
-		c.former = append([]string{c.holder}, c.former...)
-		c.former = c.former[:min(len(c.former), watchedHolders)]
+		c.holders++
+		c.formerHolders = append([]string{c.holder}, c.formerHolders...)
+		c.formerHolders = c.formerHolders[:min(len(c.formerHolders), formerHolderCount)]
 	}
-	c.holder, c.token, c.actedAt = address, token, now
+	c.holder, c.token, c.lastHeldAt = address, token, now
 }
 
 // ack notes that a caller was told its operation is taken. Only one is that builds on a version.
-func (c *checker) ack(op operation) {
+func (c *checker) acknowledge(op operation) {
 	if other, ok := c.ackedBases[op.base]; ok && other != op.number {
 		c.fail("operations %d and %d are both acknowledged on top of version %d", other, op.number, op.base)
 	}
 	c.ackedBases[op.base] = op.number
 	c.acked = append(c.acked, op.number)
-	c.Acks++
+	c.acks++
 }
 
 // read checks a read that began when so many operations were acknowledged, and the longest read had shown so many.
-func (c *checker) read(address string, value log, acked, longest int) {
-	c.Reads++
+func (c *checker) checkRead(address string, value log, acked, longest int) {
+	c.reads++
 	if len(value.operations) < longest {
 		c.fail("a read at %s shows %d operations, one that ended before it began %d", address, len(value.operations), longest)
 		return
 	}
-	c.longest = max(c.longest, len(value.operations))
+	c.longestRead = max(c.longestRead, len(value.operations))
 	for _, number := range c.acked[:acked] {
 		if !value.has(number) {
 			c.fail("a read at %s lacks operation %d, which was acknowledged before", address, number)
@@ -172,10 +172,10 @@
 
 // checkCopies checks that each acknowledged operation is on one disk more than may be lost, without that of a member that
 // has just left. A disk that was lost and has not caught up yet is one that has been lost.
-func (w *World) checkCopies(left *machine) {
+func (w *Simulation) checkReplicas(left *machine) {
 	acked := 0
 	for _, number := range w.checker.acked {
-		acked = max(acked, w.checker.place[number]+1)
+		acked = max(acked, w.checker.position[number]+1)
 	}
 	copies, lost := 0, 0
 	for _, m := range w.machines {
@@ -183,9 +183,9 @@
 			continue
 		}
 		switch {
-		case m.storedOperations() >= acked:
+		case m.persistedOperations() >= acked:
 			copies++
-		case m.lost > 0 || m.newcomer:
+		case m.lostDisks > 0 || m.isReplacement:
 			lost++
 		}
 	}
@@ -195,12 +195,12 @@
 }
 
 // caughtUp checks that every member that runs is in the chain of the newest view.
-func (w *World) caughtUp() error {
+func (w *Simulation) checkCaughtUp() error {
 	var newest uint64
-	for _, m := range w.present() {
+	for _, m := range w.runningMachines() {
 		newest = max(newest, m.node.View().Number)
 	}
-	for _, m := range w.present() {
+	for _, m := range w.runningMachines() {
 		if view := m.node.View(); view.Number < newest || !m.node.IsInChain() {
 			return fmt.Errorf("%s has not caught up: it has view %d of %d", m.address, view.Number, newest)
 		}
--- a/internal/lab/coresim/coverage.go
+++ b/internal/lab/coresim/coverage.go
@@ -38,7 +38,7 @@
 // Pair is a trouble, the role of the member that it struck and the phase in which it began.
 type Pair struct {
 	Phase Phase
-	Kind  Kind
+	Kind  FaultKind
 	Role  Role
 }
 
@@ -53,7 +53,7 @@
 }
 
 // note counts a trouble that begins now.
-func (w *World) note(kind Kind, m *machine) {
+func (w *Simulation) recordFault(kind FaultKind, m *machine) {
 	w.coverage[Pair{Phase: w.phase(), Kind: kind, Role: m.role()}]++
 }
 
@@ -71,11 +71,11 @@
 }
 
 // phase is what the core does now, as the members that run see it.
-func (w *World) phase() Phase {
+func (w *Simulation) phase() Phase {
 	running, agreeing, joining, pausing, writing := 0, false, false, false, false
 	voters := 0
 	for _, m := range w.machines {
-		if m.removed || !m.runs() {
+		if m.removed || !m.isRunning() {
 			continue
 		}
 		running++
@@ -107,7 +107,7 @@
 func (c Coverage) Table() string {
 	var text strings.Builder
 	text.WriteString("| trouble | " + strings.Join(asStrings(phases), " | ") + " |\n|" + strings.Repeat(" --- |", len(phases)+1) + "\n")
-	for _, kind := range kinds {
+	for _, kind := range faultKinds {
 		text.WriteString("| " + string(kind))
 		for _, phase := range phases {
 			var cells []string
@@ -140,4 +140,4 @@
 func (c Coverage) Reached() int { return len(slices.Collect(maps.Keys(c))) }
 
 // Possible is how many pairs there are.
-func Possible() int { return len(phases) * len(kinds) * len(roles) }
+func Possible() int { return len(phases) * len(faultKinds) * len(roles) }
--- a/internal/lab/coresim/disk.go
+++ b/internal/lab/coresim/disk.go
@@ -11,56 +11,56 @@
 }
 
 // mostRecords is how many records a file of the emulated disk holds. The next one is a snapshot, that stands for all before.
-const mostRecords = 64
+const maxRecordsInFile = 64
 
 // recorded is what is stored of records.
-func (m *machine) recorded(records []any) []any {
+func (m *machine) recordsToStore(records []any) []any {
 	var stored []any
 	for _, record := range records {
 		_, snapshot := record.(chain.Snapshot)
-		if !snapshot && m.records >= mostRecords {
+		if !snapshot && m.recordsInFile >= maxRecordsInFile {
 			record, snapshot = m.node.Snapshot(), true
 		}
 		if snapshot {
-			m.records = 0
+			m.recordsInFile = 0
 		}
-		m.records++
+		m.recordsInFile++
 		stored = append(stored, record)
 	}
 	return stored
 }
 
 // write stores what waits, with one sync.
-func (m *machine) write(life int) {
-	if m.life != life || m.writing || len(m.jobs) == 0 {
+func (m *machine) startSync(life int) {
+	if m.incarnation != life || m.isSyncing || len(m.queued) == 0 {
 		return
 	}
-	jobs := m.jobs
-	m.jobs, m.inWriting = nil, jobs
-	m.writing, m.writingSince = true, m.world.now
-	takes := syncTime
+	jobs := m.queued
+	m.queued, m.syncing = nil, jobs
+	m.isSyncing, m.syncingSince = true, m.world.now
+	takes := syncDuration
 	if m.world.now < m.stalledUntil {
 		takes += m.stalledUntil - m.world.now
 	}
-	m.world.after(takes, func() { m.written(life, jobs) })
+	m.world.after(takes, func() { m.finishSync(life, jobs) })
 }
 
-func (m *machine) written(life int, jobs []job) {
-	if m.life != life || !m.up {
+func (m *machine) finishSync(life int, jobs []job) {
+	if m.incarnation != life || !m.up {
 		return
 	}
-	if !m.runs() {
-		m.world.at(m.frozenUntil, func() { m.written(life, jobs) })
+	if !m.isRunning() {
+		m.world.at(m.frozenUntil, func() { m.finishSync(life, jobs) })
 		return
 	}
-	m.writing, m.inWriting = false, nil
+	m.isSyncing, m.syncing = false, nil
 	for _, j := range jobs {
 		m.persist(j.records)
 	}
 	for _, j := range jobs {
 		m.deliver(j.messages)
 	}
-	m.write(life)
+	m.startSync(life)
 }
 
 // persist puts records on the disk.
@@ -76,11 +76,11 @@
 // wipe loses the disk of a process that does not run.
 func (m *machine) wipe() {
 	m.disk = nil
-	m.lost++
+	m.lostDisks++
 }
 
 // storedOperations is how many operations a machine's disk holds.
-func (m *machine) storedOperations() int {
+func (m *machine) persistedOperations() int {
 	if len(m.disk) == 0 {
 		return 0
 	}
--- a/internal/lab/coresim/flaws.go
+++ b/internal/lab/coresim/flaws.go
@@ -7,39 +7,39 @@
 
 // The flaws.
 const (
-	Sound             Flaw = ""
-	AckBeforeSync     Flaw = "messages go out before their records are stored"
-	AckAtHead         Flaw = "the head acknowledges what it alone has stored"
-	EarlyCommit       Flaw = "the head tells that an entry is committed as it passes it on"
-	VoteAfterWipe     Flaw = "a member whose disk was lost comes back as if it had it"
-	ForgetPromise     Flaw = "a restarted member has forgotten its promises"
-	RestartBehind     Flaw = "a restarted member has lost the newest record that it stored"
-	ShortPromise      Flaw = "a promise leaves out the newest entry of its member"
-	ShortInstall      Flaw = "a view begins without the newest entry that was agreed on"
-	ReadUnconfirmed   Flaw = "the tail answers reads without a majority's word"
-	ReadUnstored      Flaw = "the tail answers reads with what it has not stored yet"
-	HoldUnconfirmed   Flaw = "the holder acts without a majority's word"
-	NoHolderPause     Flaw = "a new holder acts at once"
-	NoReturnPause     Flaw = "a former holder acts as soon as a new one"
-	RestartWithToken  Flaw = "a restarted holder acts as if it had waited its pause out"
-	TokenStays        Flaw = "the token does not rise with the holder"
-	NoncesRepeat      Flaw = "a restarted member numbers its pings as in its life before"
-	RefuseUnconfirmed Flaw = "the head refuses without a majority's word"
-	ForgetTaken       Flaw = "an operation that was taken is not known when it comes again"
-	IgnoreBase        Flaw = "the head takes what builds on another version"
-	LeaveAsVoter      Flaw = "a leaving member ends while it is one voter too many"
-	LeaveUncopied     Flaw = "a leaving member ends before others have on disk what it holds"
+	NoFlaw               Flaw = ""
+	SendBeforeSync       Flaw = "messages go out before their records are stored"
+	AckAtHead            Flaw = "the head acknowledges what it alone has stored"
+	EarlyCommit          Flaw = "the head tells that an entry is committed as it passes it on"
+	VoteAfterWipe        Flaw = "a member whose disk was lost comes back as if it had it"
+	ForgetPromise        Flaw = "a restarted member has forgotten its promises"
+	RestartBehind        Flaw = "a restarted member has lost the newest record that it stored"
+	ShortPromise         Flaw = "a promise leaves out the newest entry of its member"
+	ShortInstall         Flaw = "a view begins without the newest entry that was agreed on"
+	ReadUnconfirmed      Flaw = "the tail answers reads without a majority's word"
+	ReadUncommitted      Flaw = "the tail answers reads with what it has not stored yet"
+	LeaseUnconfirmed     Flaw = "the holder acts without a majority's word"
+	NoTakeoverDelay      Flaw = "a new holder acts at once"
+	NoReturnDelay        Flaw = "a former holder acts as soon as a new one"
+	RestartWithLease     Flaw = "a restarted holder acts as if it had waited its pause out"
+	ConstantToken        Flaw = "the token does not rise with the holder"
+	RepeatNonces         Flaw = "a restarted member numbers its pings as in its life before"
+	RejectUnconfirmed    Flaw = "the head refuses without a majority's word"
+	ForgetApplied        Flaw = "an operation that was taken is not known when it comes again"
+	IgnoreBase           Flaw = "the head takes what builds on another version"
+	StopAsSurplusVoter   Flaw = "a leaving member ends while it is one voter too many"
+	StopBeforeReplicated Flaw = "a leaving member ends before others have on disk what it holds"
 )
 
 // Flaws lists those that can be planted.
 func Flaws() []Flaw {
-	return []Flaw{AckBeforeSync, AckAtHead, EarlyCommit, VoteAfterWipe, ForgetPromise, RestartBehind, ShortPromise, ShortInstall,
-		ReadUnconfirmed, ReadUnstored, HoldUnconfirmed, NoHolderPause, NoReturnPause, RestartWithToken, TokenStays,
-		NoncesRepeat, RefuseUnconfirmed, ForgetTaken, IgnoreBase, LeaveAsVoter, LeaveUncopied}
+	return []Flaw{SendBeforeSync, AckAtHead, EarlyCommit, VoteAfterWipe, ForgetPromise, RestartBehind, ShortPromise, ShortInstall,
+		ReadUnconfirmed, ReadUncommitted, LeaseUnconfirmed, NoTakeoverDelay, NoReturnDelay, RestartWithLease, ConstantToken,
+		RepeatNonces, RejectUnconfirmed, ForgetApplied, IgnoreBase, StopAsSurplusVoter, StopBeforeReplicated}
 }
 
 // without leaves out the newest operation of a state.
-func without(state chain.State) chain.State {
+func withoutLatest(state chain.State) chain.State {
 	value, ok := state.Value.(log)
 	if !ok || len(value.operations) == 0 {
 		return state
@@ -52,7 +52,7 @@
 	switch m := message.(type) {
 	case chain.Promise:
 		if f == ShortPromise && m.InChain {
-			m.State = without(m.State)
+			m.State = withoutLatest(m.State)
 			return m
 		}
 	case chain.Ping:
@@ -63,7 +63,7 @@
 		return m
 	case chain.Install:
 		if f == ShortInstall {
-			m.Proposal.Base = without(m.Proposal.Base)
+			m.Proposal.Base = withoutLatest(m.Proposal.Base)
 			return m
 		}
 	}
@@ -72,30 +72,30 @@
 
 // status is what a process with the flaw says of itself.
 func (f Flaw) status(status chain.Status) chain.Status {
-	if f == LeaveAsVoter {
+	if f == StopAsSurplusVoter {
 		status.Leaving = false
 	}
 	return status
 }
 
 // early is what the head tells beside a message, with the flaw EarlyCommit.
-func (m *machine) early(envelope chain.Envelope) {
+func (m *machine) sendEarlyCommit(envelope chain.Envelope) {
 	entries, ok := envelope.Message.(chain.Append)
 	if m.world.options.Flaw != EarlyCommit || !ok || !m.node.IsHead() {
 		return
 	}
 	last := entries.Entries[len(entries.Entries)-1].Seq
-	m.act(m.node.Receive(m.world.now, chain.Committed{From: entries.From, View: entries.View, Seq: last}))
+	m.process(m.node.Receive(m.world.now, chain.Committed{From: entries.From, View: entries.View, Seq: last}))
 }
 
 // stored is what a process that ends finds on its disk when it starts again.
-func (f Flaw) stored(records []any, node *chain.Node) []any {
+func (f Flaw) restartRecords(records []any, node *chain.Node) []any {
 	switch {
 	case f == ForgetPromise:
 		return withoutPromises(records)
 	case f == RestartBehind && len(records) > 1:
 		return records[:len(records)-1]
-	case f == RestartWithToken && node.View().Holder == node.Self().ID:
+	case f == RestartWithLease && node.View().Holder == node.Self().ID:
 		return append(records[:len(records):len(records)], chain.LeaseRecord{Token: node.View().Token})
 	}
 	return records
--- a/internal/lab/coresim/machine.go
+++ b/internal/lab/coresim/machine.go
@@ -10,76 +10,76 @@
 
 // machine is one machine of the core with its process and its disk.
 type machine struct {
-	world   *World
+	world   *Simulation
 	address string
 	node    *chain.Node
 	// requests are the operators' and readers' that wait here.
-	requests *chain.PendingRequests
-	life     int // of the process; what an earlier one has begun does not count
-	lost     int // how often the disk was lost
-	up       bool
-	removed  bool
-	newcomer bool // it has come in the place of another one
-	replaced bool // another one has come in its place, and it is to leave
+	requests        *chain.PendingRequests
+	incarnation     int // of the process; what an earlier one has begun does not count
+	lostDisks       int // how often the disk was lost
+	up              bool
+	removed         bool
+	isReplacement   bool // it has come in the place of another one
+	isBeingReplaced bool // another one has come in its place, and it is to leave
 
 	frozenUntil time.Duration
 	inbox       []any // that came while it was frozen
 
-	leaveBy   time.Duration // when a leaving process ends whatever the view is; 0 for one that does not leave
-	returnsIn time.Duration // a process that has left starts again after so long; 0 for never
-	successor *machine      // that takes the place of one which is gone for good
+	leaveDeadline time.Duration // when a leaving process ends whatever the view is; 0 for one that does not leave
+	restartDelay  time.Duration // a process that has left starts again after so long; 0 for never
+	successor     *machine      // that takes the place of one which is gone for good
 
-	disk         []any // records that are stored
-	records      int   // handed over since the last snapshot
-	jobs         []job
-	inWriting    []job
-	writing      bool
-	writingSince time.Duration
-	stalledUntil time.Duration
+	disk          []any // records that are stored
+	recordsInFile int   // handed over since the last snapshot
+	queued        []job
+	syncing       []job
+	isSyncing     bool
+	syncingSince  time.Duration
+	stalledUntil  time.Duration
 }
 
 func (m *machine) config() chain.Config {
-	pause := leaseFor + thawSlack
+	pause := chainLeaseDuration + takeoverSlack
 	returnPause := pause + leaseDuration
 	switch m.world.options.Flaw {
-	case NoHolderPause:
+	case NoTakeoverDelay:
 		pause, returnPause = 0, 0
-	case NoReturnPause:
+	case NoReturnDelay:
 		returnPause = pause
 	}
 	return chain.Config{
 		Self:  chain.Member{ID: m.id(), Name: m.address, Address: m.address},
 		Apply: apply, Seeds: m.world.seeds, MaxFailures: m.world.options.MostFailures,
-		PingInterval: pingEvery, SuspectTimeout: suspectAfter, ProposalTimeout: proposeTimeout,
-		LeaseDuration: leaseFor, TakeoverDelay: pause, ReturnDelay: returnPause,
+		PingInterval: pingInterval, SuspectTimeout: suspectTimeout, ProposalTimeout: proposalTimeout,
+		LeaseDuration: chainLeaseDuration, TakeoverDelay: pause, ReturnDelay: returnPause,
 		FirstNonce: m.firstNonce(),
 		Jitter:     func(d time.Duration) time.Duration { return time.Duration(m.world.random.Int64N(int64(d) + 1)) },
 	}
 }
 
 // livesApart is how far the numbers of the pings of two lives of a process are apart.
-const livesApart = 1 << 32
+const nonceDistance = 1 << 32
 
 func (m *machine) firstNonce() uint64 {
-	if m.world.options.Flaw == NoncesRepeat {
+	if m.world.options.Flaw == RepeatNonces {
 		return 0
 	}
-	return uint64(m.life) * livesApart
+	return uint64(m.incarnation) * nonceDistance
 }
 
 func (m *machine) id() chain.MemberID {
 	if m.world.options.Flaw == VoteAfterWipe {
 		return chain.MemberID(m.address + "/0")
 	}
-	return chain.MemberID(fmt.Sprintf("%s/%d", m.address, m.lost))
+	return chain.MemberID(fmt.Sprintf("%s/%d", m.address, m.lostDisks))
 }
 
 // start starts the process. First tells that the whole system starts for the first time.
 func (m *machine) start(first bool) {
-	m.life++
-	m.up, m.writing, m.jobs, m.inWriting, m.inbox, m.leaveBy, m.records = true, false, nil, nil, nil, 0, mostRecords
+	m.incarnation++
+	m.up, m.isSyncing, m.queued, m.syncing, m.inbox, m.leaveDeadline, m.recordsInFile = true, false, nil, nil, nil, 0, maxRecordsInFile
 	if !first {
-		m.world.newSeeds()
+		m.world.refreshSeeds()
 	}
 	now := m.world.now
 	var out chain.Output
@@ -99,9 +99,9 @@
 	default:
 		m.node, out = chain.NewJoiner(m.config(), now, log{})
 	}
-	m.requests = chain.NewPendingRequests(m.node, callPatience)
-	m.act(out)
-	m.tick(m.life)
+	m.requests = chain.NewPendingRequests(m.node, callTimeout)
+	m.process(out)
+	m.tick(m.incarnation)
 }
 
 func (m *machine) restart() {
@@ -113,84 +113,84 @@
 
 // observe answers the requests that can be, and has the checker look at what callers are shown.
 func (m *machine) observe() {
-	m.world.checker.watch(m)
-	if m.runs() {
+	m.world.checker.observe(m)
+	if m.isRunning() {
 		m.requests.AnswerReady(m.world.now)
 	}
 }
 
 // runs tells whether the process runs.
-func (m *machine) runs() bool { return m.up && m.world.now >= m.frozenUntil }
+func (m *machine) isRunning() bool { return m.up && m.world.now >= m.frozenUntil }
 
 func (m *machine) tick(life int) {
-	if m.life != life || !m.up {
+	if m.incarnation != life || !m.up {
 		return
 	}
-	if !m.runs() {
+	if !m.isRunning() {
 		m.world.at(m.frozenUntil, func() { m.thaw(life) })
 		return
 	}
-	behind := m.writing && m.world.now-m.writingSince > diskPatience
+	behind := m.isSyncing && m.world.now-m.syncingSince > diskTimeout
 	m.node.SetDiskHealthy(!behind)
 	if !m.node.HasQuorum(m.world.now) {
 		m.node.SetSeeds(m.world.seeds) // as it reads them again
 	}
-	m.act(m.node.Tick(m.world.now))
+	m.process(m.node.Tick(m.world.now))
 	m.observe()
-	if m.endOfLeave() {
+	if m.stopIfLeft() {
 		return
 	}
-	m.world.after(tickEvery, func() { m.tick(life) })
+	m.world.after(tickInterval, func() { m.tick(life) })
 }
 
 func (m *machine) thaw(life int) {
-	if m.life != life || !m.up {
+	if m.incarnation != life || !m.up {
 		return
 	}
 	inbox := m.inbox
 	m.inbox = nil
 	for _, message := range inbox {
-		m.hear(message)
+		m.receive(message)
 	}
 	m.tick(life)
 }
 
-func (m *machine) hear(message any) {
+func (m *machine) receive(message any) {
 	if !m.up {
 		return
 	}
-	if !m.runs() {
+	if !m.isRunning() {
 		m.inbox = append(m.inbox, message)
 		return
 	}
-	m.act(m.node.Receive(m.world.now, message))
+	m.process(m.node.Receive(m.world.now, message))
 	m.observe()
 }
 
 // act carries an output out.
-func (m *machine) act(out chain.Output) {
+func (m *machine) process(out chain.Output) {
 	for _, envelope := range out.ImmediateMessages {
 		m.world.send(m, envelope)
 	}
 	if len(out.Records) == 0 && len(out.Messages) == 0 {
 		return
 	}
-	if m.world.options.Flaw == AckBeforeSync {
+	if m.world.options.Flaw == SendBeforeSync {
 		m.deliver(out.Messages)
 		out.Messages = nil
 	}
-	m.jobs = append(m.jobs, job{records: m.recorded(out.Records), messages: out.Messages})
-	m.write(m.life)
+	m.queued = append(m.queued, job{records: m.recordsToStore(out.Records), messages: out.Messages})
+	m.startSync(m.incarnation)
 }
 
 func (m *machine) deliver(messages []chain.Envelope) {
 	for _, envelope := range messages {
 		if envelope.To == m.address {
-			m.act(m.node.Receive(m.world.now, envelope.Message))
+			m.process(m.node.Receive(m.world.now, envelope.Message))
 			continue
 		}
 		m.world.send(m, envelope)
-		m.early(envelope)
+		m.sendEarlyCommit(envelope)
 	}
 	m.observe()
 }
@@ -198,49 +198,49 @@
 // kill ends the process. Of what was being written a part may be stored; what waited is lost.
 func (m *machine) kill() {
 	var torn []any
-	for _, j := range m.inWriting {
+	for _, j := range m.syncing {
 		torn = append(torn, j.records...)
 	}
 	m.persist(torn[:m.world.random.IntN(len(torn)+1)])
-	m.life++
+	m.incarnation++
 	m.up = false
-	m.jobs, m.inWriting, m.inbox, m.writing = nil, nil, nil, false
-	m.disk = m.world.options.Flaw.stored(m.disk, m.node)
+	m.queued, m.syncing, m.inbox, m.isSyncing = nil, nil, nil, false
+	m.disk = m.world.options.Flaw.restartRecords(m.disk, m.node)
 }
 
 // stopWithin is how long a leaving process waits for the others to do without it.
-const stopWithin = 4 * time.Second
+const leaveTimeout = 4 * time.Second
 
 // leave has the process end as the platform has it do: once the others do without it. It starts again after a time, or is
 // gone for good where that is 0.
 func (m *machine) leave(returnsIn time.Duration) {
 	m.node.Leave()
-	m.leaveBy, m.returnsIn = m.world.now+stopWithin, returnsIn
+	m.leaveDeadline, m.restartDelay = m.world.now+leaveTimeout, returnsIn
 }
 
 // endOfLeave ends a leaving process that may end. It tells whether it did.
-func (m *machine) endOfLeave() bool {
-	agreed := m.leaveBy != 0 && m.mayEnd()
-	if m.leaveBy == 0 || m.world.now < m.leaveBy && !agreed {
+func (m *machine) stopIfLeft() bool {
+	agreed := m.leaveDeadline != 0 && m.canStop()
+	if m.leaveDeadline == 0 || m.world.now < m.leaveDeadline && !agreed {
 		return false
 	}
 	m.kill()
-	if agreed && m.returnsIn == 0 {
-		m.world.checkCopies(m)
+	if agreed && m.restartDelay == 0 {
+		m.world.checkReplicas(m)
 	}
-	if m.returnsIn == 0 {
+	if m.restartDelay == 0 {
 		m.removed = true
 		return true
 	}
-	m.world.after(m.returnsIn, m.restart)
+	m.world.after(m.restartDelay, m.restart)
 	return true
 }
 
-func (m *machine) mayEnd() bool {
+func (m *machine) canStop() bool {
 	switch m.world.options.Flaw {
-	case LeaveAsVoter:
+	case StopAsSurplusVoter:
 		return !m.node.IsInChain()
-	case LeaveUncopied:
+	case StopBeforeReplicated:
 		view := m.node.View()
 		_, voter := view.Voter(m.node.Self().ID)
 		return !m.node.IsInChain() && !(voter && len(view.Voters) > 2*m.world.options.MostFailures+1)
--- a/internal/lab/coresim/progress.go
+++ b/internal/lab/coresim/progress.go
@@ -6,19 +6,19 @@
 
 // watchProgress checks again and again that operations are acknowledged while no more members are lost than is to be
 // borne, and that has been so for a while.
-func (l *losses) watchProgress() {
+func (l *faultInjector) watchProgress() {
 	const look = 250 * time.Millisecond
 	w := l.world
 	acks, since := 0, time.Duration(0)
 	var check func()
 	check = func() {
-		if w.checker.Acks > acks || w.now < calmStart || w.now-l.changed < progressIn || w.now < l.beyond ||
-			after(l.down, w.now, none) > l.mostDown() {
-			acks, since = w.checker.Acks, w.now
+		if w.checker.acks > acks || w.now < firstFaultAt || w.now-l.lastChange < progressTimeout || w.now < l.overBudgetUntil ||
+			countAfter(l.downUntil, w.now, noMember) > l.maxDown() {
+			acks, since = w.checker.acks, w.now
 		}
-		if w.now-since > progressIn {
-			w.checker.fail("nothing is acknowledged for %v though only %d members are lost: %+v", progressIn,
-				after(l.down, w.now, none), w.State())
+		if w.now-since > progressTimeout {
+			w.checker.fail("nothing is acknowledged for %v though only %d members are lost: %+v", progressTimeout,
+				countAfter(l.downUntil, w.now, noMember), w.Views())
 		}
 		w.after(look, check)
 	}
@@ -26,7 +26,7 @@
 }
 
 // mostDown is with how many members down operations must be acknowledged: none where a disk may have been lost meanwhile.
-func (l *losses) mostDown() int {
+func (l *faultInjector) maxDown() int {
 	if l.overlap {
 		return 0
 	}
@@ -34,14 +34,14 @@
 }
 
 // Progress tells whether operations are still acknowledged, by waiting until one is.
-func (w *World) Progress(within time.Duration) bool {
-	before := w.checker.Acks
+func (w *Simulation) MakesProgress(within time.Duration) bool {
+	before := w.checker.acks
 	until := w.now + within
 	for w.now < until {
-		if w.Run(w.now+callPatience/4) != nil {
+		if w.Run(w.now+callTimeout/4) != nil {
 			return false
 		}
-		if w.checker.Acks > before {
+		if w.checker.acks > before {
 			return true
 		}
 	}
--- a/internal/lab/coresim/recovery.go
+++ b/internal/lab/coresim/recovery.go
@@ -6,14 +6,14 @@
 )
 
 // Struck is what a trouble strikes, for the measurement of recovery.
-type Struck string
+type RecoveryTarget string
 
 // What can be struck.
 const (
-	StruckHead   Struck = "head"
-	StruckMiddle Struck = "middle"
-	StruckTail   Struck = "tail"
-	StruckAll    Struck = "all"
+	TargetHead   RecoveryTarget = "head"
+	TargetMiddle RecoveryTarget = "middle"
+	TargetTail   RecoveryTarget = "tail"
+	TargetAll    RecoveryTarget = "all"
 )
 
 // RecoveryTimes are the times from a trouble to the next acknowledgement of a write that began after it.
@@ -28,29 +28,29 @@
 }
 
 // recoveryPatience bounds how long a recovery is waited for.
-const recoveryPatience = 20 * time.Second
+const recoveryTimeout = 20 * time.Second
 
 // MeasureRecovery strikes a calm core of three members once for each seed, at another moment each time.
-func MeasureRecovery(struck Struck, kind Kind, seeds uint64) RecoveryTimes {
+func MeasureRecovery(struck RecoveryTarget, kind FaultKind, seeds uint64) RecoveryTimes {
 	var r RecoveryTimes
 	for seed := range seeds {
-		r.times = append(r.times, recoveryOf(struck, kind, seed+1))
+		r.times = append(r.times, measureRecovery(struck, kind, seed+1))
 	}
 	slices.Sort(r.times)
 	return r
 }
 
-func recoveryOf(struck Struck, kind Kind, seed uint64) time.Duration {
-	w := NewWorld(Options{Seed: seed, Members: 3, MostFailures: 1})
-	at := calmStart + time.Duration(w.random.Int64N(int64(time.Second)))
+func measureRecovery(struck RecoveryTarget, kind FaultKind, seed uint64) time.Duration {
+	w := NewSimulation(Options{Seed: seed, Members: 3, MostFailures: 1})
+	at := firstFaultAt + time.Duration(w.random.Int64N(int64(time.Second)))
 	if w.Run(at) != nil {
-		return recoveryPatience
+		return recoveryTimeout
 	}
-	member := w.struck(struck)
-	losses := newLosses(w, false)
-	losses.begin(Step{At: at, Kind: kind, Member: member, For: time.Second})
-	first := w.nextOp + 1
-	for w.now < at+recoveryPatience {
+	member := w.targetIndex(struck)
+	losses := newFaultInjector(w, false)
+	losses.inject(Fault{At: at, Kind: kind, Member: member, For: time.Second})
+	first := w.lastOperation + 1
+	for w.now < at+recoveryTimeout {
 		if w.Run(w.now+time.Millisecond) != nil {
 			break
 		}
@@ -58,12 +58,12 @@
 			return w.now - at
 		}
 	}
-	return recoveryPatience
+	return recoveryTimeout
 }
 
 // struck is the number of the member that is struck.
-func (w *World) struck(what Struck) int {
-	role := map[Struck]Role{StruckHead: HeadRole, StruckMiddle: MiddleRole, StruckTail: TailRole}[what]
+func (w *Simulation) targetIndex(what RecoveryTarget) int {
+	role := map[RecoveryTarget]Role{TargetHead: HeadRole, TargetMiddle: MiddleRole, TargetTail: TailRole}[what]
 	for i, m := range w.machines {
 		if m.role() == role {
 			return i
--- a/internal/lab/coresim/search.go
+++ b/internal/lab/coresim/search.go
@@ -15,12 +15,12 @@
 
 // Search plays drawn schedules in parallel until one fails or all are played. Progress is told now and then.
 func Search(first, count uint64, flaw Flaw, progress func(played uint64)) *Failure {
-	failure, _ := SearchCovering(first, count, flaw, progress)
+	failure, _ := SearchWithCoverage(first, count, flaw, progress)
 	return failure
 }
 
 // SearchCovering is Search that also tells which pairs the schedules have reached.
-func SearchCovering(first, count uint64, flaw Flaw, progress func(played uint64)) (*Failure, Coverage) {
+func SearchWithCoverage(first, count uint64, flaw Flaw, progress func(played uint64)) (*Failure, Coverage) {
 	var mu sync.Mutex
 	covered := Coverage{}
 	var next, played atomic.Uint64
@@ -33,8 +33,8 @@
 				if i >= count {
 					return
 				}
-				s := Draw(first+i, flaw)
-				reached, err := s.play()
+				s := Generate(first+i, flaw)
+				reached, err := s.runWithCoverage()
 				n := played.Add(1)
 				mu.Lock()
 				covered.Add(reached)
@@ -59,8 +59,8 @@
 		again = false
 		for i := range f.Schedule.Steps {
 			less := f.Schedule
-			less.Steps = append(append([]Step(nil), f.Schedule.Steps[:i]...), f.Schedule.Steps[i+1:]...)
-			if err := less.Play(); err != nil {
+			less.Steps = append(append([]Fault(nil), f.Schedule.Steps[:i]...), f.Schedule.Steps[i+1:]...)
+			if err := less.Run(); err != nil {
 				f.Schedule, f.Err, again = less, err, true
 				break
 			}
--- a/internal/lab/coresim/simulation.go
+++ b/internal/lab/coresim/simulation.go
@@ -11,21 +11,21 @@
 
 // The times of the emulated core, as of a deployment with a contact time of 3 s.
 const (
-	tickEvery      = 50 * time.Millisecond
-	pingEvery      = 100 * time.Millisecond
-	suspectAfter   = 600 * time.Millisecond
-	proposeTimeout = 500 * time.Millisecond
-	leaseFor       = 750 * time.Millisecond
-	leaseDuration  = 3 * time.Second
-	thawSlack      = 300 * time.Millisecond
-	diskPatience   = 500 * time.Millisecond
-	syncTime       = 5 * time.Millisecond
-	leastDelay     = 200 * time.Microsecond
-	mostDelay      = 3 * time.Millisecond
+	tickInterval       = 50 * time.Millisecond
+	pingInterval       = 100 * time.Millisecond
+	suspectTimeout     = 600 * time.Millisecond
+	proposalTimeout    = 500 * time.Millisecond
+	chainLeaseDuration = 750 * time.Millisecond
+	leaseDuration      = 3 * time.Second
+	takeoverSlack      = 300 * time.Millisecond
+	diskTimeout        = 500 * time.Millisecond
+	syncDuration       = 5 * time.Millisecond
+	minDelay           = 200 * time.Microsecond
+	maxExtraDelay      = 3 * time.Millisecond
 )
 
 // mostSeeds is how many machines a starting one is told of.
-const mostSeeds = 3
+const maxSeeds = 3
 
 // Options of a world.
 type Options struct {
@@ -37,49 +37,49 @@
 }
 
 // World is one emulated core.
-type World struct {
-	options  Options
-	random   *rand.Rand
-	now      time.Duration
-	order    uint64
-	queue    events
-	machines []*machine
-	seeds    []string
-	cuts     map[[2]string]int // from, to
-	held     map[[2]string]*heldLink
-	arrival  map[[2]string]time.Duration
-	checker  *checker
-	coverage Coverage
-	nextOp   uint64
-	spares   int
+type Simulation struct {
+	options       Options
+	random        *rand.Rand
+	now           time.Duration
+	lastEvent     uint64
+	events        eventQueue
+	machines      []*machine
+	seeds         []string
+	blocked       map[[2]string]int // from, to
+	delayed       map[[2]string]*delayedLink
+	lastArrival   map[[2]string]time.Duration
+	checker       *checker
+	coverage      Coverage
+	lastOperation uint64
+	replacements  int
 }
 
 // NewWorld makes a core whose members start for the first time.
-func NewWorld(options Options) *World {
-	w := &World{options: options, random: rand.New(rand.NewPCG(options.Seed, 1)), cuts: map[[2]string]int{},
-		held:    map[[2]string]*heldLink{},
-		arrival: map[[2]string]time.Duration{}, checker: newChecker(), coverage: Coverage{}}
+func NewSimulation(options Options) *Simulation {
+	w := &Simulation{options: options, random: rand.New(rand.NewPCG(options.Seed, 1)), blocked: map[[2]string]int{},
+		delayed:     map[[2]string]*delayedLink{},
+		lastArrival: map[[2]string]time.Duration{}, checker: newChecker(), coverage: Coverage{}}
 	for i := range options.Members {
 		w.addMachine(fmt.Sprintf("m%d", i))
 	}
-	for i := range min(options.Members, mostSeeds) {
+	for i := range min(options.Members, maxSeeds) {
 		w.seeds = append(w.seeds, w.machines[i].address)
 	}
 	for _, m := range w.machines {
 		m.start(true)
 	}
-	w.clients()
+	w.startClients()
 	return w
 }
 
-func (w *World) addMachine(address string) *machine {
+func (w *Simulation) addMachine(address string) *machine {
 	m := &machine{world: w, address: address}
 	w.machines = append(w.machines, m)
 	return m
 }
 
 // machine finds the machine at an address.
-func (w *World) machine(address string) *machine {
+func (w *Simulation) machine(address string) *machine {
 	for _, m := range w.machines {
 		if m.address == address {
 			return m
@@ -89,7 +89,7 @@
 }
 
 // present are the machines whose processes run or stand still.
-func (w *World) present() []*machine {
+func (w *Simulation) runningMachines() []*machine {
 	var present []*machine
 	for _, m := range w.machines {
 		if m.up && !m.removed {
@@ -100,23 +100,23 @@
 }
 
 // newSeeds has machines that start from now on ask three that are there.
-func (w *World) newSeeds() {
+func (w *Simulation) refreshSeeds() {
 	w.seeds = nil
 	for _, m := range w.machines {
-		if !m.removed && len(w.seeds) < mostSeeds {
+		if !m.removed && len(w.seeds) < maxSeeds {
 			w.seeds = append(w.seeds, m.address)
 		}
 	}
 }
 
 // Run plays until a time, or until a promise is broken.
-func (w *World) Run(until time.Duration) error {
-	for len(w.queue) > 0 && w.queue[0].at <= until {
-		e := heap.Pop(&w.queue).(event)
+func (w *Simulation) Run(until time.Duration) error {
+	for len(w.events) > 0 && w.events[0].at <= until {
+		e := heap.Pop(&w.events).(event)
 		w.now = e.at
-		e.do()
-		if w.checker.broken != nil {
-			return fmt.Errorf("at %v: %w", w.now, w.checker.broken)
+		e.run()
+		if w.checker.violation != nil {
+			return fmt.Errorf("at %v: %w", w.now, w.checker.violation)
 		}
 	}
 	w.now = until
@@ -124,12 +124,12 @@
 }
 
 // jitter draws a part of a duration.
-func (w *World) jitter(d time.Duration) time.Duration {
+func (w *Simulation) jitter(d time.Duration) time.Duration {
 	return time.Duration(w.random.Int64N(int64(d)))
 }
 
 // State describes the members, for those who look at a failure.
-func (w *World) State() []chain.View {
+func (w *Simulation) Views() []chain.View {
 	var views []chain.View
 	for _, m := range w.machines {
 		if m.up {
