--- a/internal/core/evidence.go
+++ b/internal/core/fleet.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"slices"
 	"strconv"
 	"strings"
@@ -21,30 +20,6 @@
 // serverName is what brokers call an endpoint among themselves.
 func serverName(e *Endpoint) string { return e.uid + "@" + strconv.FormatInt(e.bootMS, 10) }
 
-// errEnded is the word of a loop that has ended.
-var errLoopClosed = errors.New("the core has ended")
-
-// ask has the loop answer something, or gives up with ctx or the loop's end: the loop may have a long queue, or none.
-func ask[T any](ctx context.Context, l *Loop, look func() T) (T, error) {
-	got := make(chan T, 1)
-	var none T
-	select {
-	case l.events <- func() { got <- look() }:
-	case <-ctx.Done():
-		return none, ctx.Err()
-	case <-l.done:
-		return none, errLoopClosed
-	}
-	select {
-	case x := <-got:
-		return x, nil
-	case <-ctx.Done():
-		return none, ctx.Err()
-	case <-l.done:
-		return none, errLoopClosed
-	}
-}
-
 // Evidence is what this process has found out itself, with the servers named that it was answered by lately, and how
 // many are listed.
 func (l *Loop) Evidence(ctx context.Context, named []string) (all []Evidence, listed int, err error) {
--- a/internal/core/memory.go
+++ b/internal/core/memory.go
@@ -64,7 +64,8 @@
 }
 
 // Get takes a buffer, and Put gives it back.
-func (b *Buffers) Get() []byte       { return *b.pool.Get().(*[]byte) }
+func (b *Buffers) Get() []byte { return *b.pool.Get().(*[]byte) }
+
 func (b *Buffers) Put(buffer []byte) { b.pool.Put(&buffer) }
 
 // Budget bounds the bytes that are held for the bodies of all requests and answers together.
