--- a/internal/controlplane/endpoint_loads_test.go
+++ b/internal/controlplane/endpoint_loads_test.go
@@ -10,12 +10,12 @@
 	"dykering/internal/protocol"
 )
 
-var _ = Describe("the calls to endpoints", func() {
+var _ = Describe("the load of endpoints", func() {
 	calls := func(id string, inFlight, waiting int) protocol.EndpointLoad {
 		return protocol.EndpointLoad{ID: id, InFlight: inFlight, Waiting: waiting}
 	}
 
-	It("are summed over sidecars and peers, each by its last word", func() {
+	It("is summed over proxies and peers, by the last report of each", func() {
 		table := newEndpointLoadTable()
 		table.applyReport(0, "p1", []protocol.EndpointLoad{calls("a", 5, 5)})
 		table.applyReport(0, "p1", []protocol.EndpointLoad{calls("a", 2, 1), calls("b", 1, 0)})
@@ -26,7 +26,7 @@
 		Expect(loads).To(ConsistOf(calls("a", 5, 2), calls("b", 5, 4)))
 	})
 
-	It("leave with their sidecar, and with a peer that has gone quiet", func() {
+	It("is dropped with its proxy, and with a peer whose TTL has expired", func() {
 		table := newEndpointLoadTable()
 		table.applyReport(0, "p1", []protocol.EndpointLoad{calls("a", 1, 1)})
 		table.applyReport(0, "p1", nil)
@@ -36,7 +36,7 @@
 		Expect(loads).To(BeEmpty())
 	})
 
-	It("are counted as they end, over sidecars and peers, the older the less, and without failures not told", func() {
+	It("sums outcomes over proxies and peers, decays them, and leaves them out without failures", func() {
 		ended := func(id string, good, failed float64) protocol.EndpointLoad {
 			return protocol.EndpointLoad{ID: id, Good: good, Failed: failed}
 		}
@@ -52,7 +52,7 @@
 		Expect(table.outcomes).To(BeEmpty(), "forgotten")
 	})
 
-	It("are counted at a bounded number of endpoints", func() {
+	It("counts outcomes at a bounded number of endpoints", func() {
 		table := newEndpointLoadTable()
 		for i := range 2 * maxOutcomeEndpoints {
 			table.applyReport(0, "p1", []protocol.EndpointLoad{{ID: fmt.Sprint("e", i), Failed: 1}})
@@ -60,7 +60,7 @@
 		Expect(table.outcomes).To(HaveLen(maxOutcomeEndpoints))
 	})
 
-	It("are told within a bound of bytes a second, whatever their number", func() {
+	It("is streamed within a bound of bytes a second, whatever the number of endpoints", func() {
 		table := newEndpointLoadTable()
 		var many []protocol.EndpointLoad
 		for i := range 5000 {
--- a/internal/controlplane/explain_endpoint_test.go
+++ b/internal/controlplane/explain_endpoint_test.go
@@ -9,15 +9,15 @@
 	"dykering/internal/placement"
 )
 
-var _ = Describe("the log of the placement's decisions", func() {
-	note := func(l *decisionLog, model, makesRoomFor string) {
+var _ = Describe("the decision log", func() {
+	note := func(l *decisionLog, model, freesMemoryFor string) {
 		demand := placement.NewDemand()
 		demand.Report(time.Second, "proxy", []placement.Sample{{Key: placement.Key{Service: "s", Model: model}, Requests: 3, Unplaced: 1}})
-		l.record(time.Second, "s", []placement.Order{{Endpoint: "i-1", Operation: placement.Unload, Model: model, FreesMemoryFor: makesRoomFor}},
+		l.record(time.Second, "s", []placement.Order{{Endpoint: "i-1", Operation: placement.Unload, Model: model, FreesMemoryFor: freesMemoryFor}},
 			&placement.Input{Demand: demand, Endpoints: []placement.Endpoint{{Models: map[string][]string{model: nil}}, {Models: map[string][]string{model: nil}}}})
 	}
 
-	It("tells of the orders for a model and of those that made room for it, with the demand they were given by", func() {
+	It("returns the orders for a model and those that freed memory for it, with the demand behind them", func() {
 		var l decisionLog
 		note(&l, "a", "")
 		note(&l, "b", "a")
@@ -29,7 +29,7 @@
 		Expect(found[1].Copies).To(Equal(2))
 	})
 
-	It("keeps the last ones alone", func() {
+	It("keeps the latest decisions up to its bound", func() {
 		var l decisionLog
 		note(&l, "first", "")
 		for range maxDecisions {
--- a/internal/controlplane/metrics_endpoint_test.go
+++ b/internal/controlplane/metrics_endpoint_test.go
@@ -13,7 +13,7 @@
 )
 
 var _ = Describe("metrics", func() {
-	It("tell the view, the log, the endpoints and the subscriber that is furthest behind", func() {
+	It("have the view, the log, the endpoints and the lag of the slowest subscriber", func() {
 		status := protocol.Status{
 			View:    chain.View{Number: 4, Token: 2, Voters: make([]chain.Member, 3), Chain: make([]chain.MemberID, 2)},
 			InForce: true, Seq: 9, Committed: 8, Version: 7, DiskBehind: 250 * time.Millisecond,
--- a/internal/controlplane/pending_calls_test.go
+++ b/internal/controlplane/pending_calls_test.go
@@ -10,10 +10,10 @@
 	"dykering/internal/protocol"
 )
 
-// ownAddress is the address of the only member of the core that alone makes: nothing is sent there.
+// ownAddress is the address of the member that singleMember makes: nothing is sent there.
 const ownAddress = "a"
 
-// callFrom has a process call another one. It gives the number of the call and the replies that answer it.
+// pendingCallOf starts a call to a peer and returns its number and the replies that answer it.
 func pendingCallOf(s *Server) (number uint64, replies chan protocol.Reply) {
 	replies = make(chan protocol.Reply, 1)
 	message := func(n uint64) any {
@@ -24,53 +24,53 @@
 	return number, replies
 }
 
-var _ = Describe("what arrives for an earlier life of a process", func() {
-	// lives makes the same process twice: as it was, and as it is after a restart.
-	lives := func() (before, after *Server) {
+var _ = Describe("a process that has been restarted", func() {
+	// restarted makes the same process twice: before and after a restart.
+	restarted := func() (before, after *Server) {
 		before, _, _ = singleMember()
 		after, _, _ = singleMember()
-		for _, p := range []*Server{before, after} {
-			p.pending, p.departures = newPendingCalls(), map[uint64]*pendingDeparture{}
+		for _, server := range []*Server{before, after} {
+			server.pending, server.departures = newPendingCalls(), map[uint64]*pendingDeparture{}
 		}
 		return before, after
 	}
 
-	It("answers no call of the later one", func() {
-		before, after := lives()
+	It("has no call answered by the reply to a call of before", func() {
+		before, after := restarted()
 		old, _ := pendingCallOf(before)
 		_, replies := pendingCallOf(after)
 		after.onReply(protocol.Reply{ID: old})
 		Expect(replies).NotTo(Receive())
 	})
 
-	It("answers its own call once", func() {
-		_, p := lives()
-		number, replies := pendingCallOf(p)
-		p.onReply(protocol.Reply{ID: number, Detail: "first"})
-		p.onReply(protocol.Reply{ID: number, Detail: "second"})
+	It("has each call answered once", func() {
+		_, server := restarted()
+		number, replies := pendingCallOf(server)
+		server.onReply(protocol.Reply{ID: number, Detail: "first"})
+		server.onReply(protocol.Reply{ID: number, Detail: "second"})
 		Expect(replies).To(Receive(HaveField("Detail", "first")))
 		Expect(replies).NotTo(Receive())
 	})
 
-	It("counts as no peer's word that an endpoint leaves", func() {
-		before, after := lives()
-		leave := &pendingDeparture{deadline: time.Hour, storedAt: map[string]bool{}}
-		after.departures[after.pending.nextNumber()] = leave
+	It("counts no acknowledgement of a departure of before", func() {
+		before, after := restarted()
+		departure := &pendingDeparture{deadline: time.Hour, storedAt: map[string]bool{}}
+		after.departures[after.pending.nextNumber()] = departure
 		after.onSessionAck(protocol.SessionAck{From: "b", Ask: before.pending.nextNumber()})
-		Expect(leave.storedAt).To(BeEmpty())
+		Expect(departure.storedAt).To(BeEmpty())
 	})
 
-	It("has pings of the two lives differ", func() {
-		before, after := lives()
+	It("sends pings with other nonces than before", func() {
+		before, after := restarted()
 		view := chain.View{Number: 1, Voters: []chain.Member{{ID: "a", Address: "a"}, {ID: "b", Address: "b"}}, Chain: []chain.MemberID{"a", "b"}}
 		nonces := map[uint64]int{}
-		for _, p := range []*Server{before, after} {
-			p.settings.InternalPortRange = []int{1, 1}
-			node, _ := chain.NewGenesis(p.chainConfig("a"), 0, view, nil)
+		for _, server := range []*Server{before, after} {
+			server.settings.InternalPortRange = []int{1, 1}
+			node, _ := chain.NewGenesis(server.chainConfig("a"), 0, view, nil)
 			for _, envelope := range node.PingVoters(0).ImmediateMessages {
 				nonces[envelope.Message.(chain.Ping).Nonce]++
 			}
 		}
-		Expect(nonces).To(HaveLen(2), "one for each life")
+		Expect(nonces).To(HaveLen(2), "one for each start")
 	})
 })
--- a/internal/sessions/table_test.go
+++ b/internal/sessions/table_test.go
@@ -17,8 +17,10 @@
 const ttl = 4 * time.Second
 
 func heartbeat(sequence uint64, state State) Heartbeat {
-	return Heartbeat{Service: "s", Address: "10.0.0.1:80", Sequence: sequence, State: state,
-		Models: []LoadedModel{{Name: "m", Version: 1, Adapters: []string{"a1"}}}}
+	return Heartbeat{
+		Service: "s", Address: "10.0.0.1:80", Sequence: sequence, State: state,
+		Models: []LoadedModel{{Name: "m", Version: 1, Adapters: []string{"a1"}}},
+	}
 }
 
 var _ = Describe("the session table", func() {
