--- a/cmd/dykering/fleet_state_test.go
+++ b/cmd/dykering/fleet_state_test.go
@@ -270,9 +270,9 @@
 				Stamp: replica.Stamp{Wall: time.Now().Add(time.Duration(i) * 8 * time.Second).UnixMilli()},
 			})
 		}
-		liar.Channel(gossip.KindFacts).Tell(fmt.Sprint("lie", i), encoded(t, facts))
+		liar.Channel(gossip.KindFacts).Broadcast(fmt.Sprint("lie", i), encoded(t, facts))
 	}
-	liar.Channel(gossip.KindFacts).Tell("garbage", []byte("\xc1garbage"))
+	liar.Channel(gossip.KindFacts).Broadcast("garbage", []byte("\xc1garbage"))
 	for _, text := range []string{"no message of ours", "stamp from the future"} { // by whom the liar chose to tell
 		s.waitAll(10*time.Second, text, func(*broker) bool { return slices.ContainsFunc(all, said(text)) }, all[0])
 	}
--- a/internal/fleet/gossip/compatibility_test.go
+++ b/internal/fleet/gossip/compatibility_test.go
@@ -73,8 +73,8 @@
 		From        string
 	}
 	var got []message
-	said(fixture.Bytes(t, "testdata/compatibility/packet.bin", memberPacket), func(r rumour) {
-		got = append(got, message{r.kind, r.Incarnation, r.Node, r.From})
+	eachMemberMessage(fixture.Bytes(t, "testdata/compatibility/packet.bin", memberPacket), func(m memberMessage) {
+		got = append(got, message{m.kind, m.Incarnation, m.Node, m.From})
 	})
 	fixture.Golden(t, "testdata/compatibility/packet.json", got)
 }
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -10,7 +10,7 @@
 	"dykering/internal/strict"
 )
 
-func member(t *testing.T, id string, seeds ...string) *Gossip {
+func startMember(t *testing.T, id string, seeds ...string) *Gossip {
 	t.Helper()
 	s := *DefaultSection()
 	s.Enabled, s.ID, s.Bind, s.Seeds = true, id, "127.0.0.1:0", seeds
@@ -23,13 +23,13 @@
 	return g
 }
 
-// On memberlist's own transport, as in production: a member that follows the changes hears of a join and of a
-// leave, with their reasons; one that does not loses none to a queue nobody reads.
-func TestJoinAndLeaveOnTheNetTransport(t *testing.T) {
-	a := member(t, "a")
+// On memberlist's own transport, as in production, a subscriber to the changes receives a join and a leave with their
+// reasons; a member without a subscriber counts no change as lost.
+func TestSubscriberReceivesJoinAndLeaveWithTheirReasons(t *testing.T) {
+	a := startMember(t, "a")
 	defer a.Close()
 	changes := a.Changes()
-	b := member(t, "b", a.View().Members[0].Addr)
+	b := startMember(t, "b", a.View().Members[0].Addr)
 	want := []membership.Reason{membership.Joined, membership.LeaveAnnounced}
 	for _, reason := range want {
 		select {
@@ -56,18 +56,18 @@
 	}
 }
 
-// A member that announces itself anew has memberlist write into its node on the others; the view's owner reads copies.
-// Without them the race detector finds the two accesses.
-func TestViewIsReadBesideMemberlistsWrites(t *testing.T) {
-	a := member(t, "a")
+// A member that announces itself again has memberlist write into its node at the others. The owner of the view reads
+// copies; without them the race detector reports the two accesses.
+func TestViewHasNoDataRaceWithMemberlistsUpdates(t *testing.T) {
+	a := startMember(t, "a")
 	defer a.Close()
 	changes := a.Changes()
-	b := member(t, "b", a.View().Members[0].Addr)
+	b := startMember(t, "b", a.View().Members[0].Addr)
 	defer b.Close()
 	select {
 	case <-changes:
 	case <-time.After(10 * time.Second):
-		t.Fatal("a has not heard of b")
+		t.Fatal("a has not received the join of b")
 	}
 	const announcements = 8
 	for range announcements {
@@ -75,7 +75,7 @@
 			t.Fatal(err)
 		}
 	}
-	if id, ok := (Channel{g: a}).Peer(); !ok || id != "b" {
+	if id, ok := (Channel{g: a}).RandomPeer(); !ok || id != "b" {
 		t.Errorf("a's peer is %q, %v; want b", id, ok)
 	}
 	if err := (Channel{g: a}).Send("c", nil); err == nil {
--- a/internal/fleet/gossip/live_nodes.go
+++ b/internal/fleet/gossip/live_nodes.go
@@ -6,43 +6,44 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// roster holds copies of the nodes that memberlist lists as live. memberlist's own Members returns pointers to nodes
-// that its goroutines go on changing; its event callbacks run under its lock, so that copies made in them are whole.
-type roster struct {
+// liveNodes holds copies of the nodes in memberlist's list. memberlist.Members returns pointers to nodes that its
+// goroutines go on changing, which is a data race for a reader; its event callbacks run under its lock, so that copies
+// made there are consistent.
+type liveNodes struct {
 	mu    sync.Mutex
 	nodes map[string]memberlist.Node
 }
 
-func newRoster() *roster { return &roster{nodes: map[string]memberlist.Node{}} }
+func newLiveNodes() *liveNodes { return &liveNodes{nodes: map[string]memberlist.Node{}} }
 
-// set takes a node that has joined or changed.
-func (r *roster) set(node memberlist.Node) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.nodes[node.Name] = node
+// set stores a node that has joined or changed.
+func (l *liveNodes) set(node memberlist.Node) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.nodes[node.Name] = node
 }
 
-// remove takes a node that is dead or has left.
-func (r *roster) remove(name string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	delete(r.nodes, name)
+// remove deletes a node that is dead or has left.
+func (l *liveNodes) remove(name string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.nodes, name)
 }
 
 // find returns a copy of a live node.
-func (r *roster) find(name string) (memberlist.Node, bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	node, ok := r.nodes[name]
+func (l *liveNodes) find(name string) (memberlist.Node, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	node, ok := l.nodes[name]
 	return node, ok
 }
 
 // all returns copies of the live nodes, in no order.
-func (r *roster) all() []memberlist.Node {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	nodes := make([]memberlist.Node, 0, len(r.nodes))
-	for _, node := range r.nodes {
+func (l *liveNodes) all() []memberlist.Node {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	nodes := make([]memberlist.Node, 0, len(l.nodes))
+	for _, node := range l.nodes {
 		nodes = append(nodes, node)
 	}
 	return nodes
--- a/internal/fleet/gossip/packet.go
+++ b/internal/fleet/gossip/packet.go
@@ -6,58 +6,69 @@
 	"github.com/hashicorp/go-msgpack/v2/codec"
 )
 
-// memberlist's interface tells of joins and leaves, but neither of suspicion nor whether one that is gone said so. Both
-// stand in the packets that it sends: it passes on each suspicion, refutation, death and leave that it takes itself,
-// so that what goes out is what it holds. The numbers are of its wire protocol, which says that they never change.
+// The kinds of messages in memberlist's packets that are read here. memberlist's documentation says that the numbers of
+// its wire protocol never change.
 const (
 	kindSuspect  = 3
 	kindAlive    = 4
 	kindDead     = 5
 	kindCompound = 7
 	kindCRC      = 12
-	crcHeader    = 5 // its kind and 32 bits
 )
 
-// rumour is one thing that members tell each other of one of them.
-type rumour struct {
+const (
+	crcHeaderBytes = 5 // the kind and a checksum of 32 bits
+	lengthBytes    = 2 // the length of a message in a compound
+)
+
+// memberMessage is memberlist's message about a member. The exported names are keys on the wire.
+type memberMessage struct {
 	kind        byte
 	Incarnation uint32
 	Node        string
-	From        string // who says it; of itself, that it leaves
+	From        string // From is the member that suspects it or declares it dead; the member itself where it leaves.
 }
 
-// said finds the rumours in a packet that is neither compressed nor encrypted. What it cannot read it passes over:
-// memberlist itself tells of garbage.
-func said(packet []byte, take func(rumour)) {
-	if len(packet) > crcHeader && packet[0] == kindCRC {
-		packet = packet[crcHeader:]
+// announcesLeave reports whether the member itself says that it leaves.
+func (m *memberMessage) announcesLeave() bool { return m.kind == kindDead && m.From == m.Node }
+
+// eachMemberMessage calls a function with each message about a member in a packet that is neither compressed nor
+// encrypted. It skips what it cannot read: memberlist logs malformed packets itself.
+func eachMemberMessage(packet []byte, do func(memberMessage)) {
+	if len(packet) > crcHeaderBytes && packet[0] == kindCRC {
+		packet = packet[crcHeaderBytes:]
 	}
 	if len(packet) < 2 {
 		return
 	}
 	switch kind := packet[0]; kind {
 	case kindSuspect, kindAlive, kindDead:
-		r := rumour{kind: kind}
-		if codec.NewDecoderBytes(packet[1:], &codec.MsgpackHandle{}).Decode(&r) == nil && r.Node != "" {
-			r.kind = kind
-			take(r)
+		var message memberMessage
+		err := codec.NewDecoderBytes(packet[1:], &codec.MsgpackHandle{}).Decode(&message)
+		if err == nil && message.Node != "" {
+			message.kind = kind
+			do(message)
 		}
 	case kindCompound:
-		n := int(packet[1])
-		lengths, rest := packet[2:], packet[2:]
-		if len(rest) < 2*n {
+		eachOfCompound(int(packet[1]), packet[2:], do)
+	}
+}
+
+// eachOfCompound reads a compound: the lengths of its messages, and the messages.
+func eachOfCompound(count int, body []byte, do func(memberMessage)) {
+	if len(body) < lengthBytes*count {
+		return
+	}
+	lengths, rest := body, body[lengthBytes*count:]
+	for i := range count {
+		length := int(binary.BigEndian.Uint16(lengths[lengthBytes*i:]))
+		if len(rest) < length {
 			return
 		}
-		rest = rest[2*n:]
-		for i := range n {
-			l := int(binary.BigEndian.Uint16(lengths[2*i:]))
-			if len(rest) < l {
-				return
-			}
-			if l > 0 && rest[0] != kindCompound { // one compound holds no other
-				said(rest[:l], take)
-			}
-			rest = rest[l:]
+		isNested := length > 0 && rest[0] == kindCompound // memberlist makes none; one that nests deeply would exhaust the stack
+		if length > 0 && !isNested {
+			eachMemberMessage(rest[:length], do)
 		}
+		rest = rest[length:]
 	}
 }
--- a/internal/fleet/gossip/relay_transport.go
+++ b/internal/fleet/gossip/relay_transport.go
@@ -2,9 +2,9 @@
 
 import (
 	"bufio"
+	"context"
 	"errors"
 	"fmt"
-	"io"
 	"net"
 	"sync"
 	"sync/atomic"
@@ -13,269 +13,194 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Traffic counts what the gossip sends and receives, in bytes and packets or streams.
-type Traffic struct {
-	PacketsIn, PacketsOut, BytesIn, BytesOut, StreamsIn, StreamsOut, Bad atomic.Uint64
-}
-
-// counted is a transport that is counted and listened to.
-type counted struct {
-	memberlist.NodeAwareTransport
-	traffic *Traffic
-	heard   func(packet []byte, out bool) // each packet, before it goes on; it does not block
-	packets chan *memberlist.Packet
-	once    sync.Once
-	done    chan struct{}
-}
-
-// count wraps a transport. Its packets pass through one goroutine of its own, which ends with the transport.
-func count(t memberlist.NodeAwareTransport, traffic *Traffic, heard func([]byte, bool)) *counted {
-	c := &counted{NodeAwareTransport: t, traffic: traffic, heard: heard, packets: make(chan *memberlist.Packet), done: make(chan struct{})}
-	go func() {
-		for {
-			select {
-			case p := <-t.PacketCh():
-				traffic.PacketsIn.Add(1)
-				traffic.BytesIn.Add(uint64(len(p.Buf)))
-				heard(p.Buf, false)
-				select {
-				case c.packets <- p:
-				case <-c.done:
-					return
-				}
-			case <-c.done:
-				return
-			}
-		}
-	}()
-	return c
-}
-
-func (c *counted) PacketCh() <-chan *memberlist.Packet { return c.packets }
-
-func (c *counted) WriteTo(b []byte, addr string) (time.Time, error) {
-	return c.WriteToAddress(b, memberlist.Address{Addr: addr})
-}
-
-func (c *counted) WriteToAddress(b []byte, addr memberlist.Address) (time.Time, error) {
-	c.traffic.PacketsOut.Add(1)
-	c.traffic.BytesOut.Add(uint64(len(b)))
-	c.heard(b, true)
-	return c.NodeAwareTransport.WriteToAddress(b, addr)
-}
-
-func (c *counted) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
-	return c.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
-}
-
-func (c *counted) DialAddressTimeout(addr memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	c.traffic.StreamsOut.Add(1)
-	return c.NodeAwareTransport.DialAddressTimeout(addr, timeout)
-}
-
-// Shutdown ends the transport before what reads from it: its own shutdown waits for packets that it is about to hand
-// over. What comes meanwhile goes nowhere, also where memberlist never began to read.
-func (c *counted) Shutdown() (err error) {
-	c.once.Do(func() {
-		go func() {
-			for {
-				select {
-				case <-c.packets:
-				case <-c.done:
-					return
-				}
-			}
-		}()
-		err = c.NodeAwareTransport.Shutdown()
-		close(c.done)
-	})
-	return err
-}
-
-// relayed sends all gossip through a fault relay (package faultnet), which forwards it or not. Each packet and
-// stream to the relay begins with the address it is for; each from the relay with the address it is from, so that
-// memberlist sees its peers' own addresses. Only the laboratory and the tests use it.
-type relayed struct {
-	relay   *net.UDPAddr
-	stream  string // the relay's TCP address
-	udp     *net.UDPConn
-	tcp     *net.TCPListener
-	self    *net.UDPAddr
-	packets chan *memberlist.Packet
-	streams chan net.Conn
-	traffic *Traffic
-	wg      sync.WaitGroup
-	closed  atomic.Bool
-}
-
-// maxAddr is the longest address in a header: an IPv4 host and port.
-const maxAddr = len("255.255.255.255:65535")
-
-// headerTimeout bounds the wait for the header of a stream that has come.
-const headerTimeout = 2 * time.Second
-
-// Header puts an address before a payload, as the relay and relayed transports read it.
-func Header(addr string, payload []byte) []byte {
-	return append(append([]byte{byte(len(addr))}, addr...), payload...)
-}
-
-// SplitHeader reads the address before a payload.
-func SplitHeader(b []byte) (addr string, payload []byte, err error) {
-	if len(b) == 0 || int(b[0]) > maxAddr || len(b) < 1+int(b[0]) {
-		return "", nil, errors.New("no address before the payload")
-	}
-	return string(b[1 : 1+b[0]]), b[1+b[0]:], nil
-}
-
-// ReadHeader reads the address at the beginning of a stream.
-func ReadHeader(r io.Reader) (string, error) {
-	var n [1]byte
-	if _, err := io.ReadFull(r, n[:]); err != nil {
-		return "", err
-	}
-	if int(n[0]) > maxAddr {
-		return "", errors.New("no address at the beginning of the stream")
-	}
-	addr := make([]byte, n[0])
-	_, err := io.ReadFull(r, addr)
-	return string(addr), err
-}
+const (
+	// headerTimeout bounds the wait for the header of an accepted stream.
+	headerTimeout = 2 * time.Second
+	// maxPacketBytes is the largest payload of UDP.
+	maxPacketBytes = 65536
+)
 
-// newRelayed binds UDP and TCP at bind, and sends through the relay at relay.
-func newRelayed(bind, relay string, traffic *Traffic) (*relayed, error) {
+// relayTransport sends all gossip through a fault relay (package faultnet), which forwards it or not. Each packet and
+// stream to the relay begins with the address that it is for, and each from the relay with the address that it is from,
+// so that memberlist sees the addresses of its peers. Only the laboratory and tests use it.
+type relayTransport struct {
+	relayUDP *net.UDPAddr
+	relayTCP string
+	udp      *net.UDPConn
+	tcp      *net.TCPListener
+	self     *net.UDPAddr
+	packets  chan *memberlist.Packet
+	streams  chan net.Conn
+	traffic  *Traffic
+	readers  sync.WaitGroup
+	closed   atomic.Bool
+}
+
+// newRelayTransport listens at an address by UDP and TCP, and sends through a relay.
+func newRelayTransport(bind, relay string, traffic *Traffic) (*relayTransport, error) {
 	self, err := net.ResolveUDPAddr("udp4", bind)
 	if err != nil {
-		return nil, fmt.Errorf("gossip: %w", err)
+		return nil, err
 	}
-	to, err := net.ResolveUDPAddr("udp4", relay)
+	relayUDP, err := net.ResolveUDPAddr("udp4", relay)
 	if err != nil {
-		return nil, fmt.Errorf("gossip: relay: %w", err)
+		return nil, fmt.Errorf("relay: %w", err)
 	}
 	tcp, err := net.ListenTCP("tcp4", &net.TCPAddr{IP: self.IP, Port: self.Port})
 	if err != nil {
-		return nil, fmt.Errorf("gossip: %w", err)
+		return nil, err
 	}
-	self.Port = tcp.Addr().(*net.TCPAddr).Port // the same port for both, where bind asks for any
+	self.Port = tcp.Addr().(*net.TCPAddr).Port // the same port for both where any is asked for
 	udp, err := net.ListenUDP("udp4", self)
 	if err != nil {
-		tcp.Close()
-		return nil, fmt.Errorf("gossip: %w", err)
+		return nil, errors.Join(err, tcp.Close())
+	}
+	t := &relayTransport{
+		relayUDP: relayUDP, relayTCP: relay, udp: udp, tcp: tcp, self: self, traffic: traffic,
+		packets: make(chan *memberlist.Packet), streams: make(chan net.Conn),
 	}
-	t := &relayed{relay: to, stream: relay, udp: udp, tcp: tcp, self: self, traffic: traffic,
-		packets: make(chan *memberlist.Packet), streams: make(chan net.Conn)}
-	t.wg.Add(2)
+	t.readers.Add(2)
 	go t.readPackets()
 	go t.acceptStreams()
 	return t, nil
 }
 
-func (t *relayed) readPackets() {
-	defer t.wg.Done()
-	buf := make([]byte, 65536)
+// readPackets hands packets over until the transport is shut down. memberlist reads until then.
+func (t *relayTransport) readPackets() {
+	defer t.readers.Done()
+	buffer := make([]byte, maxPacketBytes)
 	for {
-		n, _, err := t.udp.ReadFromUDP(buf)
+		n, _, err := t.udp.ReadFromUDP(buffer)
+		if t.closed.Load() {
+			return
+		}
 		if err != nil {
-			if t.closed.Load() {
-				return
-			}
 			continue
 		}
-		from, payload, err := SplitHeader(buf[:n])
-		addr, bad := net.ResolveUDPAddr("udp4", from)
-		if err != nil || bad != nil {
+		packet, err := packetFromRelay(buffer[:n])
+		if err != nil {
 			t.traffic.Bad.Add(1)
 			continue
 		}
-		p := &memberlist.Packet{Buf: append([]byte(nil), payload...), From: addr, Timestamp: time.Now()}
-		if t.closed.Load() {
-			return
-		}
-		t.packets <- p // memberlist reads until it shuts the transport down, after which nothing is read here
+		t.packets <- packet
 	}
 }
 
-func (t *relayed) acceptStreams() {
-	defer t.wg.Done()
+// packetFromRelay copies a packet and takes its header off.
+func packetFromRelay(received []byte) (*memberlist.Packet, error) {
+	sender, payload, err := SplitHeader(received)
+	if err != nil {
+		return nil, err
+	}
+	from, err := net.ResolveUDPAddr("udp4", sender)
+	if err != nil {
+		return nil, err
+	}
+	return &memberlist.Packet{Buf: append([]byte(nil), payload...), From: from, Timestamp: time.Now()}, nil
+}
+
+// acceptStreams hands streams over until the transport is shut down.
+func (t *relayTransport) acceptStreams() {
+	defer t.readers.Done()
 	for {
-		c, err := t.tcp.Accept()
+		conn, err := t.tcp.Accept()
 		if err != nil {
 			if t.closed.Load() {
 				return
 			}
 			continue
 		}
-		c.SetReadDeadline(time.Now().Add(headerTimeout))
-		r := bufio.NewReader(c)
-		if _, err := ReadHeader(r); err != nil {
+		stream, err := streamFromRelay(conn)
+		if err != nil {
 			t.traffic.Bad.Add(1)
-			c.Close()
+			conn.Close()
 			continue
 		}
-		c.SetReadDeadline(time.Time{})
 		t.traffic.StreamsIn.Add(1)
-		t.streams <- &buffered{Conn: c, r: r}
+		t.streams <- stream
 	}
 }
 
-// buffered is a connection whose first bytes were read ahead.
-type buffered struct {
+// streamFromRelay reads the header of a stream.
+func streamFromRelay(conn net.Conn) (net.Conn, error) {
+	conn.SetReadDeadline(time.Now().Add(headerTimeout))
+	reader := bufio.NewReader(conn)
+	if _, err := ReadHeader(reader); err != nil {
+		return nil, err
+	}
+	conn.SetReadDeadline(time.Time{})
+	return &bufferedConn{Conn: conn, reader: reader}, nil
+}
+
+// bufferedConn is a connection of which some bytes were read ahead.
+type bufferedConn struct {
 	net.Conn
-	r *bufio.Reader
+	reader *bufio.Reader
 }
 
-func (b *buffered) Read(p []byte) (int, error) { return b.r.Read(p) }
+// Read reads what was read ahead first.
+func (c *bufferedConn) Read(p []byte) (int, error) { return c.reader.Read(p) }
 
-func (t *relayed) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
+// FinalAdvertiseAddr returns the address that the transport listens at.
+func (t *relayTransport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	return t.self.IP, t.self.Port, nil
 }
 
-func (t *relayed) WriteTo(b []byte, addr string) (time.Time, error) {
-	_, err := t.udp.WriteToUDP(Header(addr, b), t.relay)
+// WriteTo sends a packet.
+func (t *relayTransport) WriteTo(packet []byte, address string) (time.Time, error) {
+	_, err := t.udp.WriteToUDP(Header(address, packet), t.relayUDP)
 	return time.Now(), err
 }
 
-func (t *relayed) WriteToAddress(b []byte, addr memberlist.Address) (time.Time, error) {
-	return t.WriteTo(b, addr.Addr)
+// WriteToAddress sends a packet.
+func (t *relayTransport) WriteToAddress(packet []byte, address memberlist.Address) (time.Time, error) {
+	return t.WriteTo(packet, address.Addr)
 }
 
-func (t *relayed) PacketCh() <-chan *memberlist.Packet { return t.packets }
+// PacketCh returns the received packets.
+func (t *relayTransport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-func (t *relayed) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
-	c, err := net.DialTimeout("tcp4", t.stream, timeout)
+// DialTimeout opens a stream. Its header has the address that it is for, and then the one that it is from.
+func (t *relayTransport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: timeout}
+	conn, err := dialer.DialContext(context.Background(), "tcp4", t.relayTCP)
 	if err != nil {
 		return nil, err
 	}
-	// To the relay: whom it is from and whom it is for.
-	c.SetWriteDeadline(time.Now().Add(timeout))
-	if _, err := c.Write(Header(addr, []byte(Header(t.self.String(), nil)))); err != nil {
-		c.Close()
-		return nil, err
+	conn.SetWriteDeadline(time.Now().Add(timeout))
+	if _, err := conn.Write(Header(address, Header(t.self.String(), nil))); err != nil {
+		return nil, errors.Join(err, conn.Close())
 	}
-	c.SetWriteDeadline(time.Time{})
-	return c, nil
+	conn.SetWriteDeadline(time.Time{})
+	return conn, nil
 }
 
-func (t *relayed) DialAddressTimeout(addr memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	return t.DialTimeout(addr.Addr, timeout)
+// DialAddressTimeout opens a stream.
+func (t *relayTransport) DialAddressTimeout(address memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	return t.DialTimeout(address.Addr, timeout)
 }
 
-func (t *relayed) StreamCh() <-chan net.Conn { return t.streams }
+// StreamCh returns the accepted streams.
+func (t *relayTransport) StreamCh() <-chan net.Conn { return t.streams }
 
-// Shutdown ends both sockets. memberlist calls it once it reads nothing any more.
-func (t *relayed) Shutdown() error {
+// Shutdown closes both sockets and discards what their readers are about to hand over. memberlist calls it once it reads
+// nothing any more.
+func (t *relayTransport) Shutdown() error {
 	t.closed.Store(true)
 	err := errors.Join(t.udp.Close(), t.tcp.Close())
-	go func() { // what a reader is about to hand over goes nowhere
-		for {
-			select {
-			case <-t.packets:
-			case c := <-t.streams:
-				c.Close()
-			case <-time.After(headerTimeout):
-				return
-			}
-		}
-	}()
-	t.wg.Wait()
+	go t.discard()
+	t.readers.Wait()
 	return err
 }
+
+func (t *relayTransport) discard() {
+	for {
+		select {
+		case <-t.packets:
+		case stream := <-t.streams:
+			stream.Close()
+		case <-time.After(headerTimeout):
+			return
+		}
+	}
+}
--- a/internal/fleet/gossip/section.go
+++ b/internal/fleet/gossip/section.go
@@ -1,19 +1,14 @@
 package gossip
 
 import (
-	"fmt"
-	"net"
-	"slices"
-	"strconv"
-	"strings"
 	"time"
 
-	"dykering/internal/faults"
 	"dykering/internal/operator"
 	"dykering/internal/strict"
 )
 
-// Section is the table [fleet] of an operator's file. It is read at the start; a change takes a new process.
+// Section is the table [fleet] of an operator's file. It is read at the start of a process; a change takes effect with the
+// next one. The tags toml, doc, min and max make the documented example file; see package operator.
 type Section struct {
 	Enabled        bool            `toml:"enabled" doc:"whether this broker keeps a view of the fleet by gossip with the others"`
 	ID             string          `toml:"id" doc:"this broker's id in the fleet; empty: the platform's name of it"`
@@ -33,7 +28,7 @@
 	Relay          string          `toml:"relay" doc:"laboratory only: a fault relay that all gossip goes through; empty: none"`
 }
 
-// Replication is the table [fleet.replication]: what the members tell each other of servers.
+// Replication is the table [fleet.replication]: the facts about servers that members share.
 type Replication struct {
 	Enabled   bool            `toml:"enabled" doc:"whether members tell each other which servers they isolated or were answered by"`
 	TTL       strict.Duration `toml:"ttl" doc:"how long a fact holds that its origin does not tell anew" min:"1s" max:"5m"`
@@ -48,7 +43,7 @@
 	Offset    strict.Duration `toml:"clock_offset" doc:"laboratory only: how far this member's clock is taken to be ahead"`
 }
 
-// Budgets is the table [fleet.budgets]: tenants' quotas, divided among the live members.
+// Budgets is the table [fleet.budgets]: tenants' quotas, divided among the live members by leases.
 type Budgets struct {
 	Enabled bool            `toml:"enabled" doc:"whether tenants' quotas are divided among the live members by leases, in place of even parts"`
 	Voters  []string        `toml:"voters" doc:"ids of the members that keep the ledger by Raft: three or five, the same list at all"`
@@ -61,101 +56,32 @@
 	Rate    float64         `toml:"clock_rate" doc:"laboratory only: seconds that this member's clock counts in one"`
 }
 
-// Whole reads one of Wholes.
-func (b *Budgets) Whole(text string) (tenant string, perS float64, err error) {
-	tenant, rate, ok := strings.Cut(text, "=")
-	perS, bad := strconv.ParseFloat(rate, 64)
-	if !ok || tenant == "" || bad != nil || !(perS >= 0 && perS <= 1e9) {
-		return "", 0, fmt.Errorf("%q is not tenant=requests a second", text)
-	}
-	return tenant, perS, nil
-}
-
-// check finds the faults that the keys' bounds do not tell.
-func (b *Budgets) check() (wrong []faults.Fault) {
-	for _, text := range b.Wholes {
-		if _, _, err := b.Whole(text); err != nil {
-			wrong = append(wrong, faults.Fault{Key: "budgets.wholes", Text: err.Error()})
-		}
-	}
-	if b.Enabled && len(b.Voters) == 0 {
-		wrong = append(wrong, faults.Fault{Key: "budgets.voters", Text: "are needed where budgets are enabled"})
-	}
-	if len(b.Voters) > mostVoters {
-		wrong = append(wrong, faults.Fault{Key: "budgets.voters", Text: fmt.Sprintf("are more than %d", mostVoters)})
-	}
-	for i, v := range b.Voters {
-		if v == "" || slices.Contains(b.Voters[:i], v) {
-			wrong = append(wrong, faults.Fault{Key: "budgets.voters", Text: fmt.Sprintf("%q is empty or named twice", v)})
-		}
-	}
-	if !(b.Retries >= 0 && b.Retries <= 1e9) {
-		wrong = append(wrong, faults.Fault{Key: "budgets.retries", Text: "has to be from 0 to 1000000000"})
-	}
-	if b.Rate < 0.5 || b.Rate > 2 {
-		wrong = append(wrong, faults.Fault{Key: "budgets.clock_rate", Text: "has to be from 0.5 to 2"})
-	}
-	return wrong
-}
-
-// mostVoters bounds the group: each further one makes each grant slower.
-const mostVoters = 7
-
-// DefaultSection is what holds where the file says nothing: memberlist's settings for a LAN.
+// DefaultSection returns the values that hold where the file has none: memberlist's settings for a LAN.
 func DefaultSection() *Section {
-	return &Section{Bind: "127.0.0.1:7946", Weight: 1, ProbeInterval: strict.Duration(time.Second),
-		ProbeTimeout: strict.Duration(500 * time.Millisecond), SuspicionMult: 4, IndirectChecks: 3,
-		DeadKept: strict.Duration(30 * time.Second), Most: 4096,
-		Replication: Replication{TTL: strict.Duration(15 * time.Second), Witnesses: 2, PerOrigin: 30, MostBad: 20,
-			Facts: 64, Rate: 64 << 10, Ahead: strict.Duration(10 * time.Second), Every: strict.Duration(5 * time.Second)},
-		Budgets: Budgets{Floor: 20, Lease: strict.Duration(3 * time.Second), Drift: 1, Rate: 1}}
+	return &Section{
+		Bind:           "127.0.0.1:7946",
+		Weight:         1,
+		ProbeInterval:  strict.Duration(time.Second),
+		ProbeTimeout:   strict.Duration(500 * time.Millisecond),
+		SuspicionMult:  4,
+		IndirectChecks: 3,
+		DeadKept:       strict.Duration(30 * time.Second),
+		Most:           4096,
+		Replication: Replication{
+			TTL:       strict.Duration(15 * time.Second),
+			Witnesses: 2,
+			PerOrigin: 30,
+			MostBad:   20,
+			Facts:     64,
+			Rate:      64 << 10,
+			Ahead:     strict.Duration(10 * time.Second),
+			Every:     strict.Duration(5 * time.Second),
+		},
+		Budgets: Budgets{Floor: 20, Lease: strict.Duration(3 * time.Second), Drift: 1, Rate: 1},
+	}
 }
 
 func init() {
 	operator.Register("fleet", "The view of the fleet, kept by gossip among the brokers (SWIM). Off by default.",
 		func() any { return DefaultSection() })
 }
-
-// Check finds the faults that the keys' bounds do not tell.
-func (s *Section) Check() []faults.Fault {
-	var wrong []faults.Fault
-	if err := ipv4(s.Bind, true); err != "" {
-		wrong = append(wrong, faults.Fault{Key: "bind", Text: err})
-	}
-	for _, seed := range s.Seeds {
-		if err := ipv4(seed, false); err != "" {
-			wrong = append(wrong, faults.Fault{Key: "seeds", Text: err})
-		}
-	}
-	if s.Relay != "" {
-		if err := ipv4(s.Relay, false); err != "" {
-			wrong = append(wrong, faults.Fault{Key: "relay", Text: err})
-		}
-	}
-	if inBounds := s.ProbeInterval >= strict.Duration(50*time.Millisecond) && s.ProbeTimeout <= strict.Duration(30*time.Second); inBounds && s.ProbeTimeout >= s.ProbeInterval {
-		wrong = append(wrong, faults.Fault{Key: "probe_timeout", Text: "has to be shorter than probe_interval"})
-	}
-	wrong = append(wrong, s.Budgets.check()...)
-	if s.Budgets.Enabled && s.Budgets.Dir == "" && s.ID != "" && slices.Contains(s.Budgets.Voters, s.ID) {
-		wrong = append(wrong, faults.Fault{Key: "budgets.dir", Text: "is needed by a voter"})
-	}
-	if len(s.Seeds) > s.Most {
-		wrong = append(wrong, faults.Fault{Key: "seeds", Text: "are more than most"})
-	}
-	return wrong
-}
-
-// ipv4 tells what is wrong with an IPv4 address and port, if anything.
-func ipv4(addr string, any bool) string {
-	host, port, err := net.SplitHostPort(addr)
-	if err != nil {
-		return strconv.Quote(addr) + " is not host:port"
-	}
-	if ip := net.ParseIP(host); ip == nil || ip.To4() == nil {
-		return strconv.Quote(addr) + " is not an IPv4 address with its port"
-	}
-	if p, err := strconv.Atoi(port); err != nil || p > 65535 || p < 0 || p == 0 && !any {
-		return strconv.Quote(addr) + " has no port it can be reached at"
-	}
-	return ""
-}
--- /dev/null
+++ b/internal/fleet/gossip/section_check.go
@@ -0,0 +1,107 @@
+package gossip
+
+import (
+	"fmt"
+	"net"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"dykering/internal/faults"
+	"dykering/internal/strict"
+)
+
+const (
+	// maxVoters bounds the Raft group: each further voter makes each grant slower.
+	maxVoters = 7
+	// maxRate bounds a quota, in requests per second.
+	maxRate = 1e9
+	// minClockRate and maxClockRate bound how far the laboratory sets a clock off.
+	minClockRate, maxClockRate = 0.5, 2
+)
+
+// Check returns the faults that the bounds in the tags cannot express.
+func (s *Section) Check() []faults.Fault {
+	var wrong []faults.Fault
+	reject := func(key, text string) { wrong = append(wrong, faults.Fault{Key: key, Text: text}) }
+	if fault := checkAddress(s.Bind, true); fault != "" {
+		reject("bind", fault)
+	}
+	for _, seed := range s.Seeds {
+		if fault := checkAddress(seed, false); fault != "" {
+			reject("seeds", fault)
+		}
+	}
+	if s.Relay != "" {
+		if fault := checkAddress(s.Relay, false); fault != "" {
+			reject("relay", fault)
+		}
+	}
+	areWithinBounds := s.ProbeInterval >= strict.Duration(50*time.Millisecond) && s.ProbeTimeout <= strict.Duration(30*time.Second)
+	if areWithinBounds && s.ProbeTimeout >= s.ProbeInterval {
+		reject("probe_timeout", "has to be shorter than probe_interval")
+	}
+	wrong = append(wrong, s.Budgets.check()...)
+	if s.Budgets.Enabled && s.Budgets.Dir == "" && s.ID != "" && slices.Contains(s.Budgets.Voters, s.ID) {
+		reject("budgets.dir", "is needed by a voter")
+	}
+	if len(s.Seeds) > s.Most {
+		reject("seeds", "are more than most")
+	}
+	return wrong
+}
+
+// checkAddress returns what is wrong with an IPv4 address and port; empty for nothing. Port 0 stands for any port.
+func checkAddress(address string, allowAnyPort bool) string {
+	host, port, err := net.SplitHostPort(address)
+	if err != nil {
+		return strconv.Quote(address) + " is not host:port"
+	}
+	if ip := net.ParseIP(host); ip == nil || ip.To4() == nil {
+		return strconv.Quote(address) + " is not an IPv4 address with its port"
+	}
+	number, err := strconv.Atoi(port)
+	if err != nil || number > 65535 || number < 0 || number == 0 && !allowAnyPort {
+		return strconv.Quote(address) + " has no port it can be reached at"
+	}
+	return ""
+}
+
+// Whole parses an element of Wholes: a tenant and its quota in requests per second.
+func (b *Budgets) Whole(text string) (tenant string, perS float64, err error) {
+	tenant, rate, ok := strings.Cut(text, "=")
+	perS, parseErr := strconv.ParseFloat(rate, 64)
+	if !ok || tenant == "" || parseErr != nil || !(perS >= 0 && perS <= maxRate) {
+		return "", 0, fmt.Errorf("%q is not tenant=requests a second", text)
+	}
+	return tenant, perS, nil
+}
+
+// check returns the faults that the bounds in the tags cannot express.
+func (b *Budgets) check() (wrong []faults.Fault) {
+	reject := func(key, text string) { wrong = append(wrong, faults.Fault{Key: key, Text: text}) }
+	for _, text := range b.Wholes {
+		if _, _, err := b.Whole(text); err != nil {
+			reject("budgets.wholes", err.Error())
+		}
+	}
+	if b.Enabled && len(b.Voters) == 0 {
+		reject("budgets.voters", "are needed where budgets are enabled")
+	}
+	if len(b.Voters) > maxVoters {
+		reject("budgets.voters", fmt.Sprintf("are more than %d", maxVoters))
+	}
+	for i, voter := range b.Voters {
+		if voter == "" || slices.Contains(b.Voters[:i], voter) {
+			reject("budgets.voters", fmt.Sprintf("%q is empty or named twice", voter))
+		}
+	}
+	if !(b.Retries >= 0 && b.Retries <= maxRate) {
+		reject("budgets.retries", "has to be from 0 to 1000000000")
+	}
+	if b.Rate < minClockRate || b.Rate > maxClockRate {
+		reject("budgets.clock_rate", "has to be from 0.5 to 2")
+	}
+	return wrong
+}
--- a/internal/fleet/replication/replication.go
+++ b/internal/fleet/replication/replication.go
@@ -49,9 +49,9 @@
 // Gossip is how members are reached.
 type Gossip interface {
 	Attach(gossip.Replica)
-	Tell(name string, msg []byte)
+	Broadcast(name string, msg []byte)
 	Send(id string, msg []byte) error
-	Peer() (id string, ok bool)
+	RandomPeer() (id string, ok bool)
 }
 
 // Counters are what was done since the start.
@@ -173,7 +173,7 @@
 // compare tells one other member what this copy holds, so that it sends what this one lacks: what the gossip lost is
 // found within a few seconds, not by memberlist's push-pull each 30 s alone.
 func (s *Service) compare(store *replica.Store) {
-	if to, ok := s.gossip.Peer(); ok {
+	if to, ok := s.gossip.RandomPeer(); ok {
 		s.queue(to, encode(message{From: s.self, Sums: store.Summary(), Ask: true}))
 	}
 }
@@ -251,11 +251,11 @@
 	}
 	s.count.Told.Add(1)
 	s.count.BytesTold.Add(uint64(len(b)))
-	s.gossip.Tell(f.Origin+"/"+f.Subject, b)
+	s.gossip.Broadcast(f.Origin+"/"+f.Subject, b)
 }
 
-// Heard takes what a member told. What is news goes on, so that it spreads as the gossip does.
-func (s *Service) Heard(b []byte) {
+// Receive takes what a member told. What is news goes on, so that it spreads as the gossip does.
+func (s *Service) Receive(b []byte) {
 	m, err := decode(b)
 	if err != nil {
 		s.garbage(err)
@@ -303,9 +303,9 @@
 // Summary is what a push-pull tells of this copy, as it was after the last event.
 func (s *Service) Summary() []byte { return *s.summary.Load() }
 
-// Compare takes another copy's summary, and sends it what this one holds of the origins that differ: all to a copy
+// ReceiveSummary takes another copy's summary, and sends it what this one holds of the origins that differ: all to a copy
 // that has just begun.
-func (s *Service) Compare(b []byte) {
+func (s *Service) ReceiveSummary(b []byte) {
 	m, err := decode(b)
 	if err != nil || m.From == "" {
 		s.garbage(err)
