--- a/internal/http1/away_test.go
+++ b/internal/http1/drain_test.go
@@ -72,21 +72,6 @@
 	}
 }
 
-// once sends a request on a connection of its own.
-func (rg *rig) once(class string) *http.Response {
-	rg.t.Helper()
-	c, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
-	if err != nil {
-		rg.t.Fatal(err)
-	}
-	defer c.Close()
-	res := rg.send(c.(*net.TCPConn), rg.request(class, 9*time.Second))
-	if res == nil {
-		rg.t.Fatal("no answer")
-	}
-	return res
-}
-
 // A request that has come when its connection is retired is served, whether its handler has seen it or not.
 func TestRetireCrossesNoRequest(t *testing.T) {
 	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") }))
--- a/internal/http1/stages_test.go
+++ b/internal/http1/failure_phases_test.go
@@ -2,13 +2,11 @@
 
 import (
 	"bufio"
-	"encoding/json"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"runtime"
-	"strconv"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -19,292 +17,9 @@
 	"dykering/internal/core"
 )
 
-// ledger is what callers' sockets got and when, and what came to servers and when. It is written down at both ends of
-// the sidecar, and knows nothing of what is between.
-type ledger struct {
-	mu       sync.Mutex
-	asked    map[string]wanted
-	answers  map[string][]got
-	attempts map[string][]*attempted
-	drained  map[string]time.Time // by server: when it was told to drain or to be gone
-	conns    int                  // that servers have accepted
-	whole    int                  // requests that came to them whole
-	refusals int
-}
-
-type wanted struct {
-	class string
-	until time.Time
-}
-
-type got struct {
-	status int
-	at     time.Time
-	advice string
-}
-
-type attempted struct {
-	server string
-	at     time.Time
-	ran    bool // or may have
-	over   func() bool
-}
-
-func newLedger() *ledger {
-	return &ledger{asked: map[string]wanted{}, answers: map[string][]got{}, attempts: map[string][]*attempted{},
-		drained: map[string]time.Time{}}
-}
-
-func (l *ledger) ask(id, class string, until time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.asked[id] = wanted{class, until}
-}
-
-func (l *ledger) answer(id string, g got) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.answers[id] = append(l.answers[id], g)
-	if g.status == http.StatusServiceUnavailable {
-		l.refusals++
-	}
-}
-
-func (l *ledger) attempt(id string, a *attempted) (faults []string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.whole++
-	for _, x := range l.attempts[id] {
-		if !x.over() {
-			faults = append(faults, id+": an attempt comes while another is out")
-		}
-	}
-	l.attempts[id] = append(l.attempts[id], a)
-	return faults
-}
-
 // late is how long a crowded machine may keep a goroutine of the test from writing down what has come.
 const late = 300 * time.Millisecond
 
-// broken names the rules that were broken, once all has settled.
-func (l *ledger) broken(grace time.Duration, mostAttempts int) (faults []string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	fault := func(id, text string, args ...any) { faults = append(faults, id+": "+fmt.Sprintf(text, args...)) }
-	for id, w := range l.asked {
-		switch all := l.answers[id]; {
-		case len(all) != 1:
-			fault(id, "%d final answers", len(all))
-		case all[0].at.After(w.until.Add(late)):
-			fault(id, "answered %v after its time", all[0].at.Sub(w.until))
-		case all[0].status == http.StatusServiceUnavailable:
-			if after, err := strconv.ParseFloat(all[0].advice, 64); err != nil || after <= 0 {
-				fault(id, "refused with Retry-After %q", all[0].advice)
-			}
-		}
-	}
-	for id, all := range l.attempts {
-		w, ok := l.asked[id]
-		if !ok {
-			fault(id, "nobody has asked for it")
-		}
-		ran := 0
-		for _, a := range all {
-			if a.ran {
-				ran++
-			}
-			if told, ok := l.drained[a.server]; ok && a.at.After(told.Add(grace+late)) {
-				fault(id, "sent to %s %v after it was told to drain", a.server, a.at.Sub(told))
-			}
-		}
-		if w.class == "once" && ran > 1 {
-			fault(id, "must not run twice, and may have run %d times", ran)
-		}
-		if len(all) > mostAttempts {
-			fault(id, "%d attempts", len(all))
-		}
-	}
-	return faults
-}
-
-// Each rule that the ledger looks after is seen to be broken where it is.
-func TestLedgerSeesBrokenRules(t *testing.T) {
-	now := time.Now()
-	yes, no := func() bool { return true }, func() bool { return false }
-	for want, play := range map[string]func(l *ledger) []string{
-		"": func(l *ledger) []string {
-			l.attempt("x", &attempted{"a", now, true, yes})
-			l.answer("x", got{200, now, ""})
-			return nil
-		},
-		"0 final answers": func(l *ledger) []string { return nil },
-		"2 final answers": func(l *ledger) []string {
-			l.answer("x", got{200, now, ""})
-			l.answer("x", got{200, now, ""})
-			return nil
-		},
-		"after its time":    func(l *ledger) []string { l.answer("x", got{200, now.Add(2 * time.Second), ""}); return nil },
-		"Retry-After":       func(l *ledger) []string { l.answer("x", got{503, now, ""}); return nil },
-		"Retry-After \"0\"": func(l *ledger) []string { l.answer("x", got{503, now, "0"}); return nil },
-		"another is out": func(l *ledger) []string {
-			l.answer("x", got{200, now, ""})
-			l.attempt("x", &attempted{"a", now, false, no})
-			return l.attempt("x", &attempted{"b", now, false, yes})
-		},
-		"2 times": func(l *ledger) []string {
-			l.answer("x", got{502, now, ""})
-			l.attempt("x", &attempted{"a", now, true, yes})
-			l.attempt("x", &attempted{"b", now, true, yes})
-			return nil
-		},
-		"told to drain": func(l *ledger) []string {
-			l.drained["a"] = now.Add(-time.Second)
-			l.answer("x", got{200, now, ""})
-			l.attempt("x", &attempted{"a", now, true, yes})
-			return nil
-		},
-		"6 attempts": func(l *ledger) []string {
-			l.answer("x", got{503, now, "1"})
-			for range 6 {
-				l.attempt("x", &attempted{"a", now, false, yes})
-			}
-			return nil
-		},
-		"nobody has asked": func(l *ledger) []string {
-			l.answer("x", got{200, now, ""})
-			l.attempt("y", &attempted{"a", now, true, yes})
-			return nil
-		},
-	} {
-		l := newLedger()
-		l.ask("x", "once", now.Add(time.Second))
-		faults := strings.Join(append(play(l), l.broken(250*time.Millisecond, 5)...), "; ")
-		if want == "" && faults != "" || !strings.Contains(faults, want) {
-			t.Errorf("want %q, found %q", want, faults)
-		}
-	}
-}
-
-// standIn is a server on raw sockets, that writes down each whole request and then does what it is told.
-type standIn struct {
-	target
-	t      *testing.T
-	l      *ledger
-	listen net.Listener
-	play   act
-}
-
-// act is what a server does with a request that has come whole. It calls over before the last byte that it sends or
-// the close that ends the attempt, and tells whether the connection may bring another.
-type act func(c *net.TCPConn, over func()) (keep bool)
-
-func newStandIn(t *testing.T, l *ledger, uid string, play act) *standIn {
-	t.Helper()
-	listen, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	s := &standIn{t: t, l: l, listen: listen, play: play, target: target{UID: uid, Address: listen.Addr().String(),
-		Zone: "z", Model: "m", Cell: 1, State: "Ready", Weight: 1}}
-	var all sync.WaitGroup
-	var conns []net.Conn // all of them, under the ledger's mutex
-	t.Cleanup(func() {
-		listen.Close()
-		l.mu.Lock()
-		for _, c := range conns {
-			c.Close() // what the sidecar's pool still keeps
-		}
-		l.mu.Unlock()
-		all.Wait()
-	})
-	all.Go(func() {
-		for {
-			c, err := listen.Accept()
-			if err != nil {
-				return
-			}
-			l.mu.Lock()
-			l.conns++
-			conns = append(conns, c)
-			l.mu.Unlock()
-			all.Go(func() { s.serve(c.(*net.TCPConn)) })
-		}
-	})
-	return s
-}
-
-func (s *standIn) serve(c *net.TCPConn) {
-	defer c.Close()
-	if s.play == nil { // it breaks each connection off before it reads anything
-		c.SetLinger(0)
-		return
-	}
-	c.SetDeadline(time.Now().Add(patience))
-	raw, err := c.SyscallConn()
-	if err != nil {
-		return
-	}
-	r := bufio.NewReader(c)
-	for {
-		in, err := http.ReadRequest(r)
-		if err != nil {
-			return
-		}
-		if _, err := io.Copy(io.Discard, in.Body); err != nil {
-			return
-		}
-		var mu sync.Mutex
-		over := false
-		a := &attempted{server: s.UID, at: time.Now(), over: func() bool {
-			mu.Lock()
-			defer mu.Unlock()
-			if over {
-				return true
-			}
-			n, fault := peekByte(raw) // who gives an attempt up closes its connection first
-			return n == 0 || fault != nil && fault != syscall.EAGAIN && fault != syscall.EINTR
-		}}
-		a.ran = !strings.HasPrefix(in.Header.Get("X-Test"), "never")
-		for _, fault := range s.l.attempt(in.Header.Get("X-Txn"), a) {
-			s.t.Error(fault)
-		}
-		if !s.play(c, func() {
-			mu.Lock()
-			defer mu.Unlock()
-			over = true
-		}) {
-			return
-		}
-	}
-}
-
-// says ends an attempt with a text, and the connection with it unless it is kept.
-func says(text string, keep bool) act {
-	return func(c *net.TCPConn, over func()) bool {
-		over()
-		io.WriteString(c, text)
-		return keep
-	}
-}
-
-// awaitsGoing says nothing until the sidecar gives up.
-func awaitsGoing(c *net.TCPConn, over func()) bool {
-	c.Read(make([]byte, 1))
-	over()
-	return false
-}
-
-func breaks(c *net.TCPConn, over func()) bool {
-	over()
-	c.SetLinger(0)
-	return false
-}
-
-const (
-	goodAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-	turnedAway = "HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
-)
-
 // question sends a request on a connection of its own, and writes down all that comes back until that is over.
 func (rg *rig) question(l *ledger, class string, left time.Duration, marks ...string) {
 	id := fmt.Sprintf("q%d", rg.txn.Add(1))
@@ -361,18 +76,6 @@
 	})
 }
 
-// endpointListOf is a line of a watch that names servers in a state.
-func endpointListOf(rev uint64, state string, servers ...*standIn) string {
-	l := endpointList{Rev: rev}
-	for _, s := range servers {
-		x := s.target
-		x.State = state
-		l.Targets = append(l.Targets, x)
-	}
-	line, _ := json.Marshal(l)
-	return string(line)
-}
-
 // With every server failing in the same way, each request gets its one answer in time, nothing is sent twice that must
 // not be, what comes to servers stays within the bounds that review-of-parts.md states, and nothing is left over.
 func TestEveryServerFails(t *testing.T) {
@@ -565,26 +268,6 @@
 	}
 }
 
-func (l *ledger) accepted() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.conns
-}
-
-// at is how many requests came to a server whole.
-func (l *ledger) at(server string) (n int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, all := range l.attempts {
-		for _, a := range all {
-			if a.server == server {
-				n++
-			}
-		}
-	}
-	return n
-}
-
 // stage brings a request whose body, if it is written in two pieces, waits in the middle, and reads its answer.
 func (rg *rig) stage(l *ledger, inPieces bool, body string, goOn <-chan bool) error {
 	c, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
@@ -694,10 +377,3 @@
 		}
 	}
 }
-
-// came is how many requests have come to servers whole.
-func (l *ledger) came() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.whole
-}
--- /dev/null
+++ b/internal/http1/forwarding_test.go
@@ -0,0 +1,265 @@
+package http1
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+func TestRequestGoesOnUnchanged(t *testing.T) {
+	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+		body, _ := io.ReadAll(r.Body)
+		left, ok := parseRemaining(r.Header.Get("X-Remaining"))
+		if !ok || left <= 0 || left >= 5*time.Second {
+			t.Errorf("X-Remaining %q", r.Header.Get("X-Remaining"))
+		}
+		fmt.Fprint(w, r.Method, " ", r.RequestURI, " ", r.Header.Get("X-Txn"), " ", r.Header.Get("Idempotency-Key"), " ", string(body))
+	}))
+	status, body := rg.ask(rg.request("book", 5*time.Second))
+	if want := "POST /api?x=1&y=%2F txn1 k1 trip"; status != 200 || body != want {
+		t.Errorf("got %d %q, want %q", status, body, want)
+	}
+	if status, body = rg.ask(rg.request("read", 5*time.Second)); status != 200 || body != "GET /api?x=1&y=%2F txn2  " {
+		t.Errorf("got %d %q", status, body)
+	}
+}
+
+// What stands in the body of a request with both lengths is not to be taken for a request by anybody: the
+// request goes nowhere, and its connection ends.
+func TestRequestInsideAnotherIsNotPassedOn(t *testing.T) {
+	var came atomic.Int64
+	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) { came.Add(1) }))
+	head := "POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: %s\r\nX-Lane: book\r\nX-Remaining: 900m\r\nIdempotency-Key: k\r\n"
+	inner := fmt.Sprintf(head, "inner") + "Content-Length: 0\r\n\r\n"
+	for _, framing := range []string{
+		fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n%s", 5+len(inner), inner),
+		fmt.Sprintf("Transfer-Encoding: chunked\r\nContent-Length: %d\r\n\r\n0\r\n\r\n%s", 5+len(inner), inner),
+		"Transfer-Encoding: identity\r\nContent-Length: 0\r\n\r\n" + inner,
+		"Transfer-Encoding: chunked, identity\r\n\r\n0\r\n\r\n" + inner,
+		"Content-Length: 0\r\nContent-Length: 9\r\n\r\n" + inner,
+		"Content-Length: -1\r\n\r\n" + inner,
+	} {
+		status, c := rg.raw(fmt.Sprintf(head, "outer") + framing)
+		if status < 400 {
+			t.Errorf("%.60q: answered %d", framing, status)
+		}
+		if rest, _ := io.ReadAll(c); strings.Contains(string(rest), "HTTP/1.1 ") {
+			t.Errorf("%.60q: a second answer %q", framing, rest)
+		}
+	}
+	if came.Load() != 0 {
+		t.Errorf("%d requests reached the endpoint", came.Load())
+	}
+}
+
+func TestBadInputNeverReachesAnEndpoint(t *testing.T) {
+	var came atomic.Int64
+	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) { came.Add(1) }))
+	for name, c := range map[string]struct {
+		spoil func(r *http.Request)
+		want  int
+	}{
+		"unknown class":         {func(r *http.Request) { r.Header.Set("X-Lane", "freight") }, 400},
+		"no class":              {func(r *http.Request) { r.Header.Del("X-Lane") }, 400},
+		"no id":                 {func(r *http.Request) { r.Header.Del("X-Txn") }, 400},
+		"no key":                {func(r *http.Request) { r.Header.Del("Idempotency-Key") }, 400},
+		"no time":               {func(r *http.Request) { r.Header.Del("X-Remaining") }, 400},
+		"no unit":               {func(r *http.Request) { r.Header.Set("X-Remaining", "480") }, 400},
+		"not a number":          {func(r *http.Request) { r.Header.Set("X-Remaining", "NaNm") }, 400},
+		"negative time":         {func(r *http.Request) { r.Header.Set("X-Remaining", "-5m") }, 400},
+		"time with an exponent": {func(r *http.Request) { r.Header.Set("X-Remaining", "1e2m") }, 400},
+		"time with a sign":      {func(r *http.Request) { r.Header.Set("X-Remaining", "+100m") }, 400},
+		"two ids":               {func(r *http.Request) { r.Header.Add("X-Txn", "other") }, 400},
+		"two classes":           {func(r *http.Request) { r.Header.Add("X-Lane", "once") }, 400},
+		"two times":             {func(r *http.Request) { r.Header.Add("X-Remaining", "9m") }, 400},
+		"long id":               {func(r *http.Request) { r.Header.Set("X-Txn", strings.Repeat("x", maxIDLength+1)) }, 400},
+		"other method":          {func(r *http.Request) { r.Method = "PUT" }, 400},
+		"other host":            {func(r *http.Request) { r.URL.Opaque = "http://other/api" }, 400},
+		"boundless time":        {func(r *http.Request) { r.Header.Set("X-Remaining", "1e300m") }, 400},
+	} {
+		r := rg.request("book", 5*time.Second)
+		c.spoil(r)
+		if status, body := rg.ask(r); status != c.want {
+			t.Errorf("%s: got %d %q, want %d", name, status, body, c.want)
+		}
+	}
+	head := "POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: a\r\nX-Lane: once\r\nX-Remaining: 900m\r\n"
+	for text, want := range map[string]int{
+		head + fmt.Sprintf("Content-Length: %d\r\n\r\n", maxStreamedBody+1): 413,
+		head + "Expect: miracles\r\nContent-Length: 1\r\n\r\nx":             417,
+		head + "Transfer-Encoding: chunked\r\n\r\nzz\r\n":                   400,
+		head + "X-Pad: " + strings.Repeat("x", maxHead) + "\r\n\r\n":        431,
+		"POST /api HTTP/1.1\r\nX-Txn: a\r\n\r\n":                            400,
+		"POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: a\x00\r\n\r\n":             400,
+		"nonsense\r\n\r\n": 400,
+	} {
+		if status, _ := rg.raw(text); status != want {
+			t.Errorf("%.80q: got %d, want %d", text, status, want)
+		}
+	}
+	if came.Load() != 0 {
+		t.Errorf("%d requests reached the endpoint", came.Load())
+	}
+}
+
+// What a mute endpoint leaves unanswered fails, and what was never sent is refused, before the deadline.
+func TestAnswerIsOutBeforeTheDeadline(t *testing.T) {
+	const left = 1500 * time.Millisecond
+	mute := peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) { gone(r) })
+	draining := mute
+	draining.State = "Terminating"
+	for want, targets := range map[int][]target{502: {mute}, 503: {draining}} {
+		rg := start(t, 1024, targets...)
+		sent := time.Now()
+		if status, body := rg.ask(rg.request("once", left)); status != want {
+			t.Errorf("got %d %q, want %d", status, body, want)
+		}
+		if took := time.Since(sent); took >= left {
+			t.Errorf("answered %d after %v of %v", want, took, left)
+		}
+	}
+}
+
+// A connection that its endpoint has closed while it was idle carries nothing.
+func TestConnectionClosedWhileIdleIsNotUsed(t *testing.T) {
+	var conns atomic.Int64
+	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") }))
+	closed := make(chan bool, 8)
+	s.Config.ConnState = func(_ net.Conn, state http.ConnState) {
+		switch state {
+		case http.StateNew:
+			conns.Add(1)
+		case http.StateClosed:
+			closed <- true
+		}
+	}
+	s.Start()
+	defer s.Close()
+	rg := start(t, 1024, target{UID: "s-1", Address: s.Listener.Addr().String(), State: "Ready", Weight: 1})
+	for range 3 {
+		if status, _ := rg.ask(rg.request("once", 5*time.Second)); status != 200 {
+			t.Fatal(status)
+		}
+		rg.until("the connection is idle", func() bool { return rg.stats().IdleConns == 1 })
+	}
+	if conns.Load() != 1 {
+		t.Errorf("%d connections for three requests in turn", conns.Load())
+	}
+	s.CloseClientConnections()
+	<-closed
+	if status, body := rg.ask(rg.request("once", 5*time.Second)); status != 200 || conns.Load() != 2 {
+		t.Errorf("got %d %q on %d connections", status, body, conns.Load())
+	}
+}
+
+// Once discovery says that an endpoint drains, nothing new goes there.
+func TestDrainIsKept(t *testing.T) {
+	count := func(n *atomic.Int64) http.HandlerFunc {
+		return func(w http.ResponseWriter, r *http.Request) {
+			n.Add(1)
+			fmt.Fprint(w, "ok")
+		}
+	}
+	var old, other atomic.Int64
+	a, b := peer(t, "s-1", count(&old)), peer(t, "s-2", count(&other))
+	rg := start(t, 1024, a, b)
+	for old.Load() == 0 {
+		rg.ask(rg.request("once", 5*time.Second))
+	}
+	a.State = "Terminating"
+	line, _ := json.Marshal(endpointList{Rev: 2, Targets: []target{a}})
+	rg.lists <- string(line)
+	rg.until("the change is taken in", func() bool { return rg.stats().Revision == 2 })
+	before := old.Load()
+	for range 10 {
+		rg.ask(rg.request("once", 5*time.Second))
+	}
+	if old.Load() != before || other.Load() == 0 {
+		t.Errorf("%d requests went to the draining endpoint", old.Load()-before)
+	}
+	for _, e := range rg.stats().Endpoints {
+		if e.Address == a.Address && e.IdleConns > 0 {
+			t.Error("connections to it are kept")
+		}
+	}
+}
+
+// An id is one request's. Another request with it, while it is out or shortly after, is turned away and goes
+// nowhere: endpoints would run it twice, or blame themselves for it.
+func TestTakenIDIsTurnedAway(t *testing.T) {
+	came, serve := make(chan bool, 8), make(chan bool)
+	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+		came <- true
+		<-serve
+		fmt.Fprint(w, "ok")
+	}))
+	first := rg.request("once", 9*time.Second)
+	id := first.Header.Get("X-Txn")
+	done := make(chan int)
+	go func() {
+		status, _ := rg.ask(first)
+		done <- status
+	}()
+	<-came
+	again := func() int {
+		r := rg.request("once", 9*time.Second)
+		r.Header.Set("X-Txn", id)
+		status, _ := rg.ask(r)
+		return status
+	}
+	if status := again(); status != http.StatusBadGateway {
+		t.Errorf("got %d while the first is open", status)
+	}
+	close(serve)
+	if status := <-done; status != http.StatusOK {
+		t.Errorf("the first one got %d", status)
+	}
+	if status := again(); status != http.StatusBadGateway || len(came) > 0 {
+		t.Errorf("got %d after the first, with %d requests more at the endpoint", status, len(came))
+	}
+}
+
+// Endpoints, connections and requests come and go; nothing is kept of what has gone.
+func TestTablesEndEmpty(t *testing.T) {
+	rg := start(t, 1024, ready("s-ffffffff", 0))
+	tell := func(rev uint64, all bool, targets ...target) {
+		line, _ := json.Marshal(endpointList{Rev: rev, Full: all, Targets: targets})
+		rg.lists <- string(line)
+		rg.until("the list is taken in", func() bool { return rg.stats().Revision == rev })
+	}
+	full := rg.server.memory.Bodies.Available()
+	rev := uint64(1)
+	for i := range 20 {
+		x := peer(t, fmt.Sprintf("s-%08x", i), func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") })
+		rev++
+		tell(rev, i%2 == 0, x)
+		if status, body := rg.ask(rg.request("once", 9*time.Second)); status != 200 {
+			t.Fatalf("got %d %q", status, body)
+		}
+		if rev++; i%4 < 2 {
+			x.State = "Gone"
+			tell(rev, false, x)
+		} else {
+			tell(rev, true)
+		}
+	}
+	http.DefaultClient.CloseIdleConnections()
+	rg.until("all is forgotten", func() (done bool) {
+		held := rg.stats()
+		done = len(held.Endpoints)+held.IdleConns+held.Conns+held.Calls == 0 && rg.server.memory.Bodies.Available() == full
+		cs := &rg.server.clients
+		cs.mu.Lock()
+		defer cs.mu.Unlock()
+		for i := range cs.byState {
+			done = done && cs.byState[i].Len() == 0
+		}
+		return done && cs.open == 0
+	})
+}
--- /dev/null
+++ b/internal/http1/harness_test.go
@@ -0,0 +1,350 @@
+package http1
+
+import (
+	"bufio"
+	"crypto/sha256"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"dykering/internal/config"
+	"dykering/internal/core"
+	"dykering/internal/decision"
+	"dykering/internal/lab/loopback"
+	"dykering/internal/listen"
+)
+
+type (
+	target       = core.Target
+	endpointList = core.List
+)
+
+// patience bounds what a test waits for; it only passes when something is wrong.
+const patience = 20 * time.Second
+
+const settingsText = `{"allowed":{"cancel":true,"connIdle":30000000,"connectTimeout":2000000,"maxRetryAfter":2000000,
+	"mayProbe":true,"openCap":1000,"peers":false,"retryAfter":true,"secondCopies":false,"sendCap":5},
+	"clientHabits":{"marksRetry":true},"discovery":"push","instances":1,"ordinal":0,"quantum":5000,"stage":0,
+	"rules":{"cold":1000000,"coldFrom":0.3,"drainGrace":250000,"fall":1000000,"graceToAnswer":20000,"tipMultiple":3},
+	"services":[
+	{"name":"read","aim":9000000,"deadline":10000000,"effect":"read_like","gain":1,"window":0},
+	{"name":"book","aim":9000000,"deadline":10000000,"effect":"idempotency_key","keyScope":"cell","gain":1,"window":10000000},
+	{"name":"once","aim":9000000,"deadline":10000000,"effect":"non_idempotent","gain":1,"window":0}],
+	"tenants":[],"tiers":["front"],"zones":["z"],"models":["m"]}`
+
+// rig is a sidecar on loopback sockets, with a discovery that the test writes to.
+type rig struct {
+	t       *testing.T
+	file    string // its configuration
+	server  *Server
+	url     string
+	lists   chan string // lines for the watch
+	signals chan os.Signal
+	reloads chan os.Signal
+	ended   chan error
+	txn     atomic.Int64
+}
+
+// start runs a sidecar, the only one of its tier, that knows the given endpoints.
+func start(t *testing.T, sockets int, targets ...target) *rig {
+	t.Helper()
+	return startOneOf(t, 1, sockets, targets...)
+}
+
+// startOneOf runs one of several sidecars of a tier.
+func startOneOf(t *testing.T, instances, sockets int, targets ...target) *rig {
+	t.Helper()
+	return startWith(t, instances, sockets, func(*config.Config) {}, targets...)
+}
+
+// startWith runs a sidecar whose configuration is changed in some way.
+func startWith(t *testing.T, instances, sockets int, change func(*config.Config), targets ...target) *rig {
+	t.Helper()
+	return startOn(t, Kernel{}, instances, sockets, change, targets...)
+}
+
+// startOn runs one that stands on a network.
+func startOn(t *testing.T, n Network, instances, sockets int, change func(*config.Config), targets ...target) *rig {
+	t.Helper()
+	rg := &rig{t: t, lists: make(chan string, 16), signals: make(chan os.Signal, 1),
+		reloads: make(chan os.Signal, 1), ended: make(chan error, 1)}
+	discovery := serverAt(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		w.WriteHeader(http.StatusOK)
+		for {
+			http.NewResponseController(w).Flush()
+			select {
+			case line := <-rg.lists:
+				fmt.Fprintln(w, line)
+			case <-r.Context().Done():
+				return
+			}
+		}
+	}))
+	known, _ := json.Marshal(endpointList{Rev: 1, Full: true, Targets: targets})
+	file := filepath.Join(t.TempDir(), "config.json")
+	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
+		"limits":{"cores":1,"memory_mb":192,"sockets":%d},"known":%s,"settings":%s}`,
+		discovery.Listener.Addr(), sockets, known,
+		strings.Replace(settingsText, `"instances":1,`, fmt.Sprintf(`"instances":%d,`, instances), 1))
+	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	rg.file = file
+	c, err := config.Load(func(name string) string {
+		return map[string]string{"BALANCER_CONFIG": file, "BALANCER_DISCOVERY": discovery.Listener.Addr().String()}[name]
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	change(c)
+	if rg.server, err = NewOn(n, c, zap.NewNop()); err != nil {
+		t.Fatal(err)
+	}
+	listener, err := listen.Open(c.Listen, c.Accept)
+	if err != nil {
+		t.Fatal(err)
+	}
+	rg.url = "http://" + listener.Addr().String()
+	go func() { rg.ended <- rg.server.Run(listener, rg.signals, rg.reloads) }()
+	t.Cleanup(func() {
+		rg.server.loop.Close()
+		close(rg.reloads)
+		listener.Close()
+		rg.server.clients.closeInStates(stateNew, stateIdle, stateReading)
+		discovery.CloseClientConnections()
+		discovery.Close()
+	})
+	rg.until("ready", func() bool {
+		r, err := http.Get(rg.url + "/ready")
+		if err != nil {
+			return false
+		}
+		r.Body.Close()
+		return r.StatusCode == http.StatusOK
+	})
+	return rg
+}
+
+// until waits for something that shows by itself.
+func (rg *rig) until(what string, done func() bool) {
+	rg.t.Helper()
+	for end := time.Now().Add(patience); !done(); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(end) {
+			rg.t.Fatalf("never: %s", what)
+		}
+	}
+}
+
+// stats is what the core holds.
+func (rg *rig) stats() core.Stats { return rg.server.loop.Stats() }
+
+// open tells whether an endpoint may get new attempts.
+func (rg *rig) open(id decision.EndpointID) bool {
+	for _, e := range rg.stats().Endpoints {
+		if e.ID == id {
+			return e.Open
+		}
+	}
+	return false
+}
+
+// request is a request of a class as a client words it.
+func (rg *rig) request(class string, left time.Duration) *http.Request {
+	method := http.MethodPost
+	if class == "read" {
+		method = http.MethodGet
+	}
+	r, err := http.NewRequest(method, rg.url+"/api?x=1&y=%2F", nil)
+	if err != nil {
+		rg.t.Fatal(err)
+	}
+	if method == http.MethodPost {
+		r.Body, r.ContentLength = io.NopCloser(strings.NewReader("trip")), 4
+	}
+	r.Header.Set("X-Txn", fmt.Sprintf("txn%d", rg.txn.Add(1)))
+	r.Header.Set("X-Lane", class)
+	r.Header.Set("X-Remaining", fmt.Sprintf("%dm", left.Milliseconds()))
+	if class == "book" {
+		r.Header.Set("Idempotency-Key", "k1")
+	}
+	return r
+}
+
+// ask sends a request and returns the status and body of its answer.
+func (rg *rig) ask(r *http.Request) (int, string) {
+	rg.t.Helper()
+	res, err := http.DefaultClient.Do(r)
+	if err != nil {
+		rg.t.Fatal(err)
+	}
+	defer res.Body.Close()
+	body, err := io.ReadAll(res.Body)
+	if err != nil {
+		rg.t.Fatal(err)
+	}
+	return res.StatusCode, string(body)
+}
+
+// serverAt is a server at an address of its own: what an earlier test left calls none of a later one's.
+func serverAt(t *testing.T, serve http.Handler) *httptest.Server {
+	l, err := loopback.Listen()
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := httptest.NewUnstartedServer(serve)
+	s.Listener.Close()
+	s.Listener = l
+	s.Start()
+	return s
+}
+
+// peer is an endpoint that answers as the test says.
+func peer(t *testing.T, uid string, serve http.HandlerFunc) target {
+	t.Helper()
+	s := serverAt(t, serve)
+	t.Cleanup(func() {
+		s.CloseClientConnections()
+		s.Close()
+	})
+	return target{UID: uid, Address: s.Listener.Addr().String(), Zone: "z", Model: "m", Cell: 1, State: "Ready", Weight: 1}
+}
+
+// breakOff ends a connection without an answer.
+func breakOff(w http.ResponseWriter) {
+	c, _, err := http.NewResponseController(w).Hijack()
+	if err == nil {
+		c.Close()
+	}
+}
+
+// gone blocks until the sidecar has given the attempt up.
+func gone(r *http.Request) {
+	io.Copy(io.Discard, r.Body)
+	<-r.Context().Done()
+}
+
+// raw sends text as it is on a connection of its own, and returns the status of the answer; 0 for a close.
+func (rg *rig) raw(text string) (status int, c *net.TCPConn) {
+	rg.t.Helper()
+	dialed, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
+	if err != nil {
+		rg.t.Fatal(err)
+	}
+	c = dialed.(*net.TCPConn)
+	rg.t.Cleanup(func() { c.Close() })
+	c.SetDeadline(time.Now().Add(patience))
+	io.WriteString(c, text)
+	res, err := http.ReadResponse(bufio.NewReader(c), nil)
+	if err != nil {
+		return 0, c
+	}
+	return res.StatusCode, c
+}
+
+// connect makes n connections that have had one answer and stand idle.
+func (rg *rig) connect(n int) (idles []*net.TCPConn) {
+	rg.t.Helper()
+	for range n {
+		_, c := rg.raw("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n")
+		idles = append(idles, c)
+	}
+	cs := &rg.server.clients
+	rg.until("only these are open, and idle", func() bool {
+		http.DefaultClient.CloseIdleConnections()
+		cs.mu.Lock()
+		defer cs.mu.Unlock()
+		return cs.byState[stateIdle].Len() == n && cs.open == n
+	})
+	return idles
+}
+
+// stop tells the sidecar to stop, and waits until it has heard.
+func (rg *rig) stop() {
+	rg.t.Helper()
+	rg.signals <- syscall.SIGTERM
+	rg.until("it stops", func() bool { return !rg.server.lifecycle.Deadline().IsZero() })
+}
+
+// over waits for the sidecar to end by itself.
+func (rg *rig) over() {
+	rg.t.Helper()
+	select {
+	case err := <-rg.ended:
+		if err != nil {
+			rg.t.Error(err)
+		}
+	case <-time.After(patience):
+		rg.t.Error("it never ended")
+	}
+}
+
+// send writes a request to a connection that was used before, and returns its answer; nil where there is none.
+func (rg *rig) send(c *net.TCPConn, r *http.Request) *http.Response {
+	c.SetDeadline(time.Now().Add(patience))
+	if err := r.Write(c); err != nil {
+		return nil
+	}
+	res, err := http.ReadResponse(bufio.NewReader(c), r)
+	if err != nil {
+		return nil
+	}
+	io.Copy(io.Discard, res.Body)
+	return res
+}
+
+// noise is a body that shows whether any of it is missing or doubled.
+func noise(n int) []byte {
+	b := make([]byte, 0, n+sha256.Size)
+	for sum := sha256.Sum256(nil); len(b) < n; sum = sha256.Sum256(sum[:]) {
+		b = append(b, sum[:]...)
+	}
+	return b[:n]
+}
+
+// dial makes a connection that lasts no longer than a test may.
+func (rg *rig) dial() *net.TCPConn {
+	rg.t.Helper()
+	c, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
+	if err != nil {
+		rg.t.Fatal(err)
+	}
+	rg.t.Cleanup(func() { c.Close() })
+	c.SetDeadline(time.Now().Add(patience))
+	return c.(*net.TCPConn)
+}
+
+// idle waits until nothing is open or held any more.
+func (rg *rig) idle() {
+	rg.t.Helper()
+	full := core.NewMemory(rg.server.config.Plan()).Bodies.Available()
+	rg.until("nothing is held", func() bool {
+		return rg.stats().Calls == 0 && rg.server.memory.Bodies.Available() == full
+	})
+}
+
+// once sends a request on a connection of its own.
+func (rg *rig) once(class string) *http.Response {
+	rg.t.Helper()
+	c, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
+	if err != nil {
+		rg.t.Fatal(err)
+	}
+	defer c.Close()
+	res := rg.send(c.(*net.TCPConn), rg.request(class, 9*time.Second))
+	if res == nil {
+		rg.t.Fatal("no answer")
+	}
+	return res
+}
--- a/internal/http1/long_test.go
+++ b/internal/http1/streaming_test.go
@@ -3,51 +3,16 @@
 import (
 	"bufio"
 	"bytes"
-	"crypto/sha256"
-	"errors"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"strings"
 	"sync/atomic"
-	"syscall"
 	"testing"
 	"time"
-
-	"dykering/internal/core"
 )
 
-// noise is a body that shows whether any of it is missing or doubled.
-func noise(n int) []byte {
-	b := make([]byte, 0, n+sha256.Size)
-	for sum := sha256.Sum256(nil); len(b) < n; sum = sha256.Sum256(sum[:]) {
-		b = append(b, sum[:]...)
-	}
-	return b[:n]
-}
-
-// dial makes a connection that lasts no longer than a test may.
-func (rg *rig) dial() *net.TCPConn {
-	rg.t.Helper()
-	c, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
-	if err != nil {
-		rg.t.Fatal(err)
-	}
-	rg.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
-	return c.(*net.TCPConn)
-}
-
-// idle waits until nothing is open or held any more.
-func (rg *rig) idle() {
-	rg.t.Helper()
-	full := core.NewMemory(rg.server.config.Plan()).Bodies.Available()
-	rg.until("nothing is held", func() bool {
-		return rg.stats().Calls == 0 && rg.server.memory.Bodies.Available() == full
-	})
-}
-
 // Answers of every length and framing arrive whole, and their connections serve on where they can.
 func TestAnswersArriveWhole(t *testing.T) {
 	body := noise(3 << 20)
@@ -420,25 +385,3 @@
 		}
 	}
 }
-
-// A caller that goes while its long answer is on its way ends that, and nothing is left of it.
-func TestCallerGoneInALongAnswer(t *testing.T) {
-	gaveUp := make(chan bool)
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
-		for piece := noise(1 << 16); ; {
-			if _, err := w.Write(piece); err != nil {
-				close(gaveUp)
-				return
-			}
-		}
-	}))
-	c := rg.dial()
-	rg.request("once", 9*time.Second).Write(c)
-	if _, err := io.ReadFull(c, make([]byte, 1<<20)); err != nil && !errors.Is(err, syscall.ECONNRESET) {
-		t.Fatal(err)
-	}
-	c.SetLinger(0)
-	c.Close()
-	<-gaveUp
-	rg.idle()
-}
--- a/internal/http1/upstream_test.go
+++ b/internal/http1/upstream_attempt_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"context"
 	"fmt"
 	"io"
 	"net"
@@ -10,7 +9,6 @@
 	"net/http/httptest"
 	"strings"
 	"sync/atomic"
-	"syscall"
 	"testing"
 	"time"
 
@@ -20,80 +18,6 @@
 	"dykering/internal/decision"
 )
 
-// attemptAt makes an attempt to be made at an endpoint.
-func attemptAt(in forwardedRequest, address string, open bool, lasts, timeout time.Duration) *attempt {
-	e := core.NewEndpoint(1, address)
-	if !open {
-		e.Close()
-	}
-	c := core.NewCall(decision.Request{}, &in)
-	c.Deadline = time.Now().Add(lasts)
-	a := newAttempt(core.NewAttempt(c, e, timeout, aside{}), Kernel{})
-	a.maxBody = 4 * maxBufferedBody
-	return a
-}
-
-// tryOut makes an attempt at an endpoint, on a connection of the test's if there is one.
-func tryOut(address string, open bool, c net.Conn, timeout time.Duration, during func(*attempt)) result {
-	a := attemptAt(forwardedRequest{method: http.MethodPost, target: "/api", host: "h", header: http.Header{}, body: []byte("trip")},
-		address, open, patience, timeout)
-	defer a.Close()
-	if during != nil {
-		go during(a)
-	}
-	if c == nil {
-		return a.run(nil, patience, roomy())
-	}
-	return a.exchangeOver(newUpstreamConn(c, a.Endpoint), roomy())
-}
-
-// roomy is memory for bodies that is not used up.
-func roomy() *core.Memory { return roomFor(1 << 30) }
-
-// roomFor is memory for so many bytes of bodies.
-func roomFor(n int) *core.Memory {
-	m := &core.Memory{Buffers: core.NewBuffers(0)}
-	m.Bodies.Release(n)
-	return m
-}
-
-// aside is a sidecar that reads what is passed on and tells nobody.
-type aside struct{}
-
-func (aside) RequestSent(*core.Attempt) {}
-
-func (aside) StartResponse(_ *core.Attempt, got core.Response) {
-	r := got.(*response)
-	go func() {
-		rest, err := io.ReadAll(r.rest.body)
-		r.body = append(r.body, rest...)
-		r.rest.done <- err
-	}()
-}
-
-// pipe plays the endpoint's side of a connection, byte by byte.
-func pipe(t *testing.T, play func(net.Conn)) net.Conn {
-	t.Helper()
-	near, far := net.Pipe()
-	done := make(chan bool)
-	go func() {
-		play(far)
-		close(done)
-	}()
-	t.Cleanup(func() {
-		near.Close()
-		far.Close()
-		<-done
-	})
-	return near
-}
-
-func takeRequest(c net.Conn) {
-	if r, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-		io.Copy(io.Discard, r.Body)
-	}
-}
-
 // The outcome says 'never ran' only when the last byte was certainly not written.
 func TestOutcomes(t *testing.T) {
 	reply := func(text string) func(net.Conn) {
@@ -297,123 +221,6 @@
 	}
 }
 
-// A dial may outlast a drain: then the connection is closed with nothing sent on it.
-func TestDrainedWhileDialing(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	if res := tryOut(l.Addr().String(), false, nil, patience, nil); res.status != decision.NotSent || res.conn != nil {
-		t.Errorf("status %v, conn %v", res.status, res.conn)
-	}
-	c, err := l.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got, err := io.ReadAll(c); len(got) > 0 || err != nil {
-		t.Errorf("endpoint got %q, %v", got, err)
-	}
-}
-
-// slowNetwork has connections that come up once an attempt's window has passed, or never.
-type slowNetwork struct {
-	Kernel
-	until time.Time
-	never bool
-}
-
-func (n slowNetwork) Dial(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
-	if n.never {
-		ctx, cancel := context.WithTimeout(ctx, within)
-		defer cancel()
-		<-ctx.Done()
-		return nil, ctx.Err()
-	}
-	c, err := n.Kernel.Dial(ctx, address, patience)
-	time.Sleep(time.Until(n.until))
-	return c, err
-}
-
-// A repeat whose connection comes up when the window has passed in which the server drops it is not written, and
-// ends as never sent: neither is its server at fault.
-func TestWindowPassedWhileDialing(t *testing.T) {
-	for name, never := range map[string]bool{"up too late": false, "never up": true} {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer l.Close()
-		a := attemptAt(forwardedRequest{method: "POST", target: "/", host: "h"}, l.Addr().String(), true, 2*patience, 0)
-		defer a.Close()
-		a.SendBy = time.Now().Add(50 * time.Millisecond)
-		a.network = slowNetwork{until: a.SendBy, never: never}
-		if res := a.run(nil, patience, roomy()); res.status != decision.NotSent || res.conn != nil {
-			t.Errorf("%s: status %v, conn %v", name, res.status, res.conn)
-		}
-		if never {
-			continue
-		}
-		c, err := l.Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
-		if got, err := io.ReadAll(c); len(got) > 0 || err != nil {
-			t.Errorf("%s: the server got %q, %v", name, got, err)
-		}
-	}
-}
-
-// A machine that is cut off answers no dial: the connect time-out ends it, and nothing ran. Here a listener
-// whose backlog is full drops what comes.
-func TestSilentDialEndsAtConnectTimeout(t *testing.T) {
-	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer syscall.Close(fd)
-	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
-		t.Fatal(err)
-	}
-	if err := syscall.Listen(fd, 0); err != nil {
-		t.Fatal(err)
-	}
-	name, err := syscall.Getsockname(fd)
-	if err != nil {
-		t.Fatal(err)
-	}
-	address := fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
-	for {
-		c, err := net.DialTimeout("tcp", address, 200*time.Millisecond)
-		if err != nil {
-			break
-		}
-		defer c.Close()
-	}
-	a := attemptAt(forwardedRequest{}, address, true, patience, 0)
-	defer a.Close()
-	if res := a.run(nil, 100*time.Millisecond, roomy()); res.status != decision.ConnectFailed {
-		t.Errorf("status %v", res.status)
-	}
-	a = attemptAt(forwardedRequest{}, address, true, 100*time.Millisecond, 0)
-	defer a.Close()
-	if res := a.run(nil, patience, roomy()); res.status != decision.NotSent {
-		t.Errorf("status %v at the request's deadline", res.status)
-	}
-}
-
-func TestRefusedConnectionNeverRan(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	address := l.Addr().String()
-	l.Close()
-	if res := tryOut(address, true, nil, patience, nil); res.status != decision.ConnectFailed {
-		t.Errorf("status %v", res.status)
-	}
-}
-
 // An attempt that is given up has closed its connection by the time its outcome is told.
 func TestGivenUp(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -447,29 +254,6 @@
 	}
 }
 
-// tcpPair is two ends of a loopback connection.
-func tcpPair(t *testing.T) (*upstreamConn, net.Conn) {
-	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	near, err := net.Dial("tcp", l.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	far, err := l.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() {
-		near.Close()
-		far.Close()
-	})
-	return newUpstreamConn(near, core.NewEndpoint(1, "")), far
-}
-
 // resetsAfter is a connection that is reset as soon as what its peer wrote has been read up to a word, and before
 // whoever read it looks at it again.
 type resetsAfter struct {
--- /dev/null
+++ b/internal/http1/upstream_dial_test.go
@@ -0,0 +1,130 @@
+package http1
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"syscall"
+	"testing"
+	"time"
+
+	"dykering/internal/decision"
+)
+
+// A dial may outlast a drain: then the connection is closed with nothing sent on it.
+func TestDrainedWhileDialing(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	if res := tryOut(l.Addr().String(), false, nil, patience, nil); res.status != decision.NotSent || res.conn != nil {
+		t.Errorf("status %v, conn %v", res.status, res.conn)
+	}
+	c, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got, err := io.ReadAll(c); len(got) > 0 || err != nil {
+		t.Errorf("endpoint got %q, %v", got, err)
+	}
+}
+
+// slowNetwork has connections that come up once an attempt's window has passed, or never.
+type slowNetwork struct {
+	Kernel
+	until time.Time
+	never bool
+}
+
+func (n slowNetwork) Dial(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
+	if n.never {
+		ctx, cancel := context.WithTimeout(ctx, within)
+		defer cancel()
+		<-ctx.Done()
+		return nil, ctx.Err()
+	}
+	c, err := n.Kernel.Dial(ctx, address, patience)
+	time.Sleep(time.Until(n.until))
+	return c, err
+}
+
+// A repeat whose connection comes up when the window has passed in which the server drops it is not written, and
+// ends as never sent: neither is its server at fault.
+func TestWindowPassedWhileDialing(t *testing.T) {
+	for name, never := range map[string]bool{"up too late": false, "never up": true} {
+		l, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer l.Close()
+		a := attemptAt(forwardedRequest{method: "POST", target: "/", host: "h"}, l.Addr().String(), true, 2*patience, 0)
+		defer a.Close()
+		a.SendBy = time.Now().Add(50 * time.Millisecond)
+		a.network = slowNetwork{until: a.SendBy, never: never}
+		if res := a.run(nil, patience, roomy()); res.status != decision.NotSent || res.conn != nil {
+			t.Errorf("%s: status %v, conn %v", name, res.status, res.conn)
+		}
+		if never {
+			continue
+		}
+		c, err := l.Accept()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if got, err := io.ReadAll(c); len(got) > 0 || err != nil {
+			t.Errorf("%s: the server got %q, %v", name, got, err)
+		}
+	}
+}
+
+// A machine that is cut off answers no dial: the connect time-out ends it, and nothing ran. Here a listener
+// whose backlog is full drops what comes.
+func TestSilentDialEndsAtConnectTimeout(t *testing.T) {
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer syscall.Close(fd)
+	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		t.Fatal(err)
+	}
+	if err := syscall.Listen(fd, 0); err != nil {
+		t.Fatal(err)
+	}
+	name, err := syscall.Getsockname(fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	address := fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
+	for {
+		c, err := net.DialTimeout("tcp", address, 200*time.Millisecond)
+		if err != nil {
+			break
+		}
+		defer c.Close()
+	}
+	a := attemptAt(forwardedRequest{}, address, true, patience, 0)
+	defer a.Close()
+	if res := a.run(nil, 100*time.Millisecond, roomy()); res.status != decision.ConnectFailed {
+		t.Errorf("status %v", res.status)
+	}
+	a = attemptAt(forwardedRequest{}, address, true, 100*time.Millisecond, 0)
+	defer a.Close()
+	if res := a.run(nil, patience, roomy()); res.status != decision.NotSent {
+		t.Errorf("status %v at the request's deadline", res.status)
+	}
+}
+
+func TestRefusedConnectionNeverRan(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	address := l.Addr().String()
+	l.Close()
+	if res := tryOut(address, true, nil, patience, nil); res.status != decision.ConnectFailed {
+		t.Errorf("status %v", res.status)
+	}
+}
