--- a/internal/http1/connection_limits_test.go
+++ b/internal/http1/connection_limits_test.go
@@ -15,9 +15,9 @@
 	"dykering/internal/config"
 )
 
-// Connections that say nothing are in nobody's way: they go before idle ones, and are closed in time.
-func TestMuteCallersMakeRoom(t *testing.T) {
-	rg := start(t, config.LeastSockets, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") }))
+// New connections that send nothing are evicted before idle ones, and are closed in time.
+func TestSilentNewConnectionsAreEvictedFirst(t *testing.T) {
+	rg := start(t, config.LeastSockets, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") }))
 	http.DefaultClient.CloseIdleConnections()
 	dial := func() net.Conn {
 		c, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
@@ -25,7 +25,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		return c
 	}
 	usual := dial()
@@ -55,9 +55,9 @@
 	}
 }
 
-// What does not come whole in time gets an error or a close, however it is cut.
-func TestSlowRequestsEnd(t *testing.T) {
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) { t.Error("it was passed on") }))
+// A request that is not received completely in time gets an error or a close, wherever it is cut.
+func TestSlowRequestsTimeOut(t *testing.T) {
+	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) { t.Error("it was passed on") }))
 	head := "POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: a\r\nX-Lane: once\r\nX-Remaining: 900m\r\n"
 	ended := make(chan bool)
 	texts := []string{"", "POST", head, head + "Content-Length: 9\r\n\r\n", head + "Content-Length: 9\r\n\r\nabc"}
@@ -73,14 +73,14 @@
 	for range texts {
 		<-ended
 	}
-	if took := time.Since(began); took > headTimeout+patience/4 {
+	if took := time.Since(began); took > headTimeout+testTimeout/4 {
 		t.Errorf("took %v", took)
 	}
 }
 
-// Accepting goes on when connections use up their share: the one that has been idle the longest goes.
-func TestIdleCallersMakeRoom(t *testing.T) {
-	rg := start(t, config.LeastSockets, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") }))
+// Accepting goes on at the limit of connections: the one that has been idle longest is evicted.
+func TestLongestIdleConnectionIsEvictedAtTheLimit(t *testing.T) {
+	rg := start(t, config.LeastSockets, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") }))
 	var first net.Conn
 	for i := range 3 * rg.server.clients.limit {
 		c, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
@@ -91,7 +91,7 @@
 		if i == 0 {
 			first = c
 		}
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		rg.request("once", 5*time.Second).Write(c)
 		res, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || res.StatusCode != 200 {
@@ -99,7 +99,7 @@
 		}
 		io.Copy(io.Discard, res.Body)
 	}
-	first.SetDeadline(time.Now().Add(patience))
+	first.SetDeadline(time.Now().Add(testTimeout))
 	if n, err := first.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("the first connection: %d bytes, %v", n, err)
 	}
@@ -110,9 +110,9 @@
 	})
 }
 
-// Who has been told that a connection is over, and keeps it, is in nobody's way.
-func TestEndedCallersMakeRoom(t *testing.T) {
-	rg := start(t, config.LeastSockets, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") }))
+// A client that keeps its connection open after the last answer takes no capacity from others.
+func TestLingeringConnectionsAreEvictedAtTheLimit(t *testing.T) {
+	rg := start(t, config.LeastSockets, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") }))
 	http.DefaultClient.CloseIdleConnections()
 	rg.until("no connection is open", func() bool { return rg.server.clients.emptyFor(0) })
 	for range rg.server.clients.limit {
@@ -129,9 +129,10 @@
 	}
 }
 
-// A connection of which the next request has been read along with the last, by this process or the one before, makes no room
-// in the moment between the two, and is not ended in it: nothing of the request shows at its socket.
-func TestReadRequestsMakeNoRoom(t *testing.T) {
+// A connection whose next request has been read together with the last, by this process or its
+// predecessor, is not evicted or closed between the two: nothing of the request shows at its
+// socket.
+func TestConnectionWithPipelinedRequestIsNotEvicted(t *testing.T) {
 	near, _ := tcpPair(t)
 	cs := &connTracker{limit: 1}
 	adopted := &downstreamConn{Conn: near.Conn, tracker: cs, readAhead: []byte("GET ")}
@@ -151,11 +152,11 @@
 	}
 }
 
-// When all connections are busy, the next caller gets an answer all the same: cutting it off would lose what
-// it has sent. Nothing of it has run, so it is refused.
-func TestCallerBeyondTheBoundIsAnswered(t *testing.T) {
+// When all connections are busy, the next client gets an answer nevertheless: to close its
+// connection would lose its request. Nothing of it was executed, so it is rejected.
+func TestClientBeyondTheLimitIsRejectedWithAnAnswer(t *testing.T) {
 	serve := make(chan bool)
-	rg := start(t, config.LeastSockets, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, config.LeastSockets, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		<-serve
 		fmt.Fprint(w, "ok")
 	}))
@@ -167,7 +168,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		rg.request("once", 9*time.Second).Write(c)
 		return c
 	}
@@ -198,8 +199,9 @@
 	}
 }
 
-// A whole answer waits for a caller that takes nothing of it no longer than the caller would have waited for it.
-func TestAnswerThatNobodyTakes(t *testing.T) {
+// A complete answer waits for a client that reads nothing no longer than the client would have
+// waited for it.
+func TestAnswerThatClientDoesNotReadTimesOut(t *testing.T) {
 	near, far := net.Pipe()
 	defer near.Close()
 	defer far.Close()
--- a/internal/http1/drain_test.go
+++ b/internal/http1/drain_test.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// A drain says no at once, serves who still comes and closes their connections, closes idle ones, and is over
-// with resume.
-func TestDrainSendsCallersAway(t *testing.T) {
+// A drain makes /ready fail at once, serves clients that still come and closes their connections,
+// closes idle ones, and ends with Resume.
+func TestDrainingServerAnswersThenClosesConnections(t *testing.T) {
 	came, serve := make(chan bool), make(chan bool)
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		came <- true
 		<-serve
 		fmt.Fprint(w, "ok")
@@ -49,7 +49,7 @@
 		}
 	}
 	for i, c := range conns[1:] {
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		if n, err := c.Read(make([]byte, 1)); err != io.EOF {
 			t.Errorf("idle connection %d: %d bytes, %v", i, n, err)
 		}
@@ -72,16 +72,17 @@
 	}
 }
 
-// A request that has come when its connection is retired is served, whether its handler has seen it or not.
-func TestRetireCrossesNoRequest(t *testing.T) {
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") }))
+// A request that has been received when its idle connection expires is served, whether its
+// goroutine has seen it or not.
+func TestRequestReceivedAtIdleExpiryIsServed(t *testing.T) {
+	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") }))
 	for range 100 {
 		c := rg.connect(1)[0]
 		if err := rg.request("once", 9*time.Second).Write(c); err != nil {
 			t.Fatal(err)
 		}
 		rg.server.clients.expire(0, 0)
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		if res, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || res.StatusCode != http.StatusOK {
 			t.Fatalf("answer %+v, %v", res, err)
 		}
--- a/internal/http1/failure_phases_test.go
+++ b/internal/http1/failure_phases_test.go
@@ -20,8 +20,8 @@
 // late is how long a crowded machine may keep a goroutine of the test from writing down what has come.
 const late = 300 * time.Millisecond
 
-// question sends a request on a connection of its own, and writes down all that comes back until that is over.
-func (rg *rig) question(l *ledger, class string, left time.Duration, marks ...string) {
+// sendRecorded sends a request on a connection of its own, and records all answers until that ends.
+func (rg *rig) sendRecorded(l *requestLedger, class string, left time.Duration, headers ...string) {
 	id := fmt.Sprintf("q%d", rg.txn.Add(1))
 	c, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
 	if err != nil {
@@ -36,7 +36,7 @@
 	case "book":
 		more += "Idempotency-Key: " + id + "\r\n"
 	}
-	for _, m := range marks {
+	for _, m := range headers {
 		more += m + "\r\n"
 	}
 	l.ask(id, class, time.Now().Add(left))
@@ -45,7 +45,7 @@
 	if method == "POST" {
 		io.WriteString(c, "trip")
 	}
-	c.SetDeadline(time.Now().Add(left + patience))
+	c.SetDeadline(time.Now().Add(left + testTimeout))
 	r := bufio.NewReader(c)
 	for {
 		res, err := http.ReadResponse(r, nil)
@@ -55,12 +55,13 @@
 		if _, err := io.Copy(io.Discard, res.Body); err != nil {
 			return
 		}
-		l.answer(id, got{res.StatusCode, time.Now(), res.Header.Get("Retry-After")})
+		l.answer(id, received{res.StatusCode, time.Now(), res.Header.Get("Retry-After")})
 	}
 }
 
-// settles waits until nothing is left over: no call, attempt, connection, byte of memory or goroutine.
-func (rg *rig) settles(memory int64, goroutines int, servers ...*standIn) {
+// awaitEmpty waits until nothing stays allocated: no call, attempt, connection, byte of memory or
+// goroutine.
+func (rg *rig) awaitEmpty(memory int64, goroutines int, servers ...*fakeEndpoint) {
 	rg.t.Helper()
 	l := endpointListOf(rg.stats().Revision+1, "Gone", servers...)
 	rg.lists <- l
@@ -76,9 +77,10 @@
 	})
 }
 
-// With every server failing in the same way, each request gets its one answer in time, nothing is sent twice that must
-// not be, what comes to servers stays within the bounds that review-of-parts.md states, and nothing is left over.
-func TestEveryServerFails(t *testing.T) {
+// With all endpoints failing in the same way, each request gets its one answer in time, nothing is
+// retried that must not be, the load on endpoints stays within the bounds of
+// docs/review-of-parts.md, and nothing stays allocated.
+func TestEachRequestIsAnsweredOnceWhenAllEndpointsFail(t *testing.T) {
 	const (
 		requests = 36
 		abreast  = 12
@@ -87,28 +89,28 @@
 		dials    = 4  // for an attempt: two, and two more to see what broke
 	)
 	for name, f := range map[string]struct {
-		play  act
+		play  behavior
 		never bool // what comes has not run
 		deaf  bool // connections are broken off before they bring anything
 	}{
-		"serving":       {says(goodAnswer, true), false, false},
-		"failing":       {says("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", true), false, false},
-		"full":          {says(turnedAway, true), true, false},
-		"full, closing": {says(strings.Replace(turnedAway, "X-", "Connection: close\r\nX-", 1), false), true, false},
-		"resetting":     {breaks, false, false},
-		"ending":        {says("", false), false, false},
-		"spoilt":        {says("who is there\r\n\r\n", false), false, false},
-		"cut":           {says("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", false), false, false},
-		"silent":        {awaitsGoing, false, false},
+		"serving":       {respondWith(goodAnswer, true), false, false},
+		"failing":       {respondWith("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", true), false, false},
+		"full":          {respondWith(rejectedAnswer, true), true, false},
+		"full, closing": {respondWith(strings.Replace(rejectedAnswer, "X-", "Connection: close\r\nX-", 1), false), true, false},
+		"resetting":     {resetConnection, false, false},
+		"ending":        {respondWith("", false), false, false},
+		"spoilt":        {respondWith("who is there\r\n\r\n", false), false, false},
+		"cut":           {respondWith("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", false), false, false},
+		"silent":        {awaitHangup, false, false},
 		"deaf":          {nil, true, true},
 		"refusing":      {nil, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := newLedger()
-			var servers []*standIn
+			l := newRequestLedger()
+			var servers []*fakeEndpoint
 			var targets []target
 			for i := range 3 {
-				s := newStandIn(t, l, fmt.Sprint("s-", 1+i), f.play)
+				s := newFakeEndpoint(t, l, fmt.Sprint("s-", 1+i), f.play)
 				servers, targets = append(servers, s), append(targets, s.target)
 				if f.play == nil && !f.deaf {
 					s.listen.Close()
@@ -126,12 +128,12 @@
 			for i := range abreast {
 				all.Go(func() {
 					for range requests / abreast {
-						rg.question(l, []string{"read", "book", "once"}[i%3], 700*time.Millisecond, marks...)
+						rg.sendRecorded(l, []string{"read", "book", "once"}[i%3], 700*time.Millisecond, marks...)
 					}
 				})
 			}
 			all.Wait()
-			rg.settles(memory, goroutines, servers...)
+			rg.awaitEmpty(memory, goroutines, servers...)
 			for _, fault := range l.broken(250*time.Millisecond, sendCap) {
 				t.Error(fault)
 			}
@@ -141,22 +143,22 @@
 			} else if name == "serving" {
 				most = requests
 			}
-			if l.whole > most || l.conns > dials*sendCap*requests || f.deaf && l.conns == 0 {
-				t.Errorf("%d whole requests, %d connections, want at most %d and %d", l.whole, l.conns, most, dials*sendCap*requests)
+			if l.completed > most || l.conns > dials*sendCap*requests || f.deaf && l.conns == 0 {
+				t.Errorf("%d whole requests, %d connections, want at most %d and %d", l.completed, l.conns, most, dials*sendCap*requests)
 			}
 			for id, all := range l.answers {
 				if served := all[0].status == 200; served != (name == "serving") {
 					t.Errorf("%s: status %d", id, all[0].status)
 				}
 			}
-			t.Logf("%d requests: %d whole at servers, %d connections, %d refused", requests, l.whole, l.conns, l.refusals)
+			t.Logf("%d requests: %d whole at servers, %d connections, %d refused", requests, l.completed, l.conns, l.rejections)
 		})
 	}
 }
 
-// Whatever discovery says of a server while a request of each stage is there: what runs ends well, what is new goes only
-// where it may, and nothing is left over.
-func TestListsInEachStage(t *testing.T) {
+// Whatever discovery reports of an endpoint in each phase of a request: requests in flight end
+// well, new ones go only where they may, and nothing stays allocated.
+func TestListChangeInEachPhaseOfARequest(t *testing.T) {
 	long := strings.Repeat("x", 2*maxBufferedBody)
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(long))
 	for stage, body := range map[string]int{"awaited": 4, "coming": 4, "written": len(long)} {
@@ -175,12 +177,12 @@
 			"a line of no use":   {"Sleeping"},
 		} {
 			t.Run(stage+", "+name, func(t *testing.T) {
-				l := newLedger()
+				l := newRequestLedger()
 				came, goOn := make(chan bool, 1), make(chan bool)
 				var later atomic.Bool
-				first := newStandIn(t, l, "s-1", func(c *net.TCPConn, over func()) bool {
+				first := newFakeEndpoint(t, l, "s-1", func(c *net.TCPConn, over func()) bool {
 					if later.Swap(true) {
-						return says(goodAnswer, true)(c, over)
+						return respondWith(goodAnswer, true)(c, over)
 					}
 					came <- true
 					switch stage {
@@ -191,19 +193,19 @@
 						io.WriteString(c, long[maxBufferedBody+maxBufferedBody/2:])
 					case "awaited":
 						<-goOn
-						return says(goodAnswer, true)(c, over)
+						return respondWith(goodAnswer, true)(c, over)
 					default:
-						return says(goodAnswer, true)(c, over)
+						return respondWith(goodAnswer, true)(c, over)
 					}
 					return true
 				})
-				second := newStandIn(t, l, "s-2", says(goodAnswer, true))
+				second := newFakeEndpoint(t, l, "s-2", respondWith(goodAnswer, true))
 				rg := start(t, 1024, first.target)
 				http.DefaultClient.CloseIdleConnections()
 				rg.until("it is quiet", func() bool { return rg.server.clients.emptyFor(0) })
 				memory, goroutines := rg.server.memory.Bodies.Available(), runtime.NumGoroutine()
 				ended := make(chan error, 1)
-				go func() { ended <- rg.stage(l, stage == "written", long[:body], goOn) }()
+				go func() { ended <- rg.sendInPhase(l, stage == "written", long[:body], goOn) }()
 				if stage == "written" {
 					rg.until("it goes out", func() bool { return rg.stats().Attempts == 1 && l.accepted() == 1 })
 				} else {
@@ -246,20 +248,20 @@
 				rev++
 				rg.lists <- endpointListOf(rev, "Ready") // what is behind it has been heard, whatever came of it
 				rg.until("it is taken in", func() bool { return rg.stats().Revision == rev })
-				before := l.at(first.UID)
+				before := l.requestsAt(first.UID)
 				var all sync.WaitGroup
 				for range 8 {
-					all.Go(func() { rg.question(l, "once", 5*time.Second) })
+					all.Go(func() { rg.sendRecorded(l, "once", 5*time.Second) })
 				}
 				all.Wait()
-				if n := l.at(first.UID) - before; closed && n > 0 {
+				if n := l.requestsAt(first.UID) - before; closed && n > 0 {
 					t.Errorf("%d new requests went to it", n)
 				}
 				close(goOn)
 				if err := <-ended; err != nil {
 					t.Errorf("what ran: %v", err)
 				}
-				rg.settles(memory, goroutines, first, second)
+				rg.awaitEmpty(memory, goroutines, first, second)
 				for _, fault := range l.broken(250*time.Millisecond, 5) {
 					t.Error(fault)
 				}
@@ -268,18 +270,19 @@
 	}
 }
 
-// stage brings a request whose body, if it is written in two pieces, waits in the middle, and reads its answer.
-func (rg *rig) stage(l *ledger, inPieces bool, body string, goOn <-chan bool) error {
+// sendInPhase sends a request whose body waits in the middle if paused is set, and reads its
+// answer.
+func (rg *rig) sendInPhase(l *requestLedger, paused bool, body string, goOn <-chan bool) error {
 	c, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
 	if err != nil {
 		return err
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
-	l.ask("running", "once", time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
+	l.ask("running", "once", time.Now().Add(testTimeout))
 	fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: running\r\nX-Lane: once\r\nX-Remaining: 9000m\r\n"+
 		"Connection: close\r\nContent-Length: %d\r\n\r\n", len(body))
-	if inPieces {
+	if paused {
 		io.WriteString(c, body[:len(body)*3/4])
 		<-goOn
 		body = body[len(body)*3/4:]
@@ -290,24 +293,24 @@
 		return err
 	}
 	n, err := io.Copy(io.Discard, res.Body)
-	l.answer("running", got{res.StatusCode, time.Now(), res.Header.Get("Retry-After")})
+	l.answer("running", received{res.StatusCode, time.Now(), res.Header.Get("Retry-After")})
 	if err != nil || res.StatusCode != http.StatusOK || n != res.ContentLength {
 		return fmt.Errorf("status %d, %d bytes of %d, %v", res.StatusCode, n, res.ContentLength, err)
 	}
 	return nil
 }
 
-// The process drains, stops or reads its file again while requests are out at servers that then all fail in one way:
-// what has been taken gets its one answer in time all the same, and nothing is left of it.
-func TestFaultsInEachPhase(t *testing.T) {
-	for fault, play := range map[string]act{
-		"serving":   says(goodAnswer, true),
-		"failing":   says("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", true),
-		"full":      says(turnedAway, true),
-		"resetting": breaks,
-		"spoilt":    says("who is there\r\n\r\n", false),
-		"cut":       says("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", false),
-		"silent":    awaitsGoing,
+// The process drains, stops or reloads while requests are in flight at endpoints that then all fail
+// in one way: each accepted request gets its one answer in time, and nothing stays allocated.
+func TestEndpointFaultsDuringDrainShutdownAndReload(t *testing.T) {
+	for fault, play := range map[string]behavior{
+		"serving":   respondWith(goodAnswer, true),
+		"failing":   respondWith("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", true),
+		"full":      respondWith(rejectedAnswer, true),
+		"resetting": resetConnection,
+		"spoilt":    respondWith("who is there\r\n\r\n", false),
+		"cut":       respondWith("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", false),
+		"silent":    awaitHangup,
 	} {
 		for phase, begin := range map[string]func(rg *rig){
 			"drain": func(rg *rig) {
@@ -333,10 +336,10 @@
 					requests = 6
 					wait     = 2 * time.Second
 				)
-				l, gate := newLedger(), make(chan bool)
+				l, gate := newRequestLedger(), make(chan bool)
 				var targets []target
 				for i := range 2 {
-					s := newStandIn(t, l, fmt.Sprint("s-", 1+i), func(c *net.TCPConn, over func()) bool {
+					s := newFakeEndpoint(t, l, fmt.Sprint("s-", 1+i), func(c *net.TCPConn, over func()) bool {
 						<-gate
 						return play(c, over)
 					})
@@ -350,9 +353,9 @@
 				}
 				var all sync.WaitGroup
 				for i := range requests {
-					all.Go(func() { rg.question(l, []string{"read", "book", "once"}[i%3], wait, marks...) })
+					all.Go(func() { rg.sendRecorded(l, []string{"read", "book", "once"}[i%3], wait, marks...) })
 				}
-				rg.until("they are out", func() bool { return l.came() == requests })
+				rg.until("they are out", func() bool { return l.requests() == requests })
 				begin(rg)
 				close(gate)
 				all.Wait()
--- a/internal/http1/fake_endpoint_test.go
+++ b/internal/http1/fake_endpoint_test.go
@@ -13,26 +13,28 @@
 	"time"
 )
 
-// standIn is a server on raw sockets, that writes down each whole request and then does what it is told.
-type standIn struct {
+// fakeEndpoint is an endpoint on raw sockets, which records each complete request and then behaves
+// as the test wants.
+type fakeEndpoint struct {
 	target
 	t      *testing.T
-	l      *ledger
+	ledger *requestLedger
 	listen net.Listener
-	play   act
+	behave behavior
 }
 
-// act is what a server does with a request that has come whole. It calls over before the last byte that it sends or
-// the close that ends the attempt, and tells whether the connection may bring another.
-type act func(c *net.TCPConn, over func()) (keep bool)
+// behavior is what an endpoint does with a complete request. It calls over before the last byte
+// that it sends or the close that ends the attempt, and reports whether the connection stays open
+// for another one.
+type behavior func(c *net.TCPConn, over func()) (keep bool)
 
-func newStandIn(t *testing.T, l *ledger, uid string, play act) *standIn {
+func newFakeEndpoint(t *testing.T, l *requestLedger, uid string, play behavior) *fakeEndpoint {
 	t.Helper()
 	listen, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &standIn{t: t, l: l, listen: listen, play: play, target: target{UID: uid, Address: listen.Addr().String(),
+	s := &fakeEndpoint{t: t, ledger: l, listen: listen, behave: play, target: target{UID: uid, Address: listen.Addr().String(),
 		Zone: "z", Model: "m", Cell: 1, State: "Ready", Weight: 1}}
 	var all sync.WaitGroup
 	var conns []net.Conn // all of them, under the ledger's mutex
@@ -61,13 +63,13 @@
 	return s
 }
 
-func (s *standIn) serve(c *net.TCPConn) {
+func (s *fakeEndpoint) serve(c *net.TCPConn) {
 	defer c.Close()
-	if s.play == nil { // it breaks each connection off before it reads anything
+	if s.behave == nil { // it breaks each connection off before it reads anything
 		c.SetLinger(0)
 		return
 	}
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return
@@ -93,10 +95,10 @@
 			return n == 0 || fault != nil && fault != syscall.EAGAIN && fault != syscall.EINTR
 		}}
 		a.ran = !strings.HasPrefix(in.Header.Get("X-Test"), "never")
-		for _, fault := range s.l.attempt(in.Header.Get("X-Txn"), a) {
+		for _, fault := range s.ledger.attempt(in.Header.Get("X-Txn"), a) {
 			s.t.Error(fault)
 		}
-		if !s.play(c, func() {
+		if !s.behave(c, func() {
 			mu.Lock()
 			defer mu.Unlock()
 			over = true
@@ -106,8 +108,8 @@
 	}
 }
 
-// says ends an attempt with a text, and the connection with it unless it is kept.
-func says(text string, keep bool) act {
+// respondWith ends an attempt with a text, and the connection with it unless keep is set.
+func respondWith(text string, keep bool) behavior {
 	return func(c *net.TCPConn, over func()) bool {
 		over()
 		io.WriteString(c, text)
@@ -115,26 +117,27 @@
 	}
 }
 
-// awaitsGoing says nothing until the sidecar gives up.
-func awaitsGoing(c *net.TCPConn, over func()) bool {
+// awaitHangup sends nothing until the server gives up.
+func awaitHangup(c *net.TCPConn, over func()) bool {
 	c.Read(make([]byte, 1))
 	over()
 	return false
 }
 
-func breaks(c *net.TCPConn, over func()) bool {
+// resetConnection ends an attempt with a reset.
+func resetConnection(c *net.TCPConn, over func()) bool {
 	over()
 	c.SetLinger(0)
 	return false
 }
 
 const (
-	goodAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-	turnedAway = "HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
+	goodAnswer     = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+	rejectedAnswer = "HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
-// endpointListOf is a line of a watch that names servers in a state.
-func endpointListOf(rev uint64, state string, servers ...*standIn) string {
+// endpointListOf is a line of a watch that reports endpoints in a state.
+func endpointListOf(rev uint64, state string, servers ...*fakeEndpoint) string {
 	l := endpointList{Rev: rev}
 	for _, s := range servers {
 		x := s.target
--- a/internal/http1/forwarding_test.go
+++ b/internal/http1/forwarding_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-func TestRequestGoesOnUnchanged(t *testing.T) {
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
+	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		left, ok := parseRemaining(r.Header.Get("X-Remaining"))
 		if !ok || left <= 0 || left >= 5*time.Second {
@@ -31,11 +31,11 @@
 	}
 }
 
-// What stands in the body of a request with both lengths is not to be taken for a request by anybody: the
-// request goes nowhere, and its connection ends.
-func TestRequestInsideAnotherIsNotPassedOn(t *testing.T) {
+// A request inside the body of one with both lengths is not taken for a request by anybody: nothing
+// is forwarded, and the connection ends.
+func TestRequestSmuggledInBodyIsNotForwarded(t *testing.T) {
 	var came atomic.Int64
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) { came.Add(1) }))
+	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) { came.Add(1) }))
 	head := "POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: %s\r\nX-Lane: book\r\nX-Remaining: 900m\r\nIdempotency-Key: k\r\n"
 	inner := fmt.Sprintf(head, "inner") + "Content-Length: 0\r\n\r\n"
 	for _, framing := range []string{
@@ -59,9 +59,9 @@
 	}
 }
 
-func TestBadInputNeverReachesAnEndpoint(t *testing.T) {
+func TestInvalidRequestsAreNotForwarded(t *testing.T) {
 	var came atomic.Int64
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) { came.Add(1) }))
+	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) { came.Add(1) }))
 	for name, c := range map[string]struct {
 		spoil func(r *http.Request)
 		want  int
@@ -109,10 +109,11 @@
 	}
 }
 
-// What a mute endpoint leaves unanswered fails, and what was never sent is refused, before the deadline.
-func TestAnswerIsOutBeforeTheDeadline(t *testing.T) {
+// What a silent endpoint leaves unanswered fails, and what was never sent is rejected, before the
+// deadline.
+func TestAnswerIsWrittenBeforeTheDeadline(t *testing.T) {
 	const left = 1500 * time.Millisecond
-	mute := peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) { gone(r) })
+	mute := endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) { awaitCancel(r) })
 	draining := mute
 	draining.State = "Terminating"
 	for want, targets := range map[int][]target{502: {mute}, 503: {draining}} {
@@ -127,8 +128,8 @@
 	}
 }
 
-// A connection that its endpoint has closed while it was idle carries nothing.
-func TestConnectionClosedWhileIdleIsNotUsed(t *testing.T) {
+// A connection that its endpoint has closed while it was idle carries no request.
+func TestConnectionClosedWhileIdleIsNotReused(t *testing.T) {
 	var conns atomic.Int64
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") }))
 	closed := make(chan bool, 8)
@@ -159,8 +160,8 @@
 	}
 }
 
-// Once discovery says that an endpoint drains, nothing new goes there.
-func TestDrainIsKept(t *testing.T) {
+// Once discovery reports that an endpoint drains, no new request goes there.
+func TestDrainingEndpointGetsNoNewRequests(t *testing.T) {
 	count := func(n *atomic.Int64) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			n.Add(1)
@@ -168,7 +169,7 @@
 		}
 	}
 	var old, other atomic.Int64
-	a, b := peer(t, "s-1", count(&old)), peer(t, "s-2", count(&other))
+	a, b := endpointServing(t, "s-1", count(&old)), endpointServing(t, "s-2", count(&other))
 	rg := start(t, 1024, a, b)
 	for old.Load() == 0 {
 		rg.ask(rg.request("once", 5*time.Second))
@@ -191,11 +192,12 @@
 	}
 }
 
-// An id is one request's. Another request with it, while it is out or shortly after, is turned away and goes
-// nowhere: endpoints would run it twice, or blame themselves for it.
-func TestTakenIDIsTurnedAway(t *testing.T) {
+// An id belongs to one request. Another request with it, while the first is in flight or shortly
+// after, is rejected and not forwarded: endpoints would execute it twice, or count it as their own
+// fault.
+func TestRequestIDInUseIsRejected(t *testing.T) {
 	came, serve := make(chan bool, 8), make(chan bool)
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		came <- true
 		<-serve
 		fmt.Fprint(w, "ok")
@@ -226,8 +228,8 @@
 	}
 }
 
-// Endpoints, connections and requests come and go; nothing is kept of what has gone.
-func TestTablesEndEmpty(t *testing.T) {
+// Endpoints, connections and requests come and go; nothing is kept of departed ones.
+func TestTablesAreEmptyAfterUse(t *testing.T) {
 	rg := start(t, 1024, ready("s-ffffffff", 0))
 	tell := func(rev uint64, all bool, targets ...target) {
 		line, _ := json.Marshal(endpointList{Rev: rev, Full: all, Targets: targets})
@@ -237,7 +239,7 @@
 	full := rg.server.memory.Bodies.Available()
 	rev := uint64(1)
 	for i := range 20 {
-		x := peer(t, fmt.Sprintf("s-%08x", i), func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") })
+		x := endpointServing(t, fmt.Sprintf("s-%08x", i), func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") })
 		rev++
 		tell(rev, i%2 == 0, x)
 		if status, body := rg.ask(rg.request("once", 9*time.Second)); status != 200 {
--- a/internal/http1/fuzz_test.go
+++ b/internal/http1/fuzz_test.go
@@ -14,7 +14,8 @@
 	"dykering/internal/decision"
 )
 
-// FuzzHead: a head that is taken has one length at the most, and what goes on of it says the same to who reads it next.
+// FuzzHead: a head that is accepted has one body length at most, and its forwarded form has the
+// same meaning to the next parser.
 func FuzzHead(f *testing.F) {
 	for _, text := range []string{"GET /a?b=%2F HTTP/1.1\r\nHost: h\r\nX-Txn: 1\r\n\r\n",
 		"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc", "POST / HTTP/1.0\r\nContent-Length: 0\r\n\r\n",
@@ -48,7 +49,8 @@
 	})
 }
 
-// FuzzAnswer: whatever an endpoint sends, its answer ends, is bounded, and what is served of it is as net/http reads it.
+// FuzzAnswer: whatever an endpoint sends, its response ends, is bounded, and what is relayed of it
+// is as net/http reads it.
 func FuzzAnswer(f *testing.F) {
 	for _, text := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 200 OK\r\n\r\nto its end",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X\r\n\r\n2\r\nok\r\n0\r\nX: 1\r\n\r\n",
@@ -57,7 +59,7 @@
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"} {
 		f.Add([]byte(text))
 	}
-	room := roomy()
+	room := ampleMemory()
 	f.Fuzz(func(t *testing.T, text []byte) {
 		free := room.Bodies.Available()
 		near, far := net.Pipe()
@@ -66,7 +68,7 @@
 			far.Write(text)
 			far.Close()
 		}()
-		a := attemptAt(forwardedRequest{method: http.MethodGet, target: "/"}, "", true, time.Minute, time.Minute)
+		a := newTestAttempt(forwardedRequest{method: http.MethodGet, target: "/"}, "", true, time.Minute, time.Minute)
 		defer a.Close()
 		res, err := a.readResponse(newUpstreamConn(near, a.Endpoint), room)
 		if res.response != nil && res.response.rest == nil && err == nil && res.status == decision.OK {
@@ -90,7 +92,8 @@
 	})
 }
 
-// FuzzPassage: what is taken for a passage is whole, and says the same when it is passed on once more.
+// FuzzPassage: a transfer state that is accepted is valid, and has the same meaning when it is
+// transferred once more.
 func FuzzPassage(f *testing.F) {
 	for _, p := range []connTransfer{{Version: 1, Input: []byte("GET")}, {Version: 1, Relay: &relayState{Finished: true, Pending: []byte("x")}},
 		{Version: 1, Upload: &uploadState{ID: "a", AnswerTimeout: 5, Length: 9, Remaining: 3}},
--- a/internal/http1/hangup_test.go
+++ b/internal/http1/hangup_test.go
@@ -14,19 +14,20 @@
 	"dykering/internal/config"
 )
 
-// A client that closes its side has gone away; an empty 200 would be an answer that no endpoint made.
+// A client that half-closes its connection counts as gone; an empty 200 would be an answer that no
+// endpoint gave.
 func TestHalfClosedClientGetsNoAnswer(t *testing.T) {
 	came := make(chan bool)
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		close(came)
-		gone(r)
+		awaitCancel(r)
 	}))
 	c, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	rg.request("once", 9*time.Second).Write(c)
 	<-came
 	c.(*net.TCPConn).CloseWrite()
@@ -35,9 +36,9 @@
 	}
 }
 
-// A client may have gone behind bytes that nobody has read: its call is called off all the same, and what it sent
-// beyond its request goes nowhere.
-func TestClientGoneBehindMoreBytes(t *testing.T) {
+// A client may hang up behind bytes that nobody has read: its call is cancelled nevertheless, and
+// the bytes behind its request go nowhere.
+func TestHangupBehindUnreadBytesCancelsTheCall(t *testing.T) {
 	for name, leave := range map[string]func(*net.TCPConn){
 		"closed": func(c *net.TCPConn) { c.Close() },
 		"reset": func(c *net.TCPConn) {
@@ -46,9 +47,9 @@
 		},
 	} {
 		came, left := make(chan string, 2), make(chan bool, 2)
-		rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+		rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 			came <- r.Header.Get("X-Txn")
-			gone(r)
+			awaitCancel(r)
 			left <- true
 		}))
 		c := rg.dial()
@@ -64,15 +65,16 @@
 		if took := time.Since(begun); took > 3*time.Second { // far from the end of its time
 			t.Errorf("%s: called off after %v", name, took)
 		}
-		rg.idle()
+		rg.awaitNothingBuffered()
 		if len(came) > 0 {
 			t.Errorf("%s: %s came to an endpoint too", name, <-came)
 		}
 	}
 }
 
-// heldDials is a network that holds the next connection to an address back until it is let go. Discovery dials on the
-// same network: a connection of its own must not be taken for the one that the test waits for.
+// heldDials is a network that holds the next connection to an address back until it is let go.
+// Discovery dials on the same network: a connection of its own must not be taken for the one that
+// the test waits for.
 type heldDials struct {
 	Kernel
 	address     string
@@ -92,9 +94,10 @@
 	return c, err
 }
 
-// A client that goes while the connection for its request is being made is sent nothing for, also where the loop is late
-// and has not come to its leave: it is held until the endpoint has heard what there is to hear.
-func TestClientGoneBehindALateLoop(t *testing.T) {
+// A client that hangs up while the connection for its request is dialed has nothing sent for it,
+// also where the event loop is busy and has not received the hang-up: the loop is held until the
+// endpoint has read what there is to read.
+func TestHangupWhileLoopIsBusySendsNothing(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -120,21 +123,21 @@
 		t.Fatal(err)
 	}
 	defer e.Close()
-	e.SetDeadline(time.Now().Add(patience))
+	e.SetDeadline(time.Now().Add(testTimeout))
 	var b [1]byte
 	if got, err := e.Read(b[:]); got > 0 || err != io.EOF {
 		t.Errorf("its endpoint got a request (%v): its client had gone", err)
 	}
 	close(on)
-	rg.idle()
+	rg.awaitNothingBuffered()
 }
 
-// The endpoint must see that nobody waits any more, and the Balancer too.
-func TestClientGoneEndsTheAttempt(t *testing.T) {
+// The endpoint and the balancer must notice that nobody waits any more.
+func TestClientHangupCancelsTheAttempt(t *testing.T) {
 	came, ended := make(chan bool), make(chan bool)
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		close(came)
-		gone(r)
+		awaitCancel(r)
 		close(ended)
 	}))
 	c, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
@@ -155,11 +158,11 @@
 	})
 }
 
-// A caller that goes while its long answer is on its way ends that, and nothing is left of it.
-func TestCallerGoneInALongAnswer(t *testing.T) {
+// A client that hangs up during a relay ends it, and nothing of it stays allocated.
+func TestClientHangupDuringRelayEndsIt(t *testing.T) {
 	gaveUp := make(chan bool)
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
-		for piece := noise(1 << 16); ; {
+	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+		for piece := checkableBody(1 << 16); ; {
 			if _, err := w.Write(piece); err != nil {
 				close(gaveUp)
 				return
@@ -174,5 +177,5 @@
 	c.SetLinger(0)
 	c.Close()
 	<-gaveUp
-	rg.idle()
+	rg.awaitNothingBuffered()
 }
--- a/internal/http1/harness_test.go
+++ b/internal/http1/harness_test.go
@@ -31,8 +31,8 @@
 	endpointList = core.List
 )
 
-// patience bounds what a test waits for; it only passes when something is wrong.
-const patience = 20 * time.Second
+// testTimeout bounds every wait of a test. It passes only when something is wrong.
+const testTimeout = 20 * time.Second
 
 const settingsText = `{"allowed":{"cancel":true,"connIdle":30000000,"connectTimeout":2000000,"maxRetryAfter":2000000,
 	"mayProbe":true,"openCap":1000,"peers":false,"retryAfter":true,"secondCopies":false,"sendCap":5},
@@ -44,16 +44,18 @@
 	{"name":"once","aim":9000000,"deadline":10000000,"effect":"non_idempotent","gain":1,"window":0}],
 	"tenants":[],"tiers":["front"],"zones":["z"],"models":["m"]}`
 
-// rig is a sidecar on loopback sockets, with a discovery that the test writes to.
+// rig is a server on loopback sockets, with a discovery that the test writes to.
 type rig struct {
-	t       *testing.T
-	file    string // its configuration
-	server  *Server
-	url     string
-	lists   chan string // lines for the watch
+	t *testing.T
+	// Path of its configuration file.
+	file   string
+	server *Server
+	url    string
+	// Lines for the discovery's watch.
+	lists   chan string
 	signals chan os.Signal
 	reloads chan os.Signal
-	ended   chan error
+	exited  chan error
 	txn     atomic.Int64
 }
 
@@ -75,11 +77,11 @@
 	return startOn(t, Kernel{}, instances, sockets, change, targets...)
 }
 
-// startOn runs one that stands on a network.
+// startOn starts a server on a network.
 func startOn(t *testing.T, n Network, instances, sockets int, change func(*config.Config), targets ...target) *rig {
 	t.Helper()
 	rg := &rig{t: t, lists: make(chan string, 16), signals: make(chan os.Signal, 1),
-		reloads: make(chan os.Signal, 1), ended: make(chan error, 1)}
+		reloads: make(chan os.Signal, 1), exited: make(chan error, 1)}
 	discovery := serverAt(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.WriteHeader(http.StatusOK)
 		for {
@@ -117,7 +119,7 @@
 		t.Fatal(err)
 	}
 	rg.url = "http://" + listener.Addr().String()
-	go func() { rg.ended <- rg.server.Run(listener, rg.signals, rg.reloads) }()
+	go func() { rg.exited <- rg.server.Run(listener, rg.signals, rg.reloads) }()
 	t.Cleanup(func() {
 		rg.server.loop.Close()
 		close(rg.reloads)
@@ -137,20 +139,20 @@
 	return rg
 }
 
-// until waits for something that shows by itself.
+// until polls a condition that becomes true without the test's doing.
 func (rg *rig) until(what string, done func() bool) {
 	rg.t.Helper()
-	for end := time.Now().Add(patience); !done(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !done(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			rg.t.Fatalf("never: %s", what)
 		}
 	}
 }
 
-// stats is what the core holds.
+// stats is the state of the core.
 func (rg *rig) stats() core.Stats { return rg.server.loop.Stats() }
 
-// open tells whether an endpoint may get new attempts.
+// open reports whether an endpoint may get new attempts.
 func (rg *rig) open(id decision.EndpointID) bool {
 	for _, e := range rg.stats().Endpoints {
 		if e.ID == id {
@@ -160,7 +162,7 @@
 	return false
 }
 
-// request is a request of a class as a client words it.
+// request returns a client's request of a class.
 func (rg *rig) request(class string, left time.Duration) *http.Request {
 	method := http.MethodPost
 	if class == "read" {
@@ -197,7 +199,8 @@
 	return res.StatusCode, string(body)
 }
 
-// serverAt is a server at an address of its own: what an earlier test left calls none of a later one's.
+// serverAt starts a server at a loopback address of its own: connections that an earlier test left
+// behind reach none of a later one's.
 func serverAt(t *testing.T, serve http.Handler) *httptest.Server {
 	l, err := loopback.Listen()
 	if err != nil {
@@ -210,8 +213,8 @@
 	return s
 }
 
-// peer is an endpoint that answers as the test says.
-func peer(t *testing.T, uid string, serve http.HandlerFunc) target {
+// endpointServing starts an endpoint that answers with the handler.
+func endpointServing(t *testing.T, uid string, serve http.HandlerFunc) target {
 	t.Helper()
 	s := serverAt(t, serve)
 	t.Cleanup(func() {
@@ -221,16 +224,16 @@
 	return target{UID: uid, Address: s.Listener.Addr().String(), Zone: "z", Model: "m", Cell: 1, State: "Ready", Weight: 1}
 }
 
-// breakOff ends a connection without an answer.
-func breakOff(w http.ResponseWriter) {
+// closeWithoutAnswer closes the connection of a request.
+func closeWithoutAnswer(w http.ResponseWriter) {
 	c, _, err := http.NewResponseController(w).Hijack()
 	if err == nil {
 		c.Close()
 	}
 }
 
-// gone blocks until the sidecar has given the attempt up.
-func gone(r *http.Request) {
+// awaitCancel blocks until the server has cancelled the attempt.
+func awaitCancel(r *http.Request) {
 	io.Copy(io.Discard, r.Body)
 	<-r.Context().Done()
 }
@@ -244,7 +247,7 @@
 	}
 	c = dialed.(*net.TCPConn)
 	rg.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(c, text)
 	res, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -253,7 +256,7 @@
 	return res.StatusCode, c
 }
 
-// connect makes n connections that have had one answer and stand idle.
+// connect opens n connections that have had one answer and are idle.
 func (rg *rig) connect(n int) (idles []*net.TCPConn) {
 	rg.t.Helper()
 	for range n {
@@ -270,29 +273,30 @@
 	return idles
 }
 
-// stop tells the sidecar to stop, and waits until it has heard.
-func (rg *rig) stop() {
+// beginShutdown sends the signal to stop, and waits until the server has received it.
+func (rg *rig) beginShutdown() {
 	rg.t.Helper()
 	rg.signals <- syscall.SIGTERM
 	rg.until("it stops", func() bool { return !rg.server.lifecycle.Deadline().IsZero() })
 }
 
-// over waits for the sidecar to end by itself.
-func (rg *rig) over() {
+// awaitExit waits until the server exits by itself.
+func (rg *rig) awaitExit() {
 	rg.t.Helper()
 	select {
-	case err := <-rg.ended:
+	case err := <-rg.exited:
 		if err != nil {
 			rg.t.Error(err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		rg.t.Error("it never ended")
 	}
 }
 
-// send writes a request to a connection that was used before, and returns its answer; nil where there is none.
+// send writes a request to a connection that was used before, and returns its answer; nil where
+// there is none.
 func (rg *rig) send(c *net.TCPConn, r *http.Request) *http.Response {
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	if err := r.Write(c); err != nil {
 		return nil
 	}
@@ -304,8 +308,8 @@
 	return res
 }
 
-// noise is a body that shows whether any of it is missing or doubled.
-func noise(n int) []byte {
+// checkableBody is a body that shows whether any part of it is missing or duplicated.
+func checkableBody(n int) []byte {
 	b := make([]byte, 0, n+sha256.Size)
 	for sum := sha256.Sum256(nil); len(b) < n; sum = sha256.Sum256(sum[:]) {
 		b = append(b, sum[:]...)
@@ -313,7 +317,7 @@
 	return b[:n]
 }
 
-// dial makes a connection that lasts no longer than a test may.
+// dial opens a connection that lasts no longer than a test may.
 func (rg *rig) dial() *net.TCPConn {
 	rg.t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
@@ -321,12 +325,12 @@
 		rg.t.Fatal(err)
 	}
 	rg.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c.(*net.TCPConn)
 }
 
-// idle waits until nothing is open or held any more.
-func (rg *rig) idle() {
+// awaitNothingBuffered waits until no call is open and no memory for bodies is reserved.
+func (rg *rig) awaitNothingBuffered() {
 	rg.t.Helper()
 	full := core.NewMemory(rg.server.config.Plan()).Bodies.Available()
 	rg.until("nothing is held", func() bool {
--- a/internal/http1/ledger_test.go
+++ b/internal/http1/ledger_test.go
@@ -10,61 +10,65 @@
 	"time"
 )
 
-// ledger is what callers' sockets got and when, and what came to servers and when. It is written down at both ends of
-// the sidecar, and knows nothing of what is between.
-type ledger struct {
+// requestLedger records what clients received and when, and what endpoints received and when. It is
+// written at both ends of the server, and knows nothing of what is between.
+type requestLedger struct {
 	mu       sync.Mutex
-	asked    map[string]wanted
-	answers  map[string][]got
+	asked    map[string]expectation
+	answers  map[string][]received
 	attempts map[string][]*attempted
-	drained  map[string]time.Time // by server: when it was told to drain or to be gone
-	conns    int                  // that servers have accepted
-	whole    int                  // requests that came to them whole
-	refusals int
+	// When each endpoint was reported as draining or gone.
+	drained map[string]time.Time
+	// Connections that endpoints have accepted.
+	conns int
+	// Requests that endpoints received completely.
+	completed  int
+	rejections int
 }
 
-type wanted struct {
+type expectation struct {
 	class string
 	until time.Time
 }
 
-type got struct {
-	status int
-	at     time.Time
-	advice string
+type received struct {
+	status     int
+	at         time.Time
+	retryAfter string
 }
 
 type attempted struct {
 	server string
 	at     time.Time
-	ran    bool // or may have
-	over   func() bool
+	// Whether it was executed, or may have been.
+	ran  bool
+	over func() bool
 }
 
-func newLedger() *ledger {
-	return &ledger{asked: map[string]wanted{}, answers: map[string][]got{}, attempts: map[string][]*attempted{},
+func newRequestLedger() *requestLedger {
+	return &requestLedger{asked: map[string]expectation{}, answers: map[string][]received{}, attempts: map[string][]*attempted{},
 		drained: map[string]time.Time{}}
 }
 
-func (l *ledger) ask(id, class string, until time.Time) {
+func (l *requestLedger) ask(id, class string, until time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.asked[id] = wanted{class, until}
+	l.asked[id] = expectation{class, until}
 }
 
-func (l *ledger) answer(id string, g got) {
+func (l *requestLedger) answer(id string, g received) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.answers[id] = append(l.answers[id], g)
 	if g.status == http.StatusServiceUnavailable {
-		l.refusals++
+		l.rejections++
 	}
 }
 
-func (l *ledger) attempt(id string, a *attempted) (faults []string) {
+func (l *requestLedger) attempt(id string, a *attempted) (faults []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.whole++
+	l.completed++
 	for _, x := range l.attempts[id] {
 		if !x.over() {
 			faults = append(faults, id+": an attempt comes while another is out")
@@ -75,7 +79,7 @@
 }
 
 // broken names the rules that were broken, once all has settled.
-func (l *ledger) broken(grace time.Duration, mostAttempts int) (faults []string) {
+func (l *requestLedger) broken(grace time.Duration, mostAttempts int) (faults []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	fault := func(id, text string, args ...any) { faults = append(faults, id+": "+fmt.Sprintf(text, args...)) }
@@ -86,8 +90,8 @@
 		case all[0].at.After(w.until.Add(late)):
 			fault(id, "answered %v after its time", all[0].at.Sub(w.until))
 		case all[0].status == http.StatusServiceUnavailable:
-			if after, err := strconv.ParseFloat(all[0].advice, 64); err != nil || after <= 0 {
-				fault(id, "refused with Retry-After %q", all[0].advice)
+			if after, err := strconv.ParseFloat(all[0].retryAfter, 64); err != nil || after <= 0 {
+				fault(id, "refused with Retry-After %q", all[0].retryAfter)
 			}
 		}
 	}
@@ -115,56 +119,59 @@
 	return faults
 }
 
-// Each rule that the ledger looks after is seen to be broken where it is.
-func TestLedgerSeesBrokenRules(t *testing.T) {
+// Each rule that the ledger checks is reported when it is broken.
+func TestLedgerDetectsEachBrokenRule(t *testing.T) {
 	now := time.Now()
 	yes, no := func() bool { return true }, func() bool { return false }
-	for want, play := range map[string]func(l *ledger) []string{
-		"": func(l *ledger) []string {
+	for want, play := range map[string]func(l *requestLedger) []string{
+		"": func(l *requestLedger) []string {
 			l.attempt("x", &attempted{"a", now, true, yes})
-			l.answer("x", got{200, now, ""})
+			l.answer("x", received{200, now, ""})
+			return nil
+		},
+		"0 final answers": func(l *requestLedger) []string { return nil },
+		"2 final answers": func(l *requestLedger) []string {
+			l.answer("x", received{200, now, ""})
+			l.answer("x", received{200, now, ""})
 			return nil
 		},
-		"0 final answers": func(l *ledger) []string { return nil },
-		"2 final answers": func(l *ledger) []string {
-			l.answer("x", got{200, now, ""})
-			l.answer("x", got{200, now, ""})
+		"after its time": func(l *requestLedger) []string {
+			l.answer("x", received{200, now.Add(2 * time.Second), ""})
 			return nil
 		},
-		"after its time":    func(l *ledger) []string { l.answer("x", got{200, now.Add(2 * time.Second), ""}); return nil },
-		"Retry-After":       func(l *ledger) []string { l.answer("x", got{503, now, ""}); return nil },
-		"Retry-After \"0\"": func(l *ledger) []string { l.answer("x", got{503, now, "0"}); return nil },
-		"another is out": func(l *ledger) []string {
-			l.answer("x", got{200, now, ""})
+		"Retry-After":       func(l *requestLedger) []string { l.answer("x", received{503, now, ""}); return nil },
+		"Retry-After \"0\"": func(l *requestLedger) []string { l.answer("x", received{503, now, "0"}); return nil },
+		"another is out": func(l *requestLedger) []string {
+			l.answer("x", received{200, now, ""})
 			l.attempt("x", &attempted{"a", now, false, no})
 			return l.attempt("x", &attempted{"b", now, false, yes})
 		},
-		"2 times": func(l *ledger) []string {
-			l.answer("x", got{502, now, ""})
+		"2 times": func(l *requestLedger) []string {
+			l.answer("x", received{502, now, ""})
 			l.attempt("x", &attempted{"a", now, true, yes})
 			l.attempt("x", &attempted{"b", now, true, yes})
 			return nil
 		},
-		"told to drain": func(l *ledger) []string {
+		"told to drain": func(l *requestLedger) []string {
 			l.drained["a"] = now.Add(-time.Second)
-			l.answer("x", got{200, now, ""})
+			l.answer("x", received{200, now, ""})
 			l.attempt("x", &attempted{"a", now, true, yes})
 			return nil
 		},
-		"6 attempts": func(l *ledger) []string {
-			l.answer("x", got{503, now, "1"})
+		"6 attempts": func(l *requestLedger) []string {
+			l.answer("x", received{503, now, "1"})
 			for range 6 {
 				l.attempt("x", &attempted{"a", now, false, yes})
 			}
 			return nil
 		},
-		"nobody has asked": func(l *ledger) []string {
-			l.answer("x", got{200, now, ""})
+		"nobody has asked": func(l *requestLedger) []string {
+			l.answer("x", received{200, now, ""})
 			l.attempt("y", &attempted{"a", now, true, yes})
 			return nil
 		},
 	} {
-		l := newLedger()
+		l := newRequestLedger()
 		l.ask("x", "once", now.Add(time.Second))
 		faults := strings.Join(append(play(l), l.broken(250*time.Millisecond, 5)...), "; ")
 		if want == "" && faults != "" || !strings.Contains(faults, want) {
@@ -173,14 +180,14 @@
 	}
 }
 
-func (l *ledger) accepted() int {
+func (l *requestLedger) accepted() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.conns
 }
 
-// at is how many requests came to a server whole.
-func (l *ledger) at(server string) (n int) {
+// requestsAt is how many complete requests an endpoint received.
+func (l *requestLedger) requestsAt(server string) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, all := range l.attempts {
@@ -194,8 +201,8 @@
 }
 
 // came is how many requests have come to servers whole.
-func (l *ledger) came() int {
+func (l *requestLedger) requests() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.whole
+	return l.completed
 }
--- a/internal/http1/parse_chunked_test.go
+++ b/internal/http1/parse_chunked_test.go
@@ -15,9 +15,9 @@
 )
 
 // broken gives a text in two parts, with an interruption between them.
-type broken struct{ parts []string }
+type interruptingReader struct{ parts []string }
 
-func (b *broken) Read(p []byte) (int, error) {
+func (b *interruptingReader) Read(p []byte) (int, error) {
 	switch {
 	case len(b.parts) == 0:
 		return 0, io.EOF
@@ -52,11 +52,12 @@
 	}
 }
 
-// A body can be interrupted at each byte, and be gone on with by another process or be written anew for one.
-func TestChunkedGoesOnAnywhere(t *testing.T) {
+// A body can be interrupted at each byte, and be continued by another process or encoded anew for
+// one.
+func TestChunkedBodyResumesAfterEachByte(t *testing.T) {
 	const want, body = "hello, wide, \r\nwor", someChunks
 	for at := range len(body) + 1 {
-		c := newChunkedReader(bufio.NewReader(&broken{[]string{body[:at], body[at:], ""}}))
+		c := newChunkedReader(bufio.NewReader(&interruptingReader{[]string{body[:at], body[at:], ""}}))
 		got, interrupted, err := readAll(c)
 		if err != nil || interrupted != (at < len(body)) {
 			t.Fatalf("at %d: %v, interrupted %v", at, err, interrupted)
@@ -90,8 +91,8 @@
 	}
 }
 
-// What ends a body early, or can be read in two ways, spoils it.
-func TestChunkedFaults(t *testing.T) {
+// A body that ends early, or that parsers may read differently, is an error.
+func TestMalformedChunkedBodyIsRejected(t *testing.T) {
 	for text, want := range map[string]error{
 		"":                              io.ErrUnexpectedEOF,
 		"5":                             io.ErrUnexpectedEOF,
@@ -124,8 +125,8 @@
 	}
 }
 
-// FuzzChunked compares with net/http's reader: what both take whole is the same, and what that one refuses is not
-// taken here.
+// FuzzChunked compares with net/http's reader: what both read completely is the same, and what that
+// one rejects is rejected here.
 func FuzzChunked(f *testing.F) {
 	f.Add([]byte(someChunks))
 	f.Add([]byte("0\r\n\r\n"))
@@ -139,7 +140,7 @@
 	})
 }
 
-func TestTrailers(t *testing.T) {
+func TestTrailerIsForwardedWithoutFramingFields(t *testing.T) {
 	text := "0\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\nX-Sum: 1\r\n\r\n"
 	b := newRequestBody(&http.Request{ContentLength: -1}, bufio.NewReader(strings.NewReader(text)))
 	if _, err := io.ReadAll(b); err != nil || fmt.Sprint(b.trailer()) != "map[X-Sum:[1]]" {
--- a/internal/http1/reload_test.go
+++ b/internal/http1/reload_test.go
@@ -20,17 +20,17 @@
 	return target{UID: uid, Address: "127.0.0.1:9", Zone: "z", Model: "m", State: "Ready", Weight: 1, BootMS: bootMS}
 }
 
-// On SIGHUP the discovery that the file names is followed from its whole list on, whatever its versions;
-// nothing of the old one counts any more, and what was taken goes on. A file that cannot be used changes
-// nothing.
-func TestReloadFollowsAnotherDiscovery(t *testing.T) {
+// After SIGHUP the discovery that the file names is followed from its full list on, whatever its
+// revision; nothing of the old one counts any more, and requests in flight go on. A file that
+// cannot be used changes nothing.
+func TestReloadFollowsDiscoveryOfTheFile(t *testing.T) {
 	came, serve := make(chan bool, 1), make(chan bool)
-	a := peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	a := endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		came <- true
 		<-serve
 		fmt.Fprint(w, "a")
 	})
-	b := peer(t, "s-2", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "b") })
+	b := endpointServing(t, "s-2", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "b") })
 	rg := start(t, 1024, a)
 	answered := make(chan string)
 	go func() {
@@ -93,9 +93,9 @@
 	}
 }
 
-// Where discovery is asked, two calls in a row that hang, after others were refused, leave time for a third: what that tells
-// is known within the operators' 6 s of when the first of them began.
-func TestTwoHungCallsOfDiscovery(t *testing.T) {
+// Two calls of discovery in a row that hang, after others were refused, leave time for a third: its
+// list is known within the operators' 6 s of the begin of the first.
+func TestTwoHungDiscoveryCallsLeaveTimeForAThird(t *testing.T) {
 	t.Parallel() // it takes its time, and little else
 	const refused, hung = 4, 2
 	calls, over := make(chan time.Time, 16), make(chan bool)
@@ -128,7 +128,7 @@
 	rg := startWith(t, 1, 1024, func(c *config.Config) {
 		c.Settings.PullDiscovery, c.Settings.DiscoveryInterval = true, 10*time.Second
 		c.Discovery = discovery.Listener.Addr().String()
-	}, peer(t, "s-1", func(http.ResponseWriter, *http.Request) {}))
+	}, endpointServing(t, "s-1", func(http.ResponseWriter, *http.Request) {}))
 	began := <-calls
 	rg.until("the list is heard", func() bool { return len(rg.stats().Endpoints) == 0 })
 	if took := time.Since(began); took > 6*time.Second {
--- a/internal/http1/retries_test.go
+++ b/internal/http1/retries_test.go
@@ -10,16 +10,17 @@
 	"time"
 )
 
-// A request that may have run is not sent again by itself, not even with an Idempotency-Key, and is not refused.
-func TestResetIsNotResent(t *testing.T) {
+// A request that may have been executed is not retried, not even with an Idempotency-Key, and is
+// not answered as rejected.
+func TestResetRequestIsNotRetried(t *testing.T) {
 	var came atomic.Int64
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		if came.Add(1) == 1 {
 			fmt.Fprint(w, "warm") // so that the next one goes out on a connection that has been used
 			return
 		}
 		io.Copy(io.Discard, r.Body)
-		breakOff(w)
+		closeWithoutAnswer(w)
 	}))
 	if status, _ := rg.ask(rg.request("once", 5*time.Second)); status != 200 {
 		t.Fatal(status)
@@ -31,19 +32,20 @@
 	}
 }
 
-// A keyed request that may have run goes on in the group that drops its repeats only.
+// A keyed request that may have been executed is retried only in the cell that recognizes its
+// retries.
 func TestKeyedRetryStaysInItsCell(t *testing.T) {
 	var tries, strays atomic.Int64
 	broken := func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		if tries.Add(1) == 1 {
-			breakOff(w)
+			closeWithoutAnswer(w)
 			return
 		}
 		fmt.Fprint(w, "ok")
 	}
-	a, b := peer(t, "s-1", broken), peer(t, "s-2", broken)
-	other := peer(t, "s-3", func(w http.ResponseWriter, r *http.Request) {
+	a, b := endpointServing(t, "s-1", broken), endpointServing(t, "s-2", broken)
+	other := endpointServing(t, "s-3", func(w http.ResponseWriter, r *http.Request) {
 		strays.Add(1)
 		fmt.Fprint(w, "ok")
 	})
@@ -60,7 +62,7 @@
 	}
 }
 
-func TestTurnedAwayGoesElsewhereAndPlain503MayHaveRun(t *testing.T) {
+func TestRejectedRequestIsRetriedAndPlain503IsNot(t *testing.T) {
 	var plain atomic.Bool
 	full := func(w http.ResponseWriter, r *http.Request) {
 		if !plain.Load() {
@@ -68,7 +70,7 @@
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
-	rg := start(t, 1024, peer(t, "s-1", full), peer(t, "s-2", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, endpointServing(t, "s-1", full), endpointServing(t, "s-2", func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprint(w, "ok")
 	}))
 	for range 10 {
@@ -76,26 +78,27 @@
 			t.Fatalf("got %d %q", status, body)
 		}
 	}
-	rg = start(t, 1024, peer(t, "s-1", full))
+	rg = start(t, 1024, endpointServing(t, "s-1", full))
 	plain.Store(true)
 	if status, body := rg.ask(rg.request("once", 5*time.Second)); status != 502 {
 		t.Errorf("got %d %q: a refusal promises that it has not run", status, body)
 	}
 }
 
-// A call that its endpoint never answers, though it answers others, goes to another one while there is time.
-func TestLostCallsGoElsewhere(t *testing.T) {
+// A call that its endpoint does not answer, though it answers others, is retried at another one
+// while there is time.
+func TestUnansweredCallIsRetriedAtAnotherEndpoint(t *testing.T) {
 	const deadline = 9 * time.Second
 	var lose atomic.Int32 // so many calls
 	serve := func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Lane") == "book" && lose.Add(-1) >= 0 {
-			gone(r)
+			awaitCancel(r)
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
 		fmt.Fprint(w, "ok")
 	}
-	rg := start(t, 1024, peer(t, "s-1", serve), peer(t, "s-2", serve))
+	rg := start(t, 1024, endpointServing(t, "s-1", serve), endpointServing(t, "s-2", serve))
 	for range 20 { // so that it is known how long calls take
 		rg.ask(rg.request("book", deadline))
 	}
--- a/internal/http1/shared_listener_test.go
+++ b/internal/http1/shared_listener_test.go
@@ -36,9 +36,10 @@
 	}
 }
 
-// A process ends in time though another one that shares its socket has made it block: its accept hangs then.
-func TestStopWhereTheSocketBlocks(t *testing.T) {
-	endpoint := peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {})
+// A process ends in time though another one that shares its socket has made it blocking: its accept
+// blocks then.
+func TestShutdownEndsThoughAcceptBlocks(t *testing.T) {
+	endpoint := endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {})
 	socket, descriptor := shared(t)
 	rg := startWith(t, 1, 1024, func(c *config.Config) { c.Accept = descriptor() }, endpoint)
 	raw, err := socket.SyscallConn()
@@ -50,19 +51,19 @@
 		t.Fatal(err)
 	}
 	c := rg.dial() // wakes the accept, and the next one hangs
-	rg.accepted(c)
+	rg.awaitAccepted(c)
 	c.Close()
 	http.DefaultClient.CloseIdleConnections()
-	rg.stop()
-	rg.over()
+	rg.beginShutdown()
+	rg.awaitExit()
 	rg.dial() // ends the accept
 }
 
-// The old process answers what it has, closes its callers' connections and ends; the new one serves all the
-// while, and what waits at the socket is nobody's to lose.
-func TestHandover(t *testing.T) {
+// The old process answers what it has, closes its connections and ends; the new one serves all the
+// while, and no connection in the backlog is lost.
+func TestRequestsDuringHandoverAreAnswered(t *testing.T) {
 	came, serve := make(chan string), make(chan bool)
-	endpoint := peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	endpoint := endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		came <- r.Header.Get("X-Txn")
 		<-serve
 		fmt.Fprint(w, "ok")
@@ -80,7 +81,7 @@
 
 	successor := startWith(t, 1, 1024, accept, endpoint)
 	successor.txn.Store(1000)
-	old.stop()
+	old.beginShutdown()
 	go ask(old, idles[1]) // what still comes on a connection that stands is served
 	<-came
 	close(serve)
@@ -89,19 +90,19 @@
 			t.Errorf("from the old process: %+v", res)
 		}
 	}
-	idles[2].SetDeadline(time.Now().Add(patience))
+	idles[2].SetDeadline(time.Now().Add(testTimeout))
 	if n, err := idles[2].Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("an idle connection: %d bytes, %v", n, err)
 	}
-	old.over()
+	old.awaitExit()
 	for range 5 {
 		go func() { <-came }()
 		if res := successor.once("once"); res.StatusCode != 200 || res.Close {
 			t.Errorf("from the successor: %+v", res)
 		}
 	}
-	successor.stop()
-	successor.over()
+	successor.beginShutdown()
+	successor.awaitExit()
 	c, err := net.Dial("tcp", socket.Addr().String())
 	if err != nil {
 		t.Fatalf("the platform's socket has ended with them: %v", err)
@@ -109,10 +110,10 @@
 	c.Close()
 }
 
-// A process that has no list yet leaves new connections to its predecessor; when there is no other any more it answers
-// for itself, if only that it cannot serve.
-func TestNoListNoAccept(t *testing.T) {
-	endpoint := peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") })
+// A process without a list leaves new connections to its predecessor; when there is no other
+// process it answers them itself, if only that it cannot serve.
+func TestServerAcceptsOnlyAfterFirstListOrTimeout(t *testing.T) {
+	endpoint := endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") })
 	_, descriptor := shared(t)
 	accept := func(c *config.Config) { c.Accept = descriptor() }
 	old := startWith(t, 1, 1024, accept, endpoint)
@@ -123,8 +124,8 @@
 		}
 	}
 	http.DefaultClient.CloseIdleConnections()
-	old.stop()
-	old.over()
+	old.beginShutdown()
+	old.awaitExit()
 	heir.txn.Store(1000)
 	began := time.Now()
 	if res := heir.once("once"); res.StatusCode != http.StatusServiceUnavailable || res.Header.Get("Retry-After") == "" ||
@@ -139,12 +140,12 @@
 	}
 }
 
-// A long request whose last byte comes when callers have been sent away is read to its end and refused: nothing of
-// it has run, and its connection ends.
-func TestLongRequestThatComesTooLate(t *testing.T) {
-	body := noise(300000)
+// An upload whose last byte is received after the grace of a handover is read to its end and
+// rejected: it was not executed, and its connection ends.
+func TestUploadEndingAfterGraceIsRejected(t *testing.T) {
+	body := checkableBody(300000)
 	began, whole := make(chan bool, 1), make(chan bool, 1)
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		began <- true
 		_, err := io.ReadAll(r.Body)
 		whole <- err == nil
@@ -173,7 +174,7 @@
 		}
 		rg.server.Resume()
 	}
-	rg.idle()
+	rg.awaitNothingBuffered()
 }
 
 // dup makes a further number for a descriptor.
--- a/internal/http1/shutdown_test.go
+++ b/internal/http1/shutdown_test.go
@@ -14,11 +14,11 @@
 	"time"
 )
 
-// A sidecar that was told to stop goes on serving callers on the connections that they have: they may have
-// nobody else. It accepts what still comes, loses nothing, and ends when all have gone.
-func TestStopServesOpenConnections(t *testing.T) {
+// A stopping server goes on serving clients on their connections: they may have no other instance.
+// It accepts new connections, loses nothing, and exits when all clients have gone.
+func TestShutdownServesOpenConnections(t *testing.T) {
 	came, serve := make(chan bool), make(chan bool)
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		came <- true
 		<-serve
 		fmt.Fprint(w, "ok")
@@ -29,7 +29,7 @@
 	ask := func(c *net.TCPConn) { answer <- rg.send(c, rg.request("once", 9*time.Second)) }
 	go ask(idles[0])
 	<-came
-	rg.stop()
+	rg.beginShutdown()
 	close(serve)
 	if res := <-answer; res == nil || res.StatusCode != 200 {
 		t.Errorf("what was out at the signal: answer %+v", res)
@@ -54,17 +54,18 @@
 	for _, c := range idles {
 		c.Close()
 	}
-	rg.over()
+	rg.awaitExit()
 }
 
-// All that a stopping sidecar has taken is answered before it is killed: requests from before the signal are
-// called off at its end, and those that come later tell endpoints no more time than is left.
-func TestStopAnswersAllInTime(t *testing.T) {
+// All requests that a stopping server has accepted are answered before it is killed: those from
+// before the signal are cancelled at its end, and later ones state no more time to endpoints than
+// is left.
+func TestShutdownAnswersAllRequestsBeforeItsEnd(t *testing.T) {
 	const linger = 3 * time.Second
 	came, gaveUp := make(chan string, 2), make(chan bool, 2)
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		came <- r.Header.Get("X-Remaining")
-		gone(r)
+		awaitCancel(r)
 		gaveUp <- true
 	}))
 	rg.server.shutdownTimeout = linger
@@ -73,7 +74,7 @@
 	ask := func(c *net.TCPConn) { answer <- rg.send(c, rg.request("once", time.Minute)) }
 	go ask(idles[0])
 	<-came
-	rg.stop()
+	rg.beginShutdown()
 	go ask(idles[1])
 	if left, ok := parseRemaining(<-came); !ok || left > linger {
 		t.Errorf("an endpoint is told of %v", left)
@@ -88,17 +89,17 @@
 	if now, end := time.Now(), rg.server.lifecycle.Deadline(); now.Before(end) || now.After(end.Add(linger)) {
 		t.Errorf("given up %v after the end", now.Sub(end))
 	}
-	rg.over()
+	rg.awaitExit()
 }
 
-// Callers open no new connections to a sidecar that stops. One that finds all in use finds nobody, so the
-// only sidecar turns requests away, with word when to come back, before that.
-func TestStopKeepsConnectionsIdle(t *testing.T) {
+// Clients open no new connections to a stopping server. A client whose connections are all in use
+// finds no instance, so the only instance rejects requests with a Retry-After before that.
+func TestShutdownOfOnlyInstanceRejectsBeforeConnectionsRunOut(t *testing.T) {
 	came := make(chan bool, 1)
-	one := peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	one := endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Lane") == "read" {
 			came <- true
-			gone(r)
+			awaitCancel(r)
 		}
 	})
 	for _, c := range []struct{ idles, instances, status int }{
@@ -112,7 +113,7 @@
 		conns := rg.connect(2 + c.idles)
 		go rg.send(conns[0], rg.request("read", 9*time.Second))
 		<-came
-		rg.stop()
+		rg.beginShutdown()
 		res := rg.send(conns[1], rg.request("once", 9*time.Second))
 		if res == nil || res.StatusCode != c.status || (res.Header.Get("Retry-After") == "") != (c.status == 200) {
 			t.Errorf("with %d idle and %d instances: %+v", c.idles, c.instances, res)
@@ -120,10 +121,11 @@
 	}
 }
 
-// Where there are other sidecars, one that stops sends its callers there while it still answers what it has.
-func TestStopHandsOver(t *testing.T) {
+// Where there are other instances, a stopping server redirects its clients there while it still
+// answers what it has.
+func TestShutdownRedirectsClientsToOtherInstances(t *testing.T) {
 	came, serve := make(chan bool), make(chan bool)
-	rg := startOneOf(t, 2, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := startOneOf(t, 2, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		came <- true
 		<-serve
 		fmt.Fprint(w, "ok")
@@ -133,8 +135,8 @@
 	answer := make(chan *http.Response)
 	go func() { answer <- rg.send(idles[0], rg.request("once", 9*time.Second)) }()
 	<-came
-	rg.stop()
-	idles[1].SetDeadline(time.Now().Add(patience))
+	rg.beginShutdown()
+	idles[1].SetDeadline(time.Now().Add(testTimeout))
 	if _, err := idles[1].Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("an idle connection: %v", err)
 	}
@@ -142,14 +144,15 @@
 	if res := <-answer; res == nil || res.StatusCode != 200 || !res.Close {
 		t.Errorf("answer %+v", res)
 	}
-	rg.over()
+	rg.awaitExit()
 }
 
-// Who is in the middle of a request when the process ends is told so: nothing of it has run, and its connection ends as
-// after any last answer, not by a close that what is still coming turns into a reset.
-func TestStopAnswersHalfRequests(t *testing.T) {
+// A client in the middle of a request when the process ends gets a rejection: the request was not
+// executed, and the connection ends as after any last answer, not by a close that later input turns
+// into a reset.
+func TestShutdownRejectsIncompleteRequests(t *testing.T) {
 	var came atomic.Int64
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) { came.Add(1) }))
+	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) { came.Add(1) }))
 	rg.server.shutdownTimeout = 400 * time.Millisecond
 	head := "POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: %s\r\nX-Lane: book\r\nX-Remaining: 9000m\r\nIdempotency-Key: k\r\n"
 	halves := map[string]string{"head": fmt.Sprintf(head, "a"), "body": fmt.Sprintf(head, "b") + "Content-Length: 8\r\n\r\ntrip",
@@ -178,18 +181,19 @@
 		c.Close()
 	}
 	select {
-	case err := <-rg.ended:
+	case err := <-rg.exited:
 		if err != nil || came.Load() > 0 {
 			t.Errorf("ended with %v; %d came to an endpoint", err, came.Load())
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("it goes on")
 	}
 }
 
-// Requests that have been read together with one whose answer is the last on its connection, as the process ends or callers
-// have been sent away for long, are answered too: to close behind the first would lose them.
-func TestRequestsReadBehindTheLastAnswer(t *testing.T) {
+// Requests that have been read together with one whose answer is the last on its connection, as the
+// process ends or after the grace of a drain, are answered too: to close behind the first would
+// lose them.
+func TestPipelinedRequestsBehindTheLastAnswerAreAnswered(t *testing.T) {
 	for name, turn := range map[string]func(*rig){
 		"stop": func(rg *rig) {
 			rg.signals <- syscall.SIGTERM
@@ -208,7 +212,7 @@
 		},
 	} {
 		came, serve := make(chan bool, 3), make(chan bool)
-		rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+		rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 			came <- true
 			<-serve
 		}))
--- a/internal/http1/streaming_test.go
+++ b/internal/http1/streaming_test.go
@@ -13,11 +13,12 @@
 	"time"
 )
 
-// Answers of every length and framing arrive whole, and their connections serve on where they can.
-func TestAnswersArriveWhole(t *testing.T) {
-	body := noise(3 << 20)
+// Responses of each length and framing arrive completely, and their connections are reused where
+// they can.
+func TestResponsesOfEachLengthAndFramingAreRelayedCompletely(t *testing.T) {
+	body := checkableBody(3 << 20)
 	framing := "" // of the answer
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		n := len(body)
 		fmt.Sscan(r.URL.Query().Get("n"), &n)
 		switch framing {
@@ -69,13 +70,13 @@
 			}
 		}
 	}
-	rg.idle()
+	rg.awaitNothingBuffered()
 }
 
-// Bodies of every length and framing go on whole.
-func TestBodiesGoOnWhole(t *testing.T) {
-	body := noise(3 << 20)
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+// Request bodies of each length and framing are forwarded completely.
+func TestRequestBodiesOfEachLengthAndFramingAreForwardedCompletely(t *testing.T) {
+	body := checkableBody(3 << 20)
+	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		got, err := io.ReadAll(r.Body)
 		fmt.Fprintf(w, "%d %v %v %s", len(got), bytes.Equal(got, body[:len(got)]), err, r.Trailer.Get("X-Sum"))
 	}))
@@ -96,17 +97,17 @@
 			}
 		}
 	}
-	rg.idle()
+	rg.awaitNothingBuffered()
 }
 
-// A caller that does not read holds the endpoint back, and one that is held back is not read: what lies between
-// is bounded, and arrives once the other side goes on.
-func TestBackpressure(t *testing.T) {
+// A client that does not read holds the endpoint back, and an endpoint that does not read holds the
+// client back: what is buffered between them is bounded, and arrives once the receiver reads.
+func TestSlowReceiverHoldsSenderBack(t *testing.T) {
 	const n = 24 << 20
-	body := noise(n)
+	body := checkableBody(n)
 	var wrote atomic.Int64
 	goOn := make(chan bool)
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
 			w.Header().Set("Content-Length", fmt.Sprint(n))
 			for at := 0; at < n; at += 1 << 16 {
@@ -159,7 +160,7 @@
 	if got, _ := io.ReadAll(res.Body); string(got) != "true" {
 		t.Errorf("got %q", got)
 	}
-	rg.idle()
+	rg.awaitNothingBuffered()
 }
 
 type counter struct{ n *atomic.Int64 }
@@ -169,11 +170,11 @@
 	return len(b), nil
 }
 
-// An answer that breaks off after it has begun is not taken for whole, however its end is told.
-func TestCutAnswerShows(t *testing.T) {
+// A response that is truncated does not look complete to the client, whatever its framing.
+func TestTruncatedResponseIsVisibleToClient(t *testing.T) {
 	for _, head := range []string{"Content-Length: 200000\r\n", "Transfer-Encoding: chunked\r\n"} {
 		for _, old := range []string{"HTTP/1.1", "HTTP/1.0"} {
-			rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+			rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 				c, buffered, err := http.NewResponseController(w).Hijack()
 				if err != nil {
 					t.Error(err)
@@ -183,7 +184,7 @@
 				if strings.HasPrefix(head, "T") {
 					buffered.WriteString("186a0\r\n")
 				}
-				buffered.Write(noise(100000))
+				buffered.Write(checkableBody(100000))
 				buffered.Flush()
 				c.Close()
 			}))
@@ -199,21 +200,22 @@
 			if err == nil {
 				t.Errorf("%q to %s: taken for whole", head, old)
 			}
-			rg.idle()
+			rg.awaitNothingBuffered()
 		}
 	}
 }
 
-// A body that its caller does not finish is not finished for the endpoint either, and gets an error.
-func TestCutBodyShows(t *testing.T) {
+// A request body that the client does not complete does not look complete to the endpoint, and is
+// answered with an error.
+func TestTruncatedRequestBodyIsVisibleToEndpoint(t *testing.T) {
 	came, ended := make(chan bool, 1), make(chan error, 1)
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		came <- true
 		_, err := io.ReadAll(r.Body)
 		ended <- err
 	}))
 	head := "POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: %s\r\nX-Lane: once\r\nX-Remaining: 900m\r\n"
-	part := string(noise(100000))
+	part := string(checkableBody(100000))
 	for id, framing := range []string{
 		"Content-Length: 200000\r\n\r\n" + part, "Transfer-Encoding: chunked\r\n\r\n186a0\r\n" + part + "\r\n",
 		"Transfer-Encoding: chunked\r\n\r\n186a0\r\n" + part + "\r\nzz\r\n",
@@ -230,14 +232,15 @@
 			t.Errorf("%.40q: the endpoint took it for whole", framing)
 		}
 	}
-	rg.idle()
+	rg.awaitNothingBuffered()
 }
 
-// The time of a long body counts from its last byte, and a long answer that has begun is not cut off.
-func TestLongBodiesOutlastTheDeadline(t *testing.T) {
+// The remaining time of an upload counts from its last byte, and a streamed response that has begun
+// is not cut off.
+func TestDeadlineOfUploadCountsFromItsLastByte(t *testing.T) {
 	const left = time.Second
-	body := noise(200000)
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	body := checkableBody(200000)
+	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.ReadAll(r.Body); err != nil {
 			t.Error(err)
 		}
@@ -263,19 +266,20 @@
 	}
 }
 
-// A long request that its endpoint leaves unanswered gets its final answer when its time is up.
-func TestLongBodyThatIsNotAnswered(t *testing.T) {
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) { gone(r) }))
+// An upload that its endpoint does not answer gets its final answer at its deadline.
+func TestUnansweredUploadFailsAtItsDeadline(t *testing.T) {
+	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) { awaitCancel(r) }))
 	r := rg.request("once", 300*time.Millisecond)
-	r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(noise(300000))), 300000
+	r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(checkableBody(300000))), 300000
 	if status, _ := rg.ask(r); status != http.StatusBadGateway {
 		t.Errorf("got %d", status)
 	}
-	rg.idle()
+	rg.awaitNothingBuffered()
 }
 
-// What of a body has gone out and is not kept can't be sent again: the caller is told that nothing has run.
-func TestTurnedAwayInTheMiddle(t *testing.T) {
+// The sent part of an upload is not kept, so it cannot be sent again: the client is told that the
+// request was not executed.
+func TestPartlySentUploadThatIsRejectedIsNotRetried(t *testing.T) {
 	var whole atomic.Int64
 	turnAway := func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.ReadFull(r.Body, make([]byte, maxBufferedBody+100000)); err != nil {
@@ -289,12 +293,12 @@
 			whole.Add(1)
 		}
 	}
-	rg := start(t, 1024, peer(t, "s-1", turnAway), peer(t, "s-2", turnAway))
+	rg := start(t, 1024, endpointServing(t, "s-1", turnAway), endpointServing(t, "s-2", turnAway))
 	c := rg.dial()
 	io.WriteString(c, "POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: a\r\nX-Lane: once\r\nX-Remaining: 9000m\r\nContent-Length: 1000000\r\n\r\n")
 	go func() {
 		for range 10 { // and then no more
-			c.Write(noise(20000))
+			c.Write(checkableBody(20000))
 		}
 	}()
 	res, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -304,19 +308,20 @@
 	if whole.Load() != 0 {
 		t.Error("an endpoint got it whole")
 	}
-	rg.idle()
+	rg.awaitNothingBuffered()
 }
 
-// A long body that nothing is missing of goes to another endpoint when the first cannot be reached.
-func TestLongBodyGoesElsewhere(t *testing.T) {
+// An upload of which nothing has been consumed goes to another endpoint when the first cannot be
+// reached.
+func TestUnsentUploadIsRetriedAtAnotherEndpoint(t *testing.T) {
 	dead, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	dead.Close()
-	body := noise(300000)
+	body := checkableBody(300000)
 	rg := start(t, 1024, target{UID: "s-1", Address: dead.Addr().String(), Zone: "z", Model: "m", Cell: 1, State: "Ready", Weight: 1},
-		peer(t, "s-2", func(w http.ResponseWriter, r *http.Request) {
+		endpointServing(t, "s-2", func(w http.ResponseWriter, r *http.Request) {
 			got, _ := io.ReadAll(r.Body)
 			fmt.Fprint(w, bytes.Equal(got, body))
 		}))
@@ -329,9 +334,9 @@
 	}
 }
 
-// A caller that waits for word before it sends its body gets it, unless its head is wrong already.
-func TestExpectContinue(t *testing.T) {
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+// A client that waits for 100 Continue gets it, unless its head is invalid.
+func TestExpectContinueIsAnsweredUnlessHeadIsInvalid(t *testing.T) {
+	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Expect") != "" {
 			t.Error("Expect goes on")
 		}
@@ -358,14 +363,14 @@
 	}
 }
 
-// Requests that come behind one another on a connection are answered in turn, with nothing between them lost.
-func TestPipelining(t *testing.T) {
-	rg := start(t, 1024, peer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+// Pipelined requests are answered in order, with nothing between them lost.
+func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
+	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		fmt.Fprint(w, r.Header.Get("X-Txn"), " ", len(body))
 	}))
 	head := "POST /api HTTP/1.1\r\nHost: h\r\nX-Lane: once\r\nX-Remaining: 9000m\r\nX-Txn: "
-	long := string(noise(100000))
+	long := string(checkableBody(100000))
 	text := head + "a\r\nContent-Length: 3\r\n\r\nabc" + "\r\n" + head + "b\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n" +
 		head + "c\r\nContent-Length: 100000\r\n\r\n" + long + head + "d\r\nContent-Length: 0\r\n\r\n"
 	c := rg.dial()
--- a/internal/http1/transfer_harness_test.go
+++ b/internal/http1/transfer_harness_test.go
@@ -12,52 +12,56 @@
 	"dykering/internal/config"
 )
 
-// handed is a sidecar and, from its succeed on, the process that serves in its place; both share a directory.
-type handed struct {
+// handoverRig is a server and, from startSuccessor on, the process that serves in its place; both
+// share a directory.
+type handoverRig struct {
 	*rig
 	targets    []target
 	dir        string
 	descriptor func() *int
-	give, got  chan string // the endpoint's pieces, and what it has got
+	// The pieces of the endpoint's response, and in got what requests it has received.
+	pieces, got chan string
 }
 
-// startHanded starts one. Where serve is nil, its endpoint reads requests whole and answers with the pieces that it is
-// given, as they are; an empty one ends its connection.
-func startHanded(t *testing.T, serve http.HandlerFunc) *handed {
+// startHandover starts one. Without a handler, its endpoint reads complete requests and answers
+// with the pieces that it is sent, as they are; an empty one ends its connection.
+func startHandover(t *testing.T, serve http.HandlerFunc) *handoverRig {
 	t.Helper()
 	_, descriptor := shared(t)
-	h := &handed{give: make(chan string), got: make(chan string, 8), dir: t.TempDir(), descriptor: descriptor}
-	t.Cleanup(func() { close(h.give) })
+	h := &handoverRig{pieces: make(chan string), got: make(chan string, 8), dir: t.TempDir(), descriptor: descriptor}
+	t.Cleanup(func() { close(h.pieces) })
 	if serve == nil {
-		serve = h.bySteps
+		serve = h.respondInSteps
 	}
-	h.targets = []target{peer(t, "s-1", serve)}
-	h.rig = h.succeed(t)
+	h.targets = []target{endpointServing(t, "s-1", serve)}
+	h.rig = h.startSuccessor(t)
 	return h
 }
 
-// next is what the endpoint has got next, and feed gives it a piece: neither waits for ever where a request that was to
-// come was refused.
-func (h *handed) next() (got string) {
+// nextRequest returns what the endpoint received next. Like sendPiece it fails after testTimeout,
+// as where a request was rejected.
+func (h *handoverRig) nextRequest() (got string) {
 	h.t.Helper()
 	select {
 	case got = <-h.got:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		h.t.Fatal("nothing came to the endpoint")
 	}
 	return got
 }
 
-func (h *handed) feed(piece string) {
+// sendPiece sends the next piece of the endpoint's response.
+func (h *handoverRig) sendPiece(piece string) {
 	h.t.Helper()
 	select {
-	case h.give <- piece:
-	case <-time.After(patience):
+	case h.pieces <- piece:
+	case <-time.After(testTimeout):
 		h.t.Fatal("the endpoint takes no piece")
 	}
 }
 
-func (h *handed) bySteps(w http.ResponseWriter, r *http.Request) {
+// respondInSteps is the handler of the endpoint that answers in pieces.
+func (h *handoverRig) respondInSteps(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	c, _, fault := http.NewResponseController(w).Hijack()
 	h.got <- fmt.Sprintf("%s %d %x %v", r.Header.Get("X-Txn"), len(body), body[:min(8, len(body))], errors.Join(err, fault))
@@ -65,14 +69,15 @@
 		return
 	}
 	defer c.Close()
-	for piece := range h.give {
+	for piece := range h.pieces {
 		if _, err := io.WriteString(c, piece); piece == "" || err != nil {
 			return
 		}
 	}
 }
 
-func (h *handed) succeed(t *testing.T) *rig {
+// startSuccessor starts a server that takes over from the one before.
+func (h *handoverRig) startSuccessor(t *testing.T) *rig {
 	t.Helper()
 	rg := startWith(t, 1, 1024, func(c *config.Config) { c.Accept, c.Handover = h.descriptor(), h.dir }, h.targets...)
 	rg.server.shutdownTimeout = time.Minute // nothing here ends by its time
@@ -81,9 +86,9 @@
 	return rg
 }
 
-// accepted waits until a sidecar has a caller's connection: one that still waits at the socket is the successor's, and
-// where there is none, nobody's.
-func (rg *rig) accepted(c net.Conn) {
+// awaitAccepted waits until the server has accepted a client's connection: one that is still in the
+// backlog is the successor's, or lost where there is none.
+func (rg *rig) awaitAccepted(c net.Conn) {
 	rg.t.Helper()
 	cs := &rg.server.clients
 	rg.until("it is accepted", func() bool {
@@ -100,8 +105,8 @@
 	})
 }
 
-// allRead waits until a sidecar has read all that its callers have written.
-func (rg *rig) allRead() {
+// awaitAllRead waits until the server has read all that its clients have written.
+func (rg *rig) awaitAllRead() {
 	rg.t.Helper()
 	cs := &rg.server.clients
 	rg.until("all is read", func() (done bool) {
@@ -117,8 +122,8 @@
 	})
 }
 
-// atStage waits until a sidecar's only connection is at a stage.
-func (rg *rig) atStage(s connState) {
+// awaitState waits until the server's only connection is in a state.
+func (rg *rig) awaitState(s connState) {
 	rg.t.Helper()
 	cs := &rg.server.clients
 	rg.until(fmt.Sprint("its caller is at stage ", s), func() bool {
@@ -129,8 +134,8 @@
 	})
 }
 
-// cut cuts a text at places that are counted from its beginning or, below 0, from its end.
-func cut(text string, at ...int) (pieces []string) {
+// splitAt splits a text at places that are counted from its beginning or, below 0, from its end.
+func splitAt(text string, at ...int) (pieces []string) {
 	last := 0
 	for _, n := range at {
 		if n < 0 {
@@ -142,22 +147,22 @@
 	return append(pieces, text[last:])
 }
 
-// anywhere plays each form, cut after each of its pieces, with a successor and without.
-func anywhere(t *testing.T, forms map[string][]string, play func(*testing.T, *handed, string, []string, int, bool)) {
+// atEachCut runs a test for each form, cut after each of its pieces, with a successor and without.
+func atEachCut(t *testing.T, forms map[string][]string, play func(*testing.T, *handoverRig, string, []string, int, bool)) {
 	for name, pieces := range forms {
 		for after := range len(pieces) + 1 {
 			for _, succeeded := range []bool{true, false} {
 				t.Run(fmt.Sprintf("%s after %d, succeeded %v", name, after, succeeded), func(t *testing.T) {
 					t.Parallel()
-					play(t, startHanded(t, nil), name, pieces, after, succeeded)
+					play(t, startHandover(t, nil), name, pieces, after, succeeded)
 				})
 			}
 		}
 	}
 }
 
-// inChunks is a text in chunks, with extensions and a trailer.
-func inChunks(text string) (chunks string) {
+// chunkedText is a text as a chunked body, with extensions and a trailer.
+func chunkedText(text string) (chunks string) {
 	for at := 0; at < len(text); at += 50000 {
 		chunks += fmt.Sprintf("%x;of=6\r\n%s\r\n", 50000, text[at:at+50000])
 	}
--- a/internal/http1/transfer_state_test.go
+++ b/internal/http1/transfer_state_test.go
@@ -22,11 +22,11 @@
 	return s.Attempts, s.Calls
 }
 
-// A successor goes by the figures of the process before, and what that has in flight counts for both: where it
-// fills the limit, the successor holds back until a call has ended.
-func TestSuccessorCountsWhatIsInFlight(t *testing.T) {
+// A successor starts from its predecessor's statistics and counts the requests in flight there:
+// where they reach the limit, it waits until a call has ended.
+func TestSuccessorCountsRequestsInFlightAtPredecessor(t *testing.T) {
 	answer := make(chan bool)
-	h := startHanded(t, func(w http.ResponseWriter, r *http.Request) {
+	h := startHandover(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
 			io.Copy(io.Discard, r.Body)
 			select {
@@ -57,8 +57,8 @@
 		ask(h.rig)
 		h.until("it has come", func() bool { out, all = h.out(); return all > asked })
 	}
-	heir := h.succeed(t)
-	h.stop()
+	heir := h.startSuccessor(t)
+	h.beginShutdown()
 	heir.until("it has inherited", func() bool { return heir.windows() > 2 })
 	ask(heir)
 	asked++
@@ -71,12 +71,13 @@
 			t.Errorf("status %d", status)
 		}
 	}
-	h.over()
+	h.awaitExit()
 }
 
-// A word that cannot be used changes nothing, and one of figures that cannot be still counts what is in flight.
-func TestWordsOfTheProcessBefore(t *testing.T) {
-	rg := start(t, 1024, peer(t, "s-1", func(http.ResponseWriter, *http.Request) {}))
+// An update that cannot be used changes nothing, and one with unusable statistics still counts the
+// requests in flight.
+func TestInvalidHandoverUpdateChangesNothing(t *testing.T) {
+	rg := start(t, 1024, endpointServing(t, "s-1", func(http.ResponseWriter, *http.Request) {}))
 	near, _ := tcpPair(t)
 	for name, tc := range map[string]struct {
 		text  string
@@ -107,9 +108,10 @@
 
 func (rg *rig) learnt() decision.Snapshot { return *rg.server.loop.HandoverUpdate(true).Snapshot }
 
-// A successor of a version that knows no words declines them; it is told no more, and connections still pass.
-func TestSuccessorThatTakesNoWords(t *testing.T) {
-	h := startHanded(t, func(http.ResponseWriter, *http.Request) {})
+// A successor of a version without updates declines them; it is sent no more, and connections are
+// still transferred.
+func TestSuccessorThatDeclinesUpdatesTakesConnections(t *testing.T) {
+	h := startHandover(t, func(http.ResponseWriter, *http.Request) {})
 	idles := h.connect(1)
 	words, passed := make(chan bool, 100), make(chan bool, 1)
 	receiver, err := handover.Listen(h.dir, h.server.handoverName())
@@ -127,9 +129,9 @@
 			conns[0].Close()
 		}, func() {}, true
 	})
-	h.stop()
+	h.beginShutdown()
 	<-passed
-	h.over()
+	h.awaitExit()
 	idles[0].Close()
 	if n := len(words); n != 1 || !<-words {
 		t.Errorf("%d words to one that declined the first", n)
--- a/internal/http1/transfer_test.go
+++ b/internal/http1/transfer_test.go
@@ -16,41 +16,41 @@
 	"dykering/internal/handover"
 )
 
-// An answer is not lost however much of it is through when its process is to end: with a successor the old process
-// need not wait for it, and without one it does.
-func TestAnswerOutlastsItsProcess(t *testing.T) {
-	body, ok := string(noise(300000)), "HTTP/1.1 200 OK\r\n"
+// A response is not lost whatever part of it has been relayed when the process stops: with a
+// successor the old process need not wait for its end, and without one it does.
+func TestRelayContinuesInSuccessor(t *testing.T) {
+	body, ok := string(checkableBody(300000)), "HTTP/1.1 200 OK\r\n"
 	parts := ok + "Transfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n"
 	n := len(parts)
-	anywhere(t, map[string][]string{
-		"length": cut(ok+"Content-Length: 300000\r\n\r\n"+body, 15, 43, 1000, 250000),
-		"chunks": cut(parts+inChunks(body), 15, n, n+2, n+20000, n+50009, n+100018, -20, -16, -8, -2),
-		"close":  cut(ok+"\r\n"+body, 10, 19, 1000, 250000),
-	}, func(t *testing.T, h *handed, name string, pieces []string, after int, succeeded bool) {
+	atEachCut(t, map[string][]string{
+		"length": splitAt(ok+"Content-Length: 300000\r\n\r\n"+body, 15, 43, 1000, 250000),
+		"chunks": splitAt(parts+chunkedText(body), 15, n, n+2, n+20000, n+50009, n+100018, -20, -16, -8, -2),
+		"close":  splitAt(ok+"\r\n"+body, 10, 19, 1000, 250000),
+	}, func(t *testing.T, h *handoverRig, name string, pieces []string, after int, succeeded bool) {
 		c := h.dial()
 		r := h.request("once", 9*time.Second)
 		r.Write(c)
-		h.next()
+		h.nextRequest()
 		for _, piece := range pieces[:after] {
-			h.feed(piece)
+			h.sendPiece(piece)
 		}
 		begun := after >= 4 && after < len(pieces) // more than what is held of an answer before it begins
 		if begun {
-			h.atStage(stateStreaming)
+			h.awaitState(stateStreaming)
 		}
 		var heir *rig
 		if succeeded {
-			heir = h.succeed(t)
+			heir = h.startSuccessor(t)
 		}
-		h.stop()
+		h.beginShutdown()
 		if succeeded && begun {
-			h.over()
-			heir.atStage(stateStreaming)
+			h.awaitExit()
+			heir.awaitState(stateStreaming)
 		}
 		for _, piece := range pieces[after:] {
-			h.feed(piece)
+			h.sendPiece(piece)
 		}
-		h.feed("") // the end of its connection
+		h.sendPiece("") // the end of its connection
 		answers := bufio.NewReader(c)
 		res, err := http.ReadResponse(answers, r)
 		if err != nil {
@@ -62,26 +62,26 @@
 			t.Errorf("%d bytes, %v, %+v", len(text), err, res)
 		}
 		if !succeeded || !begun {
-			h.over()
+			h.awaitExit()
 		} else if !res.Close { // its connection serves on
 			r := h.request("once", 9*time.Second)
 			r.Write(c)
-			h.next()
-			h.feed(ok + "Content-Length: 1\r\n\r\n!")
+			h.nextRequest()
+			h.sendPiece(ok + "Content-Length: 1\r\n\r\n!")
 			if res, err := http.ReadResponse(answers, r); err != nil || res.StatusCode != http.StatusOK {
 				t.Errorf("afterwards: %+v, %v", res, err)
 			}
-			heir.idle()
+			heir.awaitNothingBuffered()
 		}
 	})
 }
 
-// A caller that reads slowly gets all of its answer, through any number of successors, and whether or not its
-// endpoint has given the whole of it.
-func TestSlowReaderOutlastsProcesses(t *testing.T) {
+// A slow client gets its complete response through any number of successors, whether or not the
+// endpoint has sent all of it.
+func TestRelayToSlowClientContinuesThroughSuccessors(t *testing.T) {
 	const n = 24 << 20 // more than the kernel holds of what the caller has not read: its own buffer is set below
-	body := noise(n)
-	h := startHanded(t, func(w http.ResponseWriter, r *http.Request) {
+	body := checkableBody(n)
+	h := startHandover(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", fmt.Sprint(n))
 		w.Write(body)
 	})
@@ -99,69 +99,69 @@
 	now := h.rig
 	for range 4 {
 		io.CopyN(&got, res.Body, 500000)
-		next := h.succeed(t)
-		now.stop()
-		now.over()
-		next.atStage(stateStreaming)
+		next := h.startSuccessor(t)
+		now.beginShutdown()
+		now.awaitExit()
+		next.awaitState(stateStreaming)
 		now = next
 	}
 	if _, err := io.Copy(&got, res.Body); err != nil || !bytes.Equal(got.Bytes(), body) {
 		t.Errorf("%d bytes, %v", got.Len(), err)
 	}
-	now.atStage(stateIdle)
-	now.idle()
+	now.awaitState(stateIdle)
+	now.awaitNothingBuffered()
 }
 
 const bookLine = "POST /api?q=1 HTTP/1.1\r\nHost: h\r\nX-Txn: t-1\r\nX-Lane: once\r\nX-Remaining: 9000m\r\n"
 
-// A request is served once, as its caller wrote it, at whatever place in it its process is to end.
-func TestRequestOutlastsItsProcess(t *testing.T) {
-	body := string(noise(300000))
+// A request is served once, as its client wrote it, at whatever byte of it the process stops.
+func TestRequestTransferredAtAnyByteIsServedOnce(t *testing.T) {
+	body := string(checkableBody(300000))
 	short, long := bookLine+"Content-Length: 1000\r\n\r\n", bookLine+"Content-Length: 300000\r\n\r\n"
 	parts := bookLine + "Transfer-Encoding: chunked\r\n\r\n"
 	s, l, n := len(short), len(long), len(parts)
-	anywhere(t, map[string][]string{
-		"short":  cut(short+body[:1000], 10, s-2, s+400),
-		"long":   cut(long+body, 10, l-2, l+400, l+100000, -1),
-		"chunks": cut(parts+inChunks(body), 10, n-2, n+2, n+400, n+50009, n+100000, n+100019, -20, -8, -1),
-	}, func(t *testing.T, h *handed, name string, pieces []string, after int, succeeded bool) {
+	atEachCut(t, map[string][]string{
+		"short":  splitAt(short+body[:1000], 10, s-2, s+400),
+		"long":   splitAt(long+body, 10, l-2, l+400, l+100000, -1),
+		"chunks": splitAt(parts+chunkedText(body), 10, n-2, n+2, n+400, n+50009, n+100000, n+100019, -20, -8, -1),
+	}, func(t *testing.T, h *handoverRig, name string, pieces []string, after int, succeeded bool) {
 		c := h.dial()
-		h.accepted(c)
+		h.awaitAccepted(c)
 		for _, piece := range pieces[:after] {
 			io.WriteString(c, piece)
 		}
-		h.allRead()
+		h.awaitAllRead()
 		if h.server.handoverGrace = time.Minute; succeeded { // without a successor there is nobody to pass it to
 			h.server.handoverGrace = 0
-			h.succeed(t)
+			h.startSuccessor(t)
 		}
 		http.DefaultClient.CloseIdleConnections()
-		h.stop()
+		h.beginShutdown()
 		for _, piece := range pieces[after:] {
 			io.WriteString(c, piece)
-			h.allRead()
+			h.awaitAllRead()
 		}
 		length := 300000
 		if name == "short" {
 			length = 1000
 		}
-		if want, got := fmt.Sprintf("t-1 %d %x <nil>", length, body[:8]), h.next(); got != want {
+		if want, got := fmt.Sprintf("t-1 %d %x <nil>", length, body[:8]), h.nextRequest(); got != want {
 			t.Errorf("the endpoint got %q, want %q", got, want)
 		}
-		h.feed("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+		h.sendPiece("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		res, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil || res.StatusCode != http.StatusOK {
 			t.Fatalf("%+v, %v", res, err)
 		}
-		if h.over(); len(h.got) > 0 {
-			t.Errorf("the endpoint got more: %s", h.next())
+		if h.awaitExit(); len(h.got) > 0 {
+			t.Errorf("the endpoint got more: %s", h.nextRequest())
 		}
 	})
 }
 
-// An upload whose process has ended gets the answer that follows from how its only attempt ended.
-func TestPassedUploadsOutcomes(t *testing.T) {
-	body := noise(300000)
+// A transferred upload gets the answer that follows from the outcome of its only attempt.
+func TestTransferredUploadIsAnsweredByItsOnlyAttempt(t *testing.T) {
+	body := checkableBody(300000)
 	for name, test := range map[string]struct {
 		answer string // "" for none, and an end of the connection
 		status int
@@ -173,65 +173,65 @@
 		"noise":       {"what?\r\n\r\n", http.StatusBadGateway},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := startHanded(t, nil)
+			h := startHandover(t, nil)
 			c := h.dial()
 			io.WriteString(c, bookLine+"Content-Length: 300000\r\n\r\n")
 			c.Write(body[:200000])
 			// An upload that nothing has been decided about is passed on whole, and decided about there.
 			h.until("its attempt is out", func() bool { return h.stats().Attempts == 1 })
-			h.allRead()
-			heir := h.succeed(t)
-			h.stop()
-			h.over()
+			h.awaitAllRead()
+			heir := h.startSuccessor(t)
+			h.beginShutdown()
+			h.awaitExit()
 			c.Write(body[200000:])
-			h.next()
-			h.feed(test.answer)
+			h.nextRequest()
+			h.sendPiece(test.answer)
 			res, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if err != nil || res.StatusCode != test.status || test.status == 503 && res.Header.Get("Retry-After") == "" {
 				t.Fatalf("%+v, %v", res, err)
 			}
 			c.Close()
-			heir.idle()
+			heir.awaitNothingBuffered()
 		})
 	}
 }
 
-// A successor that has no room leaves a connection where it is, and it is served there.
-func TestDeclinedPassage(t *testing.T) {
-	h := startHanded(t, nil)
+// A connection that the successor declines, for want of capacity, is served by the old process.
+func TestDeclinedConnectionIsServedByOldProcess(t *testing.T) {
+	h := startHandover(t, nil)
 	c := h.dial()
 	r := h.request("once", 9*time.Second)
 	r.Write(c)
-	h.next()
-	heir := h.succeed(t)
+	h.nextRequest()
+	heir := h.startSuccessor(t)
 	heir.server.clients.mu.Lock()
 	heir.server.clients.limit = 0
 	heir.server.clients.mu.Unlock()
-	pieces := cut("HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n"+string(noise(300000)), 100000)
-	h.feed(pieces[0])
-	h.atStage(stateStreaming)
-	h.stop()
+	pieces := splitAt("HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n"+string(checkableBody(300000)), 100000)
+	h.sendPiece(pieces[0])
+	h.awaitState(stateStreaming)
+	h.beginShutdown()
 	tried := h.server.clients.byState[stateStreaming].Front().Value.(*downstreamConn).stream.(*relay)
 	h.until("it has been tried", func() bool {
 		tried.mu.Lock()
 		defer tried.mu.Unlock()
 		return !tried.notBefore.IsZero()
 	})
-	h.feed(pieces[1])
+	h.sendPiece(pieces[1])
 	if res, err := http.ReadResponse(bufio.NewReader(c), r); err != nil {
 		t.Error(err)
-	} else if text, err := io.ReadAll(res.Body); err != nil || !bytes.Equal(text, noise(300000)) {
+	} else if text, err := io.ReadAll(res.Body); err != nil || !bytes.Equal(text, checkableBody(300000)) {
 		t.Errorf("%d bytes, %v", len(text), err)
 	}
-	h.over()
+	h.awaitExit()
 }
 
-// A successor that stands still, from the start or once it has been told the figures, keeps a copy of each connection that
-// it has been offered for as long as it does. What is not taken is served here, and ends here: its caller sees the end, and
-// sends nothing more where nobody reads.
-func TestSuccessorThatStandsStill(t *testing.T) {
+// A successor that hangs, from the start or after the first update, keeps a copy of each connection
+// that it was offered. Such a connection is served and closed by the old process: the client sees
+// the close, and sends nothing more that nobody reads.
+func TestConnectionsOfferedToHungSuccessorAreServedAndClosed(t *testing.T) {
 	for _, figures := range []bool{false, true} {
-		h := startHanded(t, func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") })
+		h := startHandover(t, func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") })
 		resting, asking := h.dial(), h.dial()
 		for _, c := range []*net.TCPConn{resting, asking} {
 			if res := h.send(c, h.request("once", 9*time.Second)); res == nil || res.StatusCode != http.StatusOK || res.Close {
@@ -255,24 +255,24 @@
 				return func() {}, func() {}, true
 			})
 		}
-		h.stop()
+		h.beginShutdown()
 		h.until("it hands over", func() bool { return h.server.successor.Load() != nil })
 		if res := h.send(asking, h.request("once", 9*time.Second)); res == nil || res.StatusCode != http.StatusOK && res.Header.Get("Retry-After") == "" {
 			t.Errorf("figures %v: asked while it ends: %+v", figures, res)
 		}
 		for name, c := range map[string]*net.TCPConn{"resting": resting, "asking": asking} {
-			c.SetDeadline(time.Now().Add(patience / 4))
+			c.SetDeadline(time.Now().Add(testTimeout / 4))
 			if n, err := c.Read(make([]byte, 1)); n > 0 || err != io.EOF {
 				t.Errorf("figures %v, %s: %d bytes, %v: want the end", figures, name, n, err)
 			}
 		}
-		h.over()
+		h.awaitExit()
 	}
 }
 
-// What cannot be a passage is declined, and leaves nothing behind.
-func TestMalformedPassages(t *testing.T) {
-	rg := start(t, 1024, peer(t, "s-1", func(http.ResponseWriter, *http.Request) {}))
+// A malformed transfer is declined and leaves nothing behind.
+func TestMalformedTransfersAreDeclined(t *testing.T) {
+	rg := start(t, 1024, endpointServing(t, "s-1", func(http.ResponseWriter, *http.Request) {}))
 	near, _ := tcpPair(t)
 	far, _ := tcpPair(t)
 	good := connTransfer{Version: transferVersion, Relay: &relayState{Length: 10, Read: 3, ReadLimit: 99}}
@@ -311,24 +311,24 @@
 	}
 }
 
-// Callers that go on asking while one process after another takes over lose nothing and are never turned away:
-// each answer is the one made for it, and no request runs twice.
-func TestManyHandovers(t *testing.T) {
+// Clients that go on sending requests while one process after another takes over lose nothing and
+// are never rejected: each answer is the one to its request, and no request is executed twice.
+func TestRepeatedHandoversLoseAndRepeatNothing(t *testing.T) {
 	var ran, asked atomic.Int64
 	serve := func(w http.ResponseWriter, r *http.Request) {
 		ran.Add(1)
 		n, _ := io.Copy(io.Discard, r.Body)
-		w.Write(noise(int(n)))
+		w.Write(checkableBody(int(n)))
 	}
-	h := startHanded(t, serve)
+	h := startHandover(t, serve)
 	// Before one endpoint alone so many callers were refused now and then on a crowded machine, with no process near its end:
 	// more waited than the decisions hold before one that is slow.
 	for i := range 3 {
-		h.targets = append(h.targets, peer(t, fmt.Sprintf("s-%d", i+2), serve))
+		h.targets = append(h.targets, endpointServing(t, fmt.Sprintf("s-%d", i+2), serve))
 	}
-	now := h.succeed(t)
-	h.stop()
-	h.over()
+	now := h.startSuccessor(t)
+	h.beginShutdown()
+	h.awaitExit()
 	var done atomic.Bool
 	var callers sync.WaitGroup
 	for i := range 8 {
@@ -348,7 +348,7 @@
 				}
 				text, err := io.ReadAll(res.Body)
 				res.Body.Close()
-				if err != nil || res.StatusCode != 200 || !bytes.Equal(text, noise(size)) {
+				if err != nil || res.StatusCode != 200 || !bytes.Equal(text, checkableBody(size)) {
 					t.Errorf("%d bytes of %d, %v, %s", len(text), size, err, res.Status)
 				}
 			}
@@ -358,9 +358,9 @@
 		now.server.handoverGrace = time.Duration(i%2) * handoverGrace
 		before := asked.Load()
 		now.until("callers ask", func() bool { return asked.Load() > before+40 })
-		next := h.succeed(t)
-		now.stop()
-		now.over()
+		next := h.startSuccessor(t)
+		now.beginShutdown()
+		now.awaitExit()
 		now = next
 	}
 	done.Store(true)
--- a/internal/http1/upstream_attempt_test.go
+++ b/internal/http1/upstream_attempt_test.go
@@ -18,11 +18,12 @@
 	"dykering/internal/decision"
 )
 
-// The outcome says 'never ran' only when the last byte was certainly not written.
-func TestOutcomes(t *testing.T) {
+// The outcome states that a request was not executed only when its last byte was certainly not
+// written.
+func TestAttemptIsUnsentOnlyBeforeItsLastByte(t *testing.T) {
 	reply := func(text string) func(net.Conn) {
 		return func(c net.Conn) {
-			takeRequest(c)
+			readRequestFrom(c)
 			io.WriteString(c, text)
 			c.Close()
 		}
@@ -75,7 +76,7 @@
 			c.Close()
 		}, decision.ConnectFailed, false},
 	} {
-		res := tryOut("", true, pipe(t, c.play), patience, nil)
+		res := runAttempt("", true, pipe(t, c.play), testTimeout, nil)
 		if res.status != c.want || (res.conn != nil) != c.keep {
 			t.Errorf("%s: status %v, kept %v", name, res.status, res.conn != nil)
 		}
@@ -88,8 +89,9 @@
 	}
 }
 
-// An endpoint that goes on without end is given up, long before the attempt's time is, and takes no memory.
-func TestEndlessAnswers(t *testing.T) {
+// An endpoint that sends without end is given up long before the attempt's deadline, and takes no
+// memory.
+func TestEndlessResponseIsAborted(t *testing.T) {
 	for name, c := range map[string]struct{ first, then string }{
 		"head":        {"HTTP/1.1 200 OK\r\n", "X-Pad: pppppppppppppppp\r\n"},
 		"line":        {"HTTP/1.1 200 OK\r\nX-Pad: ", "pppppppppppppppppppppp"},
@@ -101,7 +103,7 @@
 	} {
 		var sent atomic.Int64
 		near := pipe(t, func(far net.Conn) {
-			takeRequest(far)
+			readRequestFrom(far)
 			io.WriteString(far, c.first)
 			for {
 				n, err := io.WriteString(far, c.then)
@@ -111,7 +113,7 @@
 				}
 			}
 		})
-		if res := tryOut("", true, near, patience, nil); res.status != decision.InvalidResponse || res.conn != nil {
+		if res := runAttempt("", true, near, testTimeout, nil); res.status != decision.InvalidResponse || res.conn != nil {
 			t.Errorf("%s: status %v", name, res.status)
 		}
 		near.Close()
@@ -121,29 +123,29 @@
 	}
 }
 
-// An answer that there is no memory for is passed on as it comes, and what was set aside for others is given back.
-func TestAnswersShareTheMemory(t *testing.T) {
+// A response for which no memory can be reserved is streamed, and what was reserved is released.
+func TestResponseIsStreamedWhenMemoryIsExhausted(t *testing.T) {
 	answer := func(far net.Conn) {
-		takeRequest(far)
+		readRequestFrom(far)
 		io.WriteString(far, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	}
 	try := func(b *core.Memory) result {
-		a := attemptAt(forwardedRequest{method: "GET", target: "/", host: "h"}, "", true, patience, 0)
+		a := newTestAttempt(forwardedRequest{method: "GET", target: "/", host: "h"}, "", true, testTimeout, 0)
 		defer a.Close()
 		return a.exchangeOver(newUpstreamConn(pipe(t, answer), a.Endpoint), b)
 	}
-	tight := roomFor(1)
+	tight := memoryOf(1)
 	if res := try(tight); res.status != decision.OK || tight.Bodies.Available() != 1-2 {
 		t.Errorf("status %v, %d bytes left", res.status, tight.Bodies.Available())
 	}
-	tight = roomFor(maxBufferedBody)
+	tight = memoryOf(maxBufferedBody)
 	if res := try(tight); res.status != decision.OK || tight.Bodies.Available() != maxBufferedBody-2 {
 		t.Errorf("status %v, %d bytes left", res.status, tight.Bodies.Available())
 	}
 }
 
-// What comes after an answer, however late, must not be served to the next request.
-func TestLateExtraIsNotServed(t *testing.T) {
+// What is received behind a response, however late, must not be served to the next request.
+func TestSurplusResponseIsNotServedToTheNextRequest(t *testing.T) {
 	c, far := tcpPair(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -155,37 +157,38 @@
 		if err != nil {
 			return
 		}
-		takeRequest(next)
+		readRequestFrom(next)
 		io.WriteString(next, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnew")
 	}()
 	io.WriteString(far, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold")
-	for end := time.Now().Add(patience); c.Alive() && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); c.Alive() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	a := attemptAt(forwardedRequest{method: "GET", target: "/", host: "h"}, l.Addr().String(), true, patience, 0)
+	a := newTestAttempt(forwardedRequest{method: "GET", target: "/", host: "h"}, l.Addr().String(), true, testTimeout, 0)
 	defer a.Close()
-	if res := a.run(c, patience, roomy()); res.status != decision.OK || string(res.response.body) != "new" {
+	if res := a.run(c, testTimeout, ampleMemory()); res.status != decision.OK || string(res.response.body) != "new" {
 		t.Errorf("status %v, response %+v", res.status, res.response)
 	}
 }
 
-// An endpoint that was seen to send more than it was asked for, behind its answer or on an idle connection, is given time
-// to send it again: the next request on a connection waits until what is some milliseconds late has come.
-func TestWhoSentBeyondIsGivenTime(t *testing.T) {
+// An endpoint that was seen to send unsolicited bytes, behind a response or on an idle connection,
+// gets a longer delay before its connections are reused: the next request waits until surplus that
+// is some milliseconds late has been received.
+func TestEndpointThatSentSurplusGetsALongerReuseDelay(t *testing.T) {
 	answer := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	plain := core.NewEndpoint(1, "").ReuseDelay()
 	for name, see := range map[string]func(*upstreamConn, net.Conn) *core.Endpoint{
 		"behind its answer": func(c *upstreamConn, far net.Conn) *core.Endpoint {
 			io.WriteString(far, answer+answer)
-			a := attemptAt(forwardedRequest{method: "GET", target: "/", host: "h"}, "", true, patience, 0)
+			a := newTestAttempt(forwardedRequest{method: "GET", target: "/", host: "h"}, "", true, testTimeout, 0)
 			defer a.Close()
 			c.endpoint = a.Endpoint
-			a.exchangeOver(c, roomy())
+			a.exchangeOver(c, ampleMemory())
 			return a.Endpoint
 		},
 		"on an idle connection": func(c *upstreamConn, far net.Conn) *core.Endpoint {
 			io.WriteString(far, "H")
-			for end := time.Now().Add(patience); c.Alive() && time.Now().Before(end); {
+			for end := time.Now().Add(testTimeout); c.Alive() && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
 			return c.endpoint
@@ -202,15 +205,15 @@
 		done := make(chan bool)
 		go func() {
 			defer close(done)
-			takeRequest(far)
+			readRequestFrom(far)
 			came = time.Now()
 			io.WriteString(far, answer)
 		}()
 		in := forwardedRequest{method: "GET", target: "/", host: "h"}
 		call := core.NewCall(decision.Request{}, &in)
-		call.Deadline = time.Now().Add(patience)
-		a := newAttempt(core.NewAttempt(call, e, 0, aside{}), Kernel{})
-		if res := a.run(c, patience, roomy()); res.status != decision.OK {
+		call.Deadline = time.Now().Add(testTimeout)
+		a := newAttempt(core.NewAttempt(call, e, 0, discardingHost{}), Kernel{})
+		if res := a.run(c, testTimeout, ampleMemory()); res.status != decision.OK {
 			t.Errorf("%s: %v", name, res.status)
 		}
 		a.Close()
@@ -221,25 +224,25 @@
 	}
 }
 
-// An attempt that is given up has closed its connection by the time its outcome is told.
-func TestGivenUp(t *testing.T) {
+// A cancelled attempt has closed its connection by the time its outcome is reported.
+func TestCancelledAttemptClosesItsConnection(t *testing.T) {
 	for name, c := range map[string]struct {
 		timeout time.Duration
 		cancel  bool
 		want    decision.Status
 	}{
 		"time-out": {100 * time.Millisecond, false, decision.Timeout},
-		"cancel":   {patience, true, decision.Cancelled},
+		"cancel":   {testTimeout, true, decision.Cancelled},
 	} {
 		written := make(chan bool)
 		near := pipe(t, func(far net.Conn) {
-			takeRequest(far)
+			readRequestFrom(far)
 			close(written)
 			if n, err := far.Read(make([]byte, 1)); err != io.EOF {
 				t.Errorf("%s: endpoint got %d bytes, %v", name, n, err)
 			}
 		})
-		res := tryOut("", true, near, c.timeout, func(a *attempt) {
+		res := runAttempt("", true, near, c.timeout, func(a *attempt) {
 			<-written
 			if c.cancel {
 				a.Cancel()
@@ -254,31 +257,32 @@
 	}
 }
 
-// resetsAfter is a connection that is reset as soon as what its peer wrote has been read up to a word, and before
-// whoever read it looks at it again.
-type resetsAfter struct {
+// resettingConn is a connection that is reset as soon as what its peer wrote has been read up to a
+// trigger, and before the reader looks at it again.
+type resettingConn struct {
 	*net.TCPConn
-	word string
-	peer *net.TCPConn
-	got  []byte
+	trigger string
+	peer    *net.TCPConn
+	got     []byte
 }
 
-func (c *resetsAfter) Read(b []byte) (int, error) {
+func (c *resettingConn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
-	if c.got = append(c.got, b[:n]...); n > 0 && strings.HasSuffix(string(c.got), c.word) {
+	if c.got = append(c.got, b[:n]...); n > 0 && strings.HasSuffix(string(c.got), c.trigger) {
 		c.peer.SetLinger(0)
 		c.peer.Close()
 		raw, _ := c.SyscallConn()
 		raw.Control(func(fd uintptr) {
 			polled := []unix.PollFd{{Fd: int32(fd)}}
-			unix.Poll(polled, int(patience.Milliseconds())) // the reset is here, and nobody has been told of it
+			unix.Poll(polled, int(testTimeout.Milliseconds())) // the reset is here, and nobody has been told of it
 		})
 	}
 	return n, err
 }
 
-// An answer with no length ends with its connection's end. A reset is none: what came before it is not whole.
-func TestResetIsNoEnd(t *testing.T) {
+// A response without a length ends with its connection's end. A reset is none: what was received
+// before it is not complete.
+func TestResetIsNotTheEndOfABody(t *testing.T) {
 	for name, c := range map[string]struct{ text, word string }{
 		"behind the body":    {"HTTP/1.1 200 OK\r\n\r\nok", "ok"},
 		"behind the head":    {"HTTP/1.1 200 OK\r\n\r\n", "\r\n\r\n"},
@@ -287,34 +291,36 @@
 	} {
 		near, far := tcpPair(t)
 		io.WriteString(far, c.text)
-		raw := &resetsAfter{TCPConn: near.Conn.(*net.TCPConn), word: c.word, peer: far.(*net.TCPConn)}
-		if res := tryOut("", true, raw, patience, nil); res.status != decision.Reset || res.conn != nil || res.response != nil {
+		raw := &resettingConn{TCPConn: near.Conn.(*net.TCPConn), trigger: c.word, peer: far.(*net.TCPConn)}
+		if res := runAttempt("", true, raw, testTimeout, nil); res.status != decision.Reset || res.conn != nil || res.response != nil {
 			t.Errorf("%s: status %v, response %+v", name, res.status, res.response)
 		}
 	}
 }
 
-func TestAliveSeesWhatCameWhileIdle(t *testing.T) {
+func TestAliveDetectsInputReceivedWhileIdle(t *testing.T) {
 	c, far := tcpPair(t)
 	if !c.Alive() {
 		t.Fatal("a fresh connection is not alive")
 	}
 	io.WriteString(far, "HTTP/1.1 408 Request Timeout\r\n\r\n")
-	for end := time.Now().Add(patience); c.Alive(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); c.Alive(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("an answer that nobody asked for goes unseen")
 		}
 	}
 }
 
-// tardy is a sidecar that hears of a body's last byte only once its attempt is given up.
-type tardy struct{ aside }
+// slowHost is the host of an attempt that learns of an upload's last byte only once the attempt is
+// cancelled.
+type slowHost struct{ discardingHost }
 
-func (tardy) RequestSent(a *core.Attempt) { <-a.Ctx.Done() }
+func (slowHost) RequestSent(a *core.Attempt) { <-a.Ctx.Done() }
 
-// An answer that comes before the sender of a long body has said that all is out is that of a request that ran. It
-// was taken for one that came too early, and the request for one that never ran: refused as harmless to repeat.
-func TestAnswerBeforeTheSenderSaysAllIsOut(t *testing.T) {
+// A response that is received before the sender of an upload has reported the last byte is that of
+// an executed request. It was once taken for an early one, and the request for one that is harmless
+// to repeat.
+func TestResponseBeforeSenderReportsTheLastByteCounts(t *testing.T) {
 	endpoint := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if body, err := io.ReadAll(r.Body); string(body) != "triptrip" {
 			t.Errorf("%q, %v", body, err)
@@ -329,25 +335,26 @@
 	in := forwardedRequest{method: http.MethodPost, target: "/api", host: "h", header: http.Header{"Content-Length": {"8"}}, body: []byte("trip"),
 		upload: newUpload(&downstreamConn{Conn: near, tracker: &connTracker{}}, rest, func() bool { return false })}
 	c := core.NewCall(decision.Request{LongBody: true}, &in)
-	c.Deadline, c.Remaining = time.Now().Add(patience), patience
-	a := newAttempt(core.NewAttempt(c, core.NewEndpoint(1, endpoint.Listener.Addr().String()), 0, tardy{}), Kernel{})
+	c.Deadline, c.Remaining = time.Now().Add(testTimeout), testTimeout
+	a := newAttempt(core.NewAttempt(c, core.NewEndpoint(1, endpoint.Listener.Addr().String()), 0, slowHost{}), Kernel{})
 	defer a.Close()
-	if res := a.run(nil, patience, roomy()); res.status != decision.Error || !res.consumed {
+	if res := a.run(nil, testTimeout, ampleMemory()); res.status != decision.Error || !res.consumed {
 		t.Errorf("%v, spent %v: want an error of a request that ran", res.status, res.consumed)
 	}
 }
 
-// A request whose caller has gone leaves the connection that it was to go out on to the next.
-func TestDesertedRequestLeavesItsConnection(t *testing.T) {
+// A request whose client has gone leaves the connection that it was to be sent on to the next
+// request.
+func TestAbandonedRequestReturnsItsConnection(t *testing.T) {
 	near, far := tcpPair(t)
 	asked := 0
-	a := attemptAt(forwardedRequest{method: http.MethodGet, target: "/api", host: "h", clientHungUp: func() bool {
+	a := newTestAttempt(forwardedRequest{method: http.MethodGet, target: "/api", host: "h", clientHungUp: func() bool {
 		asked++
 		return true
-	}}, "127.0.0.1:1", true, patience, 0)
+	}}, "127.0.0.1:1", true, testTimeout, 0)
 	defer a.Close()
 	near.IdleSince = time.Now()
-	if res := a.run(near, patience, roomy()); res.status != decision.NotSent || res.conn != near || asked != 1 {
+	if res := a.run(near, testTimeout, ampleMemory()); res.status != decision.NotSent || res.conn != near || asked != 1 {
 		t.Errorf("%v, its connection kept: %v, asked %d times", res.status, res.conn == near, asked)
 	}
 	near.Close()
@@ -356,9 +363,9 @@
 	}
 }
 
-// A caller whose long body waited for its turn may have gone behind bytes that nobody has read: nothing is sent then,
-// and who awaits the answer is told.
-func TestLongBodyOfWhoHasGone(t *testing.T) {
+// A client whose upload is queued may have hung up behind bytes that nobody has read: nothing is
+// sent then, and the goroutine that awaits the answer is told.
+func TestUploadOfGoneClientIsNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -368,14 +375,14 @@
 	who := &downstreamConn{Conn: near.Conn, tracker: &connTracker{}}
 	io.WriteString(far, "trip")
 	far.Close()
-	for end := time.Now().Add(patience); !who.hasHungUp() && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); !who.hasHungUp() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	u := newUpload(who, &requestBody{r: bufio.NewReader(near.Conn), length: 8, remaining: 4}, func() bool { return false })
-	a := attemptAt(forwardedRequest{method: http.MethodPost, target: "/api", host: "h", body: []byte("trip"), upload: u}, l.Addr().String(),
-		true, patience, 0)
+	a := newTestAttempt(forwardedRequest{method: http.MethodPost, target: "/api", host: "h", body: []byte("trip"), upload: u}, l.Addr().String(),
+		true, testTimeout, 0)
 	defer a.Close()
-	if res := a.run(nil, patience, roomy()); res.status != decision.NotSent || res.consumed || res.conn != nil {
+	if res := a.run(nil, testTimeout, ampleMemory()); res.status != decision.NotSent || res.consumed || res.conn != nil {
 		t.Errorf("%v, spent %v, conn %v", res.status, res.consumed, res.conn)
 	}
 	if err := <-u.readFailed; err != errClientGone {
--- a/internal/http1/upstream_dial_test.go
+++ b/internal/http1/upstream_dial_test.go
@@ -12,14 +12,15 @@
 	"dykering/internal/decision"
 )
 
-// A dial may outlast a drain: then the connection is closed with nothing sent on it.
-func TestDrainedWhileDialing(t *testing.T) {
+// The endpoint may begin to drain while a connection is dialed: it is closed with nothing sent on
+// it.
+func TestDrainWhileDialingSendsNothing(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	if res := tryOut(l.Addr().String(), false, nil, patience, nil); res.status != decision.NotSent || res.conn != nil {
+	if res := runAttempt(l.Addr().String(), false, nil, testTimeout, nil); res.status != decision.NotSent || res.conn != nil {
 		t.Errorf("status %v, conn %v", res.status, res.conn)
 	}
 	c, err := l.Accept()
@@ -45,25 +46,25 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	c, err := n.Kernel.Dial(ctx, address, patience)
+	c, err := n.Kernel.Dial(ctx, address, testTimeout)
 	time.Sleep(time.Until(n.until))
 	return c, err
 }
 
-// A repeat whose connection comes up when the window has passed in which the server drops it is not written, and
-// ends as never sent: neither is its server at fault.
-func TestWindowPassedWhileDialing(t *testing.T) {
+// A retry whose connection is established after the window in which the endpoint recognizes it is
+// not written, and counts as not sent: the endpoint is not at fault.
+func TestRetryWindowPassedWhileDialingSendsNothing(t *testing.T) {
 	for name, never := range map[string]bool{"up too late": false, "never up": true} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer l.Close()
-		a := attemptAt(forwardedRequest{method: "POST", target: "/", host: "h"}, l.Addr().String(), true, 2*patience, 0)
+		a := newTestAttempt(forwardedRequest{method: "POST", target: "/", host: "h"}, l.Addr().String(), true, 2*testTimeout, 0)
 		defer a.Close()
 		a.SendBy = time.Now().Add(50 * time.Millisecond)
 		a.network = slowNetwork{until: a.SendBy, never: never}
-		if res := a.run(nil, patience, roomy()); res.status != decision.NotSent || res.conn != nil {
+		if res := a.run(nil, testTimeout, ampleMemory()); res.status != decision.NotSent || res.conn != nil {
 			t.Errorf("%s: status %v, conn %v", name, res.status, res.conn)
 		}
 		if never {
@@ -79,8 +80,8 @@
 	}
 }
 
-// A machine that is cut off answers no dial: the connect time-out ends it, and nothing ran. Here a listener
-// whose backlog is full drops what comes.
+// A machine that is partitioned off answers no dial: the connect timeout ends it, and nothing was
+// executed. Here a listener whose backlog is full drops what comes.
 func TestSilentDialEndsAtConnectTimeout(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -105,26 +106,26 @@
 		}
 		defer c.Close()
 	}
-	a := attemptAt(forwardedRequest{}, address, true, patience, 0)
+	a := newTestAttempt(forwardedRequest{}, address, true, testTimeout, 0)
 	defer a.Close()
-	if res := a.run(nil, 100*time.Millisecond, roomy()); res.status != decision.ConnectFailed {
+	if res := a.run(nil, 100*time.Millisecond, ampleMemory()); res.status != decision.ConnectFailed {
 		t.Errorf("status %v", res.status)
 	}
-	a = attemptAt(forwardedRequest{}, address, true, 100*time.Millisecond, 0)
+	a = newTestAttempt(forwardedRequest{}, address, true, 100*time.Millisecond, 0)
 	defer a.Close()
-	if res := a.run(nil, patience, roomy()); res.status != decision.NotSent {
+	if res := a.run(nil, testTimeout, ampleMemory()); res.status != decision.NotSent {
 		t.Errorf("status %v at the request's deadline", res.status)
 	}
 }
 
-func TestRefusedConnectionNeverRan(t *testing.T) {
+func TestRefusedConnectionIsConnectFailed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := l.Addr().String()
 	l.Close()
-	if res := tryOut(address, true, nil, patience, nil); res.status != decision.ConnectFailed {
+	if res := runAttempt(address, true, nil, testTimeout, nil); res.status != decision.ConnectFailed {
 		t.Errorf("status %v", res.status)
 	}
 }
--- a/internal/http1/upstream_harness_test.go
+++ b/internal/http1/upstream_harness_test.go
@@ -12,49 +12,49 @@
 	"dykering/internal/decision"
 )
 
-// attemptAt makes an attempt to be made at an endpoint.
-func attemptAt(in forwardedRequest, address string, open bool, lasts, timeout time.Duration) *attempt {
+// newTestAttempt returns an attempt at an endpoint.
+func newTestAttempt(in forwardedRequest, address string, open bool, lasts, timeout time.Duration) *attempt {
 	e := core.NewEndpoint(1, address)
 	if !open {
 		e.Close()
 	}
 	c := core.NewCall(decision.Request{}, &in)
 	c.Deadline = time.Now().Add(lasts)
-	a := newAttempt(core.NewAttempt(c, e, timeout, aside{}), Kernel{})
+	a := newAttempt(core.NewAttempt(c, e, timeout, discardingHost{}), Kernel{})
 	a.maxBody = 4 * maxBufferedBody
 	return a
 }
 
-// tryOut makes an attempt at an endpoint, on a connection of the test's if there is one.
-func tryOut(address string, open bool, c net.Conn, timeout time.Duration, during func(*attempt)) result {
-	a := attemptAt(forwardedRequest{method: http.MethodPost, target: "/api", host: "h", header: http.Header{}, body: []byte("trip")},
-		address, open, patience, timeout)
+// runAttempt makes an attempt at an endpoint, on the test's connection if there is one.
+func runAttempt(address string, open bool, c net.Conn, timeout time.Duration, during func(*attempt)) result {
+	a := newTestAttempt(forwardedRequest{method: http.MethodPost, target: "/api", host: "h", header: http.Header{}, body: []byte("trip")},
+		address, open, testTimeout, timeout)
 	defer a.Close()
 	if during != nil {
 		go during(a)
 	}
 	if c == nil {
-		return a.run(nil, patience, roomy())
+		return a.run(nil, testTimeout, ampleMemory())
 	}
-	return a.exchangeOver(newUpstreamConn(c, a.Endpoint), roomy())
+	return a.exchangeOver(newUpstreamConn(c, a.Endpoint), ampleMemory())
 }
 
-// roomy is memory for bodies that is not used up.
-func roomy() *core.Memory { return roomFor(1 << 30) }
+// ampleMemory is memory for bodies that is not used up.
+func ampleMemory() *core.Memory { return memoryOf(1 << 30) }
 
-// roomFor is memory for so many bytes of bodies.
-func roomFor(n int) *core.Memory {
+// memoryOf is memory for n bytes of bodies.
+func memoryOf(n int) *core.Memory {
 	m := &core.Memory{Buffers: core.NewBuffers(0)}
 	m.Bodies.Release(n)
 	return m
 }
 
-// aside is a sidecar that reads what is passed on and tells nobody.
-type aside struct{}
+// discardingHost is the host of an attempt that reads a streamed response and reports nothing.
+type discardingHost struct{}
 
-func (aside) RequestSent(*core.Attempt) {}
+func (discardingHost) RequestSent(*core.Attempt) {}
 
-func (aside) StartResponse(_ *core.Attempt, got core.Response) {
+func (discardingHost) StartResponse(_ *core.Attempt, got core.Response) {
 	r := got.(*response)
 	go func() {
 		rest, err := io.ReadAll(r.rest.body)
@@ -63,7 +63,7 @@
 	}()
 }
 
-// pipe plays the endpoint's side of a connection, byte by byte.
+// pipe runs the endpoint's side of a connection without buffers.
 func pipe(t *testing.T, play func(net.Conn)) net.Conn {
 	t.Helper()
 	near, far := net.Pipe()
@@ -80,13 +80,13 @@
 	return near
 }
 
-func takeRequest(c net.Conn) {
+func readRequestFrom(c net.Conn) {
 	if r, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
 		io.Copy(io.Discard, r.Body)
 	}
 }
 
-// tcpPair is two ends of a loopback connection.
+// tcpPair is the two ends of a loopback connection.
 func tcpPair(t *testing.T) (*upstreamConn, net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
