--- a/internal/placement/plan_test.go
+++ b/internal/placement/plan_test.go
@@ -43,41 +43,41 @@
 	BeforeEach(func() { demand = NewDemand() })
 	ask := func(sample Sample) { demand.Report(now, "proxy", []Sample{sample}) }
 
-	It("orders nothing where nothing is asked for", func() {
+	It("has no orders without demand", func() {
 		Expect(plan(demand, holding("a", "hot"), holding("b"))).To(BeEmpty())
 	})
 
-	It("loads a model that is asked for and stands nowhere, where there is room", func() {
+	It("loads a model without a replica on the endpoint with free memory", func() {
 		ask(Sample{Key: key("rare", ""), Unplaced: 1})
 		Expect(plan(demand, holding("a", "hot", "warm", "idle1"), holding("b", "idle1"))).To(
 			Equal([]Order{{Endpoint: "b", Operation: Load, Model: "rare"}}))
 	})
 
-	It("makes room by what is idle, copies that are not the last first", func() {
+	It("evicts idle models, those with other replicas first", func() {
 		ask(Sample{Key: key("rare", ""), Unplaced: 1})
 		ask(Sample{Key: key("hot", ""), Requests: 10, InFlight: 5})
 		Expect(plan(demand, holding("a", "hot", "idle1", "idle2"), holding("b", "hot", "warm", "idle2"))).To(
 			Equal([]Order{{Endpoint: "a", Operation: Unload, Model: "idle2", FreesMemoryFor: "rare"}}))
 	})
 
-	It("does not order twice what is on its way", func() {
+	It("does not repeat an order in flight", func() {
 		ask(Sample{Key: key("rare", ""), Unplaced: 1})
-		making := holding("a", "hot", "idle1")
-		making.OrderInFlight, making.ReservedFor = true, "rare"
-		Expect(plan(demand, making, holding("b", "hot", "warm", "idle1"))).To(BeEmpty())
+		freeing := holding("a", "hot", "idle1")
+		freeing.OrderInFlight, freeing.ReservedFor = true, "rare"
+		Expect(plan(demand, freeing, holding("b", "hot", "warm", "idle1"))).To(BeEmpty())
 		loading := holding("a", "hot", "rare")
 		loading.OrderInFlight = true
 		Expect(plan(demand, loading, holding("b"))).To(BeEmpty())
 	})
 
-	It("does not count what stands on a leaving endpoint, and gives it no orders", func() {
+	It("does not count the replicas of an excluded endpoint, and gives it no orders", func() {
 		ask(Sample{Key: key("hot", ""), Requests: 5})
 		leaving := holding("a", "hot")
 		leaving.Excluded = true
 		Expect(plan(demand, leaving, holding("b"))).To(Equal([]Order{{Endpoint: "b", Operation: Load, Model: "hot"}}))
 	})
 
-	It("gives a crowded model copies before a rare one is loaded", func() {
+	It("adds replicas to an overloaded model before it loads a rare one", func() {
 		ask(Sample{Key: key("rare", ""), Requests: 1, Unplaced: 1})
 		for i := range 5 {
 			demand.Report(now+time.Duration(i)*time.Second, "proxy", []Sample{{Key: key("hot", ""), Requests: 40, InFlight: 30, Waiting: 30}})
@@ -88,7 +88,7 @@
 		Expect(orders[0].Model).To(Equal("hot"))
 	})
 
-	It("loads an adapter beside its model, on the endpoint with the most places", func() {
+	It("loads an adapter on the endpoint with its model and the most free slots", func() {
 		ask(Sample{Key: key("hot", "a1"), Requests: 1, Unplaced: 1})
 		full := holding("a", "hot")
 		full.Models["hot"] = []string{"a2"}
@@ -96,7 +96,7 @@
 			ContainElement(Order{Endpoint: "b", Operation: Load, Model: "hot", Adapter: "a1"}))
 	})
 
-	It("unloads the adapter that was not asked for for the longest time where all places are taken", func() {
+	It("unloads the longest idle adapter if all slots are taken", func() {
 		demand.Report(now-time.Second, "proxy", []Sample{{Key: key("hot", "a2"), Requests: 1}})
 		demand.Report(now-2*time.Second, "proxy", []Sample{{Key: key("hot", "a3"), Requests: 1}})
 		ask(Sample{Key: key("hot", "a1"), Requests: 1, Unplaced: 1})
@@ -105,7 +105,7 @@
 		Expect(plan(demand, full)).To(ContainElement(Order{Endpoint: "a", Operation: Unload, Model: "hot", Adapter: "a3"}))
 	})
 
-	It("never loads beyond what an endpoint holds, whatever is asked for", func() {
+	It("never exceeds an endpoint's memory or adapter slots, whatever the demand", func() {
 		random := rand.New(rand.NewPCG(5, 6))
 		names := []string{"hot", "warm", "rare", "idle1", "idle2", "large"}
 		endpoints := []Endpoint{holding("a"), holding("b"), holding("c")}
@@ -130,138 +130,7 @@
 	})
 })
 
-var _ = Describe("the ledger of loads", func() {
-	It("allows no more than the ceiling in any window", func() {
-		ledger := NewLoadLedger(5*time.Second, 1.1)
-		var begun []time.Duration
-		for at := time.Duration(0); at < time.Minute; at += 50 * time.Millisecond {
-			if ledger.Available(at, 2.8) > 0 {
-				ledger.RecordStart(at)
-				begun = append(begun, at)
-			}
-		}
-		for i := range begun {
-			within := 0
-			for _, other := range begun[i:] {
-				if other-begun[i] <= 5*time.Second {
-					within++
-				}
-			}
-			Expect(within).To(BeNumerically("<=", 14))
-		}
-		Expect(len(begun)).To(BeNumerically(">", 100))
-	})
-
-	mostInAWindow := func(begun []time.Duration) int {
-		most := 0
-		for _, from := range begun {
-			within := 0
-			for _, at := range begun {
-				if at >= from && at-from <= 5*time.Second {
-					within++
-				}
-			}
-			most = max(most, within)
-		}
-		return most
-	}
-	// run begins all loads that a ledger allows in a time.
-	run := func(ledger *LoadLedger, from, until time.Duration, perS float64) (begun []time.Duration) {
-		for at := from; at <= until; at += 10 * time.Millisecond {
-			for ledger.Available(at, perS) > 0 {
-				ledger.RecordStart(at)
-				begun = append(begun, at)
-			}
-		}
-		return begun
-	}
-
-	DescribeTable("leaves room for what a predecessor may have begun",
-		func(perS float64, predecessorFor, unheardFor, pause time.Duration) {
-			predecessor, successor := NewLoadLedger(5*time.Second, 1.1), NewLoadLedger(5*time.Second, 1.1)
-			begun := run(predecessor, 0, predecessorFor-unheardFor, perS)
-			heard := predecessorFor - unheardFor
-			for _, age := range predecessor.Ages(heard) {
-				successor.RecordStart(heard - age)
-			}
-			begun = append(begun, run(predecessor, heard+10*time.Millisecond, predecessorFor, perS)...)
-			successor.AssumeUnreported(heard, predecessorFor, perS)
-			begun = append(begun, run(successor, predecessorFor+pause, predecessorFor+pause+12*time.Second, perS)...)
-			Expect(float64(mostInAWindow(begun))).To(BeNumerically("<=", perS*5*1.1+3))
-		},
-		Entry("few", 0.1, 7*time.Second, 2*time.Second, time.Second),
-		Entry("some", 2.8, 7*time.Second, 2*time.Second, time.Second),
-		Entry("many", 26.0, 7*time.Second, 2*time.Second, time.Second),
-		Entry("many, not heard of for a window", 26.0, 9*time.Second, 5*time.Second, 0*time.Second),
-		Entry("many, heard of just now", 26.0, 9*time.Second, 0*time.Second, 0*time.Second),
-		Entry("many, from a predecessor that has just begun", 26.0, 500*time.Millisecond, 400*time.Millisecond, 0*time.Second),
-	)
-
-	It("leaves room for all that a predecessor may have begun of whom nothing is known", func() {
-		for _, perS := range []float64{0.1, 2.8, 26} {
-			predecessor, successor := NewLoadLedger(5*time.Second, 1.1), NewLoadLedger(5*time.Second, 1.1)
-			begun := run(predecessor, 0, 5*time.Second, perS)
-			successor.AssumeFullWindow(5*time.Second, perS)
-			begun = append(begun, run(successor, 5*time.Second, 15*time.Second, perS)...)
-			Expect(float64(mostInAWindow(begun))).To(BeNumerically("<=", perS*5*1.1+3))
-		}
-	})
-
-	It("goes on loading after a handover of which it has heard", func() {
-		successor := NewLoadLedger(5*time.Second, 1.1)
-		for _, begun := range run(NewLoadLedger(5*time.Second, 1.1), 0, 8*time.Second, 29) {
-			successor.RecordStart(begun)
-		}
-		successor.AssumeUnreported(8*time.Second, 9*time.Second, 29)
-		Expect(len(run(successor, 10*time.Second, 12*time.Second, 29))).To(BeNumerically(">", 29))
-	})
-
-	It("counts a load from when its order goes out", func() {
-		ledger := NewLoadLedger(5*time.Second, 1.1)
-		ledger.RecordStart(time.Second)
-		ledger.Reschedule(time.Second, 3*time.Second)
-		Expect(ledger.Ages(7 * time.Second)).To(Equal([]time.Duration{4 * time.Second}))
-		Expect(ledger.Ages(9 * time.Second)).To(BeEmpty())
-	})
-})
-
-var _ = Describe("demand", func() {
-	It("counts an adapter's requests for its model too, but not as ones that lack the model", func() {
-		demand := NewDemand()
-		demand.Report(now, "p1", []Sample{{Key: key("hot", "a1"), Requests: 3, Unplaced: 1, InFlight: 2, Waiting: 1}})
-		demand.Report(now, "p2", []Sample{{Key: key("hot", ""), Requests: 3, InFlight: 4, Waiting: 4}})
-		need := demand.Estimate(now, key("hot", ""))
-		Expect(need.InFlight).To(Equal(6))
-		Expect(need.Waiting).To(Equal(5))
-		Expect(need.Unplaced).To(BeFalse())
-		Expect(need.Rate).To(BeNumerically("~", 2, 0.01))
-		Expect(demand.Estimate(now, key("hot", "a1")).Unplaced).To(BeTrue())
-	})
-
-	It("does not count a sidecar that has gone quiet as busy", func() {
-		demand := NewDemand()
-		demand.Report(now, "p1", []Sample{{Key: key("hot", ""), InFlight: 2}})
-		demand.Expire(now + inFlightTTL)
-		Expect(demand.Estimate(now+inFlightTTL, key("hot", "")).InFlight).To(Equal(0))
-	})
-
-	It("counts a sidecar's last report alone", func() {
-		demand := NewDemand()
-		demand.Report(now, "p1", []Sample{{Key: key("hot", ""), InFlight: 2}, {Key: key("warm", ""), InFlight: 1}})
-		demand.Report(now, "p1", []Sample{{Key: key("hot", ""), InFlight: 3}})
-		Expect(demand.Estimate(now, key("hot", "")).InFlight).To(Equal(3))
-		Expect(demand.Estimate(now, key("warm", "")).InFlight).To(Equal(0))
-	})
-
-	It("forgets what nobody asks for", func() {
-		demand := NewDemand()
-		demand.Report(now, "p1", []Sample{{Key: key("hot", ""), Requests: 1}})
-		demand.Expire(now + keyTTL + 1)
-		Expect(demand.Keys("s")).To(BeEmpty())
-	})
-})
-
-// The time of one plan at the size of two years from now.
+// BenchmarkPlan measures one plan for a service of the expected size in two years.
 func BenchmarkPlan(b *testing.B) {
 	const endpoints, models, adapters, sidecars = 620, 52, 1800, 340
 	large := &fleetconfig.Engine{WeightsSizeMB: 220, AdapterSlots: 8, LoadsPerS: 3}
