--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -7,53 +7,54 @@
 	"time"
 )
 
-// Attempt is one sending of a call to an endpoint, with its time.
+// Attempt is one sending of a call to an endpoint, with its time-out. The upstream's goroutine has it; its methods may be
+// called by any.
 type Attempt struct {
 	Call         *Call
 	Endpoint     *Endpoint
 	Ctx          context.Context // ends with the time-out, or when the attempt is cancelled
-	SendBy       time.Time       // its last byte is out by then, or it does not begin; zero is no bound
-	AnswerWithin time.Duration   // what an endpoint is told that its answer is waited for, from the sending on
+	SendBy       time.Time       // the last byte must be sent by then, or nothing is; zero for no bound
+	AnswerWithin time.Duration   // the time that the endpoint is told to answer within, from the sending on
 
-	number   int
+	number   int // of the attempt of its call, from 0
 	cancel   context.CancelCauseFunc
 	observer AttemptObserver
-
-	phase atomic.Int32
+	phase    atomic.Int32 // an AttemptPhase
 
 	mu        sync.Mutex
-	sentAt    time.Time   // since when its time counts
-	timer     *time.Timer // ends it with its time-out; nil while a long body is being sent
-	streaming bool        // a long answer is on its way to the caller: it is no longer timed
+	sentAt    time.Time   // start of the time that Elapsed counts
+	timer     *time.Timer // cancels at the deadline; nil while a long body is being sent
+	streaming bool        // a long response has begun: there is no time-out any more
 }
 
-// AttemptPhase is how far an attempt has come.
+// AttemptPhase is how far an attempt has come, for statistics.
 type AttemptPhase int32
 
+// The phases of an attempt.
 const (
-	PhaseConnecting AttemptPhase = iota
-	PhaseSending
-	PhaseAwaiting  // its answer
-	PhaseReceiving // a long answer
-	AttemptPhaseCount
+	PhaseConnecting   AttemptPhase = iota
+	PhaseSending                   // the request
+	PhaseAwaiting                  // the response
+	PhaseReceiving                 // a long response
+	AttemptPhaseCount              // number of phases
 )
 
-// At notes how far the attempt has come, for those who look at the process.
+// SetPhase notes how far the attempt has come.
 func (a *Attempt) SetPhase(p AttemptPhase) { a.phase.Store(int32(p)) }
 
-// AttemptHost is told how far an attempt has come. It is called by the upstream's goroutines, and must not block.
+// AttemptObserver is notified of an attempt's progress. It is called by the upstream's goroutines and must not block.
 type AttemptObserver interface {
-	// Written tells that the last byte of a long body is out.
+	// RequestSent is called when the last byte of a long body was sent.
 	RequestSent(*Attempt)
-	// Begin gives the call a response whose end is still to come; the upstream is told by the response's own means
-	// how its passing on ended.
+	// StartResponse answers the call with a response whose end is still to come. The response itself reports to the
+	// upstream how its delivery ended.
 	StartResponse(*Attempt, Response)
 }
 
-// NewAttempt makes an attempt that ends with its call's deadline, or a time-out before that; 0 is none. The time of
-// one whose body is long has not begun.
-func NewAttempt(c *Call, e *Endpoint, timeout time.Duration, host AttemptObserver) *Attempt {
-	a := &Attempt{Call: c, Endpoint: e, number: c.attempts, sentAt: time.Now(), observer: host}
+// NewAttempt makes an attempt that ends at its call's deadline, or after a time-out before that; 0 is none. The time of
+// one with a long body begins when the body was sent.
+func NewAttempt(c *Call, e *Endpoint, timeout time.Duration, observer AttemptObserver) *Attempt {
+	a := &Attempt{Call: c, Endpoint: e, number: c.attempts, sentAt: time.Now(), observer: observer}
 	a.Ctx, a.cancel = context.WithCancelCause(context.Background())
 	deadline := c.Deadline
 	if end := a.sentAt.Add(timeout); timeout != 0 && end.Before(deadline) {
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -8,11 +8,11 @@
 	"dykering/internal/decision"
 )
 
-// Upstream carries attempts out, in a protocol.
+// Upstream carries out attempts, in a protocol.
 type Upstream interface {
-	// Send makes one attempt. The connection is one that its endpoint's last attempt has left; nil asks for a new
-	// one. When Send returns, the connection is closed or in the result, so that the call may be sent again. It may
-	// block until the attempt's context ends, and little longer.
+	// Send makes one attempt over an idle connection to its endpoint, or over a new one where that is nil. When it
+	// returns, the connection is closed or in the result, so that the call may be sent again. It may block until the
+	// attempt's context ends, and little longer.
 	Send(a *Attempt, over Conn) Result
 }
 
@@ -20,26 +20,44 @@
 type Result struct {
 	Status        decision.Status
 	Elapsed       time.Duration  // from the sending to the answer
-	Response      Response       // the whole of a good answer; nil otherwise, and for one that was begun
-	Load          *decision.Load // that the endpoint has reported; nil for none
-	Conn          Conn           // that can carry another attempt; nil for none
-	NotReplayable bool           // what was sent cannot be sent again
+	Response      Response       // complete and good; nil otherwise, and for one that was started before
+	Load          *decision.Load // reported by the endpoint; nil for none
+	Conn          Conn           // can carry another attempt; nil for none
+	NotReplayable bool           // the request cannot be sent again
 }
 
 // Response is an endpoint's good answer, in terms of the protocol.
 type Response interface {
-	// Discard lets go of it, whether it was passed on or not.
+	// Discard releases what it holds, whether it was delivered or not.
 	Discard()
 }
 
-// closed takes the end of an attempt, whose connection has been given back.
+// startAttempt sends an attempt from a goroutine of its own, if there may be a connection for it.
+func (l *Loop) startAttempt(a *Attempt) {
+	conn, ok := l.pool.acquire(a.Endpoint, a.sentAt)
+	go func() {
+		defer a.Close()
+		res := Result{Status: decision.NotSent}
+		if ok {
+			res = l.upstream.Send(a, conn)
+		}
+		l.Post(func() {
+			if ok {
+				l.pool.release(a.Endpoint, res.Conn)
+			}
+			l.attemptEnded(a, res)
+		})
+	}()
+}
+
+// attemptEnded is the event of an attempt's end, after its connection was released.
 func (l *Loop) attemptEnded(a *Attempt, res Result) {
 	c := a.Call
 	c.attempt = nil
-	final := c.answered
+	final := c.isAnswered
 	switch {
 	case res.Response == nil:
-	case res.Status == decision.OK && !c.answered:
+	case res.Status == decision.OK && !c.isAnswered:
 		final = true
 		l.finish(c, Answer{Response: res.Response})
 	default:
@@ -56,7 +74,8 @@
 	l.forget(c)
 }
 
-// Written tells the Balancer that a long body is out: the client's time, and the endpoint's, count from now.
+// RequestSent is called when the last byte of a long body was sent: the client's time, and the endpoint's, count from
+// now on. It implements AttemptObserver.
 func (l *Loop) RequestSent(a *Attempt) {
 	received := time.Now()
 	l.Post(func() {
@@ -71,11 +90,11 @@
 	})
 }
 
-// Begin gives a call a long answer, that its front passes on as it comes.
+// StartResponse answers a call with a long response that its front delivers as it arrives. It implements AttemptObserver.
 func (l *Loop) StartResponse(a *Attempt, response Response) {
 	l.Post(func() {
 		c := a.Call
-		if c.answered || a.Ctx.Err() != nil { // given up in this moment
+		if c.isAnswered || a.Ctx.Err() != nil { // abandoned or cancelled in the meantime
 			response.Discard()
 			return
 		}
@@ -84,10 +103,10 @@
 	})
 }
 
-// Adopt notes an attempt that the process before has begun, and Disown that it has ended. Its connection has a place
-// that was reserved.
+// AdoptAttempt takes over an attempt that the preceding process began. Its connection was reserved by ReserveConn.
 func (l *Loop) AdoptAttempt(a *Attempt) { l.Post(func() { l.adopted[a] = true }) }
 
+// AdoptedEnded is called when an adopted attempt and its connection have ended.
 func (l *Loop) AdoptedEnded(a *Attempt) {
 	l.Post(func() {
 		delete(l.adopted, a)
@@ -95,10 +114,11 @@
 	})
 }
 
-// Reserve takes a place for a connection to an endpoint that the process before has made, and Unreserve gives it
-// back.
+// ReserveConn counts a connection to an endpoint that the preceding process has made. It is false where there may be no
+// further connection, and once the loop has ended.
 func (l *Loop) ReserveConn() bool {
-	return look(l, l.pool.reserve)
+	return query(l, l.pool.reserve)
 }
 
+// ReleaseConn ends a reservation by ReserveConn whose connection was not taken over.
 func (l *Loop) ReleaseConn() { l.Post(func() { l.pool.total-- }) }
--- a/internal/core/calls.go
+++ b/internal/core/calls.go
@@ -9,125 +9,129 @@
 	"dykering/internal/settings"
 )
 
-// Answer is the final answer to a call: an endpoint's response, or a refusal or failure of our own.
+// overloadRetryAfter is how long callers should stay away from an instance that has no capacity for them, or drains.
+const overloadRetryAfter = time.Second
+
+// Answer is the final answer to a call: an endpoint's response, or a rejection or failure of our own.
 type Answer struct {
-	Response   Response // nil unless it was served
-	Retryable  bool     // it has not run, or may run again: trying again is harmless
+	Response   Response // nil unless the call was served
+	Retryable  bool     // the call has not run, or may run again: a retry by the client is harmless
 	RetryAfter time.Duration
 }
 
-// Discard lets go of what an answer holds.
+// Discard releases what an answer holds.
 func (a Answer) Discard() {
 	if a.Response != nil {
 		a.Response.Discard()
 	}
 }
 
-// Call is one request of a front, from its arrival until it is answered and its last attempt has ended. The loop
-// owns it from Arrive on; a front waits at Final, and an upstream reads Message.
+// RejectedAnswer is the answer to a request that there is no capacity for and that the Balancer is not asked about.
+func RejectedAnswer(s *settings.Settings) Answer {
+	return Answer{Retryable: true, RetryAfter: min(overloadRetryAfter, s.MaxRetryAfter)}
+}
+
+// Call is one request of a front, until it is answered and its last attempt has ended. The loop owns it from Submit on:
+// the front waits at Answered, and the upstream reads Message.
 type Call struct {
 	decision.Request
 	Message  any         // what an upstream sends
-	Answered chan Answer // holds one, so that the loop never waits for a front
-	// Deadline is when its attempts end, so that the last byte of its answer is out in time. The loop sets it.
+	Answered chan Answer // has room for the one answer, so that the loop never waits for a front
+	// Deadline is when attempts end, so that the last byte of the answer is sent in time. The loop sets it.
 	Deadline time.Time
 
-	attempts int
-	attempt  *Attempt
-	answered bool
+	attempts   int      // made so far
+	attempt    *Attempt // in flight; nil for none
+	isAnswered bool     // its answer was given, or its client has gone
 }
 
-// NewCall makes a call.
+// NewCall makes a call that can be submitted.
 func NewCall(q decision.Request, message any) *Call {
 	return &Call{Request: q, Message: message, Answered: make(chan Answer, 1)}
 }
 
-// endBy cuts the time of a call's further attempts; a zero time leaves it.
+// limitDeadline moves the deadline forward to end, if that is earlier; a zero time leaves it.
 func (c *Call) limitDeadline(end time.Time) {
 	if !end.IsZero() && end.Before(c.Deadline) {
 		c.Deadline = end
 	}
 }
 
-// noRoomFor is how long callers should stay away from an instance that has no room for them, or drains.
-const overloadRetryAfter = time.Second
-
-// TurnedAway is the answer to a request that there is no room for, and that the Balancer never hears of.
-func RejectedAnswer(s *settings.Settings) Answer {
-	return Answer{Retryable: true, RetryAfter: min(overloadRetryAfter, s.MaxRetryAfter)}
-}
-
-// Arrive takes a call from its front, that came whole, or with the beginning of a long body, at a time.
+// Submit takes a call from its front. Received is when its request was complete, or the beginning of a long body.
 func (l *Loop) Submit(c *Call, received time.Time) { l.Post(func() { l.submit(c, received) }) }
 
 func (l *Loop) submit(c *Call, received time.Time) {
 	switch limit := l.config.Settings.OpenCap; {
 	case l.calls[c.ID] != nil || l.recent.has(c.ID, l.now()):
-		c.Answered <- Answer{} // the id is taken: nothing may be promised of it
+		// The id is another request's: an endpoint may run it twice, so the answer promises nothing.
+		c.Answered <- Answer{}
 		return
 	case limit > 0 && len(l.calls) >= limit:
 		c.Answered <- RejectedAnswer(&l.config.Settings)
 		return
 	}
 	c.Deadline = received.Add(c.Remaining - l.config.Settings.GraceToAnswer)
-	c.Remaining = time.Until(c.Deadline) // also where this process ends before: the Balancer knows
+	// The drain deadline does not shorten Remaining: the Balancer knows it by itself.
+	c.Remaining = time.Until(c.Deadline)
 	c.limitDeadline(l.drainDeadline)
 	l.calls[c.ID] = c
 	l.balancer.Request(l.now(), c.Request)
 }
 
-// Lapse tells that a call's client has gone: nothing is owed.
+// Abandon is called when a call's client has gone: no answer is due.
 func (l *Loop) Abandon(c *Call) { l.Post(func() { l.abandon(c) }) }
 
 func (l *Loop) abandon(c *Call) {
-	if l.calls[c.ID] != c || c.answered {
+	if l.calls[c.ID] != c || c.isAnswered {
 		select {
-		case a := <-c.Answered: // crossed the client's going
-			a.Discard()
+		case answer := <-c.Answered: // given while the client was going
+			answer.Discard()
 		default:
 		}
 		return
 	}
-	c.answered = true
+	c.isAnswered = true
 	if c.attempt != nil {
-		c.attempt.Cancel() // nobody waits for it any more; its outcome follows
+		c.attempt.Cancel() // its outcome is still reported
 	}
 	l.balancer.Abandoned(l.now(), c.ID)
 	l.forget(c)
 }
 
-// Leave has everything answered by a given time, as the process ends then; succeeded tells whether another one
-// serves in its place already. What is out at that time is called off.
-func (l *Loop) Drain(end time.Time, succeeded bool) { l.Post(func() { l.drain(end, succeeded) }) }
+// Drain has all calls answered by a given time, when the process ends. HasSuccessor says that another process already
+// serves in its place. Attempts that are in flight at that time are cancelled.
+func (l *Loop) Drain(end time.Time, hasSuccessor bool) { l.Post(func() { l.drain(end, hasSuccessor) }) }
 
-func (l *Loop) drain(end time.Time, succeeded bool) {
+func (l *Loop) drain(end time.Time, hasSuccessor bool) {
 	l.drainDeadline = end
 	for _, c := range l.calls {
 		c.limitDeadline(end)
 	}
-	l.balancer.Drain(l.now(), end.Sub(l.origin), succeeded)
-	time.AfterFunc(time.Until(end), func() {
-		l.Post(func() {
-			for _, c := range l.calls {
-				// A long answer that has begun goes on for as long as this process does: to cut it off would lose it.
-				if c.attempt != nil && !c.answered {
-					c.attempt.Cancel()
-				}
-			}
-			for a := range l.adopted {
-				if !a.isStreaming() {
-					a.Cancel()
-				}
-			}
-		})
-	})
+	l.balancer.Drain(l.now(), end.Sub(l.origin), hasSuccessor)
+	time.AfterFunc(time.Until(end), func() { l.Post(l.cancelUnanswered) })
 }
 
+// cancelUnanswered cancels the attempts that have no answer at the drain deadline. A long response that has begun goes on
+// for as long as the process does: to cut it off would lose it.
+func (l *Loop) cancelUnanswered() {
+	for _, c := range l.calls {
+		if c.attempt != nil && !c.isAnswered {
+			c.attempt.Cancel()
+		}
+	}
+	for a := range l.adopted {
+		if !a.isStreaming() {
+			a.Cancel()
+		}
+	}
+}
+
+// finish gives a call its answer, unless it has one.
 func (l *Loop) finish(c *Call, a Answer) {
-	if c.answered {
+	if c.isAnswered {
 		return
 	}
-	c.answered = true
+	c.isAnswered = true
 	if line := l.log.Check(zap.DebugLevel, "call.answered"); line != nil {
 		line.Write(append(l.logFields(c), zap.Bool("served", a.Response != nil), zap.Bool("refused", a.Retryable),
 			zap.Duration("retry_after", a.RetryAfter))...)
@@ -135,22 +139,23 @@
 	c.Answered <- a
 }
 
-// forget drops a call that nothing is owed to and nothing is out for.
-func (l *Loop) forget(c *Call) {
-	if c.answered && c.attempt == nil && l.calls[c.ID] == c {
-		delete(l.calls, c.ID)
-		l.recent.add(c.ID, l.now())
-	}
-}
-
-func (l *Loop) end(id decision.RequestID, a Answer) {
+// finishID gives the call of a request its answer, as the Balancer decided.
+func (l *Loop) finishID(id decision.RequestID, a Answer) {
 	if c := l.calls[id]; c != nil {
 		l.finish(c, a)
 		l.forget(c)
 	}
 }
 
-// fields are what the log says of a call.
+// forget drops a call that is answered and has no attempt in flight.
+func (l *Loop) forget(c *Call) {
+	if c.isAnswered && c.attempt == nil && l.calls[c.ID] == c {
+		delete(l.calls, c.ID)
+		l.recent.add(c.ID, l.now())
+	}
+}
+
+// logFields identify a call in the log.
 func (l *Loop) logFields(c *Call) []zap.Field {
 	f := []zap.Field{zap.String("request", string(c.ID)), zap.String("class", l.config.Settings.Classes[c.Class].Name)}
 	if c.Tenant < len(l.config.Settings.Tenants) {
--- a/internal/core/discovery.go
+++ b/internal/core/discovery.go
@@ -8,48 +8,50 @@
 	"dykering/internal/decision"
 )
 
-// Discovery tells which endpoints there are. The loop calls its methods, that never wait; what it brings goes to its
-// sink, in the loop's own time.
+// Discovery follows the list of endpoints. The loop calls its methods, which never block; what it receives goes to its
+// sink, in the loop's goroutine.
 type Discovery interface {
-	// Watch begins to watch for what changes after a version; nil asks for the whole list first.
+	// Watch begins to watch for changes after a version; nil asks for the full list first.
 	Watch(since *uint64)
-	// Stop ends the watch: nothing that it brought and that the loop has not yet taken counts.
+	// Stop ends the watch. What it has received and the loop has not yet taken is dropped.
 	Stop()
-	// Fetch gets the whole list once, unless that is under way.
+	// Fetch gets the full list once, unless a fetch is under way.
 	Fetch()
 }
 
-// Sink takes what a Discovery brings.
+// Sink takes what a Discovery receives.
 type Sink interface {
 	// Post has the loop call a function.
 	Post(func())
-	// Listed and ListFailed are called in the loop. They pass over what is not of the discovery that is followed.
+	// ListReceived takes a list, and ListFailed the failure to get one. They are called in the loop's goroutine and
+	// ignore a discovery that is no longer followed.
 	ListReceived(from Discovery, l List, how Source)
 	ListFailed(from Discovery, err error)
 }
 
-// Discover makes the Discovery at an address.
+// NewDiscovery makes the Discovery at an address.
 type NewDiscovery func(address string, to Sink) Discovery
 
-// List is discovery's list of endpoints, whole or what changed.
+// List is an update of discovery's list of endpoints. Its JSON form is the platform's.
 type List struct {
-	Rev     uint64   `json:"rev"`
-	Full    bool     `json:"all"`
+	Rev     uint64   `json:"rev"` // version
+	Full    bool     `json:"all"` // all endpoints; else only those that changed
 	Targets []Target `json:"targets"`
 }
 
-// Target is one line of a list.
+// Target is one line of a list. Its JSON form is the platform's.
 type Target struct {
 	UID     string  `json:"uid"`
 	Address string  `json:"endpoint"`
 	Zone    string  `json:"az"`
 	Model   string  `json:"model"`
 	Cell    int     `json:"pod_group"`
-	State   string  `json:"state"`
+	State   string  `json:"state"` // see states
 	Weight  float64 `json:"capacity_hint"`
-	BootMS  int64   `json:"boot_ms"`
+	BootMS  int64   `json:"boot_ms"` // start of the process, in Unix milliseconds
 }
 
+// states are the platform's names of the states of a target.
 var states = map[string]decision.State{
 	"Ready": decision.Ready, "Terminating": decision.Draining, "Gone": decision.Departed,
 }
@@ -57,14 +59,23 @@
 // Source is where a list came from.
 type Source int
 
+// The sources of a list.
 const (
-	FromCache Source = iota
+	FromCache Source = iota // this instance's own record
 	FromWatch
 	FromFetch
 )
 
-// Follow turns to the discovery at another address. Its versions may count otherwise, so its whole list is
-// asked for, and nothing that the old one still says is heard. Until that comes, the list stays as it is.
+// A watch may bring a full list that is older than the one at hand: it was under way for longer than a fetch, or
+// discovery has begun to count anew, or one of its replicas lags. Then the full list is fetched again whatever its
+// version, but not again for resyncBackoffMin; the pause doubles each time that this goes on, up to resyncBackoffMax.
+const (
+	resyncBackoffMin = 3 * time.Second
+	resyncBackoffMax = 30 * time.Second
+)
+
+// SwitchDiscovery follows the discovery at another address. Its versions may count otherwise, so its full list is
+// fetched, and the old discovery is ignored from now on. The present list stands until the new one has come.
 func (l *Loop) SwitchDiscovery(address string) { l.Post(func() { l.switchDiscovery(address) }) }
 
 func (l *Loop) switchDiscovery(address string) {
@@ -73,13 +84,14 @@
 	l.awaitingFullList = true
 	l.discovery.Fetch()
 	if l.config.Settings.PullDiscovery {
-		l.balancer.Targets(l.now(), decision.List{Kind: decision.FailedList}) // it watches in its own time
+		// The Balancer watches again after a pause of its own.
+		l.balancer.Targets(l.now(), decision.List{Kind: decision.FailedList})
 		return
 	}
 	l.discovery.Watch(nil)
 }
 
-// place is where a watch goes on from: the version of the list, nil for the whole list.
+// watchFrom is the version after which a watch is to begin; nil for the full list.
 func (l *Loop) watchFrom() *uint64 {
 	if l.awaitingFullList {
 		return nil
@@ -88,14 +100,14 @@
 	return &rev
 }
 
-// Listed takes what the discovery that is followed says.
+// ListReceived takes a list of the followed discovery.
 func (l *Loop) ListReceived(from Discovery, got List, how Source) {
 	if from == l.discovery {
 		l.applyList(got, how)
 	}
 }
 
-// ListFailed takes its word that it could not be asked.
+// ListFailed takes the failure of the followed discovery to get a list.
 func (l *Loop) ListFailed(from Discovery, err error) {
 	if from != l.discovery {
 		return
@@ -104,27 +116,33 @@
 	l.balancer.Targets(l.now(), decision.List{Kind: decision.FailedList})
 }
 
-// targets takes a list in, first into the table of endpoints, so that what the Balancer then sends finds
-// its address.
+// applyList applies a list, unless it is older than the present one: an endpoint that has left would come back.
 func (l *Loop) applyList(got List, from Source) {
-	anew := l.awaitingFullList
+	versionsRestart := l.awaitingFullList
 	switch {
 	case l.awaitingFullList && !got.Full:
-		return // changes to a list that the Balancer has not got
+		return // changes of a list that the Balancer does not have
 	case l.awaitingFullList:
 		l.awaitingFullList = false
 		if from == FromFetch && !l.config.Settings.PullDiscovery {
-			// The watch may have brought changes before this list, that were passed over.
+			// The watch may have brought changes before this list, which were ignored.
 			l.discovery.Stop()
 			l.discovery.Watch(&got.Rev)
 		}
-	case from == FromFetch && got.Rev < l.revision || from == FromWatch && !got.Full && got.Rev <= l.revision:
-		return // older than what the Balancer has: an endpoint that left would come back
+	case from == FromFetch && got.Rev < l.revision:
+		return
+	case from == FromWatch && !got.Full && got.Rev <= l.revision:
+		return
 	case from == FromWatch && got.Rev < l.revision:
-		// It was under way for longer than a fetch, or discovery has begun to count anew: what is asked for now tells.
 		l.resync()
 		return
 	}
+	l.setList(got, from, versionsRestart)
+}
+
+// setList hands a list to the Balancer. It updates the table of endpoints first, so that what the Balancer then sends
+// finds its address.
+func (l *Loop) setList(got List, from Source, versionsRestart bool) {
 	l.revision = got.Rev
 	entries, retired := l.endpoints.update(got)
 	for _, e := range retired {
@@ -137,34 +155,42 @@
 	case got.Full:
 		kind = decision.FullList
 	}
-	l.balancer.Targets(l.now(), decision.List{Kind: kind, Version: got.Rev, VersionsRestart: anew, Entries: entries})
+	l.balancer.Targets(l.now(), decision.List{Kind: kind, Version: got.Rev, VersionsRestart: versionsRestart,
+		Entries: entries})
 	if from != FromCache || len(entries) > 0 {
 		l.lifecycle.listReceived()
 	}
 }
 
-// askAnew asks discovery for its whole list, whatever its version: at once, or, where that was done a short while ago,
-// when the pause is over and nothing newer has come. Where a copy of discovery lags, an older list comes each time.
+// resync gets the full list of the followed discovery whatever its version: at once or, within the pause after the last
+// time, at the pause's end if nothing newer has come by then.
 func (l *Loop) resync() {
-	switch since := time.Since(l.resyncAt); {
-	case l.resyncPending:
-	case since < l.resyncBackoff:
+	if l.resyncPending {
+		return
+	}
+	elapsed := time.Since(l.resyncAt)
+	if elapsed < l.resyncBackoff {
 		l.resyncPending = true
-		from, rev := l.discovery, l.revision
-		time.AfterFunc(l.resyncBackoff-since, func() {
-			l.Post(func() {
-				if l.resyncPending = false; from == l.discovery && rev == l.revision {
-					l.resyncBackoff = min(2*l.resyncBackoff, resyncBackoffMax)
-					l.resyncAt = time.Now()
-					l.switchDiscovery(l.discoveryAddress)
-				}
-			})
+		discovery, revision := l.discovery, l.revision
+		time.AfterFunc(l.resyncBackoff-elapsed, func() {
+			l.Post(func() { l.resyncIfStale(discovery, revision) })
 		})
-	default:
-		if since > 2*resyncBackoffMax {
-			l.resyncBackoff = resyncBackoffMin
-		}
-		l.resyncAt = time.Now()
-		l.switchDiscovery(l.discoveryAddress)
+		return
+	}
+	if elapsed > 2*resyncBackoffMax {
+		l.resyncBackoff = resyncBackoffMin
+	}
+	l.resyncAt = time.Now()
+	l.switchDiscovery(l.discoveryAddress)
+}
+
+// resyncIfStale gets the full list if the discovery and the revision are still those of a time before.
+func (l *Loop) resyncIfStale(discovery Discovery, revision uint64) {
+	l.resyncPending = false
+	if discovery != l.discovery || revision != l.revision {
+		return
 	}
+	l.resyncBackoff = min(2*l.resyncBackoff, resyncBackoffMax)
+	l.resyncAt = time.Now()
+	l.switchDiscovery(l.discoveryAddress)
 }
--- a/internal/core/endpoint.go
+++ b/internal/core/endpoint.go
@@ -7,41 +7,42 @@
 	"dykering/internal/decision"
 )
 
-// Endpoint is one start of an endpoint at one address. When either changes, another takes its place.
+// Endpoint is one process of an endpoint at one address. When either changes, another Endpoint takes its place.
 type Endpoint struct {
 	ID               decision.EndpointID
 	Address          string
-	AwaitingResponse atomic.Int32 // attempts that wait for its answer, on connections that stand
+	AwaitingResponse atomic.Int32 // attempts that wait for a response on an established connection
 
-	unsolicitedAt atomic.Int64 // when it last sent more than it was asked for, in Unix nanoseconds
-
-	uid    string
-	bootMS int64
-	open   atomic.Bool
-	entry  decision.Entry // as it was last listed
+	unsolicitedAt atomic.Int64 // when it last sent data that nobody had asked for, in Unix nanoseconds
+	open          atomic.Bool  // it may get new attempts
+	uid           string
+	bootMS        int64
+	entry         decision.Entry // as last listed
 }
 
-// NewEndpoint makes an endpoint that is open.
+// NewEndpoint makes an endpoint that is open to attempts.
 func NewEndpoint(id decision.EndpointID, address string) *Endpoint {
 	e := &Endpoint{ID: id, Address: address}
 	e.open.Store(true)
 	return e
 }
 
+// In HTTP/1.1 nothing ties a response to its request, so data that an endpoint sends beyond a response must be seen
+// before the next request is written to the connection, else it would be taken for that one's response.
 const (
-	// settle is how long a connection rests after an answer at the least. Nothing ties an answer to its request, so what
-	// an endpoint sends beyond an answer must be seen before the next request is written.
+	// reuseDelay is how long a connection rests after a response at the least.
 	reuseDelay = time.Millisecond
-	// rested is when that has come that is some milliseconds late. A connection that has rested so long is preferred, and
-	// one to an endpoint that has sent more than it was asked for, in the last distrustFor, waits until then.
+	// cautiousReuseDelay is the time by which data arrives that is some milliseconds late. A connection that has
+	// rested so long is preferred, and one to an endpoint that has sent such data in the last unsolicitedMemory
+	// rests so long in any case.
 	cautiousReuseDelay = 20 * time.Millisecond
 	unsolicitedMemory  = 10 * time.Second
 )
 
-// SentBeyond notes that the endpoint has sent more than it was asked for.
+// NoteUnsolicitedData notes that the endpoint has sent data beyond a response.
 func (e *Endpoint) NoteUnsolicitedData() { e.unsolicitedAt.Store(time.Now().UnixNano()) }
 
-// Settle is how long a connection to it rests after an answer.
+// ReuseDelay is how long a connection to the endpoint rests after a response.
 func (e *Endpoint) ReuseDelay() time.Duration {
 	if time.Since(time.Unix(0, e.unsolicitedAt.Load())) < unsolicitedMemory {
 		return cautiousReuseDelay
@@ -49,8 +50,8 @@
 	return reuseDelay
 }
 
-// Open tells whether it may get new attempts.
+// IsOpen reports whether the endpoint may get new attempts.
 func (e *Endpoint) IsOpen() bool { return e.open.Load() }
 
-// Shut closes it to new attempts.
+// Close closes the endpoint to new attempts; those in flight go on.
 func (e *Endpoint) Close() { e.open.Store(false) }
--- a/internal/core/endpoint_table.go
+++ b/internal/core/endpoint_table.go
@@ -13,24 +13,24 @@
 	"dykering/internal/decision"
 )
 
-// endpoints is the table of the endpoints that are listed. One that has gone is forgotten at once: what is
-// still out to it holds on to its endpoint, that is open to nothing new. The loop owns the table.
+// endpointTable holds the listed endpoints. One that has departed is removed at once: attempts in flight keep their
+// Endpoint, which is closed to new ones. The loop owns the table.
 type endpointTable struct {
 	log    *zap.Logger
 	origin time.Time // zero of the event clock
 	byID   map[decision.EndpointID]*Endpoint
-	ids    map[string]decision.EndpointID
+	ids    map[string]decision.EndpointID // by uid
 	zones  nameIndex
 	models nameIndex
 }
 
-// names numbers names as the settings do, and those that they lack after them.
+// nameIndex numbers names: those of the settings in their order, and others after them.
 type nameIndex map[string]int
 
-// mostNames bounds the names of one sort that lists may bring.
+// maxNames bounds the names of one kind that lists may bring.
 const maxNames = 256
 
-// index is false when there are too many names.
+// lookup returns the number of a name; it is false where there are too many names.
 func (n nameIndex) lookup(name string) (int, bool) {
 	if i, ok := n[name]; ok {
 		return i, true
@@ -42,6 +42,7 @@
 	return n[name], true
 }
 
+// newEndpointTable makes a table whose numbers of zones and models are the settings'.
 func newEndpointTable(zones, models []string, origin time.Time, log *zap.Logger) *endpointTable {
 	t := &endpointTable{log: log, origin: origin, byID: map[decision.EndpointID]*Endpoint{},
 		ids: map[string]decision.EndpointID{}, zones: nameIndex{}, models: nameIndex{}}
@@ -54,9 +55,9 @@
 	return t
 }
 
-// id numbers a uid. Where it ends in 32 bits of hexadecimal, as discovery's do, these are its number: the
-// same at every sidecar, and no two share it. Others are hashed, and where two would share a number, the
-// later one moves on.
+// id returns the number of a uid. Where that ends in 32 bits of hexadecimal, as discovery's do, these are the number: the
+// same at all sidecars, and no two share it. Other uids are hashed, and where two would share a number the later one
+// gets the next that is free.
 func (t *endpointTable) id(uid string) decision.EndpointID {
 	if id, ok := t.ids[uid]; ok {
 		return id
@@ -74,57 +75,44 @@
 	return id
 }
 
-// put puts an endpoint into the table, in the place of one that it replaces.
+// add adds an endpoint to the table, in the place of one that it replaces.
 func (t *endpointTable) add(e *Endpoint) {
 	t.byID[e.ID], t.ids[e.uid] = e, e.ID
 }
 
-// forget takes an endpoint that has gone out of the table.
+// remove takes an endpoint that has departed out of the table.
 func (t *endpointTable) remove(e *Endpoint) {
 	e.Close()
 	delete(t.byID, e.ID)
 	delete(t.ids, e.uid)
 }
 
-// update takes a list in and returns it in the Balancer's terms, with the endpoints whose idle connections
-// are of no more use.
+// update applies a list and returns it in the Balancer's terms, with the endpoints whose idle connections are of no
+// more use. A line that cannot be read is skipped, and its endpoint stays as it was.
 func (t *endpointTable) update(l List) (entries []decision.Entry, retired []*Endpoint) {
 	listed := map[decision.EndpointID]bool{}
-	for _, x := range l.Targets {
-		state, ok := states[x.State]
-		zone, zoneOK := t.zones.lookup(x.Zone)
-		model, modelOK := t.models.lookup(x.Model)
-		_, _, err := net.SplitHostPort(x.Address)
-		if !ok || !zoneOK || !modelOK || x.UID == "" || err != nil && state == decision.Ready {
-			t.log.Warn("discovery.entry_refused", zap.String("uid", x.UID), zap.String("state", x.State),
-				zap.String("address", x.Address), zap.String("zone", x.Zone), zap.String("model", x.Model))
-			if known, ok := t.ids[x.UID]; ok && l.Full && !listed[known] {
-				listed[known] = true // it has not gone: it stays as it was
+	for _, target := range l.Targets {
+		entry, ok := t.parse(target)
+		if !ok {
+			if known, ok := t.ids[target.UID]; ok && l.Full && !listed[known] {
+				listed[known] = true
 				entries = append(entries, t.byID[known].entry)
 			}
 			continue
 		}
-		id := t.id(x.UID)
-		listed[id] = true
-		e := t.byID[id]
-		if e == nil || state == decision.Ready && (e.Address != x.Address || e.bootMS != x.BootMS) {
-			if e != nil {
-				e.Close()
-				retired = append(retired, e)
-			}
-			e = &Endpoint{ID: id, uid: x.UID, Address: x.Address, bootMS: x.BootMS}
-			t.add(e)
+		entry.Endpoint = t.id(target.UID)
+		listed[entry.Endpoint] = true
+		if old := t.apply(target, entry); old != nil {
+			retired = append(retired, old)
 		}
-		e.open.Store(state == decision.Ready)
-		if state != decision.Ready {
+		e := t.byID[entry.Endpoint]
+		if entry.State != decision.Ready {
 			retired = append(retired, e)
 		}
-		if state == decision.Departed {
+		if entry.State == decision.Departed {
 			t.remove(e)
 		}
-		e.entry = decision.Entry{Endpoint: id, Zone: zone, Kind: model, Cell: x.Cell, State: state, Weight: x.Weight,
-			Started: t.startTime(x.BootMS)}
-		entries = append(entries, e.entry)
+		entries = append(entries, entry)
 	}
 	if l.Full {
 		for id, e := range t.byID {
@@ -137,8 +125,40 @@
 	return entries, retired
 }
 
-// started puts a start in Unix time on the event clock. It always gives the same for the same start: the
-// Balancer takes a later one for a restart.
+// parse reads a line of a list, but for the endpoint's number. It logs a line that it cannot read.
+func (t *endpointTable) parse(target Target) (entry decision.Entry, ok bool) {
+	state, stateOK := states[target.State]
+	zone, zoneOK := t.zones.lookup(target.Zone)
+	model, modelOK := t.models.lookup(target.Model)
+	_, _, err := net.SplitHostPort(target.Address)
+	if !stateOK || !zoneOK || !modelOK || target.UID == "" || err != nil && state == decision.Ready {
+		t.log.Warn("discovery.entry_refused", zap.String("uid", target.UID), zap.String("state", target.State),
+			zap.String("address", target.Address), zap.String("zone", target.Zone), zap.String("model", target.Model))
+		return entry, false
+	}
+	return decision.Entry{Zone: zone, Kind: model, Cell: target.Cell, State: state, Weight: target.Weight,
+		Started: t.startTime(target.BootMS)}, true
+}
+
+// apply updates the endpoint of a line. Where its address or its start has changed another one takes its place, and the
+// one before is returned.
+func (t *endpointTable) apply(target Target, entry decision.Entry) (replaced *Endpoint) {
+	e := t.byID[entry.Endpoint]
+	isReady := entry.State == decision.Ready
+	if e == nil || isReady && (e.Address != target.Address || e.bootMS != target.BootMS) {
+		if replaced = e; e != nil {
+			e.Close()
+		}
+		e = &Endpoint{ID: entry.Endpoint, uid: target.UID, Address: target.Address, bootMS: target.BootMS}
+		t.add(e)
+	}
+	e.open.Store(isReady)
+	e.entry = entry
+	return replaced
+}
+
+// startTime puts a start in Unix milliseconds on the event clock; 0 stays 0. It always returns the same for the same
+// start: the Balancer takes a later one for a restart.
 func (t *endpointTable) startTime(bootMS int64) time.Duration {
 	if bootMS == 0 {
 		return 0
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -10,28 +10,33 @@
 	"dykering/internal/decision"
 )
 
-// Evidence is what this process's own calls have shown of a server, under a name that all brokers of a fleet share.
+// Evidence is what this process's own calls have shown of a server, under a name that is the same at all sidecars of a
+// fleet.
 type Evidence struct {
-	Server  string // its uid and start: one that has restarted is another
-	Ejected bool   // it is isolated; otherwise it answered well
+	Server  string // uid and start: a server that has restarted is another one
+	Ejected bool   // it is ejected; else it has answered well
 	Age     time.Duration
 }
 
-// serverName is what brokers call an endpoint among themselves.
+// Usage counts the requests of one tenant since the start.
+type Usage = decision.Usage
+
+// serverName is the name of an endpoint's process among sidecars.
 func serverName(e *Endpoint) string { return e.uid + "@" + strconv.FormatInt(e.bootMS, 10) }
 
-// Evidence is what this process has found out itself, with the servers named that it was answered by lately, and how
-// many are listed.
+// Evidence returns what this process's own calls have shown: the servers that it has ejected and, of those named, the
+// ones that have answered it lately; and how many endpoints are listed. It fails with the context's error or once the
+// loop has ended.
 func (l *Loop) Evidence(ctx context.Context, named []string) (all []Evidence, listed int, err error) {
 	type answer struct {
 		all    []Evidence
 		listed int
 	}
-	a, err := ask(ctx, l, func() (a answer) {
+	a, err := queryContext(ctx, l, func() (a answer) {
 		a.listed = len(l.endpoints.byID)
 		for _, e := range l.balancer.Evidence(l.now(), l.listedIDs(named)) {
-			if x := l.endpoints.byID[e.Endpoint]; x != nil {
-				a.all = append(a.all, Evidence{serverName(x), e.Ejected, e.Age})
+			if endpoint := l.endpoints.byID[e.Endpoint]; endpoint != nil {
+				a.all = append(a.all, Evidence{Server: serverName(endpoint), Ejected: e.Ejected, Age: e.Age})
 			}
 		}
 		return a
@@ -39,20 +44,21 @@
 	return a.all, a.listed, err
 }
 
-// Advise hands the Balancer the servers that are bad by the word of other brokers, and tells how much of it changed anything.
-func (l *Loop) ApplyPeerEjections(ctx context.Context, advice []Evidence) (heeded int, err error) {
-	return ask(ctx, l, func() int {
-		var told []decision.PeerEjection
-		for _, a := range advice {
-			for _, id := range l.listedIDs([]string{a.Server}) {
-				told = append(told, decision.PeerEjection{Endpoint: id, Age: a.Age})
+// ApplyPeerEjections hands the Balancer the servers that are bad by the evidence of other sidecars, and returns how many
+// it has ejected. It fails as Evidence does.
+func (l *Loop) ApplyPeerEjections(ctx context.Context, evidence []Evidence) (ejected int, err error) {
+	return queryContext(ctx, l, func() int {
+		var ejections []decision.PeerEjection
+		for _, e := range evidence {
+			for _, id := range l.listedIDs([]string{e.Server}) {
+				ejections = append(ejections, decision.PeerEjection{Endpoint: id, Age: e.Age})
 			}
 		}
-		return l.balancer.ApplyPeerEjections(l.now(), told)
+		return l.balancer.ApplyPeerEjections(l.now(), ejections)
 	})
 }
 
-// known are the ids of the servers named that are listed, as they were started.
+// listedIDs are the ids of the named servers that are listed, with the start that the name has.
 func (l *Loop) listedIDs(named []string) (ids []decision.EndpointID) {
 	for _, name := range named {
 		at := strings.LastIndexByte(name, '@')
@@ -66,19 +72,19 @@
 	return ids
 }
 
-// Use is what came of one tenant's requests since the start.
-type Usage = decision.Usage
-
-// Uses tell what came of each tenant, in the settings' order; of none before the first list.
+// Usage returns the usage of each tenant, in the order of the settings; it is empty before the first list. It fails as
+// Evidence does.
 func (l *Loop) Usage(ctx context.Context) ([]Usage, error) {
-	return ask(ctx, l, func() []Usage { return l.balancer.Usage() })
+	return queryContext(ctx, l, func() []Usage { return l.balancer.Usage() })
 }
 
-// Allot sets what may be spent a second at this process until a time, the zero time for no end; Until is set from it.
-func (l *Loop) SetQuotaShares(a decision.QuotaShares, until time.Time) {
-	a.TenantRates, a.TenantFallbackRates = slices.Clone(a.TenantRates), slices.Clone(a.TenantFallbackRates)
+// SetQuotaShares sets this process's parts of the fleet's quotas until a time; the zero time is for no end. It sets
+// Until from that time.
+func (l *Loop) SetQuotaShares(shares decision.QuotaShares, until time.Time) {
+	shares.TenantRates = slices.Clone(shares.TenantRates)
+	shares.TenantFallbackRates = slices.Clone(shares.TenantFallbackRates)
 	if !until.IsZero() {
-		a.Until = until.Sub(l.origin)
+		shares.Until = until.Sub(l.origin)
 	}
-	l.Post(func() { l.balancer.SetQuotaShares(l.now(), a) })
+	l.Post(func() { l.balancer.SetQuotaShares(l.now(), shares) })
 }
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -8,40 +8,41 @@
 	"dykering/internal/decision"
 )
 
-// TellEvery is how often a process that ends tells its successor what it still has in flight: often beside what a
-// call takes, and rarely beside what telling it costs. BelievedFor is how long a successor goes by the last that it
-// was told: a process that is killed says nothing.
 const (
+	// HandoverInterval is how often a process that ends reports its calls in flight to its successor: often compared
+	// with the duration of a call, and rarely compared with the cost of a report.
 	HandoverInterval = 50 * time.Millisecond
+	// HandoverValidity is how long a successor relies on the last report: a process that is killed sends none.
 	HandoverValidity = 10 * HandoverInterval
 )
 
-// Word is what a process that ends tells its successor of itself.
+// HandoverUpdate is what a process that ends reports to its successor. Its JSON form is fixed: the two processes may be
+// of different builds.
 type HandoverUpdate struct {
-	Snapshot *decision.Snapshot          `json:"learnt,omitempty"`
-	InFlight map[decision.EndpointID]int `json:"calls,omitempty"`
+	Snapshot *decision.Snapshot          `json:"learnt,omitempty"` // in the first update
+	InFlight map[decision.EndpointID]int `json:"calls,omitempty"`  // calls by endpoint
 }
 
-// Word is what is to be told now: what is in flight and, at first, what this process has learnt.
+// HandoverUpdate returns the present update; with the statistics of this process if it is the first.
 func (l *Loop) HandoverUpdate(first bool) HandoverUpdate {
-	return look(l, func() HandoverUpdate {
-		w := HandoverUpdate{InFlight: l.balancer.InFlight()}
+	return query(l, func() HandoverUpdate {
+		update := HandoverUpdate{InFlight: l.balancer.InFlight()}
 		if first {
-			learnt := l.balancer.Snapshot(l.now())
-			w.Snapshot = &learnt
+			snapshot := l.balancer.Snapshot(l.now())
+			update.Snapshot = &snapshot
 		}
-		return w
+		return update
 	})
 }
 
-// Heed takes the word of the process before.
-func (l *Loop) ApplyHandoverUpdate(w *HandoverUpdate) {
+// ApplyHandoverUpdate takes an update of the preceding process.
+func (l *Loop) ApplyHandoverUpdate(update *HandoverUpdate) {
 	l.Post(func() {
-		if w.Snapshot != nil {
-			if err := l.balancer.Restore(l.now(), *w.Snapshot); err != nil {
+		if update.Snapshot != nil {
+			if err := l.balancer.Restore(l.now(), *update.Snapshot); err != nil {
 				l.log.Warn("handover.figures_refused", zap.Error(err))
 			}
 		}
-		l.balancer.SetPredecessorCalls(l.now(), w.InFlight, l.now()+HandoverValidity)
+		l.balancer.SetPredecessorCalls(l.now(), update.InFlight, l.now()+HandoverValidity)
 	})
 }
--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -8,8 +8,10 @@
 	"dykering/internal/decision"
 )
 
-// The methods below are the Host. They never block and never call the Balancer.
+// This file is the Loop's part as the Balancer's decision.Host. The Balancer calls these methods from within its events,
+// in the loop's goroutine; they never block and never call the Balancer.
 
+// Send makes an attempt. Within is the time by which its last byte must be sent, 0 for no bound.
 func (l *Loop) Send(id decision.RequestID, to decision.EndpointID, timeout, within time.Duration) {
 	c := l.calls[id]
 	a := NewAttempt(c, l.endpoints.byID[to], timeout, l)
@@ -18,40 +20,32 @@
 	}
 	c.attempts++
 	c.attempt = a
-	conn, ok := l.pool.acquire(a.Endpoint, a.sentAt)
-	go func() {
-		defer a.Close()
-		res := Result{Status: decision.NotSent}
-		if ok {
-			res = l.upstream.Send(a, conn)
-		}
-		l.Post(func() {
-			if ok { // else it never had a place
-				l.pool.release(a.Endpoint, res.Conn)
-			}
-			l.attemptEnded(a, res)
-		})
-	}()
+	l.startAttempt(a)
 }
 
+// Cancel withdraws an attempt that is in flight.
 func (l *Loop) Cancel(id decision.RequestID, number int) {
 	if c := l.calls[id]; c != nil && c.attempt != nil && c.attempt.number == number {
 		c.attempt.Cancel()
 	}
 }
 
+// Refuse answers a call that the client may safely retry.
 func (l *Loop) Refuse(id decision.RequestID, retryAfter time.Duration) {
-	l.end(id, Answer{Retryable: true, RetryAfter: retryAfter})
+	l.finishID(id, Answer{Retryable: true, RetryAfter: retryAfter})
 }
 
-func (l *Loop) Fail(id decision.RequestID) { l.end(id, Answer{}) }
+// Fail answers a call without a promise about retries.
+func (l *Loop) Fail(id decision.RequestID) { l.finishID(id, Answer{}) }
 
+// SetTimer has the Balancer's Timer called after a time.
 func (l *Loop) SetTimer(token uint64, after time.Duration) {
 	time.AfterFunc(after, func() {
 		l.Post(func() { l.balancer.Timer(l.now(), token) })
 	})
 }
 
+// Watch begins to watch the endpoint list anew, or ends it.
 func (l *Loop) Watch(on bool) {
 	l.discovery.Stop()
 	if on {
@@ -59,6 +53,8 @@
 	}
 }
 
+// Fetch asks discovery for the full list once.
 func (l *Loop) Fetch() { l.discovery.Fetch() }
 
+// Log writes a note of the Balancer to the log.
 func (l *Loop) Log(text string) { l.log.Info("decision.note", zap.String("text", text)) }
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -7,117 +7,119 @@
 	"go.uber.org/zap"
 )
 
-// Phase is how far a sidecar has come in its life.
+// Phase is a phase in the life of a sidecar.
 type Phase int
 
+// The phases, in order. Stopping is the last one; Draining may end with Serving again.
 const (
-	Starting Phase = iota // the Balancer has no list yet
+	Starting Phase = iota // the Balancer has no endpoint list yet
 	Serving
-	Draining // by an operator's call: callers are sent away, and may come back
-	Stopping // for good
+	Draining // by an operator: callers are sent away, and may come back
+	Stopping // the process ends
 )
 
+// String is the phase's name in the log, the status and the metrics.
 func (p Phase) String() string { return [...]string{"starting", "serving", "draining", "stopping"}[p] }
 
-// Lifecycle is the one place that knows the phase. It is asked by handlers, the loop and the second address
-// alike, and never blocks.
+// Lifecycle holds the phase of the process. Handlers, the loop and the admin address use it; it never blocks.
 type Lifecycle struct {
-	log          *zap.Logger
+	log *zap.Logger
+
 	mu           sync.Mutex
 	phase        Phase
-	listed       bool          // the Balancer has a list
 	since        time.Time     // start of the phase
-	connsCloseAt time.Time     // of stopping: when connections are closed, busy or not with their answer
-	deadline     time.Time     // and when all is answered
 	changed      chan struct{} // closed when the phase changes
+	hasList      bool          // the Balancer has an endpoint list
+	connsCloseAt time.Time     // of Stopping: when callers' connections are closed with their answer
+	deadline     time.Time     // of Stopping: when all must be answered
 }
 
 func newLifecycle(log *zap.Logger) *Lifecycle {
 	return &Lifecycle{log: log, since: time.Now(), changed: make(chan struct{})}
 }
 
-// enter needs mu.
-func (f *Lifecycle) enter(p Phase) {
-	if f.phase == p {
+// enter changes the phase. The caller holds mu.
+func (c *Lifecycle) enter(p Phase) {
+	if c.phase == p {
 		return
 	}
-	f.log.Info("lifecycle.phase", zap.Stringer("phase", p), zap.Stringer("was", f.phase))
-	f.phase, f.since = p, time.Now()
-	close(f.changed)
-	f.changed = make(chan struct{})
+	c.log.Info("lifecycle.phase", zap.Stringer("phase", p), zap.Stringer("was", c.phase))
+	c.phase, c.since = p, time.Now()
+	close(c.changed)
+	c.changed = make(chan struct{})
 }
 
-// haveList tells that the Balancer has a list: the sidecar can serve.
-func (f *Lifecycle) listReceived() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.listed = true
-	if f.phase == Starting {
-		f.enter(Serving)
+// listReceived is called when the Balancer has an endpoint list: the sidecar can serve.
+func (c *Lifecycle) listReceived() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.hasList = true
+	if c.phase == Starting {
+		c.enter(Serving)
 	}
 }
 
-// Drain sends callers away. A sidecar that stops does so already.
-func (f *Lifecycle) Drain() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.phase < Draining {
-		f.enter(Draining)
+// Drain sends callers away, unless the sidecar stops and so does that already.
+func (c *Lifecycle) Drain() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.phase < Draining {
+		c.enter(Draining)
 	}
 }
 
-// Resume ends a drain, and nothing else.
-func (f *Lifecycle) Resume() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.phase != Draining {
+// Resume ends a drain; in any other phase it does nothing.
+func (c *Lifecycle) Resume() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.phase != Draining {
 		return
 	}
-	if f.listed {
-		f.enter(Serving)
+	if c.hasList {
+		c.enter(Serving)
 	} else {
-		f.enter(Starting)
+		c.enter(Starting)
 	}
 }
 
-// Stop begins the last phase: from when on its connections are closed, and at whose end all is answered.
-func (f *Lifecycle) Stop(last, end time.Time) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.connsCloseAt, f.deadline = last, end
-	f.enter(Stopping)
+// Stop begins the last phase. Callers' connections are closed from connsCloseAt on, and all is answered by the deadline.
+func (c *Lifecycle) Stop(connsCloseAt, deadline time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.connsCloseAt, c.deadline = connsCloseAt, deadline
+	c.enter(Stopping)
 }
 
-// Now tells the phase, since when it is that, and what will be closed when it changes.
-func (f *Lifecycle) Now() (p Phase, since time.Time, changed <-chan struct{}) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.phase, f.since, f.changed
+// Now returns the phase, its start, and a channel that is closed when it changes.
+func (c *Lifecycle) Now() (p Phase, since time.Time, changed <-chan struct{}) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.phase, c.since, c.changed
 }
 
-// Ready tells whether callers may be sent here.
-func (f *Lifecycle) IsReady() bool {
-	p, _, _ := f.Now()
+// IsReady reports whether callers may be sent here.
+func (c *Lifecycle) IsReady() bool {
+	p, _, _ := c.Now()
 	return p == Serving
 }
 
-// CanServe tells whether what callers send would be served: also in a drain, that only sends them away.
-func (f *Lifecycle) CanServe() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.listed && f.phase != Stopping
+// CanServe reports whether requests would be served: also in a drain, which only sends callers away.
+func (c *Lifecycle) CanServe() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.hasList && c.phase != Stopping
 }
 
-// Closing tells whether a sidecar that stops closes its connections, or will in a moment.
-func (f *Lifecycle) IsClosingWithin(moment time.Duration) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.phase == Stopping && time.Until(f.connsCloseAt) < moment
+// IsClosingWithin reports whether the sidecar stops and closes its callers' connections now or within a time.
+func (c *Lifecycle) IsClosingWithin(within time.Duration) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.phase == Stopping && time.Until(c.connsCloseAt) < within
 }
 
-// Ends is when all is answered; zero unless the sidecar stops.
-func (f *Lifecycle) Deadline() time.Time {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.deadline
+// Deadline is when all must be answered; zero unless the sidecar stops.
+func (c *Lifecycle) Deadline() time.Time {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.deadline
 }
--- a/internal/core/memory.go
+++ b/internal/core/memory.go
@@ -6,43 +6,19 @@
 )
 
 const (
-	// bodyShare is the part of the memory that bodies may use that are held, and relayShare what the buffers of
-	// those that are passed on may.
+	// bodyMemoryShare is the share of the memory for bodies that are kept whole, and relayMemoryShare for the buffers
+	// of bodies that are relayed as they arrive.
 	bodyMemoryShare  = 0.25
 	relayMemoryShare = 0.125
 
+	// minBuffer and maxBuffer bound the size of a relay buffer, in bytes.
 	minBuffer = 4 << 10
 	maxBuffer = 32 << 10
-
-	// outboundShare is the part of the sockets that connections to endpoints may use.
-	outboundSocketShare = 0.4
-	// ReservedSockets are for the listeners, discovery, probes, standard streams and the runtime, for
-	// control.MaxConnections, and for ExcessSockets: callers that come when all connections are busy, and are
-	// turned away.
-	ReservedSockets = 40
-	OverflowSockets = 12
 )
 
-// Limits are those of the machine that a process runs on.
-type Limits struct {
-	Cores    float64 `json:"cores"`
-	MemoryMB int64   `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
-}
-
-// Inbound is how many connections callers may have.
-func (l Limits) MaxInbound() int {
-	return int((1 - outboundSocketShare) * float64(l.Sockets-ReservedSockets))
-}
-
-// Outbound is how many connections there may be to endpoints.
-func (l Limits) MaxOutbound() int {
-	return int(outboundSocketShare * float64(l.Sockets-ReservedSockets))
-}
-
-// Memory bounds what bodies take, of all requests and answers together.
+// Memory bounds the memory that the bodies of all requests and responses take.
 type Memory struct {
-	Bodies  Budget
+	Bodies  Budget // of bodies that are kept whole
 	Buffers *Buffers
 }
 
@@ -53,25 +29,26 @@
 	return m
 }
 
-// Buffers are for relaying. A connection uses one at a time, and connections are bounded: the size is what each
-// may take of the share when all relay at once.
+// Buffers is a pool of relay buffers. A connection uses one at a time and connections are bounded, so the size is what
+// each may have of the share when all relay at once.
 type Buffers struct{ pool sync.Pool }
 
-// NewBuffers makes buffers of a size, or of the nearest that is of use.
+// NewBuffers makes a pool of buffers of a size in bytes, or of the nearest useful size.
 func NewBuffers(size int) *Buffers {
 	size = min(max(size, minBuffer), maxBuffer)
 	return &Buffers{pool: sync.Pool{New: func() any { b := make([]byte, size); return &b }}}
 }
 
-// Get takes a buffer, and Put gives it back.
+// Get takes a buffer.
 func (b *Buffers) Get() []byte { return *b.pool.Get().(*[]byte) }
 
+// Put gives a buffer back.
 func (b *Buffers) Put(buffer []byte) { b.pool.Put(&buffer) }
 
-// Budget bounds the bytes that are held for the bodies of all requests and answers together.
+// Budget is a number of bytes that may be taken. It is safe for concurrent use.
 type Budget struct{ available atomic.Int64 }
 
-// Take takes bytes, if they are there.
+// TryAcquire takes n bytes if they are available.
 func (b *Budget) TryAcquire(n int) bool {
 	if b.available.Add(-int64(n)) >= 0 {
 		return true
@@ -80,11 +57,11 @@
 	return false
 }
 
-// Give gives bytes back.
-func (b *Budget) Release(n int) { b.available.Add(int64(n)) }
-
-// Force takes what little is needed to go on, though it is not there.
+// ForceAcquire takes n bytes whether they are available or not: a little that is needed to go on.
 func (b *Budget) ForceAcquire(n int) { b.available.Add(-int64(n)) }
 
-// Left is how many bytes may still be taken.
+// Release gives n bytes back.
+func (b *Budget) Release(n int) { b.available.Add(int64(n)) }
+
+// Available is the number of bytes that may still be taken; negative after ForceAcquire.
 func (b *Budget) Available() int64 { return b.available.Load() }
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -9,48 +9,51 @@
 )
 
 const (
-	// idleShare is the part of connIdle after which an idle connection is retired: a request that is written
-	// while the endpoint closes it would be lost as a reset.
+	// idleTimeoutShare is the share of ConnIdle after which an idle connection is closed: a request that is written
+	// while the endpoint closes the connection would be lost.
 	idleTimeoutShare = 0.5
-	defaultConnIdle  = 10 * time.Second // where connIdle is not told
+	// defaultConnIdle is how long a connection is kept where the site does not state ConnIdle.
+	defaultConnIdle = 10 * time.Second
 )
 
-// Conn is a connection to an endpoint; it carries one attempt at a time. It embeds an Idle.
+// Conn is a connection to an endpoint that carries one attempt at a time. It embeds a PoolEntry.
 type Conn interface {
 	Close() error
-	// Alive tells whether it can carry a request: its peer has neither closed it nor sent what nobody asked for.
+	// Alive reports whether it can carry a request: its peer has neither closed it nor sent unsolicited data.
 	Alive() bool
 	poolEntry() *PoolEntry
 }
 
-// Idle is what the pool keeps of a connection.
+// PoolEntry is the pool's state of one connection.
 type PoolEntry struct {
-	IdleSince time.Time // when its last attempt ended
-	endpoint  *Endpoint // while it is idle:
+	IdleSince time.Time // end of its last attempt
+	endpoint  *Endpoint // while it is idle
 	element   *list.Element
 }
 
-func (i *PoolEntry) poolEntry() *PoolEntry { return i }
+func (e *PoolEntry) poolEntry() *PoolEntry { return e }
 
-// pool holds the idle connections to all endpoints, and bounds all connections to them. The loop owns it.
+// pool holds the idle connections to all endpoints, and bounds the number of all connections to them. The loop owns it.
 type pool struct {
 	idle        map[*Endpoint][]Conn // the most recently used last
-	oldestFirst list.List            // of all idle ones, the longest idle first
+	oldestFirst list.List            // all idle connections, the longest idle first
 	total       int                  // connections in use, idle or being made
-	max         int
-	maxIdle     time.Duration
+	max         int                  // bound on total
+	maxIdle     time.Duration        // an older idle connection is closed
 }
 
-func newPool(s *settings.Settings, most int) pool {
-	p := pool{idle: map[*Endpoint][]Conn{}, maxIdle: defaultConnIdle, max: most}
+// newPool makes a pool for at most maxConns connections.
+func newPool(s *settings.Settings, maxConns int) pool {
+	p := pool{idle: map[*Endpoint][]Conn{}, maxIdle: defaultConnIdle, max: maxConns}
 	if idle := s.ConnIdle; idle > 0 {
 		p.maxIdle = time.Duration(idleTimeoutShare * float64(idle))
 	}
 	return p
 }
 
-// acquire takes the most recently used connection that has rested, or else the one that has for longest; nil asks for
-// a new one. It is false when there may be no further connection. Whether the connection is alive shows when it is used.
+// acquire takes an idle connection to an endpoint: the most recently used one that has rested for cautiousReuseDelay, or
+// else the one that has rested longest. Where there is none it reserves a new connection, and returns nil; it is false
+// where there may be no further connection. Whether the connection is alive shows when it is used.
 func (p *pool) acquire(e *Endpoint, now time.Time) (c Conn, ok bool) {
 	conns := p.idle[e]
 	if len(conns) == 0 {
@@ -71,7 +74,7 @@
 	return c, true
 }
 
-// room takes a place for a connection.
+// reserve counts a new connection. Where the bound is reached it closes the longest idle one, and is false without one.
 func (p *pool) reserve() bool {
 	if p.total >= p.max {
 		oldest := p.oldestFirst.Front()
@@ -84,7 +87,7 @@
 	return true
 }
 
-// release takes a connection back after an attempt; nil if it is closed.
+// release takes a connection back after an attempt; nil if it was closed.
 func (p *pool) release(e *Endpoint, c Conn) {
 	switch {
 	case c == nil:
@@ -98,7 +101,7 @@
 	}
 }
 
-// take takes a connection out of the idle ones.
+// remove takes a connection out of the idle ones.
 func (p *pool) remove(c Conn) {
 	e := c.poolEntry().endpoint
 	p.oldestFirst.Remove(c.poolEntry().element)
@@ -118,13 +121,14 @@
 	p.total--
 }
 
+// closeIdle closes the idle connections to an endpoint.
 func (p *pool) closeIdle(e *Endpoint) {
 	for _, c := range slices.Clone(p.idle[e]) {
 		p.close(c)
 	}
 }
 
-// sweep closes connections that have been idle for too long or whose peer has closed them.
+// sweep closes connections that have been idle for too long or are no longer alive.
 func (p *pool) sweep(now time.Time) {
 	for at := p.oldestFirst.Front(); at != nil; {
 		c := at.Value.(Conn)
--- a/internal/core/query.go
+++ b/internal/core/query.go
@@ -5,26 +5,33 @@
 	"errors"
 )
 
-// errEnded is the word of a loop that has ended.
+// errLoopClosed is the error of a query to a loop that has ended.
 var errLoopClosed = errors.New("the core has ended")
 
-// ask has the loop answer something, or gives up with ctx or the loop's end: the loop may have a long queue, or none.
-func ask[T any](ctx context.Context, l *Loop, look func() T) (T, error) {
-	got := make(chan T, 1)
-	var none T
+// query has the loop compute a value and waits for it. It returns the zero value once the loop has ended.
+func query[T any](l *Loop, compute func() T) T {
+	value, _ := queryContext(context.Background(), l, compute)
+	return value
+}
+
+// queryContext is query with a bound on the wait, as the queue of events may be long: it returns the context's error, or
+// errLoopClosed.
+func queryContext[T any](ctx context.Context, l *Loop, compute func() T) (T, error) {
+	computed := make(chan T, 1)
+	var zero T
 	select {
-	case l.events <- func() { got <- look() }:
+	case l.events <- func() { computed <- compute() }:
 	case <-ctx.Done():
-		return none, ctx.Err()
+		return zero, ctx.Err()
 	case <-l.done:
-		return none, errLoopClosed
+		return zero, errLoopClosed
 	}
 	select {
-	case x := <-got:
-		return x, nil
+	case value := <-computed:
+		return value, nil
 	case <-ctx.Done():
-		return none, ctx.Err()
+		return zero, ctx.Err()
 	case <-l.done:
-		return none, errLoopClosed
+		return zero, errLoopClosed
 	}
 }
--- a/internal/core/recent_ids.go
+++ b/internal/core/recent_ids.go
@@ -7,30 +7,33 @@
 )
 
 const (
+	// recentIDsFor is how long the id of a finished request is remembered, and maxRecentIDs how many are.
 	recentIDsFor = 10 * time.Second
 	maxRecentIDs = 4096
 )
 
-// past holds the ids of requests that have ended a short while ago. An id is new with every request: one that
-// comes again is another's, and endpoints may run it twice or turn it away.
+// recentIDs are the ids of requests that have finished a short while ago. Each request has an id of its own: one that
+// is used again is another's, and endpoints may run it twice or reject it.
 type recentIDs struct {
 	endedAt map[decision.RequestID]time.Duration
-	order   []decision.RequestID // in the order in which they ended
+	order   []decision.RequestID // in the order in which they finished
 }
 
-func (p *recentIDs) add(id decision.RequestID, now time.Duration) {
-	if p.endedAt == nil {
-		p.endedAt = map[decision.RequestID]time.Duration{}
+// add remembers an id, and forgets those that are too old or too many.
+func (r *recentIDs) add(id decision.RequestID, now time.Duration) {
+	if r.endedAt == nil {
+		r.endedAt = map[decision.RequestID]time.Duration{}
 	}
-	for len(p.order) > 0 && (len(p.order) >= maxRecentIDs || now-p.endedAt[p.order[0]] > recentIDsFor) {
-		delete(p.endedAt, p.order[0])
-		p.order = p.order[1:]
+	for len(r.order) > 0 && (len(r.order) >= maxRecentIDs || now-r.endedAt[r.order[0]] > recentIDsFor) {
+		delete(r.endedAt, r.order[0])
+		r.order = r.order[1:]
 	}
-	p.endedAt[id] = now
-	p.order = append(p.order, id)
+	r.endedAt[id] = now
+	r.order = append(r.order, id)
 }
 
-func (p *recentIDs) has(id decision.RequestID, now time.Duration) bool {
-	at, ok := p.endedAt[id]
+// has reports whether a request with this id has finished a short while ago.
+func (r *recentIDs) has(id decision.RequestID, now time.Duration) bool {
+	at, ok := r.endedAt[id]
 	return ok && now-at <= recentIDsFor
 }
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -4,32 +4,32 @@
 	"dykering/internal/decision"
 )
 
-// Stats is what a loop holds.
+// Stats is what a loop holds at one moment.
 type Stats struct {
-	Calls            int                    // not yet answered, or with an attempt out
-	Attempts         int                    // attempts
-	Phases           [AttemptPhaseCount]int // of them
+	Calls            int                    // not yet answered, or with an attempt in flight
+	Attempts         int                    // in flight, adopted ones included
+	Phases           [AttemptPhaseCount]int // the calls' attempts by AttemptPhase
 	Queued           int                    // calls that wait for their first attempt
-	AwaitingRetry    int                    // calls that wait for a further one
-	Conns            int                    // to endpoints
-	IdleConns        int                    // of them
-	Revision         uint64
-	AwaitingFullList bool   // a list of the discovery that is followed is still to come
-	DiscoveryAddress string // its address
-	Endpoints        []EndpointStats
+	AwaitingRetry    int                    // calls that wait for a further attempt
+	Conns            int                    // connections to endpoints
+	IdleConns        int                    // of them, those that are idle
+	Revision         uint64                 // of the endpoint list
+	AwaitingFullList bool                   // the followed discovery has not yet sent its full list
+	DiscoveryAddress string
+	Endpoints        []EndpointStats // in no order
 }
 
-// EndpointStats is what a loop holds of an endpoint.
+// EndpointStats is what a loop holds of one endpoint.
 type EndpointStats struct {
 	ID        decision.EndpointID
 	Address   string
 	Open      bool // it may get new attempts
-	IdleConns int  // connections
+	IdleConns int
 }
 
-// Stats looks at what the loop holds.
+// Stats returns what the loop holds; the zero value once it has ended.
 func (l *Loop) Stats() Stats {
-	return look(l, func() Stats {
+	return query(l, func() Stats {
 		s := Stats{Calls: len(l.calls), Attempts: len(l.adopted), Conns: l.pool.total, IdleConns: l.pool.oldestFirst.Len(), Revision: l.revision,
 			AwaitingFullList: l.awaitingFullList, DiscoveryAddress: l.discoveryAddress}
 		for _, c := range l.calls {
