--- a/internal/handover/compatibility_test.go
+++ b/internal/handover/compatibility_test.go
@@ -21,7 +21,7 @@
 func offerOfReleasedBuild(t *testing.T) []byte {
 	t.Helper()
 	return fixture.Bytes(t, "testdata/compatibility/offer.bin",
-		func() []byte { return append([]byte{offered}, compatibleState...) })
+		func() []byte { return append([]byte{frameOffer}, compatibleState...) })
 }
 
 // A sender of a released build offers 'o' with the state, awaits 'y', and answers 'g'.
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -39,27 +39,27 @@
 	maxPeers = 2
 	// staleAfter is how old a file must be that nobody listens behind before it is removed: a younger one may be
 	// about to be listened to.
-	staleAfter = 10 * time.Second
-	maxPath    = 107 // bytes of a Unix socket's path, sockaddr_un less its end (unix(7))
+	staleSocketAge = 10 * time.Second
+	maxSocketPath    = 107 // bytes of a Unix socket's path, sockaddr_un less its end (unix(7))
 )
 
 // The words of the three steps; an offer is this and the state.
 const (
-	offered  = 'o'
-	accepted = 'y'
-	declined = 'n'
-	goOn     = 'g'
+	frameOffer  = 'o'
+	frameAccept = 'y'
+	frameDecline = 'n'
+	frameCommit     = 'g'
 )
 
 var (
 	// ErrDeclined is the other side's word that it has no room; the connection is still the caller's.
 	ErrDeclined = errors.New("handover: declined")
 	// ErrNobody says that no other process listens.
-	ErrNobody = errors.New("handover: nobody to pass anything to")
+	ErrNoReceiver = errors.New("handover: nobody to pass anything to")
 )
 
 // prefix is the beginning of the file names of all processes that serve under a name at an address.
-func prefix(name string) string {
+func filePrefix(name string) string {
 	sum := sha256.Sum256([]byte(name))
 	return "handover-" + hex.EncodeToString(sum[:6]) + "-"
 }
@@ -78,9 +78,9 @@
 // directory and name.
 func Listen(dir, name string) (*Receiver, error) {
 	// The age tells the youngest process from older ones that may still listen.
-	path := filepath.Join(dir, fmt.Sprintf("%s%d.%d", prefix(name), time.Now().UnixNano(), os.Getpid()))
+	path := filepath.Join(dir, fmt.Sprintf("%s%d.%d", filePrefix(name), time.Now().UnixNano(), os.Getpid()))
 	var l *net.UnixListener
-	err := within(path, func(address *net.UnixAddr) (err error) {
+	err := withSocketAddress(path, func(address *net.UnixAddr) (err error) {
 		l, err = net.ListenUnix("unixpacket", address)
 		return err
 	})
@@ -98,8 +98,8 @@
 
 // within calls f with the address of a socket's file. Where the path is longer than an address may be, it is that of
 // the directory's descriptor.
-func within(path string, f func(*net.UnixAddr) error) error {
-	if len(path) > maxPath {
+func withSocketAddress(path string, f func(*net.UnixAddr) error) error {
+	if len(path) > maxSocketPath {
 		dir, err := os.Open(filepath.Dir(path))
 		if err != nil {
 			return err
@@ -113,11 +113,11 @@
 // Take makes room for a connection. It returns what goes on with it, or false when there is no room. Its connections
 // are the taker's once start is called; where that does not come, drop is called and they are closed. The state is
 // good until Take returns.
-type Take func(state []byte, conns []net.Conn) (start, drop func(), ok bool)
+type Handler func(state []byte, conns []net.Conn) (start, drop func(), ok bool)
 
 // Serve hands what comes to take, until the receiver is closed. Take is called by one goroutine for each process
 // that passes something on.
-func (r *Receiver) Serve(take Take) error {
+func (r *Receiver) Serve(handler Handler) error {
 	for {
 		c, err := r.listener.AcceptUnix()
 		if errors.Is(err, net.ErrClosed) {
@@ -126,29 +126,29 @@
 		if err != nil {
 			return fmt.Errorf("handover: %w", err)
 		}
-		if !r.enter(c) {
+		if !r.track(c) {
 			c.Close()
 			continue
 		}
 		go func() {
-			defer r.leave(c)
-			for text := make([]byte, 1+MaxState); r.next(c, text, take) == nil; {
+			defer r.untrack(c)
+			for buffer := make([]byte, 1+MaxState); r.receiveOne(c, buffer, handler) == nil; {
 			}
 		}()
 	}
 }
 
-func (r *Receiver) enter(c *net.UnixConn) bool {
+func (r *Receiver) track(c *net.UnixConn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.closed || len(r.open) >= maxPeers || !ownUser(c) {
+	if r.closed || len(r.open) >= maxPeers || !isOwnUser(c) {
 		return false
 	}
 	r.open[c] = true
 	return true
 }
 
-func (r *Receiver) leave(c *net.UnixConn) {
+func (r *Receiver) untrack(c *net.UnixConn) {
 	c.Close()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -167,46 +167,46 @@
 }
 
 // ownUser tells whether a peer runs as the user of this process.
-func ownUser(c *net.UnixConn) bool {
+func isOwnUser(c *net.UnixConn) bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return false
 	}
 	var cred *syscall.Ucred
-	fault := raw.Control(func(fd uintptr) {
+	controlErr := raw.Control(func(fd uintptr) {
 		cred, err = syscall.GetsockoptUcred(int(fd), syscall.SOL_SOCKET, syscall.SO_PEERCRED)
 	})
-	return fault == nil && err == nil && int(cred.Uid) == os.Geteuid()
+	return controlErr == nil && err == nil && int(cred.Uid) == os.Geteuid()
 }
 
 // next takes one connection in. An error ends the way.
-func (r *Receiver) next(c *net.UnixConn, text []byte, take Take) error {
+func (r *Receiver) receiveOne(c *net.UnixConn, buffer []byte, handler Handler) error {
 	oob := make([]byte, syscall.CmsgSpace(4*maxConns))
 	c.SetReadDeadline(time.Time{}) // ends with the peer, or with Close
-	n, oobn, flags, _, err := c.ReadMsgUnix(text, oob)
+	n, oobn, flags, _, err := c.ReadMsgUnix(buffer, oob)
 	if err != nil {
 		return err
 	}
-	conns, err := connections(oob[:oobn])
+	conns, err := parseConnections(oob[:oobn])
 	closeAll := func() {
 		for _, conn := range conns {
 			conn.Close()
 		}
 	}
-	if err != nil || n == 0 || text[0] != offered || flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) != 0 {
+	if err != nil || n == 0 || buffer[0] != frameOffer || flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) != 0 {
 		closeAll()
 		return errors.Join(errors.New("handover: malformed offer"), err)
 	}
-	start, drop, ok := take(text[1:n], conns)
+	start, drop, ok := handler(buffer[1:n], conns)
 	if !ok {
 		closeAll()
-		return say(c, declined)
+		return writeFrame(c, frameDecline)
 	}
-	if err = say(c, accepted); err == nil {
+	if err = writeFrame(c, frameAccept); err == nil {
 		// The last word or the peer's end is waited for without a deadline: were it to pass just as the word comes,
 		// neither side would have the connection.
-		var word byte
-		if word, err = hear(c, time.Time{}); err == nil && word != goOn {
+		var frame byte
+		if frame, err = readFrame(c, time.Time{}); err == nil && frame != frameCommit {
 			err = errors.New("handover: not told to go on")
 		}
 	}
@@ -220,7 +220,7 @@
 }
 
 // connections makes connections of the descriptors that came. They are closed on exec.
-func connections(oob []byte) (conns []net.Conn, err error) {
+func parseConnections(oob []byte) (conns []net.Conn, err error) {
 	messages, err := syscall.ParseSocketControlMessage(oob)
 	if err != nil {
 		return nil, err
@@ -232,10 +232,10 @@
 		}
 		for _, fd := range fds {
 			file := os.NewFile(uintptr(fd), "passed connection")
-			c, fault := net.FileConn(file) // a copy
+			c, connErr := net.FileConn(file) // a copy
 			file.Close()
-			if fault != nil {
-				err = fault
+			if connErr != nil {
+				err = connErr
 				continue
 			}
 			conns = append(conns, c)
@@ -247,15 +247,15 @@
 	return conns, nil
 }
 
-func say(c *net.UnixConn, word byte) error {
+func writeFrame(c *net.UnixConn, frame byte) error {
 	c.SetWriteDeadline(time.Now().Add(stepTimeout))
-	_, err := c.Write([]byte{word})
+	_, err := c.Write([]byte{frame})
 	return err
 }
 
-func hear(c *net.UnixConn, until time.Time) (byte, error) {
+func readFrame(c *net.UnixConn, deadline time.Time) (byte, error) {
 	var b [2]byte
-	c.SetReadDeadline(until)
+	c.SetReadDeadline(deadline)
 	n, err := c.Read(b[:])
 	if err == nil && n != 1 {
 		err = errors.New("handover: malformed word")
@@ -268,7 +268,7 @@
 	mu   sync.Mutex
 	conn *net.UnixConn
 	err  error       // why nothing can be passed any more
-	over atomic.Bool // it is set: told without waiting for a step that is under way
+	closed atomic.Bool // it is set: told without waiting for a step that is under way
 }
 
 // Dial finds the youngest other process that listens under a name. A file that nobody listens behind is one that a
@@ -284,7 +284,7 @@
 	}
 	var found []candidate
 	for _, f := range files {
-		rest, ours := strings.CutPrefix(f.Name(), prefix(name))
+		rest, ours := strings.CutPrefix(f.Name(), filePrefix(name))
 		if !ours || f.Type()&fs.ModeSocket == 0 {
 			continue
 		}
@@ -299,24 +299,24 @@
 	for _, f := range found {
 		dialer := net.Dialer{Timeout: stepTimeout}
 		var c net.Conn
-		err := within(f.path, func(address *net.UnixAddr) (err error) {
+		err := withSocketAddress(f.path, func(address *net.UnixAddr) (err error) {
 			c, err = dialer.Dial("unixpacket", address.Name)
 			return err
 		})
 		if err != nil {
-			if errors.Is(err, syscall.ECONNREFUSED) && time.Since(time.Unix(0, f.born)) > staleAfter {
+			if errors.Is(err, syscall.ECONNREFUSED) && time.Since(time.Unix(0, f.born)) > staleSocketAge {
 				os.Remove(f.path) // if it cannot be removed it is passed over the next time as well
 			}
 			continue
 		}
 		u := c.(*net.UnixConn)
-		if !ownUser(u) {
+		if !isOwnUser(u) {
 			u.Close()
 			continue
 		}
 		return &Sender{conn: u}, nil
 	}
-	return nil, ErrNobody
+	return nil, ErrNoReceiver
 }
 
 // Pass gives connections away, with what they are in the middle of. Without an error they are the other process's
@@ -334,20 +334,20 @@
 	var fds []int
 	err := withDescriptors(conns, &fds, func() error {
 		s.conn.SetWriteDeadline(time.Now().Add(stepTimeout))
-		_, _, err := s.conn.WriteMsgUnix(append([]byte{offered}, state...), syscall.UnixRights(fds...), nil)
+		_, _, err := s.conn.WriteMsgUnix(append([]byte{frameOffer}, state...), syscall.UnixRights(fds...), nil)
 		return err
 	})
-	word := byte(0)
+	frame := byte(0)
 	if err == nil {
-		word, err = hear(s.conn, time.Now().Add(stepTimeout))
+		frame, err = readFrame(s.conn, time.Now().Add(stepTimeout))
 	}
 	switch {
-	case err == nil && word == declined:
+	case err == nil && frame == frameDecline:
 		return ErrDeclined
-	case err == nil && word != accepted:
+	case err == nil && frame != frameAccept:
 		err = errors.New("handover: malformed word")
 	case err == nil:
-		err = say(s.conn, goOn)
+		err = writeFrame(s.conn, frameCommit)
 	}
 	if errors.Is(err, syscall.EMSGSIZE) {
 		return fmt.Errorf("handover: %w", err) // nothing has been offered
@@ -355,7 +355,7 @@
 	if err != nil {
 		// Who has not heard the last word lets go when the way ends.
 		s.err = fmt.Errorf("handover: %w", err)
-		s.over.Store(true)
+		s.closed.Store(true)
 		s.conn.Close()
 		return s.err
 	}
@@ -371,17 +371,17 @@
 	if err != nil {
 		return err
 	}
-	if fault := raw.Control(func(fd uintptr) {
+	if controlErr := raw.Control(func(fd uintptr) {
 		*fds = append(*fds, int(fd))
 		err = withDescriptors(conns[1:], fds, f)
-	}); fault != nil {
-		return fault
+	}); controlErr != nil {
+		return controlErr
 	}
 	return err
 }
 
 // Alive tells whether anything can still be passed. It never waits.
-func (s *Sender) Alive() bool { return !s.over.Load() }
+func (s *Sender) Alive() bool { return !s.closed.Load() }
 
 // Close ends the way.
 func (s *Sender) Close() error {
@@ -391,6 +391,6 @@
 		return nil
 	}
 	s.err = net.ErrClosed
-	s.over.Store(true)
+	s.closed.Store(true)
 	return s.conn.Close()
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -47,7 +47,7 @@
 }
 
 // serve has a receiver take what comes in a way, until the test ends.
-func serve(t testing.TB, dir string, take Take) *Receiver {
+func serve(t testing.TB, dir string, take Handler) *Receiver {
 	t.Helper()
 	r, err := Listen(dir, "n0")
 	if err != nil {
@@ -116,9 +116,9 @@
 // Whatever goes wrong before the last word, the connection is still its first owner's, and works.
 func TestNotPassed(t *testing.T) {
 	for name, play := range map[string]func(c *net.UnixConn){
-		"declined":      func(c *net.UnixConn) { say(c, declined) },
+		"declined":      func(c *net.UnixConn) { writeFrame(c, frameDecline) },
 		"ends unheard":  func(c *net.UnixConn) { c.Close() },
-		"says nonsense": func(c *net.UnixConn) { say(c, 'q') },
+		"says nonsense": func(c *net.UnixConn) { writeFrame(c, 'q') },
 		"says too much": func(c *net.UnixConn) { c.Write([]byte("yy")) },
 		"says nothing":  func(c *net.UnixConn) {},
 	} {
@@ -139,7 +139,7 @@
 				t.Cleanup(func() { c.Close() })
 				oob := make([]byte, 64)
 				_, n, _, _, _ := c.ReadMsgUnix(make([]byte, 8), oob)
-				conns, _ := connections(oob[:n])
+				conns, _ := parseConnections(oob[:n])
 				play(c)
 				for _, x := range conns {
 					x.Close()
@@ -168,13 +168,13 @@
 	offer := func(c *net.UnixConn, near *net.TCPConn) {
 		raw, _ := near.SyscallConn()
 		raw.Control(func(fd uintptr) { c.WriteMsgUnix([]byte("os"), syscall.UnixRights(int(fd)), nil) })
-		hear(c, time.Time{})
+		readFrame(c, time.Time{})
 	}
 	for name, play := range map[string]func(c *net.UnixConn, near *net.TCPConn){
 		"ends before the last word": offer,
 		"another word": func(c *net.UnixConn, near *net.TCPConn) {
 			offer(c, near)
-			say(c, 'x')
+			writeFrame(c, 'x')
 			c.Read(make([]byte, 1)) // until it is closed
 		},
 		"no offer": func(c *net.UnixConn, near *net.TCPConn) {
@@ -189,7 +189,7 @@
 				return func() { started <- true }, func() { dropped <- true }, true
 			})
 			var c *net.UnixConn
-			if err := within(r.path, func(a *net.UnixAddr) (err error) {
+			if err := withSocketAddress(r.path, func(a *net.UnixAddr) (err error) {
 				c, err = net.DialUnix("unixpacket", nil, a)
 				return err
 			}); err != nil {
@@ -224,14 +224,14 @@
 // The youngest other process is found among others, files that killed ones left, and what is none, also where a path
 // is longer than an address.
 func TestDial(t *testing.T) {
-	dir := filepath.Join(t.TempDir(), strings.Repeat("x", maxPath))
+	dir := filepath.Join(t.TempDir(), strings.Repeat("x", maxSocketPath))
 	if _, err := Listen(dir, "n0"); err == nil {
 		t.Error("listens in no directory")
 	}
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Dial(dir, "n0", nil); !errors.Is(err, ErrNobody) {
+	if _, err := Dial(dir, "n0", nil); !errors.Is(err, ErrNoReceiver) {
 		t.Errorf("an empty directory: %v", err)
 	}
 	var own *Receiver
@@ -242,8 +242,8 @@
 			return nil, nil, false
 		})
 	}
-	left := filepath.Join(dir, prefix("n0")+"9.9")
-	if err := within(left, func(a *net.UnixAddr) error {
+	left := filepath.Join(dir, filePrefix("n0")+"9.9")
+	if err := withSocketAddress(left, func(a *net.UnixAddr) error {
 		l, err := net.ListenUnix("unixpacket", a)
 		if err == nil {
 			l.SetUnlinkOnClose(false)
@@ -253,7 +253,7 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	for _, name := range []string{prefix("n0") + "99999999999999999999999.1", prefix("n0") + "1.1", "other"} {
+	for _, name := range []string{filePrefix("n0") + "99999999999999999999999.1", filePrefix("n0") + "1.1", "other"} {
 		if err := os.WriteFile(filepath.Join(dir, name), nil, 0o600); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/http1/network.go
+++ b/internal/http1/network.go
@@ -26,7 +26,7 @@
 
 // Receiver receives the connections of the predecessor; see package handover.
 type Receiver interface {
-	Serve(handover.Take) error
+	Serve(handover.Handler) error
 	Close() error
 }
 
--- a/internal/http1/transfer_send.go
+++ b/internal/http1/transfer_send.go
@@ -128,7 +128,7 @@
 func (s *Server) relayTransfer(r *bufio.Reader) transferFunc {
 	return func(l *relay) error {
 		if !s.hasSuccessor() {
-			return handover.ErrNobody
+			return handover.ErrNoReceiver
 		}
 		state := &relayState{Pending: l.pending, Chunked: l.chunked, HTTP10: l.http10, KeepAlive: l.keepAlive, Finished: l.body.finished}
 		var upstream *upstreamConn
@@ -147,7 +147,7 @@
 func (s *Server) uploadTransfer(r *bufio.Reader, w *reply, req *request) func(*attempt, *upstreamConn) error {
 	return func(a *attempt, c *upstreamConn) error {
 		if !s.hasSuccessor() {
-			return handover.ErrNobody
+			return handover.ErrNoReceiver
 		}
 		u := req.upload
 		state := &uploadState{ID: string(req.ID), AnswerTimeout: a.Call.Remaining, HTTP10: w.http10, KeepAlive: w.keepAlive, Pending: u.pending,
--- a/internal/lab/netem/passing.go
+++ b/internal/lab/netem/passing.go
@@ -12,7 +12,7 @@
 type Receiver struct {
 	process *Process
 	key     string
-	take    handover.Take
+	take    handover.Handler
 	serves  chan struct{} // closed once it takes
 	closed  chan struct{}
 	once    sync.Once
@@ -48,7 +48,7 @@
 }
 
 // Serve hands what comes to take, until the receiver is closed.
-func (r *Receiver) Serve(take handover.Take) error {
+func (r *Receiver) Serve(take handover.Handler) error {
 	r.take = take
 	close(r.serves)
 	<-r.closed
@@ -99,7 +99,7 @@
 			return &Sender{x: x, from: p, to: kept[i]}, nil
 		}
 	}
-	return nil, handover.ErrNobody
+	return nil, handover.ErrNoReceiver
 }
 
 // Alive tells whether anything can still be passed.
