--- a/internal/handover/compatibility_test.go
+++ b/internal/handover/compatibility_test.go
@@ -30,7 +30,7 @@
 	const dir = "." // a socket's whole path may be too long
 	t.Chdir(t.TempDir())
 	received := make(chan string, 1)
-	serve(t, dir, func(state []byte, _ []net.Conn) (start, drop func(), ok bool) {
+	serveUntilEnd(t, dir, func(state []byte, _ []net.Conn) (start, drop func(), ok bool) {
 		text := string(state)
 		return func() { received <- text }, func() {}, true
 	})
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// pair is a TCP connection, and its far end.
-func pair(t testing.TB) (near, far *net.TCPConn) {
+// tcpPair returns the two ends of a TCP connection.
+func tcpPair(t testing.TB) (near, far *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -36,8 +36,8 @@
 	return s.(*net.TCPConn), c.(*net.TCPConn)
 }
 
-// heard reads so many bytes.
-func heard(t testing.TB, c net.Conn, n int) string {
+// readText reads n bytes.
+func readText(t testing.TB, c net.Conn, n int) string {
 	t.Helper()
 	b := make([]byte, n)
 	if _, err := io.ReadFull(c, b); err != nil {
@@ -46,8 +46,8 @@
 	return string(b)
 }
 
-// serve has a receiver take what comes in a way, until the test ends.
-func serve(t testing.TB, dir string, take Handler) *Receiver {
+// serveUntilEnd runs a receiver with a handler until the test ends.
+func serveUntilEnd(t testing.TB, dir string, take Handler) *Receiver {
 	t.Helper()
 	r, err := Listen(dir, "n0")
 	if err != nil {
@@ -64,16 +64,16 @@
 	return r
 }
 
-// Connections come with what was told of them, however much that is, and the process that gave them away may close
-// its own without a word to their peers.
-func TestPass(t *testing.T) {
+// Connections arrive with their state, whatever its size, and the sender may close its own
+// descriptors without anything sent to their peers.
+func TestPassedConnectionsArriveWithTheirState(t *testing.T) {
 	type got struct {
 		state []byte
 		conns []net.Conn
 	}
 	came := make(chan got, 1)
 	dir := t.TempDir()
-	serve(t, dir, func(state []byte, conns []net.Conn) (func(), func(), bool) {
+	serveUntilEnd(t, dir, func(state []byte, conns []net.Conn) (func(), func(), bool) {
 		return func() { came <- got{bytes.Clone(state), conns} }, func() { t.Error("dropped") }, true
 	})
 	s, err := Dial(dir, "n0", nil)
@@ -86,7 +86,7 @@
 			var mine []syscall.Conn
 			var far []net.Conn
 			for range conns {
-				n, f := pair(t)
+				n, f := tcpPair(t)
 				mine, far = append(mine, n), append(far, f)
 			}
 			state := bytes.Repeat([]byte{'x'}, size)
@@ -101,7 +101,7 @@
 				mine[i].(net.Conn).Close()
 				io.WriteString(g.conns[i], "there")
 				io.WriteString(far[i], "back")
-				if a, b := heard(t, far[i], 5), heard(t, g.conns[i], 4); a != "there" || b != "back" {
+				if a, b := readText(t, far[i], 5), readText(t, g.conns[i], 4); a != "there" || b != "back" {
 					t.Errorf("heard %q and %q", a, b)
 				}
 				g.conns[i].Close()
@@ -113,8 +113,9 @@
 	}
 }
 
-// Whatever goes wrong before the last word, the connection is still its first owner's, and works.
-func TestNotPassed(t *testing.T) {
+// Whatever goes wrong before the commit, the connection still belongs to its first owner, and
+// works.
+func TestConnectionStaysWithSenderUnlessAccepted(t *testing.T) {
 	for name, play := range map[string]func(c *net.UnixConn){
 		"declined":      func(c *net.UnixConn) { writeFrame(c, frameDecline) },
 		"ends unheard":  func(c *net.UnixConn) { c.Close() },
@@ -149,22 +150,22 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			near, far := pair(t)
+			near, far := tcpPair(t)
 			err = s.Pass([]byte("s"), near)
 			<-done
 			if err == nil || errors.Is(err, ErrDeclined) != (name == "declined") || s.Alive() != (name == "declined") {
 				t.Errorf("got %v, alive %v", err, s.Alive())
 			}
 			io.WriteString(near, "still")
-			if got := heard(t, far, 5); got != "still" {
+			if got := readText(t, far, 5); got != "still" {
 				t.Errorf("heard %q", got)
 			}
 		})
 	}
 }
 
-// A receiver that is not told to go on leaves the connection alone, and hears the next process.
-func TestNotToldToGoOn(t *testing.T) {
+// A receiver that gets no commit leaves the connection alone, and serves the next sender.
+func TestReceiverDropsConnectionsWithoutCommit(t *testing.T) {
 	offer := func(c *net.UnixConn, near *net.TCPConn) {
 		raw, _ := near.SyscallConn()
 		raw.Control(func(fd uintptr) { c.WriteMsgUnix([]byte("os"), syscall.UnixRights(int(fd)), nil) })
@@ -185,7 +186,7 @@
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
 			dropped, started := make(chan bool, 1), make(chan bool, 1)
-			r := serve(t, dir, func([]byte, []net.Conn) (func(), func(), bool) {
+			r := serveUntilEnd(t, dir, func([]byte, []net.Conn) (func(), func(), bool) {
 				return func() { started <- true }, func() { dropped <- true }, true
 			})
 			var c *net.UnixConn
@@ -195,14 +196,14 @@
 			}); err != nil {
 				t.Fatal(err)
 			}
-			near, far := pair(t)
+			near, far := tcpPair(t)
 			play(c, near)
 			c.Close()
 			if strings.Contains(name, "word") {
 				<-dropped
 			}
 			io.WriteString(near, "mine")
-			if got := heard(t, far, 4); got != "mine" {
+			if got := readText(t, far, 4); got != "mine" {
 				t.Errorf("heard %q", got)
 			}
 			s, err := Dial(dir, "n0", nil)
@@ -221,9 +222,9 @@
 	}
 }
 
-// The youngest other process is found among others, files that killed ones left, and what is none, also where a path
-// is longer than an address.
-func TestDial(t *testing.T) {
+// The youngest other process is found among others, files of killed ones, and files that are no
+// sockets, also where a path is longer than an address.
+func TestDialFindsTheYoungestOtherReceiver(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), strings.Repeat("x", maxSocketPath))
 	if _, err := Listen(dir, "n0"); err == nil {
 		t.Error("listens in no directory")
@@ -237,7 +238,7 @@
 	var own *Receiver
 	came := make(chan string, 1)
 	for _, who := range []string{"oldest", "youngest", "own"} {
-		own = serve(t, dir, func([]byte, []net.Conn) (func(), func(), bool) {
+		own = serveUntilEnd(t, dir, func([]byte, []net.Conn) (func(), func(), bool) {
 			came <- who
 			return nil, nil, false
 		})
@@ -273,7 +274,7 @@
 
 func BenchmarkPass(b *testing.B) {
 	dir := b.TempDir()
-	serve(b, dir, func(_ []byte, conns []net.Conn) (func(), func(), bool) {
+	serveUntilEnd(b, dir, func(_ []byte, conns []net.Conn) (func(), func(), bool) {
 		return func() { conns[0].Close(); conns[1].Close() }, func() {}, true
 	})
 	s, err := Dial(dir, "n0", nil)
@@ -281,7 +282,7 @@
 		b.Fatal(err)
 	}
 	defer s.Close()
-	x, y := pair(b)
+	x, y := tcpPair(b)
 	for b.Loop() {
 		if err := s.Pass(make([]byte, 1000), x, y); err != nil {
 			b.Fatal(err)
--- a/internal/handover/protocol.go
+++ b/internal/handover/protocol.go
@@ -7,22 +7,25 @@
 )
 
 const (
-	// MaxState bounds, in bytes, what goes along with a connection. A message has to fit into a socket's buffer, by
-	// default 208 KiB on Linux, together with what the kernel adds.
+	// MaxState bounds the state of an offer, in bytes. A message has to fit into the socket's send
+	// buffer, by default 208 KiB on Linux, together with the kernel's overhead.
 	MaxState = 160 << 10
+	// maxConns bounds the connections of an offer: a client's and an endpoint's.
 	maxConns = 2
-	// stepTimeout is for each step; a process that has not the time for one is as good as gone.
+	// stepTimeout bounds each step. A process that takes longer counts as dead.
 	stepTimeout = 500 * time.Millisecond
-	// maxPeers bounds the processes that pass something on at a time. There is one, and one more that has been
-	// replaced while it did.
+	// maxPeers bounds the concurrent senders. There is one, and another that was itself replaced while
+	// it was still sending.
 	maxPeers = 2
-	// staleAfter is how old a file must be that nobody listens behind before it is removed: a younger one may be
-	// about to be listened to.
+	// staleSocketAge is the age at which a socket file without a listener is removed. A younger one
+	// may be about to be listened on.
 	staleSocketAge = 10 * time.Second
-	maxSocketPath  = 107 // bytes of a Unix socket's path, sockaddr_un less its end (unix(7))
+	// maxSocketPath is the longest path of a Unix socket in bytes, the size of sun_path less its
+	// terminator (unix(7)).
+	maxSocketPath = 107
 )
 
-// The words of the three steps; an offer is this and the state.
+// The types of frames; see the package documentation.
 const (
 	frameOffer   = 'o'
 	frameAccept  = 'y'
@@ -31,24 +34,31 @@
 )
 
 var (
-	// ErrDeclined is the other side's word that it has no room; the connection is still the caller's.
+	// ErrDeclined is the receiver's answer that it does not take the connections. They still belong to
+	// the caller, and the next ones may be passed.
 	ErrDeclined = errors.New("handover: declined")
-	// ErrNobody says that no other process listens.
-	ErrNoReceiver = errors.New("handover: nobody to pass anything to")
+	// ErrNoReceiver says that no other process listens under the name.
+	ErrNoReceiver = errors.New("handover: no other process receives connections")
+	// The peer has violated the protocol.
+	errMalformedOffer = errors.New("handover: malformed offer")
+	errMalformedFrame = errors.New("handover: malformed frame")
+	errNotCommitted   = errors.New("handover: no commit after the accept")
 )
 
+// writeFrame sends a frame without payload.
 func writeFrame(c *net.UnixConn, frame byte) error {
 	c.SetWriteDeadline(time.Now().Add(stepTimeout))
 	_, err := c.Write([]byte{frame})
 	return err
 }
 
+// readFrame receives a frame without payload until a deadline; the zero time is none.
 func readFrame(c *net.UnixConn, deadline time.Time) (byte, error) {
 	var b [2]byte
 	c.SetReadDeadline(deadline)
 	n, err := c.Read(b[:])
 	if err == nil && n != 1 {
-		err = errors.New("handover: malformed word")
+		err = errMalformedFrame
 	}
 	return b[0], err
 }
--- a/internal/handover/receiver.go
+++ b/internal/handover/receiver.go
@@ -1,12 +1,3 @@
-// Package handover passes open connections from a process that ends to the one that serves in its place, both on
-// one machine and of one user. What a connection is in the middle of goes along as text that this package does
-// not read.
-//
-// The way is a Unix socket of whole messages (SOCK_SEQPACKET, unix(7)) whose file lies in a directory that both
-// processes have; descriptors travel as SCM_RIGHTS. One connection is passed in three steps: it is offered, the
-// other side makes room and says yes, and it is told to go on. Until that last word the process that offers has
-// the connection, and after it the other one: neither a message that is lost nor a process that dies in between
-// leaves it with two owners.
 package handover
 
 import (
@@ -20,20 +11,21 @@
 	"time"
 )
 
-// Receiver takes connections of the process before.
+// Receiver receives the connections of the predecessor.
 type Receiver struct {
 	listener *net.UnixListener
 	path     string
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// Connections of senders.
 	open   map[*net.UnixConn]bool
 	closed bool
 }
 
-// Listen makes the socket that a process before this one passes its connections to. Both have to give the same
-// directory and name.
+// Listen creates the socket to which a predecessor passes its connections. Both have to give the
+// same directory and name.
 func Listen(dir, name string) (*Receiver, error) {
-	// The age tells the youngest process from older ones that may still listen.
+	// The time in the name distinguishes the youngest process from older ones that may still listen.
 	path := filepath.Join(dir, fmt.Sprintf("%s%d.%d", filePrefix(name), time.Now().UnixNano(), os.Getpid()))
 	var l *net.UnixListener
 	err := withSocketAddress(path, func(address *net.UnixAddr) (err error) {
@@ -43,7 +35,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	l.SetUnlinkOnClose(false) // Close does it, by the whole path
+	l.SetUnlinkOnClose(false) // Close removes the file, by its full path
 	if err := os.Chmod(path, 0o600); err != nil {
 		l.Close()
 		os.Remove(path)
@@ -52,13 +44,14 @@
 	return &Receiver{listener: l, path: path, open: map[*net.UnixConn]bool{}}, nil
 }
 
-// Take makes room for a connection. It returns what goes on with it, or false when there is no room. Its connections
-// are the taker's once start is called; where that does not come, drop is called and they are closed. The state is
-// good until Take returns.
+// Handler reserves what passed connections need. It returns false if there is no capacity; the
+// connections are closed then. Otherwise exactly one of the two functions is called: start once the
+// connections belong to this process, or drop if they do not, after which they are closed. The
+// state is valid until Handler returns.
 type Handler func(state []byte, conns []net.Conn) (start, drop func(), ok bool)
 
-// Serve hands what comes to take, until the receiver is closed. Take is called by one goroutine for each process
-// that passes something on.
+// Serve calls the handler for each offer until the receiver is closed; then it returns nil. The
+// handler is called by one goroutine for each sender.
 func (r *Receiver) Serve(handler Handler) error {
 	for {
 		c, err := r.listener.AcceptUnix()
@@ -80,6 +73,8 @@
 	}
 }
 
+// track registers a sender's connection. It reports false for one too many, of another user, or
+// after Close.
 func (r *Receiver) track(c *net.UnixConn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,6 +85,7 @@
 	return true
 }
 
+// untrack closes and removes a sender's connection.
 func (r *Receiver) untrack(c *net.UnixConn) {
 	c.Close()
 	r.mu.Lock()
@@ -97,7 +93,7 @@
 	delete(r.open, c)
 }
 
-// Close ends the receiver and takes its file away.
+// Close ends the receiver and removes its file.
 func (r *Receiver) Close() error {
 	r.mu.Lock()
 	r.closed = true
@@ -108,10 +104,11 @@
 	return errors.Join(r.listener.Close(), os.Remove(r.path))
 }
 
-// next takes one connection in. An error ends the way.
+// receiveOne receives one offer and answers it. After an error the sender's connection cannot be
+// used any more.
 func (r *Receiver) receiveOne(c *net.UnixConn, buffer []byte, handler Handler) error {
 	oob := make([]byte, syscall.CmsgSpace(4*maxConns))
-	c.SetReadDeadline(time.Time{}) // ends with the peer, or with Close
+	c.SetReadDeadline(time.Time{}) // the read ends with the sender, or with Close
 	n, oobn, flags, _, err := c.ReadMsgUnix(buffer, oob)
 	if err != nil {
 		return err
@@ -124,7 +121,7 @@
 	}
 	if err != nil || n == 0 || buffer[0] != frameOffer || flags&(syscall.MSG_TRUNC|syscall.MSG_CTRUNC) != 0 {
 		closeAll()
-		return errors.Join(errors.New("handover: malformed offer"), err)
+		return errors.Join(errMalformedOffer, err)
 	}
 	start, drop, ok := handler(buffer[1:n], conns)
 	if !ok {
@@ -132,11 +129,11 @@
 		return writeFrame(c, frameDecline)
 	}
 	if err = writeFrame(c, frameAccept); err == nil {
-		// The last word or the peer's end is waited for without a deadline: were it to pass just as the word comes,
-		// neither side would have the connection.
+		// The commit, or the end of the sender, is awaited without a deadline: if one passed just as the commit is
+		// received, neither process would own the connections.
 		var frame byte
 		if frame, err = readFrame(c, time.Time{}); err == nil && frame != frameCommit {
-			err = errors.New("handover: not told to go on")
+			err = errNotCommitted
 		}
 	}
 	if err != nil {
@@ -148,7 +145,8 @@
 	return nil
 }
 
-// connections makes connections of the descriptors that came. They are closed on exec.
+// parseConnections makes connections of the descriptors in a control message. Also with an error
+// the caller has to close those that are returned.
 func parseConnections(oob []byte) (conns []net.Conn, err error) {
 	messages, err := syscall.ParseSocketControlMessage(oob)
 	if err != nil {
@@ -161,7 +159,7 @@
 		}
 		for _, fd := range fds {
 			file := os.NewFile(uintptr(fd), "passed connection")
-			c, connErr := net.FileConn(file) // a copy
+			c, connErr := net.FileConn(file) // duplicates the descriptor, close-on-exec
 			file.Close()
 			if connErr != nil {
 				err = connErr
--- a/internal/handover/sender.go
+++ b/internal/handover/sender.go
@@ -1,6 +1,7 @@
 package handover
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"io/fs"
@@ -16,65 +17,94 @@
 	"time"
 )
 
-// Sender passes connections to the process that serves in this one's place. Its methods may be called by many.
+// Sender passes connections to the successor. Its methods may be called concurrently.
 type Sender struct {
-	mu     sync.Mutex
-	conn   *net.UnixConn
-	err    error       // why nothing can be passed any more
-	closed atomic.Bool // it is set: told without waiting for a step that is under way
+	mu   sync.Mutex
+	conn *net.UnixConn
+	// Why nothing can be passed any more; nil while it can.
+	err error
+	// Whether err is set, readable without waiting for a step in progress.
+	closed atomic.Bool
 }
 
-// Dial finds the youngest other process that listens under a name. A file that nobody listens behind is one that a
-// process left which was killed; it is passed over and, once old, removed.
+// Dial connects to the youngest other process that listens under a name in a directory; own is the
+// receiver of this process, which is not dialed, or nil. The error is ErrNoReceiver if there is no
+// such process, or that of reading the directory.
+//
+// A socket file without a listener was left by a process that was killed. It is skipped and, once
+// old, removed.
 func Dial(dir, name string, own *Receiver) (*Sender, error) {
-	files, err := os.ReadDir(dir)
+	found, err := findSockets(dir, name)
 	if err != nil {
-		return nil, fmt.Errorf("handover: %w", err)
-	}
-	type candidate struct {
-		path string
-		born int64
+		return nil, err
 	}
-	var found []candidate
-	for _, f := range files {
-		rest, ours := strings.CutPrefix(f.Name(), filePrefix(name))
-		if !ours || f.Type()&fs.ModeSocket == 0 {
+	for _, socket := range found {
+		if own != nil && socket.path == own.path {
 			continue
 		}
-		born, _, _ := strings.Cut(rest, ".")
-		if at, err := strconv.ParseInt(born, 10, 64); err == nil {
-			if path := filepath.Join(dir, f.Name()); own == nil || path != own.path {
-				found = append(found, candidate{path, at})
-			}
-		}
-	}
-	slices.SortFunc(found, func(a, b candidate) int { return int(min(1, max(-1, b.born-a.born))) })
-	for _, f := range found {
-		dialer := net.Dialer{Timeout: stepTimeout}
-		var c net.Conn
-		err := withSocketAddress(f.path, func(address *net.UnixAddr) (err error) {
-			c, err = dialer.Dial("unixpacket", address.Name)
-			return err
-		})
+		conn, err := dialSocket(socket.path)
 		if err != nil {
-			if errors.Is(err, syscall.ECONNREFUSED) && time.Since(time.Unix(0, f.born)) > staleSocketAge {
-				os.Remove(f.path) // if it cannot be removed it is passed over the next time as well
+			if errors.Is(err, syscall.ECONNREFUSED) && time.Since(time.Unix(0, socket.created)) > staleSocketAge {
+				os.Remove(socket.path) // a file that cannot be removed is skipped the next time too
 			}
 			continue
 		}
-		u := c.(*net.UnixConn)
-		if !isOwnUser(u) {
-			u.Close()
+		if !isOwnUser(conn) {
+			conn.Close()
 			continue
 		}
-		return &Sender{conn: u}, nil
+		return &Sender{conn: conn}, nil
 	}
 	return nil, ErrNoReceiver
 }
 
-// Pass gives connections away, with what they are in the middle of. Without an error they are the other process's
-// from now on, and have to be closed here, without a word to their peers. With ErrDeclined or another error they
-// are still the caller's.
+// socketFile is the socket of a process that may receive connections.
+type socketFile struct {
+	path string
+	// When its process created it, in Unix nanoseconds.
+	created int64
+}
+
+// findSockets lists the socket files of a name, the youngest first.
+func findSockets(dir, name string) ([]socketFile, error) {
+	files, err := os.ReadDir(dir)
+	if err != nil {
+		return nil, fmt.Errorf("handover: %w", err)
+	}
+	var found []socketFile
+	for _, f := range files {
+		rest, matches := strings.CutPrefix(f.Name(), filePrefix(name))
+		if !matches || f.Type()&fs.ModeSocket == 0 {
+			continue
+		}
+		text, _, _ := strings.Cut(rest, ".")
+		if created, err := strconv.ParseInt(text, 10, 64); err == nil {
+			found = append(found, socketFile{filepath.Join(dir, f.Name()), created})
+		}
+	}
+	slices.SortFunc(found, func(a, b socketFile) int { return cmp.Compare(b.created, a.created) })
+	return found, nil
+}
+
+// dialSocket connects to a socket file within stepTimeout.
+func dialSocket(path string) (*net.UnixConn, error) {
+	dialer := net.Dialer{Timeout: stepTimeout}
+	var conn net.Conn
+	err := withSocketAddress(path, func(address *net.UnixAddr) (err error) {
+		conn, err = dialer.Dial("unixpacket", address.Name)
+		return err
+	})
+	if err != nil {
+		return nil, err
+	}
+	return conn.(*net.UnixConn), nil
+}
+
+// Pass passes up to two connections with their state of up to MaxState bytes. Without an error they
+// belong to the other process, and have to be closed here without anything sent or shut down on
+// them. After ErrDeclined or another error they still belong to the caller; after an error other
+// than ErrDeclined the receiver may hold copies of them until it closes the socket. Calls are
+// serialized, and each step ends within half a second.
 func (s *Sender) Pass(state []byte, conns ...syscall.Conn) error {
 	if len(state) > MaxState || len(conns) > maxConns {
 		return fmt.Errorf("handover: %d bytes with %d connections are too much to pass", len(state), len(conns))
@@ -84,29 +114,21 @@
 	if s.err != nil {
 		return s.err
 	}
-	var fds []int
-	err := withDescriptors(conns, &fds, func() error {
-		s.conn.SetWriteDeadline(time.Now().Add(stepTimeout))
-		_, _, err := s.conn.WriteMsgUnix(append([]byte{frameOffer}, state...), syscall.UnixRights(fds...), nil)
-		return err
-	})
-	frame := byte(0)
-	if err == nil {
-		frame, err = readFrame(s.conn, time.Now().Add(stepTimeout))
+	reply, err := s.offer(state, conns)
+	if errors.Is(err, syscall.EMSGSIZE) {
+		return fmt.Errorf("handover: %w", err) // nothing has been offered
 	}
 	switch {
-	case err == nil && frame == frameDecline:
+	case err != nil:
+	case reply == frameDecline:
 		return ErrDeclined
-	case err == nil && frame != frameAccept:
-		err = errors.New("handover: malformed word")
-	case err == nil:
+	case reply == frameAccept:
 		err = writeFrame(s.conn, frameCommit)
-	}
-	if errors.Is(err, syscall.EMSGSIZE) {
-		return fmt.Errorf("handover: %w", err) // nothing has been offered
+	default:
+		err = errMalformedFrame
 	}
 	if err != nil {
-		// Who has not heard the last word lets go when the way ends.
+		// A receiver that has not received the commit drops the connections when the socket closes.
 		s.err = fmt.Errorf("handover: %w", err)
 		s.closed.Store(true)
 		s.conn.Close()
@@ -115,7 +137,21 @@
 	return nil
 }
 
-// withDescriptors calls f while the descriptors of connections cannot be closed.
+// offer sends an offer and returns the frame that answers it.
+func (s *Sender) offer(state []byte, conns []syscall.Conn) (reply byte, err error) {
+	var fds []int
+	err = withDescriptors(conns, &fds, func() error {
+		s.conn.SetWriteDeadline(time.Now().Add(stepTimeout))
+		_, _, err := s.conn.WriteMsgUnix(append([]byte{frameOffer}, state...), syscall.UnixRights(fds...), nil)
+		return err
+	})
+	if err != nil {
+		return 0, err
+	}
+	return readFrame(s.conn, time.Now().Add(stepTimeout))
+}
+
+// withDescriptors calls f with the descriptors of connections, which cannot be closed meanwhile.
 func withDescriptors(conns []syscall.Conn, fds *[]int, f func() error) error {
 	if len(conns) == 0 {
 		return f()
@@ -133,10 +169,10 @@
 	return err
 }
 
-// Alive tells whether anything can still be passed. It never waits.
+// Alive reports whether connections can still be passed. It does not block.
 func (s *Sender) Alive() bool { return !s.closed.Load() }
 
-// Close ends the way.
+// Close ends the passing.
 func (s *Sender) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -10,14 +10,14 @@
 	"syscall"
 )
 
-// prefix is the beginning of the file names of all processes that serve under a name at an address.
+// filePrefix is the beginning of the names of all socket files of a name.
 func filePrefix(name string) string {
 	sum := sha256.Sum256([]byte(name))
 	return "handover-" + hex.EncodeToString(sum[:6]) + "-"
 }
 
-// within calls f with the address of a socket's file. Where the path is longer than an address may be, it is that of
-// the directory's descriptor.
+// withSocketAddress calls f with the address of a socket file. Where the path is longer than an
+// address may be, the address goes through the descriptor of the directory.
 func withSocketAddress(path string, f func(*net.UnixAddr) error) error {
 	if len(path) > maxSocketPath {
 		dir, err := os.Open(filepath.Dir(path))
@@ -30,7 +30,7 @@
 	return f(&net.UnixAddr{Name: path, Net: "unixpacket"})
 }
 
-// ownUser tells whether a peer runs as the user of this process.
+// isOwnUser reports whether the peer runs as the user of this process.
 func isOwnUser(c *net.UnixConn) bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
