--- a/internal/lab/coresim/checker.go
+++ b/internal/lab/coresim/checker.go
@@ -53,13 +53,13 @@
 	if m.node.IsInChain() {
 		c.checkOrder(m)
 	}
-	now := m.world.now
+	now := m.sim.now
 	token, holds := m.node.HoldsLease(now)
-	if m.world.options.Flaw == LeaseUnconfirmed {
+	if m.sim.options.Flaw == LeaseUnconfirmed {
 		view := m.node.View()
 		holds, token = view.Holder == m.node.Self().ID, view.Token
 	}
-	if m.world.options.Flaw == ConstantToken {
+	if m.sim.options.Flaw == ConstantToken {
 		token = 1
 	}
 	if holds {
@@ -169,41 +169,3 @@
 		}
 	}
 }
-
-// checkCopies checks that each acknowledged operation is on one disk more than may be lost, without that of a member that
-// has just left. A disk that was lost and has not caught up yet is one that has been lost.
-func (w *Simulation) checkReplicas(left *machine) {
-	acked := 0
-	for _, number := range w.checker.acked {
-		acked = max(acked, w.checker.position[number]+1)
-	}
-	copies, lost := 0, 0
-	for _, m := range w.machines {
-		if m.removed || m == left {
-			continue
-		}
-		switch {
-		case m.persistedOperations() >= acked:
-			copies++
-		case m.lostDisks > 0 || m.isReplacement:
-			lost++
-		}
-	}
-	if least := w.options.MostFailures + 1 - lost; copies < max(least, 1) {
-		w.checker.fail("%d operations are acknowledged, and %d disks hold them all, with %d lost", acked, copies, lost)
-	}
-}
-
-// caughtUp checks that every member that runs is in the chain of the newest view.
-func (w *Simulation) checkCaughtUp() error {
-	var newest uint64
-	for _, m := range w.runningMachines() {
-		newest = max(newest, m.node.View().Number)
-	}
-	for _, m := range w.runningMachines() {
-		if view := m.node.View(); view.Number < newest || !m.node.IsInChain() {
-			return fmt.Errorf("%s has not caught up: it has view %d of %d", m.address, view.Number, newest)
-		}
-	}
-	return nil
-}
--- a/internal/lab/coresim/clients.go
+++ b/internal/lab/coresim/clients.go
@@ -27,30 +27,30 @@
 
 // operator sends one operation after another. One without a clear answer is sent again unchanged, to any member.
 type operator struct {
-	world      *Simulation
+	sim        *Simulation
 	version    uint64 // that it knows of
 	acked      []operation
 	callNumber int // counts the calls, so that a late answer is known
 }
 
 // clients write and read for as long as the world is played.
-func (w *Simulation) startClients() {
+func (sim *Simulation) startClients() {
 	for range operatorCount {
-		o := &operator{world: w}
-		w.after(w.jitter(writePause), o.next)
+		o := &operator{sim: sim}
+		sim.after(sim.jitter(writePause), o.next)
 	}
 	var read func()
 	read = func() {
-		w.read(w.randomMachine(func(m *machine) bool { return m.node.IsTail() }), func(log) {})
-		w.after(readInterval/2+w.jitter(readInterval), read)
+		sim.read(sim.randomMachine(func(m *machine) bool { return m.node.IsTail() }), func(log) {})
+		sim.after(readInterval/2+sim.jitter(readInterval), read)
 	}
-	w.after(writePause, read)
+	sim.after(writePause, read)
 }
 
 // pick draws one of the members that take themselves for something; nil for none.
-func (w *Simulation) randomMachine(is func(*machine) bool) *machine {
+func (sim *Simulation) randomMachine(is func(*machine) bool) *machine {
 	var fit []*machine
-	for _, m := range w.machines {
+	for _, m := range sim.machines {
 		if m.isRunning() && is(m) {
 			fit = append(fit, m)
 		}
@@ -58,62 +58,62 @@
 	if len(fit) == 0 {
 		return nil
 	}
-	return fit[w.random.IntN(len(fit))]
+	return fit[sim.random.IntN(len(fit))]
 }
 
 func (o *operator) pause() time.Duration {
 	pause := writePause
-	if o.world.options.Busy {
+	if o.sim.options.Busy {
 		pause = busyPause
 	}
-	return pause/2 + o.world.jitter(pause)
+	return pause/2 + o.sim.jitter(pause)
 }
 
 // next begins another operation, or sends an acknowledged one again.
 func (o *operator) next() {
-	w := o.world
-	if len(o.acked) > 0 && w.random.IntN(resendFraction) == 0 {
-		o.resend(o.acked[w.random.IntN(len(o.acked))])
+	sim := o.sim
+	if len(o.acked) > 0 && sim.random.IntN(resendFraction) == 0 {
+		o.resend(o.acked[sim.random.IntN(len(o.acked))])
 		return
 	}
-	w.lastOperation++
-	op := operation{number: w.lastOperation, base: o.version}
-	w.checker.begin(op)
+	sim.lastOperation++
+	op := operation{number: sim.lastOperation, base: o.version}
+	sim.checker.begin(op)
 	o.send(op)
 }
 
 // send sends an operation until it has a clear answer.
 func (o *operator) send(op operation) {
-	w := o.world
+	sim := o.sim
 	o.call(op, func(err error) {
 		switch {
 		case err == nil:
-			w.checker.acknowledge(op)
+			sim.checker.acknowledge(op)
 			o.acked, o.version = append(o.acked, op), op.base+1
-			w.after(o.pause(), o.next)
+			sim.after(o.pause(), o.next)
 		case errors.Is(err, errConflict):
-			w.checker.reject(op)
+			sim.checker.reject(op)
 			o.readVersion()
 		default:
-			w.after(w.jitter(retryPause), func() { o.send(op) })
+			sim.after(sim.jitter(retryPause), func() { o.send(op) })
 		}
 	})
 }
 
 // resend sends an operation again that was acknowledged: it may stay without a clear answer, but is never refused.
 func (o *operator) resend(op operation) {
-	w := o.world
+	sim := o.sim
 	o.call(op, func(err error) {
 		if errors.Is(err, errConflict) {
-			w.checker.reject(op)
+			sim.checker.reject(op)
 		}
-		w.after(o.pause(), o.next)
+		sim.after(o.pause(), o.next)
 	})
 }
 
 // learn reads the version in place, and goes on.
 func (o *operator) readVersion() {
-	w := o.world
+	sim := o.sim
 	o.callNumber++
 	call := o.callNumber
 	once := func(do func()) {
@@ -122,11 +122,11 @@
 			do()
 		}
 	}
-	w.after(callTimeout, func() { once(o.readVersion) })
-	w.read(w.randomMachine(func(m *machine) bool { return m.node.IsTail() }), func(value log) {
+	sim.after(callTimeout, func() { once(o.readVersion) })
+	sim.read(sim.randomMachine(func(m *machine) bool { return m.node.IsTail() }), func(value log) {
 		once(func() {
 			o.version = uint64(len(value.operations))
-			w.after(o.pause(), o.next)
+			sim.after(o.pause(), o.next)
 		})
 	})
 }
@@ -135,7 +135,7 @@
 
 // ask makes one call at a member that takes itself for the head. The answer comes once: the member's, or none in time.
 func (o *operator) call(op operation, answer func(error)) {
-	w := o.world
+	sim := o.sim
 	o.callNumber++
 	call := o.callNumber
 	once := func(err error) {
@@ -144,15 +144,15 @@
 			answer(err)
 		}
 	}
-	w.after(callTimeout, func() { once(errNoAnswer) })
-	if m := w.randomMachine(func(m *machine) bool { return m.node.IsHead() }); m != nil {
+	sim.after(callTimeout, func() { once(errNoAnswer) })
+	if m := sim.randomMachine(func(m *machine) bool { return m.node.IsHead() }); m != nil {
 		m.submit(op, once)
 	}
 }
 
 // take takes an operation at a member as a control sidecar does.
 func (m *machine) submit(op operation, answer func(error)) {
-	flaw, life := m.world.options.Flaw, m.incarnation
+	flaw, life := m.sim.options.Flaw, m.incarnation
 	decide := func(latest any) chain.Decision { return flaw.decide(latest.(log), op) }
 	if flaw == RejectUnconfirmed && m.node.IsHead() {
 		if refusal := decide(m.node.LatestState().Value).Rejection; refusal != nil {
@@ -160,7 +160,7 @@
 			return
 		}
 	}
-	m.process(m.requests.Write(m.world.now, chain.Write{
+	m.process(m.requests.Write(m.sim.now, chain.Write{
 		Decide:    decide,
 		IsApplied: func(value any) bool { return value.(log).has(op.number) },
 		Respond:   answer,
@@ -182,23 +182,23 @@
 }
 
 // read reads at a member that takes itself for the tail.
-func (w *Simulation) read(m *machine, answer func(log)) {
+func (sim *Simulation) read(m *machine, answer func(log)) {
 	if m == nil {
 		return
 	}
-	acked, longest := len(w.checker.acked), w.checker.longestRead
+	acked, longest := len(sim.checker.acked), sim.checker.longestRead
 	shown := func(value log) {
-		w.checker.checkRead(m.address, value, acked, longest)
+		sim.checker.checkRead(m.address, value, acked, longest)
 		answer(value)
 	}
-	if w.options.Flaw == ReadUnconfirmed {
+	if sim.options.Flaw == ReadUnconfirmed {
 		shown(m.node.CommittedState().Value.(log))
 		return
 	}
-	m.process(m.requests.Read(w.now, chain.Read{Respond: func(state chain.State, err error) {
+	m.process(m.requests.Read(sim.now, chain.Read{Respond: func(state chain.State, err error) {
 		switch {
 		case err != nil:
-		case w.options.Flaw == ReadUncommitted:
+		case sim.options.Flaw == ReadUncommitted:
 			shown(m.node.LatestState().Value.(log))
 		default:
 			shown(state.Value.(log))
--- a/internal/lab/coresim/coresim_test.go
+++ b/internal/lab/coresim/coresim_test.go
@@ -119,9 +119,9 @@
 	const changes = 500
 	const taken = 25 * s
 	It("are behind the members by then", func() {
-		w := NewSimulation(options)
-		Expect(w.Run(taken)).To(Succeed())
-		Expect(w.checker.acks).To(BeNumerically(">", changes))
+		sim := NewSimulation(options)
+		Expect(sim.Run(taken)).To(Succeed())
+		Expect(sim.checker.acks).To(BeNumerically(">", changes))
 	})
 	It("do not keep members that start again, lost their disks or are new from catching up", func() {
 		schedule := Schedule{Options: options, Steps: []Fault{
--- a/internal/lab/coresim/coverage.go
+++ b/internal/lab/coresim/coverage.go
@@ -53,8 +53,8 @@
 }
 
 // note counts a trouble that begins now.
-func (w *Simulation) recordFault(kind FaultKind, m *machine) {
-	w.coverage[Pair{Phase: w.phase(), Kind: kind, Role: m.role()}]++
+func (sim *Simulation) countFault(kind FaultKind, m *machine) {
+	sim.coverage[Pair{Phase: sim.phase(), Kind: kind, Role: m.role()}]++
 }
 
 func (m *machine) role() Role {
@@ -71,10 +71,10 @@
 }
 
 // phase is what the core does now, as the members that run see it.
-func (w *Simulation) phase() Phase {
+func (sim *Simulation) phase() Phase {
 	running, agreeing, joining, pausing, writing := 0, false, false, false, false
 	voters := 0
-	for _, m := range w.machines {
+	for _, m := range sim.machines {
 		if m.removed || !m.isRunning() {
 			continue
 		}
@@ -83,7 +83,7 @@
 		voters = max(voters, len(view.Voters))
 		agreeing = agreeing || m.node.IsSealed()
 		joining = joining || !m.node.IsInChain()
-		_, holds := m.node.HoldsLease(w.now)
+		_, holds := m.node.HoldsLease(sim.now)
 		pausing = pausing || view.Holder == m.node.Self().ID && !holds
 		writing = writing || m.node.IsHead() && m.node.LatestState().Seq > m.node.CommittedSeq()
 	}
--- a/internal/lab/coresim/disk.go
+++ b/internal/lab/coresim/disk.go
@@ -4,24 +4,25 @@
 	"dykering/internal/chain"
 )
 
-// job is records to store, and messages that go out once they are.
-type job struct {
+// maxRecordsInFile is how many records a file of the simulated disk holds. The next one is a snapshot, which replaces all
+// records before it, as in internal/controlplane.
+const maxRecordsInFile = 64
+
+// storeJob is an output that is to be stored: its messages are sent once its records are on disk.
+type storeJob struct {
 	records  []any
 	messages []chain.Envelope
 }
 
-// mostRecords is how many records a file of the emulated disk holds. The next one is a snapshot, that stands for all before.
-const maxRecordsInFile = 64
-
-// recorded is what is stored of records.
+// recordsToStore returns what is stored for the records of an output: a snapshot in place of one that begins a new file.
 func (m *machine) recordsToStore(records []any) []any {
 	var stored []any
 	for _, record := range records {
-		_, snapshot := record.(chain.Snapshot)
-		if !snapshot && m.recordsInFile >= maxRecordsInFile {
-			record, snapshot = m.node.Snapshot(), true
+		_, isSnapshot := record.(chain.Snapshot)
+		if !isSnapshot && m.recordsInFile >= maxRecordsInFile {
+			record, isSnapshot = m.node.Snapshot(), true
 		}
-		if snapshot {
+		if isSnapshot {
 			m.recordsInFile = 0
 		}
 		m.recordsInFile++
@@ -30,59 +31,73 @@
 	return stored
 }
 
-// write stores what waits, with one sync.
-func (m *machine) startSync(life int) {
-	if m.incarnation != life || m.isSyncing || len(m.queued) == 0 {
+// startSync stores all queued jobs with one sync, unless one is under way.
+func (m *machine) startSync(incarnation int) {
+	if m.incarnation != incarnation || m.isSyncing || len(m.queued) == 0 {
 		return
 	}
 	jobs := m.queued
-	m.queued, m.syncing = nil, jobs
-	m.isSyncing, m.syncingSince = true, m.world.now
-	takes := syncDuration
-	if m.world.now < m.stalledUntil {
-		takes += m.stalledUntil - m.world.now
+	m.queued = nil
+	m.syncing = jobs
+	m.isSyncing = true
+	m.syncingSince = m.sim.now
+	duration := syncDuration
+	if m.sim.now < m.stalledUntil {
+		duration += m.stalledUntil - m.sim.now
 	}
-	m.world.after(takes, func() { m.finishSync(life, jobs) })
+	m.sim.after(duration, func() { m.finishSync(incarnation, jobs) })
 }
 
-func (m *machine) finishSync(life int, jobs []job) {
-	if m.incarnation != life || !m.up {
+// finishSync sends the messages of the jobs that are now on disk, once the process is not frozen.
+func (m *machine) finishSync(incarnation int, jobs []storeJob) {
+	if m.incarnation != incarnation || !m.up {
 		return
 	}
 	if !m.isRunning() {
-		m.world.at(m.frozenUntil, func() { m.finishSync(life, jobs) })
+		m.sim.at(m.frozenUntil, func() { m.finishSync(incarnation, jobs) })
 		return
 	}
-	m.isSyncing, m.syncing = false, nil
-	for _, j := range jobs {
-		m.persist(j.records)
+	m.isSyncing = false
+	m.syncing = nil
+	for _, job := range jobs {
+		m.persist(job.records)
 	}
-	for _, j := range jobs {
-		m.deliver(j.messages)
+	for _, job := range jobs {
+		m.deliver(job.messages)
 	}
-	m.startSync(life)
+	m.startSync(incarnation)
 }
 
 // persist puts records on the disk.
 func (m *machine) persist(records []any) {
 	for _, record := range records {
-		if _, snapshot := record.(chain.Snapshot); snapshot {
+		if _, isSnapshot := record.(chain.Snapshot); isSnapshot {
 			m.disk = nil
 		}
 		m.disk = append(m.disk, record)
 	}
 }
 
-// wipe loses the disk of a process that does not run.
-func (m *machine) wipe() {
+// persistTorn puts a random part of the records on the disk whose sync is under way.
+func (m *machine) persistTorn() {
+	var records []any
+	for _, job := range m.syncing {
+		records = append(records, job.records...)
+	}
+	m.persist(records[:m.sim.random.IntN(len(records)+1)])
+}
+
+// loseDisk empties the disk of a process that does not run.
+func (m *machine) loseDisk() {
 	m.disk = nil
 	m.lostDisks++
 }
 
-// storedOperations is how many operations a machine's disk holds.
+// persistedOperations returns the number of operations on the disk.
 func (m *machine) persistedOperations() int {
 	if len(m.disk) == 0 {
 		return 0
 	}
-	return len(chain.Restore(m.config(), m.world.now, m.disk).LatestOrAcceptedState().Value.(log).operations)
+	node := chain.Restore(m.config(), m.sim.now, m.disk)
+	return len(node.LatestOrAcceptedState().Value.(log).operations)
 }
--- a/internal/lab/coresim/doc.go
+++ b/internal/lab/coresim/doc.go
@@ -1,4 +1,24 @@
-// Package coresim emulates the core in virtual time: members that run the state machine of internal/chain, the network
-// between them, their disks, and the callers that write, read and watch the holder of the singleton role. What callers
-// saw is checked against what was promised to them.
+// Package coresim searches the core's replication for violated guarantees by deterministic simulation: it runs the state
+// machine of internal/chain (the code that ships) in virtual time, with simulated networks, disks, processes and clients,
+// injects faults, and checks what the clients observed. The same seed gives the same run.
+//
+// A Schedule is a list of faults and the seed of all other random choices. Generate draws one, Run runs it, Search runs many
+// in parallel, Shrink removes the faults that a failure does not need. Faults stay within what Options.MostFailures
+// tolerates, so that the core must remain available, or (Schedule.Overlap) exceed it without losing more disks, so that it
+// must remain consistent.
+//
+// The replicated value is the list of all operations. Linearizability then needs no search for an order, as in Herlihy and
+// Wing, "Linearizability" (1990): the list is the order, and the checker compares each call's interval with it.
+//
+// A Flaw is a bug that is planted in the simulated process, never in the program, to show that the search finds it.
+//
+// The method is that of FoundationDB (Zhou et al., SIGMOD 2021); the faults are those of Jepsen's nemeses, with disks in
+// addition. docs/SYSTEM-SEARCH.md has the guarantees, the planted flaws and what was found. It does not cover the sessions,
+// the update streams, quotas, orders, corrupted disks and clock steps.
+//
+// Files: simulation.go and eventqueue.go (virtual time), network.go, machine.go and disk.go (what is simulated), clients.go
+// and value.go (the load), schedule.go, faults.go and faultbudget.go (faults), checker.go and progress.go (guarantees),
+// search.go and coverage.go (the search), flaws.go (planted flaws), recovery.go (measurement of recovery times).
+//
+// The commands dykering-lab control explore, replay, flaws and recovery call it.
 package coresim
--- /dev/null
+++ b/internal/lab/coresim/endchecks.go
@@ -0,0 +1,60 @@
+package coresim
+
+import (
+	"fmt"
+)
+
+// checkEnd checks, some time after the last fault, that the core has recovered: operations are acknowledged, all members have
+// caught up, and what was acknowledged is on enough disks.
+func (sim *Simulation) checkEnd() error {
+	if !sim.MakesProgress(progressTimeout) {
+		if sim.checker.violation != nil {
+			return sim.checker.violation
+		}
+		return fmt.Errorf("nothing is acknowledged in %v of calm: %+v", progressTimeout, sim.Views())
+	}
+	if err := sim.checkCaughtUp(); err != nil {
+		return err
+	}
+	sim.checkReplicas(nil)
+	return sim.checker.violation
+}
+
+// checkCaughtUp checks that every running member is in the chain of the latest view.
+func (sim *Simulation) checkCaughtUp() error {
+	var latest uint64
+	for _, m := range sim.runningMachines() {
+		latest = max(latest, m.node.View().Number)
+	}
+	for _, m := range sim.runningMachines() {
+		if view := m.node.View(); view.Number < latest || !m.node.IsInChain() {
+			return fmt.Errorf("%s has not caught up: it has view %d of %d", m.address, view.Number, latest)
+		}
+	}
+	return nil
+}
+
+// checkReplicas checks that the acknowledged operations are on one disk more than may be lost, not counting that of a member
+// that has just left (nil for none). Each disk that was lost and has not caught up reduces what is required.
+func (sim *Simulation) checkReplicas(left *machine) {
+	acked := 0
+	for _, number := range sim.checker.acked {
+		acked = max(acked, sim.checker.position[number]+1)
+	}
+	replicas, lost := 0, 0
+	for _, m := range sim.machines {
+		if m.removed || m == left {
+			continue
+		}
+		switch {
+		case m.persistedOperations() >= acked:
+			replicas++
+		case m.lostDisks > 0 || m.isReplacement:
+			lost++
+		}
+	}
+	required := max(sim.options.MostFailures+1-lost, 1)
+	if replicas < required {
+		sim.checker.fail("%d operations are acknowledged, and %d disks hold them all, with %d lost", acked, replicas, lost)
+	}
+}
--- a/internal/lab/coresim/eventqueue.go
+++ b/internal/lab/coresim/eventqueue.go
@@ -5,39 +5,42 @@
 	"time"
 )
 
-// event is something that happens at a time.
+// event is a function that runs at a point in virtual time.
 type event struct {
-	at    time.Duration
-	order uint64
-	run   func()
+	at time.Duration
+	// number orders the events of the same time by when they were scheduled.
+	number uint64
+	run    func()
 }
 
+// eventQueue is a heap of events, the earliest first. It implements heap.Interface.
 type eventQueue []event
 
-func (e eventQueue) Len() int { return len(e) }
+func (q eventQueue) Len() int { return len(q) }
 
-func (e eventQueue) Less(i, j int) bool {
-	if e[i].at != e[j].at {
-		return e[i].at < e[j].at
+func (q eventQueue) Less(i, j int) bool {
+	if q[i].at != q[j].at {
+		return q[i].at < q[j].at
 	}
-	return e[i].order < e[j].order
+	return q[i].number < q[j].number
 }
 
-func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-func (e *eventQueue) Push(x any) { *e = append(*e, x.(event)) }
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
 
-func (e *eventQueue) Pop() any {
-	old := *e
+func (q *eventQueue) Pop() any {
+	old := *q
 	last := old[len(old)-1]
-	*e = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return last
 }
 
-// at has something happen at a time.
-func (w *Simulation) at(when time.Duration, do func()) {
-	w.lastEvent++
-	heap.Push(&w.events, event{at: max(when, w.now), order: w.lastEvent, run: do})
+// at schedules a function for a time, or for the present if that has passed.
+func (sim *Simulation) at(when time.Duration, run func()) {
+	sim.lastEvent++
+	heap.Push(&sim.events, event{at: max(when, sim.now), number: sim.lastEvent, run: run})
 }
 
-func (w *Simulation) after(d time.Duration, do func()) { w.at(w.now+d, do) }
+// after schedules a function for a time from now.
+func (sim *Simulation) after(delay time.Duration, run func()) { sim.at(sim.now+delay, run) }
--- a/internal/lab/coresim/faults.go
+++ b/internal/lab/coresim/faults.go
@@ -1,196 +1,190 @@
 package coresim
 
 import (
-	"fmt"
 	"time"
 )
 
-// target is the member that a step strikes, or the one that has taken its place.
-func (l *faultInjector) target(step Fault) *machine {
-	m := l.world.machines[step.Member]
-	for m.successor != nil {
-		m = m.successor
-	}
-	return m
-}
-
-func (l *faultInjector) inject(step Fault) {
-	m := l.target(step)
-	if m.removed || !m.up || m.leaveDeadline != 0 || m.isBeingReplaced || !l.isWithinBudget(step) {
+// inject injects a fault, unless its member is already away or the fault would exceed what is tolerated.
+func (f *faultInjector) inject(fault Fault) {
+	m := f.target(fault.Member)
+	if m.removed || !m.up || m.leaveDeadline != 0 || m.isBeingReplaced || !f.isWithinBudget(fault) {
 		return
 	}
-	l.lostDisks += step.Kind.lostDisks(l.world.options.MostFailures)
-	l.world.recordFault(step.Kind, m)
-	switch step.Kind {
+	f.lostDisks += fault.Kind.lostDisks(f.sim.options.MostFailures)
+	f.sim.countFault(fault.Kind, m)
+	switch fault.Kind {
 	case KillAll, KillAllLoseDisk, KillAllLoseDisks:
-		l.killAll(step, m)
+		f.killAll(fault, m)
 	case Split:
-		l.split(step)
+		f.split(fault)
 	case KillAfterHeal:
-		l.killAfterHeal(step, m)
+		f.killAfterHeal(fault, m)
 	case LagThenRecover:
-		l.lagThenRecover(step, m)
+		f.lagThenRecover(fault, m)
+	case PlannedReplacement:
+		f.replaceAsPlanned(fault, m)
 	default:
-		l.injectAtMember(step, m)
+		f.injectAtMember(fault, m)
 	}
 }
 
-// one strikes one member.
-func (l *faultInjector) injectAtMember(step Fault, m *machine) {
-	w := l.world
-	if step.Kind == PlannedReplacement {
-		l.plannedChange(step, m)
-		return
+// target returns the machine of a member, or the one that has replaced it.
+func (f *faultInjector) target(member int) *machine {
+	m := f.sim.machines[member]
+	for m.successor != nil {
+		m = m.successor
 	}
-	l.markFailed(step.Member, step.For)
-	switch step.Kind {
+	return m
+}
+
+// injectAtMember injects a fault that affects a single member.
+func (f *faultInjector) injectAtMember(fault Fault, m *machine) {
+	sim := f.sim
+	f.markFailed(fault.Member, fault.For)
+	switch fault.Kind {
 	case Kill:
 		m.kill()
-		w.after(step.For, m.restart)
+		sim.after(fault.For, m.restart)
 	case Freeze:
-		m.frozenUntil = w.now + step.For
+		m.frozenUntil = sim.now + fault.For
 	case Isolate:
-		w.isolate(m, step.For, true, true)
+		sim.isolate(m, fault.For, true, true)
 	case DropOutbound:
-		w.isolate(m, step.For, true, false)
+		sim.isolate(m, fault.For, true, false)
 	case DropInbound:
-		w.isolate(m, step.For, false, true)
+		sim.isolate(m, fault.For, false, true)
 	case DelayMessages:
-		w.delayMember(m, step.For, true)
+		sim.delayMachine(m, fault.For, true)
 	case DelayInbound:
-		w.delayMember(m, step.For, false)
+		sim.delayMachine(m, fault.For, false)
 	case StallDisk:
-		m.stalledUntil = w.now + step.For
+		m.stalledUntil = sim.now + fault.For
 	case LoseDisk:
 		m.kill()
-		m.wipe()
-		w.after(step.For, m.restart)
+		m.loseDisk()
+		sim.after(fault.For, m.restart)
 	case Replace:
 		m.kill()
 		m.removed = true
-		fresh := w.addReplacement(m)
-		w.after(step.For, func() { fresh.start(false) })
+		replacement := sim.addReplacement(m)
+		sim.after(fault.For, func() { replacement.start(false) })
 	case Leave:
-		m.leave(step.For)
-		l.markFailed(step.Member, step.For+leaveTimeout)
+		m.leave(fault.For)
+		f.markFailed(fault.Member, fault.For+leaveTimeout)
 	}
 }
 
-// plannedChange starts the machine that takes the place of another, and has that one leave for good. The new one counts as
-// lost until it has had its time, the other one not at all.
-func (l *faultInjector) plannedChange(step Fault, m *machine) {
-	w := l.world
-	fresh := w.addReplacement(m)
-	m.successor = nil // the old one is struck until it leaves
+// replaceAsPlanned starts the machine that replaces another one, which then leaves for good. The new one counts as failed
+// until it has had the time to join, the old one not at all.
+func (f *faultInjector) replaceAsPlanned(fault Fault, m *machine) {
+	sim := f.sim
+	replacement := sim.addReplacement(m)
+	m.successor = nil // faults still affect the old one, until it leaves
 	m.isBeingReplaced = true
-	l.countedUntil[step.Member] = w.now + catchUpTime
-	l.noteChange(w.now)
-	fresh.start(false)
+	f.failedUntil[fault.Member] = sim.now + catchUpTime
+	f.scheduleChange(sim.now)
+	replacement.start(false)
 	var leave func()
 	leave = func() {
-		if !m.isRunning() { // it waits its turn
-			w.after(tickInterval, leave)
+		if !m.isRunning() {
+			sim.after(tickInterval, leave)
 			return
 		}
-		m.successor = fresh
-		l.noteChange(w.now)
+		m.successor = replacement
+		f.scheduleChange(sim.now)
 		m.leave(0)
-		l.leavingUntil[step.Member] = w.now + leaveTimeout
-		l.exceedBudget(max(l.overBudgetUntil, w.now))
+		f.leavingUntil[fault.Member] = sim.now + leaveTimeout
+		f.exceedBudget(max(f.overBudgetUntil, sim.now))
 	}
-	w.after(step.For, leave)
-}
-
-// successorOf makes the machine that takes the place of another.
-func (w *Simulation) addReplacement(m *machine) *machine {
-	w.replacements++
-	m.successor = w.addMachine(fmt.Sprintf("n%d", w.replacements))
-	m.successor.isReplacement = true
-	w.refreshSeeds()
-	return m.successor
+	sim.after(fault.For, leave)
 }
 
-// killAll ends all processes. A member that was lost before, or loses its disk now, counts as lost until it is back and
-// has had its time.
-func (l *faultInjector) killAll(step Fault, struck *machine) {
-	w := l.world
-	back := step.For * 3 / 2 // the last one is back by then
-	l.exceedBudget(w.now + back)
-	wipes := map[*machine]bool{struck: step.Kind != KillAll}
-	for i := 1; step.Kind == KillAllLoseDisks && i < w.options.MostFailures; i++ {
-		wipes[l.target(Fault{Member: (step.Member + i) % w.options.Members})] = true
-		l.countedUntil[(step.Member+i)%w.options.Members] = w.now + back + catchUpTime
+// killAll kills all processes, of which some lose their disks.
+func (f *faultInjector) killAll(fault Fault, m *machine) {
+	sim := f.sim
+	allRestarted := sim.now + fault.For*3/2
+	f.exceedBudget(allRestarted)
+	losesDisk := map[*machine]bool{m: fault.Kind != KillAll}
+	for i := 1; fault.Kind == KillAllLoseDisks && i < sim.options.MostFailures; i++ {
+		member := (fault.Member + i) % sim.options.Members
+		losesDisk[f.target(member)] = true
+		f.failedUntil[member] = allRestarted + catchUpTime
 	}
-	if wipes[struck] {
-		l.countedUntil[step.Member] = w.now + back + catchUpTime
+	if losesDisk[m] {
+		f.failedUntil[fault.Member] = allRestarted + catchUpTime
 	}
-	for _, m := range w.machines {
-		if m.removed || !m.up {
+	for _, other := range sim.machines {
+		if other.removed || !other.up {
 			continue
 		}
-		m.kill()
-		if wipes[m] {
-			m.wipe()
+		other.kill()
+		if losesDisk[other] {
+			other.loseDisk()
 		}
-		w.after(step.For/2+w.jitter(step.For), m.restart)
+		sim.after(fault.For/2+sim.jitter(fault.For), other.restart)
 	}
 }
 
-// split cuts the members into two halves.
-func (l *faultInjector) split(step Fault) {
-	w := l.world
-	l.exceedBudget(w.now + step.For)
-	running := w.runningMachines()
+// split partitions the members into two halves.
+func (f *faultInjector) split(fault Fault) {
+	sim := f.sim
+	f.exceedBudget(sim.now + fault.For)
+	running := sim.runningMachines()
 	for i, a := range running {
 		for j, b := range running {
-			if (i+step.Member)%2 != (j+step.Member)%2 {
-				w.block(a.address, b.address, step.For)
+			if (i+fault.Member)%2 != (j+fault.Member)%2 {
+				sim.block(a.address, b.address, fault.For)
 			}
 		}
 	}
 }
 
-// killAfterHeal cuts a member off and ends all others just after it is back.
-func (l *faultInjector) killAfterHeal(step Fault, m *machine) {
-	w := l.world
-	const soon = 300 * time.Millisecond
-	const downFor = time.Second
-	l.markFailed(step.Member, step.For)
-	w.isolate(m, step.For, true, true)
-	w.after(step.For+w.jitter(soon), func() {
-		l.exceedBudget(w.now + downFor)
-		for _, other := range w.runningMachines() {
+const (
+	// killAfterHealWithin is how long after the end of an isolation the others are killed at most.
+	killAfterHealWithin = 300 * time.Millisecond
+	// maxRestartDelay is how long they take to restart at most.
+	maxRestartDelay = time.Second
+)
+
+// killAfterHeal isolates a member and kills all others just after the isolation has ended.
+func (f *faultInjector) killAfterHeal(fault Fault, m *machine) {
+	sim := f.sim
+	f.markFailed(fault.Member, fault.For)
+	sim.isolate(m, fault.For, true, true)
+	sim.after(fault.For+sim.jitter(killAfterHealWithin), func() {
+		f.exceedBudget(sim.now + maxRestartDelay)
+		for _, other := range sim.runningMachines() {
 			if other != m {
 				other.kill()
-				w.after(w.jitter(downFor), other.restart)
+				sim.after(sim.jitter(maxRestartDelay), other.restart)
 			}
 		}
 	})
 }
 
-// behind cuts a member off, has another lose its disk and the rest dark, and heals the cut while they are.
-func (l *faultInjector) lagThenRecover(step Fault, m *machine) {
-	w := l.world
-	victim := (step.Member + 1) % w.options.Members
-	end := w.now + step.For
-	l.exceedBudget(end)
-	for member := range w.options.Members {
-		l.countedUntil[member] = max(l.countedUntil[member], end+catchUpTime)
+// lagThenRecover isolates a member, so that it lags behind, kills all others, of which one loses its disk, and ends the
+// isolation while only the lagging and the empty member run.
+func (f *faultInjector) lagThenRecover(fault Fault, lagging *machine) {
+	sim := f.sim
+	end := sim.now + fault.For
+	f.exceedBudget(end)
+	for member := range sim.options.Members {
+		f.failedUntil[member] = max(f.failedUntil[member], end+catchUpTime)
 	}
-	w.isolate(m, step.For/2, true, true)
-	w.after(step.For/3, func() {
-		other := l.target(Fault{Member: victim})
-		for _, one := range w.runningMachines() {
-			if one == m {
+	sim.isolate(lagging, fault.For/2, true, true)
+	sim.after(fault.For/3, func() {
+		empty := f.target((fault.Member + 1) % sim.options.Members)
+		for _, m := range sim.runningMachines() {
+			if m == lagging {
 				continue
 			}
-			one.kill()
-			back := end - w.now
-			if one == other {
-				one.wipe()
-				back = step.For / 8
+			m.kill()
+			restartDelay := end - sim.now
+			if m == empty {
+				m.loseDisk()
+				restartDelay = fault.For / 8
 			}
-			w.after(back, one.restart)
+			sim.after(restartDelay, m.restart)
 		}
 	})
 }
--- a/internal/lab/coresim/flaws.go
+++ b/internal/lab/coresim/flaws.go
@@ -81,11 +81,11 @@
 // early is what the head tells beside a message, with the flaw EarlyCommit.
 func (m *machine) sendEarlyCommit(envelope chain.Envelope) {
 	entries, ok := envelope.Message.(chain.Append)
-	if m.world.options.Flaw != EarlyCommit || !ok || !m.node.IsHead() {
+	if m.sim.options.Flaw != EarlyCommit || !ok || !m.node.IsHead() {
 		return
 	}
 	last := entries.Entries[len(entries.Entries)-1].Seq
-	m.process(m.node.Receive(m.world.now, chain.Committed{From: entries.From, View: entries.View, Seq: last}))
+	m.process(m.node.Receive(m.sim.now, chain.Committed{From: entries.From, View: entries.View, Seq: last}))
 }
 
 // stored is what a process that ends finds on its disk when it starts again.
--- a/internal/lab/coresim/machine.go
+++ b/internal/lab/coresim/machine.go
@@ -8,102 +8,148 @@
 	"dykering/internal/chain"
 )
 
-// machine is one machine of the core with its process and its disk.
+// machine is one machine of the core with its process and its disk. Its counterpart in the program is the control process
+// (internal/controlplane).
 type machine struct {
-	world   *Simulation
+	sim     *Simulation
 	address string
-	node    *chain.Node
-	// requests are the operators' and readers' that wait here.
-	requests        *chain.PendingRequests
-	incarnation     int // of the process; what an earlier one has begun does not count
-	lostDisks       int // how often the disk was lost
-	up              bool
-	removed         bool
-	isReplacement   bool // it has come in the place of another one
-	isBeingReplaced bool // another one has come in its place, and it is to leave
 
+	// Process.
+
+	node     *chain.Node
+	requests *chain.PendingRequests
+	// incarnation counts the starts and ends of the process. Events that an earlier one has scheduled are ignored.
+	incarnation int
+	up          bool
+	// frozenUntil is when a frozen process goes on.
 	frozenUntil time.Duration
-	inbox       []any // that came while it was frozen
+	// inbox are the messages that have arrived at a frozen process.
+	inbox []any
+
+	// Membership.
 
-	leaveDeadline time.Duration // when a leaving process ends whatever the view is; 0 for one that does not leave
-	restartDelay  time.Duration // a process that has left starts again after so long; 0 for never
-	successor     *machine      // that takes the place of one which is gone for good
+	// removed is set once the machine is gone for good.
+	removed bool
+	// successor is the machine that has replaced this one.
+	successor *machine
+	// isReplacement is set on a machine that has replaced another one.
+	isReplacement bool
+	// isBeingReplaced is set while a replacement joins and this machine is to leave.
+	isBeingReplaced bool
+	// leaveDeadline is when a leaving process stops in any case; 0 if it does not leave.
+	leaveDeadline time.Duration
+	// restartDelay is when a process that has left starts again; 0 for never.
+	restartDelay time.Duration
 
-	disk          []any // records that are stored
-	recordsInFile int   // handed over since the last snapshot
-	queued        []job
-	syncing       []job
-	isSyncing     bool
-	syncingSince  time.Duration
-	stalledUntil  time.Duration
+	// Disk.
+
+	// disk are the records that are stored.
+	disk []any
+	// lostDisks is how often the disk was lost.
+	lostDisks int
+	// recordsInFile is the number of records since the last snapshot that were handed over.
+	recordsInFile int
+	// queued are the jobs that wait for the next sync, syncing those of the present one.
+	queued       []storeJob
+	syncing      []storeJob
+	isSyncing    bool
+	syncingSince time.Duration
+	// stalledUntil is when a stalled disk answers again.
+	stalledUntil time.Duration
 }
 
 func (m *machine) config() chain.Config {
-	pause := chainLeaseDuration + takeoverSlack
-	returnPause := pause + leaseDuration
-	switch m.world.options.Flaw {
+	takeoverDelay := chainLeaseDuration + takeoverSlack
+	returnDelay := takeoverDelay + leaseDuration
+	switch m.sim.options.Flaw {
 	case NoTakeoverDelay:
-		pause, returnPause = 0, 0
+		takeoverDelay, returnDelay = 0, 0
 	case NoReturnDelay:
-		returnPause = pause
+		returnDelay = takeoverDelay
 	}
 	return chain.Config{
-		Self:  chain.Member{ID: m.id(), Name: m.address, Address: m.address},
-		Apply: apply, Seeds: m.world.seeds, MaxFailures: m.world.options.MostFailures,
-		PingInterval: pingInterval, SuspectTimeout: suspectTimeout, ProposalTimeout: proposalTimeout,
-		LeaseDuration: chainLeaseDuration, TakeoverDelay: pause, ReturnDelay: returnPause,
-		FirstNonce: m.firstNonce(),
-		Jitter:     func(d time.Duration) time.Duration { return time.Duration(m.world.random.Int64N(int64(d) + 1)) },
+		Self:            chain.Member{ID: m.id(), Name: m.address, Address: m.address},
+		Apply:           apply,
+		Seeds:           m.sim.seeds,
+		MaxFailures:     m.sim.options.MostFailures,
+		PingInterval:    pingInterval,
+		SuspectTimeout:  suspectTimeout,
+		ProposalTimeout: proposalTimeout,
+		LeaseDuration:   chainLeaseDuration,
+		TakeoverDelay:   takeoverDelay,
+		ReturnDelay:     returnDelay,
+		FirstNonce:      m.firstNonce(),
+		Jitter: func(d time.Duration) time.Duration {
+			return time.Duration(m.sim.random.Int64N(int64(d) + 1))
+		},
 	}
 }
 
-// livesApart is how far the numbers of the pings of two lives of a process are apart.
+// nonceDistance is the distance of the first nonces of two incarnations.
 const nonceDistance = 1 << 32
 
 func (m *machine) firstNonce() uint64 {
-	if m.world.options.Flaw == RepeatNonces {
+	if m.sim.options.Flaw == RepeatNonces {
 		return 0
 	}
 	return uint64(m.incarnation) * nonceDistance
 }
 
+// id returns the identifier of the member on the machine's present disk.
 func (m *machine) id() chain.MemberID {
-	if m.world.options.Flaw == VoteAfterWipe {
-		return chain.MemberID(m.address + "/0")
+	if m.sim.options.Flaw == VoteAfterWipe {
+		return genesisID(m.address)
 	}
 	return chain.MemberID(fmt.Sprintf("%s/%d", m.address, m.lostDisks))
 }
 
-// start starts the process. First tells that the whole system starts for the first time.
-func (m *machine) start(first bool) {
+// genesisID returns the identifier of the member on a machine's first disk.
+func genesisID(address string) chain.MemberID { return chain.MemberID(address + "/0") }
+
+// start starts the process. If genesis is set, the whole system starts for the first time.
+func (m *machine) start(genesis bool) {
 	m.incarnation++
-	m.up, m.isSyncing, m.queued, m.syncing, m.inbox, m.leaveDeadline, m.recordsInFile = true, false, nil, nil, nil, 0, maxRecordsInFile
-	if !first {
-		m.world.refreshSeeds()
+	m.up = true
+	m.inbox = nil
+	m.leaveDeadline = 0
+	m.queued = nil
+	m.syncing = nil
+	m.isSyncing = false
+	m.recordsInFile = maxRecordsInFile // the first record begins a new file
+	if !genesis {
+		m.sim.refreshSeeds()
 	}
-	now := m.world.now
-	var out chain.Output
-	genesis := first && slices.Contains(m.world.seeds, m.address) || m.world.options.Flaw == VoteAfterWipe && slices.Contains(m.world.seeds, m.address)
+	m.process(m.startNode(genesis))
+	m.tick(m.incarnation)
+}
+
+// startNode creates the state machine: from the disk if it has records, else as a member of the first view or as a joiner.
+func (m *machine) startNode(genesis bool) (out chain.Output) {
+	now := m.sim.now
+	isGenesisMember := (genesis || m.sim.options.Flaw == VoteAfterWipe) && slices.Contains(m.sim.seeds, m.address)
 	switch {
 	case len(m.disk) > 0:
 		m.node = chain.Restore(m.config(), now, m.disk)
-	case genesis:
-		view := chain.View{Number: 1, Token: 1}
-		for _, seed := range m.world.seeds {
-			id := chain.MemberID(seed + "/0")
-			view.Voters = append(view.Voters, chain.Member{ID: id, Address: seed})
-			view.Chain = append(view.Chain, id)
-		}
-		view.Holder = view.Chain[0]
-		m.node, out = chain.NewGenesis(m.config(), now, view, log{})
+	case isGenesisMember:
+		m.node, out = chain.NewGenesis(m.config(), now, m.sim.genesisView(), log{})
 	default:
 		m.node, out = chain.NewJoiner(m.config(), now, log{})
 	}
 	m.requests = chain.NewPendingRequests(m.node, callTimeout)
-	m.process(out)
-	m.tick(m.incarnation)
+	return out
 }
 
+// genesisView returns the first view, whose members are the seeds.
+func (sim *Simulation) genesisView() chain.View {
+	view := chain.View{Number: 1, Token: 1, Holder: genesisID(sim.seeds[0])}
+	for _, seed := range sim.seeds {
+		view.Voters = append(view.Voters, chain.Member{ID: genesisID(seed), Address: seed})
+		view.Chain = append(view.Chain, genesisID(seed))
+	}
+	return view
+}
+
+// restart starts a process again that was killed.
 func (m *machine) restart() {
 	if !m.up && !m.removed {
 		m.frozenUntil = 0
@@ -111,40 +157,46 @@
 	}
 }
 
-// observe answers the requests that can be, and has the checker look at what callers are shown.
-func (m *machine) observe() {
-	m.world.checker.observe(m)
-	if m.isRunning() {
-		m.requests.AnswerReady(m.world.now)
-	}
+// kill ends the process. A random part of what was being synced is on disk, what was queued is lost.
+func (m *machine) kill() {
+	m.persistTorn()
+	m.incarnation++
+	m.up = false
+	m.inbox = nil
+	m.queued = nil
+	m.syncing = nil
+	m.isSyncing = false
+	m.disk = m.sim.options.Flaw.restartRecords(m.disk, m.node)
 }
 
-// runs tells whether the process runs.
-func (m *machine) isRunning() bool { return m.up && m.world.now >= m.frozenUntil }
+// isRunning reports whether the process runs and is not frozen.
+func (m *machine) isRunning() bool { return m.up && m.sim.now >= m.frozenUntil }
 
-func (m *machine) tick(life int) {
-	if m.incarnation != life || !m.up {
+// tick is the periodic work of the process.
+func (m *machine) tick(incarnation int) {
+	if m.incarnation != incarnation || !m.up {
 		return
 	}
 	if !m.isRunning() {
-		m.world.at(m.frozenUntil, func() { m.thaw(life) })
+		m.sim.at(m.frozenUntil, func() { m.thaw(incarnation) })
 		return
 	}
-	behind := m.isSyncing && m.world.now-m.syncingSince > diskTimeout
-	m.node.SetDiskHealthy(!behind)
-	if !m.node.HasQuorum(m.world.now) {
-		m.node.SetSeeds(m.world.seeds) // as it reads them again
+	diskHealthy := !m.isSyncing || m.sim.now-m.syncingSince <= diskTimeout
+	m.node.SetDiskHealthy(diskHealthy)
+	if !m.node.HasQuorum(m.sim.now) {
+		m.node.SetSeeds(m.sim.seeds) // the process reads its settings again
 	}
-	m.process(m.node.Tick(m.world.now))
+	m.process(m.node.Tick(m.sim.now))
 	m.observe()
 	if m.stopIfLeft() {
 		return
 	}
-	m.world.after(tickInterval, func() { m.tick(life) })
+	m.sim.after(tickInterval, func() { m.tick(incarnation) })
 }
 
-func (m *machine) thaw(life int) {
-	if m.incarnation != life || !m.up {
+// thaw continues a frozen process: it handles the messages that have arrived meanwhile.
+func (m *machine) thaw(incarnation int) {
+	if m.incarnation != incarnation || !m.up {
 		return
 	}
 	inbox := m.inbox
@@ -152,9 +204,10 @@
 	for _, message := range inbox {
 		m.receive(message)
 	}
-	m.tick(life)
+	m.tick(incarnation)
 }
 
+// receive handles a message from the network.
 func (m *machine) receive(message any) {
 	if !m.up {
 		return
@@ -163,87 +216,88 @@
 		m.inbox = append(m.inbox, message)
 		return
 	}
-	m.process(m.node.Receive(m.world.now, message))
+	m.process(m.node.Receive(m.sim.now, message))
 	m.observe()
 }
 
-// act carries an output out.
+// process does what an output of the state machine asks for.
 func (m *machine) process(out chain.Output) {
 	for _, envelope := range out.ImmediateMessages {
-		m.world.send(m, envelope)
+		m.sim.send(m, envelope)
 	}
 	if len(out.Records) == 0 && len(out.Messages) == 0 {
 		return
 	}
-	if m.world.options.Flaw == SendBeforeSync {
+	if m.sim.options.Flaw == SendBeforeSync {
 		m.deliver(out.Messages)
 		out.Messages = nil
 	}
-	m.queued = append(m.queued, job{records: m.recordsToStore(out.Records), messages: out.Messages})
+	m.queued = append(m.queued, storeJob{records: m.recordsToStore(out.Records), messages: out.Messages})
 	m.startSync(m.incarnation)
 }
 
+// deliver sends messages whose records are stored. Those to the machine itself are handled at once.
 func (m *machine) deliver(messages []chain.Envelope) {
 	for _, envelope := range messages {
 		if envelope.To == m.address {
-			m.process(m.node.Receive(m.world.now, envelope.Message))
+			m.process(m.node.Receive(m.sim.now, envelope.Message))
 			continue
 		}
-		m.world.send(m, envelope)
+		m.sim.send(m, envelope)
 		m.sendEarlyCommit(envelope)
 	}
 	m.observe()
 }
 
-// kill ends the process. Of what was being written a part may be stored; what waited is lost.
-func (m *machine) kill() {
-	var torn []any
-	for _, j := range m.syncing {
-		torn = append(torn, j.records...)
+// observe lets the checker look at what clients would see, and answers the requests that are ready.
+func (m *machine) observe() {
+	m.sim.checker.observe(m)
+	if m.isRunning() {
+		m.requests.AnswerReady(m.sim.now)
 	}
-	m.persist(torn[:m.world.random.IntN(len(torn)+1)])
-	m.incarnation++
-	m.up = false
-	m.queued, m.syncing, m.inbox, m.isSyncing = nil, nil, nil, false
-	m.disk = m.world.options.Flaw.restartRecords(m.disk, m.node)
 }
 
-// stopWithin is how long a leaving process waits for the others to do without it.
+// leaveTimeout is how long a leaving process waits until it can stop.
 const leaveTimeout = 4 * time.Second
 
-// leave has the process end as the platform has it do: once the others do without it. It starts again after a time, or is
-// gone for good where that is 0.
-func (m *machine) leave(returnsIn time.Duration) {
+// leave begins a planned stop. The process starts again after a delay, or never if that is 0.
+func (m *machine) leave(restartDelay time.Duration) {
 	m.node.Leave()
-	m.leaveDeadline, m.restartDelay = m.world.now+leaveTimeout, returnsIn
+	m.leaveDeadline = m.sim.now + leaveTimeout
+	m.restartDelay = restartDelay
 }
 
-// endOfLeave ends a leaving process that may end. It tells whether it did.
+// stopIfLeft stops a leaving process that can stop, or whose time is over. It reports whether it did.
 func (m *machine) stopIfLeft() bool {
-	agreed := m.leaveDeadline != 0 && m.canStop()
-	if m.leaveDeadline == 0 || m.world.now < m.leaveDeadline && !agreed {
+	if m.leaveDeadline == 0 {
 		return false
 	}
-	m.kill()
-	if agreed && m.restartDelay == 0 {
-		m.world.checkReplicas(m)
+	canStop := m.canStop()
+	if m.sim.now < m.leaveDeadline && !canStop {
+		return false
 	}
-	if m.restartDelay == 0 {
-		m.removed = true
+	m.kill()
+	if m.restartDelay > 0 {
+		m.sim.after(m.restartDelay, m.restart)
 		return true
 	}
-	m.world.after(m.restartDelay, m.restart)
+	if canStop {
+		m.sim.checkReplicas(m)
+	}
+	m.removed = true
 	return true
 }
 
+// canStop reports whether a leaving process can stop, as the planted flaws see it.
 func (m *machine) canStop() bool {
-	switch m.world.options.Flaw {
+	switch m.sim.options.Flaw {
 	case StopAsSurplusVoter:
 		return !m.node.IsInChain()
 	case StopBeforeReplicated:
 		view := m.node.View()
-		_, voter := view.Voter(m.node.Self().ID)
-		return !m.node.IsInChain() && !(voter && len(view.Voters) > 2*m.world.options.MostFailures+1)
+		_, isVoter := view.Voter(m.node.Self().ID)
+		isSurplus := isVoter && len(view.Voters) > 2*m.sim.options.MostFailures+1
+		return !m.node.IsInChain() && !isSurplus
 	}
 	return m.node.CanStop()
 }
--- a/internal/lab/coresim/network.go
+++ b/internal/lab/coresim/network.go
@@ -6,93 +6,100 @@
 	"dykering/internal/chain"
 )
 
-// heldLink is a link whose messages wait.
+// link is the connection in one direction from one address to another. It is reliable and ordered, as TCP is, except for
+// the injected faults.
+type link struct{ from, to string }
+
+// delayedLink is a link whose messages are held back for a time.
 type delayedLink struct {
 	until    time.Duration
 	messages []any
 }
 
-// send carries a message, in the order in which a link's messages were sent.
-func (w *Simulation) send(from *machine, envelope chain.Envelope) {
-	envelope.Message = w.options.Flaw.message(envelope.Message)
-	link := [2]string{from.address, envelope.To}
-	if w.blocked[link] > 0 {
+// send sends a message of a machine. It arrives after those sent before it on the same link, unless the link is blocked then.
+func (sim *Simulation) send(from *machine, envelope chain.Envelope) {
+	message := sim.options.Flaw.message(envelope.Message)
+	path := link{from.address, envelope.To}
+	if sim.blocked[path] > 0 {
 		return
 	}
-	if held := w.delayed[link]; held != nil {
-		held.messages = append(held.messages, envelope.Message)
+	if delayed := sim.delayed[path]; delayed != nil {
+		delayed.messages = append(delayed.messages, message)
 		return
 	}
-	arrives := max(w.now+minDelay+time.Duration(w.random.Int64N(int64(maxExtraDelay))), w.lastArrival[link]+time.Microsecond)
-	w.lastArrival[link] = arrives
-	w.at(arrives, func() {
-		to := w.machine(envelope.To)
-		if to == nil || w.blocked[link] > 0 {
-			return
-		}
-		to.receive(envelope.Message)
-	})
+	delay := minDelay + time.Duration(sim.random.Int64N(int64(maxExtraDelay)))
+	arrival := max(sim.now+delay, sim.lastArrival[path]+time.Microsecond)
+	sim.lastArrival[path] = arrival
+	sim.at(arrival, func() { sim.arrive(path, message) })
+}
+
+// arrive delivers a message at the end of a link.
+func (sim *Simulation) arrive(path link, message any) {
+	to := sim.machine(path.to)
+	if to == nil || sim.blocked[path] > 0 {
+		return
+	}
+	to.receive(message)
 }
 
-// hold has the messages from one address to another wait for a time: then all arrive, in order, also at a process that has
-// started again meanwhile.
-func (w *Simulation) delay(from, to string, d time.Duration) {
-	link := [2]string{from, to}
-	if held := w.delayed[link]; held != nil {
-		held.until = max(held.until, w.now+d)
+// delay holds the messages from one address to another back for a time. Then all arrive in order, also at a process that has
+// been restarted meanwhile.
+func (sim *Simulation) delay(from, to string, duration time.Duration) {
+	path := link{from, to}
+	if delayed := sim.delayed[path]; delayed != nil {
+		delayed.until = max(delayed.until, sim.now+duration)
 		return
 	}
-	w.delayed[link] = &delayedLink{until: w.now + d}
-	w.release(link)
+	sim.delayed[path] = &delayedLink{until: sim.now + duration}
+	sim.releaseWhenDue(path)
 }
 
-// release delivers what a link holds once its time is over.
-func (w *Simulation) release(link [2]string) {
-	held := w.delayed[link]
-	w.at(held.until, func() {
-		if w.now < held.until {
-			w.release(link)
+// releaseWhenDue delivers the messages of a delayed link at the end of the delay, which may be extended until then.
+func (sim *Simulation) releaseWhenDue(path link) {
+	delayed := sim.delayed[path]
+	sim.at(delayed.until, func() {
+		if sim.now < delayed.until {
+			sim.releaseWhenDue(path)
 			return
 		}
-		delete(w.delayed, link)
-		for _, message := range held.messages {
-			if to := w.machine(link[1]); to != nil && w.blocked[link] == 0 {
-				to.receive(message)
-			}
+		delete(sim.delayed, path)
+		for _, message := range delayed.messages {
+			sim.arrive(path, message)
 		}
 	})
 }
 
-// cut breaks the links from one address to another for a time.
-func (w *Simulation) block(from, to string, d time.Duration) {
-	link := [2]string{from, to}
-	w.blocked[link]++
-	w.after(d, func() { w.blocked[link]-- })
+// block loses the messages from one address to another for a time.
+func (sim *Simulation) block(from, to string, duration time.Duration) {
+	path := link{from, to}
+	sim.blocked[path]++
+	sim.after(duration, func() { sim.blocked[path]-- })
 }
 
-func (w *Simulation) isolate(m *machine, d time.Duration, out, in bool) {
-	for _, other := range w.machines {
+// isolate loses the messages of a machine for a time, in the given directions.
+func (sim *Simulation) isolate(m *machine, duration time.Duration, outbound, inbound bool) {
+	for _, other := range sim.machines {
 		if other == m {
 			continue
 		}
-		if out {
-			w.block(m.address, other.address, d)
+		if outbound {
+			sim.block(m.address, other.address, duration)
 		}
-		if in {
-			w.block(other.address, m.address, d)
+		if inbound {
+			sim.block(other.address, m.address, duration)
 		}
 	}
 }
 
-// holdAll has the messages to a member wait and, where both is set, those that it sends.
-func (w *Simulation) delayMember(m *machine, d time.Duration, both bool) {
-	for _, other := range w.machines {
+// delayMachine delays the messages to a machine and, if outbound is set, those that it sends.
+func (sim *Simulation) delayMachine(m *machine, duration time.Duration, outbound bool) {
+	for _, other := range sim.machines {
 		if other == m {
 			continue
 		}
-		w.delay(other.address, m.address, d)
-		if both {
-			w.delay(m.address, other.address, d)
+		sim.delay(other.address, m.address, duration)
+		if outbound {
+			sim.delay(m.address, other.address, duration)
 		}
 	}
 }
--- a/internal/lab/coresim/progress.go
+++ b/internal/lab/coresim/progress.go
@@ -4,44 +4,57 @@
 	"time"
 )
 
-// watchProgress checks again and again that operations are acknowledged while no more members are lost than is to be
-// borne, and that has been so for a while.
-func (l *faultInjector) watchProgress() {
-	const look = 250 * time.Millisecond
-	w := l.world
-	acks, since := 0, time.Duration(0)
+// progressCheckInterval is the time between two checks that operations are acknowledged.
+const progressCheckInterval = 250 * time.Millisecond
+
+// watchProgress checks, again and again, that operations are acknowledged while the faults are within what is tolerated and
+// none has begun or ended for a while.
+func (f *faultInjector) watchProgress() {
+	sim := f.sim
+	lastAcks := 0
+	lastProgress := time.Duration(0)
 	var check func()
 	check = func() {
-		if w.checker.acks > acks || w.now < firstFaultAt || w.now-l.lastChange < progressTimeout || w.now < l.overBudgetUntil ||
-			countAfter(l.downUntil, w.now, noMember) > l.maxDown() {
-			acks, since = w.checker.acks, w.now
+		if sim.checker.acks > lastAcks || !f.mustProgress() {
+			lastAcks = sim.checker.acks
+			lastProgress = sim.now
 		}
-		if w.now-since > progressTimeout {
-			w.checker.fail("nothing is acknowledged for %v though only %d members are lost: %+v", progressTimeout,
-				countAfter(l.downUntil, w.now, noMember), w.Views())
+		if sim.now-lastProgress > progressTimeout {
+			sim.checker.fail("nothing is acknowledged for %v though only %d members are lost: %+v", progressTimeout,
+				f.down(), sim.Views())
 		}
-		w.after(look, check)
+		sim.after(progressCheckInterval, check)
 	}
-	w.after(look, check)
+	sim.after(progressCheckInterval, check)
+}
+
+// mustProgress reports whether operations must be acknowledged at present.
+func (f *faultInjector) mustProgress() bool {
+	now := f.sim.now
+	return now >= firstFaultAt &&
+		now-f.lastChange >= progressTimeout &&
+		now >= f.overBudgetUntil &&
+		f.down() <= f.maxDown()
 }
 
-// mostDown is with how many members down operations must be acknowledged: none where a disk may have been lost meanwhile.
-func (l *faultInjector) maxDown() int {
-	if l.overlap {
+// maxDown returns with how many members down operations must be acknowledged. With overlapping faults it is none, as disks
+// may have been lost in addition.
+func (f *faultInjector) maxDown() int {
+	if f.overlap {
 		return 0
 	}
-	return l.world.options.MostFailures
+	return f.sim.options.MostFailures
 }
 
-// Progress tells whether operations are still acknowledged, by waiting until one is.
-func (w *Simulation) MakesProgress(within time.Duration) bool {
-	before := w.checker.acks
-	until := w.now + within
-	for w.now < until {
-		if w.Run(w.now+callTimeout/4) != nil {
+// MakesProgress runs until an operation is acknowledged, and reports whether that is within a time.
+func (sim *Simulation) MakesProgress(timeout time.Duration) bool {
+	acks := sim.checker.acks
+	deadline := sim.now + timeout
+	for sim.now < deadline {
+		if sim.Run(sim.now+callTimeout/4) != nil {
 			return false
 		}
-		if w.checker.acks > before {
+		if sim.checker.acks > acks {
 			return true
 		}
 	}
--- a/internal/lab/coresim/recovery.go
+++ b/internal/lab/coresim/recovery.go
@@ -41,30 +41,30 @@
 }
 
 func measureRecovery(struck RecoveryTarget, kind FaultKind, seed uint64) time.Duration {
-	w := NewSimulation(Options{Seed: seed, Members: 3, MostFailures: 1})
-	at := firstFaultAt + time.Duration(w.random.Int64N(int64(time.Second)))
-	if w.Run(at) != nil {
+	sim := NewSimulation(Options{Seed: seed, Members: 3, MostFailures: 1})
+	at := firstFaultAt + time.Duration(sim.random.Int64N(int64(time.Second)))
+	if sim.Run(at) != nil {
 		return recoveryTimeout
 	}
-	member := w.targetIndex(struck)
-	losses := newFaultInjector(w, false)
+	member := sim.targetIndex(struck)
+	losses := newFaultInjector(sim, false)
 	losses.inject(Fault{At: at, Kind: kind, Member: member, For: time.Second})
-	first := w.lastOperation + 1
-	for w.now < at+recoveryTimeout {
-		if w.Run(w.now+time.Millisecond) != nil {
+	first := sim.lastOperation + 1
+	for sim.now < at+recoveryTimeout {
+		if sim.Run(sim.now+time.Millisecond) != nil {
 			break
 		}
-		if n := len(w.checker.acked); n > 0 && w.checker.acked[n-1] >= first {
-			return w.now - at
+		if n := len(sim.checker.acked); n > 0 && sim.checker.acked[n-1] >= first {
+			return sim.now - at
 		}
 	}
 	return recoveryTimeout
 }
 
 // struck is the number of the member that is struck.
-func (w *Simulation) targetIndex(what RecoveryTarget) int {
+func (sim *Simulation) targetIndex(what RecoveryTarget) int {
 	role := map[RecoveryTarget]Role{TargetHead: HeadRole, TargetMiddle: MiddleRole, TargetTail: TailRole}[what]
-	for i, m := range w.machines {
+	for i, m := range sim.machines {
 		if m.role() == role {
 			return i
 		}
--- a/internal/lab/coresim/schedule.go
+++ b/internal/lab/coresim/schedule.go
@@ -6,80 +6,121 @@
 	"time"
 )
 
-// Kind is a kind of trouble.
+// FaultKind is a kind of fault. The values are part of written schedules and of the commands' output: they are fixed.
 type FaultKind string
 
-// The kinds.
+// Faults that affect one member.
 const (
-	Kill               FaultKind = "kill"            // the process ends and starts again
-	Freeze             FaultKind = "freeze"          // the machine stands still
-	Isolate            FaultKind = "isolate"         // cut off from all others, both ways
-	DropOutbound       FaultKind = "one-way"         // what it sends does not arrive
-	DropInbound        FaultKind = "deaf"            // what others send it does not arrive
-	StallDisk          FaultKind = "stall"           // its disk answers nothing
-	LoseDisk           FaultKind = "wipe"            // its process ends and its disk is lost
-	Replace            FaultKind = "replace"         // it is gone for good, an empty one comes at another address
-	KillAll            FaultKind = "kill-all"        // all processes end at once
-	KillAllLoseDisk    FaultKind = "wipe-of-all"     // all end at once, one with its disk lost
-	KillAllLoseDisks   FaultKind = "wipe-most"       // all end at once, as many as may be lost with their disks
-	Split              FaultKind = "split"           // the members are cut into two halves
-	DelayMessages      FaultKind = "hold"            // messages to and from it wait, and all arrive then
-	DelayInbound       FaultKind = "hold-inbound"    // messages to it wait, and all arrive then
-	Leave              FaultKind = "leave"           // it ends as planned, and starts again
-	PlannedReplacement FaultKind = "planned-change"  // an empty one comes at another address, then it ends as planned, for good
-	KillAfterHeal      FaultKind = "kill-after-heal" // it is cut off, and as it is back all others are killed
-	LagThenRecover     FaultKind = "behind"          // it is cut off, another loses its disk, the rest are dark, and the cut heals
+	// Kill ends the process and restarts it.
+	Kill FaultKind = "kill"
+	// Freeze suspends the process, as a paused virtual machine.
+	Freeze FaultKind = "freeze"
+	// Isolate loses all messages to and from the member.
+	Isolate FaultKind = "isolate"
+	// DropOutbound loses the messages that the member sends.
+	DropOutbound FaultKind = "one-way"
+	// DropInbound loses the messages that are sent to the member.
+	DropInbound FaultKind = "deaf"
+	// DelayMessages holds the messages to and from the member back; all arrive at the end.
+	DelayMessages FaultKind = "hold"
+	// DelayInbound holds the messages to the member back; all arrive at the end.
+	DelayInbound FaultKind = "hold-inbound"
+	// StallDisk lets no sync of the member's disk end.
+	StallDisk FaultKind = "stall"
+	// LoseDisk ends the process, empties its disk and restarts it.
+	LoseDisk FaultKind = "wipe"
+	// Replace removes the machine for good and starts an empty one at another address.
+	Replace FaultKind = "replace"
+	// Leave stops the process as planned and restarts it.
+	Leave FaultKind = "leave"
+	// PlannedReplacement starts an empty machine at another address and then removes this one as planned.
+	PlannedReplacement FaultKind = "planned-change"
 )
 
-var faultKinds = []FaultKind{Kill, Freeze, Isolate, DropOutbound, DropInbound, StallDisk, LoseDisk, Replace, KillAll, KillAllLoseDisk, KillAllLoseDisks, Split, DelayMessages, DelayInbound, Leave,
-	PlannedReplacement, KillAfterHeal, LagThenRecover}
+// Faults that affect several members.
+const (
+	// KillAll kills all processes at once.
+	KillAll FaultKind = "kill-all"
+	// KillAllLoseDisk kills all processes at once, of which one loses its disk.
+	KillAllLoseDisk FaultKind = "wipe-of-all"
+	// KillAllLoseDisks kills all processes at once, of which as many as is tolerated lose their disks.
+	KillAllLoseDisks FaultKind = "wipe-most"
+	// Split partitions the members into two halves.
+	Split FaultKind = "split"
+	// KillAfterHeal isolates a member and kills all others when the isolation has ended.
+	KillAfterHeal FaultKind = "kill-after-heal"
+	// LagThenRecover isolates a member, kills all others, of which one loses its disk, and ends the isolation while only the
+	// lagging and the empty member run.
+	LagThenRecover FaultKind = "behind"
+)
+
+// faultKinds are all kinds. Their order determines what Generate returns for a seed.
+var faultKinds = []FaultKind{
+	Kill, Freeze, Isolate, DropOutbound, DropInbound, StallDisk, LoseDisk, Replace, KillAll, KillAllLoseDisk, KillAllLoseDisks,
+	Split, DelayMessages, DelayInbound, Leave, PlannedReplacement, KillAfterHeal, LagThenRecover,
+}
 
-// disksLost is how many disks are lost by a trouble where some number may be.
-func (k FaultKind) lostDisks(most int) int {
+// lostDisks returns the number of disks that a fault loses, if at most maxFailures may be lost.
+func (k FaultKind) lostDisks(maxFailures int) int {
 	switch k {
 	case LoseDisk, Replace, KillAllLoseDisk, PlannedReplacement, LagThenRecover:
 		return 1
 	case KillAllLoseDisks:
-		return most
+		return maxFailures
 	}
 	return 0
 }
 
-// Step is one trouble of a schedule.
+// Fault is one fault of a schedule. Written schedules contain it: the names of the fields are fixed.
 type Fault struct {
-	At     time.Duration
-	Kind   FaultKind
+	// At is when the fault begins.
+	At   time.Duration
+	Kind FaultKind
+	// Member is the index, at the start, of the member that it affects.
 	Member int
-	For    time.Duration
+	// For is how long it lasts.
+	For time.Duration
 }
 
-func (s Fault) String() string { return fmt.Sprintf("%v %s m%d for %v", s.At, s.Kind, s.Member, s.For) }
+// String describes the fault in one line.
+func (f Fault) String() string { return fmt.Sprintf("%v %s m%d for %v", f.At, f.Kind, f.Member, f.For) }
 
-// Schedule is a world and its troubles.
+// Schedule is a simulation with the faults that are injected. The command writes it for a failure: the names of the fields
+// are fixed.
 type Schedule struct {
 	Options Options
 	Steps   []Fault
-	// Overlap lets troubles that lose no disk strike more members at once than are to be borne: then nothing needs to be
-	// served, and nothing may be lost or shown in an older state.
+	// Overlap allows faults at more members at once than is tolerated, as long as they lose no disk. Nothing need be
+	// acknowledged then, but no guarantee of consistency may be violated.
 	Overlap bool
 }
 
+// Times of a run.
 const (
+	// firstFaultAt is the earliest time of a fault.
 	firstFaultAt = 2 * time.Second
-	// catchUp is how long a member that is back counts as lost.
-	catchUpTime      = 4 * time.Second
-	quietPeriod      = 8 * time.Second
-	progressTimeout  = 4 * time.Second
+	// catchUpTime is how long a member counts as failed after its fault has ended.
+	catchUpTime = 4 * time.Second
+	// quietPeriod is how long a run continues after the last fault has ended.
+	quietPeriod = 8 * time.Second
+	// progressTimeout is within what time an operation must be acknowledged, if no fault prevents it.
+	progressTimeout = 4 * time.Second
+)
+
+// Limits of the schedules that Generate draws.
+const (
 	maxFaults        = 8
+	minFaultDuration = 100 * time.Millisecond
 	maxFaultDuration = 5 * time.Second
-	// longestCut is how long a member may be cut off.
+	// maxIsolation is the longest duration of an Isolate in one of four cases.
 	maxIsolation = 20 * time.Second
-	maxGap       = 3 * time.Second
-	// aroundEnd is how far from the end of a trouble another one may be drawn to begin.
+	// maxGap is the longest time from the beginning of a fault to that of the next one.
+	maxGap = 3 * time.Second
+	// overlapWindow is the width of the window around the end of a fault within which the next one may begin.
 	overlapWindow = 700 * time.Millisecond
 )
 
-// Draw draws a schedule.
+// Generate draws a schedule. The same seed gives the same one.
 func Generate(seed uint64, flaw Flaw) Schedule {
 	random := rand.New(rand.NewPCG(seed, 2))
 	s := Schedule{Options: Options{Seed: seed, Members: 3, MostFailures: 1, Flaw: flaw}}
@@ -91,47 +132,43 @@
 	at := firstFaultAt
 	for range 1 + random.IntN(maxFaults) {
 		at += time.Duration(random.Int64N(int64(maxGap)))
-		step := Fault{At: at, Kind: faultKinds[random.IntN(len(faultKinds))], Member: random.IntN(s.Options.Members),
-			For: 100*time.Millisecond + time.Duration(random.Int64N(int64(maxFaultDuration)))}
-		if step.Kind == Isolate && random.IntN(4) == 0 {
-			step.For = time.Duration(random.Int64N(int64(maxIsolation)))
+		fault := Fault{
+			At:     at,
+			Kind:   faultKinds[random.IntN(len(faultKinds))],
+			Member: random.IntN(s.Options.Members),
+			For:    minFaultDuration + time.Duration(random.Int64N(int64(maxFaultDuration))),
+		}
+		if fault.Kind == Isolate && random.IntN(4) == 0 {
+			fault.For = time.Duration(random.Int64N(int64(maxIsolation)))
 		}
-		s.Steps = append(s.Steps, step)
-		if random.IntN(3) == 0 { // the next one begins about when this one ends
-			at = max(at, step.At+step.For-overlapWindow/2+time.Duration(random.Int64N(int64(overlapWindow)))-maxGap/2)
+		s.Steps = append(s.Steps, fault)
+		if random.IntN(3) == 0 {
+			// The next one begins about when this one ends: many bugs need a fault during the recovery from another one.
+			nearEnd := at + fault.For - overlapWindow/2 + time.Duration(random.Int64N(int64(overlapWindow)))
+			at = max(at, nearEnd-maxGap/2)
 		}
 	}
 	return s
 }
 
-// Play plays a schedule and tells which promise was broken, if any.
+// Run runs a schedule. It returns an error if a guarantee was violated.
 func (s Schedule) Run() error {
 	_, err := s.runWithCoverage()
 	return err
 }
 
-// play plays a schedule, and tells also what it has covered.
+// runWithCoverage runs a schedule and also returns what it has covered.
 func (s Schedule) runWithCoverage() (Coverage, error) {
-	w := NewSimulation(s.Options)
+	sim := NewSimulation(s.Options)
+	injector := newFaultInjector(sim, s.Overlap)
 	var end time.Duration
-	losses := newFaultInjector(w, s.Overlap)
-	for _, step := range s.Steps {
-		end = max(end, step.At+step.For)
-		w.at(step.At, func() { losses.inject(step) })
-	}
-	losses.watchProgress()
-	if err := w.Run(end + quietPeriod); err != nil {
-		return w.coverage, err
-	}
-	if !w.MakesProgress(progressTimeout) {
-		if w.checker.violation != nil {
-			return w.coverage, w.checker.violation
-		}
-		return w.coverage, fmt.Errorf("nothing is acknowledged in %v of calm: %+v", progressTimeout, w.Views())
+	for _, fault := range s.Steps {
+		end = max(end, fault.At+fault.For)
+		sim.at(fault.At, func() { injector.inject(fault) })
 	}
-	if err := w.checkCaughtUp(); err != nil {
-		return w.coverage, err
+	injector.watchProgress()
+	if err := sim.Run(end + quietPeriod); err != nil {
+		return sim.coverage, err
 	}
-	w.checkReplicas(nil)
-	return w.coverage, w.checker.violation
+	return sim.coverage, sim.checkEnd()
 }
--- a/internal/lab/coresim/simulation.go
+++ b/internal/lab/coresim/simulation.go
@@ -9,78 +9,110 @@
 	"dykering/internal/chain"
 )
 
-// The times of the emulated core, as of a deployment with a contact time of 3 s.
+// Times of the simulated processes. They are those of a deployment with a contact time (contact_ms) of 3 s.
 const (
-	tickInterval       = 50 * time.Millisecond
-	pingInterval       = 100 * time.Millisecond
-	suspectTimeout     = 600 * time.Millisecond
-	proposalTimeout    = 500 * time.Millisecond
+	tickInterval    = 50 * time.Millisecond
+	pingInterval    = 100 * time.Millisecond
+	suspectTimeout  = 600 * time.Millisecond
+	proposalTimeout = 500 * time.Millisecond
+	// chainLeaseDuration is how long the confirmation by a majority lets the lease holder act.
 	chainLeaseDuration = 750 * time.Millisecond
-	leaseDuration      = 3 * time.Second
-	takeoverSlack      = 300 * time.Millisecond
-	diskTimeout        = 500 * time.Millisecond
-	syncDuration       = 5 * time.Millisecond
-	minDelay           = 200 * time.Microsecond
-	maxExtraDelay      = 3 * time.Millisecond
+	// leaseDuration is the deployment's lease_duration_ms, within which the role must not return to a former holder.
+	leaseDuration = 3 * time.Second
+	// takeoverSlack is the deployment's thaw_slack_ms: how long a process may act after it was frozen before it notices.
+	takeoverSlack = 300 * time.Millisecond
+	// diskTimeout is how long a sync may take before the process reports its disk as unhealthy.
+	diskTimeout = 500 * time.Millisecond
 )
 
-// mostSeeds is how many machines a starting one is told of.
+// Times of the simulated hardware.
+const (
+	syncDuration = 5 * time.Millisecond
+	// A message takes minDelay and a random part of maxExtraDelay.
+	minDelay      = 200 * time.Microsecond
+	maxExtraDelay = 3 * time.Millisecond
+)
+
+// maxSeeds is how many addresses of other machines a process is configured with.
 const maxSeeds = 3
 
-// Options of a world.
+// Options configure a simulation. Written schedules contain them: the names of the fields are fixed.
 type Options struct {
-	Seed         uint64
-	Members      int
+	// Seed determines all random choices of the run.
+	Seed uint64
+	// Members is the number of machines at the start.
+	Members int
+	// MostFailures is the number of members that may fail at the same time (chain.Config.MaxFailures).
 	MostFailures int
-	Busy         bool // operators pause for little: hundreds of operations
-	Flaw         Flaw
+	// Busy makes the operators send without long pauses: several hundred operations in a run.
+	Busy bool
+	// Flaw is the planted flaw; NoFlaw for none.
+	Flaw Flaw
 }
 
-// World is one emulated core.
+// Simulation is one simulated core with its clients.
 type Simulation struct {
-	options       Options
-	random        *rand.Rand
-	now           time.Duration
-	lastEvent     uint64
-	events        eventQueue
-	machines      []*machine
-	seeds         []string
-	blocked       map[[2]string]int // from, to
-	delayed       map[[2]string]*delayedLink
-	lastArrival   map[[2]string]time.Duration
+	options   Options
+	random    *rand.Rand
+	now       time.Duration
+	lastEvent uint64
+	events    eventQueue
+	// machines are all that ever were, in the order of their creation.
+	machines []*machine
+	// seeds are the addresses that a starting process is configured with.
+	seeds []string
+	// blocked counts the faults that block a link.
+	blocked       map[link]int
+	delayed       map[link]*delayedLink
+	lastArrival   map[link]time.Duration
 	checker       *checker
 	coverage      Coverage
 	lastOperation uint64
 	replacements  int
 }
 
-// NewWorld makes a core whose members start for the first time.
+// NewSimulation returns a core whose members start for the first time.
 func NewSimulation(options Options) *Simulation {
-	w := &Simulation{options: options, random: rand.New(rand.NewPCG(options.Seed, 1)), blocked: map[[2]string]int{},
-		delayed:     map[[2]string]*delayedLink{},
-		lastArrival: map[[2]string]time.Duration{}, checker: newChecker(), coverage: Coverage{}}
+	sim := &Simulation{
+		options:     options,
+		random:      rand.New(rand.NewPCG(options.Seed, 1)),
+		blocked:     map[link]int{},
+		delayed:     map[link]*delayedLink{},
+		lastArrival: map[link]time.Duration{},
+		checker:     newChecker(),
+		coverage:    Coverage{},
+	}
 	for i := range options.Members {
-		w.addMachine(fmt.Sprintf("m%d", i))
+		sim.addMachine(fmt.Sprintf("m%d", i))
 	}
 	for i := range min(options.Members, maxSeeds) {
-		w.seeds = append(w.seeds, w.machines[i].address)
+		sim.seeds = append(sim.seeds, sim.machines[i].address)
 	}
-	for _, m := range w.machines {
+	for _, m := range sim.machines {
 		m.start(true)
 	}
-	w.startClients()
-	return w
+	sim.startClients()
+	return sim
 }
 
-func (w *Simulation) addMachine(address string) *machine {
-	m := &machine{world: w, address: address}
-	w.machines = append(w.machines, m)
+func (sim *Simulation) addMachine(address string) *machine {
+	m := &machine{sim: sim, address: address}
+	sim.machines = append(sim.machines, m)
 	return m
 }
 
-// machine finds the machine at an address.
-func (w *Simulation) machine(address string) *machine {
-	for _, m := range w.machines {
+// addReplacement adds the machine that replaces another one. The caller starts it.
+func (sim *Simulation) addReplacement(m *machine) *machine {
+	sim.replacements++
+	m.successor = sim.addMachine(fmt.Sprintf("n%d", sim.replacements))
+	m.successor.isReplacement = true
+	sim.refreshSeeds()
+	return m.successor
+}
+
+// machine returns the machine at an address; nil for none.
+func (sim *Simulation) machine(address string) *machine {
+	for _, m := range sim.machines {
 		if m.address == address {
 			return m
 		}
@@ -88,50 +120,50 @@
 	return nil
 }
 
-// present are the machines whose processes run or stand still.
-func (w *Simulation) runningMachines() []*machine {
-	var present []*machine
-	for _, m := range w.machines {
+// runningMachines returns the machines whose processes run or are frozen.
+func (sim *Simulation) runningMachines() []*machine {
+	var running []*machine
+	for _, m := range sim.machines {
 		if m.up && !m.removed {
-			present = append(present, m)
+			running = append(running, m)
 		}
 	}
-	return present
+	return running
 }
 
-// newSeeds has machines that start from now on ask three that are there.
-func (w *Simulation) refreshSeeds() {
-	w.seeds = nil
-	for _, m := range w.machines {
-		if !m.removed && len(w.seeds) < maxSeeds {
-			w.seeds = append(w.seeds, m.address)
+// refreshSeeds sets the seeds to the first machines that are part of the deployment now.
+func (sim *Simulation) refreshSeeds() {
+	sim.seeds = nil
+	for _, m := range sim.machines {
+		if !m.removed && len(sim.seeds) < maxSeeds {
+			sim.seeds = append(sim.seeds, m.address)
 		}
 	}
 }
 
-// Run plays until a time, or until a promise is broken.
-func (w *Simulation) Run(until time.Duration) error {
-	for len(w.events) > 0 && w.events[0].at <= until {
-		e := heap.Pop(&w.events).(event)
-		w.now = e.at
-		e.run()
-		if w.checker.violation != nil {
-			return fmt.Errorf("at %v: %w", w.now, w.checker.violation)
+// Run runs until a time. It returns an error if a guarantee was violated before.
+func (sim *Simulation) Run(until time.Duration) error {
+	for len(sim.events) > 0 && sim.events[0].at <= until {
+		next := heap.Pop(&sim.events).(event)
+		sim.now = next.at
+		next.run()
+		if sim.checker.violation != nil {
+			return fmt.Errorf("at %v: %w", sim.now, sim.checker.violation)
 		}
 	}
-	w.now = until
+	sim.now = until
 	return nil
 }
 
-// jitter draws a part of a duration.
-func (w *Simulation) jitter(d time.Duration) time.Duration {
-	return time.Duration(w.random.Int64N(int64(d)))
+// jitter returns a random part of a duration.
+func (sim *Simulation) jitter(d time.Duration) time.Duration {
+	return time.Duration(sim.random.Int64N(int64(d)))
 }
 
-// State describes the members, for those who look at a failure.
-func (w *Simulation) Views() []chain.View {
+// Views returns the views of the running members, for the description of a failure.
+func (sim *Simulation) Views() []chain.View {
 	var views []chain.View
-	for _, m := range w.machines {
+	for _, m := range sim.machines {
 		if m.up {
 			views = append(views, m.node.View())
 		}
