--- /dev/null
+++ b/internal/lab/coresim/decisions_test.go
@@ -0,0 +1,87 @@
+package coresim
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"hash"
+	"strings"
+	"testing"
+	"time"
+
+	"dykering/internal/fixture"
+)
+
+// The fixture holds what the build of commit bfb03d8 did in the same schedules.
+
+const (
+	frozenSchedules = 70
+	frozenBusyUntil = 30 * time.Second
+	frozenSlice     = 250 * time.Millisecond
+)
+
+// rareSeeds are of schedules in which a view change gets stuck, as its proposer fails.
+var rareSeeds = []uint64{203, 221, 275, 347}
+
+// digestMachines adds to a digest what each machine shows and stores.
+func digestMachines(digest hash.Hash, w *Simulation) {
+	for _, m := range w.machines {
+		fmt.Fprintf(digest, "%s up %t removed %t life %d lost %d stored %d waiting %d\n", m.address, m.up, m.removed, m.incarnation, m.lostDisks,
+			len(m.disk), len(m.queued))
+		if !m.up {
+			continue
+		}
+		view := m.node.View()
+		fmt.Fprintf(digest, "view %d chain %q holder %q token %d former %q voters", view.Number, view.Chain, string(view.Holder), view.Token,
+			view.FormerHolders)
+		for _, voter := range view.Voters {
+			fmt.Fprintf(digest, " %q", string(voter.ID))
+		}
+		token, holds := m.node.HoldsLease(w.now)
+		fmt.Fprintf(digest, "\nsealed %t in chain %t committed %d known %t latest %d role %t %d confirmed %v\n", m.node.IsSealed(), m.node.IsInChain(),
+			m.node.CommittedSeq(), m.node.IsCommitKnown(), m.node.LatestState().Seq, holds, token, m.node.QuorumConfirmedAt(w.now))
+	}
+}
+
+// outcome renders what came of a simulation. The number of events, and the number that is drawn next, depend on each message,
+// record and request of the run.
+func outcome(w *Simulation, digest hash.Hash, broken error) string {
+	c := w.checker
+	return fmt.Sprintf("broken %t, %d events, next draw %016x, acknowledged %d, reads %d, refusals %d, holders %d, operations %d, digest %x\n",
+		broken != nil, w.lastEvent, w.random.Uint64(), c.acks, c.reads, c.rejections, c.holders, len(c.order), digest.Sum(nil)[:8])
+}
+
+// playFrozen plays a schedule in slices and digests what there is after each.
+func playFrozen(s Schedule) string {
+	w := NewSimulation(s.Options)
+	injector := newFaultInjector(w, s.Overlap)
+	var end time.Duration
+	for _, fault := range s.Steps {
+		end = max(end, fault.At+fault.For)
+		w.at(fault.At, func() { injector.inject(fault) })
+	}
+	injector.watchProgress()
+	digest := sha256.New()
+	for until := frozenSlice; until <= end+quietPeriod; until += frozenSlice {
+		if err := w.Run(until); err != nil {
+			return outcome(w, digest, err)
+		}
+		digestMachines(digest, w)
+	}
+	return outcome(w, digest, nil)
+}
+
+// In the same schedules the members send, store and answer the same.
+func TestDecisionsUnchangedSchedules(t *testing.T) {
+	var text strings.Builder
+	for seed := range uint64(frozenSchedules) {
+		fmt.Fprintf(&text, "seed %d: %s", seed, playFrozen(Generate(seed, NoFlaw)))
+	}
+	for _, seed := range rareSeeds {
+		fmt.Fprintf(&text, "seed %d: %s", seed, playFrozen(Generate(seed, NoFlaw)))
+	}
+	for seed := range uint64(2) {
+		calm := Schedule{Options: Options{Seed: seed, Members: 5, MostFailures: 2, Busy: true}, Steps: []Fault{{At: frozenBusyUntil, Kind: Kill}}}
+		fmt.Fprintf(&text, "busy seed %d: %s", seed, playFrozen(calm))
+	}
+	fixture.Text(t, "testdata/schedules.txt", text.String())
+}
