--- a/internal/controlplane/anti_entropy.go
+++ b/internal/controlplane/anti_entropy.go
@@ -16,7 +16,7 @@
 	}
 	s.sessionSync.antiEntropyDue = now + s.timing.antiEntropyInterval
 	self := s.chain.Self().Address
-	s.send(peers[rand.IntN(len(peers))], protocol.SessionDigest{From: self, Digests: s.table.ChildDigests(nil)})
+	s.send(peers[rand.IntN(len(peers))], protocol.SessionDigest{From: self, Digests: s.sessionTable.ChildDigests(nil)})
 	s.broadcast(protocol.SubscriberCount{From: self, Count: len(s.subscribers)})
 }
 
@@ -27,12 +27,12 @@
 		return
 	}
 	self := s.chain.Self().Address
-	for _, child := range s.table.DifferingChildren(m.Range, m.Digests) {
+	for _, child := range s.sessionTable.DifferingChildren(m.Range, m.Digests) {
 		if child.IsLeaf() {
-			s.send(m.From, protocol.SessionRange{From: self, Range: child, Records: s.table.RecordsIn(s.sessionClock, child), Ask: true})
+			s.send(m.From, protocol.SessionRange{From: self, Range: child, Records: s.sessionTable.RecordsIn(s.sessionClock, child), Ask: true})
 			continue
 		}
-		s.send(m.From, protocol.SessionDigest{From: self, Range: child, Digests: s.table.ChildDigests(child)})
+		s.send(m.From, protocol.SessionDigest{From: self, Range: child, Digests: s.sessionTable.ChildDigests(child)})
 	}
 }
 
@@ -42,7 +42,7 @@
 		return
 	}
 	if m.Ask {
-		own := s.table.RecordsIn(s.sessionClock, m.Range)
+		own := s.sessionTable.RecordsIn(s.sessionClock, m.Range)
 		s.send(m.From, protocol.SessionRange{From: s.chain.Self().Address, Range: m.Range, Records: own})
 	}
 	s.mergeSessions(m.Records)
--- a/internal/controlplane/cluster_test.go
+++ b/internal/controlplane/cluster_test.go
@@ -39,7 +39,7 @@
 type member struct {
 	settings nodefile.Settings
 	stop     chan os.Signal
-	finished    chan error // the result of Run
+	finished chan error // the result of Run
 }
 
 func (m *member) start() {
--- a/internal/controlplane/configuration_endpoint.go
+++ b/internal/controlplane/configuration_endpoint.go
@@ -101,7 +101,7 @@
 // proposeAtHead applies a change where this member is the head; the chain answers that it is not otherwise.
 func (s *Server) proposeAtHead(change fleetconfig.Change, answer func(protocol.Reply)) {
 	digests := change.Digests()
-	s.applyOutput(s.requests.Write(s.now(), chain.Write{
+	s.applyOutput(s.pendingRequests.Write(s.now(), chain.Write{
 		Decide:    func(latest any) chain.Decision { return decide(latest.(*fleetconfig.State), digests, change) },
 		IsApplied: func(value any) bool { return value.(*fleetconfig.State).HasAppliedAny(digests) },
 		Respond:   func(err error) { answer(replyFor(err)) },
@@ -127,7 +127,7 @@
 
 // readAtTail returns the configuration where this member is the tail; the chain answers that it is not otherwise.
 func (s *Server) readAtTail(answer func(protocol.Reply)) {
-	s.applyOutput(s.requests.Read(s.now(), chain.Read{Respond: func(state chain.State, err error) {
+	s.applyOutput(s.pendingRequests.Read(s.now(), chain.Read{Respond: func(state chain.State, err error) {
 		if err != nil {
 			answer(replyFor(err))
 			return
--- a/internal/controlplane/drain_ack.go
+++ b/internal/controlplane/drain_ack.go
@@ -30,7 +30,7 @@
 		answer(nil)
 		return
 	}
-	if len(s.departures) >= maxPendingDepartures {
+	if len(s.pendingDepartures) >= maxPendingDepartures {
 		answer(errkind.New(errkind.Unavailable, "too many endpoints leave at once"))
 		return
 	}
@@ -38,20 +38,20 @@
 		answer(errTableFull())
 		return
 	}
-	number := s.pending.nextNumber()
-	s.departures[number] = &pendingDeparture{
+	number := s.pendingCalls.nextNumber()
+	s.pendingDepartures[number] = &pendingDeparture{
 		id: id, state: state, deadline: s.now() + s.timing.drainAckTimeout,
 		storedAt: map[string]bool{}, answer: answer,
 	}
 	s.log.Info("endpoint.departing", "id", id, "state", string(state))
 	self := s.chain.Self().Address
-	s.broadcast(protocol.SessionUpdate{From: self, Ask: number, Records: s.table.Records(s.sessionClock, []string{id})})
+	s.broadcast(protocol.SessionUpdate{From: self, Ask: number, Records: s.sessionTable.Records(s.sessionClock, []string{id})})
 	s.afterSessionsStored(func() { s.onDepartureStored(number, self) })
 }
 
 // hasReached reports whether the table has an endpoint at least as far in its life cycle as a state.
 func (s *Server) hasReached(id string, state sessions.State) bool {
-	known, ok := s.table.Get(id)
+	known, ok := s.sessionTable.Get(id)
 	return ok && !known.State.Before(state)
 }
 
@@ -59,7 +59,7 @@
 
 // onDepartureStored counts a member that has a notice on disk.
 func (s *Server) onDepartureStored(number uint64, member string) {
-	departure := s.departures[number]
+	departure := s.pendingDepartures[number]
 	if departure == nil {
 		return
 	}
@@ -86,17 +86,17 @@
 	default:
 		return
 	}
-	delete(s.departures, number)
+	delete(s.pendingDepartures, number)
 }
 
 // expireDepartures answers the notices whose deadline has passed, and forgets the acknowledgements of endpoints whose
 // session has been deleted.
 func (s *Server) expireDepartures() {
-	for number, departure := range s.departures {
+	for number, departure := range s.pendingDepartures {
 		s.answerDeparture(number, departure)
 	}
 	for id := range s.acknowledgedDepartures {
-		if _, known := s.table.Get(id); !known {
+		if _, known := s.sessionTable.Get(id); !known {
 			delete(s.acknowledgedDepartures, id)
 		}
 	}
--- a/internal/controlplane/drain_ack_test.go
+++ b/internal/controlplane/drain_ack_test.go
@@ -62,7 +62,7 @@
 		storeSnapshots(server)
 		acknowledgeDepartures(server, "c")
 		Expect(answers).NotTo(Receive())
-		for _, departure := range server.departures {
+		for _, departure := range server.pendingDepartures {
 			departure.deadline = -1
 		}
 		server.expireDepartures()
@@ -80,8 +80,8 @@
 
 	It("is asked of the peers also for the deregistration of an endpoint unknown here", func() {
 		server.deregister("i-2", answer)
-		Expect(server.table.Records(0, []string{"i-2"})).To(ConsistOf(HaveField("Endpoint.State", sessions.Departed)))
-		Expect(server.departures).To(HaveLen(1))
+		Expect(server.sessionTable.Records(0, []string{"i-2"})).To(ConsistOf(HaveField("Endpoint.State", sessions.Departed)))
+		Expect(server.pendingDepartures).To(HaveLen(1))
 	})
 
 	It("waits for the next snapshot when one cannot be written", func() {
--- a/internal/controlplane/eventloop.go
+++ b/internal/controlplane/eventloop.go
@@ -73,7 +73,7 @@
 // afterBatch does what a batch of commands has made due: answers, broadcasts, streams, plans and snapshots.
 func (s *Server) afterBatch() {
 	now := s.now()
-	s.requests.AnswerReady(now)
+	s.pendingRequests.AnswerReady(now)
 	s.broadcastSessions(now)
 	s.broadcastEndpointLoads(now)
 	s.streamUpdates(now)
@@ -94,7 +94,7 @@
 	s.chain.SetDiskHealthy(s.chainStore.writeDuration() < s.timing.maxWriteDuration)
 	s.rereadSeeds(now, hasQuorum)
 	s.applyOutput(s.chain.Tick(now))
-	s.table.ExpireTTLs(s.sessionClock)
+	s.sessionTable.ExpireTTLs(s.sessionClock)
 	s.updateFullSync(now, hasQuorum)
 	s.runAntiEntropy(now)
 	s.expireCalls(now)
--- a/internal/controlplane/harness_test.go
+++ b/internal/controlplane/harness_test.go
@@ -44,13 +44,13 @@
 		member, _ := view.Voter(chain.MemberID(envelope.To))
 		s.chain.Receive(0, chain.Pong{From: member, Nonce: envelope.Message.(chain.Ping).Nonce, Status: chain.Status{View: 1, Healthy: true}})
 	}
-	s.table, s.pending = sessions.New(time.Hour), newPendingCalls()
-	s.departures, s.acknowledgedDepartures = map[uint64]*pendingDeparture{}, map[string]sessions.State{}
+	s.sessionTable, s.pendingCalls = sessions.New(time.Hour), newPendingCalls()
+	s.pendingDepartures, s.acknowledgedDepartures = map[uint64]*pendingDeparture{}, map[string]sessions.State{}
 	s.sessionStore = &sessionStore{ring: &ringlog.Ring{}, log: s.log, snapshots: make(chan sessionSnapshot, 1)}
 	s.timing.drainAckTimeout = time.Hour
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
-	s.links = map[string]*peerlink.Link{"b": peerlink.NewLink(ended, "b"), "c": peerlink.NewLink(ended, "c")}
+	s.peerLinks = map[string]*peerlink.Link{"b": peerlink.NewLink(ended, "b"), "c": peerlink.NewLink(ended, "c")}
 	return s
 }
 
@@ -64,7 +64,7 @@
 
 // acknowledgeDepartures has a peer acknowledge all pending departures.
 func acknowledgeDepartures(s *Server, peer string) {
-	for number := range s.departures {
+	for number := range s.pendingDepartures {
 		s.onSessionAck(protocol.SessionAck{From: peer, Ask: number})
 	}
 }
--- a/internal/controlplane/heartbeat_endpoint.go
+++ b/internal/controlplane/heartbeat_endpoint.go
@@ -60,12 +60,12 @@
 		answer(errNoQuorum())
 		return
 	}
-	s.table.ApplyHeartbeat(s.sessionClock, id, heartbeat)
+	s.sessionTable.ApplyHeartbeat(s.sessionClock, id, heartbeat)
 	if heartbeat.State == sessions.Draining {
 		s.replicateDeparture(id, sessions.Draining, answer)
 		return
 	}
-	if _, ok := s.table.Get(id); !ok {
+	if _, ok := s.sessionTable.Get(id); !ok {
 		answer(errTableFull())
 		return
 	}
@@ -78,7 +78,7 @@
 		answer(errNoQuorum())
 		return
 	}
-	s.table.Deregister(s.sessionClock, id)
+	s.sessionTable.Deregister(s.sessionClock, id)
 	s.replicateDeparture(id, sessions.Departed, answer)
 }
 
--- a/internal/controlplane/order_executor.go
+++ b/internal/controlplane/order_executor.go
@@ -44,7 +44,7 @@
 
 // startOrder starts an order, unless its endpoint has left or has one in flight.
 func (c *placementController) startOrder(now time.Duration, service fleetconfig.Service, order placement.Order) {
-	session, ok := c.server.table.Get(order.Endpoint)
+	session, ok := c.server.sessionTable.Get(order.Endpoint)
 	if !ok || c.inFlight[order.Endpoint] != nil {
 		return
 	}
--- a/internal/controlplane/overlays.go
+++ b/internal/controlplane/overlays.go
@@ -34,7 +34,7 @@
 	c.overlayCounter++
 	version := c.fencingToken<<32 | c.overlayCounter
 	c.overlays[id] = publishedOverlay{overrides: overrides, setAt: now}
-	c.server.table.SetOverlay(id, sessions.Overlay{Version: version, Holdings: overrides})
+	c.server.sessionTable.SetOverlay(id, sessions.Overlay{Version: version, Holdings: overrides})
 }
 
 // clearOverrides has an endpoint's heartbeats alone count again.
@@ -54,7 +54,7 @@
 			delete(c.overlays, id)
 		}
 	}
-	for _, session := range c.server.table.Endpoints() {
+	for _, session := range c.server.sessionTable.Endpoints() {
 		if _, own := c.overlays[session.ID]; !own && len(session.Overlay.Holdings) > 0 {
 			c.overlays[session.ID] = publishedOverlay{overrides: session.Overlay.Holdings, setAt: now}
 		}
--- a/internal/controlplane/pending_calls.go
+++ b/internal/controlplane/pending_calls.go
@@ -41,28 +41,28 @@
 
 // callPeer sends a call to a peer. The answer is the peer's reply, or one that says that it is unavailable.
 func (s *Server) callPeer(address string, message func(number uint64) any, answer func(protocol.Reply)) {
-	if len(s.pending.byNumber) >= maxPendingCalls {
+	if len(s.pendingCalls.byNumber) >= maxPendingCalls {
 		answer(unavailableReply("too many calls are waiting"))
 		return
 	}
-	number := s.pending.nextNumber()
-	s.pending.byNumber[number] = pendingCall{deadline: s.now() + s.timing.callTimeout, answer: answer}
+	number := s.pendingCalls.nextNumber()
+	s.pendingCalls.byNumber[number] = pendingCall{deadline: s.now() + s.timing.callTimeout, answer: answer}
 	s.send(address, message(number))
 }
 
 // onReply answers the call that a reply belongs to, if it still waits.
 func (s *Server) onReply(reply protocol.Reply) {
-	if call, ok := s.pending.byNumber[reply.ID]; ok {
-		delete(s.pending.byNumber, reply.ID)
+	if call, ok := s.pendingCalls.byNumber[reply.ID]; ok {
+		delete(s.pendingCalls.byNumber, reply.ID)
 		call.answer(reply)
 	}
 }
 
 // expireCalls answers the calls whose deadline has passed.
 func (s *Server) expireCalls(now time.Duration) {
-	for number, call := range s.pending.byNumber {
+	for number, call := range s.pendingCalls.byNumber {
 		if now > call.deadline {
-			delete(s.pending.byNumber, number)
+			delete(s.pendingCalls.byNumber, number)
 			call.answer(unavailableReply("no reply in time"))
 		}
 	}
--- a/internal/controlplane/pending_calls_test.go
+++ b/internal/controlplane/pending_calls_test.go
@@ -30,7 +30,7 @@
 		before, _, _ = singleMember()
 		after, _, _ = singleMember()
 		for _, server := range []*Server{before, after} {
-			server.pending, server.departures = newPendingCalls(), map[uint64]*pendingDeparture{}
+			server.pendingCalls, server.pendingDepartures = newPendingCalls(), map[uint64]*pendingDeparture{}
 		}
 		return before, after
 	}
@@ -55,8 +55,8 @@
 	It("counts no acknowledgement of a departure of before", func() {
 		before, after := restarted()
 		departure := &pendingDeparture{deadline: time.Hour, storedAt: map[string]bool{}}
-		after.departures[after.pending.nextNumber()] = departure
-		after.onSessionAck(protocol.SessionAck{From: "b", Ask: before.pending.nextNumber()})
+		after.pendingDepartures[after.pendingCalls.nextNumber()] = departure
+		after.onSessionAck(protocol.SessionAck{From: "b", Ask: before.pendingCalls.nextNumber()})
 		Expect(departure.storedAt).To(BeEmpty())
 	})
 
--- a/internal/controlplane/placement_controller.go
+++ b/internal/controlplane/placement_controller.go
@@ -188,7 +188,7 @@
 // plannerEndpoints lists the endpoints of a service as the planner sees them.
 func (c *placementController) plannerEndpoints(service string) []placement.Endpoint {
 	var endpoints []placement.Endpoint
-	for _, session := range c.server.table.Endpoints() {
+	for _, session := range c.server.sessionTable.Endpoints() {
 		if session.Heartbeat.Service != service || session.State == sessions.Departed {
 			continue
 		}
@@ -200,7 +200,7 @@
 // expireEndpointStates forgets the endpoints whose session has been deleted.
 func (c *placementController) expireEndpointStates() {
 	for id := range c.endpointStates {
-		if _, ok := c.server.table.Get(id); !ok {
+		if _, ok := c.server.sessionTable.Get(id); !ok {
 			delete(c.endpointStates, id)
 		}
 	}
--- a/internal/controlplane/rpc.go
+++ b/internal/controlplane/rpc.go
@@ -107,7 +107,7 @@
 // wakeLink dials a peer at once that pings although it counted as unreachable. Without that the link would wait out its
 // backoff, and the member would stay out of the view for that long.
 func (s *Server) wakeLink(now time.Duration, address string) {
-	if link := s.links[address]; link != nil && !s.chain.IsReachable(now, address) {
+	if link := s.peerLinks[address]; link != nil && !s.chain.IsReachable(now, address) {
 		link.Wake()
 	}
 }
@@ -125,13 +125,13 @@
 	if address == "" || address == s.chain.Self().Address {
 		return
 	}
-	link := s.links[address]
+	link := s.peerLinks[address]
 	if link == nil {
-		if len(s.links) >= maxLinks {
+		if len(s.peerLinks) >= maxLinks {
 			s.closeLinks()
 		}
 		link = peerlink.NewLink(s.ctx, address)
-		s.links[address] = link
+		s.peerLinks[address] = link
 	}
 	link.Send(message)
 }
@@ -144,9 +144,9 @@
 }
 
 func (s *Server) closeLinks() {
-	for address, link := range s.links {
+	for address, link := range s.peerLinks {
 		link.Close()
-		delete(s.links, address)
+		delete(s.peerLinks, address)
 	}
 }
 
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -30,18 +30,18 @@
 	chain            *chain.Node
 	chainStore       *chainStore
 	restoredFromDisk bool                   // the node was restored, and has not joined or begun anew
-	requests         *chain.PendingRequests // to the head or tail that this member is
-	pending          pendingCalls           // to other members
+	pendingRequests  *chain.PendingRequests // to the head or tail that this member is
+	pendingCalls     pendingCalls           // to other members
 
 	// The table of sessions.
-	table        *sessions.Table
+	sessionTable *sessions.Table
 	sessionStore *sessionStore
 	sessionSync  sessionSync
 	sessionClock time.Duration // advances while this member has a quorum
 
 	// Departures wait for their acknowledgement by the number of their SessionUpdate. An endpoint whose departure has been
 	// acknowledged up to a state is answered at once when it repeats the notice.
-	departures             map[uint64]*pendingDeparture
+	pendingDepartures      map[uint64]*pendingDeparture
 	acknowledgedDepartures map[string]sessions.State
 
 	// The proxies.
@@ -51,9 +51,9 @@
 
 	placement *placementController
 
-	links    map[string]*peerlink.Link // by the address of a peer
-	lastTick time.Duration
-	seedsDue time.Duration // when the seeds are read again
+	peerLinks map[string]*peerlink.Link // by the address of a peer
+	lastTick  time.Duration
+	seedsDue  time.Duration // when the seeds are read again
 }
 
 // Run runs a control process until a signal arrives on stop and the member has left the chain, or the time for that is
@@ -94,15 +94,15 @@
 	s := &Server{
 		settings: settings, timing: newTiming(&settings), log: log, origin: time.Now(), ctx: ctx,
 		commands:               make(chan func(), commandQueueLength),
-		pending:                newPendingCalls(),
-		departures:             map[uint64]*pendingDeparture{},
+		pendingCalls:           newPendingCalls(),
+		pendingDepartures:      map[uint64]*pendingDeparture{},
 		acknowledgedDepartures: map[string]sessions.State{},
 		subscribers:            map[*subscriber]bool{},
 		peerSubscribers:        map[string]peerSubscriberCount{},
 		endpointLoads:          newEndpointLoadTable(),
-		links:                  map[string]*peerlink.Link{},
+		peerLinks:              map[string]*peerlink.Link{},
 	}
-	s.table = sessions.New(s.timing.sessionTTL)
+	s.sessionTable = sessions.New(s.timing.sessionTTL)
 	s.placement = newPlacementController(s)
 	return s
 }
@@ -112,7 +112,7 @@
 	if err := s.restoreChain(); err != nil {
 		return err
 	}
-	s.requests = chain.NewPendingRequests(s.chain, s.timing.callTimeout)
+	s.pendingRequests = chain.NewPendingRequests(s.chain, s.timing.callTimeout)
 	s.sessionStore = s.openSessionStore()
 	return nil
 }
--- a/internal/controlplane/session_replication.go
+++ b/internal/controlplane/session_replication.go
@@ -57,7 +57,7 @@
 }
 
 func (s *Server) onSessionSnapshotRequest(m protocol.SessionSnapshotRequest) {
-	s.send(m.From, protocol.SessionSnapshot{From: s.chain.Self().Address, Records: s.table.AllRecords(s.sessionClock)})
+	s.send(m.From, protocol.SessionSnapshot{From: s.chain.Self().Address, Records: s.sessionTable.AllRecords(s.sessionClock)})
 }
 
 func (s *Server) onSessionSnapshot(m protocol.SessionSnapshot) {
@@ -68,10 +68,10 @@
 // broadcastSessions sends the peers what endpoints have reported to this member since the last time: changed sessions at
 // once, renewals at their interval.
 func (s *Server) broadcastSessions(now time.Duration) {
-	update := protocol.SessionUpdate{From: s.chain.Self().Address, Records: s.table.FlushModified(s.sessionClock)}
+	update := protocol.SessionUpdate{From: s.chain.Self().Address, Records: s.sessionTable.FlushModified(s.sessionClock)}
 	if now >= s.sessionSync.renewalsDue {
 		s.sessionSync.renewalsDue = now + s.timing.renewalInterval
-		update.Signs = s.table.FlushRenewals(s.sessionClock)
+		update.Signs = s.sessionTable.FlushRenewals(s.sessionClock)
 	}
 	if len(update.Records) == 0 && len(update.Signs) == 0 {
 		return
@@ -85,7 +85,7 @@
 	s.mergeSessions(m.Records)
 	unknown := false
 	for _, renewal := range m.Signs {
-		if !s.table.Renew(s.sessionClock, renewal.ID, renewal.Sequence, renewal.Age) {
+		if !s.sessionTable.Renew(s.sessionClock, renewal.ID, renewal.Sequence, renewal.Age) {
 			unknown = true
 		}
 	}
@@ -111,6 +111,6 @@
 
 func (s *Server) mergeSessions(records []sessions.Record) {
 	for _, record := range records {
-		s.table.Merge(s.sessionClock, record)
+		s.sessionTable.Merge(s.sessionClock, record)
 	}
 }
--- a/internal/controlplane/session_store.go
+++ b/internal/controlplane/session_store.go
@@ -97,13 +97,13 @@
 // waits for it.
 func (s *Server) snapshotSessions(now time.Duration) {
 	store := s.sessionStore
-	due := s.table.ModifyIndex() != store.savedIndex && now >= store.due
+	due := s.sessionTable.ModifyIndex() != store.savedIndex && now >= store.due
 	if store.ring == nil || !due && len(store.onStored) == 0 || now < store.retryAfter {
 		return
 	}
 	select {
-	case store.snapshots <- sessionSnapshot{records: s.table.AllRecords(s.sessionClock), onStored: store.onStored}:
-		store.savedIndex, store.due, store.onStored = s.table.ModifyIndex(), now+sessionSnapshotInterval, nil
+	case store.snapshots <- sessionSnapshot{records: s.sessionTable.AllRecords(s.sessionClock), onStored: store.onStored}:
+		store.savedIndex, store.due, store.onStored = s.sessionTable.ModifyIndex(), now+sessionSnapshotInterval, nil
 	default: // the disk is still busy with the last one: the next snapshot has everything
 	}
 }
--- a/internal/controlplane/update_stream.go
+++ b/internal/controlplane/update_stream.go
@@ -151,15 +151,15 @@
 	loads, loadsDue := s.endpointLoads.totalsIfDue(now)
 	for sub := range s.subscribers {
 		keepaliveDue := now-sub.sentAt >= protocol.Keepalive
-		if sub.fullUpdateSent && !keepaliveDue && !loadsDue && sub.sentIndex >= s.table.ModifyIndex() && sub.sentConfigSeq >= committed.Seq {
+		if sub.fullUpdateSent && !keepaliveDue && !loadsDue && sub.sentIndex >= s.sessionTable.ModifyIndex() && sub.sentConfigSeq >= committed.Seq {
 			continue
 		}
 		update := protocol.Update{
-			Revision: s.table.ModifyIndex(), Subscribers: subscriberCount, Whole: !sub.fullUpdateSent,
+			Revision: s.sessionTable.ModifyIndex(), Subscribers: subscriberCount, Whole: !sub.fullUpdateSent,
 			HasLoads: loadsDue, Loads: loads,
 		}
 		if update.Whole || sub.sentIndex < update.Revision {
-			update.Endpoints = s.table.ModifiedSince(sub.sentIndex)
+			update.Endpoints = s.sessionTable.ModifiedSince(sub.sentIndex)
 		}
 		if sub.sentConfigSeq < committed.Seq {
 			document := committed.Value.(*fleetconfig.State).Document
