--- a/internal/lab/model/trouble.go
+++ b/internal/lab/model/trouble.go
@@ -73,92 +73,120 @@
 	return r.Perm(n)[:min(n, int(math.Ceil(share*float64(n)-1e-9)))]
 }
 
-// plan has a trouble come.
+// occurrence is a trouble as it was drawn for one run.
+type occurrence struct {
+	scenario.Trouble
+	lasts   time.Duration
+	factor  float64
+	tier    *Tier
+	servers []int // of the tier, in the order in which they are hit
+	touched []int // instances of the tier
+	bit     uint64
+}
+
+// plan schedules a trouble.
 func (w *World) plan(t scenario.Trouble, number int, r *rand.Rand) {
 	at, lasts, factor := t.At.Draw(r), t.Lasts.Draw(r), t.Factor.Draw(r)
 	tier := w.Tiers[t.Tier]
-	order := some(r, len(tier.Servers), t.Share)
-	touched := some(r, len(tier.Instances), t.Of)
-	w.After(at, func() {
-		over := func(do func()) { w.After(lasts, do) }
-		switch t.What {
-		case "burst":
-			w.burst = factor
-			over(func() { w.burst = 1 })
-			return
-		case "flood":
-			team := w.S.TeamOf(t.Team)
-			w.flood[team] += max(factor-1, 0)
-			over(func() { w.flood[team] -= max(factor-1, 0) })
-			return
-		case "discovery":
-			w.deaf = w.Now() + lasts
-			return
-		case "break":
-			for _, in := range tier.Instances {
-				w.breakOff(in)
-			}
-			return
-		case "kill", "handover", "stop", "stall", "away", "reload", "stale", "again":
-			for i, x := range touched {
-				w.After(time.Duration(i)*time.Duration(t.Every), func() {
-					switch in := tier.Instances[x]; t.What {
-					case "kill":
-						w.brokers.Kill(in, lasts)
-					case "handover":
-						w.brokers.Handover(in)
-					default:
-						w.brokers.Befall(in, t.What, lasts)
-					}
-				})
-			}
-			return
-		case "gone", "dribble", "junk", "twice":
-			w.manners[t.What] += min(factor, 1)
-			over(func() { w.manners[t.What] -= min(factor, 1) })
-			return
-		case "zone":
-			zone := r.IntN(w.S.Servers.Zones)
-			for _, s := range tier.Servers {
-				if s.place().Zone == zone {
-					s.vanish(lasts)
-				}
-			}
-			return
-		case "partition":
-			bit := uint64(1) << (number % 64)
-			if w.sockets != nil {
-				defer w.sockets.Parted()
-			}
-			for _, x := range touched {
-				tier.Instances[x].cut |= bit
-			}
-			for _, x := range order {
-				tier.Servers[x].cut |= bit
-			}
-			over(func() {
-				for _, in := range tier.Instances {
-					in.cut &^= bit
-				}
-				for _, s := range tier.Servers {
-					s.cut &^= bit
-				}
-				if w.sockets != nil {
-					w.sockets.Parted()
-				}
-			})
-			return
+	o := occurrence{
+		Trouble: t, lasts: lasts, factor: factor, tier: tier, servers: some(r, len(tier.Servers), t.Share),
+		touched: some(r, len(tier.Instances), t.Of), bit: uint64(1) << (number % 64),
+	}
+	w.After(at, func() { w.begin(o, r) })
+}
+
+// begin has a trouble happen: to the callers, to discovery, to instances, to the network, or else to servers.
+func (w *World) begin(o occurrence, r *rand.Rand) {
+	switch o.What {
+	case "burst":
+		w.burst = o.factor
+		w.After(o.lasts, func() { w.burst = 1 })
+	case "flood":
+		team, extra := w.S.TeamOf(o.Team), max(o.factor-1, 0)
+		w.flood[team] += extra
+		w.After(o.lasts, func() { w.flood[team] -= extra })
+	case "gone", "dribble", "junk", "twice":
+		w.manners[o.What] += min(o.factor, 1)
+		w.After(o.lasts, func() { w.manners[o.What] -= min(o.factor, 1) })
+	case "discovery":
+		w.deaf = w.Now() + o.lasts
+	case "break":
+		for _, in := range o.tier.Instances {
+			w.breakOff(in)
 		}
-		for i, x := range order {
-			apart := time.Duration(i) * time.Duration(t.Every)
-			if t.What == "flap" {
-				apart = 0
+	case "kill", "handover", "stop", "stall", "away", "reload", "stale", "again":
+		w.befallInstances(o)
+	case "zone":
+		w.loseZone(o, r.IntN(w.S.Servers.Zones))
+	case "partition":
+		w.partition(o)
+	default:
+		w.befallServers(o)
+	}
+}
+
+// befallInstances hits the touched instances one after the other.
+func (w *World) befallInstances(o occurrence) {
+	for i, x := range o.touched {
+		w.After(time.Duration(i)*time.Duration(o.Every), func() {
+			switch in := o.tier.Instances[x]; o.What {
+			case "kill":
+				w.brokers.Kill(in, o.lasts)
+			case "handover":
+				w.brokers.Handover(in)
+			default:
+				w.brokers.Befall(in, o.What, o.lasts)
 			}
-			w.After(apart, func() { tier.Servers[x].befall(t, lasts, factor) })
+		})
+	}
+}
+
+// befallServers hits the servers one after the other; flapping ones at once.
+func (w *World) befallServers(o occurrence) {
+	for i, x := range o.servers {
+		apart := time.Duration(i) * time.Duration(o.Every)
+		if o.What == "flap" {
+			apart = 0
+		}
+		w.After(apart, func() { o.tier.Servers[x].befall(o.Trouble, o.lasts, o.factor) })
+	}
+}
+
+func (w *World) loseZone(o occurrence, zone int) {
+	for _, s := range o.tier.Servers {
+		if s.place().Zone == zone {
+			s.vanish(o.lasts)
+		}
+	}
+}
+
+// partition cuts the touched instances and the servers off from all others.
+func (w *World) partition(o occurrence) {
+	for _, x := range o.touched {
+		o.tier.Instances[x].cut |= o.bit
+	}
+	for _, x := range o.servers {
+		o.tier.Servers[x].cut |= o.bit
+	}
+	w.notifyParted()
+	w.After(o.lasts, func() {
+		for _, in := range o.tier.Instances {
+			in.cut &^= o.bit
 		}
+		for _, s := range o.tier.Servers {
+			s.cut &^= o.bit
+		}
+		w.notifyParted()
 	})
 }
 
+// notifyParted has real sockets follow the partitions.
+func (w *World) notifyParted() {
+	if w.sockets != nil {
+		w.sockets.Parted()
+	}
+}
+
 // befall is what a trouble does to one server.
 func (s *Server) befall(t scenario.Trouble, lasts time.Duration, factor float64) {
 	w := s.w
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -9,92 +9,88 @@
 	"dykering/internal/lab/faultnet"
 )
 
-// Check names what the keys alone do not tell. It also fills in what a part of an array leaves out.
-func (s *Scenario) Check() (wrong []faults.Fault) {
-	fault := func(key, text string, args ...any) {
-		wrong = append(wrong, faults.Fault{Key: key, Text: fmt.Sprintf(text, args...)})
+// faultList collects what is wrong with a scenario.
+type faultList []faults.Fault
+
+func (l *faultList) add(key, text string, args ...any) {
+	*l = append(*l, faults.Fault{Key: key, Text: fmt.Sprintf(text, args...)})
+}
+
+// addIf adds a fault where a condition holds.
+func (l *faultList) addIf(condition bool, key, text string, args ...any) {
+	if condition {
+		l.add(key, text, args...)
 	}
+}
+
+// Check names what the keys alone do not tell. It also fills in what a part of an array leaves out.
+func (s *Scenario) Check() []faults.Fault {
+	var wrong faultList
 	wrong = append(wrong, (&faultnet.Schedule{Steps: s.Faults}).Check()...)
-	if len(s.Faults) > 0 && !s.Broker.Fleet {
-		fault("fault", "faults between brokers need broker.fleet")
+	wrong.addIf(len(s.Faults) > 0 && !s.Broker.Fleet, "fault", "faults between brokers need broker.fleet")
+	wrong.addIf(len(s.Kinds) == 0, "kind", "at least one kind of server is needed")
+	wrong.addIf(len(s.Classes) == 0, "class", "at least one class is needed")
+	wrong.checkShares("kind", len(s.Kinds), func(i int) float64 { return s.Kinds[i].Share })
+	wrong.checkShares("class", len(s.Classes), func(i int) float64 { return s.Classes[i].Share })
+	wrong.checkShares("team", len(s.Teams), func(i int) float64 { return s.Teams[i].Share })
+	for i, kind := range s.Kinds {
+		wrong.checkKind(fmt.Sprintf("kind[%d].", i), kind)
 	}
-	if len(s.Kinds) == 0 {
-		fault("kind", "at least one kind of server is needed")
+	for i, class := range s.Classes {
+		wrong.checkClass(fmt.Sprintf("class[%d].", i), class)
 	}
-	if len(s.Classes) == 0 {
-		fault("class", "at least one class is needed")
+	for i, tier := range s.Below {
+		wrong.checkTier(fmt.Sprintf("below[%d].", i), tier, s)
 	}
-	shares := func(key string, n int, share func(int) float64) {
-		sum := 0.0
-		for i := range n {
-			sum += share(i)
-		}
-		if n > 0 && (sum < 0.999 || sum > 1.001) {
-			fault(key+"[0].share", "the shares sum to %v, not 1", sum)
-		}
+	for i, trouble := range s.Troubles {
+		wrong.checkTrouble(fmt.Sprintf("trouble[%d].", i), trouble, s)
 	}
-	shares("kind", len(s.Kinds), func(i int) float64 { return s.Kinds[i].Share })
-	shares("class", len(s.Classes), func(i int) float64 { return s.Classes[i].Share })
-	shares("team", len(s.Teams), func(i int) float64 { return s.Teams[i].Share })
-	for i, k := range s.Kinds {
-		if k.Speed.From <= 0 {
-			fault(fmt.Sprintf("kind[%d].speed", i), "has to be above 0")
-		}
-		if k.Slots > 0 && k.Slots < k.Cores {
-			fault(fmt.Sprintf("kind[%d].slots", i), "are fewer than its cores")
-		}
-		if (k.PauseEvery.To > 0) != (k.PauseFor.To > 0) {
-			fault(fmt.Sprintf("kind[%d].pause_every", i), "says nothing without pause_for, and that nothing without it")
-		}
-	}
-	for i, c := range s.Classes {
-		if c.Work.From <= 0 {
-			fault(fmt.Sprintf("class[%d].work", i), "has to be above 0")
-		}
-		if c.Aim > c.Deadline {
-			fault(fmt.Sprintf("class[%d].aim", i), "is later than the deadline")
-		}
-	}
-	for i, b := range s.Below {
-		key := fmt.Sprintf("below[%d].", i)
-		if b.Work.From <= 0 {
-			fault(key+"work", "has to be above 0")
-		}
-		if b.Calls.From < 1 {
-			fault(key+"calls", "has to be at least 1")
-		}
-		if b.Kind != "" && s.KindOf(b.Kind) < 0 {
-			fault(key+"kind", "%q is no kind of server here", b.Kind)
-		}
-	}
-	for i, t := range s.Troubles {
-		key := fmt.Sprintf("trouble[%d].", i)
-		if t.Tier > len(s.Below) {
-			fault(key+"tier", "there are %d tiers, counted from 0", 1+len(s.Below))
-		}
-		if t.What == "bytes" && t.How == "none" {
-			fault(key+"how", "bytes needs it")
-		}
-		if t.What == "flap" && t.Every == 0 {
-			fault(key+"every", "a flap needs it")
-		}
-		if t.What == "flood" && s.TeamOf(t.Team) < 0 {
-			fault(key+"team", "%q is no team here", t.Team)
-		}
-		if t.What == "zone" && s.Servers.Zones < 2 {
-			fault(key+"what", "of one zone none can be lost")
-		}
-	}
-	known := func(t Trouble) bool { return t.Day == s.Day }
-	if s.Day != "" && !slices.ContainsFunc(s.Troubles, known) {
-		fault("day", "no trouble comes on a day %q", s.Day)
-	}
-	s.Troubles = slices.DeleteFunc(s.Troubles, func(t Trouble) bool { return t.Day != "" && !known(t) })
+	s.keepTroublesOfTheDay(&wrong)
 	if n := s.Broker.Instances; s.Callers.Hot > 1 && s.Callers.Hot*float64((n+9)/10) >= float64(n) {
-		fault("callers.hot", "one in ten of %d instances cannot get %v times the mean: that is all, or more", n, s.Callers.Hot)
-	}
-	if s.Callers.Rate.From <= 0 {
-		fault("callers.rate", "has to be above 0")
+		wrong.add("callers.hot", "one in ten of %d instances cannot get %v times the mean: that is all, or more", n, s.Callers.Hot)
 	}
+	wrong.addIf(s.Callers.Rate.From <= 0, "callers.rate", "has to be above 0")
 	return wrong
 }
+
+// checkShares requires that the shares of an array sum to 1, within a thousandth.
+func (l *faultList) checkShares(key string, n int, share func(int) float64) {
+	sum := 0.0
+	for i := range n {
+		sum += share(i)
+	}
+	l.addIf(n > 0 && (sum < 0.999 || sum > 1.001), key+"[0].share", "the shares sum to %v, not 1", sum)
+}
+
+func (l *faultList) checkKind(key string, kind Kind) {
+	l.addIf(kind.Speed.From <= 0, key+"speed", "has to be above 0")
+	l.addIf(kind.Slots > 0 && kind.Slots < kind.Cores, key+"slots", "are fewer than its cores")
+	l.addIf((kind.PauseEvery.To > 0) != (kind.PauseFor.To > 0), key+"pause_every",
+		"says nothing without pause_for, and that nothing without it")
+}
+
+func (l *faultList) checkClass(key string, class Class) {
+	l.addIf(class.Work.From <= 0, key+"work", "has to be above 0")
+	l.addIf(class.Aim > class.Deadline, key+"aim", "is later than the deadline")
+}
+
+func (l *faultList) checkTier(key string, tier Below, s *Scenario) {
+	l.addIf(tier.Work.From <= 0, key+"work", "has to be above 0")
+	l.addIf(tier.Calls.From < 1, key+"calls", "has to be at least 1")
+	l.addIf(tier.Kind != "" && s.KindOf(tier.Kind) < 0, key+"kind", "%q is no kind of server here", tier.Kind)
+}
+
+func (l *faultList) checkTrouble(key string, trouble Trouble, s *Scenario) {
+	l.addIf(trouble.Tier > len(s.Below), key+"tier", "there are %d tiers, counted from 0", 1+len(s.Below))
+	l.addIf(trouble.What == "bytes" && trouble.How == "none", key+"how", "bytes needs it")
+	l.addIf(trouble.What == "flap" && trouble.Every == 0, key+"every", "a flap needs it")
+	l.addIf(trouble.What == "flood" && s.TeamOf(trouble.Team) < 0, key+"team", "%q is no team here", trouble.Team)
+	l.addIf(trouble.What == "zone" && s.Servers.Zones < 2, key+"what", "of one zone none can be lost")
+}
+
+// keepTroublesOfTheDay drops the troubles of other days; a day without troubles of its own is a fault.
+func (s *Scenario) keepTroublesOfTheDay(wrong *faultList) {
+	isOfTheDay := func(t Trouble) bool { return t.Day == s.Day }
+	wrong.addIf(s.Day != "" && !slices.ContainsFunc(s.Troubles, isOfTheDay), "day", "no trouble comes on a day %q", s.Day)
+	s.Troubles = slices.DeleteFunc(s.Troubles, func(t Trouble) bool { return t.Day != "" && !isOfTheDay(t) })
+}
