--- a/internal/dataplane/aborted_response_test.go
+++ b/internal/dataplane/aborted_response_test.go
@@ -6,6 +6,7 @@
 	"maps"
 	"net"
 	"net/http"
+	"net/http/httptest"
 	"runtime"
 	"strings"
 	"time"
@@ -77,6 +78,10 @@
 		Expect(explained(proxy)[0].Result).To(Equal(resultCanceled))
 	})
 
+	It("is left to net/http to abort where the connection cannot be hijacked", func() {
+		Expect(func() { breakOff(httptest.NewRecorder()) }).To(PanicWith(http.ErrAbortHandler))
+	})
+
 	It("closes the client's connection at once, without the last chunk", func() {
 		proxy := newTestProxy(route("streaming", ""), newFakeEndpoint("i-1", startsAndCloses(event, signed)))
 		conn, err := net.Dial("tcp", proxy.frontend.Listener.Addr().String())
