--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -14,7 +14,7 @@
 	"dykering/internal/settings"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // link is a connection in memory.
 type link struct {
@@ -119,7 +119,7 @@
 			return "refused"
 		}
 		return "failed"
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		b.t.Fatal("no answer to ", c.ID)
 		return ""
 	}
@@ -128,7 +128,7 @@
 // until waits for something that shows in what the loop holds.
 func (b *bench) until(what string, done func(Stats) bool) {
 	b.t.Helper()
-	for end := time.Now().Add(patience); !done(b.loop.Stats()); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !done(b.loop.Stats()); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			b.t.Fatal("never: ", what)
 		}
@@ -564,7 +564,7 @@
 			if !a.Retryable || a.RetryAfter <= 0 {
 				t.Errorf("class %d: %+v", class, a)
 			}
-		case <-time.After(patience / 10):
+		case <-time.After(testTimeout / 10):
 			t.Errorf("class %d: it waits", class)
 		}
 	}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,4 +1,3 @@
-// Package discovery asks a service discovery, over HTTP, which endpoints there are, and follows what changes.
 package discovery
 
 import (
@@ -17,44 +16,49 @@
 	"dykering/internal/core"
 )
 
+// A change counts as known 6 s after discovery could be reached, whatever became of the calls before; with the time-outs
+// below another watch has brought it by then (docs/review-of-parts.md adds up the cases).
 const (
+	// fetchTimeout bounds a fetch of the full list.
 	fetchTimeout = 3200 * time.Millisecond
-	// What discovery has to tell counts as told 6 s after it could be reached, whatever became of the calls before:
-	// docs/review-of-parts.md adds up the ways to another watch.
-	//
-	// watchSilence ends a watch that says nothing: an empty line is due every 2 s.
-	watchSilence = 3200 * time.Millisecond
-	// answerSilence ends a watch that is not even answered.
-	answerSilence = 2 * time.Second
-	// Where lists are pushed, what the agent has counts as told at once: half as much again as backoffMost, the longest
-	// pause, and an answer come before a drain's grace of a second is over.
-	backoffLeast = 50 * time.Millisecond
-	backoffMost  = 400 * time.Millisecond
+	// keepAliveTimeout ends a watch that sends nothing: an empty line is due every 2 s.
+	keepAliveTimeout = 3200 * time.Millisecond
+	// answerTimeout ends a watch that is not answered.
+	answerTimeout = 2 * time.Second
 )
 
-// Options are how a discovery is asked.
+// The pause before a watch is begun again where lists are pushed. There a change counts as known at once: one and a half
+// times backoffMax, the longest pause, and an answer fit in a drain's grace of a second.
+const (
+	backoffMin = 50 * time.Millisecond
+	backoffMax = 400 * time.Millisecond
+)
+
+// Options are how a discovery is called.
 type Options struct {
 	ConnectTimeout time.Duration
-	// Dial makes a connection within a time; nil is the kernel's.
-	Dial    func(ctx context.Context, address string, within time.Duration) (net.Conn, error)
-	MustAsk bool // a watch costs: it is not taken up again but when the sink says so
-	Log     *zap.Logger
+	// Dial makes a connection within a time; nil uses net.Dialer.
+	Dial func(ctx context.Context, address string, within time.Duration) (net.Conn, error)
+	// Pull says that lists must be asked for: a watch costs, and is begun again only by the sink.
+	Pull bool
+	Log  *zap.Logger
 }
 
-// watcher talks to the discovery at one address. It belongs to the loop that it serves; what its goroutines bring is
-// heard only while they are wanted.
+// watcher follows the discovery at one address. Its fields belong to the sink's goroutine.
 type watcher struct {
-	url      string
-	sink     core.Sink
-	log      *zap.Logger
-	client   *http.Client
-	again    bool // reconnect by itself: where lists are pushed, asking costs nothing
-	cancel   context.CancelFunc
-	watching bool // until a watch has ended by itself
-	fetching bool
+	url        string
+	sink       core.Sink
+	log        *zap.Logger
+	client     *http.Client
+	reconnects bool // begins a watch again by itself: where lists are pushed, that costs nothing
+	cancel     context.CancelFunc
+	watching   bool // until a watch is stopped or has ended by itself
+	fetching   bool
 }
 
-// New makes the discovery at an address.
+var _ core.Discovery = (*watcher)(nil)
+
+// New makes the discovery at an address; it does nothing before Watch or Fetch.
 func New(address string, to core.Sink, o Options) core.Discovery {
 	dial := (&net.Dialer{Timeout: o.ConnectTimeout}).DialContext
 	if o.Dial != nil {
@@ -62,21 +66,27 @@
 			return o.Dial(ctx, address, o.ConnectTimeout)
 		}
 	}
-	return &watcher{url: "http://" + address + "/v1/endpoints", sink: to, log: o.Log, again: !o.MustAsk,
-		client: &http.Client{Transport: &http.Transport{DialContext: dial, DisableKeepAlives: true},
-			// One call is one request: where it points elsewhere it has failed.
-			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
+	return &watcher{
+		url:        "http://" + address + "/v1/endpoints",
+		sink:       to,
+		log:        o.Log,
+		reconnects: !o.Pull,
+		client: &http.Client{
+			Transport: &http.Transport{DialContext: dial, DisableKeepAlives: true},
+			// One call is one request, so a redirection is a failure.
+			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
+		},
+	}
 }
 
-// Watch begins to watch for what changes after a version; nil asks for the whole list first. Like Stop it
-// never waits.
+// Watch begins to watch for changes after a version; nil asks for the full list first.
 func (w *watcher) Watch(since *uint64) {
 	ctx, cancel := context.WithCancel(context.Background())
 	w.cancel, w.watching = cancel, true
 	go w.run(ctx, since)
 }
 
-// Stop ends the watch: nothing that it brought and that the loop has not yet taken counts.
+// Stop ends the watch. What it has received and the sink has not yet taken is dropped.
 func (w *watcher) Stop() {
 	if w.cancel != nil {
 		w.cancel()
@@ -84,7 +94,7 @@
 	w.watching = false
 }
 
-// post hands what the watch brought to the loop, unless it has been stopped by then.
+// post runs an event of a watch in the sink's goroutine, unless the watch was stopped by then.
 func (w *watcher) post(ctx context.Context, event func()) {
 	w.sink.Post(func() {
 		if ctx.Err() == nil {
@@ -93,28 +103,29 @@
 	})
 }
 
-// run watches until it is stopped, or, where discovery must be asked, until the watch ends.
+// run watches until it is stopped or, where lists must be asked for, until the watch ends. It logs a failure once, until
+// a watch has received something.
 func (w *watcher) run(ctx context.Context, since *uint64) {
-	failures, told := 0, ""
+	failures, lastLogged := 0, ""
 	for {
-		reached, got, err := w.watch(ctx, since)
+		reached, received, err := w.watch(ctx, since)
 		if ctx.Err() != nil {
 			return
 		}
 		since = reached
-		if !w.again {
+		if !w.reconnects {
 			w.post(ctx, func() {
 				w.watching = false
 				w.sink.ListFailed(w, err)
 			})
 			return
 		}
-		if got {
-			failures, told = 0, ""
+		if received {
+			failures, lastLogged = 0, ""
 		}
-		if text := err.Error(); text != told {
+		if text := err.Error(); text != lastLogged {
 			w.log.Warn("discovery.watch_failed", zap.String("error", text))
-			told = text
+			lastLogged = text
 		}
 		select {
 		case <-ctx.Done():
@@ -125,28 +136,34 @@
 	}
 }
 
-// backoff is the pause after so many failed watches in a row; spread, from 0 to 1, is where it lies between half of the
-// usual pause and half as much again.
-func backoff(failures int, spread float64) time.Duration {
-	usual := backoffMost
-	if doublings := failures; doublings < 16 {
-		usual = min(backoffLeast<<doublings, backoffMost)
+// backoff is the pause after so many failed watches in a row. It doubles from backoffMin to backoffMax; jitter, from 0 to
+// 1, places it between half and one and a half times that.
+func backoff(failures int, jitter float64) time.Duration {
+	usual := backoffMax
+	if failures < 16 { // more doublings could overflow
+		usual = min(backoffMin<<failures, backoffMax)
 	}
-	return usual/2 + time.Duration(spread*float64(usual))
+	return usual/2 + time.Duration(jitter*float64(usual))
 }
 
-// errSilent is a watch that stands and brings nothing, not even an empty line.
-var errSilent = errors.New("watch: silent")
+var (
+	// errSilent is the end of a watch that sends nothing, not even an empty line.
+	errSilent = errors.New("watch: silent")
+	// errWatchEnded is the end of a watch by the discovery.
+	errWatchEnded = errors.New("watch ended")
+	// errNotFull is a fetched list that has not all endpoints.
+	errNotFull = errors.New("fetch: not the whole list")
+)
 
-// watch follows the list until the connection ends, and tells whether it brought anything and what version
-// it reached, so that the next watch misses nothing.
-func (w *watcher) watch(ctx context.Context, since *uint64) (reached *uint64, got bool, err error) {
-	ctx2, cancel := context.WithCancelCause(ctx)
+// watch follows the list until the connection ends. It returns the version that it has reached, so that the next watch
+// misses nothing, and whether it has received any list.
+func (w *watcher) watch(ctx context.Context, since *uint64) (reached *uint64, received bool, err error) {
+	watchCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := time.AfterFunc(answerSilence, func() { cancel(errSilent) })
+	silence := time.AfterFunc(answerTimeout, func() { cancel(errSilent) })
 	defer silence.Stop()
 	defer func() {
-		if errors.Is(context.Cause(ctx2), errSilent) {
+		if errors.Is(context.Cause(watchCtx), errSilent) {
 			err = errSilent
 		}
 	}()
@@ -154,56 +171,56 @@
 	if since != nil {
 		url += "&since=" + strconv.FormatUint(*since, 10)
 	}
-	body, err := w.get(ctx2, url)
+	body, err := w.get(watchCtx, url)
 	if err != nil {
 		return since, false, err
 	}
 	defer body.Close()
-	alive := func() { silence.Reset(watchSilence) }
-	alive()
-	lists := newLists(body, alive)
+	keepAlive := func() { silence.Reset(keepAliveTimeout) }
+	keepAlive()
+	lists := newListReader(body, keepAlive)
 	for {
 		l, err := lists.next()
 		switch {
 		case errors.Is(err, io.EOF):
-			return since, got, errors.New("watch ended")
-		case errors.Is(err, errMalformed):
-			// What it held is missing: begin again with the whole list.
-			return nil, got, fmt.Errorf("watch: %w", err)
+			return since, received, errWatchEnded
+		case errors.Is(err, errMalformedList):
+			// The changes of that list are missing: begin again with the full list.
+			return nil, received, fmt.Errorf("watch: %w", err)
 		case err != nil:
-			return since, got, fmt.Errorf("watch: %w", err)
+			return since, received, fmt.Errorf("watch: %w", err)
 		}
-		alive()
-		got, since = true, &l.Rev
+		keepAlive()
+		received, since = true, &l.Rev
 		w.post(ctx, func() { w.sink.ListReceived(w, l, core.FromWatch) })
 	}
 }
 
-// Fetch gets the whole list once, unless that is under way. It is heard only while its discovery is the one
-// that is followed.
+// Fetch gets the full list once, unless a fetch is under way. It is reported to the sink even after Stop.
 func (w *watcher) Fetch() {
 	if w.fetching {
 		return
 	}
 	w.fetching = true
 	go func() {
-		got, err := w.whole()
+		l, err := w.fetchFullList()
 		w.sink.Post(func() {
 			w.fetching = false
 			switch {
 			case err != nil && w.watching:
-				w.log.Warn("discovery.fetch_failed", zap.Error(err)) // the watch stands, and brings what changes
+				// The watch brings changes all the same, so this is no failure to the sink.
+				w.log.Warn("discovery.fetch_failed", zap.Error(err))
 			case err != nil:
 				w.sink.ListFailed(w, err)
 			default:
-				w.sink.ListReceived(w, got, core.FromFetch)
+				w.sink.ListReceived(w, l, core.FromFetch)
 			}
 		})
 	}()
 }
 
-// whole asks for the whole list.
-func (w *watcher) whole() (l core.List, err error) {
+// fetchFullList asks for the full list.
+func (w *watcher) fetchFullList() (l core.List, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
 	body, err := w.get(ctx, w.url)
@@ -211,27 +228,28 @@
 		return l, err
 	}
 	defer body.Close()
-	if l, err = newLists(body, func() {}).next(); err != nil {
-		return l, fmt.Errorf("fetch: %w", noEOF(err))
+	if l, err = newListReader(body, func() {}).next(); err != nil {
+		return l, fmt.Errorf("fetch: %w", unexpectedEOF(err))
 	}
 	if !l.Full {
-		return l, errors.New("fetch: not the whole list")
+		return l, errNotFull
 	}
 	return l, nil
 }
 
+// get sends a request and returns the body of its response, which the caller closes; a status other than 200 is an error.
 func (w *watcher) get(ctx context.Context, url string) (io.ReadCloser, error) {
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
 	}
-	res, err := w.client.Do(r)
+	response, err := w.client.Do(request)
 	if err != nil {
 		return nil, err
 	}
-	if res.StatusCode != http.StatusOK {
-		res.Body.Close()
-		return nil, fmt.Errorf("answered %s", res.Status)
+	if response.StatusCode != http.StatusOK {
+		response.Body.Close()
+		return nil, fmt.Errorf("answered %s", response.Status)
 	}
-	return res.Body, nil
+	return response.Body, nil
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -14,16 +14,16 @@
 	"dykering/internal/core"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // sink runs what is posted in one goroutine, and notes what it is told.
 type sink struct {
-	events chan func()
-	told   chan string
+	events  chan func()
+	reports chan string
 }
 
 func newSink(t *testing.T) *sink {
-	s := &sink{events: make(chan func(), 16), told: make(chan string, 16)}
+	s := &sink{events: make(chan func(), 16), reports: make(chan string, 16)}
 	done := make(chan bool)
 	t.Cleanup(func() { close(done) })
 	go func() {
@@ -41,16 +41,16 @@
 
 func (s *sink) Post(event func()) { s.events <- event }
 func (s *sink) ListReceived(_ core.Discovery, l core.List, how core.Source) {
-	s.told <- fmt.Sprint("list ", l.Rev, " by ", how)
+	s.reports <- fmt.Sprint("list ", l.Rev, " by ", how)
 }
-func (s *sink) ListFailed(_ core.Discovery, err error) { s.told <- "failed" }
+func (s *sink) ListFailed(_ core.Discovery, err error) { s.reports <- "failed" }
 
 // play makes a discovery that the test plays.
-func play(t *testing.T, mustAsk bool, serve http.HandlerFunc) (*sink, *watcher) {
+func startWatcher(t *testing.T, mustAsk bool, serve http.HandlerFunc) (*sink, *watcher) {
 	t.Helper()
 	place := httptest.NewServer(serve)
 	s := newSink(t)
-	w := New(place.Listener.Addr().String(), s, Options{ConnectTimeout: patience, MustAsk: mustAsk, Log: zap.NewNop()}).(*watcher)
+	w := New(place.Listener.Addr().String(), s, Options{ConnectTimeout: testTimeout, Pull: mustAsk, Log: zap.NewNop()}).(*watcher)
 	t.Cleanup(func() {
 		s.Post(w.Stop)
 		place.CloseClientConnections()
@@ -59,7 +59,7 @@
 	return s, w
 }
 
-func line(rev uint64) string {
+func listLine(rev uint64) string {
 	text, _ := json.Marshal(core.List{Rev: rev, Full: rev%2 == 0})
 	return "\n" + string(text) + "\n\n"
 }
@@ -70,7 +70,7 @@
 	t.Helper()
 	select {
 	case x = <-c:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("nothing comes")
 	}
 	return x
@@ -79,7 +79,7 @@
 // A watch that ends is taken up where it ended; after a line that cannot be read, the whole list is asked for.
 func TestWatchReconnects(t *testing.T) {
 	asked, replies := make(chan string, 8), make(chan string, 8)
-	s, w := play(t, false, func(w http.ResponseWriter, r *http.Request) {
+	s, w := startWatcher(t, false, func(w http.ResponseWriter, r *http.Request) {
 		asked <- r.URL.RawQuery
 		select {
 		case reply := <-replies:
@@ -89,7 +89,7 @@
 	})
 	watch(s, w, 41)
 	for _, step := range []struct{ query, reply string }{
-		{"follow=1&since=41", line(43)}, {"follow=1&since=43", line(44) + line(45)}, {"follow=1&since=45", "{broken\n"},
+		{"follow=1&since=41", listLine(43)}, {"follow=1&since=43", listLine(44) + listLine(45)}, {"follow=1&since=45", "{broken\n"},
 		{"follow=1", ""},
 	} {
 		if got := next(t, asked); got != step.query {
@@ -98,7 +98,7 @@
 		replies <- step.reply
 	}
 	for _, rev := range []int{43, 44, 45} {
-		if got := next(t, s.told); got != fmt.Sprint("list ", rev, " by ", core.FromWatch) {
+		if got := next(t, s.reports); got != fmt.Sprint("list ", rev, " by ", core.FromWatch) {
 			t.Errorf("told %q", got)
 		}
 	}
@@ -112,7 +112,7 @@
 		if least <= 0 || least > most {
 			t.Fatalf("after %d failures: %v to %v", failures, least, most)
 		}
-		if late := 2*answerSilence + most; late >= told {
+		if late := 2*answerTimeout + most; late >= told {
 			t.Fatalf("after %d failures a change may be told %v late", failures, late)
 		}
 	}
@@ -122,7 +122,7 @@
 func TestSilentWatchIsReplaced(t *testing.T) {
 	const told = 6 * time.Second
 	asked := make(chan time.Time, 8)
-	s, w := play(t, false, func(w http.ResponseWriter, r *http.Request) {
+	s, w := startWatcher(t, false, func(w http.ResponseWriter, r *http.Request) {
 		asked <- time.Now()
 		http.NewResponseController(w).Flush()
 		<-r.Context().Done()
@@ -146,7 +146,7 @@
 	}
 	text += `{"rev":3,"targets":[]}{"rev":4,"targets":[]}`
 	for _, piece := range []int{1, 7, len(text)} {
-		s, w := play(t, false, func(w http.ResponseWriter, r *http.Request) {
+		s, w := startWatcher(t, false, func(w http.ResponseWriter, r *http.Request) {
 			for rest := text; len(rest) > 0; rest = rest[min(piece, len(rest)):] {
 				fmt.Fprint(w, rest[:min(piece, len(rest))])
 				http.NewResponseController(w).Flush()
@@ -155,7 +155,7 @@
 		})
 		watch(s, w, 0)
 		for rev := range 5 {
-			if got := next(t, s.told); got != fmt.Sprint("list ", rev, " by ", core.FromWatch) {
+			if got := next(t, s.reports); got != fmt.Sprint("list ", rev, " by ", core.FromWatch) {
 				t.Errorf("pieces of %d: told %q", piece, got)
 			}
 		}
@@ -170,7 +170,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			asked := make(chan time.Time, 8)
-			s, w := play(t, false, func(w http.ResponseWriter, r *http.Request) {
+			s, w := startWatcher(t, false, func(w http.ResponseWriter, r *http.Request) {
 				asked <- time.Now()
 				fmt.Fprint(w, half)
 				for r.Context().Err() == nil {
@@ -192,7 +192,7 @@
 func TestMalformedLists(t *testing.T) {
 	for _, text := range []string{`{"rev":9,"all":true}`, `{"rev":9,"all":true,"targets":[{}]}`, `null`, `{"rev":"9"}`, `[]`, `7`, `{"rev":-1}`} {
 		asked := make(chan string, 8)
-		s, w := play(t, false, func(w http.ResponseWriter, r *http.Request) {
+		s, w := startWatcher(t, false, func(w http.ResponseWriter, r *http.Request) {
 			asked <- r.URL.RawQuery
 			fmt.Fprintln(w, text)
 			http.NewResponseController(w).Flush()
@@ -209,7 +209,7 @@
 		s.Post(w.Fetch)
 		for got := next(t, asked); got != ""; got = next(t, asked) {
 		}
-		if got := next(t, s.told); got != "failed" {
+		if got := next(t, s.reports); got != "failed" {
 			t.Errorf("%s: told %q", text, got)
 		}
 	}
@@ -219,13 +219,13 @@
 // with word of it, and is taken up again when that is asked for.
 func TestBrokenWatchesEnd(t *testing.T) {
 	step := 0
-	s, w := play(t, true, func(w http.ResponseWriter, r *http.Request) {
+	s, w := startWatcher(t, true, func(w http.ResponseWriter, r *http.Request) {
 		switch step++; step {
 		case 1: // silent after its first line
-			fmt.Fprint(w, line(8))
+			fmt.Fprint(w, listLine(8))
 			http.NewResponseController(w).Flush()
 		case 2: // breaks off
-			half := line(9)
+			half := listLine(9)
 			fmt.Fprint(w, half[:len(half)/2])
 			http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
@@ -236,7 +236,7 @@
 		if i != 1 {
 			watch(s, w, 7)
 		}
-		if got := next(t, s.told); got != want {
+		if got := next(t, s.reports); got != want {
 			t.Errorf("told %q, want %q", got, want)
 		}
 	}
@@ -246,17 +246,17 @@
 func TestOneCallIsOneRequest(t *testing.T) {
 	for _, status := range []int{http.StatusFound, http.StatusTemporaryRedirect, http.StatusServiceUnavailable} {
 		var asked atomic.Int64
-		s, w := play(t, true, func(w http.ResponseWriter, r *http.Request) {
+		s, w := startWatcher(t, true, func(w http.ResponseWriter, r *http.Request) {
 			asked.Add(1)
 			w.Header().Set("Location", "/v1/endpoints?elsewhere=1")
 			w.WriteHeader(status)
 		})
 		s.Post(w.Fetch)
-		if got := next(t, s.told); got != "failed" || asked.Load() != 1 {
+		if got := next(t, s.reports); got != "failed" || asked.Load() != 1 {
 			t.Errorf("status %d: a fetch is %q after %d requests", status, got, asked.Load())
 		}
 		watch(s, w, 1)
-		if got := next(t, s.told); got != "failed" || asked.Load() != 2 {
+		if got := next(t, s.reports); got != "failed" || asked.Load() != 2 {
 			t.Errorf("status %d: a watch is %q after %d requests in all", status, got, asked.Load())
 		}
 	}
@@ -265,7 +265,7 @@
 // A fetch brings the whole list; one that fails does not end a watch that stands, and is told of where there is none.
 func TestFetch(t *testing.T) {
 	watches, replies := make(chan bool, 8), make(chan string, 8)
-	s, w := play(t, true, func(w http.ResponseWriter, r *http.Request) {
+	s, w := startWatcher(t, true, func(w http.ResponseWriter, r *http.Request) {
 		if !r.URL.Query().Has("follow") {
 			if reply := <-replies; reply != "" {
 				fmt.Fprint(w, reply)
@@ -282,7 +282,7 @@
 	})
 	watch(s, w, 1)
 	next(t, watches)
-	for _, reply := range []string{"", line(3), "{", line(4)} {
+	for _, reply := range []string{"", listLine(3), "{", listLine(4)} {
 		replies <- reply
 		s.Post(w.Fetch)
 		for idle := make(chan bool); ; time.Sleep(time.Millisecond) {
@@ -292,13 +292,13 @@
 			}
 		}
 	}
-	if got := next(t, s.told); got != fmt.Sprint("list 4 by ", core.FromFetch) || len(s.told) > 0 || len(watches) > 0 {
-		t.Errorf("told %q and %d more; %d more watches", got, len(s.told), len(watches))
+	if got := next(t, s.reports); got != fmt.Sprint("list 4 by ", core.FromFetch) || len(s.reports) > 0 || len(watches) > 0 {
+		t.Errorf("told %q and %d more; %d more watches", got, len(s.reports), len(watches))
 	}
 	s.Post(w.Stop)
 	replies <- ""
 	s.Post(w.Fetch)
-	if got := next(t, s.told); got != "failed" {
+	if got := next(t, s.reports); got != "failed" {
 		t.Errorf("told %q", got)
 	}
 }
--- a/internal/discovery/fuzz_test.go
+++ b/internal/discovery/fuzz_test.go
@@ -17,7 +17,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		read := func(from io.Reader) (revs []uint64, last error) {
-			for l := newLists(from, func() {}); ; {
+			for l := newListReader(from, func() {}); ; {
 				got, err := l.next()
 				if err != nil {
 					return revs, err
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -99,7 +99,7 @@
 	loop, err := core.New(coreConfig, up,
 		func(address string, to core.Sink) core.Discovery {
 			return discovery.New(address, to, discovery.Options{ConnectTimeout: c.Settings.ConnectTimeout, Dial: network.Dial,
-				MustAsk: c.Settings.PullDiscovery, Log: log})
+				Pull: c.Settings.PullDiscovery, Log: log})
 		})
 	if err != nil {
 		return nil, err
