--- a/internal/peerlink/link.go
+++ b/internal/peerlink/link.go
@@ -138,7 +138,7 @@
 // Nothing is ever received on a link's connection. It returns when the connection ends.
 func closeWithPeer(conn *Conn) {
 	var b [1]byte
-	conn.raw.Read(b[:]) // it returns only at the end of the connection; which error ended it does not matter
+	_, _ = conn.raw.Read(b[:]) // returns only at the end of the connection; which error ended it does not matter
 	conn.Close()
 }
 
--- a/internal/placement/demand_patterns_test.go
+++ b/internal/placement/demand_patterns_test.go
@@ -21,8 +21,10 @@
 			demand.Report(at+time.Duration(i)*250*time.Millisecond, "proxy", []Sample{{Key: key("hot", ""), Requests: 5, InFlight: 8, Waiting: 6}})
 			demand.Estimate(at+time.Duration(i)*250*time.Millisecond, key("hot", ""))
 		}
-		orders := Plan(at+time.Second, Input{Service: "s", Engine: engine, Demand: demand, MaxLoads: 4,
-			Endpoints: []Endpoint{holding("a", "hot"), holding("b"), holding("c"), holding("d")}})
+		orders := Plan(at+time.Second, Input{
+			Service: "s", Engine: engine, Demand: demand, MaxLoads: 4,
+			Endpoints: []Endpoint{holding("a", "hot"), holding("b"), holding("c"), holding("d")},
+		})
 		Expect(len(orders)).To(BeNumerically(">=", 2))
 		Expect(orders).To(HaveEach(HaveField("Model", "hot")))
 	})
--- a/internal/placement/plan_test.go
+++ b/internal/placement/plan_test.go
@@ -20,8 +20,12 @@
 const now = time.Minute
 
 var engine = &fleetconfig.Engine{WeightsSizeMB: 220, AdapterSlots: 2, LoadsPerS: 3, Models: []fleetconfig.Model{
-	{Name: "hot", WeightsSizeMB: 70, AdapterSizeMB: 1, Adapters: 9}, {Name: "warm", WeightsSizeMB: 70}, {Name: "rare", WeightsSizeMB: 70},
-	{Name: "idle1", WeightsSizeMB: 70}, {Name: "idle2", WeightsSizeMB: 70}, {Name: "large", WeightsSizeMB: 200},
+	{Name: "hot", WeightsSizeMB: 70, AdapterSizeMB: 1, Adapters: 9},
+	{Name: "warm", WeightsSizeMB: 70},
+	{Name: "rare", WeightsSizeMB: 70},
+	{Name: "idle1", WeightsSizeMB: 70},
+	{Name: "idle2", WeightsSizeMB: 70},
+	{Name: "large", WeightsSizeMB: 200},
 }}
 
 func holding(id string, models ...string) Endpoint {
@@ -82,8 +86,10 @@
 		for i := range 5 {
 			demand.Report(now+time.Duration(i)*time.Second, "proxy", []Sample{{Key: key("hot", ""), Requests: 40, InFlight: 30, Waiting: 30}})
 		}
-		orders := Plan(now+4500*time.Millisecond, Input{Service: "s", Engine: engine, Demand: demand, MaxLoads: 1,
-			Endpoints: []Endpoint{holding("a", "hot"), holding("b"), holding("c")}})
+		orders := Plan(now+4500*time.Millisecond, Input{
+			Service: "s", Engine: engine, Demand: demand, MaxLoads: 1,
+			Endpoints: []Endpoint{holding("a", "hot"), holding("b"), holding("c")},
+		})
 		Expect(orders).NotTo(BeEmpty())
 		Expect(orders[0].Model).To(Equal("hot"))
 	})
@@ -116,8 +122,10 @@
 			if model == "hot" && random.IntN(2) == 0 {
 				adapter = []string{"a1", "a2", "a3", "a4"}[random.IntN(4)]
 			}
-			demand.Report(at, "proxy", []Sample{{Key: key(model, adapter), Requests: random.IntN(9), Unplaced: random.IntN(2),
-				InFlight: random.IntN(60), Waiting: random.IntN(30)}})
+			demand.Report(at, "proxy", []Sample{{
+				Key: key(model, adapter), Requests: random.IntN(9), Unplaced: random.IntN(2),
+				InFlight: random.IntN(60), Waiting: random.IntN(30),
+			}})
 			for _, order := range Plan(at, Input{Service: "s", Engine: engine, Endpoints: endpoints, Demand: demand, MaxLoads: random.IntN(4)}) {
 				for i := range endpoints {
 					if endpoints[i].ID == order.Endpoint {
