--- a/internal/placement/adapters.go
+++ b/internal/placement/adapters.go
@@ -76,12 +76,16 @@
 	return chosen
 }
 
-// longestIdleAdapter returns the adapter of an endpoint whose last request is the longest ago.
+// longestIdleAdapter returns the adapter of an endpoint whose last request is the longest ago. Ties are broken by the names
+// of the adapter and of the model: adapters of different models often have the same name, and without the second the choice
+// would depend on the order of a map.
 func (p *planner) longestIdleAdapter(e *Endpoint) (model, adapter string, ok bool) {
 	oldest := time.Duration(math.MaxInt64)
 	for name, adapters := range e.Models {
 		for _, a := range adapters {
-			if at := p.estimate(p.key(name, a)).LastRequestAt; at < oldest || at == oldest && a < adapter {
+			at := p.estimate(p.key(name, a)).LastRequestAt
+			precedes := a < adapter || a == adapter && name < model
+			if at < oldest || at == oldest && precedes {
 				model, adapter, oldest, ok = name, a, at, true
 			}
 		}
--- a/internal/placement/plan_test.go
+++ b/internal/placement/plan_test.go
@@ -111,6 +111,16 @@
 		Expect(plan(demand, full)).To(ContainElement(Order{Endpoint: "a", Operation: Unload, Model: "hot", Adapter: "a3"}))
 	})
 
+	It("unloads the same adapter each time if several with the same name have been idle for as long", func() {
+		for range 50 {
+			demand := NewDemand()
+			demand.Report(now, "proxy", []Sample{{Key: key("hot", "a1"), Requests: 1, Unplaced: 1}})
+			full := holding("a")
+			full.Models["hot"], full.Models["warm"] = []string{"a2"}, []string{"a2"}
+			Expect(plan(demand, full)).To(ContainElement(Order{Endpoint: "a", Operation: Unload, Model: "hot", Adapter: "a2"}))
+		}
+	})
+
 	It("never exceeds an endpoint's memory or adapter slots, whatever the demand", func() {
 		random := rand.New(rand.NewPCG(5, 6))
 		names := []string{"hot", "warm", "rare", "idle1", "idle2", "large"}
