--- a/cmd/dykering/fleet_command.go
+++ b/cmd/dykering/fleet_command.go
@@ -83,7 +83,7 @@
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "server\tword\torigin\twritten\tholds for")
 	for _, f := range s.Facts {
-		word := map[replica.Word]string{replica.Good: "good", replica.Bad: "bad"}[f.Word]
+		word := map[replica.Verdict]string{replica.Good: "good", replica.Bad: "bad"}[f.Word]
 		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\n", f.Subject, word, f.Origin,
 			time.UnixMilli(f.Stamp.Wall).UTC().Format(time.RFC3339), f.Left.Round(time.Second))
 	}
--- a/cmd/dykering/fleet_state_test.go
+++ b/cmd/dykering/fleet_state_test.go
@@ -77,7 +77,7 @@
 }
 
 // holds tells whether a broker's copy has a fact.
-func (b *broker) holds(t *testing.T, origin, server string, word replica.Word) bool {
+func (b *broker) holds(t *testing.T, origin, server string, word replica.Verdict) bool {
 	for _, f := range b.copied(t).Facts {
 		if f.Origin == origin && strings.HasPrefix(f.Subject, server+"@") && f.Word == word {
 			return true
@@ -141,7 +141,7 @@
 		t.Error("the cut lets facts through")
 	}
 	time.Sleep(time.Until(cut.Add(30 * time.Second))) // also until nobody's last good answer is evidence any more
-	want := replica.New("", replica.Limits{Origins: 16, PerOrigin: 64, TTL: 2 * time.Minute, Ahead: time.Minute})
+	want := replica.New("", replica.Limits{MaxOrigins: 16, FactsPerOrigin: 64, TTL: 2 * time.Minute, MaxClockSkew: time.Minute})
 	for _, b := range all {
 		for _, f := range b.copied(t).Facts {
 			want.Merge(replica.Now{Wall: time.Now()}, f)
--- a/internal/fleet/replica/replica_test.go
+++ b/internal/fleet/replica/replica_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-var limits = Limits{Origins: 8, PerOrigin: 4, TTL: 15 * time.Second, Ahead: 10 * time.Second}
+var limits = Limits{MaxOrigins: 8, FactsPerOrigin: 4, TTL: 15 * time.Second, MaxClockSkew: 10 * time.Second}
 
 var began = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
@@ -18,9 +18,11 @@
 // facts draws facts that contradict, repeat and follow each other, of more subjects than an origin may hold.
 func facts(t *rapid.T) []Fact {
 	one := rapid.Custom(func(t *rapid.T) Fact {
-		return Fact{Origin: fmt.Sprint("b", rapid.IntRange(1, 4).Draw(t, "origin")), Word: Word(rapid.IntRange(1, 2).Draw(t, "word")),
+		return Fact{
+			Origin: fmt.Sprint("b", rapid.IntRange(1, 4).Draw(t, "origin")), Word: Verdict(rapid.IntRange(1, 2).Draw(t, "word")),
 			Subject: fmt.Sprint("s", rapid.IntRange(1, 7).Draw(t, "subject")), Left: time.Duration(rapid.IntRange(1, 15).Draw(t, "left")) * time.Second,
-			Stamp: Stamp{Wall: began.UnixMilli() + rapid.Int64Range(0, 5).Draw(t, "wall"), Logical: uint32(rapid.IntRange(0, 1).Draw(t, "logical"))}}
+			Stamp: Stamp{Wall: began.UnixMilli() + rapid.Int64Range(0, 5).Draw(t, "wall"), Logical: uint32(rapid.IntRange(0, 1).Draw(t, "logical"))},
+		}
 	})
 	return rapid.SliceOfN(one, 0, 40).Draw(t, "facts")
 }
@@ -33,8 +35,9 @@
 	return s
 }
 
-// Whatever the order, however often and through whichever copy facts come, the copies are the same, to the ends.
-func TestMergeIsAJoin(t *testing.T) {
+// Copies that have received the same facts are equal, whatever the order, the repetitions and the copies in between, up
+// to the ends of the facts' lifetimes.
+func TestMergeIsCommutativeAssociativeAndIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := facts(t), facts(t), facts(t)
 		all := append(append(append([]Fact(nil), a...), b...), c...)
@@ -44,21 +47,23 @@
 		rng.Shuffle(len(mixed), func(i, j int) { mixed[i], mixed[j] = mixed[j], mixed[i] })
 		ab := append(held(a).Facts(at(0)), held(b).Facts(at(0))...)
 		bc := append(held(b).Facts(at(0)), held(c).Facts(at(0))...)
-		for how, got := range map[string]*Store{"another order": held(mixed), "(a b) c": held(append(held(ab).Facts(at(0)), c...)),
-			"a (b c)": held(append(append([]Fact(nil), a...), held(bc).Facts(at(0))...))} {
+		for how, got := range map[string]*Store{
+			"another order": held(mixed), "(a b) c": held(append(held(ab).Facts(at(0)), c...)),
+			"a (b c)": held(append(append([]Fact(nil), a...), held(bc).Facts(at(0))...)),
+		} {
 			if fmt.Sprint(got.Facts(at(0))) != fmt.Sprint(want.Facts(at(0))) || got.Digest() != want.Digest() {
 				t.Fatalf("%s: %s %v, want %s %v", how, got.Digest(), got.Facts(at(0)), want.Digest(), want.Facts(at(0)))
 			}
 		}
 		// Two copies that exchange summaries and what the other lacks are the same, and then have nothing to send.
 		x, y := held(a), held(b)
-		for _, f := range y.Since(at(0), x.Summary()) {
+		for _, f := range y.Differing(at(0), x.Summary()) {
 			x.Merge(at(0), f)
 		}
-		for _, f := range x.Since(at(0), y.Summary()) {
+		for _, f := range x.Differing(at(0), y.Summary()) {
 			y.Merge(at(0), f)
 		}
-		if x.Digest() != y.Digest() || len(x.Since(at(0), y.Summary())) > 0 {
+		if x.Digest() != y.Digest() || len(x.Differing(at(0), y.Summary())) > 0 {
 			t.Fatalf("after catch-up %s and %s", x.Digest(), y.Digest())
 		}
 		// The sums follow from what is held, and a fact dies by itself.
@@ -71,30 +76,31 @@
 	})
 }
 
-// A broker writes after all that it has heard, with a clock that is behind too; what cannot be is refused by its reason.
-func TestStampsAndRefusals(t *testing.T) {
+// A broker's facts come after all that it has received, also with a clock that is behind; a malformed fact is rejected
+// with the reason.
+func TestOwnFactsFollowReceivedOnesAndMalformedFactsAreRejected(t *testing.T) {
 	s := New("me", limits)
 	ahead := Fact{Origin: "fast", Subject: "s1", Stamp: Stamp{Wall: began.Add(5 * time.Second).UnixMilli()}, Word: Bad, Left: time.Second}
 	if news, why := s.Merge(at(0), ahead); !news || why != "" {
 		t.Fatalf("5 s ahead: %v %q", news, why)
 	}
-	if f, ok := s.Set(at(0), "s1", Good, time.Hour); !ok || f.Stamp.Compare(ahead.Stamp) <= 0 || f.Left != limits.TTL {
+	if f, ok := s.Record(at(0), "s1", Good, time.Hour); !ok || f.Stamp.Compare(ahead.Stamp) <= 0 || f.Left != limits.TTL {
 		t.Errorf("own fact %+v, %v: not after what was heard, or for too long", f, ok)
 	}
-	if _, ok := s.Set(at(time.Second), "s1", Good, time.Hour); ok {
+	if _, ok := s.Record(at(time.Second), "s1", Good, time.Hour); ok {
 		t.Error("the same again is news")
 	}
-	if a := s.Advise(at(0), 100, Rules{Witnesses: 1, PerOrigin: 0.3, Most: 0.2}); len(a) != 1 {
+	if a := s.Advise(at(0), 100, Rules{MinWitnesses: 1, MaxShareOfOrigin: 0.3, MaxShare: 0.2}); len(a) != 1 {
 		t.Errorf("the fast clock's word: %v", a)
 	}
 	// A second broker that was answered well outweighs it, though its stamp is older.
 	s.Merge(at(0), Fact{Origin: "slow", Subject: "s1", Stamp: Stamp{Wall: began.UnixMilli()}, Word: Good, Left: time.Second})
-	if a := s.Advise(at(0), 100, Rules{Witnesses: 1, PerOrigin: 0.3, Most: 0.2}); len(a) != 0 {
+	if a := s.Advise(at(0), 100, Rules{MinWitnesses: 1, MaxShareOfOrigin: 0.3, MaxShare: 0.2}); len(a) != 0 {
 		t.Errorf("with a witness that it lives: %v", a)
 	}
 	ok := Fact{Origin: "x", Subject: "s", Stamp: Stamp{Wall: began.UnixMilli()}, Word: Bad, Left: time.Second}
 	change := func(do func(*Fact)) Fact { f := ok; do(&f); return f }
-	for want, f := range map[Refusal]Fact{
+	for want, f := range map[Rejection]Fact{
 		Future:    change(func(f *Fact) { f.Stamp.Wall = began.Add(11 * time.Second).UnixMilli() }),
 		Malformed: change(func(f *Fact) { f.Word = 9 }),
 	} {
@@ -107,10 +113,10 @@
 	if news, why := s.Merge(at(0), mine); !news || why != "" {
 		t.Errorf("an earlier process's: %v %q", news, why)
 	}
-	if f, ok := s.Set(at(0), "s", Good, time.Second); !ok || f.Stamp.Compare(mine.Stamp) <= 0 {
+	if f, ok := s.Record(at(0), "s", Good, time.Second); !ok || f.Stamp.Compare(mine.Stamp) <= 0 {
 		t.Errorf("over it %+v, %v", f, ok)
 	}
-	for i := range 2 * limits.Origins {
+	for i := range 2 * limits.MaxOrigins {
 		s.Merge(at(0), change(func(f *Fact) { f.Origin = fmt.Sprint("o", i) }))
 	}
 	if news, why := s.Merge(at(0), change(func(f *Fact) { f.Origin = "one more" })); news || why != Full {
@@ -118,17 +124,19 @@
 	}
 }
 
-// Whatever any number of brokers claim, no more than the stated share is bad by their word, and one that calls too many
-// bad is not heard.
-func TestAdviceIsBounded(t *testing.T) {
+// Whatever other brokers claim, no more than the allowed share of the servers is bad by advice, and a broker that calls
+// too many bad is ignored.
+func TestAdviceIsBoundedWhateverOthersClaim(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		servers := rapid.IntRange(1, 60).Draw(t, "servers")
-		r := Rules{Witnesses: rapid.IntRange(1, 3).Draw(t, "witnesses"), PerOrigin: 0.3, Most: 0.2}
-		s := New("me", Limits{Origins: 20, PerOrigin: 100, TTL: 15 * time.Second, Ahead: time.Second})
+		r := Rules{MinWitnesses: rapid.IntRange(1, 3).Draw(t, "witnesses"), MaxShareOfOrigin: 0.3, MaxShare: 0.2}
+		s := New("me", Limits{MaxOrigins: 20, FactsPerOrigin: 100, TTL: 15 * time.Second, MaxClockSkew: time.Second})
 		claims := map[string]int{}
 		for range rapid.IntRange(0, 300).Draw(t, "claims") {
-			f := Fact{Origin: fmt.Sprint("b", rapid.IntRange(1, 10).Draw(t, "origin")), Subject: fmt.Sprint("s", rapid.IntRange(1, servers).Draw(t, "s")),
-				Stamp: Stamp{Wall: began.UnixMilli()}, Word: Bad, Left: time.Second}
+			f := Fact{
+				Origin: fmt.Sprint("b", rapid.IntRange(1, 10).Draw(t, "origin")), Subject: fmt.Sprint("s", rapid.IntRange(1, servers).Draw(t, "s")),
+				Stamp: Stamp{Wall: began.UnixMilli()}, Word: Bad, Left: time.Second,
+			}
 			if news, _ := s.Merge(at(0), f); news {
 				claims[f.Origin]++
 			}
@@ -138,16 +146,16 @@
 		}
 		heard := 0
 		for _, n := range claims {
-			if float64(n) <= max(r.PerOrigin*float64(servers), 1) {
+			if float64(n) <= max(r.MaxShareOfOrigin*float64(servers), 1) {
 				heard++
 			}
 		}
 		bad := s.Advise(at(0), servers, r)
-		if float64(len(bad)) > r.Most*float64(servers) {
+		if float64(len(bad)) > r.MaxShare*float64(servers) {
 			t.Fatalf("%d of %d bad", len(bad), servers)
 		}
 		for _, a := range bad {
-			if a.Witnesses < r.Witnesses || servers > 3 && a.Witnesses > heard {
+			if a.Witnesses < r.MinWitnesses || servers > 3 && a.Witnesses > heard {
 				t.Fatalf("%+v of %d that are heard", a, heard)
 			}
 		}
--- /dev/null
+++ b/internal/fleet/replica/summary.go
@@ -0,0 +1,41 @@
+package replica
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+)
+
+// Digest returns a short hash that is the same in two copies with the same facts.
+func (s *Store) Digest() string { return fmt.Sprintf("%d-%016x", s.count, s.hash) }
+
+// Facts returns all facts, by origin and subject.
+func (s *Store) Facts(now Now) []Fact { return s.Differing(now, nil) }
+
+// Summary returns a hash of the facts of each origin.
+func (s *Store) Summary() map[string]uint64 {
+	hashes := make(map[string]uint64, len(s.origins))
+	for id, facts := range s.origins {
+		hashes[id] = facts.hash
+	}
+	return hashes
+}
+
+// Differing returns the facts of those origins of which a copy with the given summary holds other facts or none.
+func (s *Store) Differing(now Now, summary map[string]uint64) []Fact {
+	var differing []Fact
+	for id, facts := range s.origins {
+		if hash, ok := summary[id]; ok && hash == facts.hash {
+			continue
+		}
+		for subject, held := range facts.bySubject {
+			if left := held.until - now.Mono; left > 0 {
+				differing = append(differing, Fact{Origin: id, Subject: subject, Stamp: held.stamp, Word: held.verdict, Left: left})
+			}
+		}
+	}
+	slices.SortFunc(differing, func(a, b Fact) int {
+		return cmp.Or(cmp.Compare(a.Origin, b.Origin), cmp.Compare(a.Subject, b.Subject))
+	})
+	return differing
+}
--- a/internal/fleet/replication/replication.go
+++ b/internal/fleet/replication/replication.go
@@ -116,8 +116,8 @@
 	s := &Service{section: section, self: self, broker: broker, gossip: g, log: log, began: time.Now(),
 		events: make(chan func(*replica.Store), queued), outbox: make(chan outgoing, sends), done: make(chan struct{}),
 		budget: budget{rate: float64(section.Rate), left: burst * float64(section.Rate)}}
-	store := replica.New(self, replica.Limits{Origins: most, PerOrigin: section.Facts, TTL: time.Duration(section.TTL),
-		Ahead: time.Duration(section.Ahead)})
+	store := replica.New(self, replica.Limits{MaxOrigins: most, FactsPerOrigin: section.Facts, TTL: time.Duration(section.TTL),
+		MaxClockSkew: time.Duration(section.Ahead)})
 	s.warm(store)
 	s.publish(store)
 	g.Attach(s)
@@ -218,12 +218,12 @@
 		if e.Ejected {
 			word = replica.Bad
 		}
-		if f, news := store.Set(now, e.Server, word, time.Duration(s.section.TTL)); news {
+		if f, news := store.Record(now, e.Server, word, time.Duration(s.section.TTL)); news {
 			s.tell(f)
 		}
 	}
-	rules := replica.Rules{Witnesses: s.section.Witnesses, PerOrigin: float64(s.section.PerOrigin) / 100,
-		Most: float64(s.section.MostBad) / 100}
+	rules := replica.Rules{MinWitnesses: s.section.Witnesses, MaxShareOfOrigin: float64(s.section.PerOrigin) / 100,
+		MaxShare: float64(s.section.MostBad) / 100}
 	var advice []core.Evidence
 	for _, a := range store.Advise(now, listed, rules) {
 		advice = append(advice, core.Evidence{Server: a.Subject, Ejected: true, Age: a.Age})
@@ -275,7 +275,7 @@
 
 // merge joins facts into the store.
 func (s *Service) merge(store *replica.Store, m message) {
-	now, news, refused := s.now(), 0, map[replica.Refusal]int{}
+	now, news, refused := s.now(), 0, map[replica.Rejection]int{}
 	for _, f := range m.Facts {
 		switch ok, why := store.Merge(now, f); {
 		case why != "":
@@ -317,7 +317,7 @@
 // differ sends a copy what it lacks by its summary, and asks for what this one lacks where the other began.
 func (s *Service) differ(m message) {
 	s.post(func(store *replica.Store) {
-		facts := store.Since(s.now(), m.Sums)
+		facts := store.Differing(s.now(), m.Sums)
 		for len(facts) > 0 {
 			n := min(len(facts), chunk)
 			if !s.queue(m.From, encode(message{From: s.self, Facts: facts[:n]})) {
--- a/internal/lab/sim/replica.go
+++ b/internal/lab/sim/replica.go
@@ -28,8 +28,8 @@
 
 // The bounds are the defaults of [fleet.replication].
 var (
-	replicaRules  = replica.Rules{Witnesses: 2, PerOrigin: 0.3, Most: 0.2}
-	replicaLimits = replica.Limits{Origins: 4096, PerOrigin: 64, TTL: factTTL, Ahead: 10 * time.Second}
+	replicaRules  = replica.Rules{MinWitnesses: 2, MaxShareOfOrigin: 0.3, MaxShare: 0.2}
+	replicaLimits = replica.Limits{MaxOrigins: 4096, FactsPerOrigin: 64, TTL: factTTL, MaxClockSkew: 10 * time.Second}
 )
 
 // mind is what a process holds of the replicated state.
@@ -111,7 +111,7 @@
 			return
 		}
 		now := s.t.moment()
-		lacks, has := p.mind.store.Since(now, s.mind.store.Summary()), s.mind.store.Since(now, p.mind.store.Summary())
+		lacks, has := p.mind.store.Differing(now, s.mind.store.Summary()), s.mind.store.Differing(now, p.mind.store.Summary())
 		w.Result.Replicated += len(lacks) + len(has)
 		w.After(w.Latency(), func() {
 			if !s.dead && !p.dead {
@@ -172,7 +172,7 @@
 		if e.Ejected {
 			word = replica.Bad
 		}
-		if f, news := m.store.Set(now, subject(e.Endpoint), word, factTTL); news {
+		if f, news := m.store.Record(now, subject(e.Endpoint), word, factTTL); news {
 			s.t.spreads[f.Key()] = &spread{at: w.Now(), to: 1}
 			s.tell(f)
 		}
@@ -209,7 +209,7 @@
 	if m.ticks%adviseEvery == 0 {
 		var advice []decision.PeerEjection
 		rules := replicaRules
-		rules.Witnesses = cmp.Or(w.S.Broker.Witnesses, rules.Witnesses)
+		rules.MinWitnesses = cmp.Or(w.S.Broker.Witnesses, rules.MinWitnesses)
 		for _, a := range m.store.Advise(now, len(s.in.Tier.Servers), rules) {
 			advice = append(advice, decision.PeerEjection{Endpoint: endpointOf(a.Subject), Age: a.Age})
 		}
