--- a/cmd/dykering-lab/bench.go
+++ b/cmd/dykering-lab/bench.go
@@ -112,54 +112,78 @@
 	return all, nil
 }
 
-// way measures one.
-func (b *bench) way(ctx context.Context, way, program string) (m *measured, err error) {
+// subject is one way to the servers that is measured: none between, the reverse proxy, or the program.
+type subject struct {
+	name    string
+	address func() string
+	process *real.Process // nil for the direct way
+	site    *real.Site
+	stats   string // the file in which a process of this program writes its figures
+}
+
+// way measures one way to the servers.
+func (b *bench) way(ctx context.Context, way, program string) (_ *measured, err error) {
+	site, targets, err := b.setUpServers()
+	if err != nil {
+		return nil, err
+	}
+	defer func() { err = errors.Join(err, site.TearDown()) }()
+	x := &subject{name: way, address: func() string { return site.URL }, site: site, stats: filepath.Join(site.Dir(), "stats")}
+	if err := x.start(ctx, targets, program); err != nil {
+		return nil, err
+	}
+	return b.measure(ctx, x)
+}
+
+// setUpServers starts the servers behind all ways, and gives their addresses.
+func (b *bench) setUpServers() (*real.Site, []string, error) {
 	var servers []*real.Server
 	var targets []string
 	for i := range benchServers {
 		s, err := real.StartServer(fmt.Sprintf("server-%08x", i+1), benchCores, b.Took)
 		if err != nil {
-			return nil, err
+			return nil, nil, err
 		}
 		servers = append(servers, s)
 		targets = append(targets, s.Address())
 	}
 	site, err := real.SetUp(servers, demoSettings, real.Limits{Cores: 1, MemoryMB: 256, Sockets: 8192})
-	if err != nil {
-		return nil, err
-	}
-	defer func() { err = errors.Join(err, site.TearDown()) }()
-	file := filepath.Join(site.Dir(), "stats")
-	address := func() string { return site.URL }
-	var process *real.Process
+	return site, targets, err
+}
+
+// start starts the process that stands between.
+func (x *subject) start(ctx context.Context, targets []string, program string) error {
 	var command []string
-	switch way {
+	switch x.name {
 	case "direct":
 		var turn atomic.Int64
-		address = func() string { return "http://" + targets[int(turn.Add(1))%len(targets)] }
+		x.address = func() string { return "http://" + targets[int(turn.Add(1))%len(targets)] }
+		return nil
 	case "reverse proxy":
 		self, err := os.Executable()
 		if err != nil {
-			return nil, err
+			return err
 		}
 		command = []string{self, "reverse-proxy", strings.Join(targets, ",")}
-		if process, err = site.StartBroker(ctx, command, statsFile+"="+file); err != nil {
-			return nil, err
-		}
 	default:
+		var err error
 		if command, err = brokerCommand(program); err != nil {
-			return nil, err
-		}
-		if process, err = site.StartBroker(ctx, command, statsFile+"="+file); err != nil {
-			return nil, err
+			return err
 		}
 	}
-	m = &measured{Way: way}
-	c := &callers{address: address, way: way}
+	process, err := x.site.StartBroker(ctx, command, statsFile+"="+x.stats)
+	x.process = process
+	return err
+}
+
+// measure takes all figures of one way: throughput after a warm-up, times at a steady rate, memory.
+func (b *bench) measure(ctx context.Context, x *subject) (*measured, error) {
+	m := &measured{Way: x.name}
+	c := &callers{address: x.address, way: x.name}
 	if _, _, err := c.busy(ctx, b.Callers, warmFor); err != nil {
 		return nil, err
 	}
-	before, err := look(process, file)
+	before, err := look(x.process, x.stats)
 	if err != nil {
 		return nil, err
 	}
@@ -167,25 +191,23 @@
 	if err != nil {
 		return nil, err
 	}
-	after, err := look(process, file)
+	after, err := look(x.process, x.stats)
 	if err != nil {
 		return nil, err
 	}
 	m.PerSecond, m.Refused = float64(served)/b.Lasts.Seconds(), refused
-	if process != nil {
+	if x.process != nil {
 		n := float64(served + refused)
 		m.PerCore = n / (after.cpu - before.cpu).Seconds()
 		m.Allocs, m.AllocBytes = float64(after.Mallocs-before.Mallocs)/n, float64(after.Bytes-before.Bytes)/n
 	}
-	if err := b.times(ctx, m, address); err != nil {
+	if err := b.times(ctx, m, x.address); err != nil {
 		return nil, err
 	}
-	if process != nil {
-		if err := b.memory(ctx, m, c, site, process, file); err != nil {
-			return nil, err
-		}
+	if x.process == nil {
+		return m, nil
 	}
-	return m, nil
+	return m, b.memory(ctx, m, c, x.site, x.process, x.stats)
 }
 
 // times measures how long answers take at a steady rate.
--- a/cmd/dykering-lab/demo.go
+++ b/cmd/dykering-lab/demo.go
@@ -150,60 +150,90 @@
 	fmt.Fprintf(out, "%d stand-in servers, %d calls of %v at a time each; %.0f requests a second for %v\n\n", demoServers,
 		demoCores, demoTook, demoRate, lasts)
 	fmt.Fprintf(out, "%4s %6s %6s %7s %6s %5s %7s %7s\n", "s", "asked", "served", "refused", "failed", "lost", "p50 ms", "p99 ms")
-	var mu sync.Mutex
-	seconds := make([]tally, 1+int(lasts.Seconds()))
+	d := &demonstration{out: out, lasts: lasts, seconds: make([]tally, 1+int(lasts.Seconds()))}
 	asking, stop := context.WithTimeout(ctx, lasts)
 	defer stop()
-	loaded := make(chan struct{})
-	var failed error
-	go func() {
-		defer close(loaded)
-		l := load.Load{
-			URL: st.URL + "/demo", Profile: load.Profile{Kind: load.Steady, Rate: demoRate, Lasts: lasts}, Most: 1000, Run: "demo",
-			Classes: []load.Class{
-				{Name: "read", Share: 0.67, Method: "GET", Left: 2 * time.Second},
-				{Name: "pay", Share: 0.33, Method: "POST", Left: 2 * time.Second},
-			},
-			Told: func(o load.Outcome) {
-				mu.Lock()
-				defer mu.Unlock()
-				seconds[min(int(o.At.Seconds()), len(seconds)-1)].count(o)
-			},
-		}
-		_, failed = l.Play(asking)
-	}()
+	loaded := make(chan error, 1)
+	go func() { loaded <- d.load(asking, st.URL) }()
+	if err := d.follow(asking, acts(ctx, st), loaded); err != nil {
+		return err
+	}
+	return sumUp(out, d.seconds)
+}
+
+// demonstration is what is shown of a demo, second by second.
+type demonstration struct {
+	out   io.Writer
+	lasts time.Duration
+
+	mu      sync.Mutex // guards what follows
+	seconds []tally
+	shown   int
+}
+
+// load has callers ask until the demo's end.
+func (d *demonstration) load(ctx context.Context, url string) error {
+	l := load.Load{
+		URL: url + "/demo", Profile: load.Profile{Kind: load.Steady, Rate: demoRate, Lasts: d.lasts}, Most: 1000, Run: "demo",
+		Classes: []load.Class{
+			{Name: "read", Share: 0.67, Method: "GET", Left: 2 * time.Second},
+			{Name: "pay", Share: 0.33, Method: "POST", Left: 2 * time.Second},
+		},
+		Told: func(o load.Outcome) {
+			d.mu.Lock()
+			defer d.mu.Unlock()
+			d.second(o.At).count(o)
+		},
+	}
+	_, err := l.Play(ctx)
+	return err
+}
+
+func (d *demonstration) second(at time.Duration) *tally {
+	return &d.seconds[min(int(at.Seconds()), len(d.seconds)-1)]
+}
+
+// follow carries out the acts at their times and shows the seconds, until the load has ended.
+func (d *demonstration) follow(asking context.Context, coming []act, loaded <-chan error) error {
 	began := time.Now()
-	coming := acts(ctx, st)
-	shown := 0
-	for ended := false; !ended; {
+	for {
+		var failed error
+		ended := false
 		select {
-		case <-loaded:
+		case failed = <-loaded:
 			ended = true
 		case <-time.After(50 * time.Millisecond):
 		}
 		past := time.Since(began)
-		for len(coming) > 0 && past.Seconds() >= coming[0].at*lasts.Seconds() && asking.Err() == nil {
+		for len(coming) > 0 && past.Seconds() >= coming[0].at*d.lasts.Seconds() && asking.Err() == nil {
 			if err := coming[0].do(); err != nil {
 				return fmt.Errorf("%s: %w", coming[0].what, err)
 			}
-			mu.Lock()
-			t := &seconds[min(int(past.Seconds()), len(seconds)-1)]
-			t.notes = append(t.notes, coming[0].what)
-			mu.Unlock()
+			d.note(past, coming[0].what)
 			coming = coming[1:]
 		}
-		mu.Lock()
-		// A second is shown when what was asked in it has its answer.
-		for shown < len(seconds) && (ended || past > time.Duration(shown+3)*time.Second) {
-			seconds[shown].show(out, shown)
-			shown++
+		d.show(past, ended)
+		if ended {
+			return failed
 		}
-		mu.Unlock()
 	}
-	if failed != nil {
-		return failed
+}
+
+func (d *demonstration) note(at time.Duration, what string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	t := d.second(at)
+	t.notes = append(t.notes, what)
+}
+
+// show shows each second once what was asked in it has its answer.
+func (d *demonstration) show(past time.Duration, ended bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for d.shown < len(d.seconds) && (ended || past > time.Duration(d.shown+3)*time.Second) {
+		d.seconds[d.shown].show(d.out, d.shown)
+		d.shown++
 	}
-	return sumUp(out, seconds)
 }
 
 func (t *tally) count(o load.Outcome) {
--- a/internal/lab/emulation/seat.go
+++ b/internal/lab/emulation/seat.go
@@ -48,6 +48,7 @@
 // accepting stands for the descriptor of the socket that a process inherits.
 var accepting = -1
 
+// Start starts a process of the program on this socket.
 func (s *seat) Start(file, _ string) (real.Broker, error) {
 	c, err := config.Load(func(name string) string {
 		if name == "BALANCER_CONFIG" {
@@ -73,44 +74,53 @@
 		dies: make(chan struct{}), excused: make(chan struct{}),
 	}
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), zapcore.AddSync(&b.log), zap.WarnLevel)
-	listener := b.process.Listener(s.socket)
-	if !s.g.shared {
-		listener = served{listener, s.socket, s.g}
-	}
-	var under http1.Network = network{s.g, b.process}
-	if s.g.o.Wrong != nil {
-		under, listener = s.g.o.Wrong(under, listener)
-	}
+	under, listener := s.sockets(b)
 	if b.server, err = http1.NewOn(under, c, zap.New(core)); err != nil {
 		return nil, err
 	}
 	s.g.mu.Lock()
 	s.g.live[b] = true
 	s.g.mu.Unlock()
-	s.g.brokers.Go(func() {
-		defer close(b.ended)
-		defer func() {
+	s.g.brokers.Go(func() { s.run(b, listener) })
+	return b, nil
+}
+
+// sockets gives what a process listens on and dials by; Options.Wrong may change both.
+func (s *seat) sockets(b *broker) (http1.Network, net.Listener) {
+	listener := b.process.Listener(s.socket)
+	if !s.g.shared {
+		listener = served{listener, s.socket, s.g}
+	}
+	under := network{s.g, b.process}
+	if s.g.o.Wrong != nil {
+		return s.g.o.Wrong(under, listener)
+	}
+	return under, listener
+}
+
+// run serves until the process ends, and notes what it still holds then.
+func (s *seat) run(b *broker, listener net.Listener) {
+	defer close(b.ended)
+	defer func() {
+		s.g.mu.Lock()
+		delete(s.g.live, b)
+		s.g.mu.Unlock()
+	}()
+	b.err = b.server.Run(listener, b.signals, b.reloads)
+	select {
+	case <-b.process.Dead():
+	default:
+		time.Sleep(letGoFor)
+		if bytes, conns := b.server.BufferedBytes(), b.process.Holds(); bytes != 0 || conns > 0 {
 			s.g.mu.Lock()
-			delete(s.g.live, b)
+			s.g.held = append(s.g.held, fmt.Errorf("%s ended and held %d bytes of bodies, %d connections", b.name, bytes, conns))
 			s.g.mu.Unlock()
-		}()
-		b.err = b.server.Run(listener, b.signals, b.reloads)
-		select {
-		case <-b.process.Dead():
-		default:
-			time.Sleep(letGoFor)
-			if bytes, conns := b.server.BufferedBytes(), b.process.Holds(); bytes != 0 || conns > 0 {
-				s.g.mu.Lock()
-				s.g.held = append(s.g.held, fmt.Errorf("%s ended and held %d bytes of bodies, %d connections", b.name, bytes, conns))
-				s.g.mu.Unlock()
-			}
-		}
-		b.process.Kill() // what a process leaves open ends with it
-		if !s.g.shared {
-			listener.Close()
 		}
-	})
-	return b, nil
+	}
+	b.process.Kill() // what a process leaves open ends with it
+	if !s.g.shared {
+		listener.Close()
+	}
 }
 
 // network is what a process has of a ground.
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -244,6 +244,19 @@
 	}
 }
 
+// player is one run of a load.
+type player struct {
+	*Load
+	client *http.Client
+	random *rand.Rand
+	began  time.Time
+	asking sync.WaitGroup
+
+	mu       sync.Mutex // guards what follows
+	report   *Report
+	inFlight int
+}
+
 // Play asks until the profile's end or that of the context, and waits for the last answer.
 func (l *Load) Play(ctx context.Context) (*Report, error) {
 	if err := l.check(); err != nil {
@@ -256,15 +269,20 @@
 	for _, c := range l.Classes {
 		r.Classes = append(r.Classes, newFigures(c.Name))
 	}
-	rng := rand.New(rand.NewPCG(l.Seed, 0))
-	var mu sync.Mutex
-	var asking sync.WaitGroup
-	under := 0
-	began := time.Now()
+	p := &player{Load: l, client: client, random: rand.New(rand.NewPCG(l.Seed, 0)), report: r, began: time.Now()}
+	p.askUntilTheEnd(ctx)
+	p.asking.Wait()
+	r.Took = time.Since(p.began).Seconds()
+	r.sumUp()
+	return r, nil
+}
+
+// askUntilTheEnd asks by the profile's clock: a request is due when it is, however long earlier ones take.
+func (p *player) askUntilTheEnd(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	for n, at := 0, time.Duration(0); at < l.Profile.Lasts; n++ {
-		if wait := time.Until(began.Add(at)); wait > 0 {
+	for n, due := 0, time.Duration(0); due < p.Profile.Lasts; n++ {
+		if wait := time.Until(p.began.Add(due)); wait > 0 {
 			timer.Reset(wait)
 			select {
 			case <-timer.C:
@@ -272,41 +290,52 @@
 			}
 		}
 		if ctx.Err() != nil {
-			break
-		}
-		class, team, meant := scenario.Pick(rng, len(l.Classes), func(i int) float64 { return l.Classes[i].Share }),
-			scenario.Pick(rng, len(l.Teams), func(i int) float64 { return l.Teams[i].Share }), at
-		mu.Lock()
-		full := under >= l.Most
-		if full {
-			r.Unsent++
-		} else {
-			under++
+			return
 		}
-		mu.Unlock()
-		if !full {
-			asking.Go(func() {
-				late := time.Since(began) - meant
-				o := Outcome{At: meant, Class: class}
-				o.Status, o.Err = l.ask(ctx, client, n, class, team)
-				o.Took = time.Since(began) - meant
-				mu.Lock()
-				defer mu.Unlock()
-				under--
-				r.count(o, late)
-				if l.Told != nil {
-					l.Told(o)
-				}
-			})
+		p.askOnce(ctx, n, due)
+		gap := 1 / p.Profile.At(due)
+		if p.Poisson {
+			gap *= p.random.ExpFloat64()
 		}
-		gap := 1 / l.Profile.At(at)
-		if l.Poisson {
-			gap *= rng.ExpFloat64()
+		due += time.Duration(gap * float64(time.Second))
+	}
+}
+
+// askOnce sends the request that is due, or counts it as unsent where too many are in flight.
+func (p *player) askOnce(ctx context.Context, n int, due time.Duration) {
+	class := scenario.Pick(p.random, len(p.Classes), func(i int) float64 { return p.Classes[i].Share })
+	team := scenario.Pick(p.random, len(p.Teams), func(i int) float64 { return p.Teams[i].Share })
+	if !p.reserve() {
+		return
+	}
+	p.asking.Go(func() {
+		late := time.Since(p.began) - due
+		o := Outcome{At: due, Class: class}
+		o.Status, o.Err = p.ask(ctx, p.client, n, class, team)
+		o.Took = time.Since(p.began) - due
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		p.inFlight--
+		p.report.count(o, late)
+		if p.Told != nil {
+			p.Told(o)
 		}
-		at += time.Duration(gap * float64(time.Second))
+	})
+}
+
+// reserve counts a request as in flight, or as unsent where the bound is reached.
+func (p *player) reserve() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.inFlight >= p.Most {
+		p.report.Unsent++
+		return false
 	}
-	asking.Wait()
-	r.Took = time.Since(began).Seconds()
+	p.inFlight++
+	return true
+}
+
+func (r *Report) sumUp() {
 	r.All.sumUp()
 	for i := range r.Classes {
 		r.Classes[i].sumUp()
@@ -314,7 +343,6 @@
 	for i := range r.Seconds {
 		r.Seconds[i].sumUp()
 	}
-	return r, nil
 }
 
 func (r *Report) count(o Outcome, late time.Duration) {
