--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,3 @@
-// Package settings decodes the JSON object that starts an instance. The
-// simulator's adapter and the sidecar both read it here.
 package settings
 
 import (
@@ -11,8 +9,8 @@
 	"dykering/internal/decision"
 )
 
-// config mirrors the JSON object that starts an instance. Keys that are not
-// listed here are passed over.
+// config is the JSON form of the settings, with the platform's keys. Times are in microseconds. Its field names are fixed:
+// they are those of the fixture in testdata/compatibility.
 type config struct {
 	Allowed struct {
 		Cancel         bool  `json:"cancel"`
@@ -64,7 +62,7 @@
 	} `json:"tenants"`
 }
 
-// knownKeys are the top-level keys that config reads or that need no reading.
+// knownKeys are the top-level keys that config has or that the program has no use for.
 var knownKeys = map[string]bool{
 	"allowed": true, "clientHabits": true, "discovery": true, "family": true, "familyInfo": true,
 	"feedback": true, "goal": true, "instances": true, "models": true, "myZone": true, "ordinal": true,
@@ -72,8 +70,7 @@
 	"stage": true, "tenants": true, "tiers": true, "weights": true, "worthBy": true, "zones": true,
 }
 
-// effects and scopes translate the wire's words; an unknown word is handed on
-// as it is, for the Balancer to reject by name.
+// The platform's words for effects and scopes.
 var (
 	effects = map[string]decision.Effect{
 		"read_like": decision.Safe, "idempotency_key": decision.Keyed, "non_idempotent": decision.Unsafe,
@@ -83,17 +80,18 @@
 	}
 )
 
-// Settings is what a Balancer is started with, and what only the program round it needs.
+// Settings are the Balancer's settings, and those that only the program around it needs.
 type Settings struct {
 	decision.Settings
-	Zones         []string // names; the Balancer knows their indexes
-	Models        []string
-	ConnIdle      time.Duration // an endpoint closes a connection that stood idle so long; 0 if not told
-	GraceToAnswer time.Duration // how long after the client's deadline an answer still counts
+	Zones         []string      // names; the Balancer has their indexes
+	Models        []string      // names of machine kinds; the Balancer has their indexes
+	ConnIdle      time.Duration // an endpoint closes a connection that is idle for so long; 0 if not stated
+	GraceToAnswer time.Duration // how long after the deadline an answer still counts; attempts end so long before it
 	OpenCap       int           // requests that may be open at once; 0 for no limit
 }
 
-// Parse reads an instance's settings and lists the keys it passed over.
+// Parse decodes an instance's settings. It returns the unknown top-level keys, sorted, and an error where the text is no
+// settings object or names an unknown kind of discovery.
 func Parse(text []byte) (s Settings, unknown []string, err error) {
 	var c config
 	if err := json.Unmarshal(text, &c); err != nil {
@@ -114,42 +112,73 @@
 	default:
 		return s, unknown, fmt.Errorf("discovery: unknown word %q", c.Discovery)
 	}
-	s = Settings{Zones: c.Zones, Models: c.Models, ConnIdle: Micros(c.Allowed.ConnIdle),
-		GraceToAnswer: Micros(c.Rules.Grace), OpenCap: c.Allowed.OpenCap}
-	s.Settings = decision.Settings{
-		Instances: c.Instances, Ordinal: c.Ordinal, Stage: c.Stage, Tiers: len(c.Tiers), Quantum: Micros(c.Quantum),
-		ValueByWork: c.WorthBy == "work",
-		GoalTotal:   c.Goal.Whole, GoalWorstClass: c.Goal.WorstClass,
-		MayCancel: c.Allowed.Cancel, MaxAttempts: c.Allowed.SendCap,
-		ConnectTimeout: Micros(c.Allowed.ConnectTimeout),
-		PullDiscovery:  c.Discovery == "ask", DiscoveryInterval: Micros(c.Rules.AskEvery),
+	return c.settings(), unknown, nil
+}
+
+// settings translates the JSON form.
+func (c *config) settings() Settings {
+	return Settings{
+		Settings:      c.balancerSettings(),
+		Zones:         c.Zones,
+		Models:        c.Models,
+		ConnIdle:      Micros(c.Allowed.ConnIdle),
+		GraceToAnswer: Micros(c.Rules.Grace),
+		OpenCap:       c.Allowed.OpenCap,
+	}
+}
+
+// balancerSettings translates what the Balancer needs of the JSON form.
+func (c *config) balancerSettings() decision.Settings {
+	s := decision.Settings{
+		Instances:          c.Instances,
+		Ordinal:            c.Ordinal,
+		Stage:              c.Stage,
+		Tiers:              len(c.Tiers),
+		Quantum:            Micros(c.Quantum),
+		ValueByWork:        c.WorthBy == "work",
+		GoalTotal:          c.Goal.Whole,
+		GoalWorstClass:     c.Goal.WorstClass,
+		MayCancel:          c.Allowed.Cancel,
+		MaxAttempts:        c.Allowed.SendCap,
+		ConnectTimeout:     Micros(c.Allowed.ConnectTimeout),
+		PullDiscovery:      c.Discovery == "ask",
+		DiscoveryInterval:  Micros(c.Rules.AskEvery),
 		ClientsMarkRetries: c.ClientHabits.MarksRetry,
-		ColdCapacity:       c.Rules.ColdFrom, WarmUp: Micros(c.Rules.Cold),
-		OverloadMultiple: c.Rules.TipMultiple, OverloadWindow: Micros(c.Rules.Fall),
+		ColdCapacity:       c.Rules.ColdFrom,
+		WarmUp:             Micros(c.Rules.Cold),
+		OverloadMultiple:   c.Rules.TipMultiple,
+		OverloadWindow:     Micros(c.Rules.Fall),
 	}
 	if c.Allowed.RetryAfter {
 		s.MaxRetryAfter = Micros(c.Allowed.MaxRetryAfter)
 	}
-	for _, v := range c.Services {
+	for _, service := range c.Services {
 		s.Classes = append(s.Classes, decision.Class{
-			Name: v.Name, LatencyTarget: Micros(v.Aim), Deadline: Micros(v.Deadline), Value: v.Gain,
-			LateValue: v.LateValue, Effect: translate(effects, v.Effect), Scope: translate(scopes, v.KeyScope),
-			Window: Micros(v.Window), Streamed: v.Streamed,
+			Name:          service.Name,
+			LatencyTarget: Micros(service.Aim),
+			Deadline:      Micros(service.Deadline),
+			Value:         service.Gain,
+			LateValue:     service.LateValue,
+			Effect:        translate(effects, service.Effect),
+			Scope:         translate(scopes, service.KeyScope),
+			Window:        Micros(service.Window),
+			Streamed:      service.Streamed,
 		})
 	}
-	for _, v := range c.Tenants {
-		s.Tenants = append(s.Tenants, decision.Tenant{Name: v.Name, QuotaPerS: v.QuotaPerS})
+	for _, tenant := range c.Tenants {
+		s.Tenants = append(s.Tenants, decision.Tenant{Name: tenant.Name, QuotaPerS: tenant.QuotaPerS})
 	}
-	return s, unknown, nil
+	return s
 }
 
-// translate looks a word up and hands an unknown one on unchanged.
-func translate[T ~string](words map[string]T, word string) T {
-	if v, ok := words[word]; ok {
-		return v
+// translate looks up one of the platform's words. An unknown one is returned as it is, for the Balancer to reject it by
+// name.
+func translate[T ~string](terms map[string]T, word string) T {
+	if term, ok := terms[word]; ok {
+		return term
 	}
 	return T(word)
 }
 
-// Micros is a number of microseconds, the unit of all times in the settings.
+// Micros converts a number of microseconds, the unit of all times in the settings.
 func Micros(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
