--- a/internal/http1/downstream_conn.go
+++ b/internal/http1/downstream_conn.go
@@ -261,10 +261,10 @@
 }
 
 // setStream sets the transferable upload or relay of the connection; nil for none.
-func (c *downstreamConn) setStream(p transferable) {
+func (c *downstreamConn) setStream(stream transferable) {
 	c.tracker.mu.Lock()
 	defer c.tracker.mu.Unlock()
-	c.stream = p
+	c.stream = stream
 }
 
 // watchHangup sends on the returned channel once the client has closed its side or reset the
--- a/internal/http1/downstream_tracker.go
+++ b/internal/http1/downstream_tracker.go
@@ -25,7 +25,7 @@
 	byState [connStates]list.List
 	// How many connections have entered each state so far.
 	entered      [connStates]uint64
-	lastAccepted time.Time // when the last connection came
+	lastAccepted time.Time // of a client or the predecessor
 }
 
 // stallTimeout is how long a partly received request may make no progress before its connection may
@@ -170,8 +170,8 @@
 	defer t.mu.Unlock()
 	for _, state := range []connState{stateServing, stateStreaming} {
 		for element := t.byState[state].Front(); element != nil; element = element.Next() {
-			if p := element.Value.(*downstreamConn).stream; p != nil {
-				p.interrupt()
+			if stream := element.Value.(*downstreamConn).stream; stream != nil {
+				stream.interrupt()
 			}
 		}
 	}
--- a/internal/http1/errors.go
+++ b/internal/http1/errors.go
@@ -14,5 +14,5 @@
 	// errClientGone is a client that has closed its connection.
 	errClientGone = errors.New("the client has gone")
 	// errTransferred ends what the successor continues.
-	errTransferred = errors.New("passed on to the successor")
+	errTransferred = errors.New("transferred to the successor")
 )
--- a/internal/http1/lifecycle.go
+++ b/internal/http1/lifecycle.go
@@ -106,9 +106,11 @@
 // requests answered. Until then the server goes on serving: load balancers send it no new clients,
 // but existing ones go on using their connections, and may have no other instance to go to.
 //
-// - Without a shared listener and with other instances, idle connections are closed redirectLead before the end, so that the last clients move there.
-// - With a successor on the same listener, this process stops accepting and redirects its clients as in a drain.
-// - It returns early once no client is connected.
+//   - Without a shared listener and with other instances, idle connections are closed redirectLead
+//     before the end, so that the last clients move there.
+//   - With a successor on the same listener, this process stops accepting and redirects its clients
+//     as in a drain.
+//   - It returns early once no client is connected.
 //
 // A platform that kills sooner than it states cuts requests off.
 func (s *Server) shutdown() {
@@ -118,15 +120,7 @@
 		s.findSuccessor()
 	}
 	if s.hasSuccessor() {
-		done, sent := make(chan struct{}), make(chan struct{})
-		go func() {
-			defer close(sent)
-			s.sendState(done)
-		}()
-		defer func() {
-			close(done)
-			<-sent
-		}()
+		defer s.startSendingState()()
 	}
 	last := end
 	if s.config.Settings.Instances > 1 && !s.sharesListener() {
--- a/internal/http1/network.go
+++ b/internal/http1/network.go
@@ -68,7 +68,7 @@
 	for i, x := range raw {
 		var ok bool
 		if conns[i], ok = x.(syscall.Conn); !ok {
-			return fmt.Errorf("%T cannot be passed on", x)
+			return fmt.Errorf("%T has no descriptor to pass", x)
 		}
 	}
 	return h.Sender.Pass(state, conns...)
--- a/internal/http1/parse_chunked.go
+++ b/internal/http1/parse_chunked.go
@@ -9,6 +9,7 @@
 	"net/http"
 	"net/textproto"
 	"strconv"
+	"strings"
 )
 
 // maxChunkLine bounds the line of a chunk's size with its extensions, in bytes.
@@ -145,7 +146,8 @@
 	if len(c.Trailer) == 0 {
 		return http.Header{}, nil
 	}
-	h, err := textproto.NewReader(bufio.NewReader(io.MultiReader(bytes.NewReader(c.Trailer), bytes.NewReader([]byte("\r\n"))))).ReadMIMEHeader()
+	section := io.MultiReader(bytes.NewReader(c.Trailer), strings.NewReader("\r\n"))
+	h, err := textproto.NewReader(bufio.NewReader(section)).ReadMIMEHeader()
 	if err != nil {
 		return nil, errMalformed
 	}
@@ -159,14 +161,14 @@
 
 // reencode encodes the body again from its beginning up to the reader's position. The data read so
 // far is got, and the unread input of the connection continues what is written.
-func (c *chunkedReader) reencode(w *bytes.Buffer, got []byte) {
-	size := uint64(len(got))
+func (c *chunkedReader) reencode(w *bytes.Buffer, data []byte) {
+	size := uint64(len(data))
 	if c.Stage == chunkData {
 		size += c.Left
 	}
 	if size > 0 {
 		fmt.Fprintf(w, "%x\r\n", size)
-		w.Write(got)
+		w.Write(data)
 		if c.Stage != chunkData && c.Stage != chunkEnd {
 			w.WriteString("\r\n")
 		}
--- a/internal/http1/parse_head.go
+++ b/internal/http1/parse_head.go
@@ -58,16 +58,16 @@
 		} else if err != nil {
 			return nil, err
 		}
-		got, _ := r.Peek(r.Buffered())
-		if blank := len(got) - len(bytes.TrimLeft(got, "\r\n")); blank > 0 {
+		buffered, _ := r.Peek(r.Buffered())
+		if blank := len(buffered) - len(bytes.TrimLeft(buffered, "\r\n")); blank > 0 {
 			r.Discard(blank)
 			n = 1
 			continue
 		}
-		if end := headLength(got); end > 0 {
-			return got[:end], nil
+		if end := headLength(buffered); end > 0 {
+			return buffered[:end], nil
 		}
-		n = len(got) + 1
+		n = len(buffered) + 1
 	}
 }
 
--- a/internal/http1/relay_frame.go
+++ b/internal/http1/relay_frame.go
@@ -14,7 +14,6 @@
 	return [][]byte{fmt.Appendf(nil, "%x\r\n", len(b)), b, []byte("\r\n")}
 }
 
-// const is the room for what a chunk has in front, and chunkTail what it has behind.
 const (
 	// chunkHeaderRoom is the space in front of a chunk's data in a buffer, for the line with its size;
 	// chunkEndRoom is that behind it, for the line end.
--- a/internal/http1/relay_response.go
+++ b/internal/http1/relay_response.go
@@ -41,8 +41,15 @@
 
 // newRelay returns the relay of a response, whose head and beginning are its first pending bytes.
 func newRelay(w *reply, r *response) *relay {
-	l := &relay{client: w.client, body: r.rest.body, buffers: r.rest.buffers, done: r.rest.done, http10: w.http10, transfer: w.transfer,
-		source: r.rest.body.conn}
+	l := &relay{
+		client:   w.client,
+		body:     r.rest.body,
+		buffers:  r.rest.buffers,
+		done:     r.rest.done,
+		http10:   w.http10,
+		transfer: w.transfer,
+		source:   r.rest.body.conn,
+	}
 	framing := ""
 	switch {
 	case l.body.length >= 0:
--- a/internal/http1/relay_upload.go
+++ b/internal/http1/relay_upload.go
@@ -59,7 +59,7 @@
 }
 
 // errTooLate is an upload whose last byte is received when its client should have gone elsewhere.
-var errTooLate = errors.New("it came too late")
+var errTooLate = errors.New("the upload ended too late")
 
 // send copies the rest of the body to a connection. It returns the errors of the client's and of
 // the endpoint's side apart.
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -41,26 +41,26 @@
 }
 
 // clientGone reports whether nobody waits for the answer any more.
-func (in *forwardedRequest) clientGone() bool { return in.clientHungUp != nil && in.clientHungUp() }
+func (f *forwardedRequest) clientGone() bool { return f.clientHungUp != nil && f.clientHungUp() }
 
 // rewrittenHeaders are the headers that encodeHead writes itself.
 var rewrittenHeaders = map[string]bool{"Content-Length": true, "X-Remaining": true}
 
 // encodeHead encodes the head of the request for an endpoint. X-Remaining tells it how long its
 // answer is waited for.
-func (in *forwardedRequest) encodeHead(left time.Duration) []byte {
+func (f *forwardedRequest) encodeHead(remaining time.Duration) []byte {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\nX-Remaining: %du\r\n", in.method, in.target, in.host,
-		max(left, 0).Microseconds())
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\nX-Remaining: %du\r\n", f.method, f.target, f.host,
+		max(remaining, 0).Microseconds())
 	switch {
-	case in.upload != nil && in.upload.body.length < 0:
+	case f.upload != nil && f.upload.body.length < 0:
 		b.WriteString("Transfer-Encoding: chunked\r\n")
-	case in.upload != nil:
-		fmt.Fprintf(&b, "Content-Length: %d\r\n", in.upload.body.length)
-	case len(in.body) > 0 || in.method != http.MethodGet:
-		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(in.body))
+	case f.upload != nil:
+		fmt.Fprintf(&b, "Content-Length: %d\r\n", f.upload.body.length)
+	case len(f.body) > 0 || f.method != http.MethodGet:
+		fmt.Fprintf(&b, "Content-Length: %d\r\n", len(f.body))
 	}
-	in.header.WriteSubset(&b, rewrittenHeaders)
+	f.header.WriteSubset(&b, rewrittenHeaders)
 	b.WriteString("\r\n")
 	return b.Bytes()
 }
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -104,8 +104,22 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{network: network, loop: loop, upstream: up, memory: memory, log: log, config: c, classes: map[string]int{}, tenants: map[string]int{},
-		quietPeriod: quietPeriod, redirectLead: redirectLead, drainGrace: drainGrace, handoverGrace: handoverGrace, firstListTimeout: firstListTimeout, lifecycle: loop.Lifecycle()}
+	s := &Server{
+		network:          network,
+		loop:             loop,
+		lifecycle:        loop.Lifecycle(),
+		upstream:         up,
+		memory:           memory,
+		log:              log,
+		config:           c,
+		classes:          map[string]int{},
+		tenants:          map[string]int{},
+		quietPeriod:      quietPeriod,
+		redirectLead:     redirectLead,
+		drainGrace:       drainGrace,
+		handoverGrace:    handoverGrace,
+		firstListTimeout: firstListTimeout,
+	}
 	s.clients.limit = c.Plan().MaxInbound()
 	for i, class := range c.Settings.Classes {
 		s.classes[class.Name] = i
--- a/internal/http1/stages.go
+++ b/internal/http1/stages.go
@@ -28,15 +28,19 @@
 	}
 	s.clients.mu.Lock()
 	for state, name := range map[connState]string{stateNew: "ac", stateReading: "he"} {
-		moved := s.clients.entered[state]
-		report(name, s.clients.byState[state].Len()+int(moved-previous.connections[state]))
-		previous.connections[state] = moved
+		entered := s.clients.entered[state]
+		report(name, s.clients.byState[state].Len()+int(entered-previous.connections[state]))
+		previous.connections[state] = entered
 	}
 	s.clients.mu.Unlock()
 	stats := s.loop.Stats()
 	report("hd", stats.Queued)
-	for phase, name := range map[core.AttemptPhase]string{core.PhaseConnecting: "co", core.PhaseSending: "wr", core.PhaseAwaiting: "aw",
-		core.PhaseReceiving: "cm"} {
+	for phase, name := range map[core.AttemptPhase]string{
+		core.PhaseConnecting: "co",
+		core.PhaseSending:    "wr",
+		core.PhaseAwaiting:   "aw",
+		core.PhaseReceiving:  "cm",
+	} {
 		entered := s.upstream.phaseEntries[phase].Load()
 		report(name, stats.Phases[phase]+int(entered-previous.attempts[phase]))
 		previous.attempts[phase] = entered
--- a/internal/http1/transfer_message.go
+++ b/internal/http1/transfer_message.go
@@ -67,12 +67,12 @@
 }
 
 // validFor reports whether the state is valid and matches the connections that came with it.
-func (p *connTransfer) validFor(conns []net.Conn) bool {
+func (t *connTransfer) validFor(conns []net.Conn) bool {
 	expected := 1
-	if p.State != nil {
-		return len(conns) == 0 && p.Relay == nil && p.Upload == nil && p.Input == nil
+	if t.State != nil {
+		return len(conns) == 0 && t.Relay == nil && t.Upload == nil && t.Input == nil
 	}
-	if p.Relay != nil && !p.Relay.Finished || p.Upload != nil {
+	if t.Relay != nil && !t.Relay.Finished || t.Upload != nil {
 		expected = 2
 	}
 	for _, c := range conns {
@@ -80,24 +80,24 @@
 			return false
 		}
 	}
-	return len(conns) == expected && (p.Relay == nil || p.Relay.valid()) &&
-		(p.Upload == nil || p.Relay == nil && p.Upload.valid())
+	return len(conns) == expected && (t.Relay == nil || t.Relay.valid()) &&
+		(t.Upload == nil || t.Relay == nil && t.Upload.valid())
 }
 
 // valid reports whether an upload can be continued from the state.
-func (u *uploadState) valid() bool {
-	if u.AnswerTimeout < 0 || u.AnswerTimeout > maxRemaining || u.Received < 0 || u.Received > maxStreamedBody {
+func (s *uploadState) valid() bool {
+	if s.AnswerTimeout < 0 || s.AnswerTimeout > maxRemaining || s.Received < 0 || s.Received > maxStreamedBody {
 		return false
 	}
-	if u.Chunks != nil {
-		return u.Length == -1 && u.Chunks.valid()
+	if s.Chunks != nil {
+		return s.Length == -1 && s.Chunks.valid()
 	}
-	return u.Length <= maxStreamedBody && u.Remaining >= 0 && u.Remaining <= u.Length
+	return s.Length <= maxStreamedBody && s.Remaining >= 0 && s.Remaining <= s.Length
 }
 
 // valid reports whether a relay can be continued from the state.
-func (l *relayState) valid() bool {
-	return l.Length >= -1 && l.Length <= maxStreamedBody && l.Read >= 0 && (l.Length < 0 || l.Read <= l.Length) &&
-		l.ReadLimit >= 0 &&
-		(l.Chunks == nil || l.Chunks.valid() && l.Length == -1)
+func (s *relayState) valid() bool {
+	return s.Length >= -1 && s.Length <= maxStreamedBody && s.Read >= 0 && (s.Length < 0 || s.Read <= s.Length) &&
+		s.ReadLimit >= 0 &&
+		(s.Chunks == nil || s.Chunks.valid() && s.Length == -1)
 }
--- a/internal/http1/transfer_receive.go
+++ b/internal/http1/transfer_receive.go
@@ -35,15 +35,15 @@
 
 // acceptTransfer implements handover.Take: it reserves what a transferred connection needs.
 func (s *Server) acceptTransfer(state []byte, conns []net.Conn) (start, drop func(), ok bool) {
-	var p connTransfer
-	if err := json.Unmarshal(state, &p); err != nil || p.Version != transferVersion || !p.validFor(conns) {
-		s.log.Warn("handover.declined", zap.Int("version", p.Version), zap.Int("connections", len(conns)), zap.Error(err))
+	var transfer connTransfer
+	if err := json.Unmarshal(state, &transfer); err != nil || transfer.Version != transferVersion || !transfer.validFor(conns) {
+		s.log.Warn("handover.declined", zap.Int("version", transfer.Version), zap.Int("connections", len(conns)), zap.Error(err))
 		return nil, nil, false
 	}
-	if p.State != nil {
-		return func() { s.loop.ApplyHandoverUpdate(p.State) }, func() {}, true
+	if transfer.State != nil {
+		return func() { s.loop.ApplyHandoverUpdate(transfer.State) }, func() {}, true
 	}
-	c := &downstreamConn{Conn: conns[0], tracker: &s.clients, since: time.Now(), readAhead: p.Input}
+	c := &downstreamConn{Conn: conns[0], tracker: &s.clients, since: time.Now(), readAhead: transfer.Input}
 	if !s.lifecycle.CanServe() || !s.clients.adopt(c) {
 		return nil, nil, false
 	}
@@ -58,12 +58,12 @@
 		}
 	}
 	switch {
-	case p.Upload != nil:
-		return func() { go s.serveUpload(c, p.Upload, conns[1]) }, drop, true
-	case p.Relay == nil:
+	case transfer.Upload != nil:
+		return func() { go s.serveUpload(c, transfer.Upload, conns[1]) }, drop, true
+	case transfer.Relay == nil:
 		return func() { go s.serveTransferred(c) }, drop, true
 	}
-	l := s.resumeRelay(c, p.Relay, conns[1:])
+	l := s.resumeRelay(c, transfer.Relay, conns[1:])
 	return func() { go s.serveRelay(c, l, conns[1:]) }, drop, true
 }
 
@@ -74,14 +74,14 @@
 	if state.Finished {
 		return l
 	}
-	up := newUpstreamConn(upstream[0], core.NewEndpoint(0, upstream[0].RemoteAddr().String()))
-	up.readAhead, up.readLimit = state.Input, state.ReadLimit
-	l.source = up
-	l.body = &responseBody{conn: up, reader: up.reader, length: state.Length, maxLength: maxStreamedBody, read: state.Read,
+	conn := newUpstreamConn(upstream[0], core.NewEndpoint(0, upstream[0].RemoteAddr().String()))
+	conn.readAhead, conn.readLimit = state.Input, state.ReadLimit
+	l.source = conn
+	l.body = &responseBody{conn: conn, reader: conn.reader, length: state.Length, maxLength: maxStreamedBody, read: state.Read,
 		untilClose: state.UntilClose}
 	if state.Chunks != nil {
 		l.body.chunks = state.Chunks
-		l.body.chunks.r = up.reader
+		l.body.chunks.r = conn.reader
 		l.body.reader = l.body.chunks
 	}
 	return l
@@ -98,8 +98,8 @@
 	defer c.terminate()
 	w := &reply{client: c}
 	keepAlive := w.relay(l)
-	for _, up := range upstream {
-		up.Close()
+	for _, conn := range upstream {
+		conn.Close()
 		s.loop.ReleaseConn()
 	}
 	s.serveAfterAnswer(c, w, keepAlive, nil)
@@ -124,12 +124,12 @@
 	c.beginServing()
 	c.enforceRate()
 	host := &resumedHost{server: s, answer: req.Answered}
-	e := core.NewEndpoint(0, upstream.RemoteAddr().String())
-	a := core.NewAttempt(req.Call, e, 0, host)
+	endpoint := core.NewEndpoint(0, upstream.RemoteAddr().String())
+	a := core.NewAttempt(req.Call, endpoint, 0, host)
 	s.loop.AdoptAttempt(a)
 	go func() {
 		defer a.Close()
-		res := newAttempt(a, s.network).exchangeOver(newUpstreamConn(upstream, e), s.memory)
+		res := newAttempt(a, s.network).exchangeOver(newUpstreamConn(upstream, endpoint), s.memory)
 		if res.conn != nil {
 			res.conn.Close()
 		}
--- a/internal/http1/transfer_send.go
+++ b/internal/http1/transfer_send.go
@@ -50,25 +50,25 @@
 // transferConn transfers a client's connection to the successor, together with an endpoint's
 // connection unless that is nil. A successor that does not answer in time may have a copy of the
 // connection.
-func (s *Server) transferConn(c *downstreamConn, p connTransfer, upstream *upstreamConn) error {
-	raw := []net.Conn{c.Conn}
+func (s *Server) transferConn(c *downstreamConn, transfer connTransfer, upstream *upstreamConn) error {
+	conns := []net.Conn{c.Conn}
 	if upstream != nil {
-		raw = append(raw, upstream.Conn)
+		conns = append(conns, upstream.Conn)
 	}
-	err := s.sendToSuccessor(p, raw...)
+	err := s.sendToSuccessor(transfer, conns...)
 	c.maybeShared.Store(err != nil && !errors.Is(err, handover.ErrDeclined))
 	return err
 }
 
 // sendToSuccessor sends a transfer and its connections to the successor. Without an error they
 // belong to the successor.
-func (s *Server) sendToSuccessor(p connTransfer, raw ...net.Conn) error {
-	p.Version = transferVersion
-	state, err := json.Marshal(p)
+func (s *Server) sendToSuccessor(transfer connTransfer, conns ...net.Conn) error {
+	transfer.Version = transferVersion
+	state, err := json.Marshal(transfer)
 	if err != nil {
 		return err
 	}
-	err = (*s.successor.Load()).Pass(state, raw...)
+	err = (*s.successor.Load()).Pass(state, conns...)
 	if err != nil && !errors.Is(err, handover.ErrDeclined) {
 		s.log.Warn("handover.transfer_failed", zap.Error(err))
 	}
@@ -130,7 +130,13 @@
 		if !s.hasSuccessor() {
 			return handover.ErrNoReceiver
 		}
-		state := &relayState{Pending: l.pending, Chunked: l.chunked, HTTP10: l.http10, KeepAlive: l.keepAlive, Finished: l.body.finished}
+		state := &relayState{
+			Pending:   l.pending,
+			Chunked:   l.chunked,
+			HTTP10:    l.http10,
+			KeepAlive: l.keepAlive,
+			Finished:  l.body.finished,
+		}
 		var upstream *upstreamConn
 		if !l.body.finished {
 			upstream = l.body.conn
@@ -150,8 +156,17 @@
 			return handover.ErrNoReceiver
 		}
 		u := req.upload
-		state := &uploadState{ID: string(req.ID), AnswerTimeout: a.Call.Remaining, HTTP10: w.http10, KeepAlive: w.keepAlive, Pending: u.pending,
-			Received: u.received, Length: u.body.length, Remaining: u.body.remaining, Chunks: u.body.chunks}
+		state := &uploadState{
+			ID:            string(req.ID),
+			AnswerTimeout: a.Call.Remaining,
+			HTTP10:        w.http10,
+			KeepAlive:     w.keepAlive,
+			Pending:       u.pending,
+			Received:      u.received,
+			Length:        u.body.length,
+			Remaining:     u.body.remaining,
+			Chunks:        u.body.chunks,
+		}
 		return s.transferConn(u.client, connTransfer{Input: unreadInput(u.client, r), Upload: state}, c)
 	}
 }
--- a/internal/http1/transfer_state.go
+++ b/internal/http1/transfer_state.go
@@ -8,18 +8,32 @@
 	"dykering/internal/handover"
 )
 
+// startSendingState runs sendState in a goroutine. The returned function ends it and waits for its
+// last update.
+func (s *Server) startSendingState() (stop func()) {
+	done, sent := make(chan struct{}), make(chan struct{})
+	go func() {
+		defer close(sent)
+		s.sendState(done)
+	}()
+	return func() {
+		close(done)
+		<-sent
+	}
+}
+
 // sendState sends the successor what this process has learnt, and until done is closed how many
 // requests it has in flight. A successor of a release without this message declines it, and is sent
 // no more.
 func (s *Server) sendState(done <-chan struct{}) {
-	tick := time.NewTicker(core.HandoverInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(core.HandoverInterval)
+	defer ticker.Stop()
 	for first, last := true, false; ; first = false {
-		w := core.HandoverUpdate{}
+		update := core.HandoverUpdate{}
 		if !last {
-			w = s.loop.HandoverUpdate(first)
+			update = s.loop.HandoverUpdate(first)
 		}
-		if err := s.sendToSuccessor(connTransfer{State: &w}); err != nil {
+		if err := s.sendToSuccessor(connTransfer{State: &update}); err != nil {
 			if errors.Is(err, handover.ErrDeclined) {
 				s.log.Info("handover.state_declined")
 			}
@@ -29,9 +43,9 @@
 			return
 		}
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-done:
-			last = true // nothing is in flight here any more
+			last = true // the empty update: nothing is in flight here any more
 		}
 	}
 }
--- a/internal/http1/upstream.go
+++ b/internal/http1/upstream.go
@@ -53,7 +53,7 @@
 	t.phaseEntries = &u.phaseEntries
 	t.enterPhase(core.PhaseConnecting)
 	res := t.run(c, u.connectTimeout, u.memory)
-	outcome := core.Result{Status: res.status, Elapsed: res.took, Load: res.load, NotReplayable: res.consumed}
+	outcome := core.Result{Status: res.status, Elapsed: res.elapsed, Load: res.load, NotReplayable: res.consumed}
 	if res.conn != nil {
 		outcome.Conn = res.conn
 	}
@@ -88,13 +88,20 @@
 
 // newAttempt returns an attempt for a call whose message is a forwarded request.
 func newAttempt(a *core.Attempt, n Network) *attempt {
-	return &attempt{Attempt: a, network: n, request: a.Call.Message.(*forwardedRequest), maxBody: maxStreamedBody, fullySent: make(chan struct{}), watcher: newAnswerWatcher()}
+	return &attempt{
+		Attempt:   a,
+		network:   n,
+		request:   a.Call.Message.(*forwardedRequest),
+		maxBody:   maxStreamedBody,
+		fullySent: make(chan struct{}),
+		watcher:   newAnswerWatcher(),
+	}
 }
 
 // result is how an attempt ended.
 type result struct {
 	status   decision.Status
-	took     time.Duration
+	elapsed  time.Duration
 	response *response
 	load     *decision.Load
 	// The connection if it can carry another attempt; else nil.
@@ -108,8 +115,8 @@
 // written. When run returns, the connection is either closed or idle, so the balancer may retry.
 func (a *attempt) run(c *upstreamConn, connectTimeout time.Duration, memory *core.Memory) (res result) {
 	defer func() {
-		if res.took == 0 {
-			res.took = a.Elapsed()
+		if res.elapsed == 0 {
+			res.elapsed = a.Elapsed()
 		}
 	}()
 	if c != nil {
--- a/internal/http1/upstream_body.go
+++ b/internal/http1/upstream_body.go
@@ -32,8 +32,8 @@
 
 // newResponseBody determines how a body is framed (RFC 9112, section 6.3). Contradictory or invalid
 // lengths are errMalformed.
-func newResponseBody(c *upstreamConn, code int, header textproto.MIMEHeader, longest int64) (*responseBody, error) {
-	b := &responseBody{conn: c, reader: c.reader, maxLength: longest}
+func newResponseBody(c *upstreamConn, code int, header textproto.MIMEHeader, maxLength int64) (*responseBody, error) {
+	b := &responseBody{conn: c, reader: c.reader, maxLength: maxLength}
 	lengths, codings := header["Content-Length"], header["Transfer-Encoding"]
 	switch {
 	case code == http.StatusNoContent || code == http.StatusNotModified:
@@ -45,7 +45,7 @@
 		if err != nil {
 			return nil, errMalformed
 		}
-		if n > uint64(longest) {
+		if n > uint64(maxLength) {
 			return nil, errTooLarge
 		}
 		b.length = int64(n)
@@ -56,7 +56,7 @@
 	}
 	// Beside the data, the framing of chunks is read: the limit allows as many bytes for it as for the
 	// data. chunkedReader.Digest bounds extensions and the trailer section.
-	c.readLimit = int(2*longest) + maxResponseHead
+	c.readLimit = int(2*maxLength) + maxResponseHead
 	b.finished = b.length == 0
 	return b, nil
 }
@@ -80,9 +80,9 @@
 	case eof && b.length >= 0:
 		err = io.ErrUnexpectedEOF
 	case eof && b.chunks != nil:
-		trailer, fault := b.chunks.trailer()
-		if fault != nil {
-			return n, fault
+		trailer, trailerErr := b.chunks.trailer()
+		if trailerErr != nil {
+			return n, trailerErr
 		}
 		removeHopByHop(trailer)
 		// A parser that merges trailers into the head would have two lengths (RFC 9110, section 6.5.1).
@@ -99,7 +99,7 @@
 func (b *responseBody) discard() error {
 	buffer := make([]byte, 512)
 	for until := time.Now().Add(discardTimeout); !b.finished && !b.untilClose && b.read < maxBufferedBody; {
-		if came, err := b.conn.awaitReadable(until); !came {
+		if readable, err := b.conn.awaitReadable(until); !readable {
 			return err
 		}
 		if _, err := b.Read(buffer); err != nil && !errors.Is(err, io.EOF) {
--- a/internal/http1/upstream_conn.go
+++ b/internal/http1/upstream_conn.go
@@ -74,7 +74,7 @@
 // without an error if neither happened until the given time. Its error is final: to look at a
 // socket clears its pending error, and a read after it would return an end of input in place of a
 // reset.
-func (c *upstreamConn) awaitReadable(until time.Time) (came bool, err error) {
+func (c *upstreamConn) awaitReadable(until time.Time) (readable bool, err error) {
 	if c.reader.Buffered() > 0 || !canPeek(c.Conn) {
 		return true, nil
 	}
--- a/internal/http1/upstream_response.go
+++ b/internal/http1/upstream_response.go
@@ -84,7 +84,7 @@
 	}
 	if res.response != nil && res.response.rest != nil {
 		// The relay uses the connection until it ends.
-		if res.took, err = a.relayBody(res.response); err != nil {
+		if res.elapsed, err = a.relayBody(res.response); err != nil {
 			return res, err
 		}
 	}
@@ -100,7 +100,8 @@
 
 // readBody reads the body of a successful response: all of it if it is short and is received at
 // once, else its beginning.
-func (a *attempt) readBody(c *upstreamConn, body *responseBody, header textproto.MIMEHeader, memory *core.Memory) (*response, error) {
+func (a *attempt) readBody(c *upstreamConn, body *responseBody, header textproto.MIMEHeader,
+	memory *core.Memory) (*response, error) {
 	r := &response{header: http.Header(header), memory: memory}
 	limit := maxBufferedBody
 	if body.length >= 0 {
@@ -116,11 +117,11 @@
 	bufferUntil := time.Now().Add(bufferTimeout)
 	for !body.finished && (!streamed || len(r.body) == 0) {
 		if body.length < 0 && len(r.body) > 0 {
-			came, err := c.awaitReadable(bufferUntil)
+			readable, err := c.awaitReadable(bufferUntil)
 			if err != nil {
 				return nil, err
 			}
-			if !came {
+			if !readable {
 				break // a slow response may be a long one: it is streamed
 			}
 		}
@@ -144,10 +145,10 @@
 
 // relayBody has a streamed response relayed and returns when it has been, with the time until the
 // relay began.
-func (a *attempt) relayBody(r *response) (took time.Duration, err error) {
-	took, ok := a.StartResponse(r)
+func (a *attempt) relayBody(r *response) (elapsed time.Duration, err error) {
+	elapsed, ok := a.StartResponse(r)
 	if !ok {
-		return took, context.DeadlineExceeded
+		return elapsed, context.DeadlineExceeded
 	}
-	return took, <-r.rest.done
+	return elapsed, <-r.rest.done
 }
--- a/internal/http1/upstream_stream.go
+++ b/internal/http1/upstream_stream.go
@@ -160,25 +160,25 @@
 }
 
 // wait waits for input. It returns errTransferred if the connection now belongs to the successor.
-func (e *answerWatcher) wait(c *upstreamConn) error {
+func (w *answerWatcher) wait(c *upstreamConn) error {
 	for {
 		err := awaitInput(c.Conn)
-		e.mu.Lock()
-		pausing := e.pauseRequested
-		e.pauseRequested = false
+		w.mu.Lock()
+		pausing := w.pauseRequested
+		w.pauseRequested = false
 		if pausing {
 			c.SetReadDeadline(time.Time{})
 		}
 		interrupted := pausing && errors.Is(err, os.ErrDeadlineExceeded)
 		if !interrupted {
-			close(e.received)
+			close(w.received)
 		}
-		e.mu.Unlock()
+		w.mu.Unlock()
 		if !interrupted {
 			return nil // an error shows again when the response is read
 		}
-		e.paused <- struct{}{}
-		if !<-e.resume {
+		w.paused <- struct{}{}
+		if !<-w.resume {
 			return errTransferred
 		}
 	}
@@ -190,23 +190,23 @@
 // whileUnread calls f while nothing of the response is read. If f fails, or input has been received
 // already, the attempt goes on.
 func (a *attempt) whileUnread(c *upstreamConn, f func() error) error {
-	e := a.watcher
-	e.mu.Lock()
+	watcher := a.watcher
+	watcher.mu.Lock()
 	select {
-	case <-e.received:
-		e.mu.Unlock()
+	case <-watcher.received:
+		watcher.mu.Unlock()
 		return errAnswerBegun
 	default:
 	}
-	e.pauseRequested = true
+	watcher.pauseRequested = true
 	c.SetReadDeadline(time.Now())
-	e.mu.Unlock()
+	watcher.mu.Unlock()
 	select {
-	case <-e.received:
+	case <-watcher.received:
 		return errAnswerBegun
-	case <-e.paused:
+	case <-watcher.paused:
 	}
 	err := f()
-	e.resume <- err != nil
+	watcher.resume <- err != nil
 	return err
 }
