--- a/internal/controlplane/compat_test.go
+++ b/internal/controlplane/compatibility_test.go
@@ -8,19 +8,20 @@
 	"log/slog"
 	"os"
 	"path/filepath"
+	"reflect"
 	"strings"
 	"testing"
 
 	"dykering/internal/chain"
+	"dykering/internal/fixture"
 	"dykering/internal/fleetconfig"
-	"dykering/internal/lab/gobcompat"
 	"dykering/internal/protocol"
 	"dykering/internal/ringlog"
 	"dykering/internal/sessions"
 )
 
 // The fixtures are data directories that the build of commit bfb03d8 has written, the last one before the types were
-// renamed, and their contents as text; see compat_write_test.go.
+// renamed, and their contents as text; compatibility_write_test.go has what wrote them.
 const (
 	filledDirectory     = "testdata/data-filled"           // a record of each type, no field zero
 	filledText          = "testdata/data-filled-chain.txt" // the records of its ring of the chain
@@ -34,6 +35,9 @@
 // copyOfFixture copies a data directory of an earlier build to where a test may write.
 func copyOfFixture(t *testing.T, from string) string {
 	t.Helper()
+	if fixture.Updating() {
+		writeDataDirectories(t)
+	}
 	directory := t.TempDir()
 	if err := os.CopyFS(directory, os.DirFS(from)); err != nil {
 		t.Fatal(err)
@@ -72,7 +76,7 @@
 func renderRecords(records []any) string {
 	var text strings.Builder
 	for i, record := range records {
-		text.WriteString(gobcompat.Render(fmt.Sprintf("record %d ", i), record))
+		text.WriteString(fixture.Render(fmt.Sprintf("record %d ", i), record))
 	}
 	return text.String()
 }
@@ -83,19 +87,19 @@
 }
 
 func renderNode(node *chain.Node) string {
-	return gobcompat.Render("view ", node.View()) + gobcompat.Render("state ", node.LatestState())
+	return fixture.Render("view ", node.View()) + fixture.Render("state ", node.LatestState())
 }
 
 // Records of the chain that an earlier build has stored are read in full.
 func TestChainRecordsOfEarlierBuildAreRead(t *testing.T) {
 	records := readChain(t, copyOfFixture(t, filledDirectory))
-	gobcompat.CompareWithFile(t, filledText, renderRecords(records))
+	fixture.Text(t, filledText, renderRecords(records))
 }
 
 // A member is restored from what an earlier build has stored, with the operations of its log applied.
 func TestMemberOfEarlierBuildIsRestored(t *testing.T) {
 	records := readChain(t, copyOfFixture(t, restorableDirectory))
-	gobcompat.CompareWithFile(t, restorableText, renderNode(restoreAlone(records)))
+	fixture.Text(t, restorableText, renderNode(restoreAlone(records)))
 }
 
 // What the present code stores of the chain is what an earlier build reads: a gob stream of records, each the interface
@@ -120,7 +124,7 @@
 		}
 		decoded = append(decoded, box.Record)
 	}
-	gobcompat.CompareWithFile(t, filledText, renderRecords(decoded))
+	fixture.Text(t, filledText, renderRecords(decoded))
 }
 
 // An operation of the log is the interface value of the field Record, of the type fleetconfig.Change.
@@ -136,7 +140,7 @@
 		t.Fatal(err)
 	}
 	expected := ".Operation = \"replace\"\n.Base = 3\n.Body = 7b7d\n"
-	if got := gobcompat.Render("", box.Record); got != expected || !bytes.Contains(operation, []byte("dykering/internal/fleetconfig.Change")) {
+	if got := fixture.Render("", box.Record); got != expected || !bytes.Contains(operation, []byte("dykering/internal/fleetconfig.Change")) {
 		t.Errorf("operation is stored as %q", operation)
 	}
 }
@@ -144,7 +148,7 @@
 // Sessions that an earlier build has stored are read in full.
 func TestSessionsOfEarlierBuildAreRead(t *testing.T) {
 	records := readSessions(t, copyOfFixture(t, filledDirectory))
-	gobcompat.CompareWithFile(t, sessionsText, gobcompat.Render("sessions", records))
+	fixture.Text(t, sessionsText, fixture.Render("sessions", records))
 }
 
 // The types of an earlier build read in full the sessions that the present code stores.
@@ -153,17 +157,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := os.ReadFile(sessionsSchema)
-	if err != nil {
-		t.Fatal(err)
-	}
-	var schema gobcompat.Schema
+	text := fixture.Bytes(t, sessionsSchema, func() []byte { return encodedSchema(t, reflect.TypeFor[[]sessions.Record]()) })
+	var schema fixture.Schema
 	if err := json.Unmarshal(text, &schema); err != nil {
 		t.Fatal(err)
 	}
-	decoded, err := gobcompat.Decode(payload, &schema)
+	decoded, err := fixture.DecodeGob(payload, &schema)
 	if err != nil {
 		t.Fatal(err)
 	}
-	gobcompat.CompareWithFile(t, sessionsText, gobcompat.Render("sessions", decoded))
+	fixture.Text(t, sessionsText, fixture.Render("sessions", decoded))
 }
--- a/internal/controlplane/compat_write_test.go
+++ b/internal/controlplane/compatibility_write_test.go
@@ -1,5 +1,3 @@
-//go:build writefixtures
-
 package controlplane
 
 import (
@@ -12,8 +10,8 @@
 	"testing"
 
 	"dykering/internal/chain"
+	"dykering/internal/fixture"
 	"dykering/internal/fleetconfig"
-	"dykering/internal/lab/gobcompat"
 	"dykering/internal/protocol"
 	"dykering/internal/ringlog"
 	"dykering/internal/sessions"
@@ -22,35 +20,30 @@
 // ringFileBytes is the size of a file of a ring before what is empty of it is cut off; a start preallocates it again.
 const ringFileBytes = 64 << 10
 
-// TestWriteFixtures writes the fixtures of the data directories. It is not run to mend a failing comparison: the fixtures
-// are what an earlier build has written. Copied into an earlier build together with compat_test.go and package
-// gobcompat, it writes that build's fixtures:
-//
-//	go test -tags writefixtures -run TestWriteFixtures ./internal/controlplane
-func TestWriteFixtures(t *testing.T) {
+// writeDataDirectories writes the data directories of the fixtures.
+func writeDataDirectories(t *testing.T) {
+	t.Helper()
 	protocol.Register()
-	filler := &gobcompat.Filler{Interface: reflect.TypeFor[*fleetconfig.State]()}
-
-	files := filledRecords(filler)
-	writeChain(t, filledDirectory, files)
-	gobcompat.WriteFile(t, filledText, []byte(renderRecords(files[len(files)-1])))
-
-	writeFilledSessions(t, filler)
+	writeChain(t, filledDirectory, filledRecords())
+	writeFilledSessions(t)
+	writeChain(t, restorableDirectory, [][]any{restorableRecords(t)})
+}
 
-	restorable := restorableRecords(t)
-	writeChain(t, restorableDirectory, [][]any{restorable})
-	gobcompat.WriteFile(t, restorableText, []byte(renderNode(restoreAlone(restorable))))
+// filled makes a record without zero fields.
+func filled[Record any]() any {
+	var record Record
+	fixture.Fill(&record, fixture.Interfaces[fleetconfig.State]())
+	return record
 }
 
 // filledRecords are the records of three files. The last one has all types.
-func filledRecords(filler *gobcompat.Filler) [][]any {
-	fill := func(record any) any { return filler.New(reflect.TypeOf(record)).Interface() }
+func filledRecords() [][]any {
 	return [][]any{
-		{fill(chain.Snapshot{}), fill(chain.EntryRecord{})},
-		{fill(chain.Snapshot{}), fill(chain.LeaseRecord{})},
+		{filled[chain.Snapshot](), filled[chain.EntryRecord]()},
+		{filled[chain.Snapshot](), filled[chain.LeaseRecord]()},
 		{
-			fill(chain.Snapshot{}), fill(chain.EntryRecord{}), fill(chain.EntryRecord{}), fill(chain.PromiseRecord{}),
-			fill(chain.AcceptRecord{}), fill(chain.LeaseRecord{}), fill(chain.InstallRecord{}), fill(chain.EntryRecord{}),
+			filled[chain.Snapshot](), filled[chain.EntryRecord](), filled[chain.EntryRecord](), filled[chain.PromiseRecord](),
+			filled[chain.AcceptRecord](), filled[chain.LeaseRecord](), filled[chain.InstallRecord](), filled[chain.EntryRecord](),
 		},
 	}
 }
@@ -101,26 +94,30 @@
 	}
 }
 
-func writeFilledSessions(t *testing.T, filler *gobcompat.Filler) {
+// writeFilledSessions writes a snapshot of sessions to each file.
+func writeFilledSessions(t *testing.T) {
 	t.Helper()
 	options := ringlog.Options{Directory: filepath.Join(filledDirectory, "sessions"), Files: sessionFiles, FileSize: ringFileBytes}
 	ring := openEmpty(t, options)
 	defer trim(t, options.Directory)
 	defer ring.Close()
-	of := reflect.TypeFor[[]sessions.Record]()
-	records := filler.New(of).Interface().([]sessions.Record)
+	var records []sessions.Record
+	fixture.Fill(&records)
 	store := sessionStore{ring: ring}
 	for range sessionFiles {
 		if err := store.write(records); err != nil {
 			t.Fatal(err)
 		}
 	}
-	gobcompat.WriteFile(t, sessionsText, []byte(gobcompat.Render("sessions", records)))
-	text, err := json.Marshal(gobcompat.SchemaOf(of))
+}
+
+func encodedSchema(t *testing.T, of reflect.Type) []byte {
+	t.Helper()
+	text, err := json.Marshal(fixture.SchemaOf(of))
 	if err != nil {
 		t.Fatal(err)
 	}
-	gobcompat.WriteFile(t, sessionsSchema, append(text, '\n'))
+	return append(text, '\n')
 }
 
 func openEmpty(t *testing.T, options ringlog.Options) *ringlog.Ring {
@@ -147,6 +144,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		gobcompat.WriteFile(t, path, bytes.TrimRight(content, "\x00"))
+		if err := os.WriteFile(path, bytes.TrimRight(content, "\x00"), 0o644); err != nil {
+			t.Fatal(err)
+		}
 	}
 }
--- a/internal/protocol/compat_test.go
+++ b/internal/protocol/compatibility_test.go
@@ -6,18 +6,17 @@
 	"encoding/gob"
 	"encoding/json"
 	"net"
-	"os"
 	"reflect"
 	"strings"
 	"testing"
 	"time"
 
-	"dykering/internal/lab/gobcompat"
+	"dykering/internal/fixture"
+	"dykering/internal/fleetconfig"
 	"dykering/internal/peerlink"
 )
 
-// The fixtures were written by the build of commit bfb03d8, the last one before the types were renamed; see
-// compat_write_test.go.
+// The fixtures were written by the build of commit bfb03d8, the last one before the types were renamed.
 const (
 	streamFile   = "testdata/messages.peerlink"    // one message of each registered type, as a connection carries them
 	renderedFile = "testdata/messages.txt"         // what the messages hold
@@ -79,23 +78,31 @@
 	var text strings.Builder
 	for _, message := range messages {
 		text.WriteString(typeName(message) + "\n")
-		text.WriteString(gobcompat.Render("\t", message))
+		text.WriteString(fixture.Render("\t", message))
 	}
 	return text.String()
 }
 
 // schema is the structure of a registered type.
 type schema struct {
-	Name   string           `json:"name"`
-	Schema gobcompat.Schema `json:"schema"`
+	Name   string         `json:"name"`
+	Schema fixture.Schema `json:"schema"`
 }
 
+// schemas reads the structures of the registered types.
 func schemas(t *testing.T) []schema {
 	t.Helper()
-	text, err := os.ReadFile(schemasFile)
-	if err != nil {
-		t.Fatal(err)
-	}
+	text := fixture.Bytes(t, schemasFile, func() []byte {
+		var lines []string
+		for _, registered := range registeredTypes {
+			line, err := json.Marshal(schema{Name: registered.name, Schema: fixture.SchemaOf(reflect.TypeOf(registered.value))})
+			if err != nil {
+				t.Fatal(err)
+			}
+			lines = append(lines, string(line))
+		}
+		return []byte("[\n" + strings.Join(lines, ",\n") + "\n]\n")
+	})
 	var all []schema
 	if err := json.Unmarshal(text, &all); err != nil {
 		t.Fatal(err)
@@ -103,19 +110,26 @@
 	return all
 }
 
+// filledMessages makes a message of each registered type.
+func filledMessages() []any {
+	var messages []any
+	for _, registered := range registeredTypes {
+		message := reflect.New(reflect.TypeOf(registered.value))
+		fixture.Fill(message.Interface(), fixture.Interfaces[fleetconfig.State]())
+		messages = append(messages, message.Elem().Interface())
+	}
+	return messages
+}
+
 func fixtureMessages(t *testing.T) []any {
 	t.Helper()
 	Register()
-	stream, err := os.ReadFile(streamFile)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return receiveAll(t, stream)
+	return receiveAll(t, fixture.Bytes(t, streamFile, func() []byte { return sendAll(t, filledMessages()) }))
 }
 
 // Messages of an earlier build are read in full.
 func TestMessagesOfEarlierBuildAreRead(t *testing.T) {
-	gobcompat.CompareWithFile(t, renderedFile, renderAll(fixtureMessages(t)))
+	fixture.Text(t, renderedFile, renderAll(fixtureMessages(t)))
 }
 
 // The types of an earlier build read in full what the present types encode.
@@ -123,15 +137,15 @@
 	messages := fixtureMessages(t)
 	var text strings.Builder
 	for i, earlier := range schemas(t) {
-		decoded, err := gobcompat.Recode(messages[i], &earlier.Schema)
+		decoded, err := fixture.RecodeGob(messages[i], &earlier.Schema)
 		if err != nil {
 			t.Errorf("%s: %v", earlier.Name, err)
 			continue
 		}
 		text.WriteString(earlier.Name + "\n")
-		text.WriteString(gobcompat.Render("\t", decoded))
+		text.WriteString(fixture.Render("\t", decoded))
 	}
-	gobcompat.CompareWithFile(t, renderedFile, text.String())
+	fixture.Text(t, renderedFile, text.String())
 }
 
 // The frames of the present code are those that an earlier build reads: a length, and the part of one gob stream that has
@@ -158,5 +172,5 @@
 		}
 		decoded = append(decoded, box.Body)
 	}
-	gobcompat.CompareWithFile(t, renderedFile, renderAll(decoded))
+	fixture.Text(t, renderedFile, renderAll(decoded))
 }
