--- a/internal/protocol/registry.go
+++ b/internal/protocol/registry.go
@@ -17,9 +17,9 @@
 //
 // The names are part of the wire format and of the disk format: gob writes them with each interface value and finds the
 // type to decode by them. They are the names under which gob.Register registered the types at first: the import path and
-// the name of the type at that time, or, for a pointer, only the name of the package. They stay as they are when a type
-// or a package is renamed or moved. The same holds for the names of the exported fields of all these types, and of the
-// types that they contain: gob matches fields by name.
+// the name of the type at that time, or, for a pointer, only the name of the package. This package was then named feed.
+// They stay as they are when a type or a package is renamed or moved. The same holds for the names of the exported fields
+// of all these types, and of the types that they contain: gob matches fields by name.
 var registeredTypes = []registeredType{
 	// Messages between members of the core.
 	{"dykering/internal/chain.Ping", chain.Ping{}},
