--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -17,24 +17,24 @@
 const testTimeout = 20 * time.Second
 
 // link is a connection in memory.
-type link struct {
+type memoryConn struct {
 	PoolEntry
 	closed bool
 }
 
-func (l *link) Close() error { l.closed = true; return nil }
-func (l *link) Alive() bool  { return !l.closed }
+func (l *memoryConn) Close() error { l.closed = true; return nil }
+func (l *memoryConn) Alive() bool  { return !l.closed }
 
 // said is a response in memory.
-type said struct {
+type textResponse struct {
 	text      string
 	discarded chan string
 }
 
-func (s said) Discard() { s.discarded <- s.text }
+func (s textResponse) Discard() { s.discarded <- s.text }
 
 // bench is a loop between a front and an upstream that are the test's.
-type bench struct {
+type testLoop struct {
 	t         *testing.T
 	loop      *Loop
 	send      func(a *Attempt, n int) Result // the upstream; n counts the sends of a call from 1
@@ -45,39 +45,39 @@
 	asked []string // of the discovery
 }
 
-func (b *bench) Send(a *Attempt, over Conn) Result {
+func (b *testLoop) Send(a *Attempt, over Conn) Result {
 	b.mu.Lock()
 	b.sends[a.Call.ID] = append(b.sends[a.Call.ID], a)
 	n := len(b.sends[a.Call.ID])
 	b.mu.Unlock()
 	res := b.send(a, n)
 	if res.Conn = over; over == nil {
-		res.Conn = &link{}
+		res.Conn = &memoryConn{}
 	}
 	return res
 }
 
 // lister is a Discovery that notes what it is asked for.
-type lister struct {
-	b       *bench
+type recordingDiscovery struct {
+	b       *testLoop
 	address string
 }
 
-func (l *lister) note(what string) {
+func (l *recordingDiscovery) record(what string) {
 	l.b.mu.Lock()
 	defer l.b.mu.Unlock()
 	l.b.asked = append(l.b.asked, l.address+" "+what)
 }
-func (l *lister) Watch(*uint64) { l.note("watch") }
-func (l *lister) Stop()         { l.note("stop") }
-func (l *lister) Fetch()        { l.note("fetch") }
+func (l *recordingDiscovery) Watch(*uint64) { l.record("watch") }
+func (l *recordingDiscovery) Stop()         { l.record("stop") }
+func (l *recordingDiscovery) Fetch()        { l.record("fetch") }
 
 const read, once, keyed = 0, 1, 2
 
 // newBench starts a loop that knows some endpoints.
-func newBench(t *testing.T, send func(a *Attempt, n int) Result, targets ...Target) *bench {
+func newTestLoop(t *testing.T, send func(a *Attempt, n int) Result, targets ...Target) *testLoop {
 	t.Helper()
-	b := &bench{t: t, send: send, sends: map[decision.RequestID][]*Attempt{}, discarded: make(chan string, 100)}
+	b := &testLoop{t: t, send: send, sends: map[decision.RequestID][]*Attempt{}, discarded: make(chan string, 100)}
 	class := decision.Class{LatencyTarget: 9 * time.Second, Deadline: 10 * time.Second, Value: 1}
 	safe, unsafe, withKey := class, class, class
 	withKey.Name, withKey.Effect, withKey.Scope, withKey.Window = "keyed", decision.Keyed, decision.ScopeAll, 4*time.Second
@@ -87,7 +87,7 @@
 		OverloadWindow: time.Second, MaxRetryAfter: time.Second, Classes: []decision.Class{safe, unsafe, withKey}}}
 	l, err := New(Config{Settings: s, Limits: Limits{MemoryMB: 64, Sockets: 1024}, DiscoveryAddress: "first",
 		CachedList: List{Rev: 1, Full: true, Targets: targets}}, b,
-		func(address string, _ Sink) Discovery { return &lister{b, address} })
+		func(address string, _ Sink) Discovery { return &recordingDiscovery{b, address} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,25 +96,25 @@
 	return b
 }
 
-func (b *bench) served(text string) Result {
-	return Result{Status: decision.OK, Elapsed: 5 * time.Millisecond, Response: said{text, b.discarded}}
+func (b *testLoop) served(text string) Result {
+	return Result{Status: decision.OK, Elapsed: 5 * time.Millisecond, Response: textResponse{text, b.discarded}}
 }
 
 // ask brings a call.
-func (b *bench) ask(id string, class int) *Call {
+func (b *testLoop) submit(id string, class int) *Call {
 	c := NewCall(decision.Request{ID: decision.RequestID(id), Class: class, Remaining: 10 * time.Second}, id)
 	b.loop.Submit(c, time.Now())
 	return c
 }
 
 // final waits for a call's answer, and tells what sort it is.
-func (b *bench) final(c *Call) string {
+func (b *testLoop) final(c *Call) string {
 	b.t.Helper()
 	select {
 	case a := <-c.Answered:
 		switch {
 		case a.Response != nil:
-			return a.Response.(said).text
+			return a.Response.(textResponse).text
 		case a.Retryable:
 			return "refused"
 		}
@@ -126,7 +126,7 @@
 }
 
 // until waits for something that shows in what the loop holds.
-func (b *bench) until(what string, done func(Stats) bool) {
+func (b *testLoop) waitFor(what string, done func(Stats) bool) {
 	b.t.Helper()
 	for end := time.Now().Add(testTimeout); !done(b.loop.Stats()); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -137,7 +137,7 @@
 
 // Every way in which an attempt can end has one final answer, repeats only as the class allows, and leaves nothing
 // behind.
-func TestOutcomes(t *testing.T) {
+func TestEachOutcomeGivesOneAnswer(t *testing.T) {
 	for name, tc := range map[string]struct {
 		first      Result
 		read, once string // final answer, and
@@ -156,18 +156,18 @@
 		"error, spent":   {Result{Status: decision.Error, NotReplayable: true}, "refused", "failed", 1, 1},
 	} {
 		for class, want := range []string{tc.read, tc.once} {
-			b := newBench(t, nil, ready("s-1", 0), ready("s-2", 0))
+			b := newTestLoop(t, nil, ready("s-1", 0), ready("s-2", 0))
 			b.send = func(a *Attempt, n int) Result {
 				if n == 1 {
 					return tc.first
 				}
 				return b.served("again")
 			}
-			c := b.ask(fmt.Sprint(name, class), class)
+			c := b.submit(fmt.Sprint(name, class), class)
 			if got := b.final(c); got != want {
 				t.Errorf("%s, class %d: %s, want %s", name, class, got, want)
 			}
-			b.until("it is forgotten", func(s Stats) bool { return s.Calls+s.Attempts == 0 && s.Conns == s.IdleConns })
+			b.waitFor("it is forgotten", func(s Stats) bool { return s.Calls+s.Attempts == 0 && s.Conns == s.IdleConns })
 			b.mu.Lock()
 			if got, most := len(b.sends[c.ID]), []int{tc.reads, tc.onces}[class]; got != most {
 				t.Errorf("%s, class %d: %d attempts, want %d", name, class, got, most)
@@ -178,11 +178,11 @@
 }
 
 // A repeat of a keyed call that may have run is told by when its last byte must be out; nothing else is.
-func TestRepeatsAreOutWithinTheirWindow(t *testing.T) {
+func TestKeyedRetryHasSendBound(t *testing.T) {
 	for _, class := range []int{read, keyed} {
-		b := newBench(t, nil, ready("s-1", 0), ready("s-2", 0))
+		b := newTestLoop(t, nil, ready("s-1", 0), ready("s-2", 0))
 		b.send = func(a *Attempt, n int) Result { return []Result{{Status: decision.Error}, b.served("again")}[n-1] }
-		c := b.ask("x", class)
+		c := b.submit("x", class)
 		if got := b.final(c); got != "again" {
 			t.Error(got)
 		}
@@ -195,13 +195,13 @@
 }
 
 // An answer that is given at once, or whose end is still to come, is the call's; what nobody wants is let go of.
-func TestResponses(t *testing.T) {
+func TestResponseIsDeliveredOrDiscarded(t *testing.T) {
 	goOn := make(chan bool)
-	b := newBench(t, nil, ready("s-1", 0))
+	b := newTestLoop(t, nil, ready("s-1", 0))
 	b.send = func(a *Attempt, n int) Result {
 		switch a.Call.Message {
 		case "long":
-			if _, ok := a.StartResponse(said{"begun", b.discarded}); !ok {
+			if _, ok := a.StartResponse(textResponse{"begun", b.discarded}); !ok {
 				t.Error("out of time")
 			}
 			<-goOn
@@ -212,46 +212,46 @@
 		}
 		return b.served("whole")
 	}
-	if got := b.final(b.ask("short", once)); got != "whole" {
+	if got := b.final(b.submit("short", once)); got != "whole" {
 		t.Error(got)
 	}
-	if got := b.final(b.ask("long", once)); got != "begun" {
+	if got := b.final(b.submit("long", once)); got != "begun" {
 		t.Error(got)
 	}
-	b.until("it is still under way", func(s Stats) bool { return s.Calls == 1 && s.Attempts == 1 })
+	b.waitFor("it is still under way", func(s Stats) bool { return s.Calls == 1 && s.Attempts == 1 })
 	goOn <- true
-	left := b.ask("left", once)
-	b.until("it is out", func(s Stats) bool { return s.Attempts == 1 })
+	left := b.submit("left", once)
+	b.waitFor("it is out", func(s Stats) bool { return s.Attempts == 1 })
 	b.loop.Abandon(left)
 	if got := <-b.discarded; got != "too late" {
 		t.Error(got)
 	}
-	b.until("all is forgotten", func(s Stats) bool { return s.Calls+s.Attempts == 0 })
+	b.waitFor("all is forgotten", func(s Stats) bool { return s.Calls+s.Attempts == 0 })
 	if len(left.Answered) > 0 {
 		t.Error("a client that has gone gets an answer")
 	}
 }
 
 // An id that is taken, or was a moment ago, gets an answer that promises nothing, and never runs.
-func TestTwoIDsAlike(t *testing.T) {
+func TestRepeatedIDIsAnsweredWithoutPromise(t *testing.T) {
 	goOn := make(chan bool)
-	b := newBench(t, nil, ready("s-1", 0))
+	b := newTestLoop(t, nil, ready("s-1", 0))
 	b.send = func(a *Attempt, n int) Result { <-goOn; return b.served("ok") }
-	first := b.ask("x", read)
-	if got := b.final(b.ask("x", read)); got != "failed" {
+	first := b.submit("x", read)
+	if got := b.final(b.submit("x", read)); got != "failed" {
 		t.Error(got)
 	}
 	goOn <- true
 	if got := b.final(first); got != "ok" {
 		t.Error(got)
 	}
-	b.until("it is forgotten", func(s Stats) bool { return s.Calls == 0 })
-	if got := b.final(b.ask("x", read)); got != "failed" || len(b.sends["x"]) != 1 {
+	b.waitFor("it is forgotten", func(s Stats) bool { return s.Calls == 0 })
+	if got := b.final(b.submit("x", read)); got != "failed" || len(b.sends["x"]) != 1 {
 		t.Errorf("%s after %d sends", got, len(b.sends["x"]))
 	}
 	var held []*Call
 	for i := range 51 {
-		held = append(held, b.ask(fmt.Sprint(i), read))
+		held = append(held, b.submit(fmt.Sprint(i), read))
 	}
 	if got := b.final(held[50]); got != "refused" {
 		t.Errorf("beyond the cap: %s", got)
@@ -263,9 +263,9 @@
 }
 
 // A call whose client has gone is called off, at once, and forgotten.
-func TestLapse(t *testing.T) {
+func TestAbandonedCallIsCancelledAndForgotten(t *testing.T) {
 	out, calledOff := make(chan bool, 1), make(chan bool, 1)
-	b := newBench(t, func(a *Attempt, n int) Result {
+	b := newTestLoop(t, func(a *Attempt, n int) Result {
 		out <- true
 		select {
 		case <-a.Ctx.Done():
@@ -275,18 +275,18 @@
 		}
 		return Result{Status: decision.Cancelled}
 	}, ready("s-1", 0))
-	c := b.ask("1", once)
+	c := b.submit("1", once)
 	<-out
 	b.loop.Abandon(c)
 	if !<-calledOff {
 		t.Error("its client has gone, and the attempt goes on")
 	}
-	b.until("the call is forgotten", func(s Stats) bool { return s.Calls == 0 })
+	b.waitFor("the call is forgotten", func(s Stats) bool { return s.Calls == 0 })
 }
 
 // At the end of its process a call is answered, and what is out is called off.
-func TestLeave(t *testing.T) {
-	b := newBench(t, nil, ready("s-1", 0))
+func TestDrainAnswersCallsAndCancelsAttempts(t *testing.T) {
+	b := newTestLoop(t, nil, ready("s-1", 0))
 	b.send = func(a *Attempt, n int) Result {
 		<-a.Ctx.Done()
 		if !errors.Is(context.Cause(a.Ctx), context.Canceled) {
@@ -294,8 +294,8 @@
 		}
 		return Result{Status: decision.Cancelled}
 	}
-	calls := []*Call{b.ask("r", read), b.ask("o", once)}
-	b.until("they are out", func(s Stats) bool { return s.Attempts == 2 })
+	calls := []*Call{b.submit("r", read), b.submit("o", once)}
+	b.waitFor("they are out", func(s Stats) bool { return s.Attempts == 2 })
 	end := time.Now().Add(50 * time.Millisecond)
 	b.loop.Drain(end, true)
 	for i, want := range []string{"refused", "failed"} {
@@ -303,32 +303,32 @@
 			t.Errorf("%s, want %s at the end", got, want)
 		}
 	}
-	if got := b.final(b.ask("late", read)); got != "refused" {
+	if got := b.final(b.submit("late", read)); got != "refused" {
 		t.Error(got)
 	}
 }
 
 // What an endpoint has when it drains it may end; it gets nothing new, and no connection to it is kept.
-func TestDrain(t *testing.T) {
+func TestDrainingEndpointKeepsCallsAndLosesIdleConnections(t *testing.T) {
 	goOn := make(chan bool)
-	b := newBench(t, nil, ready("s-1", 0))
+	b := newTestLoop(t, nil, ready("s-1", 0))
 	b.send = func(a *Attempt, n int) Result {
 		if a.Call.ID == "slow" {
 			<-goOn
 		}
 		return b.served(a.Endpoint.Address)
 	}
-	slow := b.ask("slow", once)
-	b.final(b.ask("quick", once))
-	b.until("one is idle", func(s Stats) bool { return s.IdleConns == 1 && s.Attempts == 1 })
+	slow := b.submit("slow", once)
+	b.final(b.submit("quick", once))
+	b.waitFor("one is idle", func(s Stats) bool { return s.IdleConns == 1 && s.Attempts == 1 })
 	drains, other := ready("s-1", 0), ready("s-2", 0)
 	drains.State, other.Address = "Terminating", "127.0.0.1:10"
 	b.loop.Post(func() {
 		b.loop.ListReceived(b.loop.discovery, List{Rev: 2, Targets: []Target{drains, other}}, FromWatch)
 	})
-	b.until("it is taken in", func(s Stats) bool { return s.Revision == 2 && s.IdleConns == 0 })
+	b.waitFor("it is taken in", func(s Stats) bool { return s.Revision == 2 && s.IdleConns == 0 })
 	for i := range 9 {
-		if got := b.final(b.ask(fmt.Sprint(i), read)); got != other.Address {
+		if got := b.final(b.submit(fmt.Sprint(i), read)); got != other.Address {
 			t.Errorf("a call went to %s", got)
 		}
 	}
@@ -336,13 +336,13 @@
 	if got := b.final(slow); got != drains.Address {
 		t.Errorf("what was running: %s", got)
 	}
-	b.until("its connection is closed", func(s Stats) bool { return s.Conns == s.IdleConns && s.IdleConns == 1 })
+	b.waitFor("its connection is closed", func(s Stats) bool { return s.Conns == s.IdleConns && s.IdleConns == 1 })
 }
 
 // Lists reach the Balancer in order: what is older than its list is dropped, and what another discovery says is not
 // heard.
 func TestOlderListsAreDropped(t *testing.T) {
-	b := newBench(t, nil, ready("s-1", 0), ready("s-2", 0))
+	b := newTestLoop(t, nil, ready("s-1", 0), ready("s-2", 0))
 	open := func(uid string) (open bool) {
 		told := make(chan bool)
 		b.loop.Post(func() {
@@ -398,9 +398,9 @@
 
 // A discovery that begins to count anew for a second time, shortly after the first, is asked again once the pause is over,
 // and not where something newer has come by then: what it says would be passed over without end.
-func TestOlderListsAreLookedIntoAgain(t *testing.T) {
+func TestOlderFullListOfWatchCausesResync(t *testing.T) {
 	for _, newer := range []bool{false, true} {
-		b := newBench(t, nil, ready("s-1", 0))
+		b := newTestLoop(t, nil, ready("s-1", 0))
 		const pause = time.Second
 		tell := func(rev uint64, how Source) {
 			b.loop.Post(func() {
@@ -440,14 +440,14 @@
 
 // A line of a whole list that cannot be acted on loses nothing that was there: its endpoint stays as it was, one that
 // drains too, and others are served on. One that is not named has gone.
-func TestMalformedLinesLoseNothing(t *testing.T) {
+func TestMalformedLinesKeepTheirEndpoints(t *testing.T) {
 	drains := ready("s-4", 0)
 	drains.State = "Terminating"
 	for name, spoil := range map[string]func(*Target){
 		"state":   func(x *Target) { x.State = "Reddy" },
 		"address": func(x *Target) { x.Address = "127.0.0.1" },
 	} {
-		b := newBench(t, nil, ready("s-1", 0), ready("s-2", 0), ready("s-3", 0), drains)
+		b := newTestLoop(t, nil, ready("s-1", 0), ready("s-2", 0), ready("s-3", 0), drains)
 		b.send = func(*Attempt, int) Result { return b.served("ok") }
 		bad, alsoBad := ready("s-1", 0), ready("s-4", 0)
 		spoil(&bad)
@@ -462,7 +462,7 @@
 			t.Errorf("%s: %v", name, open)
 		}
 		for i := range 20 {
-			if got := b.final(b.ask(fmt.Sprint(name, i), read)); got != "ok" {
+			if got := b.final(b.submit(fmt.Sprint(name, i), read)); got != "ok" {
 				t.Errorf("%s: %s", name, got)
 			}
 		}
@@ -477,7 +477,7 @@
 }
 
 // The ids of what has ended are kept for a while, and no more of them than there is room for.
-func TestPastIsBounded(t *testing.T) {
+func TestRecentIDsAreBounded(t *testing.T) {
 	var past recentIDs
 	for i := range 3 * maxRecentIDs {
 		past.add(decision.RequestID(fmt.Sprint(i)), 0)
@@ -488,15 +488,15 @@
 	}
 }
 
-func TestPool(t *testing.T) {
+func TestPoolReusesAndClosesConnections(t *testing.T) {
 	e, other := NewEndpoint(1, ""), NewEndpoint(2, "")
 	p := newPool(&settings.Settings{ConnIdle: 2 * time.Minute}, 3)
-	var conns []*link
+	var conns []*memoryConn
 	for range 3 {
 		if c, ok := p.acquire(e, time.Now()); c != nil || !ok {
 			t.Fatal(c, ok)
 		}
-		c := &link{}
+		c := &memoryConn{}
 		conns = append(conns, c)
 	}
 	if _, ok := p.acquire(e, time.Now()); ok {
@@ -534,14 +534,14 @@
 		t.Error("a connection outlived its idle time")
 	}
 	p.release(e, nil)
-	c := &link{}
+	c := &memoryConn{}
 	p.total++
 	p.release(e, c)
 	p.sweep(time.Now().Add(2 * p.maxIdle))
 	if p.total != 0 || len(p.idle) != 0 || !c.closed {
 		t.Error("swept connections are still there")
 	}
-	c = &link{}
+	c = &memoryConn{}
 	p.total++
 	e.Close()
 	p.release(e, c)
@@ -552,13 +552,13 @@
 
 // Where no connection may be made and none is idle, a call is refused at once after its attempts, and told when to come
 // back; it is served again once there is room.
-func TestNoSocketsLeft(t *testing.T) {
-	b := newBench(t, nil, ready("s-1", 0), ready("s-2", 0))
+func TestCallIsRefusedWhereNoConnectionIsLeft(t *testing.T) {
+	b := newTestLoop(t, nil, ready("s-1", 0), ready("s-2", 0))
 	b.send = func(a *Attempt, n int) Result { return b.served("ok") }
 	most := 0
 	b.loop.Post(func() { most, b.loop.pool.max = b.loop.pool.max, 0 })
 	for _, class := range []int{read, once} {
-		c := b.ask(fmt.Sprint("full", class), class)
+		c := b.submit(fmt.Sprint("full", class), class)
 		select {
 		case a := <-c.Answered:
 			if !a.Retryable || a.RetryAfter <= 0 {
@@ -569,17 +569,17 @@
 		}
 	}
 	b.loop.Post(func() { b.loop.pool.max = most })
-	if got := b.final(b.ask("after", once)); got != "ok" {
+	if got := b.final(b.submit("after", once)); got != "ok" {
 		t.Error(got)
 	}
-	b.until("nothing is left", func(s Stats) bool { return s.Calls+s.Attempts == 0 && s.Conns == s.IdleConns })
+	b.waitFor("nothing is left", func(s Stats) bool { return s.Calls+s.Attempts == 0 && s.Conns == s.IdleConns })
 	if n := len(b.sends["full0"]) + len(b.sends["full1"]); n > 0 {
 		t.Errorf("%d attempts went out", n)
 	}
 }
 
 // Stopping is for good, and a drain before it ends in it.
-func TestLifecycle(t *testing.T) {
+func TestStoppingIsFinal(t *testing.T) {
 	f := newLifecycle(zap.NewNop())
 	check := func(step string, ready, canServe bool) {
 		t.Helper()
@@ -615,7 +615,7 @@
 }
 
 // An endpoint's number is the same at every sidecar, in whatever order lists name it, and no two share one.
-func TestEndpointIDs(t *testing.T) {
+func TestEndpointIDsAreSameAtAllSidecars(t *testing.T) {
 	a, b := newEndpointTable(nil, nil, time.Now(), zap.NewNop()), newEndpointTable(nil, nil, time.Now(), zap.NewNop())
 	put := func(t *endpointTable, uid string) decision.EndpointID {
 		id := t.id(uid)
@@ -635,7 +635,7 @@
 }
 
 // Starts are put on the event clock, alike each time: a later one means a restart.
-func TestStarts(t *testing.T) {
+func TestStartTimesAreStable(t *testing.T) {
 	now := time.Now()
 	e := newEndpointTable(nil, nil, now.Add(-clockStart), zap.NewNop())
 	boot := now.Add(-3 * time.Second).UnixMilli()
@@ -647,7 +647,7 @@
 	}
 }
 
-func TestChangedAddressOrBootTakesEffect(t *testing.T) {
+func TestChangedAddressOrStartReplacesEndpoint(t *testing.T) {
 	e := newEndpointTable([]string{"y", "z"}, []string{"m"}, time.Now().Add(-clockStart), zap.NewNop())
 	x := ready("s-1", 0)
 	entries, _ := e.update(List{Full: true, Targets: []Target{x, ready("s-2", 0)}})
@@ -690,8 +690,8 @@
 }
 
 // A loop that has ended keeps nobody waiting, whatever is asked of it, and lets go of discovery and of idle connections.
-func TestEndedLoop(t *testing.T) {
-	b := newBench(t, func(*Attempt, int) Result { return Result{Status: decision.NotSent} }, ready("s-1", 0))
+func TestClosedLoopBlocksNobody(t *testing.T) {
+	b := newTestLoop(t, func(*Attempt, int) Result { return Result{Status: decision.NotSent} }, ready("s-1", 0))
 	b.loop.Close()
 	<-b.loop.done
 	b.loop.Close()
--- a/internal/decision/balancer_test.go
+++ b/internal/decision/balancer_test.go
@@ -20,43 +20,43 @@
 }
 
 // recorder is a Host that writes down what it is asked to do, and a clock.
-type recorder struct {
+type recordingHost struct {
 	now              time.Duration
 	sent             []sent
 	attempts         map[RequestID]int
 	fails, refusals  []RequestID
-	advice           []time.Duration // when refused clients should come back
+	retryAfters      []time.Duration // when refused clients should come back
 	cancels          []sent
 	timers           map[uint64]time.Duration // token to due time
 	watches, fetches int
-	doubled          int // timers that were set while one of their token was running
+	duplicateTimers  int // timers that were set while one of their token was running
 	logs             []string
 }
 
-func (h *recorder) Send(id RequestID, to EndpointID, timeout, within time.Duration) {
+func (h *recordingHost) Send(id RequestID, to EndpointID, timeout, within time.Duration) {
 	h.sent = append(h.sent, sent{id, to, h.attempts[id], timeout, within})
 	h.attempts[id]++
 }
-func (h *recorder) Refuse(id RequestID, after time.Duration) {
+func (h *recordingHost) Refuse(id RequestID, after time.Duration) {
 	h.refusals = append(h.refusals, id)
-	h.advice = append(h.advice, after)
+	h.retryAfters = append(h.retryAfters, after)
 }
-func (h *recorder) Fail(id RequestID) { h.fails = append(h.fails, id) }
-func (h *recorder) Cancel(id RequestID, n int) {
+func (h *recordingHost) Fail(id RequestID) { h.fails = append(h.fails, id) }
+func (h *recordingHost) Cancel(id RequestID, n int) {
 	h.cancels = append(h.cancels, sent{id: id, attempt: n})
 }
-func (h *recorder) SetTimer(token uint64, after time.Duration) {
+func (h *recordingHost) SetTimer(token uint64, after time.Duration) {
 	if _, ok := h.timers[token]; ok {
-		h.doubled++
+		h.duplicateTimers++
 	}
 	h.timers[token] = h.now + after
 }
-func (h *recorder) Watch(bool)      { h.watches++ }
-func (h *recorder) Fetch()          { h.fetches++ }
-func (h *recorder) Log(text string) { h.logs = append(h.logs, text) }
+func (h *recordingHost) Watch(bool)      { h.watches++ }
+func (h *recordingHost) Fetch()          { h.fetches++ }
+func (h *recordingHost) Log(text string) { h.logs = append(h.logs, text) }
 
 // last is the latest send.
-func (h *recorder) last() sent { return h.sent[len(h.sent)-1] }
+func (h *recordingHost) last() sent { return h.sent[len(h.sent)-1] }
 
 func settings() Settings {
 	c := Class{LatencyTarget: time.Second, Deadline: 3 * time.Second, Value: 1}
@@ -74,17 +74,17 @@
 const read, pay, book = 0, 1, 2
 
 // bed is a Balancer under test with its recorder.
-type bed struct {
-	*recorder
+type harness struct {
+	*recordingHost
 	t *testing.T
 	b *Balancer
 	n int
 }
 
 // start makes a Balancer that knows n warm endpoints, numbered from 1, two to a cell.
-func start(t *testing.T, s Settings, n int) *bed {
+func start(t *testing.T, s Settings, n int) *harness {
 	t.Helper()
-	h := &recorder{timers: map[uint64]time.Duration{}, attempts: map[RequestID]int{}, now: time.Second}
+	h := &recordingHost{timers: map[uint64]time.Duration{}, attempts: map[RequestID]int{}, now: time.Second}
 	b, err := New(s, 7, h)
 	if err != nil {
 		t.Fatal(err)
@@ -94,16 +94,16 @@
 		l.Entries = append(l.Entries, Entry{Endpoint: EndpointID(i), Cell: (i - 1) / 2, Weight: 1})
 	}
 	b.Targets(h.now, l)
-	return &bed{recorder: h, t: t, b: b}
+	return &harness{recordingHost: h, t: t, b: b}
 }
 
 // list hands over a delta with one entry.
-func (d *bed) list(e Entry) {
+func (d *harness) list(e Entry) {
 	d.b.Targets(d.now, List{Kind: DeltaList, Version: 2, Entries: []Entry{e}})
 }
 
 // ask brings a request with a second and a half left.
-func (d *bed) ask(class int) RequestID {
+func (d *harness) request(class int) RequestID {
 	d.n++
 	id := RequestID(fmt.Sprint("r", d.n))
 	d.b.Request(d.now, Request{ID: id, Class: class, Remaining: 1500 * ms})
@@ -111,13 +111,13 @@
 }
 
 // end reports the outcome of a send.
-func (d *bed) end(s sent, status Status, took time.Duration) {
+func (d *harness) finish(s sent, status Status, took time.Duration) {
 	d.b.Outcome(d.now, Outcome{ID: s.id, Endpoint: s.to, Attempt: s.attempt, Final: status == OK, Status: status,
 		Elapsed: took})
 }
 
 // pass lets time go by, with the timers that fall due.
-func (d *bed) pass(by time.Duration) {
+func (d *harness) advance(by time.Duration) {
 	for until := d.now + by; d.now < until; d.now += 2 * ms {
 		for _, token := range []uint64{tokenTick, tokenWatch} {
 			if due, ok := d.timers[token]; ok && due <= d.now {
@@ -130,12 +130,12 @@
 
 // serve runs requests one after another for a while, each answered after 20 ms but where answer says
 // otherwise, and counts the sends to each endpoint.
-func (d *bed) serve(n int, answer func(to EndpointID) Status) map[EndpointID]int {
+func (d *harness) serve(n int, answer func(to EndpointID) Status) map[EndpointID]int {
 	got := map[EndpointID]int{}
 	for range n {
 		at := len(d.sent)
-		d.ask(read)
-		d.pass(20 * ms)
+		d.request(read)
+		d.advance(20 * ms)
 		for at < len(d.sent) {
 			s := d.sent[at]
 			at++
@@ -144,16 +144,16 @@
 			if answer != nil {
 				status = answer(s.to)
 			}
-			d.end(s, status, 20*ms)
+			d.finish(s, status, 20*ms)
 		}
 	}
 	return got
 }
 
-func TestDrainingGetsNothingNewAndKeepsItsCalls(t *testing.T) {
+func TestDrainingEndpointGetsNoNewCallsAndKeepsItsOwn(t *testing.T) {
 	d := start(t, settings(), 2)
 	for range 4 {
-		d.ask(read)
+		d.request(read)
 	}
 	running := slices.Clone(d.sent)
 	d.list(Entry{Endpoint: 1, State: Draining})
@@ -161,7 +161,7 @@
 		t.Error("a running call was called off when its endpoint drained")
 	}
 	for _, s := range running {
-		d.end(s, OK, 10*ms)
+		d.finish(s, OK, 10*ms)
 	}
 	if got := d.serve(20, nil); got[1] != 0 || got[2] != 20 {
 		t.Errorf("sends by endpoint %v, want all 20 to 2", got)
@@ -172,29 +172,29 @@
 	}
 }
 
-func TestFewerInFlightWins(t *testing.T) {
+func TestPickPrefersFewerCallsInFlight(t *testing.T) {
 	d := start(t, settings(), 2)
-	d.ask(read)
+	d.request(read)
 	first := d.last().to
-	d.ask(read)
+	d.request(read)
 	if d.last().to == first {
 		t.Error("the second call joined the first although the other endpoint was idle")
 	}
 }
 
-func TestResetIsolatesUntilATrialIsServedThenRamps(t *testing.T) {
+func TestResetEjectsUntilTrialIsServedThenSlowStarts(t *testing.T) {
 	d := start(t, settings(), 4)
 	d.serve(40, nil)
-	id := d.ask(read)
+	id := d.request(read)
 	lost := d.last()
-	d.end(lost, Reset, 5*ms)
+	d.finish(lost, Reset, 5*ms)
 	if d.fetches != 1 {
 		t.Errorf("%d lists fetched after a broken connection, want 1", d.fetches)
 	}
 	if again := d.last(); again.id != id || again.to == lost.to {
 		t.Errorf("retry %v, want %s on another endpoint than %d", again, id, lost.to)
 	}
-	d.end(d.last(), OK, 20*ms)
+	d.finish(d.last(), OK, 20*ms)
 	fail := func(to EndpointID) Status {
 		if to == lost.to {
 			return ConnectFailed
@@ -215,29 +215,29 @@
 
 // Every endpoint sends some answers that are of no use. The call may have run, and its endpoint is as well as
 // before: no isolation, no slow start, no blame.
-func TestSpoiltAnswerCostsTheEndpointNothing(t *testing.T) {
+func TestSingleInvalidResponseLeavesEndpointUsable(t *testing.T) {
 	d := start(t, settings(), 4)
 	d.serve(40, nil)
-	id := d.ask(read)
+	id := d.request(read)
 	spoilt := d.last()
-	d.end(spoilt, InvalidResponse, 5*ms)
+	d.finish(spoilt, InvalidResponse, 5*ms)
 	if again := d.last(); again.id != id || again.attempt != 1 {
 		t.Errorf("retry %v, want %s once more", again, id)
 	}
-	d.end(d.last(), OK, 20*ms)
-	d.ask(pay)
-	d.end(d.last(), InvalidResponse, 5*ms)
+	d.finish(d.last(), OK, 20*ms)
+	d.request(pay)
+	d.finish(d.last(), InvalidResponse, 5*ms)
 	if len(d.fails) != 1 || len(d.refusals) != 0 {
 		t.Errorf("an unsafe call that may have run: %d failed, %d refused", len(d.fails), len(d.refusals))
 	}
 	bad := d.last().to
 	for range 3 {
-		d.ask(read)
+		d.request(read)
 		for d.last().to == bad {
-			d.end(d.last(), InvalidResponse, 5*ms)
-			d.ask(read)
+			d.finish(d.last(), InvalidResponse, 5*ms)
+			d.request(read)
 		}
-		d.end(d.last(), OK, 20*ms)
+		d.finish(d.last(), OK, 20*ms)
 	}
 	if got := d.serve(100, nil); got[bad] < 10 || d.fetches != 0 || len(d.logs) > 0 {
 		t.Errorf("%d of 100 sends to it, %d lists fetched, logs %q", got[bad], d.fetches, d.logs)
@@ -245,30 +245,30 @@
 }
 
 // Endpoints that have gone are forgotten, and what is still out to them ends without harm.
-func TestGoneEndpointsAreForgotten(t *testing.T) {
+func TestDepartedEndpointsAreForgotten(t *testing.T) {
 	d := start(t, settings(), 1)
 	for i := 2; i < 100; i++ {
-		d.ask(read)
+		d.request(read)
 		late := d.last()
 		d.list(Entry{Endpoint: EndpointID(i), Weight: 1})
 		d.list(Entry{Endpoint: EndpointID(i - 1), State: Departed})
 		if i%2 == 0 {
 			d.list(Entry{Endpoint: EndpointID(i - 1), State: Departed})
 		}
-		d.end(late, []Status{OK, Reset, Error, ConnectFailed, Cancelled}[i%5], 5*ms)
+		d.finish(late, []Status{OK, Reset, Error, ConnectFailed, Cancelled}[i%5], 5*ms)
 		for d.attempts[late.id] > 1 && d.last().id == late.id && d.b.requests[late.id] != nil {
-			d.end(d.last(), OK, 5*ms)
+			d.finish(d.last(), OK, 5*ms)
 		}
-		d.pass(20 * ms)
+		d.advance(20 * ms)
 	}
 	if len(d.b.byID) > maxDepartedEndpoints+4 {
 		t.Errorf("%d endpoints are remembered", len(d.b.byID))
 	}
 	for len(d.b.requests) > 0 { // what a ramp let go out later
 		for _, s := range d.sent {
-			d.end(s, OK, 5*ms)
+			d.finish(s, OK, 5*ms)
 		}
-		d.pass(20 * ms)
+		d.advance(20 * ms)
 	}
 	d.now += d.b.settings.WarmUp
 	d.list(Entry{Endpoint: 99, Weight: 1})
@@ -277,17 +277,17 @@
 	}
 }
 
-func TestNewStartInTheListEndsIsolation(t *testing.T) {
+func TestNewStartInListEndsEjection(t *testing.T) {
 	d := start(t, settings(), 2)
-	d.ask(read)
+	d.request(read)
 	lost := d.last()
-	d.end(lost, Reset, ms)
+	d.finish(lost, Reset, ms)
 	d.list(Entry{Endpoint: lost.to, Started: d.now})
 	for range 300 {
-		d.pass(10 * ms)
-		d.ask(read)
+		d.advance(10 * ms)
+		d.request(read)
 		s := d.last()
-		d.end(s, OK, 10*ms)
+		d.finish(s, OK, 10*ms)
 		if s.to == lost.to {
 			return
 		}
@@ -296,27 +296,27 @@
 }
 
 // A full connection table answers like a dead process; calls that are open there tell them apart.
-func TestConnectFailureBesideOpenCallsIsNotIsolation(t *testing.T) {
+func TestConnectFailureBesideOpenCallsDoesNotEject(t *testing.T) {
 	d := start(t, settings(), 1)
-	d.ask(read)
-	d.ask(read)
-	d.end(d.sent[1], ConnectFailed, ms)
+	d.request(read)
+	d.request(read)
+	d.finish(d.sent[1], ConnectFailed, ms)
 	if slices.ContainsFunc(d.logs, func(s string) bool { return strings.Contains(s, "isolated") }) {
 		t.Errorf("isolated: %v", d.logs)
 	}
 }
 
-func TestIsolationNeverEmptiesTheSet(t *testing.T) {
+func TestEjectedEndpointsServeWhereNoneIsHealthy(t *testing.T) {
 	d := start(t, settings(), 3)
 	for range 12 {
-		d.ask(read)
-		d.end(d.last(), ConnectFailed, ms)
-		d.pass(10 * ms)
+		d.request(read)
+		d.finish(d.last(), ConnectFailed, ms)
+		d.advance(10 * ms)
 	}
 	at := len(d.sent)
-	d.pass(time.Second)
-	d.ask(read)
-	d.pass(100 * ms)
+	d.advance(time.Second)
+	d.request(read)
+	d.advance(100 * ms)
 	if len(d.sent) == at {
 		t.Error("nothing is sent once all are isolated")
 	}
@@ -366,12 +366,12 @@
 	d.serve(60, nil)
 	stuck := 0
 	for range 200 {
-		d.ask(read)
-		d.pass(20 * ms)
+		d.request(read)
+		d.advance(20 * ms)
 		if s := d.last(); s.to == 1 {
 			stuck++
 		} else {
-			d.end(s, OK, 20*ms)
+			d.finish(s, OK, 20*ms)
 		}
 	}
 	if stuck == 0 || stuck > 8 {
@@ -381,13 +381,13 @@
 
 // An endpoint that answers most calls and loses some is not silent. Its lost calls are sent again once later
 // ones have overtaken them, and until then leave room for others; an unsafe one is left alone.
-func TestLostCallIsSentAgain(t *testing.T) {
+func TestLostCallIsRetried(t *testing.T) {
 	d := start(t, settings(), 4)
 	d.serve(60, nil)
 	lost := map[RequestID]sent{}
 	atOne, again := 0, 0
 	for range 200 {
-		d.ask(read)
+		d.request(read)
 		s := d.last()
 		if s.to == 1 {
 			atOne++
@@ -395,32 +395,32 @@
 		if s.to == 1 && atOne%2 == 0 {
 			lost[s.id] = s
 		} else {
-			d.end(s, OK, 20*ms)
+			d.finish(s, OK, 20*ms)
 		}
-		d.pass(20 * ms)
+		d.advance(20 * ms)
 		for _, c := range d.cancels {
 			s, ok := lost[c.id]
 			if !ok {
 				t.Fatalf("%s is withdrawn, and was answered or is sent again", c.id)
 			}
 			delete(lost, c.id)
-			d.end(s, Cancelled, 150*ms)
+			d.finish(s, Cancelled, 150*ms)
 			if next := d.last(); next.id != c.id || next.to == s.to {
 				t.Fatalf("%s is not sent to another endpoint: %v", c.id, next)
 			}
 			again++
-			d.end(d.last(), OK, 20*ms)
+			d.finish(d.last(), OK, 20*ms)
 		}
 		d.cancels = nil
 	}
 	if again < 3 || len(lost) > 4 {
 		t.Errorf("%d lost calls sent again, %d still out", again, len(lost))
 	}
-	id := d.ask(pay)
+	id := d.request(pay)
 	for range 40 {
-		d.pass(20 * ms)
-		d.ask(read)
-		d.end(d.last(), OK, 20*ms)
+		d.advance(20 * ms)
+		d.request(read)
+		d.finish(d.last(), OK, 20*ms)
 	}
 	if r := d.b.requests[id]; d.attempts[id] != 1 || r == nil || !r.overdue || r.withdrawn || d.b.overdueCalls == 0 {
 		t.Errorf("the unsafe call: %d attempts, %+v", d.attempts[id], r)
@@ -429,24 +429,24 @@
 
 func TestUnsafeIsNeverSentTwice(t *testing.T) {
 	d := start(t, settings(), 3)
-	id := d.ask(pay)
-	d.end(d.last(), Error, ms)
+	id := d.request(pay)
+	d.finish(d.last(), Error, ms)
 	if len(d.sent) != 1 || !slices.Equal(d.fails, []RequestID{id}) || len(d.refusals) > 0 {
 		t.Errorf("sent %v, failed %v, refused %v; want one send, then failed", d.sent, d.fails, d.refusals)
 	}
-	d.ask(pay)
+	d.request(pay)
 	first := d.last()
-	d.end(first, Rejected, ms)
+	d.finish(first, Rejected, ms)
 	if again := d.last(); again.id != first.id || again.attempt != 1 || again.to == first.to {
 		t.Errorf("after a call that never ran: %v, want a second attempt elsewhere", again)
 	}
 }
 
-func TestKeyedStaysInItsCellAndWindow(t *testing.T) {
+func TestKeyedRetryStaysInCellAndWindow(t *testing.T) {
 	d := start(t, settings(), 6)
-	d.ask(book)
+	d.request(book)
 	first := d.last()
-	d.end(first, Error, ms)
+	d.finish(first, Error, ms)
 	if again := d.last(); again.attempt != 1 || (again.to-1)/2 != (first.to-1)/2 {
 		t.Fatalf("retry %v of %v left the cell", again, first)
 	} else if first.within != 0 || again.within <= 0 || ms+again.within > d.b.settings.Classes[book].Window {
@@ -455,17 +455,17 @@
 	s := settings()
 	s.Classes[book].Window = 100 * ms
 	d = start(t, s, 6)
-	id := d.ask(book)
-	d.pass(200 * ms)
-	d.end(d.last(), Error, 200*ms)
-	d.pass(3 * time.Second)
+	id := d.request(book)
+	d.advance(200 * ms)
+	d.finish(d.last(), Error, 200*ms)
+	d.advance(3 * time.Second)
 	if len(d.sent) != 1 || !slices.Equal(d.fails, []RequestID{id}) || len(d.refusals) > 0 {
 		t.Errorf("sent %v, failed %v, refused %v; want no retry past the window, then failed", d.sent, d.fails, d.refusals)
 	}
 }
 
 // Retries that an outage sets off must not multiply the load.
-func TestRetryBudget(t *testing.T) {
+func TestRetryBudgetBoundsRetries(t *testing.T) {
 	d := start(t, settings(), 4)
 	got := d.serve(500, func(EndpointID) Status { return Error })
 	total := 0
@@ -479,8 +479,8 @@
 
 func TestEveryRequestIsAnsweredBeforeItsDeadline(t *testing.T) {
 	d := start(t, settings(), 0)
-	id := d.ask(read)
-	d.pass(1500 * ms)
+	id := d.request(read)
+	d.advance(1500 * ms)
 	if !slices.Equal(d.refusals, []RequestID{id}) {
 		t.Errorf("refused %v, want %s: there is no endpoint", d.refusals, id)
 	}
@@ -492,17 +492,17 @@
 }
 
 // Crowded endpoints choke: the excess waits here, and what cannot be served in time is refused early.
-func TestOverloadIsHeldAndRefusedEarly(t *testing.T) {
+func TestOverloadIsQueuedAndRefusedEarly(t *testing.T) {
 	d := start(t, settings(), 2)
 	d.serve(200, nil)
 	at := len(d.sent)
 	for range 200 {
-		d.ask(read)
+		d.request(read)
 	}
 	if out := len(d.sent) - at; out > 20 {
 		t.Errorf("%d of a burst of 200 were sent at once to 2 endpoints", out)
 	}
-	d.pass(1100 * ms)
+	d.advance(1100 * ms)
 	if len(d.refusals) < 100 {
 		t.Errorf("%d refused by their aim, want nearly all", len(d.refusals))
 	}
@@ -510,7 +510,7 @@
 
 // A refused client is told when to come back: once what is held now has been answered, and never later than
 // it would heed.
-func TestRefusalsSayWhenToComeBack(t *testing.T) {
+func TestRefusalsStateRetryAfter(t *testing.T) {
 	s := settings()
 	s.MaxRetryAfter = 2 * time.Second
 	for _, burst := range []int{200, 20000} {
@@ -518,13 +518,13 @@
 		d.serve(200, nil)
 		rate := d.b.answerRate.value(d.now, d.b.rateWindow)
 		for range burst {
-			d.ask(read)
+			d.request(read)
 		}
 		if len(d.refusals) == 0 {
 			t.Fatalf("nothing of a burst of %d was refused", burst)
 		}
 		queue := seconds(float64(len(d.b.queue)) / rate)
-		for _, after := range d.advice {
+		for _, after := range d.retryAfters {
 			if after > s.MaxRetryAfter || after < min(queue, s.MaxRetryAfter) {
 				t.Fatalf("of a burst of %d: come back after %v, want %v to work off what is held", burst, after, queue)
 			}
@@ -532,14 +532,14 @@
 	}
 	d := start(t, s, 2)
 	d.b.Request(d.now, Request{ID: "late", Class: read})
-	if !slices.Equal(d.advice, []time.Duration{d.b.rateWindow}) {
-		t.Errorf("advice %v where no rate is known yet", d.advice)
+	if !slices.Equal(d.retryAfters, []time.Duration{d.b.rateWindow}) {
+		t.Errorf("advice %v where no rate is known yet", d.retryAfters)
 	}
 	d = start(t, s, 2)
 	d.serve(200, nil)
 	d.b.Request(d.now, Request{ID: "late", Class: read})
-	if len(d.advice) != 1 || d.advice[0] < seconds(minRetryAfterWindows*d.b.rateWindow.Seconds()) {
-		t.Errorf("advice %v where nothing waits", d.advice)
+	if len(d.retryAfters) != 1 || d.retryAfters[0] < seconds(minRetryAfterWindows*d.b.rateWindow.Seconds()) {
+		t.Errorf("advice %v where nothing waits", d.retryAfters)
 	}
 }
 
@@ -547,12 +547,12 @@
 func TestFirstShortAnswersDoNotSetTheLimit(t *testing.T) {
 	d := start(t, settings(), 10)
 	for i := range 40 {
-		d.ask(read)
-		d.end(d.last(), OK, time.Duration(1+i%3)*ms)
+		d.request(read)
+		d.finish(d.last(), OK, time.Duration(1+i%3)*ms)
 	}
 	if at := len(d.sent); true {
 		for range 40 {
-			d.ask(read)
+			d.request(read)
 		}
 		if n := len(d.sent) - at; n < 40 {
 			t.Errorf("%d of 40 sent at once to 10 endpoints, want all", n)
@@ -564,10 +564,10 @@
 func TestLimitRecoversFromStuckCalls(t *testing.T) {
 	d := start(t, settings(), 6)
 	d.serve(100, nil)
-	d.pass(30 * time.Second)
+	d.advance(30 * time.Second)
 	at := len(d.sent)
 	for range 6 {
-		d.ask(read)
+		d.request(read)
 	}
 	if n := len(d.sent) - at; n < 6 {
 		t.Errorf("%d of 6 sent after a long pause, want all", n)
@@ -575,7 +575,7 @@
 }
 
 // Many instances that call every endpoint fill its connection table.
-func TestSubsetWhereManyInstancesCall(t *testing.T) {
+func TestManyInstancesCallSubsets(t *testing.T) {
 	s := settings()
 	s.Instances = 30
 	covered := map[EndpointID]int{}
@@ -633,7 +633,7 @@
 }
 
 // In a subset of two the draw takes both, and a coin for ties gave both the same, whatever their weights.
-func TestTiesFallByWeight(t *testing.T) {
+func TestTiesAreBrokenByWeight(t *testing.T) {
 	s := settings()
 	s.Instances = 40
 	d := start(t, s, 0)
@@ -644,7 +644,7 @@
 }
 
 // When many endpoints left at once, their shares fell to the few after them on the ring: four times the mean.
-func TestSharesOfLeavingEndpointsFallToAll(t *testing.T) {
+func TestLoadOfDrainingEndpointsIsSpreadOverAll(t *testing.T) {
 	s := settings()
 	s.Instances = 80
 	parts := map[EndpointID]float64{}
@@ -672,7 +672,7 @@
 
 // At full size an instance has a call or two in flight: a tier filled up, every endpoint choked, and no limit
 // on calls in flight held anything back. Latency far over what it should be must slow the calls.
-func TestStrainPacesCallsWhereInstancesOutnumberEndpoints(t *testing.T) {
+func TestLatencyPressurePacesSendsWhereInstancesOutnumberEndpoints(t *testing.T) {
 	sends := func(instances int, took time.Duration) int {
 		s := settings()
 		s.Instances = instances
@@ -683,15 +683,15 @@
 				at = len(d.sent)
 			}
 			n := len(d.sent)
-			d.ask(read)
+			d.request(read)
 			if len(d.sent) > n {
 				if i > 40 {
-					d.end(d.last(), OK, took)
+					d.finish(d.last(), OK, took)
 				} else {
-					d.end(d.last(), OK, 100*ms)
+					d.finish(d.last(), OK, 100*ms)
 				}
 			}
-			d.pass(100 * ms)
+			d.advance(100 * ms)
 		}
 		return len(d.sent) - at
 	}
@@ -707,7 +707,7 @@
 }
 
 // All cold at once: what one instance sends each is capped by what warm ones were seen to bear.
-func TestColdEndpointsAreCapped(t *testing.T) {
+func TestSendRateToColdEndpointsIsCapped(t *testing.T) {
 	d := start(t, settings(), 10)
 	d.serve(300, nil) // 50 a second, 5 to each
 	for id := EndpointID(1); id <= 10; id++ {
@@ -716,11 +716,11 @@
 	got := map[EndpointID]int{}
 	at := len(d.sent)
 	for range 500 {
-		d.ask(read)
-		d.pass(2 * ms)
+		d.request(read)
+		d.advance(2 * ms)
 		for ; at < len(d.sent); at++ {
 			got[d.sent[at].to]++
-			d.end(d.sent[at], OK, 2*ms)
+			d.finish(d.sent[at], OK, 2*ms)
 		}
 	}
 	for id, n := range got {
@@ -735,7 +735,7 @@
 
 // A cold machine was pushed over by further attempts of instances whose subsets do not hold it, and by its
 // getting a whole endpoint's rate from each instance whose subset holds a sliver of it.
-func TestColdEndpointGetsByItsPartAndNoFurtherAttemptsFromOutside(t *testing.T) {
+func TestColdEndpointIsSentBySubsetWeightAndNoRetriesFromOutside(t *testing.T) {
 	s := settings()
 	s.Instances = 60
 	d := start(t, s, 20)
@@ -748,13 +748,13 @@
 	}
 	d.list(Entry{Endpoint: outside.id, Started: d.now, Weight: 1})
 	for range 50 {
-		d.ask(read)
-		d.end(d.last(), Rejected, ms)
+		d.request(read)
+		d.finish(d.last(), Rejected, ms)
 		if to := d.last().to; to == outside.id {
 			t.Fatal("a further attempt went to a cold endpoint outside the subset")
 		}
-		d.end(d.last(), OK, 20*ms)
-		d.pass(100 * ms)
+		d.finish(d.last(), OK, 20*ms)
+		d.advance(100 * ms)
 	}
 	cold := d.b.listed[0]
 	for _, e := range d.b.listed {
@@ -773,27 +773,27 @@
 	}
 }
 
-func TestAskSubscribesAndBacksOff(t *testing.T) {
+func TestPullDiscoveryWatchesAndBacksOff(t *testing.T) {
 	s := settings()
 	s.PullDiscovery = true
 	d := start(t, s, 2)
 	if d.watches != 0 {
 		t.Error("subscribed at once: a fleet that starts together would ask together")
 	}
-	d.pass(time.Second)
+	d.advance(time.Second)
 	if d.watches != 1 {
 		t.Fatalf("%d watches in the first second, want 1", d.watches)
 	}
 	for range 40 {
 		d.b.Targets(d.now, List{Kind: FailedList})
-		d.pass(time.Second)
+		d.advance(time.Second)
 	}
 	if d.watches < 4 || d.watches > 30 {
 		t.Errorf("%d watches in 40 s of failures, want a growing pause", d.watches)
 	}
 }
 
-func TestTenantBeyondItsShareGivesWay(t *testing.T) {
+func TestTenantBeyondQuotaIsRefusedFirst(t *testing.T) {
 	s := settings()
 	s.Tenants = []Tenant{{Name: "a", QuotaPerS: 5}, {Name: "b", QuotaPerS: 100}}
 	d := start(t, s, 1)
@@ -802,9 +802,9 @@
 		d.b.Request(d.now, Request{ID: RequestID(fmt.Sprint("t", i)), Tenant: i % 2, Remaining: 1500 * ms})
 	}
 	for range 20 {
-		d.pass(20 * ms)
+		d.advance(20 * ms)
 		for _, r := range slices.Clone(d.b.listed[0].calls) {
-			d.end(sent{id: r.id, to: 1, attempt: r.attempts - 1}, OK, 20*ms)
+			d.finish(sent{id: r.id, to: 1, attempt: r.attempts - 1}, OK, 20*ms)
 		}
 	}
 	served := map[bool]int{} // by whether the tenant is the one beyond its share
@@ -818,7 +818,7 @@
 
 // A tenant that sends an instance a request every three seconds never had a whole token in a bucket of a
 // second's share, and counted as beyond its share with every request.
-func TestSmallTenantIsWithinItsShare(t *testing.T) {
+func TestSmallTenantIsWithinQuota(t *testing.T) {
 	s := settings()
 	s.Instances = 100
 	s.Tenants = []Tenant{{Name: "small", QuotaPerS: 40}, {Name: "large", QuotaPerS: 1000}}
@@ -830,9 +830,9 @@
 		if d.b.requests[id].overQuota {
 			low++
 		}
-		d.pass(20 * ms)
-		d.end(d.last(), OK, 20*ms)
-		d.pass(2980 * ms)
+		d.advance(20 * ms)
+		d.finish(d.last(), OK, 20*ms)
+		d.advance(2980 * ms)
 	}
 	if low > 6 {
 		t.Errorf("%d of 60 requests beyond a share that is never passed", low)
@@ -841,7 +841,7 @@
 
 // Callers come unevenly: an instance that serves five times an even part of all shares refused four requests of
 // five, beside endpoints with room. Who floods still yields first once capacity is short.
-func TestBeyondShareYieldsOnlyWhereCapacityIsShort(t *testing.T) {
+func TestOverQuotaIsRefusedOnlyWhereCapacityIsShort(t *testing.T) {
 	s := settings()
 	s.Instances = 20
 	s.Tenants = []Tenant{{Name: "a", QuotaPerS: 100}, {Name: "b", QuotaPerS: 100}}
@@ -864,10 +864,10 @@
 				b := i%(c.floods+1) == 0
 				id := RequestID(fmt.Sprint(b, d.n))
 				d.b.Request(d.now, Request{ID: id, Tenant: map[bool]int{true: 1}[b], Remaining: 1500 * ms})
-				d.pass(20 * ms)
+				d.advance(20 * ms)
 				for ; answered < len(d.sent) && d.now-last >= c.every; last += c.every {
 					x := d.sent[answered]
-					d.end(x, OK, d.now-d.b.requests[x.id].sentAt)
+					d.finish(x, OK, d.now-d.b.requests[x.id].sentAt)
 					answered++
 				}
 			}
@@ -886,18 +886,18 @@
 
 // An instance that is asked ten times as much as others calls more endpoints for that time, and no more than it
 // needs; instances that are numbered in a row are far apart on the ring.
-func TestSubsetGoesByOwnCalls(t *testing.T) {
+func TestSubsetGrowsWithCallsInFlight(t *testing.T) {
 	s := settings()
 	s.Instances, s.Ordinal = 100, 5
 	d, answered := start(t, s, 100), 0
 	calls := func(n int) (parts int) {
 		for range 400 {
 			for range n {
-				d.ask(read)
+				d.request(read)
 			}
-			d.pass(100 * ms)
+			d.advance(100 * ms)
 			for out := len(d.sent); answered < out; answered++ {
-				d.end(d.sent[answered], OK, 100*ms)
+				d.finish(d.sent[answered], OK, 100*ms)
 			}
 		}
 		for _, e := range d.b.listed {
@@ -925,7 +925,7 @@
 }
 
 // Machines of two speeds in a list without weights: the slow ones got as many calls as the fast ones, and choked.
-func TestReportedServiceTimesSetTheShares(t *testing.T) {
+func TestReportedServiceTimesSetDrawWeights(t *testing.T) {
 	d := start(t, settings(), 0)
 	l := List{Kind: FullList, Version: 2}
 	for id := EndpointID(1); id <= 10; id++ {
@@ -934,14 +934,14 @@
 	d.b.Targets(d.now, l)
 	got := [2]int{}
 	for i := range 600 {
-		d.ask(read)
+		d.request(read)
 		s := d.last()
 		if i > 100 {
 			got[s.to%2]++
 		}
 		d.b.Outcome(d.now, Outcome{ID: s.id, Endpoint: s.to, Final: true, Status: OK, Elapsed: 100 * ms,
 			Load: &Load{InFlight: -1, Queue: -1, Util: -1, Service: []time.Duration{10, 30}[s.to%2] * ms}})
-		d.pass(20 * ms)
+		d.advance(20 * ms)
 	}
 	if ratio := float64(got[0]) / float64(got[1]); ratio < 2 || ratio > 4 {
 		t.Errorf("fast machines got %d calls and slow ones %d, want three times as many", got[0], got[1])
@@ -949,28 +949,28 @@
 }
 
 // Requests held go by what they add to the site's goal: by worth, and for a class that is served worst by that.
-func TestDearClassGoesFirstUnlessTheWorstServedCountsMore(t *testing.T) {
+func TestMostValuableClassIsSentFirstUnlessWorstServedCountsMore(t *testing.T) {
 	released := func(worstClass float64) (first [3]int) {
 		s := settings()
 		s.Classes[pay].Value, s.GoalTotal, s.GoalWorstClass = 5, 1, worstClass
 		d := start(t, s, 1)
 		class := map[RequestID]int{}
 		for i := range 60 { // both are known, and read is served a little worse
-			d.end(sent{id: d.ask(pay), to: 1}, OK, 100*ms)
-			d.ask(read)
-			d.end(d.last(), OK, 100*ms)
+			d.finish(sent{id: d.request(pay), to: 1}, OK, 100*ms)
+			d.request(read)
+			d.finish(d.last(), OK, 100*ms)
 			if i%10 == 0 {
 				d.b.countRequest(d.now, &d.b.classes[read])
 			}
-			d.pass(100 * ms)
+			d.advance(100 * ms)
 		}
 		for range 40 {
-			class[d.ask(read)] = read
-			class[d.ask(pay)] = pay
+			class[d.request(read)] = read
+			class[d.request(pay)] = pay
 		}
 		at := len(d.sent)
 		for _, x := range slices.Clone(d.b.listed[0].calls) {
-			d.end(sent{id: x.id, to: 1}, OK, 100*ms)
+			d.finish(sent{id: x.id, to: 1}, OK, 100*ms)
 		}
 		for _, x := range d.sent[at:] {
 			first[class[x.id]]++
@@ -987,17 +987,17 @@
 
 // Clients that try again at once are not new: what repeats have spent, where their time left shows it, is
 // taken for those that do not show it. Served as if new, they filled a tier with calls past their aim.
-func TestRepeatsThatCannotMeetTheirAimGiveWay(t *testing.T) {
+func TestClientRetriesThatMissTheirTargetAreSentLast(t *testing.T) {
 	d := start(t, settings(), 2)
 	d.serve(200, nil)
 	d.b.Request(d.now, Request{ID: "first", Class: book, Remaining: 3 * time.Second})
-	d.end(d.last(), OK, 20*ms)
+	d.finish(d.last(), OK, 20*ms)
 	for i := range 50 {
 		d.b.Request(d.now, Request{ID: RequestID(fmt.Sprint("shown", i)), Class: book, Remaining: 1300 * ms, IsRetry: true})
-		d.end(d.last(), OK, 20*ms)
+		d.finish(d.last(), OK, 20*ms)
 	}
 	for range 60 {
-		d.ask(read)
+		d.request(read)
 	}
 	refused := len(d.refusals)
 	d.b.Request(d.now, Request{ID: "repeat", Remaining: 1500 * ms, IsRetry: true})
@@ -1006,51 +1006,51 @@
 	}
 }
 
-func TestLapsedCallsWorkOff(t *testing.T) {
+func TestAbandonedCallsAreCancelledAndNotAnswered(t *testing.T) {
 	d := start(t, settings(), 2)
-	id := d.ask(read)
+	id := d.request(read)
 	d.b.Abandoned(d.now, id)
 	if len(d.cancels) != 1 || d.cancels[0].id != id {
 		t.Errorf("cancelled %v, want %s", d.cancels, id)
 	}
-	d.end(d.last(), Cancelled, ms)
+	d.finish(d.last(), Cancelled, ms)
 	if len(d.sent) != 1 || len(d.fails)+len(d.refusals) > 0 {
 		t.Error("more was done for a client that had gone")
 	}
 }
 
-func TestStreamBelongsToTheClient(t *testing.T) {
+func TestStartedStreamIsNeitherCancelledNorRetried(t *testing.T) {
 	s := settings()
 	s.Classes[read].Streamed = true
 	d := start(t, s, 2)
-	id := d.ask(read)
+	id := d.request(read)
 	d.b.ResponseStarted(d.now, id, 0, d.last().to)
-	d.pass(10 * time.Second)
+	d.advance(10 * time.Second)
 	d.b.Outcome(d.now, Outcome{ID: id, Endpoint: d.last().to, Final: true, Status: Reset})
 	if len(d.sent) != 1 || len(d.fails)+len(d.refusals)+len(d.cancels) > 0 {
 		t.Error("a started stream was answered, repeated or withdrawn")
 	}
 }
 
-func TestOddEventsAreTakenInStride(t *testing.T) {
+func TestUnexpectedEventsAreIgnored(t *testing.T) {
 	d := start(t, settings(), 2)
 	d.b.Outcome(d.now, Outcome{ID: "unknown", Status: OK})
 	d.b.Abandoned(d.now, "unknown")
 	d.b.ResponseStarted(d.now, "unknown", 0, 1)
 	d.b.Timer(d.now, 99)
-	d.ask(read)
+	d.request(read)
 	s := d.last()
 	d.list(Entry{Endpoint: s.to, State: Departed})
 	d.b.Targets(d.now, List{Kind: FullList, Version: 3})
-	d.end(s, Reset, ms)
-	d.end(s, OK, ms)
-	d.pass(2 * time.Second)
+	d.finish(s, Reset, ms)
+	d.finish(s, OK, ms)
+	d.advance(2 * time.Second)
 	if len(d.refusals) != 1 {
 		t.Errorf("refused %v, want the one request that lost its endpoint and has no other", d.refusals)
 	}
 }
 
-func TestNewNamesTheSettingItCannotActOn(t *testing.T) {
+func TestNewNamesInvalidSetting(t *testing.T) {
 	for key, spoil := range map[string]func(*Settings){
 		"classes":           func(s *Settings) { s.Classes = nil },
 		"classes[0].effect": func(s *Settings) { s.Classes[0].Effect = "maybe" },
@@ -1069,7 +1069,7 @@
 	} {
 		s := settings()
 		spoil(&s)
-		if _, err := New(s, 1, &recorder{}); err == nil || !strings.Contains(err.Error(), key) {
+		if _, err := New(s, 1, &recordingHost{}); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%s: error %v does not name it", key, err)
 		}
 	}
@@ -1160,7 +1160,7 @@
 				d.list(Entry{Endpoint: id, Cell: int(id-1) / 2, State: st, Started: time.Duration(rng.IntN(2)) * d.now})
 			}
 			check()
-			d.pass(time.Duration(rng.IntN(3)) * 10 * ms)
+			d.advance(time.Duration(rng.IntN(3)) * 10 * ms)
 			check()
 			// What is out at its deadline times out there, as the host trims it.
 			for i := 0; i < len(open); i++ {
@@ -1189,7 +1189,7 @@
 }
 
 // The same events and seed must give the same actions.
-func TestDeterminism(t *testing.T) {
+func TestSameSeedAndEventsGiveSameActions(t *testing.T) {
 	run := func() []sent {
 		d := start(t, settings(), 9)
 		d.serve(300, func(to EndpointID) Status {
@@ -1206,12 +1206,12 @@
 }
 
 // An instance that ends sends nothing that it could hardly answer, and says when its successor serves.
-func TestLeavingRefusesWhatComesTooLate(t *testing.T) {
+func TestDrainingInstanceRefusesRequestsThatComeTooLate(t *testing.T) {
 	s := settings()
 	s.MaxRetryAfter = 5 * time.Second
 	d := start(t, s, 4)
 	d.serve(100, nil) // 20 ms each
-	d.ask(pay)
+	d.request(pay)
 	out := d.last()
 	endsAt := d.now + 200*ms
 	d.b.Drain(d.now, endsAt, false)
@@ -1227,58 +1227,58 @@
 	if sends, refusals := ask(minIdleCallerConns - 1); sends != 0 || refusals != 1 {
 		t.Errorf("with hardly a connection idle: %d sends, %d refusals", sends, refusals)
 	}
-	d.pass(180 * ms)
+	d.advance(180 * ms)
 	if sends, refusals := ask(minIdleCallerConns); sends != 0 || refusals != 1 {
 		t.Errorf("too late: %d sends, %d refusals", sends, refusals)
 	}
-	if got, want := d.advice[len(d.advice)-1], endsAt+seconds(successorStartSeconds)-d.now; got != want {
+	if got, want := d.retryAfters[len(d.retryAfters)-1], endsAt+seconds(successorStartSeconds)-d.now; got != want {
 		t.Errorf("told to come back after %v, the successor serves after %v", got, want)
 	}
-	d.pass(20 * ms)
+	d.advance(20 * ms)
 	sends := len(d.sent)
-	d.end(out, Cancelled, 200*ms)
+	d.finish(out, Cancelled, 200*ms)
 	if len(d.sent) != sends || len(d.fails) != 1 || d.fails[0] != out.id {
 		t.Errorf("what was out at the end: %d more sends, failed %v", len(d.sent)-sends, d.fails)
 	}
 }
 
 // Where others serve on, clients come back as soon as the queue is worked off, and may find no connection here.
-func TestLeavingAmongOthers(t *testing.T) {
+func TestDrainingInstanceAmongOthersIgnoresIdleConnections(t *testing.T) {
 	s := settings()
 	s.Instances, s.MaxRetryAfter = 2, 5*time.Second
 	d := start(t, s, 4)
 	d.serve(100, nil)
 	sends := len(d.sent)
 	d.b.Drain(d.now, d.now+200*ms, false)
-	d.ask(read)
+	d.request(read)
 	if len(d.sent) != sends+1 {
 		t.Error("in good time: not sent")
 	}
-	d.pass(190 * ms)
-	d.ask(read)
-	if len(d.refusals) != 1 || d.advice[0] >= time.Second {
-		t.Errorf("too late: refused %v, told to come back after %v", d.refusals, d.advice)
+	d.advance(190 * ms)
+	d.request(read)
+	if len(d.refusals) != 1 || d.retryAfters[0] >= time.Second {
+		t.Errorf("too late: refused %v, told to come back after %v", d.refusals, d.retryAfters)
 	}
 }
 
 // A single call that is overdue by far is sent again where such calls are seldom answered late, and left alone
 // where they were only slow.
-func TestStrayCallIsSentAgainUnlessCallsAreSlow(t *testing.T) {
+func TestMissingCallIsRetriedUnlessCallsAreSlow(t *testing.T) {
 	for _, slow := range []int{0, 4} {
 		d := start(t, settings(), 4)
 		d.serve(200, nil)
 		overdue := func(tails float64) sent {
-			d.ask(read)
+			d.request(read)
 			call, c := d.last(), &d.b.classes[read]
 			for end := d.now + seconds(tails*c.tailRatio*c.meanLatency); d.now < end; {
 				d.serve(1, nil)
 			}
-			d.pass(10 * ms)
+			d.advance(10 * ms)
 			return call
 		}
 		for range slow {
 			call := overdue((overdueLostTails + overdueMissingTails) / 2)
-			d.end(call, OK, 10*ms)
+			d.finish(call, OK, 10*ms)
 		}
 		call := overdue(1.2 * overdueMissingTails)
 		if got, want := len(d.cancels) == 1 && d.cancels[0].id == call.id, slow == 0; got != want {
@@ -1289,64 +1289,64 @@
 
 // When most endpoints leave, the few that are left get no more than they bore before, at once: all that the tier
 // held together would choke them.
-func TestLimitFollowsTheEndpointsInService(t *testing.T) {
+func TestLimitFollowsEndpointsInService(t *testing.T) {
 	s := settings()
 	s.Classes[read].Deadline = time.Minute
 	d := start(t, s, 8)
 	for range 400 { // 16 calls at a time, so that the limit rests on a full tier
 		for len(d.b.requests) < 16 {
-			d.ask(read)
+			d.request(read)
 		}
 		out := slices.Clone(d.b.listed[0].calls)
 		for _, e := range d.b.listed[1:] {
 			out = append(out, e.calls...)
 		}
-		d.pass(20 * ms)
+		d.advance(20 * ms)
 		for _, r := range out {
-			d.end(sent{id: r.id, to: r.current.id, attempt: r.attempts - 1}, OK, 20*ms)
+			d.finish(sent{id: r.id, to: r.current.id, attempt: r.attempts - 1}, OK, 20*ms)
 		}
 	}
 	before := d.b.inFlightLimit
 	for id := EndpointID(1); id < 8; id++ {
 		d.list(Entry{Endpoint: id, State: Draining})
 	}
-	d.ask(read)
+	d.request(read)
 	if d.b.inFlightLimit > before/2 {
 		t.Errorf("the limit is %.1f for one endpoint and was %.1f for eight", d.b.inFlightLimit, before)
 	}
 }
 
 // What is held is refused once it could not be answered in time any more, not when its time is up.
-func TestHopelessIsRefusedAtOnce(t *testing.T) {
+func TestRequestThatCannotBeServedInTimeIsRefusedAtOnce(t *testing.T) {
 	s := settings()
 	s.Classes[read].LateValue, s.MaxRetryAfter = 0.5, time.Second
 	d := start(t, s, 1)
 	for range 60 {
-		d.ask(read)
-		d.pass(300 * ms)
-		d.end(d.last(), OK, 300*ms)
+		d.request(read)
+		d.advance(300 * ms)
+		d.finish(d.last(), OK, 300*ms)
 	}
 	for len(d.b.queue) == 0 {
-		d.ask(read)
+		d.request(read)
 	}
 	asked := d.now
 	if len(d.refusals) > 0 {
 		t.Fatal("refused though it could be served in time")
 	}
 	for len(d.refusals) == 0 {
-		d.pass(10 * ms)
+		d.advance(10 * ms)
 	}
 	if left := asked + 1500*ms - d.now; left < 200*ms {
 		t.Errorf("refused %v before its time was up, and an answer takes 300ms", left)
 	}
-	if d.advice[0] < time.Second {
-		t.Errorf("told to come back after %v, having waited %v in vain", d.advice[0], d.now-asked)
+	if d.retryAfters[0] < time.Second {
+		t.Errorf("told to come back after %v, having waited %v in vain", d.retryAfters[0], d.now-asked)
 	}
 }
 
 // A long request counts once the endpoint has it: until then it is neither slow nor overtaken, and has all its
 // time. What has gone out of it is not sent again.
-func TestLongRequestCountsFromItsLastByte(t *testing.T) {
+func TestLongBodyCountsFromItsLastByte(t *testing.T) {
 	d := start(t, settings(), 2)
 	d.serve(100, nil)
 	ask := func(id RequestID) sent {
@@ -1372,13 +1372,13 @@
 	}
 	call = ask("turned away")
 	d.b.Outcome(d.now, Outcome{ID: call.id, Endpoint: call.to, Status: Rejected, NotReplayable: true})
-	d.pass(100 * ms)
+	d.advance(100 * ms)
 	call = ask("elsewhere")
-	d.end(call, Rejected, ms)
+	d.finish(call, Rejected, ms)
 	if len(d.refusals) != 2 || d.last().id != "elsewhere" || d.last().to == call.to {
 		t.Errorf("refused %v, then sent %v: what is still whole goes to another endpoint", d.refusals, d.last())
 	}
-	d.end(d.last(), OK, ms)
+	d.finish(d.last(), OK, ms)
 	for _, e := range d.b.listed {
 		if e.uploads != 0 || len(e.calls) != 0 || d.b.inFlight != 0 {
 			t.Errorf("endpoint %d: %d coming, %d calls; %d out", e.id, e.uploads, len(e.calls), d.b.inFlight)
@@ -1387,12 +1387,12 @@
 }
 
 // How long a client takes to read a long answer says nothing of the endpoint, and uses up none of the limit.
-func TestLongAnswerLeavesTheEndpointFree(t *testing.T) {
+func TestStartedResponseFreesEndpoint(t *testing.T) {
 	d := start(t, settings(), 2)
 	d.serve(100, nil)
-	id := d.ask(read)
+	id := d.request(read)
 	call := d.last()
-	d.pass(20 * ms)
+	d.advance(20 * ms)
 	d.b.ResponseStarted(d.now, id, 0, call.to)
 	if d.b.inFlight != 0 || d.b.classes[read].meanLatency > 0.1 {
 		t.Errorf("%d out, mean %v", d.b.inFlight, d.b.classes[read].meanLatency)
@@ -1406,20 +1406,20 @@
 
 // Where a successor serves already, nothing is refused for want of idle connections, and who is refused need not
 // wait.
-func TestLeavingToASuccessor(t *testing.T) {
+func TestDrainingInstanceWithSuccessorRefusesWithoutWait(t *testing.T) {
 	s := settings()
 	s.MaxRetryAfter = 5 * time.Second
 	d := start(t, s, 4)
 	d.serve(100, nil)
 	sends := len(d.sent)
 	d.b.Drain(d.now, d.now+200*ms, true)
-	d.ask(read)
+	d.request(read)
 	if len(d.sent) != sends+1 {
 		t.Error("in good time: not sent")
 	}
-	d.pass(190 * ms)
-	d.ask(read)
-	if len(d.refusals) != 1 || d.advice[0] <= 0 || d.advice[0] > 100*ms {
-		t.Errorf("too late: refused %v, told to come back after %v", d.refusals, d.advice)
+	d.advance(190 * ms)
+	d.request(read)
+	if len(d.refusals) != 1 || d.retryAfters[0] <= 0 || d.retryAfters[0] > 100*ms {
+		t.Errorf("too late: refused %v, told to come back after %v", d.refusals, d.retryAfters)
 	}
 }
--- a/internal/decision/edge_cases_test.go
+++ b/internal/decision/edge_cases_test.go
@@ -8,33 +8,33 @@
 )
 
 // tell hands over a list of one line.
-func (d *bed) tell(version uint64, e Entry) {
+func (d *harness) applyDelta(version uint64, e Entry) {
 	d.b.Targets(d.now, List{Kind: DeltaList, Version: version, Entries: []Entry{e}})
 }
 
 // However a server leaves and comes back: what it was isolated for holds until a trial call is served or a new start is
 // named, what is cold stays so, and what returns ramps.
-func TestReturns(t *testing.T) {
+func TestReturningEndpointKeepsEjectionAndWarmUp(t *testing.T) {
 	const started = 21 * time.Second // of one that is cold for ten seconds from then on
 	cold := Entry{Endpoint: 1, Weight: 1, Started: started}
 	warm := Entry{Endpoint: 1, Weight: 1}
 	state := func(e Entry, s State) Entry { e.State = s; return e }
-	breakOff := func(d *bed) {
+	breakOff := func(d *harness) {
 		for range 40 {
-			d.ask(read)
+			d.request(read)
 			s := d.last()
 			if s.to != 1 {
-				d.end(s, OK, 20*ms)
+				d.finish(s, OK, 20*ms)
 				continue
 			}
-			d.end(s, Reset, ms)
-			d.end(d.last(), OK, 20*ms)
+			d.finish(s, Reset, ms)
+			d.finish(d.last(), OK, 20*ms)
 			return
 		}
 		t.Fatal("endpoint 1 is never drawn")
 	}
 	for name, c := range map[string]struct {
-		before func(d *bed)
+		before func(d *harness)
 		lists  []Entry // of versions from 3 on, half a second apart
 		want   endpointState
 		share  float64 // the most that it may be taken to be able to do then
@@ -68,7 +68,7 @@
 			c.before(d)
 		}
 		for i, e := range c.lists {
-			d.tell(uint64(3+i), e)
+			d.applyDelta(uint64(3+i), e)
 			d.now += 500 * ms
 		}
 		e := d.b.byID[c.lists[0].Endpoint]
@@ -95,10 +95,10 @@
 }
 
 // A cold server that fell silent, and answers a trial, is as cold as its start says.
-func TestTrialDoesNotWarm(t *testing.T) {
+func TestTrialDoesNotShortenWarmUp(t *testing.T) {
 	d := start(t, settings(), 4)
 	d.now = 21 * time.Second
-	d.tell(3, Entry{Endpoint: 1, Weight: 1, Started: d.now})
+	d.applyDelta(3, Entry{Endpoint: 1, Weight: 1, Started: d.now})
 	d.now += time.Second
 	e := d.b.byID[1]
 	d.b.eject(d.now, e, "silent")
@@ -110,13 +110,13 @@
 
 // A server that is gone and comes back while calls to it run has them still: in its load, in what is out, and in what
 // it is judged by; and it has no fresh ramp budget each time.
-func TestCallsOutlastAnAbsence(t *testing.T) {
+func TestCallsInFlightCountAfterEndpointReturns(t *testing.T) {
 	for _, during := range []string{"ready", "isolated"} {
 		d := start(t, settings(), 2)
 		d.serve(60, nil)
 		var at1 []sent
 		for range 4 {
-			d.ask(read)
+			d.request(read)
 			if d.last().to == 1 {
 				at1 = append(at1, d.last())
 			}
@@ -124,26 +124,26 @@
 		if during == "isolated" {
 			d.b.eject(d.now, d.b.byID[1], "silent")
 		}
-		d.tell(3, Entry{Endpoint: 1, State: Departed})
-		d.tell(4, Entry{Endpoint: 1, Weight: 1})
+		d.applyDelta(3, Entry{Endpoint: 1, State: Departed})
+		d.applyDelta(4, Entry{Endpoint: 1, Weight: 1})
 		e := d.b.byID[1]
 		if got := d.b.callsAt(d.now, e); got != len(at1) || len(at1) == 0 {
 			t.Errorf("%s: load %d with %d calls running", during, got, len(at1))
 		}
 		tokens := e.slowStartTokens
 		for v := uint64(5); v < 25; v += 2 {
-			d.tell(v, Entry{Endpoint: 1, State: Departed})
-			d.tell(v+1, Entry{Endpoint: 1, Weight: 1})
+			d.applyDelta(v, Entry{Endpoint: 1, State: Departed})
+			d.applyDelta(v+1, Entry{Endpoint: 1, Weight: 1})
 		}
 		if e = d.b.byID[1]; e.state == stateSlowStart && e.slowStartTokens > tokens {
 			t.Errorf("%s: its ramp may send %.2f at once, %.2f before it flapped", during, e.slowStartTokens, tokens)
 		}
 		for _, s := range slices.Clone(d.sent) {
 			if d.b.requests[s.id] != nil {
-				d.end(s, OK, 20*ms)
+				d.finish(s, OK, 20*ms)
 			}
 		}
-		d.pass(100 * ms)
+		d.advance(100 * ms)
 		if d.b.inFlight != 0 || len(d.b.byID[1].calls) != 0 || len(d.b.requests) != 0 {
 			t.Errorf("%s: %d out, %d at the endpoint, %d requests left", during, d.b.inFlight, len(d.b.byID[1].calls), len(d.b.requests))
 		}
@@ -151,7 +151,7 @@
 }
 
 // News that is older than what is known changes nothing, unless it is another discovery's.
-func TestLateLists(t *testing.T) {
+func TestOlderListsAreIgnored(t *testing.T) {
 	ready := Entry{Endpoint: 1, Weight: 1}
 	for name, c := range map[string]struct {
 		known State
@@ -169,7 +169,7 @@
 		"another discovery's, absent": {Ready, List{Kind: FullList, Version: 2, VersionsRestart: true}, false},
 	} {
 		d := start(t, settings(), 2)
-		d.tell(7, Entry{Endpoint: 1, Weight: 1, State: c.known})
+		d.applyDelta(7, Entry{Endpoint: 1, Weight: 1, State: c.known})
 		d.b.Targets(d.now, c.late)
 		e := d.b.byID[1]
 		if got := e != nil && e.listed && e.state <= stateSlowStart; got != c.want {
@@ -180,25 +180,25 @@
 
 // An outcome, or the beginning of an answer, that is of no attempt that is out is passed over: nothing is sent while
 // another attempt is out, and nothing is answered twice.
-func TestOutcomesOfOtherAttempts(t *testing.T) {
-	for name, late := range map[string]func(d *bed, first, now sent){
-		"told twice":           func(d *bed, first, now sent) { d.end(first, Error, 20*ms) },
-		"twice, never ran":     func(d *bed, first, now sent) { d.end(first, Rejected, 20*ms) },
-		"twice, reset":         func(d *bed, first, now sent) { d.end(first, Reset, 20*ms) },
-		"twice, timed out":     func(d *bed, first, now sent) { d.end(first, Timeout, 20*ms) },
-		"of another endpoint":  func(d *bed, first, now sent) { now.to = first.to; d.end(now, Error, 20*ms) },
-		"of one still to come": func(d *bed, first, now sent) { now.attempt++; d.end(now, Error, 20*ms) },
-		"begun":                func(d *bed, first, now sent) { d.b.ResponseStarted(d.now, first.id, first.attempt, first.to) },
-		"after it was over": func(d *bed, first, now sent) {
-			d.end(now, OK, 20*ms)
-			d.end(now, Error, 20*ms)
+func TestOutcomesOfOtherAttemptsAreIgnored(t *testing.T) {
+	for name, late := range map[string]func(d *harness, first, now sent){
+		"told twice":           func(d *harness, first, now sent) { d.finish(first, Error, 20*ms) },
+		"twice, never ran":     func(d *harness, first, now sent) { d.finish(first, Rejected, 20*ms) },
+		"twice, reset":         func(d *harness, first, now sent) { d.finish(first, Reset, 20*ms) },
+		"twice, timed out":     func(d *harness, first, now sent) { d.finish(first, Timeout, 20*ms) },
+		"of another endpoint":  func(d *harness, first, now sent) { now.to = first.to; d.finish(now, Error, 20*ms) },
+		"of one still to come": func(d *harness, first, now sent) { now.attempt++; d.finish(now, Error, 20*ms) },
+		"begun":                func(d *harness, first, now sent) { d.b.ResponseStarted(d.now, first.id, first.attempt, first.to) },
+		"after it was over": func(d *harness, first, now sent) {
+			d.finish(now, OK, 20*ms)
+			d.finish(now, Error, 20*ms)
 		},
 	} {
 		d := start(t, settings(), 4)
 		d.serve(60, nil)
-		id := d.ask(read)
+		id := d.request(read)
 		first := d.last()
-		d.end(first, Error, 20*ms)
+		d.finish(first, Error, 20*ms)
 		now := d.last()
 		if now.id != id || now.attempt != 1 {
 			t.Fatalf("%s: %v is not sent again", name, first)
@@ -210,7 +210,7 @@
 			t.Errorf("%s: %d sent, %v failed, %v refused, over %v", name, len(d.sent)-sends, d.fails, d.refusals, over)
 		}
 		if !over {
-			d.end(now, OK, 20*ms)
+			d.finish(now, OK, 20*ms)
 		}
 		if d.b.inFlight != 0 || len(d.b.requests) != 0 || len(d.fails)+len(d.refusals) > 0 {
 			t.Errorf("%s: %d out, %d requests, %v failed, %v refused", name, d.b.inFlight, len(d.b.requests), d.fails, d.refusals)
@@ -220,17 +220,17 @@
 
 // What nobody can serve is given up at once, and a refusal says when to come back: it is not held until its time is
 // nearly up, so that its client stays quiet.
-func TestNothingIsHeldInVain(t *testing.T) {
-	all := func(d *bed, s State) {
+func TestNoRequestIsQueuedInVain(t *testing.T) {
+	all := func(d *harness, s State) {
 		l := List{Kind: DeltaList, Version: 3}
 		for id := EndpointID(1); id <= 4; id++ {
 			l.Entries = append(l.Entries, Entry{Endpoint: id, Cell: int(id-1) / 2, State: s})
 		}
 		d.b.Targets(d.now, l)
 	}
-	held := func(d *bed) RequestID {
+	held := func(d *harness) RequestID {
 		for {
-			if id := d.ask(read); len(d.b.queue) > 0 {
+			if id := d.request(read); len(d.b.queue) > 0 {
 				return d.b.queue[0].id
 			} else if d.b.requests[id] == nil {
 				t.Fatal("nothing is ever held")
@@ -238,39 +238,39 @@
 		}
 	}
 	for name, c := range map[string]struct {
-		play func(d *bed) RequestID
+		play func(d *harness) RequestID
 		fail bool // it may have run, so that it must not be refused
 	}{
-		"no list": {func(d *bed) RequestID {
+		"no list": {func(d *harness) RequestID {
 			d.b.Targets(d.now, List{Kind: FullList, Version: 3})
-			return d.ask(read)
+			return d.request(read)
 		}, false},
-		"all drain":           {func(d *bed) RequestID { all(d, Draining); return d.ask(read) }, false},
-		"all are gone":        {func(d *bed) RequestID { all(d, Departed); return d.ask(pay) }, false},
-		"all drain, it waits": {func(d *bed) RequestID { id := held(d); all(d, Draining); return id }, false},
-		"all go, it waits":    {func(d *bed) RequestID { id := held(d); all(d, Departed); return id }, false},
-		"its only one drains": {func(d *bed) RequestID {
-			id := d.ask(read)
+		"all drain":           {func(d *harness) RequestID { all(d, Draining); return d.request(read) }, false},
+		"all are gone":        {func(d *harness) RequestID { all(d, Departed); return d.request(pay) }, false},
+		"all drain, it waits": {func(d *harness) RequestID { id := held(d); all(d, Draining); return id }, false},
+		"all go, it waits":    {func(d *harness) RequestID { id := held(d); all(d, Departed); return id }, false},
+		"its only one drains": {func(d *harness) RequestID {
+			id := d.request(read)
 			s := d.last()
 			all(d, Draining)
-			d.end(s, Rejected, 10*ms)
+			d.finish(s, Rejected, 10*ms)
 			return id
 		}, false},
-		"its cell drains": {func(d *bed) RequestID {
-			id := d.ask(book)
+		"its cell drains": {func(d *harness) RequestID {
+			id := d.request(book)
 			s := d.last()
 			cell := (s.to - 1) / 2
 			for v := range EndpointID(2) {
-				d.tell(uint64(3+v), Entry{Endpoint: 2*cell + 1 + v, Cell: int(cell), State: Draining})
+				d.applyDelta(uint64(3+v), Entry{Endpoint: 2*cell + 1 + v, Cell: int(cell), State: Draining})
 			}
-			d.end(s, Error, 10*ms)
+			d.finish(s, Error, 10*ms)
 			return id
 		}, true},
-		"its window is over": {func(d *bed) RequestID {
-			id := d.ask(book)
+		"its window is over": {func(d *harness) RequestID {
+			id := d.request(book)
 			s := d.last()
-			d.pass(400 * ms)
-			d.end(s, Error, 400*ms)
+			d.advance(400 * ms)
+			d.finish(s, Error, 400*ms)
 			return id
 		}, true},
 	} {
@@ -287,7 +287,7 @@
 			case c.fail != slices.Contains(d.fails, id) || c.fail == slices.Contains(d.refusals, id):
 				t.Errorf("%s, marks %v: failed %v, refused %v", name, marks, d.fails, d.refusals)
 			}
-			for i, after := range d.advice {
+			for i, after := range d.retryAfters {
 				if after <= 0 || after > s.MaxRetryAfter {
 					t.Errorf("%s, marks %v: %s is told to come back after %v", name, marks, d.refusals[i], after)
 				}
@@ -298,24 +298,24 @@
 
 // While lists fail there is one watch after another, and no more with each failure: the discovery that is down must not
 // be asked ever more often by those that it fails.
-func TestFailedListsAskNoMoreOften(t *testing.T) {
+func TestFailedListsDoNotAddWatches(t *testing.T) {
 	s := settings()
 	s.PullDiscovery = true
 	d := start(t, s, 4)
 	d.serve(40, nil)
-	d.pass(2 * time.Second)
+	d.advance(2 * time.Second)
 	// Each watch fails, and each fetch, that connections which break ask for.
 	before, from := d.watches+d.fetches, d.now
 	told, asked := before, d.now
 	d.b.Targets(d.now, List{Kind: FailedList})
 	for d.now < from+120*time.Second {
-		d.ask(read)
-		d.end(d.last(), ConnectFailed, ms)
+		d.request(read)
+		d.finish(d.last(), ConnectFailed, ms)
 		for len(d.sent) > 0 && d.b.requests[d.last().id] != nil {
-			d.end(d.last(), ConnectFailed, ms)
+			d.finish(d.last(), ConnectFailed, ms)
 		}
 		watches := d.watches
-		d.pass(100 * ms)
+		d.advance(100 * ms)
 		for ; told < d.watches+d.fetches; told++ {
 			d.b.Targets(d.now, List{Kind: FailedList})
 		}
@@ -331,28 +331,28 @@
 	if got := d.watches + d.fetches - before; got > 120*10/13+4+32 {
 		t.Errorf("%d calls in two minutes (%d watches)", got, d.watches)
 	}
-	if d.doubled > 0 {
-		t.Errorf("%d timers set while one was running", d.doubled)
+	if d.duplicateTimers > 0 {
+		t.Errorf("%d timers set while one was running", d.duplicateTimers)
 	}
 }
 
 // What changes counts as told 6 s after discovery could be reached, whatever became of the calls before. Two calls in a row
 // that hang for 2 s, the longest that a watch is waited for, leave time for the third; what is refused at once is asked no
 // more often for that.
-func TestHungListsAreAskedForAgainInTime(t *testing.T) {
+func TestHungWatchIsReplacedInTime(t *testing.T) {
 	const hangs = 2 * time.Second
 	for _, askEvery := range []time.Duration{time.Second, 4 * time.Second, 10 * time.Second, time.Minute} {
 		s := settings()
 		s.PullDiscovery, s.DiscoveryInterval = true, askEvery
 		d := start(t, s, 4)
-		d.pass(3 * time.Second)
+		d.advance(3 * time.Second)
 		d.b.Targets(d.now, List{Kind: FailedList})
 		var began []time.Duration
 		for watches := d.watches; len(began) < 12; {
-			d.pass(20 * ms)
+			d.advance(20 * ms)
 			if d.watches > watches {
 				watches, began = d.watches, append(began, d.now)
-				d.pass(hangs)
+				d.advance(hangs)
 				d.b.Targets(d.now, List{Kind: FailedList})
 			}
 			if len(began) > 0 && d.now-began[len(began)-1] > 4*hangs {
@@ -369,16 +369,16 @@
 
 // A server of which every answer is of no use, or that breaks off each connection it accepts, is isolated like one that
 // fails fast; where every server spoils some, or all do alike, none is.
-func TestServerThatSpoilsAll(t *testing.T) {
+func TestEndpointWithOnlyInvalidResponsesIsEjected(t *testing.T) {
 	for name, c := range map[string]struct {
-		spoils func(d *bed, to EndpointID) bool
+		spoils func(d *harness, to EndpointID) bool
 		most   int // calls of 400 to endpoint 1
 		least  int
 		marked bool
 	}{
-		"one spoils all":   {func(d *bed, to EndpointID) bool { return to == 1 }, 40, 1, true},
-		"each spoils some": {func(d *bed, to EndpointID) bool { return d.b.rng.Float64() < 0.1 }, 400, 70, false},
-		"all spoil all":    {func(d *bed, to EndpointID) bool { return true }, 800, 70, false},
+		"one spoils all":   {func(d *harness, to EndpointID) bool { return to == 1 }, 40, 1, true},
+		"each spoils some": {func(d *harness, to EndpointID) bool { return d.b.rng.Float64() < 0.1 }, 400, 70, false},
+		"all spoil all":    {func(d *harness, to EndpointID) bool { return true }, 800, 70, false},
 	} {
 		d := start(t, settings(), 4)
 		d.serve(60, nil)
@@ -396,16 +396,16 @@
 
 // However often what was sent never ran, a request has so many attempts, and then its answer: also where the platform
 // names no bound.
-func TestAttemptsAreBounded(t *testing.T) {
+func TestAttemptsOfRequestAreBounded(t *testing.T) {
 	for _, status := range []Status{Rejected, ConnectFailed, NotSent} {
 		for most, want := range map[int]int{4: 4, 0: maxRetryTokens} {
 			s := settings()
 			s.MaxAttempts = most
 			d := start(t, s, 3)
-			id := d.ask(pay)
+			id := d.request(pay)
 			for at := 0; at < len(d.sent) && at <= 100; at++ {
-				d.end(d.sent[at], status, ms)
-				d.pass(10 * ms)
+				d.finish(d.sent[at], status, ms)
+				d.advance(10 * ms)
 			}
 			if got := d.attempts[id]; got > want || len(d.refusals) != 1 {
 				t.Errorf("%v with a bound of %d: %d attempts, refused %v", status, most, got, d.refusals)
@@ -415,10 +415,10 @@
 }
 
 // A list with a weight that cannot be is taken as one without weights: each server is called, as if all were alike.
-func TestOddWeights(t *testing.T) {
+func TestImplausibleWeightsAreIgnored(t *testing.T) {
 	for _, odd := range []float64{1e308, math.Inf(1), math.NaN(), -1, 0} {
 		d := start(t, settings(), 4)
-		d.tell(3, Entry{Endpoint: 2, Weight: odd})
+		d.applyDelta(3, Entry{Endpoint: 2, Weight: odd})
 		got := d.serve(200, nil)
 		for id := EndpointID(1); id <= 4; id++ {
 			if got[id] < 20 {
@@ -430,19 +430,19 @@
 
 // Where the one server that is not isolated is the one that a request has just failed at, it goes there again or is
 // given up: nothing that comes could change that, and it is not held until its time is nearly up.
-func TestNoRepeatIsBarredForGood(t *testing.T) {
+func TestRetryUsesLastHealthyEndpointOrEnds(t *testing.T) {
 	for _, status := range []Status{Error, InvalidResponse, Reset, ConnectFailed} {
 		d := start(t, settings(), 2)
 		d.serve(60, nil)
 		for range 30 {
-			d.ask(read)
+			d.request(read)
 			at := len(d.sent) - 1
 			for ; at < len(d.sent); at++ {
-				d.end(d.sent[at], status, 10*ms)
+				d.finish(d.sent[at], status, 10*ms)
 			}
-			d.pass(100 * ms)
+			d.advance(100 * ms)
 			for ; at < len(d.sent); at++ { // a trial, or what waited a moment
-				d.end(d.sent[at], status, 10*ms)
+				d.finish(d.sent[at], status, 10*ms)
 			}
 			if len(d.b.queue) > 0 {
 				t.Errorf("%v: %s is held after %d attempts, with none out", status, d.b.queue[0].id, d.b.queue[0].attempts)
--- a/internal/decision/endpoint_index_test.go
+++ b/internal/decision/endpoint_index_test.go
@@ -9,7 +9,7 @@
 )
 
 // Whatever lists and outcomes come, the sets are what a look at every endpoint finds, and who has gone is forgotten.
-func TestRosterIsWhatALookAtAllFinds(t *testing.T) {
+func TestIndexSetsEqualScanOfAllEndpoints(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		d := start(t, settings(), 6)
@@ -29,10 +29,10 @@
 			if rng.IntN(3) == 0 {
 				d.b.Targets(d.now, l)
 			}
-			d.ask(rng.IntN(3))
-			d.pass(time.Duration(rng.IntN(60)) * ms)
+			d.request(rng.IntN(3))
+			d.advance(time.Duration(rng.IntN(60)) * ms)
 			for ; answered < len(d.sent) && rng.IntN(4) > 0; answered++ {
-				d.end(d.sent[answered], []Status{OK, OK, OK, Error, Reset, ConnectFailed, Rejected, Timeout}[rng.IntN(8)], 20*ms)
+				d.finish(d.sent[answered], []Status{OK, OK, OK, Error, Reset, ConnectFailed, Rejected, Timeout}[rng.IntN(8)], 20*ms)
 			}
 			check := func(what string, set []*endpoint, in func(*endpoint) bool) {
 				var want []*endpoint
--- a/internal/decision/evidence_test.go
+++ b/internal/decision/evidence_test.go
@@ -7,7 +7,7 @@
 
 // The word of others marks an endpoint that has not answered since, up to half of the list, and is not told on as own
 // evidence until a trial of this instance's own failed; one that answered here is kept, and told as good where asked.
-func TestAdviceHastensAMark(t *testing.T) {
+func TestPeerEjectionAppliesUnlessEndpointAnsweredSince(t *testing.T) {
 	d := start(t, settings(), 6)
 	d.serve(60, func(EndpointID) Status { return OK })
 	bad := func(age time.Duration, ids ...EndpointID) int {
@@ -20,7 +20,7 @@
 	if n := bad(time.Minute, 1, 2, 99); n != 0 {
 		t.Errorf("%d marked that answered since", n)
 	}
-	d.pass(time.Second)
+	d.advance(time.Second)
 	if n := bad(0, 1, 2, 3, 4, 5, 6); n != 3 {
 		t.Errorf("%d of 6 marked, want half", n)
 	}
@@ -43,7 +43,7 @@
 
 // Shares and further attempts that are allotted are what may be spent, whatever is served; a part that falls takes what
 // was saved up with it.
-func TestAllot(t *testing.T) {
+func TestQuotaSharesReplaceEvenQuotas(t *testing.T) {
 	s := settings()
 	s.Instances, s.Tenants = 10, []Tenant{{Name: "one", QuotaPerS: 100}}
 	d := start(t, s, 4)
--- a/internal/decision/fleet_test.go
+++ b/internal/decision/fleet_test.go
@@ -7,7 +7,7 @@
 )
 
 // What a broker of a large fleet has to bear: it sees little itself, and what it does all others do too.
-func TestOneOfManyBrokers(t *testing.T) {
+func TestInstanceOfLargeFleet(t *testing.T) {
 	small := func() Settings {
 		s := settings()
 		s.Instances, s.Ordinal = 300, 7
@@ -21,23 +21,23 @@
 		knocks, errors, after := 0, 0, 0
 		for range 60 {
 			at := len(d.sent)
-			d.ask(read)
+			d.request(read)
 			for ; at < len(d.sent); at++ {
 				switch x := d.sent[at]; {
 				case x.to == dead:
 					knocks++
-					d.end(x, ConnectFailed, ms)
+					d.finish(x, ConnectFailed, ms)
 				case x.to == spoilt && errors == 0:
 					errors++
-					d.end(x, Error, 20*ms)
+					d.finish(x, Error, 20*ms)
 				default:
 					if x.to == spoilt {
 						after++
 					}
-					d.end(x, OK, 20*ms)
+					d.finish(x, OK, 20*ms)
 				}
 			}
-			d.pass(10 * time.Second)
+			d.advance(10 * time.Second)
 		}
 		if len(d.fails) > 0 || len(d.refusals) > 0 || after < 10 {
 			t.Errorf("%d failed, %d refused, %d calls to the server of one bad answer", len(d.fails), len(d.refusals), after)
@@ -53,15 +53,15 @@
 		full, knocks := d.b.subset[0].id, 0
 		for range 3000 {
 			at := len(d.sent)
-			d.ask(read)
-			d.pass(20 * ms)
+			d.request(read)
+			d.advance(20 * ms)
 			for ; at < len(d.sent); at++ {
 				x := d.sent[at]
 				if x.to == full {
 					knocks++
-					d.end(x, ConnectFailed, ms)
+					d.finish(x, ConnectFailed, ms)
 				} else {
-					d.end(x, OK, 20*ms)
+					d.finish(x, OK, 20*ms)
 				}
 			}
 		}
@@ -82,10 +82,10 @@
 			}
 			d.b.Targets(d.now, l)
 			for range 10 {
-				d.ask(read)
-				d.pass(150 * ms)
+				d.request(read)
+				d.advance(150 * ms)
 				for ; answered < len(d.sent); answered++ {
-					d.end(d.sent[answered], OK, 20*ms)
+					d.finish(d.sent[answered], OK, 20*ms)
 				}
 			}
 		}
@@ -113,7 +113,7 @@
 			d.list(Entry{Endpoint: 17, Started: d.now, Weight: 1})
 			at := len(d.sent)
 			for range 4 {
-				d.ask(read)
+				d.request(read)
 			}
 			for _, x := range d.sent[at:] {
 				if total++; x.to == 17 {
@@ -128,16 +128,16 @@
 }
 
 // What capacity looked like before says nothing of now: each row is refused or held back for good without its cause.
-func TestShortageEnds(t *testing.T) {
+func TestShortageEndsWithItsCause(t *testing.T) {
 	s := settings()
 	s.ClientsMarkRetries = true
 	s.Tenants = []Tenant{{Name: "a", QuotaPerS: 100}}
-	slow := func(d *bed) { // calls that take three times what is usual
+	slow := func(d *harness) { // calls that take three times what is usual
 		d.serve(100, nil)
 		for range 200 {
-			d.ask(read)
-			d.pass(60 * ms)
-			d.end(d.last(), OK, 400*ms)
+			d.request(read)
+			d.advance(60 * ms)
+			d.finish(d.last(), OK, 400*ms)
 		}
 	}
 	t.Run("a repeat after a silence", func(t *testing.T) {
@@ -146,7 +146,7 @@
 		if d.b.latencyPressure <= 1 {
 			t.Fatalf("strain %.2f: nothing is tested", d.b.latencyPressure)
 		}
-		d.pass(10 * time.Second)
+		d.advance(10 * time.Second)
 		at := len(d.sent)
 		d.b.Request(d.now, Request{ID: "again", Remaining: 1500 * ms, IsRetry: true})
 		if len(d.sent) == at {
@@ -166,7 +166,7 @@
 			l.Entries = append(l.Entries, Entry{Endpoint: id, Weight: 1})
 		}
 		d.b.Targets(d.now, l)
-		d.pass(2 * time.Second)
+		d.advance(2 * time.Second)
 		d.serve(20, nil)
 		if d.b.isPaced {
 			t.Error("calls are paced for good once there are more endpoints than instances")
@@ -183,7 +183,7 @@
 		if len(d.refusals) > 0 {
 			t.Errorf("%d of 100 refused beside idle servers", len(d.refusals))
 		}
-		if id := d.ask(read); !d.b.requests[id].overQuota {
+		if id := d.request(read); !d.b.requests[id].overQuota {
 			t.Error("within a share of nothing")
 		}
 	})
--- a/internal/decision/slow_start_test.go
+++ b/internal/decision/slow_start_test.go
@@ -11,59 +11,59 @@
 
 // rampWorld is a fleet of brokers before some servers, in virtual time: all hear of the servers that have just started,
 // each in its own moment, and none of what the others send.
-type rampWorld struct {
+type slowStartWorld struct {
 	rng     *rand.Rand
 	now     time.Duration
-	events  rampEvents
-	brokers []*rampBroker
-	servers []*rampServer
+	events  slowStartEvents
+	brokers []*slowStartInstance
+	servers []*slowStartServer
 	set     Settings
 	work    time.Duration // mean, of one call
 	seq     int
 }
 
-type rampServer struct {
+type slowStartServer struct {
 	started time.Duration // 0 for long past
 	out     int
 	sent    []time.Duration // while it is cold
 }
 
-type rampBroker struct {
-	w    *rampWorld
+type slowStartInstance struct {
+	w    *slowStartWorld
 	b    *Balancer
 	out  map[RequestID]Outcome
 	sent map[RequestID]int
 }
 
-type rampEvent struct {
+type slowStartEvent struct {
 	at  time.Duration
 	seq int
 	do  func()
 }
 
-type rampEvents []rampEvent
+type slowStartEvents []slowStartEvent
 
-func (h rampEvents) Len() int { return len(h) }
-func (h rampEvents) Less(i, j int) bool {
+func (h slowStartEvents) Len() int { return len(h) }
+func (h slowStartEvents) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
-func (h rampEvents) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *rampEvents) Push(x any)   { *h = append(*h, x.(rampEvent)) }
-func (h *rampEvents) Pop() any {
+func (h slowStartEvents) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *slowStartEvents) Push(x any)   { *h = append(*h, x.(slowStartEvent)) }
+func (h *slowStartEvents) Pop() any {
 	old := *h
 	x := old[len(old)-1]
 	*h = old[:len(old)-1]
 	return x
 }
 
-func (w *rampWorld) after(d time.Duration, do func()) {
+func (w *slowStartWorld) after(d time.Duration, do func()) {
 	w.seq++
-	heap.Push(&w.events, rampEvent{w.now + d, w.seq, do})
+	heap.Push(&w.events, slowStartEvent{w.now + d, w.seq, do})
 }
 
-func (w *rampWorld) run(until time.Duration) {
+func (w *slowStartWorld) run(until time.Duration) {
 	for len(w.events) > 0 && w.events[0].at <= until {
-		e := heap.Pop(&w.events).(rampEvent)
+		e := heap.Pop(&w.events).(slowStartEvent)
 		w.now = e.at
 		e.do()
 	}
@@ -71,16 +71,16 @@
 }
 
 // share is what a server can do of what it can warm.
-func (w *rampWorld) share(s *rampServer, at time.Duration) float64 {
+func (w *slowStartWorld) share(s *slowStartServer, at time.Duration) float64 {
 	if s.started == 0 || at-s.started >= w.set.WarmUp {
 		return 1
 	}
 	return w.set.ColdCapacity + (1-w.set.ColdCapacity)*float64(at-s.started)/float64(w.set.WarmUp)
 }
 
-const rampCores = 2
+const slowStartCores = 2
 
-func (r *rampBroker) Send(id RequestID, to EndpointID, _, _ time.Duration) {
+func (r *slowStartInstance) Send(id RequestID, to EndpointID, _, _ time.Duration) {
 	w, s := r.w, r.w.servers[to-1]
 	share := w.share(s, w.now)
 	if share < 1 {
@@ -88,7 +88,7 @@
 	}
 	s.out++
 	work := w.work.Seconds() * w.rng.ExpFloat64()
-	took := seconds(work * max(float64(s.out)/rampCores, 1) / share)
+	took := seconds(work * max(float64(s.out)/slowStartCores, 1) / share)
 	attempt := r.sent[id]
 	r.sent[id]++
 	w.after(took, func() {
@@ -96,23 +96,23 @@
 		r.b.Outcome(w.now, Outcome{ID: id, Endpoint: to, Attempt: attempt, Final: true, Elapsed: took, Status: OK})
 	})
 }
-func (r *rampBroker) Refuse(RequestID, time.Duration) {}
-func (r *rampBroker) Fail(RequestID)                  {}
-func (r *rampBroker) Cancel(RequestID, int)           {}
-func (r *rampBroker) Watch(bool)                      {}
-func (r *rampBroker) Fetch()                          {}
-func (r *rampBroker) Log(string)                      {}
-func (r *rampBroker) SetTimer(token uint64, after time.Duration) {
+func (r *slowStartInstance) Refuse(RequestID, time.Duration) {}
+func (r *slowStartInstance) Fail(RequestID)                  {}
+func (r *slowStartInstance) Cancel(RequestID, int)           {}
+func (r *slowStartInstance) Watch(bool)                      {}
+func (r *slowStartInstance) Fetch()                          {}
+func (r *slowStartInstance) Log(string)                      {}
+func (r *slowStartInstance) SetTimer(token uint64, after time.Duration) {
 	r.w.after(after, func() { r.b.Timer(r.w.now, token) })
 }
 
-func (w *rampWorld) entry(i int) Entry {
+func (w *slowStartWorld) entry(i int) Entry {
 	return Entry{Endpoint: EndpointID(i + 1), Weight: 1, Started: w.servers[i].started}
 }
 
 // worst is the most that a server that is cold gets in the time that the settings name, over what the settings allow it
 // then and what is put down to chance: N + 2 x root of N + 2.
-func (w *rampWorld) worst() (ratio float64, got int, allowed float64) {
+func (w *slowStartWorld) worst() (ratio float64, got int, allowed float64) {
 	for _, s := range w.servers {
 		for i, at := range s.sent {
 			n := 0
@@ -122,7 +122,7 @@
 				}
 			}
 			// What it can do at the beginning of that time: the least.
-			most := w.set.OverloadMultiple * w.share(s, at) * rampCores / w.work.Seconds() * w.set.OverloadWindow.Seconds()
+			most := w.set.OverloadMultiple * w.share(s, at) * slowStartCores / w.work.Seconds() * w.set.OverloadWindow.Seconds()
 			if most += 2*math.Sqrt(most) + 2; float64(n)/most > ratio {
 				ratio, got, allowed = float64(n)/most, n, most
 			}
@@ -132,8 +132,8 @@
 }
 
 // newRampWorld has brokers that have served for a while, or have just started, when a part of the servers starts.
-func newRampWorld(seed uint64, brokers, servers int, restarted float64, fresh, tight bool) *rampWorld {
-	w := &rampWorld{rng: rand.New(rand.NewPCG(seed, 1)), set: settings(), work: 100 * ms}
+func newSlowStartWorld(seed uint64, brokers, servers int, restarted float64, fresh, tight bool) *slowStartWorld {
+	w := &slowStartWorld{rng: rand.New(rand.NewPCG(seed, 1)), set: settings(), work: 100 * ms}
 	w.now = 24 * time.Hour
 	w.set.Instances, w.set.Tiers = brokers, 1
 	w.set.ColdCapacity, w.set.WarmUp, w.set.OverloadMultiple, w.set.OverloadWindow = 0.3, 8*time.Second, 3, time.Second
@@ -141,16 +141,16 @@
 		w.work, w.set.ColdCapacity, w.set.WarmUp, w.set.OverloadMultiple = 300*ms, 0.15, 16*time.Second, 2.5
 	}
 	for range servers {
-		w.servers = append(w.servers, &rampServer{})
+		w.servers = append(w.servers, &slowStartServer{})
 	}
 	all := make([]Entry, servers)
 	for i := range all {
 		all[i] = w.entry(i)
 	}
-	meanGap := w.work.Seconds() / (0.6 * rampCores * float64(servers)) * float64(brokers)
+	meanGap := w.work.Seconds() / (0.6 * slowStartCores * float64(servers)) * float64(brokers)
 	begin := w.now
 	for i := range brokers {
-		r := &rampBroker{w: w, out: map[RequestID]Outcome{}, sent: map[RequestID]int{}}
+		r := &slowStartInstance{w: w, out: map[RequestID]Outcome{}, sent: map[RequestID]int{}}
 		set := w.set
 		set.Ordinal = i
 		b, err := New(set, seed+uint64(i), r)
@@ -191,7 +191,7 @@
 
 // A cold server falls under the sum of what all brokers send it, of which each knows only its own: that holds to what the
 // settings allow and chance, for brokers that have served for a while and for a fleet that starts with its servers.
-func TestRampHoldsForTheFleet(t *testing.T) {
+func TestSlowStartHoldsForFleet(t *testing.T) {
 	for _, x := range []struct {
 		brokers, servers, seeds int
 	}{{4, 20, 1}, {20, 20, 1}, {30, 20, 1}, {300, 60, 1}} {
@@ -204,7 +204,7 @@
 					name := fmt.Sprintf("%d brokers, %d servers, %v of them started, fresh %v, tight %v", x.brokers, x.servers,
 						restarted, fresh, tight)
 					for seed := range uint64(x.seeds) {
-						ratio, got, allowed := newRampWorld(seed, x.brokers, x.servers, restarted, fresh, tight).worst()
+						ratio, got, allowed := newSlowStartWorld(seed, x.brokers, x.servers, restarted, fresh, tight).worst()
 						if ratio > 1 || got == 0 {
 							t.Errorf("%s, seed %d: a cold server got %d calls, %.1f allowed", name, seed, got, allowed)
 						}
--- a/internal/decision/snapshot_test.go
+++ b/internal/decision/snapshot_test.go
@@ -10,30 +10,30 @@
 )
 
 // work has calls of a latency go on, some at a time, for a while.
-func (d *bed) work(atOnce int, took, lasts time.Duration) {
+func (d *harness) work(atOnce int, took, lasts time.Duration) {
 	for end := d.now + lasts; d.now < end; {
 		at := len(d.sent)
 		for range atOnce {
-			d.ask(read)
+			d.request(read)
 		}
-		d.pass(took)
+		d.advance(took)
 		for _, s := range d.sent[at:] {
-			d.end(s, OK, took)
+			d.finish(s, OK, took)
 		}
 	}
 }
 
 // fill asks until nothing more is sent, and tells how many were.
-func (d *bed) fill() (n int) {
+func (d *harness) fill() (n int) {
 	for at := -1; at < len(d.sent); n++ {
 		at = len(d.sent)
-		d.ask(read)
+		d.request(read)
 	}
 	return n - 1
 }
 
 // heir is a successor that has been told what a process has learnt, in the form in which it travels.
-func (d *bed) heir(s Settings, n int) *bed {
+func (d *harness) successor(s Settings, n int) *harness {
 	d.t.Helper()
 	text, err := json.Marshal(d.b.Snapshot(d.now))
 	if err != nil {
@@ -44,7 +44,7 @@
 		d.t.Fatal(err)
 	}
 	h := start(d.t, s, n)
-	h.pass(17 * ms) // the clocks differ
+	h.advance(17 * ms) // the clocks differ
 	if err := h.b.Restore(h.now, l); err != nil {
 		d.t.Fatal(err)
 	}
@@ -53,25 +53,25 @@
 
 // A process that starts on a crowded tier learns crowded latencies, and lets in flight what keeps it crowded. One that
 // inherits goes by those at little load.
-func TestSuccessorGoesByInheritedFigures(t *testing.T) {
+func TestSuccessorUsesRestoredStatistics(t *testing.T) {
 	elder := start(t, settings(), 6)
 	elder.work(8, 100*ms, 8*time.Second)
-	crowd := func(d *bed) *bed { d.work(40, 600*ms, 4*time.Second); return d }
-	told, alone := crowd(elder.heir(settings(), 6)), crowd(start(t, settings(), 6))
+	crowd := func(d *harness) *harness { d.work(40, 600*ms, 4*time.Second); return d }
+	told, alone := crowd(elder.successor(settings(), 6)), crowd(start(t, settings(), 6))
 	if most, least := alone.fill(), told.fill(); least > most*2/3 {
 		t.Errorf("%d in flight after inheriting, %d without", least, most)
 	}
 	if base := told.b.classes[read].baseLatency; base < 0.09 || base > 0.2 {
 		t.Errorf("its base latency is %v", base)
 	}
-	fresh := elder.heir(settings(), 6)
+	fresh := elder.successor(settings(), 6)
 	if own, theirs := fresh.fill(), elder.fill(); own < theirs-1 || own > theirs+1 {
 		t.Errorf("%d in flight at first, %d in the process before", own, theirs)
 	}
 }
 
 // What two processes of one instance have in flight together is what one may have.
-func TestCallsOfThePredecessorCount(t *testing.T) {
+func TestPredecessorCallsCountInLimit(t *testing.T) {
 	for name, tc := range map[string]struct {
 		calls map[EndpointID]int
 		after time.Duration // from the word on
@@ -87,7 +87,7 @@
 	} {
 		d, alone := start(t, settings(), 6), start(t, settings(), 6)
 		d.b.SetPredecessorCalls(d.now, tc.calls, d.now+500*ms)
-		d.pass(tc.after)
+		d.advance(tc.after)
 		if tc.again != nil {
 			d.b.SetPredecessorCalls(d.now, tc.again, d.now+500*ms)
 		}
@@ -98,53 +98,53 @@
 	d := start(t, settings(), 2)
 	d.b.SetPredecessorCalls(d.now, map[EndpointID]int{1: 3}, d.now+500*ms)
 	for range 3 {
-		if d.ask(read); d.last().to != 2 {
+		if d.request(read); d.last().to != 2 {
 			t.Error("a call to the endpoint with more in flight")
 		}
 	}
 }
 
 // Held calls go out when the process before says that its own have ended, or says nothing any more.
-func TestHeldCallsFollowThePredecessors(t *testing.T) {
+func TestQueuedCallsAreSentWhenPredecessorCallsEnd(t *testing.T) {
 	for name, wait := range map[string]time.Duration{"said": 0, "silence": 520 * ms} {
 		d := start(t, settings(), 6)
 		d.work(4, 50*ms, 3*time.Second)
 		d.b.SetPredecessorCalls(d.now, map[EndpointID]int{1: 50}, d.now+500*ms)
 		at := len(d.sent)
-		if d.ask(read); len(d.sent) > at {
+		if d.request(read); len(d.sent) > at {
 			t.Fatalf("%s: sent beside 50", name)
 		}
 		if wait == 0 {
 			d.b.SetPredecessorCalls(d.now, nil, d.now+500*ms)
 		}
-		if d.pass(wait); len(d.sent) == at {
+		if d.advance(wait); len(d.sent) == at {
 			t.Errorf("%s: still held", name)
 		}
 	}
 }
 
 // An endpoint that the process before has isolated, or that ramps, is no fresh one to its successor.
-func TestMarksAreInherited(t *testing.T) {
+func TestEndpointStatesAreRestored(t *testing.T) {
 	elder := start(t, settings(), 6)
 	elder.work(6, 20*ms, 4*time.Second)
-	elder.ask(read)
+	elder.request(read)
 	broken := elder.last().to
-	elder.end(elder.last(), Reset, ms)
-	heir := elder.heir(settings(), 6)
+	elder.finish(elder.last(), Reset, ms)
+	heir := elder.successor(settings(), 6)
 	if n := heir.serve(10, func(EndpointID) Status { return OK })[broken]; n > 0 {
 		t.Errorf("%d calls to an endpoint that is isolated", n)
 	}
 	for elder.b.byID[broken].state == stateEjected {
 		elder.work(1, 20*ms, 20*ms)
 	}
-	back := elder.heir(settings(), 6).serve(100, func(EndpointID) Status { return OK })
+	back := elder.successor(settings(), 6).serve(100, func(EndpointID) Status { return OK })
 	if n := back[broken]; n > 9 {
 		t.Errorf("%d of 100 calls to an endpoint that ramps", n)
 	}
 }
 
 // Of figures that cannot be, none is taken; nor of those of a process that knows less.
-func TestWhatIsNotInherited(t *testing.T) {
+func TestInvalidSnapshotIsNotRestored(t *testing.T) {
 	elder := start(t, settings(), 6)
 	elder.work(8, 100*ms, 8*time.Second)
 	good := elder.b.Snapshot(elder.now)
@@ -188,7 +188,7 @@
 }
 
 // What is told of many endpoints has a bound.
-func TestLearntIsBounded(t *testing.T) {
+func TestSnapshotIsBounded(t *testing.T) {
 	d := start(t, settings(), 3*maxSnapshotEndpoints)
 	for _, e := range d.b.listed {
 		e.id += 4e9
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -77,7 +77,7 @@
 }
 
 // A watch that ends is taken up where it ended; after a line that cannot be read, the whole list is asked for.
-func TestWatchReconnects(t *testing.T) {
+func TestWatchReconnectsWhereItEnded(t *testing.T) {
 	asked, replies := make(chan string, 8), make(chan string, 8)
 	s, w := startWatcher(t, false, func(w http.ResponseWriter, r *http.Request) {
 		asked <- r.URL.RawQuery
@@ -105,7 +105,7 @@
 }
 
 // A change is told within 6 s also where a call hung, the longest pause follows, and the watch after it hangs too.
-func TestNoPauseOutlastsAChange(t *testing.T) {
+func TestChangeIsKnownWithinSixSeconds(t *testing.T) {
 	const told = 6 * time.Second
 	for failures := range 100 {
 		least, most := backoff(failures, 0), backoff(failures, 1)
@@ -135,7 +135,7 @@
 }
 
 // The lists of a watch may be broken into lines as anybody likes, and come in any pieces.
-func TestIndentedLists(t *testing.T) {
+func TestListsMayBeBrokenIntoLines(t *testing.T) {
 	text := ""
 	for rev := range uint64(3) {
 		whole, err := json.MarshalIndent(core.List{Rev: rev, Targets: []core.Target{{UID: "a\n"}, {UID: "b"}}}, "", "\t")
@@ -163,7 +163,7 @@
 }
 
 // Part of a list, however slowly it comes, is no sign of life: what changes behind it would not be heard of.
-func TestHalfAListIsNoSignOfLife(t *testing.T) {
+func TestPartOfListIsNoKeepAlive(t *testing.T) {
 	t.Parallel()
 	const told = 6 * time.Second
 	for name, half := range map[string]string{"of a line": `{"rev":8,"targets":[`, "of many": "{\n\t\"rev\": 8,\n", "behind a list": "{\"rev\":8,\"targets\":[]}\n{\n"} {
@@ -189,7 +189,7 @@
 }
 
 // A list that cannot be one takes nothing away: a watch asks for the whole list instead, and a fetch has failed.
-func TestMalformedLists(t *testing.T) {
+func TestMalformedListCausesFullList(t *testing.T) {
 	for _, text := range []string{`{"rev":9,"all":true}`, `{"rev":9,"all":true,"targets":[{}]}`, `null`, `{"rev":"9"}`, `[]`, `7`, `{"rev":-1}`} {
 		asked := make(chan string, 8)
 		s, w := startWatcher(t, false, func(w http.ResponseWriter, r *http.Request) {
@@ -217,7 +217,7 @@
 
 // Where discovery must be asked, a watch that falls silent, breaks off in the middle of a line or is not answered ends
 // with word of it, and is taken up again when that is asked for.
-func TestBrokenWatchesEnd(t *testing.T) {
+func TestBrokenWatchIsReportedWhereListsArePulled(t *testing.T) {
 	step := 0
 	s, w := startWatcher(t, true, func(w http.ResponseWriter, r *http.Request) {
 		switch step++; step {
@@ -243,7 +243,7 @@
 }
 
 // A call of a discovery is one request: where it answers with another place, or fails, nothing else is asked.
-func TestOneCallIsOneRequest(t *testing.T) {
+func TestRedirectIsNotFollowed(t *testing.T) {
 	for _, status := range []int{http.StatusFound, http.StatusTemporaryRedirect, http.StatusServiceUnavailable} {
 		var asked atomic.Int64
 		s, w := startWatcher(t, true, func(w http.ResponseWriter, r *http.Request) {
@@ -263,7 +263,7 @@
 }
 
 // A fetch brings the whole list; one that fails does not end a watch that stands, and is told of where there is none.
-func TestFetch(t *testing.T) {
+func TestFetchReportsFullListOrFailure(t *testing.T) {
 	watches, replies := make(chan bool, 8), make(chan string, 8)
 	s, w := startWatcher(t, true, func(w http.ResponseWriter, r *http.Request) {
 		if !r.URL.Query().Has("follow") {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestParseLoad(t *testing.T) {
+func TestParseLoadReadsKnownFields(t *testing.T) {
 	l, err := ParseLoad("inflight=7, queue=2,latency_ms=20,novelty=1", "=")
 	if err != nil || l.InFlight != 7 || l.Queue != 2 || l.Util != -1 || l.Service != 20*time.Millisecond {
 		t.Errorf("got %+v, %v", l, err)
@@ -18,7 +18,7 @@
 }
 
 // What only the sidecar needs is read beside what the Balancer does.
-func TestParse(t *testing.T) {
+func TestParseReadsSettingsOfSidecar(t *testing.T) {
 	s, unknown, err := Parse([]byte(`{"allowed":{"connIdle":30000000,"openCap":7,"maxRetryAfter":2000000,"retryAfter":true},
 		"discovery":"push","models":["m"],"zones":["y","z"],"rules":{"graceToAnswer":20000},"novelty":1}`))
 	if err != nil || len(unknown) != 1 || unknown[0] != "novelty" {
