--- a/internal/lab/coresim/checker.go
+++ b/internal/lab/coresim/checker.go
@@ -6,46 +6,70 @@
 	"time"
 )
 
-// watchedHolders is how many former holders may not take turns with the present one.
+// formerHolderCount is to how many former lease holders the role must not return within leaseDuration.
 const formerHolderCount = 2
 
-// checker knows only what callers saw.
+// checker checks what clients observe against the guarantees. It does not use the members' internal state beyond what a
+// client, or a reader of the lease, would see. docs/SYSTEM-SEARCH.md lists the guarantees.
 type checker struct {
-	violation                        error
-	order                            []operation // in the order in which they were seen committed
-	acked                            []uint64
-	ackedBases                       map[uint64]uint64      // by the version that an acknowledged operation builds on, its number
-	rejected                         map[uint64]bool        // operations that were refused
-	shown                            map[string]observation // by a member's address, what was checked of it
-	position                         map[uint64]int         // of an operation in the order
-	ackedBefore                      map[uint64]int         // how many operations were acknowledged when one began
-	longestRead                      int                    // how many operations the longest read that has ended showed
-	holder                           string
-	token                            uint64
-	lastHeldAt                       time.Duration
-	formerHolders                    []string // the holders before, the latest first
-	acks, reads, rejections, holders int
+	// violation is the first violated guarantee; nil for none.
+	violation error
+
+	// order is the list of operations as the members have shown it committed.
+	order []operation
+	// position is the index of each operation in order.
+	position map[uint64]int
+	// shown is what each member, by address, has shown last.
+	shown map[string]observation
+
+	// acked are the acknowledged operations, in the order of the acknowledgements.
+	acked []uint64
+	// ackedBefore is how many operations were acknowledged when an operation was first sent.
+	ackedBefore map[uint64]int
+	// ackedBases is the acknowledged operation that builds on a version.
+	ackedBases map[uint64]uint64
+	// rejected are the operations that were rejected.
+	rejected map[uint64]bool
+	// longestRead is the length of the longest list that a completed read has returned.
+	longestRead int
+
+	// holder is the address of the last lease holder that could act, token its token and lastHeldAt when it last could.
+	holder     string
+	token      uint64
+	lastHeldAt time.Duration
+	// formerHolders are the addresses of the holders before it, the latest first.
+	formerHolders []string
+
+	// Counts of acknowledgements, rejections, reads and changes of the lease holder.
+	acks, rejections, reads, holders int
 }
 
-// shown is what a member has shown last.
+// observation is the committed state that a member has shown.
 type observation struct {
 	view        uint64
 	incarnation int
-	operations  int // number of operations
+	length      int
 }
 
 func newChecker() *checker {
-	return &checker{lastHeldAt: -time.Hour, position: map[uint64]int{}, ackedBefore: map[uint64]int{}, ackedBases: map[uint64]uint64{},
-		rejected: map[uint64]bool{}, shown: map[string]observation{}}
+	return &checker{
+		position:    map[uint64]int{},
+		shown:       map[string]observation{},
+		ackedBefore: map[uint64]int{},
+		ackedBases:  map[uint64]uint64{},
+		rejected:    map[uint64]bool{},
+		lastHeldAt:  -time.Hour,
+	}
 }
 
+// fail records a violation, unless there was one before.
 func (c *checker) fail(format string, arguments ...any) {
 	if c.violation == nil {
 		c.violation = fmt.Errorf(format, arguments...)
 	}
 }
 
-// watch looks at what a member would show its callers now.
+// observe checks what a member would show clients now.
 func (c *checker) observe(m *machine) {
 	if !m.isRunning() || m.node.View().Number == 0 {
 		return
@@ -67,17 +91,18 @@
 	}
 }
 
-// committed checks that all members show the same operations in the same order. What a member has shown before in the
-// same view and life is not compared again, but for the last of it.
+// checkOrder checks that all members show the same operations in the same order. Of what a member has shown before, in the
+// same view and incarnation, only the last operation is compared again: that keeps long runs fast.
 func (c *checker) checkOrder(m *machine) {
 	operations := m.node.CommittedState().Value.(log).operations
-	now := observation{view: m.node.View().Number, incarnation: m.incarnation, operations: len(operations)}
-	from := 0
-	if before := c.shown[m.address]; before.view == now.view && before.incarnation == now.incarnation && before.operations <= now.operations {
-		from = max(before.operations-1, 0)
-	}
-	c.shown[m.address] = now
-	for i := from; i < len(operations); i++ {
+	current := observation{view: m.node.View().Number, incarnation: m.incarnation, length: len(operations)}
+	previous := c.shown[m.address]
+	c.shown[m.address] = current
+	start := 0
+	if previous.view == current.view && previous.incarnation == current.incarnation && previous.length <= current.length {
+		start = max(previous.length-1, 0)
+	}
+	for i := start; i < len(operations); i++ {
 		if i == len(c.order) {
 			c.appendToOrder(operations[i])
 		}
@@ -88,8 +113,8 @@
 	}
 }
 
-// inOrder takes the next operation of the order. It must build on the version before it, come after all that were
-// acknowledged before it began, and never have been refused.
+// appendToOrder adds an operation that a member has shown first. It must build on the version before it, come after all that
+// were acknowledged before it was sent, and not have been rejected.
 func (c *checker) appendToOrder(op operation) {
 	if op.base != uint64(len(c.order)) {
 		c.fail("operation %d builds on version %d and is taken on top of version %d", op.number, op.base, len(c.order))
@@ -107,15 +132,25 @@
 	}
 }
 
-// begin notes that a caller sends an operation.
+// begin records that a client sends an operation for the first time.
 func (c *checker) begin(op operation) { c.ackedBefore[op.number] = len(c.acked) }
 
-// refused notes that a caller was told another version is in place: its operation was never taken, and one that builds on
-// the same version was.
+// acknowledge records that an operation was acknowledged. At most one operation that builds on a version may be.
+func (c *checker) acknowledge(op operation) {
+	if other, ok := c.ackedBases[op.base]; ok && other != op.number {
+		c.fail("operations %d and %d are both acknowledged on top of version %d", other, op.number, op.base)
+	}
+	c.ackedBases[op.base] = op.number
+	c.acked = append(c.acked, op.number)
+	c.acks++
+}
+
+// reject records that an operation was rejected because of another version: it must not be applied, and one that builds on
+// the same version must be.
 func (c *checker) reject(op operation) {
 	c.rejections++
 	c.rejected[op.number] = true
-	if _, taken := c.position[op.number]; taken {
+	if _, applied := c.position[op.number]; applied {
 		c.fail("operation %d was taken and is refused", op.number)
 	}
 	if uint64(len(c.order)) <= op.base {
@@ -123,7 +158,25 @@
 	}
 }
 
-// act checks that one holder acts at a time, with tokens that rise.
+// checkRead checks the result of a read. Acked and longest are the number of acknowledged operations and the length of the
+// longest completed read when it began.
+func (c *checker) checkRead(address string, value log, acked, longest int) {
+	c.reads++
+	if len(value.operations) < longest {
+		c.fail("a read at %s shows %d operations, one that ended before it began %d", address, len(value.operations), longest)
+		return
+	}
+	c.longestRead = max(c.longestRead, len(value.operations))
+	for _, number := range c.acked[:acked] {
+		if !value.has(number) {
+			c.fail("a read at %s lacks operation %d, which was acknowledged before", address, number)
+			return
+		}
+	}
+}
+
+// checkHolder checks a member that can act as the lease holder now: it does so alone, with a token that never falls, and the
+// role does not return to a former holder too soon.
 func (c *checker) checkHolder(now time.Duration, address string, token uint64) {
 	switch {
 	case address == c.holder:
@@ -141,31 +194,7 @@
 		c.formerHolders = append([]string{c.holder}, c.formerHolders...)
 		c.formerHolders = c.formerHolders[:min(len(c.formerHolders), formerHolderCount)]
 	}
-	c.holder, c.token, c.lastHeldAt = address, token, now
-}
-
-// ack notes that a caller was told its operation is taken. Only one is that builds on a version.
-func (c *checker) acknowledge(op operation) {
-	if other, ok := c.ackedBases[op.base]; ok && other != op.number {
-		c.fail("operations %d and %d are both acknowledged on top of version %d", other, op.number, op.base)
-	}
-	c.ackedBases[op.base] = op.number
-	c.acked = append(c.acked, op.number)
-	c.acks++
-}
-
-// read checks a read that began when so many operations were acknowledged, and the longest read had shown so many.
-func (c *checker) checkRead(address string, value log, acked, longest int) {
-	c.reads++
-	if len(value.operations) < longest {
-		c.fail("a read at %s shows %d operations, one that ended before it began %d", address, len(value.operations), longest)
-		return
-	}
-	c.longestRead = max(c.longestRead, len(value.operations))
-	for _, number := range c.acked[:acked] {
-		if !value.has(number) {
-			c.fail("a read at %s lacks operation %d, which was acknowledged before", address, number)
-			return
-		}
-	}
+	c.holder = address
+	c.token = token
+	c.lastHeldAt = now
 }
--- a/internal/lab/coresim/clients.go
+++ b/internal/lab/coresim/clients.go
@@ -7,33 +7,46 @@
 	"dykering/internal/chain"
 )
 
+// The load on the simulated core.
 const (
 	operatorCount = 2
-	writePause    = 240 * time.Millisecond
-	busyPause     = 20 * time.Millisecond
-	readInterval  = 300 * time.Millisecond
-	callTimeout   = 900 * time.Millisecond
-	retryPause    = 40 * time.Millisecond
-	// resendEvery is after how many acknowledged operations an operator sends one of them again, as if its answer was lost.
+	// writePause is the mean time between the answer to an operation and the next one, busyPause that with Options.Busy.
+	writePause = 240 * time.Millisecond
+	busyPause  = 20 * time.Millisecond
+	// readInterval is the mean time between two reads.
+	readInterval = 300 * time.Millisecond
+	// callTimeout is how long a client waits for an answer.
+	callTimeout = 900 * time.Millisecond
+	// maxRetryPause is the longest time before an operation without an answer is sent again.
+	maxRetryPause = 40 * time.Millisecond
+	// resendFraction is the mean number of operations of which one is an acknowledged one sent again, as if its answer had
+	// been lost.
 	resendFraction = 6
 )
 
-// errConflict refuses an operation that builds on another version.
-var errConflict = errors.New("another version is in place")
+var (
+	// errConflict rejects an operation that builds on another version.
+	errConflict = errors.New("another version is in place")
+	// errNoAnswer ends a call without an answer: the operation may have been applied.
+	errNoAnswer = errors.New("no answer in time")
+)
 
-// operation is one change of the replicated list: it builds on the list's length, as a configuration's change builds on a
-// version.
+// operation appends itself to the replicated list, on the condition that its base is the list's length. A change of the
+// configuration builds on a version in the same way.
 type operation struct{ number, base uint64 }
 
-// operator sends one operation after another. One without a clear answer is sent again unchanged, to any member.
+// operator is a client that sends one operation after another. It sends one without a clear answer again unchanged, to any
+// member that believes to be the head.
 type operator struct {
-	sim        *Simulation
-	version    uint64 // that it knows of
-	acked      []operation
-	callNumber int // counts the calls, so that a late answer is known
+	sim *Simulation
+	// version is the latest version that the operator knows of.
+	version uint64
+	acked   []operation
+	// callNumber identifies the present call: answers to earlier ones are ignored.
+	callNumber int
 }
 
-// clients write and read for as long as the world is played.
+// startClients starts the operators and a reader.
 func (sim *Simulation) startClients() {
 	for range operatorCount {
 		o := &operator{sim: sim}
@@ -41,26 +54,27 @@
 	}
 	var read func()
 	read = func() {
-		sim.read(sim.randomMachine(func(m *machine) bool { return m.node.IsTail() }), func(log) {})
+		sim.read(sim.randomMachine((*chain.Node).IsTail), func(log) {})
 		sim.after(readInterval/2+sim.jitter(readInterval), read)
 	}
 	sim.after(writePause, read)
 }
 
-// pick draws one of the members that take themselves for something; nil for none.
-func (sim *Simulation) randomMachine(is func(*machine) bool) *machine {
-	var fit []*machine
+// randomMachine returns one of the running machines whose node satisfies a condition; nil for none.
+func (sim *Simulation) randomMachine(satisfies func(*chain.Node) bool) *machine {
+	var candidates []*machine
 	for _, m := range sim.machines {
-		if m.isRunning() && is(m) {
-			fit = append(fit, m)
+		if m.isRunning() && satisfies(m.node) {
+			candidates = append(candidates, m)
 		}
 	}
-	if len(fit) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
-	return fit[sim.random.IntN(len(fit))]
+	return candidates[sim.random.IntN(len(candidates))]
 }
 
+// pause returns a random time before the next operation.
 func (o *operator) pause() time.Duration {
 	pause := writePause
 	if o.sim.options.Busy {
@@ -69,7 +83,7 @@
 	return pause/2 + o.sim.jitter(pause)
 }
 
-// next begins another operation, or sends an acknowledged one again.
+// next sends another operation, or an acknowledged one again.
 func (o *operator) next() {
 	sim := o.sim
 	if len(o.acked) > 0 && sim.random.IntN(resendFraction) == 0 {
@@ -82,25 +96,26 @@
 	o.send(op)
 }
 
-// send sends an operation until it has a clear answer.
+// send sends an operation until it is acknowledged or rejected.
 func (o *operator) send(op operation) {
 	sim := o.sim
 	o.call(op, func(err error) {
 		switch {
 		case err == nil:
 			sim.checker.acknowledge(op)
-			o.acked, o.version = append(o.acked, op), op.base+1
+			o.acked = append(o.acked, op)
+			o.version = op.base + 1
 			sim.after(o.pause(), o.next)
 		case errors.Is(err, errConflict):
 			sim.checker.reject(op)
 			o.readVersion()
 		default:
-			sim.after(sim.jitter(retryPause), func() { o.send(op) })
+			sim.after(sim.jitter(maxRetryPause), func() { o.send(op) })
 		}
 	})
 }
 
-// resend sends an operation again that was acknowledged: it may stay without a clear answer, but is never refused.
+// resend sends an acknowledged operation once more. It need not be answered, but must not be rejected.
 func (o *operator) resend(op operation) {
 	sim := o.sim
 	o.call(op, func(err error) {
@@ -111,19 +126,12 @@
 	})
 }
 
-// learn reads the version in place, and goes on.
+// readVersion reads the current version, until it has an answer, and then goes on with the next operation.
 func (o *operator) readVersion() {
 	sim := o.sim
-	o.callNumber++
-	call := o.callNumber
-	once := func(do func()) {
-		if o.callNumber == call {
-			o.callNumber++
-			do()
-		}
-	}
+	once := o.beginCall()
 	sim.after(callTimeout, func() { once(o.readVersion) })
-	sim.read(sim.randomMachine(func(m *machine) bool { return m.node.IsTail() }), func(value log) {
+	sim.read(sim.randomMachine((*chain.Node).IsTail), func(value log) {
 		once(func() {
 			o.version = uint64(len(value.operations))
 			sim.after(o.pause(), o.next)
@@ -131,32 +139,37 @@
 	})
 }
 
-var errNoAnswer = errors.New("no answer in time")
-
-// ask makes one call at a member that takes itself for the head. The answer comes once: the member's, or none in time.
+// call makes one call at a member that believes to be the head. The answer is given once: the member's, or errNoAnswer.
 func (o *operator) call(op operation, answer func(error)) {
 	sim := o.sim
+	once := o.beginCall()
+	respond := func(err error) { once(func() { answer(err) }) }
+	sim.after(callTimeout, func() { respond(errNoAnswer) })
+	if m := sim.randomMachine((*chain.Node).IsHead); m != nil {
+		m.submit(op, respond)
+	}
+}
+
+// beginCall begins a call. The function that it returns runs the first function that it is given, unless another call has
+// begun since.
+func (o *operator) beginCall() (once func(run func())) {
 	o.callNumber++
-	call := o.callNumber
-	once := func(err error) {
-		if o.callNumber == call {
+	number := o.callNumber
+	return func(run func()) {
+		if o.callNumber == number {
 			o.callNumber++
-			answer(err)
+			run()
 		}
 	}
-	sim.after(callTimeout, func() { once(errNoAnswer) })
-	if m := sim.randomMachine(func(m *machine) bool { return m.node.IsHead() }); m != nil {
-		m.submit(op, once)
-	}
 }
 
-// take takes an operation at a member as a control sidecar does.
+// submit takes an operation at a member, as a control process does.
 func (m *machine) submit(op operation, answer func(error)) {
-	flaw, life := m.sim.options.Flaw, m.incarnation
+	flaw, incarnation := m.sim.options.Flaw, m.incarnation
 	decide := func(latest any) chain.Decision { return flaw.decide(latest.(log), op) }
 	if flaw == RejectUnconfirmed && m.node.IsHead() {
-		if refusal := decide(m.node.LatestState().Value).Rejection; refusal != nil {
-			answer(refusal)
+		if rejection := decide(m.node.LatestState().Value).Rejection; rejection != nil {
+			answer(rejection)
 			return
 		}
 	}
@@ -165,12 +178,12 @@
 		IsApplied: func(value any) bool { return value.(log).has(op.number) },
 		Respond:   answer,
 	}))
-	if m.incarnation == life && flaw == AckAtHead && m.node.LatestState().Value.(log).has(op.number) {
+	if m.incarnation == incarnation && flaw == AckAtHead && m.node.LatestState().Value.(log).has(op.number) {
 		answer(nil)
 	}
 }
 
-// decide tells what the newest value makes of an operation.
+// decide decides on an operation by the head's latest value.
 func (f Flaw) decide(latest log, op operation) chain.Decision {
 	switch {
 	case f != ForgetApplied && latest.has(op.number):
@@ -181,27 +194,27 @@
 	return chain.Decision{Operation: encode(op)}
 }
 
-// read reads at a member that takes itself for the tail.
+// read reads at a member that believes to be the tail, and checks the result. There is no answer if m is nil or fails.
 func (sim *Simulation) read(m *machine, answer func(log)) {
 	if m == nil {
 		return
 	}
 	acked, longest := len(sim.checker.acked), sim.checker.longestRead
-	shown := func(value log) {
+	respond := func(value log) {
 		sim.checker.checkRead(m.address, value, acked, longest)
 		answer(value)
 	}
 	if sim.options.Flaw == ReadUnconfirmed {
-		shown(m.node.CommittedState().Value.(log))
+		respond(m.node.CommittedState().Value.(log))
 		return
 	}
 	m.process(m.requests.Read(sim.now, chain.Read{Respond: func(state chain.State, err error) {
 		switch {
 		case err != nil:
 		case sim.options.Flaw == ReadUncommitted:
-			shown(m.node.LatestState().Value.(log))
+			respond(m.node.LatestState().Value.(log))
 		default:
-			shown(state.Value.(log))
+			respond(state.Value.(log))
 		}
 	}}))
 }
--- a/internal/lab/coresim/coresim_test.go
+++ b/internal/lab/coresim/coresim_test.go
@@ -10,20 +10,20 @@
 
 func TestCoresim(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "the emulated core")
+	RunSpecs(t, "core simulation")
 }
 
-// oftenFound are the flaws that a short search finds. The others take a longer one (dykering-lab control flaws); two of them
-// have a schedule of their own below.
+// quicklyFound are the flaws that a short search finds. The others take a longer one (dykering-lab control flaws); some of
+// them have a schedule of their own below.
 var quicklyFound = []Flaw{SendBeforeSync, AckAtHead, EarlyCommit, VoteAfterWipe, RestartBehind, ShortPromise, ShortInstall,
 	ReadUnconfirmed, LeaseUnconfirmed, NoTakeoverDelay, ConstantToken, ForgetPromise, RejectUnconfirmed, ForgetApplied, IgnoreBase}
 
-var _ = Describe("drawn schedules of troubles", func() {
-	It("break no promise", func() {
+var _ = Describe("generated schedules of faults", func() {
+	It("violate no guarantee", func() {
 		const schedules = 400
 		if failure := Search(1, schedules, NoFlaw, nil); failure != nil {
-			least := Shrink(*failure)
-			Fail(least.Err.Error() + "\n" + describe(least.Schedule))
+			smallest := Shrink(*failure)
+			Fail(smallest.Err.Error() + "\n" + describe(smallest.Schedule))
 		}
 	})
 
@@ -35,81 +35,82 @@
 	}
 })
 
-// Schedules that were hard, or that have broken a promise once.
-var _ = DescribeTable("a schedule of its own breaks no promise",
+// Schedules that are hard, or that violated a guarantee once.
+var _ = DescribeTable("a specific schedule violates no guarantee",
 	func(members, failures int, steps ...Fault) {
 		schedule := Schedule{Options: Options{Seed: 7, Members: members, MostFailures: failures}, Steps: steps}
 		Expect(schedule.Run()).To(Succeed())
 	},
-	Entry("no trouble, three grow to five", 5, 2),
-	Entry("two reconfigurations cross", 3, 1, Fault{3 * s, Kill, 0, s / 2}, Fault{3*s + 550*ms, Freeze, 1, s}),
-	Entry("the old tail is frozen through a whole new view", 3, 1, Fault{3 * s, Freeze, 2, 4 * s}),
-	Entry("a wiped member comes back while another is cut off", 5, 2, Fault{3 * s, LoseDisk, 1, s}, Fault{3500 * ms, Isolate, 2, 5 * s}),
+	Entry("no fault, three members grow to five", 5, 2),
+	Entry("two reconfigurations overlap", 3, 1, Fault{3 * s, Kill, 0, s / 2}, Fault{3*s + 550*ms, Freeze, 1, s}),
+	Entry("the old tail is frozen throughout a new view", 3, 1, Fault{3 * s, Freeze, 2, 4 * s}),
+	Entry("a member without its disk returns while another is isolated", 5, 2, Fault{3 * s, LoseDisk, 1, s}, Fault{3500 * ms, Isolate, 2, 5 * s}),
 	Entry("every member is replaced in turn", 3, 1, Fault{3 * s, Replace, 0, s}, Fault{9 * s, Replace, 1, s}, Fault{15 * s, Replace, 2, s}),
-	Entry("the disk stalls at the tail, then the head is killed", 5, 2, Fault{3 * s, StallDisk, 4, 3 * s}, Fault{4 * s, Kill, 0, s}),
-	Entry("all lose power, one its disk", 3, 1, Fault{3 * s, KillAllLoseDisk, 1, s}),
+	Entry("the tail's disk stalls, then the head is killed", 5, 2, Fault{3 * s, StallDisk, 4, 3 * s}, Fault{4 * s, Kill, 0, s}),
+	Entry("all are killed, one loses its disk", 3, 1, Fault{3 * s, KillAllLoseDisk, 1, s}),
 	Entry("all are killed again and again", 3, 1, Fault{3 * s, KillAll, 0, s / 5}, Fault{4 * s, KillAll, 0, s / 5}, Fault{5 * s, KillAll, 0, s / 5}),
-	Entry("the holder is frozen and wakes", 3, 1, Fault{3 * s, Freeze, 0, 5 * s}),
-	Entry("the role goes round: found by the search", 3, 1,
+	Entry("the lease holder is frozen and resumes", 3, 1, Fault{3 * s, Freeze, 0, 5 * s}),
+	Entry("the lease goes round the core of three (found by the search)", 3, 1,
 		Fault{2224879015, Freeze, 0, 822162186}, Fault{7636621757, Replace, 1, 873007409}, Fault{12639390806, Freeze, 2, 1139539872}),
-	Entry("a member is away while all others are replaced", 5, 2, Fault{3 * s, Kill, 0, 60 * s}, Fault{4 * s, Replace, 1, s},
+	Entry("a member is down while all others are replaced", 5, 2, Fault{3 * s, Kill, 0, 60 * s}, Fault{4 * s, Replace, 1, s},
 		Fault{12 * s, Replace, 2, s}, Fault{20 * s, Replace, 3, s}, Fault{28 * s, Replace, 4, s}),
-	Entry("a member is cut off for 20 s, and the others are killed as it is back", 3, 1, Fault{3 * s, KillAfterHeal, 0, 20 * s}),
-	Entry("a member is behind, another loses its disk, the rest are dark", 3, 1, Fault{3 * s, LagThenRecover, 1, 10 * s}),
-	Entry("all lose power, as many as may with their disks, again and again", 5, 2,
+	Entry("a member is isolated for 20 s, and the others are killed when it returns", 3, 1, Fault{3 * s, KillAfterHeal, 0, 20 * s}),
+	Entry("a member lags behind, another loses its disk, the others are down", 3, 1, Fault{3 * s, LagThenRecover, 1, 10 * s}),
+	Entry("all are killed again and again, as many as tolerated lose their disks", 5, 2,
 		Fault{3 * s, KillAllLoseDisks, 0, 2 * s}, Fault{14 * s, KillAllLoseDisks, 2, 2 * s}, Fault{25 * s, KillAllLoseDisks, 4, 2 * s}),
-	Entry("every member is replaced as planned, a disk lost after each", 3, 1, Fault{3 * s, PlannedReplacement, 0, 4500 * ms},
+	Entry("every member is replaced as planned, a disk is lost after each", 3, 1, Fault{3 * s, PlannedReplacement, 0, 4500 * ms},
 		Fault{8 * s, LoseDisk, 1, s}, Fault{15 * s, PlannedReplacement, 1, 4500 * ms}, Fault{20 * s, LoseDisk, 2, s}),
-	Entry("a holder that starts again has not waited its pause out: found by the search", 3, 1,
+	Entry("a lease holder restarts within its takeover delay (found by the search)", 3, 1,
 		Fault{3257 * ms, DropInbound, 0, 1961 * ms}, Fault{5349 * ms, KillAll, 0, 328 * ms}),
 )
 
-// holderReturns has the first of five members hold the role again: each of the others falls behind it in the chain.
+// holderReturns lets the first of five members become the lease holder again: each of the others moves behind it in the chain.
 var holderReturns = []Fault{
 	{3 * s, Freeze, 0, s}, {9 * s, Kill, 2, s}, {15 * s, Kill, 3, s}, {21 * s, Kill, 4, s}, {27 * s, Kill, 1, s},
 }
 
-var _ = Describe("a holder that returns", func() {
+var _ = Describe("a former lease holder", func() {
 	schedule := func(flaw Flaw) Schedule {
 		return Schedule{Options: Options{Seed: 7, Members: 5, MostFailures: 2, Flaw: flaw}, Steps: holderReturns}
 	}
-	It("does not take turns with the one before it", func() {
+	It("does not hold the lease in turns with its successor", func() {
 		Expect(schedule(NoFlaw).Run()).To(Succeed())
 	})
-	It("is caught where it does", func() {
+	It("is detected if it does", func() {
 		Expect(schedule(NoReturnDelay).Run()).To(MatchError(ContainSubstring("takes turns")))
 	})
 })
 
-// lossAfterLeave has a member leave for another one as planned, and a disk lost half a second after that: found by the search.
+// lossAfterLeave replaces a member as planned, and a disk is lost half a second after that. It was found by the search.
 var lossAfterLeave = Schedule{Options: Options{Seed: 2442, Members: 3, MostFailures: 1}, Steps: []Fault{
 	{10728486587, PlannedReplacement, 2, 3779916678}, {15038872739, LagThenRecover, 2, 3815552117},
 }}
 
-// playSeeds plays a schedule with several seeds, as one may depend on every drawn number, and tells what was broken.
-func runWithSeeds(schedule Schedule, flaw Flaw) (broken []error) {
+// runWithSeeds runs a schedule with several seeds, as its outcome may depend on every random number, and returns the
+// violations.
+func runWithSeeds(schedule Schedule, flaw Flaw) (violations []error) {
 	const seeds = 30
 	schedule.Options.Flaw = flaw
 	for seed := range uint64(seeds) {
 		schedule.Options.Seed = seed + 1
 		if err := schedule.Run(); err != nil {
-			broken = append(broken, err)
+			violations = append(violations, err)
 		}
 	}
-	return broken
+	return violations
 }
 
-// lastCopyLeaves has a member leave that was one of two which agreed to the view without it: found by the search.
+// lastReplicaLeaves lets a member leave that was one of two which had accepted the view without it. It was found by the search.
 var lastReplicaLeaves = Schedule{Options: Options{Members: 3, MostFailures: 1, Busy: true}, Overlap: true, Steps: []Fault{
 	{2928364042, DelayInbound, 0, 4796145583}, {4210839438, PlannedReplacement, 2, 3622145871},
 	{5745642602, KillAfterHeal, 1, 1976305551}, {7523904108, Leave, 0, 3778453804},
 }}
 
-var _ = Describe("a member that leaves", func() {
-	It("waits until others have on disk what it holds", func() {
+var _ = Describe("a leaving member", func() {
+	It("waits until enough others have persisted what it has", func() {
 		Expect(runWithSeeds(lastReplicaLeaves, NoFlaw)).To(BeEmpty())
 	})
-	It("is caught where it does not", func() {
+	It("is detected if it does not", func() {
 		Expect(runWithSeeds(lastReplicaLeaves, StopBeforeReplicated)).To(ContainElement(MatchError(ContainSubstring("disks hold them all"))))
 	})
 })
@@ -117,65 +118,65 @@
 var _ = Describe("five hundred changes", func() {
 	options := Options{Seed: 5, Members: 3, MostFailures: 1, Busy: true}
 	const changes = 500
-	const taken = 25 * s
-	It("are behind the members by then", func() {
+	const changesCommittedBy = 25 * s
+	It("are committed within the time that the next test assumes", func() {
 		sim := NewSimulation(options)
-		Expect(sim.Run(taken)).To(Succeed())
+		Expect(sim.Run(changesCommittedBy)).To(Succeed())
 		Expect(sim.checker.acks).To(BeNumerically(">", changes))
 	})
-	It("do not keep members that start again, lost their disks or are new from catching up", func() {
+	It("do not prevent restarted, empty and new members from catching up", func() {
 		schedule := Schedule{Options: options, Steps: []Fault{
-			{taken, Kill, 0, 3 * s}, {taken + 8*s, LoseDisk, 1, s}, {taken + 15*s, Replace, 2, s}, {taken + 22*s, KillAllLoseDisk, 0, s},
+			{changesCommittedBy, Kill, 0, 3 * s}, {changesCommittedBy + 8*s, LoseDisk, 1, s}, {changesCommittedBy + 15*s, Replace, 2, s}, {changesCommittedBy + 22*s, KillAllLoseDisk, 0, s},
 		}}
 		Expect(schedule.Run()).To(Succeed())
 	})
 })
 
 var _ = Describe("a disk lost right after a planned replacement", func() {
-	It("leaves a majority, as the member that has left is no voter any more", func() {
+	It("leaves a majority, as the departed member is no voter any more", func() {
 		Expect(lossAfterLeave.Run()).To(Succeed())
 	})
-	It("leaves a majority where another member was away as it left: found by the search", func() {
+	It("leaves a majority if another member was down during the departure (found by the search)", func() {
 		schedule := Schedule{Options: Options{Seed: 3025829, Members: 3, MostFailures: 1}, Steps: []Fault{
 			{2350572828, PlannedReplacement, 2, 5022006002}, {6551872432, LagThenRecover, 1, 4638162964},
 		}}
 		Expect(schedule.Run()).To(Succeed())
 	})
-	It("leaves none where it is one", func() {
+	It("leaves no majority if the departed member still is a voter", func() {
 		flawed := lossAfterLeave
 		flawed.Options.Flaw = StopAsSurplusVoter
 		Expect(flawed.Run()).To(MatchError(ContainSubstring("nothing is acknowledged")))
 	})
 })
 
-// pongsOfEarlierLife has the messages to the old tail wait while it starts again: pongs that answer pings of its earlier life
-// then arrive as its pings have come to the same numbers.
+// pongsOfEarlierIncarnation delays the messages to the old tail while it restarts: pongs to pings of its earlier incarnation
+// then arrive when its pings have reached the same nonces.
 var pongsOfEarlierIncarnation = Schedule{Options: Options{Seed: 1, Members: 3, MostFailures: 1}, Overlap: true, Steps: []Fault{
 	{3 * s, DelayInbound, 2, 5 * s}, {3550 * ms, Kill, 2, 100 * ms},
 }}
 
-var _ = Describe("a pong that answers a ping of an earlier life", func() {
-	It("has the old tail show nothing", func() {
+var _ = Describe("a pong to a ping of an earlier incarnation", func() {
+	It("does not let a restarted tail answer reads", func() {
 		Expect(pongsOfEarlierIncarnation.Run()).To(Succeed())
 	})
-	It("has it show an old state where pings are numbered as before", func() {
+	It("lets it return an old state if nonces repeat", func() {
 		flawed := pongsOfEarlierIncarnation
 		flawed.Options.Flaw = RepeatNonces
 		Expect(flawed.Run()).To(MatchError(ContainSubstring("a read at m2 shows")))
 	})
 })
 
-// readWhileStalled has the tail read while its disk stalls, and all killed then: found by the search.
+// readWhileStalled reads at the tail while its disk stalls, and then kills all. It was found by the search.
 var readWhileStalled = Schedule{Options: Options{Members: 3, MostFailures: 1}, Overlap: true, Steps: []Fault{
 	{4818832250, Leave, 1, 1353999689}, {4995210845, StallDisk, 0, 449675308}, {7078925163, StallDisk, 1, 4008094742},
 	{7556768366, KillAll, 0, 4709076681},
 }}
 
-var _ = Describe("a read at a tail whose disk stalls", func() {
-	It("shows what is stored alone", func() {
+var _ = Describe("a read at a tail with a stalled disk", func() {
+	It("returns only what is persisted", func() {
 		Expect(runWithSeeds(readWhileStalled, NoFlaw)).To(BeEmpty())
 	})
-	It("is caught where it shows more", func() {
+	It("is detected if it returns more", func() {
 		Expect(runWithSeeds(readWhileStalled, ReadUncommitted)).To(ContainElement(MatchError(ContainSubstring("one that ended before it began"))))
 	})
 })
@@ -185,9 +186,9 @@
 	ms = time.Millisecond
 )
 
-func describe(failed Schedule) string {
+func describe(schedule Schedule) string {
 	text := ""
-	for _, step := range failed.Steps {
+	for _, step := range schedule.Steps {
 		text += step.String() + "\n"
 	}
 	return text
--- a/internal/lab/coresim/coverage.go
+++ b/internal/lab/coresim/coverage.go
@@ -7,73 +7,74 @@
 	"strings"
 )
 
-// Phase is what the core does at the moment that a trouble begins.
+// Phase is what the core does when a fault begins. The values are headings of the coverage table: they are fixed.
 type Phase string
 
-// The phases, of which the first that fits counts.
+// The phases. If several apply, the first one counts.
 const (
-	NoMajority Phase = "no majority runs"
-	Agreeing   Phase = "a view is being agreed on"
-	Joining    Phase = "a member joins"
-	Pausing    Phase = "a new holder waits"
-	Writing    Phase = "a write is under way"
-	Calm       Phase = "calm"
+	PhaseNoMajority Phase = "no majority runs"
+	PhaseAgreeing   Phase = "a view is being agreed on"
+	PhaseJoining    Phase = "a member joins"
+	PhaseTakeover   Phase = "a new holder waits"
+	PhaseWriting    Phase = "a write is under way"
+	PhaseCalm       Phase = "calm"
 )
 
-var phases = []Phase{Calm, Writing, Pausing, Joining, Agreeing, NoMajority}
+var phases = []Phase{PhaseCalm, PhaseWriting, PhaseTakeover, PhaseJoining, PhaseAgreeing, PhaseNoMajority}
 
-// Role is a member's place in the chain.
+// Role is a member's position in the chain. The values are the order of the numbers in the coverage table.
 type Role string
 
 // The roles.
 const (
-	HeadRole    Role = "head"
-	MiddleRole  Role = "middle"
-	TailRole    Role = "tail"
-	OutsideRole Role = "outside"
+	RoleHead    Role = "head"
+	RoleMiddle  Role = "middle"
+	RoleTail    Role = "tail"
+	RoleOutside Role = "outside"
 )
 
-var roles = []Role{HeadRole, MiddleRole, TailRole, OutsideRole}
+var roles = []Role{RoleHead, RoleMiddle, RoleTail, RoleOutside}
 
-// Pair is a trouble, the role of the member that it struck and the phase in which it began.
+// Pair is a kind of fault with the role of the member that it affected and the phase in which it began.
 type Pair struct {
 	Phase Phase
 	Kind  FaultKind
 	Role  Role
 }
 
-// Coverage counts the pairs that were reached.
+// Coverage is how often each pair was reached.
 type Coverage map[Pair]int
 
-// Add adds another count.
+// Add adds another coverage to this one.
 func (c Coverage) Add(other Coverage) {
 	for pair, n := range other {
 		c[pair] += n
 	}
 }
 
-// note counts a trouble that begins now.
+// countFault counts a fault that begins now.
 func (sim *Simulation) countFault(kind FaultKind, m *machine) {
 	sim.coverage[Pair{Phase: sim.phase(), Kind: kind, Role: m.role()}]++
 }
 
+// role returns the position of a machine's member in the chain of its view.
 func (m *machine) role() Role {
 	view := m.node.View()
 	switch position := view.Position(m.node.Self().ID); {
 	case position < 0:
-		return OutsideRole
+		return RoleOutside
 	case position == 0:
-		return HeadRole
+		return RoleHead
 	case position == len(view.Chain)-1:
-		return TailRole
+		return RoleTail
 	}
-	return MiddleRole
+	return RoleMiddle
 }
 
-// phase is what the core does now, as the members that run see it.
+// phase returns what the core does now, according to the running members.
 func (sim *Simulation) phase() Phase {
-	running, agreeing, joining, pausing, writing := 0, false, false, false, false
-	voters := 0
+	var agreeing, joining, pausing, writing bool
+	running, voters := 0, 0
 	for _, m := range sim.machines {
 		if m.removed || !m.isRunning() {
 			continue
@@ -89,20 +90,20 @@
 	}
 	switch {
 	case running <= voters/2:
-		return NoMajority
+		return PhaseNoMajority
 	case agreeing:
-		return Agreeing
+		return PhaseAgreeing
 	case joining:
-		return Joining
+		return PhaseJoining
 	case pausing:
-		return Pausing
+		return PhaseTakeover
 	case writing:
-		return Writing
+		return PhaseWriting
 	}
-	return Calm
+	return PhaseCalm
 }
 
-// Table lists the pairs as a table in Markdown: for each kind of trouble and phase, how often it struck the head, the
+// Table returns the coverage as a Markdown table: for each kind of fault and phase, how often it affected the head, the
 // middle, the tail and a member outside of the chain. A dash stands for a pair that was not reached.
 func (c Coverage) Table() string {
 	var text strings.Builder
@@ -136,8 +137,8 @@
 	return fmt.Sprint(n)
 }
 
-// Reached is how many pairs were reached, and Possible how many there are.
+// Reached returns the number of pairs that were reached.
 func (c Coverage) Reached() int { return len(slices.Collect(maps.Keys(c))) }
 
-// Possible is how many pairs there are.
+// Possible returns the number of pairs that exist.
 func Possible() int { return len(phases) * len(faultKinds) * len(roles) }
--- a/internal/lab/coresim/flaws.go
+++ b/internal/lab/coresim/flaws.go
@@ -2,43 +2,68 @@
 
 import "dykering/internal/chain"
 
-// Flaw is a fault that is planted in the emulated processes, to show that the search finds it.
+// Flaw is a bug that is planted in the simulated processes, to show that the search finds it. The values are arguments and
+// output of the commands, and part of written schedules: they are fixed.
 type Flaw string
 
-// The flaws.
+// NoFlaw plants no bug.
+const NoFlaw Flaw = ""
+
+// Flaws of the disk: what is acknowledged or promised is not stored.
+const (
+	SendBeforeSync Flaw = "messages go out before their records are stored"
+	AckAtHead      Flaw = "the head acknowledges what it alone has stored"
+	EarlyCommit    Flaw = "the head tells that an entry is committed as it passes it on"
+	VoteAfterWipe  Flaw = "a member whose disk was lost comes back as if it had it"
+	ForgetPromise  Flaw = "a restarted member has forgotten its promises"
+	RestartBehind  Flaw = "a restarted member has lost the newest record that it stored"
+)
+
+// Flaws of the agreement on views: a new view starts from an older state.
+const (
+	ShortPromise Flaw = "a promise leaves out the newest entry of its member"
+	ShortInstall Flaw = "a view begins without the newest entry that was agreed on"
+)
+
+// Flaws of reads and rejections: a replaced or restarted member answers.
+const (
+	ReadUnconfirmed   Flaw = "the tail answers reads without a majority's word"
+	ReadUncommitted   Flaw = "the tail answers reads with what it has not stored yet"
+	RepeatNonces      Flaw = "a restarted member numbers its pings as in its life before"
+	RejectUnconfirmed Flaw = "the head refuses without a majority's word"
+)
+
+// Flaws of the lease.
+const (
+	LeaseUnconfirmed Flaw = "the holder acts without a majority's word"
+	NoTakeoverDelay  Flaw = "a new holder acts at once"
+	NoReturnDelay    Flaw = "a former holder acts as soon as a new one"
+	RestartWithLease Flaw = "a restarted holder acts as if it had waited its pause out"
+	ConstantToken    Flaw = "the token does not rise with the holder"
+)
+
+// Flaws of the decision on an operation.
+const (
+	ForgetApplied Flaw = "an operation that was taken is not known when it comes again"
+	IgnoreBase    Flaw = "the head takes what builds on another version"
+)
+
+// Flaws of a planned stop.
 const (
-	NoFlaw               Flaw = ""
-	SendBeforeSync       Flaw = "messages go out before their records are stored"
-	AckAtHead            Flaw = "the head acknowledges what it alone has stored"
-	EarlyCommit          Flaw = "the head tells that an entry is committed as it passes it on"
-	VoteAfterWipe        Flaw = "a member whose disk was lost comes back as if it had it"
-	ForgetPromise        Flaw = "a restarted member has forgotten its promises"
-	RestartBehind        Flaw = "a restarted member has lost the newest record that it stored"
-	ShortPromise         Flaw = "a promise leaves out the newest entry of its member"
-	ShortInstall         Flaw = "a view begins without the newest entry that was agreed on"
-	ReadUnconfirmed      Flaw = "the tail answers reads without a majority's word"
-	ReadUncommitted      Flaw = "the tail answers reads with what it has not stored yet"
-	LeaseUnconfirmed     Flaw = "the holder acts without a majority's word"
-	NoTakeoverDelay      Flaw = "a new holder acts at once"
-	NoReturnDelay        Flaw = "a former holder acts as soon as a new one"
-	RestartWithLease     Flaw = "a restarted holder acts as if it had waited its pause out"
-	ConstantToken        Flaw = "the token does not rise with the holder"
-	RepeatNonces         Flaw = "a restarted member numbers its pings as in its life before"
-	RejectUnconfirmed    Flaw = "the head refuses without a majority's word"
-	ForgetApplied        Flaw = "an operation that was taken is not known when it comes again"
-	IgnoreBase           Flaw = "the head takes what builds on another version"
 	StopAsSurplusVoter   Flaw = "a leaving member ends while it is one voter too many"
 	StopBeforeReplicated Flaw = "a leaving member ends before others have on disk what it holds"
 )
 
-// Flaws lists those that can be planted.
+// Flaws returns all flaws that can be planted.
 func Flaws() []Flaw {
-	return []Flaw{SendBeforeSync, AckAtHead, EarlyCommit, VoteAfterWipe, ForgetPromise, RestartBehind, ShortPromise, ShortInstall,
+	return []Flaw{
+		SendBeforeSync, AckAtHead, EarlyCommit, VoteAfterWipe, ForgetPromise, RestartBehind, ShortPromise, ShortInstall,
 		ReadUnconfirmed, ReadUncommitted, LeaseUnconfirmed, NoTakeoverDelay, NoReturnDelay, RestartWithLease, ConstantToken,
-		RepeatNonces, RejectUnconfirmed, ForgetApplied, IgnoreBase, StopAsSurplusVoter, StopBeforeReplicated}
+		RepeatNonces, RejectUnconfirmed, ForgetApplied, IgnoreBase, StopAsSurplusVoter, StopBeforeReplicated,
+	}
 }
 
-// without leaves out the newest operation of a state.
+// withoutLatest returns a state without its latest operation.
 func withoutLatest(state chain.State) chain.State {
 	value, ok := state.Value.(log)
 	if !ok || len(value.operations) == 0 {
@@ -47,7 +72,7 @@
 	return chain.State{Seq: state.Seq - 1, Value: log{operations: value.operations[:len(value.operations)-1]}}
 }
 
-// message is a message as a process with the flaw sends it.
+// message returns a message as a process with the flaw sends it.
 func (f Flaw) message(message any) any {
 	switch m := message.(type) {
 	case chain.Promise:
@@ -70,7 +95,7 @@
 	return message
 }
 
-// status is what a process with the flaw says of itself.
+// status returns the status that a process with the flaw reports.
 func (f Flaw) status(status chain.Status) chain.Status {
 	if f == StopAsSurplusVoter {
 		status.Leaving = false
@@ -78,7 +103,7 @@
 	return status
 }
 
-// early is what the head tells beside a message, with the flaw EarlyCommit.
+// sendEarlyCommit makes a head with EarlyCommit count entries as committed that it forwards.
 func (m *machine) sendEarlyCommit(envelope chain.Envelope) {
 	entries, ok := envelope.Message.(chain.Append)
 	if m.sim.options.Flaw != EarlyCommit || !ok || !m.node.IsHead() {
@@ -88,7 +113,7 @@
 	m.process(m.node.Receive(m.sim.now, chain.Committed{From: entries.From, View: entries.View, Seq: last}))
 }
 
-// stored is what a process that ends finds on its disk when it starts again.
+// restartRecords returns the records that a process finds on its disk when it restarts.
 func (f Flaw) restartRecords(records []any, node *chain.Node) []any {
 	switch {
 	case f == ForgetPromise:
@@ -101,6 +126,7 @@
 	return records
 }
 
+// withoutPromises returns records without promises and accepted proposals.
 func withoutPromises(records []any) []any {
 	var kept []any
 	for _, record := range records {
--- a/internal/lab/coresim/search.go
+++ b/internal/lab/coresim/search.go
@@ -2,24 +2,27 @@
 
 import (
 	"runtime"
+	"slices"
 	"sync"
 	"sync/atomic"
 )
 
-// Failure is a schedule that breaks a promise.
+// Failure is a schedule in which a guarantee is violated.
 type Failure struct {
 	Schedule Schedule
 	Err      error
-	Played   uint64 // schedules until it was found
+	// Played is the number of schedules that were run until it was found.
+	Played uint64
 }
 
-// Search plays drawn schedules in parallel until one fails or all are played. Progress is told now and then.
+// Search runs generated schedules, for count seeds from the first, in parallel until one fails or all have run. It calls
+// progress, unless that is nil, after each thousand. It returns nil if none has failed.
 func Search(first, count uint64, flaw Flaw, progress func(played uint64)) *Failure {
 	failure, _ := SearchWithCoverage(first, count, flaw, progress)
 	return failure
 }
 
-// SearchCovering is Search that also tells which pairs the schedules have reached.
+// SearchWithCoverage is Search that also returns which pairs the schedules have reached.
 func SearchWithCoverage(first, count uint64, flaw Flaw, progress func(played uint64)) (*Failure, Coverage) {
 	var mu sync.Mutex
 	covered := Coverage{}
@@ -53,15 +56,15 @@
 	return found.Load(), covered
 }
 
-// Shrink leaves out the troubles that a failure does not need.
+// Shrink removes the faults that a failure does not need, one at a time, until each of the remaining ones is needed.
 func Shrink(f Failure) Failure {
-	for again := true; again; {
-		again = false
+	for removed := true; removed; {
+		removed = false
 		for i := range f.Schedule.Steps {
-			less := f.Schedule
-			less.Steps = append(append([]Fault(nil), f.Schedule.Steps[:i]...), f.Schedule.Steps[i+1:]...)
-			if err := less.Run(); err != nil {
-				f.Schedule, f.Err, again = less, err, true
+			smaller := f.Schedule
+			smaller.Steps = slices.Delete(slices.Clone(f.Schedule.Steps), i, i+1)
+			if err := smaller.Run(); err != nil {
+				f.Schedule, f.Err, removed = smaller, err, true
 				break
 			}
 		}
