--- a/internal/fleet/budget/holder.go
+++ b/internal/fleet/budget/holder.go
@@ -20,8 +20,10 @@
 
 // NewHolder makes a holder with nothing but its floor. The id is a process's own: another process is another holder.
 func NewHolder(id string, weight float64, terms Terms, floor []float64) *Holder {
-	return &Holder{id: id, weight: weight, terms: terms, floor: floor, asked: map[uint64]time.Duration{},
-		parts: make([]float64, len(floor))}
+	return &Holder{
+		id: id, weight: weight, terms: terms, floor: floor, asked: map[uint64]time.Duration{},
+		parts: make([]float64, len(floor)),
+	}
 }
 
 // Ask is a request for the next lease, by what is asked for here: the floor is had already.
--- a/internal/fleet/budgets/budgets.go
+++ b/internal/fleet/budgets/budgets.go
@@ -133,8 +133,10 @@
 	if c.Section.Retries > 0 {
 		c.Tenants, c.Wholes = append(slices.Clone(c.Tenants), RetriesName), append(slices.Clone(c.Wholes), c.Section.Retries)
 	}
-	s := &Service{config: c, broker: broker, gossip: g, log: log, began: time.Now(), events: make(chan envelope, queued),
-		done: make(chan struct{})}
+	s := &Service{
+		config: c, broker: broker, gossip: g, log: log, began: time.Now(), events: make(chan envelope, queued),
+		done: make(chan struct{}),
+	}
 	s.demand.Measure(s.now(), make([]float64, len(c.Wholes)))
 	pool := make([]float64, len(c.Wholes))
 	for i, w := range c.Wholes {
@@ -347,8 +349,10 @@
 		until = s.began.Add(time.Duration(float64(now+s.holder.Left(now)) / s.config.Section.Rate))
 	}
 	s.spend(parts, s.floor, until)
-	fields := []zap.Field{zap.Uint64("version", s.holder.Uses()), zap.Float64s("parts", parts), zap.Float64s("demand", s.demand.Rates()),
-		zap.Int64("from_us", wall.UnixMicro())}
+	fields := []zap.Field{
+		zap.Uint64("version", s.holder.Uses()), zap.Float64s("parts", parts), zap.Float64s("demand", s.demand.Rates()),
+		zap.Int64("from_us", wall.UnixMicro()),
+	}
 	switch {
 	case leased:
 		s.log.Info("fleet.budget.lease", append(fields, zap.Int64("until_us", until.UnixMicro()))...)
--- a/internal/fleet/budgets/budgets_test.go
+++ b/internal/fleet/budgets/budgets_test.go
@@ -39,11 +39,17 @@
 func TestVoterWithoutItsLedger(t *testing.T) {
 	l := &lone{}
 	seen, logs := observer.New(zapcore.InfoLevel)
-	s := Start(Config{Self: "a", Weight: 1, Tenants: []string{"one"}, Wholes: []float64{100}, Instances: 4,
-		Section: gossip.Budgets{Enabled: true, Voters: []string{"a", "b", "c"}, Dir: t.TempDir(), Floor: 20, Drift: 1, Rate: 1,
-			Lease: strict.Duration(300 * time.Millisecond)}}, l, l, zap.New(seen))
-	beat, err := proto.Marshal(&raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), To: proto.Uint64(1), From: proto.Uint64(2),
-		Term: proto.Uint64(9), Commit: proto.Uint64(500)})
+	s := Start(Config{
+		Self: "a", Weight: 1, Tenants: []string{"one"}, Wholes: []float64{100}, Instances: 4,
+		Section: gossip.Budgets{
+			Enabled: true, Voters: []string{"a", "b", "c"}, Dir: t.TempDir(), Floor: 20, Drift: 1, Rate: 1,
+			Lease: strict.Duration(300 * time.Millisecond),
+		},
+	}, l, l, zap.New(seen))
+	beat, err := proto.Marshal(&raftpb.Message{
+		Type: raftpb.MsgHeartbeat.Enum(), To: proto.Uint64(1), From: proto.Uint64(2),
+		Term: proto.Uint64(9), Commit: proto.Uint64(500),
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/budgets/compatibility_test.go
+++ b/internal/fleet/budgets/compatibility_test.go
@@ -44,8 +44,10 @@
 		t.Fatal(err)
 	}
 	commands := []budget.Command{
-		{Give: []budget.Grant{{Holder: "b1#7", Version: 1, Seq: 3, Parts: []float64{10, 5}},
-			{Holder: "b2#8", Version: 2, Seq: 4, Parts: []float64{20, 6}}}},
+		{Give: []budget.Grant{
+			{Holder: "b1#7", Version: 1, Seq: 3, Parts: []float64{10, 5}},
+			{Holder: "b2#8", Version: 2, Seq: 4, Parts: []float64{20, 6}},
+		}},
 		{Give: []budget.Grant{{Holder: "b1#7", Version: 3, Seq: 5, Parts: []float64{11, 7}}}, Ack: map[string]uint64{"b1#7": 3}},
 		{Give: []budget.Grant{{Holder: "b3#9", Version: 4, Seq: 6, Parts: []float64{30, 8}}}, Expire: map[string]uint64{"b2#8": 2}},
 	}
--- a/internal/fleet/budgets/group.go
+++ b/internal/fleet/budgets/group.go
@@ -42,7 +42,8 @@
 }
 
 func newGroup(self string, voters []string, dir string, terms budget.Terms, pool []float64, log *zap.Logger,
-	send func(string, envelope)) (*group, error) {
+	send func(string, envelope),
+) (*group, error) {
 	var ids []uint64
 	for i := range voters {
 		ids = append(ids, uint64(i)+1)
@@ -60,10 +61,12 @@
 		err = fmt.Errorf("budgets: the ledger is of wholes that leave %v, the files now say %v: begin a new folder at all voters once all leases have ended", g.ledger.Pool, pool)
 	}
 	if err == nil {
-		g.node, err = raft.NewRawNode(&raft.Config{ID: uint64(slices.Index(voters, self)) + 1, ElectionTick: electionTicks,
+		g.node, err = raft.NewRawNode(&raft.Config{
+			ID: uint64(slices.Index(voters, self)) + 1, ElectionTick: electionTicks,
 			HeartbeatTick: heartbeatTicks, Storage: d, Applied: g.applied, MaxSizePerMsg: logBytes / 4, MaxInflightMsgs: 32,
 			MaxInflightBytes: logBytes, MaxUncommittedEntriesSize: logBytes, CheckQuorum: true, PreVote: true,
-			Logger: quiet{log}})
+			Logger: quiet{log},
+		})
 	}
 	if err != nil {
 		d.close()
@@ -209,6 +212,7 @@
 func (q quiet) Warning(v ...any)            { q.say(fmt.Sprint(v...)) }
 func (q quiet) Warningf(f string, v ...any) { q.say(fmt.Sprintf(f, v...)) }
 func (q quiet) Error(v ...any)              { q.log.Warn("fleet.raft", zap.String("said", fmt.Sprint(v...))) }
+
 func (q quiet) Errorf(f string, v ...any) {
 	q.log.Warn("fleet.raft", zap.String("said", fmt.Sprintf(f, v...)))
 }
--- a/internal/fleet/budgets/log.go
+++ b/internal/fleet/budgets/log.go
@@ -49,8 +49,10 @@
 		if err != nil {
 			return err
 		}
-		snap := &raftpb.Snapshot{Data: empty, Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1),
-			ConfState: &raftpb.ConfState{Voters: voters}}}
+		snap := &raftpb.Snapshot{Data: empty, Metadata: &raftpb.SnapshotMetadata{
+			Index: proto.Uint64(1), Term: proto.Uint64(1),
+			ConfState: &raftpb.ConfState{Voters: voters},
+		}}
 		if b := state.Get(keySnap); b != nil {
 			snap = &raftpb.Snapshot{}
 			if err := proto.Unmarshal(b, snap); err != nil {
--- a/internal/fleet/replication/compatibility_test.go
+++ b/internal/fleet/replication/compatibility_test.go
@@ -39,7 +39,7 @@
 		for i := range m.Facts {
 			m.Facts[i].Left += 10 * time.Second
 		}
-		if err := store(path, self, saved, m.Facts); err != nil {
+		if err := storeSnapshot(path, self, saved, m.Facts); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -51,7 +51,7 @@
 	if err := os.WriteFile(copied, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	facts, err := load(copied, self, saved.Add(2*time.Second), kept)
+	facts, err := loadSnapshot(copied, self, saved.Add(2*time.Second), kept)
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/fleet/replication/exchange.go
@@ -0,0 +1,169 @@
+package replication
+
+import (
+	"time"
+
+	"go.uber.org/zap"
+
+	"dykering/internal/fleet/replica"
+)
+
+const (
+	// sendAttempts and retryPause are for one message to a member: a link that loses packets breaks streams too.
+	sendAttempts = 3
+	retryPause   = 300 * time.Millisecond
+	// factsPerMessage bounds the facts in one message to a member.
+	factsPerMessage = 256
+)
+
+// outgoing is a message to a single member.
+type outgoing struct {
+	to      string
+	message []byte
+}
+
+// broadcast disseminates a fact, if the rate allows it. A fact that is held back reaches others by the next comparison.
+func (s *Service) broadcast(fact replica.Fact) {
+	text := encode(message{Facts: []replica.Fact{fact}})
+	if !s.rate.take(time.Now(), len(text)) {
+		s.counters.Held.Add(1)
+		return
+	}
+	s.counters.Told.Add(1)
+	s.counters.BytesTold.Add(uint64(len(text)))
+	s.gossip.Broadcast(fact.Origin+"/"+fact.Subject, text)
+}
+
+// Receive receives a message of another member: facts or a summary.
+func (s *Service) Receive(text []byte) {
+	m, err := decode(text)
+	if err != nil {
+		s.rejectMessage(err)
+		return
+	}
+	if m.isSummary() {
+		s.sendDifferences(m)
+		return
+	}
+	s.post(func(store *replica.Store) { s.merge(store, m) })
+}
+
+// Summary returns the summary that memberlist sends with a push-pull, as of the last event.
+func (s *Service) Summary() []byte { return *s.summary.Load() }
+
+// ReceiveSummary receives the summary in another member's push-pull.
+func (s *Service) ReceiveSummary(text []byte) {
+	m, err := decode(text)
+	if err != nil || m.From == "" {
+		s.rejectMessage(err)
+		return
+	}
+	s.sendDifferences(m)
+}
+
+func (s *Service) rejectMessage(err error) {
+	s.counters.Bad.Add(1)
+	s.log.Warn("fleet.replica.refused", zap.String("why", "no message of ours"), zap.Error(err))
+}
+
+// merge merges received facts, and broadcasts those that are news.
+func (s *Service) merge(store *replica.Store, m message) {
+	now, merged, rejected := s.now(), 0, map[replica.Rejection]int{}
+	for _, fact := range m.Facts {
+		switch news, rejection := store.Merge(now, fact); {
+		case rejection != "":
+			rejected[rejection]++
+			s.counters.Refused.Add(1)
+		case news:
+			merged++
+			s.counters.Merged.Add(1)
+			s.broadcast(fact)
+		default:
+			s.counters.Known.Add(1)
+		}
+	}
+	for rejection, count := range rejected {
+		s.log.Warn("fleet.replica.refused", zap.String("why", string(rejection)), zap.Int("facts", count),
+			zap.String("from", m.From), zap.String("origin", m.Facts[0].Origin))
+	}
+	isRepair := m.From != "" && merged > 0
+	if isRepair {
+		s.counters.CaughtUp.Add(1)
+		s.log.Info("fleet.replica.caught_up", zap.String("from", m.From), zap.Int("facts", len(m.Facts)),
+			zap.Int("news", merged), zap.String("rule", "the origin's newest word"), zap.String("digest", store.Digest()))
+	}
+}
+
+// compareWithPeer sends a random member the summary of this copy, so that it sends back what this one lacks.
+func (s *Service) compareWithPeer(store *replica.Store) {
+	if peer, ok := s.gossip.RandomPeer(); ok {
+		s.enqueue(peer, message{From: s.self, Sums: store.Summary(), Ask: true})
+	}
+}
+
+// sendDifferences sends a member what its copy lacks by its summary: all facts to one that has just started. Where the
+// member asked for it and this copy lacks something, it sends its own summary too.
+func (s *Service) sendDifferences(m message) {
+	s.post(func(store *replica.Store) {
+		facts := store.Differing(s.now(), m.Sums)
+		for len(facts) > 0 {
+			count := min(len(facts), factsPerMessage)
+			if !s.enqueue(m.From, message{From: s.self, Facts: facts[:count]}) {
+				return
+			}
+			facts = facts[count:]
+		}
+		summary := store.Summary()
+		for origin, hash := range m.Sums {
+			if m.Ask && summary[origin] != hash {
+				s.enqueue(m.From, message{From: s.self, Sums: summary})
+				return
+			}
+		}
+	})
+}
+
+// enqueue queues a message to a member, if the rate and the queue allow it.
+func (s *Service) enqueue(to string, m message) bool {
+	text := encode(m)
+	if !s.rate.take(time.Now(), len(text)) {
+		s.counters.Held.Add(1)
+		return false
+	}
+	select {
+	case s.outbox <- outgoing{to, text}:
+		return true
+	default:
+		s.counters.Lost.Add(1)
+		return false
+	}
+}
+
+// send sends the queued messages one after another. A slow member delays the others' for memberlist's timeout.
+func (s *Service) send() {
+	for {
+		select {
+		case next := <-s.outbox:
+			s.sendWithRetries(next)
+		case <-s.done:
+			return
+		}
+	}
+}
+
+// sendWithRetries sends a message. After the last attempt the next comparison finds the difference again.
+func (s *Service) sendWithRetries(next outgoing) {
+	for range sendAttempts {
+		s.counters.BytesSent.Add(uint64(len(next.message)))
+		err := s.gossip.Send(next.to, next.message)
+		if err == nil {
+			return
+		}
+		s.log.Debug("fleet.replica.unsent", zap.Error(err))
+		select {
+		case <-time.After(retryPause):
+		case <-s.done:
+			return
+		}
+	}
+}
--- a/internal/fleet/replication/service.go
+++ b/internal/fleet/replication/service.go
@@ -1,16 +1,11 @@
-// Package replication keeps a broker's copy of the replicated state (package replica) with the others': it tells what
-// its own calls have shown, takes what others tell, catches up by digests with each push-pull of the gossip, and keeps
-// a snapshot on disk. One goroutine owns the store; the gossip's goroutines reach it through a bounded queue.
 package replication
 
 import (
 	"context"
-	"fmt"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"github.com/hashicorp/go-msgpack/v2/codec"
 	"go.uber.org/zap"
 
 	"dykering/internal/core"
@@ -19,47 +14,55 @@
 )
 
 const (
-	// queued bounds what waits for the owner; what does not fit is lost, and the next push-pull brings it.
-	queued = 1024
-	// sends bounds the catch-ups that wait to be sent.
-	sends = 16
-	// sendTries and sendPause are for one message of a catch-up, as a link that loses packets breaks streams too.
-	sendTries = 3
-	sendPause = 300 * time.Millisecond
-	// compareEvery is how often a copy is compared with another member's.
-	compareEvery = 5 * time.Second
-	// each is how often own evidence is looked at, and the word of others.
-	each = time.Second
-	// askTimeout bounds the wait for the core's loop.
-	askTimeout = 500 * time.Millisecond
-	// chunk is how many facts one message of a catch-up holds.
-	chunk = 256
-	// mostBytes bounds a message that is taken: a summary of some thousand origins, or a chunk of facts.
-	mostBytes = 1 << 20
-	// burst is for how many seconds the rate of what is sent may be saved up.
-	burst = 2
+	// eventQueueSize bounds the events that wait for the owner of the store.
+	eventQueueSize = 1024
+	// outboxSize bounds the messages that wait to be sent to single members.
+	outboxSize = 16
+	// compareInterval is how often this copy is compared with a random member's. memberlist's own push-pull would find
+	// what the gossip lost only after 30 s.
+	compareInterval = 5 * time.Second
+	// evidenceInterval is how often the broker's own evidence is recorded and other members' facts are applied.
+	evidenceInterval = time.Second
+	// brokerTimeout bounds the wait for the broker's event loop.
+	brokerTimeout = 500 * time.Millisecond
+	// monotonicStart is where the monotonic clock begins, so that ages before the start are positive.
+	monotonicStart = time.Hour
 )
 
-// Broker is whose calls the evidence is of, and who takes advice.
+// Broker is the source of the evidence and applies the advice.
 type Broker interface {
+	// Evidence returns the servers that the broker has ejected, those of the named that answered it well, and how many
+	// servers are in its list.
 	Evidence(ctx context.Context, named []string) (all []core.Evidence, listed int, err error)
-	ApplyPeerEjections(ctx context.Context, advice []core.Evidence) (heeded int, err error)
+	// ApplyPeerEjections applies what other members found, and returns how many servers that changed.
+	ApplyPeerEjections(ctx context.Context, advice []core.Evidence) (applied int, err error)
 }
 
-// Gossip is how members are reached.
+// Gossip reaches the other members; see gossip.Channel.
 type Gossip interface {
-	Attach(gossip.Replica)
-	Broadcast(name string, msg []byte)
-	Send(id string, msg []byte) error
+	Attach(replica gossip.Replica)
+	Broadcast(name string, message []byte)
+	Send(id string, message []byte) error
 	RandomPeer() (id string, ok bool)
 }
 
-// Counters are what was done since the start.
+// Counters count what was done since the start. Their names are JSON keys of the answer of the control address.
 type Counters struct {
-	Told, Merged, Known, Refused, Bad, Heeded, CaughtUp, Snapshots, Lost, Held, BytesTold, BytesSent atomic.Uint64
-}
-
-// State is the copy as it was at the last look.
+	Told      atomic.Uint64 // Told are facts that were broadcast.
+	Merged    atomic.Uint64 // Merged are received facts that were news.
+	Known     atomic.Uint64 // Known are received facts that were not.
+	Refused   atomic.Uint64 // Refused are received facts that were rejected.
+	Bad       atomic.Uint64 // Bad are received messages that could not be read.
+	Heeded    atomic.Uint64 // Heeded are servers whose treatment the advice changed.
+	CaughtUp  atomic.Uint64 // CaughtUp are messages of another copy with news.
+	Snapshots atomic.Uint64 // Snapshots are those that were written.
+	Lost      atomic.Uint64 // Lost are events and messages that did not fit into a queue.
+	Held      atomic.Uint64 // Held are messages that the rate did not allow.
+	BytesTold atomic.Uint64 // BytesTold are those of broadcasts.
+	BytesSent atomic.Uint64 // BytesSent are those of messages to single members.
+}
+
+// State is the copy after the last event, as the control address serves it.
 type State struct {
 	Digest string         `json:"digest"`
 	Facts  []replica.Fact `json:"facts"`
@@ -68,65 +71,50 @@
 
 // Service is a running copy.
 type Service struct {
-	section gossip.Replication
-	self    string
-	broker  Broker
-	gossip  Gossip
-	log     *zap.Logger
-	events  chan func(*replica.Store)
-	outbox  chan outgoing
-	summary atomic.Pointer[[]byte]
-	state   atomic.Pointer[State]
-	budget  budget
-	began   time.Time
-	count   Counters
-	done    chan struct{}
-	wg      sync.WaitGroup
-	once    sync.Once
-}
-
-type outgoing struct {
-	to  string
-	msg []byte
-}
-
-// message is what members send each other: facts, or a summary of those they hold.
-type message struct {
-	From  string            `codec:"i,omitempty"`
-	Facts []replica.Fact    `codec:"f,omitempty"`
-	Sums  map[string]uint64 `codec:"s,omitempty"`
-	Ask   bool              `codec:"a,omitempty"` // the other side's summary is to come back, where it lacks something
-}
-
-func encode(m message) []byte {
-	var b []byte
-	codec.NewEncoderBytes(&b, &codec.MsgpackHandle{}).MustEncode(m) // of types that it knows
-	return b
-}
-
-func decode(b []byte) (m message, err error) {
-	if len(b) > mostBytes {
-		return m, fmt.Errorf("%d bytes are more than %d", len(b), mostBytes)
-	}
-	return m, codec.NewDecoderBytes(b, &codec.MsgpackHandle{}).Decode(&m)
-}
-
-// Start begins to take part. It owns two goroutines, and one for the snapshot, until Close.
-func Start(self string, most int, section gossip.Replication, broker Broker, g Gossip, log *zap.Logger) *Service {
-	s := &Service{section: section, self: self, broker: broker, gossip: g, log: log, began: time.Now(),
-		events: make(chan func(*replica.Store), queued), outbox: make(chan outgoing, sends), done: make(chan struct{}),
-		budget: budget{rate: float64(section.Rate), left: burst * float64(section.Rate)}}
-	store := replica.New(self, replica.Limits{MaxOrigins: most, FactsPerOrigin: section.Facts, TTL: time.Duration(section.TTL),
-		MaxClockSkew: time.Duration(section.Ahead)})
-	s.warm(store)
+	section  gossip.Replication
+	self     string
+	broker   Broker
+	gossip   Gossip
+	log      *zap.Logger
+	events   chan func(*replica.Store)
+	outbox   chan outgoing
+	summary  atomic.Pointer[[]byte]
+	state    atomic.Pointer[State]
+	rate     tokenBucket
+	start    time.Time
+	counters Counters
+	done     chan struct{}
+	wg       sync.WaitGroup
+	once     sync.Once
+}
+
+var _ gossip.Replica = (*Service)(nil)
+
+// Start loads the snapshot and begins to take part, with at most maxOrigins members whose facts are held. It owns two
+// goroutines until Close.
+func Start(self string, maxOrigins int, section gossip.Replication, broker Broker, g Gossip, log *zap.Logger) *Service {
+	s := &Service{
+		section: section, self: self, broker: broker, gossip: g, log: log, start: time.Now(),
+		events: make(chan func(*replica.Store), eventQueueSize),
+		outbox: make(chan outgoing, outboxSize),
+		done:   make(chan struct{}),
+		rate:   newTokenBucket(float64(section.Rate)),
+	}
+	store := replica.New(self, replica.Limits{
+		MaxOrigins:     maxOrigins,
+		FactsPerOrigin: section.Facts,
+		TTL:            time.Duration(section.TTL),
+		MaxClockSkew:   time.Duration(section.Ahead),
+	})
+	s.restoreSnapshot(store)
 	s.publish(store)
 	g.Attach(s)
-	s.wg.Go(func() { s.own(store) })
+	s.wg.Go(func() { s.run(store) })
 	s.wg.Go(s.send)
 	return s
 }
 
-// Close ends its goroutines, and writes the snapshot a last time.
+// Close ends the goroutines, and writes the snapshot a last time.
 func (s *Service) Close() {
 	s.once.Do(func() {
 		close(s.done)
@@ -134,252 +122,58 @@
 	})
 }
 
-// State is the copy after the last look, Counters what was done.
-func (s *Service) State() *State       { return s.state.Load() }
-func (s *Service) Counters() *Counters { return &s.count }
+// State returns the copy after the last event.
+func (s *Service) State() *State { return s.state.Load() }
 
-// now is the time of an event: the wall's may be set off by the laboratory.
+// Counters returns the counters, which go on counting.
+func (s *Service) Counters() *Counters { return &s.counters }
+
+// now is the time of an event. The laboratory may set the wall clock off.
 func (s *Service) now() replica.Now {
 	now := time.Now()
-	return replica.Now{Mono: now.Sub(s.began) + time.Hour, Wall: now.Add(time.Duration(s.section.Offset))}
+	return replica.Now{Mono: now.Sub(s.start) + monotonicStart, Wall: now.Add(time.Duration(s.section.Offset))}
 }
 
-// own is the one goroutine that changes the store.
-func (s *Service) own(store *replica.Store) {
-	look, save, compare := time.NewTicker(each), time.NewTicker(time.Duration(s.section.Every)), time.NewTicker(compareEvery)
-	defer look.Stop()
+// run is the goroutine that owns the store.
+func (s *Service) run(store *replica.Store) {
+	evidence := time.NewTicker(evidenceInterval)
+	defer evidence.Stop()
+	save := time.NewTicker(time.Duration(s.section.Every))
 	defer save.Stop()
+	compare := time.NewTicker(compareInterval)
 	defer compare.Stop()
 	for {
 		select {
 		case event := <-s.events:
 			event(store)
-		case <-look.C:
-			s.look(store)
+		case <-evidence.C:
+			s.exchangeEvidence(store)
 		case <-compare.C:
-			s.compare(store)
+			s.compareWithPeer(store)
 			continue
 		case <-save.C:
-			s.save(store)
+			s.saveSnapshot(store)
 			continue
 		case <-s.done:
-			s.save(store)
+			s.saveSnapshot(store)
 			return
 		}
 		s.publish(store)
 	}
 }
 
-// compare tells one other member what this copy holds, so that it sends what this one lacks: what the gossip lost is
-// found within a few seconds, not by memberlist's push-pull each 30 s alone.
-func (s *Service) compare(store *replica.Store) {
-	if to, ok := s.gossip.RandomPeer(); ok {
-		s.queue(to, encode(message{From: s.self, Sums: store.Summary(), Ask: true}))
-	}
-}
-
-// queue has a message sent, if the rate and the queue allow it.
-func (s *Service) queue(to string, msg []byte) bool {
-	if !s.budget.take(time.Now(), float64(len(msg))) {
-		s.count.Held.Add(1)
-		return false
-	}
-	select {
-	case s.outbox <- outgoing{to, msg}:
-		return true
-	default:
-		s.count.Lost.Add(1)
-		return false
-	}
-}
-
-// post hands the owner an event, or counts it as lost.
+// post queues an event for the owner of the store, or counts it as lost.
 func (s *Service) post(event func(*replica.Store)) {
 	select {
 	case s.events <- event:
 	default:
-		s.count.Lost.Add(1)
-	}
-}
-
-// look tells what own calls have shown since, and hands on what the word of others comes to.
-func (s *Service) look(store *replica.Store) {
-	now := s.now()
-	store.Expire(now)
-	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
-	defer cancel()
-	evidence, listed, err := s.broker.Evidence(ctx, store.Disputed(now))
-	if err != nil {
-		s.log.Warn("fleet.replica.busy", zap.Error(err))
-		return
-	}
-	for _, e := range evidence {
-		word := replica.Good
-		if e.Ejected {
-			word = replica.Bad
-		}
-		if f, news := store.Record(now, e.Server, word, time.Duration(s.section.TTL)); news {
-			s.tell(f)
-		}
-	}
-	rules := replica.Rules{MinWitnesses: s.section.Witnesses, MaxShareOfOrigin: float64(s.section.PerOrigin) / 100,
-		MaxShare: float64(s.section.MostBad) / 100}
-	var advice []core.Evidence
-	for _, a := range store.Advise(now, listed, rules) {
-		advice = append(advice, core.Evidence{Server: a.Subject, Ejected: true, Age: a.Age})
-	}
-	if len(advice) == 0 {
-		return
-	}
-	heeded, err := s.broker.ApplyPeerEjections(ctx, advice)
-	if err != nil {
-		s.log.Warn("fleet.replica.busy", zap.Error(err))
-	}
-	if heeded > 0 {
-		s.count.Heeded.Add(uint64(heeded))
-		s.log.Info("fleet.replica.heeded", zap.Int("servers", heeded), zap.Int("advice", len(advice)),
-			zap.String("digest", store.Digest()))
-	}
-}
-
-// tell gossips a fact, while the rate allows it: what is held back the next push-pull brings.
-func (s *Service) tell(f replica.Fact) {
-	b := encode(message{Facts: []replica.Fact{f}})
-	if !s.budget.take(time.Now(), float64(len(b))) {
-		s.count.Held.Add(1)
-		return
-	}
-	s.count.Told.Add(1)
-	s.count.BytesTold.Add(uint64(len(b)))
-	s.gossip.Broadcast(f.Origin+"/"+f.Subject, b)
-}
-
-// Receive takes what a member told. What is news goes on, so that it spreads as the gossip does.
-func (s *Service) Receive(b []byte) {
-	m, err := decode(b)
-	if err != nil {
-		s.garbage(err)
-		return
-	}
-	if m.From != "" && len(m.Facts) == 0 { // a summary, perhaps of nothing
-		s.differ(m)
-		return
-	}
-	s.post(func(store *replica.Store) { s.merge(store, m) })
-}
-
-func (s *Service) garbage(err error) {
-	s.count.Bad.Add(1)
-	s.log.Warn("fleet.replica.refused", zap.String("why", "no message of ours"), zap.Error(err))
-}
-
-// merge joins facts into the store.
-func (s *Service) merge(store *replica.Store, m message) {
-	now, news, refused := s.now(), 0, map[replica.Rejection]int{}
-	for _, f := range m.Facts {
-		switch ok, why := store.Merge(now, f); {
-		case why != "":
-			refused[why]++
-			s.count.Refused.Add(1)
-		case ok:
-			news++
-			s.count.Merged.Add(1)
-			s.tell(f)
-		default:
-			s.count.Known.Add(1)
-		}
-	}
-	for why, n := range refused {
-		s.log.Warn("fleet.replica.refused", zap.String("why", string(why)), zap.Int("facts", n),
-			zap.String("from", m.From), zap.String("origin", m.Facts[0].Origin))
-	}
-	if m.From != "" && news > 0 { // a catch-up: the copies differed
-		s.count.CaughtUp.Add(1)
-		s.log.Info("fleet.replica.caught_up", zap.String("from", m.From), zap.Int("facts", len(m.Facts)),
-			zap.Int("news", news), zap.String("rule", "the origin's newest word"), zap.String("digest", store.Digest()))
-	}
-}
-
-// Summary is what a push-pull tells of this copy, as it was after the last event.
-func (s *Service) Summary() []byte { return *s.summary.Load() }
-
-// ReceiveSummary takes another copy's summary, and sends it what this one holds of the origins that differ: all to a copy
-// that has just begun.
-func (s *Service) ReceiveSummary(b []byte) {
-	m, err := decode(b)
-	if err != nil || m.From == "" {
-		s.garbage(err)
-		return
-	}
-	s.differ(m)
-}
-
-// differ sends a copy what it lacks by its summary, and asks for what this one lacks where the other began.
-func (s *Service) differ(m message) {
-	s.post(func(store *replica.Store) {
-		facts := store.Differing(s.now(), m.Sums)
-		for len(facts) > 0 {
-			n := min(len(facts), chunk)
-			if !s.queue(m.From, encode(message{From: s.self, Facts: facts[:n]})) {
-				return
-			}
-			facts = facts[n:]
-		}
-		sums := store.Summary()
-		for origin, sum := range m.Sums {
-			if m.Ask && sums[origin] != sum {
-				s.queue(m.From, encode(message{From: s.self, Sums: sums}))
-				return
-			}
-		}
-	})
-}
-
-// send sends catch-ups, one after another: a member that is slow holds up the others' for memberlist's timeout.
-func (s *Service) send() {
-	for {
-		select {
-		case o := <-s.outbox:
-			for range sendTries { // past them, the next push-pull finds the difference again
-				s.count.BytesSent.Add(uint64(len(o.msg)))
-				err := s.gossip.Send(o.to, o.msg)
-				if err == nil {
-					break
-				}
-				s.log.Debug("fleet.replica.unsent", zap.Error(err))
-				select {
-				case <-time.After(sendPause):
-				case <-s.done:
-					return
-				}
-			}
-		case <-s.done:
-			return
-		}
+		s.counters.Lost.Add(1)
 	}
 }
 
-// publish makes the store's state what State and Summary give.
+// publish stores what State and Summary return.
 func (s *Service) publish(store *replica.Store) {
-	sums := encode(message{From: s.self, Sums: store.Summary()})
-	s.summary.Store(&sums)
+	summary := encode(message{From: s.self, Sums: store.Summary()})
+	s.summary.Store(&summary)
 	s.state.Store(&State{Digest: store.Digest(), Facts: store.Facts(s.now()), At: time.Now()})
 }
-
-// budget is a token bucket of bytes. The store's owner uses it.
-type budget struct {
-	rate, left float64
-	at         time.Time
-}
-
-func (b *budget) take(now time.Time, n float64) bool {
-	if !b.at.IsZero() {
-		b.left = min(b.left+b.rate*now.Sub(b.at).Seconds(), burst*b.rate)
-	}
-	b.at = now
-	if b.left < n {
-		return false
-	}
-	b.left -= n
-	return true
-}
--- a/internal/fleet/replication/snapshot_test.go
+++ b/internal/fleet/replication/snapshot_test.go
@@ -1,6 +1,7 @@
 package replication
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -17,22 +18,24 @@
 func TestSnapshot(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	path := filepath.Join(t.TempDir(), "replica.db")
-	facts := []replica.Fact{{Origin: "a", Subject: "s1", Stamp: replica.Stamp{Wall: 7}, Word: replica.Bad, Left: 10 * time.Second},
-		{Origin: "b", Subject: "s2", Word: replica.Good, Left: 3 * time.Second}}
-	if _, err := load(path, "me", now, time.Minute); err != errNoSnapshot {
+	facts := []replica.Fact{
+		{Origin: "a", Subject: "s1", Stamp: replica.Stamp{Wall: 7}, Word: replica.Bad, Left: 10 * time.Second},
+		{Origin: "b", Subject: "s2", Word: replica.Good, Left: 3 * time.Second},
+	}
+	if _, err := loadSnapshot(path, "me", now, time.Minute); !errors.Is(err, errNoSnapshot) {
 		t.Fatal(err)
 	}
-	if err := store(path, "me", now, facts); err != nil {
+	if err := storeSnapshot(path, "me", now, facts); err != nil {
 		t.Fatal(err)
 	}
-	got, err := load(path, "me", now.Add(5*time.Second), time.Minute)
+	got, err := loadSnapshot(path, "me", now.Add(5*time.Second), time.Minute)
 	if err != nil || len(got) != 1 || got[0].Left != 5*time.Second || got[0].Stamp != facts[0].Stamp {
 		t.Fatalf("%+v, %v", got, err)
 	}
 	for want, load := range map[string]func() error{
-		"saved 5m0s ago": func() error { _, err := load(path, "me", now.Add(5*time.Minute), time.Minute); return err },
-		"saved -1s ago":  func() error { _, err := load(path, "me", now.Add(-time.Second), time.Minute); return err },
-		"of another":     func() error { _, err := load(path, "other", now, time.Minute); return err },
+		"saved 5m0s ago": func() error { _, err := loadSnapshot(path, "me", now.Add(5*time.Minute), time.Minute); return err },
+		"saved -1s ago":  func() error { _, err := loadSnapshot(path, "me", now.Add(-time.Second), time.Minute); return err },
+		"of another":     func() error { _, err := loadSnapshot(path, "other", now, time.Minute); return err },
 	} {
 		if err := load(); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %s", err, want)
@@ -48,7 +51,7 @@
 		if err := os.WriteFile(broken, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		got, err := load(broken, "me", now, time.Minute)
+		got, err := loadSnapshot(broken, "me", now, time.Minute)
 		switch {
 		case err != nil:
 			refused++
@@ -67,12 +70,12 @@
 	if refused < 10 {
 		t.Errorf("only %d refused", refused)
 	}
-	if err := open(path, false, func(db *bbolt.DB) error {
+	if err := withDatabase(path, false, func(db *bbolt.DB) error {
 		return db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucket).Put(keyFacts, []byte("other")) })
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := load(path, "me", now, time.Minute); err == nil || !strings.Contains(err.Error(), "checksum") {
+	if _, err := loadSnapshot(path, "me", now, time.Minute); err == nil || !strings.Contains(err.Error(), "checksum") {
 		t.Errorf("%v, want its checksum", err)
 	}
 }
