--- a/internal/fleet/budgets/budgets.go
+++ b/internal/fleet/budgets/budgets.go
@@ -151,7 +151,7 @@
 	if slices.Contains(c.Section.Voters, c.Self) {
 		var err error
 		if s.group, err = newGroup(c.Self, c.Section.Voters, c.Section.Dir, terms, pool, log, s.send); err != nil {
-			log.Error("fleet.budget.voteless", zap.Error(err)) // the broker serves all the same, by leases of the others or its floor
+			log.Error("fleet.budget.vote_lost", zap.Error(err)) // the broker serves all the same, by leases of the others or its floor
 		}
 	}
 	s.allot(s.now())
@@ -255,7 +255,7 @@
 		return do(s.group)
 	}()
 	if err != nil {
-		s.log.Error("fleet.budget.voteless", zap.Error(err), zap.NamedError("close", s.group.disk.close()))
+		s.log.Error("fleet.budget.vote_lost", zap.Error(err), zap.NamedError("close", s.group.disk.close()))
 		s.group = nil
 	}
 }
--- a/internal/fleet/budgets/budgets_test.go
+++ b/internal/fleet/budgets/budgets_test.go
@@ -56,7 +56,7 @@
 	l.take([]byte("garbage"))
 	l.take(encode(envelope{Raft: []byte("garbage")}))
 	l.take(encode(envelope{Raft: beat}))
-	for end := time.Now().Add(10 * time.Second); logs.FilterMessage("fleet.budget.voteless").Len() == 0; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); logs.FilterMessage("fleet.budget.vote_lost").Len() == 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("it votes on: %v", logs.All())
 		}
