--- a/internal/controlplane/compatibility_test.go
+++ b/internal/controlplane/compatibility_test.go
@@ -168,3 +168,9 @@
 	}
 	fixture.Text(t, sessionsText, fixture.Render("sessions", decoded))
 }
+
+// The calls to endpoints keep their form.
+func TestEndpointCallsAreUnchanged(t *testing.T) {
+	fixture.JSON(t, "testdata/compatibility/report.json", &endpointReport{})
+	fixture.JSON(t, "testdata/compatibility/order.json", &orderRequest{})
+}
