--- a/cmd/dykering-lab/main.go
+++ b/cmd/dykering-lab/main.go
@@ -20,7 +20,7 @@
 	"github.com/urfave/cli/v3"
 
 	"dykering/internal/commandline"
-	"dykering/internal/faults"
+	"dykering/internal/validation"
 	"dykering/internal/lab/emulation"
 	"dykering/internal/lab/model"
 	"dykering/internal/lab/scenario"
@@ -57,12 +57,12 @@
 	return &cli.Command{
 		Name: "check", ArgsUsage: "FILE...", Usage: "Check scenarios",
 		Action: commandline.Args(1, -1, func(_ context.Context, _ *cli.Command, args []string) error {
-			var all []faults.Fault
+			var all []validation.Error
 			for _, path := range args {
 				_, wrong := scenario.Load(path)
 				all = append(all, wrong...)
 			}
-			if err := faults.Join(all); err != nil {
+			if err := validation.Join(all); err != nil {
 				return commandline.Fault(err)
 			}
 			return nil
--- a/cmd/dykering-lab/real.go
+++ b/cmd/dykering-lab/real.go
@@ -10,7 +10,7 @@
 	"github.com/urfave/cli/v3"
 
 	"dykering/internal/commandline"
-	"dykering/internal/faults"
+	"dykering/internal/validation"
 	"dykering/internal/lab/model"
 	"dykering/internal/lab/real"
 	"dykering/internal/lab/scenario"
@@ -31,7 +31,7 @@
 		return scenario.Default(), nil
 	}
 	s, wrong := scenario.Load(args[0])
-	if err := faults.Join(wrong); err != nil {
+	if err := validation.Join(wrong); err != nil {
 		return nil, commandline.Fault(err)
 	}
 	return s, nil
--- a/cmd/dykering-lab/run.go
+++ b/cmd/dykering-lab/run.go
@@ -12,7 +12,7 @@
 	"github.com/urfave/cli/v3"
 
 	"dykering/internal/commandline"
-	"dykering/internal/faults"
+	"dykering/internal/validation"
 	"dykering/internal/lab/emulation"
 	"dykering/internal/lab/experiment"
 )
@@ -25,7 +25,7 @@
 		Name: "run", ArgsUsage: "EXPERIMENT.toml", Usage: "Play an experiment, or what of it has not been played yet",
 		Action: commandline.Args(1, 1, func(ctx context.Context, c *cli.Command, args []string) error {
 			e, wrong := experiment.Load(args[0])
-			if err := faults.Join(wrong); err != nil {
+			if err := validation.Join(wrong); err != nil {
 				return commandline.Fault(err)
 			}
 			e.In(in)
--- a/cmd/dykering/check_command.go
+++ b/cmd/dykering/check_command.go
@@ -11,7 +11,7 @@
 
 	"dykering/internal/commandline"
 	"dykering/internal/config"
-	"dykering/internal/faults"
+	"dykering/internal/validation"
 	"dykering/internal/fleetconfig"
 	"dykering/internal/nodefile"
 	"dykering/internal/operator"
@@ -71,7 +71,7 @@
 		return err
 	}
 	_, wrong := operator.Load(path, os.LookupEnv)
-	return faults.Join(wrong)
+	return validation.Join(wrong)
 }
 
 // isConfiguration tells whether JSON is a configuration of the system.
--- a/cmd/dykering/config_command.go
+++ b/cmd/dykering/config_command.go
@@ -11,7 +11,7 @@
 	"github.com/urfave/cli/v3"
 
 	"dykering/internal/config"
-	"dykering/internal/faults"
+	"dykering/internal/validation"
 	"dykering/internal/operator"
 )
 
@@ -43,9 +43,9 @@
 	}
 	o := operator.Defaults()
 	if f.operator != "" {
-		var wrong []faults.Fault
+		var wrong []validation.Error
 		if o, wrong = operator.Load(f.operator, os.LookupEnv); len(wrong) > 0 {
-			return faults.Join(wrong)
+			return validation.Join(wrong)
 		}
 	}
 	for _, v := range o.Values() {
--- a/cmd/dykering/fleet_state_test.go
+++ b/cmd/dykering/fleet_state_test.go
@@ -22,7 +22,7 @@
 	"dykering/internal/fleet/replica"
 	"dykering/internal/lab/faultnet"
 	"dykering/internal/lab/real"
-	"dykering/internal/strict"
+	"dykering/internal/tomlconfig"
 )
 
 // agree bounds how long copies of the replicated state may differ once links are up: a push-pull each 30 s is the last
@@ -253,8 +253,8 @@
 	s.waitAll(10*time.Second, "hears it", func(b *broker) bool { return b.holds(t, "fast", s.servers[3].UID, replica.Bad) }, all[0])
 	liar, err := gossip.Start(gossip.Section{
 		Enabled: true, ID: "liar", Bind: "127.0.0.1:0", Seeds: []string{all[1].addr},
-		Weight: 1, ProbeInterval: strict.Duration(200 * time.Millisecond), ProbeTimeout: strict.Duration(100 * time.Millisecond),
-		SuspicionMult: 3, IndirectChecks: 3, DeadKept: strict.Duration(time.Minute), Most: 16, Relay: s.relay.Addr(),
+		Weight: 1, ProbeInterval: tomlconfig.Duration(200 * time.Millisecond), ProbeTimeout: tomlconfig.Duration(100 * time.Millisecond),
+		SuspicionMult: 3, IndirectChecks: 3, DeadKept: tomlconfig.Duration(time.Minute), Most: 16, Relay: s.relay.Addr(),
 	},
 		membership.Meta{Started: time.Now()}, zap.NewNop())
 	if err != nil {
--- a/cmd/dykering/fleet_test.go
+++ b/cmd/dykering/fleet_test.go
@@ -24,7 +24,7 @@
 	"dykering/internal/fleet/gossip"
 	"dykering/internal/fleet/membership"
 	"dykering/internal/lab/faultnet"
-	"dykering/internal/strict"
+	"dykering/internal/tomlconfig"
 )
 
 // The fleet's settings in these tests: a probe each 200 ms, as memberlist's LAN settings scaled by a fifth. SWIM's
@@ -500,9 +500,9 @@
 	garbage.Close()
 	future, err := gossip.Start(gossip.Section{
 		Enabled: true, ID: "from-the-future", Bind: "127.0.0.1:0",
-		Seeds: []string{all[1].addr}, Weight: 1, ProbeInterval: strict.Duration(200 * time.Millisecond),
-		ProbeTimeout: strict.Duration(100 * time.Millisecond), SuspicionMult: 3, IndirectChecks: 3,
-		DeadKept: strict.Duration(time.Minute), Most: 16, Relay: f.relay.Addr(),
+		Seeds: []string{all[1].addr}, Weight: 1, ProbeInterval: tomlconfig.Duration(200 * time.Millisecond),
+		ProbeTimeout: tomlconfig.Duration(100 * time.Millisecond), SuspicionMult: 3, IndirectChecks: 3,
+		DeadKept: tomlconfig.Duration(time.Minute), Most: 16, Relay: f.relay.Addr(),
 	},
 		membership.Meta{Started: time.Now().Add(time.Hour)}, zap.NewNop())
 	if err != nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -12,8 +12,8 @@
 	"strings"
 
 	"dykering/internal/core"
-	"dykering/internal/faults"
 	"dykering/internal/settings"
+	"dykering/internal/validation"
 )
 
 // Config is what a process is told at its start.
@@ -75,8 +75,10 @@
 	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, at.fault(path, err)
 	}
-	c := &Config{Name: file.Name, Listen: file.Listen, Control: file.Control, Discovery: file.Discovery,
-		Limits: file.Limits, getenv: getenv, path: path, lines: at, sources: map[string]string{}}
+	c := &Config{
+		Name: file.Name, Listen: file.Listen, Control: file.Control, Discovery: file.Discovery,
+		Limits: file.Limits, getenv: getenv, path: path, lines: at, sources: map[string]string{},
+	}
 	fromEnv := map[string]*string{"BALANCER_NAME": &c.Name, "BALANCER_LISTEN": &c.Listen, "BALANCER_CONTROL": &c.Control}
 	if envDiscovery {
 		fromEnv["BALANCER_DISCOVERY"] = &c.Discovery
@@ -99,9 +101,9 @@
 	if file.Known != nil {
 		c.Known = *file.Known
 	}
-	var wrong []faults.Fault
+	var wrong []validation.Error
 	fault := func(key, text string) {
-		wrong = append(wrong, faults.Fault{File: path, Line: at.of[key], Key: key, Text: text})
+		wrong = append(wrong, validation.Error{File: path, Line: at.of[key], Key: key, Text: text})
 	}
 	if c.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
 		fault("seed", fmt.Sprintf("%q is not a hexadecimal number of 64 bits", file.Seed))
@@ -119,7 +121,7 @@
 	}
 	c.check(fault)
 	if len(wrong) > 0 {
-		return nil, faults.Join(wrong)
+		return nil, validation.Join(wrong)
 	}
 	return c, nil
 }
@@ -179,8 +181,11 @@
 
 // check names the values that a process cannot run with.
 func (c *Config) check(fault func(key, text string)) {
-	for _, place := range []struct{ key, address string }{{"listen", c.Listen}, {"control", c.Control},
-		{"discovery", c.Discovery}} {
+	for _, place := range []struct{ key, address string }{
+		{"listen", c.Listen},
+		{"control", c.Control},
+		{"discovery", c.Discovery},
+	} {
 		if place.key == "control" && place.address == "" {
 			continue
 		}
@@ -255,7 +260,7 @@
 
 // fault is what is wrong with a text that cannot be read.
 func (p places) fault(path string, err error) error {
-	f := faults.Fault{File: path, Text: err.Error()}
+	f := validation.Error{File: path, Text: err.Error()}
 	if broken := new(json.SyntaxError); errors.As(err, &broken) {
 		f.Line = p.line(broken.Offset)
 	}
--- a/internal/fleet/budgets/budgets_test.go
+++ b/internal/fleet/budgets/budgets_test.go
@@ -16,7 +16,7 @@
 	"dykering/internal/core"
 	"dykering/internal/decision"
 	"dykering/internal/fleet/gossip"
-	"dykering/internal/strict"
+	"dykering/internal/tomlconfig"
 )
 
 // lone is a broker and a gossip of one.
@@ -43,7 +43,7 @@
 		Self: "a", Weight: 1, Tenants: []string{"one"}, Wholes: []float64{100}, Instances: 4,
 		Section: gossip.Budgets{
 			Enabled: true, Voters: []string{"a", "b", "c"}, Dir: t.TempDir(), Floor: 20, Drift: 1, Rate: 1,
-			Lease: strict.Duration(300 * time.Millisecond),
+			Lease: tomlconfig.Duration(300 * time.Millisecond),
 		},
 	}, l, l, zap.New(seen))
 	beat, err := proto.Marshal(&raftpb.Message{
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -7,14 +7,14 @@
 	"go.uber.org/zap"
 
 	"dykering/internal/fleet/membership"
-	"dykering/internal/strict"
+	"dykering/internal/tomlconfig"
 )
 
 func startMember(t *testing.T, id string, seeds ...string) *Gossip {
 	t.Helper()
 	s := *DefaultSection()
 	s.Enabled, s.ID, s.Bind, s.Seeds = true, id, "127.0.0.1:0", seeds
-	s.ProbeInterval, s.ProbeTimeout = strict.Duration(100*time.Millisecond), strict.Duration(50*time.Millisecond)
+	s.ProbeInterval, s.ProbeTimeout = tomlconfig.Duration(100*time.Millisecond), tomlconfig.Duration(50*time.Millisecond)
 	g, err := Start(s, membership.Meta{Zone: "z1", Started: time.Now()}, zap.NewExample())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fleet/gossip/section_check.go
+++ b/internal/fleet/gossip/section_check.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"dykering/internal/faults"
-	"dykering/internal/strict"
+	"dykering/internal/validation"
+	"dykering/internal/tomlconfig"
 )
 
 const (
@@ -22,9 +22,9 @@
 )
 
 // Check returns the faults that the bounds in the tags cannot express.
-func (s *Section) Check() []faults.Fault {
-	var wrong []faults.Fault
-	reject := func(key, text string) { wrong = append(wrong, faults.Fault{Key: key, Text: text}) }
+func (s *Section) Check() []validation.Error {
+	var wrong []validation.Error
+	reject := func(key, text string) { wrong = append(wrong, validation.Error{Key: key, Text: text}) }
 	if fault := checkAddress(s.Bind, true); fault != "" {
 		reject("bind", fault)
 	}
@@ -38,7 +38,7 @@
 			reject("relay", fault)
 		}
 	}
-	areWithinBounds := s.ProbeInterval >= strict.Duration(50*time.Millisecond) && s.ProbeTimeout <= strict.Duration(30*time.Second)
+	areWithinBounds := s.ProbeInterval >= tomlconfig.Duration(50*time.Millisecond) && s.ProbeTimeout <= tomlconfig.Duration(30*time.Second)
 	if areWithinBounds && s.ProbeTimeout >= s.ProbeInterval {
 		reject("probe_timeout", "has to be shorter than probe_interval")
 	}
@@ -79,8 +79,8 @@
 }
 
 // check returns the faults that the bounds in the tags cannot express.
-func (b *Budgets) check() (wrong []faults.Fault) {
-	reject := func(key, text string) { wrong = append(wrong, faults.Fault{Key: key, Text: text}) }
+func (b *Budgets) check() (wrong []validation.Error) {
+	reject := func(key, text string) { wrong = append(wrong, validation.Error{Key: key, Text: text}) }
 	for _, text := range b.Wholes {
 		if _, _, err := b.Whole(text); err != nil {
 			reject("budgets.wholes", err.Error())
--- a/internal/lab/emulation/play_test.go
+++ b/internal/lab/emulation/play_test.go
@@ -12,7 +12,7 @@
 
 	"dykering/internal/http1"
 	"dykering/internal/lab/scenario"
-	"dykering/internal/strict"
+	"dykering/internal/tomlconfig"
 )
 
 func bubble(t *testing.T) Bubble {
@@ -22,7 +22,7 @@
 
 func brief(troubles ...scenario.Trouble) *scenario.Scenario {
 	s := scenario.Default()
-	s.Lasts = strict.Duration(3 * time.Second)
+	s.Lasts = tomlconfig.Duration(3 * time.Second)
 	s.Broker.Instances, s.Servers.Count = 1, 4
 	s.Callers.Rate = scenario.Span{From: 60, To: 60}
 	s.Teams = nil
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -16,13 +16,13 @@
 	"sync"
 	"time"
 
-	"dykering/internal/faults"
+	"dykering/internal/validation"
 	"dykering/internal/lab/emulation"
 	"dykering/internal/lab/model"
 	"dykering/internal/lab/real"
 	"dykering/internal/lab/scenario"
 	"dykering/internal/lab/sim"
-	"dykering/internal/strict"
+	"dykering/internal/tomlconfig"
 )
 
 // mostRuns bounds an experiment.
@@ -63,13 +63,13 @@
 }
 
 // Load reads a file.
-func Load(path string) (*Experiment, []faults.Fault) {
-	data, wrong := strict.Read(path)
+func Load(path string) (*Experiment, []validation.Error) {
+	data, wrong := tomlconfig.Read(path)
 	if len(wrong) > 0 {
 		return nil, wrong
 	}
 	base := func() *Experiment { return &Experiment{Name: "unnamed", Engine: "sim", Seeds: 10, First: 1} }
-	e, _, wrong := strict.Decode(path, data, base, func(string) (string, bool) { return "", false })
+	e, _, wrong := tomlconfig.Decode(path, data, base, func(string) (string, bool) { return "", false })
 	if len(wrong) > 0 {
 		return nil, wrong
 	}
@@ -85,9 +85,9 @@
 }
 
 // Check names what the keys alone do not tell.
-func (e *Experiment) Check() (wrong []faults.Fault) {
+func (e *Experiment) Check() (wrong []validation.Error) {
 	fault := func(key, text string, args ...any) {
-		wrong = append(wrong, faults.Fault{Key: key, Text: fmt.Sprintf(text, args...)})
+		wrong = append(wrong, validation.Error{Key: key, Text: fmt.Sprintf(text, args...)})
 	}
 	if e.Scenario == "" {
 		fault("scenario", "which is played")
@@ -165,12 +165,12 @@
 }
 
 // scenario is what a side plays at a point.
-func (e *Experiment) scenario(p point, s Side) (*scenario.Scenario, []faults.Fault) {
+func (e *Experiment) scenario(p point, s Side) (*scenario.Scenario, []validation.Error) {
 	changes := append([]scenario.Change(nil), p.changes...)
 	for _, text := range s.Set {
 		c, err := scenario.ParseChange(text)
 		if err != nil {
-			return nil, []faults.Fault{{File: e.path, Text: err.Error()}}
+			return nil, []validation.Error{{File: e.path, Text: err.Error()}}
 		}
 		changes = append(changes, c)
 	}
@@ -316,7 +316,7 @@
 		return r, ctx.Err()
 	}
 	s, wrong := e.scenario(j.point, j.side)
-	if err := faults.Join(wrong); err != nil {
+	if err := validation.Join(wrong); err != nil {
 		return r, err
 	}
 	began := time.Now()
--- a/internal/lab/explore/explore.go
+++ b/internal/lab/explore/explore.go
@@ -16,11 +16,11 @@
 	"sync"
 	"time"
 
-	"dykering/internal/faults"
+	"dykering/internal/validation"
 	"dykering/internal/lab/emulation"
 	"dykering/internal/lab/rules"
 	"dykering/internal/lab/scenario"
-	"dykering/internal/strict"
+	"dykering/internal/tomlconfig"
 )
 
 //go:embed base.toml
@@ -121,7 +121,7 @@
 type Schedule struct {
 	Seed    uint64  `json:"seed"`
 	Entries []Entry `json:"entries"`
-	Lasts   strict.Duration
+	Lasts   tomlconfig.Duration
 }
 
 // Pair is a fault and a stage in which something was while it lasted.
@@ -171,7 +171,7 @@
 			lasts = f.Lasts/4 + time.Duration(r.Int64N(int64(f.Lasts*3/4)))
 		}
 		if x.What == "flap" {
-			x.Every = strict.Duration(lasts/5 + time.Millisecond)
+			x.Every = tomlconfig.Duration(lasts/5 + time.Millisecond)
 		}
 		at, lasts = at.Round(time.Millisecond), lasts.Round(time.Millisecond)
 		x.At, x.Lasts = scenario.Times{From: at, To: at}, scenario.Times{From: lasts, To: lasts}
@@ -226,7 +226,7 @@
 func (x *Explorer) Play(ctx context.Context, s Schedule) *Outcome {
 	o := &Outcome{Schedule: s}
 	sc, wrong := scenario.Parse("schedule", []byte(s.Text()))
-	if o.Err = faults.Join(wrong); o.Err != nil {
+	if o.Err = validation.Join(wrong); o.Err != nil {
 		return o
 	}
 	dir, err := os.MkdirTemp(x.Dir, "run-")
@@ -304,7 +304,7 @@
 	}
 	for _, lasts := range []time.Duration{time.Second, 1500 * time.Millisecond, 2 * time.Second} {
 		s := best.Schedule
-		s.Lasts = strict.Duration(lasts)
+		s.Lasts = tomlconfig.Duration(lasts)
 		if try(s) {
 			break
 		}
--- a/internal/lab/faultnet/schedule.go
+++ b/internal/lab/faultnet/schedule.go
@@ -7,22 +7,22 @@
 	"syscall"
 	"time"
 
-	"dykering/internal/faults"
-	"dykering/internal/strict"
+	"dykering/internal/validation"
+	"dykering/internal/tomlconfig"
 )
 
 // Step is one fault of a schedule, at a time from its start. Members are named as the fleet names them.
 type Step struct {
-	At     strict.Duration `toml:"at" doc:"from the start of the schedule"`
+	At     tomlconfig.Duration `toml:"at" doc:"from the start of the schedule"`
 	Do     string          `toml:"do" doc:"what befalls the fleet" oneof:"down loss slow cut heal stop cont kill start"`
 	From   string          `toml:"from" doc:"down: the member whose link is dropped"`
 	To     string          `toml:"to" doc:"down: the member it no longer reaches"`
 	Both   bool            `toml:"both" doc:"down: the link back too"`
 	Share  float64         `toml:"share" doc:"loss: the share of packets and streams dropped" min:"0" max:"1"`
-	Fixed  strict.Duration `toml:"fixed" doc:"slow: what each packet waits"`
-	Jitter strict.Duration `toml:"jitter" doc:"slow: up to this much more"`
+	Fixed  tomlconfig.Duration `toml:"fixed" doc:"slow: what each packet waits"`
+	Jitter tomlconfig.Duration `toml:"jitter" doc:"slow: up to this much more"`
 	Tail   float64         `toml:"tail" doc:"slow: the share that waits tail_by more" min:"0" max:"1"`
-	TailBy strict.Duration `toml:"tail_by" doc:"slow: how much more the tail waits"`
+	TailBy tomlconfig.Duration `toml:"tail_by" doc:"slow: how much more the tail waits"`
 	Sets   [][]string      `toml:"sets" doc:"cut: the sets that nothing passes between"`
 	Member string          `toml:"member" doc:"stop, cont, kill, start: the member"`
 	As     string          `toml:"as" doc:"start: the id it starts under; empty: its own"`
@@ -34,27 +34,27 @@
 }
 
 // Check finds what the keys' bounds do not tell.
-func (s *Schedule) Check() []faults.Fault {
-	var wrong []faults.Fault
+func (s *Schedule) Check() []validation.Error {
+	var wrong []validation.Error
 	for i, st := range s.Steps {
 		key := fmt.Sprintf("step[%d]", i)
 		switch {
 		case i > 0 && st.At < s.Steps[i-1].At:
-			wrong = append(wrong, faults.Fault{Key: key + ".at", Text: "comes before the step before it"})
+			wrong = append(wrong, validation.Error{Key: key + ".at", Text: "comes before the step before it"})
 		case st.Do == "down" && (st.From == "" || st.To == ""):
-			wrong = append(wrong, faults.Fault{Key: key, Text: "down needs from and to"})
+			wrong = append(wrong, validation.Error{Key: key, Text: "down needs from and to"})
 		case st.Do == "cut" && len(st.Sets) < 2:
-			wrong = append(wrong, faults.Fault{Key: key + ".sets", Text: "a cut needs two sets at least"})
+			wrong = append(wrong, validation.Error{Key: key + ".sets", Text: "a cut needs two sets at least"})
 		case slices.Contains([]string{"stop", "cont", "kill", "start"}, st.Do) && st.Member == "":
-			wrong = append(wrong, faults.Fault{Key: key + ".member", Text: st.Do + " needs a member"})
+			wrong = append(wrong, validation.Error{Key: key + ".member", Text: st.Do + " needs a member"})
 		}
 	}
 	return wrong
 }
 
 // LoadSchedule reads a schedule from TOML text, with every fault in it.
-func LoadSchedule(name string, text []byte) (*Schedule, []faults.Fault) {
-	s, _, wrong := strict.Decode(name, text, func() *Schedule { return &Schedule{} }, nil)
+func LoadSchedule(name string, text []byte) (*Schedule, []validation.Error) {
+	s, _, wrong := tomlconfig.Decode(name, text, func() *Schedule { return &Schedule{} }, nil)
 	return s, wrong
 }
 
--- a/internal/lab/real/play_test.go
+++ b/internal/lab/real/play_test.go
@@ -23,7 +23,7 @@
 	"dykering/internal/lab/rules"
 	"dykering/internal/lab/scenario"
 	"dykering/internal/sidecar"
-	"dykering/internal/strict"
+	"dykering/internal/tomlconfig"
 )
 
 // TestMain lets the test binary stand in for brokers, right and wrong ones.
@@ -111,7 +111,7 @@
 func brief(t *testing.T, troubles ...scenario.Trouble) *scenario.Scenario {
 	t.Helper()
 	s := scenario.Default()
-	s.Lasts = strict.Duration(3 * time.Second)
+	s.Lasts = tomlconfig.Duration(3 * time.Second)
 	s.Broker.Instances, s.Servers.Count = 1, 4
 	s.Callers.Rate = scenario.Span{From: 60, To: 60}
 	s.Teams = nil
@@ -189,8 +189,8 @@
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
 			s := brief(t, drain)
-			s.Servers.Grace, s.Discovery.Delay = strict.Duration(100*time.Millisecond), scenario.Times{}
-			s.Callers.Patience = strict.Duration(time.Second)
+			s.Servers.Grace, s.Discovery.Delay = tomlconfig.Duration(100*time.Millisecond), scenario.Times{}
+			s.Callers.Patience = tomlconfig.Duration(time.Second)
 			r, err := Play(t.Context(), s, 3, options(t, how))
 			if err != nil {
 				t.Fatal(err)
@@ -223,7 +223,7 @@
 				time.AfterFunc(2*time.Second, cancel)
 			}
 			s := brief(t)
-			s.Lasts = strict.Duration(time.Minute)
+			s.Lasts = tomlconfig.Duration(time.Minute)
 			began := time.Now()
 			_, err := Play(ctx, s, 3, o)
 			if err == nil || !strings.Contains(err.Error(), want) || time.Since(began) > readyFor+endFor+10*time.Second {
@@ -264,9 +264,9 @@
 func TestFleetUnderFaults(t *testing.T) {
 	t.Parallel()
 	s := brief(t)
-	s.Lasts = strict.Duration(14 * time.Second)
+	s.Lasts = tomlconfig.Duration(14 * time.Second)
 	s.Broker.Instances, s.Broker.Fleet = 4, true
-	at := func(seconds int) strict.Duration { return strict.Duration(time.Duration(seconds) * time.Second) }
+	at := func(seconds int) tomlconfig.Duration { return tomlconfig.Duration(time.Duration(seconds) * time.Second) }
 	b := func(i int) string { return fmt.Sprintf("broker-0-%d", i) }
 	s.Faults = []faultnet.Step{
 		{At: at(1), Do: "kill", Member: b(1)},
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -5,15 +5,15 @@
 	"fmt"
 	"slices"
 
-	"dykering/internal/faults"
 	"dykering/internal/lab/faultnet"
+	"dykering/internal/validation"
 )
 
 // faultList collects what is wrong with a scenario.
-type faultList []faults.Fault
+type faultList []validation.Error
 
 func (l *faultList) add(key, text string, args ...any) {
-	*l = append(*l, faults.Fault{Key: key, Text: fmt.Sprintf(text, args...)})
+	*l = append(*l, validation.Error{Key: key, Text: fmt.Sprintf(text, args...)})
 }
 
 // addIf adds a fault where a condition holds.
@@ -24,7 +24,7 @@
 }
 
 // Check names what the keys alone do not tell. It also fills in what a part of an array leaves out.
-func (s *Scenario) Check() []faults.Fault {
+func (s *Scenario) Check() []validation.Error {
 	var wrong faultList
 	wrong = append(wrong, (&faultnet.Schedule{Steps: s.Faults}).Check()...)
 	wrong.addIf(len(s.Faults) > 0 && !s.Broker.Fleet, "fault", "faults between brokers need broker.fleet")
--- a/internal/lab/scenario/set.go
+++ b/internal/lab/scenario/set.go
@@ -8,8 +8,8 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"dykering/internal/faults"
-	"dykering/internal/strict"
+	"dykering/internal/tomlconfig"
+	"dykering/internal/validation"
 )
 
 // Change is a value that an experiment gives a key of a scenario, as "callers.rate = 200" or `kind[0].speed = "1..2"`;
@@ -35,8 +35,8 @@
 }
 
 // LoadWith reads a file and makes changes to it. Faults that they bring are of the changed text, and name no line.
-func LoadWith(path string, changes []Change) (*Scenario, []faults.Fault) {
-	data, wrong := strict.Read(path)
+func LoadWith(path string, changes []Change) (*Scenario, []validation.Error) {
+	data, wrong := tomlconfig.Read(path)
 	if len(wrong) > 0 {
 		return nil, wrong
 	}
@@ -46,16 +46,16 @@
 	}
 	var tree map[string]any
 	if err := toml.Unmarshal(data, &tree); err != nil {
-		return nil, []faults.Fault{{File: path, Text: err.Error()}}
+		return nil, []validation.Error{{File: path, Text: err.Error()}}
 	}
 	for _, c := range changes {
 		if err := c.apply(tree); err != nil {
-			return nil, []faults.Fault{{File: path, Key: c.Key, Text: err.Error()}}
+			return nil, []validation.Error{{File: path, Key: c.Key, Text: err.Error()}}
 		}
 	}
 	text, err := toml.Marshal(tree)
 	if err != nil {
-		return nil, []faults.Fault{{File: path, Text: err.Error()}}
+		return nil, []validation.Error{{File: path, Text: err.Error()}}
 	}
 	s, wrong := Parse(path, text)
 	for i := range wrong {
--- a/internal/lab/sim/decisions_test.go
+++ b/internal/lab/sim/decisions_test.go
@@ -10,7 +10,7 @@
 
 	"dykering/internal/fixture"
 	"dykering/internal/lab/scenario"
-	"dykering/internal/strict"
+	"dykering/internal/tomlconfig"
 )
 
 // The fixture holds what came of the same scenarios with the build of commit bfb03d8, in the form of the laboratory's
@@ -39,7 +39,7 @@
 func TestDecisionsUnchangedScenarios(t *testing.T) {
 	var text strings.Builder
 	for _, s := range frozenScenarios(t) {
-		s.Lasts = min(s.Lasts, strict.Duration(frozenDuration))
+		s.Lasts = min(s.Lasts, tomlconfig.Duration(frozenDuration))
 		for seed := range uint64(frozenSeeds) {
 			result, err := Run(t.Context(), s, seed, Broker)
 			if err != nil {
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -11,7 +11,7 @@
 	"dykering/internal/lab/model"
 	"dykering/internal/lab/rules"
 	"dykering/internal/lab/scenario"
-	"dykering/internal/strict"
+	"dykering/internal/tomlconfig"
 )
 
 // play runs a scenario, and is its result as text.
@@ -30,7 +30,7 @@
 
 func short() *scenario.Scenario {
 	s := scenario.Default()
-	s.Lasts = strict.Duration(12 * time.Second)
+	s.Lasts = tomlconfig.Duration(12 * time.Second)
 	return s
 }
 
@@ -91,7 +91,7 @@
 		"break": nil, "partition": nil, "kill": nil, "handover": nil,
 		"slow": nil, "neighbour": nil, "burst": nil,
 		"errors":      func(x *scenario.Trouble) { x.Factor = scenario.Span{From: 0.5, To: 0.9} },
-		"flap":        func(x *scenario.Trouble) { x.Every = strict.Duration(700 * time.Millisecond) },
+		"flap":        func(x *scenario.Trouble) { x.Every = tomlconfig.Duration(700 * time.Millisecond) },
 		"reset after": func(x *scenario.Trouble) { x.What, x.How = "bytes", "reset" },
 		"stall":       func(x *scenario.Trouble) { x.What, x.How = "bytes", "stall" },
 		"garbage":     func(x *scenario.Trouble) { x.What, x.How = "bytes", "garbage" },
@@ -108,7 +108,7 @@
 				change(&x)
 			}
 			s := short()
-			s.Lasts = strict.Duration(8 * time.Second)
+			s.Lasts = tomlconfig.Duration(8 * time.Second)
 			s.Below = []scenario.Below{{
 				Name: "below", Instances: 3, Servers: 6, Calls: scenario.Span{From: 1, To: 2},
 				Work: scenario.Span{From: 0.005, To: 0.02}, Keeps: 0.1,
@@ -117,8 +117,8 @@
 			s.Troubles[1].Tier = 1
 			for i := range s.Kinds {
 				k := &s.Kinds[i]
-				k.Slots, k.Conns, k.Handshake, k.Stops = 60, 80, strict.Duration(time.Millisecond), "all"
-				k.Reports, k.ReportEvery, k.ReportNoise = true, strict.Duration(100*time.Millisecond), 0.2
+				k.Slots, k.Conns, k.Handshake, k.Stops = 60, 80, tomlconfig.Duration(time.Millisecond), "all"
+				k.Reports, k.ReportEvery, k.ReportNoise = true, tomlconfig.Duration(100*time.Millisecond), 0.2
 				k.ChokeAfter, k.Rest = 400, scenario.Times{From: 50 * time.Millisecond, To: 100 * time.Millisecond}
 				k.PauseEvery, k.PauseFor = scenario.Times{From: 3 * time.Second, To: 5 * time.Second}, k.Rest
 			}
@@ -150,7 +150,7 @@
 func TestEndlessOverload(t *testing.T) {
 	s := short()
 	s.Callers.Rate, s.Callers.Most, s.Callers.Patience = scenario.Span{From: 5000, To: 5000}, 300, 0
-	s.Lasts = strict.Duration(4 * time.Second)
+	s.Lasts = tomlconfig.Duration(4 * time.Second)
 	for name, p := range Policies {
 		r, _ := play(t, s, 1, p)
 		if r.Unmade == 0 || r.Asked+0 < r.Served || r.Open != 0 {
@@ -250,7 +250,7 @@
 	for _, rule := range []string{rules.Answer, rules.Time, rules.Effect, rules.Single, rules.Drain, rules.Cold, rules.Unknown} {
 		s := short()
 		s.Broker.MaxAttempts = 0
-		s.Callers.Patience = strict.Duration(500 * time.Millisecond)
+		s.Callers.Patience = tomlconfig.Duration(500 * time.Millisecond)
 		s.Callers.Tries = 1
 		for i := range s.Kinds {
 			s.Kinds[i].Errors = 0.2
--- a/internal/logs/section.go
+++ b/internal/logs/section.go
@@ -6,7 +6,7 @@
 	"go.uber.org/zap/zapcore"
 
 	"dykering/internal/operator"
-	"dykering/internal/strict"
+	"dykering/internal/tomlconfig"
 )
 
 // The formats of lines.
@@ -21,7 +21,7 @@
 	Level  Level        `toml:"level" doc:"the least that is logged: debug, info, warn or error"`
 	Burst  int          `toml:"burst" doc:"lines of one event a second; what is more is counted" min:"1" max:"1000"`
 	Most   int          `toml:"most" doc:"lines of all events a second" min:"1" max:"10000"`
-	Buffer strict.Bytes `toml:"buffer" doc:"memory for lines that wait for the sink; read at the start" min:"4KiB" max:"16MiB"`
+	Buffer tomlconfig.Bytes `toml:"buffer" doc:"memory for lines that wait for the sink; read at the start" min:"4KiB" max:"16MiB"`
 }
 
 // Default is what holds without an operator's file.
--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -6,14 +6,14 @@
 	"reflect"
 	"slices"
 
-	"dykering/internal/faults"
-	"dykering/internal/strict"
+	"dykering/internal/tomlconfig"
+	"dykering/internal/validation"
 )
 
 // File is a file that has been read and checked, or the defaults.
 type File struct {
 	sections map[string]any
-	sources  strict.Sources
+	sources  tomlconfig.Sources
 }
 
 // Section is the part of a file that a section's owner reads: a pointer of the type that its defaults have.
@@ -24,11 +24,15 @@
 
 // root makes a struct of the whole file: the version, and a pointer to each section.
 func root() reflect.Value {
-	fields := []reflect.StructField{{Name: "Version", Type: reflect.TypeFor[int](),
-		Tag: reflect.StructTag(fmt.Sprintf(`toml:"version" min:"%d" max:"%d"`, Version, Version))}}
+	fields := []reflect.StructField{{
+		Name: "Version", Type: reflect.TypeFor[int](),
+		Tag: reflect.StructTag(fmt.Sprintf(`toml:"version" min:"%d" max:"%d"`, Version, Version)),
+	}}
 	for _, s := range sections {
-		fields = append(fields, reflect.StructField{Name: "S_" + s.name, Type: reflect.TypeOf(s.defaults()),
-			Tag: reflect.StructTag(fmt.Sprintf("toml:%q", s.name))})
+		fields = append(fields, reflect.StructField{
+			Name: "S_" + s.name, Type: reflect.TypeOf(s.defaults()),
+			Tag: reflect.StructTag(fmt.Sprintf("toml:%q", s.name)),
+		})
 	}
 	v := reflect.New(reflect.StructOf(fields))
 	for i, s := range sections {
@@ -37,7 +41,7 @@
 	return v
 }
 
-func whole(root reflect.Value, from strict.Sources) *File {
+func whole(root reflect.Value, from tomlconfig.Sources) *File {
 	f := &File{sections: map[string]any{}, sources: from}
 	for i, s := range sections {
 		f.sections[s.name] = root.Elem().Field(i + 1).Interface()
@@ -46,8 +50,8 @@
 }
 
 // Load reads a file. A reference to the environment is looked up with getenv.
-func Load(path string, getenv func(string) (string, bool)) (*File, []faults.Fault) {
-	data, wrong := strict.Read(path)
+func Load(path string, getenv func(string) (string, bool)) (*File, []validation.Error) {
+	data, wrong := tomlconfig.Read(path)
 	if len(wrong) > 0 {
 		return nil, wrong
 	}
@@ -55,8 +59,8 @@
 }
 
 // Parse reads the text of a file, and finds all its faults.
-func Parse(path string, data []byte, getenv func(string) (string, bool)) (*File, []faults.Fault) {
-	got, from, wrong := strict.DecodeAny(path, data, func() any { return root().Interface() }, getenv)
+func Parse(path string, data []byte, getenv func(string) (string, bool)) (*File, []validation.Error) {
+	got, from, wrong := tomlconfig.DecodeAny(path, data, func() any { return root().Interface() }, getenv)
 	if len(wrong) > 0 {
 		return nil, wrong
 	}
@@ -64,9 +68,9 @@
 }
 
 // Values are those of all keys but the version, and where they come from.
-func (f *File) Values() (all []strict.Value) {
+func (f *File) Values() (all []tomlconfig.Value) {
 	for _, s := range sections {
-		all = append(all, strict.Values(s.name, f.sections[s.name], f.sources)...)
+		all = append(all, tomlconfig.Values(s.name, f.sections[s.name], f.sources)...)
 	}
 	return all
 }
@@ -76,7 +80,7 @@
 
 // Changes are what differs between one file and the next. Of a secret it is told that it has changed.
 func Changes(from, to *File) (all []Change) {
-	old := map[string]strict.Value{}
+	old := map[string]tomlconfig.Value{}
 	for _, v := range from.Values() {
 		old[v.Key] = v
 	}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"dykering/internal/faults"
-	"dykering/internal/strict"
+	"dykering/internal/tomlconfig"
+	"dykering/internal/validation"
 )
 
 type team struct {
@@ -18,26 +18,26 @@
 }
 
 type sample struct {
-	Word  string          `toml:"word" doc:"a word" oneof:"one two"`
-	Count int             `toml:"count" doc:"a number" min:"1" max:"9"`
-	Part  float64         `toml:"part" doc:"a part" min:"0" max:"1"`
-	On    bool            `toml:"on" doc:"whether"`
-	Wait  strict.Duration `toml:"wait" doc:"a time" min:"1ms" max:"1s"`
-	Size  strict.Bytes    `toml:"size" doc:"a size" max:"1MiB"`
-	Key   string          `toml:"key" doc:"a secret" secret:"yes"`
-	Names []string        `toml:"names" doc:"names"`
-	Inner inner           `toml:"inner"`
-	Teams []team          `toml:"team"`
+	Word  string              `toml:"word" doc:"a word" oneof:"one two"`
+	Count int                 `toml:"count" doc:"a number" min:"1" max:"9"`
+	Part  float64             `toml:"part" doc:"a part" min:"0" max:"1"`
+	On    bool                `toml:"on" doc:"whether"`
+	Wait  tomlconfig.Duration `toml:"wait" doc:"a time" min:"1ms" max:"1s"`
+	Size  tomlconfig.Bytes    `toml:"size" doc:"a size" max:"1MiB"`
+	Key   string              `toml:"key" doc:"a secret" secret:"yes"`
+	Names []string            `toml:"names" doc:"names"`
+	Inner inner               `toml:"inner"`
+	Teams []team              `toml:"team"`
 }
 
 type inner struct {
 	Depth int `toml:"depth" doc:"how deep" max:"3"`
 }
 
-func (s *sample) Check() (wrong []faults.Fault) {
+func (s *sample) Check() (wrong []validation.Error) {
 	for i, t := range s.Teams {
 		if t.Name == "" {
-			wrong = append(wrong, faults.Fault{Key: fmt.Sprintf("team[%d].name", i), Text: "has no name"})
+			wrong = append(wrong, validation.Error{Key: fmt.Sprintf("team[%d].name", i), Text: "has no name"})
 		}
 	}
 	return wrong
@@ -45,11 +45,11 @@
 
 func init() {
 	Register("sample", "What tests need.", func() any {
-		return &sample{Word: "one", Count: 3, Wait: strict.Duration(20 * time.Millisecond), Size: 4 << 10, Names: []string{"a"}}
+		return &sample{Word: "one", Count: 3, Wait: tomlconfig.Duration(20 * time.Millisecond), Size: 4 << 10, Names: []string{"a"}}
 	})
 }
 
-func read(text string) (*sample, *File, []faults.Fault) {
+func read(text string) (*sample, *File, []validation.Error) {
 	f, wrong := Parse("f.toml", []byte(text), func(name string) (string, bool) {
 		v, ok := map[string]string{"COUNT": "7", "WORD": "two", "WAIT": "9ms", "KEY": "s\"e\nc", "BAD": "many words"}[name]
 		return v, ok
@@ -74,16 +74,28 @@
 		"misspelt":       {"version = 1\n[sample]\ncuont = 1\n", []string{"f.toml:3: sample.cuont: not a key of this version; is sample.count meant?"}},
 		"no such table":  {"version = 1\n[smaple]\ncount = 1\n", []string{"f.toml:2: smaple: not a key of this version; is sample meant?"}},
 		"far from all":   {"version = 1\n[sample]\nzzzzzzzzzzz = 1\n", []string{"f.toml:3: sample.zzzzzzzzzzz: not a key of this version"}},
-		"several at once": {"version = 1\n[sample]\ncount = \"x\"\non = 3\nwait = \"5\"\nword = \"three\"\nnames = [1]\n[sample.inner]\ndepth = 4\n",
-			[]string{"f.toml:3: sample.count: has to be a whole number", "f.toml:4: sample.on: has to be true or false",
+		"several at once": {
+			"version = 1\n[sample]\ncount = \"x\"\non = 3\nwait = \"5\"\nword = \"three\"\nnames = [1]\n[sample.inner]\ndepth = 4\n",
+			[]string{
+				"f.toml:3: sample.count: has to be a whole number", "f.toml:4: sample.on: has to be true or false",
 				"f.toml:5: sample.wait: \"5\" is not a time", "f.toml:6: sample.word: \"three\" is not one of one, two",
-				"f.toml:7: sample.names: has to be a list, each of it a text in quotes", "f.toml:9: sample.inner.depth: has to be at most 3"}},
-		"bounds": {"version = 1\n[sample]\ncount = 0\npart = 1.5\nwait = \"2s\"\nsize = \"2MiB\"\n",
-			[]string{"f.toml:3: sample.count: has to be at least 1", "f.toml:4: sample.part: has to be at most 1",
-				"f.toml:5: sample.wait: has to be at most 1s", "f.toml:6: sample.size: has to be at most 1MiB"}},
-		"in arrays": {"version = 1\n[[sample.team]]\nname = \"a\"\ncalls = 1\n[[sample.team]]\ncalls = 0\nclals = 3\n",
-			[]string{"f.toml: sample.team[1].name: missing: has no name", "f.toml:6: sample.team[1].calls: has to be at least 1",
-				"f.toml:7: sample.team[1].clals: not a key of this version; is sample.team[].calls meant?"}},
+				"f.toml:7: sample.names: has to be a list, each of it a text in quotes", "f.toml:9: sample.inner.depth: has to be at most 3",
+			},
+		},
+		"bounds": {
+			"version = 1\n[sample]\ncount = 0\npart = 1.5\nwait = \"2s\"\nsize = \"2MiB\"\n",
+			[]string{
+				"f.toml:3: sample.count: has to be at least 1", "f.toml:4: sample.part: has to be at most 1",
+				"f.toml:5: sample.wait: has to be at most 1s", "f.toml:6: sample.size: has to be at most 1MiB",
+			},
+		},
+		"in arrays": {
+			"version = 1\n[[sample.team]]\nname = \"a\"\ncalls = 1\n[[sample.team]]\ncalls = 0\nclals = 3\n",
+			[]string{
+				"f.toml: sample.team[1].name: missing: has no name", "f.toml:6: sample.team[1].calls: has to be at least 1",
+				"f.toml:7: sample.team[1].clals: not a key of this version; is sample.team[].calls meant?",
+			},
+		},
 		"no such variable": {"version = 1\n[sample]\ncount = \"${NOWHERE}\"\n", []string{"f.toml:3: sample.count: NOWHERE is not in the environment"}},
 		"variable's type":  {"version = 1\n[sample]\ncount = \"${BAD}\"\non = true\n", []string{"f.toml:3: sample.count: has to be a whole number"}},
 	} {
@@ -119,7 +131,7 @@
 	if wrong != nil {
 		t.Fatal(wrong)
 	}
-	if s.Count != 7 || s.Word != "two" || s.Wait != strict.Duration(9*time.Millisecond) || s.Key != "s\"e\nc" || s.Size != 1<<10 ||
+	if s.Count != 7 || s.Word != "two" || s.Wait != tomlconfig.Duration(9*time.Millisecond) || s.Key != "s\"e\nc" || s.Size != 1<<10 ||
 		len(s.Teams) != 1 || s.Teams[0] != (team{"a", 2}) || len(s.Names) != 1 {
 		t.Errorf("got %+v", s)
 	}
@@ -160,7 +172,7 @@
 func TestExample(t *testing.T) {
 	f, wrong := Parse("example", []byte(Example()), os.LookupEnv)
 	if len(wrong) > 0 {
-		t.Fatal(faults.Join(wrong))
+		t.Fatal(validation.Join(wrong))
 	}
 	if changes := Changes(Defaults(), f); len(changes) > 0 {
 		t.Errorf("the example changes %+v", changes)
--- a/internal/operator/registry.go
+++ b/internal/operator/registry.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"dykering/internal/strict"
+	"dykering/internal/tomlconfig"
 )
 
 // Version is the version of the file's format, that its key version has to name.
@@ -16,13 +16,13 @@
 // section is a table of the file.
 type section struct {
 	name, doc string
-	defaults  func() any // a pointer to a struct as strict.Decode wants it
+	defaults  func() any // a pointer to a struct as tomlconfig.Decode wants it
 }
 
 var sections []section
 
 // Register adds a section, by the package that owns it, from its init. Defaults makes a pointer to a struct with the
-// values that hold where the file says nothing. The struct may be a strict.Checker.
+// values that hold where the file says nothing. The struct may be a tomlconfig.Checker.
 func Register(name, doc string, defaults func() any) {
 	if slices.ContainsFunc(sections, func(s section) bool { return s.name == name }) {
 		panic("operator: section " + name + " is registered twice")
@@ -39,7 +39,7 @@
 	for _, s := range sections {
 		fmt.Fprintf(&b, "\n# %s\n[%s]\n", s.doc, s.name)
 		table := ""
-		for _, k := range strict.Keys(s.defaults()) {
+		for _, k := range tomlconfig.Keys(s.defaults()) {
 			mark, name := "", k.Name
 			if array, inner, ok := strings.Cut(k.Name, "[]."); ok { // there is none by default
 				if mark, name = "# ", inner; array != table {
@@ -47,7 +47,7 @@
 					fmt.Fprintf(&b, "# [[%s.%s]]\n", s.name, array)
 				}
 			}
-			fmt.Fprintf(&b, "# %s%s\n%s%s = %s\n", k.Field.Tag.Get("doc"), strict.Bounds(k.Field), mark, name, strict.Text(k.Value))
+			fmt.Fprintf(&b, "# %s%s\n%s%s = %s\n", k.Field.Tag.Get("doc"), tomlconfig.Bounds(k.Field), mark, name, tomlconfig.Text(k.Value))
 		}
 	}
 	return b.String()
--- a/internal/sidecar/generations.go
+++ b/internal/sidecar/generations.go
@@ -6,7 +6,7 @@
 
 	"go.uber.org/zap"
 
-	"dykering/internal/faults"
+	"dykering/internal/validation"
 	"dykering/internal/logs"
 	"dykering/internal/operator"
 )
@@ -27,7 +27,7 @@
 	if path != "" {
 		f, wrong := operator.Load(path, getenv)
 		if len(wrong) > 0 {
-			return nil, faults.Join(wrong)
+			return nil, validation.Join(wrong)
 		}
 		g.now, g.number = f, 1
 	}
--- a/internal/strict/strict.go
+++ b/internal/tomlconfig/decode.go
@@ -1,6 +1,6 @@
 // Package strict reads TOML files into structs and finds every fault in them: what is no TOML, keys that are not known
 // with the nearest that is, wrong types, values out of their bounds, each with its line and what would be right.
-package strict
+package tomlconfig
 
 import (
 	"cmp"
@@ -17,7 +17,7 @@
 	"github.com/pelletier/go-toml/v2"
 	"github.com/pelletier/go-toml/v2/unstable"
 
-	"dykering/internal/faults"
+	"dykering/internal/validation"
 )
 
 const (
@@ -26,7 +26,7 @@
 )
 
 // Read reads a file's text, up to a size.
-func Read(path string) ([]byte, []faults.Fault) {
+func Read(path string) ([]byte, []validation.Error) {
 	info, err := os.Stat(path)
 	if err == nil && info.Size() > maxFile {
 		err = fmt.Errorf("%d bytes are more than %d", info.Size(), maxFile)
@@ -36,7 +36,7 @@
 		data, err = os.ReadFile(path)
 	}
 	if err != nil {
-		return nil, []faults.Fault{{File: path, Text: err.Error()}}
+		return nil, []validation.Error{{File: path, Text: err.Error()}}
 	}
 	return data, nil
 }
@@ -46,7 +46,7 @@
 
 // Decode reads the text of a file into what defaults makes, a pointer to a struct with the tags toml and doc, and, where
 // there are bounds, min, max and oneof. It finds all faults; with any, nothing is returned of it.
-func Decode[T any](path string, data []byte, defaults func() *T, getenv func(string) (string, bool)) (*T, Sources, []faults.Fault) {
+func Decode[T any](path string, data []byte, defaults func() *T, getenv func(string) (string, bool)) (*T, Sources, []validation.Error) {
 	got, from, wrong := DecodeAny(path, data, func() any { return defaults() }, getenv)
 	if len(wrong) > 0 {
 		return nil, nil, wrong
@@ -55,9 +55,9 @@
 }
 
 // DecodeAny is Decode for a type that is not known before.
-func DecodeAny(path string, data []byte, defaults func() any, getenv func(string) (string, bool)) (any, Sources, []faults.Fault) {
+func DecodeAny(path string, data []byte, defaults func() any, getenv func(string) (string, bool)) (any, Sources, []validation.Error) {
 	if f, ok := syntax(path, data); !ok {
-		return nil, nil, []faults.Fault{f}
+		return nil, nil, []validation.Error{f}
 	}
 	r := &reader{path: path, known: map[string]Key{}, sources: Sources{}}
 	for _, k := range Keys(defaults()) {
@@ -73,7 +73,7 @@
 	if len(r.faults) == 0 {
 		return root, r.sources, nil
 	}
-	slices.SortStableFunc(r.faults, func(a, b faults.Fault) int { return cmp.Compare(a.Line, b.Line) })
+	slices.SortStableFunc(r.faults, func(a, b validation.Error) int { return cmp.Compare(a.Line, b.Line) })
 	return nil, nil, r.faults[:min(len(r.faults), maxFaults)]
 }
 
@@ -98,13 +98,13 @@
 }
 
 // syntax finds what is not TOML.
-func syntax(path string, data []byte) (f faults.Fault, ok bool) {
+func syntax(path string, data []byte) (f validation.Error, ok bool) {
 	var got map[string]any
 	err := toml.Unmarshal(data, &got)
 	if err == nil {
 		return f, true
 	}
-	f = faults.Fault{File: path, Text: err.Error()}
+	f = validation.Error{File: path, Text: err.Error()}
 	if d := new(toml.DecodeError); errors.As(err, &d) {
 		f.Line, _ = d.Position()
 		f.Key, f.Text = strings.Join(d.Key(), "."), strings.TrimPrefix(d.Error(), "toml: ")
@@ -119,7 +119,7 @@
 	known   map[string]Key
 	sources Sources
 	places  []place
-	faults  []faults.Fault
+	faults  []validation.Error
 }
 
 // place is where a key stands.
@@ -139,7 +139,7 @@
 	if line == 0 {
 		text = "missing: " + text
 	}
-	r.faults = append(r.faults, faults.Fault{File: r.path, Line: line, Key: key, Text: text})
+	r.faults = append(r.faults, validation.Error{File: r.path, Line: line, Key: key, Text: text})
 }
 
 var (
@@ -206,7 +206,7 @@
 			if m := reference.FindStringSubmatch(string(v.Data)); v.Kind == unstable.String && m != nil && ok {
 				got, set := getenv(m[1])
 				if !set {
-					r.faults = append(r.faults, faults.Fault{File: r.path, Line: at.line, Key: name, Text: m[1] + " is not in the environment"})
+					r.faults = append(r.faults, validation.Error{File: r.path, Line: at.line, Key: name, Text: m[1] + " is not in the environment"})
 					continue
 				}
 				if k.Field.Type.Kind() == reflect.String || isText(k.Field.Type) || !bare.MatchString(got) {
@@ -292,7 +292,7 @@
 	if nearest != "" {
 		text += "; is " + nearest + " meant?"
 	}
-	r.faults = append(r.faults, faults.Fault{File: r.path, Line: line, Key: name, Text: text})
+	r.faults = append(r.faults, validation.Error{File: r.path, Line: line, Key: name, Text: text})
 }
 
 // decode puts the values into a struct. What has the wrong type is named and left out, and the rest read again, so
@@ -306,7 +306,7 @@
 		}
 		d := new(toml.DecodeError)
 		if !errors.As(err, &d) {
-			r.faults = append(r.faults, faults.Fault{File: r.path, Text: err.Error()})
+			r.faults = append(r.faults, validation.Error{File: r.path, Text: err.Error()})
 			return nil
 		}
 		line, _ := d.Position()
@@ -318,14 +318,14 @@
 			}
 		}
 		if at < 0 || strings.HasSuffix(r.places[at].key, "]") {
-			r.faults = append(r.faults, faults.Fault{File: r.path, Line: line, Key: strings.Join(d.Key(), "."), Text: text})
+			r.faults = append(r.faults, validation.Error{File: r.path, Line: line, Key: strings.Join(d.Key(), "."), Text: text})
 			return nil
 		}
 		p := r.places[at]
 		if k, ok := r.known[index.ReplaceAllString(p.key, "[]")]; ok && !isText(k.Field.Type) {
 			text = fmt.Sprintf("has to be %s", sort(k.Field.Type))
 		}
-		r.faults = append(r.faults, faults.Fault{File: r.path, Line: p.line, Key: p.key, Text: text})
+		r.faults = append(r.faults, validation.Error{File: r.path, Line: p.line, Key: p.key, Text: text})
 		data = slices.Clone(data)
 		for i := p.start; i < p.end; i++ {
 			if data[i] != '\n' {
@@ -371,7 +371,7 @@
 				r.check(fmt.Sprintf("%s[%d]", key, j), field.Index(j))
 			}
 		default:
-			told := slices.ContainsFunc(r.faults, func(f faults.Fault) bool { return f.Key == key })
+			told := slices.ContainsFunc(r.faults, func(f validation.Error) bool { return f.Key == key })
 			if text := outOf(f, field); text != "" && !told {
 				r.fault(key, text)
 			}
--- a/internal/strict/types.go
+++ b/internal/tomlconfig/types.go
@@ -1,4 +1,4 @@
-package strict
+package tomlconfig
 
 import (
 	"fmt"
@@ -7,13 +7,13 @@
 	"strings"
 	"time"
 
-	"dykering/internal/faults"
+	"dykering/internal/validation"
 )
 
 // Checker is a struct that knows more faults than its keys' types and bounds tell.
 type Checker interface {
 	// Check names faults, by key within it.
-	Check() []faults.Fault
+	Check() []validation.Error
 }
 
 // Key is what is known of a key.
