--- a/internal/decision/edge_cases_test.go
+++ b/internal/decision/endpoint_list_test.go
@@ -1,15 +1,84 @@
 package decision
 
 import (
-	"math"
 	"slices"
 	"testing"
 	"time"
 )
 
-// tell hands over a list of one line.
-func (d *harness) applyDelta(version uint64, e Entry) {
-	d.b.Targets(d.now, List{Kind: DeltaList, Version: version, Entries: []Entry{e}})
+func TestDrainingEndpointGetsNoNewCallsAndKeepsItsOwn(t *testing.T) {
+	d := start(t, settings(), 2)
+	for range 4 {
+		d.request(read)
+	}
+	running := slices.Clone(d.sent)
+	d.list(Entry{Endpoint: 1, State: Draining})
+	if len(d.cancels) > 0 {
+		t.Error("a running call was called off when its endpoint drained")
+	}
+	for _, s := range running {
+		d.finish(s, OK, 10*ms)
+	}
+	if got := d.serve(20, nil); got[1] != 0 || got[2] != 20 {
+		t.Errorf("sends by endpoint %v, want all 20 to 2", got)
+	}
+	d.list(Entry{Endpoint: 1})
+	if got := d.serve(20, nil); got[1] == 0 {
+		t.Error("an endpoint that is ready again gets nothing")
+	}
+}
+
+// Endpoints that have gone are forgotten, and what is still out to them ends without harm.
+func TestDepartedEndpointsAreForgotten(t *testing.T) {
+	d := start(t, settings(), 1)
+	for i := 2; i < 100; i++ {
+		d.request(read)
+		late := d.last()
+		d.list(Entry{Endpoint: EndpointID(i), Weight: 1})
+		d.list(Entry{Endpoint: EndpointID(i - 1), State: Departed})
+		if i%2 == 0 {
+			d.list(Entry{Endpoint: EndpointID(i - 1), State: Departed})
+		}
+		d.finish(late, []Status{OK, Reset, Error, ConnectFailed, Cancelled}[i%5], 5*ms)
+		for d.attempts[late.id] > 1 && d.last().id == late.id && d.b.requests[late.id] != nil {
+			d.finish(d.last(), OK, 5*ms)
+		}
+		d.advance(20 * ms)
+	}
+	if len(d.b.byID) > maxDepartedEndpoints+4 {
+		t.Errorf("%d endpoints are remembered", len(d.b.byID))
+	}
+	for len(d.b.requests) > 0 { // what a ramp let go out later
+		for _, s := range d.sent {
+			d.finish(s, OK, 5*ms)
+		}
+		d.advance(20 * ms)
+	}
+	d.now += d.b.settings.WarmUp
+	d.list(Entry{Endpoint: 99, Weight: 1})
+	if len(d.b.byID) != 1 || len(d.b.listed) != 1 || len(d.b.requests) != 0 || d.b.inFlight != 0 {
+		t.Errorf("%d endpoints, %d listed, %d requests, %d out", len(d.b.byID), len(d.b.listed), len(d.b.requests), d.b.inFlight)
+	}
+}
+
+func TestPullDiscoveryWatchesAndBacksOff(t *testing.T) {
+	s := settings()
+	s.PullDiscovery = true
+	d := start(t, s, 2)
+	if d.watches != 0 {
+		t.Error("subscribed at once: a fleet that starts together would ask together")
+	}
+	d.advance(time.Second)
+	if d.watches != 1 {
+		t.Fatalf("%d watches in the first second, want 1", d.watches)
+	}
+	for range 40 {
+		d.b.Targets(d.now, List{Kind: FailedList})
+		d.advance(time.Second)
+	}
+	if d.watches < 4 || d.watches > 30 {
+		t.Errorf("%d watches in 40 s of failures, want a growing pause", d.watches)
+	}
 }
 
 // However a server leaves and comes back: what it was isolated for holds until a trial call is served or a new start is
@@ -94,20 +163,6 @@
 	}
 }
 
-// A cold server that fell silent, and answers a trial, is as cold as its start says.
-func TestTrialDoesNotShortenWarmUp(t *testing.T) {
-	d := start(t, settings(), 4)
-	d.now = 21 * time.Second
-	d.applyDelta(3, Entry{Endpoint: 1, Weight: 1, Started: d.now})
-	d.now += time.Second
-	e := d.b.byID[1]
-	d.b.eject(d.now, e, "silent")
-	d.b.endEjection(d.now, e)
-	if got := d.b.capacityShare(d.now, e); e.state != stateSlowStart || got > 0.3 {
-		t.Errorf("mark %d, share %.2f one second after its start", e.state, got)
-	}
-}
-
 // A server that is gone and comes back while calls to it run has them still: in its load, in what is out, and in what
 // it is judged by; and it has no fresh ramp budget each time.
 func TestCallsInFlightCountAfterEndpointReturns(t *testing.T) {
@@ -178,124 +233,6 @@
 	}
 }
 
-// An outcome, or the beginning of an answer, that is of no attempt that is out is passed over: nothing is sent while
-// another attempt is out, and nothing is answered twice.
-func TestOutcomesOfOtherAttemptsAreIgnored(t *testing.T) {
-	for name, late := range map[string]func(d *harness, first, now sent){
-		"told twice":           func(d *harness, first, now sent) { d.finish(first, Error, 20*ms) },
-		"twice, never ran":     func(d *harness, first, now sent) { d.finish(first, Rejected, 20*ms) },
-		"twice, reset":         func(d *harness, first, now sent) { d.finish(first, Reset, 20*ms) },
-		"twice, timed out":     func(d *harness, first, now sent) { d.finish(first, Timeout, 20*ms) },
-		"of another endpoint":  func(d *harness, first, now sent) { now.to = first.to; d.finish(now, Error, 20*ms) },
-		"of one still to come": func(d *harness, first, now sent) { now.attempt++; d.finish(now, Error, 20*ms) },
-		"begun":                func(d *harness, first, now sent) { d.b.ResponseStarted(d.now, first.id, first.attempt, first.to) },
-		"after it was over": func(d *harness, first, now sent) {
-			d.finish(now, OK, 20*ms)
-			d.finish(now, Error, 20*ms)
-		},
-	} {
-		d := start(t, settings(), 4)
-		d.serve(60, nil)
-		id := d.request(read)
-		first := d.last()
-		d.finish(first, Error, 20*ms)
-		now := d.last()
-		if now.id != id || now.attempt != 1 {
-			t.Fatalf("%s: %v is not sent again", name, first)
-		}
-		sends := len(d.sent)
-		late(d, first, now)
-		over := d.b.requests[id] == nil
-		if len(d.sent) != sends || len(d.fails)+len(d.refusals) > 0 || over != (name == "after it was over") {
-			t.Errorf("%s: %d sent, %v failed, %v refused, over %v", name, len(d.sent)-sends, d.fails, d.refusals, over)
-		}
-		if !over {
-			d.finish(now, OK, 20*ms)
-		}
-		if d.b.inFlight != 0 || len(d.b.requests) != 0 || len(d.fails)+len(d.refusals) > 0 {
-			t.Errorf("%s: %d out, %d requests, %v failed, %v refused", name, d.b.inFlight, len(d.b.requests), d.fails, d.refusals)
-		}
-	}
-}
-
-// What nobody can serve is given up at once, and a refusal says when to come back: it is not held until its time is
-// nearly up, so that its client stays quiet.
-func TestNoRequestIsQueuedInVain(t *testing.T) {
-	all := func(d *harness, s State) {
-		l := List{Kind: DeltaList, Version: 3}
-		for id := EndpointID(1); id <= 4; id++ {
-			l.Entries = append(l.Entries, Entry{Endpoint: id, Cell: int(id-1) / 2, State: s})
-		}
-		d.b.Targets(d.now, l)
-	}
-	held := func(d *harness) RequestID {
-		for {
-			if id := d.request(read); len(d.b.queue) > 0 {
-				return d.b.queue[0].id
-			} else if d.b.requests[id] == nil {
-				t.Fatal("nothing is ever held")
-			}
-		}
-	}
-	for name, c := range map[string]struct {
-		play func(d *harness) RequestID
-		fail bool // it may have run, so that it must not be refused
-	}{
-		"no list": {func(d *harness) RequestID {
-			d.b.Targets(d.now, List{Kind: FullList, Version: 3})
-			return d.request(read)
-		}, false},
-		"all drain":           {func(d *harness) RequestID { all(d, Draining); return d.request(read) }, false},
-		"all are gone":        {func(d *harness) RequestID { all(d, Departed); return d.request(pay) }, false},
-		"all drain, it waits": {func(d *harness) RequestID { id := held(d); all(d, Draining); return id }, false},
-		"all go, it waits":    {func(d *harness) RequestID { id := held(d); all(d, Departed); return id }, false},
-		"its only one drains": {func(d *harness) RequestID {
-			id := d.request(read)
-			s := d.last()
-			all(d, Draining)
-			d.finish(s, Rejected, 10*ms)
-			return id
-		}, false},
-		"its cell drains": {func(d *harness) RequestID {
-			id := d.request(book)
-			s := d.last()
-			cell := (s.to - 1) / 2
-			for v := range EndpointID(2) {
-				d.applyDelta(uint64(3+v), Entry{Endpoint: 2*cell + 1 + v, Cell: int(cell), State: Draining})
-			}
-			d.finish(s, Error, 10*ms)
-			return id
-		}, true},
-		"its window is over": {func(d *harness) RequestID {
-			id := d.request(book)
-			s := d.last()
-			d.advance(400 * ms)
-			d.finish(s, Error, 400*ms)
-			return id
-		}, true},
-	} {
-		for _, marks := range []bool{false, true} {
-			s := settings()
-			s.ClientsMarkRetries, s.MaxRetryAfter = marks, 2*time.Second
-			s.Classes[read].LateValue, s.Classes[book].LateValue = 0.5, 0.5
-			s.Classes[book].Window = 300 * ms
-			d := start(t, s, 4)
-			id := c.play(d)
-			switch r := d.b.requests[id]; {
-			case r != nil && r.queued:
-				t.Errorf("%s, marks %v: it is held, with %v left", name, marks, r.deadline-d.now)
-			case c.fail != slices.Contains(d.fails, id) || c.fail == slices.Contains(d.refusals, id):
-				t.Errorf("%s, marks %v: failed %v, refused %v", name, marks, d.fails, d.refusals)
-			}
-			for i, after := range d.retryAfters {
-				if after <= 0 || after > s.MaxRetryAfter {
-					t.Errorf("%s, marks %v: %s is told to come back after %v", name, marks, d.refusals[i], after)
-				}
-			}
-		}
-	}
-}
-
 // While lists fail there is one watch after another, and no more with each failure: the discovery that is down must not
 // be asked ever more often by those that it fails.
 func TestFailedListsDoNotAddWatches(t *testing.T) {
@@ -366,88 +303,3 @@
 		}
 	}
 }
-
-// A server of which every answer is of no use, or that breaks off each connection it accepts, is isolated like one that
-// fails fast; where every server spoils some, or all do alike, none is.
-func TestEndpointWithOnlyInvalidResponsesIsEjected(t *testing.T) {
-	for name, c := range map[string]struct {
-		spoils func(d *harness, to EndpointID) bool
-		most   int // calls of 400 to endpoint 1
-		least  int
-		marked bool
-	}{
-		"one spoils all":   {func(d *harness, to EndpointID) bool { return to == 1 }, 40, 1, true},
-		"each spoils some": {func(d *harness, to EndpointID) bool { return d.b.rng.Float64() < 0.1 }, 400, 70, false},
-		"all spoil all":    {func(d *harness, to EndpointID) bool { return true }, 800, 70, false},
-	} {
-		d := start(t, settings(), 4)
-		d.serve(60, nil)
-		got := d.serve(400, func(to EndpointID) Status {
-			if c.spoils(d, to) {
-				return InvalidResponse
-			}
-			return OK
-		})
-		if got[1] > c.most || got[1] < c.least || (len(d.logs) > 0) != c.marked {
-			t.Errorf("%s: %d calls to it, %v", name, got[1], d.logs)
-		}
-	}
-}
-
-// However often what was sent never ran, a request has so many attempts, and then its answer: also where the platform
-// names no bound.
-func TestAttemptsOfRequestAreBounded(t *testing.T) {
-	for _, status := range []Status{Rejected, ConnectFailed, NotSent} {
-		for most, want := range map[int]int{4: 4, 0: maxRetryTokens} {
-			s := settings()
-			s.MaxAttempts = most
-			d := start(t, s, 3)
-			id := d.request(pay)
-			for at := 0; at < len(d.sent) && at <= 100; at++ {
-				d.finish(d.sent[at], status, ms)
-				d.advance(10 * ms)
-			}
-			if got := d.attempts[id]; got > want || len(d.refusals) != 1 {
-				t.Errorf("%v with a bound of %d: %d attempts, refused %v", status, most, got, d.refusals)
-			}
-		}
-	}
-}
-
-// A list with a weight that cannot be is taken as one without weights: each server is called, as if all were alike.
-func TestImplausibleWeightsAreIgnored(t *testing.T) {
-	for _, odd := range []float64{1e308, math.Inf(1), math.NaN(), -1, 0} {
-		d := start(t, settings(), 4)
-		d.applyDelta(3, Entry{Endpoint: 2, Weight: odd})
-		got := d.serve(200, nil)
-		for id := EndpointID(1); id <= 4; id++ {
-			if got[id] < 20 {
-				t.Errorf("weight %v: calls %v", odd, got)
-			}
-		}
-	}
-}
-
-// Where the one server that is not isolated is the one that a request has just failed at, it goes there again or is
-// given up: nothing that comes could change that, and it is not held until its time is nearly up.
-func TestRetryUsesLastHealthyEndpointOrEnds(t *testing.T) {
-	for _, status := range []Status{Error, InvalidResponse, Reset, ConnectFailed} {
-		d := start(t, settings(), 2)
-		d.serve(60, nil)
-		for range 30 {
-			d.request(read)
-			at := len(d.sent) - 1
-			for ; at < len(d.sent); at++ {
-				d.finish(d.sent[at], status, 10*ms)
-			}
-			d.advance(100 * ms)
-			for ; at < len(d.sent); at++ { // a trial, or what waited a moment
-				d.finish(d.sent[at], status, 10*ms)
-			}
-			if len(d.b.queue) > 0 {
-				t.Errorf("%v: %s is held after %d attempts, with none out", status, d.b.queue[0].id, d.b.queue[0].attempts)
-				break
-			}
-		}
-	}
-}
--- a/internal/decision/slow_start_test.go
+++ b/internal/decision/slow_start_test.go
@@ -9,6 +9,87 @@
 	"time"
 )
 
+// All cold at once: what one instance sends each is capped by what warm ones were seen to bear.
+func TestSendRateToColdEndpointsIsCapped(t *testing.T) {
+	d := start(t, settings(), 10)
+	d.serve(300, nil) // 50 a second, 5 to each
+	for id := EndpointID(1); id <= 10; id++ {
+		d.list(Entry{Endpoint: id, Started: d.now})
+	}
+	got := map[EndpointID]int{}
+	at := len(d.sent)
+	for range 500 {
+		d.request(read)
+		d.advance(2 * ms)
+		for ; at < len(d.sent); at++ {
+			got[d.sent[at].to]++
+			d.finish(d.sent[at], OK, 2*ms)
+		}
+	}
+	for id, n := range got {
+		if n > 8 { // 3 times a fifth of ten a second, and a little for chance
+			t.Errorf("%d sends in its first second to cold endpoint %d", n, id)
+		}
+	}
+	if len(got) == 0 {
+		t.Error("cold endpoints got nothing at all")
+	}
+}
+
+// A cold machine was pushed over by further attempts of instances whose subsets do not hold it, and by its
+// getting a whole endpoint's rate from each instance whose subset holds a sliver of it.
+func TestColdEndpointIsSentBySubsetWeightAndNoRetriesFromOutside(t *testing.T) {
+	s := settings()
+	s.Instances = 60
+	d := start(t, s, 20)
+	d.serve(200, nil)
+	var outside *endpoint
+	for _, e := range d.b.listed {
+		if e.subsetWeight == 0 {
+			outside = e
+		}
+	}
+	d.list(Entry{Endpoint: outside.id, Started: d.now, Weight: 1})
+	for range 50 {
+		d.request(read)
+		d.finish(d.last(), Rejected, ms)
+		if to := d.last().to; to == outside.id {
+			t.Fatal("a further attempt went to a cold endpoint outside the subset")
+		}
+		d.finish(d.last(), OK, 20*ms)
+		d.advance(100 * ms)
+	}
+	cold := d.b.listed[0]
+	for _, e := range d.b.listed {
+		if e.subsetWeight > 0 {
+			cold = e
+		}
+	}
+	rate := func(part float64) float64 {
+		d.b.setState(cold, stateSlowStart)
+		cold.subsetWeight, cold.slowStartFrom, cold.slowStartTokens, cold.slowStartTokensAt = part, d.now, 0, d.now-10*ms
+		d.b.hasSlowStartToken(d.now, cold)
+		return cold.slowStartTokens
+	}
+	if whole, sliver := rate(1), rate(0.1); whole == 0 || sliver > 0.11*whole {
+		t.Errorf("%.3f sends allowed for a tenth of a cold endpoint, %.3f for all of it", sliver, whole)
+	}
+}
+
+// A cold server that fell silent, and answers a trial, is as cold as its start says.
+func TestTrialDoesNotShortenWarmUp(t *testing.T) {
+	d := start(t, settings(), 4)
+	d.now = 21 * time.Second
+	d.applyDelta(3, Entry{Endpoint: 1, Weight: 1, Started: d.now})
+	d.now += time.Second
+	e := d.b.byID[1]
+	d.b.eject(d.now, e, "silent")
+	d.b.endEjection(d.now, e)
+	if got := d.b.capacityShare(d.now, e); e.state != stateSlowStart || got > 0.3 {
+		t.Errorf("mark %d, share %.2f one second after its start", e.state, got)
+	}
+}
+
 // rampWorld is a fleet of brokers before some servers, in virtual time: all hear of the servers that have just started,
 // each in its own moment, and none of what the others send.
 type slowStartWorld struct {
@@ -44,11 +125,15 @@
 type slowStartEvents []slowStartEvent
 
 func (h slowStartEvents) Len() int { return len(h) }
+
 func (h slowStartEvents) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
+
 func (h slowStartEvents) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *slowStartEvents) Push(x any)   { *h = append(*h, x.(slowStartEvent)) }
+
+func (h *slowStartEvents) Push(x any) { *h = append(*h, x.(slowStartEvent)) }
+
 func (h *slowStartEvents) Pop() any {
 	old := *h
 	x := old[len(old)-1]
@@ -96,12 +181,19 @@
 		r.b.Outcome(w.now, Outcome{ID: id, Endpoint: to, Attempt: attempt, Final: true, Elapsed: took, Status: OK})
 	})
 }
+
 func (r *slowStartInstance) Refuse(RequestID, time.Duration) {}
-func (r *slowStartInstance) Fail(RequestID)                  {}
-func (r *slowStartInstance) Cancel(RequestID, int)           {}
-func (r *slowStartInstance) Watch(bool)                      {}
-func (r *slowStartInstance) Fetch()                          {}
-func (r *slowStartInstance) Log(string)                      {}
+
+func (r *slowStartInstance) Fail(RequestID) {}
+
+func (r *slowStartInstance) Cancel(RequestID, int) {}
+
+func (r *slowStartInstance) Watch(bool) {}
+
+func (r *slowStartInstance) Fetch() {}
+
+func (r *slowStartInstance) Log(string) {}
+
 func (r *slowStartInstance) SetTimer(token uint64, after time.Duration) {
 	r.w.after(after, func() { r.b.Timer(r.w.now, token) })
 }
--- a/internal/decision/snapshot_test.go
+++ b/internal/decision/snapshot_test.go
@@ -9,48 +9,6 @@
 	"time"
 )
 
-// work has calls of a latency go on, some at a time, for a while.
-func (d *harness) work(atOnce int, took, lasts time.Duration) {
-	for end := d.now + lasts; d.now < end; {
-		at := len(d.sent)
-		for range atOnce {
-			d.request(read)
-		}
-		d.advance(took)
-		for _, s := range d.sent[at:] {
-			d.finish(s, OK, took)
-		}
-	}
-}
-
-// fill asks until nothing more is sent, and tells how many were.
-func (d *harness) fill() (n int) {
-	for at := -1; at < len(d.sent); n++ {
-		at = len(d.sent)
-		d.request(read)
-	}
-	return n - 1
-}
-
-// heir is a successor that has been told what a process has learnt, in the form in which it travels.
-func (d *harness) successor(s Settings, n int) *harness {
-	d.t.Helper()
-	text, err := json.Marshal(d.b.Snapshot(d.now))
-	if err != nil {
-		d.t.Fatal(err)
-	}
-	var l Snapshot
-	if err := json.Unmarshal(text, &l); err != nil {
-		d.t.Fatal(err)
-	}
-	h := start(d.t, s, n)
-	h.advance(17 * ms) // the clocks differ
-	if err := h.b.Restore(h.now, l); err != nil {
-		d.t.Fatal(err)
-	}
-	return h
-}
-
 // A process that starts on a crowded tier learns crowded latencies, and lets in flight what keeps it crowded. One that
 // inherits goes by those at little load.
 func TestSuccessorUsesRestoredStatistics(t *testing.T) {
--- a/internal/decision/fleet_test.go
+++ b/internal/decision/subset_test.go
@@ -1,11 +1,135 @@
 package decision
 
 import (
-	"encoding/json"
 	"testing"
 	"time"
 )
 
+// Many instances that call every endpoint fill its connection table.
+func TestManyInstancesCallSubsets(t *testing.T) {
+	s := settings()
+	s.Instances = 30
+	covered := map[EndpointID]int{}
+	for i := range 30 {
+		s.Ordinal = i
+		d := start(t, s, 20)
+		got := d.serve(100, nil)
+		if len(got) != 2 {
+			t.Fatalf("instance %d calls %d endpoints, want 2", i, len(got))
+		}
+		for id := range got {
+			covered[id]++
+		}
+	}
+	for id := EndpointID(1); id <= 20; id++ {
+		if covered[id] != 3 {
+			t.Errorf("endpoint %d is called by %d instances, want 3", id, covered[id])
+		}
+	}
+}
+
+// Where front balancers outnumber endpoints, each had one endpoint whatever its size: small machines got what
+// large ones got. Together the subsets must reach each by its weight.
+func TestSmallSubsetsReachEndpointsByWeight(t *testing.T) {
+	s := settings()
+	s.Instances = 120
+	parts, total := map[EndpointID]float64{}, 0.0
+	for i := range s.Instances {
+		s.Ordinal = i
+		d := start(t, s, 0)
+		l := List{Kind: FullList, Version: 2}
+		for id := EndpointID(1); id <= 20; id++ {
+			l.Entries = append(l.Entries, Entry{Endpoint: id, Weight: []float64{3, 0.5}[id%2]})
+		}
+		d.b.Targets(d.now, l)
+		d.b.updateSubset()
+		n := 0
+		for _, e := range d.b.listed {
+			parts[e.id] += e.subsetWeight
+			total += e.subsetWeight
+			if e.subsetWeight > 0 {
+				n++
+			}
+		}
+		if n < 2 || n > 8 {
+			t.Fatalf("instance %d calls %d endpoints, want a few", i, n)
+		}
+	}
+	for id, got := range parts {
+		want := total * []float64{3, 0.5}[id%2] / 35
+		if got < 0.95*want || got > 1.05*want {
+			t.Errorf("endpoint %d is reached by %.2f, want %.2f", id, got, want)
+		}
+	}
+}
+
+// When many endpoints left at once, their shares fell to the few after them on the ring: four times the mean.
+func TestLoadOfDrainingEndpointsIsSpreadOverAll(t *testing.T) {
+	s := settings()
+	s.Instances = 80
+	parts := map[EndpointID]float64{}
+	for i := range s.Instances {
+		s.Ordinal = i
+		d := start(t, s, 20)
+		for id := EndpointID(5); id <= 14; id++ {
+			d.list(Entry{Endpoint: id, State: Draining, Weight: 1})
+		}
+		d.b.updateSubset()
+		for _, e := range d.b.listed {
+			parts[e.id] += e.subsetWeight
+		}
+	}
+	for id, got := range parts {
+		want := 16.0
+		if id >= 5 && id <= 14 {
+			want = 0
+		}
+		if got < want-0.01 || got > want+0.01 {
+			t.Errorf("endpoint %d is reached by %.2f instances' parts, want %.0f", id, got, want)
+		}
+	}
+}
+
+// An instance that is asked ten times as much as others calls more endpoints for that time, and no more than it
+// needs; instances that are numbered in a row are far apart on the ring.
+func TestSubsetGrowsWithCallsInFlight(t *testing.T) {
+	s := settings()
+	s.Instances, s.Ordinal = 100, 5
+	d, answered := start(t, s, 100), 0
+	calls := func(n int) (parts int) {
+		for range 400 {
+			for range n {
+				d.request(read)
+			}
+			d.advance(100 * ms)
+			for out := len(d.sent); answered < out; answered++ {
+				d.finish(d.sent[answered], OK, 100*ms)
+			}
+		}
+		for _, e := range d.b.listed {
+			if e.subsetWeight > 0 {
+				parts++
+			}
+		}
+		return parts
+	}
+	if few, many, few2 := calls(1), calls(8), calls(1); few > 4 || many < 12 || many > 40 || few2 > 4 {
+		t.Errorf("%d endpoints at little traffic, %d at much, %d after that", few, many, few2)
+	}
+	for _, n := range []int{1, 2, 3, 7, 10, 50, 300, 1000} {
+		seats := map[int]bool{}
+		for i := range n {
+			seats[ringPosition(i, n)] = true
+			if apart := (ringPosition(i+1, n) - ringPosition(i, n) + n) % n; n >= 10 && (apart < n/4 || apart > 3*n/4) {
+				t.Errorf("%d and %d of %d lie %d apart", i, i+1, n, apart)
+			}
+		}
+		if len(seats) != n {
+			t.Errorf("%d instances have %d seats", n, len(seats))
+		}
+	}
+}
+
 // What a broker of a large fleet has to bear: it sees little itself, and what it does all others do too.
 func TestInstanceOfLargeFleet(t *testing.T) {
 	small := func() Settings {
@@ -126,65 +250,3 @@
 		}
 	})
 }
-
-// What capacity looked like before says nothing of now: each row is refused or held back for good without its cause.
-func TestShortageEndsWithItsCause(t *testing.T) {
-	s := settings()
-	s.ClientsMarkRetries = true
-	s.Tenants = []Tenant{{Name: "a", QuotaPerS: 100}}
-	slow := func(d *harness) { // calls that take three times what is usual
-		d.serve(100, nil)
-		for range 200 {
-			d.request(read)
-			d.advance(60 * ms)
-			d.finish(d.last(), OK, 400*ms)
-		}
-	}
-	t.Run("a repeat after a silence", func(t *testing.T) {
-		d := start(t, s, 20)
-		slow(d)
-		if d.b.latencyPressure <= 1 {
-			t.Fatalf("strain %.2f: nothing is tested", d.b.latencyPressure)
-		}
-		d.advance(10 * time.Second)
-		at := len(d.sent)
-		d.b.Request(d.now, Request{ID: "again", Remaining: 1500 * ms, IsRetry: true})
-		if len(d.sent) == at {
-			t.Error("refused beside idle servers, for calls that were slow ten seconds ago")
-		}
-	})
-	t.Run("a pace as servers come", func(t *testing.T) {
-		s := s
-		s.Instances = 30
-		d := start(t, s, 20)
-		slow(d)
-		if !d.b.isPaced {
-			t.Fatal("not paced: nothing is tested")
-		}
-		l := List{Kind: DeltaList, Version: 2}
-		for id := EndpointID(21); id <= 40; id++ {
-			l.Entries = append(l.Entries, Entry{Endpoint: id, Weight: 1})
-		}
-		d.b.Targets(d.now, l)
-		d.advance(2 * time.Second)
-		d.serve(20, nil)
-		if d.b.isPaced {
-			t.Error("calls are paced for good once there are more endpoints than instances")
-		}
-	})
-	t.Run("no shares at all", func(t *testing.T) {
-		s := s
-		s.Tenants = []Tenant{{Name: "a"}, {Name: "b"}}
-		d := start(t, s, 20)
-		d.serve(100, nil)
-		if _, err := json.Marshal(d.b.Snapshot(d.now)); err != nil {
-			t.Error("what is learnt cannot be told to a successor:", err)
-		}
-		if len(d.refusals) > 0 {
-			t.Errorf("%d of 100 refused beside idle servers", len(d.refusals))
-		}
-		if id := d.request(read); !d.b.requests[id].overQuota {
-			t.Error("within a share of nothing")
-		}
-	})
-}
