--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -16,7 +16,7 @@
 
 const testTimeout = 20 * time.Second
 
-// link is a connection in memory.
+// memoryConn is a connection in memory.
 type memoryConn struct {
 	PoolEntry
 	closed bool
@@ -25,7 +25,7 @@
 func (l *memoryConn) Close() error { l.closed = true; return nil }
 func (l *memoryConn) Alive() bool  { return !l.closed }
 
-// said is a response in memory.
+// textResponse is a response in memory.
 type textResponse struct {
 	text      string
 	discarded chan string
@@ -33,7 +33,7 @@
 
 func (s textResponse) Discard() { s.discarded <- s.text }
 
-// bench is a loop between a front and an upstream that are the test's.
+// testLoop is a Loop whose front and upstream are the test's.
 type testLoop struct {
 	t         *testing.T
 	loop      *Loop
@@ -57,7 +57,7 @@
 	return res
 }
 
-// lister is a Discovery that notes what it is asked for.
+// recordingDiscovery is a Discovery that records what it is asked for.
 type recordingDiscovery struct {
 	b       *testLoop
 	address string
@@ -74,7 +74,7 @@
 
 const read, once, keyed = 0, 1, 2
 
-// newBench starts a loop that knows some endpoints.
+// newTestLoop starts a loop that knows some endpoints.
 func newTestLoop(t *testing.T, send func(a *Attempt, n int) Result, targets ...Target) *testLoop {
 	t.Helper()
 	b := &testLoop{t: t, send: send, sends: map[decision.RequestID][]*Attempt{}, discarded: make(chan string, 100)}
@@ -100,14 +100,14 @@
 	return Result{Status: decision.OK, Elapsed: 5 * time.Millisecond, Response: textResponse{text, b.discarded}}
 }
 
-// ask brings a call.
+// submit submits a call.
 func (b *testLoop) submit(id string, class int) *Call {
 	c := NewCall(decision.Request{ID: decision.RequestID(id), Class: class, Remaining: 10 * time.Second}, id)
 	b.loop.Submit(c, time.Now())
 	return c
 }
 
-// final waits for a call's answer, and tells what sort it is.
+// final waits for a call's answer, and returns its text or its kind.
 func (b *testLoop) final(c *Call) string {
 	b.t.Helper()
 	select {
--- a/internal/decision/admission_test.go
+++ b/internal/decision/admission_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// Clients that try again at once are not new: what repeats have spent, where their time left shows it, is
-// taken for those that do not show it. Served as if new, they filled a tier with calls past their aim.
+// Clients that try again at once are not new: what retries have spent, where their time left shows it, is
+// taken for those that do not show it. Served as if new, they filled a tier with calls past their latency target.
 func TestClientRetriesThatMissTheirTargetAreSentLast(t *testing.T) {
 	d := start(t, settings(), 2)
 	d.serve(200, nil)
--- a/internal/decision/attempts_test.go
+++ b/internal/decision/attempts_test.go
@@ -19,7 +19,7 @@
 }
 
 // A long request counts once the endpoint has it: until then it is neither slow nor overtaken, and has all its
-// time. What has gone out of it is not sent again.
+// time. What has departed out of it is not sent again.
 func TestLongBodyCountsFromItsLastByte(t *testing.T) {
 	d := start(t, settings(), 2)
 	d.serve(100, nil)
--- a/internal/decision/ejection_test.go
+++ b/internal/decision/ejection_test.go
@@ -39,7 +39,7 @@
 }
 
 // Every endpoint sends some answers that are of no use. The call may have run, and its endpoint is as well as
-// before: no isolation, no slow start, no blame.
+// before: no ejection, no slow start, no blame.
 func TestSingleInvalidResponseLeavesEndpointUsable(t *testing.T) {
 	d := start(t, settings(), 4)
 	d.serve(40, nil)
@@ -69,8 +69,8 @@
 	}
 }
 
-// A server of which every answer is of no use, or that breaks off each connection it accepts, is isolated like one that
-// fails fast; where every server spoils some, or all do alike, none is.
+// A endpoint of which every answer is of no use, or that breaks off each connection it accepts, is ejected like one that
+// fails fast; where every endpoint spoils some, or all do alike, none is.
 func TestEndpointWithOnlyInvalidResponsesIsEjected(t *testing.T) {
 	for name, c := range map[string]struct {
 		spoils func(d *harness, to EndpointID) bool
@@ -169,7 +169,7 @@
 	})
 	isolated := 0
 	for _, e := range d.b.listed {
-		if e.state == isolatedMark {
+		if e.state == stateEjected {
 			isolated++
 		}
 	}
@@ -178,8 +178,6 @@
 	}
 }
 
-const isolatedMark = stateEjected
-
 func TestSilentEndpointIsPassedOver(t *testing.T) {
 	d := start(t, settings(), 4)
 	d.serve(60, nil)
--- a/internal/decision/endpoint_list_test.go
+++ b/internal/decision/endpoint_list_test.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// However a server leaves and comes back: what it was isolated for holds until a trial call is served or a new start is
-// named, what is cold stays so, and what returns ramps.
+// However a endpoint leaves and comes back: what it was ejected for holds until a trial call is served or a new start is
+// named, what is cold stays so, and what returns is in slow start.
 func TestReturningEndpointKeepsEjectionAndWarmUp(t *testing.T) {
 	const started = 21 * time.Second // of one that is cold for ten seconds from then on
 	cold := Entry{Endpoint: 1, Weight: 1, Started: started}
@@ -163,8 +163,8 @@
 	}
 }
 
-// A server that is gone and comes back while calls to it run has them still: in its load, in what is out, and in what
-// it is judged by; and it has no fresh ramp budget each time.
+// A endpoint that is gone and comes back while calls to it run has them still: in its load, in what is out, and in what
+// it is judged by; and it has no fresh slow-start tokens each time.
 func TestCallsInFlightCountAfterEndpointReturns(t *testing.T) {
 	for _, during := range []string{"ready", "isolated"} {
 		d := start(t, settings(), 2)
--- a/internal/decision/evidence_test.go
+++ b/internal/decision/evidence_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The word of others marks an endpoint that has not answered since, up to half of the list, and is not told on as own
+// The evidence of others states an endpoint that has not answered since, up to half of the list, and is not told on as own
 // evidence until a trial of this instance's own failed; one that answered here is kept, and told as good where asked.
 func TestPeerEjectionAppliesUnlessEndpointAnsweredSince(t *testing.T) {
 	d := start(t, settings(), 6)
--- a/internal/decision/golden_amd64_test.go
+++ b/internal/decision/golden_amd64_test.go
@@ -175,7 +175,7 @@
 	w.balancer.Targets(w.now, l)
 }
 
-// change changes one server's entry, and hands it over as a delta.
+// change changes one endpoint's entry, and hands it over as a delta.
 func (w *goldenWorld) change() {
 	e := &w.servers[w.rng.IntN(len(w.servers))]
 	if e.State = decision.State(w.rng.IntN(5) / 2 % 3); w.rng.IntN(2) == 0 {
--- a/internal/decision/harness_test.go
+++ b/internal/decision/harness_test.go
@@ -17,7 +17,7 @@
 	within  time.Duration
 }
 
-// recorder is a Host that writes down what it is asked to do, and a clock.
+// recordingHost is a Host that records what it is asked to do, with a clock.
 type recordingHost struct {
 	now              time.Duration
 	sent             []sent
@@ -63,6 +63,7 @@
 // last is the latest send.
 func (h *recordingHost) last() sent { return h.sent[len(h.sent)-1] }
 
+// settings are those of the only instance, with a class for each effect.
 func settings() Settings {
 	c := Class{LatencyTarget: time.Second, Deadline: 3 * time.Second, Value: 1}
 	read, pay, book := c, c, c
@@ -78,7 +79,7 @@
 
 const read, pay, book = 0, 1, 2
 
-// bed is a Balancer under test with its recorder.
+// harness is a Balancer under test with its recording host.
 type harness struct {
 	*recordingHost
 	t *testing.T
@@ -107,12 +108,12 @@
 	d.b.Targets(d.now, List{Kind: DeltaList, Version: 2, Entries: []Entry{e}})
 }
 
-// tell hands over a list of one line.
+// applyDelta hands over a delta with one entry and a version.
 func (d *harness) applyDelta(version uint64, e Entry) {
 	d.b.Targets(d.now, List{Kind: DeltaList, Version: version, Entries: []Entry{e}})
 }
 
-// ask brings a request with a second and a half left.
+// request brings a request with 1.5 s left.
 func (d *harness) request(class int) RequestID {
 	d.n++
 	id := RequestID(fmt.Sprint("r", d.n))
@@ -120,13 +121,13 @@
 	return id
 }
 
-// end reports the outcome of a send.
+// finish reports the outcome of a send.
 func (d *harness) finish(s sent, status Status, took time.Duration) {
 	d.b.Outcome(d.now, Outcome{ID: s.id, Endpoint: s.to, Attempt: s.attempt, Final: status == OK, Status: status,
 		Elapsed: took})
 }
 
-// pass lets time go by, with the timers that fall due.
+// advance lets time pass, with the timers that expire.
 func (d *harness) advance(by time.Duration) {
 	for until := d.now + by; d.now < until; d.now += 2 * ms {
 		for _, token := range []uint64{tokenTick, tokenWatch} {
@@ -183,7 +184,7 @@
 	return n - 1
 }
 
-// heir is a successor that has been told what a process has learnt, in the form in which it travels.
+// successor makes a harness that has restored this one's snapshot.
 func (d *harness) successor(s Settings, n int) *harness {
 	d.t.Helper()
 	text, err := json.Marshal(d.b.Snapshot(d.now))
--- a/internal/decision/limits_test.go
+++ b/internal/decision/limits_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A base latency learnt from the first answers, which are those of short calls, held nearly all back.
+// A base latency learnt from the first answers, which are those of short calls, queued nearly all back.
 func TestFirstShortAnswersDoNotSetTheLimit(t *testing.T) {
 	d := start(t, settings(), 10)
 	for i := range 40 {
@@ -38,7 +38,7 @@
 }
 
 // When most endpoints leave, the few that are left get no more than they bore before, at once: all that the tier
-// held together would choke them.
+// queued together would choke them.
 func TestLimitFollowsEndpointsInService(t *testing.T) {
 	s := settings()
 	s.Classes[read].Deadline = time.Minute
@@ -67,7 +67,7 @@
 }
 
 // At full size an instance has a call or two in flight: a tier filled up, every endpoint choked, and no limit
-// on calls in flight held anything back. Latency far over what it should be must slow the calls.
+// on calls in flight queued anything back. Latency far over what it should be must slow the calls.
 func TestLatencyPressurePacesSendsWhereInstancesOutnumberEndpoints(t *testing.T) {
 	sends := func(instances int, took time.Duration) int {
 		s := settings()
--- a/internal/decision/queue_test.go
+++ b/internal/decision/queue_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// Requests held go by what they add to the site's goal: by worth, and for a class that is served worst by that.
+// Requests queued go by what they add to the site's goal: by worth, and for a class that is served worst by that.
 func TestMostValuableClassIsSentFirstUnlessWorstServedCountsMore(t *testing.T) {
 	released := func(worstClass float64) (first [3]int) {
 		s := settings()
@@ -60,7 +60,7 @@
 	}
 }
 
-// What is held is refused once it could not be answered in time any more, not when its time is up.
+// What is queued is refused once it could not be answered in time any more, not when its time is up.
 func TestRequestThatCannotBeServedInTimeIsRefusedAtOnce(t *testing.T) {
 	s := settings()
 	s.Classes[read].LateValue, s.MaxRetryAfter = 0.5, time.Second
@@ -88,7 +88,7 @@
 	}
 }
 
-// What nobody can serve is given up at once, and a refusal says when to come back: it is not held until its time is
+// What nobody can serve is given up at once, and a refusal says when to come back: it is not queued until its time is
 // nearly up, so that its client stays quiet.
 func TestNoRequestIsQueuedInVain(t *testing.T) {
 	all := func(d *harness, s State) {
--- a/internal/decision/quotas_test.go
+++ b/internal/decision/quotas_test.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// What capacity looked like before says nothing of now: each row is refused or held back for good without its cause.
+// What capacity looked like before says nothing of now: each row is refused or queued back for good without its cause.
 func TestShortageEndsWithItsCause(t *testing.T) {
 	s := settings()
 	s.ClientsMarkRetries = true
--- a/internal/decision/retries_test.go
+++ b/internal/decision/retries_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// A refused client is told when to come back: once what is held now has been answered, and never later than
+// A refused client is told when to come back: once what is queued now has been answered, and never later than
 // it would heed.
 func TestRefusalsStateRetryAfter(t *testing.T) {
 	s := settings()
--- a/internal/decision/selection_test.go
+++ b/internal/decision/selection_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// A list with a weight that cannot be is taken as one without weights: each server is called, as if all were alike.
+// A list with a weight that cannot be is taken as one without weights: each endpoint is called, as if all were alike.
 func TestImplausibleWeightsAreIgnored(t *testing.T) {
 	for _, odd := range []float64{1e308, math.Inf(1), math.NaN(), -1, 0} {
 		d := start(t, settings(), 4)
@@ -65,8 +65,8 @@
 	}
 }
 
-// Where the one server that is not isolated is the one that a request has just failed at, it goes there again or is
-// given up: nothing that comes could change that, and it is not held until its time is nearly up.
+// Where the one endpoint that is not ejected is the one that a request has just failed at, it goes there again or is
+// given up: nothing that comes could change that, and it is not queued until its time is nearly up.
 func TestRetryUsesLastHealthyEndpointOrEnds(t *testing.T) {
 	for _, status := range []Status{Error, InvalidResponse, Reset, ConnectFailed} {
 		d := start(t, settings(), 2)
--- a/internal/decision/slow_start_test.go
+++ b/internal/decision/slow_start_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// A cold server that fell silent, and answers a trial, is as cold as its start says.
+// A cold endpoint that fell silent, and answers a trial, is as cold as its start says.
 func TestTrialDoesNotShortenWarmUp(t *testing.T) {
 	d := start(t, settings(), 4)
 	d.now = 21 * time.Second
@@ -90,7 +90,7 @@
 	}
 }
 
-// rampWorld is a fleet of brokers before some servers, in virtual time: all hear of the servers that have just started,
+// rampWorld is a fleet of instances before some endpoints, in virtual time: all hear of the endpoints that have just started,
 // each in its own moment, and none of what the others send.
 type slowStartWorld struct {
 	rng     *rand.Rand
@@ -155,7 +155,7 @@
 	w.now = until
 }
 
-// share is what a server can do of what it can warm.
+// share is what a endpoint can do of what it can warm.
 func (w *slowStartWorld) share(s *slowStartServer, at time.Duration) float64 {
 	if s.started == 0 || at-s.started >= w.set.WarmUp {
 		return 1
@@ -202,7 +202,7 @@
 	return Entry{Endpoint: EndpointID(i + 1), Weight: 1, Started: w.servers[i].started}
 }
 
-// worst is the most that a server that is cold gets in the time that the settings name, over what the settings allow it
+// worst is the most that a endpoint that is cold gets in the time that the settings name, over what the settings allow it
 // then and what is put down to chance: N + 2 x root of N + 2.
 func (w *slowStartWorld) worst() (ratio float64, got int, allowed float64) {
 	for _, s := range w.servers {
@@ -223,7 +223,7 @@
 	return ratio, got, allowed
 }
 
-// newRampWorld has brokers that have served for a while, or have just started, when a part of the servers starts.
+// newRampWorld has instances that have served for a while, or have just started, when a part of the endpoints starts.
 func newSlowStartWorld(seed uint64, brokers, servers int, restarted float64, fresh, tight bool) *slowStartWorld {
 	w := &slowStartWorld{rng: rand.New(rand.NewPCG(seed, 1)), set: settings(), work: 100 * ms}
 	w.now = 24 * time.Hour
@@ -281,8 +281,8 @@
 	return w
 }
 
-// A cold server falls under the sum of what all brokers send it, of which each knows only its own: that holds to what the
-// settings allow and chance, for brokers that have served for a while and for a fleet that starts with its servers.
+// A cold endpoint falls under the sum of what all instances send it, of which each knows only its own: that holds to what the
+// settings allow and chance, for instances that have served for a while and for a fleet that starts with its endpoints.
 func TestSlowStartHoldsForFleet(t *testing.T) {
 	for _, x := range []struct {
 		brokers, servers, seeds int
--- a/internal/decision/snapshot_test.go
+++ b/internal/decision/snapshot_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// Held calls go out when the process before says that its own have ended, or says nothing any more.
+// Queued calls go out when the preceding process says that its own have ended, or says nothing any more.
 func TestQueuedCallsAreSentWhenPredecessorCallsEnd(t *testing.T) {
 	for name, wait := range map[string]time.Duration{"said": 0, "silence": 520 * ms} {
 		d := start(t, settings(), 6)
@@ -81,7 +81,7 @@
 	}
 }
 
-// An endpoint that the process before has isolated, or that ramps, is no fresh one to its successor.
+// An endpoint that the preceding process has ejected, or that ramps, is no fresh one to its successor.
 func TestEndpointStatesAreRestored(t *testing.T) {
 	elder := start(t, settings(), 6)
 	elder.work(6, 20*ms, 4*time.Second)
@@ -101,7 +101,7 @@
 	}
 }
 
-// Of figures that cannot be, none is taken; nor of those of a process that knows less.
+// Of statistics that cannot be, none is taken; nor of those of a process that knows less.
 func TestInvalidSnapshotIsNotRestored(t *testing.T) {
 	elder := start(t, settings(), 6)
 	elder.work(8, 100*ms, 8*time.Second)
--- a/internal/decision/subset_test.go
+++ b/internal/decision/subset_test.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// What a broker of a large fleet has to bear: it sees little itself, and what it does all others do too.
+// What a instance of a large fleet has to bear: it sees little itself, and what it does all others do too.
 func TestInstanceOfLargeFleet(t *testing.T) {
 	small := func() Settings {
 		s := settings()
@@ -138,7 +138,7 @@
 		return s
 	}
 	t.Run("one call in ten seconds", func(t *testing.T) {
-		// It neither keeps calling a dead server nor shuns a good one for long after one bad answer.
+		// It neither keeps calling a dead endpoint nor shuns a good one for long after one bad answer.
 		d := start(t, small(), 300)
 		d.serve(1, nil)
 		dead, spoilt := d.b.subset[0].id, d.b.subset[1].id
@@ -171,7 +171,7 @@
 		}
 	})
 	t.Run("a connection table that is full", func(t *testing.T) {
-		// A broker that has no connection there doesn't knock all day, and serves its callers elsewhere.
+		// A instance that has no connection there doesn't knock all day, and serves its callers elsewhere.
 		d := start(t, small(), 300)
 		d.serve(1, nil)
 		full, knocks := d.b.subset[0].id, 0
@@ -226,7 +226,7 @@
 		}
 	})
 	t.Run("all hear the same list", func(t *testing.T) {
-		// A server that starts gets no more from all brokers together than a cold one bears, in the first second after a list
+		// A endpoint that starts gets no more from all instances together than a cold one bears, in the first second after a list
 		// that all have in the same tick: here a request from each, at once.
 		cold, total := 0, 0
 		for i := range 300 {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -16,13 +16,14 @@
 
 const testTimeout = 20 * time.Second
 
-// sink runs what is posted in one goroutine, and notes what it is told.
+// sink runs what is posted in one goroutine, and records what is reported.
 type sink struct {
 	events  chan func()
 	reports chan string
 }
 
 func newSink(t *testing.T) *sink {
+	t.Helper()
 	s := &sink{events: make(chan func(), 16), reports: make(chan string, 16)}
 	done := make(chan bool)
 	t.Cleanup(func() { close(done) })
@@ -45,7 +46,7 @@
 }
 func (s *sink) ListFailed(_ core.Discovery, err error) { s.reports <- "failed" }
 
-// play makes a discovery that the test plays.
+// startWatcher makes the watcher of a discovery that the test serves.
 func startWatcher(t *testing.T, mustAsk bool, serve http.HandlerFunc) (*sink, *watcher) {
 	t.Helper()
 	place := httptest.NewServer(serve)
