--- a/internal/decision/admission_test.go
+++ b/internal/decision/admission_test.go
@@ -20,8 +20,9 @@
 	}
 }
 
-// Clients that try again at once are not new: what retries have spent, where their time left shows it, is
-// taken for those that do not show it. Served as if new, they filled a tier with calls past their latency target.
+// Clients that retry at once are not new. The time that retries have waited, where their remaining time
+// shows it, is assumed for those that do not show it. Served as new requests they filled a tier with calls
+// past their latency target.
 func TestClientRetriesThatMissTheirTargetAreSentLast(t *testing.T) {
 	d := start(t, settings(), 2)
 	d.serve(200, nil)
@@ -41,7 +42,8 @@
 	}
 }
 
-// An instance that ends sends nothing that it could hardly answer, and says when its successor serves.
+// An instance that ends sends nothing that could hardly be answered in time, and states when its successor
+// serves.
 func TestDrainingInstanceRefusesRequestsThatComeTooLate(t *testing.T) {
 	s := settings()
 	s.MaxRetryAfter = 5 * time.Second
@@ -78,7 +80,8 @@
 	}
 }
 
-// Where others serve on, clients come back as soon as the queue is worked off, and may find no connection here.
+// Where other instances serve on, clients may return as soon as the queue is worked off, and a lack of idle
+// connections refuses nothing.
 func TestDrainingInstanceAmongOthersIgnoresIdleConnections(t *testing.T) {
 	s := settings()
 	s.Instances, s.MaxRetryAfter = 2, 5*time.Second
@@ -97,8 +100,8 @@
 	}
 }
 
-// Where a successor serves already, nothing is refused for want of idle connections, and who is refused need not
-// wait.
+// Where a successor serves already, a lack of idle connections refuses nothing, and refused clients need
+// not wait.
 func TestDrainingInstanceWithSuccessorRefusesWithoutWait(t *testing.T) {
 	s := settings()
 	s.MaxRetryAfter = 5 * time.Second
--- a/internal/decision/attempts_test.go
+++ b/internal/decision/attempts_test.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// A long request counts once the endpoint has it: until then it is neither slow nor overtaken, and has all its
-// time. What has departed out of it is not sent again.
+// A long body counts once the endpoint has all of it: until then the call is neither slow nor overtaken,
+// and keeps all of its time. A body of which a part was sent is not sent again.
 func TestLongBodyCountsFromItsLastByte(t *testing.T) {
 	d := start(t, settings(), 2)
 	d.serve(100, nil)
@@ -60,7 +60,8 @@
 	}
 }
 
-// How long a client takes to read a long answer says nothing of the endpoint, and uses up none of the limit.
+// The time that a client takes to read a long response says nothing about the endpoint, and uses up none of
+// the limit.
 func TestStartedResponseFreesEndpoint(t *testing.T) {
 	d := start(t, settings(), 2)
 	d.serve(100, nil)
@@ -78,8 +79,8 @@
 	}
 }
 
-// An outcome, or the beginning of an answer, that is of no attempt that is out is passed over: nothing is sent while
-// another attempt is out, and nothing is answered twice.
+// An outcome, or a started response, that is not of the attempt in flight is ignored: nothing is sent while
+// another attempt is in flight, and nothing is answered twice.
 func TestOutcomesOfOtherAttemptsAreIgnored(t *testing.T) {
 	for name, late := range map[string]func(d *harness, first, now sent){
 		"told twice":           func(d *harness, first, now sent) { d.finish(first, Error, 20*ms) },
--- a/internal/decision/balancer_test.go
+++ b/internal/decision/balancer_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// TestRulesHoldUnderRandomEvents checks the rules that bind one instance on random but legal events.
+// The rules that bind one instance hold under random but legal events.
 func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 1))
--- a/internal/decision/ejection_test.go
+++ b/internal/decision/ejection_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// Every endpoint sends some answers that are of no use. The call may have run, and its endpoint is as well as
-// before: no ejection, no slow start, no blame.
+// Any endpoint sends some responses that cannot be used. The call may have run and is retried; the endpoint
+// is neither ejected nor put into slow start.
 func TestSingleInvalidResponseLeavesEndpointUsable(t *testing.T) {
 	d := start(t, settings(), 4)
 	d.serve(40, nil)
@@ -69,8 +69,8 @@
 	}
 }
 
-// A endpoint of which every answer is of no use, or that breaks off each connection it accepts, is ejected like one that
-// fails fast; where every endpoint spoils some, or all do alike, none is.
+// An endpoint of which every response is invalid, or that breaks each connection, is ejected like one that
+// fails fast. Where every endpoint sends some invalid responses, or all do alike, none is ejected.
 func TestEndpointWithOnlyInvalidResponsesIsEjected(t *testing.T) {
 	for name, c := range map[string]struct {
 		spoils func(d *harness, to EndpointID) bool
@@ -114,7 +114,7 @@
 	t.Error("a restarted endpoint got no call in 3 s")
 }
 
-// A full connection table answers like a dead process; calls that are open there tell them apart.
+// A full connection table refuses connections as a dead process does; open calls there tell the two apart.
 func TestConnectFailureBesideOpenCallsDoesNotEject(t *testing.T) {
 	d := start(t, settings(), 1)
 	d.request(read)
@@ -141,7 +141,7 @@
 	}
 }
 
-// Few in flight would draw calls to an endpoint that fails fast.
+// An endpoint that fails fast has few calls in flight, and would draw more.
 func TestFastErrorsEject(t *testing.T) {
 	d := start(t, settings(), 4)
 	got := d.serve(300, func(to EndpointID) Status {
@@ -155,7 +155,7 @@
 	}
 }
 
-// All failing alike is the tier below, not the endpoints.
+// Where all endpoints fail alike, the cause is the tier below.
 func TestAllFailingAlikeEjectsNone(t *testing.T) {
 	d := start(t, settings(), 4)
 	d.serve(60, nil)
--- a/internal/decision/endpoint_index_test.go
+++ b/internal/decision/endpoint_index_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// Whatever lists and outcomes come, the sets are what a look at every endpoint finds, and who has departed is forgotten.
+// Whatever lists and outcomes come, the sets have what a scan of all endpoints finds, and departed
+// endpoints are forgotten.
 func TestIndexSetsEqualScanOfAllEndpoints(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
--- a/internal/decision/endpoint_list_test.go
+++ b/internal/decision/endpoint_list_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// Endpoints that have gone are forgotten, and what is still out to them ends without harm.
+// Departed endpoints are forgotten, and calls that are still in flight there end without harm.
 func TestDepartedEndpointsAreForgotten(t *testing.T) {
 	d := start(t, settings(), 1)
 	for i := 2; i < 100; i++ {
@@ -48,7 +48,7 @@
 	if len(d.b.byID) > maxDepartedEndpoints+4 {
 		t.Errorf("%d endpoints are remembered", len(d.b.byID))
 	}
-	for len(d.b.requests) > 0 { // what a ramp let go out later
+	for len(d.b.requests) > 0 { // sent later, in slow start
 		for _, s := range d.sent {
 			d.finish(s, OK, 5*ms)
 		}
@@ -81,8 +81,8 @@
 	}
 }
 
-// However a endpoint leaves and comes back: what it was ejected for holds until a trial call is served or a new start is
-// named, what is cold stays so, and what returns is in slow start.
+// However an endpoint leaves and returns: an ejection lasts until a trial call is served or a new start is
+// listed, a cold endpoint stays cold, and one that returns goes through slow start.
 func TestReturningEndpointKeepsEjectionAndWarmUp(t *testing.T) {
 	const started = 21 * time.Second // of one that is cold for ten seconds from then on
 	cold := Entry{Endpoint: 1, Weight: 1, Started: started}
@@ -132,7 +132,7 @@
 		"many servers at once, gone": {nil, []Entry{state(warm, Departed)}, stateDraining, 1},
 	} {
 		d := start(t, settings(), 4)
-		d.now = started // the bed starts at 1 s: all that it knows is warm by now
+		d.now = started // the harness starts at 1 s: all its endpoints are warm by now
 		if c.before != nil {
 			c.before(d)
 		}
@@ -163,8 +163,8 @@
 	}
 }
 
-// A endpoint that is gone and comes back while calls to it run has them still: in its load, in what is out, and in what
-// it is judged by; and it has no fresh slow-start tokens each time.
+// An endpoint that departs and returns while calls run there still has them: in its load, in the calls in
+// flight, and in what it is judged by. It gets no new slow-start token each time.
 func TestCallsInFlightCountAfterEndpointReturns(t *testing.T) {
 	for _, during := range []string{"ready", "isolated"} {
 		d := start(t, settings(), 2)
@@ -205,7 +205,7 @@
 	}
 }
 
-// News that is older than what is known changes nothing, unless it is another discovery's.
+// A list that is older than the present one changes nothing, unless versions count anew.
 func TestOlderListsAreIgnored(t *testing.T) {
 	ready := Entry{Endpoint: 1, Weight: 1}
 	for name, c := range map[string]struct {
@@ -233,8 +233,8 @@
 	}
 }
 
-// While lists fail there is one watch after another, and no more with each failure: the discovery that is down must not
-// be asked ever more often by those that it fails.
+// While lists fail one watch follows another, and no more of them with each failure: a discovery that is
+// down must not be asked more and more often.
 func TestFailedListsDoNotAddWatches(t *testing.T) {
 	s := settings()
 	s.PullDiscovery = true
@@ -273,9 +273,9 @@
 	}
 }
 
-// What changes counts as told 6 s after discovery could be reached, whatever became of the calls before. Two calls in a row
-// that hang for 2 s, the longest that a watch is waited for, leave time for the third; what is refused at once is asked no
-// more often for that.
+// A change counts as known 6 s after discovery could be reached, whatever became of the calls before. Two
+// calls in a row that hang for 2 s, the longest time that a watch is waited for, leave time for a third;
+// calls that are refused at once are not made more often for that.
 func TestHungWatchIsReplacedInTime(t *testing.T) {
 	const hangs = 2 * time.Second
 	for _, askEvery := range []time.Duration{time.Second, 4 * time.Second, 10 * time.Second, time.Minute} {
--- a/internal/decision/evidence_test.go
+++ b/internal/decision/evidence_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// The evidence of others states an endpoint that has not answered since, up to half of the list, and is not told on as own
-// evidence until a trial of this instance's own failed; one that answered here is kept, and told as good where asked.
+// The evidence of other instances ejects an endpoint that has not answered since, up to half of the list,
+// and is not passed on as own evidence until an own trial call has failed. An endpoint that has answered
+// here is kept, and reported as good where asked.
 func TestPeerEjectionAppliesUnlessEndpointAnsweredSince(t *testing.T) {
 	d := start(t, settings(), 6)
 	d.serve(60, func(EndpointID) Status { return OK })
--- a/internal/decision/harness_test.go
+++ b/internal/decision/harness_test.go
@@ -161,7 +161,7 @@
 	return got
 }
 
-// work has calls of a latency go on, some at a time, for a while.
+// work keeps some calls of a latency in flight for a while.
 func (d *harness) work(atOnce int, took, lasts time.Duration) {
 	for end := d.now + lasts; d.now < end; {
 		at := len(d.sent)
@@ -175,7 +175,7 @@
 	}
 }
 
-// fill asks until nothing more is sent, and tells how many were.
+// fill brings requests until nothing more is sent, and returns how many were sent.
 func (d *harness) fill() (n int) {
 	for at := -1; at < len(d.sent); n++ {
 		at = len(d.sent)
--- a/internal/decision/limits_test.go
+++ b/internal/decision/limits_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// A base latency learnt from the first answers, which are those of short calls, queued nearly all back.
+// A base latency learned from the first answers, which are those of short calls, kept nearly all requests
+// in the queue.
 func TestFirstShortAnswersDoNotSetTheLimit(t *testing.T) {
 	d := start(t, settings(), 10)
 	for i := range 40 {
@@ -23,7 +24,7 @@
 	}
 }
 
-// Stuck calls lower the answered rate; a limit without a floor would follow it down for good.
+// Stuck calls lower the answer rate; a limit without a floor would follow it down for good.
 func TestLimitRecoversFromStuckCalls(t *testing.T) {
 	d := start(t, settings(), 6)
 	d.serve(100, nil)
@@ -37,8 +38,8 @@
 	}
 }
 
-// When most endpoints leave, the few that are left get no more than they bore before, at once: all that the tier
-// queued together would choke them.
+// When most endpoints leave, the few that are left get no more than they could bear before, at once: what
+// the whole tier had would overload them.
 func TestLimitFollowsEndpointsInService(t *testing.T) {
 	s := settings()
 	s.Classes[read].Deadline = time.Minute
@@ -66,8 +67,9 @@
 	}
 }
 
-// At full size an instance has a call or two in flight: a tier filled up, every endpoint choked, and no limit
-// on calls in flight queued anything back. Latency far over what it should be must slow the calls.
+// With many instances each has a call or two in flight: a tier filled up, every endpoint was overloaded,
+// and no limit on calls in flight held anything back. Latency far above what it should be must slow the
+// sends.
 func TestLatencyPressurePacesSendsWhereInstancesOutnumberEndpoints(t *testing.T) {
 	sends := func(instances int, took time.Duration) int {
 		s := settings()
--- a/internal/decision/overdue_test.go
+++ b/internal/decision/overdue_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// An endpoint that answers most calls and loses some is not silent. Its lost calls are sent again once later
-// ones have overtaken them, and until then leave room for others; an unsafe one is left alone.
+// An endpoint that answers most calls and loses some is not silent. Its lost calls are retried once later
+// ones have overtaken them, and leave room for others before; an unsafe call is left alone.
 func TestLostCallIsRetried(t *testing.T) {
 	d := start(t, settings(), 4)
 	d.serve(60, nil)
@@ -52,7 +52,7 @@
 	}
 }
 
-// A single call that is overdue by far is sent again where such calls are seldom answered late, and left alone
+// A single call that is long overdue is retried where such calls are rarely answered late, and left alone
 // where they were only slow.
 func TestMissingCallIsRetriedUnlessCallsAreSlow(t *testing.T) {
 	for _, slow := range []int{0, 4} {
--- a/internal/decision/queue_test.go
+++ b/internal/decision/queue_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Crowded endpoints choke: the excess waits here, and what cannot be served in time is refused early.
+// Overloaded endpoints fail: the excess waits here, and what cannot be served in time is refused early.
 func TestOverloadIsQueuedAndRefusedEarly(t *testing.T) {
 	d := start(t, settings(), 2)
 	d.serve(200, nil)
@@ -23,7 +23,8 @@
 	}
 }
 
-// Requests queued go by what they add to the site's goal: by worth, and for a class that is served worst by that.
+// Queued requests are sent in the order of what they add to the site's score: by value and, for the class
+// that is served worst, by that goal.
 func TestMostValuableClassIsSentFirstUnlessWorstServedCountsMore(t *testing.T) {
 	released := func(worstClass float64) (first [3]int) {
 		s := settings()
@@ -60,7 +61,7 @@
 	}
 }
 
-// What is queued is refused once it could not be answered in time any more, not when its time is up.
+// A queued request is refused as soon as it can no longer be answered in time, not at its deadline.
 func TestRequestThatCannotBeServedInTimeIsRefusedAtOnce(t *testing.T) {
 	s := settings()
 	s.Classes[read].LateValue, s.MaxRetryAfter = 0.5, time.Second
@@ -88,8 +89,8 @@
 	}
 }
 
-// What nobody can serve is given up at once, and a refusal says when to come back: it is not queued until its time is
-// nearly up, so that its client stays quiet.
+// A request that no endpoint may serve is finished at once, and a refusal states when to return: it is not
+// queued until its deadline is near.
 func TestNoRequestIsQueuedInVain(t *testing.T) {
 	all := func(d *harness, s State) {
 		l := List{Kind: DeltaList, Version: 3}
--- a/internal/decision/quotas_test.go
+++ b/internal/decision/quotas_test.go
@@ -23,7 +23,7 @@
 			d.finish(sent{id: r.id, to: 1, attempt: r.attempts - 1}, OK, 20*ms)
 		}
 	}
-	served := map[bool]int{} // by whether the tenant is the one beyond its share
+	served := map[bool]int{} // by whether the tenant is the one beyond its quota
 	for _, s := range d.sent[100:] {
 		served[(s.id[len(s.id)-1]-'0')%2 == 0]++
 	}
@@ -32,8 +32,8 @@
 	}
 }
 
-// A tenant that sends an instance a request every three seconds never had a whole token in a bucket of a
-// second's share, and counted as beyond its share with every request.
+// A tenant that sends an instance one request every three seconds never had a whole token in a bucket of
+// one second's quota, and counted as beyond its quota with every request.
 func TestSmallTenantIsWithinQuota(t *testing.T) {
 	s := settings()
 	s.Instances = 100
@@ -55,8 +55,9 @@
 	}
 }
 
-// Callers come unevenly: an instance that serves five times an even part of all shares refused four requests of
-// five, beside endpoints with room. Who floods still yields first once capacity is short.
+// Callers come unevenly: an instance that served five times an even part of all quotas refused four of five
+// requests, though the endpoints had capacity. A tenant that floods is still refused first once capacity is
+// short.
 func TestOverQuotaIsRefusedOnlyWhereCapacityIsShort(t *testing.T) {
 	s := settings()
 	s.Instances = 20
@@ -100,7 +101,8 @@
 	}
 }
 
-// What capacity looked like before says nothing of now: each row is refused or queued back for good without its cause.
+// A shortage of capacity in the past says nothing about the present: in each case a request would be
+// refused or queued for good without its cause.
 func TestShortageEndsWithItsCause(t *testing.T) {
 	s := settings()
 	s.ClientsMarkRetries = true
@@ -162,8 +164,8 @@
 	})
 }
 
-// Shares and further attempts that are allotted are what may be spent, whatever is served; a part that falls takes what
-// was saved up with it.
+// Quota shares set what tenants and retries may use, whatever is served here; a share that shrinks takes
+// saved tokens with it.
 func TestQuotaSharesReplaceEvenQuotas(t *testing.T) {
 	s := settings()
 	s.Instances, s.Tenants = 10, []Tenant{{Name: "one", QuotaPerS: 100}}
--- a/internal/decision/retries_test.go
+++ b/internal/decision/retries_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// A refused client is told when to come back: once what is queued now has been answered, and never later than
-// it would heed.
+// A refused client is told to return once what is queued now has been answered, and never later than it
+// would obey.
 func TestRefusalsStateRetryAfter(t *testing.T) {
 	s := settings()
 	s.MaxRetryAfter = 2 * time.Second
@@ -91,8 +91,8 @@
 	}
 }
 
-// However often what was sent never ran, a request has so many attempts, and then its answer: also where the platform
-// names no bound.
+// However often an attempt has never run, a request has a bounded number of attempts and then its answer,
+// also where the platform names no bound.
 func TestAttemptsOfRequestAreBounded(t *testing.T) {
 	for _, status := range []Status{Rejected, ConnectFailed, NotSent} {
 		for most, want := range map[int]int{4: 4, 0: maxRetryTokens} {
--- a/internal/decision/selection_test.go
+++ b/internal/decision/selection_test.go
@@ -16,7 +16,8 @@
 	}
 }
 
-// In a subset of two the draw takes both, and a coin for ties gave both the same, whatever their weights.
+// In a subset of two the draw takes both endpoints, and a coin for ties gave both the same, whatever their
+// weights.
 func TestTiesAreBrokenByWeight(t *testing.T) {
 	s := settings()
 	s.Instances = 40
@@ -27,7 +28,8 @@
 	}
 }
 
-// Machines of two speeds in a list without weights: the slow ones got as many calls as the fast ones, and choked.
+// With machines of two speeds in a list without weights, the slow ones got as many calls as the fast ones
+// and were overloaded.
 func TestReportedServiceTimesSetDrawWeights(t *testing.T) {
 	d := start(t, settings(), 0)
 	l := List{Kind: FullList, Version: 2}
@@ -51,7 +53,7 @@
 	}
 }
 
-// A list with a weight that cannot be is taken as one without weights: each endpoint is called, as if all were alike.
+// A list with an impossible weight is taken as one without weights: all endpoints are called, as equals.
 func TestImplausibleWeightsAreIgnored(t *testing.T) {
 	for _, odd := range []float64{1e308, math.Inf(1), math.NaN(), -1, 0} {
 		d := start(t, settings(), 4)
@@ -65,8 +67,8 @@
 	}
 }
 
-// Where the one endpoint that is not ejected is the one that a request has just failed at, it goes there again or is
-// given up: nothing that comes could change that, and it is not queued until its time is nearly up.
+// Where the only endpoint that is not ejected is the one at which a request has just failed, the request
+// goes there again or ends: nothing could change that, so it is not queued until its deadline is near.
 func TestRetryUsesLastHealthyEndpointOrEnds(t *testing.T) {
 	for _, status := range []Status{Error, InvalidResponse, Reset, ConnectFailed} {
 		d := start(t, settings(), 2)
--- a/internal/decision/slow_start_test.go
+++ b/internal/decision/slow_start_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// All cold at once: what one instance sends each is capped by what warm ones were seen to bear.
+// With all endpoints cold at once, what one instance sends each is capped by what warm ones were seen to
+// bear.
 func TestSendRateToColdEndpointsIsCapped(t *testing.T) {
 	d := start(t, settings(), 10)
 	d.serve(300, nil) // 50 a second, 5 to each
@@ -36,8 +37,8 @@
 	}
 }
 
-// A cold machine was pushed over by further attempts of instances whose subsets do not hold it, and by its
-// getting a whole endpoint's rate from each instance whose subset holds a sliver of it.
+// A cold endpoint was pushed over by retries of instances whose subsets do not have it, and by getting the
+// rate of a full endpoint from each instance whose subset has a small part of it.
 func TestColdEndpointIsSentBySubsetWeightAndNoRetriesFromOutside(t *testing.T) {
 	s := settings()
 	s.Instances = 60
@@ -76,7 +77,7 @@
 	}
 }
 
-// A cold endpoint that fell silent, and answers a trial, is as cold as its start says.
+// A cold endpoint that was silent and then serves a trial call is as cold as its start says.
 func TestTrialDoesNotShortenWarmUp(t *testing.T) {
 	d := start(t, settings(), 4)
 	d.now = 21 * time.Second
@@ -90,8 +91,8 @@
 	}
 }
 
-// rampWorld is a fleet of instances before some endpoints, in virtual time: all hear of the endpoints that have just started,
-// each in its own moment, and none of what the others send.
+// slowStartWorld is a fleet of instances and some endpoints, in virtual time: all instances learn of the
+// endpoints that have just started at the same time.
 type slowStartWorld struct {
 	rng     *rand.Rand
 	now     time.Duration
@@ -155,7 +156,7 @@
 	w.now = until
 }
 
-// share is what a endpoint can do of what it can warm.
+// share is the part of its warm capacity that an endpoint has at a time.
 func (w *slowStartWorld) share(s *slowStartServer, at time.Duration) float64 {
 	if s.started == 0 || at-s.started >= w.set.WarmUp {
 		return 1
@@ -202,8 +203,8 @@
 	return Entry{Endpoint: EndpointID(i + 1), Weight: 1, Started: w.servers[i].started}
 }
 
-// worst is the most that a endpoint that is cold gets in the time that the settings name, over what the settings allow it
-// then and what is put down to chance: N + 2 x root of N + 2.
+// worst is the most that a cold endpoint gets in the overload window, over what the settings allow it then
+// with a margin for chance: N + 2 x root of N + 2.
 func (w *slowStartWorld) worst() (ratio float64, got int, allowed float64) {
 	for _, s := range w.servers {
 		for i, at := range s.sent {
@@ -223,7 +224,8 @@
 	return ratio, got, allowed
 }
 
-// newRampWorld has instances that have served for a while, or have just started, when a part of the endpoints starts.
+// newSlowStartWorld has instances that have served for a while, or have just started, when some of the
+// endpoints start.
 func newSlowStartWorld(seed uint64, brokers, servers int, restarted float64, fresh, tight bool) *slowStartWorld {
 	w := &slowStartWorld{rng: rand.New(rand.NewPCG(seed, 1)), set: settings(), work: 100 * ms}
 	w.now = 24 * time.Hour
@@ -281,8 +283,9 @@
 	return w
 }
 
-// A cold endpoint falls under the sum of what all instances send it, of which each knows only its own: that holds to what the
-// settings allow and chance, for instances that have served for a while and for a fleet that starts with its endpoints.
+// A cold endpoint is pushed over by the sum of what all instances send, of which each knows only its own.
+// That sum stays within what the settings allow, and chance, for instances that have served for a while and
+// for a fleet that starts with its endpoints.
 func TestSlowStartHoldsForFleet(t *testing.T) {
 	for _, x := range []struct {
 		brokers, servers, seeds int
--- a/internal/decision/snapshot_test.go
+++ b/internal/decision/snapshot_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A process that starts on a crowded tier learns crowded latencies, and lets in flight what keeps it crowded. One that
-// inherits goes by those at little load.
+// A process that starts on an overloaded tier learns overloaded latencies, and keeps as many calls in
+// flight as keep it overloaded. One that has restored a snapshot uses the latencies of little load.
 func TestSuccessorUsesRestoredStatistics(t *testing.T) {
 	elder := start(t, settings(), 6)
 	elder.work(8, 100*ms, 8*time.Second)
@@ -28,11 +28,11 @@
 	}
 }
 
-// What two processes of one instance have in flight together is what one may have.
+// Two processes of one instance together have as many calls in flight as one may have.
 func TestPredecessorCallsCountInLimit(t *testing.T) {
 	for name, tc := range map[string]struct {
 		calls map[EndpointID]int
-		after time.Duration // from the word on
+		after time.Duration // from the report on
 		again map[EndpointID]int
 		less  int
 	}{
@@ -62,7 +62,7 @@
 	}
 }
 
-// Queued calls go out when the preceding process says that its own have ended, or says nothing any more.
+// Queued calls are sent when the preceding process reports that its own have ended, or reports no more.
 func TestQueuedCallsAreSentWhenPredecessorCallsEnd(t *testing.T) {
 	for name, wait := range map[string]time.Duration{"said": 0, "silence": 520 * ms} {
 		d := start(t, settings(), 6)
@@ -81,7 +81,8 @@
 	}
 }
 
-// An endpoint that the preceding process has ejected, or that ramps, is no fresh one to its successor.
+// An endpoint that was ejected or in slow start at the preceding process is not a fresh one to its
+// successor.
 func TestEndpointStatesAreRestored(t *testing.T) {
 	elder := start(t, settings(), 6)
 	elder.work(6, 20*ms, 4*time.Second)
@@ -101,7 +102,7 @@
 	}
 }
 
-// Of statistics that cannot be, none is taken; nor of those of a process that knows less.
+// Of a snapshot with an impossible value nothing is restored, nor of one of a process that has seen less.
 func TestInvalidSnapshotIsNotRestored(t *testing.T) {
 	elder := start(t, settings(), 6)
 	elder.work(8, 100*ms, 8*time.Second)
@@ -113,7 +114,7 @@
 		"latency":      func(l *Snapshot) { l.Classes[0].MeanLatency = 0 },
 		"windows":      func(l *Snapshot) { l.Classes[0].Windows = -1 },
 		"maxLeft":      func(l *Snapshot) { l.Classes[0].MaxRemaining = -1 },
-		"1].maxLeft":   func(l *Snapshot) { l.Classes[1].MaxRemaining = time.Hour }, // all would look long waited for
+		"1].maxLeft":   func(l *Snapshot) { l.Classes[1].MaxRemaining = time.Hour }, // every request would look like a late retry
 		"rate.peak":    func(l *Snapshot) { l.BaseLoad.Peak = math.NaN() },
 		"served.now":   func(l *Snapshot) { l.AnswerRate.Current = math.Inf(1) },
 		"errors":       func(l *Snapshot) { l.ErrorRate = 1.1 },
@@ -145,7 +146,7 @@
 	}
 }
 
-// What is told of many endpoints has a bound.
+// A snapshot of many endpoints is bounded.
 func TestSnapshotIsBounded(t *testing.T) {
 	d := start(t, settings(), 3*maxSnapshotEndpoints)
 	for _, e := range d.b.listed {
--- a/internal/decision/subset_test.go
+++ b/internal/decision/subset_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Many instances that call every endpoint fill its connection table.
+// Many instances that each call every endpoint would fill the endpoints' connection tables.
 func TestManyInstancesCallSubsets(t *testing.T) {
 	s := settings()
 	s.Instances = 30
@@ -28,8 +28,8 @@
 	}
 }
 
-// Where front balancers outnumber endpoints, each had one endpoint whatever its size: small machines got what
-// large ones got. Together the subsets must reach each by its weight.
+// Where instances outnumber endpoints, each had one endpoint whatever its size, and small machines got as
+// much as large ones. Together the subsets must reach each endpoint by its weight.
 func TestSmallSubsetsReachEndpointsByWeight(t *testing.T) {
 	s := settings()
 	s.Instances = 120
@@ -63,7 +63,8 @@
 	}
 }
 
-// When many endpoints left at once, their shares fell to the few after them on the ring: four times the mean.
+// When many endpoints left at once, their part fell to the few after them on the ring, which got four times
+// the mean.
 func TestLoadOfDrainingEndpointsIsSpreadOverAll(t *testing.T) {
 	s := settings()
 	s.Instances = 80
@@ -90,8 +91,8 @@
 	}
 }
 
-// An instance that is asked ten times as much as others calls more endpoints for that time, and no more than it
-// needs; instances that are numbered in a row are far apart on the ring.
+// An instance with ten times as many calls as others calls more endpoints for that time, and no more than
+// it needs; instances with consecutive ordinals are far apart on the ring.
 func TestSubsetGrowsWithCallsInFlight(t *testing.T) {
 	s := settings()
 	s.Instances, s.Ordinal = 100, 5
@@ -130,7 +131,7 @@
 	}
 }
 
-// What a instance of a large fleet has to bear: it sees little itself, and what it does all others do too.
+// An instance of a large fleet sees little itself, and whatever it does all others do too.
 func TestInstanceOfLargeFleet(t *testing.T) {
 	small := func() Settings {
 		s := settings()
@@ -171,7 +172,7 @@
 		}
 	})
 	t.Run("a connection table that is full", func(t *testing.T) {
-		// A instance that has no connection there doesn't knock all day, and serves its callers elsewhere.
+		// An instance that has no connection there doesn't knock all day, and serves its callers elsewhere.
 		d := start(t, small(), 300)
 		d.serve(1, nil)
 		full, knocks := d.b.subset[0].id, 0
@@ -226,7 +227,7 @@
 		}
 	})
 	t.Run("all hear the same list", func(t *testing.T) {
-		// A endpoint that starts gets no more from all instances together than a cold one bears, in the first second after a list
+		// An endpoint that starts gets no more from all instances together than a cold one bears, in the first second after a list
 		// that all have in the same tick: here a request from each, at once.
 		cold, total := 0, 0
 		for i := range 300 {
