--- a/internal/core/attempts_test.go
+++ b/internal/core/attempts_test.go
@@ -6,7 +6,8 @@
 	"dykering/internal/decision"
 )
 
-// A repeat of a keyed call that may have run is told by when its last byte must be out; nothing else is.
+// A retry of a keyed call that may have run has a time by which its last byte must be sent; no other
+// attempt has.
 func TestKeyedRetryHasSendBound(t *testing.T) {
 	for _, class := range []int{read, keyed} {
 		b := newTestLoop(t, nil, ready("s-1", 0), ready("s-2", 0))
@@ -23,7 +24,8 @@
 	}
 }
 
-// An answer that is given at once, or whose end is still to come, is the call's; what nobody wants is let go of.
+// A response that is complete, or whose end is still to come, is delivered to the call; one that nobody
+// waits for is discarded.
 func TestResponseIsDeliveredOrDiscarded(t *testing.T) {
 	goOn := make(chan bool)
 	b := newTestLoop(t, nil, ready("s-1", 0))
--- a/internal/core/calls_test.go
+++ b/internal/core/calls_test.go
@@ -10,8 +10,8 @@
 	"dykering/internal/decision"
 )
 
-// Every way in which an attempt can end has one final answer, repeats only as the class allows, and leaves nothing
-// behind.
+// Every way in which an attempt can end gives one final answer, retries only as the class allows, and
+// leaves nothing behind.
 func TestEachOutcomeGivesOneAnswer(t *testing.T) {
 	for name, tc := range map[string]struct {
 		first      Result
@@ -52,7 +52,8 @@
 	}
 }
 
-// An id that is taken, or was a moment ago, gets an answer that promises nothing, and never runs.
+// A call with an id that is in use, or was a short while ago, gets an answer without a promise about
+// retries, and never runs.
 func TestRepeatedIDIsAnsweredWithoutPromise(t *testing.T) {
 	goOn := make(chan bool)
 	b := newTestLoop(t, nil, ready("s-1", 0))
@@ -82,7 +83,7 @@
 	}
 }
 
-// A call whose client has gone is called off, at once, and forgotten.
+// A call whose client has gone is cancelled at once, and forgotten.
 func TestAbandonedCallIsCancelledAndForgotten(t *testing.T) {
 	out, calledOff := make(chan bool, 1), make(chan bool, 1)
 	b := newTestLoop(t, func(a *Attempt, n int) Result {
@@ -104,7 +105,7 @@
 	b.waitFor("the call is forgotten", func(s Stats) bool { return s.Calls == 0 })
 }
 
-// At the end of its process a call is answered, and what is out is called off.
+// When its process ends a call is answered, and its attempt is cancelled.
 func TestDrainAnswersCallsAndCancelsAttempts(t *testing.T) {
 	b := newTestLoop(t, nil, ready("s-1", 0))
 	b.send = func(a *Attempt, n int) Result {
@@ -128,7 +129,7 @@
 	}
 }
 
-// The ids of what has ended are kept for a while, and no more of them than there is room for.
+// The ids of finished requests are kept for a while, and a bounded number of them.
 func TestRecentIDsAreBounded(t *testing.T) {
 	var past recentIDs
 	for i := range 3 * maxRecentIDs {
--- a/internal/core/discovery_test.go
+++ b/internal/core/discovery_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Lists reach the Balancer in order: what is older than its list is dropped, and what another discovery says is not
-// heard.
+// Lists reach the Balancer in order: one that is older than the present one is dropped, and so is what a
+// discovery says that is no longer followed.
 func TestOlderListsAreDropped(t *testing.T) {
 	b := newTestLoop(t, nil, ready("s-1", 0), ready("s-2", 0))
 	open := func(uid string) (open bool) {
@@ -64,8 +64,8 @@
 	}
 }
 
-// A discovery that begins to count anew for a second time, shortly after the first, is asked again once the pause is over,
-// and not where something newer has come by then: what it says would be passed over without end.
+// A discovery that begins to count anew for a second time, shortly after the first, is asked again once the
+// pause is over, unless something newer has come by then: its lists would be dropped for ever.
 func TestOlderFullListOfWatchCausesResync(t *testing.T) {
 	for _, newer := range []bool{false, true} {
 		b := newTestLoop(t, nil, ready("s-1", 0))
--- a/internal/core/endpoint_table_test.go
+++ b/internal/core/endpoint_table_test.go
@@ -10,7 +10,7 @@
 	"dykering/internal/decision"
 )
 
-// What an endpoint has when it drains it may end; it gets nothing new, and no connection to it is kept.
+// A draining endpoint may finish its calls; it gets no new ones, and no idle connection to it is kept.
 func TestDrainingEndpointKeepsCallsAndLosesIdleConnections(t *testing.T) {
 	goOn := make(chan bool)
 	b := newTestLoop(t, nil, ready("s-1", 0))
@@ -41,8 +41,8 @@
 	b.waitFor("its connection is closed", func(s Stats) bool { return s.Conns == s.IdleConns && s.IdleConns == 1 })
 }
 
-// A line of a whole list that cannot be acted on loses nothing that was there: its endpoint stays as it was, one that
-// drains too, and others are served on. One that is not named has gone.
+// A line of a full list that cannot be read loses nothing: its endpoint stays as it was, also one that
+// drains, and others are served. An endpoint that is not named has departed.
 func TestMalformedLinesKeepTheirEndpoints(t *testing.T) {
 	drains := ready("s-4", 0)
 	drains.State = "Terminating"
@@ -99,7 +99,7 @@
 	}
 }
 
-// Starts are put on the event clock, alike each time: a later one means a restart.
+// A start has the same time on the event clock each time: a later one means a restart.
 func TestStartTimesAreStable(t *testing.T) {
 	now := time.Now()
 	e := newEndpointTable(nil, nil, now.Add(-clockStart), zap.NewNop())
--- a/internal/core/lifecycle_test.go
+++ b/internal/core/lifecycle_test.go
@@ -7,7 +7,7 @@
 	"go.uber.org/zap"
 )
 
-// Stopping is for good, and a drain before it ends in it.
+// Stopping is final, and a drain before it ends in it.
 func TestStoppingIsFinal(t *testing.T) {
 	f := newLifecycle(zap.NewNop())
 	check := func(step string, ready, canServe bool) {
--- a/internal/core/loop_test.go
+++ b/internal/core/loop_test.go
@@ -8,7 +8,8 @@
 	"dykering/internal/decision"
 )
 
-// A loop that has ended keeps nobody waiting, whatever is asked of it, and lets go of discovery and of idle connections.
+// A loop that has ended blocks nobody, whatever is asked of it, and has stopped discovery and closed idle
+// connections.
 func TestClosedLoopBlocksNobody(t *testing.T) {
 	b := newTestLoop(t, func(*Attempt, int) Result { return Result{Status: decision.NotSent} }, ready("s-1", 0))
 	b.loop.Close()
--- a/internal/core/pool_test.go
+++ b/internal/core/pool_test.go
@@ -8,6 +8,7 @@
 	"dykering/internal/settings"
 )
 
+// The pool reuses rested connections, most recently used first, and closes old and broken ones.
 func TestPoolReusesAndClosesConnections(t *testing.T) {
 	e, other := NewEndpoint(1, ""), NewEndpoint(2, "")
 	p := newPool(&settings.Settings{ConnIdle: 2 * time.Minute}, 3)
@@ -70,8 +71,8 @@
 	}
 }
 
-// Where no connection may be made and none is idle, a call is refused at once after its attempts, and told when to come
-// back; it is served again once there is room.
+// Where no connection may be made and none is idle, a call is refused after its attempts with a time to
+// return; calls are served again once there is capacity.
 func TestCallIsRefusedWhereNoConnectionIsLeft(t *testing.T) {
 	b := newTestLoop(t, nil, ready("s-1", 0), ready("s-2", 0))
 	b.send = func(a *Attempt, n int) Result { return b.served("ok") }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -77,7 +77,8 @@
 	return x
 }
 
-// A watch that ends is taken up where it ended; after a line that cannot be read, the whole list is asked for.
+// A watch that ends is begun again after the version that it reached; after a list that cannot be read,
+// with the full list.
 func TestWatchReconnectsWhereItEnded(t *testing.T) {
 	asked, replies := make(chan string, 8), make(chan string, 8)
 	s, w := startWatcher(t, false, func(w http.ResponseWriter, r *http.Request) {
@@ -105,7 +106,8 @@
 	}
 }
 
-// A change is told within 6 s also where a call hung, the longest pause follows, and the watch after it hangs too.
+// A change is reported within 6 s also where a call hung, the longest pause follows, and the next watch
+// hangs too.
 func TestChangeIsKnownWithinSixSeconds(t *testing.T) {
 	const told = 6 * time.Second
 	for failures := range 100 {
@@ -119,7 +121,8 @@
 	}
 }
 
-// A watch may fall silent and stay open. Another one is taken up before what changed meanwhile counts as told.
+// A watch may become silent and stay open. Another one replaces it before changes in the meantime count as
+// known.
 func TestSilentWatchIsReplaced(t *testing.T) {
 	const told = 6 * time.Second
 	asked := make(chan time.Time, 8)
@@ -135,7 +138,7 @@
 	}
 }
 
-// The lists of a watch may be broken into lines as anybody likes, and come in any pieces.
+// The lists of a watch may be broken into lines anywhere, and arrive in any pieces.
 func TestListsMayBeBrokenIntoLines(t *testing.T) {
 	text := ""
 	for rev := range uint64(3) {
@@ -163,7 +166,7 @@
 	}
 }
 
-// Part of a list, however slowly it comes, is no sign of life: what changes behind it would not be heard of.
+// A part of a list, however slowly it comes, is no sign of life: a change behind it would not be noticed.
 func TestPartOfListIsNoKeepAlive(t *testing.T) {
 	t.Parallel()
 	const told = 6 * time.Second
@@ -189,7 +192,7 @@
 	}
 }
 
-// A list that cannot be one takes nothing away: a watch asks for the whole list instead, and a fetch has failed.
+// A malformed list loses nothing: a watch asks for the full list instead, and a fetch has failed.
 func TestMalformedListCausesFullList(t *testing.T) {
 	for _, text := range []string{`{"rev":9,"all":true}`, `{"rev":9,"all":true,"targets":[{}]}`, `null`, `{"rev":"9"}`, `[]`, `7`, `{"rev":-1}`} {
 		asked := make(chan string, 8)
@@ -216,8 +219,8 @@
 	}
 }
 
-// Where discovery must be asked, a watch that falls silent, breaks off in the middle of a line or is not answered ends
-// with word of it, and is taken up again when that is asked for.
+// Where lists must be asked for, a watch that is silent, breaks in the middle of a line or is not answered
+// ends with a report, and is begun again when the sink says so.
 func TestBrokenWatchIsReportedWhereListsArePulled(t *testing.T) {
 	step := 0
 	s, w := startWatcher(t, true, func(w http.ResponseWriter, r *http.Request) {
@@ -243,7 +246,7 @@
 	}
 }
 
-// A call of a discovery is one request: where it answers with another place, or fails, nothing else is asked.
+// A call of a discovery is one request: where it is redirected or fails, nothing else is requested.
 func TestRedirectIsNotFollowed(t *testing.T) {
 	for _, status := range []int{http.StatusFound, http.StatusTemporaryRedirect, http.StatusServiceUnavailable} {
 		var asked atomic.Int64
@@ -263,7 +266,8 @@
 	}
 }
 
-// A fetch brings the whole list; one that fails does not end a watch that stands, and is told of where there is none.
+// A fetch reports the full list. One that fails does not end a watch that stands, and is reported where
+// there is none.
 func TestFetchReportsFullListOrFailure(t *testing.T) {
 	watches, replies := make(chan bool, 8), make(chan string, 8)
 	s, w := startWatcher(t, true, func(w http.ResponseWriter, r *http.Request) {
