--- a/internal/fleet/budget/divide.go
+++ b/internal/fleet/budget/divide.go
@@ -1,11 +1,3 @@
-// Package budget divides a whole among the brokers of a fleet, by leases: what each may spend beside a floor that is set
-// aside for it, for how long, and when it may be given to another. It holds the division, the ledger of what was given,
-// the grantor that decides and the holder that spends; it does no I/O and reads no clock. The package around it
-// (budgets) replicates the ledger and carries the messages.
-//
-// The invariant, for each whole W: at every instant the floors and the leases that any holder may still spend add up to
-// at most W. It holds through lost, late and repeated messages, cuts, stalls, crashes and changes of the grantor, while
-// every clock runs at a rate between 1 - Drift and 1 + Drift of the true one.
 package budget
 
 import (
@@ -14,57 +6,78 @@
 	"slices"
 )
 
-// Claim is what one holder asks for of one whole.
+// Claim is what one holder asks of a pool.
 type Claim struct {
-	Weight float64 // its part of what nobody asks for, and of what is short
-	Demand float64 // what it would spend
-	Held   float64 // what it has now
+	Weight float64 // Weight is its share weight; it is above 0.
+	Demand float64 // Demand is what it would spend.
+	Held   float64 // Held is its present share.
 }
 
-// keep is the share by which a part has to change to be given anew: parts follow demand, not its noise.
-const keep = 0.1
+// hysteresis is the fraction by which a share has to change to be granted anew: shares follow demand, not its noise.
+const hysteresis = 0.1
 
-// Divide gives each claim its part of a pool: as much as it asks for where there is enough, else equal parts by weight of
-// what is short (max-min fairness). Of what nobody asks for half goes by demand, as who asks for more varies by more, and
-// half by weight, so that who asks for nothing can begin. The parts add up to the pool or less.
+// Divide returns the share of each claim in a pool: its demand where there is enough, else shares by weight of what is
+// short (weighted max-min fairness). Of what nobody demands half goes by demand, as a holder with more demand varies by
+// more, and half by weight, so that a holder without demand can begin. The shares add up to at most the pool.
 func Divide(pool float64, claims []Claim) []float64 {
-	parts := make([]float64, len(claims))
+	shares, remaining := maxMinShares(pool, claims)
+	addSpare(shares, claims, remaining)
+	keepSimilarShares(shares, claims, pool)
+	return shares
+}
+
+func (c *Claim) demand() float64 { return max(c.Demand, 0) }
+
+// maxMinShares grants the claims with the least demand by weight first, as what they leave is the others'. It returns
+// what is left of the pool.
+func maxMinShares(pool float64, claims []Claim) (shares []float64, remaining float64) {
+	shares = make([]float64, len(claims))
 	order := make([]int, len(claims))
-	left, weight, all := pool, 0.0, 0.0
-	for i, c := range claims {
+	weight := 0.0
+	for i, claim := range claims {
 		order[i] = i
-		weight += c.Weight
-		all += max(c.Demand, 0)
+		weight += claim.Weight
 	}
-	want := func(i int) float64 { return max(claims[i].Demand, 0) }
 	slices.SortFunc(order, func(a, b int) int {
-		return cmp.Or(cmp.Compare(want(a)/claims[a].Weight, want(b)/claims[b].Weight), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(claims[a].demand()/claims[a].Weight, claims[b].demand()/claims[b].Weight), cmp.Compare(a, b))
 	})
-	w := weight
-	for _, i := range order { // those that ask for least by weight first: what they leave is the others'
-		share := left * claims[i].Weight / w
-		parts[i] = min(want(i), share)
-		left -= parts[i]
-		w -= claims[i].Weight
+	remaining = pool
+	for _, i := range order {
+		fair := remaining * claims[i].Weight / weight
+		shares[i] = min(claims[i].demand(), fair)
+		remaining -= shares[i]
+		weight -= claims[i].Weight
+	}
+	return shares, max(remaining, 0)
+}
+
+// addSpare divides what nobody demands.
+func addSpare(shares []float64, claims []Claim, spare float64) {
+	weight, demand := 0.0, 0.0
+	for i := range claims {
+		weight += claims[i].Weight
+		demand += claims[i].demand()
 	}
-	left = max(left, 0)
-	for i, c := range claims {
-		spare := c.Weight / weight
-		if all > 0 {
-			spare = (spare + want(i)/all) / 2
+	for i := range claims {
+		fraction := claims[i].Weight / weight
+		if demand > 0 {
+			fraction = (fraction + claims[i].demand()/demand) / 2
 		}
-		parts[i] += left * spare
+		shares[i] += spare * fraction
 	}
-	// Hysteresis: who has nearly this much keeps it, where the sum allows that.
+}
+
+// keepSimilarShares leaves holders the share that they have where it is nearly the new one and the pool allows it.
+func keepSimilarShares(shares []float64, claims []Claim, pool float64) {
 	sum := 0.0
-	for _, p := range parts {
-		sum += p
+	for _, share := range shares {
+		sum += share
 	}
-	for i, c := range claims {
-		if math.Abs(c.Held-parts[i]) <= keep*parts[i] && sum-parts[i]+c.Held <= pool {
-			sum += c.Held - parts[i]
-			parts[i] = c.Held
+	for i, claim := range claims {
+		isSimilar := math.Abs(claim.Held-shares[i]) <= hysteresis*shares[i]
+		if isSimilar && sum-shares[i]+claim.Held <= pool {
+			sum += claim.Held - shares[i]
+			shares[i] = claim.Held
 		}
 	}
-	return parts
 }
--- a/internal/fleet/budget/explore_test.go
+++ b/internal/fleet/budget/explore_test.go
@@ -12,10 +12,10 @@
 	"pgregory.net/rapid"
 )
 
-// usual is how many are explored where nothing else is asked for.
-const usual = 600
+// defaultSchedules is how many are explored without the flag.
+const defaultSchedules = 600
 
-var schedules = flag.Int("schedules", usual, "how many schedules are explored")
+var schedules = flag.Int("schedules", defaultSchedules, "how many schedules are explored")
 
 // fault is what is planted, to see that the explorer finds it.
 type fault string
@@ -25,32 +25,32 @@
 	noMargin   fault = "leases without a margin for drift"
 	fromAnswer fault = "a lease counts from its answer"
 	beforeAck  fault = "what a smaller part frees is given before it is acknowledged"
-	forgets    fault = "a new lead takes what it did not see given as ended"
+	forgets    fault = "a new leader takes what it did not see given as ended"
 	beyond     fault = "a clock beyond the bound"
 )
 
-// world is one schedule in virtual time: holders and three copies of the ledger with clocks of their own, messages that
-// are late, lost and repeated, a lead that changes, holders that stall, crash and are cut off, and demand that shifts.
+// world is one schedule in virtual time: holders and three replicas of the ledger with clocks of their own, messages that
+// are late, lost and repeated, a leader that changes, holders that stall, crash and are cut off, and demand that shifts.
 type world struct {
-	rng     *rand.Rand
-	planted fault
-	terms   Terms
-	now     time.Duration
-	queue   events
-	order   int
-	pool    float64
-	holders []*node
-	copies  []*copyOf
-	log     []Command
-	lead    int
-	term    int
-	grantor *Grantor
-	busy    bool
-	flight  Command // that is being replicated, while busy
-	history []string
-	steps   int
-	most    float64 // of the pool that was ever held
-	moved   int     // changes of the lead
+	rng      *rand.Rand
+	planted  fault
+	terms    Terms
+	now      time.Duration
+	queue    events
+	order    int
+	pool     float64
+	holders  []*node
+	replicas []*ledgerReplica
+	log      []Command
+	leader   int
+	term     int
+	grantor  *Grantor
+	busy     bool
+	flight   Command // that is being replicated, while busy
+	history  []string
+	steps    int
+	most     float64 // of the pool that was ever held
+	moved    int     // changes of the leader
 }
 
 type node struct {
@@ -63,7 +63,7 @@
 	life   int
 }
 
-type copyOf struct {
+type ledgerReplica struct {
 	ledger  *Ledger
 	applied int
 	rate    float64
@@ -91,17 +91,19 @@
 	heap.Push(&w.queue, event{w.now + d, w.order, what, do})
 }
 
-func (w *world) upTo(d time.Duration) time.Duration { return time.Duration(w.rng.Int64N(int64(d))) }
+func (w *world) randomUpTo(d time.Duration) time.Duration {
+	return time.Duration(w.rng.Int64N(int64(d)))
+}
 
-// late is how long a message takes; now and then longer than a lease, and often next to nothing.
-func (w *world) late() time.Duration {
+// messageDelay draws how long a message takes: now and then longer than a lease, and often next to nothing.
+func (w *world) messageDelay() time.Duration {
 	switch x := w.rng.Float64(); {
 	case x < 0.1:
-		return w.upTo(2 * w.terms.Length)
+		return w.randomUpTo(2 * w.terms.Length)
 	case x < 0.5:
-		return w.upTo(w.terms.Length / 300)
+		return w.randomUpTo(w.terms.Length / 300)
 	}
-	return w.upTo(w.terms.Length / 10)
+	return w.randomUpTo(w.terms.Length / 10)
 }
 
 func (w *world) clockRate() float64 {
@@ -115,21 +117,22 @@
 func (n *node) clock(w *world) time.Duration {
 	return n.start + time.Duration(n.rate*float64(w.now))
 }
-func (c *copyOf) clock(w *world) time.Duration { return time.Duration(c.rate * float64(w.now)) }
+
+func (c *ledgerReplica) clock(w *world) time.Duration { return time.Duration(c.rate * float64(w.now)) }
 
 // explore plays a schedule, and tells what broke the invariant, if anything.
 func explore(seed uint64, planted fault) (w *world, broken string) {
 	w = &world{rng: rand.New(rand.NewPCG(seed, 7)), planted: planted, terms: Terms{Length: 3 * time.Second, Drift: 0.1}, pool: 100}
 	for range 3 {
-		w.copies = append(w.copies, &copyOf{ledger: NewLedger([]float64{w.pool}), rate: w.clockRate()})
+		w.replicas = append(w.replicas, &ledgerReplica{ledger: NewLedger([]float64{w.pool}), rate: w.clockRate()})
 	}
 	for i := range 2 + w.rng.IntN(3) {
-		n := &node{rate: w.clockRate(), start: w.upTo(time.Hour)}
+		n := &node{rate: w.clockRate(), start: w.randomUpTo(time.Hour)}
 		w.holders = append(w.holders, n)
 		w.begin(n, i)
 	}
 	w.grantor = w.newGrantor()
-	w.after(w.upTo(10*time.Second), "lead", w.changeLead)
+	w.after(w.randomUpTo(10*time.Second), "leader", w.changeLeader)
 	w.after(0, "decide", w.decide)
 	for len(w.queue) > 0 && w.now < 25*time.Second {
 		e := heap.Pop(&w.queue).(event)
@@ -138,11 +141,11 @@
 		e.do()
 		sum := 0.0
 		for _, n := range w.holders {
-			parts, _ := n.May(n.clock(w))
+			parts, _ := n.Allowance(n.clock(w))
 			sum += parts[0]
 		}
 		w.most = max(w.most, sum)
-		if sum > w.pool*(1+slack)+slack {
+		if sum > w.pool*(1+roundingSlack)+roundingSlack {
 			return w, fmt.Sprintf("at %v the holders may spend %.3f of %.0f", w.now, sum, w.pool)
 		}
 	}
@@ -167,15 +170,15 @@
 			w.after(n.stall-w.now, "ask", ask)
 			return
 		}
-		r := n.Ask(n.clock(w), []float64{n.demand})
+		r := n.NextRequest(n.clock(w), []float64{n.demand})
 		for range 1 + w.rng.IntN(2) { // once, or twice
 			if w.now >= n.cut && w.rng.Float64() < 0.85 {
-				w.after(w.late(), "request", func() { w.grantor.Ask(w.copies[w.lead].clock(w), r) })
+				w.after(w.messageDelay(), "request", func() { w.grantor.Receive(w.replicas[w.leader].clock(w), r) })
 			}
 		}
 		w.after(w.terms.Length/4, "ask", ask)
 	}
-	w.after(w.upTo(time.Second), "ask", ask)
+	w.after(w.randomUpTo(time.Second), "ask", ask)
 	var trouble func()
 	trouble = func() {
 		if n.life != life {
@@ -183,10 +186,10 @@
 		}
 		switch w.rng.IntN(4) {
 		case 0:
-			n.stall = w.now + w.upTo(3*w.terms.Length)
+			n.stall = w.now + w.randomUpTo(3*w.terms.Length)
 			w.note("%s stalls until %v", n.id, n.stall)
 		case 1:
-			n.cut = w.now + w.upTo(3*w.terms.Length)
+			n.cut = w.now + w.randomUpTo(3*w.terms.Length)
 			w.note("%s is cut off until %v", n.id, n.cut)
 		case 2:
 			n.demand = 120 * w.rng.Float64()
@@ -195,12 +198,12 @@
 			w.begin(n, i)
 			return
 		}
-		w.after(w.upTo(8*time.Second), "trouble", trouble)
+		w.after(w.randomUpTo(8*time.Second), "trouble", trouble)
 	}
-	w.after(w.upTo(8*time.Second), "trouble", trouble)
+	w.after(w.randomUpTo(8*time.Second), "trouble", trouble)
 }
 
-func (w *world) apply(c *copyOf) (given []Grant) {
+func (w *world) apply(c *ledgerReplica) (given []Grant) {
 	for ; c.applied < len(w.log); c.applied++ {
 		given, _ = c.ledger.Apply(w.log[c.applied])
 	}
@@ -208,7 +211,7 @@
 }
 
 func (w *world) newGrantor() *Grantor {
-	c := w.copies[w.lead]
+	c := w.replicas[w.leader]
 	w.apply(c)
 	terms := w.terms
 	if w.planted == noMargin {
@@ -216,32 +219,32 @@
 	}
 	g := NewGrantor(terms, c.ledger, c.clock(w))
 	if w.planted == forgets {
-		g.applied = map[uint64]time.Duration{}
+		g.grantedAt = map[uint64]time.Duration{}
 	}
 	return g
 }
 
-// changeLead has another copy lead. What the old lead had under way is lost, or counts before the new one begins.
-func (w *world) changeLead() {
+// changeLeader makes another replica the leader. What the old leader had under way is lost, or counts before the new one begins.
+func (w *world) changeLeader() {
 	w.term++
 	w.moved++
-	w.lead = w.rng.IntN(len(w.copies))
-	if w.busy && w.rng.IntN(2) == 0 { // it was replicated, and counts, whether or not the old lead hears of that
+	w.leader = w.rng.IntN(len(w.replicas))
+	if w.busy && w.rng.IntN(2) == 0 { // it was replicated, and counts, whether or not the old leader hears of that
 		w.log = append(w.log, w.flight)
 		for _, x := range w.flight.Give {
-			w.after(w.late(), "grant", func() { w.deliver(x) })
+			w.after(w.messageDelay(), "grant", func() { w.deliver(x) })
 		}
 	}
 	w.busy = false
 	w.grantor = w.newGrantor()
-	w.note("copy %d leads", w.lead)
-	w.after(w.upTo(10*time.Second), "lead", w.changeLead)
+	w.note("replica %d leads", w.leader)
+	w.after(w.randomUpTo(10*time.Second), "leader", w.changeLeader)
 }
 
-// decide has the lead decide, and what it decided replicated after a while, if it still leads then.
+// decide has the leader decide, and replicates the command after a while, if it is still the leader then.
 func (w *world) decide() {
 	w.after(w.terms.Length/30, "decide", w.decide)
-	c := w.copies[w.lead]
+	c := w.replicas[w.leader]
 	if w.busy {
 		return
 	}
@@ -250,13 +253,13 @@
 			c.ledger.Grants[h] = grants[len(grants)-1:]
 		}
 	}
-	cmd, something := w.grantor.Decide(c.clock(w))
+	cmd, something := w.grantor.NextCommand(c.clock(w))
 	if !something {
 		return
 	}
 	w.busy, w.flight = true, cmd
 	term, g := w.term, w.grantor
-	w.after(w.late(), "commit", func() {
+	w.after(w.messageDelay(), "commit", func() {
 		if w.term != term {
 			return
 		}
@@ -271,7 +274,7 @@
 			w.note("grant %d: %.1f to %s", x.Version, x.Parts[0], x.Holder)
 			for range 1 + w.rng.IntN(2) {
 				if w.rng.Float64() < 0.85 {
-					w.after(w.late(), "grant", func() { w.deliver(x) })
+					w.after(w.messageDelay(), "grant", func() { w.deliver(x) })
 				}
 			}
 		}
@@ -288,16 +291,17 @@
 			return
 		}
 		if w.planted == fromAnswer {
-			n.asked[x.Seq] = n.clock(w)
+			n.askedAt[x.Seq] = n.clock(w)
 		}
-		if n.Granted(n.clock(w), x) {
+		if n.Accept(n.clock(w), x) {
 			w.note("%s spends %.1f by grant %d", n.id, x.Parts[0], x.Version)
 		}
 	}
 }
 
-// The parts never pass the whole in any schedule, and each planted fault does, found with its shortest history.
-func TestExplore(t *testing.T) {
+// In no explored schedule do the shares exceed the quota; with each planted fault they do, which is reported with the
+// shortest history.
+func TestSharesNeverExceedQuotaUnlessFaultIsPlanted(t *testing.T) {
 	used, moved := 0.0, 0
 	for seed := range uint64(*schedules) {
 		w, broken := explore(seed, none)
@@ -307,7 +311,7 @@
 		used += w.most
 		moved += w.moved
 	}
-	t.Logf("%d schedules, %d changes of the lead, at the most %.0f%% of the whole held on average, never more than all",
+	t.Logf("%d schedules, %d changes of the leader, at the most %.0f%% of the whole held on average, never more than all",
 		*schedules, moved, used/float64(*schedules))
 	if used/float64(*schedules) < 80 {
 		t.Error("little of the whole was ever held: the schedules say nothing")
@@ -315,14 +319,14 @@
 	for _, planted := range []fault{noMargin, fromAnswer, beforeAck, forgets, beyond} {
 		var shortest *world
 		how, found := "", 0
-		for seed := range uint64(min(*schedules, usual)) {
+		for seed := range uint64(min(*schedules, defaultSchedules)) {
 			if w, broken := explore(seed, planted); broken != "" {
 				if found++; shortest == nil || w.steps < shortest.steps {
 					shortest, how = w, broken
 				}
 			}
-			if found >= 2 && *schedules <= usual {
-				break // that it is found is what the usual run shows; a longer one counts, and looks for the shortest
+			if found >= 2 && *schedules <= defaultSchedules {
+				break // that it is found is what the default run shows; a longer one counts, and looks for the shortest
 			}
 		}
 		if shortest == nil {
@@ -334,9 +338,9 @@
 	}
 }
 
-// The division adds up to the pool at most, gives all of it, nobody less than an equal part that asks for more than that,
-// and nearly the same again where nearly the same is asked for.
-func TestDivide(t *testing.T) {
+// The shares add up to the pool; nobody has less than its fair share who demands more than that; nearly the same demand
+// keeps the shares.
+func TestDivideIsMaxMinFairAndKeepsSimilarShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pool := rapid.Float64Range(0, 1000).Draw(t, "pool")
 		n := rapid.IntRange(1, 12).Draw(t, "n")
--- a/internal/fleet/budget/ledger.go
+++ b/internal/fleet/budget/ledger.go
@@ -1,257 +1,130 @@
 package budget
 
 import (
-	"cmp"
+	"errors"
 	"fmt"
 	"maps"
 	"slices"
-	"time"
 )
 
-// Grant is a lease: parts of the wholes, in their order.
+// Why a ledger rejects a grant.
+var (
+	ErrForeignGrant = errors.New("of another ledger")
+	ErrPoolExceeded = errors.New("passes the pool")
+)
+
+// Grant is a lease. Its keys are on the wire and in the ledger.
 type Grant struct {
 	Holder  string    `codec:"h" json:"holder"`
-	Version uint64    `codec:"v" json:"version"` // of all grants, rising
-	Seq     uint64    `codec:"q" json:"seq"`     // of the holder's request that it answers
-	Parts   []float64 `codec:"p" json:"parts"`
+	Version uint64    `codec:"v" json:"version"` // Version rises over all grants.
+	Seq     uint64    `codec:"q" json:"seq"`     // Seq is that of the holder's request which the grant answers.
+	Parts   []float64 `codec:"p" json:"parts"`   // Parts are the shares of the quotas, in requests per second, in the quotas' order.
 }
 
-// Command is one change of the ledger. The group that replicates it applies the same commands in the same order.
+// Command is one change of the ledger. All replicas apply the same commands in the same order. Its keys are in the log.
 type Command struct {
 	Give   []Grant           `codec:"g,omitempty" json:"give,omitempty"`
-	Expire map[string]uint64 `codec:"e,omitempty" json:"expire,omitempty"` // by holder: grants up to this version have ended
-	Ack    map[string]uint64 `codec:"a,omitempty" json:"ack,omitempty"`    // by holder: it spends by this version, and none before
+	Expire map[string]uint64 `codec:"e,omitempty" json:"expire,omitempty"` // Expire ends a holder's grants up to a version.
+	Ack    map[string]uint64 `codec:"a,omitempty" json:"ack,omitempty"`    // Ack says that a holder spends by a version, and by none before.
 }
 
-// Ledger is what was given and may still be spent. Applying commands is deterministic, without a clock.
+// Ledger holds the grants that may still be spent. Applying commands is deterministic and needs no clock. Its keys are
+// in snapshots and in the answer of the control address.
 type Ledger struct {
-	Pool    []float64          `codec:"p" json:"pool"` // the wholes less the floors
+	Pool    []float64          `codec:"p" json:"pool"` // Pool has the quotas less their floors.
 	Grants  map[string][]Grant `codec:"g" json:"grants"`
-	Version uint64             `codec:"v" json:"version"` // of the last grant
+	Version uint64             `codec:"v" json:"version"` // Version is that of the last grant.
 }
 
-// NewLedger makes a ledger of which nothing is given.
+// NewLedger returns a ledger without grants.
 func NewLedger(pool []float64) *Ledger { return &Ledger{Pool: pool, Grants: map[string][]Grant{}} }
 
-// slack is by how much sums of parts may pass the pool for rounding.
-const slack = 1e-6
+// roundingSlack is by how much sums of shares may exceed a pool, relative and absolute.
+const roundingSlack = 1e-6
 
-// Apply takes a command in: what has ended or was handed back first. A grant that would pass the pool is refused, and so
-// left out, whoever decided it: the ledger is the last guard.
-func (l *Ledger) Apply(c Command) (given []Grant, refused error) {
-	drop := func(holder string, gone func(Grant) bool) {
-		if kept := slices.DeleteFunc(l.Grants[holder], gone); len(kept) > 0 {
-			l.Grants[holder] = kept
-		} else {
-			delete(l.Grants, holder)
-		}
+// Apply applies a command: first what has ended or was acknowledged, then the grants. A grant that would exceed the pool
+// is left out, whoever decided it, as the ledger is the last guard of the invariant; the error is that of the last one.
+func (l *Ledger) Apply(c Command) (given []Grant, rejected error) {
+	for holder, version := range c.Expire {
+		l.remove(holder, func(g Grant) bool { return g.Version <= version })
 	}
-	for holder, v := range c.Expire {
-		drop(holder, func(g Grant) bool { return g.Version <= v })
+	for holder, version := range c.Ack {
+		l.remove(holder, func(g Grant) bool { return g.Version < version })
 	}
-	for holder, v := range c.Ack {
-		drop(holder, func(g Grant) bool { return g.Version < v })
-	}
-	for _, g := range c.Give {
-		if len(g.Parts) != len(l.Pool) || g.Version <= l.Version {
-			refused = fmt.Errorf("budget: grant %d to %s: of another ledger", g.Version, g.Holder)
-			continue
-		}
-		l.Grants[g.Holder] = append(l.Grants[g.Holder], g)
-		if i := l.over(); i >= 0 {
-			drop(g.Holder, func(x Grant) bool { return x.Version == g.Version })
-			refused = fmt.Errorf("budget: grant %d to %s passes the pool of whole %d", g.Version, g.Holder, i)
+	for _, grant := range c.Give {
+		if err := l.add(grant); err != nil {
+			rejected = err
 			continue
 		}
-		l.Version = g.Version
-		given = append(given, g)
+		given = append(given, grant)
 	}
-	return given, refused
-}
-
-// over is a whole of which more is charged than there is, or -1.
-func (l *Ledger) over() int {
-	for i, c := range l.Charged("") {
-		if c > l.Pool[i]*(1+slack)+slack {
-			return i
-		}
-	}
-	return -1
+	return given, rejected
 }
 
-// Charge is what a holder may still spend by any of its grants, as far as the ledger knows.
-func (l *Ledger) Charge(holder string) []float64 {
-	most := make([]float64, len(l.Pool))
-	for _, g := range l.Grants[holder] {
-		for i, p := range g.Parts {
-			most[i] = max(most[i], p)
-		}
+// add adds a grant unless it is of another ledger or exceeds the pool.
+func (l *Ledger) add(grant Grant) error {
+	if len(grant.Parts) != len(l.Pool) || grant.Version <= l.Version {
+		return fmt.Errorf("budget: grant %d to %s: %w", grant.Version, grant.Holder, ErrForeignGrant)
 	}
-	return most
-}
-
-// Charged is the sum of what all holders may still spend, but for one.
-func (l *Ledger) Charged(but string) []float64 {
-	sum := make([]float64, len(l.Pool))
-	for _, holder := range slices.Sorted(maps.Keys(l.Grants)) { // in an order: sums of floats are the same at every copy
-		if holder != but {
-			for i, p := range l.Charge(holder) {
-				sum[i] += p
-			}
-		}
+	l.Grants[grant.Holder] = append(l.Grants[grant.Holder], grant)
+	if quota := l.exceededQuota(); quota >= 0 {
+		l.remove(grant.Holder, func(g Grant) bool { return g.Version == grant.Version })
+		return fmt.Errorf("budget: grant %d to %s %w of whole %d", grant.Version, grant.Holder, ErrPoolExceeded, quota)
 	}
-	return sum
-}
-
-// Terms are what a lease rests on.
-type Terms struct {
-	Length time.Duration // that a holder spends for, by its own clock, from when it asked
-	Drift  float64       // bound on how far any clock's rate is from the true one
-}
-
-// Kept is for how long, by the grantor's clock, a lease counts as spent after it was given. A holder's clock may run
-// slow by Drift, so that its Length lasts Length/(1-Drift); the grantor's may run fast by as much.
-func (t Terms) Kept() time.Duration {
-	return time.Duration(float64(t.Length)*(1+t.Drift)/(1-t.Drift)) + 1
-}
-
-// Request is a holder's: what it would spend, and what it spends by.
-type Request struct {
-	Holder string    `codec:"h"`
-	Weight float64   `codec:"w"`
-	Seq    uint64    `codec:"q"`
-	Uses   uint64    `codec:"u"` // version of the newest grant that it has taken; 0 for none
-	Demand []float64 `codec:"d"`
+	l.Version = grant.Version
+	return nil
 }
 
-// claimant is a holder as the grantor knows it.
-type claimant struct {
-	Request
-	at      time.Duration
-	pending bool
-}
-
-// Grantor decides what is given. One at a time does: the leader of the group that replicates the ledger, which hands it
-// every command that was applied. Its clock is passed in, and only runs on.
-type Grantor struct {
-	terms   Terms
-	ledger  *Ledger
-	applied map[uint64]time.Duration // by version: when this copy heard of the grant
-	holders map[string]*claimant
-	next    uint64
-}
-
-// NewGrantor makes the grantor of a copy of the ledger. What the ledger holds at that time may have been given just now.
-func NewGrantor(terms Terms, l *Ledger, now time.Duration) *Grantor {
-	g := &Grantor{terms: terms, ledger: l, applied: map[uint64]time.Duration{}, holders: map[string]*claimant{}, next: l.Version}
-	for _, grants := range l.Grants {
-		for _, x := range grants {
-			g.applied[x.Version] = now
-		}
+// remove removes grants of a holder.
+func (l *Ledger) remove(holder string, has func(Grant) bool) {
+	if kept := slices.DeleteFunc(l.Grants[holder], has); len(kept) > 0 {
+		l.Grants[holder] = kept
+		return
 	}
-	return g
+	delete(l.Grants, holder)
 }
 
-// Ask takes a holder's request. An older one than the last is passed over.
-func (g *Grantor) Ask(now time.Duration, r Request) {
-	if c := g.holders[r.Holder]; c != nil && r.Seq <= c.Seq || len(r.Demand) != len(g.ledger.Pool) || !(r.Weight > 0) {
-		return
-	}
-	for _, d := range r.Demand {
-		if !(d >= 0 && d <= 1e12) {
-			return
+// exceededQuota returns a quota of which more is charged than its pool, or -1.
+func (l *Ledger) exceededQuota() int {
+	for i, charged := range l.ChargedExcept("") {
+		if charged > l.Pool[i]*(1+roundingSlack)+roundingSlack {
+			return i
 		}
 	}
-	g.holders[r.Holder] = &claimant{r, now, true}
+	return -1
 }
 
-// Decide is the next command: what has ended, what is acknowledged, and a grant for each request that waits; false for
-// nothing. The caller has it replicated, and calls Applied once it is, before it decides again.
-func (g *Grantor) Decide(now time.Duration) (c Command, something bool) {
-	c = Command{Expire: map[string]uint64{}, Ack: map[string]uint64{}}
-	for holder, grants := range g.ledger.Grants {
-		for _, x := range grants {
-			if now-g.applied[x.Version] >= g.terms.Kept() {
-				c.Expire[holder] = max(c.Expire[holder], x.Version)
-			}
-		}
-	}
-	ids := slices.Sorted(maps.Keys(g.holders))
-	for _, id := range ids {
-		h := g.holders[id]
-		if now-h.at > g.terms.Kept() {
-			delete(g.holders, id) // gone: what it had ends by itself
-			continue
-		}
-		if grants := g.ledger.Grants[id]; len(grants) > 0 && grants[0].Version < h.Uses {
-			c.Ack[id] = h.Uses
+// ChargedTo returns what a holder may still spend by any of its grants, of each quota.
+func (l *Ledger) ChargedTo(holder string) []float64 {
+	highest := make([]float64, len(l.Pool))
+	for _, grant := range l.Grants[holder] {
+		for i, part := range grant.Parts {
+			highest[i] = max(highest[i], part)
 		}
 	}
-	// What follows counts on these, as the ledger applies them first.
-	after := &Ledger{Pool: g.ledger.Pool, Grants: map[string][]Grant{}, Version: g.ledger.Version}
-	for holder, grants := range g.ledger.Grants {
-		after.Grants[holder] = slices.Clone(grants)
-	}
-	after.Apply(c)
-	c.Give = g.give(after)
-	return c, len(c.Give)+len(c.Expire)+len(c.Ack) > 0
+	return highest
 }
 
-// give decides the grants of requests that wait.
-func (g *Grantor) give(after *Ledger) (give []Grant) {
-	ids := slices.Sorted(maps.Keys(g.holders))
-	targets := make([][]float64, len(after.Pool))
-	for i, pool := range after.Pool {
-		claims := make([]Claim, len(ids))
-		for k, id := range ids {
-			claims[k] = Claim{Weight: g.holders[id].Weight, Demand: g.holders[id].Demand[i], Held: after.Charge(id)[i]}
-		}
-		targets[i] = Divide(pool, claims)
-	}
-	order := make([]int, len(ids))
-	for k := range ids {
-		order[k] = k
-	}
-	// Those whose parts shrink first. What they free counts once they have acknowledged it.
-	grows := func(k int) float64 {
-		sum := 0.0
-		for i := range after.Pool {
-			sum += targets[i][k] - after.Charge(ids[k])[i]
-		}
-		return sum
-	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(grows(a), grows(b)) })
-	for _, k := range order {
-		h := g.holders[ids[k]]
-		if !h.pending {
+// ChargedExcept returns the sum of what all holders except one may still spend, of each quota. It sums in the order of
+// the holders' IDs, so that the rounding of the sums is the same at every replica.
+func (l *Ledger) ChargedExcept(excepted string) []float64 {
+	sum := make([]float64, len(l.Pool))
+	for _, holder := range slices.Sorted(maps.Keys(l.Grants)) {
+		if holder == excepted {
 			continue
 		}
-		h.pending = false
-		others := after.Charged(ids[k])
-		x := Grant{Holder: ids[k], Seq: h.Seq, Parts: make([]float64, len(after.Pool))}
-		for i := range x.Parts {
-			x.Parts[i] = max(min(targets[i][k], after.Pool[i]-others[i]), 0)
+		for i, charged := range l.ChargedTo(holder) {
+			sum[i] += charged
 		}
-		g.next = max(g.next, after.Version) + 1
-		x.Version = g.next
-		after.Grants[ids[k]] = append(after.Grants[ids[k]], x)
-		give = append(give, x)
 	}
-	return give
+	return sum
 }
 
-// Applied tells which grants were given, as the ledger has applied a command.
-func (g *Grantor) Applied(now time.Duration, given []Grant) {
-	for _, x := range given {
-		g.applied[x.Version] = now
-	}
-	if len(g.applied) > 4*len(g.ledger.Grants)+64 { // what is no longer in the ledger is forgotten now and then
-		held := map[uint64]time.Duration{}
-		for _, grants := range g.ledger.Grants {
-			for _, x := range grants {
-				held[x.Version] = g.applied[x.Version]
-			}
-		}
-		g.applied = held
+// clone returns a ledger that can be changed without changing this one.
+func (l *Ledger) clone() *Ledger {
+	cloned := &Ledger{Pool: l.Pool, Grants: make(map[string][]Grant, len(l.Grants)), Version: l.Version}
+	for holder, grants := range l.Grants {
+		cloned.Grants[holder] = slices.Clone(grants)
 	}
+	return cloned
 }
--- a/internal/fleet/budgets/budgets.go
+++ b/internal/fleet/budgets/budgets.go
@@ -137,7 +137,7 @@
 		config: c, broker: broker, gossip: g, log: log, began: time.Now(), events: make(chan envelope, queued),
 		done: make(chan struct{}),
 	}
-	s.demand.Measure(s.now(), make([]float64, len(c.Wholes)))
+	s.demand.Sample(s.now(), make([]float64, len(c.Wholes)))
 	pool := make([]float64, len(c.Wholes))
 	for i, w := range c.Wholes {
 		aside := w * float64(c.Section.Floor) / 100
@@ -266,7 +266,7 @@
 	switch {
 	case m.Grant != nil:
 		s.heard = true
-		if s.holder.Granted(now, *m.Grant) {
+		if s.holder.Accept(now, *m.Grant) {
 			s.allot(now)
 		}
 	case s.group == nil: // not for this one
@@ -278,7 +278,7 @@
 			return nil
 		})
 	case m.Ask != nil && s.group.grantor != nil:
-		s.group.grantor.Ask(now, *m.Ask)
+		s.group.grantor.Receive(now, *m.Ask)
 	case m.Ask != nil && !m.Sent:
 		if lead, known := s.group.leader(); known {
 			s.send(lead, envelope{Ask: m.Ask, Sent: true})
@@ -291,7 +291,7 @@
 	s.measure()
 	now := s.now()
 	s.allot(now) // where a lease has ended
-	r := s.holder.Ask(now, s.demand.Rates())
+	r := s.holder.NextRequest(now, s.demand.Rates())
 	if s.group != nil {
 		s.heed(envelope{Ask: &r})
 		return
@@ -321,7 +321,7 @@
 	if s.config.Section.Retries > 0 && quotas > 0 { // wanted where requests come
 		asked[len(asked)-1] = requests * s.config.Section.Retries / quotas
 	}
-	s.demand.Measure(s.now(), asked)
+	s.demand.Sample(s.now(), asked)
 	s.uses = uses
 }
 
@@ -338,7 +338,7 @@
 // allot has the broker spend by what it holds. Each time that changes, a line tells from when until when, by the wall's
 // clock: the parts of all brokers add up to the wholes at each instant, and their logs show it.
 func (s *Service) allot(now time.Duration) {
-	parts, leased := s.holder.May(now)
+	parts, leased := s.holder.Allowance(now)
 	if s.state.Load() != nil && !leased && !s.leased {
 		s.spend(s.floor, s.floor, time.Time{}) // further attempts that the floor brought since
 		return
@@ -346,11 +346,11 @@
 	wall := time.Now()
 	var until time.Time
 	if leased { // to the moment: by the clock that the lease was asked by
-		until = s.began.Add(time.Duration(float64(now+s.holder.Left(now)) / s.config.Section.Rate))
+		until = s.began.Add(time.Duration(float64(now+s.holder.Remaining(now)) / s.config.Section.Rate))
 	}
 	s.spend(parts, s.floor, until)
 	fields := []zap.Field{
-		zap.Uint64("version", s.holder.Uses()), zap.Float64s("parts", parts), zap.Float64s("demand", s.demand.Rates()),
+		zap.Uint64("version", s.holder.Version()), zap.Float64s("parts", parts), zap.Float64s("demand", s.demand.Rates()),
 		zap.Int64("from_us", wall.UnixMicro()),
 	}
 	switch {
@@ -366,16 +366,16 @@
 
 func (s *Service) publish() {
 	now := s.now()
-	parts, leased := s.holder.May(now)
+	parts, leased := s.holder.Allowance(now)
 	if s.leased && !leased {
 		s.allot(now)
 	}
-	st := &State{Self: s.config.Self, Leased: leased, Left: s.holder.Left(now), Version: s.holder.Uses()}
+	st := &State{Self: s.config.Self, Leased: leased, Left: s.holder.Remaining(now), Version: s.holder.Version()}
 	demand := s.demand.Rates()
 	var charged []float64
 	if s.group != nil {
 		st.Lead, _ = s.group.leader()
-		charged = s.group.ledger.Charged("")
+		charged = s.group.ledger.ChargedExcept("")
 		st.Ledger = &budget.Ledger{Pool: s.group.ledger.Pool, Version: s.group.ledger.Version, Grants: map[string][]budget.Grant{}}
 		for h, grants := range s.group.ledger.Grants {
 			st.Ledger.Grants[h] = slices.Clone(grants)
--- a/internal/fleet/budgets/group.go
+++ b/internal/fleet/budgets/group.go
@@ -110,7 +110,7 @@
 	if g.grantor == nil || g.busy {
 		return
 	}
-	c, something := g.grantor.Decide(now)
+	c, something := g.grantor.NextCommand(now)
 	if !something {
 		return
 	}
--- a/internal/lab/sim/budgets.go
+++ b/internal/lab/sim/budgets.go
@@ -90,20 +90,20 @@
 	for _, u := range b.Usage() {
 		asked = append(asked, u.Asked)
 	}
-	p.demand.Measure(w.Now(), asked)
+	p.demand.Sample(w.Now(), asked)
 	p.allot()
-	r := p.Ask(w.Now(), p.demand.Rates())
-	w.After(w.Latency(), func() { s.t.granted.grantor.Ask(w.Now(), r) })
+	r := p.NextRequest(w.Now(), p.demand.Rates())
+	w.After(w.Latency(), func() { s.t.granted.grantor.Receive(w.Now(), r) })
 	w.After(leaseLength/leaseRenewals, p.ask)
 }
 
 func (p *purse) allot() {
 	now, floors := p.seat.t.w.Now(), p.seat.t.granted.floor
 	a := decision.QuotaShares{TenantFallbackRates: floors, RetryRate: -1}
-	rates, leased := p.May(now)
+	rates, leased := p.Allowance(now)
 	a.TenantRates = rates
 	if leased {
-		a.Until = now + p.Left(now)
+		a.Until = now + p.Remaining(now)
 	}
 	p.seat.policy.(*decision.Balancer).SetQuotaShares(now, a)
 }
@@ -121,7 +121,7 @@
 		if p.seat.dead {
 			continue
 		}
-		parts, _ := p.May(w.Now())
+		parts, _ := p.Allowance(w.Now())
 		for i, u := range p.seat.policy.(*decision.Balancer).Usage() {
 			may[i] += parts[i]
 			uses[i].Asked += u.Asked
@@ -155,7 +155,7 @@
 	if g.busy {
 		return
 	}
-	c, something := g.grantor.Decide(w.Now())
+	c, something := g.grantor.NextCommand(w.Now())
 	if !something {
 		return
 	}
@@ -169,7 +169,7 @@
 		g.grantor.Applied(w.Now(), given)
 		for _, x := range given {
 			w.After(w.Latency(), func() {
-				if p := g.holders[x.Holder]; p != nil && !p.seat.dead && p.Granted(w.Now(), x) {
+				if p := g.holders[x.Holder]; p != nil && !p.seat.dead && p.Accept(w.Now(), x) {
 					p.allot()
 				}
 			})
