--- a/internal/handover/compatibility_test.go
+++ b/internal/handover/compatibility_test.go
@@ -1,6 +1,7 @@
 package handover
 
 import (
+	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -115,7 +116,7 @@
 	if err := sender.Pass([]byte(compatibleState)); err != nil {
 		t.Errorf("accepted: %v", err)
 	}
-	if err := sender.Pass([]byte(compatibleState)); err != ErrDeclined {
+	if err := sender.Pass([]byte(compatibleState)); !errors.Is(err, ErrDeclined) {
 		t.Errorf("declined: %v, want %v", err, ErrDeclined)
 	}
 	x := <-ended
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -14,22 +14,22 @@
 )
 
 // tcpPair returns the two ends of a TCP connection.
-func tcpPair(t testing.TB) (near, far *net.TCPConn) {
-	t.Helper()
+func tcpPair(tb testing.TB) (near, far *net.TCPConn) {
+	tb.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	defer l.Close()
 	c, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	s, err := l.Accept()
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close(); s.Close() })
+	tb.Cleanup(func() { c.Close(); s.Close() })
 	for _, x := range []net.Conn{c, s} {
 		x.SetDeadline(time.Now().Add(20 * time.Second))
 	}
@@ -37,28 +37,28 @@
 }
 
 // readText reads n bytes.
-func readText(t testing.TB, c net.Conn, n int) string {
-	t.Helper()
+func readText(tb testing.TB, c net.Conn, n int) string {
+	tb.Helper()
 	b := make([]byte, n)
 	if _, err := io.ReadFull(c, b); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return string(b)
 }
 
 // serveUntilEnd runs a receiver with a handler until the test ends.
-func serveUntilEnd(t testing.TB, dir string, take Handler) *Receiver {
-	t.Helper()
+func serveUntilEnd(tb testing.TB, dir string, take Handler) *Receiver {
+	tb.Helper()
 	r, err := Listen(dir, "n0")
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	ended := make(chan error)
 	go func() { ended <- r.Serve(take) }()
-	t.Cleanup(func() {
+	tb.Cleanup(func() {
 		r.Close()
 		if err := <-ended; err != nil {
-			t.Error(err)
+			tb.Error(err)
 		}
 	})
 	return r
@@ -121,7 +121,7 @@
 		"ends unheard":  func(c *net.UnixConn) { c.Close() },
 		"says nonsense": func(c *net.UnixConn) { writeFrame(c, 'q') },
 		"says too much": func(c *net.UnixConn) { c.Write([]byte("yy")) },
-		"says nothing":  func(c *net.UnixConn) {},
+		"says nothing":  func(_ *net.UnixConn) {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -178,7 +178,7 @@
 			writeFrame(c, 'x')
 			c.Read(make([]byte, 1)) // until it is closed
 		},
-		"no offer": func(c *net.UnixConn, near *net.TCPConn) {
+		"no offer": func(c *net.UnixConn, _ *net.TCPConn) {
 			c.Write([]byte("hello"))
 			c.Read(make([]byte, 1))
 		},
--- a/internal/handover/protocol.go
+++ b/internal/handover/protocol.go
@@ -47,7 +47,9 @@
 
 // writeFrame sends a frame without payload.
 func writeFrame(c *net.UnixConn, frame byte) error {
-	c.SetWriteDeadline(time.Now().Add(stepTimeout))
+	if err := c.SetWriteDeadline(time.Now().Add(stepTimeout)); err != nil {
+		return err
+	}
 	_, err := c.Write([]byte{frame})
 	return err
 }
@@ -55,7 +57,9 @@
 // readFrame receives a frame without payload until a deadline; the zero time is none.
 func readFrame(c *net.UnixConn, deadline time.Time) (byte, error) {
 	var b [2]byte
-	c.SetReadDeadline(deadline)
+	if err := c.SetReadDeadline(deadline); err != nil {
+		return 0, err
+	}
 	n, err := c.Read(b[:])
 	if err == nil && n != 1 {
 		err = errMalformedFrame
--- a/internal/handover/receiver.go
+++ b/internal/handover/receiver.go
@@ -67,7 +67,11 @@
 		}
 		go func() {
 			defer r.untrack(c)
-			for buffer := make([]byte, 1+MaxState); r.receiveOne(c, buffer, handler) == nil; {
+			buffer := make([]byte, 1+MaxState)
+			for {
+				if err := r.receiveOne(c, buffer, handler); err != nil {
+					return
+				}
 			}
 		}()
 	}
@@ -108,7 +112,10 @@
 // used any more.
 func (r *Receiver) receiveOne(c *net.UnixConn, buffer []byte, handler Handler) error {
 	oob := make([]byte, syscall.CmsgSpace(4*maxConns))
-	c.SetReadDeadline(time.Time{}) // the read ends with the sender, or with Close
+	// The read ends with the sender, or with Close.
+	if err := c.SetReadDeadline(time.Time{}); err != nil {
+		return err
+	}
 	n, oobn, flags, _, err := c.ReadMsgUnix(buffer, oob)
 	if err != nil {
 		return err
--- a/internal/handover/sender.go
+++ b/internal/handover/sender.go
@@ -141,7 +141,9 @@
 func (s *Sender) offer(state []byte, conns []syscall.Conn) (reply byte, err error) {
 	var fds []int
 	err = withDescriptors(conns, &fds, func() error {
-		s.conn.SetWriteDeadline(time.Now().Add(stepTimeout))
+		if err := s.conn.SetWriteDeadline(time.Now().Add(stepTimeout)); err != nil {
+			return err
+		}
 		_, _, err := s.conn.WriteMsgUnix(append([]byte{frameOffer}, state...), syscall.UnixRights(fds...), nil)
 		return err
 	})
--- a/internal/http1/connection_limits_test.go
+++ b/internal/http1/connection_limits_test.go
@@ -17,7 +17,7 @@
 
 // New connections that send nothing are evicted before idle ones, and are closed in time.
 func TestSilentNewConnectionsAreEvictedFirst(t *testing.T) {
-	rg := start(t, config.LeastSockets, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") }))
+	rg := start(t, config.LeastSockets, endpointServing(t, "s-1", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") }))
 	http.DefaultClient.CloseIdleConnections()
 	dial := func() net.Conn {
 		c, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
@@ -34,7 +34,7 @@
 		t.Helper()
 		rg.request("once", 9*time.Second).Write(usual)
 		res, err := http.ReadResponse(reader, nil)
-		if err != nil || res.StatusCode != 200 {
+		if err != nil || res.StatusCode != http.StatusOK {
 			t.Fatalf("the usual client got %v, %v", res, err)
 		}
 		io.Copy(io.Discard, res.Body)
@@ -57,7 +57,7 @@
 
 // A request that is not received completely in time gets an error or a close, wherever it is cut.
 func TestSlowRequestsTimeOut(t *testing.T) {
-	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) { t.Error("it was passed on") }))
+	rg := start(t, 1024, endpointServing(t, "s-1", func(http.ResponseWriter, *http.Request) { t.Error("it was passed on") }))
 	head := "POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: a\r\nX-Lane: once\r\nX-Remaining: 900m\r\n"
 	ended := make(chan bool)
 	texts := []string{"", "POST", head, head + "Content-Length: 9\r\n\r\n", head + "Content-Length: 9\r\n\r\nabc"}
@@ -80,7 +80,7 @@
 
 // Accepting goes on at the limit of connections: the one that has been idle longest is evicted.
 func TestLongestIdleConnectionIsEvictedAtTheLimit(t *testing.T) {
-	rg := start(t, config.LeastSockets, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") }))
+	rg := start(t, config.LeastSockets, endpointServing(t, "s-1", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") }))
 	var first net.Conn
 	for i := range 3 * rg.server.clients.limit {
 		c, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
@@ -94,13 +94,13 @@
 		c.SetDeadline(time.Now().Add(testTimeout))
 		rg.request("once", 5*time.Second).Write(c)
 		res, err := http.ReadResponse(bufio.NewReader(c), nil)
-		if err != nil || res.StatusCode != 200 {
+		if err != nil || res.StatusCode != http.StatusOK {
 			t.Fatalf("connection %d: %v %v", i, res, err)
 		}
 		io.Copy(io.Discard, res.Body)
 	}
 	first.SetDeadline(time.Now().Add(testTimeout))
-	if n, err := first.Read(make([]byte, 1)); err != io.EOF {
+	if n, err := first.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the first connection: %d bytes, %v", n, err)
 	}
 	rg.until("open connections are within their share", func() bool {
@@ -112,7 +112,7 @@
 
 // A client that keeps its connection open after the last answer takes no capacity from others.
 func TestLingeringConnectionsAreEvictedAtTheLimit(t *testing.T) {
-	rg := start(t, config.LeastSockets, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") }))
+	rg := start(t, config.LeastSockets, endpointServing(t, "s-1", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") }))
 	http.DefaultClient.CloseIdleConnections()
 	rg.until("no connection is open", func() bool { return rg.server.clients.emptyFor(0) })
 	for range rg.server.clients.limit {
@@ -156,7 +156,7 @@
 // connection would lose its request. Nothing of it was executed, so it is rejected.
 func TestClientBeyondTheLimitIsRejectedWithAnAnswer(t *testing.T) {
 	serve := make(chan bool)
-	rg := start(t, config.LeastSockets, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, config.LeastSockets, endpointServing(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
 		<-serve
 		fmt.Fprint(w, "ok")
 	}))
--- a/internal/http1/downstream_conn.go
+++ b/internal/http1/downstream_conn.go
@@ -97,7 +97,7 @@
 // half-close sends the FIN.
 func (c *downstreamConn) closeSocket() {
 	if tcp, ok := c.Conn.(tcpConn); ok && c.maybeShared.Load() {
-		tcp.CloseWrite()
+		_ = tcp.CloseWrite() // fails only where the connection has ended
 	}
 	c.Conn.Close()
 }
@@ -241,7 +241,7 @@
 		return
 	}
 	tcp.SetReadDeadline(time.Now().Add(lingerTimeout))
-	io.Copy(io.Discard, tcp) // any error ends the connection
+	_, _ = io.Copy(io.Discard, tcp) // any error ends the connection
 }
 
 // beginServing notes that the request has been read, and returns the number of idle connections.
@@ -295,5 +295,5 @@
 // stopWatching ends a watch. The connection may be read again after it.
 func (c *downstreamConn) stopWatching(hungUp <-chan error) {
 	c.Conn.SetReadDeadline(time.Now())
-	<-hungUp
+	<-hungUp //nolint:errcheck // the deadline, or a hang-up that the next read shows again
 }
--- a/internal/http1/downstream_serve.go
+++ b/internal/http1/downstream_serve.go
@@ -193,7 +193,8 @@
 
 // answerParsed reads the body of a request and dispatches it, or transfers it to the successor.
 func (s *Server) answerParsed(c *downstreamConn, r *bufio.Reader, w *reply, head *http.Request, body *requestBody,
-	req *request) (keepAlive bool) {
+	req *request,
+) (keepAlive bool) {
 	w.writeTimeout = min(max(req.Remaining, minWriteTimeout), writeTimeout)
 	reserved, err := s.readBody(c, head, req, body)
 	defer s.memory.Bodies.Release(reserved)
--- a/internal/http1/drain_test.go
+++ b/internal/http1/drain_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -15,7 +16,7 @@
 // closes idle ones, and ends with Resume.
 func TestDrainingServerAnswersThenClosesConnections(t *testing.T) {
 	came, serve := make(chan bool), make(chan bool)
-	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
 		came <- true
 		<-serve
 		fmt.Fprint(w, "ok")
@@ -44,13 +45,13 @@
 	<-came
 	close(serve)
 	for range 2 {
-		if res := <-answer; res == nil || res.StatusCode != 200 || !res.Close {
+		if res := <-answer; res == nil || res.StatusCode != http.StatusOK || !res.Close {
 			t.Errorf("answer %+v", res)
 		}
 	}
 	for i, c := range conns[1:] {
 		c.SetDeadline(time.Now().Add(testTimeout))
-		if n, err := c.Read(make([]byte, 1)); err != io.EOF {
+		if n, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 			t.Errorf("idle connection %d: %d bytes, %v", i, n, err)
 		}
 	}
@@ -75,7 +76,7 @@
 // A request that has been received when its idle connection expires is served, whether its
 // goroutine has seen it or not.
 func TestRequestReceivedAtIdleExpiryIsServed(t *testing.T) {
-	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") }))
+	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") }))
 	for range 100 {
 		c := rg.connect(1)[0]
 		if err := rg.request("once", 9*time.Second).Write(c); err != nil {
--- a/internal/http1/failure_phases_test.go
+++ b/internal/http1/failure_phases_test.go
@@ -294,8 +294,11 @@
 	}
 	n, err := io.Copy(io.Discard, res.Body)
 	l.answer("running", received{res.StatusCode, time.Now(), res.Header.Get("Retry-After")})
-	if err != nil || res.StatusCode != http.StatusOK || n != res.ContentLength {
-		return fmt.Errorf("status %d, %d bytes of %d, %v", res.StatusCode, n, res.ContentLength, err)
+	if err != nil {
+		return fmt.Errorf("status %d, %d bytes of %d: %w", res.StatusCode, n, res.ContentLength, err)
+	}
+	if res.StatusCode != http.StatusOK || n != res.ContentLength {
+		return fmt.Errorf("status %d, %d bytes of %d", res.StatusCode, n, res.ContentLength)
 	}
 	return nil
 }
--- a/internal/http1/fake_endpoint_test.go
+++ b/internal/http1/fake_endpoint_test.go
@@ -8,7 +8,6 @@
 	"net/http"
 	"strings"
 	"sync"
-	"syscall"
 	"testing"
 	"time"
 )
@@ -34,8 +33,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &fakeEndpoint{t: t, ledger: l, listen: listen, behave: play, target: target{UID: uid, Address: listen.Addr().String(),
-		Zone: "z", Model: "m", Cell: 1, State: "Ready", Weight: 1}}
+	s := &fakeEndpoint{t: t, ledger: l, listen: listen, behave: play, target: target{
+		UID: uid, Address: listen.Addr().String(),
+		Zone: "z", Model: "m", Cell: 1, State: "Ready", Weight: 1,
+	}}
 	var all sync.WaitGroup
 	var conns []net.Conn // all of them, under the ledger's mutex
 	t.Cleanup(func() {
@@ -92,7 +93,7 @@
 				return true
 			}
 			n, fault := peekByte(raw) // who gives an attempt up closes its connection first
-			return n == 0 || fault != nil && fault != syscall.EAGAIN && fault != syscall.EINTR
+			return n == 0 || fault != nil && !wouldBlock(fault)
 		}}
 		a.ran = !strings.HasPrefix(in.Header.Get("X-Test"), "never")
 		for _, fault := range s.ledger.attempt(in.Header.Get("X-Txn"), a) {
--- a/internal/http1/forwarding_test.go
+++ b/internal/http1/forwarding_test.go
@@ -35,7 +35,7 @@
 // is forwarded, and the connection ends.
 func TestRequestSmuggledInBodyIsNotForwarded(t *testing.T) {
 	var came atomic.Int64
-	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) { came.Add(1) }))
+	rg := start(t, 1024, endpointServing(t, "s-1", func(http.ResponseWriter, *http.Request) { came.Add(1) }))
 	head := "POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: %s\r\nX-Lane: book\r\nX-Remaining: 900m\r\nIdempotency-Key: k\r\n"
 	inner := fmt.Sprintf(head, "inner") + "Content-Length: 0\r\n\r\n"
 	for _, framing := range []string{
@@ -61,7 +61,7 @@
 
 func TestInvalidRequestsAreNotForwarded(t *testing.T) {
 	var came atomic.Int64
-	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) { came.Add(1) }))
+	rg := start(t, 1024, endpointServing(t, "s-1", func(http.ResponseWriter, *http.Request) { came.Add(1) }))
 	for name, c := range map[string]struct {
 		spoil func(r *http.Request)
 		want  int
@@ -113,7 +113,7 @@
 // deadline.
 func TestAnswerIsWrittenBeforeTheDeadline(t *testing.T) {
 	const left = 1500 * time.Millisecond
-	mute := endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) { awaitCancel(r) })
+	mute := endpointServing(t, "s-1", func(_ http.ResponseWriter, r *http.Request) { awaitCancel(r) })
 	draining := mute
 	draining.State = "Terminating"
 	for want, targets := range map[int][]target{502: {mute}, 503: {draining}} {
@@ -131,7 +131,7 @@
 // A connection that its endpoint has closed while it was idle carries no request.
 func TestConnectionClosedWhileIdleIsNotReused(t *testing.T) {
 	var conns atomic.Int64
-	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") }))
+	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") }))
 	closed := make(chan bool, 8)
 	s.Config.ConnState = func(_ net.Conn, state http.ConnState) {
 		switch state {
@@ -163,7 +163,7 @@
 // Once discovery reports that an endpoint drains, no new request goes there.
 func TestDrainingEndpointGetsNoNewRequests(t *testing.T) {
 	count := func(n *atomic.Int64) http.HandlerFunc {
-		return func(w http.ResponseWriter, r *http.Request) {
+		return func(w http.ResponseWriter, _ *http.Request) {
 			n.Add(1)
 			fmt.Fprint(w, "ok")
 		}
@@ -197,7 +197,7 @@
 // fault.
 func TestRequestIDInUseIsRejected(t *testing.T) {
 	came, serve := make(chan bool, 8), make(chan bool)
-	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
 		came <- true
 		<-serve
 		fmt.Fprint(w, "ok")
@@ -239,7 +239,7 @@
 	full := rg.server.memory.Bodies.Available()
 	rev := uint64(1)
 	for i := range 20 {
-		x := endpointServing(t, fmt.Sprintf("s-%08x", i), func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") })
+		x := endpointServing(t, fmt.Sprintf("s-%08x", i), func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") })
 		rev++
 		tell(rev, i%2 == 0, x)
 		if status, body := rg.ask(rg.request("once", 9*time.Second)); status != 200 {
--- a/internal/http1/fuzz_test.go
+++ b/internal/http1/fuzz_test.go
@@ -17,11 +17,13 @@
 // FuzzHead: a head that is accepted has one body length at most, and its forwarded form has the
 // same meaning to the next parser.
 func FuzzHead(f *testing.F) {
-	for _, text := range []string{"GET /a?b=%2F HTTP/1.1\r\nHost: h\r\nX-Txn: 1\r\n\r\n",
+	for _, text := range []string{
+		"GET /a?b=%2F HTTP/1.1\r\nHost: h\r\nX-Txn: 1\r\n\r\n",
 		"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc", "POST / HTTP/1.0\r\nContent-Length: 0\r\n\r\n",
 		"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n",
 		"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\nConnection: X-A\r\nX-A: 1\r\n\r\n0\r\n\r\n",
-		"\r\nGET / HTTP/1.1\nHost: h\n\n"} {
+		"\r\nGET / HTTP/1.1\nHost: h\n\n",
+	} {
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -52,11 +54,13 @@
 // FuzzAnswer: whatever an endpoint sends, its response ends, is bounded, and what is relayed of it
 // is as net/http reads it.
 func FuzzAnswer(f *testing.F) {
-	for _, text := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 200 OK\r\n\r\nto its end",
+	for _, text := range []string{
+		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 200 OK\r\n\r\nto its end",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X\r\n\r\n2\r\nok\r\n0\r\nX: 1\r\n\r\n",
 		"HTTP/1.1 100 Go\r\n\r\nHTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok!", "HTTP/1.1 204 None\r\n\r\n",
-		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"} {
+		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+	} {
 		f.Add([]byte(text))
 	}
 	room := ampleMemory()
@@ -95,9 +99,12 @@
 // FuzzPassage: a transfer state that is accepted is valid, and has the same meaning when it is
 // transferred once more.
 func FuzzPassage(f *testing.F) {
-	for _, p := range []connTransfer{{Version: 1, Input: []byte("GET")}, {Version: 1, Relay: &relayState{Finished: true, Pending: []byte("x")}},
+	for _, p := range []connTransfer{
+		{Version: 1, Input: []byte("GET")},
+		{Version: 1, Relay: &relayState{Finished: true, Pending: []byte("x")}},
 		{Version: 1, Upload: &uploadState{ID: "a", AnswerTimeout: 5, Length: 9, Remaining: 3}},
-		{Version: 1, Relay: &relayState{Length: -1, Chunks: &chunkedReader{Left: 4, Digest: 9}}}} {
+		{Version: 1, Relay: &relayState{Length: -1, Chunks: &chunkedReader{Left: 4, Digest: 9}}},
+	} {
 		text, _ := json.Marshal(p)
 		f.Add(text)
 	}
--- a/internal/http1/hangup_test.go
+++ b/internal/http1/hangup_test.go
@@ -18,7 +18,7 @@
 // endpoint gave.
 func TestHalfClosedClientGetsNoAnswer(t *testing.T) {
 	came := make(chan bool)
-	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, endpointServing(t, "s-1", func(_ http.ResponseWriter, r *http.Request) {
 		close(came)
 		awaitCancel(r)
 	}))
@@ -47,7 +47,7 @@
 		},
 	} {
 		came, left := make(chan string, 2), make(chan bool, 2)
-		rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+		rg := start(t, 1024, endpointServing(t, "s-1", func(_ http.ResponseWriter, r *http.Request) {
 			came <- r.Header.Get("X-Txn")
 			awaitCancel(r)
 			left <- true
@@ -125,7 +125,7 @@
 	defer e.Close()
 	e.SetDeadline(time.Now().Add(testTimeout))
 	var b [1]byte
-	if got, err := e.Read(b[:]); got > 0 || err != io.EOF {
+	if got, err := e.Read(b[:]); got > 0 || !errors.Is(err, io.EOF) {
 		t.Errorf("its endpoint got a request (%v): its client had gone", err)
 	}
 	close(on)
@@ -135,7 +135,7 @@
 // The endpoint and the balancer must notice that nobody waits any more.
 func TestClientHangupCancelsTheAttempt(t *testing.T) {
 	came, ended := make(chan bool), make(chan bool)
-	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, endpointServing(t, "s-1", func(_ http.ResponseWriter, r *http.Request) {
 		close(came)
 		awaitCancel(r)
 		close(ended)
@@ -161,7 +161,7 @@
 // A client that hangs up during a relay ends it, and nothing of it stays allocated.
 func TestClientHangupDuringRelayEndsIt(t *testing.T) {
 	gaveUp := make(chan bool)
-	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
 		for piece := checkableBody(1 << 16); ; {
 			if _, err := w.Write(piece); err != nil {
 				close(gaveUp)
--- a/internal/http1/harness_test.go
+++ b/internal/http1/harness_test.go
@@ -80,8 +80,10 @@
 // startOn starts a server on a network.
 func startOn(t *testing.T, n Network, instances, sockets int, change func(*config.Config), targets ...target) *rig {
 	t.Helper()
-	rg := &rig{t: t, lists: make(chan string, 16), signals: make(chan os.Signal, 1),
-		reloads: make(chan os.Signal, 1), exited: make(chan error, 1)}
+	rg := &rig{
+		t: t, lists: make(chan string, 16), signals: make(chan os.Signal, 1),
+		reloads: make(chan os.Signal, 1), exited: make(chan error, 1),
+	}
 	discovery := serverAt(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.WriteHeader(http.StatusOK)
 		for {
@@ -202,6 +204,7 @@
 // serverAt starts a server at a loopback address of its own: connections that an earlier test left
 // behind reach none of a later one's.
 func serverAt(t *testing.T, serve http.Handler) *httptest.Server {
+	t.Helper()
 	l, err := loopback.Listen()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/http1/ledger_test.go
+++ b/internal/http1/ledger_test.go
@@ -46,8 +46,10 @@
 }
 
 func newRequestLedger() *requestLedger {
-	return &requestLedger{asked: map[string]expectation{}, answers: map[string][]received{}, attempts: map[string][]*attempted{},
-		drained: map[string]time.Time{}}
+	return &requestLedger{
+		asked: map[string]expectation{}, answers: map[string][]received{}, attempts: map[string][]*attempted{},
+		drained: map[string]time.Time{},
+	}
 }
 
 func (l *requestLedger) ask(id, class string, until time.Time) {
@@ -129,7 +131,7 @@
 			l.answer("x", received{200, now, ""})
 			return nil
 		},
-		"0 final answers": func(l *requestLedger) []string { return nil },
+		"0 final answers": func(_ *requestLedger) []string { return nil },
 		"2 final answers": func(l *requestLedger) []string {
 			l.answer("x", received{200, now, ""})
 			l.answer("x", received{200, now, ""})
--- a/internal/http1/lifecycle.go
+++ b/internal/http1/lifecycle.go
@@ -17,8 +17,8 @@
 	s.clients.Listener = listener
 	// Before anything else: once this process can serve, its predecessor may be stopped and then looks
 	// for the receiver.
-	if close := s.receiveTransfers(); close != nil {
-		defer close()
+	if stopReceiving := s.receiveTransfers(); stopReceiving != nil {
+		defer stopReceiving()
 	}
 	go s.loop.Run()
 	defer s.loop.Close()
--- a/internal/http1/network_wait.go
+++ b/internal/http1/network_wait.go
@@ -1,6 +1,7 @@
 package http1
 
 import (
+	"errors"
 	"io"
 	"net"
 	"os"
@@ -105,16 +106,23 @@
 	n, fault := 0, error(nil)
 	err = raw.Read(func(fd uintptr) bool {
 		n, fault = peek(fd)
-		return fault != syscall.EAGAIN && fault != syscall.EINTR && (n <= 0 || enough(fd))
+		return !wouldBlock(fault) && (n <= 0 || enough(fd))
 	})
 	switch {
 	case err != nil:
 		return err
 	case fault != nil:
-		return &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(),
-			Err: os.NewSyscallError("recvfrom", fault)}
+		return &net.OpError{
+			Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(),
+			Err: os.NewSyscallError("recvfrom", fault),
+		}
 	case n == 0:
 		return io.EOF
 	}
 	return nil
 }
+
+// wouldBlock reports whether an error of a non-blocking call means that there is no input yet.
+func wouldBlock(err error) bool {
+	return errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR)
+}
--- a/internal/http1/parse_head.go
+++ b/internal/http1/parse_head.go
@@ -60,7 +60,7 @@
 		}
 		buffered, _ := r.Peek(r.Buffered())
 		if blank := len(buffered) - len(bytes.TrimLeft(buffered, "\r\n")); blank > 0 {
-			r.Discard(blank)
+			_, _ = r.Discard(blank) // cannot fail: no more than is buffered
 			n = 1
 			continue
 		}
--- a/internal/http1/parse_request.go
+++ b/internal/http1/parse_request.go
@@ -99,8 +99,10 @@
 }
 
 // hopByHop are the headers that concern one connection only (RFC 9110, section 7.6.1).
-var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
-	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect"}
+var hopByHop = []string{
+	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
+	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
+}
 
 // removeHopByHop removes hop-by-hop headers, and those that Connection lists.
 func removeHopByHop(h http.Header) {
--- a/internal/http1/relay_pause.go
+++ b/internal/http1/relay_pause.go
@@ -48,7 +48,7 @@
 	if p.requested {
 		d = 0
 	}
-	set(time.Now().Add(d))
+	_ = set(time.Now().Add(d)) // a closed connection fails the step itself
 }
 
 // resume ends a pause after which nothing was transferred, and calls f.
--- a/internal/http1/relay_response.go
+++ b/internal/http1/relay_response.go
@@ -137,7 +137,7 @@
 // complete: an HTTP/1.0 body that ends with the connection.
 func (l *relay) resetClient() {
 	if tcp, ok := l.client.Conn.(tcpConn); ok && l.http10 && l.body.length < 0 {
-		tcp.SetLinger(0)
+		_ = tcp.SetLinger(0) // fails only where the connection has ended
 		tcp.Close()
 	}
 }
--- a/internal/http1/relay_upload.go
+++ b/internal/http1/relay_upload.go
@@ -50,8 +50,10 @@
 
 // newUpload returns the upload of the unread rest of a body.
 func newUpload(c *downstreamConn, body *requestBody, late func() bool) *upload {
-	u := &upload{client: c, body: body, isLate: late,
-		bodyRead: make(chan struct{}), readFailed: make(chan error, 1), transferred: make(chan struct{})}
+	u := &upload{
+		client: c, body: body, isLate: late,
+		bodyRead: make(chan struct{}), readFailed: make(chan error, 1), transferred: make(chan struct{}),
+	}
 	if u.received = body.length - body.remaining; body.chunks != nil {
 		u.received = maxBufferedBody // readBody has read so much of it
 	}
--- a/internal/http1/reload_test.go
+++ b/internal/http1/reload_test.go
@@ -25,12 +25,12 @@
 // cannot be used changes nothing.
 func TestReloadFollowsDiscoveryOfTheFile(t *testing.T) {
 	came, serve := make(chan bool, 1), make(chan bool)
-	a := endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	a := endpointServing(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
 		came <- true
 		<-serve
 		fmt.Fprint(w, "a")
 	})
-	b := endpointServing(t, "s-2", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "b") })
+	b := endpointServing(t, "s-2", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "b") })
 	rg := start(t, 1024, a)
 	answered := make(chan string)
 	go func() {
--- a/internal/http1/retries_test.go
+++ b/internal/http1/retries_test.go
@@ -45,7 +45,7 @@
 		fmt.Fprint(w, "ok")
 	}
 	a, b := endpointServing(t, "s-1", broken), endpointServing(t, "s-2", broken)
-	other := endpointServing(t, "s-3", func(w http.ResponseWriter, r *http.Request) {
+	other := endpointServing(t, "s-3", func(w http.ResponseWriter, _ *http.Request) {
 		strays.Add(1)
 		fmt.Fprint(w, "ok")
 	})
@@ -64,13 +64,13 @@
 
 func TestRejectedRequestIsRetriedAndPlain503IsNot(t *testing.T) {
 	var plain atomic.Bool
-	full := func(w http.ResponseWriter, r *http.Request) {
+	full := func(w http.ResponseWriter, _ *http.Request) {
 		if !plain.Load() {
 			w.Header().Set("X-Turned-Away", "1")
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
-	rg := start(t, 1024, endpointServing(t, "s-1", full), endpointServing(t, "s-2", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, endpointServing(t, "s-1", full), endpointServing(t, "s-2", func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, "ok")
 	}))
 	for range 10 {
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -98,8 +98,10 @@
 	up := &upstream{network: network, memory: memory, connectTimeout: c.Settings.ConnectTimeout}
 	loop, err := core.New(coreConfig, up,
 		func(address string, to core.Sink) core.Discovery {
-			return discovery.New(address, to, discovery.Options{ConnectTimeout: c.Settings.ConnectTimeout, Dial: network.Dial,
-				Pull: c.Settings.PullDiscovery, Log: log})
+			return discovery.New(address, to, discovery.Options{
+				ConnectTimeout: c.Settings.ConnectTimeout, Dial: network.Dial,
+				Pull: c.Settings.PullDiscovery, Log: log,
+			})
 		})
 	if err != nil {
 		return nil, err
--- a/internal/http1/shared_listener_test.go
+++ b/internal/http1/shared_listener_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -39,7 +40,7 @@
 // A process ends in time though another one that shares its socket has made it blocking: its accept
 // blocks then.
 func TestShutdownEndsThoughAcceptBlocks(t *testing.T) {
-	endpoint := endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {})
+	endpoint := endpointServing(t, "s-1", func(http.ResponseWriter, *http.Request) {})
 	socket, descriptor := shared(t)
 	rg := startWith(t, 1, 1024, func(c *config.Config) { c.Accept = descriptor() }, endpoint)
 	raw, err := socket.SyscallConn()
@@ -86,18 +87,18 @@
 	<-came
 	close(serve)
 	for range 2 {
-		if res := <-answer; res == nil || res.StatusCode != 200 || !res.Close {
+		if res := <-answer; res == nil || res.StatusCode != http.StatusOK || !res.Close {
 			t.Errorf("from the old process: %+v", res)
 		}
 	}
 	idles[2].SetDeadline(time.Now().Add(testTimeout))
-	if n, err := idles[2].Read(make([]byte, 1)); err != io.EOF {
+	if n, err := idles[2].Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("an idle connection: %d bytes, %v", n, err)
 	}
 	old.awaitExit()
 	for range 5 {
 		go func() { <-came }()
-		if res := successor.once("once"); res.StatusCode != 200 || res.Close {
+		if res := successor.once("once"); res.StatusCode != http.StatusOK || res.Close {
 			t.Errorf("from the successor: %+v", res)
 		}
 	}
@@ -113,13 +114,13 @@
 // A process without a list leaves new connections to its predecessor; when there is no other
 // process it answers them itself, if only that it cannot serve.
 func TestServerAcceptsOnlyAfterFirstListOrTimeout(t *testing.T) {
-	endpoint := endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") })
+	endpoint := endpointServing(t, "s-1", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") })
 	_, descriptor := shared(t)
 	accept := func(c *config.Config) { c.Accept = descriptor() }
 	old := startWith(t, 1, 1024, accept, endpoint)
 	heir := startWith(t, 1, 1024, accept) // its /ready is its predecessor's
 	for range 50 {
-		if res := old.once("once"); res.StatusCode != 200 {
+		if res := old.once("once"); res.StatusCode != http.StatusOK {
 			t.Fatalf("with a successor that has no list: %+v", res)
 		}
 	}
@@ -135,7 +136,7 @@
 	line, _ := json.Marshal(endpointList{Rev: 2, Full: true, Targets: []target{endpoint}})
 	heir.lists <- string(line)
 	heir.until("it can serve", heir.server.CanServe)
-	if res := heir.once("once"); res.StatusCode != 200 {
+	if res := heir.once("once"); res.StatusCode != http.StatusOK {
 		t.Errorf("with a list: %+v", res)
 	}
 }
@@ -145,7 +146,7 @@
 func TestUploadEndingAfterGraceIsRejected(t *testing.T) {
 	body := checkableBody(300000)
 	began, whole := make(chan bool, 1), make(chan bool, 1)
-	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, endpointServing(t, "s-1", func(_ http.ResponseWriter, r *http.Request) {
 		began <- true
 		_, err := io.ReadAll(r.Body)
 		whole <- err == nil
--- a/internal/http1/shutdown_test.go
+++ b/internal/http1/shutdown_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -18,7 +19,7 @@
 // It accepts new connections, loses nothing, and exits when all clients have gone.
 func TestShutdownServesOpenConnections(t *testing.T) {
 	came, serve := make(chan bool), make(chan bool)
-	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
 		came <- true
 		<-serve
 		fmt.Fprint(w, "ok")
@@ -31,13 +32,13 @@
 	<-came
 	rg.beginShutdown()
 	close(serve)
-	if res := <-answer; res == nil || res.StatusCode != 200 {
+	if res := <-answer; res == nil || res.StatusCode != http.StatusOK {
 		t.Errorf("what was out at the signal: answer %+v", res)
 	}
 	for range 3 {
 		go ask(idles[1])
 		<-came
-		if res := <-answer; res == nil || res.StatusCode != 200 || res.Close {
+		if res := <-answer; res == nil || res.StatusCode != http.StatusOK || res.Close {
 			t.Errorf("on an open connection: answer %+v", res)
 		}
 	}
@@ -47,7 +48,7 @@
 	}
 	go ask(late.(*net.TCPConn))
 	<-came
-	if res := <-answer; res == nil || res.StatusCode != 200 {
+	if res := <-answer; res == nil || res.StatusCode != http.StatusOK {
 		t.Errorf("on a new connection: answer %+v", res)
 	}
 	late.Close()
@@ -63,7 +64,7 @@
 func TestShutdownAnswersAllRequestsBeforeItsEnd(t *testing.T) {
 	const linger = 3 * time.Second
 	came, gaveUp := make(chan string, 2), make(chan bool, 2)
-	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, endpointServing(t, "s-1", func(_ http.ResponseWriter, r *http.Request) {
 		came <- r.Header.Get("X-Remaining")
 		awaitCancel(r)
 		gaveUp <- true
@@ -96,7 +97,7 @@
 // finds no instance, so the only instance rejects requests with a Retry-After before that.
 func TestShutdownOfOnlyInstanceRejectsBeforeConnectionsRunOut(t *testing.T) {
 	came := make(chan bool, 1)
-	one := endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	one := endpointServing(t, "s-1", func(_ http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Lane") == "read" {
 			came <- true
 			awaitCancel(r)
@@ -125,7 +126,7 @@
 // answers what it has.
 func TestShutdownRedirectsClientsToOtherInstances(t *testing.T) {
 	came, serve := make(chan bool), make(chan bool)
-	rg := startOneOf(t, 2, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := startOneOf(t, 2, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
 		came <- true
 		<-serve
 		fmt.Fprint(w, "ok")
@@ -137,11 +138,11 @@
 	<-came
 	rg.beginShutdown()
 	idles[1].SetDeadline(time.Now().Add(testTimeout))
-	if _, err := idles[1].Read(make([]byte, 1)); err != io.EOF {
+	if _, err := idles[1].Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("an idle connection: %v", err)
 	}
 	close(serve)
-	if res := <-answer; res == nil || res.StatusCode != 200 || !res.Close {
+	if res := <-answer; res == nil || res.StatusCode != http.StatusOK || !res.Close {
 		t.Errorf("answer %+v", res)
 	}
 	rg.awaitExit()
@@ -152,11 +153,13 @@
 // into a reset.
 func TestShutdownRejectsIncompleteRequests(t *testing.T) {
 	var came atomic.Int64
-	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) { came.Add(1) }))
+	rg := start(t, 1024, endpointServing(t, "s-1", func(http.ResponseWriter, *http.Request) { came.Add(1) }))
 	rg.server.shutdownTimeout = 400 * time.Millisecond
 	head := "POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: %s\r\nX-Lane: book\r\nX-Remaining: 9000m\r\nIdempotency-Key: k\r\n"
-	halves := map[string]string{"head": fmt.Sprintf(head, "a"), "body": fmt.Sprintf(head, "b") + "Content-Length: 8\r\n\r\ntrip",
-		"chunks": fmt.Sprintf(head, "c") + "Transfer-Encoding: chunked\r\n\r\n4\r\ntrip\r\n"}
+	halves := map[string]string{
+		"head": fmt.Sprintf(head, "a"), "body": fmt.Sprintf(head, "b") + "Content-Length: 8\r\n\r\ntrip",
+		"chunks": fmt.Sprintf(head, "c") + "Transfer-Encoding: chunked\r\n\r\n4\r\ntrip\r\n",
+	}
 	conns := map[string]*net.TCPConn{}
 	for name, half := range halves {
 		conns[name] = rg.dial()
@@ -212,7 +215,7 @@
 		},
 	} {
 		came, serve := make(chan bool, 3), make(chan bool)
-		rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+		rg := start(t, 1024, endpointServing(t, "s-1", func(http.ResponseWriter, *http.Request) {
 			came <- true
 			<-serve
 		}))
--- a/internal/http1/streaming_test.go
+++ b/internal/http1/streaming_test.go
@@ -61,7 +61,7 @@
 					t.Fatal(err)
 				}
 				got, err := io.ReadAll(res.Body)
-				if err != nil || res.StatusCode != 200 || !bytes.Equal(got, body[:n]) || res.Close != old {
+				if err != nil || res.StatusCode != http.StatusOK || !bytes.Equal(got, body[:n]) || res.Close != old {
 					t.Errorf("%s, %d bytes, old %v: %d bytes, %v, %+v", framing, n, old, len(got), err, res)
 				}
 				if framing == "chunks" && n == len(body) && !old && res.Trailer.Get("X-Sum") != "done" {
@@ -174,7 +174,7 @@
 func TestTruncatedResponseIsVisibleToClient(t *testing.T) {
 	for _, head := range []string{"Content-Length: 200000\r\n", "Transfer-Encoding: chunked\r\n"} {
 		for _, old := range []string{"HTTP/1.1", "HTTP/1.0"} {
-			rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+			rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
 				c, buffered, err := http.NewResponseController(w).Hijack()
 				if err != nil {
 					t.Error(err)
@@ -209,7 +209,7 @@
 // answered with an error.
 func TestTruncatedRequestBodyIsVisibleToEndpoint(t *testing.T) {
 	came, ended := make(chan bool, 1), make(chan error, 1)
-	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+	rg := start(t, 1024, endpointServing(t, "s-1", func(_ http.ResponseWriter, r *http.Request) {
 		came <- true
 		_, err := io.ReadAll(r.Body)
 		ended <- err
@@ -261,14 +261,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := io.ReadAll(res.Body); err != nil || res.StatusCode != 200 || !bytes.Equal(got, body) {
+	if got, err := io.ReadAll(res.Body); err != nil || res.StatusCode != http.StatusOK || !bytes.Equal(got, body) {
 		t.Errorf("got %d, %d bytes, %v", res.StatusCode, len(got), err)
 	}
 }
 
 // An upload that its endpoint does not answer gets its final answer at its deadline.
 func TestUnansweredUploadFailsAtItsDeadline(t *testing.T) {
-	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) { awaitCancel(r) }))
+	rg := start(t, 1024, endpointServing(t, "s-1", func(_ http.ResponseWriter, r *http.Request) { awaitCancel(r) }))
 	r := rg.request("once", 300*time.Millisecond)
 	r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(checkableBody(300000))), 300000
 	if status, _ := rg.ask(r); status != http.StatusBadGateway {
--- a/internal/http1/transfer_attempt.go
+++ b/internal/http1/transfer_attempt.go
@@ -31,7 +31,7 @@
 }
 
 // Begin implements the host of an attempt: it delivers a streamed response.
-func (h *resumedHost) StartResponse(a *core.Attempt, r core.Response) {
+func (h *resumedHost) StartResponse(_ *core.Attempt, r core.Response) {
 	h.deliver(core.Answer{Response: r})
 }
 
--- a/internal/http1/transfer_harness_test.go
+++ b/internal/http1/transfer_harness_test.go
@@ -149,6 +149,7 @@
 
 // atEachCut runs a test for each form, cut after each of its pieces, with a successor and without.
 func atEachCut(t *testing.T, forms map[string][]string, play func(*testing.T, *handoverRig, string, []string, int, bool)) {
+	t.Helper()
 	for name, pieces := range forms {
 		for after := range len(pieces) + 1 {
 			for _, succeeded := range []bool{true, false} {
--- a/internal/http1/transfer_receive.go
+++ b/internal/http1/transfer_receive.go
@@ -15,7 +15,7 @@
 // receiveTransfers begins to receive the predecessor's connections, and returns the function that
 // ends this. It returns nil without a handover directory; clients then go from one process to the
 // other by redirects.
-func (s *Server) receiveTransfers() (close func()) {
+func (s *Server) receiveTransfers() (stop func()) {
 	if !s.sharesListener() || s.config.Handover == "" {
 		return nil
 	}
@@ -69,16 +69,20 @@
 
 // resumeRelay returns the relay that continues from a state.
 func (s *Server) resumeRelay(c *downstreamConn, state *relayState, upstream []net.Conn) *relay {
-	l := &relay{client: c, pending: state.Pending, chunked: state.Chunked, http10: state.HTTP10, keepAlive: state.KeepAlive,
-		buffers: s.memory.Buffers, transfer: s.relayTransfer(nil), body: &responseBody{finished: true}}
+	l := &relay{
+		client: c, pending: state.Pending, chunked: state.Chunked, http10: state.HTTP10, keepAlive: state.KeepAlive,
+		buffers: s.memory.Buffers, transfer: s.relayTransfer(nil), body: &responseBody{finished: true},
+	}
 	if state.Finished {
 		return l
 	}
 	conn := newUpstreamConn(upstream[0], core.NewEndpoint(0, upstream[0].RemoteAddr().String()))
 	conn.readAhead, conn.readLimit = state.Input, state.ReadLimit
 	l.source = conn
-	l.body = &responseBody{conn: conn, reader: conn.reader, length: state.Length, maxLength: maxStreamedBody, read: state.Read,
-		untilClose: state.UntilClose}
+	l.body = &responseBody{
+		conn: conn, reader: conn.reader, length: state.Length, maxLength: maxStreamedBody, read: state.Read,
+		untilClose: state.UntilClose,
+	}
 	if state.Chunks != nil {
 		l.body.chunks = state.Chunks
 		l.body.chunks.r = conn.reader
--- a/internal/http1/transfer_state_test.go
+++ b/internal/http1/transfer_state_test.go
@@ -26,7 +26,7 @@
 // where they reach the limit, it waits until a call has ended.
 func TestSuccessorCountsRequestsInFlightAtPredecessor(t *testing.T) {
 	answer := make(chan bool)
-	h := startHandover(t, func(w http.ResponseWriter, r *http.Request) {
+	h := startHandover(t, func(_ http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
 			io.Copy(io.Discard, r.Body)
 			select {
--- a/internal/http1/transfer_test.go
+++ b/internal/http1/transfer_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -27,6 +28,7 @@
 		"chunks": splitAt(parts+chunkedText(body), 15, n, n+2, n+20000, n+50009, n+100018, -20, -16, -8, -2),
 		"close":  splitAt(ok+"\r\n"+body, 10, 19, 1000, 250000),
 	}, func(t *testing.T, h *handoverRig, name string, pieces []string, after int, succeeded bool) {
+		t.Helper()
 		c := h.dial()
 		r := h.request("once", 9*time.Second)
 		r.Write(c)
@@ -81,7 +83,7 @@
 func TestRelayToSlowClientContinuesThroughSuccessors(t *testing.T) {
 	const n = 24 << 20 // more than the kernel holds of what the caller has not read: its own buffer is set below
 	body := checkableBody(n)
-	h := startHandover(t, func(w http.ResponseWriter, r *http.Request) {
+	h := startHandover(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", fmt.Sprint(n))
 		w.Write(body)
 	})
@@ -125,6 +127,7 @@
 		"long":   splitAt(long+body, 10, l-2, l+400, l+100000, -1),
 		"chunks": splitAt(parts+chunkedText(body), 10, n-2, n+2, n+400, n+50009, n+100000, n+100019, -20, -8, -1),
 	}, func(t *testing.T, h *handoverRig, name string, pieces []string, after int, succeeded bool) {
+		t.Helper()
 		c := h.dial()
 		h.awaitAccepted(c)
 		for _, piece := range pieces[:after] {
@@ -231,7 +234,7 @@
 // the close, and sends nothing more that nobody reads.
 func TestConnectionsOfferedToHungSuccessorAreServedAndClosed(t *testing.T) {
 	for _, figures := range []bool{false, true} {
-		h := startHandover(t, func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, "ok") })
+		h := startHandover(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") })
 		resting, asking := h.dial(), h.dial()
 		for _, c := range []*net.TCPConn{resting, asking} {
 			if res := h.send(c, h.request("once", 9*time.Second)); res == nil || res.StatusCode != http.StatusOK || res.Close {
@@ -262,7 +265,7 @@
 		}
 		for name, c := range map[string]*net.TCPConn{"resting": resting, "asking": asking} {
 			c.SetDeadline(time.Now().Add(testTimeout / 4))
-			if n, err := c.Read(make([]byte, 1)); n > 0 || err != io.EOF {
+			if n, err := c.Read(make([]byte, 1)); n > 0 || !errors.Is(err, io.EOF) {
 				t.Errorf("figures %v, %s: %d bytes, %v: want the end", figures, name, n, err)
 			}
 		}
@@ -337,7 +340,7 @@
 			defer client.CloseIdleConnections()
 			for k := 0; !done.Load(); k++ {
 				size := []int{10, 30000, 100000, 400000}[(i+k)%4]
-				r, _ := http.NewRequest("POST", h.url+"/api", struct{ io.Reader }{bytes.NewReader(make([]byte, size))})
+				r, _ := http.NewRequest(http.MethodPost, h.url+"/api", struct{ io.Reader }{bytes.NewReader(make([]byte, size))})
 				r.ContentLength = int64(k%2*size) - int64(1-k%2)
 				r.Header = http.Header{"X-Txn": {fmt.Sprintf("c%d-%d", i, k)}, "X-Lane": {"once"}, "X-Remaining": {"9000m"}}
 				asked.Add(1)
@@ -348,7 +351,7 @@
 				}
 				text, err := io.ReadAll(res.Body)
 				res.Body.Close()
-				if err != nil || res.StatusCode != 200 || !bytes.Equal(text, checkableBody(size)) {
+				if err != nil || res.StatusCode != http.StatusOK || !bytes.Equal(text, checkableBody(size)) {
 					t.Errorf("%d bytes of %d, %v, %s", len(text), size, err, res.Status)
 				}
 			}
--- a/internal/http1/upstream_attempt_test.go
+++ b/internal/http1/upstream_attempt_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -238,7 +239,7 @@
 		near := pipe(t, func(far net.Conn) {
 			readRequestFrom(far)
 			close(written)
-			if n, err := far.Read(make([]byte, 1)); err != io.EOF {
+			if n, err := far.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 				t.Errorf("%s: endpoint got %d bytes, %v", name, n, err)
 			}
 		})
@@ -251,7 +252,7 @@
 		if res.status != c.want || res.conn != nil {
 			t.Errorf("%s: status %v, conn %v", name, res.status, res.conn)
 		}
-		if _, err := near.Write([]byte("x")); err != io.ErrClosedPipe {
+		if _, err := near.Write([]byte("x")); !errors.Is(err, io.ErrClosedPipe) {
 			t.Errorf("%s: the connection is open: %v", name, err)
 		}
 	}
@@ -332,8 +333,10 @@
 	defer near.Close()
 	defer far.Close()
 	rest := &requestBody{r: bufio.NewReader(strings.NewReader("trip")), length: 8, remaining: 4}
-	in := forwardedRequest{method: http.MethodPost, target: "/api", host: "h", header: http.Header{"Content-Length": {"8"}}, body: []byte("trip"),
-		upload: newUpload(&downstreamConn{Conn: near, tracker: &connTracker{}}, rest, func() bool { return false })}
+	in := forwardedRequest{
+		method: http.MethodPost, target: "/api", host: "h", header: http.Header{"Content-Length": {"8"}}, body: []byte("trip"),
+		upload: newUpload(&downstreamConn{Conn: near, tracker: &connTracker{}}, rest, func() bool { return false }),
+	}
 	c := core.NewCall(decision.Request{LongBody: true}, &in)
 	c.Deadline, c.Remaining = time.Now().Add(testTimeout), testTimeout
 	a := newAttempt(core.NewAttempt(c, core.NewEndpoint(1, endpoint.Listener.Addr().String()), 0, slowHost{}), Kernel{})
@@ -385,7 +388,7 @@
 	if res := a.run(nil, testTimeout, ampleMemory()); res.status != decision.NotSent || res.consumed || res.conn != nil {
 		t.Errorf("%v, spent %v, conn %v", res.status, res.consumed, res.conn)
 	}
-	if err := <-u.readFailed; err != errClientGone {
+	if err := <-u.readFailed; !errors.Is(err, errClientGone) {
 		t.Error(err)
 	}
 	c, err := l.Accept()
--- a/internal/http1/upstream_conn.go
+++ b/internal/http1/upstream_conn.go
@@ -67,7 +67,7 @@
 	if n > 0 {
 		c.endpoint.NoteUnsolicitedData()
 	}
-	return n < 0 && (peek == syscall.EAGAIN || peek == syscall.EINTR)
+	return n < 0 && wouldBlock(peek)
 }
 
 // awaitReadable waits until input is available or the connection has ended, and reports false
--- a/internal/http1/upstream_response.go
+++ b/internal/http1/upstream_response.go
@@ -101,7 +101,8 @@
 // readBody reads the body of a successful response: all of it if it is short and is received at
 // once, else its beginning.
 func (a *attempt) readBody(c *upstreamConn, body *responseBody, header textproto.MIMEHeader,
-	memory *core.Memory) (*response, error) {
+	memory *core.Memory,
+) (*response, error) {
 	r := &response{header: http.Header(header), memory: memory}
 	limit := maxBufferedBody
 	if body.length >= 0 {
--- a/internal/http1/upstream_stream.go
+++ b/internal/http1/upstream_stream.go
@@ -55,7 +55,7 @@
 func (a *attempt) sendAndCancel(c *upstreamConn, memory *core.Memory) (send sendResult) {
 	send.client, send.endpoint = a.sendStreaming(c, memory)
 	switch {
-	case send.client != nil, send.endpoint == errTooLate:
+	case send.client != nil, errors.Is(send.endpoint, errTooLate):
 		a.Cancel()
 	case errors.Is(send.endpoint, errTransferred):
 	case send.endpoint != nil:
@@ -91,7 +91,7 @@
 	switch {
 	case answered.status == decision.Rejected:
 		res.status = decision.Rejected
-	case send.client == nil && send.endpoint != errAnsweredEarly && send.endpoint != errTooLate:
+	case send.client == nil && !errors.Is(send.endpoint, errAnsweredEarly) && !errors.Is(send.endpoint, errTooLate):
 		res.status = a.unsentStatus()
 	}
 	return res
