--- a/cmd/dykering-lab/main.go
+++ b/cmd/dykering-lab/main.go
@@ -20,11 +20,11 @@
 	"github.com/urfave/cli/v3"
 
 	"dykering/internal/commandline"
-	"dykering/internal/validation"
 	"dykering/internal/lab/emulation"
 	"dykering/internal/lab/model"
 	"dykering/internal/lab/scenario"
 	"dykering/internal/lab/sim"
+	"dykering/internal/validation"
 )
 
 func main() {
--- a/cmd/dykering-lab/real.go
+++ b/cmd/dykering-lab/real.go
@@ -10,10 +10,10 @@
 	"github.com/urfave/cli/v3"
 
 	"dykering/internal/commandline"
-	"dykering/internal/validation"
 	"dykering/internal/lab/model"
 	"dykering/internal/lab/real"
 	"dykering/internal/lab/scenario"
+	"dykering/internal/validation"
 )
 
 // brokerCommand is how the broker is started: a program, or, without one, the one that is built in here.
--- a/cmd/dykering-lab/run.go
+++ b/cmd/dykering-lab/run.go
@@ -12,9 +12,9 @@
 	"github.com/urfave/cli/v3"
 
 	"dykering/internal/commandline"
-	"dykering/internal/validation"
 	"dykering/internal/lab/emulation"
 	"dykering/internal/lab/experiment"
+	"dykering/internal/validation"
 )
 
 func newRun(in emulation.Bubble) *cli.Command {
--- a/cmd/dykering/check_command.go
+++ b/cmd/dykering/check_command.go
@@ -11,10 +11,10 @@
 
 	"dykering/internal/commandline"
 	"dykering/internal/config"
-	"dykering/internal/validation"
 	"dykering/internal/fleetconfig"
 	"dykering/internal/nodefile"
 	"dykering/internal/operator"
+	"dykering/internal/validation"
 )
 
 // joined is several errors as one; nil for none.
--- a/cmd/dykering/config_command.go
+++ b/cmd/dykering/config_command.go
@@ -11,8 +11,8 @@
 	"github.com/urfave/cli/v3"
 
 	"dykering/internal/config"
-	"dykering/internal/validation"
 	"dykering/internal/operator"
+	"dykering/internal/validation"
 )
 
 func newConfig() *cli.Command {
--- a/cmd/dykering/fixed_test.go
+++ b/cmd/dykering/fixed_test.go
@@ -233,9 +233,11 @@
 			headings = append(headings, strings.TrimSpace(heading))
 		}
 	}
-	tested := []string{"Commands of dykering", "Commands of dykering-lab", "Exit codes", "Headers", "Paths", "JSON keys",
+	tested := []string{
+		"Commands of dykering", "Commands of dykering-lab", "Exit codes", "Headers", "Paths", "JSON keys",
 		"Keys of the operator's file", "Keys of the settings file", "Metrics of the control process", "Metrics of the proxy",
-		"Log events"}
+		"Log events",
+	}
 	fixture.SameNames(t, "headings", headings, tested)
 }
 
--- a/internal/fleet/gossip/section_check.go
+++ b/internal/fleet/gossip/section_check.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"dykering/internal/validation"
 	"dykering/internal/tomlconfig"
+	"dykering/internal/validation"
 )
 
 const (
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -16,13 +16,13 @@
 	"sync"
 	"time"
 
-	"dykering/internal/validation"
 	"dykering/internal/lab/emulation"
 	"dykering/internal/lab/model"
 	"dykering/internal/lab/real"
 	"dykering/internal/lab/scenario"
 	"dykering/internal/lab/sim"
 	"dykering/internal/tomlconfig"
+	"dykering/internal/validation"
 )
 
 // mostRuns bounds an experiment.
--- a/internal/lab/explore/explore.go
+++ b/internal/lab/explore/explore.go
@@ -16,11 +16,11 @@
 	"sync"
 	"time"
 
-	"dykering/internal/validation"
 	"dykering/internal/lab/emulation"
 	"dykering/internal/lab/rules"
 	"dykering/internal/lab/scenario"
 	"dykering/internal/tomlconfig"
+	"dykering/internal/validation"
 )
 
 //go:embed base.toml
--- a/internal/lab/faultnet/schedule.go
+++ b/internal/lab/faultnet/schedule.go
@@ -7,25 +7,25 @@
 	"syscall"
 	"time"
 
-	"dykering/internal/validation"
 	"dykering/internal/tomlconfig"
+	"dykering/internal/validation"
 )
 
 // Step is one fault of a schedule, at a time from its start. Members are named as the fleet names them.
 type Step struct {
 	At     tomlconfig.Duration `toml:"at" doc:"from the start of the schedule"`
-	Do     string          `toml:"do" doc:"what befalls the fleet" oneof:"down loss slow cut heal stop cont kill start"`
-	From   string          `toml:"from" doc:"down: the member whose link is dropped"`
-	To     string          `toml:"to" doc:"down: the member it no longer reaches"`
-	Both   bool            `toml:"both" doc:"down: the link back too"`
-	Share  float64         `toml:"share" doc:"loss: the share of packets and streams dropped" min:"0" max:"1"`
+	Do     string              `toml:"do" doc:"what befalls the fleet" oneof:"down loss slow cut heal stop cont kill start"`
+	From   string              `toml:"from" doc:"down: the member whose link is dropped"`
+	To     string              `toml:"to" doc:"down: the member it no longer reaches"`
+	Both   bool                `toml:"both" doc:"down: the link back too"`
+	Share  float64             `toml:"share" doc:"loss: the share of packets and streams dropped" min:"0" max:"1"`
 	Fixed  tomlconfig.Duration `toml:"fixed" doc:"slow: what each packet waits"`
 	Jitter tomlconfig.Duration `toml:"jitter" doc:"slow: up to this much more"`
-	Tail   float64         `toml:"tail" doc:"slow: the share that waits tail_by more" min:"0" max:"1"`
+	Tail   float64             `toml:"tail" doc:"slow: the share that waits tail_by more" min:"0" max:"1"`
 	TailBy tomlconfig.Duration `toml:"tail_by" doc:"slow: how much more the tail waits"`
-	Sets   [][]string      `toml:"sets" doc:"cut: the sets that nothing passes between"`
-	Member string          `toml:"member" doc:"stop, cont, kill, start: the member"`
-	As     string          `toml:"as" doc:"start: the id it starts under; empty: its own"`
+	Sets   [][]string          `toml:"sets" doc:"cut: the sets that nothing passes between"`
+	Member string              `toml:"member" doc:"stop, cont, kill, start: the member"`
+	As     string              `toml:"as" doc:"start: the id it starts under; empty: its own"`
 }
 
 // Schedule is faults in their order.
--- a/internal/lab/real/play_test.go
+++ b/internal/lab/real/play_test.go
@@ -266,7 +266,9 @@
 	s := brief(t)
 	s.Lasts = tomlconfig.Duration(14 * time.Second)
 	s.Broker.Instances, s.Broker.Fleet = 4, true
-	at := func(seconds int) tomlconfig.Duration { return tomlconfig.Duration(time.Duration(seconds) * time.Second) }
+	at := func(seconds int) tomlconfig.Duration {
+		return tomlconfig.Duration(time.Duration(seconds) * time.Second)
+	}
 	b := func(i int) string { return fmt.Sprintf("broker-0-%d", i) }
 	s.Faults = []faultnet.Step{
 		{At: at(1), Do: "kill", Member: b(1)},
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -113,10 +113,12 @@
 	return struct {
 		*gossip.Snapshot
 		Counters counters `json:"counters"`
-	}{f.gossip.View(), counters{k.Acks.Load(), k.Suspicions.Load(), k.Refutations.Load(), k.Deaths.Load(),
+	}{f.gossip.View(), counters{
+		k.Acks.Load(), k.Suspicions.Load(), k.Refutations.Load(), k.Deaths.Load(),
 		k.Joins.Load(), k.Leaves.Load(), k.Conflicts.Load(), k.Future.Load(), k.Lost.Load(), k.PacketsIn.Load(),
 		k.PacketsOut.Load(), k.BytesIn.Load(), k.BytesOut.Load(), k.StreamsIn.Load(), k.StreamsOut.Load(),
-		k.Bad.Load()}}
+		k.Bad.Load(),
+	}}
 }
 
 func (f *fleet) state() any {
@@ -128,9 +130,11 @@
 		Self string `json:"self"`
 		*replication.State
 		Counters counters `json:"counters"`
-	}{f.section.ID, f.replica.State(), counters{k.Told.Load(), k.Merged.Load(), k.Known.Load(), k.Refused.Load(),
+	}{f.section.ID, f.replica.State(), counters{
+		k.Told.Load(), k.Merged.Load(), k.Known.Load(), k.Refused.Load(),
 		k.Bad.Load(), k.Heeded.Load(), k.CaughtUp.Load(), k.Snapshots.Load(), k.Lost.Load(), k.Held.Load(),
-		k.BytesTold.Load(), k.BytesSent.Load()}}
+		k.BytesTold.Load(), k.BytesSent.Load(),
+	}}
 }
 
 // fleetOf is the fleet for the second address, nil without one.
--- a/internal/sidecar/generations.go
+++ b/internal/sidecar/generations.go
@@ -6,9 +6,9 @@
 
 	"go.uber.org/zap"
 
-	"dykering/internal/validation"
 	"dykering/internal/logs"
 	"dykering/internal/operator"
+	"dykering/internal/validation"
 )
 
 // Generations are the operator's files that have been taken, one after another, and what follows from the last one.
