--- a/internal/chain/chain_test.go
+++ b/internal/chain/chain_test.go
@@ -26,9 +26,11 @@
 	view.Holder = view.Chain[0]
 	var nodes []*Node
 	for _, voter := range view.Voters {
-		config := Config{Self: voter, Apply: countOperations, MaxFailures: 1, SuspectTimeout: time.Second, PingInterval: time.Second,
+		config := Config{
+			Self: voter, Apply: countOperations, MaxFailures: 1, SuspectTimeout: time.Second, PingInterval: time.Second,
 			LeaseDuration: time.Second, TakeoverDelay: time.Second, ReturnDelay: 3 * time.Second,
-			Jitter: func(time.Duration) time.Duration { return 0 }}
+			Jitter: func(time.Duration) time.Duration { return 0 },
+		}
 		node, _ := NewGenesis(config, 0, view, 0)
 		nodes = append(nodes, node)
 	}
--- a/internal/lab/coresim/coresim_test.go
+++ b/internal/lab/coresim/coresim_test.go
@@ -15,8 +15,10 @@
 
 // quicklyFound are the flaws that a short search finds. The others take a longer one (dykering-lab control flaws); some of
 // them have a schedule of their own below.
-var quicklyFound = []Flaw{SendBeforeSync, AckAtHead, EarlyCommit, VoteAfterWipe, RestartBehind, ShortPromise, ShortInstall,
-	ReadUnconfirmed, LeaseUnconfirmed, NoTakeoverDelay, ConstantToken, ForgetPromise, RejectUnconfirmed, ForgetApplied, IgnoreBase}
+var quicklyFound = []Flaw{
+	SendBeforeSync, AckAtHead, EarlyCommit, VoteAfterWipe, RestartBehind, ShortPromise, ShortInstall,
+	ReadUnconfirmed, LeaseUnconfirmed, NoTakeoverDelay, ConstantToken, ForgetPromise, RejectUnconfirmed, ForgetApplied, IgnoreBase,
+}
 
 var _ = Describe("generated schedules of faults", func() {
 	It("violate no guarantee", func() {
@@ -102,8 +104,10 @@
 
 // lastReplicaLeaves lets a member leave that was one of two which had accepted the view without it. It was found by the search.
 var lastReplicaLeaves = Schedule{Options: Options{Members: 3, MostFailures: 1, Busy: true}, Overlap: true, Steps: []Fault{
-	{2928364042, DelayInbound, 0, 4796145583}, {4210839438, PlannedReplacement, 2, 3622145871},
-	{5745642602, KillAfterHeal, 1, 1976305551}, {7523904108, Leave, 0, 3778453804},
+	{2928364042, DelayInbound, 0, 4796145583},
+	{4210839438, PlannedReplacement, 2, 3622145871},
+	{5745642602, KillAfterHeal, 1, 1976305551},
+	{7523904108, Leave, 0, 3778453804},
 }}
 
 var _ = Describe("a leaving member", func() {
@@ -168,7 +172,9 @@
 
 // readWhileStalled reads at the tail while its disk stalls, and then kills all. It was found by the search.
 var readWhileStalled = Schedule{Options: Options{Members: 3, MostFailures: 1}, Overlap: true, Steps: []Fault{
-	{4818832250, Leave, 1, 1353999689}, {4995210845, StallDisk, 0, 449675308}, {7078925163, StallDisk, 1, 4008094742},
+	{4818832250, Leave, 1, 1353999689},
+	{4995210845, StallDisk, 0, 449675308},
+	{7078925163, StallDisk, 1, 4008094742},
 	{7556768366, KillAll, 0, 4709076681},
 }}
 
--- a/internal/ringlog/ringlog_test.go
+++ b/internal/ringlog/ringlog_test.go
@@ -142,7 +142,7 @@
 	})
 
 	DescribeTable("returns a record with one unreadable copy",
-		func(copy int64, record int) {
+		func(copyIndex int64, record int) {
 			ring, _ := open()
 			texts := []string{"snapshot", "first", "last"}
 			var at []int64
@@ -151,7 +151,7 @@
 				at = append(at, ring.offset-RecordSize([]byte(text)))
 			}
 			for i := range copySize([]byte(texts[record])) {
-				overwrite(file(0), at[record]+copy*copySize([]byte(texts[record]))+i, []byte{0xff})
+				overwrite(file(0), at[record]+copyIndex*copySize([]byte(texts[record]))+i, []byte{0xff})
 			}
 			again, records := open()
 			Expect(records).To(Equal(texts))
