--- a/internal/fleet/budgets/compatibility_test.go
+++ b/internal/fleet/budgets/compatibility_test.go
@@ -39,7 +39,7 @@
 // behind it.
 func writeLedger(t *testing.T, dir string) {
 	t.Helper()
-	d, err := openDisk(dir, []uint64{1}, encode(budget.NewLedger(compatiblePool)))
+	opened, err := openStorage(dir, []uint64{1}, encode(budget.NewLedger(compatiblePool)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,10 +56,10 @@
 		entries = append(entries, &raftpb.Entry{Term: proto.Uint64(2), Index: proto.Uint64(uint64(i) + 2), Data: encode(c)})
 	}
 	hard := &raftpb.HardState{Term: proto.Uint64(2), Vote: proto.Uint64(1), Commit: proto.Uint64(uint64(len(commands)) + 1)}
-	if err := d.keep(raft.Ready{HardState: hard, Entries: entries}); err != nil {
+	if err := opened.save(raft.Ready{HardState: hard, Entries: entries}); err != nil {
 		t.Fatal(err)
 	}
-	if err := d.close(); err != nil {
+	if err := opened.close(); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -82,21 +82,21 @@
 		t.Fatal(err)
 	}
 	terms := budget.Terms{Length: compatibleLease, Drift: 0.01}
-	g, err := newGroup(compatibleVoter, []string{compatibleVoter}, dir, terms, compatiblePool, zap.NewNop(),
+	v, err := newVoter(compatibleVoter, []string{compatibleVoter}, dir, terms, compatiblePool, zap.NewNop(),
 		func(string, envelope) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer g.disk.close()
-	if err := g.work(0); err != nil {
+	defer v.storage.close()
+	if err := v.process(0); err != nil {
 		t.Fatal(err)
 	}
-	fixture.Golden(t, "testdata/compatibility/ledger-applied.json", g.ledger)
-	hard, _, err := g.disk.InitialState()
+	fixture.Golden(t, "testdata/compatibility/ledger-applied.json", v.ledger)
+	hard, _, err := v.storage.InitialState()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if hard.GetTerm() != 2 || hard.GetVote() != 1 || hard.GetCommit() != 4 || g.applied != 4 {
-		t.Errorf("hard state %v, applied %d", hard, g.applied)
+	if hard.GetTerm() != 2 || hard.GetVote() != 1 || hard.GetCommit() != 4 || v.applied != 4 {
+		t.Errorf("hard state %v, applied %d", hard, v.applied)
 	}
 }
--- a/internal/fleet/budgets/budgets_test.go
+++ b/internal/fleet/budgets/service_test.go
@@ -19,25 +19,26 @@
 	"dykering/internal/tomlconfig"
 )
 
-// lone is a broker and a gossip of one.
-type lone struct {
-	mu    sync.Mutex
-	parts []float64
-	take  func([]byte)
+// fakeMember is a broker, and a gossip that reaches nobody.
+type fakeMember struct {
+	mu      sync.Mutex
+	rates   []float64
+	receive func([]byte)
 }
 
-func (l *lone) Usage(context.Context) ([]core.Usage, error) { return make([]core.Usage, 1), nil }
-func (l *lone) SetQuotaShares(a decision.QuotaShares, _ time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.parts = slices.Clone(a.TenantRates)
+func (m *fakeMember) Usage(context.Context) ([]core.Usage, error) { return make([]core.Usage, 1), nil }
+
+func (m *fakeMember) SetQuotaShares(a decision.QuotaShares, _ time.Time) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.rates = slices.Clone(a.TenantRates)
 }
-func (l *lone) Handle(take func([]byte))  { l.take = take }
-func (l *lone) Send(string, []byte) error { return nil }
+func (m *fakeMember) Handle(receive func([]byte)) { m.receive = receive }
+func (m *fakeMember) Send(string, []byte) error   { return nil }
 
-// A voter whose ledger was lost, as the lead's word shows, votes no more; the broker goes on by what it has.
-func TestVoterWithoutItsLedger(t *testing.T) {
-	l := &lone{}
+// A voter whose ledger was lost, as the leader's heartbeat shows, votes no more; the broker goes on by its floor.
+func TestVoterThatLostItsLedgerVotesNoMoreAndKeepsItsFloor(t *testing.T) {
+	m := &fakeMember{}
 	seen, logs := observer.New(zapcore.InfoLevel)
 	s := Start(Config{
 		Self: "a", Weight: 1, Tenants: []string{"one"}, Wholes: []float64{100}, Instances: 4,
@@ -45,27 +46,27 @@
 			Enabled: true, Voters: []string{"a", "b", "c"}, Dir: t.TempDir(), Floor: 20, Drift: 1, Rate: 1,
 			Lease: tomlconfig.Duration(300 * time.Millisecond),
 		},
-	}, l, l, zap.New(seen))
-	beat, err := proto.Marshal(&raftpb.Message{
+	}, m, m, zap.New(seen))
+	heartbeat, err := proto.Marshal(&raftpb.Message{
 		Type: raftpb.MsgHeartbeat.Enum(), To: proto.Uint64(1), From: proto.Uint64(2),
 		Term: proto.Uint64(9), Commit: proto.Uint64(500),
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.take([]byte("garbage"))
-	l.take(encode(envelope{Raft: []byte("garbage")}))
-	l.take(encode(envelope{Raft: beat}))
+	m.receive([]byte("garbage"))
+	m.receive(encode(envelope{Raft: []byte("garbage")}))
+	m.receive(encode(envelope{Raft: heartbeat}))
 	for end := time.Now().Add(10 * time.Second); logs.FilterMessage("fleet.budget.vote_lost").Len() == 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("it votes on: %v", logs.All())
+			t.Fatalf("it still votes: %v", logs.All())
 		}
 	}
 	if p := s.State().Parts; len(p) != 1 || p[0].Part != 5 || s.State().Leased {
 		t.Errorf("it may spend %+v, want its floor", p)
 	}
 	s.Close()
-	if l.parts[0] != 0 {
-		t.Errorf("closed, it spends %v", l.parts)
+	if m.rates[0] != 0 {
+		t.Errorf("closed, it spends %v", m.rates)
 	}
 }
--- a/internal/fleet/budgets/storage.go
+++ b/internal/fleet/budgets/storage.go
@@ -14,150 +14,178 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// disk keeps a voter's Raft log, hard state and snapshot in a bbolt file, and a copy in memory that raft reads. What raft
-// asks to have kept is on disk before anything that follows from it is sent.
-type disk struct {
+// storage holds a voter's Raft log, hard state and snapshot in a bbolt file, with a copy in memory that Raft reads. What
+// Raft asks to have stored is on disk before anything that follows from it is sent.
+type storage struct {
 	*raft.MemoryStorage
 	db *bbolt.DB
 }
 
+// fileName is the name of the database in a voter's folder.
+const fileName = "ledger.db"
+
+// The buckets and keys of the database. Entries have their index, in big-endian order, as their key.
 var (
-	stateBucket, logBucket = []byte("state"), []byte("log")
-	keyHard, keySnap       = []byte("hard"), []byte("snapshot")
+	stateBucket  = []byte("state")
+	logBucket    = []byte("log")
+	keyHardState = []byte("hard")
+	keySnapshot  = []byte("snapshot")
 )
 
-// lockTimeout bounds the wait for the file's lock, that a process which hands over may still hold.
+// A new log begins, as those of all voters do, with a snapshot of an empty ledger at the first index and term, so that
+// all agree on who votes.
+const firstIndex, firstTerm = 1, 1
+
+// lockTimeout bounds the wait for the file's lock, which a process that hands over may still hold.
 const lockTimeout = 2 * time.Second
 
-// openDisk reads what a voter had. A new one begins, as all voters do, with a snapshot of nothing at index 1, so that all
-// agree on who votes.
-func openDisk(dir string, voters []uint64, empty []byte) (*disk, error) {
+// openStorage opens a voter's database, or creates it with the snapshot of an empty ledger.
+func openStorage(dir string, voters []uint64, emptyLedger []byte) (*storage, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("budgets: %w", err)
 	}
-	db, err := bbolt.Open(filepath.Join(dir, "ledger.db"), 0o600, &bbolt.Options{Timeout: lockTimeout})
+	db, err := bbolt.Open(filepath.Join(dir, fileName), 0o600, &bbolt.Options{Timeout: lockTimeout})
 	if err != nil {
 		return nil, fmt.Errorf("budgets: ledger: %w", err)
 	}
-	d := &disk{MemoryStorage: raft.NewMemoryStorage(), db: db}
-	err = db.Update(func(tx *bbolt.Tx) error {
-		state, err := tx.CreateBucketIfNotExists(stateBucket)
-		if err != nil {
-			return err
-		}
-		log, err := tx.CreateBucketIfNotExists(logBucket)
-		if err != nil {
+	s := &storage{MemoryStorage: raft.NewMemoryStorage(), db: db}
+	first := &raftpb.Snapshot{Data: emptyLedger, Metadata: &raftpb.SnapshotMetadata{
+		Index: proto.Uint64(firstIndex), Term: proto.Uint64(firstTerm),
+		ConfState: &raftpb.ConfState{Voters: voters},
+	}}
+	if err := db.Update(func(tx *bbolt.Tx) error { return s.load(tx, first) }); err != nil {
+		return nil, fmt.Errorf("budgets: ledger: %w", errors.Join(err, db.Close()))
+	}
+	return s, nil
+}
+
+// load reads the database into memory, with a first snapshot for one that has none.
+func (s *storage) load(tx *bbolt.Tx, first *raftpb.Snapshot) error {
+	state, err := tx.CreateBucketIfNotExists(stateBucket)
+	if err != nil {
+		return err
+	}
+	log, err := tx.CreateBucketIfNotExists(logBucket)
+	if err != nil {
+		return err
+	}
+	snapshot := first
+	if text := state.Get(keySnapshot); text != nil {
+		snapshot = &raftpb.Snapshot{}
+		if err := proto.Unmarshal(text, snapshot); err != nil {
 			return err
 		}
-		snap := &raftpb.Snapshot{Data: empty, Metadata: &raftpb.SnapshotMetadata{
-			Index: proto.Uint64(1), Term: proto.Uint64(1),
-			ConfState: &raftpb.ConfState{Voters: voters},
-		}}
-		if b := state.Get(keySnap); b != nil {
-			snap = &raftpb.Snapshot{}
-			if err := proto.Unmarshal(b, snap); err != nil {
-				return err
-			}
-		}
-		hard := &raftpb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)}
-		if b := state.Get(keyHard); b != nil {
-			hard = &raftpb.HardState{}
-			if err := proto.Unmarshal(b, hard); err != nil {
-				return err
-			}
-		}
-		var entries []*raftpb.Entry
-		if err := log.ForEach(func(_, b []byte) error {
-			e := &raftpb.Entry{}
-			if err := proto.Unmarshal(b, e); err != nil {
-				return err
-			}
-			if e.GetIndex() > snap.GetMetadata().GetIndex() {
-				entries = append(entries, e)
-			}
-			return nil
-		}); err != nil {
+	}
+	hardState := &raftpb.HardState{Term: proto.Uint64(firstTerm), Commit: proto.Uint64(firstIndex)}
+	if text := state.Get(keyHardState); text != nil {
+		hardState = &raftpb.HardState{}
+		if err := proto.Unmarshal(text, hardState); err != nil {
 			return err
 		}
-		return errors.Join(d.ApplySnapshot(snap), d.SetHardState(hard), d.Append(entries))
-	})
+	}
+	entries, err := entriesAfter(log, snapshot.GetMetadata().GetIndex())
 	if err != nil {
-		return nil, fmt.Errorf("budgets: ledger: %w", errors.Join(err, db.Close()))
+		return err
 	}
-	return d, nil
+	return errors.Join(s.ApplySnapshot(snapshot), s.SetHardState(hardState), s.Append(entries))
 }
 
-func index(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
+// entriesAfter reads the entries behind an index.
+func entriesAfter(log *bbolt.Bucket, index uint64) (entries []*raftpb.Entry, err error) {
+	err = log.ForEach(func(_, text []byte) error {
+		entry := &raftpb.Entry{}
+		if err := proto.Unmarshal(text, entry); err != nil {
+			return err
+		}
+		if entry.GetIndex() > index {
+			entries = append(entries, entry)
+		}
+		return nil
+	})
+	return entries, err
+}
 
-// keep has raft's state on disk, in one transaction.
-func (d *disk) keep(rd raft.Ready) error {
-	if raft.IsEmptyHardState(rd.HardState) && raft.IsEmptySnap(rd.Snapshot) && len(rd.Entries) == 0 {
+// save stores Raft's state in one transaction.
+func (s *storage) save(ready raft.Ready) error {
+	if raft.IsEmptyHardState(ready.HardState) && raft.IsEmptySnap(ready.Snapshot) && len(ready.Entries) == 0 {
 		return nil
 	}
-	err := d.db.Update(func(tx *bbolt.Tx) error {
-		state, log := tx.Bucket(stateBucket), tx.Bucket(logBucket)
-		if !raft.IsEmptySnap(rd.Snapshot) {
-			if err := put(state, keySnap, rd.Snapshot); err != nil {
-				return err
-			}
-			if err := d.ApplySnapshot(rd.Snapshot); err != nil {
-				return err
-			}
+	if err := s.db.Update(func(tx *bbolt.Tx) error { return s.saveIn(tx, ready) }); err != nil {
+		return fmt.Errorf("budgets: ledger: %w", err)
+	}
+	return nil
+}
+
+func (s *storage) saveIn(tx *bbolt.Tx, ready raft.Ready) error {
+	state := tx.Bucket(stateBucket)
+	if !raft.IsEmptySnap(ready.Snapshot) {
+		if err := put(state, keySnapshot, ready.Snapshot); err != nil {
+			return err
 		}
-		if len(rd.Entries) > 0 { // what stands from the first of them on is no longer true
-			c := log.Cursor()
-			for k, _ := c.Seek(index(rd.Entries[0].GetIndex())); k != nil; k, _ = c.Next() {
-				if err := c.Delete(); err != nil {
-					return err
-				}
-			}
-			for _, e := range rd.Entries {
-				if err := put(log, index(e.GetIndex()), e); err != nil {
-					return err
-				}
-			}
-			if err := d.Append(rd.Entries); err != nil {
-				return err
-			}
+		if err := s.ApplySnapshot(ready.Snapshot); err != nil {
+			return err
+		}
+	}
+	if len(ready.Entries) > 0 {
+		if err := replaceFrom(tx.Bucket(logBucket), ready.Entries); err != nil {
+			return err
 		}
-		if !raft.IsEmptyHardState(rd.HardState) {
-			return errors.Join(put(state, keyHard, rd.HardState), d.SetHardState(rd.HardState))
+		if err := s.Append(ready.Entries); err != nil {
+			return err
 		}
-		return nil
-	})
-	if err != nil {
-		return fmt.Errorf("budgets: ledger: %w", err)
+	}
+	if !raft.IsEmptyHardState(ready.HardState) {
+		return errors.Join(put(state, keyHardState, ready.HardState), s.SetHardState(ready.HardState))
 	}
 	return nil
 }
 
-func put(b *bbolt.Bucket, key []byte, m proto.Message) error {
-	text, err := proto.Marshal(m)
+// replaceFrom writes entries in place of all that were stored from the first of them on: a new leader's entries replace
+// those that were never committed.
+func replaceFrom(log *bbolt.Bucket, entries []*raftpb.Entry) error {
+	cursor := log.Cursor()
+	for key, _ := cursor.Seek(entryKey(entries[0].GetIndex())); key != nil; key, _ = cursor.Next() {
+		if err := cursor.Delete(); err != nil {
+			return err
+		}
+	}
+	for _, entry := range entries {
+		if err := put(log, entryKey(entry.GetIndex()), entry); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
+
+func put(bucket *bbolt.Bucket, key []byte, message proto.Message) error {
+	text, err := proto.Marshal(message)
 	if err != nil {
 		return err
 	}
-	return b.Put(key, text)
+	return bucket.Put(key, text)
 }
 
-// compact makes a snapshot of what was applied up to an index, and forgets the log before it.
-func (d *disk) compact(at uint64, conf *raftpb.ConfState, data []byte) error {
-	snap, err := d.CreateSnapshot(at, conf, data)
+// compact stores a snapshot of what was applied up to an index, and deletes the log up to there.
+func (s *storage) compact(index uint64, conf *raftpb.ConfState, ledger []byte) error {
+	snapshot, err := s.CreateSnapshot(index, conf, ledger)
 	if err != nil {
 		return fmt.Errorf("budgets: snapshot: %w", err)
 	}
-	err = d.db.Update(func(tx *bbolt.Tx) error {
-		c := tx.Bucket(logBucket).Cursor()
-		for k, _ := c.First(); k != nil && binary.BigEndian.Uint64(k) <= at; k, _ = c.Next() {
-			if err := c.Delete(); err != nil {
+	err = s.db.Update(func(tx *bbolt.Tx) error {
+		cursor := tx.Bucket(logBucket).Cursor()
+		for key, _ := cursor.First(); key != nil && binary.BigEndian.Uint64(key) <= index; key, _ = cursor.Next() {
+			if err := cursor.Delete(); err != nil {
 				return err
 			}
 		}
-		return put(tx.Bucket(stateBucket), keySnap, snap)
+		return put(tx.Bucket(stateBucket), keySnapshot, snapshot)
 	})
 	if err != nil {
 		return fmt.Errorf("budgets: snapshot: %w", err)
 	}
-	return d.Compact(at)
+	return s.Compact(index)
 }
 
-func (d *disk) close() error { return d.db.Close() }
+func (s *storage) close() error { return s.db.Close() }
