--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -69,7 +69,7 @@
 	return a
 }
 
-// Written tells that the last byte of a long body is out: the endpoint's time counts from now on.
+// RequestSent is called when the last byte of a long body was sent: the endpoint's time counts from now on.
 func (a *Attempt) RequestSent() {
 	a.mu.Lock()
 	a.sentAt = time.Now()
@@ -77,8 +77,8 @@
 	a.observer.RequestSent(a)
 }
 
-// Begin gives the call a response whose end is still to come. It is false when the time-out has passed; else the
-// attempt is timed no longer. Took is how long the answer took to begin.
+// StartResponse answers the call with a response whose end is still to come. It is false when the time-out
+// has passed; else there is no time-out any more. Took is the time until the response began.
 func (a *Attempt) StartResponse(r Response) (took time.Duration, ok bool) {
 	a.mu.Lock()
 	a.streaming = a.timer == nil || a.timer.Stop()
@@ -91,10 +91,10 @@
 	return took, ok
 }
 
-// Cancel gives the attempt up.
+// Cancel ends the attempt's context.
 func (a *Attempt) Cancel() { a.cancel(context.Canceled) }
 
-// Close lets go of what an attempt that is over holds.
+// Close releases what an attempt that is over holds.
 func (a *Attempt) Close() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -104,7 +104,7 @@
 	a.cancel(context.Canceled)
 }
 
-// EndAt has the attempt time out.
+// SetDeadline sets when the attempt times out, unless a long response has begun.
 func (a *Attempt) SetDeadline(deadline time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -117,14 +117,14 @@
 	a.timer = time.AfterFunc(time.Until(deadline), func() { a.cancel(context.DeadlineExceeded) })
 }
 
-// isBegun tells whether a long answer is on its way to the caller.
+// isStreaming reports whether a long response has begun.
 func (a *Attempt) isStreaming() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.streaming
 }
 
-// Elapsed is the time that counts.
+// Elapsed is the time since the request was sent or, with a long body, since its last byte was.
 func (a *Attempt) Elapsed() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/core/attempts_test.go
+++ b/internal/core/attempts_test.go
@@ -11,7 +11,7 @@
 func TestKeyedRetryHasSendBound(t *testing.T) {
 	for _, class := range []int{read, keyed} {
 		b := newTestLoop(t, nil, ready("s-1", 0), ready("s-2", 0))
-		b.send = func(a *Attempt, n int) Result { return []Result{{Status: decision.Error}, b.served("again")}[n-1] }
+		b.send = func(_ *Attempt, n int) Result { return []Result{{Status: decision.Error}, b.served("again")}[n-1] }
 		c := b.submit("x", class)
 		if got := b.final(c); got != "again" {
 			t.Error(got)
@@ -29,7 +29,7 @@
 func TestResponseIsDeliveredOrDiscarded(t *testing.T) {
 	goOn := make(chan bool)
 	b := newTestLoop(t, nil, ready("s-1", 0))
-	b.send = func(a *Attempt, n int) Result {
+	b.send = func(a *Attempt, _ int) Result {
 		switch a.Call.Message {
 		case "long":
 			if _, ok := a.StartResponse(textResponse{"begun", b.discarded}); !ok {
--- a/internal/core/calls_test.go
+++ b/internal/core/calls_test.go
@@ -32,7 +32,7 @@
 	} {
 		for class, want := range []string{tc.read, tc.once} {
 			b := newTestLoop(t, nil, ready("s-1", 0), ready("s-2", 0))
-			b.send = func(a *Attempt, n int) Result {
+			b.send = func(_ *Attempt, n int) Result {
 				if n == 1 {
 					return tc.first
 				}
@@ -57,7 +57,7 @@
 func TestRepeatedIDIsAnsweredWithoutPromise(t *testing.T) {
 	goOn := make(chan bool)
 	b := newTestLoop(t, nil, ready("s-1", 0))
-	b.send = func(a *Attempt, n int) Result { <-goOn; return b.served("ok") }
+	b.send = func(_ *Attempt, _ int) Result { <-goOn; return b.served("ok") }
 	first := b.submit("x", read)
 	if got := b.final(b.submit("x", read)); got != "failed" {
 		t.Error(got)
@@ -86,7 +86,7 @@
 // A call whose client has gone is cancelled at once, and forgotten.
 func TestAbandonedCallIsCancelledAndForgotten(t *testing.T) {
 	out, calledOff := make(chan bool, 1), make(chan bool, 1)
-	b := newTestLoop(t, func(a *Attempt, n int) Result {
+	b := newTestLoop(t, func(a *Attempt, _ int) Result {
 		out <- true
 		select {
 		case <-a.Ctx.Done():
@@ -108,7 +108,7 @@
 // When its process ends a call is answered, and its attempt is cancelled.
 func TestDrainAnswersCallsAndCancelsAttempts(t *testing.T) {
 	b := newTestLoop(t, nil, ready("s-1", 0))
-	b.send = func(a *Attempt, n int) Result {
+	b.send = func(a *Attempt, _ int) Result {
 		<-a.Ctx.Done()
 		if !errors.Is(context.Cause(a.Ctx), context.Canceled) {
 			return Result{Status: decision.Timeout}
--- a/internal/core/discovery.go
+++ b/internal/core/discovery.go
@@ -68,10 +68,10 @@
 
 // A watch may bring a full list that is older than the one at hand: it was under way for longer than a fetch, or
 // discovery has begun to count anew, or one of its replicas lags. Then the full list is fetched again whatever its
-// version, but not again for resyncBackoffMin; the pause doubles each time that this goes on, up to resyncBackoffMax.
+// version, but not again for minResyncBackoff; the pause doubles each time that this goes on, up to maxResyncBackoff.
 const (
-	resyncBackoffMin = 3 * time.Second
-	resyncBackoffMax = 30 * time.Second
+	minResyncBackoff = 3 * time.Second
+	maxResyncBackoff = 30 * time.Second
 )
 
 // SwitchDiscovery follows the discovery at another address. Its versions may count otherwise, so its full list is
@@ -155,8 +155,12 @@
 	case got.Full:
 		kind = decision.FullList
 	}
-	l.balancer.Targets(l.now(), decision.List{Kind: kind, Version: got.Rev, VersionsRestart: versionsRestart,
-		Entries: entries})
+	l.balancer.Targets(l.now(), decision.List{
+		Kind:            kind,
+		Version:         got.Rev,
+		VersionsRestart: versionsRestart,
+		Entries:         entries,
+	})
 	if from != FromCache || len(entries) > 0 {
 		l.lifecycle.listReceived()
 	}
@@ -177,8 +181,8 @@
 		})
 		return
 	}
-	if elapsed > 2*resyncBackoffMax {
-		l.resyncBackoff = resyncBackoffMin
+	if elapsed > 2*maxResyncBackoff {
+		l.resyncBackoff = minResyncBackoff
 	}
 	l.resyncAt = time.Now()
 	l.switchDiscovery(l.discoveryAddress)
@@ -190,7 +194,7 @@
 	if discovery != l.discovery || revision != l.revision {
 		return
 	}
-	l.resyncBackoff = min(2*l.resyncBackoff, resyncBackoffMax)
+	l.resyncBackoff = min(2*l.resyncBackoff, maxResyncBackoff)
 	l.resyncAt = time.Now()
 	l.switchDiscovery(l.discoveryAddress)
 }
--- a/internal/core/endpoint_table.go
+++ b/internal/core/endpoint_table.go
@@ -44,8 +44,14 @@
 
 // newEndpointTable makes a table whose numbers of zones and models are the settings'.
 func newEndpointTable(zones, models []string, origin time.Time, log *zap.Logger) *endpointTable {
-	t := &endpointTable{log: log, origin: origin, byID: map[decision.EndpointID]*Endpoint{},
-		ids: map[string]decision.EndpointID{}, zones: nameIndex{}, models: nameIndex{}}
+	t := &endpointTable{
+		log:    log,
+		origin: origin,
+		byID:   map[decision.EndpointID]*Endpoint{},
+		ids:    map[string]decision.EndpointID{},
+		zones:  nameIndex{},
+		models: nameIndex{},
+	}
 	for _, z := range zones {
 		t.zones.lookup(z)
 	}
@@ -136,8 +142,15 @@
 			zap.String("address", target.Address), zap.String("zone", target.Zone), zap.String("model", target.Model))
 		return entry, false
 	}
-	return decision.Entry{Zone: zone, Kind: model, Cell: target.Cell, State: state, Weight: target.Weight,
-		Started: t.startTime(target.BootMS)}, true
+	entry = decision.Entry{
+		Zone:    zone,
+		Kind:    model,
+		Cell:    target.Cell,
+		State:   state,
+		Weight:  target.Weight,
+		Started: t.startTime(target.BootMS),
+	}
+	return entry, true
 }
 
 // apply updates the endpoint of a line. Where its address or its start has changed another one takes its place, and the
--- a/internal/core/endpoint_table_test.go
+++ b/internal/core/endpoint_table_test.go
@@ -14,7 +14,7 @@
 func TestDrainingEndpointKeepsCallsAndLosesIdleConnections(t *testing.T) {
 	goOn := make(chan bool)
 	b := newTestLoop(t, nil, ready("s-1", 0))
-	b.send = func(a *Attempt, n int) Result {
+	b.send = func(a *Attempt, _ int) Result {
 		if a.Call.ID == "slow" {
 			<-goOn
 		}
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -74,7 +74,7 @@
 		calls:            map[decision.RequestID]*Call{},
 		adopted:          map[*Attempt]bool{},
 		discoveryAddress: c.DiscoveryAddress,
-		resyncBackoff:    resyncBackoffMin,
+		resyncBackoff:    minResyncBackoff,
 	}
 	l.endpoints = newEndpointTable(c.Settings.Zones, c.Settings.Models, l.origin, c.Log)
 	l.pool = newPool(&c.Settings, c.Limits.MaxOutbound())
--- a/internal/core/pool_test.go
+++ b/internal/core/pool_test.go
@@ -75,7 +75,7 @@
 // return; calls are served again once there is capacity.
 func TestCallIsRefusedWhereNoConnectionIsLeft(t *testing.T) {
 	b := newTestLoop(t, nil, ready("s-1", 0), ready("s-2", 0))
-	b.send = func(a *Attempt, n int) Result { return b.served("ok") }
+	b.send = func(_ *Attempt, _ int) Result { return b.served("ok") }
 	most := 0
 	b.loop.Post(func() { most, b.loop.pool.max = b.loop.pool.max, 0 })
 	for _, class := range []int{read, once} {
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -30,8 +30,15 @@
 // Stats returns what the loop holds; the zero value once it has ended.
 func (l *Loop) Stats() Stats {
 	return query(l, func() Stats {
-		s := Stats{Calls: len(l.calls), Attempts: len(l.adopted), Conns: l.pool.total, IdleConns: l.pool.oldestFirst.Len(), Revision: l.revision,
-			AwaitingFullList: l.awaitingFullList, DiscoveryAddress: l.discoveryAddress}
+		s := Stats{
+			Calls:            len(l.calls),
+			Attempts:         len(l.adopted),
+			Conns:            l.pool.total,
+			IdleConns:        l.pool.oldestFirst.Len(),
+			Revision:         l.revision,
+			AwaitingFullList: l.awaitingFullList,
+			DiscoveryAddress: l.discoveryAddress,
+		}
 		for _, c := range l.calls {
 			switch {
 			case c.attempt != nil:
@@ -44,8 +51,12 @@
 			}
 		}
 		for _, e := range l.endpoints.byID {
-			s.Endpoints = append(s.Endpoints, EndpointStats{ID: e.ID, Address: e.Address, Open: e.IsOpen(),
-				IdleConns: len(l.pool.idle[e])})
+			s.Endpoints = append(s.Endpoints, EndpointStats{
+				ID:        e.ID,
+				Address:   e.Address,
+				Open:      e.IsOpen(),
+				IdleConns: len(l.pool.idle[e]),
+			})
 		}
 		return s
 	})
--- a/internal/core/testloop_test.go
+++ b/internal/core/testloop_test.go
@@ -81,12 +81,27 @@
 	safe, unsafe, withKey := class, class, class
 	withKey.Name, withKey.Effect, withKey.Scope, withKey.Window = "keyed", decision.Keyed, decision.ScopeAll, 4*time.Second
 	safe.Name, safe.Effect, unsafe.Name, unsafe.Effect = "read", decision.Safe, "once", decision.Unsafe
-	s := settings.Settings{OpenCap: 50, Settings: decision.Settings{Instances: 1, Quantum: time.Millisecond,
-		MayCancel: true, ClientsMarkRetries: true, MaxAttempts: 3, ConnectTimeout: time.Second, WarmUp: time.Second, ColdCapacity: 0.5, OverloadMultiple: 3,
-		OverloadWindow: time.Second, MaxRetryAfter: time.Second, Classes: []decision.Class{safe, unsafe, withKey}}}
-	l, err := New(Config{Settings: s, Limits: Limits{MemoryMB: 64, Sockets: 1024}, DiscoveryAddress: "first",
-		CachedList: List{Rev: 1, Full: true, Targets: targets}}, b,
-		func(address string, _ Sink) Discovery { return &recordingDiscovery{b, address} })
+	balancer := decision.Settings{
+		Instances:          1,
+		Quantum:            time.Millisecond,
+		MayCancel:          true,
+		ClientsMarkRetries: true,
+		MaxAttempts:        3,
+		MaxRetryAfter:      time.Second,
+		ConnectTimeout:     time.Second,
+		WarmUp:             time.Second,
+		ColdCapacity:       0.5,
+		OverloadMultiple:   3,
+		OverloadWindow:     time.Second,
+		Classes:            []decision.Class{safe, unsafe, withKey},
+	}
+	config := Config{
+		Settings:         settings.Settings{OpenCap: 50, Settings: balancer},
+		Limits:           Limits{MemoryMB: 64, Sockets: 1024},
+		DiscoveryAddress: "first",
+		CachedList:       List{Rev: 1, Full: true, Targets: targets},
+	}
+	l, err := New(config, b, func(address string, _ Sink) Discovery { return &recordingDiscovery{b, address} })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -35,7 +35,7 @@
 
 // Abandoned is the event of a client that has gone away: no answer is due, and an attempt in flight is
 // withdrawn.
-func (b *Balancer) Abandoned(now time.Duration, id RequestID) {
+func (b *Balancer) Abandoned(_ time.Duration, id RequestID) {
 	r := b.requests[id]
 	if r == nil {
 		return
--- a/internal/decision/attempts_test.go
+++ b/internal/decision/attempts_test.go
@@ -83,14 +83,14 @@
 // another attempt is in flight, and nothing is answered twice.
 func TestOutcomesOfOtherAttemptsAreIgnored(t *testing.T) {
 	for name, late := range map[string]func(d *harness, first, now sent){
-		"told twice":           func(d *harness, first, now sent) { d.finish(first, Error, 20*ms) },
-		"twice, never ran":     func(d *harness, first, now sent) { d.finish(first, Rejected, 20*ms) },
-		"twice, reset":         func(d *harness, first, now sent) { d.finish(first, Reset, 20*ms) },
-		"twice, timed out":     func(d *harness, first, now sent) { d.finish(first, Timeout, 20*ms) },
+		"told twice":           func(d *harness, first, _ sent) { d.finish(first, Error, 20*ms) },
+		"twice, never ran":     func(d *harness, first, _ sent) { d.finish(first, Rejected, 20*ms) },
+		"twice, reset":         func(d *harness, first, _ sent) { d.finish(first, Reset, 20*ms) },
+		"twice, timed out":     func(d *harness, first, _ sent) { d.finish(first, Timeout, 20*ms) },
 		"of another endpoint":  func(d *harness, first, now sent) { now.to = first.to; d.finish(now, Error, 20*ms) },
-		"of one still to come": func(d *harness, first, now sent) { now.attempt++; d.finish(now, Error, 20*ms) },
-		"begun":                func(d *harness, first, now sent) { d.b.ResponseStarted(d.now, first.id, first.attempt, first.to) },
-		"after it was over": func(d *harness, first, now sent) {
+		"of one still to come": func(d *harness, _, now sent) { now.attempt++; d.finish(now, Error, 20*ms) },
+		"begun":                func(d *harness, first, _ sent) { d.b.ResponseStarted(d.now, first.id, first.attempt, first.to) },
+		"after it was over": func(d *harness, _, now sent) {
 			d.finish(now, OK, 20*ms)
 			d.finish(now, Error, 20*ms)
 		},
--- a/internal/decision/ejection.go
+++ b/internal/decision/ejection.go
@@ -19,7 +19,7 @@
 	}
 	b.setState(e, stateEjected)
 	b.inFlight -= len(e.calls) // stuck calls must not use up the limit
-	e.trialBackoff = max(seconds(firstTrialConnectTimeouts*b.settings.ConnectTimeout.Seconds()), b.tick)
+	e.trialBackoff = max(seconds(trialDelayInConnectTimeouts*b.settings.ConnectTimeout.Seconds()), b.tick)
 	e.trialAt, e.trialAfterAnswers = now+b.jitter(e.trialBackoff), b.answers+silenceOtherAnswers
 	b.host.Log(fmt.Sprintf("endpoint %d isolated: %s (list version %d)", e.id, why, e.listVersion))
 }
--- a/internal/decision/ejection_test.go
+++ b/internal/decision/ejection_test.go
@@ -78,9 +78,9 @@
 		least  int
 		marked bool
 	}{
-		"one spoils all":   {func(d *harness, to EndpointID) bool { return to == 1 }, 40, 1, true},
-		"each spoils some": {func(d *harness, to EndpointID) bool { return d.b.rng.Float64() < 0.1 }, 400, 70, false},
-		"all spoil all":    {func(d *harness, to EndpointID) bool { return true }, 800, 70, false},
+		"one spoils all":   {func(_ *harness, to EndpointID) bool { return to == 1 }, 40, 1, true},
+		"each spoils some": {func(d *harness, _ EndpointID) bool { return d.b.rng.Float64() < 0.1 }, 400, 70, false},
+		"all spoil all":    {func(_ *harness, _ EndpointID) bool { return true }, 800, 70, false},
 	} {
 		d := start(t, settings(), 4)
 		d.serve(60, nil)
--- a/internal/decision/example_test.go
+++ b/internal/decision/example_test.go
@@ -10,16 +10,16 @@
 // printer is a Host that prints the actions it is asked for.
 type printer struct{}
 
-func (printer) Send(id decision.RequestID, to decision.EndpointID, timeout, _ time.Duration) {
+func (printer) Send(id decision.RequestID, to decision.EndpointID, _, _ time.Duration) {
 	fmt.Println("send", id, "to", to)
 }
-func (printer) Refuse(id decision.RequestID, retryAfter time.Duration) { fmt.Println("refuse", id) }
-func (printer) Fail(id decision.RequestID)                             { fmt.Println("fail", id) }
-func (printer) Cancel(id decision.RequestID, attempt int)              {}
-func (printer) SetTimer(token uint64, after time.Duration)             {}
-func (printer) Watch(on bool)                                          {}
-func (printer) Fetch()                                                 { fmt.Println("fetch the list") }
-func (printer) Log(text string)                                        { fmt.Println("log:", text) }
+func (printer) Refuse(id decision.RequestID, _ time.Duration) { fmt.Println("refuse", id) }
+func (printer) Fail(id decision.RequestID)                    { fmt.Println("fail", id) }
+func (printer) Cancel(decision.RequestID, int)                {}
+func (printer) SetTimer(uint64, time.Duration)                {}
+func (printer) Watch(bool)                                    {}
+func (printer) Fetch()                                        { fmt.Println("fetch the list") }
+func (printer) Log(text string)                               { fmt.Println("log:", text) }
 
 // A Balancer is fed events with their times, and acts through its Host.
 func Example() {
--- a/internal/decision/outcomes.go
+++ b/internal/decision/outcomes.go
@@ -16,7 +16,7 @@
 		b.endCall(e, r)
 	}
 	r.current = nil
-	b.recordLoadReport(now, e, o.Load)
+	b.recordLoadReport(e, o.Load)
 	if !r.responding || o.Status == Reset {
 		b.recordOutcome(now, r, e, o)
 	}
--- a/internal/decision/statistics.go
+++ b/internal/decision/statistics.go
@@ -65,7 +65,7 @@
 
 // recordLoadReport takes the service time that an endpoint reports. It shows how fast a machine is within
 // an answer or two; the latency of calls does not, as it includes the time of the tiers below.
-func (b *Balancer) recordLoadReport(now time.Duration, e *endpoint, l *Load) {
+func (b *Balancer) recordLoadReport(e *endpoint, l *Load) {
 	if l == nil || l.Service <= 0 {
 		return
 	}
--- a/internal/decision/tunables.go
+++ b/internal/decision/tunables.go
@@ -190,9 +190,9 @@
 	ejectFleetRatio = 3.0
 	// maxEjectedShare bounds the share of the listed endpoints that may be ejected for errors or silence.
 	maxEjectedShare = 0.5
-	// firstTrialConnectTimeouts is the time from an ejection to the first trial call, in connect time-outs; it
+	// trialDelayInConnectTimeouts is the time from an ejection to the first trial call, in connect time-outs; it
 	// doubles with each trial that fails.
-	firstTrialConnectTimeouts = 4.0
+	trialDelayInConnectTimeouts = 4.0
 	// evidenceMaxAge is how long a good answer is evidence of health for other instances.
 	evidenceMaxAge = 5 * time.Second
 )
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -28,10 +28,10 @@
 )
 
 // The pause before a watch is begun again where lists are pushed. There a change counts as known at once: one and a half
-// times backoffMax, the longest pause, and an answer fit in a drain's grace of a second.
+// times maxBackoff, the longest pause, and an answer fit in a drain's grace of a second.
 const (
-	backoffMin = 50 * time.Millisecond
-	backoffMax = 400 * time.Millisecond
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 400 * time.Millisecond
 )
 
 // Options are how a discovery is called.
@@ -136,12 +136,12 @@
 	}
 }
 
-// backoff is the pause after so many failed watches in a row. It doubles from backoffMin to backoffMax; jitter, from 0 to
+// backoff is the pause after so many failed watches in a row. It doubles from minBackoff to maxBackoff; jitter, from 0 to
 // 1, places it between half and one and a half times that.
 func backoff(failures int, jitter float64) time.Duration {
-	usual := backoffMax
+	usual := maxBackoff
 	if failures < 16 { // more doublings could overflow
-		usual = min(backoffMin<<failures, backoffMax)
+		usual = min(minBackoff<<failures, maxBackoff)
 	}
 	return usual/2 + time.Duration(jitter*float64(usual))
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -44,7 +44,7 @@
 func (s *sink) ListReceived(_ core.Discovery, l core.List, how core.Source) {
 	s.reports <- fmt.Sprint("list ", l.Rev, " by ", how)
 }
-func (s *sink) ListFailed(_ core.Discovery, err error) { s.reports <- "failed" }
+func (s *sink) ListFailed(_ core.Discovery, _ error) { s.reports <- "failed" }
 
 // startWatcher makes the watcher of a discovery that the test serves.
 func startWatcher(t *testing.T, mustAsk bool, serve http.HandlerFunc) (*sink, *watcher) {
@@ -211,7 +211,8 @@
 		}
 		s.Post(w.Stop)
 		s.Post(w.Fetch)
-		for got := next(t, asked); got != ""; got = next(t, asked) {
+		for next(t, asked) != "" { // until the fetch, which follows nothing
+			continue
 		}
 		if got := next(t, s.reports); got != "failed" {
 			t.Errorf("%s: told %q", text, got)
@@ -250,7 +251,7 @@
 func TestRedirectIsNotFollowed(t *testing.T) {
 	for _, status := range []int{http.StatusFound, http.StatusTemporaryRedirect, http.StatusServiceUnavailable} {
 		var asked atomic.Int64
-		s, w := startWatcher(t, true, func(w http.ResponseWriter, r *http.Request) {
+		s, w := startWatcher(t, true, func(w http.ResponseWriter, _ *http.Request) {
 			asked.Add(1)
 			w.Header().Set("Location", "/v1/endpoints?elsewhere=1")
 			w.WriteHeader(status)
--- a/internal/discovery/fuzz_test.go
+++ b/internal/discovery/fuzz_test.go
@@ -1,6 +1,7 @@
 package discovery
 
 import (
+	"errors"
 	"io"
 	"strings"
 	"testing"
@@ -30,7 +31,7 @@
 		}
 		whole, wholeErr := read(strings.NewReader(text))
 		pieces, err := read(iotest.OneByteReader(strings.NewReader(text)))
-		if len(whole) != len(pieces) || (wholeErr == io.EOF) != (err == io.EOF) {
+		if len(whole) != len(pieces) || errors.Is(wholeErr, io.EOF) != errors.Is(err, io.EOF) {
 			t.Fatalf("%d lists and %v, in pieces %d and %v", len(whole), wholeErr, len(pieces), err)
 		}
 		for i := range whole {
