--- a/internal/errkind/errkind.go
+++ b/internal/errkind/errkind.go
@@ -7,7 +7,7 @@
 )
 
 // Kind classifies an error. Every rejection and failure that a client, an endpoint or an operator sees has one. Its number
-// is part of the protocol between processes.
+// is part of the protocol between processes: a new kind goes last, with its row in answers.
 type Kind int
 
 // The kinds of errors.
