--- a/internal/decision/api.go
+++ b/internal/decision/api.go
@@ -42,8 +42,10 @@
 
 // String is the status's name in a log.
 func (s Status) String() string {
-	names := [...]string{"ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot",
-		"spoilt"}
+	names := [...]string{
+		"ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot",
+		"spoilt",
+	}
 	if s < 0 || int(s) >= len(names) {
 		return fmt.Sprint(int(s))
 	}
--- a/internal/decision/balancer_test.go
+++ b/internal/decision/balancer_test.go
@@ -127,8 +127,10 @@
 					if status == OK {
 						r.answers++
 					}
-					d.b.Outcome(d.now, Outcome{ID: x.id, Endpoint: x.to, Attempt: x.attempt, Final: final, Status: status,
-						Elapsed: d.now - sentAt[x]})
+					d.b.Outcome(d.now, Outcome{
+						ID: x.id, Endpoint: x.to, Attempt: x.attempt, Final: final, Status: status,
+						Elapsed: d.now - sentAt[x],
+					})
 				}
 			case 4:
 				id := EndpointID(1 + rng.IntN(8))
--- a/internal/decision/example_test.go
+++ b/internal/decision/example_test.go
@@ -26,8 +26,10 @@
 	b, err := decision.New(decision.Settings{
 		Instances: 1, Quantum: time.Millisecond, MaxAttempts: 3, ConnectTimeout: 100 * time.Millisecond,
 		ColdCapacity: 0.2, WarmUp: 10 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second,
-		Classes: []decision.Class{{Name: "lookup", LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1,
-			Effect: decision.Safe}},
+		Classes: []decision.Class{{
+			Name: "lookup", LatencyTarget: time.Second, Deadline: 2 * time.Second, Value: 1,
+			Effect: decision.Safe,
+		}},
 	}, 1, printer{})
 	if err != nil {
 		fmt.Println(err)
@@ -35,13 +37,17 @@
 	}
 	now := time.Second
 	b.Targets(now, decision.List{Kind: decision.FullList, Version: 5, Entries: []decision.Entry{
-		{Endpoint: 11}, {Endpoint: 12, State: decision.Draining}}})
+		{Endpoint: 11}, {Endpoint: 12, State: decision.Draining},
+	}})
 	b.Request(now, decision.Request{ID: "a", Remaining: 2 * time.Second})
-	b.Outcome(now+20*time.Millisecond, decision.Outcome{ID: "a", Endpoint: 11, Status: decision.OK, Final: true,
-		Elapsed: 20 * time.Millisecond})
+	b.Outcome(now+20*time.Millisecond, decision.Outcome{
+		ID: "a", Endpoint: 11, Status: decision.OK, Final: true,
+		Elapsed: 20 * time.Millisecond,
+	})
 	b.Request(now+time.Second, decision.Request{ID: "b", Remaining: 2 * time.Second})
 	b.Targets(now+time.Second, decision.List{Kind: decision.DeltaList, Version: 6, Entries: []decision.Entry{
-		{Endpoint: 12}}})
+		{Endpoint: 12},
+	}})
 	b.Outcome(now+time.Second, decision.Outcome{ID: "b", Endpoint: 11, Status: decision.Reset})
 	// Output:
 	// send a to 11
--- a/internal/decision/golden_amd64_test.go
+++ b/internal/decision/golden_amd64_test.go
@@ -114,8 +114,10 @@
 	if w.rng.IntN(3) == 0 {
 		load = &decision.Load{InFlight: 1, Queue: -1, Util: -1, Service: took / 2}
 	}
-	w.balancer.Outcome(w.now, decision.Outcome{ID: r.ID, Endpoint: to, Attempt: number, Final: final, Elapsed: took,
-		Status: status, Load: load, NotReplayable: r.LongBody && w.rng.IntN(2) == 0})
+	w.balancer.Outcome(w.now, decision.Outcome{
+		ID: r.ID, Endpoint: to, Attempt: number, Final: final, Elapsed: took,
+		Status: status, Load: load, NotReplayable: r.LongBody && w.rng.IntN(2) == 0,
+	})
 }
 
 func (w *goldenWorld) Refuse(id decision.RequestID, retryAfter time.Duration) {
@@ -188,9 +190,11 @@
 // ask brings requests, one after another.
 func (w *goldenWorld) ask(number int, pause time.Duration) {
 	s := w.settings
-	r := &goldenRequest{Request: decision.Request{ID: decision.RequestID(fmt.Sprint("r", number)),
+	r := &goldenRequest{Request: decision.Request{
+		ID:    decision.RequestID(fmt.Sprint("r", number)),
 		Class: w.rng.IntN(len(s.Classes)), Tenant: w.rng.IntN(len(s.Tenants) + 1), Remaining: time.Second + w.upTo(time.Second),
-		IsRetry: w.rng.IntN(8) == 0, IdleConns: 8, LongBody: w.rng.IntN(12) == 0}}
+		IsRetry: w.rng.IntN(8) == 0, IdleConns: 8, LongBody: w.rng.IntN(12) == 0,
+	}}
 	w.open[r.ID] = r
 	w.balancer.Request(w.now, r.Request)
 	if w.rng.IntN(20) == 0 {
@@ -214,8 +218,10 @@
 	for i := range parts {
 		parts[i] = 20 * w.rng.Float64()
 	}
-	w.balancer.SetQuotaShares(w.now, decision.QuotaShares{TenantRates: parts, TenantFallbackRates: parts, RetryRate: 10*w.rng.Float64() - 2,
-		RetryFallbackRate: 1, Until: w.now + time.Second})
+	w.balancer.SetQuotaShares(w.now, decision.QuotaShares{
+		TenantRates: parts, TenantFallbackRates: parts, RetryRate: 10*w.rng.Float64() - 2,
+		RetryFallbackRate: 1, Until: w.now + time.Second,
+	})
 	w.after(time.Second, w.fleet)
 }
 
@@ -257,12 +263,14 @@
 	keyed.Name, keyed.Effect, keyed.Scope, keyed.Window = "keyed", decision.Keyed, decision.ScopeCell, time.Second
 	unsafe.Name, unsafe.Effect, unsafe.Value = "unsafe", decision.Unsafe, 3
 	stream.Name, stream.Effect, stream.Streamed = "stream", decision.Safe, true
-	return decision.Settings{Instances: instances, Ordinal: instances / 2, Stage: stage, Tiers: 2,
+	return decision.Settings{
+		Instances: instances, Ordinal: instances / 2, Stage: stage, Tiers: 2,
 		Quantum: time.Millisecond, GoalTotal: 0.7, GoalWorstClass: 0.3, MayCancel: true, MaxAttempts: 4,
 		MaxRetryAfter: 2 * time.Second, ConnectTimeout: 100 * time.Millisecond, DiscoveryInterval: 5 * time.Second,
 		ClientsMarkRetries: true, ColdCapacity: 0.2, WarmUp: 5 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second,
 		Classes: []decision.Class{read, keyed, unsafe, stream},
-		Tenants: []decision.Tenant{{Name: "a", QuotaPerS: 20}, {Name: "b", QuotaPerS: 60}}}
+		Tenants: []decision.Tenant{{Name: "a", QuotaPerS: 20}, {Name: "b", QuotaPerS: 60}},
+	}
 }
 
 // The actions for a fixed seed are those of the code as it was at bfb03d8. A change that is meant to leave
@@ -279,20 +287,30 @@
 	}{
 		{"alone, crowded", 1, 0, 6, 3 * time.Millisecond, func(*decision.Settings) {}, "11917 actions, 3cf738fa05071f3e"},
 		{"one of many, rarely asked", 24, 0, 12, 20 * time.Millisecond, func(*decision.Settings) {}, "5918 actions, 49106024cf026ca0"},
-		{"second tier without cancelling", 3, 1, 8, 4 * time.Millisecond,
-			func(s *decision.Settings) { s.MayCancel = false }, "10290 actions, e0c4abca9a166b90"},
-		{"lists that must be asked for", 2, 0, 8, 5 * time.Millisecond,
-			func(s *decision.Settings) { s.PullDiscovery, s.ValueByWork = true, true }, "9200 actions, 52d6b388c1ca9827"},
-		{"as many instances as endpoints, paced", 40, 0, 8, 8 * time.Millisecond,
-			func(s *decision.Settings) { s.ClientsMarkRetries = false }, "7639 actions, 84c76231e65ecbaf"},
+		{
+			"second tier without cancelling", 3, 1, 8, 4 * time.Millisecond,
+			func(s *decision.Settings) { s.MayCancel = false }, "10290 actions, e0c4abca9a166b90",
+		},
+		{
+			"lists that must be asked for", 2, 0, 8, 5 * time.Millisecond,
+			func(s *decision.Settings) { s.PullDiscovery, s.ValueByWork = true, true }, "9200 actions, 52d6b388c1ca9827",
+		},
+		{
+			"as many instances as endpoints, paced", 40, 0, 8, 8 * time.Millisecond,
+			func(s *decision.Settings) { s.ClientsMarkRetries = false }, "7639 actions, 84c76231e65ecbaf",
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := &goldenWorld{settings: goldenSettings(c.instances, c.stage), rng: rand.New(rand.NewPCG(7, 11)),
-				now: time.Hour, digest: fnv.New64a(), open: map[decision.RequestID]*goldenRequest{}}
+			w := &goldenWorld{
+				settings: goldenSettings(c.instances, c.stage), rng: rand.New(rand.NewPCG(7, 11)),
+				now: time.Hour, digest: fnv.New64a(), open: map[decision.RequestID]*goldenRequest{},
+			}
 			c.change(&w.settings)
 			for i := range c.servers {
-				w.servers = append(w.servers, decision.Entry{Endpoint: decision.EndpointID(i + 1), Zone: i % 2, Kind: i % 3,
-					Cell: i / 2, Weight: 1 + float64(i%min(c.instances, 3))})
+				w.servers = append(w.servers, decision.Entry{
+					Endpoint: decision.EndpointID(i + 1), Zone: i % 2, Kind: i % 3,
+					Cell: i / 2, Weight: 1 + float64(i%min(c.instances, 3)),
+				})
 			}
 			w.begin(t, 1)
 			w.ask(1, c.pause)
--- a/internal/decision/harness_test.go
+++ b/internal/decision/harness_test.go
@@ -123,8 +123,10 @@
 
 // finish reports the outcome of a send.
 func (d *harness) finish(s sent, status Status, took time.Duration) {
-	d.b.Outcome(d.now, Outcome{ID: s.id, Endpoint: s.to, Attempt: s.attempt, Final: status == OK, Status: status,
-		Elapsed: took})
+	d.b.Outcome(d.now, Outcome{
+		ID: s.id, Endpoint: s.to, Attempt: s.attempt, Final: status == OK, Status: status,
+		Elapsed: took,
+	})
 }
 
 // advance lets time pass, with the timers that expire.
--- a/internal/decision/selection.go
+++ b/internal/decision/selection.go
@@ -58,31 +58,37 @@
 // drawLeastLoaded draws distinct candidates at random by their draw weight and returns the one with the
 // fewest calls in flight for its weight; of equals the one drawn first, so that ties follow the weights. A
 // coin between equals gave both endpoints of a subset of two the same, whatever their weights.
-func (b *Balancer) drawLeastLoaded(now time.Duration, c []*endpoint) *endpoint {
+func (b *Balancer) drawLeastLoaded(now time.Duration, candidates []*endpoint) *endpoint {
 	var best *endpoint
-	least := 0.0
-	for n := 0; n < drawCandidates && len(c) > 0; n++ {
-		total := 0.0
-		for _, e := range c {
-			total += b.capacityShare(now, e) * b.drawWeight(e)
-		}
-		x, i := b.rng.Float64()*total, 0
-		for ; i < len(c)-1; i++ {
-			if x -= b.capacityShare(now, c[i]) * b.drawWeight(c[i]); x < 0 {
-				break
-			}
-		}
-		e := c[i]
-		c[i] = c[len(c)-1]
-		c = c[:len(c)-1]
+	leastLoad := 0.0
+	for n := 0; n < drawCandidates && len(candidates) > 0; n++ {
+		i := b.drawIndex(now, candidates)
+		e := candidates[i]
+		candidates[i] = candidates[len(candidates)-1]
+		candidates = candidates[:len(candidates)-1]
 		// The same number of calls in flight is a longer queue at a smaller endpoint.
-		if load := float64(b.callsAt(now, e)) / b.drawWeight(e); best == nil || load < least {
-			best, least = e, load
+		if load := float64(b.callsAt(now, e)) / b.drawWeight(e); best == nil || load < leastLoad {
+			best, leastLoad = e, load
 		}
 	}
 	return best
 }
 
+// drawIndex draws the index of one candidate, by draw weight and share of capacity.
+func (b *Balancer) drawIndex(now time.Duration, candidates []*endpoint) int {
+	total := 0.0
+	for _, e := range candidates {
+		total += b.capacityShare(now, e) * b.drawWeight(e)
+	}
+	rest := b.rng.Float64() * total
+	for i, e := range candidates[:len(candidates)-1] {
+		if rest -= b.capacityShare(now, e) * b.drawWeight(e); rest < 0 {
+			return i
+		}
+	}
+	return len(candidates) - 1
+}
+
 // permitted reports whether a request may be sent to an endpoint without the risk of a duplicate run: a
 // request that may have run goes on only if it is Safe, or Keyed within its scope and window.
 func (b *Balancer) permitted(now time.Duration, r *request, e *endpoint) bool {
--- a/internal/decision/selection_test.go
+++ b/internal/decision/selection_test.go
@@ -44,8 +44,10 @@
 		if i > 100 {
 			got[s.to%2]++
 		}
-		d.b.Outcome(d.now, Outcome{ID: s.id, Endpoint: s.to, Final: true, Status: OK, Elapsed: 100 * ms,
-			Load: &Load{InFlight: -1, Queue: -1, Util: -1, Service: []time.Duration{10, 30}[s.to%2] * ms}})
+		d.b.Outcome(d.now, Outcome{
+			ID: s.id, Endpoint: s.to, Final: true, Status: OK, Elapsed: 100 * ms,
+			Load: &Load{InFlight: -1, Queue: -1, Util: -1, Service: []time.Duration{10, 30}[s.to%2] * ms},
+		})
 		d.advance(20 * ms)
 	}
 	if ratio := float64(got[0]) / float64(got[1]); ratio < 2 || ratio > 4 {
--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -92,12 +92,18 @@
 		least float64
 	}
 	figures := []figure{
-		{"instances", float64(s.Instances), 1}, {"ordinal", float64(s.Ordinal), 0},
+		{"instances", float64(s.Instances), 1},
+		{"ordinal", float64(s.Ordinal), 0},
 		{"quantum", float64(s.Quantum), 0},
-		{"goalWhole", s.GoalTotal, 0}, {"goalWorstClass", s.GoalWorstClass, 0},
-		{"cold", float64(s.WarmUp), 0}, {"coldFrom", s.ColdCapacity, 0}, {"tipMultiple", s.OverloadMultiple, 0},
-		{"fall", float64(s.OverloadWindow), 0}, {"askEvery", float64(s.DiscoveryInterval), 0},
-		{"maxRetryAfter", float64(s.MaxRetryAfter), 0}, {"connectTimeout", float64(s.ConnectTimeout), 0},
+		{"goalWhole", s.GoalTotal, 0},
+		{"goalWorstClass", s.GoalWorstClass, 0},
+		{"cold", float64(s.WarmUp), 0},
+		{"coldFrom", s.ColdCapacity, 0},
+		{"tipMultiple", s.OverloadMultiple, 0},
+		{"fall", float64(s.OverloadWindow), 0},
+		{"askEvery", float64(s.DiscoveryInterval), 0},
+		{"maxRetryAfter", float64(s.MaxRetryAfter), 0},
+		{"connectTimeout", float64(s.ConnectTimeout), 0},
 	}
 	for i, t := range s.Tenants {
 		figures = append(figures, figure{fmt.Sprintf("tenants[%d].quotaPerS", i), t.QuotaPerS, 0})
--- a/internal/decision/subset.go
+++ b/internal/decision/subset.go
@@ -18,40 +18,40 @@
 		e.subsetWeight = 0
 	}
 	b.subset = b.subset[:0]
-	total, n := 0.0, 0.0
+	totalWeight, endpoints := 0.0, 0.0
 	for _, e := range b.listed {
 		if e.state != stateDraining {
-			total += b.weight(e)
-			n++
+			totalWeight += b.weight(e)
+			endpoints++
 		}
 	}
-	even := min(max(callersPerEndpoint*n/float64(b.settings.Instances), minSubset), n)
-	b.subsetSize = min(max(even, b.demandedSubset), n)
-	need := total * b.subsetSize / n
-	_, at := math.Modf(float64(b.position) * even / n)
-	at *= total
-	eps := total * 1e-9
-	for i := 0; need > eps && i < 2*len(b.listed); i++ {
+	evenSize := min(max(callersPerEndpoint*endpoints/float64(b.settings.Instances), minSubset), endpoints)
+	b.subsetSize = min(max(evenSize, b.demandedSubset), endpoints)
+	needed := totalWeight * b.subsetSize / endpoints
+	_, skip := math.Modf(float64(b.position) * evenSize / endpoints)
+	skip *= totalWeight // weight on the ring before this instance's part
+	rounding := totalWeight * 1e-9
+	for i := 0; needed > rounding && i < 2*len(b.listed); i++ {
 		e := b.listed[i%len(b.listed)]
 		if e.state == stateDraining {
 			continue
 		}
-		w := b.weight(e)
-		if at > w-eps {
-			at -= w
+		weight := b.weight(e)
+		if skip > weight-rounding {
+			skip -= weight
 			continue
 		}
-		take := min(w-max(at, 0)-e.subsetWeight, need)
-		at = 0
-		if take < eps {
+		taken := min(weight-max(skip, 0)-e.subsetWeight, needed)
+		skip = 0
+		if taken < rounding {
 			continue
 		}
 		if e.subsetWeight == 0 {
 			b.subset = append(b.subset, e)
 		}
-		e.subsetWeight += take
+		e.subsetWeight += taken
 		if e.state <= stateSlowStart {
-			need -= take
+			needed -= taken
 		}
 	}
 	sortByID(b.subset)
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -91,7 +91,9 @@
 	})
 	watch(s, w, 41)
 	for _, step := range []struct{ query, reply string }{
-		{"follow=1&since=41", listLine(43)}, {"follow=1&since=43", listLine(44) + listLine(45)}, {"follow=1&since=45", "{broken\n"},
+		{"follow=1&since=41", listLine(43)},
+		{"follow=1&since=43", listLine(44) + listLine(45)},
+		{"follow=1&since=45", "{broken\n"},
 		{"follow=1", ""},
 	} {
 		if got := next(t, asked); got != step.query {
--- a/internal/discovery/fuzz_test.go
+++ b/internal/discovery/fuzz_test.go
@@ -12,8 +12,10 @@
 
 // Whatever a watch brings, in whatever pieces: the lists are the same, each names what it is to list, and reading ends.
 func FuzzLists(f *testing.F) {
-	for _, text := range []string{"", "\n\n", `{"rev":1,"targets":[]}`, "{\n\"rev\": 2,\n\"all\": true,\n\"targets\": [{\"uid\": \"a\"}]\n}\n\n{",
-		`{"rev":3,"all":true}`, `null`, `[1]`, `{"rev":4,"targets":null} x`} {
+	for _, text := range []string{
+		"", "\n\n", `{"rev":1,"targets":[]}`, "{\n\"rev\": 2,\n\"all\": true,\n\"targets\": [{\"uid\": \"a\"}]\n}\n\n{",
+		`{"rev":3,"all":true}`, `null`, `[1]`, `{"rev":4,"targets":null} x`,
+	} {
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
