--- a/cmd/dykering-lab/main.go
+++ b/cmd/dykering-lab/main.go
@@ -171,9 +171,9 @@
 		if j.err != nil {
 			return commandline.Fault(j.err)
 		}
-		asked += j.Asked
+		asked += j.Offered
 		if j.Policy == "dykering" {
-			for _, n := range j.Broken {
+			for _, n := range j.ViolationCounts {
 				broken += n
 			}
 		}
@@ -185,8 +185,8 @@
 			fmt.Fprintf(out, "%s\n", line)
 			continue
 		}
-		fmt.Fprintf(t, "%s\t%d\t%d\t%.3f\t%.2f\t%.0f\t%.0f\t%.0f\t%.2f\t%d\t%d\t%v\t\n", j.Policy, j.Seed, j.Asked, j.Service,
-			j.Worst, j.Back, 1000*j.P50, 1000*j.P99, float64(j.Attempts)/float64(max(j.Asked, 1)), j.Refused, j.Failed, j.Broken)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%.3f\t%.2f\t%.0f\t%.0f\t%.0f\t%.2f\t%d\t%d\t%v\t\n", j.Policy, j.Seed, j.Offered, j.Service,
+			j.WorstSecond, j.RecoverySeconds, 1000*j.P50, 1000*j.P99, float64(j.Attempts)/float64(max(j.Offered, 1)), j.Refused, j.Failed, j.ViolationCounts)
 	}
 	t.Flush()
 	if !asJSON {
--- a/cmd/dykering-lab/real.go
+++ b/cmd/dykering-lab/real.go
@@ -65,7 +65,7 @@
 			}
 			j := &job{Policy: "processes", Result: r, Took: time.Since(began)}
 			err = report(c.Root().Writer, []*job{j}, asJSON, j.Took)
-			if len(r.Broken) > 0 {
+			if len(r.ViolationCounts) > 0 {
 				return commandline.Fault(fmt.Errorf("%s\nlogs are under %s", violations(r), logs))
 			}
 			if dir == "" {
@@ -85,7 +85,7 @@
 
 // violations are the first of a run's, each with its history.
 func violations(r *model.Result) (text string) {
-	text = fmt.Sprintf("rules were broken: %v", r.Broken)
+	text = fmt.Sprintf("rules were broken: %v", r.ViolationCounts)
 	for _, v := range r.Violations[:min(len(r.Violations), 5)] {
 		text += fmt.Sprintf("\n%s, request %s, at %.3f s: %s", v.Rule, v.Request, (v.At - model.Origin).Seconds(), v.Text)
 		for _, line := range v.History {
--- a/internal/lab/emulation/ground.go
+++ b/internal/lab/emulation/ground.go
@@ -83,7 +83,7 @@
 // servers' bounds on connections and prices of handshakes are not played here, but for what Options say of all machines.
 func newGround(s *scenario.Scenario, o Options) *ground {
 	has := func(what string) bool {
-		return slices.ContainsFunc(s.Troubles, func(t scenario.Trouble) bool { return t.What == what })
+		return slices.ContainsFunc(s.InjectedFaults, func(t scenario.InjectedFault) bool { return t.Kind == what })
 	}
 	g := &ground{o: o, shared: has("handover") || !has("stop"), net: netem.New(o.Network), sockets: map[string]*netem.Socket{}, hosts: map[string]*netem.Process{}, live: map[*broker]bool{}}
 	if o.KillAt != nil {
--- a/internal/lab/emulation/play.go
+++ b/internal/lab/emulation/play.go
@@ -58,7 +58,7 @@
 
 // Play plays a scenario with a seed in a bubble. The context's end is looked for ten times in a virtual second.
 func Play(ctx context.Context, in Bubble, s *scenario.Scenario, seed uint64, o Options) (r *model.Result, err error) {
-	if len(s.Faults) > 0 || s.Broker.Fleet {
+	if len(s.NetworkFaults) > 0 || s.Broker.Fleet {
 		return nil, errors.New("fleet and fault: the gossip between brokers is played by the engine real only")
 	}
 	defer func() {
--- a/internal/lab/emulation/play_test.go
+++ b/internal/lab/emulation/play_test.go
@@ -20,56 +20,56 @@
 	return func(f func()) { synctest.Test(t, func(*testing.T) { f() }) }
 }
 
-func brief(troubles ...scenario.Trouble) *scenario.Scenario {
+func brief(troubles ...scenario.InjectedFault) *scenario.Scenario {
 	s := scenario.Default()
-	s.Lasts = tomlconfig.Duration(3 * time.Second)
+	s.Duration = tomlconfig.Duration(3 * time.Second)
 	s.Broker.Instances, s.Servers.Count = 1, 4
-	s.Callers.Rate = scenario.Span{From: 60, To: 60}
+	s.Callers.Rate = scenario.Range{From: 60, To: 60}
 	s.Teams = nil
-	s.Troubles = troubles
-	s.Below = []scenario.Below{{
-		Name: "below", Instances: 1, Servers: 2, Calls: scenario.Span{From: 1, To: 1},
-		Work: scenario.Span{From: 0.002, To: 0.004}, Keeps: 0.1,
+	s.InjectedFaults = troubles
+	s.DownstreamTiers = []scenario.DownstreamTier{{
+		Name: "below", Instances: 1, Servers: 2, Calls: scenario.Range{From: 1, To: 1},
+		Work: scenario.Range{From: 0.002, To: 0.004}, ReservedShare: 0.1,
 	}}
 	return s
 }
 
 // What goes wrong with servers' bytes and befalls servers, lists and brokers is played in virtual time as on real sockets.
 func TestTroubles(t *testing.T) {
-	for name, x := range map[string]scenario.Trouble{
-		"none":              {What: "break"},
-		"reset in the head": {What: "bytes", How: "reset", Bytes: 9},
-		"cut in the body":   {What: "bytes", How: "cut", Bytes: 120},
-		"half closed":       {What: "bytes", How: "half_close", Bytes: 9},
-		"stall":             {What: "bytes", How: "stall", Bytes: 9},
-		"slow read":         {What: "bytes", How: "slow_read", Bytes: 40},
-		"slow write":        {What: "bytes", How: "slow_write", Bytes: 40},
-		"garbage":           {What: "bytes", How: "garbage"},
-		"never up":          {What: "bytes", How: "syn"},
-		"vanish":            {What: "vanish"},
-		"connections reset": {What: "reset"},
-		"replaced":          {What: "replace"},
-		"handover":          {What: "handover", Of: 1},
-		"killed":            {What: "kill", Of: 1},
-		"parted":            {What: "partition", Of: 1},
-		"stopped":           {What: "stop", Of: 1},
-		"stands still":      {What: "stall", Of: 1},
-		"drained":           {What: "away", Of: 1},
-		"reloaded":          {What: "reload", Of: 1},
-		"an older list":     {What: "stale", Of: 1},
-		"a list again":      {What: "again", Of: 1},
-		"callers go":        {What: "gone", Factor: scenario.Span{From: 0.3, To: 0.3}},
-		"callers dribble":   {What: "dribble", Factor: scenario.Span{From: 0.5, To: 0.5}},
-		"an id twice":       {What: "twice", Factor: scenario.Span{From: 0.3, To: 0.3}},
-		"no requests":       {What: "junk", Factor: scenario.Span{From: 0.3, To: 0.3}},
+	for name, x := range map[string]scenario.InjectedFault{
+		"none":              {Kind: "break"},
+		"reset in the head": {Kind: "bytes", ConnectionFault: "reset", Bytes: 9},
+		"cut in the body":   {Kind: "bytes", ConnectionFault: "cut", Bytes: 120},
+		"half closed":       {Kind: "bytes", ConnectionFault: "half_close", Bytes: 9},
+		"stall":             {Kind: "bytes", ConnectionFault: "stall", Bytes: 9},
+		"slow read":         {Kind: "bytes", ConnectionFault: "slow_read", Bytes: 40},
+		"slow write":        {Kind: "bytes", ConnectionFault: "slow_write", Bytes: 40},
+		"garbage":           {Kind: "bytes", ConnectionFault: "garbage"},
+		"never up":          {Kind: "bytes", ConnectionFault: "syn"},
+		"vanish":            {Kind: "vanish"},
+		"connections reset": {Kind: "reset"},
+		"replaced":          {Kind: "replace"},
+		"handover":          {Kind: "handover", InstanceShare: 1},
+		"killed":            {Kind: "kill", InstanceShare: 1},
+		"parted":            {Kind: "partition", InstanceShare: 1},
+		"stopped":           {Kind: "stop", InstanceShare: 1},
+		"stands still":      {Kind: "stall", InstanceShare: 1},
+		"drained":           {Kind: "away", InstanceShare: 1},
+		"reloaded":          {Kind: "reload", InstanceShare: 1},
+		"an older list":     {Kind: "stale", InstanceShare: 1},
+		"a list again":      {Kind: "again", InstanceShare: 1},
+		"callers go":        {Kind: "gone", Factor: scenario.Range{From: 0.3, To: 0.3}},
+		"callers dribble":   {Kind: "dribble", Factor: scenario.Range{From: 0.5, To: 0.5}},
+		"an id twice":       {Kind: "twice", Factor: scenario.Range{From: 0.3, To: 0.3}},
+		"no requests":       {Kind: "junk", Factor: scenario.Range{From: 0.3, To: 0.3}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			x.At, x.Lasts, x.Share = scenario.Times{From: time.Second, To: time.Second}, scenario.Times{From: time.Second, To: time.Second}, 0.25
+			x.Start, x.Duration, x.ServerShare = scenario.DurationRange{From: time.Second, To: time.Second}, scenario.DurationRange{From: time.Second, To: time.Second}, 0.25
 			floor := 0.85
-			switch x.What {
+			switch x.Kind {
 			case "kill", "stop":
-				x.Lasts, floor = scenario.Times{From: 200 * time.Millisecond, To: 200 * time.Millisecond}, 0.5
+				x.Duration, floor = scenario.DurationRange{From: 200 * time.Millisecond, To: 200 * time.Millisecond}, 0.5
 			case "away", "gone", "twice", "stall": // callers have gone or are to go
 				floor = 0.5
 			}
@@ -78,9 +78,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Logf("%v: service %.3f of %d, %d attempts", time.Since(began), r.Service, r.Asked, r.Attempts)
-			if len(r.Broken) > 0 || r.Service < floor || r.Asked < 100 {
-				t.Errorf("service %.3f of %d, broken %v, %+v", r.Service, r.Asked, r.Broken, r.Violations)
+			t.Logf("%v: service %.3f of %d, %d attempts", time.Since(began), r.Service, r.Offered, r.Attempts)
+			if len(r.ViolationCounts) > 0 || r.Service < floor || r.Offered < 100 {
+				t.Errorf("service %.3f of %d, broken %v, %+v", r.Service, r.Offered, r.ViolationCounts, r.Violations)
 			}
 		})
 	}
@@ -89,19 +89,19 @@
 // Callers that go while a broker stands still are sent nothing for once it goes on: they have been gone for longer than
 // any attempt may begin after.
 func TestCallersGoWhileItStandsStill(t *testing.T) {
-	at := scenario.Times{From: time.Second, To: time.Second}
-	s := brief(scenario.Trouble{What: "stall", Of: 1, At: at, Lasts: scenario.Times{From: 400 * time.Millisecond, To: 400 * time.Millisecond}},
-		scenario.Trouble{
-			What: "gone", At: at, Lasts: scenario.Times{From: 300 * time.Millisecond, To: 300 * time.Millisecond},
-			Factor: scenario.Span{From: 1, To: 1},
+	at := scenario.DurationRange{From: time.Second, To: time.Second}
+	s := brief(scenario.InjectedFault{Kind: "stall", InstanceShare: 1, Start: at, Duration: scenario.DurationRange{From: 400 * time.Millisecond, To: 400 * time.Millisecond}},
+		scenario.InjectedFault{
+			Kind: "gone", Start: at, Duration: scenario.DurationRange{From: 300 * time.Millisecond, To: 300 * time.Millisecond},
+			Factor: scenario.Range{From: 1, To: 1},
 		})
-	s.Callers.Rate = scenario.Span{From: 200, To: 200}
+	s.Callers.Rate = scenario.Range{From: 200, To: 200}
 	r, err := Play(t.Context(), bubble(t), s, 3, Options{Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(r.Broken) > 0 || r.Service < 0.5 {
-		t.Errorf("service %.3f, broken %v, %+v", r.Service, r.Broken, r.Violations)
+	if len(r.ViolationCounts) > 0 || r.Service < 0.5 {
+		t.Errorf("service %.3f, broken %v, %+v", r.Service, r.ViolationCounts, r.Violations)
 	}
 }
 
@@ -114,7 +114,7 @@
 				t.Run(fmt.Sprintf("%s %d, the old one %v", step, nth, old), func(t *testing.T) {
 					t.Parallel()
 					var n atomic.Int64
-					s := brief(scenario.Trouble{What: "handover", Of: 1, At: scenario.Times{From: time.Second, To: time.Second}})
+					s := brief(scenario.InjectedFault{Kind: "handover", InstanceShare: 1, Start: scenario.DurationRange{From: time.Second, To: time.Second}})
 					r, err := Play(t.Context(), bubble(t), s, 5, Options{Dir: t.TempDir(), KillAt: func(at string) (bool, bool) {
 						hit := at == step && n.Add(1) == nth
 						return hit && old, hit && !old
@@ -125,8 +125,8 @@
 					if n.Load() < nth {
 						t.Fatalf("%d steps of this kind only", n.Load())
 					}
-					if len(r.Broken) > 0 || r.Service < 0.5 {
-						t.Errorf("service %.3f, broken %v, %+v", r.Service, r.Broken, r.Violations)
+					if len(r.ViolationCounts) > 0 || r.Service < 0.5 {
+						t.Errorf("service %.3f, broken %v, %+v", r.Service, r.ViolationCounts, r.Violations)
 					}
 				})
 			}
--- a/internal/lab/experiment/chart.go
+++ b/internal/lab/experiment/chart.go
@@ -107,8 +107,8 @@
 				if k >= len(sums) {
 					sums, counts = append(sums, 0), append(counts, 0)
 				}
-				if second.Asked > 0 {
-					sums[k] += float64(second.Served) / float64(second.Asked)
+				if second.Offered > 0 {
+					sums[k] += float64(second.Served) / float64(second.Offered)
 					counts[k]++
 				}
 			}
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -161,7 +161,7 @@
 // 1, and Student's t for two degrees of freedom 4.303, so that the half width is 2.484.
 func TestVerdicts(t *testing.T) {
 	run := func(side string, seed uint64, service float64) Run {
-		return Run{Side: side, Seed: seed, Result: &model.Result{Asked: 100, Service: service, Worst: 0.5, Back: 1}}
+		return Run{Side: side, Seed: seed, Result: &model.Result{Offered: 100, Service: service, WorstSecond: 0.5, RecoverySeconds: 1}}
 	}
 	if e := EstimateOf([]float64{1, 2, 3}); e.Mean != 2 || math.Abs(e.Half-2.484) > 0.001 {
 		t.Errorf("%+v", e)
--- a/internal/lab/experiment/summary.go
+++ b/internal/lab/experiment/summary.go
@@ -28,21 +28,21 @@
 // Metrics are those that are summed up.
 var Metrics = []Metric{
 	{"service", 1, func(r *model.Result) float64 { return r.Service }},
-	{"worst s", 1, func(r *model.Result) float64 { return r.Worst }},
-	{"others", 1, (*model.Result).Others},
+	{"worst s", 1, func(r *model.Result) float64 { return r.WorstSecond }},
+	{"others", 1, (*model.Result).NonFloodingService},
 	{"back s", -1, func(r *model.Result) float64 {
-		if r.Back < 0 {
+		if r.RecoverySeconds < 0 {
 			return float64(len(r.Seconds)) // never: longer than the run
 		}
-		return r.Back
+		return r.RecoverySeconds
 	}},
 	{"p50 ms", -1, func(r *model.Result) float64 { return 1000 * r.P50 }},
 	{"p99 ms", -1, func(r *model.Result) float64 { return 1000 * r.P99 }},
-	{"attempts", 0, func(r *model.Result) float64 { return float64(r.Attempts) / float64(max(r.Asked, 1)) }},
-	{"connects", 0, func(r *model.Result) float64 { return float64(r.Connects) / float64(max(r.Asked, 1)) }},
-	{"refused", 0, func(r *model.Result) float64 { return float64(r.Refused) / float64(max(r.Asked, 1)) }},
+	{"attempts", 0, func(r *model.Result) float64 { return float64(r.Attempts) / float64(max(r.Offered, 1)) }},
+	{"connects", 0, func(r *model.Result) float64 { return float64(r.Connects) / float64(max(r.Offered, 1)) }},
+	{"refused", 0, func(r *model.Result) float64 { return float64(r.Refused) / float64(max(r.Offered, 1)) }},
 	{"broken", -1, func(r *model.Result) (n float64) {
-		for _, k := range r.Broken {
+		for _, k := range r.ViolationCounts {
 			n += float64(k)
 		}
 		return n
--- a/internal/lab/explore/compatibility_test.go
+++ b/internal/lab/explore/compatibility_test.go
@@ -11,10 +11,10 @@
 // setRanges sets the ranges of a trouble, which are written as text.
 func setRanges(pointer any) bool {
 	switch value := pointer.(type) {
-	case *scenario.Times:
-		*value = scenario.Times{From: time.Second, To: 2 * time.Second}
-	case *scenario.Span:
-		*value = scenario.Span{From: 3, To: 4}
+	case *scenario.DurationRange:
+		*value = scenario.DurationRange{From: time.Second, To: 2 * time.Second}
+	case *scenario.Range:
+		*value = scenario.Range{From: 3, To: 4}
 	default:
 		return false
 	}
@@ -30,7 +30,7 @@
 func TestScheduleTextOfReleasedBuildIsWrittenAlike(t *testing.T) {
 	var s Schedule
 	fixture.Fill(&s, setRanges)
-	s.Entries[0].What.What = "bytes"
+	s.Entries[0].What.Kind = "bytes"
 	text := s.Text()
 	if old := fixture.Bytes(t, "testdata/compatibility/schedule.toml", func() []byte { return []byte(text) }); string(old) != text {
 		t.Errorf("was\n%s\nnow\n%s", old, text)
--- a/internal/lab/explore/explore.go
+++ b/internal/lab/explore/explore.go
@@ -29,8 +29,8 @@
 // Fault is one that is put into a schedule.
 type Fault struct {
 	Name  string
-	Make  func(r *rand.Rand) scenario.Trouble // but for when
-	Lasts time.Duration                       // at the most; it is drawn
+	Make  func(r *rand.Rand) scenario.InjectedFault // but for when
+	Lasts time.Duration                             // at the most; it is drawn
 }
 
 const (
@@ -42,27 +42,29 @@
 	after = 60 * time.Millisecond
 )
 
-func trouble(what string, share, of float64) func(*rand.Rand) scenario.Trouble {
-	return func(*rand.Rand) scenario.Trouble { return scenario.Trouble{What: what, Share: share, Of: of} }
+func trouble(what string, share, of float64) func(*rand.Rand) scenario.InjectedFault {
+	return func(*rand.Rand) scenario.InjectedFault {
+		return scenario.InjectedFault{Kind: what, ServerShare: share, InstanceShare: of}
+	}
 }
 
-func wrongBytes(how string, most int) func(*rand.Rand) scenario.Trouble {
-	return func(r *rand.Rand) scenario.Trouble {
-		return scenario.Trouble{What: "bytes", How: how, Bytes: r.IntN(most + 1), Share: 0.35}
+func wrongBytes(how string, most int) func(*rand.Rand) scenario.InjectedFault {
+	return func(r *rand.Rand) scenario.InjectedFault {
+		return scenario.InjectedFault{Kind: "bytes", ConnectionFault: how, Bytes: r.IntN(most + 1), ServerShare: 0.35}
 	}
 }
 
-func callers(what string) func(*rand.Rand) scenario.Trouble {
-	return func(r *rand.Rand) scenario.Trouble {
+func callers(what string) func(*rand.Rand) scenario.InjectedFault {
+	return func(r *rand.Rand) scenario.InjectedFault {
 		share := 0.1 + 0.3*r.Float64()
-		return scenario.Trouble{What: what, Factor: scenario.Span{From: share, To: share}}
+		return scenario.InjectedFault{Kind: what, Factor: scenario.Range{From: share, To: share}}
 	}
 }
 
-func factor(what string, share, from, to float64) func(*rand.Rand) scenario.Trouble {
-	return func(r *rand.Rand) scenario.Trouble {
+func factor(what string, share, from, to float64) func(*rand.Rand) scenario.InjectedFault {
+	return func(r *rand.Rand) scenario.InjectedFault {
 		x := from + (to-from)*r.Float64()
-		return scenario.Trouble{What: what, Share: share, Factor: scenario.Span{From: x, To: x}}
+		return scenario.InjectedFault{Kind: what, ServerShare: share, Factor: scenario.Range{From: x, To: x}}
 	}
 }
 
@@ -110,12 +112,12 @@
 
 // Entry is a fault in a schedule.
 type Entry struct {
-	Fault string           `json:"fault"`
-	What  scenario.Trouble `json:"what"`
+	Fault string                 `json:"fault"`
+	What  scenario.InjectedFault `json:"what"`
 }
 
-func (e Entry) at() time.Duration  { return e.What.At.From }
-func (e Entry) end() time.Duration { return e.What.At.From + e.What.Lasts.From }
+func (e Entry) at() time.Duration  { return e.What.Start.From }
+func (e Entry) end() time.Duration { return e.What.Start.From + e.What.Duration.From }
 
 // Schedule is what is played.
 type Schedule struct {
@@ -170,11 +172,11 @@
 		if f.Lasts > 0 {
 			lasts = f.Lasts/4 + time.Duration(r.Int64N(int64(f.Lasts*3/4)))
 		}
-		if x.What == "flap" {
-			x.Every = tomlconfig.Duration(lasts/5 + time.Millisecond)
+		if x.Kind == "flap" {
+			x.Interval = tomlconfig.Duration(lasts/5 + time.Millisecond)
 		}
 		at, lasts = at.Round(time.Millisecond), lasts.Round(time.Millisecond)
-		x.At, x.Lasts = scenario.Times{From: at, To: at}, scenario.Times{From: lasts, To: lasts}
+		x.Start, x.Duration = scenario.DurationRange{From: at, To: at}, scenario.DurationRange{From: lasts, To: lasts}
 		s.Entries = append(s.Entries, Entry{name, x})
 	}
 	when := func() time.Duration { return earliest + time.Duration(r.Int64N(int64(latest-earliest))) }
@@ -207,16 +209,16 @@
 	fmt.Fprintf(&b, "# seed %d\n%s", s.Seed, text)
 	for _, e := range s.Entries {
 		x := e.What
-		fmt.Fprintf(&b, "\n[[trouble]] # %s\nwhat = %q\nat = %q\nlasts = %q\nshare = %v\ninstances = %v\n", e.Fault, x.What,
-			x.At.From, x.Lasts.From, x.Share, x.Of)
-		if x.What == "bytes" {
-			fmt.Fprintf(&b, "how = %q\nbytes = %d\n", x.How, x.Bytes)
+		fmt.Fprintf(&b, "\n[[trouble]] # %s\nwhat = %q\nat = %q\nlasts = %q\nshare = %v\ninstances = %v\n", e.Fault, x.Kind,
+			x.Start.From, x.Duration.From, x.ServerShare, x.InstanceShare)
+		if x.Kind == "bytes" {
+			fmt.Fprintf(&b, "how = %q\nbytes = %d\n", x.ConnectionFault, x.Bytes)
 		}
 		if x.Factor.To > 0 {
 			fmt.Fprintf(&b, "factor = %v\n", x.Factor.From)
 		}
-		if x.Every > 0 {
-			fmt.Fprintf(&b, "every = %q\n", time.Duration(x.Every))
+		if x.Interval > 0 {
+			fmt.Fprintf(&b, "every = %q\n", time.Duration(x.Interval))
 		}
 	}
 	return b.String()
@@ -253,7 +255,7 @@
 	r, err := emulation.Play(ctx, x.Bubble, sc, s.Seed, options)
 	o.Err = errors.Join(err, os.RemoveAll(dir))
 	if r != nil {
-		o.Broken, o.Told, o.Asked, o.Service = r.Broken, r.Violations, r.Asked, r.Service
+		o.Broken, o.Told, o.Asked, o.Service = r.ViolationCounts, r.Violations, r.Offered, r.Service
 	}
 	for p := range pairs {
 		o.Pairs = append(o.Pairs, p)
@@ -292,11 +294,11 @@
 		for range 4 {
 			s := best.Schedule
 			s.Entries = slices.Clone(s.Entries)
-			half := (s.Entries[i].What.Lasts.From / 2).Round(time.Millisecond)
+			half := (s.Entries[i].What.Duration.From / 2).Round(time.Millisecond)
 			if half == 0 {
 				break
 			}
-			s.Entries[i].What.Lasts = scenario.Times{From: half, To: half}
+			s.Entries[i].What.Duration = scenario.DurationRange{From: half, To: half}
 			if !try(s) {
 				break
 			}
--- a/internal/lab/explore/explore_test.go
+++ b/internal/lab/explore/explore_test.go
@@ -215,7 +215,7 @@
 		return broken{Network: n, dial: func(c *netem.Conn, again func() (net.Conn, error)) net.Conn {
 			return &repeater{Conn: c, again: again}
 		}}, l
-	}, []string{rules.Effect, rules.Single, rules.Bound}},
+	}, []string{rules.Effect, rules.Single, rules.AttemptLimit}},
 	"a drain heeded late": {3, func(n http1.Network, l net.Listener) (http1.Network, net.Listener) {
 		return broken{Network: n, dial: func(c *netem.Conn, _ func() (net.Conn, error)) net.Conn { return &late{Conn: c} }}, l
 	}, []string{rules.Drain}},
@@ -233,7 +233,7 @@
 	}, []string{rules.Answer, rules.Time}},
 	"held until the deadline": {4, func(n http1.Network, l net.Listener) (http1.Network, net.Listener) {
 		return n, holder{l}
-	}, []string{rules.Held, rules.Time}},
+	}, []string{rules.HeldUntilDeadline, rules.Time}},
 }
 
 // foundWithin is in how many runs each planted fault is found, whatever the seed.
@@ -314,7 +314,7 @@
 			t.Fatalf("two of one seed:\n%s\n%s", a.Text(), b.Text())
 		}
 		s, wrong := scenario.Parse("schedule", []byte(a.Text()))
-		if len(wrong) > 0 || len(s.Troubles) != len(a.Entries) {
+		if len(wrong) > 0 || len(s.InjectedFaults) != len(a.Entries) {
 			t.Fatalf("%v\n%s", wrong, a.Text())
 		}
 	}
@@ -394,7 +394,7 @@
 		}
 		seed, _ := strconv.ParseUint(string(found[1]), 10, 64)
 		r, err := emulation.Play(t.Context(), bubble(t), s, seed, emulation.Options{Dir: t.TempDir()})
-		if err != nil || len(r.Broken) > 0 {
+		if err != nil || len(r.ViolationCounts) > 0 {
 			t.Errorf("%s: %v, %+v", file, err, r)
 		}
 	}
--- a/internal/lab/model/clients.go
+++ b/internal/lab/model/clients.go
@@ -10,157 +10,167 @@
 	"dykering/internal/lab/scenario"
 )
 
-// ask is what a client wants once, over all its tries.
-type ask struct {
-	n        int
-	class    int
-	team     int
-	work     float64
-	born     time.Duration
-	deadline time.Duration
-	instance *Instance
-	tries    int
-	over     bool
+// operation is what a client wants done once. It takes one request or, with retries, several.
+type operation struct {
+	number    int
+	class     int
+	team      int
+	work      float64
+	createdAt time.Duration
+	deadline  time.Duration
+	instance  *Instance
+	// Requests sent so far, the first one included.
+	requests int
+	// The client has a final outcome and waits for no further request.
+	finished bool
 }
 
-func (a *ask) origin() string { return fmt.Sprint(a.n) }
+// origin identifies the operation to the checker; all of its requests carry it.
+func (op *operation) origin() string { return fmt.Sprint(op.number) }
 
-// arrive has the next requests come, and so on until the callers' end.
-func (w *World) arrive(rate float64) {
-	c := w.S.Callers
-	now := max(rate*(w.burst+w.flooding())*(1+c.Wave*math.Sin(2*math.Pi*(w.Now()-Origin).Minutes())), 1e-9)
+// scheduleArrival schedules the next arrival of the clients at a base rate, in requests per second.
+// Each arrival schedules the one after it until the scenario's duration is over.
+func (w *World) scheduleArrival(rate float64) {
+	callers := w.Scenario.Callers
+	now := max(rate*(w.rateFactor+w.excessShare())*(1+callers.RateAmplitude*math.Sin(2*math.Pi*(w.Now()-Origin).Minutes())), 1e-9)
 	n, wait := 1, 1/now
-	switch c.Arrivals {
+	switch callers.Arrivals {
 	case "poisson":
-		wait *= w.asks.ExpFloat64()
+		wait *= w.callerRandom.ExpFloat64()
 	case "groups":
-		n = c.Group
-		wait *= w.asks.ExpFloat64() * float64(n)
+		n = callers.GroupSize
+		wait *= w.callerRandom.ExpFloat64() * float64(n)
 	}
 	w.After(time.Duration(wait*float64(time.Second)), func() {
-		if w.Now() >= Origin+time.Duration(w.S.Lasts) {
+		if w.Now() >= Origin+time.Duration(w.Scenario.Duration) {
 			return
 		}
 		for range n {
-			w.want()
+			w.createOperation()
 		}
-		w.arrive(rate)
+		w.scheduleArrival(rate)
 	})
 }
 
-// want makes a request.
-func (w *World) want() {
-	s := w.S
-	class := scenario.Pick(w.asks, len(s.Classes), func(i int) float64 { return s.Classes[i].Share })
-	all := w.burst + w.flooding()
-	a := &ask{
-		n: w.asked, class: class, team: scenario.Pick(w.asks, len(s.Teams), func(i int) float64 {
-			return s.Teams[i].Share * (w.burst + w.flood[i]) / all
-		}), work: s.Classes[class].Draw(w.asks), born: w.Now(), instance: w.front(),
+// createOperation draws a new operation and sends its first request. Beyond the limit on open
+// operations it is counted as suppressed and not sent.
+func (w *World) createOperation() {
+	s := w.Scenario
+	class := scenario.Pick(w.callerRandom, len(s.Classes), func(i int) float64 { return s.Classes[i].Share })
+	total := w.rateFactor + w.excessShare()
+	op := &operation{
+		number: w.operationCount, class: class, team: scenario.Pick(w.callerRandom, len(s.Teams), func(i int) float64 {
+			return s.Teams[i].Share * (w.rateFactor + w.floodShares[i]) / total
+		}), work: s.Classes[class].Draw(w.callerRandom), createdAt: w.Now(), instance: w.chooseInstance(),
 		deadline: w.Now() + time.Duration(s.Classes[class].Deadline),
 	}
-	w.asked++
-	if w.open >= s.Callers.Most {
-		w.Result.Unmade++
+	w.operationCount++
+	if w.openOperations >= s.Callers.MaxOpen {
+		w.Result.Suppressed++
 		return
 	}
-	w.open++
-	w.Result.ask(w, a)
-	w.try(a)
+	w.openOperations++
+	w.Result.recordOffered(w, op)
+	w.sendRequest(op)
 }
 
-// flooding is what teams that flood ask for beyond their share, over what all ask for.
-func (w *World) flooding() (sum float64) {
-	for i, t := range w.S.Teams {
-		sum += t.Share * w.flood[i]
+// excessShare is the load that flooding teams offer beyond their share, as a fraction of the whole
+// base load.
+func (w *World) excessShare() (sum float64) {
+	for i, team := range w.Scenario.Teams {
+		sum += team.Share * w.floodShares[i]
 	}
 	return sum
 }
 
-// front is the instance that a client comes to: one in ten may get several times the mean.
-func (w *World) front() *Instance {
-	all, hot := w.Tiers[0].Instances, w.S.Callers.Hot
+// chooseInstance draws the instance that a client connects to. With a hot factor, one in ten
+// instances gets that many times the mean load.
+func (w *World) chooseInstance() *Instance {
+	all, hot := w.Tiers[0].Instances, w.Scenario.Callers.HotFactor
 	few := (len(all) + 9) / 10
 	share := hot * float64(few) / float64(len(all))
 	if hot == 1 || share >= 1 {
-		return all[w.asks.IntN(len(all))]
+		return all[w.callerRandom.IntN(len(all))]
 	}
-	if w.hot == nil {
-		w.hot = Stream(w.seed, "hot", 0).Perm(len(all))
-		if w.S.Callers.Row {
-			slices.Sort(w.hot)
+	if w.hotOrder == nil {
+		w.hotOrder = Stream(w.seed, "hot", 0).Perm(len(all))
+		if w.Scenario.Callers.HotContiguous {
+			slices.Sort(w.hotOrder)
 		}
 	}
-	if w.asks.Float64() < share {
-		return all[w.hot[w.asks.IntN(few)]]
+	if w.callerRandom.Float64() < share {
+		return all[w.hotOrder[w.callerRandom.IntN(few)]]
 	}
-	return all[w.hot[few+w.asks.IntN(len(all)-few)]]
+	return all[w.hotOrder[few+w.callerRandom.IntN(len(all)-few)]]
 }
 
-// try sends a request to its instance.
-func (w *World) try(a *ask) {
-	left := a.deadline - w.Now()
-	if p := time.Duration(w.S.Callers.Patience); p > 0 {
-		left = min(left, p)
+// sendRequest sends the next request of an operation to its instance and starts the client's
+// timeout.
+func (w *World) sendRequest(op *operation) {
+	remaining := op.deadline - w.Now()
+	if timeout := time.Duration(w.Scenario.Callers.AttemptTimeout); timeout > 0 {
+		remaining = min(remaining, timeout)
 	}
-	a.tries++
-	w.Result.Tries++
-	t := &Try{
-		ID: decision.RequestID(fmt.Sprintf("%d/%d", a.n, a.tries)), Origin: a.origin(), Class: a.class, Team: a.team,
-		Work: a.work, Instance: a.instance, Until: w.Now() + left, Repeat: w.S.Callers.Marks && a.tries > 1, Asker: w, ask: a,
+	op.requests++
+	w.Result.Requests++
+	request := &Request{
+		ID: decision.RequestID(fmt.Sprintf("%d/%d", op.number, op.requests)), Origin: op.origin(), Class: op.class, Team: op.team,
+		Work: op.work, Instance: op.instance, Deadline: w.Now() + remaining, IsRetry: w.Scenario.Callers.MarksRetries && op.requests > 1, Requester: w, operation: op,
 	}
-	w.After(w.Latency(), func() { w.brokers.Take(t) })
-	w.After(left, func() {
-		if t.Heard || a.over {
+	w.After(w.Latency(), func() { w.brokers.Accept(request) })
+	w.After(remaining, func() {
+		if request.Completed || op.finished {
 			return
 		}
-		t.Heard = true // the client gives the try up
-		w.After(w.Latency(), func() { w.brokers.Lapse(t) })
-		w.again(a, 0, timedOut)
+		request.Completed = true // by the client's timeout
+		w.After(w.Latency(), func() { w.brokers.Abandon(request) })
+		w.retry(op, 0, timedOut)
 	})
 }
 
-// Hear gives a client the answer to a try.
-func (w *World) Hear(t *Try, how string, retryAfter time.Duration) {
-	a := t.ask
-	if t.Heard || a.over {
+// Complete implements Requester for clients: it receives the outcome of a request and retries or
+// finishes the operation.
+func (w *World) Complete(request *Request, outcome string, retryAfter time.Duration) {
+	op := request.operation
+	if request.Completed || op.finished {
 		return
 	}
-	t.Heard = true
+	request.Completed = true
 	switch {
-	case how == Served:
-		w.done(a, Served)
-	case how == Refused || how == Unheard || w.S.Classes[a.class].Effect != string(decision.Unsafe):
-		w.again(a, retryAfter, how)
+	case outcome == Served:
+		w.finishOperation(op, Served)
+	case outcome == Refused || outcome == Unreachable || w.Scenario.Classes[op.class].Effect != string(decision.Unsafe):
+		w.retry(op, retryAfter, outcome)
 	default:
-		w.done(a, how)
+		w.finishOperation(op, outcome)
 	}
 }
 
-// again has a client try once more, if it may and has the time.
-func (w *World) again(a *ask, retryAfter time.Duration, how string) {
-	c := w.S.Callers
-	if how == timedOut && w.S.Classes[a.class].Effect == string(decision.Unsafe) || a.tries >= c.Tries {
-		w.done(a, how)
+// retry sends a further request after the client's backoff, if its limit on attempts and the
+// deadline allow that; else it finishes the operation with the last outcome.
+func (w *World) retry(op *operation, retryAfter time.Duration, outcome string) {
+	c := w.Scenario.Callers
+	if outcome == timedOut && w.Scenario.Classes[op.class].Effect == string(decision.Unsafe) || op.requests >= c.MaxAttempts {
+		w.finishOperation(op, outcome)
 		return
 	}
-	wait := time.Duration(float64(c.Backoff) * math.Pow(2, float64(a.tries-1)) * (0.5 + 0.5*w.asks.Float64()))
-	if c.Honours {
+	wait := time.Duration(float64(c.Backoff) * math.Pow(2, float64(op.requests-1)) * (0.5 + 0.5*w.callerRandom.Float64()))
+	if c.HonorsRetryAfter {
 		wait = max(wait, retryAfter)
 	}
-	if w.Now()+wait >= a.deadline {
-		w.done(a, how)
+	if w.Now()+wait >= op.deadline {
+		w.finishOperation(op, outcome)
 		return
 	}
-	w.After(wait, func() { w.try(a) })
+	w.After(wait, func() { w.sendRequest(op) })
 }
 
-// done is the end of what a client wanted.
-func (w *World) done(a *ask, how string) {
-	if a.over {
+// finishOperation records the final outcome of an operation.
+func (w *World) finishOperation(op *operation, outcome string) {
+	if op.finished {
 		return
 	}
-	a.over = true
-	w.open--
-	w.Result.done(w, a, how)
+	op.finished = true
+	w.openOperations--
+	w.Result.recordOutcome(w, op, outcome)
 }
--- a/internal/lab/model/compatibility_test.go
+++ b/internal/lab/model/compatibility_test.go
@@ -6,7 +6,7 @@
 	"dykering/internal/fixture"
 )
 
-// The result of a run has the form that the journals of released builds hold.
-func TestResultOfReleasedBuildIsReadAndWrittenAlike(t *testing.T) {
+// The result of a run keeps the JSON form of the journals that released builds wrote.
+func TestResultKeepsFormOfReleasedBuild(t *testing.T) {
 	fixture.JSON(t, "testdata/compatibility/result.json", &Result{})
 }
--- a/internal/lab/model/downstream_calls.go
+++ b/internal/lab/model/downstream_calls.go
@@ -8,63 +8,68 @@
 	"dykering/internal/decision"
 )
 
-// call is a server's call, for an attempt, to the tier below.
+// call is a series of requests that a server sends to the next tier for one attempt, one after
+// another.
 type call struct {
-	a    *Attempt
-	left int // of them, with this one
-	try  *Try
+	attempt *Attempt
+	// Requests still to be sent, the present one included.
+	remaining int
+	request   *Request
 }
 
-// callBelow has a server call the tier below for an attempt, one call after another.
-func (s *Server) callBelow(a *Attempt) {
-	b := s.w.Tiers[s.Tier.N+1].below
-	c := &call{a: a, left: max(int(math.Round(b.Calls.Draw(s.rng))), 1)}
+// callNextTier begins the requests to the next tier that an attempt needs.
+func (s *Server) callNextTier(a *Attempt) {
+	downstream := s.w.Tiers[s.Tier.Index+1].downstream
+	c := &call{attempt: a, remaining: max(int(math.Round(downstream.Calls.Draw(s.rng))), 1)}
 	s.calls = append(s.calls, c)
-	s.next(c)
+	s.sendCall(c)
 }
 
-func (s *Server) next(c *call) {
-	below, w := s.w.Tiers[s.Tier.N+1], s.w
-	t := c.a.Try
-	left := time.Duration(float64(t.Until-w.Now()) * (1 - below.below.Keeps))
-	id := fmt.Sprintf("%s:%d-%d", t.ID, c.a.Number, c.left)
-	c.try = &Try{
-		ID: decision.RequestID(id), Origin: id, Class: t.Class, Team: t.Team, Work: max(below.below.Work.Draw(s.rng), 1e-6),
-		Instance: below.Instances[s.ordinal%len(below.Instances)], Until: w.Now() + left, Asker: s, call: c,
+// sendCall sends the next request of a call. Part of the time left is reserved for the server's own
+// work.
+func (s *Server) sendCall(c *call) {
+	downstream, w := s.w.Tiers[s.Tier.Index+1], s.w
+	request := c.attempt.Request
+	remaining := time.Duration(float64(request.Deadline-w.Now()) * (1 - downstream.downstream.ReservedShare))
+	id := fmt.Sprintf("%s:%d-%d", request.ID, c.attempt.Number, c.remaining)
+	c.request = &Request{
+		ID: decision.RequestID(id), Origin: id, Class: request.Class, Team: request.Team, Work: max(downstream.downstream.Work.Draw(s.rng), 1e-6),
+		Instance: downstream.Instances[s.ordinal%len(downstream.Instances)], Deadline: w.Now() + remaining, Requester: s, call: c,
 	}
-	try := c.try
-	w.After(w.Latency(), func() { w.brokers.Take(try) })
-	w.After(max(left, 0), func() { s.Hear(try, timedOut, 0) })
+	request2 := c.request
+	w.After(w.Latency(), func() { w.brokers.Accept(request2) })
+	w.After(max(remaining, 0), func() { s.Complete(request2, timedOut, 0) })
 }
 
-// Hear gives a server the answer to a call.
-func (s *Server) Hear(t *Try, how string, _ time.Duration) {
-	c := t.call
-	if t.Heard {
+// Complete implements Requester for servers: it receives the outcome of a request to the next tier,
+// and sends the following one or replies to the attempt.
+func (s *Server) Complete(request *Request, outcome string, _ time.Duration) {
+	c := request.call
+	if request.Completed {
 		return
 	}
-	if how == timedOut {
-		s.w.brokers.Lapse(t)
+	if outcome == timedOut {
+		s.w.brokers.Abandon(request)
 	}
-	t.Heard = true
-	if c.left--; how == Served && c.left > 0 && !(c.a.Over && s.kind.Stops != "nothing") {
-		s.next(c)
+	request.Completed = true
+	if c.remaining--; outcome == Served && c.remaining > 0 && !(c.attempt.Finished && s.kind.CancelSaves != "nothing") {
+		s.sendCall(c)
 		return
 	}
 	s.calls = remove(s.calls, c)
 	status := decision.OK
-	if how != Served {
+	if outcome != Served {
 		status = decision.Error
 	}
-	s.reply(c.a, status)
-	s.pull()
+	s.reply(c.attempt, status)
+	s.startQueued()
 }
 
-// giveUp ends a call that nobody waits for any more.
-func (s *Server) giveUp(c *call) {
+// abandonCall ends a call whose attempt nobody waits for any more.
+func (s *Server) abandonCall(c *call) {
 	s.calls = remove(s.calls, c)
-	if t := c.try; !t.Heard {
-		t.Heard = true
-		s.w.brokers.Lapse(t)
+	if request := c.request; !request.Completed {
+		request.Completed = true
+		s.w.brokers.Abandon(request)
 	}
 }
--- a/internal/lab/model/event_queue.go
+++ b/internal/lab/model/event_queue.go
@@ -2,70 +2,72 @@
 
 import "time"
 
-// Clock is the time of a world, virtual or the wall's. What it has happen happens on one goroutine.
+// Clock is the time of a world, virtual or real. All scheduled actions run on one goroutine.
 type Clock interface {
 	Now() time.Duration
-	// After has something happen when a time has passed.
+	// After runs an action when a duration has passed.
 	After(d time.Duration, do func())
 }
 
-// event is something that happens at a time; of those at one time, the first that was set.
+// event is an action scheduled for a time. Events of the same time run in the order in which they
+// were added.
 type event struct {
-	at  time.Duration
-	seq uint64
-	do  func()
+	at       time.Duration
+	sequence uint64
+	action   func()
 }
 
-// Heap is what is to happen, in the order of its times.
-type Heap struct {
-	seq  uint64
-	heap []event
+// EventQueue is a binary heap of scheduled actions, earliest first. Its zero value is empty and
+// ready to use.
+type EventQueue struct {
+	lastSequence uint64
+	events       []event
 }
 
-func (e event) before(f event) bool { return e.at < f.at || e.at == f.at && e.seq < f.seq }
+func (e event) before(f event) bool { return e.at < f.at || e.at == f.at && e.sequence < f.sequence }
 
-// Add has something happen at a time.
-func (c *Heap) Add(at time.Duration, do func()) {
-	c.seq++
-	c.heap = append(c.heap, event{at, c.seq, do})
-	for i := len(c.heap) - 1; i > 0; {
-		up := (i - 1) / 2
-		if !c.heap[i].before(c.heap[up]) {
+// Add schedules an action for a time.
+func (q *EventQueue) Add(at time.Duration, action func()) {
+	q.lastSequence++
+	q.events = append(q.events, event{at, q.lastSequence, action})
+	for i := len(q.events) - 1; i > 0; {
+		parent := (i - 1) / 2
+		if !q.events[i].before(q.events[parent]) {
 			break
 		}
-		c.heap[i], c.heap[up] = c.heap[up], c.heap[i]
-		i = up
+		q.events[i], q.events[parent] = q.events[parent], q.events[i]
+		i = parent
 	}
 }
 
-// Next is when the next thing happens, and false when there is none.
-func (c *Heap) Next() (at time.Duration, ok bool) {
-	if len(c.heap) == 0 {
+// Next reports the time of the earliest action, and false where the queue is empty.
+func (q *EventQueue) Next() (at time.Duration, ok bool) {
+	if len(q.events) == 0 {
 		return 0, false
 	}
-	return c.heap[0].at, true
+	return q.events[0].at, true
 }
 
-// Take takes the next thing out.
-func (c *Heap) Take() (at time.Duration, do func()) {
-	e := c.heap[0]
-	last := len(c.heap) - 1
-	c.heap[0] = c.heap[last]
-	c.heap[last] = event{}
-	c.heap = c.heap[:last]
+// Pop removes and returns the earliest action. The queue must not be empty.
+func (q *EventQueue) Pop() (at time.Duration, action func()) {
+	first := q.events[0]
+	last := len(q.events) - 1
+	q.events[0] = q.events[last]
+	q.events[last] = event{}
+	q.events = q.events[:last]
 	for i := 0; ; {
 		least := 2*i + 1
 		if least >= last {
 			break
 		}
-		if r := least + 1; r < last && c.heap[r].before(c.heap[least]) {
+		if r := least + 1; r < last && q.events[r].before(q.events[least]) {
 			least = r
 		}
-		if !c.heap[least].before(c.heap[i]) {
+		if !q.events[least].before(q.events[i]) {
 			break
 		}
-		c.heap[i], c.heap[least] = c.heap[least], c.heap[i]
+		q.events[i], q.events[least] = q.events[least], q.events[i]
 		i = least
 	}
-	return e.at, e.do
+	return first.at, first.action
 }
--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -9,273 +9,224 @@
 	"dykering/internal/lab/scenario"
 )
 
-// neighbourTurn is the longest turn of a server that is slow by turns.
-const neighbourTurn = time.Second
+// maxNeighbourTurn is the longest turn of a server that a noisy neighbour slows down by turns.
+const maxNeighbourTurn = time.Second
 
-// tell has discovery tell all instances of the server's tier, each in its time.
-func (s *Server) tell(state decision.State) {
-	w := s.w
-	s.state = state
-	w.rev++
-	e := s.Entry()
-	l := decision.List{Kind: decision.DeltaList, Version: w.rev, Entries: []decision.Entry{e}}
-	for _, in := range s.Tier.Instances {
-		w.news(in, 1, func() {
-			w.Checker.Listed(w.Now(), in.N, s.N, e.State == decision.Ready)
-			w.brokers.Hear(in, l)
-		})
-	}
-}
-
-// news has an instance hear something, after all that it was told before, if its watch does not break off.
-func (w *World) news(in *Instance, lines int, hear func()) {
-	at := max(w.Now()+w.S.Discovery.Delay.Draw(w.hears), w.deaf, in.newsAt)
-	if rate := w.S.Discovery.Rate; rate > 0 {
-		w.sendFree = max(w.sendFree, w.Now()) + time.Duration(float64(lines)/float64(rate)*float64(time.Second))
-		at = max(at, w.sendFree)
-	}
-	in.newsAt = at
-	epoch := in.epoch
-	w.After(at-w.Now(), func() {
-		if epoch == in.epoch {
-			hear()
-		}
-	})
-}
-
-// breakOff ends an instance's watch. It asks for the whole list.
-func (w *World) breakOff(in *Instance) {
-	in.epoch++
-	in.newsAt = 0
-	w.brokers.Hear(in, decision.List{Kind: decision.FailedList})
-	w.news(in, len(in.Tier.Servers), func() {
-		l := w.List(in)
-		for _, s := range in.Tier.Servers {
-			w.Checker.Listed(w.Now(), in.N, s.N, s.state == decision.Ready)
-		}
-		w.brokers.Hear(in, l)
-	})
-}
-
-// List is the whole list as discovery has it now.
-func (w *World) List(in *Instance) decision.List {
-	l := decision.List{Kind: decision.FullList, Version: w.rev}
-	for _, s := range in.Tier.Servers {
-		if s.state != decision.Departed {
-			l.Entries = append(l.Entries, s.Entry())
-		}
-	}
-	return l
-}
-
-// some are a share of so many, drawn.
-func some(r *rand.Rand, n int, share float64) []int {
+// sample draws a share of n indexes, rounded up, without replacement.
+func sample(r *rand.Rand, n int, share float64) []int {
 	return r.Perm(n)[:min(n, int(math.Ceil(share*float64(n)-1e-9)))]
 }
 
-// occurrence is a trouble as it was drawn for one run.
+// occurrence is an injected fault with the values that were drawn for this run.
 type occurrence struct {
-	scenario.Trouble
-	lasts   time.Duration
-	factor  float64
-	tier    *Tier
-	servers []int // of the tier, in the order in which they are hit
-	touched []int // instances of the tier
-	bit     uint64
-}
-
-// plan schedules a trouble.
-func (w *World) plan(t scenario.Trouble, number int, r *rand.Rand) {
-	at, lasts, factor := t.At.Draw(r), t.Lasts.Draw(r), t.Factor.Draw(r)
-	tier := w.Tiers[t.Tier]
+	scenario.InjectedFault
+	duration time.Duration
+	factor   float64
+	tier     *Tier
+	// Indexes of servers in the tier, in the order in which the fault reaches them.
+	servers []int
+	// Indexes of instances in the tier.
+	instances []int
+	// The bit of a partition.
+	partition uint64
+}
+
+// scheduleFault draws the values of a fault and schedules it.
+func (w *World) scheduleFault(fault scenario.InjectedFault, index int, r *rand.Rand) {
+	start, duration, factor := fault.Start.Draw(r), fault.Duration.Draw(r), fault.Factor.Draw(r)
+	tier := w.Tiers[fault.Tier]
 	o := occurrence{
-		Trouble: t, lasts: lasts, factor: factor, tier: tier, servers: some(r, len(tier.Servers), t.Share),
-		touched: some(r, len(tier.Instances), t.Of), bit: uint64(1) << (number % 64),
+		InjectedFault: fault, duration: duration, factor: factor, tier: tier, servers: sample(r, len(tier.Servers), fault.ServerShare),
+		instances: sample(r, len(tier.Instances), fault.InstanceShare), partition: uint64(1) << (index % 64),
 	}
-	w.After(at, func() { w.begin(o, r) })
+	w.After(start, func() { w.injectFault(o, r) })
 }
 
-// begin has a trouble happen: to the callers, to discovery, to instances, to the network, or else to servers.
-func (w *World) begin(o occurrence, r *rand.Rand) {
-	switch o.What {
+// injectFault begins a fault. Where it acts on servers or instances, those handle it one by one.
+func (w *World) injectFault(o occurrence, r *rand.Rand) {
+	switch o.Kind {
 	case "burst":
-		w.burst = o.factor
-		w.After(o.lasts, func() { w.burst = 1 })
+		w.rateFactor = o.factor
+		w.After(o.duration, func() { w.rateFactor = 1 })
 	case "flood":
-		team, extra := w.S.TeamOf(o.Team), max(o.factor-1, 0)
-		w.flood[team] += extra
-		w.After(o.lasts, func() { w.flood[team] -= extra })
+		team, extra := w.Scenario.TeamIndex(o.Team), max(o.factor-1, 0)
+		w.floodShares[team] += extra
+		w.After(o.duration, func() { w.floodShares[team] -= extra })
 	case "gone", "dribble", "junk", "twice":
-		w.manners[o.What] += min(o.factor, 1)
-		w.After(o.lasts, func() { w.manners[o.What] -= min(o.factor, 1) })
+		w.misbehaviorShares[o.Kind] += min(o.factor, 1)
+		w.After(o.duration, func() { w.misbehaviorShares[o.Kind] -= min(o.factor, 1) })
 	case "discovery":
-		w.deaf = w.Now() + o.lasts
+		w.discoveryPausedUntil = w.Now() + o.duration
 	case "break":
 		for _, in := range o.tier.Instances {
-			w.breakOff(in)
+			w.breakWatch(in)
 		}
 	case "kill", "handover", "stop", "stall", "away", "reload", "stale", "again":
-		w.befallInstances(o)
+		w.injectInstanceFault(o)
 	case "zone":
-		w.loseZone(o, r.IntN(w.S.Servers.Zones))
+		w.loseZone(o, r.IntN(w.Scenario.Servers.Zones))
 	case "partition":
 		w.partition(o)
 	default:
-		w.befallServers(o)
+		w.injectServerFault(o)
 	}
 }
 
-// befallInstances hits the touched instances one after the other.
-func (w *World) befallInstances(o occurrence) {
-	for i, x := range o.touched {
-		w.After(time.Duration(i)*time.Duration(o.Every), func() {
-			switch in := o.tier.Instances[x]; o.What {
+// injectInstanceFault applies a fault to the chosen instances, one interval after another.
+func (w *World) injectInstanceFault(o occurrence) {
+	for i, x := range o.instances {
+		w.After(time.Duration(i)*time.Duration(o.Interval), func() {
+			switch in := o.tier.Instances[x]; o.Kind {
 			case "kill":
-				w.brokers.Kill(in, o.lasts)
+				w.brokers.Kill(in, o.duration)
 			case "handover":
 				w.brokers.Handover(in)
 			default:
-				w.brokers.Befall(in, o.What, o.lasts)
+				w.brokers.InjectFault(in, o.Kind, o.duration)
 			}
 		})
 	}
 }
 
-// befallServers hits the servers one after the other; flapping ones at once.
-func (w *World) befallServers(o occurrence) {
+// injectServerFault applies a fault to the chosen servers, one interval after another; flapping
+// ones at once.
+func (w *World) injectServerFault(o occurrence) {
 	for i, x := range o.servers {
-		apart := time.Duration(i) * time.Duration(o.Every)
-		if o.What == "flap" {
-			apart = 0
+		delay := time.Duration(i) * time.Duration(o.Interval)
+		if o.Kind == "flap" {
+			delay = 0
 		}
-		w.After(apart, func() { o.tier.Servers[x].befall(o.Trouble, o.lasts, o.factor) })
+		w.After(delay, func() { o.tier.Servers[x].injectFault(o.InjectedFault, o.duration, o.factor) })
 	}
 }
 
+// loseZone makes all servers of a zone vanish.
 func (w *World) loseZone(o occurrence, zone int) {
 	for _, s := range o.tier.Servers {
-		if s.place().Zone == zone {
-			s.vanish(o.lasts)
+		if s.location().Zone == zone {
+			s.vanish(o.duration)
 		}
 	}
 }
 
-// partition cuts the touched instances and the servers off from all others.
+// partition separates the chosen instances from the chosen servers for the duration of the fault.
 func (w *World) partition(o occurrence) {
-	for _, x := range o.touched {
-		o.tier.Instances[x].cut |= o.bit
+	for _, x := range o.instances {
+		o.tier.Instances[x].partitions |= o.partition
 	}
 	for _, x := range o.servers {
-		o.tier.Servers[x].cut |= o.bit
+		o.tier.Servers[x].partitions |= o.partition
 	}
-	w.notifyParted()
-	w.After(o.lasts, func() {
+	w.notifyPartitions()
+	w.After(o.duration, func() {
 		for _, in := range o.tier.Instances {
-			in.cut &^= o.bit
+			in.partitions &^= o.partition
 		}
 		for _, s := range o.tier.Servers {
-			s.cut &^= o.bit
+			s.partitions &^= o.partition
 		}
-		w.notifyParted()
+		w.notifyPartitions()
 	})
 }
 
-// notifyParted has real sockets follow the partitions.
-func (w *World) notifyParted() {
+// notifyPartitions has real sockets follow a change of the partitions.
+func (w *World) notifyPartitions() {
 	if w.sockets != nil {
-		w.sockets.Parted()
+		w.sockets.PartitionsChanged()
 	}
 }
 
-// befall is what a trouble does to one server.
-func (s *Server) befall(t scenario.Trouble, lasts time.Duration, factor float64) {
+// injectFault applies a fault to one server.
+func (s *Server) injectFault(fault scenario.InjectedFault, duration time.Duration, factor float64) {
 	w := s.w
-	switch t.What {
+	switch fault.Kind {
 	case "crash":
-		s.crash(lasts)
+		s.crash(duration)
 	case "drain":
-		s.drain(lasts)
+		s.drain(duration)
 	case "replace":
-		s.replace(lasts)
+		s.replace(duration)
 	case "vanish":
-		s.vanish(lasts)
+		s.vanish(duration)
 	case "slow":
-		s.slow = max(factor, 1)
-		w.After(lasts, func() { s.slow = 1 })
+		s.slowdown = max(factor, 1)
+		w.After(duration, func() { s.slowdown = 1 })
 	case "neighbour":
-		s.neighbour(max(factor, 1), w.Now()+lasts)
+		s.alternateSlowdown(max(factor, 1), w.Now()+duration)
 	case "errors":
-		s.errors = min(factor, 1)
-		w.After(lasts, func() { s.errors = 0 })
+		s.errorRate = min(factor, 1)
+		w.After(duration, func() { s.errorRate = 0 })
 	case "pause":
-		s.pause(lasts)
+		s.pause(duration)
 	case "reset":
-		for _, a := range append(append([]*Attempt(nil), s.works...), s.queue...) {
-			a.To.Reply(a, decision.Reset, nil)
+		for _, a := range append(append([]*Attempt(nil), s.running...), s.queue...) {
+			a.ReplyTo.Reply(a, decision.Reset, nil)
 		}
 		if w.sockets != nil {
-			w.sockets.Reset(s)
+			w.sockets.ResetConnections(s)
 		}
 	case "bytes":
-		s.wrongBytes(t.How, t.Bytes)
-		w.After(lasts, func() { s.wrongBytes("none", 0) })
+		s.setConnectionFault(fault.ConnectionFault, fault.Bytes)
+		w.After(duration, func() { s.setConnectionFault("none", 0) })
 	case "flap":
-		s.flap(w.Now()+lasts, time.Duration(t.Every))
+		s.flap(w.Now()+duration, time.Duration(fault.Interval))
 	}
 }
 
-func (s *Server) wrongBytes(how string, n int) {
-	s.bytes, s.bytesN = how, n
+// setConnectionFault sets the fault on the server's connections, "none" to end it.
+func (s *Server) setConnectionFault(fault string, n int) {
+	s.connectionFault, s.faultBytes = fault, n
 	if s.w.sockets != nil {
-		s.w.sockets.Bytes(s, how, n)
+		s.w.sockets.SetConnectionFault(s, fault, n)
 	}
 }
 
-// vanish has nothing come from a server for a time. Discovery notices, in its time.
-func (s *Server) vanish(lasts time.Duration) {
-	s.dark++
-	s.tell(decision.Departed)
+// vanish makes a server unreachable for a duration. Discovery announces it as departed.
+func (s *Server) vanish(duration time.Duration) {
+	s.activeVanishes++
+	s.announce(decision.Departed)
 	if s.w.sockets != nil {
-		s.w.sockets.Bytes(s, "vanish", 0)
+		s.w.sockets.SetConnectionFault(s, "vanish", 0)
 	}
-	s.w.After(lasts, func() {
-		if s.dark--; s.dark == 0 {
+	s.w.After(duration, func() {
+		if s.activeVanishes--; s.activeVanishes == 0 {
 			if s.w.sockets != nil {
-				s.w.sockets.Bytes(s, "none", 0)
+				s.w.sockets.SetConnectionFault(s, "none", 0)
 			}
-			if s.up && !s.draining { // it may have ended, or begun to, in the dark
-				s.tell(decision.Ready)
+			if s.up && !s.draining { // it may have ended or begun to drain meanwhile
+				s.announce(decision.Ready)
 			}
 		}
 	})
 }
 
-// neighbour makes a server slow by turns until a time.
-func (s *Server) neighbour(factor float64, until time.Duration) {
+// alternateSlowdown makes a server slow and fast by turns until a time, as a noisy neighbour does.
+func (s *Server) alternateSlowdown(factor float64, until time.Duration) {
 	if s.w.Now() >= until {
-		s.slow = 1
+		s.slowdown = 1
 		return
 	}
-	if s.slow > 1 {
-		s.slow = 1
+	if s.slowdown > 1 {
+		s.slowdown = 1
 	} else {
-		s.slow = factor
+		s.slowdown = factor
 	}
-	s.w.After(time.Duration((0.2+0.8*s.rng.Float64())*float64(neighbourTurn)), func() { s.neighbour(factor, until) })
+	s.w.After(time.Duration((0.2+0.8*s.rng.Float64())*float64(maxNeighbourTurn)), func() { s.alternateSlowdown(factor, until) })
 }
 
-// flap has discovery say that a server is gone and back by turns until a time.
+// flap has discovery announce a server as departed and ready by turns until a time, while the
+// server itself stays up.
 func (s *Server) flap(until, every time.Duration) {
 	if s.w.Now() >= until || !s.up || s.draining {
 		if s.up && !s.draining && s.state == decision.Departed {
-			s.tell(decision.Ready)
+			s.announce(decision.Ready)
 		}
 		return
 	}
 	if s.state == decision.Ready {
-		s.tell(decision.Departed)
+		s.announce(decision.Departed)
 	} else {
-		s.tell(decision.Ready)
+		s.announce(decision.Ready)
 	}
 	s.w.After(every, func() { s.flap(until, every) })
 }
--- a/internal/lab/model/result.go
+++ b/internal/lab/model/result.go
@@ -9,94 +9,127 @@
 	"dykering/internal/lab/scenario"
 )
 
-// Result is what came of a run.
+// Result is the outcome of one run. Its JSON keys are the format of result files and journals and
+// stay as they are.
 type Result struct {
-	Scenario   string            `json:"scenario"`
-	Engine     string            `json:"engine"` // sim or real
-	Seed       uint64            `json:"seed"`
-	Instances  int               `json:"instances"`
-	Servers    int               `json:"servers"`
-	Asked      int               `json:"asked"`  // requests that clients wanted
-	Unmade     int               `json:"unmade"` // of them, beyond what may be open: callers ask for more than is ever answered
-	Tries      int               `json:"tries"`
-	Attempts   int               `json:"attempts"`
-	Connects   int               `json:"connects,omitempty"` // connections opened, where they cost
-	Served     int               `json:"served"`             // in time
-	Late       int               `json:"late"`
-	Refused    int               `json:"refused"`
-	Failed     int               `json:"failed"`
-	Unheard    int               `json:"unheard"` // there was nobody to take it
-	TimedOut   int               `json:"timedOut"`
-	Open       int               `json:"open"` // at the end
-	Service    float64           `json:"service"`
-	Worst      float64           `json:"worst"` // of a second in which enough was asked
-	Back       float64           `json:"back"`  // seconds from the end of the last trouble until service is back, -1 for never
-	P50        float64           `json:"p50"`   // seconds from what a client wanted to its answer
-	P99        float64           `json:"p99"`
-	Classes    []ClassResult     `json:"classes"`
-	Teams      []TeamResult      `json:"teams,omitempty"`
-	Seconds    []Second          `json:"seconds"`
-	Broken     map[string]int    `json:"broken"` // rules, and how often
-	Violations []rules.Violation `json:"violations,omitempty"`
-	Replicated int               `json:"replicated,omitempty"` // facts sent between brokers
-	Spread     []float64         `json:"spread,omitempty"`     // seconds until a fact was at 0.99 of its tier's brokers
-	Heeded     int               `json:"heeded,omitempty"`     // words of others that changed a mark or a trial
-	Budgets    *Budgets          `json:"budgets,omitempty"`    // of the fleet, where quotas are divided
-	Views      *Views            `json:"views,omitempty"`      // of the fleet, where the brokers keep them
-
-	latency     *hdrhistogram.Histogram
-	troubleEnds time.Duration
+	Scenario string `json:"scenario"`
+	// The engine that ran the scenario: sim, real or whole.
+	Engine    string `json:"engine"`
+	Seed      uint64 `json:"seed"`
+	Instances int    `json:"instances"`
+	Servers   int    `json:"servers"`
+	// Operations that clients sent at least one request for.
+	Offered int `json:"asked"`
+	// Operations not sent because too many were open.
+	Suppressed int `json:"unmade"`
+	// Requests sent by clients to instances, retries included.
+	Requests int `json:"tries"`
+	// Attempts sent by instances to servers.
+	Attempts int `json:"attempts"`
+	// Connections opened, where the scenario gives them a cost.
+	Connects int `json:"connects,omitempty"`
+	// Operations answered within the latency target of their class.
+	Served int `json:"served"`
+	// Operations answered after the latency target.
+	Late    int `json:"late"`
+	Refused int `json:"refused"`
+	Failed  int `json:"failed"`
+	// Operations that found no instance to connect to.
+	Unreachable int `json:"unheard"`
+	TimedOut    int `json:"timedOut"`
+	// Operations without an outcome at the end of the run.
+	Open int `json:"open"`
+	// Served operations as a share of all that were offered or suppressed.
+	Service float64 `json:"service"`
+	// The lowest share served in one second, of the seconds with enough operations to count.
+	WorstSecond float64 `json:"worst"`
+	// Seconds from the end of the last fault until service has recovered; -1 if it never does.
+	RecoverySeconds float64 `json:"back"`
+	// Median latency of answered operations, in seconds, retries included.
+	P50     float64       `json:"p50"`
+	P99     float64       `json:"p99"`
+	Classes []ClassResult `json:"classes"`
+	Teams   []TeamResult  `json:"teams,omitempty"`
+	Seconds []Second      `json:"seconds"`
+	// Violations by rule.
+	ViolationCounts map[string]int    `json:"broken"`
+	Violations      []rules.Violation `json:"violations,omitempty"`
+	// Replicated facts sent between instances.
+	FactsSent int `json:"replicated,omitempty"`
+	// For each fact that reached 0.99 of the instances of its tier, the seconds until it did.
+	PropagationSeconds []float64 `json:"spread,omitempty"`
+	// Times that advice from other instances changed an ejection or a trial request.
+	AppliedAdvice int `json:"heeded,omitempty"`
+	// Fleet-wide budgets, where quotas are shared by leases.
+	Budgets *Budgets `json:"budgets,omitempty"`
+	// Views of the fleet at the end, where the instances keep them.
+	Views *Views `json:"views,omitempty"`
+
+	latency   *hdrhistogram.Histogram
+	faultsEnd time.Duration
 }
 
-// Budgets are what came of dividing the teams' quotas among the brokers.
+// Budgets measures how well the teams' quotas were divided among the instances.
 type Budgets struct {
-	Used  float64 `json:"used"`  // of the quotas, in seconds in which a team asked for more than its quota: what was admitted within shares
-	Over  int     `json:"over"`  // such seconds, summed over the teams
-	Short float64 `json:"short"` // seconds, from the fifth on, in which living brokers' parts came to less than 0.95 of a quota
-	Most  float64 `json:"most"`  // of any quota that parts came to at a time
-
-	used, of float64
+	// The share of quota that was admitted, over all seconds in which a team asked for at least its
+	// quota.
+	UsedShare float64 `json:"used"`
+	// The number of such seconds, summed over the teams.
+	OverloadedSeconds int `json:"over"`
+	// Seconds, from the fifth on, in which the allotments of live instances summed to less than 0.95
+	// of a quota.
+	ShortSeconds float64 `json:"short"`
+	// The highest sum of allotments at one time, as a multiple of the quota.
+	MaxAllotted float64 `json:"most"`
+
+	used, quota float64
 }
 
-// Second takes in one second of a team: requests asked for and admitted within shares, of its quota.
-func (b *Budgets) Second(asked, within, quota float64) {
-	if asked < quota {
+// RecordSecond adds one second of a team: the requests it offered, those admitted within quota, and
+// the quota itself. Seconds below the quota do not count.
+func (b *Budgets) RecordSecond(offered, within, quota float64) {
+	if offered < quota {
 		return
 	}
-	b.Over++
+	b.OverloadedSeconds++
 	b.used += within
-	b.of += quota
-	b.Used = b.used / b.of
+	b.quota += quota
+	b.UsedShare = b.used / b.quota
 }
 
-// Views are the brokers' views of the fleet at the end, and what they counted, summed over the brokers.
+// Views summarizes the instances' views of the fleet at the end, with counters summed over the
+// instances.
 type Views struct {
-	Digests     map[string]int `json:"digests"` // and how many brokers hold each
+	// The number of instances that hold each view, by its digest.
+	Digests     map[string]int `json:"digests"`
 	Suspicions  uint64         `json:"suspicions"`
 	Refutations uint64         `json:"refutations"`
 	Deaths      uint64         `json:"deaths"`
-	BytesOut    uint64         `json:"bytesOut"` // of packets
+	// Bytes of gossip packets sent.
+	BytesOut uint64 `json:"bytesOut"`
 }
 
-// ClassResult is what came of a class.
+// ClassResult is the part of a result that belongs to one class of request.
 type ClassResult struct {
-	Name   string `json:"name"`
-	Asked  int    `json:"asked"`
-	Served int    `json:"served"`
+	Name    string `json:"name"`
+	Offered int    `json:"asked"`
+	Served  int    `json:"served"`
 }
 
-// TeamResult is what came of a team.
+// TeamResult is the part of a result that belongs to one team.
 type TeamResult struct {
 	ClassResult
-	Floods bool `json:"floods,omitempty"` // for a time
+	// A fault of the scenario has this team exceed its share.
+	Floods bool `json:"floods,omitempty"`
 }
 
-// Others is the service of all teams that do not flood, 1 where there are none.
-func (r *Result) Others() float64 {
+// NonFloodingService is the share served of the operations of all teams that do not flood, 1 where
+// there are none.
+func (r *Result) NonFloodingService() float64 {
 	asked, served := 0, 0
 	for _, t := range r.Teams {
 		if !t.Floods {
-			asked, served = asked+t.Asked, served+t.Served
+			asked, served = asked+t.Offered, served+t.Served
 		}
 	}
 	if asked == 0 {
@@ -105,99 +138,102 @@
 	return float64(served) / float64(asked)
 }
 
-// Second is what came of what was asked in a second.
+// Second is the outcome of the operations created in one second of the run.
 type Second struct {
-	Asked  int `json:"asked"`
-	Served int `json:"served"`
+	Offered int `json:"asked"`
+	Served  int `json:"served"`
 }
 
 const (
-	// enough is how many requests a second must have to count by itself.
-	enough = 20
-	// well is the service from which on it counts as back, for backFor seconds.
-	well    = 0.95
-	backFor = 3
+	// minOfferedPerSecond is the least number of operations for which a second counts in WorstSecond.
+	minOfferedPerSecond = 20
+	// recoveredService is the share served from which on a second counts as recovered; recoverySeconds
+	// of them in a row end the recovery.
+	recoveredService = 0.95
+	recoverySeconds  = 3
 )
 
 func newResult(s *scenario.Scenario, seed uint64) *Result {
 	r := &Result{
-		Scenario: s.Name, Engine: "sim", Seed: seed, Instances: s.Broker.Instances, Servers: s.Servers.Count, Back: -1,
-		Classes: make([]ClassResult, len(s.Classes)), Seconds: make([]Second, 1+int(time.Duration(s.Lasts).Seconds())),
+		Scenario: s.Name, Engine: "sim", Seed: seed, Instances: s.Broker.Instances, Servers: s.Servers.Count, RecoverySeconds: -1,
+		Classes: make([]ClassResult, len(s.Classes)), Seconds: make([]Second, 1+int(time.Duration(s.Duration).Seconds())),
 		latency: hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3),
 	}
 	for i, c := range s.Classes {
 		r.Classes[i].Name = c.Name
 	}
-	for _, t := range s.Teams {
-		r.Teams = append(r.Teams, TeamResult{ClassResult: ClassResult{Name: t.Name}})
+	for _, team := range s.Teams {
+		r.Teams = append(r.Teams, TeamResult{ClassResult: ClassResult{Name: team.Name}})
 	}
-	for _, t := range s.Troubles {
-		if i := s.TeamOf(t.Team); t.What == "flood" && i >= 0 {
+	for _, team := range s.InjectedFaults {
+		if i := s.TeamIndex(team.Team); team.Kind == "flood" && i >= 0 {
 			r.Teams[i].Floods = true
 		}
-		r.troubleEnds = max(r.troubleEnds, t.At.To+t.Lasts.To)
+		r.faultsEnd = max(r.faultsEnd, team.Start.To+team.Duration.To)
 	}
 	return r
 }
 
-func (r *Result) second(a *ask) *Second { return &r.Seconds[int((a.born - Origin).Seconds())] }
+func (r *Result) second(op *operation) *Second {
+	return &r.Seconds[int((op.createdAt - Origin).Seconds())]
+}
 
-func (r *Result) ask(_ *World, a *ask) {
-	r.Asked++
-	r.Classes[a.class].Asked++
+func (r *Result) recordOffered(_ *World, op *operation) {
+	r.Offered++
+	r.Classes[op.class].Offered++
 	if len(r.Teams) > 0 {
-		r.Teams[a.team].Asked++
+		r.Teams[op.team].Offered++
 	}
-	r.second(a).Asked++
+	r.second(op).Offered++
 }
 
-func (r *Result) done(w *World, a *ask, how string) {
-	w.Checker.Forget(a.origin())
-	switch took := w.Now() - a.born; {
-	case how == Served && took <= time.Duration(w.S.Classes[a.class].Aim):
+func (r *Result) recordOutcome(w *World, op *operation, outcome string) {
+	w.Checker.ForgetOrigin(op.origin())
+	switch latency := w.Now() - op.createdAt; {
+	case outcome == Served && latency <= time.Duration(w.Scenario.Classes[op.class].LatencyTarget):
 		r.Served++
-		r.Classes[a.class].Served++
+		r.Classes[op.class].Served++
 		if len(r.Teams) > 0 {
-			r.Teams[a.team].Served++
+			r.Teams[op.team].Served++
 		}
-		r.second(a).Served++
-		r.latency.RecordValue(took.Microseconds())
-	case how == Served:
+		r.second(op).Served++
+		r.latency.RecordValue(latency.Microseconds())
+	case outcome == Served:
 		r.Late++
-		r.latency.RecordValue(took.Microseconds())
-	case how == Refused:
+		r.latency.RecordValue(latency.Microseconds())
+	case outcome == Refused:
 		r.Refused++
-	case how == Failed:
+	case outcome == Failed:
 		r.Failed++
-	case how == Unheard:
-		r.Unheard++
+	case outcome == Unreachable:
+		r.Unreachable++
 	default:
 		r.TimedOut++
 	}
 }
 
-func (r *Result) finish(w *World) {
-	r.Open = w.open
-	r.Broken, r.Violations = w.Checker.Counts(), w.Checker.Violations()
-	if all := r.Asked + r.Unmade; all > 0 {
-		r.Service = float64(r.Served) / float64(all)
+func (r *Result) summarize(w *World) {
+	r.Open = w.openOperations
+	r.ViolationCounts, r.Violations = w.Checker.Counts(), w.Checker.Violations()
+	if total := r.Offered + r.Suppressed; total > 0 {
+		r.Service = float64(r.Served) / float64(total)
 	}
-	r.Worst = 1
-	in := 0
+	r.WorstSecond = 1
+	recovered := 0
 	for i, s := range r.Seconds {
-		share := 1.0
-		if s.Asked > 0 {
-			share = float64(s.Served) / float64(s.Asked)
+		service := 1.0
+		if s.Offered > 0 {
+			service = float64(s.Served) / float64(s.Offered)
 		}
-		if s.Asked >= enough {
-			r.Worst = min(r.Worst, share)
+		if s.Offered >= minOfferedPerSecond {
+			r.WorstSecond = min(r.WorstSecond, service)
 		}
-		if after := float64(i) - r.troubleEnds.Seconds(); after >= 0 && r.Back < 0 {
-			if in++; share < well {
-				in = 0
+		if after := float64(i) - r.faultsEnd.Seconds(); after >= 0 && r.RecoverySeconds < 0 {
+			if recovered++; service < recoveredService {
+				recovered = 0
 			}
-			if in == backFor {
-				r.Back = max(after-backFor+1, 0)
+			if recovered == recoverySeconds {
+				r.RecoverySeconds = max(after-recoverySeconds+1, 0)
 			}
 		}
 	}
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -12,138 +12,163 @@
 	"dykering/internal/lab/scenario"
 )
 
-// Attempt is one sending of a try to a server.
+// Attempt is one request sent by an instance to a server. Attempts of the same request are
+// numbered.
 type Attempt struct {
-	Try    *Try
-	Number int
-	Server *Server
-	Sent   time.Duration
-	Over   bool // whoever sent it waits no more
-	To     Replier
-	work   float64 // what its connection costs beside
+	Request *Request
+	Number  int
+	Server  *Server
+	SentAt  time.Duration
+	// The sender does not wait for a reply any more.
+	Finished bool
+	ReplyTo  Replier
+	// Work of the server for the connection itself, in seconds of a core.
+	connectionWork float64
 }
 
-// Replier is told how a server answers an attempt, when the answer leaves the server.
+// Replier receives a server's reply to an attempt, when the reply leaves the server.
 type Replier interface {
 	Reply(a *Attempt, how decision.Status, l *decision.Load)
 }
 
-// Server is a model of one: cores that work on one call each, a queue, and what troubles do to it.
+// Server is the model of a server: cores that work on one attempt each, a queue, and the faults
+// that are active on it.
 type Server struct {
-	N        int // among all
-	Tier     *Tier
-	w        *World
-	ordinal  int // in its tier
-	kind     *scenario.Kind
-	kindN    int
-	speed    float64
-	rng      *rand.Rand
-	up       bool
-	state    decision.State // as discovery has it
-	starts   uint64
-	started  time.Duration // 0 for long past
+	// Its index among the servers of all tiers.
+	Index int
+	Tier  *Tier
+	w     *World
+	// Its index in its tier.
+	ordinal   int
+	kind      *scenario.Kind
+	kindIndex int
+	speed     float64
+	rng       *rand.Rand
+	up        bool
+	// The state that discovery announces.
+	state decision.State
+	// Number of shutdowns. Work scheduled under an earlier incarnation is dropped.
+	incarnation uint64
+	// When it last started; 0 for long ago.
+	started  time.Duration
 	draining bool
-	works    []*Attempt // on these, in the order in which they began
-	queue    []*Attempt
-	calls    []*call // to the tier below
-	slow     float64 // times
-	errors   float64 // share, beside its kind's
-	paused   time.Duration
-	load     float64 // work that came in the window that began at loadAt
-	loadAt   time.Duration
-	handled  int // since it last rested
-	dark     int // troubles by which nothing comes from it
-	cut      uint64
-	bytes    string // what goes wrong on its connections
-	bytesN   int
-	conns    map[int]*conns // by instance, where connections cost
-	open     int            // connections
-	seen     decision.Load  // its last report
-	seenAt   time.Duration
+	// Attempts being worked on, oldest first.
+	running []*Attempt
+	queue   []*Attempt
+	// Open calls to the next tier.
+	calls []*call
+	// Factor by which work takes longer.
+	slowdown float64
+	// Share of errors beside that of its kind.
+	errorRate   float64
+	pausedUntil time.Duration
+	// Work received in the window that began at windowStart.
+	recentWork  float64
+	windowStart time.Duration
+	// Attempts handled since its last rest.
+	handledSinceRest int
+	// The number of active faults under which nothing arrives from it.
+	activeVanishes int
+	// Bits of the partitions that it is on the far side of.
+	partitions uint64
+	// The fault on its connections, "none" without one, and its size in bytes.
+	connectionFault string
+	faultBytes      int
+	// Connections by instance, where they have a cost.
+	pools           map[int]*connectionPool
+	openConnections int // connections
+	// The load report that was sent last, and its time.
+	lastReport   decision.Load
+	lastReportAt time.Duration
 }
 
-// conns are the connections of an instance to a server.
-type conns struct{ idle, open int }
+// connectionPool counts the connections of one instance to a server.
+type connectionPool struct{ idle, open int }
 
-func (w *World) makeServer(t *Tier, kind int) *Server {
+// addServer adds a server to a tier. Its kind is drawn by the kinds' shares where the index is
+// below 0.
+func (w *World) addServer(t *Tier, kind int) *Server {
 	ordinal := len(t.Servers)
-	rng := Stream(w.seed, fmt.Sprint("server", t.N), ordinal)
-	if drawn := scenario.Pick(rng, len(w.S.Kinds), func(j int) float64 { return w.S.Kinds[j].Share }); kind < 0 {
+	rng := Stream(w.seed, fmt.Sprint("server", t.Index), ordinal)
+	if drawn := scenario.Pick(rng, len(w.Scenario.Kinds), func(j int) float64 { return w.Scenario.Kinds[j].Share }); kind < 0 {
 		kind = drawn
 	}
-	k := &w.S.Kinds[kind]
+	k := &w.Scenario.Kinds[kind]
 	s := &Server{
-		N: len(w.Servers), Tier: t, w: w, ordinal: ordinal, kind: k, kindN: kind, speed: k.Speed.Draw(rng), rng: rng,
-		up: true, slow: 1, bytes: "none", conns: map[int]*conns{},
+		Index: len(w.Servers), Tier: t, w: w, ordinal: ordinal, kind: k, kindIndex: kind, speed: k.Speed.Draw(rng), rng: rng,
+		up: true, slowdown: 1, connectionFault: "none", pools: map[int]*connectionPool{},
 	}
 	t.Servers = append(t.Servers, s)
 	w.Servers = append(w.Servers, s)
 	return s
 }
 
-// ID is its name for instances.
-func (s *Server) ID() decision.EndpointID { return decision.EndpointID(s.N + 1) }
+// ID is the endpoint under which instances know the server.
+func (s *Server) ID() decision.EndpointID { return decision.EndpointID(s.Index + 1) }
 
-// Drawn tells what of a server the seed has drawn.
-func (s *Server) Drawn() string { return fmt.Sprint(s.kind.Name, " of speed ", s.speed) }
+// Description names the properties that were drawn for the server.
+func (s *Server) Description() string { return fmt.Sprint(s.kind.Name, " of speed ", s.speed) }
 
-// Silent tells whether nothing comes from its side of a new connection.
-func (s *Server) Silent() bool { return s.dark > 0 || s.bytes == "syn" }
+// IsSilent reports whether nothing comes from the server on a new connection.
+func (s *Server) IsSilent() bool { return s.activeVanishes > 0 || s.connectionFault == "syn" }
 
-func (s *Server) place() rules.Place {
-	return rules.Place{Zone: s.ordinal % s.w.S.Servers.Zones, Cell: s.ordinal / cellOf}
+func (s *Server) location() rules.Location {
+	return rules.Location{Zone: s.ordinal % s.w.Scenario.Servers.Zones, Cell: s.ordinal / serversPerCell}
 }
 
-// Listens tells whether it is there to be connected to.
-func (s *Server) Listens() bool { return s.up }
+// IsListening reports whether connections to the server can be made.
+func (s *Server) IsListening() bool { return s.up }
 
-// Entry is what discovery says of the server.
+// Entry is the server's entry in the endpoint list of discovery.
 func (s *Server) Entry() decision.Entry {
-	p := s.place()
+	p := s.location()
 	return decision.Entry{
-		Endpoint: s.ID(), Zone: p.Zone, Cell: p.Cell, Kind: s.kindN, State: s.state, Started: s.started,
+		Endpoint: s.ID(), Zone: p.Zone, Cell: p.Cell, Kind: s.kindIndex, State: s.state, Started: s.started,
 		Weight: float64(s.kind.Cores),
 	}
 }
 
-// share is the part of its capacity that a server has that has just started.
-func (s *Server) share() float64 {
-	cold := time.Duration(s.w.S.Servers.Cold)
+// capacityShare is the share of its full capacity that a server has now: less than 1 while it warms
+// up.
+func (s *Server) capacityShare() float64 {
+	cold := time.Duration(s.w.Scenario.Servers.WarmUp)
 	if s.started == 0 || cold == 0 || s.w.Now() >= s.started+cold {
 		return 1
 	}
-	from := s.w.S.Servers.From
+	from := s.w.Scenario.Servers.ColdCapacity
 	return from + (1-from)*float64(s.w.Now()-s.started)/float64(cold)
 }
 
-// Connect takes a connection for an attempt, where those cost, and is how long that takes. It is refused when the
-// server has no more.
-func (s *Server) Connect(a *Attempt) (took time.Duration, ok bool) {
-	if s.kind.Conns == 0 && s.kind.Handshake == 0 {
+// Connect takes a connection for an attempt and returns the time that takes. It fails where the
+// server's limit on connections is reached. Connections have no cost in kinds that set neither a
+// limit nor a handshake.
+func (s *Server) Connect(a *Attempt) (duration time.Duration, ok bool) {
+	if s.kind.MaxConnections == 0 && s.kind.Handshake == 0 {
 		return 0, true
 	}
-	c := s.conns[a.Try.Instance.N]
+	c := s.pools[a.Request.Instance.Index]
 	if c == nil {
-		c = &conns{}
-		s.conns[a.Try.Instance.N] = c
+		c = &connectionPool{}
+		s.pools[a.Request.Instance.Index] = c
 	}
 	if c.idle > 0 {
 		c.idle--
 		return 0, true
 	}
-	if s.kind.Conns > 0 && s.open >= s.kind.Conns {
+	if s.kind.MaxConnections > 0 && s.openConnections >= s.kind.MaxConnections {
 		return 0, false
 	}
 	c.open++
-	s.open++
+	s.openConnections++
 	s.w.Result.Connects++
-	a.work = time.Duration(s.kind.Handshake).Seconds()
+	a.connectionWork = time.Duration(s.kind.Handshake).Seconds()
 	return 2 * s.w.Latency(), true
 }
 
-// Release gives a connection back, to be used again or not.
+// Release returns the connection of an attempt; keep leaves it idle for a further attempt, else it
+// is closed.
 func (s *Server) Release(a *Attempt, keep bool) {
-	c := s.conns[a.Try.Instance.N]
+	c := s.pools[a.Request.Instance.Index]
 	switch {
 	case c == nil || c.open == 0:
 	case keep && c.idle < c.open:
@@ -151,20 +176,20 @@
 	case !keep:
 		c.open--
 		c.idle = min(c.idle, c.open)
-		s.open--
+		s.openConnections--
 	}
 }
 
-// Arrive takes an attempt that comes.
-func (s *Server) Arrive(a *Attempt) {
+// Receive handles an attempt that arrives.
+func (s *Server) Receive(a *Attempt) {
 	if !s.up {
 		s.reply(a, decision.ConnectFailed)
 		return
 	}
-	if s.bytes == "slow_read" {
-		starts := s.starts
-		s.w.After(s.slowly(), func() {
-			if starts == s.starts {
+	if s.connectionFault == "slow_read" {
+		starts := s.incarnation
+		s.w.After(s.slowTransferTime(), func() {
+			if starts == s.incarnation {
 				s.admit(a)
 			}
 		})
@@ -173,21 +198,21 @@
 	s.admit(a)
 }
 
-// slowly is how long a short message takes in pieces.
-func (s *Server) slowly() time.Duration {
+// slowTransferTime is how long a short message takes that is transferred in small chunks.
+func (s *Server) slowTransferTime() time.Duration {
 	const short, each = 300, 20 * time.Millisecond
-	return time.Duration(math.Ceil(short/float64(max(s.bytesN, 1)))) * each
+	return time.Duration(math.Ceil(short/float64(max(s.faultBytes, 1)))) * each
 }
 
 func (s *Server) admit(a *Attempt) {
-	s.press(a)
+	s.recordColdLoad(a)
 	switch {
 	case !s.up:
 		s.reply(a, decision.Reset)
-	case s.kind.Slots > 0 && len(s.works)+len(s.queue)+len(s.calls) >= s.kind.Slots:
+	case s.kind.Slots > 0 && len(s.running)+len(s.queue)+len(s.calls) >= s.kind.Slots:
 		s.reply(a, decision.Rejected)
-	case len(s.works) < s.kind.Cores && s.w.Now() >= s.paused:
-		s.work(a)
+	case len(s.running) < s.kind.Cores && s.w.Now() >= s.pausedUntil:
+		s.startWork(a)
 	case len(s.queue) >= s.kind.Queue:
 		s.reply(a, decision.Rejected)
 	default:
@@ -195,130 +220,133 @@
 	}
 }
 
-// press notes what a cold server is asked to do. Over what it can bear, for long enough, it falls over.
-func (s *Server) press(a *Attempt) {
-	tip, fall := s.w.S.Servers.Tip, time.Duration(s.w.S.Servers.Fall)
-	if s.share() >= 1 || tip == 0 {
+// recordColdLoad adds an attempt to the load of a server that is warming up. A server that gets
+// more than it can bear for a whole window crashes.
+func (s *Server) recordColdLoad(a *Attempt) {
+	multiple, window := s.w.Scenario.Servers.OverloadMultiple, time.Duration(s.w.Scenario.Servers.OverloadWindow)
+	if s.capacityShare() >= 1 || multiple == 0 {
 		return
 	}
-	if s.w.Now()-s.loadAt >= fall {
-		s.load, s.loadAt = 0, s.w.Now()
+	if s.w.Now()-s.windowStart >= window {
+		s.recentWork, s.windowStart = 0, s.w.Now()
 	}
-	s.load += a.Try.Work
-	can := fall.Seconds() * float64(s.kind.Cores) * s.speed * s.share()
-	if load := s.load / can; load > tip {
-		s.w.Checker.Fell(s.w.Now(), s.N, load)
-		s.crash(down)
+	s.recentWork += a.Request.Work
+	capacity := window.Seconds() * float64(s.kind.Cores) * s.speed * s.capacityShare()
+	if load := s.recentWork / capacity; load > multiple {
+		s.w.Checker.ColdServerOverloaded(s.w.Now(), s.Index, load)
+		s.crash(overloadDowntime)
 	}
 }
 
-// work begins to work on an attempt.
-func (s *Server) work(a *Attempt) {
-	s.works = append(s.works, a)
-	s.w.Checker.Ran(s.w.Now(), string(a.Try.ID), s.place())
-	took := (a.Try.Work + a.work) / (s.speed * s.share()) * s.slow
-	if n := len(s.works) + len(s.queue); s.kind.Crowd > 0 && n > s.kind.Crowd {
-		took *= 1 + s.kind.Thrash*float64(n-s.kind.Crowd)/float64(s.kind.Crowd)
+// startWork begins to work on an attempt.
+func (s *Server) startWork(a *Attempt) {
+	s.running = append(s.running, a)
+	s.w.Checker.ExecutionStarted(s.w.Now(), string(a.Request.ID), s.location())
+	duration := (a.Request.Work + a.connectionWork) / (s.speed * s.capacityShare()) * s.slowdown
+	if n := len(s.running) + len(s.queue); s.kind.ThrashThreshold > 0 && n > s.kind.ThrashThreshold {
+		duration *= 1 + s.kind.ThrashFactor*float64(n-s.kind.ThrashThreshold)/float64(s.kind.ThrashThreshold)
 	}
 	status := decision.OK
-	if s.rng.Float64() < s.kind.Errors+s.errors {
-		status, took = decision.Error, took/10
+	if s.rng.Float64() < s.kind.ErrorRate+s.errorRate {
+		status, duration = decision.Error, duration/10
 	}
-	starts := s.starts
-	s.w.After(time.Duration(took*float64(time.Second)), func() { s.finish(a, status, starts) })
+	starts := s.incarnation
+	s.w.After(time.Duration(duration*float64(time.Second)), func() { s.finishWork(a, status, starts) })
 }
 
-// finish ends the work on an attempt, or waits for the end of a pause.
-func (s *Server) finish(a *Attempt, status decision.Status, starts uint64) {
-	if starts != s.starts {
-		return // it went down with what it worked on
+// finishWork ends the work on an attempt. During a pause it waits for its end.
+func (s *Server) finishWork(a *Attempt, status decision.Status, starts uint64) {
+	if starts != s.incarnation {
+		return // the server has shut down since
 	}
-	if s.w.Now() < s.paused {
-		s.w.After(s.paused-s.w.Now(), func() { s.finish(a, status, starts) })
+	if s.w.Now() < s.pausedUntil {
+		s.w.After(s.pausedUntil-s.w.Now(), func() { s.finishWork(a, status, starts) })
 		return
 	}
-	if !slices.Contains(s.works, a) {
-		return // it was called off
+	if !slices.Contains(s.running, a) {
+		return // it was cancelled
 	}
-	s.works = remove(s.works, a)
-	if s.handled++; s.kind.ChokeAfter > 0 && s.handled >= s.kind.ChokeAfter {
-		s.handled = 0
-		s.pause(s.kind.Rest.Draw(s.rng))
+	s.running = remove(s.running, a)
+	if s.handledSinceRest++; s.kind.RestAfter > 0 && s.handledSinceRest >= s.kind.RestAfter {
+		s.handledSinceRest = 0
+		s.pause(s.kind.RestDuration.Draw(s.rng))
 	}
-	if status == decision.OK && s.Tier.N+1 < len(s.w.Tiers) && !(a.Over && s.kind.Stops != "nothing") {
-		s.callBelow(a)
+	if status == decision.OK && s.Tier.Index+1 < len(s.w.Tiers) && !(a.Finished && s.kind.CancelSaves != "nothing") {
+		s.callNextTier(a)
 	} else {
 		s.reply(a, status)
 	}
-	s.pull()
+	s.startQueued()
 }
 
 func remove[T comparable](all []T, x T) []T {
 	return slices.DeleteFunc(all, func(y T) bool { return x == y })
 }
 
-// pull begins to work on what waits. What was called off meanwhile is passed over.
-func (s *Server) pull() {
-	for s.up && s.w.Now() >= s.paused && len(s.works) < s.kind.Cores && len(s.queue) > 0 {
+// startQueued begins to work on queued attempts while cores are free. Cancelled ones are dropped
+// unless the kind works on them all the same.
+func (s *Server) startQueued() {
+	for s.up && s.w.Now() >= s.pausedUntil && len(s.running) < s.kind.Cores && len(s.queue) > 0 {
 		a := s.queue[0]
 		s.queue[0] = nil
 		s.queue = s.queue[1:]
-		if !a.Over || s.kind.Stops == "nothing" {
-			s.work(a)
+		if !a.Finished || s.kind.CancelSaves == "nothing" {
+			s.startWork(a)
 		}
 	}
 }
 
-// Cancel tells that whoever sent an attempt has closed its connection.
+// Cancel handles that the sender of an attempt has closed its connection.
 func (s *Server) Cancel(a *Attempt) {
-	if s.kind.Stops != "all" {
-		return // what waits is passed over when its turn comes
+	if s.kind.CancelSaves != "all" {
+		return // queued attempts are dropped when their turn comes
 	}
-	s.works, s.queue = remove(s.works, a), remove(s.queue, a)
+	s.running, s.queue = remove(s.running, a), remove(s.queue, a)
 	for _, c := range slices.Clone(s.calls) {
-		if c.a == a {
-			s.giveUp(c)
+		if c.attempt == a {
+			s.abandonCall(c)
 		}
 	}
-	s.pull()
+	s.startQueued()
 }
 
-// reply sends an outcome back.
+// reply sends the outcome of an attempt back, subject to the faults on the server's connections.
 func (s *Server) reply(a *Attempt, status decision.Status) {
-	if n := s.w.S.Network.Resets; n > 0 && s.rng.Float64() < n {
+	if n := s.w.Scenario.Network.ResetRate; n > 0 && s.rng.Float64() < n {
 		status = decision.Reset
 	}
-	if s.w.sockets == nil && status != decision.ConnectFailed { // on real sockets it is the bytes that go wrong
-		switch s.bytes {
+	if s.w.sockets == nil && status != decision.ConnectFailed { // real sockets carry out the fault themselves
+		switch s.connectionFault {
 		case "reset", "cut", "half_close":
 			status = decision.Reset
 		case "garbage":
 			status = decision.InvalidResponse
 		case "stall":
-			return // nothing comes
+			return // no reply is sent
 		case "slow_write":
-			s.w.After(s.slowly(), func() { a.To.Reply(a, status, s.report()) })
+			s.w.After(s.slowTransferTime(), func() { a.ReplyTo.Reply(a, status, s.loadReport()) })
 			return
 		}
 	}
-	a.To.Reply(a, status, s.report())
+	a.ReplyTo.Reply(a, status, s.loadReport())
 }
 
-// report is what a server says of its load, as it was some time ago.
-func (s *Server) report() *decision.Load {
+// loadReport is the load that a server reports with a reply, nil where its kind reports none. It is
+// renewed at the kind's interval and has its noise.
+func (s *Server) loadReport() *decision.Load {
 	k := s.kind
-	if !k.Reports {
+	if !k.ReportsLoad {
 		return nil
 	}
-	if now := s.w.Now(); s.seenAt == 0 || now-s.seenAt >= time.Duration(k.ReportEvery) {
-		wrong := func(x float64) float64 { return x * (1 + k.ReportNoise*(2*s.rng.Float64()-1)) }
-		busy := float64(len(s.works))
-		s.seenAt = now
-		s.seen = decision.Load{
-			InFlight: wrong(busy + float64(len(s.queue)+len(s.calls))), Queue: wrong(float64(len(s.queue))),
-			Util: min(wrong(busy/float64(k.Cores)), 1), Service: -1,
+	if now := s.w.Now(); s.lastReportAt == 0 || now-s.lastReportAt >= time.Duration(k.ReportInterval) {
+		noisy := func(x float64) float64 { return x * (1 + k.ReportNoise*(2*s.rng.Float64()-1)) }
+		busy := float64(len(s.running))
+		s.lastReportAt = now
+		s.lastReport = decision.Load{
+			InFlight: noisy(busy + float64(len(s.queue)+len(s.calls))), Queue: noisy(float64(len(s.queue))),
+			Util: min(noisy(busy/float64(k.Cores)), 1), Service: -1,
 		}
 	}
-	l := s.seen
+	l := s.lastReport
 	return &l
 }
--- a/internal/lab/model/server_lifecycle.go
+++ b/internal/lab/model/server_lifecycle.go
@@ -7,91 +7,93 @@
 	"dykering/internal/decision"
 )
 
-// pause has a server work on nothing for a time.
-func (s *Server) pause(lasts time.Duration) {
-	s.paused = max(s.paused, s.w.Now()+lasts)
-	s.w.After(lasts, s.pull)
+// pause stops all work of a server for a duration.
+func (s *Server) pause(duration time.Duration) {
+	s.pausedUntil = max(s.pausedUntil, s.w.Now()+duration)
+	s.w.After(duration, s.startQueued)
 }
 
-// pauses has its pauses come, one after another, as long as callers ask.
-func (s *Server) pauses() {
+// schedulePauses schedules the pauses that belong to the server's kind, until the scenario's
+// duration is over.
+func (s *Server) schedulePauses() {
 	k := s.kind
-	if k.PauseEvery.To == 0 || s.w.Now() > Origin+time.Duration(s.w.S.Lasts) {
+	if k.PauseInterval.To == 0 || s.w.Now() > Origin+time.Duration(s.w.Scenario.Duration) {
 		return
 	}
-	s.w.After(max(k.PauseEvery.Draw(s.rng), time.Millisecond), func() {
-		lasts := k.PauseFor.Draw(s.rng)
-		s.pause(lasts)
-		s.w.After(lasts, s.pauses)
+	s.w.After(max(k.PauseInterval.Draw(s.rng), time.Millisecond), func() {
+		duration := k.PauseDuration.Draw(s.rng)
+		s.pause(duration)
+		s.w.After(duration, s.schedulePauses)
 	})
 }
 
-// crash ends a server at once, with all that it has, and starts it again after a time. Discovery says so in its time.
-func (s *Server) crash(lasts time.Duration) {
+// crash ends a server with all of its work and starts it again after a duration.
+func (s *Server) crash(duration time.Duration) {
 	if !s.up {
 		return
 	}
-	s.end()
-	s.tell(decision.Departed)
-	s.w.After(lasts, s.start)
+	s.shutDown()
+	s.announce(decision.Departed)
+	s.w.After(duration, s.start)
 }
 
-func (s *Server) end() {
+// shutDown ends a server: all of its attempts and calls are reset.
+func (s *Server) shutDown() {
 	s.up = false
-	s.starts++
+	s.incarnation++
 	calls := s.calls
-	for _, a := range append(s.works, s.queue...) {
+	for _, a := range append(s.running, s.queue...) {
 		s.reply(a, decision.Reset)
 	}
 	for _, c := range slices.Clone(calls) {
-		s.giveUp(c)
-		s.reply(c.a, decision.Reset)
+		s.abandonCall(c)
+		s.reply(c.attempt, decision.Reset)
 	}
-	s.works, s.queue, s.calls, s.conns, s.open = nil, nil, nil, map[int]*conns{}, 0
+	s.running, s.queue, s.calls, s.pools, s.openConnections = nil, nil, nil, map[int]*connectionPool{}, 0
 	if s.w.sockets != nil {
-		s.w.sockets.Down(s)
+		s.w.sockets.ServerStopped(s)
 	}
 }
 
-// start starts a server that is down: it is cold.
+// start starts a server that is down. It begins to warm up.
 func (s *Server) start() {
 	s.up, s.draining = true, false
 	s.started = s.w.Now()
-	s.load, s.loadAt = 0, s.w.Now()
+	s.recentWork, s.windowStart = 0, s.w.Now()
 	if s.w.sockets != nil {
-		s.w.sockets.Up(s)
+		s.w.sockets.ServerStarted(s)
 	}
-	s.tell(decision.Ready)
+	s.announce(decision.Ready)
 }
 
-// drain sends a server's callers away, ends it when half of the time is over, and starts it again, cold, at the end of
-// the time.
-func (s *Server) drain(lasts time.Duration) {
+// drain announces that a server is draining, ends it when half of the duration is over, and starts
+// it again at the end of the duration.
+func (s *Server) drain(duration time.Duration) {
 	if !s.up || s.draining {
 		return
 	}
 	s.draining = true
-	s.tell(decision.Draining)
-	end := s.w.Now() + lasts
-	s.w.After(lasts/2, func() {
+	s.announce(decision.Draining)
+	end := s.w.Now() + duration
+	s.w.After(duration/2, func() {
 		if s.up && s.draining {
 			s.crash(end - s.w.Now())
 		}
 	})
 }
 
-// replace starts another server, and drains this one, that does not come back.
-func (s *Server) replace(lasts time.Duration) {
+// replace starts a new server and drains the old one, which does not return.
+func (s *Server) replace(duration time.Duration) {
 	if !s.up || s.draining {
 		return
 	}
 	s.draining = true
-	s.w.makeServer(s.Tier, s.kindN).start()
-	s.tell(decision.Draining)
-	s.w.After(lasts, func() {
+	s.w.addServer(s.Tier, s.kindIndex).start()
+	s.announce(decision.Draining)
+	s.w.After(duration, func() {
 		if s.up {
-			s.end()
-			s.tell(decision.Departed)
+			s.shutDown()
+			s.announce(decision.Departed)
 		}
 	})
 }
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -1,6 +1,3 @@
-// Package model is the laboratory's world, as a scenario says: callers, servers in tiers, the network, discovery and
-// what befalls them. It knows no broker and no socket: both engines, in virtual time and on real sockets, play in it,
-// and carry tries from whoever asks to servers. A world belongs to the goroutine of its clock.
 package model
 
 import (
@@ -15,244 +12,281 @@
 )
 
 const (
-	// Origin is where a clock begins: well above 0, as a server's start of 0 stands for long past.
+	// Origin is the time at which a clock starts. It is well above 0, since a server's start of 0
+	// stands for long ago.
 	Origin = 24 * time.Hour
-	// Grace is how long before a client gives up an answer is on its way to it, and how late it may be and still be in
-	// time.
+	// Grace is the time before a client's deadline at which its answer should be on its way, and by
+	// which it may be late and still count as in time.
 	Grace = 20 * time.Millisecond
-	// heldSlack is up to what slack what is kept until its deadline can be told from what is late.
-	heldSlack = 20 * time.Millisecond
-	// settle is how long a run goes on after its last request's deadline.
-	settle = time.Second
-	// cellOf is how many servers a cell has.
-	cellOf = 2
-	// down is how long a server that was pushed over is down.
-	down = 3 * time.Second
+	// maxHeldSlack is the most slack with which the checker can tell an answer that was held until its
+	// deadline from a late one.
+	maxHeldSlack = 20 * time.Millisecond
+	// settleTime is how long a run goes on after the deadline of its last request.
+	settleTime = time.Second
+	// serversPerCell is the number of servers in a cell.
+	serversPerCell = 2
+	// overloadDowntime is how long a server is down that crashed by overload while warming up.
+	overloadDowntime = 3 * time.Second
 )
 
-// What can become of a try, or of what a client wants.
+// Outcomes of a request or an operation.
 const (
-	Served   = "served"
-	Refused  = "refused" // trying again is harmless
-	Failed   = "failed"  // it may have run
-	Unheard  = "unheard" // there was nobody to take it
-	timedOut = "timed out"
+	// Served to timedOut are the outcomes of a request, or of an operation.
+	Served = "served"
+	// A retry is proven harmless: the request has not run.
+	Refused = "refused"
+	// The request may have run.
+	Failed = "failed"
+	// No instance accepted the connection.
+	Unreachable = "unheard"
+	timedOut    = "timed out"
 )
 
-// Brokers carry tries to servers. Each of their methods is called by the clock's goroutine.
+// Brokers carry requests to servers. The clock's goroutine calls all of their methods.
 type Brokers interface {
-	// Take takes a try that comes to its instance, and answers its asker once.
-	Take(t *Try)
-	// Lapse tells that whoever asked waits no more.
-	Lapse(t *Try)
-	// Hear tells an instance what discovery has told it.
-	Hear(in *Instance, l decision.List)
-	// Kill ends an instance at once, and starts it again after a time; Handover has a successor take over from it.
+	// Accept takes a request that arrives at its instance. It completes the request once, unless that
+	// is abandoned.
+	Accept(t *Request)
+	// Abandon reports that the requester does not wait for a request any more.
+	Abandon(t *Request)
+	// UpdateList delivers an update of the endpoint list to an instance.
+	UpdateList(in *Instance, l decision.List)
+	// Kill ends an instance at once and starts it again after a duration. Handover replaces it by a
+	// successor process.
 	Kill(in *Instance, lasts time.Duration)
 	Handover(in *Instance)
-	// Befall is what else a trouble does to an instance: stop, stall, away, reload, stale or again.
-	Befall(in *Instance, what string, lasts time.Duration)
+	// InjectFault applies any other fault to an instance: stop, stall, away, reload, stale or again.
+	InjectFault(in *Instance, what string, lasts time.Duration)
 }
 
-// Sockets are what a server has on real sockets.
+// Sockets are the real sockets of servers, where the engine has some.
 type Sockets interface {
-	Up(s *Server)
-	Down(s *Server)
-	// Bytes has what a server sends and reads go wrong, until how is "none". Reset breaks its connections.
-	Bytes(s *Server, how string, n int)
-	Reset(s *Server)
-	// Parted tells that other servers cannot be reached by some instances than before; see World.Parted.
-	Parted()
+	ServerStarted(s *Server)
+	ServerStopped(s *Server)
+	// SetConnectionFault sets the fault on a server's connections and its size in bytes; "none" ends
+	// it.
+	SetConnectionFault(s *Server, how string, n int)
+	ResetConnections(s *Server)
+	// PartitionsChanged reports that the partitions have changed; see World.IsPartitioned.
+	PartitionsChanged()
 }
 
-// Asker is told what becomes of a try: a client, or a server that calls the tier below.
-type Asker interface {
-	Hear(t *Try, how string, retryAfter time.Duration)
+// Requester receives the outcome of a request: a client, or a server that calls the next tier.
+type Requester interface {
+	Complete(t *Request, how string, retryAfter time.Duration)
 }
 
-// Try is one request as an instance sees it.
-type Try struct {
-	ID       decision.RequestID
-	Origin   string // what it repeats
-	Class    int
-	Team     int
+// Request is one request to an instance. Retries of a client are requests of their own with the
+// same origin.
+type Request struct {
+	ID decision.RequestID
+	// The operation that it belongs to.
+	Origin string
+	Class  int
+	Team   int
+	// Seconds of a core of speed 1.
 	Work     float64
 	Instance *Instance
-	Until    time.Duration // when whoever asks gives it up
-	Repeat   bool          // and says so
-	Heard    bool          // whoever asks knows what became of it, or has given it up
-	Asker    Asker
-	ask      *ask  // of a client
-	call     *call // of a server
+	// The time at which the requester gives it up.
+	Deadline time.Duration
+	// It is marked as a retry.
+	IsRetry bool
+	// The requester has an outcome, or has given the request up.
+	Completed bool
+	Requester Requester
+	// Set for the request of a client.
+	operation *operation
+	// Set for the request of a server.
+	call *call
 }
 
-// Tier is a tier of servers, and of the instances before them.
+// Tier is a tier of servers, and of the instances in front of them.
 type Tier struct {
-	N         int
+	Index     int
 	Instances []*Instance
 	Servers   []*Server
-	below     *scenario.Below // nil for the first
+	// The scenario's settings of the tier; nil for the first one.
+	downstream *scenario.DownstreamTier
 }
 
-// Instance is what the world knows of an instance of the broker.
+// Instance is an instance of the broker as the world knows it.
 type Instance struct {
-	N       int // among all
-	Ordinal int // in its tier
+	// Its index among the instances of all tiers.
+	Index int
+	// Its index in its tier.
+	Ordinal int
 	Tier    *Tier
-	cut     uint64 // partitions that it is on the one side of
-	epoch   int    // of its watch of discovery
-	newsAt  time.Duration
+	// Bits of the partitions that it is on the near side of.
+	partitions uint64
+	// Number of broken watches of discovery. Updates of an earlier watch are dropped.
+	watchEpoch int
+	// When the last scheduled update arrives.
+	lastUpdateAt time.Duration
 }
 
-// World is one run.
+// World is the state of one run. It belongs to the goroutine of its clock.
 type World struct {
 	Clock
-	S         *scenario.Scenario
-	Tiers     []*Tier
-	Instances []*Instance // of all tiers
-	Servers   []*Server   // of all tiers; an EndpointID is the place here and one
-	Checker   *rules.Checker
-	Result    *Result
+	Scenario *scenario.Scenario
+	Tiers    []*Tier
+	// Of all tiers.
+	Instances []*Instance
+	// Of all tiers; the EndpointID of a server is its index plus one.
+	Servers []*Server
+	Checker *rules.Checker
+	Result  *Result
 
-	seed     uint64
-	brokers  Brokers
-	sockets  Sockets
-	asks     *rand.Rand
-	wires    *rand.Rand
-	hears    *rand.Rand
-	burst    float64            // of the rate
-	hot      []int              // the front's instances, those first that get most
-	manners  map[string]float64 // what callers do to so much of what they ask, by the trouble's name
-	flood    []float64          // what each team asks for beyond its share, in shares
-	deaf     time.Duration
-	sendFree time.Duration // when discovery has sent all that it is to send
-	rev      uint64
-	open     int
-	asked    int
+	seed            uint64
+	brokers         Brokers
+	sockets         Sockets
+	callerRandom    *rand.Rand
+	networkRandom   *rand.Rand
+	discoveryRandom *rand.Rand
+	// Factor of the base rate, by bursts.
+	rateFactor float64
+	// Instances by load, hot ones first.
+	hotOrder []int
+	// The share of requests on which clients misbehave, by the kind of the fault.
+	misbehaviorShares map[string]float64
+	// For each team, the load it offers beyond its share, in shares.
+	floodShares []float64
+	// Discovery delivers nothing before this time.
+	discoveryPausedUntil time.Duration
+	// When discovery has sent all that it has to send, at its limited rate.
+	discoveryIdleAt time.Duration
+	listVersion     uint64
+	openOperations  int
+	operationCount  int
 }
 
-// Stream is a stream of random numbers of its own for each thing that draws, so that one more of a sort changes the
-// draws of no other.
+// Stream is an independent random stream for one drawing component, so that adding one component
+// does not change the draws of any other. Names are part of the definition of a seed.
 func Stream(seed uint64, name string, i int) *rand.Rand {
 	h := fnv.New64a()
 	fmt.Fprint(h, name)
 	return rand.New(rand.NewPCG(seed^h.Sum64(), uint64(i)))
 }
 
-// New makes the world of a scenario and a seed. Sockets may be nil; slack is by how much time limits are longer where
-// what is seen is not seen at once.
+// New creates the world of a scenario and a seed. Sockets may be nil. Slack is added to the time
+// limits of the checker where the engine observes events late.
 func New(s *scenario.Scenario, seed uint64, c Clock, b Brokers, sockets Sockets, slack time.Duration) *World {
 	w := &World{
-		Clock: c, S: s, seed: seed, brokers: b, sockets: sockets, asks: Stream(seed, "callers", 0),
-		wires: Stream(seed, "network", 0), hears: Stream(seed, "discovery", 0), burst: 1, manners: map[string]float64{}, flood: make([]float64, len(s.Teams)), rev: 1,
+		Clock: c, Scenario: s, seed: seed, brokers: b, sockets: sockets, callerRandom: Stream(seed, "callers", 0),
+		networkRandom: Stream(seed, "network", 0), discoveryRandom: Stream(seed, "discovery", 0), rateFactor: 1, misbehaviorShares: map[string]float64{}, floodShares: make([]float64, len(s.Teams)), listVersion: 1,
 	}
 	w.Checker = rules.New(rules.Settings{
-		Grace: Grace + slack, DrainGrace: time.Duration(s.Servers.Grace) + slack,
-		Attempts: s.Broker.MaxAttempts, Held: slack <= heldSlack,
+		Grace: Grace + slack, DrainGrace: time.Duration(s.Servers.DrainGrace) + slack,
+		MaxAttempts: s.Broker.MaxAttempts, CheckHeld: slack <= maxHeldSlack,
 	})
 	w.Result = newResult(s, seed)
-	w.makeTier(s.Broker.Instances, s.Servers.Count, -1, nil)
-	for i := range s.Below {
-		b := &s.Below[i]
-		w.makeTier(b.Instances, b.Servers, s.KindOf(b.Kind), b)
+	w.addTier(s.Broker.Instances, s.Servers.Count, -1, nil)
+	for i := range s.DownstreamTiers {
+		b := &s.DownstreamTiers[i]
+		w.addTier(b.Instances, b.Servers, s.KindIndex(b.Kind), b)
 	}
 	return w
 }
 
-// makeTier makes a tier, whose servers are of a kind, or, below 0, of all by their shares.
-func (w *World) makeTier(instances, servers, kind int, below *scenario.Below) {
-	t := &Tier{N: len(w.Tiers), below: below}
+// addTier adds a tier. Its servers are of the kind with an index, or drawn by the kinds' shares
+// where that is below 0.
+func (w *World) addTier(instances, servers, kind int, below *scenario.DownstreamTier) {
+	t := &Tier{Index: len(w.Tiers), downstream: below}
 	w.Tiers = append(w.Tiers, t)
 	for i := range instances {
-		in := &Instance{N: len(w.Instances), Ordinal: i, Tier: t}
+		in := &Instance{Index: len(w.Instances), Ordinal: i, Tier: t}
 		t.Instances = append(t.Instances, in)
 		w.Instances = append(w.Instances, in)
 	}
 	for range servers {
-		w.makeServer(t, kind)
+		w.addServer(t, kind)
 	}
 	for _, in := range t.Instances {
 		for _, s := range t.Servers {
-			w.Checker.Listed(w.Now(), in.N, s.N, true)
+			w.Checker.EndpointListed(w.Now(), in.Index, s.Index, true)
 		}
 	}
 }
 
-// Seed is a number of an instance's own to draw with.
+// Seed is the random seed of an instance.
 func (w *World) Seed(in *Instance) uint64 {
-	return Stream(w.seed, fmt.Sprint("instance", in.Tier.N), in.Ordinal).Uint64()
+	return Stream(w.seed, fmt.Sprint("instance", in.Tier.Index), in.Ordinal).Uint64()
 }
 
-// Start has the callers ask and the troubles come, and is when all is over. Brokers must be ready.
+// Start schedules arrivals and faults and returns the time at which the run ends. The brokers must
+// be ready.
 func (w *World) Start() (end time.Duration) {
-	for i, t := range w.S.Troubles {
-		w.plan(t, i, Stream(w.seed, "trouble", i))
+	for i, t := range w.Scenario.InjectedFaults {
+		w.scheduleFault(t, i, Stream(w.seed, "trouble", i))
 	}
 	for _, s := range w.Servers {
-		s.pauses()
+		s.schedulePauses()
 	}
-	w.arrive(w.S.Callers.Rate.Draw(Stream(w.seed, "rate", 0)))
+	w.scheduleArrival(w.Scenario.Callers.Rate.Draw(Stream(w.seed, "rate", 0)))
 	last := time.Duration(0)
-	for _, c := range w.S.Classes {
+	for _, c := range w.Scenario.Classes {
 		last = max(last, time.Duration(c.Deadline))
 	}
-	return Origin + time.Duration(w.S.Lasts) + last + settle
+	return Origin + time.Duration(w.Scenario.Duration) + last + settleTime
 }
 
-// Over tells whether callers have ended and have all that they asked for.
-func (w *World) Over() bool { return w.open == 0 && w.Now() > Origin+time.Duration(w.S.Lasts) }
+// IsFinished reports whether all clients have stopped and no operation is open.
+func (w *World) IsFinished() bool {
+	return w.openOperations == 0 && w.Now() > Origin+time.Duration(w.Scenario.Duration)
+}
 
-// End closes the books.
-func (w *World) End() *Result {
-	w.Checker.End(w.Now())
-	w.Result.finish(w)
+// Finish ends the run and returns its result.
+func (w *World) Finish() *Result {
+	w.Checker.Finish(w.Now())
+	w.Result.summarize(w)
 	return w.Result
 }
 
-// Settings are what an instance is told.
+// Settings are the platform's settings for the decision module of an instance.
 func (w *World) Settings(in *Instance) decision.Settings {
-	b, v := w.S.Broker, w.S.Servers
+	b, v := w.Scenario.Broker, w.Scenario.Servers
 	set := decision.Settings{
-		Instances: len(in.Tier.Instances), Ordinal: in.Ordinal, Stage: in.Tier.N, Tiers: len(w.Tiers),
+		Instances: len(in.Tier.Instances), Ordinal: in.Ordinal, Stage: in.Tier.Index, Tiers: len(w.Tiers),
 		Quantum: time.Duration(b.Quantum), GoalTotal: 0.7, GoalWorstClass: 0.3, MayCancel: b.MayCancel,
-		MaxAttempts: b.MaxAttempts, MaxRetryAfter: time.Duration(b.RetryAfter), ConnectTimeout: time.Duration(b.Connect),
-		ClientsMarkRetries: w.S.Callers.Marks, ColdCapacity: v.From, WarmUp: time.Duration(v.Cold),
-		OverloadMultiple: v.Tip, OverloadWindow: time.Duration(v.Fall),
+		MaxAttempts: b.MaxAttempts, MaxRetryAfter: time.Duration(b.MaxRetryAfter), ConnectTimeout: time.Duration(b.ConnectTimeout),
+		ClientsMarkRetries: w.Scenario.Callers.MarksRetries, ColdCapacity: v.ColdCapacity, WarmUp: time.Duration(v.WarmUp),
+		OverloadMultiple: v.OverloadMultiple, OverloadWindow: time.Duration(v.OverloadWindow),
 	}
-	for _, c := range w.S.Classes {
+	for _, c := range w.Scenario.Classes {
 		set.Classes = append(set.Classes, decision.Class{
-			Name: c.Name, LatencyTarget: time.Duration(c.Aim),
+			Name: c.Name, LatencyTarget: time.Duration(c.LatencyTarget),
 			Deadline: time.Duration(c.Deadline), Value: 1, Effect: decision.Effect(c.Effect), Scope: decision.Scope(c.Scope),
 			Window: time.Duration(c.Window),
 		})
 	}
-	for _, t := range w.S.Teams {
+	for _, t := range w.Scenario.Teams {
 		set.Tenants = append(set.Tenants, decision.Tenant{Name: t.Name, QuotaPerS: t.Quota})
 	}
 	return set
 }
 
-// Latency is how long a message takes.
+// Latency draws the time that one message takes, retransmissions included.
 func (w *World) Latency() time.Duration {
-	n := w.S.Network
-	took := n.Latency.Draw(w.wires)
-	for n.Loss > 0 && w.wires.Float64() < n.Loss && took < time.Minute {
-		took += time.Duration(n.Again)
+	network := w.Scenario.Network
+	latency := network.Latency.Draw(w.networkRandom)
+	for network.LossRate > 0 && w.networkRandom.Float64() < network.LossRate && latency < time.Minute {
+		latency += time.Duration(network.RetransmitAfter)
 	}
-	return took
+	return latency
 }
 
-// Parted tells whether a partition stands between an instance and a server.
-func (w *World) Parted(in *Instance, s *Server) bool { return in.cut&s.cut != 0 }
+// IsPartitioned reports whether a partition separates an instance from a server.
+func (w *World) IsPartitioned(in *Instance, s *Server) bool { return in.partitions&s.partitions != 0 }
 
-// Manner is the share of tries to which callers do something now.
-func (w *World) Manner(what string) float64 { return w.manners[what] }
+// MisbehaviorShare is the share of requests on which clients misbehave now, for a kind of fault.
+func (w *World) MisbehaviorShare(what string) float64 { return w.misbehaviorShares[what] }
 
-// Cut tells whether nothing goes between an instance and a server.
-func (w *World) Cut(in *Instance, s *Server) bool { return s.dark > 0 || in.cut&s.cut != 0 }
+// IsUnreachable reports whether no message passes between an instance and a server.
+func (w *World) IsUnreachable(in *Instance, s *Server) bool {
+	return s.activeVanishes > 0 || in.partitions&s.partitions != 0
+}
 
-// Load is what a server has to do, for each of its cores: what only the laboratory can know.
+// Load is the true load of a server, in attempts per core. Only the laboratory knows it.
 func (w *World) Load(id decision.EndpointID) float64 {
 	s := w.Servers[id-1]
-	return float64(len(s.works)+len(s.queue)) / float64(s.kind.Cores)
+	return float64(len(s.running)+len(s.queue)) / float64(s.kind.Cores)
 }
--- a/internal/lab/real/clock.go
+++ b/internal/lab/real/clock.go
@@ -14,7 +14,7 @@
 type wall struct {
 	began time.Time
 	event time.Duration // when what happens now was to happen; 0 for what others post
-	heap  model.Heap
+	heap  model.EventQueue
 	posts chan func()
 	done  chan struct{} // closed when run has ended
 }
@@ -55,7 +55,7 @@
 	for {
 		for at, ok := c.heap.Next(); ok && at <= c.real(); at, ok = c.heap.Next() {
 			var do func()
-			c.event, do = c.heap.Take()
+			c.event, do = c.heap.Pop()
 			do()
 			c.event = 0
 		}
--- a/internal/lab/real/faults.go
+++ b/internal/lab/real/faults.go
@@ -97,7 +97,7 @@
 
 // Befall stops an instance, has it stand still, has its operators drain it for a time, moves its discovery, or has that
 // say what is odd.
-func (st *stage) Befall(in *model.Instance, what string, lasts time.Duration) {
+func (st *stage) InjectFault(in *model.Instance, what string, lasts time.Duration) {
 	i := st.of(in)
 	p := i.process
 	switch {
@@ -120,7 +120,7 @@
 		})
 	case what == "stall":
 		if p, ok := p.(staller); ok {
-			st.w.Checker.Stalled(st.Now(), lasts, in.N)
+			st.w.Checker.ProcessStalled(st.Now(), lasts, in.Index)
 			st.work.Go(func() { p.Stall(lasts) })
 		}
 	case what == "away":
@@ -159,11 +159,11 @@
 }
 
 // Parted is the Sockets'.
-func (st *stage) Parted() {
+func (st *stage) PartitionsChanged() {
 	cut := map[[2]string]bool{}
 	for _, i := range st.instances {
 		for _, s := range i.in.Tier.Servers {
-			if st.w.Parted(i.in, s) {
+			if st.w.IsPartitioned(i.in, s) {
 				cut[[2]string{i.name, serverName(s)}] = true
 			}
 		}
--- a/internal/lab/real/http.go
+++ b/internal/lab/real/http.go
@@ -71,25 +71,25 @@
 
 // sent is when an attempt was sent: a link that was cut brings it later than the latency.
 func (a *attempt) sent(now time.Duration) time.Duration {
-	if at := a.Try.Until - model.Grace - a.left; a.left > 0 && at < now {
+	if at := a.Request.Deadline - model.Grace - a.left; a.left > 0 && at < now {
 		return at
 	}
 	return now
 }
 
 // serverName is what a server's machine is called.
-func serverName(s *model.Server) string { return fmt.Sprint("server ", s.N) }
+func serverName(s *model.Server) string { return fmt.Sprint("server ", s.Index) }
 
 // listen has a server listen, at the address that it had.
 func (st *stage) listen(s *model.Server) error {
-	sv := st.servers[s.N]
+	sv := st.servers[s.Index]
 	if sv == nil {
 		sv = &server{st: st, s: s, conns: newConns()}
-		st.servers[s.N] = sv
+		st.servers[s.Index] = sv
 	}
 	l, err := st.ground.Listen(serverName(s), s.Entry().Zone, sv.address)
 	if err != nil {
-		return fmt.Errorf("server %d: %w", s.N, err)
+		return fmt.Errorf("server %d: %w", s.Index, err)
 	}
 	sv.address = l.Addr().String()
 	sv.http = &http.Server{Handler: sv, ReadHeaderTimeout: 30 * time.Second, IdleTimeout: serverIdle, ErrorLog: quiet}
@@ -104,8 +104,8 @@
 }
 
 // Up is the Sockets', as are the methods below.
-func (st *stage) Up(s *model.Server) {
-	if sv := st.servers[s.N]; sv != nil && sv.heard != nil {
+func (st *stage) ServerStarted(s *model.Server) {
+	if sv := st.servers[s.Index]; sv != nil && sv.heard != nil {
 		return // it listens when that is over
 	}
 	if err := st.listen(s); err != nil {
@@ -113,14 +113,14 @@
 	}
 }
 
-func (st *stage) Down(s *model.Server) { st.servers[s.N].stop() }
+func (st *stage) ServerStopped(s *model.Server) { st.servers[s.Index].stop() }
 
 // Reset breaks its connections.
-func (st *stage) Reset(s *model.Server) { st.servers[s.N].conns.reset() }
+func (st *stage) ResetConnections(s *model.Server) { st.servers[s.Index].conns.reset() }
 
 // Bytes has what a server sends and reads go wrong.
-func (st *stage) Bytes(s *model.Server, how string, n int) {
-	sv := st.servers[s.N]
+func (st *stage) SetConnectionFault(s *model.Server, how string, n int) {
+	sv := st.servers[s.Index]
 	sv.conns.set(how, n)
 	silent := how == neverUp || how == vanish
 	switch {
@@ -129,14 +129,14 @@
 		sv.http = nil
 		heard, err := st.ground.Deaf(sv.address)
 		if err != nil {
-			st.fail(fmt.Errorf("server %d: %w", s.N, err))
+			st.fail(fmt.Errorf("server %d: %w", s.Index, err))
 			return
 		}
 		sv.heard = heard
 	case !silent && sv.heard != nil:
 		sv.heard()
 		sv.heard = nil
-		if !s.Listens() {
+		if !s.IsListening() {
 			return // it has ended meanwhile
 		}
 		if err := st.listen(s); err != nil {
@@ -173,7 +173,7 @@
 type replier chan reply
 
 func (r replier) Reply(a *model.Attempt, how decision.Status, l *decision.Load) {
-	a.Over = true
+	a.Finished = true
 	select {
 	case r <- reply{how, l}:
 	default: // it has one
@@ -187,7 +187,7 @@
 	}
 	st := sv.st
 	told := make(replier, 1)
-	a := &attempt{Attempt: model.Attempt{Server: sv.s, To: told}}
+	a := &attempt{Attempt: model.Attempt{Server: sv.s, ReplyTo: told}}
 	if us, err := strconv.ParseInt(strings.TrimSuffix(r.Header.Get("X-Remaining"), "u"), 10, 64); err == nil {
 		a.left = time.Duration(us) * time.Microsecond
 	}
@@ -200,8 +200,8 @@
 	case <-r.Context().Done():
 		st.post(func() {
 			st.ended(a, "its connection was closed")
-			a.Over = true
-			if a.Try != nil {
+			a.Finished = true
+			if a.Request != nil {
 				sv.s.Cancel(&a.Attempt)
 			}
 		})
@@ -240,11 +240,11 @@
 func (st *stage) came(id decision.RequestID, a *attempt) {
 	t := st.tries[id]
 	if t == nil {
-		st.w.Checker.Sent(st.Now(), string(id), 0, a.Server.N)
-		a.To.Reply(&a.Attempt, decision.Error, nil)
+		st.w.Checker.AttemptSent(st.Now(), string(id), 0, a.Server.Index)
+		a.ReplyTo.Reply(&a.Attempt, decision.Error, nil)
 		return
 	}
-	a.Try, a.Number, a.Sent = t.Try, t.number, st.Now()
+	a.Request, a.Number, a.SentAt = t.Request, t.number, st.Now()
 	t.number++
 	st.w.Result.Attempts++
 	a.before, t.out = t.out, a
@@ -253,8 +253,8 @@
 		st.tell(t)
 	}
 	st.After(st.w.Latency(), func() {
-		if !a.Over {
-			a.Server.Arrive(&a.Attempt)
+		if !a.Finished {
+			a.Server.Receive(&a.Attempt)
 		}
 	})
 }
@@ -269,21 +269,21 @@
 		b := a.before
 		delayed := now-a.sent(now) > held
 		if !a.waited && (delayed || b != nil && !b.ended) {
-			a.waited = b == nil || b.ended || !st.w.Cut(t.Instance, b.Server)
+			a.waited = b == nil || b.ended || !st.w.IsUnreachable(t.Instance, b.Server)
 			t.telling = true
 			st.After(st.late, func() { st.tell(t) })
 			return
 		}
 		t.untold = t.untold[1:]
 		if t.left > 0 && !delayed {
-			st.w.Checker.Abandoned(a.sent(now), t.left, string(t.ID), a.Number)
+			st.w.Checker.AttemptAfterDeparture(a.sent(now), t.left, string(t.ID), a.Number)
 		}
 		if t.answered || delayed && a.ended { // it was on its way when its caller went, or was given up
 			continue
 		}
-		st.w.Checker.Sent(a.sent(now), string(t.ID), a.Number, a.Server.N)
+		st.w.Checker.AttemptSent(a.sent(now), string(t.ID), a.Number, a.Server.Index)
 		if a.told = true; a.ended {
-			st.w.Checker.Ended(now, string(t.ID), a.Number, "it was over when its predecessor was")
+			st.w.Checker.AttemptEnded(now, string(t.ID), a.Number, "it was over when its predecessor was")
 		}
 	}
 }
@@ -292,6 +292,6 @@
 func (st *stage) ended(a *attempt, how string) {
 	a.ended = true
 	if a.told {
-		st.w.Checker.Ended(st.Now(), string(a.Try.ID), a.Number, how)
+		st.w.Checker.AttemptEnded(st.Now(), string(a.Request.ID), a.Number, how)
 	}
 }
--- a/internal/lab/real/instance.go
+++ b/internal/lab/real/instance.go
@@ -31,9 +31,9 @@
 
 // begin makes an instance and starts its process.
 func (st *stage) begin(in *model.Instance) error {
-	name, zone := fmt.Sprintf("broker-%d-%d", in.Tier.N, in.Ordinal), 0
+	name, zone := fmt.Sprintf("broker-%d-%d", in.Tier.Index, in.Ordinal), 0
 	if len(in.Tier.Servers) > 0 {
-		zone = in.Ordinal % max(st.w.S.Servers.Zones, 1)
+		zone = in.Ordinal % max(st.w.Scenario.Servers.Zones, 1)
 	}
 	place, err := st.ground.Seat(name, zone)
 	if err != nil {
@@ -55,7 +55,7 @@
 	if err := st.configure(i); err != nil {
 		return err
 	}
-	if st.fleet != nil && in.Tier.N == 0 {
+	if st.fleet != nil && in.Tier.Index == 0 {
 		if err := st.fleet.enlist(i, name, place.Dir()); err != nil {
 			return err
 		}
@@ -143,10 +143,10 @@
 	for i := range w.Tiers {
 		tiers = append(tiers, fmt.Sprint("tier", i))
 	}
-	for i := range w.S.Servers.Zones {
+	for i := range w.Scenario.Servers.Zones {
 		zones = append(zones, zoneName(i))
 	}
-	for _, k := range w.S.Kinds {
+	for _, k := range w.Scenario.Kinds {
 		models = append(models, k.Name)
 	}
 	return map[string]any{
@@ -171,7 +171,7 @@
 func (st *stage) target(e decision.Entry) core.Target {
 	t := core.Target{
 		UID: fmt.Sprintf("server-%08x", uint32(e.Endpoint)), Address: st.servers[int(e.Endpoint)-1].address,
-		Zone: zoneName(e.Zone), Model: st.w.S.Kinds[e.Kind].Name, Cell: e.Cell, Weight: e.Weight,
+		Zone: zoneName(e.Zone), Model: st.w.Scenario.Kinds[e.Kind].Name, Cell: e.Cell, Weight: e.Weight,
 		State: [...]string{"Ready", "Terminating", "Gone"}[e.State],
 	}
 	if e.Started > 0 {
@@ -180,4 +180,4 @@
 	return t
 }
 
-func (st *stage) of(in *model.Instance) *instance { return st.instances[len(st.instances)-1-in.N] }
+func (st *stage) of(in *model.Instance) *instance { return st.instances[len(st.instances)-1-in.Index] }
--- a/internal/lab/real/play.go
+++ b/internal/lab/real/play.go
@@ -96,12 +96,12 @@
 	st.began = time.Now()
 	end := st.w.Start()
 	if st.fleet != nil {
-		st.work.Go(func() { st.fleet.play(ctx, s.Faults) })
+		st.work.Go(func() { st.fleet.play(ctx, s.NetworkFaults) })
 	}
-	if err := st.run(ctx, end, st.w.Over, st.failed); err != nil {
+	if err := st.run(ctx, end, st.w.IsFinished, st.failed); err != nil {
 		return nil, err
 	}
-	r := st.w.End()
+	r := st.w.Finish()
 	if st.fleet != nil {
 		if r.Views, err = st.fleet.views(); err != nil {
 			return nil, err
@@ -113,14 +113,14 @@
 // playable names what only virtual time can play.
 func playable(s *scenario.Scenario) error {
 	n := s.Broker.Instances
-	for _, b := range s.Below {
+	for _, b := range s.DownstreamTiers {
 		n += b.Instances
 	}
 	if n > mostInstances {
 		return fmt.Errorf("%d instances are more than the %d that one machine plays on real sockets", n, mostInstances)
 	}
-	for i, t := range s.Troubles {
-		if t.What == "partition" {
+	for i, t := range s.InjectedFaults {
+		if t.Kind == "partition" {
 			return fmt.Errorf("trouble[%d]: a partition between some and others is played in virtual time only; vanish and zone are played here", i)
 		}
 	}
@@ -169,7 +169,7 @@
 }
 
 // Hear is the Brokers', as are the methods below.
-func (st *stage) Hear(in *model.Instance, l decision.List) {
+func (st *stage) UpdateList(in *model.Instance, l decision.List) {
 	i := st.of(in)
 	if l.Kind == decision.FailedList {
 		i.places.BreakOff()
--- a/internal/lab/real/play_test.go
+++ b/internal/lab/real/play_test.go
@@ -108,14 +108,14 @@
 	}))
 }
 
-func brief(t *testing.T, troubles ...scenario.Trouble) *scenario.Scenario {
+func brief(t *testing.T, troubles ...scenario.InjectedFault) *scenario.Scenario {
 	t.Helper()
 	s := scenario.Default()
-	s.Lasts = tomlconfig.Duration(3 * time.Second)
+	s.Duration = tomlconfig.Duration(3 * time.Second)
 	s.Broker.Instances, s.Servers.Count = 1, 4
-	s.Callers.Rate = scenario.Span{From: 60, To: 60}
+	s.Callers.Rate = scenario.Range{From: 60, To: 60}
 	s.Teams = nil
-	s.Troubles = troubles
+	s.InjectedFaults = troubles
 	return s
 }
 
@@ -128,49 +128,49 @@
 // is. Where nothing may have run, or the class allows it, it is sent again.
 func TestBrokenBytes(t *testing.T) {
 	for name, tc := range map[string]struct {
-		scenario.Trouble
+		scenario.InjectedFault
 		again bool // attempts beyond the first come to servers
 	}{
-		"reset in the head":   {scenario.Trouble{What: "bytes", How: "reset", Bytes: 9}, true},
-		"reset before":        {scenario.Trouble{What: "bytes", How: "reset"}, true},
-		"cut in the head":     {scenario.Trouble{What: "bytes", How: "cut", Bytes: 9}, true},
-		"cut in the body":     {scenario.Trouble{What: "bytes", How: "cut", Bytes: 120}, true},
-		"half closed":         {scenario.Trouble{What: "bytes", How: "half_close", Bytes: 9}, true},
-		"stall":               {scenario.Trouble{What: "bytes", How: "stall", Bytes: 9}, false},
-		"slow read":           {scenario.Trouble{What: "bytes", How: "slow_read", Bytes: 40}, false},
-		"slow write":          {scenario.Trouble{What: "bytes", How: "slow_write", Bytes: 40}, false},
-		"garbage":             {scenario.Trouble{What: "bytes", How: "garbage"}, true},
-		"never up":            {scenario.Trouble{What: "bytes", How: "syn"}, false},
-		"vanish":              {scenario.Trouble{What: "vanish"}, false},
-		"connections reset":   {scenario.Trouble{What: "reset"}, false},
-		"discovery broke off": {scenario.Trouble{What: "break"}, false},
-		"replaced":            {scenario.Trouble{What: "replace"}, false},
-		"handover":            {scenario.Trouble{What: "handover", Of: 1}, false},
-		"killed":              {scenario.Trouble{What: "kill", Of: 1}, false},
-		"stands still":        {scenario.Trouble{What: "stall", Of: 1}, false},
+		"reset in the head":   {scenario.InjectedFault{Kind: "bytes", ConnectionFault: "reset", Bytes: 9}, true},
+		"reset before":        {scenario.InjectedFault{Kind: "bytes", ConnectionFault: "reset"}, true},
+		"cut in the head":     {scenario.InjectedFault{Kind: "bytes", ConnectionFault: "cut", Bytes: 9}, true},
+		"cut in the body":     {scenario.InjectedFault{Kind: "bytes", ConnectionFault: "cut", Bytes: 120}, true},
+		"half closed":         {scenario.InjectedFault{Kind: "bytes", ConnectionFault: "half_close", Bytes: 9}, true},
+		"stall":               {scenario.InjectedFault{Kind: "bytes", ConnectionFault: "stall", Bytes: 9}, false},
+		"slow read":           {scenario.InjectedFault{Kind: "bytes", ConnectionFault: "slow_read", Bytes: 40}, false},
+		"slow write":          {scenario.InjectedFault{Kind: "bytes", ConnectionFault: "slow_write", Bytes: 40}, false},
+		"garbage":             {scenario.InjectedFault{Kind: "bytes", ConnectionFault: "garbage"}, true},
+		"never up":            {scenario.InjectedFault{Kind: "bytes", ConnectionFault: "syn"}, false},
+		"vanish":              {scenario.InjectedFault{Kind: "vanish"}, false},
+		"connections reset":   {scenario.InjectedFault{Kind: "reset"}, false},
+		"discovery broke off": {scenario.InjectedFault{Kind: "break"}, false},
+		"replaced":            {scenario.InjectedFault{Kind: "replace"}, false},
+		"handover":            {scenario.InjectedFault{Kind: "handover", InstanceShare: 1}, false},
+		"killed":              {scenario.InjectedFault{Kind: "kill", InstanceShare: 1}, false},
+		"stands still":        {scenario.InjectedFault{Kind: "stall", InstanceShare: 1}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			x := tc.Trouble
-			x.At, x.Lasts, x.Share = scenario.Times{From: time.Second, To: time.Second}, scenario.Times{From: time.Second, To: time.Second}, 0.25
+			x := tc.InjectedFault
+			x.Start, x.Duration, x.ServerShare = scenario.DurationRange{From: time.Second, To: time.Second}, scenario.DurationRange{From: time.Second, To: time.Second}, 0.25
 			floor := 0.85
-			if x.What == "kill" || x.What == "stall" {
-				x.Lasts, floor = scenario.Times{From: 200 * time.Millisecond, To: 200 * time.Millisecond}, 0.5
+			if x.Kind == "kill" || x.Kind == "stall" {
+				x.Duration, floor = scenario.DurationRange{From: 200 * time.Millisecond, To: 200 * time.Millisecond}, 0.5
 			}
 			s := brief(t, x)
-			s.Below = []scenario.Below{{
-				Name: "below", Instances: 1, Servers: 2, Calls: scenario.Span{From: 1, To: 1},
-				Work: scenario.Span{From: 0.002, To: 0.004}, Keeps: 0.1,
+			s.DownstreamTiers = []scenario.DownstreamTier{{
+				Name: "below", Instances: 1, Servers: 2, Calls: scenario.Range{From: 1, To: 1},
+				Work: scenario.Range{From: 0.002, To: 0.004}, ReservedShare: 0.1,
 			}}
 			r, err := Play(t.Context(), s, 3, options(t, "right"))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if len(r.Broken) > 0 || r.Service < floor || r.Asked < 100 {
-				t.Errorf("service %.3f of %d, broken %v, %+v", r.Service, r.Asked, r.Broken, r.Violations)
+			if len(r.ViolationCounts) > 0 || r.Service < floor || r.Offered < 100 {
+				t.Errorf("service %.3f of %d, broken %v, %+v", r.Service, r.Offered, r.ViolationCounts, r.Violations)
 			}
-			if tc.again && r.Attempts <= 2*r.Tries { // each try makes a call below
-				t.Errorf("%d attempts for %d tries", r.Attempts, r.Tries)
+			if tc.again && r.Attempts <= 2*r.Requests { // each try makes a call below
+				t.Errorf("%d attempts for %d tries", r.Attempts, r.Requests)
 			}
 		})
 	}
@@ -178,9 +178,9 @@
 
 // Brokers that do what they must not are caught, and named for the right rule.
 func TestWrongBrokersAreCaught(t *testing.T) {
-	drain := scenario.Trouble{
-		What: "drain", Share: 0.5, At: scenario.Times{From: 200 * time.Millisecond, To: 200 * time.Millisecond},
-		Lasts: scenario.Times{From: 4 * time.Second, To: 4 * time.Second},
+	drain := scenario.InjectedFault{
+		Kind: "drain", ServerShare: 0.5, Start: scenario.DurationRange{From: 200 * time.Millisecond, To: 200 * time.Millisecond},
+		Duration: scenario.DurationRange{From: 4 * time.Second, To: 4 * time.Second},
 	}
 	for how, rule := range map[string]string{
 		"hangs": rules.Time, "forgets": rules.Answer, "sends all twice": rules.Effect,
@@ -189,14 +189,14 @@
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
 			s := brief(t, drain)
-			s.Servers.Grace, s.Discovery.Delay = tomlconfig.Duration(100*time.Millisecond), scenario.Times{}
-			s.Callers.Patience = tomlconfig.Duration(time.Second)
+			s.Servers.DrainGrace, s.Discovery.Delay = tomlconfig.Duration(100*time.Millisecond), scenario.DurationRange{}
+			s.Callers.AttemptTimeout = tomlconfig.Duration(time.Second)
 			r, err := Play(t.Context(), s, 3, options(t, how))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if r.Broken[rule] == 0 {
-				t.Errorf("not caught: %v", r.Broken)
+			if r.ViolationCounts[rule] == 0 {
+				t.Errorf("not caught: %v", r.ViolationCounts)
 			}
 			for _, v := range r.Violations {
 				if v.Rule == rule && len(v.History) == 0 {
@@ -223,7 +223,7 @@
 				time.AfterFunc(2*time.Second, cancel)
 			}
 			s := brief(t)
-			s.Lasts = tomlconfig.Duration(time.Minute)
+			s.Duration = tomlconfig.Duration(time.Minute)
 			began := time.Now()
 			_, err := Play(ctx, s, 3, o)
 			if err == nil || !strings.Contains(err.Error(), want) || time.Since(began) > readyFor+endFor+10*time.Second {
@@ -248,7 +248,7 @@
 
 // What only virtual time can play is refused at once.
 func TestPlayable(t *testing.T) {
-	s := brief(t, scenario.Trouble{What: "partition"})
+	s := brief(t, scenario.InjectedFault{Kind: "partition"})
 	if _, err := Play(t.Context(), s, 1, options(t, "right")); err == nil || !strings.Contains(err.Error(), "trouble[0]") {
 		t.Error(err)
 	}
@@ -264,13 +264,13 @@
 func TestFleetUnderFaults(t *testing.T) {
 	t.Parallel()
 	s := brief(t)
-	s.Lasts = tomlconfig.Duration(14 * time.Second)
+	s.Duration = tomlconfig.Duration(14 * time.Second)
 	s.Broker.Instances, s.Broker.Fleet = 4, true
 	at := func(seconds int) tomlconfig.Duration {
 		return tomlconfig.Duration(time.Duration(seconds) * time.Second)
 	}
 	b := func(i int) string { return fmt.Sprintf("broker-0-%d", i) }
-	s.Faults = []faultnet.Step{
+	s.NetworkFaults = []faultnet.Step{
 		{At: at(1), Do: "kill", Member: b(1)},
 		{At: at(2), Do: "stop", Member: b(2)},
 		{At: at(3), Do: "cont", Member: b(2)},
@@ -285,8 +285,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(r.Broken) > 0 || len(r.Views.Digests) != 1 || r.Views.Deaths == 0 || r.Views.Suspicions < r.Views.Deaths || r.Service < 0.5 {
-		t.Errorf("service %.3f, broken %v, views %+v", r.Service, r.Broken, r.Views)
+	if len(r.ViolationCounts) > 0 || len(r.Views.Digests) != 1 || r.Views.Deaths == 0 || r.Views.Suspicions < r.Views.Deaths || r.Service < 0.5 {
+		t.Errorf("service %.3f, broken %v, views %+v", r.Service, r.ViolationCounts, r.Views)
 	}
 	s.Broker.Fleet = false
 	if wrong := s.Check(); len(wrong) != 1 || !strings.Contains(wrong[0].Error(), "broker.fleet") {
--- a/internal/lab/real/request.go
+++ b/internal/lab/real/request.go
@@ -19,7 +19,7 @@
 
 // try is one request on its way through an instance.
 type try struct {
-	*model.Try
+	*model.Request
 	answered bool
 	excused  atomic.Bool   // its instance was killed
 	left     time.Duration // when its caller went; 0 for not
@@ -34,30 +34,30 @@
 const forgetAfter = 2 * time.Second
 
 // Take sends a try to its instance.
-func (st *stage) Take(m *model.Try) {
+func (st *stage) Accept(m *model.Request) {
 	i := st.of(m.Instance)
-	if m.Until <= st.Now() {
+	if m.Deadline <= st.Now() {
 		return // nobody waits for it
 	}
 	if i.process == nil {
-		m.Asker.Hear(m, model.Unheard, 0)
+		m.Requester.Complete(m, model.Unreachable, 0)
 		return
 	}
-	c := st.w.S.Classes[m.Class]
-	st.w.Checker.Taken(st.Now(), rules.Request{
-		ID: string(m.ID), Origin: m.Origin, Instance: m.Instance.N, Deadline: m.Until,
+	c := st.w.Scenario.Classes[m.Class]
+	st.w.Checker.RequestAccepted(st.Now(), rules.Request{
+		ID: string(m.ID), Origin: m.Origin, Instance: m.Instance.Index, Deadline: m.Deadline,
 		Effect: c.Effect, Scope: c.Scope, Window: time.Duration(c.Window),
 	})
-	ctx, cancel := context.WithDeadline(st.ctx, st.at(m.Until+model.Grace+st.late))
-	t := &try{Try: m, cancel: cancel}
+	ctx, cancel := context.WithDeadline(st.ctx, st.at(m.Deadline+model.Grace+st.late))
+	t := &try{Request: m, cancel: cancel}
 	st.tries[m.ID] = t
 	team := ""
-	if len(st.w.S.Teams) > 0 {
-		team = st.w.S.Teams[m.Team].Name
+	if len(st.w.Scenario.Teams) > 0 {
+		team = st.w.Scenario.Teams[m.Team].Name
 	}
 	q := question{
-		url: i.url, id: string(m.ID), class: c.Name, effect: c.Effect, team: team, key: m.Origin, repeat: m.Repeat,
-		left: st.at(m.Until),
+		url: i.url, id: string(m.ID), class: c.Name, effect: c.Effect, team: team, key: m.Origin, repeat: m.IsRetry,
+		left: st.at(m.Deadline),
 	}
 	st.behave(t, &q, i)
 	st.work.Go(func() {
@@ -77,14 +77,17 @@
 
 // behave is what callers do to a share of what they ask.
 func (st *stage) behave(t *try, q *question, i *instance) {
-	some := func(what string) bool { share := st.w.Manner(what); return share > 0 && st.manners.Float64() < share }
+	some := func(what string) bool {
+		share := st.w.MisbehaviorShare(what)
+		return share > 0 && st.manners.Float64() < share
+	}
 	if some("gone") {
 		st.After(time.Duration(1+st.manners.Int64N(int64(goneWithin))), func() {
-			if !t.answered && st.Now() < t.Until {
+			if !t.answered && st.Now() < t.Deadline {
 				t.answered, t.left = true, st.Now()
-				st.w.Checker.Lapsed(st.Now(), q.id)
+				st.w.Checker.ClientDeparted(st.Now(), q.id)
 				t.cancel()
-				t.Asker.Hear(t.Try, model.Failed, 0)
+				t.Requester.Complete(t.Request, model.Failed, 0)
 				st.After(forgetAfter, func() { delete(st.tries, t.ID) })
 			}
 		})
@@ -175,29 +178,29 @@
 	now, id := st.Now(), string(t.ID)
 	switch {
 	case a.err == nil:
-		st.w.Checker.Answered(now, id, a.how)
+		st.w.Checker.RequestAnswered(now, id, a.how)
 	case t.excused.Load():
-		st.w.Checker.Excused(now, id)
+		st.w.Checker.ProcessKilled(now, id)
 	case errors.Is(a.err, syscall.ECONNREFUSED): // nobody has taken it
-		st.w.Checker.Excused(now, id)
-		a.how = model.Unheard
+		st.w.Checker.ProcessKilled(now, id)
+		a.how = model.Unreachable
 	case errors.Is(a.err, context.DeadlineExceeded):
-		st.w.Checker.Lapsed(now, id)
+		st.w.Checker.ClientDeparted(now, id)
 	default:
-		st.w.Checker.Lost(now, id, a.err)
+		st.w.Checker.ConnectionLost(now, id, a.err)
 	}
-	t.Asker.Hear(t.Try, a.how, a.retryAfter)
+	t.Requester.Complete(t.Request, a.how, a.retryAfter)
 	st.After(forgetAfter, func() { delete(st.tries, t.ID) })
 }
 
 // Lapse is for a try that nobody waits for. At its deadline the answer may still come in time.
-func (st *stage) Lapse(m *model.Try) {
+func (st *stage) Abandon(m *model.Request) {
 	t := st.tries[m.ID]
-	if t == nil || t.Try != m || t.answered || st.Now() >= m.Until {
+	if t == nil || t.Request != m || t.answered || st.Now() >= m.Deadline {
 		return
 	}
 	t.answered = true
-	st.w.Checker.Lapsed(st.Now(), string(m.ID))
+	st.w.Checker.ClientDeparted(st.Now(), string(m.ID))
 	t.cancel()
 	st.After(forgetAfter, func() { delete(st.tries, m.ID) })
 }
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -1,18 +1,3 @@
-// Package rules watches what a broker does and says which rule it breaks. It is written from the rules, not from the
-// broker's code, and knows nothing of how decisions are made:
-//
-//   - answer: everything that is taken gets one final answer;
-//   - time: in time;
-//   - effect: what must not run twice does not, and what carries a key not outside of the key's scope and window;
-//   - single: one attempt of a request is out at a time, and none after its answer;
-//   - drain: a server that drains gets nothing new once the grace after word of it is over;
-//   - cold: a server that has just started is not pushed over;
-//   - unknown: a request goes only to servers that the instance has been told of;
-//   - held: what is given up is answered at once, not kept until its client gives up by itself;
-//   - bound: no request has more attempts than the platform allows;
-//   - gone: nothing is sent for a client that has gone.
-//
-// A process that stands still is late by as much with what it owes, and no more; nothing else is excused by that.
 package rules
 
 import (
@@ -23,312 +8,336 @@
 
 // The rules.
 const (
-	Answer  = "answer"
-	Time    = "time"
-	Effect  = "effect"
-	Single  = "single"
-	Drain   = "drain"
-	Cold    = "cold"
-	Unknown = "unknown"
-	Held    = "held"
-	Bound   = "bound"
-	Gone    = "gone"
+	// The rules by the names that stand in results; the package comment says what each requires.
+	Answer            = "answer"
+	Time              = "time"
+	Effect            = "effect"
+	Single            = "single"
+	Drain             = "drain"
+	ColdOverload      = "cold"
+	Unknown           = "unknown"
+	HeldUntilDeadline = "held"
+	AttemptLimit      = "bound"
+	DepartedClient    = "gone"
 )
 
 const (
-	mostTold    = 100 // violations whose history is kept
-	mostHistory = 64  // lines of one
+	// Violations kept with their history.
+	maxViolations = 100
+	// Lines of the history of one request.
+	maxHistory = 64
 )
 
-// Violation is a rule that was broken.
+// Violation is one breach of a rule. Its JSON keys are part of the format of result files.
 type Violation struct {
 	Rule    string        `json:"rule"`
 	At      time.Duration `json:"at"`
 	Request string        `json:"request,omitempty"`
 	Text    string        `json:"text"`
-	History []string      `json:"history,omitempty"` // of the request
+	// The history of the request, oldest first.
+	History []string `json:"history,omitempty"`
 }
 
-// Settings are what the rules say in numbers.
+// Settings are the limits that the rules are checked with.
 type Settings struct {
-	Grace      time.Duration // after a deadline, in which an answer still counts as in time
-	DrainGrace time.Duration // after word of a drain
-	Attempts   int           // of a request; 0 for no bound
-	// Held has the rule on what is kept judged: where time is seen to some milliseconds, which a busy machine's is not.
-	Held bool
+	// How late an answer may be and still count as in time.
+	Grace time.Duration
+	// How long after the announcement of a drain attempts may still be sent.
+	DrainGrace time.Duration
+	// Attempts per request; 0 for no limit.
+	MaxAttempts int
+	// Whether HeldUntilDeadline is checked. That needs time to be observed to within some
+	// milliseconds, which a busy machine does not give.
+	CheckHeld bool
 }
 
 const (
-	// heldFor is how shortly before its deadline a refusal comes that was kept for it, and endedFor how shortly after its
-	// request, or an attempt, it follows from that.
-	heldFor  = 15 * time.Millisecond
-	endedFor = 100 * time.Millisecond
-	// goneFor is how long after its client has gone an attempt may begin.
-	goneFor = 100 * time.Millisecond
-	// mostStalls bounds the times for which one instance stands still that are remembered: the last ones.
-	mostStalls = 64
+	// A refusal within heldMargin of the deadline counts as held until it, unless the request arrived,
+	// or its last attempt ended, within followUpMargin before.
+	heldMargin     = 15 * time.Millisecond
+	followUpMargin = 100 * time.Millisecond
+	// departedMargin is how long after its client has departed an attempt may begin.
+	departedMargin = 100 * time.Millisecond
+	// maxStalls limits the stalls remembered for each instance to the latest ones.
+	maxStalls = 64
 )
 
-// Request is what a checker is told of a request that an instance has taken.
+// Request is a request that an instance has accepted.
 type Request struct {
-	ID       string
-	Origin   string // what it repeats, or itself: what a client asked for once. Its effect may come once for all of them
+	ID string
+	// The client's operation. Its effect may happen once over all of its requests.
+	Origin   string
 	Instance int
 	Deadline time.Duration
-	Effect   string        // safe, keyed or unsafe
-	Scope    string        // of a key: all, zone or cell
-	Window   time.Duration // of a key
+	// safe, keyed or unsafe.
+	Effect string
+	// The scope of a key: all, zone or cell.
+	Scope string
+	// How long repeats of a key are dropped.
+	Window time.Duration
 }
 
-// Place is where a server stands.
-type Place struct{ Zone, Cell int }
+// Location is where a server runs. Cell numbers are unique across zones.
+type Location struct{ Zone, Cell int }
 
-// run is that something was worked on.
-type run struct {
-	at    time.Duration
-	place Place
+// execution is one start of work on a request.
+type execution struct {
+	at       time.Duration
+	location Location
 }
 
-// span is a time.
-type span struct{ from, to time.Duration }
+// interval is a span of time.
+type interval struct{ from, to time.Duration }
 
-type open struct {
+// requestState is a request that is not answered, or that has an attempt in flight.
+type requestState struct {
 	Request
 	answered bool
-	out      int           // the attempt that is out; -1 for none
-	at       time.Duration // when it was taken
-	sent     int           // attempts
-	ended    time.Duration // when the last one ended
-	history  []string
+	// The attempt in flight; -1 for none.
+	inFlight   int
+	acceptedAt time.Duration // when it was taken
+	attempts   int           // attempts
+	// When the last attempt ended.
+	lastAttemptEnd time.Duration
+	history        []string
 }
 
-// Checker watches one run. It is not safe for concurrent use.
+// Checker checks one run. It is not safe for concurrent use.
 type Checker struct {
-	set    Settings
-	open   map[string]*open
-	runs   map[string][]run // of what may not run twice, by origin
-	told   map[[2]int]bool  // instance and server: it was told of it
-	drains map[[2]int]time.Duration
-	stalls map[int][]span // of each instance
-	kept   []Violation
-	counts map[string]int
+	settings Settings
+	open     map[string]*requestState
+	// Executions of requests that must not be repeated, by origin or key.
+	executions map[string][]execution
+	// Servers announced to each instance, by instance and server.
+	announced map[[2]int]bool
+	// When a server stopped being ready for an instance, by instance and server.
+	drainingSince map[[2]int]time.Duration
+	// Stalls of each instance.
+	stalls     map[int][]interval
+	violations []Violation
+	counts     map[string]int
 }
 
-// New makes a checker.
+// New creates a checker.
 func New(s Settings) *Checker {
 	return &Checker{
-		set: s, open: map[string]*open{}, runs: map[string][]run{}, told: map[[2]int]bool{},
-		drains: map[[2]int]time.Duration{}, stalls: map[int][]span{}, counts: map[string]int{},
+		settings: s, open: map[string]*requestState{}, executions: map[string][]execution{}, announced: map[[2]int]bool{},
+		drainingSince: map[[2]int]time.Duration{}, stalls: map[int][]interval{}, counts: map[string]int{},
 	}
 }
 
-// Violations are the first of those that were found.
-func (c *Checker) Violations() []Violation { return c.kept }
+// Violations returns the first violations, with their history.
+func (c *Checker) Violations() []Violation { return c.violations }
 
-// Counts are how often each rule was broken.
+// Counts returns the number of violations by rule.
 func (c *Checker) Counts() map[string]int { return c.counts }
 
-func (c *Checker) broken(rule string, at time.Duration, o *open, text string, args ...any) {
+// report records a violation.
+func (c *Checker) report(rule string, at time.Duration, request *requestState, text string, args ...any) {
 	c.counts[rule]++
-	if len(c.kept) >= mostTold {
+	if len(c.violations) >= maxViolations {
 		return
 	}
 	v := Violation{Rule: rule, At: at, Text: fmt.Sprintf(text, args...)}
-	if o != nil {
-		v.Request, v.History = o.ID, slices.Clone(o.history)
+	if request != nil {
+		v.Request, v.History = request.ID, slices.Clone(request.history)
 	}
-	c.kept = append(c.kept, v)
+	c.violations = append(c.violations, v)
 }
 
-func (o *open) note(at time.Duration, text string, args ...any) {
-	if len(o.history) < mostHistory {
-		o.history = append(o.history, fmt.Sprintf("%.3f s ", at.Seconds())+fmt.Sprintf(text, args...))
+// record adds a line to the history of a request.
+func (r *requestState) record(at time.Duration, text string, args ...any) {
+	if len(r.history) < maxHistory {
+		r.history = append(r.history, fmt.Sprintf("%.3f s ", at.Seconds())+fmt.Sprintf(text, args...))
 	}
 }
 
-// Listed tells that an instance was told of a server: that it is ready, or that it drains or is gone.
-func (c *Checker) Listed(at time.Duration, instance, server int, ready bool) {
+// EndpointListed records that discovery has told an instance of a server: that it is ready, or that
+// it drains or has departed.
+func (c *Checker) EndpointListed(at time.Duration, instance, server int, ready bool) {
 	key := [2]int{instance, server}
-	c.told[key] = true
+	c.announced[key] = true
 	if ready {
-		delete(c.drains, key)
-	} else if _, ok := c.drains[key]; !ok {
-		c.drains[key] = at
+		delete(c.drainingSince, key)
+	} else if _, ok := c.drainingSince[key]; !ok {
+		c.drainingSince[key] = at
 	}
 }
 
-// Stalled tells that an instance's process stands still for a while from now on.
-func (c *Checker) Stalled(at, lasts time.Duration, instance int) {
-	all := append(c.stalls[instance], span{at, at + lasts})
-	c.stalls[instance] = all[max(len(all)-mostStalls, 0):]
+// ProcessStalled records that the process of an instance stalls for a duration from now on.
+func (c *Checker) ProcessStalled(at, lasts time.Duration, instance int) {
+	all := append(c.stalls[instance], interval{at, at + lasts})
+	c.stalls[instance] = all[max(len(all)-maxStalls, 0):]
 }
 
-// stood is for how much of a time an instance stood still.
-func (c *Checker) stood(instance int, from, to time.Duration) (sum time.Duration) {
-	for _, s := range c.stalls[instance] {
-		sum += max(min(to, s.to)-max(from, s.from), 0)
-		from = max(from, s.to) // what two of them share counts once
+// stalledTime is how long an instance was stalled between two times.
+func (c *Checker) stalledTime(instance int, from, to time.Duration) (sum time.Duration) {
+	for _, stall := range c.stalls[instance] {
+		sum += max(min(to, stall.to)-max(from, stall.from), 0)
+		from = max(from, stall.to) // overlapping stalls count once
 	}
 	return sum
 }
 
-// Taken tells that an instance has taken a request.
-func (c *Checker) Taken(at time.Duration, r Request) {
-	o := &open{Request: r, out: -1, at: at}
-	o.note(at, "taken by instance %d, to be answered by %.3f s", r.Instance, r.Deadline.Seconds())
-	c.open[r.ID] = o
+// RequestAccepted records that an instance has accepted a request.
+func (c *Checker) RequestAccepted(at time.Duration, r Request) {
+	request := &requestState{Request: r, inFlight: -1, acceptedAt: at}
+	request.record(at, "taken by instance %d, to be answered by %.3f s", r.Instance, r.Deadline.Seconds())
+	c.open[r.ID] = request
 }
 
-// Sent tells that an attempt goes to a server.
-func (c *Checker) Sent(at time.Duration, id string, attempt, server int) {
-	o := c.open[id]
-	if o == nil {
-		c.broken(Single, at, nil, "attempt %d of %s, that is over, is sent to server %d", attempt, id, server)
+// AttemptSent records that an instance sends an attempt to a server.
+func (c *Checker) AttemptSent(at time.Duration, id string, attempt, server int) {
+	request := c.open[id]
+	if request == nil {
+		c.report(Single, at, nil, "attempt %d of %s, that is over, is sent to server %d", attempt, id, server)
 		return
 	}
-	o.note(at, "attempt %d to server %d", attempt, server)
-	if o.answered || o.out >= 0 {
-		c.broken(Single, at, o, "attempt %d is sent while attempt %d is out, or after the answer", attempt, o.out)
+	request.record(at, "attempt %d to server %d", attempt, server)
+	if request.answered || request.inFlight >= 0 {
+		c.report(Single, at, request, "attempt %d is sent while attempt %d is out, or after the answer", attempt, request.inFlight)
 	}
-	o.out = attempt
-	if o.sent++; c.set.Attempts > 0 && o.sent > c.set.Attempts {
-		c.broken(Bound, at, o, "%d attempts", o.sent)
+	request.inFlight = attempt
+	if request.attempts++; c.settings.MaxAttempts > 0 && request.attempts > c.settings.MaxAttempts {
+		c.report(AttemptLimit, at, request, "%d attempts", request.attempts)
 	}
-	key := [2]int{o.Instance, server}
-	if !c.told[key] {
-		c.broken(Unknown, at, o, "sent to server %d, that instance %d was not told of", server, o.Instance)
+	key := [2]int{request.Instance, server}
+	if !c.announced[key] {
+		c.report(Unknown, at, request, "sent to server %d, that instance %d was not told of", server, request.Instance)
 	}
-	if since, ok := c.drains[key]; ok && at-since > c.set.DrainGrace+c.stood(o.Instance, since, at) {
-		c.broken(Drain, at, o, "sent to server %d %.3f s after word that it drains", server, (at - since).Seconds())
+	if since, ok := c.drainingSince[key]; ok && at-since > c.settings.DrainGrace+c.stalledTime(request.Instance, since, at) {
+		c.report(Drain, at, request, "sent to server %d %.3f s after word that it drains", server, (at - since).Seconds())
 	}
 }
 
-// Ended tells that an attempt is over.
-func (c *Checker) Ended(at time.Duration, id string, attempt int, how string) {
-	o := c.open[id]
-	if o == nil {
+// AttemptEnded records the end of an attempt and its outcome.
+func (c *Checker) AttemptEnded(at time.Duration, id string, attempt int, outcome string) {
+	request := c.open[id]
+	if request == nil {
 		return
 	}
-	o.note(at, "attempt %d ends: %s", attempt, how)
-	if o.out == attempt {
-		o.out, o.ended = -1, at
+	request.record(at, "attempt %d ends: %s", attempt, outcome)
+	if request.inFlight == attempt {
+		request.inFlight, request.lastAttemptEnd = -1, at
 	}
-	c.close(o)
+	c.removeIfComplete(request)
 }
 
-// Ran tells that a server has begun to work on a request.
-func (c *Checker) Ran(at time.Duration, id string, where Place) {
-	o := c.open[id]
-	if o == nil || o.Effect == "safe" {
+// ExecutionStarted records that a server has begun to work on a request.
+func (c *Checker) ExecutionStarted(at time.Duration, id string, location Location) {
+	request := c.open[id]
+	if request == nil || request.Effect == "safe" {
 		return
 	}
-	o.note(at, "runs in zone %d, cell %d", where.Zone, where.Cell)
-	// A client that repeats what carries a key does so by itself; what must not run twice it repeats when told that it
-	// has not run.
-	what := o.Origin
-	if o.Effect == "keyed" {
-		what = o.ID
+	request.record(at, "runs in zone %d, cell %d", location.Zone, location.Cell)
+	// A client retries a keyed request on its own. An unsafe one it retries only after an answer by which it
+	// has not run, so all requests of the operation count as one.
+	identity := request.Origin
+	if request.Effect == "keyed" {
+		identity = request.ID
 	}
-	before := c.runs[what]
-	c.runs[what] = append(before, run{at, where})
-	for _, r := range before {
-		same := o.Scope == "all" || o.Scope == "zone" && r.place.Zone == where.Zone || o.Scope == "cell" && r.place.Cell == where.Cell // numbers of cells are unique
-		if o.Effect == "keyed" && same && at-r.at <= o.Window {
-			continue // it is dropped there
+	earlier := c.executions[identity]
+	c.executions[identity] = append(earlier, execution{at, location})
+	for _, previous := range earlier {
+		isDeduplicated := request.Scope == "all" || request.Scope == "zone" && previous.location.Zone == location.Zone || request.Scope == "cell" && previous.location.Cell == location.Cell // numbers of cells are unique
+		if request.Effect == "keyed" && isDeduplicated && at-previous.at <= request.Window {
+			continue // the server drops it as a duplicate
 		}
-		c.broken(Effect, at, o, "runs again, after %.3f s in zone %d, cell %d", r.at.Seconds(), r.place.Zone, r.place.Cell)
+		c.report(Effect, at, request, "runs again, after %.3f s in zone %d, cell %d", previous.at.Seconds(), previous.location.Zone, previous.location.Cell)
 		return
 	}
 }
 
-// Answered tells that a request has got its final answer, and how.
-func (c *Checker) Answered(at time.Duration, id, how string) {
-	o := c.open[id]
-	if o == nil {
-		c.broken(Answer, at, nil, "%s, that is over or was never taken, is answered: %s", id, how)
+// RequestAnswered records the final answer to a request and its outcome.
+func (c *Checker) RequestAnswered(at time.Duration, id, outcome string) {
+	request := c.open[id]
+	if request == nil {
+		c.report(Answer, at, nil, "%s, that is over or was never taken, is answered: %s", id, outcome)
 		return
 	}
-	o.note(at, "answered: %s", how)
-	if o.answered {
-		c.broken(Answer, at, o, "a second answer: %s", how)
+	request.record(at, "answered: %s", outcome)
+	if request.answered {
+		c.report(Answer, at, request, "a second answer: %s", outcome)
 		return
 	}
-	o.answered = true
-	stood := c.stood(o.Instance, o.at, at)
-	if late := at - o.Deadline; late > c.set.Grace+stood {
-		c.broken(Time, at, o, "answered %.3f s late", late.Seconds())
+	request.answered = true
+	stalled := c.stalledTime(request.Instance, request.acceptedAt, at)
+	if late := at - request.Deadline; late > c.settings.Grace+stalled {
+		c.report(Time, at, request, "answered %.3f s late", late.Seconds())
 	}
-	if c.set.Held && stood == 0 && how != "served" && o.out < 0 && at >= o.Deadline-heldFor && at-max(o.at, o.ended) > endedFor {
-		c.broken(Held, at, o, "%s %.3f s before its deadline, with no attempt out", how, (o.Deadline - at).Seconds())
+	if c.settings.CheckHeld && stalled == 0 && outcome != "served" && request.inFlight < 0 && at >= request.Deadline-heldMargin && at-max(request.acceptedAt, request.lastAttemptEnd) > followUpMargin {
+		c.report(HeldUntilDeadline, at, request, "%s %.3f s before its deadline, with no attempt out", outcome, (request.Deadline - at).Seconds())
 	}
-	c.close(o)
+	c.removeIfComplete(request)
 }
 
-// Lapsed tells that a client has gone: nothing is owed. At the deadline it goes because it was owed something.
-func (c *Checker) Lapsed(at time.Duration, id string) {
-	if o := c.open[id]; o != nil && !o.answered {
-		o.note(at, "the client has gone")
-		if at >= o.Deadline && c.stood(o.Instance, o.at, at) == 0 {
-			c.broken(Time, at, o, "no answer by the deadline")
+// ClientDeparted records that the client of a request has departed, so that no answer is owed. A
+// client that departs at its deadline was owed one.
+func (c *Checker) ClientDeparted(at time.Duration, id string) {
+	if request := c.open[id]; request != nil && !request.answered {
+		request.record(at, "the client has gone")
+		if at >= request.Deadline && c.stalledTime(request.Instance, request.acceptedAt, at) == 0 {
+			c.report(Time, at, request, "no answer by the deadline")
 		}
-		o.answered = true
-		c.close(o)
+		request.answered = true
+		c.removeIfComplete(request)
 	}
 }
 
-// Abandoned tells that an attempt has begun of a request whose client had gone before, at a time.
-func (c *Checker) Abandoned(at, left time.Duration, id string, attempt int) {
-	if late := at - left; late > goneFor {
-		c.broken(Gone, at, nil, "attempt %d of %s begins %.3f s after its client has gone", attempt, id, late.Seconds())
+// AttemptAfterDeparture records an attempt that began after the client had departed.
+func (c *Checker) AttemptAfterDeparture(at, departedAt time.Duration, id string, attempt int) {
+	if late := at - departedAt; late > departedMargin {
+		c.report(DepartedClient, at, nil, "attempt %d of %s begins %.3f s after its client has gone", attempt, id, late.Seconds())
 	}
 }
 
-// Lost tells that whoever owed a request its answer ended the connection without one.
-func (c *Checker) Lost(at time.Duration, id string, how error) {
-	if o := c.open[id]; o != nil && !o.answered {
-		c.broken(Answer, at, o, "no answer: %v", how)
-		o.answered = true
-		c.close(o)
+// ConnectionLost records that a connection ended without the answer that was owed on it.
+func (c *Checker) ConnectionLost(at time.Duration, id string, cause error) {
+	if request := c.open[id]; request != nil && !request.answered {
+		c.report(Answer, at, request, "no answer: %v", cause)
+		request.answered = true
+		c.removeIfComplete(request)
 	}
 }
 
-// Excused tells that whoever owed a request its answer was killed: nothing is owed.
-func (c *Checker) Excused(at time.Duration, id string) {
-	if o := c.open[id]; o != nil {
-		o.note(at, "the process was killed")
-		o.answered, o.out = true, -1
-		c.close(o)
+// ProcessKilled records that the process that owed an answer was killed, so that it is not owed any
+// more.
+func (c *Checker) ProcessKilled(at time.Duration, id string) {
+	if request := c.open[id]; request != nil {
+		request.record(at, "the process was killed")
+		request.answered, request.inFlight = true, -1
+		c.removeIfComplete(request)
 	}
 }
 
-// close forgets what nothing is owed to, and nothing is out for.
-func (c *Checker) close(o *open) {
-	if o.answered && o.out < 0 {
-		delete(c.open, o.ID)
-		if o.Effect == "keyed" {
-			delete(c.runs, o.ID)
+// removeIfComplete forgets a request that is answered and has no attempt in flight.
+func (c *Checker) removeIfComplete(request *requestState) {
+	if request.answered && request.inFlight < 0 {
+		delete(c.open, request.ID)
+		if request.Effect == "keyed" {
+			delete(c.executions, request.ID)
 		}
 	}
 }
 
-// Forget forgets what was asked for once, that no client asks for any more.
-func (c *Checker) Forget(origin string) { delete(c.runs, origin) }
+// ForgetOrigin forgets an operation that no client will retry.
+func (c *Checker) ForgetOrigin(origin string) { delete(c.executions, origin) }
 
-// Fell tells that a server that was still cold was pushed over.
-func (c *Checker) Fell(at time.Duration, server int, load float64) {
-	c.broken(Cold, at, nil, "server %d was pushed over: %.1f times what it could do, still cold", server, load)
+// ColdServerOverloaded records that a server crashed by overload while it was warming up.
+func (c *Checker) ColdServerOverloaded(at time.Duration, server int, load float64) {
+	c.report(ColdOverload, at, nil, "server %d was pushed over: %.1f times what it could do, still cold", server, load)
 }
 
-// End tells that the run is over: what is open now never gets its answer.
-func (c *Checker) End(at time.Duration) {
+// Finish ends the run: requests still open past their deadline never get their answer.
+func (c *Checker) Finish(at time.Duration) {
 	var ids []string
-	for id, o := range c.open {
-		if !o.answered && at-o.Deadline > c.set.Grace+c.stood(o.Instance, o.at, at) {
+	for id, request := range c.open {
+		if !request.answered && at-request.Deadline > c.settings.Grace+c.stalledTime(request.Instance, request.acceptedAt, at) {
 			ids = append(ids, id)
 		}
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		c.broken(Answer, at, c.open[id], "no answer")
+		c.report(Answer, at, c.open[id], "no answer")
 	}
 }
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// What carries a key may run again only where and while repeats of it are dropped; what must not run twice never, also
-// when a client asks anew; what is safe always.
-func TestEffect(t *testing.T) {
-	here, zone, far := Place{1, 1}, Place{1, 2}, Place{2, 9}
-	for name, tc := range map[string]struct {
+// A keyed request may run again only where and while its repeats are dropped as duplicates, an unsafe one
+// never, also for a retry by the client, and a safe one always.
+func TestExecutionStartedReportsForbiddenRepeats(t *testing.T) {
+	here, zone, far := Location{1, 1}, Location{1, 2}, Location{2, 9}
+	for name, testCase := range map[string]struct {
 		effect, scope string
-		again         Place
+		second        Location
 		after         time.Duration
-		anew          bool // by another try of the client
+		newRequest    bool // by a retry of the client
 		broken        int
 	}{
 		"safe":                      {"safe", "all", far, time.Minute, false, 0},
@@ -29,85 +29,88 @@
 		"keyed, asked anew far off": {"keyed", "cell", far, time.Minute, true, 0},
 	} {
 		c := New(Settings{})
-		r := Request{ID: "a/1", Origin: "a", Deadline: time.Hour, Effect: tc.effect, Scope: tc.scope, Window: 5 * time.Second}
-		c.Taken(0, r)
-		c.Ran(time.Second, r.ID, here)
-		if tc.anew {
-			c.Answered(time.Second, r.ID, "refused")
+		r := Request{ID: "a/1", Origin: "a", Deadline: time.Hour, Effect: testCase.effect, Scope: testCase.scope, Window: 5 * time.Second}
+		c.RequestAccepted(0, r)
+		c.ExecutionStarted(time.Second, r.ID, here)
+		if testCase.newRequest {
+			c.RequestAnswered(time.Second, r.ID, "refused")
 			r.ID = "a/2"
-			c.Taken(time.Second, r)
+			c.RequestAccepted(time.Second, r)
 		}
-		c.Ran(time.Second+tc.after, r.ID, tc.again)
-		if c.Counts()[Effect] != tc.broken {
+		c.ExecutionStarted(time.Second+testCase.after, r.ID, testCase.second)
+		if c.Counts()[Effect] != testCase.broken {
 			t.Errorf("%s: broken %v", name, c.Counts())
 		}
 	}
 }
 
-// What is over is forgotten, and what is kept of violations has a bound.
-func TestCheckerIsBounded(t *testing.T) {
+// Completed requests are forgotten, and the violations kept are limited.
+func TestCheckerForgetsCompletedRequestsAndBoundsHistory(t *testing.T) {
 	c := New(Settings{Grace: time.Millisecond})
-	for i := range 3 * mostTold {
+	for i := range 3 * maxViolations {
 		id := string(rune('a' + i))
-		c.Taken(0, Request{ID: id, Origin: id, Deadline: time.Second, Effect: "keyed", Scope: "all"})
-		for range 2 * mostHistory {
-			c.Sent(0, id, 0, 0)
+		c.RequestAccepted(0, Request{ID: id, Origin: id, Deadline: time.Second, Effect: "keyed", Scope: "all"})
+		for range 2 * maxHistory {
+			c.AttemptSent(0, id, 0, 0)
 		}
-		c.Ran(0, id, Place{})
-		c.Ended(time.Second, id, 0, "ok")
-		c.Answered(2*time.Second, id, "served")
+		c.ExecutionStarted(0, id, Location{})
+		c.AttemptEnded(time.Second, id, 0, "ok")
+		c.RequestAnswered(2*time.Second, id, "served")
 	}
-	if len(c.open)+len(c.runs) > 0 || len(c.Violations()) != mostTold || c.Counts()[Time] != 3*mostTold {
-		t.Errorf("%d open, %d runs, %d kept, %v", len(c.open), len(c.runs), len(c.Violations()), c.Counts())
+	if len(c.open)+len(c.executions) > 0 || len(c.Violations()) != maxViolations || c.Counts()[Time] != 3*maxViolations {
+		t.Errorf("%d open, %d runs, %d kept, %v", len(c.open), len(c.executions), len(c.Violations()), c.Counts())
 	}
 	for _, v := range c.Violations() {
-		if len(v.History) > mostHistory {
+		if len(v.History) > maxHistory {
 			t.Errorf("a history of %d lines", len(v.History))
 		}
 	}
 }
 
-// Who stands still is late by as much with its answers and with heeding a drain, and by no more; nothing else is excused.
-func TestStalled(t *testing.T) {
-	for name, tc := range map[string]struct {
+// A stall excuses lateness of answers and of drains by its length and no more; nothing else is excused.
+func TestCheckerExcusesLatenessOnlyByStalledTime(t *testing.T) {
+	for name, testCase := range map[string]struct {
 		stall  time.Duration // of instance 1, from 0.5 s on
 		broken string
 		play   func(c *Checker, r Request)
 	}{
-		"late by less":   {time.Second, "map[]", func(c *Checker, r Request) { c.Answered(1900*time.Millisecond, r.ID, "refused") }},
-		"late by more":   {time.Second, "map[time:1]", func(c *Checker, r Request) { c.Answered(2100*time.Millisecond, r.ID, "served") }},
-		"late, and well": {0, "map[time:1]", func(c *Checker, r Request) { c.Answered(1100*time.Millisecond, r.ID, "served") }},
+		"late by less":   {time.Second, "map[]", func(c *Checker, r Request) { c.RequestAnswered(1900*time.Millisecond, r.ID, "refused") }},
+		"late by more":   {time.Second, "map[time:1]", func(c *Checker, r Request) { c.RequestAnswered(2100*time.Millisecond, r.ID, "served") }},
+		"late, and well": {0, "map[time:1]", func(c *Checker, r Request) { c.RequestAnswered(1100*time.Millisecond, r.ID, "served") }},
 		"of two, no sum": {time.Second, "map[time:1]", func(c *Checker, r Request) {
-			c.Stalled(time.Second, 500*time.Millisecond, 1)
-			c.Answered(2300*time.Millisecond, r.ID, "served")
+			c.ProcessStalled(time.Second, 500*time.Millisecond, 1)
+			c.RequestAnswered(2300*time.Millisecond, r.ID, "served")
 		}},
-		"another's": {0, "map[time:1]", func(c *Checker, r Request) { c.Stalled(0, time.Minute, 2); c.Answered(2*time.Second, r.ID, "served") }},
-		"never":     {time.Second, "map[answer:1]", func(c *Checker, _ Request) { c.End(time.Minute) }},
+		"another's": {0, "map[time:1]", func(c *Checker, r Request) {
+			c.ProcessStalled(0, time.Minute, 2)
+			c.RequestAnswered(2*time.Second, r.ID, "served")
+		}},
+		"never": {time.Second, "map[answer:1]", func(c *Checker, _ Request) { c.Finish(time.Minute) }},
 		"drain, meant to": {time.Second, "map[]", func(c *Checker, r Request) {
-			c.Listed(400*time.Millisecond, 1, 1, false)
-			c.Sent(1500*time.Millisecond, r.ID, 0, 1)
+			c.EndpointListed(400*time.Millisecond, 1, 1, false)
+			c.AttemptSent(1500*time.Millisecond, r.ID, 0, 1)
 		}},
 		"drain, too late": {time.Second, "map[drain:1]", func(c *Checker, r Request) {
-			c.Listed(400*time.Millisecond, 1, 1, false)
-			c.Sent(1800*time.Millisecond, r.ID, 0, 1)
+			c.EndpointListed(400*time.Millisecond, 1, 1, false)
+			c.AttemptSent(1800*time.Millisecond, r.ID, 0, 1)
 		}},
 		"twice": {time.Second, "map[effect:1]", func(c *Checker, r Request) {
-			c.Ran(600*time.Millisecond, r.ID, Place{})
-			c.Ran(700*time.Millisecond, r.ID, Place{})
+			c.ExecutionStarted(600*time.Millisecond, r.ID, Location{})
+			c.ExecutionStarted(700*time.Millisecond, r.ID, Location{})
 		}},
-		"client gone": {time.Second, "map[gone:1]", func(c *Checker, r Request) { c.Abandoned(1200*time.Millisecond, time.Second, r.ID, 0) }},
-		"just gone":   {0, "map[]", func(c *Checker, r Request) { c.Abandoned(1050*time.Millisecond, time.Second, r.ID, 0) }},
+		"client gone": {time.Second, "map[gone:1]", func(c *Checker, r Request) { c.AttemptAfterDeparture(1200*time.Millisecond, time.Second, r.ID, 0) }},
+		"just gone":   {0, "map[]", func(c *Checker, r Request) { c.AttemptAfterDeparture(1050*time.Millisecond, time.Second, r.ID, 0) }},
 	} {
-		c := New(Settings{DrainGrace: 250 * time.Millisecond, Held: true})
-		c.Listed(0, 1, 1, true)
+		c := New(Settings{DrainGrace: 250 * time.Millisecond, CheckHeld: true})
+		c.EndpointListed(0, 1, 1, true)
 		r := Request{ID: "a/1", Origin: "a", Instance: 1, Deadline: time.Second, Effect: "unsafe"}
-		c.Taken(100*time.Millisecond, r)
-		if tc.stall > 0 {
-			c.Stalled(500*time.Millisecond, tc.stall, 1)
+		c.RequestAccepted(100*time.Millisecond, r)
+		if testCase.stall > 0 {
+			c.ProcessStalled(500*time.Millisecond, testCase.stall, 1)
 		}
-		tc.play(c, r)
-		if got := fmt.Sprint(c.Counts()); got != tc.broken {
-			t.Errorf("%s: broken %s, want %s", name, got, tc.broken)
+		testCase.play(c, r)
+		if got := fmt.Sprint(c.Counts()); got != testCase.broken {
+			t.Errorf("%s: broken %s, want %s", name, got, testCase.broken)
 		}
 	}
 }
--- a/internal/lab/scenario/change.go
+++ b/internal/lab/scenario/change.go
@@ -12,18 +12,18 @@
 	"dykering/internal/validation"
 )
 
-// Change is a value that an experiment gives a key of a scenario, as "callers.rate = 200" or `kind[0].speed = "1..2"`;
-// quotes may be left out.
+// Change sets a key of a scenario to another value, as an experiment does: "callers.rate = 200" or
+// `kind[0].speed = "1..2"`. Quotes may be left out.
 type Change struct {
 	Key   string
 	Value any
 }
 
-var aChange = regexp.MustCompile(`^\s*([a-z_]+(?:\[\d+\])?(?:\.[a-z_]+(?:\[\d+\])?)*)\s*=\s*(\S.*?)\s*$`)
+var changePattern = regexp.MustCompile(`^\s*([a-z_]+(?:\[\d+\])?(?:\.[a-z_]+(?:\[\d+\])?)*)\s*=\s*(\S.*?)\s*$`)
 
-// ParseChange reads one.
+// ParseChange reads a change.
 func ParseChange(text string) (c Change, err error) {
-	m := aChange.FindStringSubmatch(text)
+	m := changePattern.FindStringSubmatch(text)
 	if m == nil {
 		return c, fmt.Errorf("%q is not a change, as callers.rate = 200", text)
 	}
@@ -34,15 +34,16 @@
 	return Change{m[1], got["v"]}, nil
 }
 
-// LoadWith reads a file and makes changes to it. Faults that they bring are of the changed text, and name no line.
+// LoadWith reads a scenario file and applies changes to it. Faults of the changed text name no
+// line.
 func LoadWith(path string, changes []Change) (*Scenario, []validation.Error) {
-	data, wrong := tomlconfig.Read(path)
-	if len(wrong) > 0 {
-		return nil, wrong
+	data, found := tomlconfig.Read(path)
+	if len(found) > 0 {
+		return nil, found
 	}
-	if _, wrong = Parse(path, data); len(wrong) > 0 || len(changes) == 0 {
+	if _, found = Parse(path, data); len(found) > 0 || len(changes) == 0 {
 		s, _ := Parse(path, data)
-		return s, wrong
+		return s, found
 	}
 	var tree map[string]any
 	if err := toml.Unmarshal(data, &tree); err != nil {
@@ -57,15 +58,16 @@
 	if err != nil {
 		return nil, []validation.Error{{File: path, Text: err.Error()}}
 	}
-	s, wrong := Parse(path, text)
-	for i := range wrong {
-		wrong[i].Line = 0 // it is no line of the file's
-		wrong[i].Text += " (with the changes made to it)"
+	s, found := Parse(path, text)
+	for i := range found {
+		found[i].Line = 0 // it is no line of the file's
+		found[i].Text += " (with the changes made to it)"
 	}
-	return s, wrong
+	return s, found
 }
 
-// apply sets a value in a tree of TOML's tables. Tables that are missing are made; parts of arrays are not.
+// apply sets the value in a tree of TOML tables. Missing tables are created; missing elements of
+// arrays are not.
 func (c Change) apply(tree map[string]any) error {
 	keys := strings.Split(c.Key, ".")
 	for i, key := range keys {
@@ -73,16 +75,16 @@
 		last := i == len(keys)-1
 		switch {
 		case indexed:
-			parts, ok := tree[name].([]any)
+			elements, ok := tree[name].([]any)
 			n, err := strconv.Atoi(index)
-			if !ok || err != nil || n >= len(parts) {
+			if !ok || err != nil || n >= len(elements) {
 				return fmt.Errorf("there is no %s", key)
 			}
 			if last {
-				parts[n] = c.Value
+				elements[n] = c.Value
 				return nil
 			}
-			if tree, ok = parts[n].(map[string]any); !ok {
+			if tree, ok = elements[n].(map[string]any); !ok {
 				return fmt.Errorf("%s is no table", key)
 			}
 		case last:
--- a/internal/lab/scenario/ranges.go
+++ b/internal/lab/scenario/ranges.go
@@ -1,7 +1,6 @@
 package scenario
 
 import (
-	_ "embed"
 	"fmt"
 	"math/rand/v2"
 	"strconv"
@@ -9,11 +8,11 @@
 	"time"
 )
 
-// Span is a number or a range of numbers, as 3 or "2..4".
-type Span struct{ From, To float64 }
+// Range is a number or a range of numbers, as 3 or "2..4".
+type Range struct{ From, To float64 }
 
-// UnmarshalText reads it.
-func (s *Span) UnmarshalText(text []byte) error {
+// UnmarshalText reads a number or a range.
+func (s *Range) UnmarshalText(text []byte) error {
 	from, to, ranged := strings.Cut(string(text), "..")
 	if !ranged {
 		to = from
@@ -27,22 +26,22 @@
 	return nil
 }
 
-// MarshalText writes it.
-func (s Span) MarshalText() ([]byte, error) {
+// MarshalText writes a number or a range.
+func (s Range) MarshalText() ([]byte, error) {
 	if s.From == s.To {
 		return fmt.Append(nil, s.From), nil
 	}
 	return fmt.Appendf(nil, "%v..%v", s.From, s.To), nil
 }
 
-// Draw takes a value of it.
-func (s Span) Draw(r *rand.Rand) float64 { return s.From + (s.To-s.From)*r.Float64() }
+// Draw draws a value of the range, evenly distributed.
+func (s Range) Draw(r *rand.Rand) float64 { return s.From + (s.To-s.From)*r.Float64() }
 
-// Times is a time or a range of times, as "2s" or "1ms..5ms".
-type Times struct{ From, To time.Duration }
+// DurationRange is a duration or a range of durations, as "2s" or "1ms..5ms".
+type DurationRange struct{ From, To time.Duration }
 
-// UnmarshalText reads it.
-func (t *Times) UnmarshalText(text []byte) error {
+// UnmarshalText reads a duration or a range.
+func (t *DurationRange) UnmarshalText(text []byte) error {
 	from, to, ranged := strings.Cut(string(text), "..")
 	if !ranged {
 		to = from
@@ -56,15 +55,15 @@
 	return nil
 }
 
-// MarshalText writes it.
-func (t Times) MarshalText() ([]byte, error) {
+// MarshalText writes a duration or a range.
+func (t DurationRange) MarshalText() ([]byte, error) {
 	if t.From == t.To {
 		return []byte(t.From.String()), nil
 	}
 	return fmt.Appendf(nil, "%v..%v", t.From, t.To), nil
 }
 
-// Draw takes a time of it.
-func (t Times) Draw(r *rand.Rand) time.Duration {
+// Draw draws a duration of the range, evenly distributed.
+func (t DurationRange) Draw(r *rand.Rand) time.Duration {
 	return t.From + time.Duration(float64(t.To-t.From)*r.Float64())
 }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// The built-in scenario and those of the laboratory have no fault.
-func TestScenariosHaveNoFault(t *testing.T) {
-	if s := Default(); len(s.Classes) != 3 || len(s.Troubles) != 3 {
+// The built-in scenario and those of the laboratory load without a fault.
+func TestLoadAcceptsBuiltInAndLaboratoryScenarios(t *testing.T) {
+	if s := Default(); len(s.Classes) != 3 || len(s.InjectedFaults) != 3 {
 		t.Errorf("the built-in one: %+v", s)
 	}
 	files, err := filepath.Glob("../../../lab/scenarios/*.toml")
@@ -17,15 +17,15 @@
 		t.Fatal(files, err)
 	}
 	for _, f := range files {
-		if _, wrong := Load(f); len(wrong) > 0 {
-			t.Error(wrong)
+		if _, found := Load(f); len(found) > 0 {
+			t.Error(found)
 		}
 	}
 }
 
-// What is wrong is named with its line.
-func TestFaults(t *testing.T) {
-	for name, tc := range map[string]struct{ from, to, want string }{
+// Each fault is reported with its line or key.
+func TestParseReportsFaultWithKeyAndLine(t *testing.T) {
+	for name, testCase := range map[string]struct{ from, to, want string }{
 		"misspelt":        {"instances = 4", "instnaces = 4", ":6: broker.instnaces: not a key of this version; is broker.instances meant?"},
 		"no range":        {`rate = "180..220"`, `rate = "220..180"`, `callers.rate: "220..180" is not a number or a range`},
 		"shares":          {"share = 0.7", "share = 0.9", "class[0].share: the shares sum to"},
@@ -38,13 +38,13 @@
 		"no such day":     {"version = 1", "version = 1\nday = \"fair\"", `day: no trouble comes on a day "fair"`},
 		"version":         {"version = 1", "version = 2", ":1: version: has to be at most 1"},
 	} {
-		text := strings.Replace(string(standard), tc.from, tc.to, 1)
-		_, wrong := Parse("s.toml", []byte(text))
-		if len(wrong) != 1 || !strings.Contains(wrong[0].Error(), tc.want) {
-			t.Errorf("%s: %v, want %q", name, wrong, tc.want)
+		text := strings.Replace(string(defaultText), testCase.from, testCase.to, 1)
+		_, found := Parse("s.toml", []byte(text))
+		if len(found) != 1 || !strings.Contains(found[0].Error(), testCase.want) {
+			t.Errorf("%s: %v, want %q", name, found, testCase.want)
 		}
 	}
-	if _, wrong := Load(os.DevNull); len(wrong) == 0 {
+	if _, found := Load(os.DevNull); len(found) == 0 {
 		t.Error("an empty file is taken")
 	}
 }
--- a/internal/lab/sim/budgets.go
+++ b/internal/lab/sim/budgets.go
@@ -12,77 +12,87 @@
 	"dykering/internal/lab/model"
 )
 
-// Fleet-wide budgets in virtual time: the ledger, the grantor and each broker's holder are the program's own (package
-// budget); this file carries their messages, with a group of voters that always agrees within a few milliseconds.
+// Fleet-wide budgets in virtual time: the ledger, the grantor and each broker's holder are the program's
+// own (package budget); this file carries their messages, with a group of voters that always agrees within
+// a few milliseconds.
 const (
+	// Terms of the quota leases.
 	leaseLength   = 3 * time.Second
 	leaseRenewals = 4
-	decideEvery   = 100 * time.Millisecond
-	commitTakes   = 5 * time.Millisecond
-	floorShare    = 0.2
+	// decideInterval is the time between two decisions of the leading voter.
+	decideInterval = 100 * time.Millisecond
+	// commitLatency is how long the voters take to agree on a command.
+	commitLatency = 5 * time.Millisecond
+	// floorShare is the share of a quota that instances hold without a lease.
+	floorShare = 0.2
 )
 
 var leaseTerms = budget.Terms{Length: leaseLength, Drift: 0.01}
 
-// granted is the voters' part of a run.
-type granted struct {
-	t       *tiers
+// fleetBudgets is the voters' part of the budgets: the grantor, its ledger, and the holders that
+// lease from it.
+type fleetBudgets struct {
+	brokers *brokers
 	grantor *budget.Grantor
 	ledger  *budget.Ledger
-	holders map[string]*purse
-	busy    bool
-	floor   []float64
-	looks   int
-	before  []decision.Usage // of all, a second ago
+	holders map[string]*quotaHolder
+	// A command is being agreed on.
+	commandPending bool
+	floors         []float64
+	// Calls of recordUsage so far.
+	samples int
+	// Usage summed over the instances, one second ago.
+	previousUsage []decision.Usage
 }
 
-// purse is a process's holder.
-type purse struct {
+// quotaHolder is the quota holder of one process.
+type quotaHolder struct {
 	*budget.Holder
-	seat   *seat
-	rng    *rand.Rand
-	demand budget.Demand
+	process *process
+	random  *rand.Rand
+	demand  budget.Demand
 }
 
-// divides tells whether an instance takes part: callers' tenants are metered in the first tier alone.
-func (s *seat) divides() (*decision.Balancer, bool) {
+// sharedQuotas returns the balancer of a process and whether it shares quotas by leases. Only the
+// first tier meters the tenants of clients.
+func (s *process) sharedQuotas() (*decision.Balancer, bool) {
 	b, ok := s.policy.(*decision.Balancer)
-	return b, ok && s.t.w.S.Broker.Budgets && s.in.Tier.N == 0 && len(s.t.w.S.Teams) > 0
+	return b, ok && s.brokers.world.Scenario.Broker.Budgets && s.model.Tier.Index == 0 && len(s.brokers.world.Scenario.Teams) > 0
 }
 
-// divide has a process that begins take part, from before its first request.
-func (s *seat) divide() {
-	if _, ok := s.divides(); !ok {
+// startQuotaSharing begins the sharing of quotas, before the process receives its first request.
+func (s *process) startQuotaSharing() {
+	if _, ok := s.sharedQuotas(); !ok {
 		return
 	}
-	t, w := s.t, s.t.w
-	if t.granted == nil {
-		g := &granted{t: t, holders: map[string]*purse{}}
-		pool := make([]float64, len(w.S.Teams))
-		for i, team := range w.S.Teams {
+	t, w := s.brokers, s.brokers.world
+	if t.budgets == nil {
+		g := &fleetBudgets{brokers: t, holders: map[string]*quotaHolder{}}
+		pool := make([]float64, len(w.Scenario.Teams))
+		for i, team := range w.Scenario.Teams {
 			pool[i] = team.Quota * (1 - floorShare)
-			g.floor = append(g.floor, team.Quota*floorShare/float64(len(s.in.Tier.Instances)))
+			g.floors = append(g.floors, team.Quota*floorShare/float64(len(s.model.Tier.Instances)))
 		}
 		g.ledger = budget.NewLedger(pool)
 		g.grantor = budget.NewGrantor(leaseTerms, g.ledger, w.Now())
-		t.granted = g
-		w.After(decideEvery, g.decide)
+		t.budgets = g
+		w.After(decideInterval, g.decide)
 	}
-	id := fmt.Sprintf("%d#%d", s.in.Ordinal, s.lives)
-	p := &purse{
-		Holder: budget.NewHolder(id, 1, leaseTerms, t.granted.floor), seat: s,
-		rng: model.Stream(w.Seed(s.in), "budgets", int(s.lives)),
+	id := fmt.Sprintf("%d#%d", s.model.Ordinal, s.incarnation)
+	p := &quotaHolder{
+		Holder: budget.NewHolder(id, 1, leaseTerms, t.budgets.floors), process: s,
+		random: model.Stream(w.Seed(s.model), "budgets", int(s.incarnation)),
 	}
-	t.granted.holders[id] = p
-	p.allot()
-	w.After(time.Duration(p.rng.Int64N(int64(leaseLength/leaseRenewals))), p.ask)
+	t.budgets.holders[id] = p
+	p.applyShares()
+	w.After(time.Duration(p.random.Int64N(int64(leaseLength/leaseRenewals))), p.requestLease)
 }
 
-// ask measures demand, and asks for the next lease.
-func (p *purse) ask() {
-	s, w := p.seat, p.seat.t.w
-	if s.dead || s.instance.seat != s {
-		delete(s.t.granted.holders, fmt.Sprintf("%d#%d", s.in.Ordinal, s.lives))
+// requestLease measures demand and requests the next lease.
+func (p *quotaHolder) requestLease() {
+	s, w := p.process, p.process.brokers.world
+	if s.dead || s.instance.current != s {
+		delete(s.brokers.budgets.holders, fmt.Sprintf("%d#%d", s.model.Ordinal, s.incarnation))
 		return
 	}
 	b := s.policy.(*decision.Balancer)
@@ -91,86 +101,88 @@
 		asked = append(asked, u.Asked)
 	}
 	p.demand.Sample(w.Now(), asked)
-	p.allot()
+	p.applyShares()
 	r := p.NextRequest(w.Now(), p.demand.Rates())
-	w.After(w.Latency(), func() { s.t.granted.grantor.Receive(w.Now(), r) })
-	w.After(leaseLength/leaseRenewals, p.ask)
+	w.After(w.Latency(), func() { s.brokers.budgets.grantor.Receive(w.Now(), r) })
+	w.After(leaseLength/leaseRenewals, p.requestLease)
 }
 
-func (p *purse) allot() {
-	now, floors := p.seat.t.w.Now(), p.seat.t.granted.floor
+// applyShares hands the rates that the process may admit now to its balancer.
+func (p *quotaHolder) applyShares() {
+	now, floors := p.process.brokers.world.Now(), p.process.brokers.budgets.floors
 	a := decision.QuotaShares{TenantFallbackRates: floors, RetryRate: -1}
 	rates, leased := p.Allowance(now)
 	a.TenantRates = rates
 	if leased {
 		a.Until = now + p.Remaining(now)
 	}
-	p.seat.policy.(*decision.Balancer).SetQuotaShares(now, a)
+	p.process.policy.(*decision.Balancer).SetQuotaShares(now, a)
 }
 
-// look takes what the living may spend, and each second what they did, into the result.
-func (g *granted) look() {
-	w := g.t.w
+// recordUsage records what the live instances may admit and, once a second, what they did admit.
+func (g *fleetBudgets) recordUsage() {
+	w := g.brokers.world
 	if w.Result.Budgets == nil {
 		w.Result.Budgets = &model.Budgets{}
 	}
-	r, teams := w.Result.Budgets, w.S.Teams
-	may, uses := make([]float64, len(teams)), make([]decision.Usage, len(teams))
+	r, teams := w.Result.Budgets, w.Scenario.Teams
+	allotted, uses := make([]float64, len(teams)), make([]decision.Usage, len(teams))
 	for _, id := range slices.Sorted(maps.Keys(g.holders)) {
 		p := g.holders[id]
-		if p.seat.dead {
+		if p.process.dead {
 			continue
 		}
-		parts, _ := p.Allowance(w.Now())
-		for i, u := range p.seat.policy.(*decision.Balancer).Usage() {
-			may[i] += parts[i]
+		rates, _ := p.Allowance(w.Now())
+		for i, u := range p.process.policy.(*decision.Balancer).Usage() {
+			allotted[i] += rates[i]
 			uses[i].Asked += u.Asked
 			uses[i].WithinQuota += u.WithinQuota
 		}
 	}
 	short := false
 	for i, team := range teams {
-		r.Most = max(r.Most, may[i]/team.Quota)
-		short = short || may[i] < 0.95*team.Quota
+		r.MaxAllotted = max(r.MaxAllotted, allotted[i]/team.Quota)
+		short = short || allotted[i] < 0.95*team.Quota
 	}
 	if short && w.Now() > model.Origin+5*time.Second {
-		r.Short += decideEvery.Seconds()
+		r.ShortSeconds += decideInterval.Seconds()
 	}
-	if g.looks++; g.looks%10 != 0 {
+	if g.samples++; g.samples%10 != 0 {
 		return
 	}
 	for i, team := range teams {
-		if g.before != nil {
-			r.Second(uses[i].Asked-g.before[i].Asked, uses[i].WithinQuota-g.before[i].WithinQuota, team.Quota)
+		if g.previousUsage != nil {
+			r.RecordSecond(uses[i].Asked-g.previousUsage[i].Asked, uses[i].WithinQuota-g.previousUsage[i].WithinQuota, team.Quota)
 		}
 	}
-	g.before = uses
+	g.previousUsage = uses
 }
 
-// decide is the leading voter's: a command, agreed on after a while, and its grants sent.
-func (g *granted) decide() {
-	w := g.t.w
-	w.After(decideEvery, g.decide)
-	g.look()
-	if g.busy {
+// decide is a step of the leading voter: a command, agreed on after the commit latency, and its
+// grants.
+func (g *fleetBudgets) decide() {
+	w := g.brokers.world
+	w.After(decideInterval, g.decide)
+	g.recordUsage()
+	if g.commandPending {
 		return
 	}
-	c, something := g.grantor.NextCommand(w.Now())
-	if !something {
+	c, ok := g.grantor.NextCommand(w.Now())
+	if !ok {
 		return
 	}
-	g.busy = true
-	w.After(commitTakes, func() {
-		g.busy = false
-		given, refused := g.ledger.Apply(c)
-		if refused != nil {
-			g.t.err = refused
+	g.commandPending = true
+	w.After(commitLatency, func() {
+		g.commandPending = false
+		grants, err := g.ledger.Apply(c)
+		if err != nil {
+			g.brokers.err = err
 		}
-		g.grantor.Applied(w.Now(), given)
-		for _, x := range given {
+		g.grantor.Applied(w.Now(), grants)
+		for _, grant := range grants {
 			w.After(w.Latency(), func() {
-				if p := g.holders[x.Holder]; p != nil && !p.seat.dead && p.Accept(w.Now(), x) {
-					p.allot()
+				if p := g.holders[grant.Holder]; p != nil && !p.process.dead && p.Accept(w.Now(), grant) {
+					p.applyShares()
 				}
 			})
 		}
--- a/internal/lab/sim/decisions_test.go
+++ b/internal/lab/sim/decisions_test.go
@@ -13,8 +13,8 @@
 	"dykering/internal/tomlconfig"
 )
 
-// The fixture holds what came of the same scenarios with the build of commit bfb03d8, in the form of the laboratory's
-// result files, whose names stay.
+// The fixture holds what came of the same scenarios with the build of commit bfb03d8, in the form of the
+// laboratory's result files, whose names stay.
 
 const (
 	frozenSeeds    = 2
@@ -36,12 +36,12 @@
 }
 
 // For the same scenario and seed the broker's decisions lead to the same result.
-func TestDecisionsUnchangedScenarios(t *testing.T) {
+func TestResultsMatchThoseOfReleasedBuild(t *testing.T) {
 	var text strings.Builder
 	for _, s := range frozenScenarios(t) {
-		s.Lasts = min(s.Lasts, tomlconfig.Duration(frozenDuration))
+		s.Duration = min(s.Duration, tomlconfig.Duration(frozenDuration))
 		for seed := range uint64(frozenSeeds) {
-			result, err := Run(t.Context(), s, seed, Broker)
+			result, err := Run(t.Context(), s, seed, Balancer)
 			if err != nil {
 				t.Fatal(err)
 			}
