--- a/internal/lab/sim/instance.go
+++ b/internal/lab/sim/instance.go
@@ -11,237 +11,248 @@
 	"dykering/internal/lab/rules"
 )
 
-// tellEvery is how often a process that ends tells its successor what it has in flight.
-const tellEvery = 50 * time.Millisecond
+// inFlightReportInterval is how often a process that ends reports its calls in flight to its
+// successor.
+const inFlightReportInterval = 50 * time.Millisecond
 
-// tiers are the brokers of a world in virtual time.
-type tiers struct {
-	w         *model.World
-	policy    NewPolicy
+// brokers implements model.Brokers in virtual time.
+type brokers struct {
+	world     *model.World
+	policy    PolicyFactory
 	instances []*instance
-	granted   *granted           // nil without fleet-wide budgets
-	spreads   map[string]*spread // of facts that not all brokers of a tier hold yet
-	err       error
+	// Nil without fleet-wide budgets.
+	budgets *fleetBudgets
+	// Facts that have not reached all instances of their tier yet.
+	propagations map[string]*propagation
+	err          error
 }
 
-// instance is one instance of the broker: the process that serves, and perhaps one before it that ends.
+// instance is one instance of the broker: the process that serves, and perhaps a predecessor that
+// is draining.
 type instance struct {
-	t     *tiers
-	in    *model.Instance
-	tries map[decision.RequestID]*try
-	seat  *seat // that takes what comes; nil while there is none
-	lives uint64
+	brokers  *brokers
+	model    *model.Instance
+	requests map[decision.RequestID]*requestState
+	// The process that accepts requests; nil while there is none.
+	current     *process
+	incarnation uint64
 }
 
-// seat is a process: a policy, and its Host.
-type seat struct {
+// process is one process of an instance: a policy, and its host.
+type process struct {
 	*instance
 	policy Policy
 	dead   bool
-	mind   *mind                        // nil without replicated state
-	mute   map[decision.EndpointID]bool // servers from which nothing came: a new connection is needed
+	// Nil without replicated state.
+	replicated *replicatedState
+	// Servers from which nothing came: they need a new connection.
+	unreachable map[decision.EndpointID]bool
 }
 
-// try is one request in an instance.
-type try struct {
-	*model.Try
-	seat     *seat
-	ends     time.Duration // when its attempts end, so that its answer is there in time
-	answered bool
-	attempts int
-	to       *model.Attempt // that is out
+// requestState is a request in an instance.
+type requestState struct {
+	*model.Request
+	process *process
+	// When its attempts have to end for its answer to be in time.
+	attemptDeadline time.Duration
+	answered        bool
+	attempts        int
+	// The attempt in flight; nil for none.
+	inFlight *model.Attempt
 }
 
-func (t *tiers) begin(in *model.Instance) error {
-	i := &instance{t: t, in: in, tries: map[decision.RequestID]*try{}}
+// start adds an instance and starts its first process.
+func (t *brokers) start(in *model.Instance) error {
+	i := &instance{brokers: t, model: in, requests: map[decision.RequestID]*requestState{}}
 	t.instances = append(t.instances, i)
-	return i.serve()
+	return i.startProcess()
 }
 
-// serve has a process begin, with the list as it is.
-func (i *instance) serve() error {
-	s := &seat{instance: i, mute: map[decision.EndpointID]bool{}}
-	w := i.t.w
-	p, err := i.t.policy(w.Settings(i.in), w.Seed(i.in)+i.lives, s, w)
+// startProcess starts a process with the present endpoint list.
+func (i *instance) startProcess() error {
+	s := &process{instance: i, unreachable: map[decision.EndpointID]bool{}}
+	w := i.brokers.world
+	p, err := i.brokers.policy(w.Settings(i.model), w.Seed(i.model)+i.incarnation, s, w)
 	if err != nil {
 		return err
 	}
-	i.lives++
+	i.incarnation++
 	s.policy = p
-	l := w.List(i.in)
+	l := w.List(i.model)
 	l.Kind = decision.CachedList
 	for _, e := range l.Entries {
-		w.Checker.Listed(w.Now(), i.in.N, w.Servers[e.Endpoint-1].N, e.State == decision.Ready)
+		w.Checker.EndpointListed(w.Now(), i.model.Index, w.Servers[e.Endpoint-1].Index, e.State == decision.Ready)
 	}
-	i.seat = s
+	i.current = s
 	p.Targets(w.Now(), l)
-	s.replicate()
-	s.divide()
+	s.startReplication()
+	s.startQuotaSharing()
 	return nil
 }
 
-// Hear is for the instance that has news.
-func (t *tiers) Hear(in *model.Instance, l decision.List) {
-	if s := t.instances[in.N].seat; s != nil {
-		s.policy.Targets(t.w.Now(), l)
+// UpdateList delivers an update of the endpoint list to the current process.
+func (t *brokers) UpdateList(in *model.Instance, list decision.List) {
+	if s := t.instances[in.Index].current; s != nil {
+		s.policy.Targets(t.world.Now(), list)
 	}
 }
 
-// Take takes a request.
-func (t *tiers) Take(m *model.Try) {
-	w, i := t.w, t.instances[m.Instance.N]
+// Accept hands a request to the current process.
+func (t *brokers) Accept(request *model.Request) {
+	w, i := t.world, t.instances[request.Instance.Index]
 	now := w.Now()
-	if m.Until <= now {
-		return // nobody waits for it
+	if request.Deadline <= now {
+		return // the requester has given it up
 	}
-	if i.seat == nil {
-		w.After(w.Latency(), func() { m.Asker.Hear(m, model.Unheard, 0) })
+	if i.current == nil {
+		w.After(w.Latency(), func() { request.Requester.Complete(request, model.Unreachable, 0) })
 		return
 	}
-	r := &try{Try: m, seat: i.seat, ends: m.Until - model.Grace}
-	i.tries[m.ID] = r
-	c := w.S.Classes[m.Class]
-	w.Checker.Taken(now, rules.Request{
-		ID: string(m.ID), Origin: m.Origin, Instance: i.in.N, Deadline: m.Until,
+	state := &requestState{Request: request, process: i.current, attemptDeadline: request.Deadline - model.Grace}
+	i.requests[request.ID] = state
+	c := w.Scenario.Classes[request.Class]
+	w.Checker.RequestAccepted(now, rules.Request{
+		ID: string(request.ID), Origin: request.Origin, Instance: i.model.Index, Deadline: request.Deadline,
 		Effect: c.Effect, Scope: c.Scope, Window: time.Duration(c.Window),
 	})
-	i.seat.policy.Request(now, decision.Request{
-		ID: m.ID, Class: m.Class, Tenant: m.Team, Remaining: r.ends - now,
-		IsRetry: m.Repeat, IdleConns: 1 << 10,
+	i.current.policy.Request(now, decision.Request{
+		ID: request.ID, Class: request.Class, Tenant: request.Team, Remaining: state.attemptDeadline - now,
+		IsRetry: request.IsRetry, IdleConns: 1 << 10,
 	})
 }
 
-// Lapse tells that whoever asked has given a try up.
-func (t *tiers) Lapse(m *model.Try) {
-	i := t.instances[m.Instance.N]
-	r := i.tries[m.ID]
-	if r == nil || r.Try != m || r.answered {
+// Abandon reports to the policy that the requester has given a request up.
+func (t *brokers) Abandon(request *model.Request) {
+	i := t.instances[request.Instance.Index]
+	state := i.requests[request.ID]
+	if state == nil || state.Request != request || state.answered {
 		return
 	}
-	r.answered = true
-	t.w.Checker.Lapsed(t.w.Now(), string(m.ID))
-	r.seat.policy.Abandoned(t.w.Now(), m.ID)
-	i.forget(r)
+	state.answered = true
+	t.world.Checker.ClientDeparted(t.world.Now(), string(request.ID))
+	state.process.policy.Abandoned(t.world.Now(), request.ID)
+	i.removeIfDone(state)
 }
 
-// Kill ends a process with all that it has. Its askers see their connections break.
-func (t *tiers) Kill(in *model.Instance, lasts time.Duration) {
-	i, w := t.instances[in.N], t.w
-	if i.seat == nil {
+// Kill ends all processes of an instance. Requesters see their connections reset.
+func (t *brokers) Kill(in *model.Instance, duration time.Duration) {
+	i, w := t.instances[in.Index], t.world
+	if i.current == nil {
 		return
 	}
-	i.seat.dead = true
-	i.seat = nil
-	for _, r := range slices.SortedFunc(maps.Values(i.tries), func(a, b *try) int { return cmp.Compare(a.ID, b.ID) }) {
-		r.seat.dead = true
-		if r.to != nil {
-			t.gone(r.to)
+	i.current.dead = true
+	i.current = nil
+	for _, r := range slices.SortedFunc(maps.Values(i.requests), func(a, b *requestState) int { return cmp.Compare(a.ID, b.ID) }) {
+		r.process.dead = true
+		if r.inFlight != nil {
+			t.cancelAttempt(r.inFlight)
 		}
-		w.Checker.Excused(w.Now(), string(r.ID))
+		w.Checker.ProcessKilled(w.Now(), string(r.ID))
 		if !r.answered {
 			r.answered = true
-			w.After(w.Latency(), func() { r.Asker.Hear(r.Try, model.Failed, 0) })
+			w.After(w.Latency(), func() { r.Requester.Complete(r.Request, model.Failed, 0) })
 		}
 	}
-	clear(i.tries)
-	w.After(lasts, func() {
-		if err := i.serve(); err != nil {
+	clear(i.requests)
+	w.After(duration, func() {
+		if err := i.startProcess(); err != nil {
 			t.err = err
 		}
 	})
 }
 
-// Befall plays a stop as a kill. What else it is told of does not happen here: there is no network code.
-func (t *tiers) Befall(in *model.Instance, what string, lasts time.Duration) {
-	if what == "stop" {
-		t.Kill(in, lasts)
+// InjectFault treats a stop as a kill. Other faults do nothing here, as there is no network code.
+func (t *brokers) InjectFault(in *model.Instance, kind string, duration time.Duration) {
+	if kind == "stop" {
+		t.Kill(in, duration)
 	}
 }
 
-// Handover has a successor take what comes, that inherits what its predecessor has learnt; the predecessor ends what
-// it has.
-func (t *tiers) Handover(in *model.Instance) {
-	i, w := t.instances[in.N], t.w
-	old := i.seat
+// Handover starts a successor that accepts requests from now on and restores the predecessor's
+// snapshot. The predecessor finishes what it has.
+func (t *brokers) Handover(in *model.Instance) {
+	i, w := t.instances[in.Index], t.world
+	old := i.current
 	if old == nil {
 		return
 	}
-	if t.err = i.serve(); t.err != nil {
+	if t.err = i.startProcess(); t.err != nil {
 		return
 	}
 	from, ok := old.policy.(*decision.Balancer)
-	to, both := i.seat.policy.(*decision.Balancer)
-	if !ok || !both {
+	to, isBalancer := i.current.policy.(*decision.Balancer)
+	if !ok || !isBalancer {
 		return
 	}
 	if t.err = to.Restore(w.Now(), from.Snapshot(w.Now())); t.err != nil {
 		return
 	}
-	var tell func()
-	tell = func() {
+	var report func()
+	report = func() {
 		calls := from.InFlight()
-		to.SetPredecessorCalls(w.Now(), calls, w.Now()+2*tellEvery)
+		to.SetPredecessorCalls(w.Now(), calls, w.Now()+2*inFlightReportInterval)
 		if len(calls) > 0 {
-			w.After(tellEvery, tell)
+			w.After(inFlightReportInterval, report)
 		}
 	}
-	tell()
+	report()
 }
 
-// gone tells a server that whoever sent an attempt waits no more.
-func (t *tiers) gone(a *model.Attempt) {
-	a.Over = true
+// cancelAttempt notifies a server that the sender of an attempt waits no more.
+func (t *brokers) cancelAttempt(a *model.Attempt) {
+	a.Finished = true
 	a.Server.Release(a, false)
-	t.w.After(t.w.Latency(), func() { a.Server.Cancel(a) })
+	t.world.After(t.world.Latency(), func() { a.Server.Cancel(a) })
 }
 
-// answer gives a final answer.
-func (i *instance) answer(r *try, how string, retryAfter time.Duration) {
-	w := i.t.w
-	w.Checker.Answered(w.Now(), string(r.ID), how)
+// answer gives a request its final outcome.
+func (i *instance) answer(r *requestState, outcome string, retryAfter time.Duration) {
+	w := i.brokers.world
+	w.Checker.RequestAnswered(w.Now(), string(r.ID), outcome)
 	if r.answered {
 		return
 	}
 	r.answered = true
-	w.After(w.Latency(), func() { r.Asker.Hear(r.Try, how, retryAfter) })
-	i.forget(r)
+	w.After(w.Latency(), func() { r.Requester.Complete(r.Request, outcome, retryAfter) })
+	i.removeIfDone(r)
 }
 
-func (i *instance) forget(r *try) {
-	if r.answered && r.to == nil {
-		delete(i.tries, r.ID)
+// removeIfDone forgets a request that is answered and has no attempt in flight.
+func (i *instance) removeIfDone(r *requestState) {
+	if r.answered && r.inFlight == nil {
+		delete(i.requests, r.ID)
 	}
 }
 
-// Reply is a server's answer to an attempt.
-func (s *seat) Reply(a *model.Attempt, how decision.Status, l *decision.Load) {
-	w := s.t.w
+// Reply implements model.Replier: the reply arrives after the network's latency.
+func (s *process) Reply(a *model.Attempt, status decision.Status, load *decision.Load) {
+	w := s.brokers.world
 	w.After(w.Latency(), func() {
-		if !w.Cut(a.Try.Instance, a.Server) {
-			s.outcome(a, how, l)
+		if !w.IsUnreachable(a.Request.Instance, a.Server) {
+			s.outcome(a, status, load)
 		}
 	})
 }
 
-// outcome tells the policy how an attempt ended.
-func (s *seat) outcome(a *model.Attempt, status decision.Status, l *decision.Load) {
-	r := s.tries[a.Try.ID]
-	if a.Over || r == nil || r.to != a {
+// outcome reports the end of an attempt to the policy.
+func (s *process) outcome(a *model.Attempt, status decision.Status, load *decision.Load) {
+	r := s.requests[a.Request.ID]
+	if a.Finished || r == nil || r.inFlight != a {
 		return
 	}
-	w := s.t.w
-	r.to = nil
+	w := s.brokers.world
+	r.inFlight = nil
 	switch status {
 	case decision.Timeout, decision.Cancelled, decision.ConnectFailed:
-		s.t.gone(a)
-		if w.Cut(s.in, a.Server) || a.Server.Silent() {
-			s.mute[a.Server.ID()] = true
+		s.brokers.cancelAttempt(a)
+		if w.IsUnreachable(s.model, a.Server) || a.Server.IsSilent() {
+			s.unreachable[a.Server.ID()] = true
 		}
 	default:
-		a.Over = true
+		a.Finished = true
 		a.Server.Release(a, status == decision.OK || status == decision.Error || status == decision.Rejected)
 	}
-	w.Checker.Ended(w.Now(), string(r.ID), a.Number, status.String())
+	w.Checker.AttemptEnded(w.Now(), string(r.ID), a.Number, status.String())
 	final := r.answered
 	if status == decision.OK && !r.answered {
 		final = true
@@ -249,37 +260,38 @@
 	}
 	s.policy.Outcome(w.Now(), decision.Outcome{
 		ID: r.ID, Endpoint: a.Server.ID(), Attempt: a.Number, Final: final,
-		Elapsed: w.Now() - a.Sent, Status: status, Load: l,
+		Elapsed: w.Now() - a.SentAt, Status: status, Load: load,
 	})
-	s.forget(r)
+	s.removeIfDone(r)
 }
 
-// Send is the Host's, as are the methods below. What is sent here is out at once, so within any time.
-func (s *seat) Send(id decision.RequestID, to decision.EndpointID, timeout, _ time.Duration) {
-	w := s.t.w
-	r := s.tries[id]
+// Send implements decision.Host, as do the methods below. An attempt is sent at once, so within any
+// time limit.
+func (s *process) Send(id decision.RequestID, to decision.EndpointID, timeout, _ time.Duration) {
+	w := s.brokers.world
+	r := s.requests[id]
 	attempts := 0
 	if r != nil {
 		attempts = r.attempts
 	}
-	w.Checker.Sent(w.Now(), string(id), attempts, int(to)-1)
+	w.Checker.AttemptSent(w.Now(), string(id), attempts, int(to)-1)
 	if r == nil || int(to) < 1 || int(to) > len(w.Servers) {
 		return
 	}
-	a := &model.Attempt{Try: r.Try, Number: r.attempts, Server: w.Servers[to-1], Sent: w.Now(), To: s}
+	a := &model.Attempt{Request: r.Request, Number: r.attempts, Server: w.Servers[to-1], SentAt: w.Now(), ReplyTo: s}
 	r.attempts++
-	r.to = a
+	r.inFlight = a
 	w.Result.Attempts++
-	end := r.ends - w.Now()
+	end := r.attemptDeadline - w.Now()
 	if timeout > 0 {
 		end = min(end, timeout)
 	}
 	w.After(end, func() { s.outcome(a, decision.Timeout, nil) })
-	silent := w.Cut(s.in, a.Server) || a.Server.Silent()
+	silent := w.IsUnreachable(s.model, a.Server) || a.Server.IsSilent()
 	if !silent {
-		delete(s.mute, to)
-	} else if s.mute[to] || a.Server.Silent() {
-		w.After(time.Duration(w.S.Broker.Connect), func() { s.outcome(a, decision.ConnectFailed, nil) })
+		delete(s.unreachable, to)
+	} else if s.unreachable[to] || a.Server.IsSilent() {
+		w.After(time.Duration(w.Scenario.Broker.ConnectTimeout), func() { s.outcome(a, decision.ConnectFailed, nil) })
 		return
 	}
 	took, ok := a.Server.Connect(a)
@@ -288,42 +300,42 @@
 		return
 	}
 	w.After(took+w.Latency(), func() {
-		if !w.Cut(s.in, a.Server) {
-			a.Server.Arrive(a)
+		if !w.IsUnreachable(s.model, a.Server) {
+			a.Server.Receive(a)
 		}
 	})
 }
 
-func (s *seat) Refuse(id decision.RequestID, retryAfter time.Duration) {
-	s.end(id, model.Refused, retryAfter)
+func (s *process) Refuse(id decision.RequestID, retryAfter time.Duration) {
+	s.finish(id, model.Refused, retryAfter)
 }
-func (s *seat) Fail(id decision.RequestID) { s.end(id, model.Failed, 0) }
+func (s *process) Fail(id decision.RequestID) { s.finish(id, model.Failed, 0) }
 
-func (s *seat) end(id decision.RequestID, how string, retryAfter time.Duration) {
-	if r := s.tries[id]; r != nil {
-		s.answer(r, how, retryAfter)
+func (s *process) finish(id decision.RequestID, outcome string, retryAfter time.Duration) {
+	if r := s.requests[id]; r != nil {
+		s.answer(r, outcome, retryAfter)
 		return
 	}
-	s.t.w.Checker.Answered(s.t.w.Now(), string(id), how)
+	s.brokers.world.Checker.RequestAnswered(s.brokers.world.Now(), string(id), outcome)
 }
 
-func (s *seat) Cancel(id decision.RequestID, number int) {
-	r := s.tries[id]
-	if r == nil || r.to == nil || r.to.Number != number {
+func (s *process) Cancel(id decision.RequestID, number int) {
+	r := s.requests[id]
+	if r == nil || r.inFlight == nil || r.inFlight.Number != number {
 		return
 	}
-	a := r.to
-	s.t.w.After(0, func() { s.outcome(a, decision.Cancelled, nil) })
+	a := r.inFlight
+	s.brokers.world.After(0, func() { s.outcome(a, decision.Cancelled, nil) })
 }
 
-func (s *seat) SetTimer(token uint64, after time.Duration) {
-	s.t.w.After(after, func() {
+func (s *process) SetTimer(token uint64, after time.Duration) {
+	s.brokers.world.After(after, func() {
 		if !s.dead {
-			s.policy.Timer(s.t.w.Now(), token)
+			s.policy.Timer(s.brokers.world.Now(), token)
 		}
 	})
 }
 
-func (s *seat) Watch(bool) {}
-func (s *seat) Fetch()     {}
-func (s *seat) Log(string) {}
+func (s *process) Watch(bool) {}
+func (s *process) Fetch()     {}
+func (s *process) Log(string) {}
--- a/internal/lab/sim/policies.go
+++ b/internal/lab/sim/policies.go
@@ -7,24 +7,24 @@
 	"dykering/internal/decision"
 )
 
-// Policies are what the broker's decisions can be compared with, by name.
-var Policies = map[string]NewPolicy{
-	"dykering":    Broker,
-	"random":      simple(func(p *plain) decision.EndpointID { return p.ready[p.rng.IntN(len(p.ready))] }),
-	"round-robin": simple(func(p *plain) decision.EndpointID { p.turn++; return p.ready[p.turn%len(p.ready)] }),
-	"two-choice": simple(func(p *plain) decision.EndpointID {
-		a, b := p.ready[p.rng.IntN(len(p.ready))], p.ready[p.rng.IntN(len(p.ready))]
-		if p.out[b] < p.out[a] {
+// Policies are the policies that the balancer can be compared with, by name.
+var Policies = map[string]PolicyFactory{
+	"dykering":    Balancer,
+	"random":      baseline(func(p *baselinePolicy) decision.EndpointID { return p.ready[p.random.IntN(len(p.ready))] }),
+	"round-robin": baseline(func(p *baselinePolicy) decision.EndpointID { p.next++; return p.ready[p.next%len(p.ready)] }),
+	"two-choice": baseline(func(p *baselinePolicy) decision.EndpointID {
+		a, b := p.ready[p.random.IntN(len(p.ready))], p.ready[p.random.IntN(len(p.ready))]
+		if p.inFlight[b] < p.inFlight[a] {
 			return b
 		}
 		return a
 	}),
-	// The true load of all servers, that nobody has: a ceiling.
-	"least": simple(func(p *plain) decision.EndpointID {
-		from := p.rng.IntN(len(p.ready))
+	// An upper bound: it knows the true load of all servers.
+	"least": baseline(func(p *baselinePolicy) decision.EndpointID {
+		from := p.random.IntN(len(p.ready))
 		best := p.ready[from]
 		for i := range p.ready {
-			if e := p.ready[(from+i)%len(p.ready)]; p.truth.Load(e) < p.truth.Load(best) {
+			if e := p.ready[(from+i)%len(p.ready)]; p.oracle.Load(e) < p.oracle.Load(best) {
 				best = e
 			}
 		}
@@ -32,38 +32,39 @@
 	}),
 }
 
-// plain sends each request at once to a server that is picked without any care, and again while the class allows it.
-type plain struct {
-	set   decision.Settings
-	host  decision.Host
-	rng   *rand.Rand
-	truth Truth
-	pick  func(*plain) decision.EndpointID
-	ready []decision.EndpointID
-	out   map[decision.EndpointID]int
-	calls map[decision.RequestID]*call
-	turn  int
+// baselinePolicy sends each request at once to an endpoint that a simple rule chooses, and retries
+// at once while the class of the request allows that.
+type baselinePolicy struct {
+	settings decision.Settings
+	host     decision.Host
+	random   *rand.Rand
+	oracle   Oracle
+	pick     func(*baselinePolicy) decision.EndpointID
+	ready    []decision.EndpointID
+	inFlight map[decision.EndpointID]int
+	calls    map[decision.RequestID]*call
+	next     int
 }
 
 type call struct {
 	decision.Request
-	until  time.Duration
-	to     decision.EndpointID
-	tries  int
-	ran    bool
-	lapsed bool
+	deadline  time.Duration
+	endpoint  decision.EndpointID
+	attempts  int
+	ran       bool
+	abandoned bool
 }
 
-func simple(pick func(*plain) decision.EndpointID) NewPolicy {
-	return func(set decision.Settings, seed uint64, host decision.Host, truth Truth) (Policy, error) {
-		return &plain{
-			set: set, host: host, rng: rand.New(rand.NewPCG(seed, 1)), truth: truth, pick: pick,
-			out: map[decision.EndpointID]int{}, calls: map[decision.RequestID]*call{},
+func baseline(pick func(*baselinePolicy) decision.EndpointID) PolicyFactory {
+	return func(set decision.Settings, seed uint64, host decision.Host, truth Oracle) (Policy, error) {
+		return &baselinePolicy{
+			settings: set, host: host, random: rand.New(rand.NewPCG(seed, 1)), oracle: truth, pick: pick,
+			inFlight: map[decision.EndpointID]int{}, calls: map[decision.RequestID]*call{},
 		}, nil
 	}
 }
 
-func (p *plain) Targets(_ time.Duration, l decision.List) {
+func (p *baselinePolicy) Targets(_ time.Duration, l decision.List) {
 	for _, e := range l.Entries {
 		kept := p.ready[:0]
 		for _, id := range p.ready {
@@ -77,15 +78,15 @@
 	}
 }
 
-func (p *plain) Request(now time.Duration, q decision.Request) {
-	c := &call{Request: q, until: now + q.Remaining}
+func (p *baselinePolicy) Request(now time.Duration, q decision.Request) {
+	c := &call{Request: q, deadline: now + q.Remaining}
 	p.calls[q.ID] = c
 	p.send(now, c)
 }
 
-func (p *plain) send(now time.Duration, c *call) {
-	safe := p.set.Classes[c.Class].Effect == decision.Safe
-	if len(p.ready) == 0 || now >= c.until || p.set.MaxAttempts > 0 && c.tries >= p.set.MaxAttempts {
+func (p *baselinePolicy) send(now time.Duration, c *call) {
+	safe := p.settings.Classes[c.Class].Effect == decision.Safe
+	if len(p.ready) == 0 || now >= c.deadline || p.settings.MaxAttempts > 0 && c.attempts >= p.settings.MaxAttempts {
 		delete(p.calls, c.ID)
 		if safe || !c.ran {
 			p.host.Refuse(c.ID, 0)
@@ -94,24 +95,24 @@
 		}
 		return
 	}
-	c.tries++
-	c.to = p.pick(p)
-	p.out[c.to]++
-	p.host.Send(c.ID, c.to, 0, 0)
+	c.attempts++
+	c.endpoint = p.pick(p)
+	p.inFlight[c.endpoint]++
+	p.host.Send(c.ID, c.endpoint, 0, 0)
 }
 
-func (p *plain) Outcome(now time.Duration, o decision.Outcome) {
-	p.out[o.Endpoint]--
+func (p *baselinePolicy) Outcome(now time.Duration, o decision.Outcome) {
+	p.inFlight[o.Endpoint]--
 	c := p.calls[o.ID]
 	if c == nil {
 		return
 	}
-	if o.Final || c.lapsed {
+	if o.Final || c.abandoned {
 		delete(p.calls, o.ID)
 		return
 	}
 	c.ran = c.ran || !o.Status.NeverRan()
-	if c.ran && p.set.Classes[c.Class].Effect != decision.Safe {
+	if c.ran && p.settings.Classes[c.Class].Effect != decision.Safe {
 		delete(p.calls, o.ID)
 		p.host.Fail(o.ID)
 		return
@@ -119,10 +120,10 @@
 	p.send(now, c)
 }
 
-func (p *plain) Timer(time.Duration, uint64) {}
+func (p *baselinePolicy) Timer(time.Duration, uint64) {}
 
-func (p *plain) Abandoned(_ time.Duration, id decision.RequestID) {
+func (p *baselinePolicy) Abandoned(_ time.Duration, id decision.RequestID) {
 	if c := p.calls[id]; c != nil {
-		c.lapsed = true
+		c.abandoned = true
 	}
 }
--- a/internal/lab/sim/replica.go
+++ b/internal/lab/sim/replica.go
@@ -13,36 +13,42 @@
 	"dykering/internal/lab/model"
 )
 
-// What a broker does with replicated state in virtual time: the store, the merge rule and what the word of others comes
-// to are the program's own (package replica); this file is the gossip around them, as memberlist's: each interval some
-// facts to a few others, each fact a bounded number of times.
+// Replicated state in virtual time: the store, the merge rule and the advice are the program's own (package
+// replica); this file carries the gossip between instances.
 const (
-	gossipEvery  = 200 * time.Millisecond
-	gossipNodes  = 3
-	gossipMult   = 4  // times log10 of the brokers: how often a fact is sent on
-	gossipMost   = 20 // facts in a message
-	compareEvery = 25 // gossip intervals between two comparisons with another copy
-	adviseEvery  = 5  // gossip intervals between two looks at what the facts come to
-	factTTL      = 15 * time.Second
+	// Gossip follows memberlist: at each interval some facts are sent to a few random peers, and each
+	// fact a limited number of times.
+	gossipInterval = 200 * time.Millisecond
+	gossipFanout   = 3
+	// Times the decimal logarithm of the number of instances: how often a fact is sent on.
+	retransmitMultiplier = 4
+	maxFactsPerMessage   = 20
+	// Gossip intervals between two synchronizations with a peer.
+	synchronizeIntervals = 25
+	// Gossip intervals between two evaluations of the facts.
+	adviseIntervals = 5
+	factTTL         = 15 * time.Second
 )
 
 // The bounds are the defaults of [fleet.replication].
 var (
+	// The limits are the defaults of [fleet.replication].
 	replicaRules  = replica.Rules{MinWitnesses: 2, MaxShareOfOrigin: 0.3, MaxShare: 0.2}
 	replicaLimits = replica.Limits{MaxOrigins: 4096, FactsPerOrigin: 64, TTL: factTTL, MaxClockSkew: 10 * time.Second}
 )
 
-// mind is what a process holds of the replicated state.
-type mind struct {
-	store *replica.Store
-	queue []rumour
-	rng   *rand.Rand
-	ticks int
+// replicatedState is a process's replica of the shared facts.
+type replicatedState struct {
+	store     *replica.Store
+	queue     []queuedFact
+	random    *rand.Rand
+	intervals int
 }
 
-type rumour struct {
-	fact replica.Fact
-	left int // times that it is still sent
+// queuedFact is a fact to be sent on.
+type queuedFact struct {
+	fact           replica.Fact
+	remainingSends int
 }
 
 func subject(id decision.EndpointID) string { return strconv.Itoa(int(id)) }
@@ -52,57 +58,57 @@
 	return decision.EndpointID(id)
 }
 
-func (t *tiers) moment() replica.Now {
-	now := t.w.Now()
+func (t *brokers) replicaNow() replica.Now {
+	now := t.world.Now()
 	return replica.Now{Mono: now, Wall: time.Unix(0, 0).Add(now)}
 }
 
-// replicate has a process that begins take part.
-func (s *seat) replicate() {
-	if _, ok := s.policy.(*decision.Balancer); !ok || !s.t.w.S.Broker.Replicate {
+// startReplication begins replication, where the scenario asks for it.
+func (s *process) startReplication() {
+	if _, ok := s.policy.(*decision.Balancer); !ok || !s.brokers.world.Scenario.Broker.Replicate {
 		return
 	}
-	w := s.t.w
-	s.mind = &mind{
-		store: replica.New(strconv.Itoa(s.in.Ordinal), replicaLimits),
-		rng:   model.Stream(w.Seed(s.in), "replica", int(s.lives)),
+	w := s.brokers.world
+	s.replicated = &replicatedState{
+		store:  replica.New(strconv.Itoa(s.model.Ordinal), replicaLimits),
+		random: model.Stream(w.Seed(s.model), "replica", int(s.incarnation)),
 	}
-	if s.lives > 1 { // it joins a fleet that is there: a peer tells it what it holds
+	if s.incarnation > 1 { // it joins a running fleet and starts with the facts of a peer
 		w.After(2*w.Latency(), func() {
-			peer := s.peer()
+			peer := s.randomPeer()
 			if s.dead || peer == nil {
 				return
 			}
-			s.hear(peer.mind.store.Facts(s.t.moment()))
+			s.merge(peer.replicated.store.Facts(s.brokers.replicaNow()))
 		})
 	}
-	w.After(time.Duration(s.mind.rng.Int64N(int64(gossipEvery))), s.gossip)
+	w.After(time.Duration(s.replicated.random.Int64N(int64(gossipInterval))), s.gossip)
 }
 
-// peer is another process of the tier, drawn.
-func (s *seat) peer() *seat {
-	all := s.in.Tier.Instances
-	for range gossipNodes {
-		if p := s.t.instances[all[s.mind.rng.IntN(len(all))].N]; p.seat != nil && p.seat != s && p.seat.mind != nil {
-			return p.seat
+// randomPeer draws another process of the tier, nil where none was found.
+func (s *process) randomPeer() *process {
+	all := s.model.Tier.Instances
+	for range gossipFanout {
+		if p := s.brokers.instances[all[s.replicated.random.IntN(len(all))].Index]; p.current != nil && p.current != s && p.current.replicated != nil {
+			return p.current
 		}
 	}
 	return nil
 }
 
-// hear takes facts in, and has those that are news sent on.
-func (s *seat) hear(facts []replica.Fact) {
+// merge merges facts of a peer and queues those that changed the replica.
+func (s *process) merge(facts []replica.Fact) {
 	for _, f := range facts {
-		if news, _ := s.mind.store.Merge(s.t.moment(), f); news {
-			s.tell(f)
-			s.t.spread(f, len(s.in.Tier.Instances))
+		if changed, _ := s.replicated.store.Merge(s.brokers.replicaNow(), f); changed {
+			s.enqueue(f)
+			s.brokers.recordHolder(f, len(s.model.Tier.Instances))
 		}
 	}
 }
 
-// compare has a peer send what this copy lacks, and takes what the peer lacks to it.
-func (s *seat) compare() {
-	w, p := s.t.w, s.peer()
+// synchronize exchanges with a random peer the facts that either replica lacks (anti-entropy).
+func (s *process) synchronize() {
+	w, p := s.brokers.world, s.randomPeer()
 	if p == nil {
 		return
 	}
@@ -110,110 +116,114 @@
 		if s.dead || p.dead {
 			return
 		}
-		now := s.t.moment()
-		lacks, has := p.mind.store.Differing(now, s.mind.store.Summary()), s.mind.store.Differing(now, p.mind.store.Summary())
-		w.Result.Replicated += len(lacks) + len(has)
+		now := s.brokers.replicaNow()
+		missingHere, missingThere := p.replicated.store.Differing(now, s.replicated.store.Summary()), s.replicated.store.Differing(now, p.replicated.store.Summary())
+		w.Result.FactsSent += len(missingHere) + len(missingThere)
 		w.After(w.Latency(), func() {
 			if !s.dead && !p.dead {
-				s.hear(lacks)
-				p.hear(has)
+				s.merge(missingHere)
+				p.merge(missingThere)
 			}
 		})
 	})
 }
 
-// spread is how far a fact has come.
-type spread struct {
-	at time.Duration // when it was written
-	to int           // brokers that hold it
+// propagation measures how far a fact has spread.
+type propagation struct {
+	// When it was recorded first.
+	writtenAt time.Duration
+	// Instances that hold it.
+	holders int
 }
 
-// spreadAt is the share of the brokers that a fact has spread at.
-const spreadAt = 0.99
+// propagatedShare is the share of a tier's instances at which a fact counts as propagated.
+const propagatedShare = 0.99
 
-// spread counts one more broker that holds a fact, of so many in its tier.
-func (t *tiers) spread(f replica.Fact, of int) {
-	x := t.spreads[f.Key()]
+// recordHolder counts one more instance that holds a fact, of so many in its tier.
+func (t *brokers) recordHolder(f replica.Fact, of int) {
+	x := t.propagations[f.Key()]
 	if x == nil {
-		return // it has spread
+		return // it has propagated already
 	}
-	if x.to++; float64(x.to) >= spreadAt*float64(of) {
-		t.w.Result.Spread = append(t.w.Result.Spread, (t.w.Now() - x.at).Seconds())
-		delete(t.spreads, f.Key())
+	if x.holders++; float64(x.holders) >= propagatedShare*float64(of) {
+		t.world.Result.PropagationSeconds = append(t.world.Result.PropagationSeconds, (t.world.Now() - x.writtenAt).Seconds())
+		delete(t.propagations, f.Key())
 	}
 }
 
-func (s *seat) tell(f replica.Fact) {
-	times := gossipMult * int(math.Ceil(math.Log10(float64(len(s.in.Tier.Instances)+1))))
-	for i, r := range s.mind.queue {
-		if r.fact.Origin == f.Origin && r.fact.Subject == f.Subject { // it takes an older one's place
-			s.mind.queue[i] = rumour{f, times}
+// enqueue queues a fact for gossip, in place of an older one about the same subject.
+func (s *process) enqueue(f replica.Fact) {
+	times := retransmitMultiplier * int(math.Ceil(math.Log10(float64(len(s.model.Tier.Instances)+1))))
+	for i, r := range s.replicated.queue {
+		if r.fact.Origin == f.Origin && r.fact.Subject == f.Subject { // it replaces an older one
+			s.replicated.queue[i] = queuedFact{f, times}
 			return
 		}
 	}
-	s.mind.queue = append(s.mind.queue, rumour{f, times})
+	s.replicated.queue = append(s.replicated.queue, queuedFact{f, times})
 }
 
-// gossip is one interval: what this broker has found out goes into its own registers, what is news goes on, and now and
-// then the word of others is looked at.
-func (s *seat) gossip() {
-	if s.dead || s.seat != s {
+// gossip is one gossip interval: new evidence of the balancer is recorded, queued facts are sent,
+// and from time to time the replica is synchronized and its advice applied.
+func (s *process) gossip() {
+	if s.dead || s.current != s {
 		return
 	}
-	w, m, b := s.t.w, s.mind, s.policy.(*decision.Balancer)
-	now := s.t.moment()
+	w, m, b := s.brokers.world, s.replicated, s.policy.(*decision.Balancer)
+	now := s.brokers.replicaNow()
 	m.store.Expire(now)
 	var disputed []decision.EndpointID
 	for _, name := range m.store.Disputed(now) {
 		disputed = append(disputed, endpointOf(name))
 	}
 	for _, e := range b.Evidence(w.Now(), disputed) {
-		word := replica.Good
+		verdict := replica.Good
 		if e.Ejected {
-			word = replica.Bad
+			verdict = replica.Bad
 		}
-		if f, news := m.store.Record(now, subject(e.Endpoint), word, factTTL); news {
-			s.t.spreads[f.Key()] = &spread{at: w.Now(), to: 1}
-			s.tell(f)
+		if f, changed := m.store.Record(now, subject(e.Endpoint), verdict, factTTL); changed {
+			s.brokers.propagations[f.Key()] = &propagation{writtenAt: w.Now(), holders: 1}
+			s.enqueue(f)
 		}
 	}
-	// Those that were sent least come first, as in memberlist's queue: in a storm of facts each gets some way at once.
-	slices.SortStableFunc(m.queue, func(a, b rumour) int { return cmp.Compare(b.left, a.left) })
-	if n := min(len(m.queue), gossipMost); n > 0 {
-		for range gossipNodes {
-			if p := s.peer(); p != nil {
+	// Facts that were sent least come first, as in memberlist's queue, so that each makes progress when there
+	// are many.
+	slices.SortStableFunc(m.queue, func(a, b queuedFact) int { return cmp.Compare(b.remainingSends, a.remainingSends) })
+	if n := min(len(m.queue), maxFactsPerMessage); n > 0 {
+		for range gossipFanout {
+			if p := s.randomPeer(); p != nil {
 				facts := make([]replica.Fact, 0, n)
 				for i := range m.queue[:n] {
 					facts = append(facts, m.queue[i].fact)
-					m.queue[i].left--
+					m.queue[i].remainingSends--
 				}
-				w.Result.Replicated += len(facts)
+				w.Result.FactsSent += len(facts)
 				w.After(w.Latency(), func() {
 					if !p.dead {
-						p.hear(facts)
+						p.merge(facts)
 					}
 				})
 			}
 		}
 		kept := m.queue[:0]
 		for _, r := range m.queue {
-			if r.left > 0 {
+			if r.remainingSends > 0 {
 				kept = append(kept, r)
 			}
 		}
 		m.queue = kept
 	}
-	if m.ticks++; m.ticks%compareEvery == 0 {
-		s.compare()
+	if m.intervals++; m.intervals%synchronizeIntervals == 0 {
+		s.synchronize()
 	}
-	if m.ticks%adviseEvery == 0 {
+	if m.intervals%adviseIntervals == 0 {
 		var advice []decision.PeerEjection
 		rules := replicaRules
-		rules.MinWitnesses = cmp.Or(w.S.Broker.Witnesses, rules.MinWitnesses)
-		for _, a := range m.store.Advise(now, len(s.in.Tier.Servers), rules) {
+		rules.MinWitnesses = cmp.Or(w.Scenario.Broker.MinWitnesses, rules.MinWitnesses)
+		for _, a := range m.store.Advise(now, len(s.model.Tier.Servers), rules) {
 			advice = append(advice, decision.PeerEjection{Endpoint: endpointOf(a.Subject), Age: a.Age})
 		}
-		w.Result.Heeded += b.ApplyPeerEjections(w.Now(), advice)
+		w.Result.AppliedAdvice += b.ApplyPeerEjections(w.Now(), advice)
 	}
-	w.After(gossipEvery, s.gossip)
+	w.After(gossipInterval, s.gossip)
 }
