--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -16,11 +16,13 @@
 
 const root = ".."
 
-// records tell what was so on a day; names in them stay as they were then.
+// records describe the state of a past day: the names in them remain those of that day.
 var records = []string{"docs/incidents", "docs/review-of-parts.md", "docs/STUDY-SCALE.md", "docs/ROADMAP.md", "CHANGELOG.md"}
 
 var (
 	link     = regexp.MustCompile(`\]\(([^)#:\s]+)(#[^)\s]*)?\)`)
+	heading  = regexp.MustCompile(`(?m)^#+ (.+)$`)
+	notWords = regexp.MustCompile(`[^\w\s-]`) // what an anchor leaves out of its heading
 	code     = regexp.MustCompile("`([^`\n]+)`")
 	filePath = regexp.MustCompile(`^(internal|cmd|deploy|docs|lab|tools)/[\w./-]+$`)
 	goFile   = regexp.MustCompile(`^[\w/]*\w+\.go$`)
@@ -41,6 +43,24 @@
 	}
 }
 
+func TestEveryAnchorOfALinkIsAHeading(t *testing.T) {
+	for _, page := range pages(t) {
+		for _, match := range link.FindAllStringSubmatch(page.text, -1) {
+			if match[2] == "" {
+				continue
+			}
+			target, err := os.ReadFile(filepath.Join(root, filepath.Dir(page.path), match[1]))
+			if err != nil {
+				t.Error(err)
+				continue
+			}
+			if !slices.Contains(anchors(string(target)), match[2]) {
+				t.Errorf("%s links to %s%s, which is no heading of that page", page.path, match[1], match[2])
+			}
+		}
+	}
+}
+
 func TestEveryPageIsInTheIndex(t *testing.T) {
 	index, err := os.ReadFile("README.md")
 	if err != nil {
@@ -177,6 +197,16 @@
 	return found
 }
 
+// anchors gives the anchors of a page's headings, as the web pages of the common hosts form them.
+func anchors(text string) []string {
+	var found []string
+	for _, match := range heading.FindAllStringSubmatch(text, -1) {
+		words := strings.ToLower(strings.TrimSpace(match[1]))
+		found = append(found, "#"+strings.ReplaceAll(notWords.ReplaceAllString(words, ""), " ", "-"))
+	}
+	return found
+}
+
 func isRecord(path string) bool {
 	return slices.ContainsFunc(records, func(record string) bool { return strings.HasPrefix(path, record) })
 }
