--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -85,7 +85,7 @@
 		old[v.Key] = v
 	}
 	for _, v := range to.Values() {
-		if was, ok := old[v.Key]; !ok || was.Plain != v.Plain {
+		if was, ok := old[v.Key]; !ok || was.Unmasked != v.Unmasked {
 			all = append(all, Change{v.Key, was.Text, v.Text})
 		}
 		delete(old, v.Key)
--- a/internal/operator/registry.go
+++ b/internal/operator/registry.go
@@ -47,7 +47,7 @@
 					fmt.Fprintf(&b, "# [[%s.%s]]\n", s.name, array)
 				}
 			}
-			fmt.Fprintf(&b, "# %s%s\n%s%s = %s\n", k.Field.Tag.Get("doc"), tomlconfig.Bounds(k.Field), mark, name, tomlconfig.Text(k.Value))
+			fmt.Fprintf(&b, "# %s%s\n%s%s = %s\n", k.Field.Tag.Get("doc"), tomlconfig.DescribeBounds(k.Field), mark, name, tomlconfig.Format(k.Value))
 		}
 	}
 	return b.String()
