--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -12,18 +12,18 @@
 	"dykering/internal/settings"
 )
 
-// fields takes the values off a line one by one. The first that is missing or
-// cannot be read sets err; what is read after that is zero.
+// fields takes the values off a line one by one. The first one that is missing or cannot be read sets err, and all values
+// after it are zero.
 type fields struct {
-	s    *server
-	name string
-	rest []byte
-	more bool
-	err  error
+	server *server
+	name   string
+	rest   []byte
+	more   bool
+	err    error
 }
 
-// part splits off the next value; nil where the line has ended.
-func (f *fields) part() []byte {
+// cut splits off the next value; nil where the line has ended.
+func (f *fields) cut() []byte {
 	if !f.more {
 		return nil
 	}
@@ -32,15 +32,16 @@
 	return part
 }
 
+// fail sets the error, unless there is one.
 func (f *fields) fail(field, what string) {
 	if f.err == nil {
-		f.err = f.s.malformed(f.name, field, what)
+		f.err = f.server.malformed(f.name, field, what)
 	}
 }
 
 // value takes a value that must be there.
 func (f *fields) value(field string) []byte {
-	p := f.part()
+	p := f.cut()
 	if f.err == nil && (len(p) == 0 || len(p) == 1 && p[0] == '-') {
 		f.fail(field, "missing")
 	}
@@ -48,10 +49,10 @@
 }
 
 // number takes a whole number that must be there.
-func (f *fields) number(field string) int64 { return f.whole(field, f.value(field)) }
+func (f *fields) number(field string) int64 { return f.parseInt(field, f.value(field)) }
 
-// whole reads a whole number.
-func (f *fields) whole(field string, p []byte) int64 {
+// parseInt reads a whole number.
+func (f *fields) parseInt(field string, p []byte) int64 {
 	if f.err != nil {
 		return 0
 	}
@@ -65,7 +66,7 @@
 
 // optional takes a whole number that may be absent, which counts as 0.
 func (f *fields) optional(field string) int64 {
-	p := f.part()
+	p := f.cut()
 	if len(p) == 1 && p[0] == '-' {
 		return 0
 	}
@@ -73,12 +74,12 @@
 		f.fail(field, "missing")
 		return 0
 	}
-	return f.whole(field, p)
+	return f.parseInt(field, p)
 }
 
 // optionalText takes a text that may be absent.
 func (f *fields) optionalText() string {
-	p := f.part()
+	p := f.cut()
 	if len(p) == 0 {
 		f.fail("affinity", "missing")
 	}
@@ -163,7 +164,7 @@
 
 // load reads a load report; nil where there is none.
 func (f *fields) load() *decision.Load {
-	p := f.part()
+	p := f.cut()
 	if len(p) == 0 {
 		f.fail("pressure", "missing")
 		return nil
@@ -179,7 +180,7 @@
 }
 
 func (f *fields) bytes() []byte {
-	p := f.part()
+	p := f.cut()
 	if len(p) == 0 {
 		f.fail("data", "missing")
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,3 @@
-// Package wire speaks the simulator's text protocol: it reads batches of
-// events, hands each to the Balancer instance it concerns, and writes the
-// actions those take. It makes no decisions.
 package wire
 
 import (
@@ -17,34 +14,34 @@
 )
 
 const (
-	maxLists = 16      // numbered lists that the protocol has
-	maxNotes = 64      // notes on what is passed over
-	maxKinds = 1 << 16 // of machines: figures are kept of each
+	maxLists   = 16      // numbered lists that the protocol has
+	maxNotices = 64      // notes on what is passed over
+	maxKinds   = 1 << 16 // of machines: figures are kept of each
 )
 
-// server hosts the instances of one process.
+// server has the instances of one process, and reads and writes the protocol.
 type server struct {
-	in        *bufio.Reader
-	out       *bufio.Writer
-	notes     io.Writer
-	line      int
-	now       time.Duration
-	instances map[int64]*instance
-	lists     [maxLists][]decision.Entry
-	listed    [maxLists]bool
-	noted     map[string]bool
-	buf       []byte // the line being read
-	scratch   []byte // the action being written
+	in         *bufio.Reader
+	out        *bufio.Writer
+	notices    io.Writer
+	lineNumber int
+	now        time.Duration
+	instances  map[int64]*instance
+	lists      [maxLists][]decision.Entry
+	listed     [maxLists]bool
+	noticed    map[string]bool
+	buf        []byte // the line being read
+	scratch    []byte // the action being written
 }
 
 type balancer = decision.Balancer
 
-// instance is one sidecar's Balancer and its Host.
+// instance is one Balancer and its Host.
 type instance struct {
-	s       *server
-	number  int64
-	b       *balancer
-	classes int
+	server   *server
+	number   int64
+	balancer *balancer
+	classes  int
 }
 
 // Run serves the protocol until the input ends. It returns nil at a clean end
@@ -67,8 +64,8 @@
 
 func newServer(in io.Reader, out, notes io.Writer) *server {
 	return &server{
-		in: bufio.NewReaderSize(in, 1<<16), out: bufio.NewWriterSize(out, 1<<16), notes: notes,
-		instances: map[int64]*instance{}, noted: map[string]bool{},
+		in: bufio.NewReaderSize(in, 1<<16), out: bufio.NewWriterSize(out, 1<<16), notices: notes,
+		instances: map[int64]*instance{}, noticed: map[string]bool{},
 	}
 }
 
@@ -120,22 +117,22 @@
 		}
 		break
 	}
-	s.line++
-	f := &fields{s: s, rest: bytes.TrimRight(s.buf, "\r\n")}
+	s.lineNumber++
+	f := &fields{server: s, rest: bytes.TrimRight(s.buf, "\r\n")}
 	f.more = len(f.rest) > 0
-	f.name = string(f.part())
+	f.name = string(f.cut())
 	return f, nil
 }
 
 func (s *server) malformed(name, field, what string) error {
-	return fmt.Errorf("line %d: %s: field %s: %s", s.line, name, field, what)
+	return fmt.Errorf("line %d: %s: field %s: %s", s.lineNumber, name, field, what)
 }
 
 // noteOnce prints a note the first time its text comes up.
-func (s *server) noteOnce(text string) {
-	if !s.noted[text] && len(s.noted) < maxNotes {
-		s.noted[text] = true
-		fmt.Fprintln(s.notes, "dykering-sim: "+text)
+func (s *server) noticeOnce(text string) {
+	if !s.noticed[text] && len(s.noticed) < maxNotices {
+		s.noticed[text] = true
+		fmt.Fprintln(s.notices, "dykering-sim: "+text)
 	}
 }
 
@@ -148,7 +145,7 @@
 		return s.start(f)
 	case "halt", "targets", "knock", "begun", "closed_attempt", "lapsed", "wake", "echo", "inbox":
 	default:
-		s.noteOnce("unknown event " + f.name + " passed over")
+		s.noticeOnce("unknown event " + f.name + " passed over")
 		return nil
 	}
 	n := f.number("sidecar")
@@ -235,10 +232,10 @@
 		return s.malformed(f.name, "config", err.Error())
 	}
 	for _, k := range unknown {
-		s.noteOnce("unknown settings key " + k + " passed over")
+		s.noticeOnce("unknown settings key " + k + " passed over")
 	}
-	in := &instance{s: s, number: n, classes: len(config.Classes)}
-	in.b, err = decision.New(config.Settings, uint64(seed), in)
+	in := &instance{server: s, number: n, classes: len(config.Classes)}
+	in.balancer, err = decision.New(config.Settings, uint64(seed), in)
 	if err != nil {
 		return s.malformed(f.name, "config", err.Error())
 	}
@@ -257,12 +254,12 @@
 				}
 				return r
 			}, fmt.Append(nil, p))
-			fmt.Fprintf(in.s.out, "crash %d %s\n", in.number, text)
-			in.b = nil
+			fmt.Fprintf(in.server.out, "crash %d %s\n", in.number, text)
+			in.balancer = nil
 		}
 	}()
-	if in.b != nil {
-		deliver(in.b)
+	if in.balancer != nil {
+		deliver(in.balancer)
 	}
 }
 
@@ -331,7 +328,7 @@
 
 // action writes one action line: its name, the instance and the values.
 func (in *instance) action(name string, id string, values ...int64) {
-	b := append(in.s.scratch[:0], name...)
+	b := append(in.server.scratch[:0], name...)
 	b = append(b, ' ')
 	b = strconv.AppendInt(b, in.number, 10)
 	if id != "" {
@@ -343,31 +340,36 @@
 		b = strconv.AppendInt(b, v, 10)
 	}
 	b = append(b, '\n')
-	in.s.scratch = b
-	_, _ = in.s.out.Write(b) // an error sticks in the writer and shows at Flush
+	in.server.scratch = b
+	_, _ = in.server.out.Write(b) // an error sticks in the writer and shows at Flush
 }
 
-// The methods below are the Host.
+var _ decision.Host = (*instance)(nil)
 
-// Send sends at once: the wire knows no connection that keeps a request waiting, so no time within which it is out.
+// Send makes an attempt. On the wire it is sent at once, so there is no bound on when its last byte is sent.
 func (in *instance) Send(id decision.RequestID, to decision.EndpointID, timeout, _ time.Duration) {
 	in.action("dispatch", string(id), int64(to), timeout.Microseconds())
 }
 
+// Refuse answers a request that the client may safely retry.
 func (in *instance) Refuse(id decision.RequestID, retryAfter time.Duration) {
 	in.action("overload_reply", string(id), retryAfter.Microseconds())
 }
 
+// Fail answers a request without a promise about retries.
 func (in *instance) Fail(id decision.RequestID) { in.action("end_failed", string(id)) }
 
+// Cancel withdraws an attempt.
 func (in *instance) Cancel(id decision.RequestID, attempt int) {
 	in.action("retract", string(id), int64(attempt))
 }
 
+// SetTimer asks the simulator for a timer.
 func (in *instance) SetTimer(token uint64, after time.Duration) {
 	in.action("remind", "", int64(token), after.Microseconds())
 }
 
+// Watch begins or ends to follow the endpoint list.
 func (in *instance) Watch(on bool) {
 	v := int64(0)
 	if on {
@@ -376,8 +378,10 @@
 	in.action("tail", "", v)
 }
 
+// Fetch asks for the full endpoint list.
 func (in *instance) Fetch() { in.action("query_all", "") }
 
+// Log writes a note of the Balancer.
 func (in *instance) Log(text string) {
-	fmt.Fprintf(in.s.out, "trace %d %s\n", in.number, text)
+	fmt.Fprintf(in.server.out, "trace %d %s\n", in.number, text)
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -88,10 +88,10 @@
 		t.Errorf("out %q, notes %q, fault %q", out, notes, fault)
 	}
 	var many []string
-	for i := range 3 * maxNotes {
+	for i := range 3 * maxNotices {
 		many = append(many, fmt.Sprint("surprise", i))
 	}
-	if _, notes, _ := run(t, batch("1000000", many...)); strings.Count(notes, "\n") != maxNotes {
+	if _, notes, _ := run(t, batch("1000000", many...)); strings.Count(notes, "\n") != maxNotices {
 		t.Errorf("%d notes are kept", strings.Count(notes, "\n"))
 	}
 }
