--- a/internal/sidecar/compatibility_test.go
+++ b/internal/sidecar/compatibility_test.go
@@ -27,3 +27,9 @@
 	fixture.Golden(t, "testdata/compatibility/operator.json", values)
 	fixture.Golden(t, "testdata/compatibility/operator-defaults.json", defaults)
 }
+
+// The counters in the answers about the fleet have the keys of released builds.
+func TestCountersOfReleasedBuildAreWrittenAlike(t *testing.T) {
+	fixture.JSON(t, "testdata/compatibility/view-counters.json", &viewCounters{})
+	fixture.JSON(t, "testdata/compatibility/facts-counters.json", &factsCounters{})
+}
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -14,71 +14,83 @@
 	"dykering/internal/fleet/gossip"
 	"dykering/internal/fleet/membership"
 	"dykering/internal/fleet/replication"
+	"dykering/internal/http1"
 	"dykering/internal/operator"
 	"dykering/internal/settings"
 )
 
-// fleet is this process's part in the fleet: the gossip, and what stands on it where the operator's file asks for it.
+// fleet is this process's membership in the fleet: the gossip, and what the operator's file enables on top of it.
 type fleet struct {
 	section gossip.Section
 	gossip  *gossip.Gossip
-	replica *replication.Service // nil without
-	budgets *budgets.Service     // nil without
+	replica *replication.Service // nil where replication is off
+	budgets *budgets.Service     // nil where fleet-wide budgets are off
 	log     *zap.Logger
 }
 
-// startFleet joins the fleet's gossip where the operator's file asks for it; nil where it does not.
-func startFleet(c *config.Config, g *Generations) (*fleet, error) {
-	s := *operator.Section[gossip.Section](g.now, "fleet")
-	if !s.Enabled {
+// fleetSection is the name of the fleet's table in the operator's file.
+const fleetSection = "fleet"
+
+// startFleet starts the gossip where the operator's file enables it; nil where it does not.
+func startFleet(platform *config.Config, file *operatorFile) (*fleet, error) {
+	section := *operator.Section[gossip.Section](file.current, fleetSection)
+	if !section.Enabled {
 		return nil, nil
 	}
-	if s.ID == "" {
-		s.ID = c.Name
+	if section.ID == "" {
+		section.ID = platform.Name
 	}
 	version := "unknown"
 	if info, ok := debug.ReadBuildInfo(); ok {
 		version = info.Main.Version
 	}
-	meta := membership.Meta{Zone: s.Zone, Tier: s.Tier, Version: version, Started: time.Now().UTC()}
-	member, err := gossip.Start(s, meta, g.log.Logger)
+	meta := membership.Meta{Zone: section.Zone, Tier: section.Tier, Version: version, Started: time.Now().UTC()}
+	member, err := gossip.Start(section, meta, file.log.Logger)
 	if err != nil {
 		return nil, err
 	}
-	return &fleet{section: s, gossip: member, log: g.log.Logger}, nil
+	return &fleet{section: section, gossip: member, log: file.log.Logger}, nil
 }
 
-// replicate begins to share what this process learns, where that is asked for.
-func (f *fleet) replicate(broker replication.Broker) {
+// join starts what is enabled on top of the gossip, and then joins the other members.
+func (f *fleet) join(server *http1.Server, platform *config.Config) error {
 	if f.section.Replication.Enabled {
-		f.replica = replication.Start(f.section.ID, f.section.Most, f.section.Replication, broker,
+		f.replica = replication.Start(f.section.ID, f.section.Most, f.section.Replication, server.Loop(),
 			f.gossip.Channel(gossip.KindFacts), f.log)
 	}
+	if f.section.Budgets.Enabled {
+		quotas, err := f.quotas(&platform.Settings)
+		if err != nil {
+			return err
+		}
+		f.budgets = budgets.Start(quotas, server.Loop(), f.gossip.Channel(gossip.KindBudgets), f.log)
+	}
+	f.gossip.Join()
+	return nil
 }
 
-// divide begins to divide tenants' quotas among the members, where that is asked for.
-func (f *fleet) divide(broker budgets.Broker, set *settings.Settings) error {
-	b := f.section.Budgets
-	if !b.Enabled {
-		return nil
+// quotas returns the tenants' quotas of the platform, with those that the operator's file sets in their place.
+func (f *fleet) quotas(platform *settings.Settings) (budgets.Config, error) {
+	section := f.section.Budgets
+	quotas := budgets.Config{
+		Self: f.section.ID, Weight: f.section.Weight, Section: section, Instances: platform.Instances,
 	}
-	c := budgets.Config{Self: f.section.ID, Weight: f.section.Weight, Section: b, Instances: set.Instances}
-	for _, t := range set.Tenants {
-		c.Tenants, c.Wholes = append(c.Tenants, t.Name), append(c.Wholes, t.QuotaPerS)
+	for _, tenant := range platform.Tenants {
+		quotas.Tenants = append(quotas.Tenants, tenant.Name)
+		quotas.Wholes = append(quotas.Wholes, tenant.QuotaPerS)
 	}
-	for _, text := range b.Wholes {
-		tenant, perS, err := b.Whole(text)
-		i := slices.Index(c.Tenants, tenant)
+	for _, text := range section.Wholes {
+		tenant, perS, err := section.Whole(text)
+		i := slices.Index(quotas.Tenants, tenant)
 		if err != nil || i < 0 {
-			return fmt.Errorf("fleet.budgets.wholes: the platform names no tenant %q", tenant)
+			return quotas, fmt.Errorf("fleet.budgets.wholes: the platform names no tenant %q", tenant)
 		}
-		c.Wholes[i] = perS
+		quotas.Wholes[i] = perS
 	}
-	f.budgets = budgets.Start(c, broker, f.gossip.Channel(gossip.KindBudgets), f.log)
-	return nil
+	return quotas, nil
 }
 
-// close ends all of it, what stands on the gossip first.
+// close ends all of it, the gossip last.
 func (f *fleet) close() {
 	if f.budgets != nil {
 		f.budgets.Close()
@@ -91,53 +103,21 @@
 	}
 }
 
-// Part is what the second address shows of the fleet.
+// Part returns what the control address serves of the fleet: the view, the facts ("state") or the budgets; nil for what is
+// off.
 func (f *fleet) Part(name string) any {
 	switch {
 	case name == "":
-		return f.members()
+		return newViewAnswer(f.gossip)
 	case name == "state" && f.replica != nil:
-		return f.state()
+		return newFactsAnswer(f.section.ID, f.replica)
 	case name == "budgets" && f.budgets != nil:
 		return f.budgets.State()
 	}
 	return nil
 }
 
-func (f *fleet) members() any {
-	type counters struct {
-		Acks, Suspicions, Refutations, Deaths, Joins, Leaves, Conflicts, Future, Lost uint64
-		PacketsIn, PacketsOut, BytesIn, BytesOut, StreamsIn, StreamsOut, Bad          uint64
-	}
-	k := f.gossip.Counters()
-	return struct {
-		*gossip.Snapshot
-		Counters counters `json:"counters"`
-	}{f.gossip.View(), counters{
-		k.Acks.Load(), k.Suspicions.Load(), k.Refutations.Load(), k.Deaths.Load(),
-		k.Joins.Load(), k.Leaves.Load(), k.Conflicts.Load(), k.Future.Load(), k.Lost.Load(), k.PacketsIn.Load(),
-		k.PacketsOut.Load(), k.BytesIn.Load(), k.BytesOut.Load(), k.StreamsIn.Load(), k.StreamsOut.Load(),
-		k.Bad.Load(),
-	}}
-}
-
-func (f *fleet) state() any {
-	type counters struct {
-		Told, Merged, Known, Refused, Bad, Heeded, CaughtUp, Snapshots, Lost, Held, BytesTold, BytesSent uint64
-	}
-	k := f.replica.Counters()
-	return struct {
-		Self string `json:"self"`
-		*replication.State
-		Counters counters `json:"counters"`
-	}{f.section.ID, f.replica.State(), counters{
-		k.Told.Load(), k.Merged.Load(), k.Known.Load(), k.Refused.Load(),
-		k.Bad.Load(), k.Heeded.Load(), k.CaughtUp.Load(), k.Snapshots.Load(), k.Lost.Load(), k.Held.Load(),
-		k.BytesTold.Load(), k.BytesSent.Load(),
-	}}
-}
-
-// fleetOf is the fleet for the second address, nil without one.
+// fleetOf returns the fleet for the control address: an interface that is nil without a fleet.
 func fleetOf(f *fleet) control.Fleet {
 	if f == nil {
 		return nil
--- a/internal/sidecar/main.go
+++ b/internal/sidecar/main.go
@@ -8,21 +8,21 @@
 	"dykering/internal/config"
 )
 
-// Main is a whole process: it serves as the environment and an operator's file say, none where that is "", until
-// SIGTERM or an interrupt.
-func Main(getenv func(string) string, operator string) error {
+// Main runs the process until SIGTERM or an interrupt, as the environment and an operator's file say; an empty path
+// stands for no file. SIGHUP has both files read again.
+func Main(getenv func(string) string, operatorPath string) error {
 	stop, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
-	signal.Notify(reload, syscall.SIGHUP) // first of all: uncaught, it ends the process
-	signal.Ignore(syscall.SIGPIPE)        // as does a line of the log that nobody is there to read any more
-	c, err := config.Load(getenv)
+	signal.Notify(reload, syscall.SIGHUP) // before all else: not handled, it ends the process
+	signal.Ignore(syscall.SIGPIPE)        // as does a line of the log once its reader has gone
+	platform, err := config.Load(getenv)
 	if err != nil {
 		return err
 	}
-	g, err := Start(operator, os.LookupEnv, os.Stderr)
+	file, err := loadOperatorFile(operatorPath, os.LookupEnv, os.Stderr)
 	if err != nil {
 		return err
 	}
-	defer g.Close()
-	return Run(c, g, stop, reload)
+	defer file.close()
+	return run(platform, file, stop, reload)
 }
--- /dev/null
+++ b/internal/sidecar/operator_file.go
@@ -0,0 +1,65 @@
+package sidecar
+
+import (
+	"fmt"
+	"io"
+
+	"go.uber.org/zap"
+
+	"dykering/internal/logs"
+	"dykering/internal/operator"
+	"dykering/internal/validation"
+)
+
+// logSection is the name of the log's table in the operator's file.
+const logSection = "log"
+
+// operatorFile holds the generation of the operator's file that is in force, and the log that follows it. One goroutine
+// uses it.
+type operatorFile struct {
+	path       string // empty without a file
+	getenv     func(string) (string, bool)
+	current    *operator.File
+	generation int // 0 for the defaults
+	log        *logs.Log
+}
+
+// loadOperatorFile loads the first generation, and makes the log that it configures.
+func loadOperatorFile(path string, getenv func(string) (string, bool), out io.Writer) (*operatorFile, error) {
+	f := &operatorFile{path: path, getenv: getenv, current: operator.Defaults()}
+	if path != "" {
+		loaded, faults := operator.Load(path, getenv)
+		if len(faults) > 0 {
+			return nil, validation.Join(faults)
+		}
+		f.current, f.generation = loaded, 1
+	}
+	f.log = logs.New(out, operator.Section[logs.Section](f.current, logSection))
+	f.log.Generation(f.generation)
+	return f, nil
+}
+
+// close ends the log.
+func (f *operatorFile) close() { f.log.Close() }
+
+// reload reads the file again. With any fault in it the generation in force stays.
+func (f *operatorFile) reload() {
+	if f.path == "" {
+		return
+	}
+	loaded, faults := operator.Load(f.path, f.getenv)
+	if len(faults) > 0 {
+		f.log.Warn("operator.refused", zap.String("fault", faults[0].Error()), zap.Int("faults", len(faults)))
+		return
+	}
+	changes := operator.Changes(f.current, loaded)
+	f.current = loaded
+	f.generation++
+	f.log.Set(operator.Section[logs.Section](loaded, logSection))
+	f.log.Generation(f.generation)
+	lines := make([]string, len(changes))
+	for i, change := range changes {
+		lines[i] = fmt.Sprintf("%s: %s -> %s", change.Key, change.From, change.To)
+	}
+	f.log.Info("operator.taken", zap.Strings("changes", lines))
+}
