--- a/cmd/dykering/fleet_state_test.go
+++ b/cmd/dykering/fleet_state_test.go
@@ -78,6 +78,7 @@
 
 // holds tells whether a broker's copy has a fact.
 func (b *broker) holds(t *testing.T, origin, server string, word replica.Verdict) bool {
+	t.Helper()
 	for _, f := range b.copied(t).Facts {
 		if f.Origin == origin && strings.HasPrefix(f.Subject, server+"@") && f.Word == word {
 			return true
--- a/cmd/dykering/fleet_test.go
+++ b/cmd/dykering/fleet_test.go
@@ -99,6 +99,7 @@
 }
 
 func newTestFleet(t *testing.T) *fleet {
+	t.Helper()
 	r, err := faultnet.New(uint64(len(t.Name())))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -88,7 +88,7 @@
 		if part, ok := strings.CutPrefix(r.URL.Path, "/-/fleet"); ok && fleet != nil && r.Method == http.MethodGet {
 			if x := fleet.Part(strings.TrimPrefix(part, "/")); x != nil {
 				w.Header().Set("Content-Type", "application/json")
-				json.NewEncoder(w).Encode(x) // a caller that has gone cannot be told
+				_ = json.NewEncoder(w).Encode(x) // a client that has left cannot be notified
 				return
 			}
 		}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -82,9 +82,18 @@
 		first string
 		want  int
 	}{
-		{"GET /-/ready", 503}, {"POST /-/drain", 200}, {"POST /-/drain", 200}, {"POST /-/resume", 200},
-		{"POST /-/ready", 405}, {"GET /-/drain", 405}, {"DELETE /-/resume", 405},
-		{"GET /", 404}, {"GET /ready", 404}, {"POST /-/drain/", 404}, {"POST //-/drain", 404}, {"POST /api", 404},
+		{"GET /-/ready", 503},
+		{"POST /-/drain", 200},
+		{"POST /-/drain", 200},
+		{"POST /-/resume", 200},
+		{"POST /-/ready", 405},
+		{"GET /-/drain", 405},
+		{"DELETE /-/resume", 405},
+		{"GET /", 404},
+		{"GET /ready", 404},
+		{"POST /-/drain/", 404},
+		{"POST //-/drain", 404},
+		{"POST /api", 404},
 	} {
 		if got := call(t, address, c.first+" HTTP/1.1\r\nHost: h\r\n\r\n"); got != c.want {
 			t.Errorf("%s: got %d, want %d", c.first, got, c.want)
--- a/internal/lab/emulation/play.go
+++ b/internal/lab/emulation/play.go
@@ -89,6 +89,7 @@
 		})
 		g := newGround(s, o)
 		if o.Look != nil {
+			//nolint:contextcheck // the outer context belongs to no bubble
 			watch.Go(func() { g.look(over) })
 		}
 		//nolint:contextcheck // the outer context belongs to no bubble; its end is passed on by stop
--- a/internal/listen/listen.go
+++ b/internal/listen/listen.go
@@ -2,6 +2,7 @@
 package listen
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"net"
@@ -20,7 +21,7 @@
 		}
 		return l, nil
 	}
-	l, err := net.Listen("tcp", address)
+	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -206,7 +206,7 @@
 func (l *Log) tell(at time.Time) {
 	for _, x := range l.state.untold(at, l.state.left) {
 		entry := zapcore.Entry{Level: zapcore.WarnLevel, Time: at, Message: EventSampled}
-		l.encode(l.now.Load(), entry, []zapcore.Field{zap.String("of", x.event), zap.Int("left_out", x.lines)}, x)
+		_ = l.encode(l.now.Load(), entry, []zapcore.Field{zap.String("of", x.event), zap.Int("left_out", x.lines)}, x)
 	}
 }
 
