--- a/cmd/dykering-lab/bench.go
+++ b/cmd/dykering-lab/bench.go
@@ -127,7 +127,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { err = errors.Join(err, site.TearDown()) }()
+	defer func() { err = errors.Join(err, site.Close()) }()
 	x := &subject{name: way, address: func() string { return site.URL }, site: site, stats: filepath.Join(site.Dir(), "stats")}
 	if err := x.start(ctx, targets, program); err != nil {
 		return nil, err
@@ -147,7 +147,7 @@
 		servers = append(servers, s)
 		targets = append(targets, s.Address())
 	}
-	site, err := real.SetUp(servers, demoSettings, real.Limits{Cores: 1, MemoryMB: 256, Sockets: 8192})
+	site, err := real.NewSite(servers, demoSettings, real.Limits{Cores: 1, MemoryMB: 256, Sockets: 8192})
 	return site, targets, err
 }
 
@@ -245,7 +245,7 @@
 		return err
 	}
 	for _, s := range site.Servers {
-		s.Hold(true)
+		s.Pause(true)
 	}
 	for i, x := range conns {
 		if err := c.write(x, fmt.Sprintf("busy-%d", i)); err != nil {
@@ -255,7 +255,7 @@
 	time.Sleep(300 * time.Millisecond)
 	busy, err := look(p, file)
 	for _, s := range site.Servers {
-		s.Hold(false)
+		s.Pause(false)
 	}
 	if err != nil {
 		return err
--- a/cmd/dykering-lab/demo.go
+++ b/cmd/dykering-lab/demo.go
@@ -82,7 +82,7 @@
 		}
 		servers = append(servers, s)
 	}
-	return real.SetUp(servers, demoSettings, real.Limits{Cores: 1, MemoryMB: 64, Sockets: 1024})
+	return real.NewSite(servers, demoSettings, real.Limits{Cores: 1, MemoryMB: 64, Sockets: 1024})
 }
 
 // startBroker starts a process of the broker, the one that is built in here.
@@ -106,25 +106,25 @@
 	now := func() int64 { return time.Now().UnixMilli() }
 	drained, crashed := st.Servers[0], st.Servers[1]
 	return []act{
-		{0.15, "server 1 drains", func() error { st.Places.Tell(drained, "Terminating", 0); return nil }},
-		{0.25, "server 1 ends", func() error { drained.Kill(); st.Places.Tell(drained, "Gone", 0); return nil }},
+		{0.15, "server 1 drains", func() error { st.Discovery.Announce(drained, "Terminating", 0); return nil }},
+		{0.25, "server 1 ends", func() error { drained.Kill(); st.Discovery.Announce(drained, "Gone", 0); return nil }},
 		{0.40, "server 1 is back, cold", func() error {
 			err := drained.Start()
-			st.Places.Tell(drained, "Ready", now())
+			st.Discovery.Announce(drained, "Ready", now())
 			return err
 		}},
 		{0.50, "server 2 is killed, and nobody says so", func() error { crashed.Kill(); return nil }},
-		{0.60, "discovery has seen it", func() error { st.Places.Tell(crashed, "Gone", 0); return nil }},
+		{0.60, "discovery has seen it", func() error { st.Discovery.Announce(crashed, "Gone", 0); return nil }},
 		{0.70, "server 2 is back, cold", func() error {
 			err := crashed.Start()
-			st.Places.Tell(crashed, "Ready", now())
+			st.Discovery.Announce(crashed, "Ready", now())
 			return err
 		}},
 		{0.80, "a new version takes over", func() error {
 			if err := startBroker(ctx, st); err != nil {
 				return err
 			}
-			go st.Brokers[0].End()
+			go st.Brokers[0].Stop()
 			return nil
 		}},
 	}
@@ -143,7 +143,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { err = errors.Join(err, st.TearDown()) }()
+	defer func() { err = errors.Join(err, st.Close()) }()
 	if err := startBroker(ctx, st); err != nil {
 		return err
 	}
--- a/cmd/dykering-lab/demo_test.go
+++ b/cmd/dykering-lab/demo_test.go
@@ -40,11 +40,11 @@
 	if err := demo(ctx, &out, time.Minute); err != nil || time.Since(began) > 20*time.Second {
 		t.Errorf("%v after %v", err, time.Since(began))
 	}
-	bad, err := real.SetUp(nil, "{}", real.Limits{})
+	bad, err := real.NewSite(nil, "{}", real.Limits{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer bad.TearDown()
+	defer bad.Close()
 	if err := startBroker(context.Background(), bad); err == nil || !strings.Contains(err.Error(), "limits.cores") {
 		t.Errorf("a broker that cannot start: %v", err)
 	}
--- a/internal/lab/emulation/broker.go
+++ b/internal/lab/emulation/broker.go
@@ -12,47 +12,51 @@
 	"dykering/internal/lab/netem"
 )
 
-// broker is a process of the broker.
+// broker is a process of the broker on the emulated network.
 type broker struct {
 	name    string
 	process *netem.Process
 	server  *http1.Server
 	signals chan os.Signal
 	reloads chan os.Signal
-	log     tail
-	visited http1.PhaseCounts // by look
-	dying   sync.Once
-	dies    chan struct{} // closed when other than the stage is about to kill it
-	pardon  sync.Once
-	excused chan struct{} // closed once the stage knows
-	ended   chan struct{}
-	err     error // with which it ended
+	log     logTail
+	// Phases already observed by Options.Observe.
+	phases   http1.PhaseCounts
+	killOnce sync.Once
+	// Closed when other than the stage is about to kill it.
+	killPending chan struct{}
+	allowOnce   sync.Once
+	// Closed once the stage has excused its requests.
+	killAllowed chan struct{}
+	done        chan struct{}
+	// How it ended.
+	err error
 }
 
 func (b *broker) Ready(ctx context.Context) error {
-	for end := time.Now().Add(readyFor); !b.server.CanServe(); {
+	for end := time.Now().Add(readyTimeout); !b.server.CanServe(); {
 		select {
-		case <-b.ended:
-			return b.Fault("ended before it could serve")
+		case <-b.done:
+			return b.Failure("ended before it could serve")
 		case <-ctx.Done():
 			return context.Cause(ctx)
-		case <-time.After(poll):
+		case <-time.After(pollInterval):
 		}
 		if time.Now().After(end) {
-			return b.Fault(fmt.Sprintf("could not serve within %v", readyFor))
+			return b.Failure(fmt.Sprintf("could not serve within %v", readyTimeout))
 		}
 	}
 	return nil
 }
 
-func (b *broker) End() {
+func (b *broker) Stop() {
 	select {
 	case b.signals <- syscall.SIGTERM:
-	default: // it has one
+	default: // one is pending
 	}
 	select {
-	case <-b.ended:
-	case <-time.After(endFor):
+	case <-b.done:
+	case <-time.After(stopTimeout):
 		b.Kill()
 	}
 }
@@ -60,12 +64,12 @@
 func (b *broker) Kill() {
 	b.process.Kill()
 	b.server.Loop().Close()
-	<-b.ended
+	<-b.done
 }
 
-// Stall has the broker's loop stand still for a while. What its other goroutines do goes on meanwhile, and crosses it.
-func (b *broker) Stall(lasts time.Duration) {
-	end := time.Now().Add(lasts) // two at a time are no longer than the one that ends last
+// Stall blocks the broker's event loop for a duration. Its other goroutines continue meanwhile.
+func (b *broker) Stall(duration time.Duration) {
+	end := time.Now().Add(duration) // overlapping stalls end with the last one
 	b.server.Loop().Post(func() { time.Sleep(time.Until(end)) })
 }
 
@@ -81,37 +85,38 @@
 func (b *broker) Reload() error {
 	select {
 	case b.reloads <- syscall.SIGHUP:
-	default: // one is to come that reads what is there now
+	default: // one is pending that will read the present files
 	}
 	return nil
 }
 
-// Dies is closed when other than the stage is about to kill it, which waits for Excused.
-func (b *broker) Dies() <-chan struct{} { return b.dies }
+// KillPending is closed when other than the stage is about to kill it, which then waits for
+// AllowKill.
+func (b *broker) KillPending() <-chan struct{} { return b.killPending }
 
-func (b *broker) Excused() { b.pardon.Do(func() { close(b.excused) }) }
+func (b *broker) AllowKill() { b.allowOnce.Do(func() { close(b.killAllowed) }) }
 
-func (b *broker) Ended() <-chan struct{} { return b.ended }
+func (b *broker) Done() <-chan struct{} { return b.done }
 
-func (b *broker) Fault(text string) error {
+func (b *broker) Failure(text string) error {
 	return fmt.Errorf("%s %s (%w); its log ends with:\n%s", b.name, text, b.err, b.log.String())
 }
 
-// tail keeps the end of a log.
-type tail struct {
+// logTail keeps the end of a log.
+type logTail struct {
 	mu   sync.Mutex
 	text []byte
 }
 
-func (t *tail) Write(p []byte) (int, error) {
+func (t *logTail) Write(p []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.text = append(t.text, p...)
-	t.text = t.text[max(len(t.text)-mostLog, 0):]
+	t.text = t.text[max(len(t.text)-maxLogExcerpt, 0):]
 	return len(p), nil
 }
 
-func (t *tail) String() string {
+func (t *logTail) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return string(t.text)
--- a/internal/lab/emulation/environment.go
+++ b/internal/lab/emulation/environment.go
@@ -16,31 +16,34 @@
 	"dykering/internal/lab/scenario"
 )
 
-// ground is an emulated network with brokers on it.
-type ground struct {
-	o        Options
+// environment is an emulated network with brokers on it.
+type environment struct {
+	options  Options
 	net      *netem.Network
 	exchange netem.Exchange
 	callers  *netem.Process
-	shared   bool // listening sockets are held by the platform, for processes that follow each other
+	// Listening sockets are held by the platform for successive processes.
+	shared bool
 
-	mu      sync.Mutex
-	sockets map[string]*netem.Socket // of servers and discoveries, by address
+	mu sync.Mutex
+	// Sockets of servers and discoveries, by address.
+	sockets map[string]*netem.Socket
 	hosts   map[string]*netem.Process
 	brokers sync.WaitGroup
 	live    map[*broker]bool
-	held    []error // what brokers that ended in order had not given back
+	// What brokers that ended in order had not released.
+	leaks []error
 }
 
-// leaks are what a run has left.
-func (g *ground) leaks() error {
+// unreleased returns the resources that brokers have not released.
+func (g *environment) unreleased() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return errors.Join(g.held...)
+	return errors.Join(g.leaks...)
 }
 
-// kill kills the broker that runs as a process, once the stage has excused what it has taken.
-func (g *ground) kill(p *netem.Process) {
+// kill kills the broker that runs as a process, once the stage has excused its requests.
+func (g *environment) kill(p *netem.Process) {
 	g.mu.Lock()
 	var b *broker
 	for one := range g.live {
@@ -52,20 +55,20 @@
 	if b == nil {
 		return
 	}
-	b.dying.Do(func() { close(b.dies) })
-	<-b.excused // not under the lock: the stage may be starting a process
+	b.killOnce.Do(func() { close(b.killPending) })
+	<-b.killAllowed // without the lock, since the stage may be starting a process
 	p.Kill()
 	b.server.Loop().Close()
 }
 
-// look tells of what brokers are at, until a run is over.
-func (g *ground) look(over <-chan struct{}) {
+// observe reports the active phases of all brokers, until a run is over.
+func (g *environment) observe(over <-chan struct{}) {
 	began := time.Now()
 	for {
 		select {
 		case <-over:
 			return
-		case <-time.After(g.o.LookEvery):
+		case <-time.After(g.options.ObserveInterval):
 		}
 		g.mu.Lock()
 		all := make([]*broker, 0, len(g.live))
@@ -74,18 +77,19 @@
 		}
 		g.mu.Unlock()
 		for _, b := range all {
-			g.o.Look(time.Since(began), b.server.ActivePhases(&b.visited))
+			g.options.Observe(time.Since(began), b.server.ActivePhases(&b.phases))
 		}
 	}
 }
 
-// newGround makes the network. A scenario's latency is drawn by the model when an attempt comes, as on real sockets; its
-// servers' bounds on connections and prices of handshakes are not played here, but for what Options say of all machines.
-func newGround(s *scenario.Scenario, o Options) *ground {
-	has := func(what string) bool {
-		return slices.ContainsFunc(s.InjectedFaults, func(t scenario.InjectedFault) bool { return t.Kind == what })
+// newEnvironment creates the network. As on real sockets, the model draws a scenario's latency when
+// an attempt arrives; limits on the connections of servers and costs of handshakes are not played
+// here, except those that Options set for all machines.
+func newEnvironment(s *scenario.Scenario, o Options) *environment {
+	injects := func(kind string) bool {
+		return slices.ContainsFunc(s.InjectedFaults, func(t scenario.InjectedFault) bool { return t.Kind == kind })
 	}
-	g := &ground{o: o, shared: has("handover") || !has("stop"), net: netem.New(o.Network), sockets: map[string]*netem.Socket{}, hosts: map[string]*netem.Process{}, live: map[*broker]bool{}}
+	g := &environment{options: o, shared: injects("handover") || !injects("stop"), net: netem.New(o.Network), sockets: map[string]*netem.Socket{}, hosts: map[string]*netem.Process{}, live: map[*broker]bool{}}
 	if o.KillAt != nil {
 		g.exchange.Step = func(step string, from, to *netem.Process) {
 			if old, next := o.KillAt(step); old {
@@ -99,8 +103,8 @@
 	return g
 }
 
-// close ends all that serves.
-func (g *ground) close() {
+// close stops everything that serves.
+func (g *environment) close() {
 	g.brokers.Wait()
 	g.callers.Kill()
 	g.mu.Lock()
@@ -114,10 +118,10 @@
 	g.net.Close()
 }
 
-func (g *ground) Listen(name string, zone int, address string) (net.Listener, error) {
+func (g *environment) Listen(name string, zone int, address string) (net.Listener, error) {
 	m := g.net.Machine(name, zone)
 	if address == "" {
-		address = g.address()
+		address = g.newAddress()
 	}
 	s, err := m.Bind(address)
 	if err != nil {
@@ -131,16 +135,16 @@
 		g.hosts[name] = p
 	}
 	g.sockets[s.Address()] = s
-	return served{p.Listener(s), s, g}, nil
+	return exclusiveListener{p.Listener(s), s, g}, nil
 }
 
-// address is one that nobody has.
-func (g *ground) address() string {
+// newAddress is an address that is not in use.
+func (g *environment) newAddress() string {
 	n := g.net.Port()
 	return fmt.Sprintf("127.%d.%d.1:%d", n>>8&0xff, n&0xff, 80)
 }
 
-func (g *ground) Deaf(address string) (func(), error) {
+func (g *environment) Blackhole(address string) (func(), error) {
 	s, err := g.net.Machine("nobody", 0).Bind(address)
 	if err != nil {
 		return nil, err
@@ -149,11 +153,11 @@
 	return func() { s.Close() }, nil
 }
 
-func (g *ground) Dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (g *environment) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	return g.callers.Dial(ctx, network, address)
 }
 
-func (g *ground) Part(cut func(a, b string) bool) {
+func (g *environment) SetPartition(cut func(a, b string) bool) {
 	if cut == nil {
 		g.net.Cut(nil)
 		return
@@ -161,15 +165,15 @@
 	g.net.Cut(func(from, to *netem.Machine) bool { return cut(from.Name, to.Name) })
 }
 
-func (g *ground) Seat(name string, zone int) (real.Seat, error) {
-	dir := filepath.Join(g.o.Dir, name)
+func (g *environment) NewSlot(name string, zone int) (real.Slot, error) {
+	dir := filepath.Join(g.options.Dir, name)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
 	m := g.net.Machine(name, zone)
-	s, err := m.Bind(g.address())
+	s, err := m.Bind(g.newAddress())
 	if err != nil {
 		return nil, err
 	}
-	return &seat{g: g, machine: m, socket: s, dir: dir}, nil
+	return &slot{environment: g, machine: m, socket: s, dir: dir}, nil
 }
--- a/internal/lab/emulation/play_test.go
+++ b/internal/lab/emulation/play_test.go
@@ -20,13 +20,13 @@
 	return func(f func()) { synctest.Test(t, func(*testing.T) { f() }) }
 }
 
-func brief(troubles ...scenario.InjectedFault) *scenario.Scenario {
+func shortScenario(faults ...scenario.InjectedFault) *scenario.Scenario {
 	s := scenario.Default()
 	s.Duration = tomlconfig.Duration(3 * time.Second)
 	s.Broker.Instances, s.Servers.Count = 1, 4
 	s.Callers.Rate = scenario.Range{From: 60, To: 60}
 	s.Teams = nil
-	s.InjectedFaults = troubles
+	s.InjectedFaults = faults
 	s.DownstreamTiers = []scenario.DownstreamTier{{
 		Name: "below", Instances: 1, Servers: 2, Calls: scenario.Range{From: 1, To: 1},
 		Work: scenario.Range{From: 0.002, To: 0.004}, ReservedShare: 0.1,
@@ -34,9 +34,10 @@
 	return s
 }
 
-// What goes wrong with servers' bytes and befalls servers, lists and brokers is played in virtual time as on real sockets.
-func TestTroubles(t *testing.T) {
-	for name, x := range map[string]scenario.InjectedFault{
+// Faults of connections, servers, lists and brokers are played in virtual time as on real sockets: the
+// rules are kept, and what can be served is.
+func TestInjectedFaultsKeepRulesAndService(t *testing.T) {
+	for name, fault := range map[string]scenario.InjectedFault{
 		"none":              {Kind: "break"},
 		"reset in the head": {Kind: "bytes", ConnectionFault: "reset", Bytes: 9},
 		"cut in the body":   {Kind: "bytes", ConnectionFault: "cut", Bytes: 120},
@@ -65,16 +66,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			x.Start, x.Duration, x.ServerShare = scenario.DurationRange{From: time.Second, To: time.Second}, scenario.DurationRange{From: time.Second, To: time.Second}, 0.25
+			fault.Start, fault.Duration, fault.ServerShare = scenario.DurationRange{From: time.Second, To: time.Second}, scenario.DurationRange{From: time.Second, To: time.Second}, 0.25
 			floor := 0.85
-			switch x.Kind {
+			switch fault.Kind {
 			case "kill", "stop":
-				x.Duration, floor = scenario.DurationRange{From: 200 * time.Millisecond, To: 200 * time.Millisecond}, 0.5
+				fault.Duration, floor = scenario.DurationRange{From: 200 * time.Millisecond, To: 200 * time.Millisecond}, 0.5
 			case "away", "gone", "twice", "stall": // callers have gone or are to go
 				floor = 0.5
 			}
 			began := time.Now()
-			r, err := Play(t.Context(), bubble(t), brief(x), 3, Options{Dir: t.TempDir()})
+			r, err := Play(t.Context(), bubble(t), shortScenario(fault), 3, Options{Dir: t.TempDir()})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -86,11 +87,11 @@
 	}
 }
 
-// Callers that go while a broker stands still are sent nothing for once it goes on: they have been gone for longer than
-// any attempt may begin after.
-func TestCallersGoWhileItStandsStill(t *testing.T) {
+// A broker sends no attempt after a stall for clients that have departed during it, longer ago than an
+// attempt may begin after a departure.
+func TestStalledBrokerSendsNothingForDepartedClients(t *testing.T) {
 	at := scenario.DurationRange{From: time.Second, To: time.Second}
-	s := brief(scenario.InjectedFault{Kind: "stall", InstanceShare: 1, Start: at, Duration: scenario.DurationRange{From: 400 * time.Millisecond, To: 400 * time.Millisecond}},
+	s := shortScenario(scenario.InjectedFault{Kind: "stall", InstanceShare: 1, Start: at, Duration: scenario.DurationRange{From: 400 * time.Millisecond, To: 400 * time.Millisecond}},
 		scenario.InjectedFault{
 			Kind: "gone", Start: at, Duration: scenario.DurationRange{From: 300 * time.Millisecond, To: 300 * time.Millisecond},
 			Factor: scenario.Range{From: 1, To: 1},
@@ -105,16 +106,16 @@
 	}
 }
 
-// A process that is killed between any two steps of a handover, on either side of it, breaks no rule: what it had is
-// lost with it, and what the other one has is served.
-func TestKilledBetweenSteps(t *testing.T) {
+// A kill of either process between any two steps of a handover breaks no rule: the requests of the killed
+// process are lost, and those of the other one are served.
+func TestKillBetweenHandoverStepsKeepsRules(t *testing.T) {
 	for _, step := range []string{"offered", "accepted", "go on", "started"} {
 		for _, old := range []bool{true, false} {
 			for _, nth := range []int64{1, 2, 4} {
 				t.Run(fmt.Sprintf("%s %d, the old one %v", step, nth, old), func(t *testing.T) {
 					t.Parallel()
 					var n atomic.Int64
-					s := brief(scenario.InjectedFault{Kind: "handover", InstanceShare: 1, Start: scenario.DurationRange{From: time.Second, To: time.Second}})
+					s := shortScenario(scenario.InjectedFault{Kind: "handover", InstanceShare: 1, Start: scenario.DurationRange{From: time.Second, To: time.Second}})
 					r, err := Play(t.Context(), bubble(t), s, 5, Options{Dir: t.TempDir(), KillAt: func(at string) (bool, bool) {
 						hit := at == step && n.Add(1) == nth
 						return hit && old, hit && !old
@@ -134,56 +135,57 @@
 	}
 }
 
-// wrongDials is a network whose connections are made in some way.
-type wrongDials struct {
+// faultyDialer is a network that runs a function before each dial, or leaks a connection with it.
+type faultyDialer struct {
 	http1.Network
 	before func()
-	twice  bool // and leaves one open
+	leaks  bool // dials twice and leaves one connection open
 }
 
-func (n wrongDials) Dial(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
+func (n faultyDialer) Dial(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
 	if n.before != nil {
 		n.before()
 	}
-	if n.twice {
+	if n.leaks {
 		n.Network.Dial(ctx, address, within)
 	}
 	return n.Network.Dial(ctx, address, within)
 }
 
-// A broker that loops without waiting, and one that leaves a goroutine behind, are named; neither hangs the run.
-func TestLoopsAndLeaks(t *testing.T) {
+// A broker that loops without waiting, one that leaks a goroutine and one that leaks a connection are
+// reported, and do not hang the run.
+func TestBusyLoopsAndLeaksAreReported(t *testing.T) {
 	var spins, once atomic.Bool
 	spins.Store(true)
-	told := ""
+	stacksReported := ""
 	spin := func() {
 		for once.CompareAndSwap(false, true); spins.Load(); {
 			continue // without waiting, which is the fault to be found
 		}
 	}
-	wrong := func(before func()) func(http1.Network, net.Listener) (http1.Network, net.Listener) {
+	wrap := func(before func()) func(http1.Network, net.Listener) (http1.Network, net.Listener) {
 		return func(n http1.Network, l net.Listener) (http1.Network, net.Listener) {
-			return wrongDials{Network: n, before: before}, l
+			return faultyDialer{Network: n, before: before}, l
 		}
 	}
-	o := Options{Dir: t.TempDir(), StuckFor: 300 * time.Millisecond, Wrong: wrong(spin), Stuck: func(stacks string) {
-		told = stacks
+	o := Options{Dir: t.TempDir(), StuckTimeout: 300 * time.Millisecond, WrapNetwork: wrap(spin), OnStuck: func(stacks string) {
+		stacksReported = stacks
 		spins.Store(false)
 	}}
-	if _, err := Play(t.Context(), bubble(t), brief(), 3, o); err != nil {
+	if _, err := Play(t.Context(), bubble(t), shortScenario(), 3, o); err != nil {
 		t.Errorf("once it waits again the run goes on, not: %v", err)
 	}
-	if !strings.Contains(told, "TestLoopsAndLeaks") || !strings.Contains(told, "wrongDials") {
-		t.Errorf("who loops is not named: %.300s", told)
+	if !strings.Contains(stacksReported, "TestBusyLoopsAndLeaksAreReported") || !strings.Contains(stacksReported, "faultyDialer") {
+		t.Errorf("who loops is not named: %.300s", stacksReported)
 	}
-	o = Options{Dir: t.TempDir(), Wrong: wrong(func() { go func() { select {} }() })}
-	if _, err := Play(t.Context(), bubble(t), brief(), 3, o); err == nil || !strings.Contains(err.Error(), "goroutines are left") {
+	o = Options{Dir: t.TempDir(), WrapNetwork: wrap(func() { go func() { select {} }() })}
+	if _, err := Play(t.Context(), bubble(t), shortScenario(), 3, o); err == nil || !strings.Contains(err.Error(), "goroutines are left") {
 		t.Errorf("a goroutine that is left: %v", err)
 	}
-	o = Options{Dir: t.TempDir(), Wrong: func(n http1.Network, l net.Listener) (http1.Network, net.Listener) {
-		return wrongDials{Network: n, twice: true}, l
+	o = Options{Dir: t.TempDir(), WrapNetwork: func(n http1.Network, l net.Listener) (http1.Network, net.Listener) {
+		return faultyDialer{Network: n, leaks: true}, l
 	}}
-	if _, err := Play(t.Context(), bubble(t), brief(), 3, o); err == nil || !strings.Contains(err.Error(), "connections") {
+	if _, err := Play(t.Context(), bubble(t), shortScenario(), 3, o); err == nil || !strings.Contains(err.Error(), "connections") {
 		t.Errorf("connections that are left: %v", err)
 	}
 }
--- a/internal/lab/emulation/slot.go
+++ b/internal/lab/emulation/slot.go
@@ -16,40 +16,40 @@
 	"dykering/internal/lab/real"
 )
 
-// served is a listener with which its socket ends, and that tells nobody else of it.
-type served struct {
+// exclusiveListener closes its socket with itself.
+type exclusiveListener struct {
 	net.Listener
-	socket *netem.Socket
-	g      *ground
+	socket      *netem.Socket
+	environment *environment
 }
 
-func (l served) Close() error {
+func (l exclusiveListener) Close() error {
 	l.socket.Close()
 	return l.Listener.Close()
 }
 
-// seat is where the processes of an instance serve.
-type seat struct {
-	g       *ground
-	machine *netem.Machine
-	socket  *netem.Socket
-	dir     string
-	started int
+// slot is where the processes of an instance serve.
+type slot struct {
+	environment *environment
+	machine     *netem.Machine
+	socket      *netem.Socket
+	dir         string
+	started     int
 }
 
-func (s *seat) Address() string { return s.socket.Address() }
+func (s *slot) Address() string { return s.socket.Address() }
 
-func (s *seat) Dir() string { return s.dir }
+func (s *slot) Dir() string { return s.dir }
 
-func (s *seat) Close() { s.socket.Close() }
+func (s *slot) Close() { s.socket.Close() }
 
-func (s *seat) Shared() bool { return s.g.shared }
+func (s *slot) Shared() bool { return s.environment.shared }
 
-// accepting stands for the descriptor of the socket that a process inherits.
-var accepting = -1
+// inheritedDescriptor stands for the descriptor of the listening socket that a process inherits.
+var inheritedDescriptor = -1
 
-// Start starts a process of the program on this socket.
-func (s *seat) Start(file, _ string) (real.Broker, error) {
+// Start starts a process of the program on the slot's socket.
+func (s *slot) Start(file, _ string) (real.Broker, error) {
 	c, err := config.Load(func(name string) string {
 		if name == "BALANCER_CONFIG" {
 			return file
@@ -59,10 +59,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if s.g.shared {
-		c.Accept, c.Handover = &accepting, s.dir
+	if s.environment.shared {
+		c.Accept, c.Handover = &inheritedDescriptor, s.dir
 	} else if s.started > 0 {
-		s.socket.Close() // with the process that made it
+		s.socket.Close() // the process that created it has ended
 		if s.socket, err = s.machine.Bind(s.socket.Address()); err != nil {
 			return nil, err
 		}
@@ -70,73 +70,73 @@
 	s.started++
 	b := &broker{
 		name: fmt.Sprintf("%s, process %d", s.machine.Name, s.started), process: s.machine.Start(),
-		signals: make(chan os.Signal, 1), reloads: make(chan os.Signal, 1), ended: make(chan struct{}),
-		dies: make(chan struct{}), excused: make(chan struct{}),
+		signals: make(chan os.Signal, 1), reloads: make(chan os.Signal, 1), done: make(chan struct{}),
+		killPending: make(chan struct{}), killAllowed: make(chan struct{}),
 	}
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), zapcore.AddSync(&b.log), zap.WarnLevel)
 	under, listener := s.sockets(b)
 	if b.server, err = http1.NewOn(under, c, zap.New(core)); err != nil {
 		return nil, err
 	}
-	s.g.mu.Lock()
-	s.g.live[b] = true
-	s.g.mu.Unlock()
-	s.g.brokers.Go(func() { s.run(b, listener) })
+	s.environment.mu.Lock()
+	s.environment.live[b] = true
+	s.environment.mu.Unlock()
+	s.environment.brokers.Go(func() { s.run(b, listener) })
 	return b, nil
 }
 
-// sockets gives what a process listens on and dials by; Options.Wrong may change both.
-func (s *seat) sockets(b *broker) (http1.Network, net.Listener) {
+// sockets returns the network and the listener of a process, which Options.WrapNetwork may replace.
+func (s *slot) sockets(b *broker) (http1.Network, net.Listener) {
 	listener := b.process.Listener(s.socket)
-	if !s.g.shared {
-		listener = served{listener, s.socket, s.g}
+	if !s.environment.shared {
+		listener = exclusiveListener{listener, s.socket, s.environment}
 	}
-	under := network{s.g, b.process}
-	if s.g.o.Wrong != nil {
-		return s.g.o.Wrong(under, listener)
+	under := network{s.environment, b.process}
+	if s.environment.options.WrapNetwork != nil {
+		return s.environment.options.WrapNetwork(under, listener)
 	}
 	return under, listener
 }
 
-// run serves until the process ends, and notes what it still holds then.
-func (s *seat) run(b *broker, listener net.Listener) {
-	defer close(b.ended)
+// run serves until the process ends, and records what it has not released by then.
+func (s *slot) run(b *broker, listener net.Listener) {
+	defer close(b.done)
 	defer func() {
-		s.g.mu.Lock()
-		delete(s.g.live, b)
-		s.g.mu.Unlock()
+		s.environment.mu.Lock()
+		delete(s.environment.live, b)
+		s.environment.mu.Unlock()
 	}()
 	b.err = b.server.Run(listener, b.signals, b.reloads)
 	select {
 	case <-b.process.Dead():
 	default:
-		time.Sleep(letGoFor)
+		time.Sleep(releaseTimeout)
 		if bytes, conns := b.server.BufferedBytes(), b.process.Holds(); bytes != 0 || conns > 0 {
-			s.g.mu.Lock()
-			s.g.held = append(s.g.held, fmt.Errorf("%s ended and held %d bytes of bodies, %d connections", b.name, bytes, conns))
-			s.g.mu.Unlock()
+			s.environment.mu.Lock()
+			s.environment.leaks = append(s.environment.leaks, fmt.Errorf("%s ended and held %d bytes of bodies, %d connections", b.name, bytes, conns))
+			s.environment.mu.Unlock()
 		}
 	}
-	b.process.Kill() // what a process leaves open ends with it
-	if !s.g.shared {
+	b.process.Kill() // closes what the process has left open
+	if !s.environment.shared {
 		listener.Close()
 	}
 }
 
-// network is what a process has of a ground.
+// network is the http1.Network of a process.
 type network struct {
-	g *ground
-	p *netem.Process
+	environment *environment
+	process     *netem.Process
 }
 
 func (n network) Dial(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
 	ctx, stop := context.WithTimeout(ctx, within)
 	defer stop()
-	return n.p.Dial(ctx, "tcp", address)
+	return n.process.Dial(ctx, "tcp", address)
 }
 
 func (n network) Receive(dir, name string) (http1.Receiver, error) {
-	r, err := n.g.exchange.Receive(n.p, dir, name)
+	r, err := n.environment.exchange.Receive(n.process, dir, name)
 	if err != nil {
 		return nil, err
 	}
@@ -144,7 +144,7 @@
 }
 
 func (n network) FindSuccessor(dir, name string, _ http1.Receiver) (http1.Successor, error) {
-	h, err := n.g.exchange.Find(n.p, dir, name)
+	h, err := n.environment.exchange.Find(n.process, dir, name)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/explore/explore.go
+++ b/internal/lab/explore/explore.go
@@ -239,8 +239,8 @@
 	pairs := map[Pair]bool{}
 	var mu sync.Mutex
 	options := x.Wrong
-	options.Dir, options.LookEvery = dir, lookEvery
-	options.Look = func(at time.Duration, stages []string) {
+	options.Dir, options.ObserveInterval = dir, lookEvery
+	options.Observe = func(at time.Duration, stages []string) {
 		mu.Lock()
 		defer mu.Unlock()
 		for _, e := range s.Entries {
--- a/internal/lab/explore/explore_test.go
+++ b/internal/lab/explore/explore_test.go
@@ -244,7 +244,7 @@
 	for name, p := range planted {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			x := &Explorer{Bubble: bubble(t), Dir: t.TempDir(), Wrong: emulation.Options{Wrong: p.wrong}, Within: 6}
+			x := &Explorer{Bubble: bubble(t), Dir: t.TempDir(), Wrong: emulation.Options{WrapNetwork: p.wrong}, Within: 6}
 			s := &Search{Explorer: x, Out: t.TempDir(), First: p.first, At: 1}
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
--- a/internal/lab/real/clock.go
+++ b/internal/lab/real/clock.go
@@ -7,70 +7,75 @@
 	"dykering/internal/lab/model"
 )
 
-// mostPosts bounds what waits for the clock's goroutine.
-const mostPosts = 4096
+// maxPendingActions limits the actions that wait for the clock's goroutine.
+const maxPendingActions = 4096
 
-// wall is the wall's time, for a world that belongs to the goroutine of run.
-type wall struct {
+// wallClock is a world's clock in real time. The world belongs to the goroutine of run.
+type wallClock struct {
 	began time.Time
-	event time.Duration // when what happens now was to happen; 0 for what others post
-	heap  model.EventQueue
-	posts chan func()
-	done  chan struct{} // closed when run has ended
+	// The scheduled time of the running action; 0 while a posted action runs.
+	eventTime time.Duration
+	events    model.EventQueue
+	actions   chan func()
+	// Closed when run has ended.
+	done chan struct{}
 }
 
-func newWall() *wall {
-	return &wall{began: time.Now(), posts: make(chan func(), mostPosts), done: make(chan struct{})}
+func newWallClock() *wallClock {
+	return &wallClock{began: time.Now(), actions: make(chan func(), maxPendingActions), done: make(chan struct{})}
 }
 
-// Now is the time on the world's clock. While something happens it is when that was to happen: what is late by a
-// timer's coarseness makes nothing later that follows from it, or callers would ask less and less.
-func (c *wall) Now() time.Duration {
-	if c.event > 0 {
-		return c.event
+// Now is the time on the world's clock. During an action it is the time the action was scheduled
+// for, so that a coarse timer does not delay what follows from it and clients do not offer less and
+// less.
+func (c *wallClock) Now() time.Duration {
+	if c.eventTime > 0 {
+		return c.eventTime
 	}
-	return c.real()
+	return c.elapsed()
 }
 
-func (c *wall) real() time.Duration { return model.Origin + time.Since(c.began) }
+// elapsed is the world's time by the machine's clock.
+func (c *wallClock) elapsed() time.Duration { return model.Origin + time.Since(c.began) }
 
-// After has something happen when a time has passed.
-func (c *wall) After(d time.Duration, do func()) { c.heap.Add(c.Now()+max(d, 0), do) }
+// After runs an action when a duration has passed.
+func (c *wallClock) After(d time.Duration, action func()) { c.events.Add(c.Now()+max(d, 0), action) }
 
-// at is a moment of the world's clock on the wall's.
-func (c *wall) at(moment time.Duration) time.Time { return c.began.Add(moment - model.Origin) }
+// at converts a time of the world's clock to one of the machine's.
+func (c *wallClock) at(moment time.Duration) time.Time { return c.began.Add(moment - model.Origin) }
 
-// post has the clock's goroutine do something, unless it has ended. It may be called by any other.
-func (c *wall) post(do func()) {
+// post runs an action on the clock's goroutine, unless that has ended. It may be called by any
+// goroutine.
+func (c *wallClock) post(action func()) {
 	select {
-	case c.posts <- do:
+	case c.actions <- action:
 	case <-c.done:
 	}
 }
 
-// run does what is to happen, when it is to happen, until a moment, until over says so, the
-// context's end or an error.
-func (c *wall) run(ctx context.Context, until time.Duration, over func() bool, failed <-chan error) error {
+// run runs actions when they are due, until a time, until finished reports true, until the context
+// ends or until an error is received.
+func (c *wallClock) run(ctx context.Context, until time.Duration, finished func() bool, failed <-chan error) error {
 	defer close(c.done)
 	for {
-		for at, ok := c.heap.Next(); ok && at <= c.real(); at, ok = c.heap.Next() {
-			var do func()
-			c.event, do = c.heap.Pop()
-			do()
-			c.event = 0
+		for at, ok := c.events.Next(); ok && at <= c.elapsed(); at, ok = c.events.Next() {
+			var action func()
+			c.eventTime, action = c.events.Pop()
+			action()
+			c.eventTime = 0
 		}
 		next := until
-		if at, ok := c.heap.Next(); ok {
+		if at, ok := c.events.Next(); ok {
 			next = min(next, at)
 		}
-		if c.real() >= until || over() {
+		if c.elapsed() >= until || finished() {
 			return nil
 		}
 		timer := time.NewTimer(time.Until(c.at(next))) // not reset: see netem's wakes
 		select {
 		case <-timer.C:
-		case do := <-c.posts:
-			do()
+		case action := <-c.actions:
+			action()
 		case err := <-failed:
 			timer.Stop()
 			return err
--- a/internal/lab/real/environment.go
+++ b/internal/lab/real/environment.go
@@ -10,73 +10,83 @@
 	"dykering/internal/lab/loopback"
 )
 
-// Ground is what a scenario is played on: the kernel's sockets with a process for each broker, or an emulated network
-// with all of them in one process (package whole). Names and zones are those of the machines that things run on.
-type Ground interface {
-	// Listen listens for a server or a discovery, at an address that it had before or, where that is empty, at its own.
+// Environment provides what a scenario is played on: the sockets of the host with one process per
+// broker, or an emulated network with all of them in one process (package emulation). Names and
+// zones are those of the machines.
+type Environment interface {
+	// Listen listens for a server or a discovery, at an address that it had before or, if that is
+	// empty, at a new one.
 	Listen(name string, zone int, address string) (net.Listener, error)
-	// Deaf has connections to an address that nobody listens at any more never come up, until its end.
-	Deaf(address string) (end func(), err error)
-	// Seat is where an instance of the broker serves, one process after another.
-	Seat(name string, zone int) (Seat, error)
-	// Dial makes connections of callers.
+	// Blackhole has connections to an address that nobody listens on never be established, until end
+	// is called.
+	Blackhole(address string) (end func(), err error)
+	// NewSlot creates the place where an instance of the broker serves, one process after another.
+	NewSlot(name string, zone int) (Slot, error)
+	// Dial makes connections of clients.
 	Dial(ctx context.Context, network, address string) (net.Conn, error)
-	// Part loses all that goes between two machines where cut says so, by their names. It may be asked at any time.
-	Part(cut func(a, b string) bool)
+	// SetPartition drops all traffic between two machines for which cut reports true, by their names;
+	// nil ends that. The function may be called at any time.
+	SetPartition(cut func(a, b string) bool)
 }
 
-// Seat is what the processes of an instance share.
-type Seat interface {
-	// Address is where callers connect, and Dir is for the instance's files.
+// Slot is what the processes of one instance share.
+type Slot interface {
+	// Address is where clients connect, and Dir is for the instance's files.
 	Address() string
 	Dir() string
-	// Start starts a process with the platform's file and, unless that is empty, the operator's. It does not wait until
-	// that can serve.
+	// Start starts a process with the platform's configuration file and, unless empty, the operator's.
+	// It does not wait until the process can serve.
 	Start(file, operator string) (Broker, error)
-	// Shared tells whether the platform holds the socket for processes that follow each other; else each makes its own.
+	// Shared reports whether the platform holds the listening socket for successive processes; else
+	// each process creates its own.
 	Shared() bool
 	Close()
 }
 
 // Broker is a process of the broker.
 type Broker interface {
-	Ready(context.Context) error // waits until it can serve
-	End()                        // with SIGTERM and, if it does not heed that, by force
+	// Ready waits until it can serve.
+	Ready(context.Context) error
+	// Stop sends SIGTERM and kills the process if that has no effect in time.
+	Stop()
 	Kill()
-	Ended() <-chan struct{}
-	Drain(on bool) error     // at the second address
-	Reload() error           // SIGHUP
-	Fault(text string) error // says what it did, with the end of its log
+	Done() <-chan struct{}
+	// Drain starts or ends a drain at the operators' address.
+	Drain(on bool) error
+	// Reload sends SIGHUP.
+	Reload() error
+	// Failure returns an error with the end of the process's log.
+	Failure(text string) error
 }
 
-// kernel is the kernel's ground.
-type kernel struct{ o Options }
+// hostNetwork is the environment of the host's sockets.
+type hostNetwork struct{ options Options }
 
-func (g kernel) Listen(_ string, _ int, address string) (net.Listener, error) {
+func (g hostNetwork) Listen(_ string, _ int, address string) (net.Listener, error) {
 	if address == "" {
 		return loopback.Listen()
 	}
 	return loopback.ListenAgain(address)
 }
 
-func (g kernel) Deaf(address string) (func(), error) {
-	h, err := dig(address)
+func (g hostNetwork) Blackhole(address string) (func(), error) {
+	h, err := newFullBacklog(address)
 	if err != nil {
 		return nil, err
 	}
 	return h.close, nil
 }
 
-func (g kernel) Dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (g hostNetwork) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	var d net.Dialer
 	return d.DialContext(ctx, network, address)
 }
 
-// Part does nothing: what is played on sockets has no partition (see playable).
-func (g kernel) Part(func(a, b string) bool) {}
+// SetPartition does nothing: scenarios with a partition are refused here (see checkPlayable).
+func (g hostNetwork) SetPartition(func(a, b string) bool) {}
 
-func (g kernel) Seat(name string, _ int) (Seat, error) {
-	dir := filepath.Join(g.o.Dir, name)
+func (g hostNetwork) NewSlot(name string, _ int) (Slot, error) {
+	dir := filepath.Join(g.options.Dir, name)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
@@ -84,27 +94,27 @@
 	if err != nil {
 		return nil, err
 	}
-	defer l.Close() // the descriptor below stays
+	defer l.Close() // the duplicated descriptor stays open
 	socket, err := l.File()
 	if err != nil {
 		return nil, err
 	}
-	return &seat{command: g.o.Command, dir: dir, address: l.Addr().String(), socket: socket}, nil
+	return &heldSocket{command: g.options.Command, dir: dir, address: l.Addr().String(), socket: socket}, nil
 }
 
-// seat is a socket that is held for an instance's processes.
-type seat struct {
+// heldSocket is a listening socket that is held for the processes of an instance.
+type heldSocket struct {
 	command      []string
 	dir, address string
 	socket       *os.File
 }
 
-func (s *seat) Address() string { return s.address }
-func (s *seat) Dir() string     { return s.dir }
-func (s *seat) Close()          { s.socket.Close() }
-func (s *seat) Shared() bool    { return true }
+func (s *heldSocket) Address() string { return s.address }
+func (s *heldSocket) Dir() string     { return s.dir }
+func (s *heldSocket) Close()          { s.socket.Close() }
+func (s *heldSocket) Shared() bool    { return true }
 
-func (s *seat) Start(file, operator string) (Broker, error) {
+func (s *heldSocket) Start(file, operator string) (Broker, error) {
 	command := s.command
 	if operator != "" {
 		command = append(append([]string(nil), command...), "--operator", operator)
@@ -116,11 +126,11 @@
 	return p, nil
 }
 
-// tcpConn is what a connection of either ground can do beside net.Conn.
+// tcpConn is what the connections of either environment provide beside net.Conn.
 type tcpConn interface {
 	CloseWrite() error
 	SetLinger(sec int) error
 }
 
-// discoveryName is what the machine of an instance's discovery is called.
+// discoveryName is the name of the machine on which an instance's discovery runs.
 func discoveryName(instance string) string { return fmt.Sprint("discovery of ", instance) }
--- a/internal/lab/real/faults.go
+++ b/internal/lab/real/faults.go
@@ -7,58 +7,61 @@
 	"dykering/internal/lab/model"
 )
 
-// Kill kills a process. What it had taken is lost; nobody is to blame but us.
-func (st *stage) Kill(in *model.Instance, lasts time.Duration) {
-	i := st.of(in)
+// Kill kills the process of an instance. Its requests are lost, and the process is not blamed for
+// that.
+func (st *stage) Kill(in *model.Instance, duration time.Duration) {
+	i := st.instanceOf(in)
 	if i.process == nil {
 		return
 	}
 	p := i.process
 	i.process = nil
-	st.excuse(in)
-	st.work.Go(p.Kill)
-	if lasts >= 0 { // else it stays away, until a schedule of faults starts it
-		st.After(lasts, func() { st.succeed(i, nil) })
+	st.excuseRequests(in)
+	st.goroutines.Go(p.Kill)
+	if duration >= 0 { // else it stays away until a step of the network faults starts it
+		st.After(duration, func() { st.startSuccessor(i, nil) })
 	}
 }
 
-// killedFor is how long an instance that the ground has killed stays away.
-const killedFor = 200 * time.Millisecond
+// restartDelay is how long an instance stays away whose process was killed by the environment.
+const restartDelay = 200 * time.Millisecond
 
-// mortal is a process that its ground may kill. Dies is closed when it is about to; the process is killed once Excused has
-// been called, since those who are told of a reset before its cause is known would take it for the process's own fault.
-type mortal interface {
-	Dies() <-chan struct{}
-	Excused()
+// killNotifier is a process that its environment may kill. KillPending is closed when that is about
+// to happen. The process is killed after AllowKill: a client that saw the reset earlier would count
+// it as the process's own fault.
+type killNotifier interface {
+	KillPending() <-chan struct{}
+	AllowKill()
 }
 
-// dies is closed when the ground is about to kill a process, nil where it does not; excused lets it.
-func dies(p Broker) (_ <-chan struct{}, excused func()) {
-	if m, ok := p.(mortal); ok {
-		return m.Dies(), m.Excused
+// killPending returns the channel that is closed when the environment is about to kill a process,
+// nil where it never does, and the function that allows it.
+func killPending(p Broker) (_ <-chan struct{}, allow func()) {
+	if m, ok := p.(killNotifier); ok {
+		return m.KillPending(), m.AllowKill
 	}
 	return nil, func() {}
 }
 
-// excuse has nothing owed to those who asked an instance.
-func (st *stage) excuse(in *model.Instance) {
-	for _, t := range st.tries {
+// excuseRequests records that an instance owes no answers, since its process is killed.
+func (st *stage) excuseRequests(in *model.Instance) {
+	for _, t := range st.requests {
 		if t.Instance == in {
-			t.excused.Store(true)
+			t.processKilled.Store(true)
 			t.cancel() // net/http would ask the next process by itself, with the time left of the first
 		}
 	}
 }
 
-// Handover starts a successor, and ends its predecessor when that can serve.
+// Handover starts a successor, and stops the predecessor when the successor can serve.
 func (st *stage) Handover(in *model.Instance) {
-	if i := st.of(in); i.process != nil {
-		st.succeed(i, i.process)
+	if i := st.instanceOf(in); i.process != nil {
+		st.startSuccessor(i, i.process)
 	}
 }
 
-// succeed starts a process that takes over from another, or from none.
-func (st *stage) succeed(i *instance, old Broker) {
+// startSuccessor starts a process in place of another one, or of none.
+func (st *stage) startSuccessor(i *instance, old Broker) {
 	if st.ctx.Err() != nil {
 		return
 	}
@@ -67,12 +70,12 @@
 		st.fail(err)
 		return
 	}
-	st.work.Go(func() {
+	st.goroutines.Go(func() {
 		if err := p.Ready(st.ctx); err != nil {
-			dies, _ := dies(p)
+			dies, _ := killPending(p)
 			select {
 			case <-dies:
-				return // who watches it starts another
+				return // the goroutine that watches it starts another
 			default:
 			}
 			if st.ctx.Err() == nil {
@@ -83,52 +86,53 @@
 		st.post(func() {
 			i.process = p
 			if old != nil {
-				st.work.Go(old.End)
+				st.goroutines.Go(old.Stop)
 			}
 		})
 	})
 }
 
-// oldPlacesFor is how long a discovery answers that brokers were told to leave.
-const oldPlacesFor = time.Second
+// oldDiscoveryRetention is how long a discovery answers after the brokers were told to use another
+// one.
+const oldDiscoveryRetention = time.Second
 
-// staller is a process that can be made to stand still for a while.
+// staller is a process that can be stalled for a duration.
 type staller interface{ Stall(lasts time.Duration) }
 
-// Befall stops an instance, has it stand still, has its operators drain it for a time, moves its discovery, or has that
-// say what is odd.
-func (st *stage) InjectFault(in *model.Instance, what string, lasts time.Duration) {
-	i := st.of(in)
+// InjectFault stops an instance, stalls it, has its operators drain it for a time, moves its
+// discovery to another address, or has its discovery send lists out of order.
+func (st *stage) InjectFault(in *model.Instance, kind string, duration time.Duration) {
+	i := st.instanceOf(in)
 	p := i.process
 	switch {
-	case what == "stale" || what == "again":
-		i.places.Repeat(what == "stale")
-	case p == nil || i.leaving == p:
-	case what == "stop" && i.seat.Shared():
-		// Where the platform holds the socket there is a successor before anybody is told to end.
-		st.succeed(i, p)
-	case what == "stop":
-		i.leaving = p
-		st.work.Go(func() {
-			p.End()
+	case kind == "stale" || kind == "again":
+		i.discovery.Repeat(kind == "stale")
+	case p == nil || i.stopping == p:
+	case kind == "stop" && i.slot.Shared():
+		// Where the platform holds the socket a successor starts before the process is told to stop.
+		st.startSuccessor(i, p)
+	case kind == "stop":
+		i.stopping = p
+		st.goroutines.Go(func() {
+			p.Stop()
 			st.post(func() {
-				if i.process == p { // else it was killed, and has a successor
+				if i.process == p { // else it was killed and has a successor
 					i.process = nil
-					st.After(lasts, func() { st.succeed(i, nil) })
+					st.After(duration, func() { st.startSuccessor(i, nil) })
 				}
 			})
 		})
-	case what == "stall":
+	case kind == "stall":
 		if p, ok := p.(staller); ok {
-			st.w.Checker.ProcessStalled(st.Now(), lasts, in.Index)
-			st.work.Go(func() { p.Stall(lasts) })
+			st.world.Checker.ProcessStalled(st.Now(), duration, in.Index)
+			st.goroutines.Go(func() { p.Stall(duration) })
 		}
-	case what == "away":
+	case kind == "away":
 		drain := func(on bool) {
-			st.work.Go(func() {
+			st.goroutines.Go(func() {
 				if err := p.Drain(on); err != nil && st.ctx.Err() == nil {
 					st.post(func() {
-						if i.process == p && i.leaving != p {
+						if i.process == p && i.stopping != p {
 							st.fail(err)
 						}
 					})
@@ -136,41 +140,41 @@
 			})
 		}
 		drain(true)
-		st.After(lasts, func() {
+		st.After(duration, func() {
 			if i.process == p {
 				drain(false)
 			}
 		})
-	case what == "reload":
-		l, err := st.ground.Listen(discoveryName(i.name), i.zone, "")
+	case kind == "reload":
+		l, err := st.environment.Listen(discoveryName(i.name), i.zone, "")
 		if err != nil {
 			st.fail(err)
 			return
 		}
-		old := i.places
-		i.places = discoveryAt(l, nil)
-		old.copyTo(i.places)
+		old := i.discovery
+		i.discovery = serveDiscovery(l, nil)
+		old.copyTo(i.discovery)
 		if err = errors.Join(st.configure(i), p.Reload()); err != nil {
 			st.fail(err)
 		}
-		st.After(oldPlacesFor, old.Close)
-		st.moved = append(st.moved, old)
+		st.After(oldDiscoveryRetention, old.Close)
+		st.movedDiscoveries = append(st.movedDiscoveries, old)
 	}
 }
 
-// Parted is the Sockets'.
+// PartitionsChanged implements model.Sockets.
 func (st *stage) PartitionsChanged() {
 	cut := map[[2]string]bool{}
 	for _, i := range st.instances {
-		for _, s := range i.in.Tier.Servers {
-			if st.w.IsPartitioned(i.in, s) {
+		for _, s := range i.model.Tier.Servers {
+			if st.world.IsPartitioned(i.model, s) {
 				cut[[2]string{i.name, serverName(s)}] = true
 			}
 		}
 	}
 	if len(cut) == 0 {
-		st.ground.Part(nil)
+		st.environment.SetPartition(nil)
 		return
 	}
-	st.ground.Part(func(a, b string) bool { return cut[[2]string{a, b}] || cut[[2]string{b, a}] })
+	st.environment.SetPartition(func(a, b string) bool { return cut[[2]string{a, b}] || cut[[2]string{b, a}] })
 }
--- a/internal/lab/real/faulty_conn.go
+++ b/internal/lab/real/faulty_conn.go
@@ -9,56 +9,66 @@
 	"time"
 )
 
-// What goes wrong with what a server sends and reads. Each is a fault that a network, a machine or a program has.
+// Faults on the connections of a server, each of which a network, a machine or a program can cause.
 const (
-	resetAfter = "reset"      // so many bytes of an answer, then a reset
-	cutAfter   = "cut"        // so many, then the connection's end
-	halfClose  = "half_close" // so many, then the end of what is sent; it still reads
-	stallAfter = "stall"      // so many, then nothing
-	slowRead   = "slow_read"  // so many in each turn
-	slowWrite  = "slow_write"
-	garbage    = "garbage" // an answer that is none
-	neverUp    = "syn"     // new connections never come up
-	vanish     = "vanish"  // that, and nothing comes on those that stand
-	turn       = 20 * time.Millisecond
+	// Send so many bytes of an answer, then reset the connection.
+	resetAfter = "reset"
+	// Send so many bytes, then close the connection.
+	cutAfter = "cut"
+	// Send so many bytes, then close the sending side only.
+	halfClose = "half_close"
+	// Send so many bytes, then nothing.
+	stallAfter = "stall"
+	// Read so many bytes per interval.
+	slowRead = "slow_read"
+	// Write so many bytes per interval.
+	slowWrite = "slow_write"
+	// Send random bytes in place of an answer.
+	garbage = "garbage"
+	// New connections are never established.
+	noHandshake = "syn"
+	// The same, and nothing passes on established ones.
+	vanish       = "vanish"
+	slowInterval = 20 * time.Millisecond
 )
 
-// mode is what goes wrong now.
-type mode struct {
-	how  string
-	n    int
-	over chan struct{} // closed when it has ended
+// connectionFault is the fault that is active on a server's connections.
+type connectionFault struct {
+	kind string
+	size int
+	// Closed when the fault has ended.
+	ended chan struct{}
 }
 
-// conns are a server's connections.
-type conns struct {
-	mu   sync.Mutex
-	mode *mode
-	open map[*conn]bool
+// connectionSet is the set of a server's open connections, with the fault that is active on them.
+type connectionSet struct {
+	mu    sync.Mutex
+	fault *connectionFault
+	open  map[*faultyConn]bool
 }
 
-func newConns() *conns {
-	return &conns{mode: &mode{how: "none", over: make(chan struct{})}, open: map[*conn]bool{}}
+func newConnectionSet() *connectionSet {
+	return &connectionSet{fault: &connectionFault{kind: "none", ended: make(chan struct{})}, open: map[*faultyConn]bool{}}
 }
 
-// set begins what goes wrong next.
-func (cs *conns) set(how string, n int) {
+// setFault ends the active fault and begins another.
+func (cs *connectionSet) setFault(how string, n int) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	close(cs.mode.over)
-	cs.mode = &mode{how: how, n: n, over: make(chan struct{})}
+	close(cs.fault.ended)
+	cs.fault = &connectionFault{kind: how, size: n, ended: make(chan struct{})}
 }
 
-func (cs *conns) now() *mode {
+func (cs *connectionSet) currentFault() *connectionFault {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	return cs.mode
+	return cs.fault
 }
 
-// reset breaks all connections.
-func (cs *conns) reset() {
+// reset resets all connections.
+func (cs *connectionSet) reset() {
 	cs.mu.Lock()
-	open := make([]*conn, 0, len(cs.open))
+	open := make([]*faultyConn, 0, len(cs.open))
 	for c := range cs.open {
 		open = append(open, c)
 	}
@@ -68,42 +78,44 @@
 	}
 }
 
-// listener makes connections on which things go wrong.
-type listener struct {
+// faultyListener accepts connections that carry out the active fault.
+type faultyListener struct {
 	net.Listener
-	conns *conns
+	connections *connectionSet
 }
 
-func (l listener) Accept() (net.Conn, error) {
+func (l faultyListener) Accept() (net.Conn, error) {
 	raw, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: raw, of: l.conns, closed: make(chan struct{})}
-	l.conns.mu.Lock()
-	l.conns.open[c] = true
-	l.conns.mu.Unlock()
+	c := &faultyConn{Conn: raw, connections: l.connections, closed: make(chan struct{})}
+	l.connections.mu.Lock()
+	l.connections.open[c] = true
+	l.connections.mu.Unlock()
 	return c, nil
 }
 
-// conn is a connection on which things go wrong as its server's mode says.
-type conn struct {
+// faultyConn is a connection that carries out the active fault of its server.
+type faultyConn struct {
 	net.Conn
-	of     *conns
-	once   sync.Once
-	closed chan struct{}
-	mu     sync.Mutex
-	sent   int // of the present answer
+	connections *connectionSet
+	once        sync.Once
+	closed      chan struct{}
+	mu          sync.Mutex
+	// Bytes sent of the present answer.
+	sent int
 }
 
-// wait waits for a mode's end, or some of its time; false when the connection is closed.
-func (c *conn) wait(m *mode, atMost time.Duration) bool {
+// wait waits for the end of a fault, or for a duration if that is above 0. It reports false when
+// the connection is closed.
+func (c *faultyConn) wait(m *connectionFault, atMost time.Duration) bool {
 	var enough <-chan time.Time
 	if atMost > 0 {
 		enough = time.After(atMost)
 	}
 	select {
-	case <-m.over:
+	case <-m.ended:
 	case <-enough:
 	case <-c.closed:
 		return false
@@ -111,15 +123,15 @@
 	return true
 }
 
-func (c *conn) Read(p []byte) (int, error) {
-	if m := c.of.now(); m.how == slowRead && len(p) > 0 {
-		if !c.wait(m, turn) {
+func (c *faultyConn) Read(p []byte) (int, error) {
+	if m := c.connections.currentFault(); m.kind == slowRead && len(p) > 0 {
+		if !c.wait(m, slowInterval) {
 			return 0, net.ErrClosed
 		}
-		p = p[:min(len(p), max(m.n, 1))]
+		p = p[:min(len(p), max(m.size, 1))]
 	}
 	n, err := c.Conn.Read(p)
-	if m := c.of.now(); m.how == vanish && !c.wait(m, 0) {
+	if m := c.connections.currentFault(); m.kind == vanish && !c.wait(m, 0) {
 		return 0, net.ErrClosed
 	}
 	c.mu.Lock()
@@ -128,22 +140,22 @@
 	return n, err
 }
 
-// allowance is how much of a piece goes out before things go wrong.
-func (c *conn) allowance(m *mode, n int) int {
+// sendAllowance is how many of n bytes are still sent before the fault takes effect.
+func (c *faultyConn) sendAllowance(m *connectionFault, n int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n = max(min(n, m.n-c.sent), 0)
+	n = max(min(n, m.size-c.sent), 0)
 	c.sent += n
 	return n
 }
 
-var errWrong = errors.New("the laboratory has broken this connection")
+var errInjected = errors.New("the laboratory has broken this connection")
 
-func (c *conn) Write(p []byte) (int, error) {
-	m := c.of.now()
-	switch m.how {
+func (c *faultyConn) Write(p []byte) (int, error) {
+	m := c.connections.currentFault()
+	switch m.kind {
 	case resetAfter, cutAfter, halfClose, stallAfter:
-		n := c.allowance(m, len(p))
+		n := c.sendAllowance(m, len(p))
 		if n > 0 {
 			if n, err := c.Conn.Write(p[:n]); err != nil {
 				return n, err
@@ -152,15 +164,15 @@
 		if n == len(p) {
 			return n, nil
 		}
-		return c.goWrong(m, p, n)
+		return c.applyFault(m, p, n)
 	case slowWrite:
 		for n := 0; n < len(p); {
-			piece := p[n:min(n+max(m.n, 1), len(p))]
+			piece := p[n:min(n+max(m.size, 1), len(p))]
 			k, err := c.Conn.Write(piece)
 			if n += k; err != nil {
 				return n, err
 			}
-			if !c.wait(m, turn) {
+			if !c.wait(m, slowInterval) {
 				return n, net.ErrClosed
 			}
 		}
@@ -177,20 +189,20 @@
 	return c.Conn.Write(p)
 }
 
-// goWrong does what is to come after the n bytes of a piece that went out.
-func (c *conn) goWrong(m *mode, p []byte, n int) (int, error) {
-	switch m.how {
+// applyFault carries out a fault after the first n bytes were sent.
+func (c *faultyConn) applyFault(m *connectionFault, p []byte, n int) (int, error) {
+	switch m.kind {
 	case resetAfter:
 		c.reset()
-		return n, errWrong
+		return n, errInjected
 	case cutAfter:
 		c.Close()
-		return n, errWrong
+		return n, errInjected
 	case halfClose:
 		if tcp, ok := c.Conn.(tcpConn); ok {
 			_ = tcp.CloseWrite() // an error means that it has ended
 		}
-		return len(p), nil // the rest is nowhere
+		return len(p), nil // the rest is lost
 	}
 	if !c.wait(m, 0) {
 		return n, net.ErrClosed
@@ -200,66 +212,67 @@
 }
 
 // reset ends the connection with a reset.
-func (c *conn) reset() {
+func (c *faultyConn) reset() {
 	if tcp, ok := c.Conn.(tcpConn); ok {
 		_ = tcp.SetLinger(0) // an error means that it has ended
 	}
 	c.Close()
 }
 
-func (c *conn) Close() error {
+func (c *faultyConn) Close() error {
 	c.once.Do(func() {
 		close(c.closed)
-		c.of.mu.Lock()
-		defer c.of.mu.Unlock()
-		delete(c.of.open, c)
+		c.connections.mu.Lock()
+		defer c.connections.mu.Unlock()
+		delete(c.connections.open, c)
 	})
 	return c.Conn.Close()
 }
 
-// hole is an address at which connections never come up: a listener whose backlog is full.
-type hole struct {
+// fullBacklog is an address at which connections are never established: a listener whose backlog is
+// full.
+type fullBacklog struct {
 	fd      int
 	fillers []net.Conn
 }
 
 const (
-	// mostFillers is more than a backlog of 0 holds on Linux, which is 1 (listen(2), and net/ipv4: a queue is full when
-	// it holds more than its backlog).
-	mostFillers = 8
-	fillFor     = 100 * time.Millisecond
+	// maxFillers is more than a backlog of 0 holds on Linux, which is 1 (listen(2), and net/ipv4: a
+	// queue is full when it holds more than its backlog).
+	maxFillers  = 8
+	fillTimeout = 100 * time.Millisecond
 )
 
-// dig makes a hole at an address that nobody listens on.
-func dig(address string) (h *hole, err error) {
+// newFullBacklog creates a full backlog at an address that nobody listens on.
+func newFullBacklog(address string) (b *fullBacklog, err error) {
 	at, err := net.ResolveTCPAddr("tcp4", address)
 	if err != nil {
 		return nil, err
 	}
-	h = &hole{}
-	if h.fd, err = syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0); err != nil {
+	b = &fullBacklog{}
+	if b.fd, err = syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0); err != nil {
 		return nil, err
 	}
 	where := &syscall.SockaddrInet4{Port: at.Port, Addr: [4]byte(at.IP.To4())}
-	err = syscall.SetsockoptInt(h.fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1)
-	if err = errors.Join(err, syscall.Bind(h.fd, where), syscall.Listen(h.fd, 0)); err != nil {
-		h.close()
+	err = syscall.SetsockoptInt(b.fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1)
+	if err = errors.Join(err, syscall.Bind(b.fd, where), syscall.Listen(b.fd, 0)); err != nil {
+		b.close()
 		return nil, err
 	}
-	for range mostFillers {
-		c, err := net.DialTimeout("tcp4", address, fillFor)
+	for range maxFillers {
+		c, err := net.DialTimeout("tcp4", address, fillTimeout)
 		if err != nil {
-			return h, nil // it is full
+			return b, nil // it is full
 		}
-		h.fillers = append(h.fillers, c)
+		b.fillers = append(b.fillers, c)
 	}
-	h.close()
+	b.close()
 	return nil, errors.New("its backlog is never full")
 }
 
-func (h *hole) close() {
-	syscall.Close(h.fd)
-	for _, c := range h.fillers {
+func (b *fullBacklog) close() {
+	syscall.Close(b.fd)
+	for _, c := range b.fillers {
 		c.Close()
 	}
 }
--- a/internal/lab/real/fleet.go
+++ b/internal/lab/real/fleet.go
@@ -17,17 +17,18 @@
 	"dykering/internal/lab/model"
 )
 
-// fleet is what the brokers of the first tier gossip through, where a scenario asks for it: the relay, and each
-// member's instance and gossip address, by its id.
+// fleet connects the brokers of the first tier by gossip through a relay, where a scenario asks for
+// that. Members are known by their ids.
 type fleet struct {
-	st      *stage
-	relay   *faultnet.Relay
-	members map[string]*instance
-	addrs   map[string]string
-	seed    string
+	stage     *stage
+	relay     *faultnet.Relay
+	members   map[string]*instance
+	addresses map[string]string
+	seed      string
 }
 
-// fleetSettings are the brokers': a probe each 200 ms, so that what takes minutes in a fleet shows in a short run.
+// fleetSettings are the brokers' operator settings. With a probe each 200 ms, what takes minutes in
+// a fleet shows in a short run.
 const fleetSettings = `version = 1
 [log]
 format = "json"
@@ -43,26 +44,26 @@
 dead_kept = "120s"
 `
 
-// lookTimeout bounds the look at one broker's view at the end of a run.
-const lookTimeout = 2 * time.Second
+// viewTimeout limits the request for one broker's view at the end of a run.
+const viewTimeout = 2 * time.Second
 
 func newFleet(st *stage, seed uint64) (*fleet, error) {
 	r, err := faultnet.New(seed)
 	if err != nil {
 		return nil, err
 	}
-	return &fleet{st: st, relay: r, members: map[string]*instance{}, addrs: map[string]string{}}, nil
+	return &fleet{stage: st, relay: r, members: map[string]*instance{}, addresses: map[string]string{}}, nil
 }
 
-// enlist writes an instance's operator file, and has its processes started with it.
-func (f *fleet) enlist(i *instance, id, dir string) error {
+// addMember writes the operator file of an instance, whose processes are started with it.
+func (f *fleet) addMember(i *instance, id, dir string) error {
 	addr, seeds := loopback.Address(), "[]"
 	if f.seed == "" {
 		f.seed = addr
 	} else {
 		seeds = fmt.Sprintf("[%q]", f.seed)
 	}
-	f.members[id], f.addrs[id] = i, addr
+	f.members[id], f.addresses[id] = i, addr
 	path := filepath.Join(dir, "operator.toml")
 	text := fmt.Sprintf(fleetSettings, id, addr, seeds, f.relay.Addr())
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -72,29 +73,30 @@
 	return nil
 }
 
-// play carries out the scenario's faults, until they or the run end.
+// play carries out the scenario's network faults, until they or the run end.
 func (f *fleet) play(ctx context.Context, faults []faultnet.Step) {
 	if err := faultnet.Play(ctx, &faultnet.Schedule{Steps: faults}, f.relay, f); err != nil && ctx.Err() == nil {
-		f.st.fail(err)
+		f.stage.fail(err)
 	}
 }
 
-// Addr, Signal and Start are what a schedule of faults acts on. What ends or starts a process is the clock's.
-func (f *fleet) Addr(id string) string { return f.addrs[id] }
+// Addr, Signal and Start implement faultnet's target. Processes are started and killed on the
+// clock's goroutine.
+func (f *fleet) Addr(id string) string { return f.addresses[id] }
 
 func (f *fleet) Signal(id string, s syscall.Signal) error {
 	i := f.members[id]
 	if i == nil {
 		return fmt.Errorf("no member %q", id)
 	}
-	f.st.post(func() {
+	f.stage.post(func() {
 		switch {
 		case s == syscall.SIGKILL:
-			f.st.Kill(i.in, -1)
+			f.stage.Kill(i.model, -1)
 		case i.process != nil:
 			if p, ok := i.process.(*Process); ok {
 				if err := p.Signal(s); err != nil {
-					f.st.fail(err)
+					f.stage.fail(err)
 				}
 			}
 		}
@@ -110,18 +112,18 @@
 	if as != id {
 		return fmt.Errorf("%s: here a process starts under its own id only", as)
 	}
-	f.st.post(func() {
+	f.stage.post(func() {
 		if i.process == nil {
-			f.st.succeed(i, nil)
+			f.stage.startSuccessor(i, nil)
 		}
 	})
 	return nil
 }
 
-// views tell what each broker's view holds at the end: its digest, and how many hold that.
+// views collects each broker's view at the end: its digest, and how many brokers hold that.
 func (f *fleet) views() (*model.Views, error) {
 	v := &model.Views{Digests: map[string]int{}}
-	client := http.Client{Timeout: lookTimeout}
+	client := http.Client{Timeout: viewTimeout}
 	defer client.CloseIdleConnections()
 	for id, i := range f.members {
 		p, ok := i.process.(*Process)
--- a/internal/lab/real/instance.go
+++ b/internal/lab/real/instance.go
@@ -13,50 +13,54 @@
 	"dykering/internal/lab/model"
 )
 
-// instance is an instance of the broker: a socket that is held for it, its discovery, and its process.
+// instance is an instance of the broker: its slot, its discovery, and its process.
 type instance struct {
-	in       *model.Instance
-	seat     Seat
-	url      string
-	places   *Discovery
-	file     string // the platform's
-	operator string // empty for none
+	model     *model.Instance
+	slot      Slot
+	url       string
+	discovery *Discovery
+	// The platform's configuration file.
+	file string
+	// The operator's file; empty for none.
+	operator string
 	client   *http.Client
 	name     string
 	zone     int
-	process  Broker // nil while there is none
-	leaving  Broker // that was told to end, with no successor beside it
-	all      []Broker
+	// Nil while there is none.
+	process Broker
+	// A process that was told to stop, without a successor beside it.
+	stopping  Broker
+	processes []Broker
 }
 
-// begin makes an instance and starts its process.
-func (st *stage) begin(in *model.Instance) error {
+// addInstance creates an instance and starts its process.
+func (st *stage) addInstance(in *model.Instance) error {
 	name, zone := fmt.Sprintf("broker-%d-%d", in.Tier.Index, in.Ordinal), 0
 	if len(in.Tier.Servers) > 0 {
-		zone = in.Ordinal % max(st.w.Scenario.Servers.Zones, 1)
+		zone = in.Ordinal % max(st.world.Scenario.Servers.Zones, 1)
 	}
-	place, err := st.ground.Seat(name, zone)
+	slot, err := st.environment.NewSlot(name, zone)
 	if err != nil {
 		return err
 	}
-	i := &instance{in: in, name: name, zone: zone, seat: place, url: "http://" + place.Address(), client: &http.Client{Transport: &http.Transport{
-		DialContext: st.ground.Dial, MaxIdleConnsPerHost: 1024, IdleConnTimeout: 10 * time.Second, DisableCompression: true,
+	i := &instance{model: in, name: name, zone: zone, slot: slot, url: "http://" + slot.Address(), client: &http.Client{Transport: &http.Transport{
+		DialContext: st.environment.Dial, MaxIdleConnsPerHost: 1024, IdleConnTimeout: 10 * time.Second, DisableCompression: true,
 	}}}
 	st.instances = append(st.instances, i)
-	l, err := st.ground.Listen(discoveryName(name), zone, "")
+	l, err := st.environment.Listen(discoveryName(name), zone, "")
 	if err != nil {
 		return err
 	}
-	i.places = discoveryAt(l, nil)
-	for _, e := range st.w.List(in).Entries {
-		i.places.TellTarget(st.target(e))
+	i.discovery = serveDiscovery(l, nil)
+	for _, e := range st.world.List(in).Entries {
+		i.discovery.AnnounceTarget(st.target(e))
 	}
-	i.file = filepath.Join(place.Dir(), "config.json")
+	i.file = filepath.Join(slot.Dir(), "config.json")
 	if err := st.configure(i); err != nil {
 		return err
 	}
 	if st.fleet != nil && in.Tier.Index == 0 {
-		if err := st.fleet.enlist(i, name, place.Dir()); err != nil {
+		if err := st.fleet.addMember(i, name, slot.Dir()); err != nil {
 			return err
 		}
 	}
@@ -64,12 +68,12 @@
 	return err
 }
 
-// configure writes an instance's file, as the platform does.
+// configure writes the platform's configuration file of an instance.
 func (st *stage) configure(i *instance) error {
 	text, err := json.MarshalIndent(map[string]any{
-		"name": i.name, "listen": i.seat.Address(), "discovery": i.places.Address,
-		"seed": fmt.Sprintf("%x", st.w.Seed(i.in)), "limits": map[string]any{"cores": 1, "memory_mb": memoryMB, "sockets": sockets},
-		"settings": told(st.w, i.in),
+		"name": i.name, "listen": i.slot.Address(), "discovery": i.discovery.Address,
+		"seed": fmt.Sprintf("%x", st.world.Seed(i.model)), "limits": map[string]any{"cores": 1, "memory_mb": memoryMB, "sockets": sockets},
+		"settings": platformSettings(st.world, i.model),
 	}, "", " ")
 	if err != nil {
 		return err
@@ -81,25 +85,25 @@
 	return os.Rename(next, i.file)
 }
 
-// start starts a process of an instance, and watches it.
+// start starts a process of an instance and watches it.
 func (st *stage) start(i *instance) (Broker, error) {
-	p, err := i.seat.Start(i.file, i.operator)
+	p, err := i.slot.Start(i.file, i.operator)
 	if err != nil {
 		return nil, err
 	}
-	i.all = append(i.all, p)
-	st.work.Go(func() {
-		dies, excused := dies(p)
+	i.processes = append(i.processes, p)
+	st.goroutines.Go(func() {
+		dies, excused := killPending(p)
 		defer excused()
 		select {
 		case <-dies:
 			heard := make(chan struct{})
 			st.post(func() {
 				defer close(heard)
-				st.excuse(i.in) // as Kill does
+				st.excuseRequests(i.model) // as in Kill
 				if i.process == p {
 					i.process = nil
-					st.After(killedFor, func() { st.succeed(i, nil) })
+					st.After(restartDelay, func() { st.startSuccessor(i, nil) })
 				}
 			})
 			select {
@@ -107,21 +111,21 @@
 			case <-st.done:
 			}
 			return
-		case <-p.Ended():
+		case <-p.Done():
 		case <-st.ctx.Done():
 			return
 		}
 		st.post(func() {
-			if i.process == p && i.leaving != p {
-				st.fail(p.Fault("ended by itself"))
+			if i.process == p && i.stopping != p {
+				st.fail(p.Failure("ended by itself"))
 			}
 		})
 	})
 	return p, nil
 }
 
-// told are the settings that the platform would give an instance.
-func told(w *model.World, in *model.Instance) map[string]any {
+// platformSettings are the settings that the platform would give an instance.
+func platformSettings(w *model.World, in *model.Instance) map[string]any {
 	set := w.Settings(in)
 	micros := func(d time.Duration) int64 { return d.Microseconds() }
 	effects := map[decision.Effect]string{decision.Safe: "read_like", decision.Keyed: "idempotency_key", decision.Unsafe: "non_idempotent"}
@@ -151,7 +155,7 @@
 	}
 	return map[string]any{
 		"allowed": map[string]any{
-			"cancel": set.MayCancel, "connIdle": micros(serverIdle), "connectTimeout": micros(set.ConnectTimeout),
+			"cancel": set.MayCancel, "connIdle": micros(serverIdleTimeout), "connectTimeout": micros(set.ConnectTimeout),
 			"maxRetryAfter": micros(set.MaxRetryAfter), "retryAfter": set.MaxRetryAfter > 0, "sendCap": set.MaxAttempts,
 		},
 		"clientHabits": map[string]any{"marksRetry": set.ClientsMarkRetries}, "discovery": "push", "models": models, "zones": zones,
@@ -167,11 +171,11 @@
 
 func zoneName(i int) string { return fmt.Sprint("zone-", i) }
 
-// target is how discovery says an entry.
+// target is the discovery's form of an endpoint entry.
 func (st *stage) target(e decision.Entry) core.Target {
 	t := core.Target{
 		UID: fmt.Sprintf("server-%08x", uint32(e.Endpoint)), Address: st.servers[int(e.Endpoint)-1].address,
-		Zone: zoneName(e.Zone), Model: st.w.Scenario.Kinds[e.Kind].Name, Cell: e.Cell, Weight: e.Weight,
+		Zone: zoneName(e.Zone), Model: st.world.Scenario.Kinds[e.Kind].Name, Cell: e.Cell, Weight: e.Weight,
 		State: [...]string{"Ready", "Terminating", "Gone"}[e.State],
 	}
 	if e.Started > 0 {
@@ -180,4 +184,6 @@
 	return t
 }
 
-func (st *stage) of(in *model.Instance) *instance { return st.instances[len(st.instances)-1-in.Index] }
+func (st *stage) instanceOf(in *model.Instance) *instance {
+	return st.instances[len(st.instances)-1-in.Index]
+}
--- a/internal/lab/real/play.go
+++ b/internal/lab/real/play.go
@@ -13,78 +13,87 @@
 )
 
 const (
-	// slack is by how much time limits are longer than in virtual time: what happens between two processes is seen
-	// late, and one machine plays all of them.
+	// slack is added to the time limits of virtual time: events between processes are observed late,
+	// and one machine runs all of them.
 	slack = 100 * time.Millisecond
-	// mostInstances is how many processes one machine plays.
-	mostInstances = 64
-	// A process is told that it has these, and half of them for itself, as its socket is held for a successor.
+	// maxInstances is the number of processes that one machine can run.
+	maxInstances = 64
+	// A process is configured with these limits and uses half of them, since the rest is for a
+	// successor on its socket.
 	memoryMB, sockets = 256, 8192
 )
 
-// Options say how a scenario is played.
+// Options configure how a scenario is played.
 type Options struct {
-	Command []string // of the broker
-	Dir     string   // for logs and configurations; it stays
+	// The command of the broker.
+	Command []string
+	// Where logs and configurations are written; they are kept.
+	Dir string
 }
 
-// stage plays a scenario on real sockets. What is not said otherwise belongs to the clock's goroutine.
+// stage plays a scenario on an environment. Unless said otherwise it belongs to the clock's
+// goroutine.
 type stage struct {
-	*wall
-	w         *model.World
-	ground    Ground
-	instances []*instance
-	servers   map[int]*server
-	tries     map[decision.RequestID]*try
-	late      time.Duration
-	failed    chan error // the first ends the run
-	ctx       context.Context
-	work      sync.WaitGroup // all goroutines but the clock's
-	fleet     *fleet         // nil without one
-	moved     []*Discovery   // that brokers were told to leave
-	manners   *rand.Rand     // what callers do
+	*wallClock
+	world       *model.World
+	environment Environment
+	instances   []*instance
+	servers     map[int]*server
+	requests    map[decision.RequestID]*pendingRequest
+	lateness    time.Duration
+	// The first error ends the run.
+	failed chan error
+	ctx    context.Context
+	// All goroutines but the clock's.
+	goroutines sync.WaitGroup
+	// Nil without a fleet.
+	fleet *fleet
+	// Discoveries that brokers were told to leave.
+	movedDiscoveries []*Discovery
+	// Draws the misbehavior of clients.
+	behaviorRandom *rand.Rand
 }
 
-// Play plays a scenario with a seed on real sockets. It ends by itself within the scenario's time and some seconds for
-// the start and the end of processes, and leaves none behind.
+// Play plays a scenario with a seed on the host's sockets. Beside the scenario's duration it takes
+// some seconds to start and stop processes, and leaves none behind.
 func Play(ctx context.Context, s *scenario.Scenario, seed uint64, o Options) (_ *model.Result, err error) {
-	if err := playable(s); err != nil {
+	if err := checkPlayable(s); err != nil {
 		return nil, err
 	}
-	r, err := PlayOn(ctx, kernel{o}, s, seed, slack)
+	r, err := PlayOn(ctx, hostNetwork{o}, s, seed, slack)
 	if err == nil {
 		r.Engine = "real"
 	}
 	return r, err
 }
 
-// PlayOn plays a scenario on a ground. Late is how late what happens may be seen there.
-func PlayOn(ctx context.Context, g Ground, s *scenario.Scenario, seed uint64, late time.Duration) (_ *model.Result, err error) {
+// PlayOn plays a scenario on an environment. Late is how late events may be observed there.
+func PlayOn(ctx context.Context, g Environment, s *scenario.Scenario, seed uint64, late time.Duration) (_ *model.Result, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	st := &stage{
-		wall: newWall(), ground: g, late: late, servers: map[int]*server{}, tries: map[decision.RequestID]*try{},
+		wallClock: newWallClock(), environment: g, lateness: late, servers: map[int]*server{}, requests: map[decision.RequestID]*pendingRequest{},
 		failed: make(chan error, 1), ctx: ctx,
 	}
 	defer func() {
 		stop()
 		st.tearDown()
 	}()
-	st.manners = model.Stream(seed, "manners", 0)
-	st.w = model.New(s, seed, st, st, st, late)
+	st.behaviorRandom = model.Stream(seed, "manners", 0)
+	st.world = model.New(s, seed, st, st, st, late)
 	if s.Broker.Fleet {
 		if st.fleet, err = newFleet(st, seed); err != nil {
 			return nil, err
 		}
 	}
-	for _, sv := range st.w.Servers {
-		if err := st.listen(sv); err != nil {
+	for _, sv := range st.world.Servers {
+		if err := st.listenAt(sv); err != nil {
 			return nil, err
 		}
 	}
-	for i := range st.w.Instances {
-		// The lowest tier first: a server is used once its own instance can serve.
-		if err := st.begin(st.w.Instances[len(st.w.Instances)-1-i]); err != nil {
+	for i := range st.world.Instances {
+		// The lowest tier first: servers are used once the instance that they call can serve.
+		if err := st.addInstance(st.world.Instances[len(st.world.Instances)-1-i]); err != nil {
 			return nil, err
 		}
 	}
@@ -94,14 +103,14 @@
 		}
 	}
 	st.began = time.Now()
-	end := st.w.Start()
+	end := st.world.Start()
 	if st.fleet != nil {
-		st.work.Go(func() { st.fleet.play(ctx, s.NetworkFaults) })
+		st.goroutines.Go(func() { st.fleet.play(ctx, s.NetworkFaults) })
 	}
-	if err := st.run(ctx, end, st.w.IsFinished, st.failed); err != nil {
+	if err := st.run(ctx, end, st.world.IsFinished, st.failed); err != nil {
 		return nil, err
 	}
-	r := st.w.Finish()
+	r := st.world.Finish()
 	if st.fleet != nil {
 		if r.Views, err = st.fleet.views(); err != nil {
 			return nil, err
@@ -110,14 +119,14 @@
 	return r, nil
 }
 
-// playable names what only virtual time can play.
-func playable(s *scenario.Scenario) error {
+// checkPlayable refuses what only virtual time can play.
+func checkPlayable(s *scenario.Scenario) error {
 	n := s.Broker.Instances
 	for _, b := range s.DownstreamTiers {
 		n += b.Instances
 	}
-	if n > mostInstances {
-		return fmt.Errorf("%d instances are more than the %d that one machine plays on real sockets", n, mostInstances)
+	if n > maxInstances {
+		return fmt.Errorf("%d instances are more than the %d that one machine plays on real sockets", n, maxInstances)
 	}
 	for i, t := range s.InjectedFaults {
 		if t.Kind == "partition" {
@@ -127,21 +136,21 @@
 	return nil
 }
 
-// fail ends the run.
+// fail ends the run with an error.
 func (st *stage) fail(err error) {
 	select {
 	case st.failed <- err:
-	default: // it ends already
+	default: // it is ending already
 	}
 }
 
-// tearDown ends all that was started: processes first, all beside each other.
+// tearDown stops everything that was started: all processes at once, then the rest.
 func (st *stage) tearDown() {
 	var all sync.WaitGroup
 	for _, i := range st.instances {
 		i.client.CloseIdleConnections()
-		for _, p := range i.all {
-			all.Go(p.End)
+		for _, p := range i.processes {
+			all.Go(p.Stop)
 		}
 	}
 	all.Wait()
@@ -151,39 +160,39 @@
 	if st.fleet != nil {
 		st.fleet.relay.Close()
 	}
-	for _, d := range st.moved {
+	for _, d := range st.movedDiscoveries {
 		d.Close()
 	}
 	for _, i := range st.instances {
-		if i.places != nil {
-			i.places.Close()
+		if i.discovery != nil {
+			i.discovery.Close()
 		}
-		i.seat.Close()
+		i.slot.Close()
 	}
 	select {
 	case <-st.done:
 	default:
 		close(st.done) // it never ran
 	}
-	st.work.Wait()
+	st.goroutines.Wait()
 }
 
-// Hear is the Brokers', as are the methods below.
+// UpdateList implements model.Brokers, as do the methods below.
 func (st *stage) UpdateList(in *model.Instance, l decision.List) {
-	i := st.of(in)
+	i := st.instanceOf(in)
 	if l.Kind == decision.FailedList {
-		i.places.BreakOff()
+		i.discovery.BreakWatches()
 		return
 	}
 	for _, e := range l.Entries {
-		i.places.TellTarget(st.target(e))
+		i.discovery.AnnounceTarget(st.target(e))
 	}
 	if l.Kind == decision.FullList {
 		for _, s := range in.Tier.Servers {
 			if e := s.Entry(); e.State == decision.Departed {
-				i.places.TellTarget(st.target(e))
+				i.discovery.AnnounceTarget(st.target(e))
 			}
 		}
-		i.places.Resume()
+		i.discovery.Resume()
 	}
 }
--- a/internal/lab/real/play_test.go
+++ b/internal/lab/real/play_test.go
@@ -26,7 +26,7 @@
 	"dykering/internal/tomlconfig"
 )
 
-// TestMain lets the test binary stand in for brokers, right and wrong ones.
+// TestMain lets the test binary act as a broker, a correct or a faulty one.
 func TestMain(m *testing.M) {
 	if len(os.Args) < 3 || os.Args[1] != "broker" {
 		os.Exit(m.Run())
@@ -45,7 +45,7 @@
 	case "never ready":
 		select {}
 	default:
-		err = wrongly(how)
+		err = runFaultyBroker(how)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -53,10 +53,10 @@
 	}
 }
 
-// wrongly is a broker that says that it can serve, and does what its name says.
-func wrongly(how string) error {
+// runFaultyBroker runs a broker that reports to be ready and then has the named fault.
+func runFaultyBroker(fault string) error {
 	go http.ListenAndServe(os.Getenv("BALANCER_CONTROL"), http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
-	if how == "crashes" {
+	if fault == "crashes" {
 		time.Sleep(time.Second)
 		panic("as it is meant to")
 	}
@@ -76,7 +76,7 @@
 	if err := json.NewDecoder(res.Body).Decode(&l); err != nil {
 		return err
 	}
-	if how == "hangs" {
+	if fault == "hangs" {
 		select {}
 	}
 	socket, err := net.FileListener(os.NewFile(3, "socket"))
@@ -87,10 +87,10 @@
 	return http.Serve(socket, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		sends := 1
-		if how == "sends all twice" {
+		if fault == "sends all twice" {
 			sends = 2
 		}
-		if how == "forgets" && turn.Load()%5 == 0 {
+		if fault == "forgets" && turn.Load()%5 == 0 {
 			turn.Add(1)
 			panic(http.ErrAbortHandler)
 		}
@@ -108,28 +108,28 @@
 	}))
 }
 
-func brief(t *testing.T, troubles ...scenario.InjectedFault) *scenario.Scenario {
+func shortScenario(t *testing.T, faults ...scenario.InjectedFault) *scenario.Scenario {
 	t.Helper()
 	s := scenario.Default()
 	s.Duration = tomlconfig.Duration(3 * time.Second)
 	s.Broker.Instances, s.Servers.Count = 1, 4
 	s.Callers.Rate = scenario.Range{From: 60, To: 60}
 	s.Teams = nil
-	s.InjectedFaults = troubles
+	s.InjectedFaults = faults
 	return s
 }
 
-func options(t *testing.T, how string) Options {
+func options(t *testing.T, fault string) Options {
 	t.Helper()
-	return Options{Command: []string{os.Args[0], "broker", how}, Dir: t.TempDir()}
+	return Options{Command: []string{os.Args[0], "broker", fault}, Dir: t.TempDir()}
 }
 
-// Whatever goes wrong with a server's bytes, or befalls processes: the program keeps the rules, and what can be served
-// is. Where nothing may have run, or the class allows it, it is sent again.
-func TestBrokenBytes(t *testing.T) {
-	for name, tc := range map[string]struct {
+// Under faults of connections and processes the program keeps the rules and serves what can be served.
+// Requests are retried where nothing can have run, or where their class allows it.
+func TestConnectionFaultsAreRetriedWhereAllowed(t *testing.T) {
+	for name, testCase := range map[string]struct {
 		scenario.InjectedFault
-		again bool // attempts beyond the first come to servers
+		retried bool // further attempts reach servers
 	}{
 		"reset in the head":   {scenario.InjectedFault{Kind: "bytes", ConnectionFault: "reset", Bytes: 9}, true},
 		"reset before":        {scenario.InjectedFault{Kind: "bytes", ConnectionFault: "reset"}, true},
@@ -151,13 +151,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			x := tc.InjectedFault
-			x.Start, x.Duration, x.ServerShare = scenario.DurationRange{From: time.Second, To: time.Second}, scenario.DurationRange{From: time.Second, To: time.Second}, 0.25
+			fault := testCase.InjectedFault
+			fault.Start, fault.Duration, fault.ServerShare = scenario.DurationRange{From: time.Second, To: time.Second}, scenario.DurationRange{From: time.Second, To: time.Second}, 0.25
 			floor := 0.85
-			if x.Kind == "kill" || x.Kind == "stall" {
-				x.Duration, floor = scenario.DurationRange{From: 200 * time.Millisecond, To: 200 * time.Millisecond}, 0.5
+			if fault.Kind == "kill" || fault.Kind == "stall" {
+				fault.Duration, floor = scenario.DurationRange{From: 200 * time.Millisecond, To: 200 * time.Millisecond}, 0.5
 			}
-			s := brief(t, x)
+			s := shortScenario(t, fault)
 			s.DownstreamTiers = []scenario.DownstreamTier{{
 				Name: "below", Instances: 1, Servers: 2, Calls: scenario.Range{From: 1, To: 1},
 				Work: scenario.Range{From: 0.002, To: 0.004}, ReservedShare: 0.1,
@@ -169,15 +169,15 @@
 			if len(r.ViolationCounts) > 0 || r.Service < floor || r.Offered < 100 {
 				t.Errorf("service %.3f of %d, broken %v, %+v", r.Service, r.Offered, r.ViolationCounts, r.Violations)
 			}
-			if tc.again && r.Attempts <= 2*r.Requests { // each try makes a call below
+			if testCase.retried && r.Attempts <= 2*r.Requests { // each request leads to a call to the next tier
 				t.Errorf("%d attempts for %d tries", r.Attempts, r.Requests)
 			}
 		})
 	}
 }
 
-// Brokers that do what they must not are caught, and named for the right rule.
-func TestWrongBrokersAreCaught(t *testing.T) {
+// The checker reports a broker that breaks a rule under the name of that rule.
+func TestCheckerReportsRuleThatFaultyBrokerBreaks(t *testing.T) {
 	drain := scenario.InjectedFault{
 		Kind: "drain", ServerShare: 0.5, Start: scenario.DurationRange{From: 200 * time.Millisecond, To: 200 * time.Millisecond},
 		Duration: scenario.DurationRange{From: 4 * time.Second, To: 4 * time.Second},
@@ -188,7 +188,7 @@
 	} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
-			s := brief(t, drain)
+			s := shortScenario(t, drain)
 			s.Servers.DrainGrace, s.Discovery.Delay = tomlconfig.Duration(100*time.Millisecond), scenario.DurationRange{}
 			s.Callers.AttemptTimeout = tomlconfig.Duration(time.Second)
 			r, err := Play(t.Context(), s, 3, options(t, how))
@@ -207,9 +207,9 @@
 	}
 }
 
-// A broker that ends, hangs or never can serve, and a run that is called off: it ends soon, says what happened with the
-// log, and leaves no process behind.
-func TestBadBrokersEndTheRun(t *testing.T) {
+// A run whose broker exits, hangs or never becomes ready, and a run that is cancelled, ends soon with an
+// error that quotes the log, and leaves no process behind.
+func TestFailingBrokerEndsRunWithItsLog(t *testing.T) {
 	for how, want := range map[string]string{
 		"exits": "exit status 3", "never ready": "could not serve within", "crashes": "as it is meant to",
 		"hangs": "canceled", "right": "canceled",
@@ -222,11 +222,11 @@
 			if want == "canceled" {
 				time.AfterFunc(2*time.Second, cancel)
 			}
-			s := brief(t)
+			s := shortScenario(t)
 			s.Duration = tomlconfig.Duration(time.Minute)
 			began := time.Now()
 			_, err := Play(ctx, s, 3, o)
-			if err == nil || !strings.Contains(err.Error(), want) || time.Since(began) > readyFor+endFor+10*time.Second {
+			if err == nil || !strings.Contains(err.Error(), want) || time.Since(began) > readyTimeout+stopTimeout+10*time.Second {
 				t.Errorf("after %v: %v", time.Since(began), err)
 			}
 			logs, _ := filepath.Glob(filepath.Join(o.Dir, "*", "log"))
@@ -246,24 +246,24 @@
 	}
 }
 
-// What only virtual time can play is refused at once.
-func TestPlayable(t *testing.T) {
-	s := brief(t, scenario.InjectedFault{Kind: "partition"})
+// Scenarios that only virtual time can play are refused at once.
+func TestPlayRefusesWhatOnlyVirtualTimePlays(t *testing.T) {
+	s := shortScenario(t, scenario.InjectedFault{Kind: "partition"})
 	if _, err := Play(t.Context(), s, 1, options(t, "right")); err == nil || !strings.Contains(err.Error(), "trouble[0]") {
 		t.Error(err)
 	}
-	s = brief(t)
-	s.Broker.Instances = mostInstances + 1
+	s = shortScenario(t)
+	s.Broker.Instances = maxInstances + 1
 	if _, err := Play(t.Context(), s, 1, options(t, "right")); err == nil || !strings.Contains(err.Error(), "instances") {
 		t.Error(err)
 	}
 }
 
-// A scenario with a fleet: its brokers serve while one of them is killed, stays away and starts again, one is stalled,
-// and gossip is cut and healed; at the end all hold one view.
-func TestFleetUnderFaults(t *testing.T) {
+// A fleet serves while one broker is killed and starts again later, one is stalled, and a partition cuts
+// gossip and heals; at the end all brokers hold the same view.
+func TestFleetConvergesAfterFaults(t *testing.T) {
 	t.Parallel()
-	s := brief(t)
+	s := shortScenario(t)
 	s.Duration = tomlconfig.Duration(14 * time.Second)
 	s.Broker.Instances, s.Broker.Fleet = 4, true
 	at := func(seconds int) tomlconfig.Duration {
--- a/internal/lab/real/request.go
+++ b/internal/lab/real/request.go
@@ -17,96 +17,105 @@
 	"dykering/internal/lab/rules"
 )
 
-// try is one request on its way through an instance.
-type try struct {
+// pendingRequest is a request on its way through an instance.
+type pendingRequest struct {
 	*model.Request
-	answered bool
-	excused  atomic.Bool   // its instance was killed
-	left     time.Duration // when its caller went; 0 for not
-	number   int           // of attempts that have come to servers
-	out      *attempt
-	untold   []*attempt // of which the checker does not know yet
-	telling  bool       // it will in a moment
-	cancel   context.CancelFunc
+	completed bool
+	// Its instance was killed.
+	processKilled atomic.Bool
+	// When its client departed; 0 if it has not.
+	departedAt time.Duration
+	// Attempts that have arrived at servers.
+	attemptCount int
+	lastAttempt  *attempt
+	// Attempts not reported to the checker yet.
+	unreported []*attempt
+	// A later call of reportAttempts is scheduled.
+	reportScheduled bool
+	cancel          context.CancelFunc
 }
 
-// forgetAfter is how long a try is known after its answer: an attempt may still be on its way to a server.
-const forgetAfter = 2 * time.Second
+// retentionAfterAnswer is how long a request is kept after its answer, since an attempt may still
+// be on its way to a server.
+const retentionAfterAnswer = 2 * time.Second
 
-// Take sends a try to its instance.
+// Accept sends a request to its instance.
 func (st *stage) Accept(m *model.Request) {
-	i := st.of(m.Instance)
+	i := st.instanceOf(m.Instance)
 	if m.Deadline <= st.Now() {
-		return // nobody waits for it
+		return // the requester has given it up
 	}
 	if i.process == nil {
 		m.Requester.Complete(m, model.Unreachable, 0)
 		return
 	}
-	c := st.w.Scenario.Classes[m.Class]
-	st.w.Checker.RequestAccepted(st.Now(), rules.Request{
+	c := st.world.Scenario.Classes[m.Class]
+	st.world.Checker.RequestAccepted(st.Now(), rules.Request{
 		ID: string(m.ID), Origin: m.Origin, Instance: m.Instance.Index, Deadline: m.Deadline,
 		Effect: c.Effect, Scope: c.Scope, Window: time.Duration(c.Window),
 	})
-	ctx, cancel := context.WithDeadline(st.ctx, st.at(m.Deadline+model.Grace+st.late))
-	t := &try{Request: m, cancel: cancel}
-	st.tries[m.ID] = t
+	ctx, cancel := context.WithDeadline(st.ctx, st.at(m.Deadline+model.Grace+st.lateness))
+	t := &pendingRequest{Request: m, cancel: cancel}
+	st.requests[m.ID] = t
 	team := ""
-	if len(st.w.Scenario.Teams) > 0 {
-		team = st.w.Scenario.Teams[m.Team].Name
+	if len(st.world.Scenario.Teams) > 0 {
+		team = st.world.Scenario.Teams[m.Team].Name
 	}
-	q := question{
-		url: i.url, id: string(m.ID), class: c.Name, effect: c.Effect, team: team, key: m.Origin, repeat: m.IsRetry,
-		left: st.at(m.Deadline),
+	q := outgoingRequest{
+		url: i.url, id: string(m.ID), class: c.Name, effect: c.Effect, team: team, key: m.Origin, isRetry: m.IsRetry,
+		deadline: st.at(m.Deadline),
 	}
-	st.behave(t, &q, i)
-	st.work.Go(func() {
+	st.misbehave(t, &q, i)
+	st.goroutines.Go(func() {
 		defer cancel()
-		a := q.ask(ctx, i.client, &t.excused)
-		st.post(func() { st.answered(t, a) })
+		a := q.send(ctx, i.client, &t.processKilled)
+		st.post(func() { st.completeRequest(t, a) })
 	})
 }
 
 const (
-	goneWithin = 60 * time.Millisecond // a caller that goes before its answer
-	pieces     = 8                     // of a body that comes in pieces
-	pieceEvery = 5 * time.Millisecond
-	pieceSize  = 4 << 10
-	junkFor    = 4 * time.Second // within which what is no request has to be answered, or its connection closed
+	// How soon a client departs that does so before its answer.
+	maxDepartureDelay = 60 * time.Millisecond
+	// Chunks of a body that is sent slowly.
+	bodyChunks    = 8
+	chunkInterval = 5 * time.Millisecond
+	chunkSize     = 4 << 10
+	// Time within which a malformed request has to be answered, or its connection closed.
+	malformedTimeout = 4 * time.Second
 )
 
-// behave is what callers do to a share of what they ask.
-func (st *stage) behave(t *try, q *question, i *instance) {
-	some := func(what string) bool {
-		share := st.w.MisbehaviorShare(what)
-		return share > 0 && st.manners.Float64() < share
+// misbehave has clients misbehave on the share of requests that the active faults name.
+func (st *stage) misbehave(request *pendingRequest, out *outgoingRequest, i *instance) {
+	drawn := func(kind string) bool {
+		share := st.world.MisbehaviorShare(kind)
+		return share > 0 && st.behaviorRandom.Float64() < share
 	}
-	if some("gone") {
-		st.After(time.Duration(1+st.manners.Int64N(int64(goneWithin))), func() {
-			if !t.answered && st.Now() < t.Deadline {
-				t.answered, t.left = true, st.Now()
-				st.w.Checker.ClientDeparted(st.Now(), q.id)
-				t.cancel()
-				t.Requester.Complete(t.Request, model.Failed, 0)
-				st.After(forgetAfter, func() { delete(st.tries, t.ID) })
+	if drawn("gone") {
+		st.After(time.Duration(1+st.behaviorRandom.Int64N(int64(maxDepartureDelay))), func() {
+			if !request.completed && st.Now() < request.Deadline {
+				request.completed, request.departedAt = true, st.Now()
+				st.world.Checker.ClientDeparted(st.Now(), out.id)
+				request.cancel()
+				request.Requester.Complete(request.Request, model.Failed, 0)
+				st.After(retentionAfterAnswer, func() { delete(st.requests, request.ID) })
 			}
 		})
 	}
-	if some("dribble") && q.effect != string(decision.Safe) {
-		q.pieces, q.left = pieces, q.left.Add(-pieces*pieceEvery) // the time counts from the last byte
+	if drawn("dribble") && out.effect != string(decision.Safe) {
+		out.chunks, out.deadline = bodyChunks, out.deadline.Add(-bodyChunks*chunkInterval) // the deadline counts from the last byte
 	}
-	if some("twice") && i.alone() { // two processes know nothing of each other's ids
-		copied := *q
-		copied.pieces = 0
+	if drawn("twice") && i.hasOneProcess() { // two processes do not share their ids
+		copied := *out
+		copied.chunks = 0
 		st.After(time.Millisecond, func() {
-			st.work.Go(func() { copied.once(st.ctx, i.client) }) // turned away: what it is told is nobody's answer
+			st.goroutines.Go(func() { copied.sendOnce(st.ctx, i.client) }) // it is rejected, and its answer is dropped
 		})
 	}
-	if some("junk") {
-		st.work.Go(func() {
-			if err := st.junk(strings.TrimPrefix(i.url, "http://")); err != nil {
+	if drawn("junk") {
+		st.goroutines.Go(func() {
+			if err := st.sendMalformed(strings.TrimPrefix(i.url, "http://")); err != nil {
 				st.post(func() {
-					if i.process != nil && !t.excused.Load() && st.ctx.Err() == nil {
+					if i.process != nil && !request.processKilled.Load() && st.ctx.Err() == nil {
 						st.fail(err)
 					}
 				})
@@ -115,12 +124,12 @@
 	}
 }
 
-// alone tells whether an instance has one process.
-func (i *instance) alone() bool {
+// hasOneProcess reports whether exactly one process of the instance is alive.
+func (i *instance) hasOneProcess() bool {
 	n := 0
-	for _, p := range i.all {
+	for _, p := range i.processes {
 		select {
-		case <-p.Ended():
+		case <-p.Done():
 		default:
 			n++
 		}
@@ -128,137 +137,142 @@
 	return n == 1
 }
 
-// junk sends what is no request, and tells if that is neither answered nor its connection closed in time.
-func (st *stage) junk(address string) error {
-	ctx, stop := context.WithTimeout(st.ctx, junkFor)
+// sendMalformed sends a malformed request, and returns an error if it is neither answered nor its
+// connection closed in time.
+func (st *stage) sendMalformed(address string) error {
+	ctx, stop := context.WithTimeout(st.ctx, malformedTimeout)
 	defer stop()
-	c, err := st.ground.Dial(ctx, "tcp", address)
+	c, err := st.environment.Dial(ctx, "tcp", address)
 	if err != nil {
-		return nil // nobody is there
+		return nil // nothing listens there
 	}
 	defer c.Close()
 	release := context.AfterFunc(st.ctx, func() { c.Close() })
 	defer release()
-	c.SetDeadline(time.Now().Add(junkFor))
+	c.SetDeadline(time.Now().Add(malformedTimeout))
 	io.WriteString(c, "POST /lab HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n")
 	_, err = io.Copy(io.Discard, c)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return fmt.Errorf("what is no request was neither answered nor ended within %v", junkFor)
+		return fmt.Errorf("what is no request was neither answered nor ended within %v", malformedTimeout)
 	}
 	return nil
 }
 
-// slowBody comes in pieces.
-type slowBody struct {
-	ctx  context.Context
-	left int
+// chunkedBody is a body that is sent in chunks, at intervals.
+type chunkedBody struct {
+	ctx       context.Context
+	remaining int
 }
 
-func (b *slowBody) Read(p []byte) (int, error) {
-	if b.left == 0 {
+func (b *chunkedBody) Read(p []byte) (int, error) {
+	if b.remaining == 0 {
 		return 0, io.EOF
 	}
-	b.left--
+	b.remaining--
 	select {
-	case <-time.After(pieceEvery):
+	case <-time.After(chunkInterval):
 	case <-b.ctx.Done():
 		return 0, context.Cause(b.ctx)
 	}
-	n := min(len(p), pieceSize)
+	n := min(len(p), chunkSize)
 	clear(p[:n])
 	return n, nil
 }
 
-// answered is what became of a try.
-func (st *stage) answered(t *try, a answer) {
-	if t.answered {
+// completeRequest records the response to a request.
+func (st *stage) completeRequest(request *pendingRequest, r response) {
+	if request.completed {
 		return
 	}
-	t.answered = true
-	now, id := st.Now(), string(t.ID)
+	request.completed = true
+	now, id := st.Now(), string(request.ID)
 	switch {
-	case a.err == nil:
-		st.w.Checker.RequestAnswered(now, id, a.how)
-	case t.excused.Load():
-		st.w.Checker.ProcessKilled(now, id)
-	case errors.Is(a.err, syscall.ECONNREFUSED): // nobody has taken it
-		st.w.Checker.ProcessKilled(now, id)
-		a.how = model.Unreachable
-	case errors.Is(a.err, context.DeadlineExceeded):
-		st.w.Checker.ClientDeparted(now, id)
+	case r.err == nil:
+		st.world.Checker.RequestAnswered(now, id, r.outcome)
+	case request.processKilled.Load():
+		st.world.Checker.ProcessKilled(now, id)
+	case errors.Is(r.err, syscall.ECONNREFUSED): // no process has accepted it
+		st.world.Checker.ProcessKilled(now, id)
+		r.outcome = model.Unreachable
+	case errors.Is(r.err, context.DeadlineExceeded):
+		st.world.Checker.ClientDeparted(now, id)
 	default:
-		st.w.Checker.ConnectionLost(now, id, a.err)
+		st.world.Checker.ConnectionLost(now, id, r.err)
 	}
-	t.Requester.Complete(t.Request, a.how, a.retryAfter)
-	st.After(forgetAfter, func() { delete(st.tries, t.ID) })
+	request.Requester.Complete(request.Request, r.outcome, r.retryAfter)
+	st.After(retentionAfterAnswer, func() { delete(st.requests, request.ID) })
 }
 
-// Lapse is for a try that nobody waits for. At its deadline the answer may still come in time.
+// Abandon handles that the requester has given a request up. At its deadline the answer may still
+// arrive in time.
 func (st *stage) Abandon(m *model.Request) {
-	t := st.tries[m.ID]
-	if t == nil || t.Request != m || t.answered || st.Now() >= m.Deadline {
+	t := st.requests[m.ID]
+	if t == nil || t.Request != m || t.completed || st.Now() >= m.Deadline {
 		return
 	}
-	t.answered = true
-	st.w.Checker.ClientDeparted(st.Now(), string(m.ID))
+	t.completed = true
+	st.world.Checker.ClientDeparted(st.Now(), string(m.ID))
 	t.cancel()
-	st.After(forgetAfter, func() { delete(st.tries, m.ID) })
+	st.After(retentionAfterAnswer, func() { delete(st.requests, m.ID) })
 }
 
-// question is a request as it goes out.
-type question struct {
+// outgoingRequest is a request as it is sent to an instance.
+type outgoingRequest struct {
 	url, id, class, effect, team, key string
-	repeat                            bool
-	pieces                            int // that its body comes in; 0 for a short one at once
-	left                              time.Time
+	isRetry                           bool
+	// Chunks of its body; 0 for a short body at once.
+	chunks   int
+	deadline time.Time
 }
 
-// answer is what came of it.
-type answer struct {
-	how        string
+// response is the outcome of an outgoing request.
+type response struct {
+	outcome    string
 	retryAfter time.Duration
-	err        error // no answer came
+	// Set where no answer arrived.
+	err error
 }
 
-// ask sends it, and once more where the connection that it went out on was ended between two requests, and not because
-// its process was killed.
-func (q question) ask(ctx context.Context, client *http.Client, killed *atomic.Bool) answer {
+// send sends the request, and again if the close of an idle connection crossed it and its process
+// was not killed.
+func (q outgoingRequest) send(ctx context.Context, client *http.Client, killed *atomic.Bool) response {
 	for {
-		a, again := q.once(ctx, client)
-		if !again || killed.Load() {
-			return a
+		r, retry := q.sendOnce(ctx, client)
+		if !retry || killed.Load() {
+			return r
 		}
 	}
 }
 
-func (q question) once(ctx context.Context, client *http.Client) (_ answer, again bool) {
+// sendOnce sends the request and reports whether it may be sent again.
+func (q outgoingRequest) sendOnce(ctx context.Context, client *http.Client) (_ response, retry bool) {
 	method := http.MethodPost
 	if q.effect == string(decision.Safe) {
 		method = http.MethodGet
 	}
-	trace, used := watchReuse(ctx)
+	trace, used := traceReuse(ctx)
 	var body io.Reader
 	if method == http.MethodPost {
-		// One that net/http cannot send again by itself, as it would what carries a key.
+		// net/http cannot send this body again by itself, as it would that of a request with a key.
 		body = io.MultiReader(strings.NewReader("lab"))
 	}
 	r, err := http.NewRequestWithContext(trace, method, q.url+"/lab", body)
 	if err != nil {
-		return answer{how: model.Failed, err: err}, false
+		return response{outcome: model.Failed, err: err}, false
 	}
 	if body != nil {
 		r.ContentLength = int64(len("lab"))
 	}
-	if body != nil && q.pieces > 0 {
-		r.Body, r.ContentLength = io.NopCloser(&slowBody{ctx, q.pieces}), -1
+	if body != nil && q.chunks > 0 {
+		r.Body, r.ContentLength = io.NopCloser(&chunkedBody{ctx, q.chunks}), -1
 	}
 	r.Header.Set("X-Txn", q.id)
 	r.Header.Set("X-Lane", q.class)
-	r.Header.Set("X-Remaining", fmt.Sprintf("%du", max(time.Until(q.left).Microseconds(), 0)))
+	r.Header.Set("X-Remaining", fmt.Sprintf("%du", max(time.Until(q.deadline).Microseconds(), 0)))
 	if q.team != "" {
 		r.Header.Set("X-Org", q.team)
 	}
-	if q.repeat {
+	if q.isRetry {
 		r.Header.Set("X-Resent", "1")
 	}
 	if q.effect == string(decision.Keyed) {
@@ -267,20 +281,20 @@
 	res, err := client.Do(r)
 	if err != nil {
 		if ctx.Err() != nil {
-			return answer{how: model.Failed, err: ctx.Err()}, false
+			return response{outcome: model.Failed, err: ctx.Err()}, false
 		}
-		return answer{how: model.Failed, err: err}, used.crossed()
+		return response{outcome: model.Failed, err: err}, used.mayHaveRacedClose()
 	}
 	defer res.Body.Close()
 	if err := drain(res); err != nil {
-		return answer{how: model.Failed, err: err}, false
+		return response{outcome: model.Failed, err: err}, false
 	}
 	switch res.StatusCode {
 	case http.StatusOK:
-		return answer{how: model.Served}, false
+		return response{outcome: model.Served}, false
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		after, _ := time.ParseDuration(strings.TrimSpace(res.Header.Get("Retry-After")) + "s") // none is 0
-		return answer{how: model.Refused, retryAfter: after}, false
+		after, _ := time.ParseDuration(strings.TrimSpace(res.Header.Get("Retry-After")) + "s") // 0 where there is none
+		return response{outcome: model.Refused, retryAfter: after}, false
 	}
-	return answer{how: model.Failed}, false
+	return response{outcome: model.Failed}, false
 }
--- a/internal/lab/real/site.go
+++ b/internal/lab/real/site.go
@@ -10,50 +10,52 @@
 	"path/filepath"
 )
 
-// Site is a small installation on loopback: stand-in servers, discovery, a socket that callers connect to, and
-// processes of the broker that share it.
+// Site is a small installation on loopback: stand-in servers, their discovery, a listening socket,
+// and processes of the broker that share it.
 type Site struct {
-	URL     string
-	Servers []*Server
-	Places  *Discovery
-	Brokers []*Process
-	dir     string
-	file    string // the platform's
-	socket  *os.File
+	URL       string
+	Servers   []*Server
+	Discovery *Discovery
+	Brokers   []*Process
+	dir       string
+	file      string // the platform's
+	socket    *os.File
 }
 
-// Limits are what a process of the broker is told that it has; half of it is kept for a successor.
+// Limits are the resources that a process of the broker is configured with; half of them is kept
+// for a successor.
 type Limits struct {
 	Cores    int `json:"cores"`
 	MemoryMB int `json:"memory_mb"`
 	Sockets  int `json:"sockets"`
 }
 
-// SetUp starts discovery for servers that there are, and makes the callers' socket. The site owns the servers.
-func SetUp(servers []*Server, settings string, limits Limits) (_ *Site, err error) {
+// NewSite starts a discovery for servers and creates the listening socket. The site owns the
+// servers.
+func NewSite(servers []*Server, settings string, limits Limits) (_ *Site, err error) {
 	st := &Site{Servers: servers}
 	defer func() {
 		if err != nil {
-			err = errors.Join(err, st.TearDown())
+			err = errors.Join(err, st.Close())
 		}
 	}()
 	if st.dir, err = os.MkdirTemp("", "dykering-lab-"); err != nil {
 		return nil, err
 	}
-	if st.Places, err = StartDiscovery(st.Servers); err != nil {
+	if st.Discovery, err = StartDiscovery(st.Servers); err != nil {
 		return nil, err
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	defer l.Close() // the descriptor below stays
+	defer l.Close() // the duplicated descriptor stays open
 	st.URL = "http://" + l.Addr().String()
 	if st.socket, err = l.(*net.TCPListener).File(); err != nil {
 		return nil, err
 	}
 	text, err := json.Marshal(map[string]any{
-		"name": "lab", "listen": l.Addr().String(), "discovery": st.Places.Address,
+		"name": "lab", "listen": l.Addr().String(), "discovery": st.Discovery.Address,
 		"seed": "a1", "limits": limits, "settings": json.RawMessage(settings),
 	})
 	if err != nil {
@@ -63,10 +65,10 @@
 	return st, os.WriteFile(st.file, text, 0o600)
 }
 
-// Dir is a folder that ends with the site.
+// Dir is a directory that is removed with the site.
 func (st *Site) Dir() string { return st.dir }
 
-// StartBroker starts a process on the callers' socket, and waits until it can serve.
+// StartBroker starts a process on the listening socket and waits until it can serve.
 func (st *Site) StartBroker(ctx context.Context, command []string, env ...string) (*Process, error) {
 	p, err := Launch{
 		Command: command, File: st.file, Socket: st.socket, Dir: st.dir, Env: env,
@@ -79,13 +81,13 @@
 	return p, p.Ready(ctx)
 }
 
-// TearDown ends all that was started.
-func (st *Site) TearDown() error {
+// Close stops everything that was started.
+func (st *Site) Close() error {
 	for _, b := range st.Brokers {
-		b.End()
+		b.Stop()
 	}
-	if st.Places != nil {
-		st.Places.Close()
+	if st.Discovery != nil {
+		st.Discovery.Close()
 	}
 	for _, s := range st.Servers {
 		s.Kill()
--- a/internal/lab/real/standin.go
+++ b/internal/lab/real/standin.go
@@ -1,5 +1,3 @@
-// Package real plays the laboratory's world on real sockets: stand-in servers and a stand-in discovery on loopback,
-// that speak the platform's protocol, round a broker that is a process of its own.
 package real
 
 import (
@@ -17,39 +15,43 @@
 )
 
 const (
-	// heartbeat is how often a watch that has nothing to tell says so.
-	heartbeat = time.Second
-	// mostChanges is how many changes are kept; who has missed more gets the whole list.
-	mostChanges = 1024
+	// heartbeatInterval is how often a watch without changes sends an empty line.
+	heartbeatInterval = time.Second
+	// maxChanges is the number of changes retained; a watch that has missed more receives the full
+	// list.
+	maxChanges = 1024
 )
 
-// Server is a stand-in server: so many cores that work on one call each for a time, and the rest wait.
+// Server is a stand-in server: a number of cores that work on one call each for the service time;
+// further calls wait.
 type Server struct {
-	UID   string
-	took  time.Duration
-	cores chan struct{}
-	Ran   atomic.Int64 // calls that it has worked on
+	UID         string
+	serviceTime time.Duration
+	cores       chan struct{}
+	// Calls it has worked on.
+	Executions atomic.Int64
 
 	mu      sync.Mutex
 	address string
 	http    *http.Server
-	held    chan struct{} // nil, or closed when it answers again
+	// Nil, or closed when it answers again.
+	paused chan struct{}
 }
 
-// StartServer starts one on loopback.
+// StartServer starts a stand-in server on loopback.
 func StartServer(uid string, cores int, took time.Duration) (*Server, error) {
-	s := &Server{UID: uid, took: took, cores: make(chan struct{}, cores), address: loopback.Address()}
+	s := &Server{UID: uid, serviceTime: took, cores: make(chan struct{}, cores), address: loopback.Address()}
 	return s, s.Start()
 }
 
-// Address is where it listens, or did.
+// Address is where it listens, or listened last.
 func (s *Server) Address() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.address
 }
 
-// Start has it listen, at the address that it had.
+// Start has it listen, at the address it had before.
 func (s *Server) Start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,47 +64,47 @@
 	return nil
 }
 
-// Kill ends it as a crash does: what it works on is reset.
+// Kill ends it as a crash does: open calls are reset.
 func (s *Server) Kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.http.Close()
 }
 
-// Hold has it answer nothing, until it is told to go on.
-func (s *Server) Hold(on bool) {
+// Pause stops or resumes all of its answers.
+func (s *Server) Pause(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.held != nil {
-		close(s.held)
-		s.held = nil
+	if s.paused != nil {
+		close(s.paused)
+		s.paused = nil
 	}
 	if on {
-		s.held = make(chan struct{})
+		s.paused = make(chan struct{})
 	}
 }
 
 // ServeHTTP works on a call.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	_, _ = io.Copy(io.Discard, r.Body) // what has come of a call that breaks off is worked on all the same
+	_, _ = io.Copy(io.Discard, r.Body) // a call that is cut off is worked on all the same
 	select {
 	case s.cores <- struct{}{}:
 		defer func() { <-s.cores }()
 	case <-r.Context().Done():
-		return // nobody waits for it
+		return // the caller has departed
 	}
-	s.Ran.Add(1)
+	s.Executions.Add(1)
 	select {
-	case <-time.After(s.took):
+	case <-time.After(s.serviceTime):
 	case <-r.Context().Done():
 		return
 	}
 	s.mu.Lock()
-	held := s.held
+	paused := s.paused
 	s.mu.Unlock()
-	if held != nil {
+	if paused != nil {
 		select {
-		case <-held:
+		case <-paused:
 		case <-r.Context().Done():
 			return
 		}
@@ -110,149 +112,157 @@
 	io.WriteString(w, "done by "+s.UID+"\n")
 }
 
-// Discovery is a stand-in discovery.
+// Discovery is a stand-in for the platform's discovery.
 type Discovery struct {
 	Address string
 	http    *http.Server
 
 	mu      sync.Mutex
-	rev     uint64
+	version uint64
 	targets map[string]core.Target
-	changed chan struct{} // closed when there is a further version
-	log     []core.Target // what changed with the last versions
-	broken  chan struct{} // closed when the watches that there are break off
-	held    chan struct{} // nil, or closed when it answers again
-	odd     core.List     // what was last said out of turn
-	oddly   chan struct{} // closed when there is more of that
+	// Closed when there is a further version.
+	changed chan struct{}
+	// The changes of the last versions.
+	changes []core.Target
+	// Closed when the present watches break.
+	watchesEnd chan struct{}
+	// Nil, or closed when it answers again.
+	paused chan struct{}
+	// The list that was sent last out of order.
+	outOfOrder core.List
+	// Closed when another one is sent.
+	outOfOrderSent chan struct{}
 }
 
-// StartDiscovery starts one that knows servers.
+// StartDiscovery starts a discovery of servers.
 func StartDiscovery(servers []*Server) (*Discovery, error) {
 	l, err := loopback.Listen()
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	return discoveryAt(l, servers), nil
+	return serveDiscovery(l, servers), nil
 }
 
-// discoveryAt is one that answers at a listener.
-func discoveryAt(l net.Listener, servers []*Server) *Discovery {
+// serveDiscovery starts a discovery on a listener.
+func serveDiscovery(l net.Listener, servers []*Server) *Discovery {
 	d := &Discovery{
 		Address: l.Addr().String(), targets: map[string]core.Target{}, changed: make(chan struct{}),
-		broken: make(chan struct{}), oddly: make(chan struct{}),
+		watchesEnd: make(chan struct{}), outOfOrderSent: make(chan struct{}),
 	}
 	for _, s := range servers {
-		d.Tell(s, "Ready", 0)
+		d.Announce(s, "Ready", 0)
 	}
-	d.http = &http.Server{Handler: d, ReadHeaderTimeout: 5 * time.Second, ErrorLog: quiet}
+	d.http = &http.Server{Handler: d, ReadHeaderTimeout: 5 * time.Second, ErrorLog: discardLog}
 	go d.http.Serve(l) // ends with Close
 	return d
 }
 
-// Close ends it.
+// Close stops it.
 func (d *Discovery) Close() { d.http.Close() }
 
-// Tell tells all that a server is Ready, Terminating or Gone; booted is its start in Unix milliseconds, 0 for long past.
-func (d *Discovery) Tell(s *Server, state string, booted int64) {
-	d.TellTarget(core.Target{
+// Announce announces a server as Ready, Terminating or Gone. Booted is its start in Unix
+// milliseconds, 0 for long ago.
+func (d *Discovery) Announce(s *Server, state string, booted int64) {
+	d.AnnounceTarget(core.Target{
 		UID: s.UID, Address: s.Address(), Zone: "hall", Model: "stand-in", State: state, Weight: 1,
 		BootMS: booted,
 	})
 }
 
-// TellTarget tells all of a line of the list.
-func (d *Discovery) TellTarget(t core.Target) {
+// AnnounceTarget announces one entry of the list.
+func (d *Discovery) AnnounceTarget(t core.Target) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.targets[t.UID] = t; t.State == "Gone" {
 		delete(d.targets, t.UID)
 	}
-	d.rev++
-	if len(d.log) == mostChanges {
-		d.log = d.log[:copy(d.log, d.log[1:])]
+	d.version++
+	if len(d.changes) == maxChanges {
+		d.changes = d.changes[:copy(d.changes, d.changes[1:])]
 	}
-	d.log = append(d.log, t)
+	d.changes = append(d.changes, t)
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// BreakOff ends all watches, and answers nobody until Resume.
-func (d *Discovery) BreakOff() {
+// BreakWatches breaks all watches and answers no request until Resume.
+func (d *Discovery) BreakWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	close(d.broken)
-	d.broken = make(chan struct{})
-	if d.held == nil {
-		d.held = make(chan struct{})
+	close(d.watchesEnd)
+	d.watchesEnd = make(chan struct{})
+	if d.paused == nil {
+		d.paused = make(chan struct{})
 	}
 }
 
-// Resume answers again.
+// Resume answers requests again.
 func (d *Discovery) Resume() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.held != nil {
-		close(d.held)
-		d.held = nil
+	if d.paused != nil {
+		close(d.paused)
+		d.paused = nil
 	}
 }
 
-// Repeat says the whole list once more on all watches: as it is, or, where stale, with an older version and without
-// what has changed last.
+// Repeat sends the full list once more on all watches: as it is or, if stale, with an older version
+// and without the last change.
 func (d *Discovery) Repeat(stale bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.odd = core.List{Rev: d.rev, Full: true}
-	if stale && d.rev > 1 {
-		d.odd.Rev--
+	d.outOfOrder = core.List{Rev: d.version, Full: true}
+	if stale && d.version > 1 {
+		d.outOfOrder.Rev--
 	}
 	for _, t := range d.targets {
-		if !stale || len(d.log) == 0 || t.UID != d.log[len(d.log)-1].UID {
-			d.odd.Targets = append(d.odd.Targets, t)
+		if !stale || len(d.changes) == 0 || t.UID != d.changes[len(d.changes)-1].UID {
+			d.outOfOrder.Targets = append(d.outOfOrder.Targets, t)
 		}
 	}
-	close(d.oddly)
-	d.oddly = make(chan struct{})
+	close(d.outOfOrderSent)
+	d.outOfOrderSent = make(chan struct{})
 }
 
-// outOfTurn is what was last said so, and what tells of more.
-func (d *Discovery) outOfTurn() (core.List, <-chan struct{}) {
+// lastOutOfOrder returns the list that was sent last out of order, and a channel that is closed by
+// the next one.
+func (d *Discovery) lastOutOfOrder() (core.List, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.odd, d.oddly
+	return d.outOfOrder, d.outOfOrderSent
 }
 
-// copyTo has another one know what this one does.
+// copyTo announces all entries at another discovery.
 func (d *Discovery) copyTo(other *Discovery) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, t := range d.targets {
-		other.TellTarget(t)
+		other.AnnounceTarget(t)
 	}
 }
 
-// mayAnswer waits until it answers, and is what ends a watch.
-func (d *Discovery) mayAnswer(gone <-chan struct{}) (broken <-chan struct{}) {
+// waitWhilePaused waits until requests are answered, and returns the channel that ends a watch.
+func (d *Discovery) waitWhilePaused(departed <-chan struct{}) (broken <-chan struct{}) {
 	d.mu.Lock()
-	broken, held := d.broken, d.held
+	broken, paused := d.watchesEnd, d.paused
 	d.mu.Unlock()
-	if held != nil {
+	if paused != nil {
 		select {
-		case <-held:
-		case <-gone:
+		case <-paused:
+		case <-departed:
 		}
 	}
 	return broken
 }
 
-// list is the whole list, or what has changed since a version.
+// list is the full list, or the changes since a version.
 func (d *Discovery) list(since *uint64) (l core.List, changed <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	kept := d.rev - uint64(len(d.log)) // the version that the changes that are kept follow on
-	l = core.List{Rev: d.rev, Full: since == nil || *since > d.rev || *since < kept}
+	kept := d.version - uint64(len(d.changes)) // the version before the first retained change
+	l = core.List{Rev: d.version, Full: since == nil || *since > d.version || *since < kept}
 	if !l.Full {
-		l.Targets = append(l.Targets, d.log[*since-kept:]...)
+		l.Targets = append(l.Targets, d.changes[*since-kept:]...)
 		return l, d.changed
 	}
 	for _, t := range d.targets {
@@ -272,16 +282,16 @@
 		}
 		since = &n
 	}
-	broken := d.mayAnswer(r.Context().Done())
+	watchesEnd := d.waitWhilePaused(r.Context().Done())
 	out := json.NewEncoder(w)
-	_, oddly := d.outOfTurn()
+	_, outOfOrder := d.lastOutOfOrder()
 	l, changed := d.list(since)
 	if r.URL.Query().Get("follow") != "1" {
-		_ = out.Encode(l) // who has gone does not miss it
+		_ = out.Encode(l) // the client may have departed
 		return
 	}
-	beat := time.NewTicker(heartbeat)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
 	for first := true; ; first = false {
 		if first && since == nil || len(l.Targets) > 0 {
 			if out.Encode(l) != nil {
@@ -295,16 +305,16 @@
 		select {
 		case <-changed:
 			l, changed = d.list(&rev)
-		case <-beat.C:
+		case <-heartbeat.C:
 			l.Targets = nil
-		case <-oddly:
-			var odd core.List
-			if odd, oddly = d.outOfTurn(); out.Encode(odd) != nil {
+		case <-outOfOrder:
+			var list core.List
+			if list, outOfOrder = d.lastOutOfOrder(); out.Encode(list) != nil {
 				return
 			}
 			l.Targets = nil
-		case <-broken:
-			panic(http.ErrAbortHandler) // its connection ends in the middle
+		case <-watchesEnd:
+			panic(http.ErrAbortHandler) // breaks the connection within the answer
 		case <-r.Context().Done():
 			return
 		}
