--- /dev/null
+++ b/internal/operator/example.go
@@ -0,0 +1,44 @@
+package operator
+
+import (
+	"fmt"
+	"strings"
+
+	"dykering/internal/tomlconfig"
+)
+
+const exampleHeader = `# Every key with its default. Times and sizes have units (250ms, 16MiB); a value may be taken from the
+# environment, as "${NAME}". SIGHUP has the file read again.
+
+version = %d
+`
+
+// commentedOut precedes the keys of arrays of tables, which are empty by default.
+const commentedOut = "# "
+
+// Example returns a file that has every key with its documentation, its bounds and its default.
+func Example() string {
+	var example strings.Builder
+	fmt.Fprintf(&example, exampleHeader, Version)
+	for _, s := range sections {
+		s.writeExample(&example)
+	}
+	return example.String()
+}
+
+func (s section) writeExample(example *strings.Builder) {
+	fmt.Fprintf(example, "\n# %s\n[%s]\n", s.doc, s.name)
+	lastArray := ""
+	for _, key := range tomlconfig.Keys(s.defaults()) {
+		prefix, name := "", key.Name
+		if array, inner, isInArray := strings.Cut(key.Name, "[]."); isInArray {
+			prefix, name = commentedOut, inner
+			if array != lastArray {
+				lastArray = array
+				fmt.Fprintf(example, "%s[[%s.%s]]\n", commentedOut, s.name, array)
+			}
+		}
+		fmt.Fprintf(example, "# %s%s\n", key.Field.Tag.Get("doc"), tomlconfig.DescribeBounds(key.Field))
+		fmt.Fprintf(example, "%s%s = %s\n", prefix, name, tomlconfig.Format(key.Value))
+	}
+}
