--- /dev/null
+++ b/internal/config/check.go
@@ -0,0 +1,49 @@
+package config
+
+import (
+	"fmt"
+	"net"
+
+	"dykering/internal/validation"
+)
+
+// validationErrors collects what is wrong with the values of a file.
+type validationErrors struct {
+	path      string
+	positions keyPositions
+	all       []validation.Error
+}
+
+func (e *validationErrors) add(key, text string) {
+	e.all = append(e.all, validation.Error{File: e.path, Line: e.positions.lines[key], Key: key, Text: text})
+}
+
+// check reports the values that a process cannot run with.
+func (c *Config) check(errs *validationErrors) {
+	checkAddress("listen", c.Listen, errs)
+	if c.Control != "" {
+		checkAddress("control", c.Control, errs)
+	}
+	checkAddress("discovery", c.Discovery, errs)
+	if c.Name == "" {
+		errs.add("name", "missing")
+	}
+	if c.Limits.Cores <= 0 {
+		errs.add("limits.cores", fmt.Sprintf("%v is not above 0", c.Limits.Cores))
+	}
+	if c.Plan().MemoryMB <= 0 {
+		errs.add("limits.memory_mb", fmt.Sprintf("%v leaves a process nothing", c.Limits.MemoryMB))
+	}
+	if c.Plan().Sockets < LeastSockets {
+		errs.add("limits.sockets", fmt.Sprintf("%v leaves a process less than %d", c.Limits.Sockets, LeastSockets))
+	}
+	if c.Settings.Classes != nil && c.Settings.ConnectTimeout <= 0 {
+		errs.add("settings.allowed.connectTimeout", "not above 0")
+	}
+}
+
+func checkAddress(key, address string, errs *validationErrors) {
+	if _, _, err := net.SplitHostPort(address); err != nil {
+		errs.add(key, fmt.Sprintf("%q is not host:port", address))
+	}
+}
--- a/internal/config/compatibility_test.go
+++ b/internal/config/compatibility_test.go
@@ -11,8 +11,8 @@
 	"dykering/internal/core"
 )
 
-// platformFile is what the platform writes, with each of its keys.
-const platformFile = `{
+// platformFileText is what the platform writes, with each of its keys.
+const platformFileText = `{
 "name": "b1",
 "listen": "127.0.0.1:1001",
 "control": "127.0.0.1:1002",
@@ -26,7 +26,7 @@
 func loadPlatformFile(t *testing.T, environment map[string]string) *Config {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "platform.json")
-	if err := os.WriteFile(path, []byte(platformFile), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(platformFileText), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	c, err := Load(func(name string) string {
