--- a/internal/control/control_test.go
+++ b/internal/control/server_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// patience bounds what a test waits for; it only passes when something is wrong.
-const patience = 20 * time.Second
+// testTimeout bounds what a test waits for; it only passes when something is wrong.
+const testTimeout = 20 * time.Second
 
 // sidecar counts what is asked of it.
 type sidecar struct {
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c
 }
 
@@ -76,7 +76,7 @@
 	return res.StatusCode
 }
 
-func TestCalls(t *testing.T) {
+func TestCallIsAnsweredByItsPathAndMethod(t *testing.T) {
 	s, address := start(t)
 	for _, c := range []struct {
 		first string
@@ -108,16 +108,16 @@
 	}
 }
 
-// What cannot be read, is too long or does not come whole gets 400 or more, and does nothing.
-func TestMalformedCallsDoNothing(t *testing.T) {
+// A call that is malformed, too long or incomplete is answered with 400 or more, and changes nothing.
+func TestMalformedCallIsRejectedAndChangesNothing(t *testing.T) {
 	s, address := start(t)
 	head := "POST /-/drain HTTP/1.1\r\nHost: h\r\n"
 	for name, text := range map[string]string{
 		"no request":   "\x00\x01\x02\r\n\r\n",
 		"no colon":     head + "nonsense\r\n\r\n",
 		"no host":      "POST /-/drain HTTP/1.1\r\n\r\n",
-		"long head":    head + "X-Pad: " + strings.Repeat("x", 4*maxHead) + "\r\n\r\n",
-		"long body":    head + fmt.Sprintf("Content-Length: %d\r\n\r\n", maxBody+1) + strings.Repeat("x", maxBody+1),
+		"long head":    head + "X-Pad: " + strings.Repeat("x", 4*maxHeadBytes) + "\r\n\r\n",
+		"long body":    head + fmt.Sprintf("Content-Length: %d\r\n\r\n", maxBodyBytes+1) + strings.Repeat("x", maxBodyBytes+1),
 		"broken chunk": head + "Transfer-Encoding: chunked\r\n\r\nzz\r\n",
 	} {
 		if got := call(t, address, text); got < 400 || got > 499 {
@@ -135,8 +135,8 @@
 	}
 }
 
-// However many say nothing or half a call, the next one is answered, and connections stay within their bound.
-func TestSilentCallersAreInNobodysWay(t *testing.T) {
+// However many clients send nothing or half a call, the next call is answered, and connections stay within the bound.
+func TestSilentClientsTakeNoRoomFromTheNextCall(t *testing.T) {
 	s, address := start(t)
 	s.able.Store(true)
 	var silent []net.Conn
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -103,15 +103,15 @@
 	}
 }
 
-// Part returns what the control address serves of the fleet: the view, the facts ("state") or the budgets; nil for what is
+// Answer returns what the control address serves of the fleet: the view, the facts ("state") or the budgets; nil for what is
 // off.
-func (f *fleet) Part(name string) any {
+func (f *fleet) Answer(path string) any {
 	switch {
-	case name == "":
+	case path == "":
 		return newViewAnswer(f.gossip)
-	case name == "state" && f.replica != nil:
+	case path == "state" && f.replica != nil:
 		return newFactsAnswer(f.section.ID, f.replica)
-	case name == "budgets" && f.budgets != nil:
+	case path == "budgets" && f.budgets != nil:
 		return f.budgets.State()
 	}
 	return nil
