--- a/internal/listen/listen.go
+++ b/internal/listen/listen.go
@@ -1,4 +1,7 @@
-// Package listen makes the socket that callers connect to, or takes over one that the platform holds.
+// Package listen opens the socket that clients connect to, or takes over one that the platform holds.
+//
+// The platform may pass a listening socket as a descriptor, so that the versions of a program before and after an upgrade
+// accept on the same socket. The package owns no connection; package sidecar calls it once at the start.
 package listen
 
 import (
@@ -10,44 +13,45 @@
 	"syscall"
 )
 
-var errNotListening = errors.New("not a listening TCP socket")
+// ErrNotListening is the fault of a descriptor that is no listening TCP socket.
+var ErrNotListening = errors.New("not a listening TCP socket")
 
-// Open makes the socket at an address, or takes the one that the platform holds as a descriptor.
-func Open(address string, accept *int) (net.Listener, error) {
-	if accept != nil {
-		l, err := inherit(*accept)
+// Open listens at an address, or on the inherited descriptor where there is one.
+func Open(address string, inherited *int) (net.Listener, error) {
+	if inherited != nil {
+		listener, err := inherit(*inherited)
 		if err != nil {
-			return nil, fmt.Errorf("BALANCER_ACCEPT_FD: descriptor %d: %w", *accept, err)
+			return nil, fmt.Errorf("BALANCER_ACCEPT_FD: descriptor %d: %w", *inherited, err)
 		}
-		return l, nil
+		return listener, nil
 	}
-	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp", address)
+	var config net.ListenConfig
+	listener, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	return l, nil
+	return listener, nil
 }
 
-// inherit takes over a listening socket that other processes share. What it returns is a copy: to close it ends
-// this process's accepting, and leaves the socket and what waits in its backlog to the others.
+// inherit listens on a socket that other processes share. The listener is a copy: closing it ends this process's
+// accepting, and leaves the socket and its backlog to the others.
 func inherit(fd int) (net.Listener, error) {
-	// Asked before anything is made of the number: it may be anybody's descriptor.
-	listening, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
+	// Checked before a file is made of the number, which would close a descriptor that is in other use.
+	isListening, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", errNotListening, err)
+		return nil, fmt.Errorf("%w: %w", ErrNotListening, err)
 	}
-	if listening == 0 {
-		return nil, errNotListening
+	if isListening == 0 {
+		return nil, ErrNotListening
 	}
 	file := os.NewFile(uintptr(fd), "inherited socket")
 	defer file.Close()
-	l, err := net.FileListener(file)
+	listener, err := net.FileListener(file)
 	if err != nil {
 		return nil, err
 	}
-	if _, ok := l.(*net.TCPListener); !ok {
-		l.Close()
-		return nil, errNotListening
+	if _, ok := listener.(*net.TCPListener); !ok {
+		return nil, errors.Join(ErrNotListening, listener.Close())
 	}
-	return l, nil
+	return listener, nil
 }
