--- a/cmd/dykering/discovery_down_test.go
+++ b/cmd/dykering/discovery_down_test.go
@@ -131,7 +131,7 @@
 // loopbackServer serves at an address until the test ends, and returns that.
 func loopbackServer(t *testing.T, address string, serve http.HandlerFunc) string {
 	t.Helper()
-	l, err := loopback.ListenAgain(address)
+	l, err := loopback.Relisten(address)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/emulation/environment.go
+++ b/internal/lab/emulation/environment.go
@@ -149,7 +149,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.Deaf(true)
+	s.SetBacklogFull(true)
 	return func() { s.Close() }, nil
 }
 
@@ -159,10 +159,10 @@
 
 func (g *environment) SetPartition(cut func(a, b string) bool) {
 	if cut == nil {
-		g.net.Cut(nil)
+		g.net.SetPartition(nil)
 		return
 	}
-	g.net.Cut(func(from, to *netem.Machine) bool { return cut(from.Name, to.Name) })
+	g.net.SetPartition(func(from, to *netem.Machine) bool { return cut(from.Name, to.Name) })
 }
 
 func (g *environment) NewSlot(name string, zone int) (real.Slot, error) {
--- a/internal/lab/emulation/slot.go
+++ b/internal/lab/emulation/slot.go
@@ -111,7 +111,7 @@
 	case <-b.process.Dead():
 	default:
 		time.Sleep(releaseTimeout)
-		if bytes, conns := b.server.BufferedBytes(), b.process.Holds(); bytes != 0 || conns > 0 {
+		if bytes, conns := b.server.BufferedBytes(), b.process.OpenConnections(); bytes != 0 || conns > 0 {
 			s.environment.mu.Lock()
 			s.environment.leaks = append(s.environment.leaks, fmt.Errorf("%s ended and held %d bytes of bodies, %d connections", b.name, bytes, conns))
 			s.environment.mu.Unlock()
--- a/internal/lab/faultnet/relay.go
+++ b/internal/lab/faultnet/relay.go
@@ -1,7 +1,3 @@
-// Package faultnet puts faults between the brokers' gossip: a relay on loopback that all of their packets and
-// streams go through (package gossip, `relay` in [fleet]), and that drops links one way or both, drops a share of
-// packets, delays them, and cuts the fleet into sets; and a keeper of processes that stalls, kills and starts them
-// again. Tests and the laboratory drive both by a schedule.
 package faultnet
 
 import (
@@ -18,11 +14,12 @@
 )
 
 const (
-	// mostDelayed bounds the packets that wait for their delay; further ones are dropped, as a full queue would.
-	mostDelayed = 16384
-	// mostStreams bounds the streams relayed at a time.
-	mostStreams = 1024
-	// dialTimeout bounds the relay's connection to a stream's far end.
+	// maxDelayedPackets limits the packets that wait for their delay; further ones are dropped, as by
+	// a full queue.
+	maxDelayedPackets = 16384
+	// maxStreams limits the streams relayed at a time.
+	maxStreams = 1024
+	// dialTimeout limits the relay's connection to the far end of a stream.
 	dialTimeout = 2 * time.Second
 )
 
@@ -33,32 +30,35 @@
 	Tail                  float64
 }
 
-// rules are the faults in force.
-type rules struct {
-	down  map[[2]string]bool // from, to
+// faultState holds the active faults.
+type faultState struct {
+	// Links that are down, by sender and receiver.
+	down  map[[2]string]bool
 	loss  float64
 	delay Delay
-	set   map[string]int // of each address, where the fleet is cut; 0 for none
+	// The set of each address during a cut; 0 for none.
+	partition map[string]int
 }
 
-// Counts are what the relay did.
+// Counts are the relay's counters.
 type Counts struct {
 	Passed, Dropped, Delayed, Streams, Refused, Bad atomic.Uint64
 }
 
 // Relay forwards gossip between members, with faults. Addresses are the members' gossip addresses.
 type Relay struct {
-	udp     *net.UDPConn
-	tcp     net.Listener
-	mu      sync.Mutex
-	rules   rules
-	rng     *rand.Rand
-	delayed atomic.Int64
-	streams atomic.Int64
-	counts  Counts
-	wg      sync.WaitGroup
-	closed  atomic.Bool
-	done    chan struct{} // closed with the relay
+	udp        *net.UDPConn
+	tcp        net.Listener
+	mu         sync.Mutex
+	faults     faultState
+	random     *rand.Rand
+	delayed    atomic.Int64
+	streams    atomic.Int64
+	counts     Counts
+	goroutines sync.WaitGroup
+	closed     atomic.Bool
+	// Closed with the relay.
+	done chan struct{}
 }
 
 // New starts a relay on a loopback port of its own, for UDP and TCP alike.
@@ -67,29 +67,29 @@
 	if err != nil {
 		return nil, err
 	}
-	place := tcp.Addr().(*net.TCPAddr)
-	udp, err := net.ListenUDP("udp4", &net.UDPAddr{IP: place.IP, Port: place.Port})
+	address := tcp.Addr().(*net.TCPAddr)
+	udp, err := net.ListenUDP("udp4", &net.UDPAddr{IP: address.IP, Port: address.Port})
 	if err != nil {
 		tcp.Close()
 		return nil, err
 	}
 	r := &Relay{
-		udp: udp, tcp: tcp, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
-		rules: rules{down: map[[2]string]bool{}, set: map[string]int{}}, done: make(chan struct{}),
+		udp: udp, tcp: tcp, random: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
+		faults: faultState{down: map[[2]string]bool{}, partition: map[string]int{}}, done: make(chan struct{}),
 	}
-	r.wg.Add(2)
-	go r.packets()
-	go r.accept()
+	r.goroutines.Add(2)
+	go r.relayPackets()
+	go r.acceptStreams()
 	return r, nil
 }
 
-// Addr is where members send: `relay` in their [fleet].
+// Addr is the address members send to: `relay` in their [fleet].
 func (r *Relay) Addr() string { return r.tcp.Addr().String() }
 
-// Counts are what it did.
+// Counts returns the relay's counters.
 func (r *Relay) Counts() *Counts { return &r.counts }
 
-// Close ends the relay and what it relays.
+// Close ends the relay and the streams it relays.
 func (r *Relay) Close() error {
 	if r.closed.Swap(true) {
 		return nil
@@ -97,17 +97,17 @@
 	close(r.done)
 	err := r.udp.Close()
 	r.tcp.Close()
-	r.wg.Wait()
+	r.goroutines.Wait()
 	return err
 }
 
-// Down drops the link from one member to another, and back too if both.
+// Down drops the link from one member to another, and back too if both is set.
 func (r *Relay) Down(from, to string, both bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rules.down[[2]string{from, to}] = true
+	r.faults.down[[2]string{from, to}] = true
 	if both {
-		r.rules.down[[2]string{to, from}] = true
+		r.faults.down[[2]string{to, from}] = true
 	}
 }
 
@@ -115,24 +115,24 @@
 func (r *Relay) Loss(share float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rules.loss = share
+	r.faults.loss = share
 }
 
 // Slow delays all packets and the start of all streams.
 func (r *Relay) Slow(d Delay) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rules.delay = d
+	r.faults.delay = d
 }
 
-// Cut divides the fleet into sets: nothing passes between two of them. Members in no set reach all.
+// Cut partitions the fleet into sets, between which nothing passes. Members of no set reach all.
 func (r *Relay) Cut(sets ...[]string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	clear(r.rules.set)
+	clear(r.faults.partition)
 	for i, set := range sets {
 		for _, addr := range set {
-			r.rules.set[addr] = i + 1
+			r.faults.partition[addr] = i + 1
 		}
 	}
 }
@@ -141,31 +141,32 @@
 func (r *Relay) Heal() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rules = rules{down: map[[2]string]bool{}, set: map[string]int{}}
+	r.faults = faultState{down: map[[2]string]bool{}, partition: map[string]int{}}
 }
 
-// fate decides what becomes of what one member sends another: whether it passes, and after how long.
-func (r *Relay) fate(from, to string) (pass bool, wait time.Duration) {
+// decide draws whether what one member sends to another passes, and after how long.
+func (r *Relay) decide(from, to string) (pass bool, wait time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a, b := r.rules.set[from], r.rules.set[to]
-	if r.rules.down[[2]string{from, to}] || a != 0 && b != 0 && a != b || r.rng.Float64() < r.rules.loss {
+	a, b := r.faults.partition[from], r.faults.partition[to]
+	if r.faults.down[[2]string{from, to}] || a != 0 && b != 0 && a != b || r.random.Float64() < r.faults.loss {
 		return false, 0
 	}
-	d := r.rules.delay
+	d := r.faults.delay
 	wait = d.Fixed
 	if d.Jitter > 0 {
-		wait += time.Duration(r.rng.Int64N(int64(d.Jitter)))
+		wait += time.Duration(r.random.Int64N(int64(d.Jitter)))
 	}
-	if d.Tail > 0 && r.rng.Float64() < d.Tail {
+	if d.Tail > 0 && r.random.Float64() < d.Tail {
 		wait += d.TailBy
 	}
 	return true, wait
 }
 
-// packets relays datagrams: from a member, they begin with whom they are for; to a member, with whom from.
-func (r *Relay) packets() {
-	defer r.wg.Done()
+// relayPackets relays datagrams. From a member they begin with the receiver, to a member with the
+// sender.
+func (r *Relay) relayPackets() {
+	defer r.goroutines.Done()
 	buf := make([]byte, 65536)
 	for {
 		n, src, err := r.udp.ReadFromUDP(buf)
@@ -182,7 +183,7 @@
 			continue
 		}
 		from := src.String()
-		pass, wait := r.fate(from, to)
+		pass, wait := r.decide(from, to)
 		if !pass {
 			r.counts.Dropped.Add(1)
 			continue
@@ -193,7 +194,7 @@
 			_, _ = r.udp.WriteToUDP(out, dst) // a datagram may be lost
 			continue
 		}
-		if r.delayed.Add(1) > mostDelayed {
+		if r.delayed.Add(1) > maxDelayedPackets {
 			r.delayed.Add(-1)
 			r.counts.Dropped.Add(1)
 			continue
@@ -209,9 +210,9 @@
 	}
 }
 
-// accept relays streams: each begins with whom it is for and whom from.
-func (r *Relay) accept() {
-	defer r.wg.Done()
+// acceptStreams accepts streams, each of which begins with its receiver and its sender.
+func (r *Relay) acceptStreams() {
+	defer r.goroutines.Done()
 	for {
 		c, err := r.tcp.Accept()
 		if err != nil {
@@ -220,23 +221,24 @@
 			}
 			continue
 		}
-		if r.streams.Add(1) > mostStreams {
+		if r.streams.Add(1) > maxStreams {
 			r.streams.Add(-1)
 			r.counts.Refused.Add(1)
 			c.Close()
 			continue
 		}
-		r.wg.Add(1)
+		r.goroutines.Add(1)
 		go func() {
-			defer r.wg.Done()
+			defer r.goroutines.Done()
 			defer r.streams.Add(-1)
-			r.stream(c)
+			r.relayStream(c)
 		}()
 	}
 }
 
-// stream relays one stream, if the link is up both ways: a stream carries a call and its answer.
-func (r *Relay) stream(c net.Conn) {
+// relayStream relays one stream, if the link is up both ways: a stream carries a call and its
+// answer.
+func (r *Relay) relayStream(c net.Conn) {
 	defer c.Close()
 	c.SetReadDeadline(time.Now().Add(dialTimeout))
 	in := bufio.NewReader(c)
@@ -247,8 +249,8 @@
 		return
 	}
 	c.SetReadDeadline(time.Time{})
-	pass, wait := r.fate(from, to)
-	back, _ := r.fate(to, from)
+	pass, wait := r.decide(from, to)
+	back, _ := r.decide(to, from)
 	if !pass || !back {
 		r.counts.Refused.Add(1)
 		return
@@ -283,7 +285,7 @@
 	}
 }
 
-// sleep waits, and tells whether the relay still runs.
+// sleep waits, and reports whether the relay is still running.
 func (r *Relay) sleep(d time.Duration) bool {
 	if d > 0 {
 		select {
--- a/internal/lab/faultnet/schedule.go
+++ b/internal/lab/faultnet/schedule.go
@@ -28,37 +28,38 @@
 	As     string              `toml:"as" doc:"start: the id it starts under; empty: its own"`
 }
 
-// Schedule is faults in their order.
+// Schedule is a sequence of faults.
 type Schedule struct {
 	Steps []Step `toml:"step"`
 }
 
-// Check finds what the keys' bounds do not tell.
+// Check finds the faults that the bounds of single keys do not show.
 func (s *Schedule) Check() []validation.Error {
-	var wrong []validation.Error
-	for i, st := range s.Steps {
+	var found []validation.Error
+	for i, step := range s.Steps {
 		key := fmt.Sprintf("step[%d]", i)
 		switch {
-		case i > 0 && st.At < s.Steps[i-1].At:
-			wrong = append(wrong, validation.Error{Key: key + ".at", Text: "comes before the step before it"})
-		case st.Do == "down" && (st.From == "" || st.To == ""):
-			wrong = append(wrong, validation.Error{Key: key, Text: "down needs from and to"})
-		case st.Do == "cut" && len(st.Sets) < 2:
-			wrong = append(wrong, validation.Error{Key: key + ".sets", Text: "a cut needs two sets at least"})
-		case slices.Contains([]string{"stop", "cont", "kill", "start"}, st.Do) && st.Member == "":
-			wrong = append(wrong, validation.Error{Key: key + ".member", Text: st.Do + " needs a member"})
+		case i > 0 && step.At < s.Steps[i-1].At:
+			found = append(found, validation.Error{Key: key + ".at", Text: "comes before the step before it"})
+		case step.Do == "down" && (step.From == "" || step.To == ""):
+			found = append(found, validation.Error{Key: key, Text: "down needs from and to"})
+		case step.Do == "cut" && len(step.Sets) < 2:
+			found = append(found, validation.Error{Key: key + ".sets", Text: "a cut needs two sets at least"})
+		case slices.Contains([]string{"stop", "cont", "kill", "start"}, step.Do) && step.Member == "":
+			found = append(found, validation.Error{Key: key + ".member", Text: step.Do + " needs a member"})
 		}
 	}
-	return wrong
+	return found
 }
 
-// LoadSchedule reads a schedule from TOML text, with every fault in it.
+// LoadSchedule reads a schedule from TOML text and returns all faults of the text.
 func LoadSchedule(name string, text []byte) (*Schedule, []validation.Error) {
-	s, _, wrong := tomlconfig.Decode(name, text, func() *Schedule { return &Schedule{} }, nil)
-	return s, wrong
+	s, _, found := tomlconfig.Decode(name, text, func() *Schedule { return &Schedule{} }, nil)
+	return s, found
 }
 
-// Fleet is what a schedule acts on besides the relay: its members' gossip addresses and processes.
+// Fleet is what a schedule acts on besides the relay: the gossip addresses and the processes of its
+// members.
 type Fleet interface {
 	Addr(member string) string
 	Signal(member string, s syscall.Signal) error
@@ -68,33 +69,33 @@
 // Play carries out a schedule on the relay and the fleet, each step at its time, until its end or ctx's.
 func Play(ctx context.Context, s *Schedule, r *Relay, f Fleet) error {
 	began := time.Now()
-	for i, st := range s.Steps {
+	for i, step := range s.Steps {
 		select {
-		case <-time.After(time.Until(began.Add(time.Duration(st.At)))):
+		case <-time.After(time.Until(began.Add(time.Duration(step.At)))):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if err := apply(st, r, f); err != nil {
-			return fmt.Errorf("step %d (%s): %w", i, st.Do, err)
+		if err := apply(step, r, f); err != nil {
+			return fmt.Errorf("step %d (%s): %w", i, step.Do, err)
 		}
 	}
 	return nil
 }
 
-func apply(st Step, r *Relay, f Fleet) error {
-	switch st.Do {
+func apply(step Step, r *Relay, f Fleet) error {
+	switch step.Do {
 	case "down":
-		r.Down(f.Addr(st.From), f.Addr(st.To), st.Both)
+		r.Down(f.Addr(step.From), f.Addr(step.To), step.Both)
 	case "loss":
-		r.Loss(st.Share)
+		r.Loss(step.Share)
 	case "slow":
 		r.Slow(Delay{
-			Fixed: time.Duration(st.Fixed), Jitter: time.Duration(st.Jitter), Tail: st.Tail,
-			TailBy: time.Duration(st.TailBy),
+			Fixed: time.Duration(step.Fixed), Jitter: time.Duration(step.Jitter), Tail: step.Tail,
+			TailBy: time.Duration(step.TailBy),
 		})
 	case "cut":
-		sets := make([][]string, len(st.Sets))
-		for i, set := range st.Sets {
+		sets := make([][]string, len(step.Sets))
+		for i, set := range step.Sets {
 			for _, m := range set {
 				sets[i] = append(sets[i], f.Addr(m))
 			}
@@ -103,17 +104,17 @@
 	case "heal":
 		r.Heal()
 	case "stop":
-		return f.Signal(st.Member, syscall.SIGSTOP)
+		return f.Signal(step.Member, syscall.SIGSTOP)
 	case "cont":
-		return f.Signal(st.Member, syscall.SIGCONT)
+		return f.Signal(step.Member, syscall.SIGCONT)
 	case "kill":
-		return f.Signal(st.Member, syscall.SIGKILL)
+		return f.Signal(step.Member, syscall.SIGKILL)
 	case "start":
-		as := st.As
+		as := step.As
 		if as == "" {
-			as = st.Member
+			as = step.Member
 		}
-		return f.Start(st.Member, as)
+		return f.Start(step.Member, as)
 	}
 	return nil
 }
--- a/internal/lab/faultnet/schedule_test.go
+++ b/internal/lab/faultnet/schedule_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// A schedule with a fault is refused with its line and key, whole.
-func TestScheduleFaults(t *testing.T) {
-	for _, tc := range []struct{ text, want string }{
+// A schedule with a fault is refused as a whole, with the line and the key of the fault.
+func TestLoadScheduleReportsFaultWithLineAndKey(t *testing.T) {
+	for _, testCase := range []struct{ text, want string }{
 		{"[[step]]\nat = \"1s\"\ndo = \"cut\"\nsets = [[\"a\"], [\"b\"]]\n", ""},
 		{"[[step]]\nat = \"1s\"\ndo = \"explode\"\n", "bad.toml:3: step[0].do"},
 		{"[[step]]\nat = \"2s\"\ndo = \"heal\"\n[[step]]\nat = \"1s\"\ndo = \"heal\"\n", "step[1].at: comes before"},
@@ -16,12 +16,12 @@
 		{"[[step]]\nat = \"1s\"\ndo = \"kill\"\n", "step[0].member: missing: kill needs a member"},
 		{"[[step]]\nat = \"1s\"\ndo = \"cut\"\nsets = [[\"a\"]]\n", "a cut needs two sets"},
 	} {
-		s, wrong := LoadSchedule("bad.toml", []byte(tc.text))
+		s, found := LoadSchedule("bad.toml", []byte(testCase.text))
 		switch {
-		case tc.want == "" && (len(wrong) > 0 || len(s.Steps) != 1):
-			t.Errorf("%q: %v", tc.text, wrong)
-		case tc.want != "" && (len(wrong) != 1 || !strings.Contains(wrong[0].Error(), tc.want)):
-			t.Errorf("%q: %v, want %q", tc.text, wrong, tc.want)
+		case testCase.want == "" && (len(found) > 0 || len(s.Steps) != 1):
+			t.Errorf("%q: %v", testCase.text, found)
+		case testCase.want != "" && (len(found) != 1 || !strings.Contains(found[0].Error(), testCase.want)):
+			t.Errorf("%q: %v, want %q", testCase.text, found, testCase.want)
 		}
 	}
 }
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -1,6 +1,3 @@
-// Package loopback hands out addresses on loopback that nobody else takes: neither another process that asks for any
-// free port at that moment, nor a later test of the same process. A port that was found free and closed again may be
-// anybody's by the time it is bound, and what still calls an address of an earlier test may reach a later one's.
 package loopback
 
 import (
@@ -17,35 +14,39 @@
 )
 
 const (
-	first = 20000 // port that is handed out
-	most  = 40000 // ports
+	// The first port handed out.
+	firstPort = 20000
+	// The number of ports handed out in turn.
+	portCount = 40000
 )
 
-var next atomic.Uint32
+var handedOut atomic.Uint32
 
-// Host is this process's own address. A process id has at most 22 bits (kernel's PID_MAX_LIMIT) and 127.0.0.0/8 has 24
-// bits for hosts, so that no two processes share one; what connects without a bind comes from 127.0.0.1.
+// Host is an address of this process alone. A process id has at most 22 bits (the kernel's
+// PID_MAX_LIMIT) and 127.0.0.0/8 has 24 bits for hosts, so no two processes share one; a connection
+// without a bind comes from 127.0.0.1.
 func Host() string {
 	n := uint32(os.Getpid())<<2 | 2
 	return fmt.Sprintf("127.%d.%d.%d", n>>16&0xff, n>>8&0xff, n&0xff)
 }
 
-// Address is one that nobody has, for TCP and UDP alike: for a process that is started with it, or for what is to
-// listen there anew after a pause. Addresses are handed out in turn, and come again after 40,000. It is not tried by
-// listening there: a child that is just being started holds a copy of the listening socket until its exec.
+// Address returns an address that is not in use, for TCP and UDP alike: for a process that is
+// started with it, or to listen on again after a pause. Addresses are handed out in turn and repeat
+// after 40,000. They are not tested by listening: a child that is just being started holds a copy
+// of the listening socket until its exec.
 func Address() string {
 	for {
-		if port := first + int(next.Add(1)%most); !wildcards()[port] {
+		if port := firstPort + int(handedOut.Add(1)%portCount); !cachedWildcardPorts()[port] {
 			return fmt.Sprintf("%s:%d", Host(), port)
 		}
 	}
 }
 
-// wildcards are the ports that something on this machine listens on at all addresses, as proc(5) tells: none where
-// that cannot be read.
-var wildcards = sync.OnceValue(listened)
+// cachedWildcardPorts are the ports that something on this machine listens on at all addresses, by
+// proc(5); none where that cannot be read.
+var cachedWildcardPorts = sync.OnceValue(wildcardPorts)
 
-func listened() map[int]bool {
+func wildcardPorts() map[int]bool {
 	found := map[int]bool{}
 	for _, file := range []string{"/proc/net/tcp", "/proc/net/tcp6", "/proc/net/udp", "/proc/net/udp6"} {
 		text, _ := os.ReadFile(file)
@@ -63,9 +64,9 @@
 	return found
 }
 
-// Listen listens at such an address.
+// Listen listens at an address of Address.
 func Listen() (l *net.TCPListener, err error) {
-	for range most { // some may be held by what an earlier process with this id has left
+	for range portCount { // some may be held by what an earlier process with this id has left
 		var got net.Listener
 		if got, err = net.Listen("tcp4", Address()); err == nil {
 			return got.(*net.TCPListener), nil
@@ -78,14 +79,14 @@
 }
 
 const (
-	again  = 5 * time.Millisecond
-	within = 2 * time.Second
+	retryInterval = 5 * time.Millisecond
+	retryTimeout  = 2 * time.Second
 )
 
-// ListenAgain listens at an address that was this process's until a moment ago. A child that is just being started
-// holds a copy of the socket that was closed, until its exec.
-func ListenAgain(address string) (l net.Listener, err error) {
-	for end := time.Now().Add(within); ; time.Sleep(again) {
+// Relisten listens at an address that this process has just released. A child that is being started
+// holds a copy of the closed socket until its exec.
+func Relisten(address string) (l net.Listener, err error) {
+	for end := time.Now().Add(retryTimeout); ; time.Sleep(retryInterval) {
 		l, err = net.Listen("tcp4", address)
 		if err == nil || !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(end) {
 			return l, err
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// An address that was handed out is nobody's, stays one's own over a pause, and is none that another listens on at all
-// of the machine's addresses.
-func TestAddresses(t *testing.T) {
+// Addresses are handed out once, can be listened on again after a pause, and avoid ports on which something listens at
+// all addresses of the machine.
+func TestAddressesAreUniqueAndCanBeRelistened(t *testing.T) {
 	all, err := net.Listen("tcp4", "0.0.0.0:0")
 	if err != nil {
 		t.Fatal(err)
@@ -16,8 +16,8 @@
 	defer all.Close()
 	_, taken, _ := net.SplitHostPort(all.Addr().String())
 	port, _ := strconv.Atoi(taken)
-	if !listened()[port] {
-		t.Errorf("port %d is not seen to be taken: %v", port, listened())
+	if !wildcardPorts()[port] {
+		t.Errorf("port %d is not seen to be taken: %v", port, wildcardPorts())
 	}
 	seen := map[string]bool{}
 	for range 1000 {
@@ -27,7 +27,7 @@
 		}
 		seen[address] = true
 		for range 2 {
-			l, err := ListenAgain(address)
+			l, err := Relisten(address)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/lab/netem/connection.go
+++ b/internal/lab/netem/connection.go
@@ -5,58 +5,66 @@
 	"sync"
 )
 
-// line is a connection: two ends.
-type line struct {
-	net  *Network
-	ends [2]*end // who dialled, and who accepted
+// connection is a connection of two ends.
+type connection struct {
+	net *Network
+	// The dialling and the accepting end.
+	ends [2]*end
 }
 
-// end is one side of a connection. Processes have it by handles; with the last one closed it ends.
+// end is one side of a connection. Processes have handles of it; it ends when the last one is
+// closed.
 type end struct {
-	line    *line
-	n       int // of the line's ends
+	connection *connection
+	// Its index among the connection's ends.
+	side    int
 	machine *Machine
 	addr    net.Addr
-	in      *stream // what comes here
+	// What arrives here.
+	input *stream
 
-	mu     sync.Mutex
-	refs   int
-	linger bool // false: a close is a reset
-	over   bool // closed or reset here
-	fin    bool // nothing more is sent from here
+	mu      sync.Mutex
+	handles int
+	// If false, a close is a reset.
+	linger bool
+	// Closed or reset here.
+	closed bool
+	// Nothing more is sent from here.
+	finSent bool
 }
 
-func newLine(n *Network, from, to *Machine, fromAddr, toAddr net.Addr) *line {
-	l := &line{net: n}
+func newConnection(n *Network, from, to *Machine, fromAddr, toAddr net.Addr) *connection {
+	l := &connection{net: n}
 	for i, m := range []*Machine{from, to} {
-		l.ends[i] = &end{line: l, n: i, machine: m, addr: []net.Addr{fromAddr, toAddr}[i], linger: true, in: newStream(n.o.Buffer)}
+		l.ends[i] = &end{connection: l, side: i, machine: m, addr: []net.Addr{fromAddr, toAddr}[i], linger: true, input: newStream(n.options.Buffer)}
 	}
 	return l
 }
 
-func (e *end) peer() *end { return e.line.ends[1-e.n] }
+func (e *end) peer() *end { return e.connection.ends[1-e.side] }
 
-// send has a segment, the end of the stream or a reset come to the other side in its time.
+// send sends bytes, the end of the stream or a reset to the other side.
 func (e *end) send(b []byte, what kind) {
-	n := e.line.net
+	n := e.connection.net
 	to := e.peer()
-	to.in.add(segment{what: what, b: b, lost: n.lost(e.machine, to.machine)}, n.delay(), n.o.Bandwidth)
+	to.input.add(segment{what: what, b: b, lost: n.isLost(e.machine, to.machine)}, n.delay(), n.options.Bandwidth)
 }
 
-// reset ends the connection here, and tells the other side.
+// reset resets the connection from this side.
 func (e *end) reset() { e.finish(true) }
 
-// finish ends this side, with a reset or in order. Unread input makes an end a reset, as on Linux (RFC 2525, 2.17).
+// finish ends this side, in order or by a reset. Unread input turns a close into a reset, as on
+// Linux (RFC 2525, 2.17).
 func (e *end) finish(hard bool) {
 	e.mu.Lock()
-	if e.over {
+	if e.closed {
 		e.mu.Unlock()
 		return
 	}
-	e.over = true
-	hard = hard || !e.linger || e.in.unread()
-	fin := e.fin
-	e.fin = true
+	e.closed = true
+	hard = hard || !e.linger || e.input.unread()
+	fin := e.finSent
+	e.finSent = true
 	e.mu.Unlock()
 	switch {
 	case hard:
@@ -64,21 +72,21 @@
 	case !fin:
 		e.send(nil, finished)
 	}
-	e.in.close()
+	e.input.close()
 	other := e.peer()
 	other.mu.Lock()
-	both := other.over
+	both := other.closed
 	other.mu.Unlock()
 	if both {
-		e.line.net.gone(e.line)
+		e.connection.net.remove(e.connection)
 	}
 }
 
-// drop lets go of one handle.
-func (e *end) drop(hard bool) {
+// releaseHandle releases one handle.
+func (e *end) releaseHandle(hard bool) {
 	e.mu.Lock()
-	e.refs--
-	last := e.refs == 0
+	e.handles--
+	last := e.handles == 0
 	e.mu.Unlock()
 	if last {
 		e.finish(hard)
--- a/internal/lab/netem/dial.go
+++ b/internal/lab/netem/dial.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// Dial makes a connection, as net.Dialer's DialContext does. Where nobody listens it is refused, where the socket is
-// deaf, its queue full or the link cut it is tried again until the context ends.
+// Dial makes a connection, as DialContext of net.Dialer does. It is refused where nobody listens;
+// where the backlog is full or the link is cut it is tried again until the context ends.
 func (p *Process) Dial(ctx context.Context, _, address string) (net.Conn, error) {
 	fail := func(err error) (net.Conn, error) {
 		at, _ := net.ResolveTCPAddr("tcp4", address)
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Addr: at, Err: err}
 	}
-	for again := synAgain; ; again *= 2 {
-		way, err := p.knock(address)
+	for retryAfter := synRetryInterval; ; retryAfter *= 2 {
+		roundTrip, err := p.sendSYN(address)
 		if err == nil {
-			if !wait(ctx, p.dead, way) {
+			if !wait(ctx, p.dead, roundTrip) {
 				break
 			}
-			l, err := p.connect(address)
+			l, err := p.establish(address)
 			if err != nil {
 				return fail(err)
 			}
@@ -34,7 +34,7 @@
 				break
 			}
 		}
-		if !wait(ctx, p.dead, again) {
+		if !wait(ctx, p.dead, retryAfter) {
 			break
 		}
 	}
@@ -47,7 +47,7 @@
 	return fail(net.ErrClosed)
 }
 
-// wait waits for a time; false when it ended before.
+// wait waits for a duration and reports false if the context or the process ended before.
 func wait(ctx context.Context, dead <-chan struct{}, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -63,63 +63,64 @@
 	return false
 }
 
-var errLost = errors.New("lost")
+var errPacketLost = errors.New("lost")
 
-// knock is a SYN's way there and back: how long it takes, or that it is lost.
-func (p *Process) knock(address string) (time.Duration, error) {
+// sendSYN is the round trip of a SYN: how long it takes, or errPacketLost.
+func (p *Process) sendSYN(address string) (time.Duration, error) {
 	n := p.net
-	way := n.delay() + n.delay()
+	roundTrip := n.delay() + n.delay()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	s := n.sockets[address]
 	if s == nil {
-		return way, nil
+		return roundTrip, nil
 	}
-	if s.deaf || len(s.queue) == cap(s.queue) || n.cut != nil && (n.cut(p.Machine, s.machine) || n.cut(s.machine, p.Machine)) {
-		return 0, errLost
+	if s.backlogFull || len(s.queue) == cap(s.queue) || n.partition != nil && (n.partition(p.Machine, s.machine) || n.partition(s.machine, p.Machine)) {
+		return 0, errPacketLost
 	}
-	if n.o.Handshake > 0 {
+	if n.options.Handshake > 0 {
 		now := time.Now()
-		if s.machine.busy.Before(now) {
-			s.machine.busy = now
+		if s.machine.busyUntil.Before(now) {
+			s.machine.busyUntil = now
 		}
-		s.machine.busy = s.machine.busy.Add(n.o.Handshake)
-		way += s.machine.busy.Sub(now)
+		s.machine.busyUntil = s.machine.busyUntil.Add(n.options.Handshake)
+		roundTrip += s.machine.busyUntil.Sub(now)
 	}
-	return way, nil
+	return roundTrip, nil
 }
 
-// connect makes a connection to whoever listens now; none and no error where it is lost after all.
-func (p *Process) connect(address string) (*line, error) {
+// establish creates a connection to the present listener; it returns neither a connection nor an
+// error where the SYN is lost after all.
+func (p *Process) establish(address string) (*connection, error) {
 	n := p.net
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	s := n.sockets[address]
-	if s == nil || n.o.Table > 0 && s.machine.open >= n.o.Table {
+	if s == nil || n.options.MaxConnections > 0 && s.machine.connections >= n.options.MaxConnections {
 		return nil, os.NewSyscallError("connect", syscall.ECONNREFUSED)
 	}
 	n.ports++
 	from := &net.TCPAddr{IP: net.IPv4(10, byte(n.ports>>32), byte(n.ports>>24), byte(n.ports>>16)), Port: n.ports & 0xffff}
-	l := newLine(n, p.Machine, s.machine, from, s.address)
+	l := newConnection(n, p.Machine, s.machine, from, s.address)
 	select {
 	case s.queue <- l:
 	default:
 		return nil, nil
 	}
-	n.conns[l] = true
-	p.Machine.open++
-	s.machine.open++
+	n.connections[l] = true
+	p.Machine.connections++
+	s.machine.connections++
 	return l, nil
 }
 
-// gone takes a connection that both sides have ended out of the network.
-func (n *Network) gone(l *line) {
+// remove removes a connection that both sides have ended.
+func (n *Network) remove(l *connection) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.conns[l] {
-		delete(n.conns, l)
+	if n.connections[l] {
+		delete(n.connections, l)
 		for _, e := range l.ends {
-			e.machine.open--
+			e.machine.connections--
 		}
 	}
 }
--- a/internal/lab/netem/handover.go
+++ b/internal/lab/netem/handover.go
@@ -8,34 +8,37 @@
 	"dykering/internal/handover"
 )
 
-// Receiver takes what the process before passes on, by the three steps of internal/handover: offered, accepted, go on.
+// Receiver accepts what the preceding process passes on, by the three steps of package handover:
+// offered, accepted, go on.
 type Receiver struct {
 	process *Process
 	key     string
-	take    handover.Handler
-	serves  chan struct{} // closed once it takes
+	handler handover.Handler
+	// Closed once it accepts.
+	serving chan struct{}
 	closed  chan struct{}
 	once    sync.Once
-	mu      sync.Mutex // one passage at a time
+	// Serializes transfers.
+	mu sync.Mutex
 }
 
-// receivers are those of a network, by directory and name, the youngest last.
+// receivers are the receivers of a network by directory and name, the newest last.
 type receivers struct {
 	mu sync.Mutex
 	of map[string][]*Receiver
 }
 
-// Exchange is where the processes of a network find each other.
+// Exchange is where the processes of a network find each other for a handover.
 type Exchange struct {
 	all receivers
-	// Step is told of each step of a passage before it is taken: "offered", "accepted", "go on", "started".
+	// Step is called before each step of a transfer: "offered", "accepted", "go on", "started".
 	Step func(step string, from, to *Process)
 }
 
-// Receive makes a process the youngest that takes connections under a name.
+// Receive makes a process the newest one that accepts connections under a name.
 func (x *Exchange) Receive(p *Process, dir, name string) (*Receiver, error) {
-	r := &Receiver{process: p, key: dir + "\x00" + name, serves: make(chan struct{}), closed: make(chan struct{})}
-	if !p.own(r) {
+	r := &Receiver{process: p, key: dir + "\x00" + name, serving: make(chan struct{}), closed: make(chan struct{})}
+	if !p.register(r) {
 		return nil, net.ErrClosed
 	}
 	x.all.mu.Lock()
@@ -47,24 +50,24 @@
 	return r, nil
 }
 
-// Serve hands what comes to take, until the receiver is closed.
-func (r *Receiver) Serve(take handover.Handler) error {
-	r.take = take
-	close(r.serves)
+// Serve hands what arrives to a handler, until the receiver is closed.
+func (r *Receiver) Serve(handler handover.Handler) error {
+	r.handler = handler
+	close(r.serving)
 	<-r.closed
 	return nil
 }
 
 // Close ends it.
 func (r *Receiver) Close() error {
-	r.process.disown(r)
-	r.die()
+	r.process.unregister(r)
+	r.kill()
 	return nil
 }
 
-func (r *Receiver) die() { r.once.Do(func() { close(r.closed) }) }
+func (r *Receiver) kill() { r.once.Do(func() { close(r.closed) }) }
 
-func (r *Receiver) open() bool {
+func (r *Receiver) isOpen() bool {
 	select {
 	case <-r.closed:
 		return false
@@ -75,46 +78,46 @@
 
 // Sender passes connections to one process.
 type Sender struct {
-	x    *Exchange
-	from *Process
-	to   *Receiver
-	mu   sync.Mutex
-	over bool
+	exchange *Exchange
+	from     *Process
+	to       *Receiver
+	mu       sync.Mutex
+	broken   bool
 }
 
-// Find finds the youngest other process that takes connections under a name.
+// Find returns a sender to the newest other process that accepts connections under a name.
 func (x *Exchange) Find(p *Process, dir, name string) (*Sender, error) {
 	x.all.mu.Lock()
 	defer x.all.mu.Unlock()
 	all := x.all.of[dir+"\x00"+name]
 	kept := all[:0]
 	for _, r := range all {
-		if r.open() {
+		if r.isOpen() {
 			kept = append(kept, r)
 		}
 	}
 	x.all.of[dir+"\x00"+name] = kept
 	for i := len(kept) - 1; i >= 0; i-- {
 		if kept[i].process != p {
-			return &Sender{x: x, from: p, to: kept[i]}, nil
+			return &Sender{exchange: x, from: p, to: kept[i]}, nil
 		}
 	}
 	return nil, handover.ErrNoReceiver
 }
 
-// Alive tells whether anything can still be passed.
+// Alive reports whether anything can still be passed.
 func (s *Sender) Alive() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.over && s.to.open()
+	return !s.broken && s.to.isOpen()
 }
 
-var errBroken = errors.New("handover: the way has ended")
+var errChannelClosed = errors.New("handover: the way has ended")
 
-// step tells of a step, and whether both processes still live.
+// step announces a step and reports whether both processes are alive after that.
 func (s *Sender) step(name string) bool {
-	if s.x.Step != nil {
-		s.x.Step(name, s.from, s.to.process)
+	if s.exchange.Step != nil {
+		s.exchange.Step(name, s.from, s.to.process)
 	}
 	for _, p := range []*Process{s.from, s.to.process} {
 		select {
@@ -123,22 +126,23 @@
 		default:
 		}
 	}
-	return s.to.open()
+	return s.to.isOpen()
 }
 
-// Pass gives connections away, as handover.Sender's does. Without an error they are the other process's.
+// Pass passes connections on, as that of handover.Sender does. Without an error they belong to the
+// other process.
 func (s *Sender) Pass(state []byte, conns ...net.Conn) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.over || len(state) > handover.MaxState {
-		return errBroken
+	if s.broken || len(state) > handover.MaxState {
+		return errChannelClosed
 	}
-	<-s.to.serves
+	<-s.to.serving
 	s.to.mu.Lock()
 	defer s.to.mu.Unlock()
 	if !s.step("offered") {
-		s.over = true
-		return errBroken
+		s.broken = true
+		return errChannelClosed
 	}
 	var copies []net.Conn
 	closeAll := func() {
@@ -152,23 +156,23 @@
 			closeAll()
 			return errors.New("handover: not a connection of this network")
 		}
-		given := own.give(s.to.process)
-		if given == nil {
+		copied := own.duplicate(s.to.process)
+		if copied == nil {
 			closeAll()
-			return errBroken
+			return errChannelClosed
 		}
-		copies = append(copies, given)
+		copies = append(copies, copied)
 	}
-	start, drop, ok := s.to.take(state, copies)
+	start, drop, ok := s.to.handler(state, copies)
 	if !ok {
 		closeAll()
 		return handover.ErrDeclined
 	}
 	if !s.step("accepted") || !s.step("go on") {
-		s.over = true
+		s.broken = true
 		drop()
 		closeAll()
-		return errBroken
+		return errChannelClosed
 	}
 	start()
 	s.step("started")
--- a/internal/lab/netem/netem.go
+++ b/internal/lab/netem/netem.go
@@ -1,8 +1,3 @@
-// Package netem emulates a network and the processes on it within one process: connections with latency, bandwidth,
-// buffers that fill, half-closes, resets and links that are cut, accept queues and connection tables that overflow,
-// handshakes that cost a machine, listening sockets that several processes share, and processes that are killed and
-// that pass open connections to each other. It goes by the time package alone, so that in a testing/synctest bubble
-// all of it plays in virtual time.
 package netem
 
 import (
@@ -11,68 +6,80 @@
 	"time"
 )
 
-// Options are what the network is like. The zero value is a network without latency or bounds.
+// Options are the properties of the network. The zero value has neither latency nor limits.
 type Options struct {
-	Latency   time.Duration // one way
-	Jitter    time.Duration // at most, beside
-	Bandwidth int           // bytes a second of a connection, each way; 0 for no bound
-	Buffer    int           // bytes that a connection takes each way and that are not read; 0 for 256 KiB
-	Backlog   int           // connections that a listening socket holds unaccepted; 0 for 4,096
-	Table     int           // connections that a machine holds at a time; 0 for no bound
-	Handshake time.Duration // of a machine's cores for each connection that comes up
-	Seed      uint64        // of the jitter
+	// One way.
+	Latency time.Duration
+	// The most that is added to the latency.
+	Jitter time.Duration
+	// Bytes per second of a connection, each way; 0 for no limit.
+	Bandwidth int
+	// Unread bytes that a connection holds each way; 0 for 256 KiB.
+	Buffer int
+	// Connections that a listening socket holds unaccepted; 0 for 4,096.
+	Backlog int
+	// Connections that a machine holds at a time; 0 for no limit.
+	MaxConnections int
+	// Time of a machine's cores for each connection that is established.
+	Handshake time.Duration
+	// Seed of the jitter.
+	Seed uint64
 }
 
 const (
-	bufferDefault  = 256 << 10
-	backlogDefault = 4096
-	// synAgain is when a SYN that was lost is sent again the first time; each further wait is twice as long
+	defaultBuffer  = 256 << 10
+	defaultBacklog = 4096
+	// synRetryInterval is when a lost SYN is sent again first; each further interval is twice as long
 	// (Linux: tcp(7), TCP_TIMEOUT_INIT).
-	synAgain = time.Second
+	synRetryInterval = time.Second
 )
 
-// Network is a network. Its machines and sockets belong to its mutex, what is on a connection to that connection's.
+// Network is an emulated network. Its mutex guards machines and sockets; connections have mutexes
+// of their own.
 type Network struct {
-	o Options
+	options Options
 
 	mu       sync.Mutex
-	rng      *rand.Rand
+	random   *rand.Rand
 	machines map[string]*Machine
 	sockets  map[string]*Socket // that listen, by address
 	ports    int
-	cut      func(from, to *Machine) bool // nil for none
-	conns    map[*line]bool
-	wakes    wakes
+	// Nil for none.
+	partition   func(from, to *Machine) bool
+	connections map[*connection]bool
+	wakes       wakeTimer
 }
 
-// New makes a network.
+// New creates a network.
 func New(o Options) *Network {
 	if o.Buffer == 0 {
-		o.Buffer = bufferDefault
+		o.Buffer = defaultBuffer
 	}
 	if o.Backlog == 0 {
-		o.Backlog = backlogDefault
+		o.Backlog = defaultBacklog
 	}
 	return &Network{
-		o: o, rng: rand.New(rand.NewPCG(o.Seed, 1)), machines: map[string]*Machine{},
-		sockets: map[string]*Socket{}, ports: 1024, conns: map[*line]bool{},
-		wakes: wakes{sooner: make(chan struct{}, 1), closed: make(chan struct{})},
+		options: o, random: rand.New(rand.NewPCG(o.Seed, 1)), machines: map[string]*Machine{},
+		sockets: map[string]*Socket{}, ports: 1024, connections: map[*connection]bool{},
+		wakes: wakeTimer{sooner: make(chan struct{}, 1), closed: make(chan struct{})},
 	}
 }
 
 // Close ends the network: no deadline passes on it any more.
 func (n *Network) Close() { close(n.wakes.closed) }
 
-// Machine is a machine; processes on it share its connection table, its cores and its fate when a link is cut.
+// Machine is a machine. Its processes share its connection table, its cores and its links.
 type Machine struct {
 	Name string
 	Zone int
 	net  *Network
-	open int       // connections; the network's mutex guards these
-	busy time.Time // until when its cores are taken by handshakes
+	// Open connections; the network's mutex guards this and busyUntil.
+	connections int
+	// Until when handshakes occupy its cores.
+	busyUntil time.Time
 }
 
-// Machine is the machine of a name, made when it is first asked for.
+// Machine returns the machine of a name, which it creates on first use.
 func (n *Network) Machine(name string, zone int) *Machine {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -84,57 +91,58 @@
 	return m
 }
 
-// Cut loses what goes from one machine to another wherever lost says so; nil heals all. What a connection sends
-// meanwhile comes once its link is whole again, as TCP sends it again.
-func (n *Network) Cut(lost func(from, to *Machine) bool) {
+// SetPartition loses all packets from one machine to another for which lost reports true; nil heals
+// all links. What a connection sends meanwhile arrives once its link is healed, as TCP retransmits
+// it.
+func (n *Network) SetPartition(lost func(from, to *Machine) bool) {
 	n.mu.Lock()
-	n.cut = lost
-	all := make([]*line, 0, len(n.conns))
-	for l := range n.conns {
+	n.partition = lost
+	all := make([]*connection, 0, len(n.connections))
+	for l := range n.connections {
 		all = append(all, l)
 	}
 	n.mu.Unlock()
 	for _, l := range all {
 		for _, e := range l.ends {
-			e.in.release(n.delay(), func() bool { return n.lost(e.peer().machine, e.machine) })
+			e.input.release(n.delay(), func() bool { return n.isLost(e.peer().machine, e.machine) })
 		}
 	}
 }
 
-func (n *Network) lost(from, to *Machine) bool {
+func (n *Network) isLost(from, to *Machine) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cut != nil && n.cut(from, to)
+	return n.partition != nil && n.partition(from, to)
 }
 
-// delay draws how long a packet is under way.
+// delay draws the transit time of a packet.
 func (n *Network) delay() time.Duration {
-	if n.o.Jitter == 0 {
-		return n.o.Latency
+	if n.options.Jitter == 0 {
+		return n.options.Latency
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.o.Latency + time.Duration(n.rng.Int64N(int64(n.o.Jitter)))
+	return n.options.Latency + time.Duration(n.random.Int64N(int64(n.options.Jitter)))
 }
 
-// Process is a process on a machine: what it opens ends with it.
+// Process is a process on a machine. Everything that it opens ends with it.
 type Process struct {
 	*Machine
 	mu      sync.Mutex
 	dead    chan struct{}
-	handles map[closer]bool
+	handles map[killable]bool
 	killed  bool
 }
 
-type closer interface{ die() }
+type killable interface{ kill() }
 
 // Start starts a process on a machine.
 func (m *Machine) Start() *Process {
-	return &Process{Machine: m, dead: make(chan struct{}), handles: map[closer]bool{}}
+	return &Process{Machine: m, dead: make(chan struct{}), handles: map[killable]bool{}}
 }
 
-// Kill ends a process at once, as SIGKILL does: its connections are reset, and it hears and says no more. What its
-// goroutines still do comes to nothing.
+// Kill ends a process at once, as SIGKILL does: its connections are reset, and it receives and
+// sends nothing more. Its goroutines may go on without effect.
 func (p *Process) Kill() {
 	p.mu.Lock()
 	if p.killed {
@@ -143,18 +151,18 @@
 	}
 	p.killed = true
 	close(p.dead)
-	all := make([]closer, 0, len(p.handles))
+	all := make([]killable, 0, len(p.handles))
 	for h := range p.handles {
 		all = append(all, h)
 	}
 	p.mu.Unlock()
 	for _, h := range all {
-		h.die()
+		h.kill()
 	}
 }
 
-// Holds is how many connections a process has open.
-func (p *Process) Holds() (n int) {
+// OpenConnections is the number of connections that a process has open.
+func (p *Process) OpenConnections() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for h := range p.handles {
@@ -165,11 +173,11 @@
 	return n
 }
 
-// Dead is closed when a process was killed.
+// Dead is closed when the process was killed.
 func (p *Process) Dead() <-chan struct{} { return p.dead }
 
-// own has something end with a process; false when it has ended already.
-func (p *Process) own(h closer) bool {
+// register has a handle end with the process; it reports false if that has ended already.
+func (p *Process) register(h killable) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.killed {
@@ -178,13 +186,13 @@
 	return !p.killed
 }
 
-func (p *Process) disown(h closer) {
+func (p *Process) unregister(h killable) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.handles, h)
 }
 
-// Port is a port number that nobody has had.
+// Port is a port number that was not used before.
 func (n *Network) Port() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/lab/netem/netem_test.go
+++ b/internal/lab/netem/netem_test.go
@@ -14,8 +14,8 @@
 
 const address = "127.0.0.1:80"
 
-// bench is a network with a caller's process, a server's, and its socket.
-type bench struct {
+// testNetwork is a network with a client process, a server process, and its socket.
+type testNetwork struct {
 	*testing.T
 	n      *Network
 	caller *Process
@@ -24,14 +24,14 @@
 	l      net.Listener
 }
 
-func (b *bench) dial(within time.Duration) (net.Conn, error) {
+func (b *testNetwork) dial(within time.Duration) (net.Conn, error) {
 	ctx, stop := context.WithTimeout(b.Context(), within)
 	defer stop()
 	return b.caller.Dial(ctx, "tcp", address)
 }
 
-// pair is a connection that is up.
-func (b *bench) pair() (near, far *Conn) {
+// pair returns both ends of an established connection.
+func (b *testNetwork) pair() (near, far *Conn) {
 	b.Helper()
 	c, err := b.dial(time.Minute)
 	if err != nil {
@@ -44,28 +44,28 @@
 	return c.(*Conn), a.(*Conn)
 }
 
-func (b *bench) expect(what string, got, want error) {
+func (b *testNetwork) expect(what string, got, want error) {
 	b.Helper()
 	if !errors.Is(got, want) {
 		b.Errorf("%s: %v, want %v", what, got, want)
 	}
 }
 
-func (b *bench) took(what string, began time.Time, want time.Duration) {
+func (b *testNetwork) took(what string, began time.Time, want time.Duration) {
 	b.Helper()
 	if got := time.Since(began); got != want {
 		b.Errorf("%s took %v, want %v", what, got, want)
 	}
 }
 
-// What the network promises of connections, to the moment.
-func TestNetwork(t *testing.T) {
+// Connections behave as TCP connections do, at the exact times.
+func TestNetworkBehavesAsTCPToTheMoment(t *testing.T) {
 	one := make([]byte, 1)
 	for name, c := range map[string]struct {
 		o    Options
-		play func(*bench)
+		play func(*testNetwork)
 	}{
-		"latency and bandwidth": {Options{Latency: 10 * time.Millisecond, Bandwidth: 10000}, func(b *bench) {
+		"latency and bandwidth": {Options{Latency: 10 * time.Millisecond, Bandwidth: 10000}, func(b *testNetwork) {
 			near, far := b.pair()
 			began := time.Now()
 			near.Write(make([]byte, 1000))
@@ -73,7 +73,7 @@
 			b.expect("read", err, nil)
 			b.took("1,000 bytes", began, 110*time.Millisecond)
 		}},
-		"an end behind unread bytes": {Options{Latency: 10 * time.Millisecond}, func(b *bench) {
+		"an end behind unread bytes": {Options{Latency: 10 * time.Millisecond}, func(b *testNetwork) {
 			near, far := b.pair()
 			near.Write(one)
 			near.Close()
@@ -85,7 +85,7 @@
 				b.Errorf("ended %v, %d bytes unread, %v", far.Ended(), n, err)
 			}
 		}},
-		"a buffer fills": {Options{Buffer: 100}, func(b *bench) {
+		"a buffer fills": {Options{Buffer: 100}, func(b *testNetwork) {
 			near, far := b.pair()
 			near.SetWriteDeadline(time.Now().Add(time.Second))
 			n, err := near.Write(make([]byte, 150))
@@ -94,7 +94,7 @@
 				b.Errorf("%d bytes out, %d read", n, got)
 			}
 		}},
-		"half closed": {Options{}, func(b *bench) {
+		"half closed": {Options{}, func(b *testNetwork) {
 			near, far := b.pair()
 			near.CloseWrite()
 			_, err := far.Read(one)
@@ -104,14 +104,14 @@
 				b.Error(err)
 			}
 		}},
-		"reset": {Options{Latency: time.Millisecond}, func(b *bench) {
+		"reset": {Options{Latency: time.Millisecond}, func(b *testNetwork) {
 			near, far := b.pair()
 			near.SetLinger(0)
 			near.Close()
 			_, err := far.Read(one)
 			b.expect("read", err, syscall.ECONNRESET)
 		}},
-		"a close with unread input, and a write to what is closed": {Options{Latency: time.Millisecond}, func(b *bench) {
+		"a close with unread input, and a write to what is closed": {Options{Latency: time.Millisecond}, func(b *testNetwork) {
 			near, far := b.pair()
 			far.Write(one)
 			time.Sleep(time.Second)
@@ -126,24 +126,24 @@
 			_, err = far.Write(one)
 			b.expect("write", err, syscall.ECONNRESET)
 		}},
-		"a link is cut and whole again": {Options{}, func(b *bench) {
+		"a link is cut and whole again": {Options{}, func(b *testNetwork) {
 			near, far := b.pair()
 			began := time.Now()
-			b.n.Cut(func(from, _ *Machine) bool { return from == b.caller.Machine })
+			b.n.SetPartition(func(from, _ *Machine) bool { return from == b.caller.Machine })
 			near.Write(one)
 			_, err := b.dial(2 * time.Second)
 			b.expect("dial", err, os.ErrDeadlineExceeded)
 			far.SetReadDeadline(time.Now().Add(time.Second))
 			_, err = far.Read(one)
 			b.expect("read", err, os.ErrDeadlineExceeded)
-			b.n.Cut(nil)
+			b.n.SetPartition(nil)
 			far.SetReadDeadline(time.Time{})
 			if _, err = far.Read(one); err != nil {
 				b.Error(err)
 			}
 			b.took("what was held", began, 3*time.Second)
 		}},
-		"a backlog overflows": {Options{Backlog: 1}, func(b *bench) {
+		"a backlog overflows": {Options{Backlog: 1}, func(b *testNetwork) {
 			first, err := b.dial(time.Second)
 			b.expect("dial", err, nil)
 			_, err = b.dial(500 * time.Millisecond)
@@ -152,10 +152,10 @@
 			time.AfterFunc(500*time.Millisecond, func() { b.l.Accept() })
 			_, err = b.dial(5 * time.Second)
 			b.expect("dial", err, nil)
-			b.took("a SYN that was lost", began, synAgain)
+			b.took("a SYN that was lost", began, synRetryInterval)
 			first.Close()
 		}},
-		"a table overflows": {Options{Table: 1}, func(b *bench) {
+		"a table overflows": {Options{MaxConnections: 1}, func(b *testNetwork) {
 			near, far := b.pair()
 			_, err := b.dial(time.Second)
 			b.expect("dial", err, syscall.ECONNREFUSED)
@@ -163,7 +163,7 @@
 			far.Close()
 			b.pair()
 		}},
-		"handshakes cost": {Options{Handshake: 5 * time.Millisecond}, func(b *bench) {
+		"handshakes cost": {Options{Handshake: 5 * time.Millisecond}, func(b *testNetwork) {
 			began := time.Now()
 			up := make(chan error)
 			for range 10 {
@@ -177,7 +177,7 @@
 			}
 			b.took("ten", began, 50*time.Millisecond)
 		}},
-		"a kill, and a socket that is shared": {Options{}, func(b *bench) {
+		"a kill, and a socket that is shared": {Options{}, func(b *testNetwork) {
 			near, _ := b.pair()
 			next := b.server.Machine.Start()
 			l := next.Listener(b.socket)
@@ -190,7 +190,7 @@
 			if _, err := l.Accept(); err != nil {
 				b.Error(err)
 			}
-			if n := next.Holds(); n != 1 {
+			if n := next.OpenConnections(); n != 1 {
 				b.Errorf("%d connections are held", n)
 			}
 			b.socket.Close()
@@ -200,7 +200,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := &bench{T: t, n: New(c.o)}
+				b := &testNetwork{T: t, n: New(c.o)}
 				defer b.n.Close()
 				b.caller, b.server = b.n.Machine("caller", 0).Start(), b.n.Machine("server", 1).Start()
 				var err error
--- a/internal/lab/netem/socket.go
+++ b/internal/lab/netem/socket.go
@@ -7,17 +7,19 @@
 	"syscall"
 )
 
-// Socket is a listening socket, that several processes may share; whoever accepts first has a connection.
+// Socket is a listening socket, which several processes may share; the first to accept gets a
+// connection.
 type Socket struct {
 	machine *Machine
 	address *net.TCPAddr
-	queue   chan *line
+	queue   chan *connection
 	closed  chan struct{} // by Close
 	once    sync.Once
-	deaf    bool // its queue is full; the network's mutex guards it
+	// Its backlog counts as full; the network's mutex guards it.
+	backlogFull bool
 }
 
-// Bind makes a listening socket of a machine at an address that nobody listens on; port 0 is any.
+// Bind creates a listening socket of a machine at an address that is not in use; port 0 is any.
 func (m *Machine) Bind(address string) (*Socket, error) {
 	at, err := net.ResolveTCPAddr("tcp4", address)
 	if err != nil {
@@ -33,22 +35,23 @@
 	if n.sockets[at.String()] != nil {
 		return nil, &net.OpError{Op: "listen", Net: "tcp", Addr: at, Err: os.NewSyscallError("bind", syscall.EADDRINUSE)}
 	}
-	s := &Socket{machine: m, address: at, queue: make(chan *line, n.o.Backlog), closed: make(chan struct{})}
+	s := &Socket{machine: m, address: at, queue: make(chan *connection, n.options.Backlog), closed: make(chan struct{})}
 	n.sockets[at.String()] = s
 	return s, nil
 }
 
-// Address is where it listens.
+// Address is the address it listens at.
 func (s *Socket) Address() string { return s.address.String() }
 
-// Deaf has new connections to a socket never come up, as where its backlog is full, or ends that.
-func (s *Socket) Deaf(on bool) {
+// SetBacklogFull has new connections to the socket never be established, as with a full backlog, or
+// ends that.
+func (s *Socket) SetBacklogFull(on bool) {
 	s.machine.net.mu.Lock()
 	defer s.machine.net.mu.Unlock()
-	s.deaf = on
+	s.backlogFull = on
 }
 
-// Close ends the socket for all, and resets what waits in its queue.
+// Close closes the socket for all processes, and resets the connections in its backlog.
 func (s *Socket) Close() error {
 	s.once.Do(func() {
 		n := s.machine.net
@@ -68,10 +71,10 @@
 	return nil
 }
 
-// Listener is a process's copy of a socket: to close it ends this process's accepting alone.
+// Listener is a process's handle of a socket: to close it ends accepting in this process only.
 func (p *Process) Listener(s *Socket) net.Listener {
 	l := &listener{socket: s, process: p, closed: make(chan struct{})}
-	p.own(l)
+	p.register(l)
 	return l
 }
 
@@ -109,9 +112,9 @@
 func (l *listener) Addr() net.Addr { return l.socket.address }
 
 func (l *listener) Close() error {
-	l.process.disown(l)
-	l.die()
+	l.process.unregister(l)
+	l.kill()
 	return nil
 }
 
-func (l *listener) die() { l.once.Do(func() { close(l.closed) }) }
+func (l *listener) kill() { l.once.Do(func() { close(l.closed) }) }
--- a/internal/lab/netem/stream.go
+++ b/internal/lab/netem/stream.go
@@ -8,62 +8,69 @@
 	"time"
 )
 
-// kind is what a segment is.
+// kind is the kind of a segment.
 type kind int
 
-// segment is what is under way.
+// segment is a piece of a stream in transit.
 type segment struct {
 	what kind
 	b    []byte
-	at   time.Time // when it comes
-	lost bool      // until its link is whole
+	// When it arrives.
+	arrival time.Time
+	// Lost until the link is healed.
+	lost bool
 }
 
-// stream is one direction of a connection: what is under way and what has come and is not read.
+// stream is one direction of a connection: segments in transit, and those that have arrived and are
+// not read.
 type stream struct {
-	mu      sync.Mutex
-	limit   int
-	held    int // bytes
-	segs    []segment
-	over    bool          // whoever reads has gone
-	changed chan struct{} // closed when anything changes
+	mu    sync.Mutex
+	limit int
+	// Bytes sent and not read.
+	buffered int
+	segs     []segment
+	// The reader has closed its side.
+	closed bool
+	// Closed at each change.
+	changed chan struct{}
 }
 
 func newStream(limit int) *stream { return &stream{limit: limit, changed: make(chan struct{})} }
 
-func (s *stream) change() {
+func (s *stream) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// add puts a segment on its way. A reset overtakes nothing that has come, and what follows it is nowhere.
+// add sends a segment. A reset does not overtake what has arrived, and what is sent after it is
+// lost.
 func (s *stream) add(g segment, delay time.Duration, bandwidth int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.over {
+	if s.closed {
 		return
 	}
 	now := time.Now()
-	g.at = now.Add(delay)
+	g.arrival = now.Add(delay)
 	if k := len(s.segs); k > 0 {
 		last := s.segs[k-1]
 		if last.what == rst {
 			return
 		}
-		if last.at.After(g.at) {
-			g.at = last.at
+		if last.arrival.After(g.arrival) {
+			g.arrival = last.arrival
 		}
 		g.lost = g.lost || last.lost // in order
 	}
 	if bandwidth > 0 {
-		g.at = g.at.Add(time.Duration(len(g.b)) * time.Second / time.Duration(bandwidth))
+		g.arrival = g.arrival.Add(time.Duration(len(g.b)) * time.Second / time.Duration(bandwidth))
 	}
-	s.held += len(g.b)
+	s.buffered += len(g.b)
 	s.segs = append(s.segs, g)
-	s.change()
+	s.notify()
 }
 
-// release has what was lost come after all, where its link is whole.
+// release delivers what was lost, where the link is healed.
 func (s *stream) release(delay time.Duration, lost func() bool) {
 	if lost() {
 		return
@@ -73,50 +80,50 @@
 	at := time.Now().Add(delay)
 	for i := range s.segs {
 		if s.segs[i].lost {
-			s.segs[i].lost, s.segs[i].at = false, at
+			s.segs[i].lost, s.segs[i].arrival = false, at
 		}
 	}
-	s.change()
+	s.notify()
 }
 
-// close drops all: nobody reads any more.
+// close drops everything: nobody reads any more.
 func (s *stream) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.over, s.segs, s.held = true, nil, 0
-	s.change()
+	s.closed, s.segs, s.buffered = true, nil, 0
+	s.notify()
 }
 
 func (s *stream) unread() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.held > 0 && len(s.segs) > 0 && s.segs[0].what == data && s.come(s.segs[0])
+	return s.buffered > 0 && len(s.segs) > 0 && s.segs[0].what == data && s.hasArrived(s.segs[0])
 }
 
-func (s *stream) come(g segment) bool { return !g.lost && !g.at.After(time.Now()) }
+func (s *stream) hasArrived(g segment) bool { return !g.lost && !g.arrival.After(time.Now()) }
 
-// room is how much more may be sent.
-func (s *stream) room() (n int, changed <-chan struct{}) {
+// space is how many bytes may still be sent.
+func (s *stream) space() (n int, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.over {
-		return 1, s.changed // it goes nowhere
+	if s.closed {
+		return 1, s.changed // it is dropped
 	}
-	return s.limit - s.held, s.changed
+	return s.limit - s.buffered, s.changed
 }
 
-// look reads what has come into b, or only looks where take is false. With nothing there it tells when to look again;
-// next is zero where only a change can bring anything.
-func (s *stream) look(b []byte, take bool) (n int, next time.Time, changed <-chan struct{}, err error) {
+// read copies what has arrived into b, and removes it if consume is set. Where nothing has arrived
+// it returns EAGAIN and the time to look again, zero where only a change can bring anything.
+func (s *stream) read(b []byte, consume bool) (n int, next time.Time, changed <-chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	// A reset is seen at once when it comes, whatever has not been read before it.
-	if k := len(s.segs); k > 0 && s.segs[k-1].what == rst && s.come(s.segs[k-1]) {
+	if k := len(s.segs); k > 0 && s.segs[k-1].what == rst && s.hasArrived(s.segs[k-1]) {
 		return 0, time.Time{}, nil, os.NewSyscallError("read", syscall.ECONNRESET)
 	}
 	for len(s.segs) > 0 && n < len(b) {
 		g := &s.segs[0]
-		if !s.come(*g) {
+		if !s.hasArrived(*g) {
 			break
 		}
 		if g.what == finished {
@@ -129,38 +136,39 @@
 			break
 		}
 		k := copy(b[n:], g.b)
-		if n += k; !take {
+		if n += k; !consume {
 			return n, time.Time{}, nil, nil
 		}
-		if s.held -= k; k < len(g.b) {
+		if s.buffered -= k; k < len(g.b) {
 			g.b = g.b[k:]
 		} else {
 			s.segs = s.segs[1:]
 		}
 	}
 	if n > 0 {
-		s.change() // there is room
+		s.notify() // there is room
 		return n, time.Time{}, nil, nil
 	}
 	if len(s.segs) > 0 && !s.segs[0].lost {
-		next = s.segs[0].at
+		next = s.segs[0].arrival
 	}
-	if k := len(s.segs); k > 0 && s.segs[k-1].what == rst && !s.segs[k-1].lost && (next.IsZero() || s.segs[k-1].at.Before(next)) {
-		next = s.segs[k-1].at
+	if k := len(s.segs); k > 0 && s.segs[k-1].what == rst && !s.segs[k-1].lost && (next.IsZero() || s.segs[k-1].arrival.Before(next)) {
+		next = s.segs[k-1].arrival
 	}
 	return 0, next, s.changed, syscall.EAGAIN
 }
 
-// ending tells whether the stream's end has come, whatever stands unread before it, and else when it will.
-func (s *stream) ending() (n int, next time.Time, changed <-chan struct{}, err error) {
+// awaitEnd reports whether the end of the stream has arrived, regardless of unread bytes before it,
+// and otherwise when it will.
+func (s *stream) awaitEnd() (n int, next time.Time, changed <-chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if k := len(s.segs); k > 0 && s.segs[k-1].what != data {
 		last := s.segs[k-1]
 		switch {
-		case !s.come(last) && !last.lost:
-			next = last.at
-		case !s.come(last):
+		case !s.hasArrived(last) && !last.lost:
+			next = last.arrival
+		case !s.hasArrived(last):
 		case last.what == rst:
 			return 0, time.Time{}, nil, os.NewSyscallError("read", syscall.ECONNRESET)
 		default:
--- a/internal/lab/netem/wake_timer.go
+++ b/internal/lab/netem/wake_timer.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// wakes wakes connections at their times with one timer for all: most deadlines are moved on long before they pass, and
-// a timer of the runtime for each wait took a quarter of a run's time. A connection has one wake at most, its earliest;
-// one that finds nothing to do asks again.
-type wakes struct {
+// wakeTimer wakes connections at their times with one timer for all: most deadlines are moved long
+// before they pass, and one runtime timer for each wait took a quarter of a run's time. A
+// connection has one wake at most, its earliest; one that finds nothing to do registers again.
+type wakeTimer struct {
 	mu      sync.Mutex
 	at      wakeHeap
 	sooner  chan struct{} // holds one: the first wake is sooner than it was
@@ -35,14 +35,14 @@
 	return x
 }
 
-// arm wakes a connection at a time, unless it is woken before that anyway.
-func (w *wakes) arm(c *Conn, at time.Time) {
+// arm wakes a connection at a time, unless it is woken earlier anyway.
+func (w *wakeTimer) arm(c *Conn, at time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !c.armed.IsZero() && !at.Before(c.armed) {
+	if !c.wakeAt.IsZero() && !at.Before(c.wakeAt) {
 		return
 	}
-	c.armed = at
+	c.wakeAt = at
 	heap.Push(&w.at, wake{at, c})
 	if !w.running {
 		w.running = true
@@ -56,8 +56,8 @@
 	}
 }
 
-// run wakes until the network is closed.
-func (w *wakes) run() {
+// run wakes connections until the network is closed.
+func (w *wakeTimer) run() {
 	for {
 		// A new timer each time: to reset one has the runtime look through the whole heap of a bubble's timers.
 		next := time.Hour
@@ -66,8 +66,8 @@
 		w.mu.Lock()
 		for len(w.at) > 0 && !w.at[0].at.After(now) {
 			x := heap.Pop(&w.at).(wake)
-			if x.c.armed.Equal(x.at) {
-				x.c.armed = time.Time{}
+			if x.c.wakeAt.Equal(x.at) {
+				x.c.wakeAt = time.Time{}
 				due = append(due, x.c)
 			}
 		}
@@ -76,7 +76,7 @@
 		}
 		w.mu.Unlock()
 		for _, c := range due {
-			c.poke()
+			c.wake()
 		}
 		timer := time.NewTimer(next)
 		select {
--- a/internal/lab/real/environment.go
+++ b/internal/lab/real/environment.go
@@ -66,7 +66,7 @@
 	if address == "" {
 		return loopback.Listen()
 	}
-	return loopback.ListenAgain(address)
+	return loopback.Relisten(address)
 }
 
 func (g hostNetwork) Blackhole(address string) (func(), error) {
--- a/internal/lab/real/standin.go
+++ b/internal/lab/real/standin.go
@@ -55,7 +55,7 @@
 func (s *Server) Start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l, err := loopback.ListenAgain(s.address)
+	l, err := loopback.Relisten(s.address)
 	if err != nil {
 		return fmt.Errorf("server %s: %w", s.UID, err)
 	}
