--- a/cmd/dykering-lab/bench.go
+++ b/cmd/dykering-lab/bench.go
@@ -72,7 +72,7 @@
 		Action: commandline.NoArgs(func(ctx context.Context, c *cli.Command) error {
 			got, err := b.run(ctx, program, c.Root().ErrWriter)
 			if err != nil {
-				return commandline.Fault(err)
+				return commandline.Failure(err)
 			}
 			if asJSON {
 				return json.NewEncoder(c.Root().Writer).Encode(got)
--- a/cmd/dykering-lab/coresearch.go
+++ b/cmd/dykering-lab/coresearch.go
@@ -36,7 +36,7 @@
 			fmt.Fprintf(c.Root().Writer, "%d of %d pairs of a trouble and a state reached\n", covered.Reached(), coresim.Possible())
 			if table != "" {
 				if err := os.WriteFile(table, []byte(covered.Table()), 0o644); err != nil {
-					return commandline.Fault(err)
+					return commandline.Failure(err)
 				}
 			}
 			if failure == nil {
@@ -50,10 +50,10 @@
 			}
 			if file != "" {
 				if err := writeSchedule(file, least.Schedule); err != nil {
-					return commandline.Fault(err)
+					return commandline.Failure(err)
 				}
 			}
-			return commandline.Fault(fmt.Errorf("a promise is broken"))
+			return commandline.Failure(fmt.Errorf("a promise is broken"))
 		}),
 	}
 	c.Flags = []cli.Flag{
@@ -80,14 +80,14 @@
 		Action: commandline.Args(1, 1, func(_ context.Context, c *cli.Command, args []string) error {
 			text, err := os.ReadFile(args[0])
 			if err != nil {
-				return commandline.Fault(err)
+				return commandline.Failure(err)
 			}
 			var s coresim.Schedule
 			if err := json.Unmarshal(text, &s); err != nil {
-				return commandline.Fault(fmt.Errorf("%s: %w", args[0], err))
+				return commandline.Failure(fmt.Errorf("%s: %w", args[0], err))
 			}
 			if err := s.Run(); err != nil {
-				return commandline.Fault(err)
+				return commandline.Failure(err)
 			}
 			fmt.Fprintln(c.Root().Writer, "no promise broken")
 			return nil
@@ -111,7 +111,7 @@
 				fmt.Fprintf(c.Root().Writer, "| %s | %d |\n", flaw, failure.Played)
 			}
 			if missed > 0 {
-				return commandline.Fault(fmt.Errorf("%d flaws were not found", missed))
+				return commandline.Failure(fmt.Errorf("%d flaws were not found", missed))
 			}
 			return nil
 		}),
--- a/cmd/dykering-lab/demo.go
+++ b/cmd/dykering-lab/demo.go
@@ -45,7 +45,7 @@
 				return fmt.Errorf("--lasts %v: from 4s to 10m", lasts)
 			}
 			if err := demo(ctx, c.Root().Writer, lasts); err != nil {
-				return commandline.Fault(err)
+				return commandline.Failure(err)
 			}
 			return nil
 		}),
@@ -62,7 +62,7 @@
 	c := &cli.Command{Name: "broker", Hidden: true, Action: commandline.NoArgs(func(_ context.Context, _ *cli.Command) error {
 		writeStats()
 		if err := sidecar.Main(os.Getenv, operator); err != nil {
-			return commandline.Fault(err)
+			return commandline.Failure(err)
 		}
 		return nil
 	})}
--- a/cmd/dykering-lab/explore.go
+++ b/cmd/dykering-lab/explore.go
@@ -49,7 +49,7 @@
 			began := time.Now()
 			r, err := s.Run(ctx)
 			if err != nil {
-				return commandline.Fault(err)
+				return commandline.Failure(err)
 			}
 			out := c.Root().Writer
 			fmt.Fprintf(out, "\n%d runs, %d requests; this time %.0f s; %d of %d pairs of faults and stages reached\n", r.Runs, r.Asked,
@@ -62,7 +62,7 @@
 				fmt.Fprintf(out, "not reached: %s in %s\n", fault, strings.Join(missing[fault], " "))
 			}
 			if len(r.Broken) > 0 {
-				return commandline.Fault(fmt.Errorf("runs in which a rule was broken: %v; replays: %s", r.Broken, strings.Join(r.Finds, ", ")))
+				return commandline.Failure(fmt.Errorf("runs in which a rule was broken: %v; replays: %s", r.Broken, strings.Join(r.Finds, ", ")))
 			}
 			return nil
 		}),
--- a/cmd/dykering-lab/load.go
+++ b/cmd/dykering-lab/load.go
@@ -56,7 +56,7 @@
 			}
 			tellLoad(c.Root().Writer, r)
 			if r.All.Asked > 0 && r.All.Lost == r.All.Asked {
-				return commandline.Fault(errors.New("not one request was answered"))
+				return commandline.Failure(errors.New("not one request was answered"))
 			}
 			return nil
 		}),
--- a/cmd/dykering-lab/main.go
+++ b/cmd/dykering-lab/main.go
@@ -63,7 +63,7 @@
 				all = append(all, wrong...)
 			}
 			if err := validation.Join(all); err != nil {
-				return commandline.Fault(err)
+				return commandline.Failure(err)
 			}
 			return nil
 		}),
@@ -169,7 +169,7 @@
 	asked := 0
 	for _, j := range jobs {
 		if j.err != nil {
-			return commandline.Fault(j.err)
+			return commandline.Failure(j.err)
 		}
 		asked += j.Offered
 		if j.Policy == "dykering" {
@@ -180,7 +180,7 @@
 		if asJSON {
 			line, err := json.Marshal(j)
 			if err != nil {
-				return commandline.Fault(err)
+				return commandline.Failure(err)
 			}
 			fmt.Fprintf(out, "%s\n", line)
 			continue
@@ -193,7 +193,7 @@
 		fmt.Fprintf(out, "%d requests in %.1f s: %.0f a second\n", asked, took.Seconds(), float64(asked)/took.Seconds())
 	}
 	if broken > 0 {
-		return commandline.Fault(fmt.Errorf("%d times a rule was broken; --json has the histories", broken))
+		return commandline.Failure(fmt.Errorf("%d times a rule was broken; --json has the histories", broken))
 	}
 	return nil
 }
--- a/cmd/dykering-lab/real.go
+++ b/cmd/dykering-lab/real.go
@@ -32,7 +32,7 @@
 	}
 	s, wrong := scenario.Load(args[0])
 	if err := validation.Join(wrong); err != nil {
-		return nil, commandline.Fault(err)
+		return nil, commandline.Failure(err)
 	}
 	return s, nil
 }
@@ -61,12 +61,12 @@
 			began := time.Now()
 			r, err := real.Play(ctx, s, seed, real.Options{Command: command, Dir: logs})
 			if err != nil {
-				return commandline.Fault(fmt.Errorf("%w\nlogs are under %s", err, logs))
+				return commandline.Failure(fmt.Errorf("%w\nlogs are under %s", err, logs))
 			}
 			j := &job{Policy: "processes", Result: r, Took: time.Since(began)}
 			err = report(c.Root().Writer, []*job{j}, asJSON, j.Took)
 			if len(r.ViolationCounts) > 0 {
-				return commandline.Fault(fmt.Errorf("%s\nlogs are under %s", violations(r), logs))
+				return commandline.Failure(fmt.Errorf("%s\nlogs are under %s", violations(r), logs))
 			}
 			if dir == "" {
 				err = errors.Join(err, os.RemoveAll(logs))
--- a/cmd/dykering-lab/run.go
+++ b/cmd/dykering-lab/run.go
@@ -26,7 +26,7 @@
 		Action: commandline.Args(1, 1, func(ctx context.Context, c *cli.Command, args []string) error {
 			e, wrong := experiment.Load(args[0])
 			if err := validation.Join(wrong); err != nil {
-				return commandline.Fault(err)
+				return commandline.Failure(err)
 			}
 			e.In(in)
 			if dir == "" {
@@ -34,7 +34,7 @@
 			}
 			if fresh {
 				if err := os.RemoveAll(filepath.Join(dir, experiment.RunsFile)); err != nil {
-					return commandline.Fault(err)
+					return commandline.Failure(err)
 				}
 			}
 			if at == 0 {
@@ -44,7 +44,7 @@
 			}
 			command, err := brokerCommand("")
 			if err != nil {
-				return commandline.Fault(err)
+				return commandline.Failure(err)
 			}
 			bar := progressbar.NewOptions(1, progressbar.OptionSetWriter(c.Root().ErrWriter), progressbar.OptionSetWidth(30),
 				progressbar.OptionShowCount(), progressbar.OptionSetElapsedTime(true), progressbar.OptionSetPredictTime(true),
@@ -54,11 +54,11 @@
 				bar.Set(done) // what cannot be drawn is not worth an end
 			})
 			if err != nil {
-				return commandline.Fault(fmt.Errorf("%w\nwhat was played is kept in %s, and the same command goes on with it", err, dir))
+				return commandline.Failure(fmt.Errorf("%w\nwhat was played is kept in %s, and the same command goes on with it", err, dir))
 			}
 			rows, err := e.Write(dir, runs)
 			if err != nil {
-				return commandline.Fault(err)
+				return commandline.Failure(err)
 			}
 			if err := experiment.Markdown(c.Root().Writer, rows); err != nil {
 				return err
@@ -81,15 +81,15 @@
 		Action: commandline.Args(2, 2, func(_ context.Context, c *cli.Command, args []string) error {
 			_, a, err := experiment.ReadRuns(args[0])
 			if err != nil {
-				return commandline.Fault(err)
+				return commandline.Failure(err)
 			}
 			_, b, err := experiment.ReadRuns(args[1])
 			if err != nil {
-				return commandline.Fault(err)
+				return commandline.Failure(err)
 			}
 			rows, err := experiment.Compare(a, b)
 			if err != nil {
-				return commandline.Fault(err)
+				return commandline.Failure(err)
 			}
 			return experiment.Markdown(c.Root().Writer, rows)
 		}),
--- a/cmd/dykering-lab/trial.go
+++ b/cmd/dykering-lab/trial.go
@@ -27,10 +27,10 @@
 				fmt.Fprintf(c.Root().ErrWriter, "%d of %d\n", done, all)
 			})
 			if err != nil {
-				return commandline.Fault(err)
+				return commandline.Failure(err)
 			}
 			if err := trial.Write(c.Root().Writer, spec.Variants, outcomes); err != nil {
-				return commandline.Fault(err)
+				return commandline.Failure(err)
 			}
 			return nil
 		}),
--- a/cmd/dykering-lab/whole.go
+++ b/cmd/dykering-lab/whole.go
@@ -52,7 +52,7 @@
 				at := time.Now()
 				r, err := emulation.Play(ctx, in, s, seed+uint64(i), emulation.Options{Dir: dir})
 				if err = errors.Join(err, os.RemoveAll(dir)); err != nil {
-					return commandline.Fault(err)
+					return commandline.Failure(err)
 				}
 				jobs = append(jobs, &job{Policy: "dykering", Result: r, Took: time.Since(at)})
 			}
--- a/cmd/dykering/check_command.go
+++ b/cmd/dykering/check_command.go
@@ -40,7 +40,7 @@
 			for _, path := range args {
 				wrong = append(wrong, check(path))
 			}
-			return commandline.Fault(joined(wrong))
+			return commandline.Failure(joined(wrong))
 		}),
 	}
 }
--- a/cmd/dykering/fixed_test.go
+++ b/cmd/dykering/fixed_test.go
@@ -30,7 +30,7 @@
 func TestExitCodesAreThoseOfThePage(t *testing.T) {
 	code := []string{
 		strconv.Itoa(commandline.ExitOK) + " done",
-		strconv.Itoa(commandline.ExitFault) + " fault",
+		strconv.Itoa(commandline.ExitFailure) + " fault",
 		strconv.Itoa(commandline.ExitUsage) + " usage",
 	}
 	fixture.SameNames(t, "exit codes", fixture.Names(t, fixedPage, "Exit codes"), code)
--- a/cmd/dykering/main.go
+++ b/cmd/dykering/main.go
@@ -34,5 +34,5 @@
 
 // action does the work of a command that takes no arguments. Its errors are none of the command line.
 func action(work func(c *cli.Command) error) cli.ActionFunc {
-	return commandline.NoArgs(func(_ context.Context, c *cli.Command) error { return commandline.Fault(work(c)) })
+	return commandline.NoArgs(func(_ context.Context, c *cli.Command) error { return commandline.Failure(work(c)) })
 }
--- a/cmd/dykering/operate_test.go
+++ b/cmd/dykering/operate_test.go
@@ -86,7 +86,7 @@
 			path := write(t, "faulty.toml", strings.Join(faulty, "\n"))
 			code, _, errOut := command("check", path)
 			want := fmt.Sprintf("%s:%d: %s%s", path, i+1, section, m[1])
-			if code != commandline.ExitFault || !strings.Contains(errOut, want) || strings.Count(errOut, "\n") != 1 ||
+			if code != commandline.ExitFailure || !strings.Contains(errOut, want) || strings.Count(errOut, "\n") != 1 ||
 				name == "misspelt" && !strings.Contains(errOut, "is "+section+m[1]+" meant?") {
 				t.Errorf("%s: exit %d, %q", change, code, errOut)
 			}
@@ -119,21 +119,21 @@
 		{"check", commandline.ExitUsage, []string{"at least 1 arg"}},
 		{"config", commandline.ExitUsage, []string{"show or default"}},
 		{"version extra", commandline.ExitUsage, []string{"extra"}},
-		{"run", commandline.ExitFault, []string{"BALANCER_CONFIG"}},
+		{"run", commandline.ExitFailure, []string{"BALANCER_CONFIG"}},
 		{"version", commandline.ExitOK, []string{"dykering ", "file version 1"}},
 		{"completion bash", commandline.ExitOK, []string{"__dykering", "complete -o"}},
-		{"proxy", commandline.ExitFault, []string{"DYKERING_NODE_FILE"}},
+		{"proxy", commandline.ExitFailure, []string{"DYKERING_NODE_FILE"}},
 		{"control extra", commandline.ExitUsage, []string{"extra"}},
 		{"check " + settings + " " + configuration, commandline.ExitOK, nil},
-		{"check " + noSettings + " " + noConfiguration, commandline.ExitFault, []string{"ip_address", "unknown service s2"}},
+		{"check " + noSettings + " " + noConfiguration, commandline.ExitFailure, []string{"ip_address", "unknown service s2"}},
 		{"check " + platform, commandline.ExitOK, nil},
-		{"check " + platform + " " + broken + " " + half, commandline.ExitFault, []string{
+		{"check " + platform + " " + broken + " " + half, commandline.ExitFailure, []string{
 			broken + ":3: limits.cores", broken + ":4: limits.sockets",
 			broken + ": seed", broken + ": settings: missing", half + ":2: unexpected end",
 		}},
 		{"config show --config " + platform, commandline.ExitOK, []string{"limits.memory_mb = 64", platform + ":2", "log.level", "# default"}},
-		{"config show --config " + broken, commandline.ExitFault, []string{"limits.cores"}},
-		{"run --config " + platform + " --operator " + broken, commandline.ExitFault, []string{broken + ":1: "}},
+		{"config show --config " + broken, commandline.ExitFailure, []string{"limits.cores"}},
+		{"run --config " + platform + " --operator " + broken, commandline.ExitFailure, []string{broken + ":1: "}},
 	} {
 		code, out, errOut := command(strings.Fields(tc.args)...)
 		if code != tc.code {
--- a/internal/commandline/commandline.go
+++ b/internal/commandline/commandline.go
@@ -1,4 +1,3 @@
-// Package commandline runs the command lines of the project's programs: their exit codes, and how errors are told.
 package commandline
 
 import (
@@ -11,33 +10,36 @@
 	"github.com/urfave/cli/v3"
 )
 
-// The exit codes.
+// Exit codes of the programs.
 const (
-	ExitOK    = 0
-	ExitFault = 1 // something is wrong with what it was given, or it could not run
-	ExitUsage = 2 // the command line is wrong
+	ExitOK      = 0
+	ExitFailure = 1 // the command could not do its work, or found errors in what it was given
+	ExitUsage   = 2 // the command line is wrong
 )
 
-// fault marks an error as one of the work, not of the command line.
-type fault struct{ error }
+// failure marks an error of a command's work.
+type failure struct{ error }
 
-func (f fault) Unwrap() error { return f.error }
+// Unwrap returns the error without the mark.
+func (f failure) Unwrap() error { return f.error }
 
-// Fault marks an error as one of the work, not of the command line; nil stays nil.
-func Fault(err error) error {
+// Failure marks an error as one of a command's work, so that Run returns ExitFailure; an error without the mark is one of
+// the command line. Failure of nil is nil.
+func Failure(err error) error {
 	if err == nil {
 		return nil
 	}
-	return fault{err}
+	return failure{err}
 }
 
-// Run runs a command line, tells its error on errOut and returns the exit code.
+// Run runs a command line, prints its error to errOut and returns the exit code. Each line of the error follows the
+// program's name; an error of the command line is followed by a hint at the help.
 func Run(ctx context.Context, root *cli.Command, args []string, out, errOut io.Writer) int {
 	root.Writer, root.ErrWriter = out, errOut
-	root.ExitErrHandler = func(context.Context, *cli.Command, error) {} // told below
+	root.ExitErrHandler = func(context.Context, *cli.Command, error) {} // the library's would print the error too
 	root.HideVersion = true
 	root.Action = MissingCommand
-	eachCommand(root, func(c *cli.Command) { c.OnUsageError = usageError })
+	forEachCommand(root, func(command *cli.Command) { command.OnUsageError = usageError })
 	err := root.Run(ctx, append([]string{root.Name}, args...))
 	if err == nil {
 		return ExitOK
@@ -45,59 +47,62 @@
 	for line := range strings.SplitSeq(err.Error(), "\n") {
 		fmt.Fprintln(errOut, root.Name+": "+line)
 	}
-	if errors.As(err, new(fault)) {
-		return ExitFault
+	if errors.As(err, new(failure)) {
+		return ExitFailure
 	}
 	fmt.Fprintln(errOut, root.Name+": see "+root.Name+" --help")
 	return ExitUsage
 }
 
-// MissingCommand is the action of a command that only groups others: it tells that one of them is missing or unknown.
-func MissingCommand(_ context.Context, c *cli.Command) error {
-	if c.Args().Present() {
-		return errors.Errorf("unknown command %q", c.Args().First())
+// MissingCommand is the action of a command that only groups others. It prints the help to the error output and returns
+// an error of the command line.
+func MissingCommand(_ context.Context, command *cli.Command) error {
+	if command.Args().Present() {
+		return errors.Errorf("unknown command %q", command.Args().First())
 	}
-	c.Root().Writer = c.Root().ErrWriter
-	if err := cli.ShowAppHelp(c); err != nil {
+	command.Root().Writer = command.Root().ErrWriter
+	if err := cli.ShowAppHelp(command); err != nil {
 		return err
 	}
 	return errors.New("a command is missing")
 }
 
-// eachCommand does something to a command and those below it.
-func eachCommand(c *cli.Command, do func(*cli.Command)) {
-	do(c)
-	for _, sub := range c.Commands {
-		eachCommand(sub, do)
+// forEachCommand calls visit with a command and all below it.
+func forEachCommand(command *cli.Command, visit func(*cli.Command)) {
+	visit(command)
+	for _, subcommand := range command.Commands {
+		forEachCommand(subcommand, visit)
 	}
 }
 
-// usageError names a flag as it is written.
+// usageError names an unknown flag with two dashes, as it is written; the library names it with one.
 func usageError(_ context.Context, _ *cli.Command, err error, _ bool) error {
 	return errors.New(strings.Replace(err.Error(), "not defined: -", "not defined: --", 1))
 }
 
-// NoArgs is the action of a command that takes no arguments.
-func NoArgs(work func(ctx context.Context, c *cli.Command) error) cli.ActionFunc {
-	return func(ctx context.Context, c *cli.Command) error {
-		if c.Args().Present() {
-			return errors.Errorf("%s: unknown argument %q", c.Name, c.Args().First())
+// NoArgs returns the action of a command that takes no arguments; work does what the command is for.
+func NoArgs(work func(ctx context.Context, command *cli.Command) error) cli.ActionFunc {
+	return func(ctx context.Context, command *cli.Command) error {
+		if command.Args().Present() {
+			return errors.Errorf("%s: unknown argument %q", command.Name, command.Args().First())
 		}
-		return work(ctx, c)
+		return work(ctx, command)
 	}
 }
 
-// Args is the action of a command that takes from least to most arguments; most below 0 is no bound.
-func Args(least, most int, work func(ctx context.Context, c *cli.Command, args []string) error) cli.ActionFunc {
-	return func(ctx context.Context, c *cli.Command) error {
-		args := c.Args().Slice()
+// Args returns the action of a command that takes from least to most arguments; there is no upper bound if most is
+// negative. work does what the command is for.
+func Args(least, most int, work func(ctx context.Context, command *cli.Command, args []string) error) cli.ActionFunc {
+	return func(ctx context.Context, command *cli.Command) error {
+		args := command.Args().Slice()
 		if len(args) < least || most >= 0 && len(args) > most {
-			return errors.Errorf("%s: %s, received %d", c.Name, expectation(least, most), len(args))
+			return errors.Errorf("%s: %s, received %d", command.Name, expectation(least, most), len(args))
 		}
-		return work(ctx, c, args)
+		return work(ctx, command, args)
 	}
 }
 
+// expectation says how many arguments a command takes.
 func expectation(least, most int) string {
 	switch {
 	case most < 0:
--- a/internal/commandline/commandline_test.go
+++ b/internal/commandline/commandline_test.go
@@ -17,19 +17,19 @@
 }
 
 var _ = DescribeTable("a command line",
-	func(args []string, code int, told string) {
+	func(args []string, code int, message string) {
 		done := func(context.Context, *cli.Command, []string) error { return nil }
 		root := &cli.Command{Name: "program", Commands: []*cli.Command{
 			{Name: "one", Action: Args(1, 1, done), Flags: []cli.Flag{&cli.IntFlag{Name: "size"}}},
 			{Name: "some", Action: Args(0, 2, done)},
 			{Name: "many", Action: Args(1, -1, done)},
 			{Name: "none", Action: NoArgs(func(context.Context, *cli.Command) error { return nil })},
-			{Name: "broken", Action: NoArgs(func(context.Context, *cli.Command) error { return Fault(errors.New("two\nlines")) })},
+			{Name: "broken", Action: NoArgs(func(context.Context, *cli.Command) error { return Failure(errors.New("two\nlines")) })},
 			{Name: "group", Action: MissingCommand, Commands: []*cli.Command{{Name: "member"}}},
 		}}
 		var out, errOut bytes.Buffer
 		Expect(Run(context.Background(), root, args, &out, &errOut)).To(Equal(code), errOut.String())
-		Expect(errOut.String()).To(ContainSubstring(told))
+		Expect(errOut.String()).To(ContainSubstring(message))
 	},
 	Entry("without a command", nil, ExitUsage, "a command is missing"),
 	Entry("with one that there is not", []string{"noe"}, ExitUsage, "noe"),
@@ -40,6 +40,6 @@
 	Entry("with none of many", []string{"many"}, ExitUsage, "requires at least 1 arg(s), received 0"),
 	Entry("with one where none is taken", []string{"none", "x"}, ExitUsage, `none: unknown argument "x"`),
 	Entry("of a group alone", []string{"group"}, ExitUsage, "a command is missing"),
-	Entry("whose work fails", []string{"broken"}, ExitFault, "program: two\nprogram: lines\n"),
+	Entry("whose work fails", []string{"broken"}, ExitFailure, "program: two\nprogram: lines\n"),
 	Entry("whose work is done", []string{"many", "1", "2"}, ExitOK, ""),
 )
