--- a/cmd/dykering-lab/explore.go
+++ b/cmd/dykering-lab/explore.go
@@ -35,14 +35,14 @@
 				return err
 			}
 			defer os.RemoveAll(scratch)
-			s := &explore.Search{Explorer: &explore.Explorer{Bubble: in, Dir: scratch}, Out: dir, First: seed, At: at, Most: most}
+			s := &explore.Search{Explorer: &explore.Explorer{Bubble: in, Dir: scratch}, Directory: dir, Seed: seed, Parallel: at, MaxRuns: most}
 			if lasts > 0 {
 				s.Until = time.Now().Add(lasts)
 			}
 			bar := progressbar.NewOptions(max(most, -1), progressbar.OptionSetWriter(c.Root().ErrWriter), progressbar.OptionSetWidth(30),
 				progressbar.OptionShowCount(), progressbar.OptionShowIts(), progressbar.OptionSetElapsedTime(true),
 				progressbar.OptionSetPredictTime(most > 0), progressbar.OptionThrottle(500*time.Millisecond))
-			s.Told = func(runs, covered, finds int) {
+			s.OnProgress = func(runs, covered, finds int) {
 				bar.Describe(fmt.Sprintf("%d pairs, %d finds", covered, finds))
 				bar.Set(runs) // what cannot be drawn is not worth an end
 			}
@@ -52,7 +52,7 @@
 				return commandline.Failure(err)
 			}
 			out := c.Root().Writer
-			fmt.Fprintf(out, "\n%d runs, %d requests; this time %.0f s; %d of %d pairs of faults and stages reached\n", r.Runs, r.Asked,
+			fmt.Fprintf(out, "\n%d runs, %d requests; this time %.0f s; %d of %d pairs of faults and stages reached\n", r.Runs, r.Offered,
 				time.Since(began).Seconds(), len(r.Reached), len(r.Reached)+len(r.Missing))
 			missing := map[string][]string{}
 			for _, p := range r.Missing {
@@ -61,8 +61,8 @@
 			for _, fault := range slices.Sorted(maps.Keys(missing)) {
 				fmt.Fprintf(out, "not reached: %s in %s\n", fault, strings.Join(missing[fault], " "))
 			}
-			if len(r.Broken) > 0 {
-				return commandline.Failure(fmt.Errorf("runs in which a rule was broken: %v; replays: %s", r.Broken, strings.Join(r.Finds, ", ")))
+			if len(r.ViolationCounts) > 0 {
+				return commandline.Failure(fmt.Errorf("runs in which a rule was broken: %v; replays: %s", r.ViolationCounts, strings.Join(r.Finds, ", ")))
 			}
 			return nil
 		}),
--- a/internal/lab/explore/compatibility_test.go
+++ b/internal/lab/explore/compatibility_test.go
@@ -22,12 +22,12 @@
 }
 
 // The file of runs of a search that a released build has begun is read, and gone on with.
-func TestSearchRecordOfReleasedBuildIsReadAndWrittenAlike(t *testing.T) {
+func TestSearchRecordKeepsFormOfReleasedBuild(t *testing.T) {
 	fixture.JSON(t, "testdata/compatibility/record.json", &Record{}, setRanges)
 }
 
 // The text of a schedule, that replays a find, is that of released builds.
-func TestScheduleTextOfReleasedBuildIsWrittenAlike(t *testing.T) {
+func TestScheduleTextKeepsFormOfReleasedBuild(t *testing.T) {
 	var s Schedule
 	fixture.Fill(&s, setRanges)
 	s.Entries[0].What.Kind = "bytes"
--- a/internal/lab/explore/explore.go
+++ b/internal/lab/explore/explore.go
@@ -1,6 +1,3 @@
-// Package explore searches for a broken rule: it draws schedules of faults, plays each with the whole program in virtual
-// time (package whole), prefers what reaches pairs of faults and stages that were not reached yet, and shrinks what
-// breaks a rule to the least that still does, as a scenario file that replays it.
 package explore
 
 import (
@@ -24,90 +21,93 @@
 )
 
 //go:embed base.toml
-var base string
+var baseScenario string
 
-// Fault is one that is put into a schedule.
+// Fault is a kind of fault that schedules are drawn from.
 type Fault struct {
-	Name  string
-	Make  func(r *rand.Rand) scenario.InjectedFault // but for when
-	Lasts time.Duration                             // at the most; it is drawn
+	Name string
+	// Draw draws the fault without its start and duration.
+	Draw func(r *rand.Rand) scenario.InjectedFault
+	// The upper limit of its duration, which is drawn.
+	MaxDuration time.Duration
 }
 
 const (
-	mostFaults = 4 // of a schedule
+	maxFaults = 4 // of a schedule
 	// earliest and latest are when faults begin.
-	earliest, latest = 300 * time.Millisecond, 2200 * time.Millisecond
-	lookEvery        = 2 * time.Millisecond
-	// after is how long after a fault's time what it did is looked for.
-	after = 60 * time.Millisecond
+	earliestStart, latestStart = 300 * time.Millisecond, 2200 * time.Millisecond
+	observeInterval            = 2 * time.Millisecond
+	// effectTime is how long after the end of a fault a phase still counts as reached under it.
+	effectTime = 60 * time.Millisecond
 )
 
-func trouble(what string, share, of float64) func(*rand.Rand) scenario.InjectedFault {
+func serverFault(what string, share, of float64) func(*rand.Rand) scenario.InjectedFault {
 	return func(*rand.Rand) scenario.InjectedFault {
 		return scenario.InjectedFault{Kind: what, ServerShare: share, InstanceShare: of}
 	}
 }
 
-func wrongBytes(how string, most int) func(*rand.Rand) scenario.InjectedFault {
+func connectionFault(how string, most int) func(*rand.Rand) scenario.InjectedFault {
 	return func(r *rand.Rand) scenario.InjectedFault {
 		return scenario.InjectedFault{Kind: "bytes", ConnectionFault: how, Bytes: r.IntN(most + 1), ServerShare: 0.35}
 	}
 }
 
-func callers(what string) func(*rand.Rand) scenario.InjectedFault {
+func clientFault(what string) func(*rand.Rand) scenario.InjectedFault {
 	return func(r *rand.Rand) scenario.InjectedFault {
 		share := 0.1 + 0.3*r.Float64()
 		return scenario.InjectedFault{Kind: what, Factor: scenario.Range{From: share, To: share}}
 	}
 }
 
-func factor(what string, share, from, to float64) func(*rand.Rand) scenario.InjectedFault {
+func factorFault(what string, share, from, to float64) func(*rand.Rand) scenario.InjectedFault {
 	return func(r *rand.Rand) scenario.InjectedFault {
 		x := from + (to-from)*r.Float64()
 		return scenario.InjectedFault{Kind: what, ServerShare: share, Factor: scenario.Range{From: x, To: x}}
 	}
 }
 
-// Faults are all that are drawn, by the names of the review's table where it has one.
+// Faults are all faults that are drawn. Those in the table of docs/review-of-parts.md have its
+// names.
 var Faults = []Fault{
-	{"draining", trouble("drain", 0.35, 0), time.Second},
-	{"gone", trouble("crash", 0.35, 0), time.Second},
-	{"returned", trouble("flap", 0.35, 0), time.Second},
-	{"cold", trouble("replace", 0.35, 0), time.Second},
-	{"refusing", trouble("crash", 0.7, 0), 400 * time.Millisecond},
-	{"silent", trouble("vanish", 0.35, 0), time.Second},
-	{"never up", wrongBytes("syn", 0), time.Second},
-	{"stalled", wrongBytes("stall", 60), time.Second},
-	{"reset", wrongBytes("reset", 60), time.Second},
-	{"connections reset", trouble("reset", 0.5, 0), 0},
-	{"failing", factor("errors", 0.5, 0.3, 1), time.Second},
-	{"full", factor("burst", 0, 4, 10), time.Second},
-	{"spoilt", wrongBytes("garbage", 0), time.Second},
-	{"cut", wrongBytes("cut", 100), time.Second},
-	{"slow", factor("slow", 0.5, 3, 20), time.Second},
-	{"paused", trouble("pause", 0.5, 0), 500 * time.Millisecond},
-	{"slow bytes", wrongBytes("slow_write", 60), time.Second},
-	{"parted", trouble("partition", 0.5, 0.5), time.Second},
-	{"caller gone", callers("gone"), time.Second},
-	{"caller slow", callers("dribble"), time.Second},
-	{"caller malformed", callers("junk"), time.Second},
-	{"id used twice", callers("twice"), time.Second},
-	{"list late", trouble("discovery", 0, 1), 800 * time.Millisecond},
-	{"list older", trouble("stale", 0, 1), 0},
-	{"list repeated", trouble("again", 0, 1), 0},
-	{"list broken off", trouble("break", 0, 1), 0},
-	{"drain", trouble("away", 0, 0.5), time.Second},
-	{"SIGTERM", trouble("stop", 0, 0.5), 200 * time.Millisecond},
-	{"handover", trouble("handover", 0, 0.5), 0},
-	{"SIGHUP", trouble("reload", 0, 1), 0},
-	{"killed", trouble("kill", 0, 0.5), 300 * time.Millisecond},
-	{"late loop", trouble("stall", 0, 0.5), 500 * time.Millisecond},
+	{"draining", serverFault("drain", 0.35, 0), time.Second},
+	{"gone", serverFault("crash", 0.35, 0), time.Second},
+	{"returned", serverFault("flap", 0.35, 0), time.Second},
+	{"cold", serverFault("replace", 0.35, 0), time.Second},
+	{"refusing", serverFault("crash", 0.7, 0), 400 * time.Millisecond},
+	{"silent", serverFault("vanish", 0.35, 0), time.Second},
+	{"never up", connectionFault("syn", 0), time.Second},
+	{"stalled", connectionFault("stall", 60), time.Second},
+	{"reset", connectionFault("reset", 60), time.Second},
+	{"connections reset", serverFault("reset", 0.5, 0), 0},
+	{"failing", factorFault("errors", 0.5, 0.3, 1), time.Second},
+	{"full", factorFault("burst", 0, 4, 10), time.Second},
+	{"spoilt", connectionFault("garbage", 0), time.Second},
+	{"cut", connectionFault("cut", 100), time.Second},
+	{"slow", factorFault("slow", 0.5, 3, 20), time.Second},
+	{"paused", serverFault("pause", 0.5, 0), 500 * time.Millisecond},
+	{"slow bytes", connectionFault("slow_write", 60), time.Second},
+	{"parted", serverFault("partition", 0.5, 0.5), time.Second},
+	{"caller gone", clientFault("gone"), time.Second},
+	{"caller slow", clientFault("dribble"), time.Second},
+	{"caller malformed", clientFault("junk"), time.Second},
+	{"id used twice", clientFault("twice"), time.Second},
+	{"list late", serverFault("discovery", 0, 1), 800 * time.Millisecond},
+	{"list older", serverFault("stale", 0, 1), 0},
+	{"list repeated", serverFault("again", 0, 1), 0},
+	{"list broken off", serverFault("break", 0, 1), 0},
+	{"drain", serverFault("away", 0, 0.5), time.Second},
+	{"SIGTERM", serverFault("stop", 0, 0.5), 200 * time.Millisecond},
+	{"handover", serverFault("handover", 0, 0.5), 0},
+	{"SIGHUP", serverFault("reload", 0, 1), 0},
+	{"killed", serverFault("kill", 0, 0.5), 300 * time.Millisecond},
+	{"late loop", serverFault("stall", 0, 0.5), 500 * time.Millisecond},
 }
 
-// Lives are the faults that are a turn in a broker's life: one of them is in most schedules.
-var lives = []string{"drain", "SIGTERM", "handover", "SIGHUP", "killed"}
+// lifecycleFaults are the faults that change a broker's lifecycle. Most schedules contain one.
+var lifecycleFaults = []string{"drain", "SIGTERM", "handover", "SIGHUP", "killed"}
 
-// Stages are those that the table has and that are looked for.
+// Stages are the phases of the review's table that are observed.
 var Stages = []string{"ac", "he", "hd", "co", "wr", "aw", "wa", "dr", "st", "ho", "re", "di"}
 
 // Entry is a fault in a schedule.
@@ -119,34 +119,35 @@
 func (e Entry) at() time.Duration  { return e.What.Start.From }
 func (e Entry) end() time.Duration { return e.What.Start.From + e.What.Duration.From }
 
-// Schedule is what is played.
+// Schedule is a seed and the faults of one run. The JSON key of Lasts is its Go name.
 type Schedule struct {
 	Seed    uint64  `json:"seed"`
 	Entries []Entry `json:"entries"`
 	Lasts   tomlconfig.Duration
 }
 
-// Pair is a fault and a stage in which something was while it lasted.
+// Pair is a fault and a phase that was active during it. Its JSON keys are its Go names.
 type Pair struct{ Fault, Stage string }
 
-// Outcome is what came of a schedule.
+// Outcome is the outcome of a schedule.
 type Outcome struct {
-	Schedule Schedule
-	Broken   map[string]int
-	Told     []rules.Violation
-	Err      error // the run could not be ended
-	Pairs    []Pair
-	Asked    int
-	Service  float64
+	Schedule        Schedule
+	ViolationCounts map[string]int
+	Violations      []rules.Violation
+	// Set where the run could not be completed.
+	Err     error
+	Pairs   []Pair
+	Offered int
+	Service float64
 }
 
-// Bad tells whether a rule was broken, or the run did not end as one does.
-func (o *Outcome) Bad() bool { return len(o.Broken) > 0 || o.Err != nil }
+// Failed reports whether a rule was broken or the run could not be completed.
+func (o *Outcome) Failed() bool { return len(o.ViolationCounts) > 0 || o.Err != nil }
 
-// Name is what was broken, for comparison.
+// Name is the rule that was broken, to compare outcomes by.
 func (o *Outcome) Name() string {
 	best := ""
-	for rule := range o.Broken {
+	for rule := range o.ViolationCounts {
 		if best == "" || rule < best {
 			best = rule
 		}
@@ -157,20 +158,24 @@
 // Explorer plays schedules.
 type Explorer struct {
 	Bubble emulation.Bubble
-	Dir    string            // for configurations; it is empty between runs
-	Wrong  emulation.Options // what is changed of each run, for brokers that are to do what they must not
-	Within int               // runs that shrinking takes at the most; 0 for 200
+	// Directory of configurations; it is empty between runs.
+	Dir string
+	// Options of each run, for tests with faulty brokers.
+	Options emulation.Options
+	// Limit of runs for shrinking; 0 for 200.
+	MaxShrinkRuns int
 }
 
-// Draw makes a schedule. Wanted, if it names one, is a pair of a fault and a turn in a broker's life that are to meet.
-func Draw(r *rand.Rand, wanted *[2]string) Schedule {
+// Draw draws a schedule. If a pair of a fault and a lifecycle fault is given, the schedule contains
+// both at about the same time.
+func Draw(r *rand.Rand, pair *[2]string) Schedule {
 	s := Schedule{Seed: r.Uint64N(1 << 40)}
 	add := func(name string, at time.Duration) {
 		f := Faults[slices.IndexFunc(Faults, func(f Fault) bool { return f.Name == name })]
-		x := f.Make(r)
+		x := f.Draw(r)
 		lasts := time.Duration(0)
-		if f.Lasts > 0 {
-			lasts = f.Lasts/4 + time.Duration(r.Int64N(int64(f.Lasts*3/4)))
+		if f.MaxDuration > 0 {
+			lasts = f.MaxDuration/4 + time.Duration(r.Int64N(int64(f.MaxDuration*3/4)))
 		}
 		if x.Kind == "flap" {
 			x.Interval = tomlconfig.Duration(lasts/5 + time.Millisecond)
@@ -179,20 +184,20 @@
 		x.Start, x.Duration = scenario.DurationRange{From: at, To: at}, scenario.DurationRange{From: lasts, To: lasts}
 		s.Entries = append(s.Entries, Entry{name, x})
 	}
-	when := func() time.Duration { return earliest + time.Duration(r.Int64N(int64(latest-earliest))) }
+	when := func() time.Duration { return earliestStart + time.Duration(r.Int64N(int64(latestStart-earliestStart))) }
 	meet := when()
-	if wanted != nil {
-		add(wanted[0], max(meet-time.Duration(r.Int64N(int64(100*time.Millisecond))), earliest))
-		add(wanted[1], meet)
+	if pair != nil {
+		add(pair[0], max(meet-time.Duration(r.Int64N(int64(100*time.Millisecond))), earliestStart))
+		add(pair[1], meet)
 	}
-	for n := 1 + r.IntN(mostFaults-1); len(s.Entries) < n; {
+	for n := 1 + r.IntN(maxFaults-1); len(s.Entries) < n; {
 		f := Faults[r.IntN(len(Faults))].Name
 		if r.IntN(3) == 0 {
-			f = lives[r.IntN(len(lives))]
+			f = lifecycleFaults[r.IntN(len(lifecycleFaults))]
 		}
 		at := when()
 		if r.IntN(2) == 0 {
-			at = max(meet+time.Duration(r.Int64N(int64(200*time.Millisecond)))-100*time.Millisecond, earliest)
+			at = max(meet+time.Duration(r.Int64N(int64(200*time.Millisecond)))-100*time.Millisecond, earliestStart)
 		}
 		add(f, at)
 	}
@@ -202,7 +207,7 @@
 // Text is the scenario file of a schedule.
 func (s Schedule) Text() string {
 	var b strings.Builder
-	text := base
+	text := baseScenario
 	if s.Lasts > 0 {
 		text = strings.Replace(text, `lasts = "3s"`, fmt.Sprintf("lasts = %q", time.Duration(s.Lasts)), 1)
 	}
@@ -227,8 +232,8 @@
 // Play plays a schedule.
 func (x *Explorer) Play(ctx context.Context, s Schedule) *Outcome {
 	o := &Outcome{Schedule: s}
-	sc, wrong := scenario.Parse("schedule", []byte(s.Text()))
-	if o.Err = validation.Join(wrong); o.Err != nil {
+	sc, found := scenario.Parse("schedule", []byte(s.Text()))
+	if o.Err = validation.Join(found); o.Err != nil {
 		return o
 	}
 	dir, err := os.MkdirTemp(x.Dir, "run-")
@@ -238,13 +243,13 @@
 	}
 	pairs := map[Pair]bool{}
 	var mu sync.Mutex
-	options := x.Wrong
-	options.Dir, options.ObserveInterval = dir, lookEvery
+	options := x.Options
+	options.Dir, options.ObserveInterval = dir, observeInterval
 	options.Observe = func(at time.Duration, stages []string) {
 		mu.Lock()
 		defer mu.Unlock()
 		for _, e := range s.Entries {
-			if at < e.at() || at > e.end()+after {
+			if at < e.at() || at > e.end()+effectTime {
 				continue
 			}
 			for _, stage := range stages {
@@ -255,7 +260,7 @@
 	r, err := emulation.Play(ctx, x.Bubble, sc, s.Seed, options)
 	o.Err = errors.Join(err, os.RemoveAll(dir))
 	if r != nil {
-		o.Broken, o.Told, o.Asked, o.Service = r.ViolationCounts, r.Violations, r.Offered, r.Service
+		o.ViolationCounts, o.Violations, o.Offered, o.Service = r.ViolationCounts, r.Violations, r.Offered, r.Service
 	}
 	for p := range pairs {
 		o.Pairs = append(o.Pairs, p)
@@ -263,18 +268,18 @@
 	return o
 }
 
-// shrinkRuns bounds the runs that shrinking takes, where nothing else does.
-const shrinkRuns = 200
+// defaultShrinkRuns limits the runs for shrinking, unless MaxShrinkRuns does.
+const defaultShrinkRuns = 200
 
-// Shrink finds a smaller schedule of the same seed that breaks the same rule: with fewer faults, then shorter faults,
-// then a shorter run, which asks less. It returns what came of that.
+// Shrink finds a smaller schedule of the same seed that breaks the same rule: with fewer faults,
+// then shorter faults, then a shorter run. It returns the outcome of that schedule.
 func (x *Explorer) Shrink(ctx context.Context, o *Outcome) *Outcome {
 	best, runs := o, 0
-	try := func(s Schedule) bool {
-		if runs++; runs > cmp.Or(x.Within, shrinkRuns) || ctx.Err() != nil {
+	attempt := func(s Schedule) bool {
+		if runs++; runs > cmp.Or(x.MaxShrinkRuns, defaultShrinkRuns) || ctx.Err() != nil {
 			return false
 		}
-		if got := x.Play(ctx, s); got.Bad() && got.Name() == o.Name() {
+		if got := x.Play(ctx, s); got.Failed() && got.Name() == o.Name() {
 			best = got
 			return true
 		}
@@ -286,7 +291,7 @@
 		return s
 	}
 	for i := 0; i < len(best.Schedule.Entries); {
-		if !try(without(i)) {
+		if !attempt(without(i)) {
 			i++
 		}
 	}
@@ -299,7 +304,7 @@
 				break
 			}
 			s.Entries[i].What.Duration = scenario.DurationRange{From: half, To: half}
-			if !try(s) {
+			if !attempt(s) {
 				break
 			}
 		}
@@ -307,7 +312,7 @@
 	for _, lasts := range []time.Duration{time.Second, 1500 * time.Millisecond, 2 * time.Second} {
 		s := best.Schedule
 		s.Lasts = tomlconfig.Duration(lasts)
-		if try(s) {
+		if attempt(s) {
 			break
 		}
 	}
--- a/internal/lab/explore/explore_test.go
+++ b/internal/lab/explore/explore_test.go
@@ -32,14 +32,14 @@
 	return func(f func()) { synctest.Test(t, func(*testing.T) { f() }) }
 }
 
-// broken is a broker's network that does what it must not.
-type broken struct {
+// faultyNetwork is a broker's network with a planted fault.
+type faultyNetwork struct {
 	http1.Network
 	dial func(c *netem.Conn, again func() (net.Conn, error)) net.Conn
 	find func(http1.Successor) http1.Successor
 }
 
-func (b broken) Dial(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
+func (b faultyNetwork) Dial(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
 	c, err := b.Network.Dial(ctx, address, within)
 	if err != nil || b.dial == nil {
 		return c, err
@@ -47,7 +47,7 @@
 	return b.dial(c.(*netem.Conn), func() (net.Conn, error) { return b.Network.Dial(context.Background(), address, within) }), nil
 }
 
-func (b broken) FindSuccessor(dir, name string, own http1.Receiver) (http1.Successor, error) {
+func (b faultyNetwork) FindSuccessor(dir, name string, own http1.Receiver) (http1.Successor, error) {
 	heir, err := b.Network.FindSuccessor(dir, name, own)
 	if err == nil && b.find != nil {
 		heir = b.find(heir)
@@ -92,21 +92,21 @@
 	return n, err
 }
 
-// late brings what discovery says late.
-type late struct {
+// delayedDiscovery delays the updates of discovery.
+type delayedDiscovery struct {
 	*netem.Conn
 	mu    sync.Mutex
 	lists bool
 }
 
-func (c *late) Write(b []byte) (int, error) {
+func (c *delayedDiscovery) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	c.lists = c.lists || bytes.Contains(b, []byte("/v1/endpoints"))
 	c.mu.Unlock()
 	return c.Conn.Write(b)
 }
 
-func (c *late) Read(b []byte) (int, error) {
+func (c *delayedDiscovery) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,13 +116,13 @@
 	return n, err
 }
 
-// doubler sends each request on another connection too.
-type doubler struct {
+// duplicator sends each request on a second connection too.
+type duplicator struct {
 	*netem.Conn
 	again func() (net.Conn, error)
 }
 
-func (c *doubler) Write(b []byte) (int, error) {
+func (c *duplicator) Write(b []byte) (int, error) {
 	if bytes.Contains(b, []byte("X-Txn")) {
 		copied := bytes.Clone(b)
 		go func() {
@@ -148,15 +148,15 @@
 	if err != nil {
 		return nil, err
 	}
-	return &cut{c.(*netem.Conn), l.handing}, nil
+	return &cutConn{c.(*netem.Conn), l.handing}, nil
 }
 
-type cut struct {
+type cutConn struct {
 	*netem.Conn
 	handing *atomic.Bool
 }
 
-func (c *cut) Write(b []byte) (int, error) {
+func (c *cutConn) Write(b []byte) (int, error) {
 	if !c.handing.Load() {
 		return c.Conn.Write(b)
 	}
@@ -173,10 +173,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return &held{Conn: c.(*netem.Conn)}, nil
+	return &heldConn{Conn: c.(*netem.Conn)}, nil
 }
 
-type held struct {
+type heldConn struct {
 	*netem.Conn
 	mu    sync.Mutex
 	until time.Time
@@ -184,7 +184,7 @@
 
 var remaining = regexp.MustCompile(`X-Remaining: (\d+)u`)
 
-func (c *held) Read(b []byte) (int, error) {
+func (c *heldConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if m := remaining.FindSubmatch(b[:n]); m != nil {
 		us, _ := strconv.Atoi(string(m[1]))
@@ -195,7 +195,7 @@
 	return n, err
 }
 
-func (c *held) Write(b []byte) (int, error) {
+func (c *heldConn) Write(b []byte) (int, error) {
 	if bytes.HasPrefix(b, []byte("HTTP/1.1 503")) {
 		c.mu.Lock()
 		until := c.until
@@ -205,28 +205,28 @@
 	return c.Conn.Write(b)
 }
 
-// planted are the ways of being wrong, and the rules that each breaks.
-var planted = map[string]struct {
+// plantedFaults are faults of a broker, with the rules that each breaks.
+var plantedFaults = map[string]struct {
 	first uint64 // a seed of the draws that finds it early, for the time that the tests take; see docs/EXPLORE.md
 	wrong func(http1.Network, net.Listener) (http1.Network, net.Listener)
 	rules []string
 }{
 	"sent again after its bytes went out": {4, func(n http1.Network, l net.Listener) (http1.Network, net.Listener) {
-		return broken{Network: n, dial: func(c *netem.Conn, again func() (net.Conn, error)) net.Conn {
+		return faultyNetwork{Network: n, dial: func(c *netem.Conn, again func() (net.Conn, error)) net.Conn {
 			return &repeater{Conn: c, again: again}
 		}}, l
 	}, []string{rules.Effect, rules.Single, rules.AttemptLimit}},
 	"a drain heeded late": {3, func(n http1.Network, l net.Listener) (http1.Network, net.Listener) {
-		return broken{Network: n, dial: func(c *netem.Conn, _ func() (net.Conn, error)) net.Conn { return &late{Conn: c} }}, l
+		return faultyNetwork{Network: n, dial: func(c *netem.Conn, _ func() (net.Conn, error)) net.Conn { return &delayedDiscovery{Conn: c} }}, l
 	}, []string{rules.Drain}},
 	"two attempts at once": {1, func(n http1.Network, l net.Listener) (http1.Network, net.Listener) {
-		return broken{Network: n, dial: func(c *netem.Conn, again func() (net.Conn, error)) net.Conn {
-			return &doubler{c, again}
+		return faultyNetwork{Network: n, dial: func(c *netem.Conn, again func() (net.Conn, error)) net.Conn {
+			return &duplicator{c, again}
 		}}, l
 	}, []string{rules.Effect, rules.Single}},
 	"an answer cut at a handover": {1, func(n http1.Network, l net.Listener) (http1.Network, net.Listener) {
 		handing := &atomic.Bool{}
-		return broken{Network: n, find: func(h http1.Successor) http1.Successor {
+		return faultyNetwork{Network: n, find: func(h http1.Successor) http1.Successor {
 			handing.Store(true)
 			return h
 		}}, cutter{l, handing}
@@ -239,16 +239,16 @@
 // foundWithin is in how many runs each planted fault is found, whatever the seed.
 const foundWithin = 60
 
-// Each way of being wrong is found, for a rule that it breaks, and shrunk to at most three faults.
-func TestPlanted(t *testing.T) {
-	for name, p := range planted {
+// Each planted fault is found by a rule that it breaks, and shrunk to at most three injected faults.
+func TestSearchFindsAndShrinksPlantedFaults(t *testing.T) {
+	for name, p := range plantedFaults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			x := &Explorer{Bubble: bubble(t), Dir: t.TempDir(), Wrong: emulation.Options{WrapNetwork: p.wrong}, Within: 6}
-			s := &Search{Explorer: x, Out: t.TempDir(), First: p.first, At: 1}
+			x := &Explorer{Bubble: bubble(t), Dir: t.TempDir(), Options: emulation.Options{WrapNetwork: p.wrong}, MaxShrinkRuns: 6}
+			s := &Search{Explorer: x, Directory: t.TempDir(), Seed: p.first, Parallel: 1}
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
-			s.Most, s.Told = foundWithin, func(_, _, finds int) {
+			s.MaxRuns, s.OnProgress = foundWithin, func(_, _, finds int) {
 				if finds > 0 {
 					stop()
 				}
@@ -257,16 +257,16 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			right := slices.ContainsFunc(p.rules, func(rule string) bool { return r.Broken[rule] > 0 })
+			right := slices.ContainsFunc(p.rules, func(rule string) bool { return r.ViolationCounts[rule] > 0 })
 			if !right || len(r.Finds) == 0 {
-				t.Fatalf("not found in %d runs: %v, %v", r.Runs, r.Broken, r.Finds)
+				t.Fatalf("not found in %d runs: %v, %v", r.Runs, r.ViolationCounts, r.Finds)
 			}
 			text, err := os.ReadFile(r.Finds[0])
 			if err != nil {
 				t.Fatal(err)
 			}
 			faults := strings.Count(string(text), "[[trouble]]")
-			t.Logf("%v in %d runs, shrunk to %d faults", r.Broken, r.Runs, faults)
+			t.Logf("%v in %d runs, shrunk to %d faults", r.ViolationCounts, r.Runs, faults)
 			if faults > 3 {
 				t.Errorf("shrunk to %d faults", faults)
 			}
@@ -277,13 +277,13 @@
 	}
 }
 
-// The program keeps all rules in a fixed set of schedules, in which each fault meets each turn of a broker's life over
-// the runs of `make explore`; a search that was called off goes on where it was.
-func TestExplore(t *testing.T) {
+// The program keeps all rules in a fixed set of schedules, in which each fault meets each turn of a
+// broker's life over the runs of `make explore`; a search that was called off goes on where it was.
+func TestProgramKeepsRulesInFixedSchedules(t *testing.T) {
 	out := t.TempDir()
 	var r *Report
 	for _, most := range []int{8, 24} {
-		s := &Search{Explorer: &Explorer{Bubble: bubble(t), Dir: t.TempDir()}, Out: out, First: 7, At: 3, Most: most}
+		s := &Search{Explorer: &Explorer{Bubble: bubble(t), Dir: t.TempDir()}, Directory: out, Seed: 7, Parallel: 3, MaxRuns: most}
 		if most == 24 { // a line that was cut off
 			f, err := os.OpenFile(filepath.Join(out, runsFile), os.O_APPEND|os.O_WRONLY, 0)
 			if err != nil {
@@ -300,15 +300,15 @@
 			t.Errorf("%d runs, not %d", r.Runs, most)
 		}
 	}
-	if len(r.Broken) > 0 || r.Asked < 4000 || len(r.Reached) < 120 {
-		t.Errorf("broken %v in %v, %d asked, %d pairs", r.Broken, r.Finds, r.Asked, len(r.Reached))
+	if len(r.ViolationCounts) > 0 || r.Offered < 4000 || len(r.Reached) < 120 {
+		t.Errorf("broken %v in %v, %d asked, %d pairs", r.ViolationCounts, r.Finds, r.Offered, len(r.Reached))
 	}
 }
 
-// A schedule is the same text, and the same when read again, for a seed.
-func TestDraw(t *testing.T) {
+// A seed draws the same schedule each time, and its text is read as the same schedule.
+func TestDrawIsReproducibleAndReadable(t *testing.T) {
 	for n := range uint64(200) {
-		pair := [2]string{Faults[int(n)%len(Faults)].Name, lives[int(n)%len(lives)]}
+		pair := [2]string{Faults[int(n)%len(Faults)].Name, lifecycleFaults[int(n)%len(lifecycleFaults)]}
 		a := Draw(rand.New(rand.NewPCG(1, n)), &pair)
 		if b := Draw(rand.New(rand.NewPCG(1, n)), &pair); a.Text() != b.Text() {
 			t.Fatalf("two of one seed:\n%s\n%s", a.Text(), b.Text())
@@ -320,9 +320,9 @@
 	}
 }
 
-// The cells of the review's table that name the explorer are pairs that its kept search reached, and none that it reached
-// is said to have no test.
-func TestReviewsTable(t *testing.T) {
+// The cells of the review's table that name the explorer are pairs that its kept search reached, and none
+// that it reached is said to have no test.
+func TestReviewTableMatchesSearchRecord(t *testing.T) {
 	review, err := os.ReadFile("../../../docs/review-of-parts.md")
 	if err != nil {
 		t.Fatal(err)
@@ -332,10 +332,10 @@
 		t.Fatal(err)
 	}
 	reached := map[[2]string]string{}
-	cells(string(kept), func(fault, stage, cell string) { reached[[2]string{fault, stage}] = cell })
+	eachCell(string(kept), func(fault, stage, cell string) { reached[[2]string{fault, stage}] = cell })
 	names := map[string]string{"server draining": "draining", "refusing connections": "refusing"}
 	named := 0
-	cells(string(review), func(fault, stage, cell string) {
+	eachCell(string(review), func(fault, stage, cell string) {
 		if name := names[fault]; name != "" {
 			fault = name
 		}
@@ -354,8 +354,8 @@
 	}
 }
 
-// cells tells of each cell of the tables whose first column is named fault.
-func cells(text string, told func(fault, stage, cell string)) {
+// eachCell calls visit for each cell of the tables whose first column is named fault.
+func eachCell(text string, visit func(fault, stage, cell string)) {
 	var stages []string
 	for line := range strings.Lines(text) {
 		if !strings.HasPrefix(line, "|") {
@@ -371,13 +371,13 @@
 			continue
 		}
 		for i := range min(len(stages), len(row)-1) {
-			told(row[0], stages[i], row[i+1])
+			visit(row[0], stages[i], row[i+1])
 		}
 	}
 }
 
-// What the explorer has found stays mended: each replay, with the seed in its first lines, breaks no rule.
-func TestReplays(t *testing.T) {
+// Each replay of an earlier find, with the seed in its first lines, breaks no rule.
+func TestReplaysOfFindsKeepRules(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.toml")
 	if err != nil || len(files) == 0 {
 		t.Fatal(files, err)
--- a/internal/lab/explore/search.go
+++ b/internal/lab/explore/search.go
@@ -16,61 +16,75 @@
 	"time"
 )
 
-// Record is a run as it is kept, one line each.
+// Record is one run as it is kept, one line of JSON each.
 type Record struct {
-	N        int            `json:"n"`
-	Schedule Schedule       `json:"schedule"`
-	Broken   map[string]int `json:"broken,omitempty"`
-	Err      string         `json:"err,omitempty"`
-	New      []Pair         `json:"new,omitempty"` // pairs that it was the first to reach
-	Took     float64        `json:"took"`          // seconds of the wall
-	Asked    int            `json:"asked"`
+	Number          int            `json:"n"`
+	Schedule        Schedule       `json:"schedule"`
+	ViolationCounts map[string]int `json:"broken,omitempty"`
+	Err             string         `json:"err,omitempty"`
+	// The pairs that this run was the first to reach.
+	New []Pair `json:"new,omitempty"`
+	// Real time of the run, in seconds.
+	Seconds float64 `json:"took"`
+	Offered int     `json:"asked"`
 }
 
-// Search is a search that goes on where it was called off.
+// Search is a search that can be resumed where it was stopped.
 type Search struct {
 	*Explorer
-	Out   string // a folder for what is kept: runs.jsonl, and a file for each find
-	First uint64 // the seed of the draws
-	At    int    // runs beside each other
-	Most  int    // runs; 0 for no bound
-	Until time.Time
-	Told  func(runs int, covered, finds int)
+	// Where records and finds are kept: runs.jsonl, and a file for each find.
+	Directory string
+	// Seed of all draws.
+	Seed uint64
+	// Runs at the same time.
+	Parallel int
+	// 0 for no limit.
+	MaxRuns int
+	Until   time.Time
+	// Called after each run; may be nil.
+	OnProgress func(runs int, covered, finds int)
 
 	mu      sync.Mutex
-	n       int
+	runs    int
 	reached map[Pair]int
-	corpus  []Schedule // what reached a pair first
-	finds   []string   // files
-	seen    map[string]int
-	file    *os.File
+	// Schedules that were the first to reach a pair.
+	corpus []Schedule
+	// Files of finds.
+	finds []string
+	seen  map[string]int
+	file  *os.File
 }
 
 const (
 	runsFile = "runs.jsonl"
-	// mostOfAKind is how many finds of the same rule are shrunk and kept: more of the same tell no more.
-	mostOfAKind = 3
+	// maxFindsPerRule is how many finds of the same rule are shrunk and kept.
+	maxFindsPerRule = 3
 )
 
-// Report is what a search has come to.
+// Report is the result of a search.
 type Report struct {
 	Runs    int
-	Asked   int
-	Seconds float64        // of all runs, on the wall
-	Reached map[Pair]int   // in how many runs
-	Missing []Pair         // pairs that no run reached
-	Finds   []string       // files that replay them
-	Broken  map[string]int // runs in which a rule was broken
+	Offered int
+	// Real time of all runs, in seconds.
+	Seconds float64
+	// The number of runs that reached each pair.
+	Reached map[Pair]int
+	// Pairs that no run reached.
+	Missing []Pair
+	// Files that replay the finds.
+	Finds []string
+	// Runs in which each rule was broken.
+	ViolationCounts map[string]int
 }
 
-// Run searches until its bound, its time or the context's end.
+// Run searches until its limit, its time or the context ends.
 func (s *Search) Run(ctx context.Context) (*Report, error) {
-	if err := os.MkdirAll(s.Out, 0o755); err != nil {
+	if err := os.MkdirAll(s.Directory, 0o755); err != nil {
 		return nil, err
 	}
-	r := &Report{Broken: map[string]int{}}
+	r := &Report{ViolationCounts: map[string]int{}}
 	s.reached, s.seen = map[Pair]int{}, map[string]int{}
-	if err := s.takeUp(r); err != nil {
+	if err := s.resume(r); err != nil {
 		return nil, err
 	}
 	defer s.file.Close()
@@ -81,7 +95,7 @@
 	}
 	fault := make(chan error, 1)
 	var workers sync.WaitGroup
-	for range max(s.At, 1) {
+	for range max(s.Parallel, 1) {
 		workers.Go(func() {
 			for ctx.Err() == nil {
 				n, schedule, ok := s.next()
@@ -93,7 +107,7 @@
 				if ctx.Err() != nil {
 					return
 				}
-				if err := s.keep(ctx, r, n, o, time.Since(began)); err != nil {
+				if err := s.record(ctx, r, n, o, time.Since(began)); err != nil {
 					select {
 					case fault <- err:
 					default:
@@ -105,7 +119,7 @@
 	}
 	workers.Wait()
 	r.Reached, r.Finds, r.Missing = s.reached, s.finds, s.missing()
-	err := os.WriteFile(filepath.Join(s.Out, PairsFile), []byte(r.Table()), 0o644)
+	err := os.WriteFile(filepath.Join(s.Directory, PairsFile), []byte(r.Table()), 0o644)
 	select {
 	case err = <-fault:
 	default:
@@ -113,14 +127,14 @@
 	return r, err
 }
 
-// takeUp reads what was played before, up to the last whole line.
-func (s *Search) takeUp(r *Report) error {
-	path := filepath.Join(s.Out, runsFile)
+// resume reads the records of earlier runs, up to the last complete line.
+func (s *Search) resume(r *Report) error {
+	path := filepath.Join(s.Directory, runsFile)
 	f, err := os.Open(path)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
-	whole := int64(0)
+	complete := int64(0)
 	if err == nil {
 		in := bufio.NewReader(f)
 		for {
@@ -131,14 +145,14 @@
 			var x Record
 			if err := json.Unmarshal(line, &x); err != nil {
 				f.Close()
-				return fmt.Errorf("%s: run %d: %w", path, s.n+1, err)
+				return fmt.Errorf("%s: run %d: %w", path, s.runs+1, err)
 			}
-			whole += int64(len(line))
-			s.n = max(s.n, x.N+1)
+			complete += int64(len(line))
+			s.runs = max(s.runs, x.Number+1)
 			s.count(r, &x)
 		}
 		f.Close()
-		if err := os.Truncate(path, whole); err != nil {
+		if err := os.Truncate(path, complete); err != nil {
 			return err
 		}
 	}
@@ -146,36 +160,37 @@
 	return err
 }
 
-// count takes a run into the report.
+// count adds a run to the report.
 func (s *Search) count(r *Report, x *Record) {
 	r.Runs++
-	r.Asked += x.Asked
-	r.Seconds += x.Took
+	r.Offered += x.Offered
+	r.Seconds += x.Seconds
 	for _, p := range x.New {
 		s.reached[p]++
 	}
 	if len(x.New) > 0 {
 		s.corpus = append(s.corpus, x.Schedule)
 	}
-	for rule := range x.Broken {
-		r.Broken[rule]++
+	for rule := range x.ViolationCounts {
+		r.ViolationCounts[rule]++
 	}
 	if x.Err != "" {
-		r.Broken["error"]++
+		r.ViolationCounts["error"]++
 	}
 }
 
-// next is the next schedule: one in three changes one that reached something first, the others are drawn, with the pair of
-// a fault and a turn of a broker's life that is its turn, so that each such pair is played as often as any other.
+// next chooses the next schedule. One in three mutates a schedule that was the first to reach a
+// pair. The others are drawn around a pair of a fault and a lifecycle fault, each such pair in
+// turn.
 func (s *Search) next() (n int, schedule Schedule, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.Most > 0 && s.n >= s.Most {
+	if s.MaxRuns > 0 && s.runs >= s.MaxRuns {
 		return 0, schedule, false
 	}
-	n = s.n
-	s.n++
-	r := rand.New(rand.NewPCG(s.First, uint64(n)))
+	n = s.runs
+	s.runs++
+	r := rand.New(rand.NewPCG(s.Seed, uint64(n)))
 	if n%3 == 2 && len(s.corpus) > 0 {
 		old := s.corpus[r.IntN(len(s.corpus))]
 		fresh := Draw(r, nil)
@@ -183,17 +198,17 @@
 		r.Shuffle(len(fresh.Entries), func(i, j int) {
 			fresh.Entries[i], fresh.Entries[j] = fresh.Entries[j], fresh.Entries[i]
 		})
-		fresh.Entries = fresh.Entries[:min(len(fresh.Entries), mostFaults)]
+		fresh.Entries = fresh.Entries[:min(len(fresh.Entries), maxFaults)]
 		return n, fresh, true
 	}
 	turn := n - n/3
-	pair := [2]string{Faults[turn%len(Faults)].Name, lives[turn/len(Faults)%len(lives)]}
+	pair := [2]string{Faults[turn%len(Faults)].Name, lifecycleFaults[turn/len(Faults)%len(lifecycleFaults)]}
 	return n, Draw(r, &pair), true
 }
 
-// keep keeps what came of a run, and shrinks what it found.
-func (s *Search) keep(ctx context.Context, r *Report, n int, o *Outcome, took time.Duration) error {
-	x := Record{N: n, Schedule: o.Schedule, Broken: o.Broken, Took: took.Seconds(), Asked: o.Asked}
+// record keeps the outcome of a run, and shrinks it if it failed.
+func (s *Search) record(ctx context.Context, r *Report, n int, o *Outcome, took time.Duration) error {
+	x := Record{Number: n, Schedule: o.Schedule, ViolationCounts: o.ViolationCounts, Seconds: took.Seconds(), Offered: o.Offered}
 	if o.Err != nil {
 		x.Err = o.Err.Error()
 	}
@@ -209,23 +224,23 @@
 			s.reached[p]++
 		}
 	}
-	shrink := o.Bad() && s.seen[o.Name()] < mostOfAKind
-	if o.Bad() {
+	shrink := o.Failed() && s.seen[o.Name()] < maxFindsPerRule
+	if o.Failed() {
 		s.seen[o.Name()]++
 	}
 	line, err := json.Marshal(x)
 	if err == nil {
 		_, err = s.file.Write(append(line, '\n'))
 	}
-	if s.Told != nil {
-		s.Told(s.n, len(s.reached), len(s.finds))
+	if s.OnProgress != nil {
+		s.OnProgress(s.runs, len(s.reached), len(s.finds))
 	}
 	s.mu.Unlock()
 	if err != nil || !shrink {
 		return err
 	}
 	small := s.Shrink(ctx, o)
-	path := filepath.Join(s.Out, fmt.Sprintf("find-%d-%s.toml", n, small.Name()))
+	path := filepath.Join(s.Directory, fmt.Sprintf("find-%d-%s.toml", n, small.Name()))
 	if err := os.WriteFile(path, []byte(small.Text()), 0o644); err != nil {
 		return err
 	}
@@ -235,13 +250,14 @@
 	return nil
 }
 
-// Text is the scenario file of an outcome, with what was broken and the history of the first as comments.
+// Text is the scenario file that replays an outcome, with the first violations and their histories
+// as comments.
 func (o *Outcome) Text() string {
 	var b strings.Builder
 	if o.Err != nil {
 		fmt.Fprintf(&b, "# %s\n", strings.ReplaceAll(o.Err.Error(), "\n", "\n# "))
 	}
-	for _, v := range o.Told[:min(len(o.Told), 3)] {
+	for _, v := range o.Violations[:min(len(o.Violations), 3)] {
 		fmt.Fprintf(&b, "# %s, request %s: %s\n", v.Rule, v.Request, v.Text)
 		for _, line := range v.History {
 			fmt.Fprintf(&b, "#     %s\n", line)
@@ -250,7 +266,7 @@
 	return b.String() + o.Schedule.Text()
 }
 
-// missing are the pairs that no run reached.
+// missing returns the pairs that no run reached.
 func (s *Search) missing() (none []Pair) {
 	for _, f := range Faults {
 		for _, stage := range Stages {
@@ -265,11 +281,11 @@
 // PairsFile is the name of the table of pairs that a search writes.
 const PairsFile = "pairs.md"
 
-// Table writes in how many runs each pair was reached, as a table.
+// Table formats the number of runs that reached each pair.
 func (r *Report) Table() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d runs, %d requests; runs in which a rule was broken: %d. In how many of the runs something was in a stage\n"+
-		"(columns, docs/review-of-parts.md) while a fault lasted.\n\n| fault |", r.Runs, r.Asked, len(r.Broken))
+		"(columns, docs/review-of-parts.md) while a fault lasted.\n\n| fault |", r.Runs, r.Offered, len(r.ViolationCounts))
 	for _, s := range Stages {
 		fmt.Fprintf(&b, " %s |", s)
 	}
