--- a/cmd/dykering/deployment_test.go
+++ b/cmd/dykering/deployment_test.go
@@ -145,14 +145,14 @@
 		}
 	}
 	for _, step := range []struct {
-		signal syscall.Signal
-		word   string
+		signal  syscall.Signal
+		logText string
 	}{{syscall.SIGHUP, "reload.taken"}, {syscall.SIGTERM, ""}} {
 		if err := p.cmd.Process.Signal(step.signal); err != nil {
 			t.Fatal(err)
 		}
-		if step.word != "" {
-			p.until(step.word)
+		if step.logText != "" {
+			p.until(step.logText)
 		}
 	}
 	if err := p.cmd.Wait(); err != nil {
--- a/cmd/dykering/discovery_down_test.go
+++ b/cmd/dykering/discovery_down_test.go
@@ -43,25 +43,25 @@
 	if err := unix.Prlimit(cmd.Process.Pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: sockets, Max: sockets}, nil); err != nil {
 		t.Fatal(err)
 	}
-	told := func(word string) string {
+	loggedLine := func(logText string) string {
 		text, _ := os.ReadFile(logs)
 		for line := range strings.Lines(string(text)) {
-			if strings.Contains(line, word) {
+			if strings.Contains(line, logText) {
 				return line
 			}
 		}
 		return ""
 	}
 	address := ""
-	for end := time.Now().Add(patience); address == ""; time.Sleep(5 * time.Millisecond) {
-		if address = regexp.MustCompile(`127\.0\.0\.1:\d+`).FindString(told("process.serving")); time.Now().After(end) {
+	for end := time.Now().Add(waitTimeout); address == ""; time.Sleep(5 * time.Millisecond) {
+		if address = regexp.MustCompile(`127\.0\.0\.1:\d+`).FindString(loggedLine("process.serving")); time.Now().After(end) {
 			t.Fatal("it does not serve")
 		}
 	}
 	// The crowd: every second client says something once, all stay.
 	var conns []net.Conn
 	join := func(n int) {
-		c, err := net.DialTimeout("tcp", address, patience)
+		c, err := net.DialTimeout("tcp", address, waitTimeout)
 		if err != nil {
 			t.Errorf("client %d: %v", n, err)
 			return
@@ -104,7 +104,7 @@
 		}
 	})
 	began := time.Now()
-	client := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: waitTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for n := 0; ; n++ {
 		r, _ := http.NewRequest(http.MethodGet, "http://"+address+"/x", nil)
 		r.Header = http.Header{"X-Txn": {fmt.Sprint("a", n)}, "X-Lane": {"read"}, "X-Remaining": {"900m"}}
@@ -120,7 +120,7 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	if line := told("accept_failed"); line != "" {
+	if line := loggedLine("accept_failed"); line != "" {
 		t.Error(line)
 	}
 	if open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", cmd.Process.Pid)); err != nil || len(open) > sockets {
--- a/cmd/dykering/main_test.go
+++ b/cmd/dykering/main_test.go
@@ -120,16 +120,16 @@
 	defer cmd.Process.Kill()
 	lines := bufio.NewScanner(stderr)
 	for _, step := range []struct {
-		word string // of the log, that shows that the step before is done
-		next os.Signal
+		logText string // of the log, that shows that the step before is done
+		next    os.Signal
 	}{
 		{"process.serving", syscall.SIGHUP}, {"reload.taken", syscall.SIGHUP}, {"reload.taken", syscall.SIGTERM},
 	} {
 		for {
 			if !lines.Scan() {
-				t.Fatalf("it ended before it said %q", step.word)
+				t.Fatalf("it ended before it said %q", step.logText)
 			}
-			if strings.Contains(lines.Text(), step.word) {
+			if strings.Contains(lines.Text(), step.logText) {
 				break
 			}
 		}
--- a/cmd/dykering/operate_test.go
+++ b/cmd/dykering/operate_test.go
@@ -24,7 +24,8 @@
 	"dykering/internal/operator"
 )
 
-const patience = 20 * time.Second
+// waitTimeout is how long a test waits for something that a process does or answers.
+const waitTimeout = 20 * time.Second
 
 // command runs a command line in this process.
 func command(args ...string) (code int, out, errOut string) {
@@ -204,7 +205,7 @@
 	})
 	line := p.until("process.serving")
 	p.url = "http://" + regexp.MustCompile(`127\.0\.0\.1:\d+`).FindString(line)
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if res, err := http.Get(p.url + "/ready"); err == nil {
 			res.Body.Close()
 			if res.StatusCode == http.StatusOK {
@@ -219,7 +220,7 @@
 // until reads the log up to a line with a text.
 func (p *program) until(text string) string {
 	p.t.Helper()
-	p.pipe.SetReadDeadline(time.Now().Add(patience))
+	p.pipe.SetReadDeadline(time.Now().Add(waitTimeout))
 	for {
 		line, err := p.log.ReadString('\n')
 		if err != nil {
@@ -303,7 +304,7 @@
 	for i := range 8 {
 		all.Go(func() {
 			for k := range 250 {
-				if status, took := p.ask(fmt.Sprintf("r%d-%d", i, k)); status != 200 || took > patience/10 {
+				if status, took := p.ask(fmt.Sprintf("r%d-%d", i, k)); status != 200 || took > waitTimeout/10 {
 					t.Errorf("status %d after %v", status, took)
 					return
 				}
@@ -400,7 +401,7 @@
 		})
 	}
 	wait := func(n int64) {
-		for end := time.Now().Add(patience); asked.Load() < n && time.Now().Before(end); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(waitTimeout); asked.Load() < n && time.Now().Before(end); time.Sleep(time.Millisecond) {
 			continue
 		}
 	}
