--- a/internal/lab/swim/detection.go
+++ b/internal/lab/swim/detection.go
@@ -15,47 +15,47 @@
 		t := m.order[m.next]
 		if m.next++; m.next == len(m.order) {
 			m.next = 0
-			f.rng.Shuffle(len(m.order), func(a, b int) { m.order[a], m.order[b] = m.order[b], m.order[a] })
+			f.random.Shuffle(len(m.order), func(a, b int) { m.order[a], m.order[b] = m.order[b], m.order[a] })
 		}
 		if t == i || m.state[t] == membership.Dead || m.state[t] == membership.Left {
 			continue
 		}
-		f.seq++
-		m.acked[f.seq] = false
-		f.send(i, t, &event{kind: deliverPing, seq: f.seq, target: uint64(i), msg: f.take(i)})
-		f.at(f.s.ProbeTimeout, &event{kind: probeLate, from: i, target: uint64(t), seq: f.seq})
-		f.at(f.s.ProbeInterval, &event{kind: probeEnd, from: i, target: uint64(t), seq: f.seq})
+		f.lastSequence++
+		m.acknowledged[f.lastSequence] = false
+		f.send(i, t, &event{kind: deliverPing, seq: f.lastSequence, target: uint64(i), updates: f.nextUpdates(i)})
+		f.schedule(f.settings.ProbeTimeout, &event{kind: probeLate, from: i, target: uint64(t), seq: f.lastSequence})
+		f.schedule(f.settings.ProbeInterval, &event{kind: probeEnd, from: i, target: uint64(t), seq: f.lastSequence})
 		break
 	}
 	if m.reconnect++; m.reconnect%5 == 0 {
-		f.at(0, &event{kind: reconnectTry, from: i})
+		f.schedule(0, &event{kind: reconnectTick, from: i})
 	}
 }
 
-// indirect asks some others to probe a member whose ack is late.
-func (f *Fleet) indirect(i, t int, seq uint64) {
+// probeIndirectly asks some other members to probe a member whose ack is late.
+func (f *Fleet) probeIndirectly(i, t int, seq uint64) {
 	m := f.members[i]
-	if !m.working() || m.acked[seq] {
+	if !m.working() || m.acknowledged[seq] {
 		return
 	}
-	for _, k := range f.pick(i, f.s.IndirectChecks, t) {
-		f.send(i, k, &event{kind: deliverAsk, seq: seq, target: uint64(t)})
+	for _, k := range f.choosePeers(i, f.settings.IndirectChecks, t) {
+		f.send(i, k, &event{kind: deliverPingRequest, seq: seq, target: uint64(t)})
 	}
 	// memberlist's fallback: a ping over TCP at the same time, which a lost link refuses as it does packets.
 	f.send(i, t, &event{kind: deliverPing, seq: seq, target: uint64(i)})
 }
 
-// pick draws up to n members that i holds alive, other than i and but.
-func (f *Fleet) pick(i, n, but int) []int {
+// choosePeers draws up to n members that i holds alive, other than i and but.
+func (f *Fleet) choosePeers(i, n, but int) []int {
 	m := f.members[i]
-	var got []int
-	for tries := 0; len(got) < n && tries < 4*n+8; tries++ {
-		k := f.rng.IntN(len(f.members))
-		if k != i && k != but && m.state[k] == membership.Alive && !slices.Contains(got, k) {
-			got = append(got, k)
+	var peers []int
+	for tries := 0; len(peers) < n && tries < 4*n+8; tries++ {
+		k := f.random.IntN(len(f.members))
+		if k != i && k != but && m.state[k] == membership.Alive && !slices.Contains(peers, k) {
+			peers = append(peers, k)
 		}
 	}
-	return got
+	return peers
 }
 
 // suspect starts a suspicion of t by i.
@@ -64,17 +64,17 @@
 	if m.state[t] != membership.Alive {
 		return
 	}
-	f.learn(i, update{t, m.incs[t], membership.Suspect})
+	f.apply(i, update{t, m.incarnations[t], membership.Suspect})
 }
 
-// suspicion is how long i's suspicion of t lasts now: memberlist's formula, from the longest down to the shortest
-// as independent confirmations come.
+// suspicion is how long i's suspicion of t lasts now: memberlist's formula, from the longest down to the
+// shortest as independent confirmations come.
 func (f *Fleet) suspicion(i, t int) time.Duration {
 	n := float64(len(f.members))
-	least := time.Duration(float64(f.s.SuspicionMult) * math.Max(1, math.Log10(n)) * float64(f.s.ProbeInterval))
-	most := time.Duration(f.s.SuspicionMaxMult) * least
-	k := float64(f.s.SuspicionMult - 2)
-	c := float64(f.members[i].confirms[t])
+	least := time.Duration(float64(f.settings.SuspicionMult) * math.Max(1, math.Log10(n)) * float64(f.settings.ProbeInterval))
+	most := time.Duration(f.settings.SuspicionMaxMult) * least
+	k := float64(f.settings.SuspicionMult - 2)
+	c := float64(f.members[i].confirmations[t])
 	if k < 1 {
 		return least
 	}
--- a/internal/lab/swim/dissemination.go
+++ b/internal/lab/swim/dissemination.go
@@ -7,107 +7,108 @@
 	"dykering/internal/fleet/membership"
 )
 
-// update is what gossip carries: a member's state under an incarnation.
+// update is the content of gossip: a member's state in an incarnation.
 type update struct {
-	of    int
-	inc   uint32
-	state membership.State
+	member      int
+	incarnation uint32
+	state       membership.State
 }
 
-type queued struct {
+// queuedUpdate is an update to be gossiped, with the number of times it was sent.
+type queuedUpdate struct {
 	update
 	sent int
 }
 
 // gossip sends the updates that are due to a few random members.
 func (f *Fleet) gossip(i int) {
-	for _, k := range f.pick(i, f.s.GossipNodes, -1) {
-		if msg := f.take(i); len(msg) > 0 {
-			f.send(i, k, &event{kind: deliver, msg: msg})
+	for _, k := range f.choosePeers(i, f.settings.GossipNodes, -1) {
+		if msg := f.nextUpdates(i); len(msg) > 0 {
+			f.send(i, k, &event{kind: deliver, updates: msg})
 		}
 	}
 }
 
-// take is the updates that a message carries, those sent least often first; an update is sent at most
-// RetransmitMult * log10(N+1) times.
-func (f *Fleet) take(i int) []update {
+// nextUpdates returns the updates for one message, those sent least often first. An update is sent
+// at most RetransmitMult * log10(N+1) times.
+func (f *Fleet) nextUpdates(i int) []update {
 	m := f.members[i]
 	if len(m.queue) == 0 {
 		return nil
 	}
-	limit := f.s.RetransmitMult * int(math.Ceil(math.Log10(float64(len(f.members)+1))))
-	slices.SortStableFunc(m.queue, func(a, b queued) int { return a.sent - b.sent })
+	limit := f.settings.RetransmitMult * int(math.Ceil(math.Log10(float64(len(f.members)+1))))
+	slices.SortStableFunc(m.queue, func(a, b queuedUpdate) int { return a.sent - b.sent })
 	var msg []update
-	for k := 0; k < len(m.queue) && len(msg) < mostPerMsg; k++ {
+	for k := 0; k < len(m.queue) && len(msg) < maxUpdatesPerMessage; k++ {
 		msg = append(msg, m.queue[k].update)
 		m.queue[k].sent++
 	}
-	m.queue = slices.DeleteFunc(m.queue, func(q queued) bool { return q.sent >= limit })
+	m.queue = slices.DeleteFunc(m.queue, func(q queuedUpdate) bool { return q.sent >= limit })
 	return msg
 }
 
-// broadcast queues an update to be gossiped, in place of an older one of the same member.
+// broadcast queues an update for gossip, in place of an older one of the same member.
 func (f *Fleet) broadcast(i int, u update) {
 	m := f.members[i]
-	m.queue = slices.DeleteFunc(m.queue, func(q queued) bool { return q.of == u.of })
-	m.queue = append(m.queue, queued{update: u})
+	m.queue = slices.DeleteFunc(m.queue, func(q queuedUpdate) bool { return q.member == u.member })
+	m.queue = append(m.queue, queuedUpdate{update: u})
 }
 
-// learn takes an update at member i, by SWIM's rules, refuting what is said of i itself.
-func (f *Fleet) learn(i int, u update) {
+// apply applies an update at member i, by SWIM's rules, and refutes a suspicion of i itself.
+func (f *Fleet) apply(i int, u update) {
 	m := f.members[i]
-	if u.of == i {
-		if u.state != membership.Alive && u.inc >= m.inc {
-			m.inc = u.inc + 1
-			m.incs[i] = m.inc
+	if u.member == i {
+		if u.state != membership.Alive && u.incarnation >= m.incarnation {
+			m.incarnation = u.incarnation + 1
+			m.incarnations[i] = m.incarnation
 			f.Stats.Refutations++
-			f.broadcast(i, update{i, m.inc, membership.Alive})
-			m.view.Observe(f.observation(i, m.inc, membership.Alive), f.start.Add(f.now))
+			f.broadcast(i, update{i, m.incarnation, membership.Alive})
+			m.view.Observe(f.observation(i, m.incarnation, membership.Alive), f.start.Add(f.now))
 		}
 		return
 	}
-	held, inc := m.state[u.of], m.incs[u.of]
+	known, knownIncarnation := m.state[u.member], m.incarnations[u.member]
 	switch u.state {
 	case membership.Alive:
-		if u.inc <= inc {
+		if u.incarnation <= knownIncarnation {
 			return
 		}
 	case membership.Suspect:
-		if u.inc < inc || held == membership.Dead || held == membership.Left {
+		if u.incarnation < knownIncarnation || known == membership.Dead || known == membership.Left {
 			return
 		}
-		if held == membership.Suspect && u.inc == inc {
-			m.confirms[u.of]++ // a confirmation shortens the suspicion: look again when the shorter one ends
-			f.at(max(0, m.suspected[u.of]+f.suspicion(i, u.of)-f.now)+1,
-				&event{kind: suspectEnd, from: i, target: uint64(u.of)})
+		if known == membership.Suspect && u.incarnation == knownIncarnation {
+			m.confirmations[u.member]++ // a confirmation shortens the suspicion: look again when the shorter one ends
+			f.schedule(max(0, m.suspected[u.member]+f.suspicion(i, u.member)-f.now)+1,
+				&event{kind: suspectEnd, from: i, target: uint64(u.member)})
 			return
 		}
-		m.suspected[u.of], m.confirms[u.of] = f.now, 0
-		f.at(f.suspicion(i, u.of)+1, &event{kind: suspectEnd, from: i, target: uint64(u.of)})
+		m.suspected[u.member], m.confirmations[u.member] = f.now, 0
+		f.schedule(f.suspicion(i, u.member)+1, &event{kind: suspectEnd, from: i, target: uint64(u.member)})
 		f.Stats.Suspicions++
-		f.episode(u, &f.Stats.FalseSuspicions)
+		f.countEpisode(u, &f.Stats.FalseSuspicions)
 	case membership.Dead, membership.Left:
-		if u.inc < inc || held == membership.Dead || held == membership.Left {
+		if u.incarnation < knownIncarnation || known == membership.Dead || known == membership.Left {
 			return
 		}
 		f.Stats.Deaths++
-		f.episode(u, &f.Stats.FalseDeaths)
+		f.countEpisode(u, &f.Stats.FalseDeaths)
 	}
 	if u.state != membership.Suspect {
-		m.suspected[u.of] = -1
+		m.suspected[u.member] = -1
 	}
-	m.state[u.of], m.incs[u.of] = u.state, u.inc
+	m.state[u.member], m.incarnations[u.member] = u.state, u.incarnation
 	f.broadcast(i, u)
 	at := f.start.Add(f.now)
-	if c, news := m.view.Observe(f.observation(u.of, u.inc, u.state), at); news && f.OnChange != nil {
+	if c, changed := m.view.Observe(f.observation(u.member, u.incarnation, u.state), at); changed && f.OnChange != nil {
 		f.OnChange(i, c)
 	}
 }
 
-// episode counts an update of a working member, once for each incarnation.
-func (f *Fleet) episode(u update, count *int) {
-	key := [3]uint32{uint32(u.of), u.inc, uint32(u.state)}
-	if f.members[u.of].up && !f.Stats.episodes[key] {
+// countEpisode counts an update about a working member, once for each incarnation.
+func (f *Fleet) countEpisode(u update, count *int) {
+	key := [3]uint32{uint32(u.member), u.incarnation, uint32(u.state)}
+	if f.members[u.member].up && !f.Stats.episodes[key] {
 		if f.Stats.episodes == nil {
 			f.Stats.episodes = map[[3]uint32]bool{}
 		}
@@ -116,8 +117,8 @@
 	}
 }
 
-// reconnect has member i ask one member that it holds dead to join again: a full exchange of states both ways, if
-// both can reach each other.
+// reconnect has member i ask one member that it holds dead to join again: a full exchange of states both
+// ways, if both can reach each other.
 func (f *Fleet) reconnect(i int) {
 	m := f.members[i]
 	if !m.working() {
@@ -132,9 +133,9 @@
 	if len(dead) == 0 {
 		return
 	}
-	k := dead[f.rng.IntN(len(dead))]
-	a, b := f.set[i], f.set[k]
-	if a != 0 && b != 0 && a != b || !f.members[k].working() || f.rng.Float64() < f.loss {
+	k := dead[f.random.IntN(len(dead))]
+	a, b := f.partition[i], f.partition[k]
+	if a != 0 && b != 0 && a != b || !f.members[k].working() || f.random.Float64() < f.loss {
 		f.Stats.Messages++
 		return
 	}
@@ -142,20 +143,20 @@
 	f.Stats.Bytes += uint64(2 * (headerBytes + updateBytes*len(f.members)))
 	mine, theirs := f.states(i), f.states(k)
 	for _, u := range theirs {
-		f.learn(i, u)
+		f.apply(i, u)
 	}
 	for _, u := range mine {
-		f.learn(k, u)
+		f.apply(k, u)
 	}
 }
 
-// states is all that a member holds, itself among them.
+// states are all states that a member holds, its own included.
 func (f *Fleet) states(i int) []update {
 	m := f.members[i]
 	all := make([]update, len(m.state))
 	for k := range m.state {
-		all[k] = update{k, m.incs[k], m.state[k]}
+		all[k] = update{k, m.incarnations[k], m.state[k]}
 	}
-	all[i] = update{i, m.inc, membership.Alive}
+	all[i] = update{i, m.incarnation, membership.Alive}
 	return all
 }
--- a/internal/lab/swim/event.go
+++ b/internal/lab/swim/event.go
@@ -4,15 +4,17 @@
 	"time"
 )
 
+// event is an action at a time in the simulation.
 type event struct {
 	at          time.Duration
 	kind        int
 	from, to    int
 	target, seq uint64
-	msg         []update
+	updates     []update
 	id          int // order among events at the same time
 }
 
+// events is a heap of events, the earliest first.
 type events []*event
 
 func (e events) Len() int { return len(e) }
--- a/internal/lab/swim/swim_test.go
+++ b/internal/lab/swim/swim_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// The model keeps SWIM's promises on a small fleet in calm and after a cut: each crash is seen by all within the
-// longest suspicion and a few probe rounds, nobody that works is declared dead, and a healed cut becomes one view.
-func TestModelKeepsSWIMsPromises(t *testing.T) {
+// In fleets of several sizes without loss each crash is detected by all members within the longest
+// suspicion and a few probe rounds, no working member is declared dead, and the views agree after a
+// partition has healed.
+func TestMeasureDetectsCrashesAndHealsPartition(t *testing.T) {
 	s := LAN()
 	for _, n := range []int{5, 30, 100} {
 		r := Measure(n, s, 5, 0, 7)
