--- a/internal/http1/hangup_test.go
+++ b/internal/http1/hangup_test.go
@@ -103,7 +103,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	n := heldDials{address: l.Addr().String(), made: make(chan bool), letGo: make(chan bool)}
+	n := heldDials{address: l.Addr().String(), made: make(chan bool, 1), letGo: make(chan bool)}
 	rg := startOn(t, n, 1, 1024, func(*config.Config) {}, target{UID: "s-1", Address: l.Addr().String(), State: "Ready", Weight: 1})
 	c := rg.dial()
 	rg.request("once", 9*time.Second).Write(c)
