--- a/internal/decision/admission_test.go
+++ b/internal/decision/admission_test.go
@@ -8,14 +8,14 @@
 )
 
 func TestAbandonedCallsAreCancelledAndNotAnswered(t *testing.T) {
-	d := start(t, settings(), 2)
-	id := d.request(read)
-	d.b.Abandoned(d.now, id)
-	if len(d.cancels) != 1 || d.cancels[0].id != id {
-		t.Errorf("cancelled %v, want %s", d.cancels, id)
+	h := start(t, settings(), 2)
+	id := h.request(read)
+	h.b.Abandoned(h.now, id)
+	if len(h.cancels) != 1 || h.cancels[0].id != id {
+		t.Errorf("cancelled %v, want %s", h.cancels, id)
 	}
-	d.finish(d.last(), Cancelled, ms)
-	if len(d.sent) != 1 || len(d.fails)+len(d.refusals) > 0 {
+	h.reportOutcome(h.last(), Cancelled, ms)
+	if len(h.sent) != 1 || len(h.fails)+len(h.refusals) > 0 {
 		t.Error("more was done for a client that had gone")
 	}
 }
@@ -24,20 +24,20 @@
 // shows it, is assumed for those that do not show it. Served as new requests they filled a tier with calls
 // past their latency target.
 func TestClientRetriesThatMissTheirTargetAreSentLast(t *testing.T) {
-	d := start(t, settings(), 2)
-	d.serve(200, nil)
-	d.b.Request(d.now, Request{ID: "first", Class: book, Remaining: 3 * time.Second})
-	d.finish(d.last(), OK, 20*ms)
+	h := start(t, settings(), 2)
+	h.serve(200, nil)
+	h.b.Request(h.now, Request{ID: "first", Class: book, Remaining: 3 * time.Second})
+	h.reportOutcome(h.last(), OK, 20*ms)
 	for i := range 50 {
-		d.b.Request(d.now, Request{ID: RequestID(fmt.Sprint("shown", i)), Class: book, Remaining: 1300 * ms, IsRetry: true})
-		d.finish(d.last(), OK, 20*ms)
+		h.b.Request(h.now, Request{ID: RequestID(fmt.Sprint("shown", i)), Class: book, Remaining: 1300 * ms, IsRetry: true})
+		h.reportOutcome(h.last(), OK, 20*ms)
 	}
 	for range 60 {
-		d.request(read)
+		h.request(read)
 	}
-	refused := len(d.refusals)
-	d.b.Request(d.now, Request{ID: "repeat", Remaining: 1500 * ms, IsRetry: true})
-	if got := d.refusals[refused:]; !slices.Equal(got, []RequestID{"repeat"}) {
+	refused := len(h.refusals)
+	h.b.Request(h.now, Request{ID: "repeat", Remaining: 1500 * ms, IsRetry: true})
+	if got := h.refusals[refused:]; !slices.Equal(got, []RequestID{"repeat"}) {
 		t.Errorf("refused %v on a full tier, want the repeat at once", got)
 	}
 }
@@ -47,17 +47,17 @@
 func TestDrainingInstanceRefusesRequestsThatComeTooLate(t *testing.T) {
 	s := settings()
 	s.MaxRetryAfter = 5 * time.Second
-	d := start(t, s, 4)
-	d.serve(100, nil) // 20 ms each
-	d.request(pay)
-	out := d.last()
-	endsAt := d.now + 200*ms
-	d.b.Drain(d.now, endsAt, false)
+	h := start(t, s, 4)
+	h.serve(100, nil) // 20 ms each
+	h.request(pay)
+	out := h.last()
+	endsAt := h.now + 200*ms
+	h.b.Drain(h.now, endsAt, false)
 	ask := func(idle int) (sends, refusals int) {
-		d.n++
-		sends, refusals = len(d.sent), len(d.refusals)
-		d.b.Request(d.now, Request{ID: RequestID(fmt.Sprint("r", d.n)), Class: read, Remaining: 1500 * ms, IdleConns: idle})
-		return len(d.sent) - sends, len(d.refusals) - refusals
+		h.n++
+		sends, refusals = len(h.sent), len(h.refusals)
+		h.b.Request(h.now, Request{ID: RequestID(fmt.Sprint("r", h.n)), Class: read, Remaining: 1500 * ms, IdleConns: idle})
+		return len(h.sent) - sends, len(h.refusals) - refusals
 	}
 	if sends, _ := ask(minIdleCallerConns); sends != 1 {
 		t.Error("in good time: not sent")
@@ -65,18 +65,18 @@
 	if sends, refusals := ask(minIdleCallerConns - 1); sends != 0 || refusals != 1 {
 		t.Errorf("with hardly a connection idle: %d sends, %d refusals", sends, refusals)
 	}
-	d.advance(180 * ms)
+	h.advance(180 * ms)
 	if sends, refusals := ask(minIdleCallerConns); sends != 0 || refusals != 1 {
 		t.Errorf("too late: %d sends, %d refusals", sends, refusals)
 	}
-	if got, want := d.retryAfters[len(d.retryAfters)-1], endsAt+seconds(successorStartSeconds)-d.now; got != want {
+	if got, want := h.retryAfters[len(h.retryAfters)-1], endsAt+seconds(successorStartSeconds)-h.now; got != want {
 		t.Errorf("told to come back after %v, the successor serves after %v", got, want)
 	}
-	d.advance(20 * ms)
-	sends := len(d.sent)
-	d.finish(out, Cancelled, 200*ms)
-	if len(d.sent) != sends || len(d.fails) != 1 || d.fails[0] != out.id {
-		t.Errorf("what was out at the end: %d more sends, failed %v", len(d.sent)-sends, d.fails)
+	h.advance(20 * ms)
+	sends := len(h.sent)
+	h.reportOutcome(out, Cancelled, 200*ms)
+	if len(h.sent) != sends || len(h.fails) != 1 || h.fails[0] != out.id {
+		t.Errorf("what was out at the end: %d more sends, failed %v", len(h.sent)-sends, h.fails)
 	}
 }
 
@@ -85,18 +85,18 @@
 func TestDrainingInstanceAmongOthersIgnoresIdleConnections(t *testing.T) {
 	s := settings()
 	s.Instances, s.MaxRetryAfter = 2, 5*time.Second
-	d := start(t, s, 4)
-	d.serve(100, nil)
-	sends := len(d.sent)
-	d.b.Drain(d.now, d.now+200*ms, false)
-	d.request(read)
-	if len(d.sent) != sends+1 {
+	h := start(t, s, 4)
+	h.serve(100, nil)
+	sends := len(h.sent)
+	h.b.Drain(h.now, h.now+200*ms, false)
+	h.request(read)
+	if len(h.sent) != sends+1 {
 		t.Error("in good time: not sent")
 	}
-	d.advance(190 * ms)
-	d.request(read)
-	if len(d.refusals) != 1 || d.retryAfters[0] >= time.Second {
-		t.Errorf("too late: refused %v, told to come back after %v", d.refusals, d.retryAfters)
+	h.advance(190 * ms)
+	h.request(read)
+	if len(h.refusals) != 1 || h.retryAfters[0] >= time.Second {
+		t.Errorf("too late: refused %v, told to come back after %v", h.refusals, h.retryAfters)
 	}
 }
 
@@ -105,17 +105,17 @@
 func TestDrainingInstanceWithSuccessorRefusesWithoutWait(t *testing.T) {
 	s := settings()
 	s.MaxRetryAfter = 5 * time.Second
-	d := start(t, s, 4)
-	d.serve(100, nil)
-	sends := len(d.sent)
-	d.b.Drain(d.now, d.now+200*ms, true)
-	d.request(read)
-	if len(d.sent) != sends+1 {
+	h := start(t, s, 4)
+	h.serve(100, nil)
+	sends := len(h.sent)
+	h.b.Drain(h.now, h.now+200*ms, true)
+	h.request(read)
+	if len(h.sent) != sends+1 {
 		t.Error("in good time: not sent")
 	}
-	d.advance(190 * ms)
-	d.request(read)
-	if len(d.refusals) != 1 || d.retryAfters[0] <= 0 || d.retryAfters[0] > 100*ms {
-		t.Errorf("too late: refused %v, told to come back after %v", d.refusals, d.retryAfters)
+	h.advance(190 * ms)
+	h.request(read)
+	if len(h.refusals) != 1 || h.retryAfters[0] <= 0 || h.retryAfters[0] > 100*ms {
+		t.Errorf("too late: refused %v, told to come back after %v", h.refusals, h.retryAfters)
 	}
 }
--- a/internal/decision/attempts_test.go
+++ b/internal/decision/attempts_test.go
@@ -8,12 +8,12 @@
 func TestStartedStreamIsNeitherCancelledNorRetried(t *testing.T) {
 	s := settings()
 	s.Classes[read].Streamed = true
-	d := start(t, s, 2)
-	id := d.request(read)
-	d.b.ResponseStarted(d.now, id, 0, d.last().to)
-	d.advance(10 * time.Second)
-	d.b.Outcome(d.now, Outcome{ID: id, Endpoint: d.last().to, Final: true, Status: Reset})
-	if len(d.sent) != 1 || len(d.fails)+len(d.refusals)+len(d.cancels) > 0 {
+	h := start(t, s, 2)
+	id := h.request(read)
+	h.b.ResponseStarted(h.now, id, 0, h.last().to)
+	h.advance(10 * time.Second)
+	h.b.Outcome(h.now, Outcome{ID: id, Endpoint: h.last().to, Final: true, Status: Reset})
+	if len(h.sent) != 1 || len(h.fails)+len(h.refusals)+len(h.cancels) > 0 {
 		t.Error("a started stream was answered, repeated or withdrawn")
 	}
 }
@@ -21,41 +21,41 @@
 // A long body counts once the endpoint has all of it: until then the call is neither slow nor overtaken,
 // and keeps all of its time. A body of which a part was sent is not sent again.
 func TestLongBodyCountsFromItsLastByte(t *testing.T) {
-	d := start(t, settings(), 2)
-	d.serve(100, nil)
-	ask := func(id RequestID) sent {
-		d.b.Request(d.now, Request{ID: id, Class: read, Remaining: 1500 * ms, LongBody: true})
-		return d.last()
+	h := start(t, settings(), 2)
+	h.serve(100, nil)
+	ask := func(id RequestID) sentCall {
+		h.b.Request(h.now, Request{ID: id, Class: read, Remaining: 1500 * ms, LongBody: true})
+		return h.last()
 	}
 	call := ask("long")
 	for range 200 { // it takes longer to come than it has time
-		d.serve(1, nil)
+		h.serve(1, nil)
 	}
-	if len(d.cancels) > 0 || d.last().id == "long" && d.last() != call || call.timeout != 0 {
-		t.Fatalf("while it came: withdrawn %v, sent %v", d.cancels, call)
+	if len(h.cancels) > 0 || h.last().id == "long" && h.last() != call || call.timeout != 0 {
+		t.Fatalf("while it came: withdrawn %v, sent %v", h.cancels, call)
 	}
-	d.b.RequestSent(d.now, "long", 1500*ms)
-	d.b.RequestSent(d.now, "long", 1500*ms) // nothing new
-	if got := d.b.inFlight; got != 1 {
+	h.b.RequestSent(h.now, "long", 1500*ms)
+	h.b.RequestSent(h.now, "long", 1500*ms) // nothing new
+	if got := h.b.inFlight; got != 1 {
 		t.Errorf("%d calls in flight, want the one", got)
 	}
-	sends := len(d.sent)
-	d.b.Outcome(d.now, Outcome{ID: "long", Endpoint: call.to, Status: Error, NotReplayable: true, Elapsed: 20 * ms})
-	if len(d.sent) != sends || len(d.refusals) != 1 {
-		t.Errorf("%d more sends, refused %v: a read may be asked again by its client", len(d.sent)-sends, d.refusals)
+	sends := len(h.sent)
+	h.b.Outcome(h.now, Outcome{ID: "long", Endpoint: call.to, Status: Error, NotReplayable: true, Elapsed: 20 * ms})
+	if len(h.sent) != sends || len(h.refusals) != 1 {
+		t.Errorf("%d more sends, refused %v: a read may be asked again by its client", len(h.sent)-sends, h.refusals)
 	}
 	call = ask("turned away")
-	d.b.Outcome(d.now, Outcome{ID: call.id, Endpoint: call.to, Status: Rejected, NotReplayable: true})
-	d.advance(100 * ms)
+	h.b.Outcome(h.now, Outcome{ID: call.id, Endpoint: call.to, Status: Rejected, NotReplayable: true})
+	h.advance(100 * ms)
 	call = ask("elsewhere")
-	d.finish(call, Rejected, ms)
-	if len(d.refusals) != 2 || d.last().id != "elsewhere" || d.last().to == call.to {
-		t.Errorf("refused %v, then sent %v: what is still whole goes to another endpoint", d.refusals, d.last())
+	h.reportOutcome(call, Rejected, ms)
+	if len(h.refusals) != 2 || h.last().id != "elsewhere" || h.last().to == call.to {
+		t.Errorf("refused %v, then sent %v: what is still whole goes to another endpoint", h.refusals, h.last())
 	}
-	d.finish(d.last(), OK, ms)
-	for _, e := range d.b.listed {
-		if e.uploads != 0 || len(e.calls) != 0 || d.b.inFlight != 0 {
-			t.Errorf("endpoint %d: %d coming, %d calls; %d out", e.id, e.uploads, len(e.calls), d.b.inFlight)
+	h.reportOutcome(h.last(), OK, ms)
+	for _, e := range h.b.listed {
+		if e.uploads != 0 || len(e.calls) != 0 || h.b.inFlight != 0 {
+			t.Errorf("endpoint %d: %d coming, %d calls; %d out", e.id, e.uploads, len(e.calls), h.b.inFlight)
 		}
 	}
 }
@@ -63,58 +63,58 @@
 // The time that a client takes to read a long response says nothing about the endpoint, and uses up none of
 // the limit.
 func TestStartedResponseFreesEndpoint(t *testing.T) {
-	d := start(t, settings(), 2)
-	d.serve(100, nil)
-	id := d.request(read)
-	call := d.last()
-	d.advance(20 * ms)
-	d.b.ResponseStarted(d.now, id, 0, call.to)
-	if d.b.inFlight != 0 || d.b.classes[read].meanLatency > 0.1 {
-		t.Errorf("%d out, mean %v", d.b.inFlight, d.b.classes[read].meanLatency)
+	h := start(t, settings(), 2)
+	h.serve(100, nil)
+	id := h.request(read)
+	call := h.last()
+	h.advance(20 * ms)
+	h.b.ResponseStarted(h.now, id, 0, call.to)
+	if h.b.inFlight != 0 || h.b.classes[read].meanLatency > 0.1 {
+		t.Errorf("%d out, mean %v", h.b.inFlight, h.b.classes[read].meanLatency)
 	}
-	d.serve(500, nil) // for ten seconds
-	d.b.Outcome(d.now, Outcome{ID: id, Endpoint: call.to, Final: true, Status: Cancelled, Elapsed: 10 * time.Second})
-	if mean := d.b.classes[read].meanLatency; mean > 0.1 || d.b.inFlight != 0 || len(d.cancels) > 0 || len(d.b.requests) > 0 {
-		t.Errorf("mean %v, %d out, withdrawn %v, %d open", mean, d.b.inFlight, d.cancels, len(d.b.requests))
+	h.serve(500, nil) // for ten seconds
+	h.b.Outcome(h.now, Outcome{ID: id, Endpoint: call.to, Final: true, Status: Cancelled, Elapsed: 10 * time.Second})
+	if mean := h.b.classes[read].meanLatency; mean > 0.1 || h.b.inFlight != 0 || len(h.cancels) > 0 || len(h.b.requests) > 0 {
+		t.Errorf("mean %v, %d out, withdrawn %v, %d open", mean, h.b.inFlight, h.cancels, len(h.b.requests))
 	}
 }
 
 // An outcome, or a started response, that is not of the attempt in flight is ignored: nothing is sent while
 // another attempt is in flight, and nothing is answered twice.
 func TestOutcomesOfOtherAttemptsAreIgnored(t *testing.T) {
-	for name, late := range map[string]func(d *harness, first, now sent){
-		"told twice":           func(d *harness, first, _ sent) { d.finish(first, Error, 20*ms) },
-		"twice, never ran":     func(d *harness, first, _ sent) { d.finish(first, Rejected, 20*ms) },
-		"twice, reset":         func(d *harness, first, _ sent) { d.finish(first, Reset, 20*ms) },
-		"twice, timed out":     func(d *harness, first, _ sent) { d.finish(first, Timeout, 20*ms) },
-		"of another endpoint":  func(d *harness, first, now sent) { now.to = first.to; d.finish(now, Error, 20*ms) },
-		"of one still to come": func(d *harness, _, now sent) { now.attempt++; d.finish(now, Error, 20*ms) },
-		"begun":                func(d *harness, first, _ sent) { d.b.ResponseStarted(d.now, first.id, first.attempt, first.to) },
-		"after it was over": func(d *harness, _, now sent) {
-			d.finish(now, OK, 20*ms)
-			d.finish(now, Error, 20*ms)
+	for name, late := range map[string]func(h *harness, first, now sentCall){
+		"told twice":           func(h *harness, first, _ sentCall) { h.reportOutcome(first, Error, 20*ms) },
+		"twice, never ran":     func(h *harness, first, _ sentCall) { h.reportOutcome(first, Rejected, 20*ms) },
+		"twice, reset":         func(h *harness, first, _ sentCall) { h.reportOutcome(first, Reset, 20*ms) },
+		"twice, timed out":     func(h *harness, first, _ sentCall) { h.reportOutcome(first, Timeout, 20*ms) },
+		"of another endpoint":  func(h *harness, first, now sentCall) { now.to = first.to; h.reportOutcome(now, Error, 20*ms) },
+		"of one still to come": func(h *harness, _, now sentCall) { now.attempt++; h.reportOutcome(now, Error, 20*ms) },
+		"begun":                func(h *harness, first, _ sentCall) { h.b.ResponseStarted(h.now, first.id, first.attempt, first.to) },
+		"after it was over": func(h *harness, _, now sentCall) {
+			h.reportOutcome(now, OK, 20*ms)
+			h.reportOutcome(now, Error, 20*ms)
 		},
 	} {
-		d := start(t, settings(), 4)
-		d.serve(60, nil)
-		id := d.request(read)
-		first := d.last()
-		d.finish(first, Error, 20*ms)
-		now := d.last()
+		h := start(t, settings(), 4)
+		h.serve(60, nil)
+		id := h.request(read)
+		first := h.last()
+		h.reportOutcome(first, Error, 20*ms)
+		now := h.last()
 		if now.id != id || now.attempt != 1 {
 			t.Fatalf("%s: %v is not sent again", name, first)
 		}
-		sends := len(d.sent)
-		late(d, first, now)
-		over := d.b.requests[id] == nil
-		if len(d.sent) != sends || len(d.fails)+len(d.refusals) > 0 || over != (name == "after it was over") {
-			t.Errorf("%s: %d sent, %v failed, %v refused, over %v", name, len(d.sent)-sends, d.fails, d.refusals, over)
+		sends := len(h.sent)
+		late(h, first, now)
+		over := h.b.requests[id] == nil
+		if len(h.sent) != sends || len(h.fails)+len(h.refusals) > 0 || over != (name == "after it was over") {
+			t.Errorf("%s: %d sent, %v failed, %v refused, over %v", name, len(h.sent)-sends, h.fails, h.refusals, over)
 		}
 		if !over {
-			d.finish(now, OK, 20*ms)
+			h.reportOutcome(now, OK, 20*ms)
 		}
-		if d.b.inFlight != 0 || len(d.b.requests) != 0 || len(d.fails)+len(d.refusals) > 0 {
-			t.Errorf("%s: %d out, %d requests, %v failed, %v refused", name, d.b.inFlight, len(d.b.requests), d.fails, d.refusals)
+		if h.b.inFlight != 0 || len(h.b.requests) != 0 || len(h.fails)+len(h.refusals) > 0 {
+			t.Errorf("%s: %d out, %d requests, %v failed, %v refused", name, h.b.inFlight, len(h.b.requests), h.fails, h.refusals)
 		}
 	}
 }
--- a/internal/decision/balancer.go
+++ b/internal/decision/balancer.go
@@ -10,17 +10,17 @@
 // Balancer decides for one instance. Its exported methods are its events; they must be called from one
 // goroutine, with times that never decrease. See the package's documentation for its invariants.
 type Balancer struct {
-	settings   Settings
-	host       Host
-	rng        *rand.Rand
-	rateWindow time.Duration // time constant of all smoothed rates
-	tick       time.Duration // interval between looks at queued and overdue calls
-	ticking    bool          // a tick timer is set
+	settings     Settings
+	host         Host
+	rng          *rand.Rand
+	rateWindow   time.Duration // time constant of all smoothed rates
+	tickInterval time.Duration // interval between looks at queued and overdue calls
+	ticking      bool          // a tick timer is set
 
 	endpointIndex
-	predecessor predecessorCalls
-	weighted    bool   // the listed weights tell endpoints apart
-	listVersion uint64 // of the last list taken
+	predecessor      predecessorCalls
+	hasListedWeights bool   // the listed weights tell endpoints apart
+	listVersion      uint64 // of the last list taken
 
 	requests map[RequestID]*request
 	queue    []*request  // wait for an endpoint, in order of arrival
@@ -105,7 +105,7 @@
 	b.settings.MaxAttempts = cmp.Or(set.MaxAttempts, maxRetryTokens)
 	b.rateWindow = cmp.Or(set.OverloadWindow, time.Second)
 	b.position = ringPosition(set.Ordinal, set.Instances)
-	b.tick = max(tickQuanta*set.Quantum, time.Millisecond)
+	b.tickInterval = max(tickQuanta*set.Quantum, time.Millisecond)
 	for _, c := range set.Classes {
 		b.classes = append(b.classes, class{Class: c, tailRatio: tailStartRatio})
 	}
@@ -148,7 +148,7 @@
 func (b *Balancer) startTick() {
 	if !b.ticking && len(b.requests) > 0 {
 		b.ticking = true
-		b.host.SetTimer(tokenTick, b.tick)
+		b.host.SetTimer(tokenTick, b.tickInterval)
 	}
 }
 
--- a/internal/decision/balancer_test.go
+++ b/internal/decision/balancer_test.go
@@ -35,20 +35,20 @@
 }
 
 func TestUnexpectedEventsAreIgnored(t *testing.T) {
-	d := start(t, settings(), 2)
-	d.b.Outcome(d.now, Outcome{ID: "unknown", Status: OK})
-	d.b.Abandoned(d.now, "unknown")
-	d.b.ResponseStarted(d.now, "unknown", 0, 1)
-	d.b.Timer(d.now, 99)
-	d.request(read)
-	s := d.last()
-	d.list(Entry{Endpoint: s.to, State: Departed})
-	d.b.Targets(d.now, List{Kind: FullList, Version: 3})
-	d.finish(s, Reset, ms)
-	d.finish(s, OK, ms)
-	d.advance(2 * time.Second)
-	if len(d.refusals) != 1 {
-		t.Errorf("refused %v, want the one request that lost its endpoint and has no other", d.refusals)
+	h := start(t, settings(), 2)
+	h.b.Outcome(h.now, Outcome{ID: "unknown", Status: OK})
+	h.b.Abandoned(h.now, "unknown")
+	h.b.ResponseStarted(h.now, "unknown", 0, 1)
+	h.b.Timer(h.now, 99)
+	h.request(read)
+	s := h.last()
+	h.updateEntry(Entry{Endpoint: s.to, State: Departed})
+	h.b.Targets(h.now, List{Kind: FullList, Version: 3})
+	h.reportOutcome(s, Reset, ms)
+	h.reportOutcome(s, OK, ms)
+	h.advance(2 * time.Second)
+	if len(h.refusals) != 1 {
+		t.Errorf("refused %v, want the one request that lost its endpoint and has no other", h.refusals)
 	}
 }
 
@@ -59,24 +59,24 @@
 		s := settings()
 		s.MayCancel = seed%2 == 0
 		s.Classes[book].Scope = []Scope{ScopeCell, ScopeZone, ScopeAll}[seed%3]
-		d := start(t, s, 8)
+		h := start(t, s, 8)
 		type state struct {
 			class, out, answers int
 			deadline            time.Duration
-			mayRun              *sent
+			mayRun              *sentCall
 			runAt               time.Duration
 		}
 		reqs := map[RequestID]*state{}
 		told := map[EndpointID]bool{}
 		at := struct{ sent, fails, refusals int }{}
-		sentAt := map[sent]time.Duration{}
-		var open []sent
+		sentAt := map[sentCall]time.Duration{}
+		var open []sentCall
 		check := func() {
-			for ; at.sent < len(d.sent); at.sent++ {
-				x := d.sent[at.sent]
+			for ; at.sent < len(h.sent); at.sent++ {
+				x := h.sent[at.sent]
 				r := reqs[x.id]
 				r.out++
-				sentAt[x] = d.now
+				sentAt[x] = h.now
 				open = append(open, x)
 				switch {
 				case r.answers > 0:
@@ -89,29 +89,29 @@
 					t.Fatalf("seed %d: %v: unsafe, may have run, sent again", seed, x)
 				case r.mayRun != nil && r.class == book && s.Classes[book].Scope == ScopeCell && (x.to-1)/2 != (r.mayRun.to-1)/2:
 					t.Fatalf("seed %d: %v: keyed, left its cell", seed, x)
-				case r.mayRun != nil && r.class == book && d.now-r.runAt > s.Classes[book].Window:
+				case r.mayRun != nil && r.class == book && h.now-r.runAt > s.Classes[book].Window:
 					t.Fatalf("seed %d: %v: keyed, past its window", seed, x)
 				}
 			}
-			for ; at.fails < len(d.fails); at.fails++ {
-				reqs[d.fails[at.fails]].answers++
+			for ; at.fails < len(h.fails); at.fails++ {
+				reqs[h.fails[at.fails]].answers++
 			}
-			for ; at.refusals < len(d.refusals); at.refusals++ {
-				r := reqs[d.refusals[at.refusals]]
+			for ; at.refusals < len(h.refusals); at.refusals++ {
+				r := reqs[h.refusals[at.refusals]]
 				r.answers++
 				if r.mayRun != nil && (r.class == pay || r.class == book && s.Classes[book].Scope != ScopeAll) {
-					t.Fatalf("seed %d: %s refused though it may have run", seed, d.refusals[at.refusals])
+					t.Fatalf("seed %d: %s refused though it may have run", seed, h.refusals[at.refusals])
 				}
 			}
 		}
 		for range 3000 {
 			switch rng.IntN(6) {
 			case 0, 1:
-				d.n++
-				id, class := RequestID(fmt.Sprint("q", d.n)), rng.IntN(3)
+				h.n++
+				id, class := RequestID(fmt.Sprint("q", h.n)), rng.IntN(3)
 				left := time.Duration(1+rng.IntN(1500)) * ms
-				reqs[id] = &state{class: class, deadline: d.now + left}
-				d.b.Request(d.now, Request{ID: id, Class: class, Remaining: left})
+				reqs[id] = &state{class: class, deadline: h.now + left}
+				h.b.Request(h.now, Request{ID: id, Class: class, Remaining: left})
 			case 2, 3:
 				if len(open) > 0 {
 					i := rng.IntN(len(open))
@@ -127,36 +127,36 @@
 					if status == OK {
 						r.answers++
 					}
-					d.b.Outcome(d.now, Outcome{
+					h.b.Outcome(h.now, Outcome{
 						ID: x.id, Endpoint: x.to, Attempt: x.attempt, Final: final, Status: status,
-						Elapsed: d.now - sentAt[x],
+						Elapsed: h.now - sentAt[x],
 					})
 				}
 			case 4:
 				id := EndpointID(1 + rng.IntN(8))
 				st := State(rng.IntN(3))
 				told[id] = st != Ready
-				d.list(Entry{Endpoint: id, Cell: int(id-1) / 2, State: st, Started: time.Duration(rng.IntN(2)) * d.now})
+				h.updateEntry(Entry{Endpoint: id, Cell: int(id-1) / 2, State: st, Started: time.Duration(rng.IntN(2)) * h.now})
 			}
 			check()
-			d.advance(time.Duration(rng.IntN(3)) * 10 * ms)
+			h.advance(time.Duration(rng.IntN(3)) * 10 * ms)
 			check()
 			// What is out at its deadline times out there, as the host trims it.
 			for i := 0; i < len(open); i++ {
 				x := open[i]
-				if r := reqs[x.id]; d.now >= r.deadline {
+				if r := reqs[x.id]; h.now >= r.deadline {
 					open = slices.Delete(open, i, i+1)
 					i--
 					r.out--
 					if r.mayRun == nil {
 						r.mayRun, r.runAt = &x, sentAt[x]
 					}
-					d.b.Outcome(d.now, Outcome{ID: x.id, Endpoint: x.to, Attempt: x.attempt, Final: r.answers > 0, Status: Timeout})
+					h.b.Outcome(h.now, Outcome{ID: x.id, Endpoint: x.to, Attempt: x.attempt, Final: r.answers > 0, Status: Timeout})
 					check()
 				}
 			}
 			for id, r := range reqs {
-				if r.answers > 1 || r.answers == 0 && d.now > r.deadline+20*ms {
+				if r.answers > 1 || r.answers == 0 && h.now > r.deadline+20*ms {
 					t.Fatalf("seed %d: %s has %d final answers past its deadline", seed, id, r.answers)
 				}
 				if r.answers > 0 && r.out == 0 {
@@ -169,15 +169,15 @@
 
 // The same events and seed must give the same actions.
 func TestSameSeedAndEventsGiveSameActions(t *testing.T) {
-	run := func() []sent {
-		d := start(t, settings(), 9)
-		d.serve(300, func(to EndpointID) Status {
+	run := func() []sentCall {
+		h := start(t, settings(), 9)
+		h.serve(300, func(to EndpointID) Status {
 			if to == 4 {
 				return Reset
 			}
 			return OK
 		})
-		return d.sent
+		return h.sent
 	}
 	if !slices.Equal(run(), run()) {
 		t.Error("two runs of the same events differ")
@@ -185,15 +185,15 @@
 }
 
 func TestEveryRequestIsAnsweredBeforeItsDeadline(t *testing.T) {
-	d := start(t, settings(), 0)
-	id := d.request(read)
-	d.advance(1500 * ms)
-	if !slices.Equal(d.refusals, []RequestID{id}) {
-		t.Errorf("refused %v, want %s: there is no endpoint", d.refusals, id)
+	h := start(t, settings(), 0)
+	id := h.request(read)
+	h.advance(1500 * ms)
+	if !slices.Equal(h.refusals, []RequestID{id}) {
+		t.Errorf("refused %v, want %s: there is no endpoint", h.refusals, id)
 	}
-	d = start(t, settings(), 2)
-	d.b.Request(d.now, Request{ID: "late", Remaining: 0})
-	if len(d.refusals) != 1 || len(d.sent) > 0 {
-		t.Errorf("refused %v, sent %v for a request with no time left", d.refusals, d.sent)
+	h = start(t, settings(), 2)
+	h.b.Request(h.now, Request{ID: "late", Remaining: 0})
+	if len(h.refusals) != 1 || len(h.sent) > 0 {
+		t.Errorf("refused %v, sent %v for a request with no time left", h.refusals, h.sent)
 	}
 }
--- a/internal/decision/ejection.go
+++ b/internal/decision/ejection.go
@@ -19,7 +19,7 @@
 	}
 	b.setState(e, stateEjected)
 	b.inFlight -= len(e.calls) // stuck calls must not use up the limit
-	e.trialBackoff = max(seconds(trialDelayInConnectTimeouts*b.settings.ConnectTimeout.Seconds()), b.tick)
+	e.trialBackoff = max(seconds(trialDelayInConnectTimeouts*b.settings.ConnectTimeout.Seconds()), b.tickInterval)
 	e.trialAt, e.trialAfterAnswers = now+b.jitter(e.trialBackoff), b.answers+silenceOtherAnswers
 	b.host.Log(fmt.Sprintf("endpoint %d isolated: %s (list version %d)", e.id, why, e.listVersion))
 }
@@ -57,10 +57,10 @@
 	}
 }
 
-// dueTrial is an ejected endpoint of the subset that is due for a trial call. Only a first attempt that may
+// endpointDueForTrial is an ejected endpoint of the subset that is due for a trial call. Only a first attempt that may
 // run twice is risked, and only after some answers of others: an instance that is rarely called would else
 // try a dead endpoint with each request.
-func (b *Balancer) dueTrial(now time.Duration, r *request) *endpoint {
+func (b *Balancer) endpointDueForTrial(now time.Duration, r *request) *endpoint {
 	if r.attempts > 0 || r.class.Effect == Unsafe {
 		return nil
 	}
--- a/internal/decision/endpoint.go
+++ b/internal/decision/endpoint.go
@@ -24,7 +24,7 @@
 type endpoint struct {
 	id          EndpointID
 	zone, cell  int
-	kind        int     // of its machine
+	machineKind int     // of its machine
 	weight      float64 // as listed
 	state       endpointState
 	started     time.Duration // latest start of its process, as listed; 0 for long past
--- a/internal/decision/endpoint_index.go
+++ b/internal/decision/endpoint_index.go
@@ -69,9 +69,9 @@
 	setMembership(&x.ejected, e, e.indexed && e.state == stateEjected)
 }
 
-// relist takes in which endpoints are listed, after the entries of a list were applied to the endpoints, and returns
+// updateListed takes in which endpoints are listed, after the entries of a list were applied to the endpoints, and returns
 // those that no longer are.
-func (x *endpointIndex) relist(l List) (removed []*endpoint) {
+func (x *endpointIndex) updateListed(l List) (removed []*endpoint) {
 	x.subsetStale = true
 	if l.Kind == DeltaList {
 		for _, entry := range l.Entries {
@@ -122,8 +122,8 @@
 	return removed
 }
 
-// forget drops departed endpoints for which a condition holds.
-func (x *endpointIndex) forget(mayForget func(*endpoint) bool) {
+// forgetDeparted drops departed endpoints for which a condition holds.
+func (x *endpointIndex) forgetDeparted(mayForget func(*endpoint) bool) {
 	x.departed = slices.DeleteFunc(x.departed, func(e *endpoint) bool {
 		if !mayForget(e) {
 			return false
--- a/internal/decision/endpoint_list.go
+++ b/internal/decision/endpoint_list.go
@@ -27,12 +27,12 @@
 	for _, x := range l.Entries {
 		b.applyEntry(now, l, x)
 	}
-	for _, e := range b.relist(l) {
+	for _, e := range b.updateListed(l) {
 		b.startDraining(now, e)
 	}
 	// An endpoint that comes back before its warm-up is over or its calls have ended is still the same.
 	isCrowded := len(b.byID) > maxDepartedEndpoints+2*len(b.listed)
-	b.forget(func(e *endpoint) bool {
+	b.forgetDeparted(func(e *endpoint) bool {
 		return len(e.calls)+e.uploads == 0 && (isCrowded || now-e.drainingSince >= b.settings.WarmUp)
 	})
 	if l.Kind == CachedList {
@@ -53,7 +53,7 @@
 	}
 	b.watchScheduled = true
 	interval := b.settings.DiscoveryInterval
-	first := max(seconds(min(watchBackoffShare*interval.Seconds(), watchBackoffMaxSeconds/3)), b.tick)
+	first := max(seconds(min(watchBackoffShare*interval.Seconds(), watchBackoffMaxSeconds/3)), b.tickInterval)
 	longest := max(min(interval, seconds(watchBackoffMaxSeconds)), first)
 	b.watchBackoff = min(max(2*b.watchBackoff, first), longest)
 	pause := max(b.watchBackoff+b.watchStartedAt-now, first)
@@ -77,7 +77,7 @@
 		e = &endpoint{id: x.Endpoint, state: stateDraining}
 		b.byID[x.Endpoint] = e
 	}
-	e.zone, e.cell, e.kind, e.listVersion = x.Zone, x.Cell, max(x.Kind, 0), l.Version
+	e.zone, e.cell, e.machineKind, e.listVersion = x.Zone, x.Cell, max(x.Kind, 0), l.Version
 	b.weightsChanged = b.weightsChanged || e.weight != x.Weight
 	e.weight = x.Weight
 	e.listed = x.State != Departed
--- a/internal/decision/endpoint_list_test.go
+++ b/internal/decision/endpoint_list_test.go
@@ -7,77 +7,77 @@
 )
 
 func TestDrainingEndpointGetsNoNewCallsAndKeepsItsOwn(t *testing.T) {
-	d := start(t, settings(), 2)
+	h := start(t, settings(), 2)
 	for range 4 {
-		d.request(read)
+		h.request(read)
 	}
-	running := slices.Clone(d.sent)
-	d.list(Entry{Endpoint: 1, State: Draining})
-	if len(d.cancels) > 0 {
+	running := slices.Clone(h.sent)
+	h.updateEntry(Entry{Endpoint: 1, State: Draining})
+	if len(h.cancels) > 0 {
 		t.Error("a running call was called off when its endpoint drained")
 	}
 	for _, s := range running {
-		d.finish(s, OK, 10*ms)
+		h.reportOutcome(s, OK, 10*ms)
 	}
-	if got := d.serve(20, nil); got[1] != 0 || got[2] != 20 {
+	if got := h.serve(20, nil); got[1] != 0 || got[2] != 20 {
 		t.Errorf("sends by endpoint %v, want all 20 to 2", got)
 	}
-	d.list(Entry{Endpoint: 1})
-	if got := d.serve(20, nil); got[1] == 0 {
+	h.updateEntry(Entry{Endpoint: 1})
+	if got := h.serve(20, nil); got[1] == 0 {
 		t.Error("an endpoint that is ready again gets nothing")
 	}
 }
 
 // Departed endpoints are forgotten, and calls that are still in flight there end without harm.
 func TestDepartedEndpointsAreForgotten(t *testing.T) {
-	d := start(t, settings(), 1)
+	h := start(t, settings(), 1)
 	for i := 2; i < 100; i++ {
-		d.request(read)
-		late := d.last()
-		d.list(Entry{Endpoint: EndpointID(i), Weight: 1})
-		d.list(Entry{Endpoint: EndpointID(i - 1), State: Departed})
+		h.request(read)
+		late := h.last()
+		h.updateEntry(Entry{Endpoint: EndpointID(i), Weight: 1})
+		h.updateEntry(Entry{Endpoint: EndpointID(i - 1), State: Departed})
 		if i%2 == 0 {
-			d.list(Entry{Endpoint: EndpointID(i - 1), State: Departed})
+			h.updateEntry(Entry{Endpoint: EndpointID(i - 1), State: Departed})
 		}
-		d.finish(late, []Status{OK, Reset, Error, ConnectFailed, Cancelled}[i%5], 5*ms)
-		for d.attempts[late.id] > 1 && d.last().id == late.id && d.b.requests[late.id] != nil {
-			d.finish(d.last(), OK, 5*ms)
+		h.reportOutcome(late, []Status{OK, Reset, Error, ConnectFailed, Cancelled}[i%5], 5*ms)
+		for h.attempts[late.id] > 1 && h.last().id == late.id && h.b.requests[late.id] != nil {
+			h.reportOutcome(h.last(), OK, 5*ms)
 		}
-		d.advance(20 * ms)
+		h.advance(20 * ms)
 	}
-	if len(d.b.byID) > maxDepartedEndpoints+4 {
-		t.Errorf("%d endpoints are remembered", len(d.b.byID))
+	if len(h.b.byID) > maxDepartedEndpoints+4 {
+		t.Errorf("%d endpoints are remembered", len(h.b.byID))
 	}
-	for len(d.b.requests) > 0 { // sent later, in slow start
-		for _, s := range d.sent {
-			d.finish(s, OK, 5*ms)
+	for len(h.b.requests) > 0 { // sent later, in slow start
+		for _, s := range h.sent {
+			h.reportOutcome(s, OK, 5*ms)
 		}
-		d.advance(20 * ms)
+		h.advance(20 * ms)
 	}
-	d.now += d.b.settings.WarmUp
-	d.list(Entry{Endpoint: 99, Weight: 1})
-	if len(d.b.byID) != 1 || len(d.b.listed) != 1 || len(d.b.requests) != 0 || d.b.inFlight != 0 {
-		t.Errorf("%d endpoints, %d listed, %d requests, %d out", len(d.b.byID), len(d.b.listed), len(d.b.requests), d.b.inFlight)
+	h.now += h.b.settings.WarmUp
+	h.updateEntry(Entry{Endpoint: 99, Weight: 1})
+	if len(h.b.byID) != 1 || len(h.b.listed) != 1 || len(h.b.requests) != 0 || h.b.inFlight != 0 {
+		t.Errorf("%d endpoints, %d listed, %d requests, %d out", len(h.b.byID), len(h.b.listed), len(h.b.requests), h.b.inFlight)
 	}
 }
 
 func TestPullDiscoveryWatchesAndBacksOff(t *testing.T) {
 	s := settings()
 	s.PullDiscovery = true
-	d := start(t, s, 2)
-	if d.watches != 0 {
+	h := start(t, s, 2)
+	if h.watches != 0 {
 		t.Error("subscribed at once: a fleet that starts together would ask together")
 	}
-	d.advance(time.Second)
-	if d.watches != 1 {
-		t.Fatalf("%d watches in the first second, want 1", d.watches)
+	h.advance(time.Second)
+	if h.watches != 1 {
+		t.Fatalf("%d watches in the first second, want 1", h.watches)
 	}
 	for range 40 {
-		d.b.Targets(d.now, List{Kind: FailedList})
-		d.advance(time.Second)
+		h.b.Targets(h.now, List{Kind: FailedList})
+		h.advance(time.Second)
 	}
-	if d.watches < 4 || d.watches > 30 {
-		t.Errorf("%d watches in 40 s of failures, want a growing pause", d.watches)
+	if h.watches < 4 || h.watches > 30 {
+		t.Errorf("%d watches in 40 s of failures, want a growing pause", h.watches)
 	}
 }
 
@@ -88,22 +88,22 @@
 	cold := Entry{Endpoint: 1, Weight: 1, Started: started}
 	warm := Entry{Endpoint: 1, Weight: 1}
 	state := func(e Entry, s State) Entry { e.State = s; return e }
-	breakOff := func(d *harness) {
+	breakOff := func(h *harness) {
 		for range 40 {
-			d.request(read)
-			s := d.last()
+			h.request(read)
+			s := h.last()
 			if s.to != 1 {
-				d.finish(s, OK, 20*ms)
+				h.reportOutcome(s, OK, 20*ms)
 				continue
 			}
-			d.finish(s, Reset, ms)
-			d.finish(d.last(), OK, 20*ms)
+			h.reportOutcome(s, Reset, ms)
+			h.reportOutcome(h.last(), OK, 20*ms)
 			return
 		}
 		t.Fatal("endpoint 1 is never drawn")
 	}
 	for name, c := range map[string]struct {
-		before func(d *harness)
+		before func(h *harness)
 		lists  []Entry // of versions from 3 on, half a second apart
 		want   endpointState
 		share  float64 // the most that it may be taken to be able to do then
@@ -131,33 +131,33 @@
 		"of a start that is passed":  {nil, []Entry{{Endpoint: 1, Weight: 1, Started: 2 * time.Second}}, stateSlowStart, 0.99},
 		"many servers at once, gone": {nil, []Entry{state(warm, Departed)}, stateDraining, 1},
 	} {
-		d := start(t, settings(), 4)
-		d.now = started // the harness starts at 1 s: all its endpoints are warm by now
+		h := start(t, settings(), 4)
+		h.now = started // the harness starts at 1 s: all its endpoints are warm by now
 		if c.before != nil {
-			c.before(d)
+			c.before(h)
 		}
 		for i, e := range c.lists {
-			d.applyDelta(uint64(3+i), e)
-			d.now += 500 * ms
+			h.applyDelta(uint64(3+i), e)
+			h.now += 500 * ms
 		}
-		e := d.b.byID[c.lists[0].Endpoint]
+		e := h.b.byID[c.lists[0].Endpoint]
 		if e == nil {
 			e = &endpoint{state: stateDraining} // forgotten: it gets nothing
 		}
-		if got := d.b.capacityShare(d.now, e); e.state != c.want || got > c.share {
+		if got := h.b.capacityShare(h.now, e); e.state != c.want || got > c.share {
 			t.Errorf("%s: mark %d, share %.2f, want %d and at most %.2f", name, e.state, got, c.want, c.share)
 		}
-		if d.b.inFlight != 0 {
-			t.Errorf("%s: %d calls out", name, d.b.inFlight)
+		if h.b.inFlight != 0 {
+			t.Errorf("%s: %d calls out", name, h.b.inFlight)
 		}
 		if c.want != stateEjected {
 			continue
 		}
 		// It is not lost for good: a trial that is served has it back.
 		for range 200 {
-			d.serve(1, nil)
+			h.serve(1, nil)
 		}
-		if e = d.b.byID[1]; e.state > stateSlowStart {
+		if e = h.b.byID[1]; e.state > stateSlowStart {
 			t.Errorf("%s: mark %d after trials that are served", name, e.state)
 		}
 	}
@@ -167,40 +167,40 @@
 // flight, and in what it is judged by. It gets no new slow-start token each time.
 func TestCallsInFlightCountAfterEndpointReturns(t *testing.T) {
 	for _, during := range []string{"ready", "isolated"} {
-		d := start(t, settings(), 2)
-		d.serve(60, nil)
-		var at1 []sent
+		h := start(t, settings(), 2)
+		h.serve(60, nil)
+		var at1 []sentCall
 		for range 4 {
-			d.request(read)
-			if d.last().to == 1 {
-				at1 = append(at1, d.last())
+			h.request(read)
+			if h.last().to == 1 {
+				at1 = append(at1, h.last())
 			}
 		}
 		if during == "isolated" {
-			d.b.eject(d.now, d.b.byID[1], "silent")
+			h.b.eject(h.now, h.b.byID[1], "silent")
 		}
-		d.applyDelta(3, Entry{Endpoint: 1, State: Departed})
-		d.applyDelta(4, Entry{Endpoint: 1, Weight: 1})
-		e := d.b.byID[1]
-		if got := d.b.callsAt(d.now, e); got != len(at1) || len(at1) == 0 {
+		h.applyDelta(3, Entry{Endpoint: 1, State: Departed})
+		h.applyDelta(4, Entry{Endpoint: 1, Weight: 1})
+		e := h.b.byID[1]
+		if got := h.b.callsAt(h.now, e); got != len(at1) || len(at1) == 0 {
 			t.Errorf("%s: load %d with %d calls running", during, got, len(at1))
 		}
 		tokens := e.slowStartTokens
 		for v := uint64(5); v < 25; v += 2 {
-			d.applyDelta(v, Entry{Endpoint: 1, State: Departed})
-			d.applyDelta(v+1, Entry{Endpoint: 1, Weight: 1})
+			h.applyDelta(v, Entry{Endpoint: 1, State: Departed})
+			h.applyDelta(v+1, Entry{Endpoint: 1, Weight: 1})
 		}
-		if e = d.b.byID[1]; e.state == stateSlowStart && e.slowStartTokens > tokens {
+		if e = h.b.byID[1]; e.state == stateSlowStart && e.slowStartTokens > tokens {
 			t.Errorf("%s: its ramp may send %.2f at once, %.2f before it flapped", during, e.slowStartTokens, tokens)
 		}
-		for _, s := range slices.Clone(d.sent) {
-			if d.b.requests[s.id] != nil {
-				d.finish(s, OK, 20*ms)
+		for _, s := range slices.Clone(h.sent) {
+			if h.b.requests[s.id] != nil {
+				h.reportOutcome(s, OK, 20*ms)
 			}
 		}
-		d.advance(100 * ms)
-		if d.b.inFlight != 0 || len(d.b.byID[1].calls) != 0 || len(d.b.requests) != 0 {
-			t.Errorf("%s: %d out, %d at the endpoint, %d requests left", during, d.b.inFlight, len(d.b.byID[1].calls), len(d.b.requests))
+		h.advance(100 * ms)
+		if h.b.inFlight != 0 || len(h.b.byID[1].calls) != 0 || len(h.b.requests) != 0 {
+			t.Errorf("%s: %d out, %d at the endpoint, %d requests left", during, h.b.inFlight, len(h.b.byID[1].calls), len(h.b.requests))
 		}
 	}
 }
@@ -223,10 +223,10 @@
 		"another discovery's, ready":  {Departed, List{Kind: FullList, Version: 2, VersionsRestart: true, Entries: []Entry{ready}}, true},
 		"another discovery's, absent": {Ready, List{Kind: FullList, Version: 2, VersionsRestart: true}, false},
 	} {
-		d := start(t, settings(), 2)
-		d.applyDelta(7, Entry{Endpoint: 1, Weight: 1, State: c.known})
-		d.b.Targets(d.now, c.late)
-		e := d.b.byID[1]
+		h := start(t, settings(), 2)
+		h.applyDelta(7, Entry{Endpoint: 1, Weight: 1, State: c.known})
+		h.b.Targets(h.now, c.late)
+		e := h.b.byID[1]
 		if got := e != nil && e.listed && e.state <= stateSlowStart; got != c.want {
 			t.Errorf("%s: may be called %v", name, got)
 		}
@@ -238,38 +238,38 @@
 func TestFailedListsDoNotAddWatches(t *testing.T) {
 	s := settings()
 	s.PullDiscovery = true
-	d := start(t, s, 4)
-	d.serve(40, nil)
-	d.advance(2 * time.Second)
+	h := start(t, s, 4)
+	h.serve(40, nil)
+	h.advance(2 * time.Second)
 	// Each watch fails, and each fetch, that connections which break ask for.
-	before, from := d.watches+d.fetches, d.now
-	told, asked := before, d.now
-	d.b.Targets(d.now, List{Kind: FailedList})
-	for d.now < from+120*time.Second {
-		d.request(read)
-		d.finish(d.last(), ConnectFailed, ms)
-		for len(d.sent) > 0 && d.b.requests[d.last().id] != nil {
-			d.finish(d.last(), ConnectFailed, ms)
+	before, from := h.watches+h.fetches, h.now
+	told, asked := before, h.now
+	h.b.Targets(h.now, List{Kind: FailedList})
+	for h.now < from+120*time.Second {
+		h.request(read)
+		h.reportOutcome(h.last(), ConnectFailed, ms)
+		for len(h.sent) > 0 && h.b.requests[h.last().id] != nil {
+			h.reportOutcome(h.last(), ConnectFailed, ms)
 		}
-		watches := d.watches
-		d.advance(100 * ms)
-		for ; told < d.watches+d.fetches; told++ {
-			d.b.Targets(d.now, List{Kind: FailedList})
+		watches := h.watches
+		h.advance(100 * ms)
+		for ; told < h.watches+h.fetches; told++ {
+			h.b.Targets(h.now, List{Kind: FailedList})
 		}
 		// What changes counts as told 6 s after discovery could be reached: one call may hang for 2 s before, and one
 		// may wait as long for its answer.
-		if d.watches > watches {
-			asked = d.now
-		} else if d.now-asked > 2*time.Second {
-			t.Fatalf("no watch for %v", d.now-asked)
+		if h.watches > watches {
+			asked = h.now
+		} else if h.now-asked > 2*time.Second {
+			t.Fatalf("no watch for %v", h.now-asked)
 		}
 	}
 	// A watch each 1.3 s once the pause has grown, four until then, and a fetch each 3.75 s at the least.
-	if got := d.watches + d.fetches - before; got > 120*10/13+4+32 {
-		t.Errorf("%d calls in two minutes (%d watches)", got, d.watches)
+	if got := h.watches + h.fetches - before; got > 120*10/13+4+32 {
+		t.Errorf("%d calls in two minutes (%d watches)", got, h.watches)
 	}
-	if d.duplicateTimers > 0 {
-		t.Errorf("%d timers set while one was running", d.duplicateTimers)
+	if h.duplicateTimers > 0 {
+		t.Errorf("%d timers set while one was running", h.duplicateTimers)
 	}
 }
 
@@ -281,18 +281,18 @@
 	for _, askEvery := range []time.Duration{time.Second, 4 * time.Second, 10 * time.Second, time.Minute} {
 		s := settings()
 		s.PullDiscovery, s.DiscoveryInterval = true, askEvery
-		d := start(t, s, 4)
-		d.advance(3 * time.Second)
-		d.b.Targets(d.now, List{Kind: FailedList})
+		h := start(t, s, 4)
+		h.advance(3 * time.Second)
+		h.b.Targets(h.now, List{Kind: FailedList})
 		var began []time.Duration
-		for watches := d.watches; len(began) < 12; {
-			d.advance(20 * ms)
-			if d.watches > watches {
-				watches, began = d.watches, append(began, d.now)
-				d.advance(hangs)
-				d.b.Targets(d.now, List{Kind: FailedList})
+		for watches := h.watches; len(began) < 12; {
+			h.advance(20 * ms)
+			if h.watches > watches {
+				watches, began = h.watches, append(began, h.now)
+				h.advance(hangs)
+				h.b.Targets(h.now, List{Kind: FailedList})
 			}
-			if len(began) > 0 && d.now-began[len(began)-1] > 4*hangs {
+			if len(began) > 0 && h.now-began[len(began)-1] > 4*hangs {
 				t.Fatalf("asked each %v: no further watch", askEvery)
 			}
 		}
--- a/internal/decision/golden_amd64_test.go
+++ b/internal/decision/golden_amd64_test.go
@@ -37,8 +37,8 @@
 	return last
 }
 
-// goldenWorld feeds one Balancer with events drawn from a seed and hashes every action that it takes, with its time.
-type goldenWorld struct {
+// goldenSimulation feeds one Balancer with events drawn from a seed and hashes every action that it takes, with its time.
+type goldenSimulation struct {
 	settings decision.Settings
 	rng      *rand.Rand
 	now      time.Duration
@@ -60,22 +60,22 @@
 	out      bool
 }
 
-func (w *goldenWorld) after(d time.Duration, do func()) {
+func (w *goldenSimulation) after(d time.Duration, do func()) {
 	w.added++
 	heap.Push(&w.queue, goldenEvent{w.now + d, w.added, do})
 }
 
-func (w *goldenWorld) note(format string, args ...any) {
+func (w *goldenSimulation) note(format string, args ...any) {
 	w.actions++
 	fmt.Fprintf(w.digest, "%d ", w.now)
 	fmt.Fprintf(w.digest, format+"\n", args...)
 }
 
-func (w *goldenWorld) upTo(d time.Duration) time.Duration {
+func (w *goldenSimulation) upTo(d time.Duration) time.Duration {
 	return time.Duration(w.rng.Int64N(int64(d)))
 }
 
-func (w *goldenWorld) Send(id decision.RequestID, to decision.EndpointID, timeout, within time.Duration) {
+func (w *goldenSimulation) Send(id decision.RequestID, to decision.EndpointID, timeout, within time.Duration) {
 	w.note("send %s %d %d %d", id, to, timeout, within)
 	r := w.open[id]
 	number := r.attempts
@@ -103,7 +103,7 @@
 }
 
 // end reports the end of an attempt, unless it was reported by a cancellation.
-func (w *goldenWorld) end(r *goldenRequest, to decision.EndpointID, number int, status decision.Status, took time.Duration) {
+func (w *goldenSimulation) end(r *goldenRequest, to decision.EndpointID, number int, status decision.Status, took time.Duration) {
 	if !r.out || r.attempts != number+1 {
 		return
 	}
@@ -120,17 +120,17 @@
 	})
 }
 
-func (w *goldenWorld) Refuse(id decision.RequestID, retryAfter time.Duration) {
+func (w *goldenSimulation) Refuse(id decision.RequestID, retryAfter time.Duration) {
 	w.note("refuse %s %d", id, retryAfter)
 	w.open[id].answered = true
 }
 
-func (w *goldenWorld) Fail(id decision.RequestID) {
+func (w *goldenSimulation) Fail(id decision.RequestID) {
 	w.note("fail %s", id)
 	w.open[id].answered = true
 }
 
-func (w *goldenWorld) Cancel(id decision.RequestID, attempt int) {
+func (w *goldenSimulation) Cancel(id decision.RequestID, attempt int) {
 	w.note("cancel %s %d", id, attempt)
 	r := w.open[id]
 	w.after(time.Millisecond, func() {
@@ -140,7 +140,7 @@
 	})
 }
 
-func (w *goldenWorld) SetTimer(token uint64, after time.Duration) {
+func (w *goldenSimulation) SetTimer(token uint64, after time.Duration) {
 	w.note("timer %d %d", token, after)
 	owner := w.balancer
 	w.after(after, func() {
@@ -150,20 +150,20 @@
 	})
 }
 
-func (w *goldenWorld) Watch(on bool) {
+func (w *goldenSimulation) Watch(on bool) {
 	w.note("watch %t", on)
 	w.after(5*time.Millisecond, func() { w.list(w.rng.IntN(2) == 0) })
 }
 
-func (w *goldenWorld) Fetch() {
+func (w *goldenSimulation) Fetch() {
 	w.note("fetch")
 	w.after(5*time.Millisecond, func() { w.list(w.rng.IntN(4) > 0) })
 }
 
-func (w *goldenWorld) Log(text string) { w.note("log %s", text) }
+func (w *goldenSimulation) Log(text string) { w.note("log %s", text) }
 
 // list hands over the whole list, or that it could not be had.
-func (w *goldenWorld) list(ok bool) {
+func (w *goldenSimulation) list(ok bool) {
 	l := decision.List{Kind: decision.FailedList}
 	if ok {
 		w.version++
@@ -178,7 +178,7 @@
 }
 
 // change changes one endpoint's entry, and hands it over as a delta.
-func (w *goldenWorld) change() {
+func (w *goldenSimulation) change() {
 	e := &w.servers[w.rng.IntN(len(w.servers))]
 	if e.State = decision.State(w.rng.IntN(5) / 2 % 3); w.rng.IntN(2) == 0 {
 		e.State, e.Started = decision.Ready, w.now
@@ -188,7 +188,7 @@
 }
 
 // ask brings requests, one after another.
-func (w *goldenWorld) ask(number int, pause time.Duration) {
+func (w *goldenSimulation) ask(number int, pause time.Duration) {
 	s := w.settings
 	r := &goldenRequest{Request: decision.Request{
 		ID:    decision.RequestID(fmt.Sprint("r", number)),
@@ -209,7 +209,7 @@
 }
 
 // fleet brings what other instances have found out, and what the fleet allots.
-func (w *goldenWorld) fleet() {
+func (w *goldenSimulation) fleet() {
 	id := w.servers[w.rng.IntN(len(w.servers))].Endpoint
 	w.note("heeded %d", w.balancer.ApplyPeerEjections(w.now, []decision.PeerEjection{{Endpoint: id, Age: w.upTo(time.Second)}}))
 	w.note("evidence %v", w.balancer.Evidence(w.now, []decision.EndpointID{1, 2, 3}))
@@ -226,7 +226,7 @@
 }
 
 // replace has a new Balancer inherit from the present one, that keeps nothing in flight.
-func (w *goldenWorld) replace(t *testing.T, seed uint64) {
+func (w *goldenSimulation) replace(t *testing.T, seed uint64) {
 	t.Helper()
 	learnt, calls := w.balancer.Snapshot(w.now), w.balancer.InFlight()
 	text, err := json.Marshal(learnt)
@@ -245,7 +245,7 @@
 	w.balancer.SetPredecessorCalls(w.now, calls, w.now+500*time.Millisecond)
 }
 
-func (w *goldenWorld) begin(t *testing.T, seed uint64) {
+func (w *goldenSimulation) begin(t *testing.T, seed uint64) {
 	t.Helper()
 	b, err := decision.New(w.settings, seed, w)
 	if err != nil {
@@ -301,7 +301,7 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := &goldenWorld{
+			w := &goldenSimulation{
 				settings: goldenSettings(c.instances, c.stage), rng: rand.New(rand.NewPCG(7, 11)),
 				now: time.Hour, digest: fnv.New64a(), open: map[decision.RequestID]*goldenRequest{},
 			}
--- a/internal/decision/harness_test.go
+++ b/internal/decision/harness_test.go
@@ -9,7 +9,7 @@
 
 const ms = time.Millisecond
 
-type sent struct {
+type sentCall struct {
 	id      RequestID
 	to      EndpointID
 	attempt int
@@ -20,11 +20,11 @@
 // recordingHost is a Host that records what it is asked to do, with a clock.
 type recordingHost struct {
 	now              time.Duration
-	sent             []sent
+	sent             []sentCall
 	attempts         map[RequestID]int
 	fails, refusals  []RequestID
 	retryAfters      []time.Duration // when refused clients should come back
-	cancels          []sent
+	cancels          []sentCall
 	timers           map[uint64]time.Duration // token to due time
 	watches, fetches int
 	duplicateTimers  int // timers that were set while one of their token was running
@@ -32,7 +32,7 @@
 }
 
 func (h *recordingHost) Send(id RequestID, to EndpointID, timeout, within time.Duration) {
-	h.sent = append(h.sent, sent{id, to, h.attempts[id], timeout, within})
+	h.sent = append(h.sent, sentCall{id, to, h.attempts[id], timeout, within})
 	h.attempts[id]++
 }
 
@@ -44,7 +44,7 @@
 func (h *recordingHost) Fail(id RequestID) { h.fails = append(h.fails, id) }
 
 func (h *recordingHost) Cancel(id RequestID, n int) {
-	h.cancels = append(h.cancels, sent{id: id, attempt: n})
+	h.cancels = append(h.cancels, sentCall{id: id, attempt: n})
 }
 
 func (h *recordingHost) SetTimer(token uint64, after time.Duration) {
@@ -61,7 +61,7 @@
 func (h *recordingHost) Log(text string) { h.logs = append(h.logs, text) }
 
 // last is the latest send.
-func (h *recordingHost) last() sent { return h.sent[len(h.sent)-1] }
+func (h *recordingHost) last() sentCall { return h.sent[len(h.sent)-1] }
 
 // settings are those of the only instance, with a class for each effect.
 func settings() Settings {
@@ -90,8 +90,8 @@
 // start makes a Balancer that knows n warm endpoints, numbered from 1, two to a cell.
 func start(t *testing.T, s Settings, n int) *harness {
 	t.Helper()
-	h := &recordingHost{timers: map[uint64]time.Duration{}, attempts: map[RequestID]int{}, now: time.Second}
-	b, err := New(s, 7, h)
+	host := &recordingHost{timers: map[uint64]time.Duration{}, attempts: map[RequestID]int{}, now: time.Second}
+	b, err := New(s, 7, host)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,43 +99,43 @@
 	for i := 1; i <= n; i++ {
 		l.Entries = append(l.Entries, Entry{Endpoint: EndpointID(i), Cell: (i - 1) / 2, Weight: 1})
 	}
-	b.Targets(h.now, l)
-	return &harness{recordingHost: h, t: t, b: b}
+	b.Targets(host.now, l)
+	return &harness{recordingHost: host, t: t, b: b}
 }
 
-// list hands over a delta with one entry.
-func (d *harness) list(e Entry) {
-	d.b.Targets(d.now, List{Kind: DeltaList, Version: 2, Entries: []Entry{e}})
+// updateEntry hands over a delta with one entry.
+func (h *harness) updateEntry(e Entry) {
+	h.b.Targets(h.now, List{Kind: DeltaList, Version: 2, Entries: []Entry{e}})
 }
 
 // applyDelta hands over a delta with one entry and a version.
-func (d *harness) applyDelta(version uint64, e Entry) {
-	d.b.Targets(d.now, List{Kind: DeltaList, Version: version, Entries: []Entry{e}})
+func (h *harness) applyDelta(version uint64, e Entry) {
+	h.b.Targets(h.now, List{Kind: DeltaList, Version: version, Entries: []Entry{e}})
 }
 
 // request brings a request with 1.5 s left.
-func (d *harness) request(class int) RequestID {
-	d.n++
-	id := RequestID(fmt.Sprint("r", d.n))
-	d.b.Request(d.now, Request{ID: id, Class: class, Remaining: 1500 * ms})
+func (h *harness) request(class int) RequestID {
+	h.n++
+	id := RequestID(fmt.Sprint("r", h.n))
+	h.b.Request(h.now, Request{ID: id, Class: class, Remaining: 1500 * ms})
 	return id
 }
 
-// finish reports the outcome of a send.
-func (d *harness) finish(s sent, status Status, took time.Duration) {
-	d.b.Outcome(d.now, Outcome{
+// reportOutcome reports the outcome of a send.
+func (h *harness) reportOutcome(s sentCall, status Status, took time.Duration) {
+	h.b.Outcome(h.now, Outcome{
 		ID: s.id, Endpoint: s.to, Attempt: s.attempt, Final: status == OK, Status: status,
 		Elapsed: took,
 	})
 }
 
 // advance lets time pass, with the timers that expire.
-func (d *harness) advance(by time.Duration) {
-	for until := d.now + by; d.now < until; d.now += 2 * ms {
+func (h *harness) advance(by time.Duration) {
+	for until := h.now + by; h.now < until; h.now += 2 * ms {
 		for _, token := range []uint64{tokenTick, tokenWatch} {
-			if due, ok := d.timers[token]; ok && due <= d.now {
-				delete(d.timers, token)
-				d.b.Timer(d.now, token)
+			if due, ok := h.timers[token]; ok && due <= h.now {
+				delete(h.timers, token)
+				h.b.Timer(h.now, token)
 			}
 		}
 	}
@@ -143,64 +143,64 @@
 
 // serve runs requests one after another for a while, each answered after 20 ms but where answer says
 // otherwise, and counts the sends to each endpoint.
-func (d *harness) serve(n int, answer func(to EndpointID) Status) map[EndpointID]int {
+func (h *harness) serve(n int, answer func(to EndpointID) Status) map[EndpointID]int {
 	got := map[EndpointID]int{}
 	for range n {
-		at := len(d.sent)
-		d.request(read)
-		d.advance(20 * ms)
-		for at < len(d.sent) {
-			s := d.sent[at]
+		at := len(h.sent)
+		h.request(read)
+		h.advance(20 * ms)
+		for at < len(h.sent) {
+			s := h.sent[at]
 			at++
 			got[s.to]++
 			status := OK
 			if answer != nil {
 				status = answer(s.to)
 			}
-			d.finish(s, status, 20*ms)
+			h.reportOutcome(s, status, 20*ms)
 		}
 	}
 	return got
 }
 
-// work keeps some calls of a latency in flight for a while.
-func (d *harness) work(atOnce int, took, lasts time.Duration) {
-	for end := d.now + lasts; d.now < end; {
-		at := len(d.sent)
+// serveBatches keeps some calls of a latency in flight for a while.
+func (h *harness) serveBatches(atOnce int, took, lasts time.Duration) {
+	for end := h.now + lasts; h.now < end; {
+		at := len(h.sent)
 		for range atOnce {
-			d.request(read)
+			h.request(read)
 		}
-		d.advance(took)
-		for _, s := range d.sent[at:] {
-			d.finish(s, OK, took)
+		h.advance(took)
+		for _, s := range h.sent[at:] {
+			h.reportOutcome(s, OK, took)
 		}
 	}
 }
 
-// fill brings requests until nothing more is sent, and returns how many were sent.
-func (d *harness) fill() (n int) {
-	for at := -1; at < len(d.sent); n++ {
-		at = len(d.sent)
-		d.request(read)
+// requestUntilLimit brings requests until nothing more is sent, and returns how many were sent.
+func (h *harness) requestUntilLimit() (n int) {
+	for at := -1; at < len(h.sent); n++ {
+		at = len(h.sent)
+		h.request(read)
 	}
 	return n - 1
 }
 
 // successor makes a harness that has restored this one's snapshot.
-func (d *harness) successor(s Settings, n int) *harness {
-	d.t.Helper()
-	text, err := json.Marshal(d.b.Snapshot(d.now))
+func (h *harness) successor(s Settings, n int) *harness {
+	h.t.Helper()
+	text, err := json.Marshal(h.b.Snapshot(h.now))
 	if err != nil {
-		d.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	var l Snapshot
-	if err := json.Unmarshal(text, &l); err != nil {
-		d.t.Fatal(err)
+	var snapshot Snapshot
+	if err := json.Unmarshal(text, &snapshot); err != nil {
+		h.t.Fatal(err)
 	}
-	h := start(d.t, s, n)
-	h.advance(17 * ms) // the clocks differ
-	if err := h.b.Restore(h.now, l); err != nil {
-		d.t.Fatal(err)
+	next := start(h.t, s, n)
+	next.advance(17 * ms) // the clocks differ
+	if err := next.b.Restore(next.now, snapshot); err != nil {
+		h.t.Fatal(err)
 	}
-	return h
+	return next
 }
--- a/internal/decision/limits.go
+++ b/internal/decision/limits.go
@@ -48,7 +48,7 @@
 
 // callsAt is the number of calls in flight at an endpoint, with those of the preceding process.
 func (b *Balancer) callsAt(now time.Duration, e *endpoint) int {
-	return len(e.calls) + e.uploads + b.predecessor.at(now, e)
+	return len(e.calls) + e.uploads + b.predecessor.callsTo(now, e)
 }
 
 // usableCapacity is the number of endpoints in service, those in slow start counted by their share of
--- a/internal/decision/limits_test.go
+++ b/internal/decision/limits_test.go
@@ -9,16 +9,16 @@
 // A base latency learned from the first answers, which are those of short calls, kept nearly all requests
 // in the queue.
 func TestFirstShortAnswersDoNotSetTheLimit(t *testing.T) {
-	d := start(t, settings(), 10)
+	h := start(t, settings(), 10)
 	for i := range 40 {
-		d.request(read)
-		d.finish(d.last(), OK, time.Duration(1+i%3)*ms)
+		h.request(read)
+		h.reportOutcome(h.last(), OK, time.Duration(1+i%3)*ms)
 	}
-	if at := len(d.sent); true {
+	if at := len(h.sent); true {
 		for range 40 {
-			d.request(read)
+			h.request(read)
 		}
-		if n := len(d.sent) - at; n < 40 {
+		if n := len(h.sent) - at; n < 40 {
 			t.Errorf("%d of 40 sent at once to 10 endpoints, want all", n)
 		}
 	}
@@ -26,14 +26,14 @@
 
 // Stuck calls lower the answer rate; a limit without a floor would follow it down for good.
 func TestLimitRecoversFromStuckCalls(t *testing.T) {
-	d := start(t, settings(), 6)
-	d.serve(100, nil)
-	d.advance(30 * time.Second)
-	at := len(d.sent)
+	h := start(t, settings(), 6)
+	h.serve(100, nil)
+	h.advance(30 * time.Second)
+	at := len(h.sent)
 	for range 6 {
-		d.request(read)
+		h.request(read)
 	}
-	if n := len(d.sent) - at; n < 6 {
+	if n := len(h.sent) - at; n < 6 {
 		t.Errorf("%d of 6 sent after a long pause, want all", n)
 	}
 }
@@ -43,27 +43,27 @@
 func TestLimitFollowsEndpointsInService(t *testing.T) {
 	s := settings()
 	s.Classes[read].Deadline = time.Minute
-	d := start(t, s, 8)
+	h := start(t, s, 8)
 	for range 400 { // 16 calls at a time, so that the limit rests on a full tier
-		for len(d.b.requests) < 16 {
-			d.request(read)
+		for len(h.b.requests) < 16 {
+			h.request(read)
 		}
-		out := slices.Clone(d.b.listed[0].calls)
-		for _, e := range d.b.listed[1:] {
+		out := slices.Clone(h.b.listed[0].calls)
+		for _, e := range h.b.listed[1:] {
 			out = append(out, e.calls...)
 		}
-		d.advance(20 * ms)
+		h.advance(20 * ms)
 		for _, r := range out {
-			d.finish(sent{id: r.id, to: r.current.id, attempt: r.attempts - 1}, OK, 20*ms)
+			h.reportOutcome(sentCall{id: r.id, to: r.current.id, attempt: r.attempts - 1}, OK, 20*ms)
 		}
 	}
-	before := d.b.inFlightLimit
+	before := h.b.inFlightLimit
 	for id := EndpointID(1); id < 8; id++ {
-		d.list(Entry{Endpoint: id, State: Draining})
+		h.updateEntry(Entry{Endpoint: id, State: Draining})
 	}
-	d.request(read)
-	if d.b.inFlightLimit > before/2 {
-		t.Errorf("the limit is %.1f for one endpoint and was %.1f for eight", d.b.inFlightLimit, before)
+	h.request(read)
+	if h.b.inFlightLimit > before/2 {
+		t.Errorf("the limit is %.1f for one endpoint and was %.1f for eight", h.b.inFlightLimit, before)
 	}
 }
 
@@ -74,24 +74,24 @@
 	sends := func(instances int, took time.Duration) int {
 		s := settings()
 		s.Instances = instances
-		d := start(t, s, 10)
+		h := start(t, s, 10)
 		at := 0
 		for i := range 240 {
 			if i == 40 {
-				at = len(d.sent)
+				at = len(h.sent)
 			}
-			n := len(d.sent)
-			d.request(read)
-			if len(d.sent) > n {
+			n := len(h.sent)
+			h.request(read)
+			if len(h.sent) > n {
 				if i > 40 {
-					d.finish(d.last(), OK, took)
+					h.reportOutcome(h.last(), OK, took)
 				} else {
-					d.finish(d.last(), OK, 100*ms)
+					h.reportOutcome(h.last(), OK, 100*ms)
 				}
 			}
-			d.advance(100 * ms)
+			h.advance(100 * ms)
 		}
-		return len(d.sent) - at
+		return len(h.sent) - at
 	}
 	if n := sends(100, 100*ms); n != 200 {
 		t.Errorf("%d of 200 requests sent on an easy tier, want all", n)
--- a/internal/decision/outcomes.go
+++ b/internal/decision/outcomes.go
@@ -52,7 +52,7 @@
 			r.class.onTime++
 		}
 		b.recordError(e, 0, errorRateWeight)
-		b.earnRetry()
+		b.refillRetryBudget()
 		if r.trial && e.state == stateEjected {
 			b.endEjection(now, e)
 		}
--- a/internal/decision/predecessor.go
+++ b/internal/decision/predecessor.go
@@ -6,9 +6,9 @@
 
 // predecessorCalls are the calls that the preceding process of this instance still has in flight.
 type predecessorCalls struct {
-	calls map[EndpointID]int
-	total int
-	until time.Duration // it is believed until then
+	calls      map[EndpointID]int
+	total      int
+	validUntil time.Duration // it is believed until then
 }
 
 // InFlight is the number of calls in flight at each endpoint that may be called, without those that are
@@ -27,7 +27,7 @@
 // process's own until the next update, but no longer than until the given time: a process that is killed
 // sends no more updates.
 func (b *Balancer) SetPredecessorCalls(now time.Duration, calls map[EndpointID]int, until time.Duration) {
-	b.predecessor = predecessorCalls{calls: calls, until: until}
+	b.predecessor = predecessorCalls{calls: calls, validUntil: until}
 	for id, n := range calls {
 		if b.byID[id] != nil {
 			b.predecessor.total += max(n, 0)
@@ -38,8 +38,8 @@
 }
 
 // at is the number of its calls at an endpoint.
-func (p *predecessorCalls) at(now time.Duration, e *endpoint) int {
-	if now > p.until {
+func (p *predecessorCalls) callsTo(now time.Duration, e *endpoint) int {
+	if now > p.validUntil {
 		return 0
 	}
 	return max(p.calls[e.id], 0)
@@ -47,7 +47,7 @@
 
 // sum is the number of its calls at all endpoints.
 func (p *predecessorCalls) sum(now time.Duration) int {
-	if now > p.until {
+	if now > p.validUntil {
 		return 0
 	}
 	return p.total
--- a/internal/decision/queue.go
+++ b/internal/decision/queue.go
@@ -25,7 +25,7 @@
 		if b.countedInFlight(now) >= b.inFlightLimit || b.isPaced && b.sendCredit < 1 {
 			break
 		}
-		first := b.next(now)
+		first := b.firstToDispatch(now)
 		at := first
 		e, trial := b.pick(now, b.queue[at])
 		// The first one may be restricted by its earlier attempts, and another one not.
@@ -50,7 +50,7 @@
 }
 
 // next is the index of the queued request to send first, by isDispatchedBefore.
-func (b *Balancer) next(now time.Duration) int {
+func (b *Balancer) firstToDispatch(now time.Duration) int {
 	best := 0
 	for i := 1; i < len(b.queue); i++ {
 		if b.isDispatchedBefore(now, b.queue[i], b.queue[best]) {
@@ -151,7 +151,7 @@
 	for i := len(b.queue) - 1; i >= 0; i-- {
 		r := b.queue[i]
 		late := now >= r.sendBy() && r.class.LateValue == 0
-		if late || !b.reachable(now, r) || now+max(2*b.tick, seconds(r.class.baseLatency)) >= r.deadline {
+		if late || !b.hasEligibleEndpoint(now, r) || now+max(2*b.tickInterval, seconds(r.class.baseLatency)) >= r.deadline {
 			b.dequeue(i)
 			b.finish(now, r)
 		}
@@ -169,9 +169,9 @@
 	}
 }
 
-// reachable reports whether any listed endpoint may come to serve a request.
-func (b *Balancer) reachable(now time.Duration, r *request) bool {
+// hasEligibleEndpoint reports whether any listed endpoint may come to serve a request.
+func (b *Balancer) hasEligibleEndpoint(now time.Duration, r *request) bool {
 	return slices.ContainsFunc(b.listed, func(e *endpoint) bool {
-		return e.state != stateDraining && b.permitted(now, r, e)
+		return e.state != stateDraining && b.isSafeToSend(now, r, e)
 	})
 }
--- a/internal/decision/quotas.go
+++ b/internal/decision/quotas.go
@@ -48,7 +48,7 @@
 		return
 	}
 	if b.fleetRetries == nil {
-		b.fleetRetries = &tokenBucket{at: now}
+		b.fleetRetries = &tokenBucket{updatedAt: now}
 	}
 	// The bucket continues with what is left of the retry budget.
 	b.fleetRetries.level = b.retryTokens
--- a/internal/decision/quotas_test.go
+++ b/internal/decision/quotas_test.go
@@ -12,19 +12,19 @@
 func TestTenantBeyondQuotaIsRefusedFirst(t *testing.T) {
 	s := settings()
 	s.Tenants = []Tenant{{Name: "a", QuotaPerS: 5}, {Name: "b", QuotaPerS: 100}}
-	d := start(t, s, 1)
-	d.serve(100, nil)
+	h := start(t, s, 1)
+	h.serve(100, nil)
 	for i := range 150 {
-		d.b.Request(d.now, Request{ID: RequestID(fmt.Sprint("t", i)), Tenant: i % 2, Remaining: 1500 * ms})
+		h.b.Request(h.now, Request{ID: RequestID(fmt.Sprint("t", i)), Tenant: i % 2, Remaining: 1500 * ms})
 	}
 	for range 20 {
-		d.advance(20 * ms)
-		for _, r := range slices.Clone(d.b.listed[0].calls) {
-			d.finish(sent{id: r.id, to: 1, attempt: r.attempts - 1}, OK, 20*ms)
+		h.advance(20 * ms)
+		for _, r := range slices.Clone(h.b.listed[0].calls) {
+			h.reportOutcome(sentCall{id: r.id, to: 1, attempt: r.attempts - 1}, OK, 20*ms)
 		}
 	}
 	served := map[bool]int{} // by whether the tenant is the one beyond its quota
-	for _, s := range d.sent[100:] {
+	for _, s := range h.sent[100:] {
 		served[(s.id[len(s.id)-1]-'0')%2 == 0]++
 	}
 	if served[true] >= served[false] {
@@ -38,17 +38,17 @@
 	s := settings()
 	s.Instances = 100
 	s.Tenants = []Tenant{{Name: "small", QuotaPerS: 40}, {Name: "large", QuotaPerS: 1000}}
-	d := start(t, s, 50)
+	h := start(t, s, 50)
 	low := 0
 	for i := range 60 {
 		id := RequestID(fmt.Sprint("t", i))
-		d.b.Request(d.now, Request{ID: id, Remaining: 1500 * ms})
-		if d.b.requests[id].overQuota {
+		h.b.Request(h.now, Request{ID: id, Remaining: 1500 * ms})
+		if h.b.requests[id].overQuota {
 			low++
 		}
-		d.advance(20 * ms)
-		d.finish(d.last(), OK, 20*ms)
-		d.advance(2980 * ms)
+		h.advance(20 * ms)
+		h.reportOutcome(h.last(), OK, 20*ms)
+		h.advance(2980 * ms)
 	}
 	if low > 6 {
 		t.Errorf("%d of 60 requests beyond a share that is never passed", low)
@@ -74,21 +74,21 @@
 		"a flood, capacity short": {8, 1, 400, 1000, 12, 60 * ms},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := start(t, s, c.endpoints)
-			refused, answered, last := map[bool]int{}, 0, d.now
+			h := start(t, s, c.endpoints)
+			refused, answered, last := map[bool]int{}, 0, h.now
 			for i := range 1000 * (c.floods + 1) / c.floods {
-				d.n++
+				h.n++
 				b := i%(c.floods+1) == 0
-				id := RequestID(fmt.Sprint(b, d.n))
-				d.b.Request(d.now, Request{ID: id, Tenant: map[bool]int{true: 1}[b], Remaining: 1500 * ms})
-				d.advance(20 * ms)
-				for ; answered < len(d.sent) && d.now-last >= c.every; last += c.every {
-					x := d.sent[answered]
-					d.finish(x, OK, d.now-d.b.requests[x.id].sentAt)
+				id := RequestID(fmt.Sprint(b, h.n))
+				h.b.Request(h.now, Request{ID: id, Tenant: map[bool]int{true: 1}[b], Remaining: 1500 * ms})
+				h.advance(20 * ms)
+				for ; answered < len(h.sent) && h.now-last >= c.every; last += c.every {
+					x := h.sent[answered]
+					h.reportOutcome(x, OK, h.now-h.b.requests[x.id].sentAt)
 					answered++
 				}
 			}
-			for _, id := range d.refusals {
+			for _, id := range h.refusals {
 				refused[strings.HasPrefix(string(id), "true")]++
 			}
 			if n := refused[false]; n < c.least || n > c.most {
@@ -107,58 +107,58 @@
 	s := settings()
 	s.ClientsMarkRetries = true
 	s.Tenants = []Tenant{{Name: "a", QuotaPerS: 100}}
-	slow := func(d *harness) { // calls that take three times what is usual
-		d.serve(100, nil)
+	slow := func(h *harness) { // calls that take three times what is usual
+		h.serve(100, nil)
 		for range 200 {
-			d.request(read)
-			d.advance(60 * ms)
-			d.finish(d.last(), OK, 400*ms)
+			h.request(read)
+			h.advance(60 * ms)
+			h.reportOutcome(h.last(), OK, 400*ms)
 		}
 	}
 	t.Run("a repeat after a silence", func(t *testing.T) {
-		d := start(t, s, 20)
-		slow(d)
-		if d.b.latencyPressure <= 1 {
-			t.Fatalf("strain %.2f: nothing is tested", d.b.latencyPressure)
+		h := start(t, s, 20)
+		slow(h)
+		if h.b.latencyPressure <= 1 {
+			t.Fatalf("strain %.2f: nothing is tested", h.b.latencyPressure)
 		}
-		d.advance(10 * time.Second)
-		at := len(d.sent)
-		d.b.Request(d.now, Request{ID: "again", Remaining: 1500 * ms, IsRetry: true})
-		if len(d.sent) == at {
+		h.advance(10 * time.Second)
+		at := len(h.sent)
+		h.b.Request(h.now, Request{ID: "again", Remaining: 1500 * ms, IsRetry: true})
+		if len(h.sent) == at {
 			t.Error("refused beside idle servers, for calls that were slow ten seconds ago")
 		}
 	})
 	t.Run("a pace as servers come", func(t *testing.T) {
 		s := s
 		s.Instances = 30
-		d := start(t, s, 20)
-		slow(d)
-		if !d.b.isPaced {
+		h := start(t, s, 20)
+		slow(h)
+		if !h.b.isPaced {
 			t.Fatal("not paced: nothing is tested")
 		}
 		l := List{Kind: DeltaList, Version: 2}
 		for id := EndpointID(21); id <= 40; id++ {
 			l.Entries = append(l.Entries, Entry{Endpoint: id, Weight: 1})
 		}
-		d.b.Targets(d.now, l)
-		d.advance(2 * time.Second)
-		d.serve(20, nil)
-		if d.b.isPaced {
+		h.b.Targets(h.now, l)
+		h.advance(2 * time.Second)
+		h.serve(20, nil)
+		if h.b.isPaced {
 			t.Error("calls are paced for good once there are more endpoints than instances")
 		}
 	})
 	t.Run("no shares at all", func(t *testing.T) {
 		s := s
 		s.Tenants = []Tenant{{Name: "a"}, {Name: "b"}}
-		d := start(t, s, 20)
-		d.serve(100, nil)
-		if _, err := json.Marshal(d.b.Snapshot(d.now)); err != nil {
+		h := start(t, s, 20)
+		h.serve(100, nil)
+		if _, err := json.Marshal(h.b.Snapshot(h.now)); err != nil {
 			t.Error("what is learnt cannot be told to a successor:", err)
 		}
-		if len(d.refusals) > 0 {
-			t.Errorf("%d of 100 refused beside idle servers", len(d.refusals))
+		if len(h.refusals) > 0 {
+			t.Errorf("%d of 100 refused beside idle servers", len(h.refusals))
 		}
-		if id := d.request(read); !d.b.requests[id].overQuota {
+		if id := h.request(read); !h.b.requests[id].overQuota {
 			t.Error("within a share of nothing")
 		}
 	})
@@ -169,63 +169,63 @@
 func TestQuotaSharesReplaceEvenQuotas(t *testing.T) {
 	s := settings()
 	s.Instances, s.Tenants = 10, []Tenant{{Name: "one", QuotaPerS: 100}}
-	d := start(t, s, 4)
+	h := start(t, s, 4)
 	within := func(n int) float64 {
-		before := d.b.Usage()[0]
+		before := h.b.Usage()[0]
 		for range n {
-			d.b.isOverQuota(d.now, Request{})
+			h.b.isOverQuota(h.now, Request{})
 		}
-		after := d.b.Usage()[0]
+		after := h.b.Usage()[0]
 		if after.Asked-before.Asked != float64(n) {
 			t.Errorf("%v asked of %d", after.Asked-before.Asked, n)
 		}
 		return after.WithinQuota - before.WithinQuota
 	}
 	allot := func(part, floor float64, until time.Duration) {
-		d.b.SetQuotaShares(d.now, QuotaShares{TenantRates: []float64{part}, TenantFallbackRates: []float64{floor}, RetryRate: part / 25, RetryFallbackRate: floor, Until: until})
+		h.b.SetQuotaShares(h.now, QuotaShares{TenantRates: []float64{part}, TenantFallbackRates: []float64{floor}, RetryRate: part / 25, RetryFallbackRate: floor, Until: until})
 	}
 	allot(50, 50, 0)
-	d.now += 100 * time.Second
+	h.now += 100 * time.Second
 	if got := within(1000); got != 50*tenantBurstSeconds+tenantBurstBase {
 		t.Errorf("%v within 50 a second after a pause", got)
 	}
-	d.now += 100 * time.Second
+	h.now += 100 * time.Second
 	allot(1, 1, 0)
 	if got := within(1000); got != tenantBurstSeconds+tenantBurstBase {
 		t.Errorf("%v within 1 a second after a pause", got)
 	}
 	// A lease of 50 a second for 2 s, and nobody says that it has ended, as in a process that was stopped: what it brought
 	// counts for no more than the floor's bucket holds, and after it the floor comes.
-	d.now += 100 * time.Second
+	h.now += 100 * time.Second
 	within(1000)
-	allot(50, 2, d.now+2*time.Second)
-	d.now += time.Second
+	allot(50, 2, h.now+2*time.Second)
+	h.now += time.Second
 	if got := within(1000); got != 50 {
 		t.Errorf("%v within the first second of a lease of 50", got)
 	}
-	d.now += 100 * time.Second
+	h.now += 100 * time.Second
 	if got := within(1000); got != 2*tenantBurstSeconds+tenantBurstBase {
 		t.Errorf("%v after the lease has ended, want the floor's", got)
 	}
-	d.now += time.Second
+	h.now += time.Second
 	if got := within(1000); got != 2 {
 		t.Errorf("%v in a second by the floor of 2", got)
 	}
 	// Further attempts come by their rate, and by the floor from its end on; answers earn none.
-	allot(50, 0, d.now+time.Second)
-	d.b.retryTokens = 0
+	allot(50, 0, h.now+time.Second)
+	h.b.retryTokens = 0
 	for range 100 {
-		d.b.earnRetry()
+		h.b.refillRetryBudget()
 	}
-	if d.b.retryTokens > 0 {
-		t.Errorf("answers earned %v further attempts", d.b.retryTokens)
+	if h.b.retryTokens > 0 {
+		t.Errorf("answers earned %v further attempts", h.b.retryTokens)
 	}
-	d.now += 10 * time.Second
-	if allot(50, 0, 0); d.b.retryTokens != 1 { // 2 came, of which without a rate one is kept
-		t.Errorf("%v further attempts after a second of 2 and nine of none", d.b.retryTokens)
+	h.now += 10 * time.Second
+	if allot(50, 0, 0); h.b.retryTokens != 1 { // 2 came, of which without a rate one is kept
+		t.Errorf("%v further attempts after a second of 2 and nine of none", h.b.retryTokens)
 	}
-	d.b.SetQuotaShares(d.now, QuotaShares{RetryRate: -1})
-	if d.b.earnRetry(); d.b.retryTokens <= 1 {
+	h.b.SetQuotaShares(h.now, QuotaShares{RetryRate: -1})
+	if h.b.refillRetryBudget(); h.b.retryTokens <= 1 {
 		t.Error("answers earn nothing again")
 	}
 }
--- a/internal/decision/request.go
+++ b/internal/decision/request.go
@@ -30,11 +30,11 @@
 	missing       bool // it counts as missing
 
 	// Earlier attempts.
-	lastFailed   *endpoint     // endpoint of the last one
-	mayHaveRunAt *endpoint     // endpoint of the first one that may have run; nil for none
-	ranInZone    int           // zone of mayHaveRunAt at that time
-	ranInCell    int           // cell of mayHaveRunAt at that time
-	firstRunAt   time.Duration // when that one was sent
+	lastFailedEndpoint *endpoint     // endpoint of the last one
+	mayHaveRunOn       *endpoint     // endpoint of the first one that may have run; nil for none
+	ranInZone          int           // zone of mayHaveRunOn at that time
+	ranInCell          int           // cell of mayHaveRunOn at that time
+	firstRunAt         time.Duration // when that one was sent
 }
 
 // isCurrent reports whether an attempt is the one in flight.
@@ -46,10 +46,10 @@
 // sent for endpoints to drop it as a duplicate. The window counts from the first attempt that may have run.
 // 0 is no bound.
 func (b *Balancer) replayWindowLeft(now time.Duration, r *request) time.Duration {
-	if r.mayHaveRunAt == nil || r.class.Effect != Keyed {
+	if r.mayHaveRunOn == nil || r.class.Effect != Keyed {
 		return 0
 	}
-	return r.firstRunAt + r.class.Window - b.tick - now
+	return r.firstRunAt + r.class.Window - b.tickInterval - now
 }
 
 // sendBy is the time by which a request must be sent to meet its latency target, with room for a slow answer.
--- a/internal/decision/retries.go
+++ b/internal/decision/retries.go
@@ -8,10 +8,10 @@
 // the retry budget, the limit on attempts and the time left allow that, else it gives the final answer. An
 // attempt that never ran costs nothing of the budget.
 func (b *Balancer) retryOrFinish(now time.Duration, r *request, e *endpoint, o Outcome) {
-	r.lastFailed = e
+	r.lastFailedEndpoint = e
 	if !o.Status.NeverRan() {
-		if r.mayHaveRunAt == nil {
-			r.mayHaveRunAt, r.ranInZone, r.ranInCell, r.firstRunAt = e, e.zone, e.cell, r.sentAt
+		if r.mayHaveRunOn == nil {
+			r.mayHaveRunOn, r.ranInZone, r.ranInCell, r.firstRunAt = e, e.zone, e.cell, r.sentAt
 		}
 		if b.retryTokens < 1 || r.class.Effect == Unsafe || o.NotReplayable {
 			b.finish(now, r)
@@ -19,7 +19,7 @@
 		}
 		b.retryTokens--
 	}
-	if o.NotReplayable || r.attempts >= b.settings.MaxAttempts || now+b.tick >= r.deadline {
+	if o.NotReplayable || r.attempts >= b.settings.MaxAttempts || now+b.tickInterval >= r.deadline {
 		b.finish(now, r)
 		return
 	}
@@ -29,7 +29,7 @@
 // finish gives the final answer: Refuse where a retry by the client is proven harmless, else Fail.
 func (b *Balancer) finish(now time.Duration, r *request) {
 	r.final = true
-	if r.mayHaveRunAt == nil && r.current == nil || r.class.Effect == Safe ||
+	if r.mayHaveRunOn == nil && r.current == nil || r.class.Effect == Safe ||
 		r.class.Effect == Keyed && r.class.Scope == ScopeAll {
 		b.host.Refuse(r.id, b.retryAfter(now, r))
 	} else {
@@ -51,22 +51,22 @@
 	}
 	longest := b.settings.MaxRetryAfter
 	backlog := b.rateWindow
-	if rate := b.answerRate.value(now, b.rateWindow); rate > 0 && b.reachable(now, r) {
+	if rate := b.answerRate.value(now, b.rateWindow); rate > 0 && b.hasEligibleEndpoint(now, r) {
 		calls := len(b.queue) + b.inFlight + b.predecessor.sum(now)
 		backlog = seconds(min(float64(calls)/rate, longest.Seconds()))
 	}
 	wait = min(max(wait, backlog, seconds(minRetryAfterWindows*b.rateWindow.Seconds())), longest)
 	switch {
 	case b.hasSuccessor:
-		wait = min(b.tick, longest) // its queue is its own
+		wait = min(b.tickInterval, longest) // its queue is its own
 	case b.settings.Instances == 1 && b.endsBeforeAnswer(now+wait, r.class):
 		wait = min(b.drainDeadline+seconds(successorStartSeconds)-now, longest)
 	}
 	return wait
 }
 
-// earnRetry adds what an answered call earns to the retry budget, where the fleet does not set its rate.
-func (b *Balancer) earnRetry() {
+// refillRetryBudget adds what an answered call earns to the retry budget, where the fleet does not set its rate.
+func (b *Balancer) refillRetryBudget() {
 	if b.fleetRetries == nil {
 		b.retryTokens = min(b.retryTokens+retryTokensPerAnswer, maxRetryTokens)
 	}
--- a/internal/decision/selection.go
+++ b/internal/decision/selection.go
@@ -8,7 +8,7 @@
 // of two that are drawn among the healthy endpoints with capacity. Where no endpoint is healthy, silent and
 // ejected ones serve: ejection never empties the set. It returns nil where the request has to wait.
 func (b *Balancer) pick(now time.Duration, r *request) (to *endpoint, trial bool) {
-	if e := b.dueTrial(now, r); e != nil {
+	if e := b.endpointDueForTrial(now, r); e != nil {
 		return e, true
 	}
 	healthy := 0
@@ -30,7 +30,7 @@
 		return b.drawLeastLoaded(now, candidates), false
 	}
 	for _, e := range b.listed {
-		if e.state == stateDraining || !b.permitted(now, r, e) || !b.hasCapacity(now, e) {
+		if e.state == stateDraining || !b.isSafeToSend(now, r, e) || !b.hasCapacity(now, e) {
 			continue
 		}
 		if float64(b.callsAt(now, e)) < limitSlack {
@@ -46,13 +46,13 @@
 // attempt goes to the endpoint of the last one only where no other is healthy. It may leave the subset, but
 // not for an endpoint in slow start: the further attempts of all instances together would overload that.
 func (b *Balancer) isHealthyFor(now time.Duration, r *request, e *endpoint) bool {
-	if e == r.lastFailed && len(b.listed) > 1 {
+	if e == r.lastFailedEndpoint && len(b.listed) > 1 {
 		return false
 	}
 	if e.state > stateSlowStart || e.subsetWeight == 0 && e.state != stateUsable {
 		return false
 	}
-	return b.permitted(now, r, e) && !b.isSilent(now, e, silenceSuspectMeans)
+	return b.isSafeToSend(now, r, e) && !b.isSilent(now, e, silenceSuspectMeans)
 }
 
 // drawLeastLoaded draws distinct candidates at random by their draw weight and returns the one with the
@@ -89,10 +89,10 @@
 	return len(candidates) - 1
 }
 
-// permitted reports whether a request may be sent to an endpoint without the risk of a duplicate run: a
+// isSafeToSend reports whether a request may be sent to an endpoint without the risk of a duplicate run: a
 // request that may have run goes on only if it is Safe, or Keyed within its scope and window.
-func (b *Balancer) permitted(now time.Duration, r *request, e *endpoint) bool {
-	if r.mayHaveRunAt == nil || r.class.Effect == Safe {
+func (b *Balancer) isSafeToSend(now time.Duration, r *request, e *endpoint) bool {
+	if r.mayHaveRunOn == nil || r.class.Effect == Safe {
 		return true
 	}
 	if r.class.Effect == Unsafe || b.replayWindowLeft(now, r) <= 0 {
@@ -121,10 +121,10 @@
 // slower it is than its machine kind; where the list weighs all alike, what its reported service time or
 // its latency shows.
 func (b *Balancer) relativeCapacity(e *endpoint) float64 {
-	if len(b.kindServiceTime) > 0 && !b.weighted {
-		return b.kindSpeed(e) * b.kindServiceTime[min(e.kind, len(b.kindServiceTime)-1)].relativeTo(e.serviceTime)
+	if len(b.kindServiceTime) > 0 && !b.hasListedWeights {
+		return b.kindSpeed(e) * b.kindServiceTime[min(e.machineKind, len(b.kindServiceTime)-1)].relativeTo(e.serviceTime)
 	}
-	if !b.weighted {
+	if !b.hasListedWeights {
 		return 1 / b.relativeLatency(e)
 	}
 	return e.weight * b.kindLatencyRatio(e) / b.relativeLatency(e)
@@ -133,7 +133,7 @@
 // weight is an endpoint's listed weight where the list tells endpoints apart, else the speed of its machine
 // kind.
 func (b *Balancer) weight(e *endpoint) float64 {
-	if b.weighted {
+	if b.hasListedWeights {
 		return e.weight
 	}
 	return b.kindSpeed(e)
@@ -148,8 +148,8 @@
 			sum, n = sum+1/k.mean, n+1
 		}
 	}
-	if e.kind >= len(b.kindServiceTime) || b.kindServiceTime[e.kind].count == 0 {
+	if e.machineKind >= len(b.kindServiceTime) || b.kindServiceTime[e.machineKind].count == 0 {
 		return 1
 	}
-	return n / sum / b.kindServiceTime[e.kind].mean
+	return n / sum / b.kindServiceTime[e.machineKind].mean
 }
--- a/internal/decision/selection_test.go
+++ b/internal/decision/selection_test.go
@@ -7,11 +7,11 @@
 )
 
 func TestPickPrefersFewerCallsInFlight(t *testing.T) {
-	d := start(t, settings(), 2)
-	d.request(read)
-	first := d.last().to
-	d.request(read)
-	if d.last().to == first {
+	h := start(t, settings(), 2)
+	h.request(read)
+	first := h.last().to
+	h.request(read)
+	if h.last().to == first {
 		t.Error("the second call joined the first although the other endpoint was idle")
 	}
 }
@@ -21,9 +21,9 @@
 func TestTiesAreBrokenByWeight(t *testing.T) {
 	s := settings()
 	s.Instances = 40
-	d := start(t, s, 0)
-	d.b.Targets(d.now, List{Kind: FullList, Version: 2, Entries: []Entry{{Endpoint: 1, Weight: 9}, {Endpoint: 2, Weight: 1}}})
-	if got := d.serve(400, nil); got[2] < 20 || got[2] > 70 {
+	h := start(t, s, 0)
+	h.b.Targets(h.now, List{Kind: FullList, Version: 2, Entries: []Entry{{Endpoint: 1, Weight: 9}, {Endpoint: 2, Weight: 1}}})
+	if got := h.serve(400, nil); got[2] < 20 || got[2] > 70 {
 		t.Errorf("%v sends, want a tenth to the endpoint of a tenth of the weight", got)
 	}
 }
@@ -31,24 +31,24 @@
 // With machines of two speeds in a list without weights, the slow ones got as many calls as the fast ones
 // and were overloaded.
 func TestReportedServiceTimesSetDrawWeights(t *testing.T) {
-	d := start(t, settings(), 0)
+	h := start(t, settings(), 0)
 	l := List{Kind: FullList, Version: 2}
 	for id := EndpointID(1); id <= 10; id++ {
 		l.Entries = append(l.Entries, Entry{Endpoint: id, Kind: int(id % 2), Weight: 1})
 	}
-	d.b.Targets(d.now, l)
+	h.b.Targets(h.now, l)
 	got := [2]int{}
 	for i := range 600 {
-		d.request(read)
-		s := d.last()
+		h.request(read)
+		s := h.last()
 		if i > 100 {
 			got[s.to%2]++
 		}
-		d.b.Outcome(d.now, Outcome{
+		h.b.Outcome(h.now, Outcome{
 			ID: s.id, Endpoint: s.to, Final: true, Status: OK, Elapsed: 100 * ms,
 			Load: &Load{InFlight: -1, Queue: -1, Util: -1, Service: []time.Duration{10, 30}[s.to%2] * ms},
 		})
-		d.advance(20 * ms)
+		h.advance(20 * ms)
 	}
 	if ratio := float64(got[0]) / float64(got[1]); ratio < 2 || ratio > 4 {
 		t.Errorf("fast machines got %d calls and slow ones %d, want three times as many", got[0], got[1])
@@ -58,9 +58,9 @@
 // A list with an impossible weight is taken as one without weights: all endpoints are called, as equals.
 func TestImplausibleWeightsAreIgnored(t *testing.T) {
 	for _, odd := range []float64{1e308, math.Inf(1), math.NaN(), -1, 0} {
-		d := start(t, settings(), 4)
-		d.applyDelta(3, Entry{Endpoint: 2, Weight: odd})
-		got := d.serve(200, nil)
+		h := start(t, settings(), 4)
+		h.applyDelta(3, Entry{Endpoint: 2, Weight: odd})
+		got := h.serve(200, nil)
 		for id := EndpointID(1); id <= 4; id++ {
 			if got[id] < 20 {
 				t.Errorf("weight %v: calls %v", odd, got)
@@ -73,20 +73,20 @@
 // goes there again or ends: nothing could change that, so it is not queued until its deadline is near.
 func TestRetryUsesLastHealthyEndpointOrEnds(t *testing.T) {
 	for _, status := range []Status{Error, InvalidResponse, Reset, ConnectFailed} {
-		d := start(t, settings(), 2)
-		d.serve(60, nil)
+		h := start(t, settings(), 2)
+		h.serve(60, nil)
 		for range 30 {
-			d.request(read)
-			at := len(d.sent) - 1
-			for ; at < len(d.sent); at++ {
-				d.finish(d.sent[at], status, 10*ms)
+			h.request(read)
+			at := len(h.sent) - 1
+			for ; at < len(h.sent); at++ {
+				h.reportOutcome(h.sent[at], status, 10*ms)
 			}
-			d.advance(100 * ms)
-			for ; at < len(d.sent); at++ { // a trial, or what waited a moment
-				d.finish(d.sent[at], status, 10*ms)
+			h.advance(100 * ms)
+			for ; at < len(h.sent); at++ { // a trial, or what waited a moment
+				h.reportOutcome(h.sent[at], status, 10*ms)
 			}
-			if len(d.b.queue) > 0 {
-				t.Errorf("%v: %s is held after %d attempts, with none out", status, d.b.queue[0].id, d.b.queue[0].attempts)
+			if len(h.b.queue) > 0 {
+				t.Errorf("%v: %s is held after %d attempts, with none out", status, h.b.queue[0].id, h.b.queue[0].attempts)
 				break
 			}
 		}
--- a/internal/decision/slow_start_test.go
+++ b/internal/decision/slow_start_test.go
@@ -12,19 +12,19 @@
 // With all endpoints cold at once, what one instance sends each is capped by what warm ones were seen to
 // bear.
 func TestSendRateToColdEndpointsIsCapped(t *testing.T) {
-	d := start(t, settings(), 10)
-	d.serve(300, nil) // 50 a second, 5 to each
+	h := start(t, settings(), 10)
+	h.serve(300, nil) // 50 a second, 5 to each
 	for id := EndpointID(1); id <= 10; id++ {
-		d.list(Entry{Endpoint: id, Started: d.now})
+		h.updateEntry(Entry{Endpoint: id, Started: h.now})
 	}
 	got := map[EndpointID]int{}
-	at := len(d.sent)
+	at := len(h.sent)
 	for range 500 {
-		d.request(read)
-		d.advance(2 * ms)
-		for ; at < len(d.sent); at++ {
-			got[d.sent[at].to]++
-			d.finish(d.sent[at], OK, 2*ms)
+		h.request(read)
+		h.advance(2 * ms)
+		for ; at < len(h.sent); at++ {
+			got[h.sent[at].to]++
+			h.reportOutcome(h.sent[at], OK, 2*ms)
 		}
 	}
 	for id, n := range got {
@@ -42,34 +42,34 @@
 func TestColdEndpointIsSentBySubsetWeightAndNoRetriesFromOutside(t *testing.T) {
 	s := settings()
 	s.Instances = 60
-	d := start(t, s, 20)
-	d.serve(200, nil)
+	h := start(t, s, 20)
+	h.serve(200, nil)
 	var outside *endpoint
-	for _, e := range d.b.listed {
+	for _, e := range h.b.listed {
 		if e.subsetWeight == 0 {
 			outside = e
 		}
 	}
-	d.list(Entry{Endpoint: outside.id, Started: d.now, Weight: 1})
+	h.updateEntry(Entry{Endpoint: outside.id, Started: h.now, Weight: 1})
 	for range 50 {
-		d.request(read)
-		d.finish(d.last(), Rejected, ms)
-		if to := d.last().to; to == outside.id {
+		h.request(read)
+		h.reportOutcome(h.last(), Rejected, ms)
+		if to := h.last().to; to == outside.id {
 			t.Fatal("a further attempt went to a cold endpoint outside the subset")
 		}
-		d.finish(d.last(), OK, 20*ms)
-		d.advance(100 * ms)
+		h.reportOutcome(h.last(), OK, 20*ms)
+		h.advance(100 * ms)
 	}
-	cold := d.b.listed[0]
-	for _, e := range d.b.listed {
+	cold := h.b.listed[0]
+	for _, e := range h.b.listed {
 		if e.subsetWeight > 0 {
 			cold = e
 		}
 	}
 	rate := func(part float64) float64 {
-		d.b.setState(cold, stateSlowStart)
-		cold.subsetWeight, cold.slowStartFrom, cold.slowStartTokens, cold.slowStartTokensAt = part, d.now, 0, d.now-10*ms
-		d.b.hasSlowStartToken(d.now, cold)
+		h.b.setState(cold, stateSlowStart)
+		cold.subsetWeight, cold.slowStartFrom, cold.slowStartTokens, cold.slowStartTokensAt = part, h.now, 0, h.now-10*ms
+		h.b.hasSlowStartToken(h.now, cold)
 		return cold.slowStartTokens
 	}
 	if whole, sliver := rate(1), rate(0.1); whole == 0 || sliver > 0.11*whole {
@@ -79,21 +79,21 @@
 
 // A cold endpoint that was silent and then serves a trial call is as cold as its start says.
 func TestTrialDoesNotShortenWarmUp(t *testing.T) {
-	d := start(t, settings(), 4)
-	d.now = 21 * time.Second
-	d.applyDelta(3, Entry{Endpoint: 1, Weight: 1, Started: d.now})
-	d.now += time.Second
-	e := d.b.byID[1]
-	d.b.eject(d.now, e, "silent")
-	d.b.endEjection(d.now, e)
-	if got := d.b.capacityShare(d.now, e); e.state != stateSlowStart || got > 0.3 {
+	h := start(t, settings(), 4)
+	h.now = 21 * time.Second
+	h.applyDelta(3, Entry{Endpoint: 1, Weight: 1, Started: h.now})
+	h.now += time.Second
+	e := h.b.byID[1]
+	h.b.eject(h.now, e, "silent")
+	h.b.endEjection(h.now, e)
+	if got := h.b.capacityShare(h.now, e); e.state != stateSlowStart || got > 0.3 {
 		t.Errorf("mark %d, share %.2f one second after its start", e.state, got)
 	}
 }
 
-// slowStartWorld is a fleet of instances and some endpoints, in virtual time: all instances learn of the
+// slowStartSimulation is a fleet of instances and some endpoints, in virtual time: all instances learn of the
 // endpoints that have just started at the same time.
-type slowStartWorld struct {
+type slowStartSimulation struct {
 	rng     *rand.Rand
 	now     time.Duration
 	events  slowStartEvents
@@ -111,7 +111,7 @@
 }
 
 type slowStartInstance struct {
-	w    *slowStartWorld
+	w    *slowStartSimulation
 	b    *Balancer
 	out  map[RequestID]Outcome
 	sent map[RequestID]int
@@ -142,12 +142,12 @@
 	return x
 }
 
-func (w *slowStartWorld) after(d time.Duration, do func()) {
+func (w *slowStartSimulation) after(d time.Duration, do func()) {
 	w.seq++
 	heap.Push(&w.events, slowStartEvent{w.now + d, w.seq, do})
 }
 
-func (w *slowStartWorld) run(until time.Duration) {
+func (w *slowStartSimulation) run(until time.Duration) {
 	for len(w.events) > 0 && w.events[0].at <= until {
 		e := heap.Pop(&w.events).(slowStartEvent)
 		w.now = e.at
@@ -157,7 +157,7 @@
 }
 
 // share is the part of its warm capacity that an endpoint has at a time.
-func (w *slowStartWorld) share(s *slowStartServer, at time.Duration) float64 {
+func (w *slowStartSimulation) share(s *slowStartServer, at time.Duration) float64 {
 	if s.started == 0 || at-s.started >= w.set.WarmUp {
 		return 1
 	}
@@ -199,13 +199,13 @@
 	r.w.after(after, func() { r.b.Timer(r.w.now, token) })
 }
 
-func (w *slowStartWorld) entry(i int) Entry {
+func (w *slowStartSimulation) entry(i int) Entry {
 	return Entry{Endpoint: EndpointID(i + 1), Weight: 1, Started: w.servers[i].started}
 }
 
 // worst is the most that a cold endpoint gets in the overload window, over what the settings allow it then
 // with a margin for chance: N + 2 x root of N + 2.
-func (w *slowStartWorld) worst() (ratio float64, got int, allowed float64) {
+func (w *slowStartSimulation) worst() (ratio float64, got int, allowed float64) {
 	for _, s := range w.servers {
 		for i, at := range s.sent {
 			n := 0
@@ -226,8 +226,8 @@
 
 // newSlowStartWorld has instances that have served for a while, or have just started, when some of the
 // endpoints start.
-func newSlowStartWorld(seed uint64, brokers, servers int, restarted float64, fresh, tight bool) *slowStartWorld {
-	w := &slowStartWorld{rng: rand.New(rand.NewPCG(seed, 1)), set: settings(), work: 100 * ms}
+func newSlowStartWorld(seed uint64, brokers, servers int, restarted float64, fresh, tight bool) *slowStartSimulation {
+	w := &slowStartSimulation{rng: rand.New(rand.NewPCG(seed, 1)), set: settings(), work: 100 * ms}
 	w.now = 24 * time.Hour
 	w.set.Instances, w.set.Tiers = brokers, 1
 	w.set.ColdCapacity, w.set.WarmUp, w.set.OverloadMultiple, w.set.OverloadWindow = 0.3, 8*time.Second, 3, time.Second
--- a/internal/decision/snapshot.go
+++ b/internal/decision/snapshot.go
@@ -189,7 +189,7 @@
 
 // rate converts a snapshot back to a rate.
 func (s RateSnapshot) rate(now time.Duration) smoothedRate {
-	return smoothedRate{current: s.Current, peakRate: s.Peak, at: now}
+	return smoothedRate{current: s.Current, peakRate: s.Peak, updatedAt: now}
 }
 
 // restoreMeans converts snapshots back to means.
@@ -207,8 +207,8 @@
 	if e == nil {
 		return
 	}
-	if e.kind >= len(b.kindLatency) && s.LatencyRatio.Count > 0 ||
-		e.kind >= len(b.kindServiceTime) && s.ServiceTime.Count > 0 {
+	if e.machineKind >= len(b.kindLatency) && s.LatencyRatio.Count > 0 ||
+		e.machineKind >= len(b.kindServiceTime) && s.ServiceTime.Count > 0 {
 		return
 	}
 	e.latencyRatio = runningMean{s.LatencyRatio.Mean, s.LatencyRatio.Count}
--- a/internal/decision/snapshot_test.go
+++ b/internal/decision/snapshot_test.go
@@ -13,17 +13,17 @@
 // flight as keep it overloaded. One that has restored a snapshot uses the latencies of little load.
 func TestSuccessorUsesRestoredStatistics(t *testing.T) {
 	elder := start(t, settings(), 6)
-	elder.work(8, 100*ms, 8*time.Second)
-	crowd := func(d *harness) *harness { d.work(40, 600*ms, 4*time.Second); return d }
+	elder.serveBatches(8, 100*ms, 8*time.Second)
+	crowd := func(h *harness) *harness { h.serveBatches(40, 600*ms, 4*time.Second); return h }
 	told, alone := crowd(elder.successor(settings(), 6)), crowd(start(t, settings(), 6))
-	if most, least := alone.fill(), told.fill(); least > most*2/3 {
+	if most, least := alone.requestUntilLimit(), told.requestUntilLimit(); least > most*2/3 {
 		t.Errorf("%d in flight after inheriting, %d without", least, most)
 	}
 	if base := told.b.classes[read].baseLatency; base < 0.09 || base > 0.2 {
 		t.Errorf("its base latency is %v", base)
 	}
 	fresh := elder.successor(settings(), 6)
-	if own, theirs := fresh.fill(), elder.fill(); own < theirs-1 || own > theirs+1 {
+	if own, theirs := fresh.requestUntilLimit(), elder.requestUntilLimit(); own < theirs-1 || own > theirs+1 {
 		t.Errorf("%d in flight at first, %d in the process before", own, theirs)
 	}
 }
@@ -43,20 +43,20 @@
 		"at endpoints that are not": {calls: map[EndpointID]int{77: 9, 78: 9}},
 		"no number of calls":        {calls: map[EndpointID]int{1: -9}},
 	} {
-		d, alone := start(t, settings(), 6), start(t, settings(), 6)
-		d.b.SetPredecessorCalls(d.now, tc.calls, d.now+500*ms)
-		d.advance(tc.after)
+		h, alone := start(t, settings(), 6), start(t, settings(), 6)
+		h.b.SetPredecessorCalls(h.now, tc.calls, h.now+500*ms)
+		h.advance(tc.after)
 		if tc.again != nil {
-			d.b.SetPredecessorCalls(d.now, tc.again, d.now+500*ms)
+			h.b.SetPredecessorCalls(h.now, tc.again, h.now+500*ms)
 		}
-		if got, want := d.fill(), alone.fill()-tc.less; got != want {
+		if got, want := h.requestUntilLimit(), alone.requestUntilLimit()-tc.less; got != want {
 			t.Errorf("%s: %d sent, want %d", name, got, want)
 		}
 	}
-	d := start(t, settings(), 2)
-	d.b.SetPredecessorCalls(d.now, map[EndpointID]int{1: 3}, d.now+500*ms)
+	h := start(t, settings(), 2)
+	h.b.SetPredecessorCalls(h.now, map[EndpointID]int{1: 3}, h.now+500*ms)
 	for range 3 {
-		if d.request(read); d.last().to != 2 {
+		if h.request(read); h.last().to != 2 {
 			t.Error("a call to the endpoint with more in flight")
 		}
 	}
@@ -65,17 +65,17 @@
 // Queued calls are sent when the preceding process reports that its own have ended, or reports no more.
 func TestQueuedCallsAreSentWhenPredecessorCallsEnd(t *testing.T) {
 	for name, wait := range map[string]time.Duration{"said": 0, "silence": 520 * ms} {
-		d := start(t, settings(), 6)
-		d.work(4, 50*ms, 3*time.Second)
-		d.b.SetPredecessorCalls(d.now, map[EndpointID]int{1: 50}, d.now+500*ms)
-		at := len(d.sent)
-		if d.request(read); len(d.sent) > at {
+		h := start(t, settings(), 6)
+		h.serveBatches(4, 50*ms, 3*time.Second)
+		h.b.SetPredecessorCalls(h.now, map[EndpointID]int{1: 50}, h.now+500*ms)
+		at := len(h.sent)
+		if h.request(read); len(h.sent) > at {
 			t.Fatalf("%s: sent beside 50", name)
 		}
 		if wait == 0 {
-			d.b.SetPredecessorCalls(d.now, nil, d.now+500*ms)
+			h.b.SetPredecessorCalls(h.now, nil, h.now+500*ms)
 		}
-		if d.advance(wait); len(d.sent) == at {
+		if h.advance(wait); len(h.sent) == at {
 			t.Errorf("%s: still held", name)
 		}
 	}
@@ -85,16 +85,16 @@
 // successor.
 func TestEndpointStatesAreRestored(t *testing.T) {
 	elder := start(t, settings(), 6)
-	elder.work(6, 20*ms, 4*time.Second)
+	elder.serveBatches(6, 20*ms, 4*time.Second)
 	elder.request(read)
 	broken := elder.last().to
-	elder.finish(elder.last(), Reset, ms)
+	elder.reportOutcome(elder.last(), Reset, ms)
 	heir := elder.successor(settings(), 6)
 	if n := heir.serve(10, func(EndpointID) Status { return OK })[broken]; n > 0 {
 		t.Errorf("%d calls to an endpoint that is isolated", n)
 	}
 	for elder.b.byID[broken].state == stateEjected {
-		elder.work(1, 20*ms, 20*ms)
+		elder.serveBatches(1, 20*ms, 20*ms)
 	}
 	back := elder.successor(settings(), 6).serve(100, func(EndpointID) Status { return OK })
 	if n := back[broken]; n > 9 {
@@ -105,7 +105,7 @@
 // Of a snapshot with an impossible value nothing is restored, nor of one of a process that has seen less.
 func TestInvalidSnapshotIsNotRestored(t *testing.T) {
 	elder := start(t, settings(), 6)
-	elder.work(8, 100*ms, 8*time.Second)
+	elder.serveBatches(8, 100*ms, 8*time.Second)
 	good := elder.b.Snapshot(elder.now)
 	for fault, change := range map[string]func(*Snapshot){
 		"classes":      func(l *Snapshot) { l.Classes = l.Classes[:1] },
@@ -129,34 +129,34 @@
 		l.Classes = append([]ClassSnapshot(nil), l.Classes...)
 		l.Endpoints = append([]EndpointSnapshot(nil), l.Endpoints...)
 		change(&l)
-		d := start(t, settings(), 6)
-		before := d.b.Snapshot(d.now)
-		if err := d.b.Restore(d.now, l); err == nil || !strings.Contains(err.Error(), fault) {
+		h := start(t, settings(), 6)
+		before := h.b.Snapshot(h.now)
+		if err := h.b.Restore(h.now, l); err == nil || !strings.Contains(err.Error(), fault) {
 			t.Errorf("%s: %v", fault, err)
 		}
-		if after := d.b.Snapshot(d.now); !reflect.DeepEqual(before, after) {
+		if after := h.b.Snapshot(h.now); !reflect.DeepEqual(before, after) {
 			t.Errorf("%s: something was taken: %+v", fault, after)
 		}
 	}
-	d := start(t, settings(), 6)
-	d.work(8, 50*ms, 16*time.Second)
-	before := d.b.Snapshot(d.now)
-	if err := d.b.Restore(d.now, good); err != nil || !reflect.DeepEqual(before, d.b.Snapshot(d.now)) {
+	h := start(t, settings(), 6)
+	h.serveBatches(8, 50*ms, 16*time.Second)
+	before := h.b.Snapshot(h.now)
+	if err := h.b.Restore(h.now, good); err != nil || !reflect.DeepEqual(before, h.b.Snapshot(h.now)) {
 		t.Errorf("the figures of a process that knows less are taken, %v", err)
 	}
 }
 
 // A snapshot of many endpoints is bounded.
 func TestSnapshotIsBounded(t *testing.T) {
-	d := start(t, settings(), 3*maxSnapshotEndpoints)
-	for _, e := range d.b.listed {
+	h := start(t, settings(), 3*maxSnapshotEndpoints)
+	for _, e := range h.b.listed {
 		e.id += 4e9
-		d.b.recordLatencyRatio(e, 1/(1+d.b.rng.Float64()))
-		e.serviceTime.add(1/(1+d.b.rng.Float64()), reportMeanWeight)
-		e.errorRate, e.lossRate = d.b.rng.Float64(), d.b.rng.Float64()
+		h.b.recordLatencyRatio(e, 1/(1+h.b.rng.Float64()))
+		e.serviceTime.add(1/(1+h.b.rng.Float64()), reportMeanWeight)
+		e.errorRate, e.lossRate = h.b.rng.Float64(), h.b.rng.Float64()
 	}
-	text, err := json.Marshal(d.b.Snapshot(d.now))
-	if err != nil || len(text) > 140<<10 || len(d.b.Snapshot(d.now).Endpoints) != maxSnapshotEndpoints {
-		t.Errorf("%d bytes, %d endpoints, %v", len(text), len(d.b.Snapshot(d.now).Endpoints), err)
+	text, err := json.Marshal(h.b.Snapshot(h.now))
+	if err != nil || len(text) > 140<<10 || len(h.b.Snapshot(h.now).Endpoints) != maxSnapshotEndpoints {
+		t.Errorf("%d bytes, %d endpoints, %v", len(text), len(h.b.Snapshot(h.now).Endpoints), err)
 	}
 }
--- a/internal/decision/snapshot_validate.go
+++ b/internal/decision/snapshot_validate.go
@@ -7,13 +7,13 @@
 
 // snapshotField is one value of a snapshot with its JSON key and its greatest possible value; the least is 0.
 type snapshotField struct {
-	key   string
-	value float64
-	most  float64
+	key        string
+	value      float64
+	upperBound float64
 }
 
-// unboundedField is the greatest value of a field without a bound of its own: neither infinite nor absurd.
-const unboundedField = math.MaxFloat32
+// maxFieldValue is the greatest value of a field without a bound of its own: neither infinite nor absurd.
+const maxFieldValue = math.MaxFloat32
 
 // validate returns an error that names the first value that cannot be, or the first difference to the classes here.
 func (s *Snapshot) validate(classes []class) error {
@@ -42,11 +42,11 @@
 		fields = append(fields, more...)
 	}
 	for i, tokens := range s.TenantTokens {
-		fields = append(fields, snapshotField{fmt.Sprintf("shares[%d]", i), math.Abs(tokens), unboundedField})
+		fields = append(fields, snapshotField{fmt.Sprintf("shares[%d]", i), math.Abs(tokens), maxFieldValue})
 	}
 	for _, f := range fields {
-		if !(f.value >= 0 && f.value <= f.most) { // false for NaN too
-			return fmt.Errorf("learnt: %s: %v is not from 0 to %v", f.key, f.value, f.most)
+		if !(f.value >= 0 && f.value <= f.upperBound) { // false for NaN too
+			return fmt.Errorf("learnt: %s: %v is not from 0 to %v", f.key, f.value, f.upperBound)
 		}
 	}
 	return nil
@@ -57,16 +57,16 @@
 	fields := []snapshotField{
 		{"errors", s.ErrorRate, 1},
 		{"strays", s.MissingShare, 1},
-		{"budget", s.RetryTokens, unboundedField},
-		{"repeatSpent", s.MeanRetryElapsed, unboundedField},
+		{"budget", s.RetryTokens, maxFieldValue},
+		{"repeatSpent", s.MeanRetryElapsed, maxFieldValue},
 	}
 	for _, rate := range []struct {
 		key string
 		RateSnapshot
 	}{{"rate", s.BaseLoad}, {"spare", s.SlackLoad}, {"served", s.AnswerRate}, {"asked", s.RequestRate}, {"warm", s.WarmSends}} {
 		fields = append(fields,
-			snapshotField{rate.key + ".now", rate.Current, unboundedField},
-			snapshotField{rate.key + ".peak", rate.Peak, unboundedField})
+			snapshotField{rate.key + ".now", rate.Current, maxFieldValue},
+			snapshotField{rate.key + ".peak", rate.Peak, maxFieldValue})
 	}
 	return fields
 }
@@ -80,7 +80,7 @@
 		if c.Name != classes[i].Name {
 			return nil, fmt.Errorf("learnt: classes[%d] is %q, here it is %q", i, c.Name, classes[i].Name)
 		}
-		key, longest := fmt.Sprintf("classes[%d].", i), unboundedField
+		key, longest := fmt.Sprintf("classes[%d].", i), maxFieldValue
 		if d := classes[i].Deadline; d > 0 {
 			longest = d.Seconds() // a longer remaining time would make every request look like a late retry
 		}
@@ -88,14 +88,14 @@
 			return nil, fmt.Errorf("learnt: %s a latency is not above 0", key)
 		}
 		fields = append(fields,
-			snapshotField{key + "windows", float64(c.Windows), unboundedField},
-			snapshotField{key + "mean", c.MeanLatency, unboundedField},
-			snapshotField{key + "base", c.BaseLatency, unboundedField},
-			snapshotField{key + "usual", c.UsualLatency, unboundedField},
-			snapshotField{key + "tail", c.TailRatio, unboundedField},
+			snapshotField{key + "windows", float64(c.Windows), maxFieldValue},
+			snapshotField{key + "mean", c.MeanLatency, maxFieldValue},
+			snapshotField{key + "base", c.BaseLatency, maxFieldValue},
+			snapshotField{key + "usual", c.UsualLatency, maxFieldValue},
+			snapshotField{key + "tail", c.TailRatio, maxFieldValue},
 			snapshotField{key + "maxLeft", c.MaxRemaining.Seconds(), longest},
-			snapshotField{key + "asked", c.Requests, unboundedField},
-			snapshotField{key + "good", c.OnTime, unboundedField})
+			snapshotField{key + "asked", c.Requests, maxFieldValue},
+			snapshotField{key + "good", c.OnTime, maxFieldValue})
 	}
 	return fields, nil
 }
@@ -114,7 +114,7 @@
 	return append(fields,
 		snapshotField{key + "errors", e.ErrorRate, 1},
 		snapshotField{key + "losses", e.LossRate, 1},
-		snapshotField{key + "ramped", e.SlowStartAge.Seconds(), unboundedField}), nil
+		snapshotField{key + "ramped", e.SlowStartAge.Seconds(), maxFieldValue}), nil
 }
 
 // fields are the values of a mean, which must be positive where it rests on any.
@@ -122,5 +122,5 @@
 	if m.Count > 0 && !(m.Mean > 0) {
 		return nil, fmt.Errorf("learnt: %s.mean is not above 0", key)
 	}
-	return []snapshotField{{key + ".mean", m.Mean, unboundedField}, {key + ".n", m.Count, unboundedField}}, nil
+	return []snapshotField{{key + ".mean", m.Mean, maxFieldValue}, {key + ".n", m.Count, maxFieldValue}}, nil
 }
--- a/internal/decision/statistics.go
+++ b/internal/decision/statistics.go
@@ -69,10 +69,10 @@
 	if l == nil || l.Service <= 0 {
 		return
 	}
-	for len(b.kindServiceTime) <= e.kind {
+	for len(b.kindServiceTime) <= e.machineKind {
 		b.kindServiceTime = append(b.kindServiceTime, runningMean{})
 	}
-	k := &b.kindServiceTime[e.kind]
+	k := &b.kindServiceTime[e.machineKind]
 	if s := l.Service.Seconds(); k.count*kindMeanWeight < 0.5 || s < k.mean {
 		k.add(s, kindMeanWeight)
 	} else {
@@ -84,10 +84,10 @@
 // recordLatencyRatio takes an answer's latency, relative to the mean of its class, into the ratios of its
 // endpoint and of the endpoint's machine kind: a rarely called endpoint is judged by its kind.
 func (b *Balancer) recordLatencyRatio(e *endpoint, slow float64) {
-	if e.kind >= len(b.kindLatency) {
-		b.kindLatency = append(b.kindLatency, make([]runningMean, e.kind+1-len(b.kindLatency))...)
+	if e.machineKind >= len(b.kindLatency) {
+		b.kindLatency = append(b.kindLatency, make([]runningMean, e.machineKind+1-len(b.kindLatency))...)
 	}
-	b.kindLatency[e.kind].add(slow, kindMeanWeight)
+	b.kindLatency[e.machineKind].add(slow, kindMeanWeight)
 	e.latencyRatio.add(slow, endpointMeanWeight)
 }
 
@@ -101,8 +101,8 @@
 // kindLatencyRatio is the latency of an endpoint's machine kind over the tier's; 1 while there are too few
 // answers.
 func (b *Balancer) kindLatencyRatio(e *endpoint) float64 {
-	if e.kind < len(b.kindLatency) && b.kindLatency[e.kind].count >= kindPriorAnswers {
-		return b.kindLatency[e.kind].mean
+	if e.machineKind < len(b.kindLatency) && b.kindLatency[e.machineKind].count >= kindPriorAnswers {
+		return b.kindLatency[e.machineKind].mean
 	}
 	return 1
 }
--- a/internal/decision/subset.go
+++ b/internal/decision/subset.go
@@ -66,7 +66,7 @@
 	b.weightsChanged = false
 	apart := func(e *endpoint) bool { return e.weight != b.listed[0].weight }
 	none := func(e *endpoint) bool { return !(e.weight > 0 && e.weight <= maxListedWeight) }
-	b.weighted = slices.ContainsFunc(b.listed, apart) && !slices.ContainsFunc(b.listed, none)
+	b.hasListedWeights = slices.ContainsFunc(b.listed, apart) && !slices.ContainsFunc(b.listed, none)
 }
 
 // ringPosition is an instance's position on the ring: consecutive ordinals are scattered in steps of the
--- a/internal/decision/subset_test.go
+++ b/internal/decision/subset_test.go
@@ -12,8 +12,8 @@
 	covered := map[EndpointID]int{}
 	for i := range 30 {
 		s.Ordinal = i
-		d := start(t, s, 20)
-		got := d.serve(100, nil)
+		h := start(t, s, 20)
+		got := h.serve(100, nil)
 		if len(got) != 2 {
 			t.Fatalf("instance %d calls %d endpoints, want 2", i, len(got))
 		}
@@ -36,15 +36,15 @@
 	parts, total := map[EndpointID]float64{}, 0.0
 	for i := range s.Instances {
 		s.Ordinal = i
-		d := start(t, s, 0)
+		h := start(t, s, 0)
 		l := List{Kind: FullList, Version: 2}
 		for id := EndpointID(1); id <= 20; id++ {
 			l.Entries = append(l.Entries, Entry{Endpoint: id, Weight: []float64{3, 0.5}[id%2]})
 		}
-		d.b.Targets(d.now, l)
-		d.b.updateSubset()
+		h.b.Targets(h.now, l)
+		h.b.updateSubset()
 		n := 0
-		for _, e := range d.b.listed {
+		for _, e := range h.b.listed {
 			parts[e.id] += e.subsetWeight
 			total += e.subsetWeight
 			if e.subsetWeight > 0 {
@@ -71,12 +71,12 @@
 	parts := map[EndpointID]float64{}
 	for i := range s.Instances {
 		s.Ordinal = i
-		d := start(t, s, 20)
+		h := start(t, s, 20)
 		for id := EndpointID(5); id <= 14; id++ {
-			d.list(Entry{Endpoint: id, State: Draining, Weight: 1})
+			h.updateEntry(Entry{Endpoint: id, State: Draining, Weight: 1})
 		}
-		d.b.updateSubset()
-		for _, e := range d.b.listed {
+		h.b.updateSubset()
+		for _, e := range h.b.listed {
 			parts[e.id] += e.subsetWeight
 		}
 	}
@@ -96,18 +96,18 @@
 func TestSubsetGrowsWithCallsInFlight(t *testing.T) {
 	s := settings()
 	s.Instances, s.Ordinal = 100, 5
-	d, answered := start(t, s, 100), 0
+	h, answered := start(t, s, 100), 0
 	calls := func(n int) (parts int) {
 		for range 400 {
 			for range n {
-				d.request(read)
+				h.request(read)
 			}
-			d.advance(100 * ms)
-			for out := len(d.sent); answered < out; answered++ {
-				d.finish(d.sent[answered], OK, 100*ms)
+			h.advance(100 * ms)
+			for out := len(h.sent); answered < out; answered++ {
+				h.reportOutcome(h.sent[answered], OK, 100*ms)
 			}
 		}
-		for _, e := range d.b.listed {
+		for _, e := range h.b.listed {
 			if e.subsetWeight > 0 {
 				parts++
 			}
@@ -140,32 +140,32 @@
 	}
 	t.Run("one call in ten seconds", func(t *testing.T) {
 		// It neither keeps calling a dead endpoint nor shuns a good one for long after one bad answer.
-		d := start(t, small(), 300)
-		d.serve(1, nil)
-		dead, spoilt := d.b.subset[0].id, d.b.subset[1].id
+		h := start(t, small(), 300)
+		h.serve(1, nil)
+		dead, spoilt := h.b.subset[0].id, h.b.subset[1].id
 		knocks, errors, after := 0, 0, 0
 		for range 60 {
-			at := len(d.sent)
-			d.request(read)
-			for ; at < len(d.sent); at++ {
-				switch x := d.sent[at]; {
+			at := len(h.sent)
+			h.request(read)
+			for ; at < len(h.sent); at++ {
+				switch x := h.sent[at]; {
 				case x.to == dead:
 					knocks++
-					d.finish(x, ConnectFailed, ms)
+					h.reportOutcome(x, ConnectFailed, ms)
 				case x.to == spoilt && errors == 0:
 					errors++
-					d.finish(x, Error, 20*ms)
+					h.reportOutcome(x, Error, 20*ms)
 				default:
 					if x.to == spoilt {
 						after++
 					}
-					d.finish(x, OK, 20*ms)
+					h.reportOutcome(x, OK, 20*ms)
 				}
 			}
-			d.advance(10 * time.Second)
+			h.advance(10 * time.Second)
 		}
-		if len(d.fails) > 0 || len(d.refusals) > 0 || after < 10 {
-			t.Errorf("%d failed, %d refused, %d calls to the server of one bad answer", len(d.fails), len(d.refusals), after)
+		if len(h.fails) > 0 || len(h.refusals) > 0 || after < 10 {
+			t.Errorf("%d failed, %d refused, %d calls to the server of one bad answer", len(h.fails), len(h.refusals), after)
 		}
 		if knocks > 20 {
 			t.Errorf("%d calls to a dead server in ten minutes", knocks)
@@ -173,56 +173,56 @@
 	})
 	t.Run("a connection table that is full", func(t *testing.T) {
 		// An instance that has no connection there doesn't knock all day, and serves its callers elsewhere.
-		d := start(t, small(), 300)
-		d.serve(1, nil)
-		full, knocks := d.b.subset[0].id, 0
+		h := start(t, small(), 300)
+		h.serve(1, nil)
+		full, knocks := h.b.subset[0].id, 0
 		for range 3000 {
-			at := len(d.sent)
-			d.request(read)
-			d.advance(20 * ms)
-			for ; at < len(d.sent); at++ {
-				x := d.sent[at]
+			at := len(h.sent)
+			h.request(read)
+			h.advance(20 * ms)
+			for ; at < len(h.sent); at++ {
+				x := h.sent[at]
 				if x.to == full {
 					knocks++
-					d.finish(x, ConnectFailed, ms)
+					h.reportOutcome(x, ConnectFailed, ms)
 				} else {
-					d.finish(x, OK, 20*ms)
+					h.reportOutcome(x, OK, 20*ms)
 				}
 			}
 		}
-		if knocks > 30 || len(d.fails)+len(d.refusals) > 0 {
-			t.Errorf("%d attempts to connect in a minute, %d failed, %d refused", knocks, len(d.fails), len(d.refusals))
+		if knocks > 30 || len(h.fails)+len(h.refusals) > 0 {
+			t.Errorf("%d attempts to connect in a minute, %d failed, %d refused", knocks, len(h.fails), len(h.refusals))
 		}
 	})
 	t.Run("all servers under new ids", func(t *testing.T) {
 		// Two thousand within a minute, in lists of fifty: what is remembered is bounded, and all that is asked is served.
-		d := start(t, small(), 2000)
+		h := start(t, small(), 2000)
 		version, answered := uint64(1), 0
 		for i := 0; i < 2000; i += 50 {
 			l := List{Kind: DeltaList, Version: version + 1}
 			version++
 			for k := i + 1; k <= i+50; k++ {
 				l.Entries = append(l.Entries, Entry{Endpoint: EndpointID(k), State: Departed, Weight: 1},
-					Entry{Endpoint: EndpointID(10000 + k), Started: d.now, Weight: 1})
+					Entry{Endpoint: EndpointID(10000 + k), Started: h.now, Weight: 1})
 			}
-			d.b.Targets(d.now, l)
+			h.b.Targets(h.now, l)
 			for range 10 {
-				d.request(read)
-				d.advance(150 * ms)
-				for ; answered < len(d.sent); answered++ {
-					d.finish(d.sent[answered], OK, 20*ms)
+				h.request(read)
+				h.advance(150 * ms)
+				for ; answered < len(h.sent); answered++ {
+					h.reportOutcome(h.sent[answered], OK, 20*ms)
 				}
 			}
 		}
-		if n := len(d.b.byID); n > 4000+maxDepartedEndpoints || len(d.b.listed) != 2000 || len(d.b.requests) > 0 {
-			t.Errorf("%d servers remembered, %d listed, %d requests left", n, len(d.b.listed), len(d.b.requests))
+		if n := len(h.b.byID); n > 4000+maxDepartedEndpoints || len(h.b.listed) != 2000 || len(h.b.requests) > 0 {
+			t.Errorf("%d servers remembered, %d listed, %d requests left", n, len(h.b.listed), len(h.b.requests))
 		}
-		if n := len(d.refusals) + len(d.fails); n > 4 {
+		if n := len(h.refusals) + len(h.fails); n > 4 {
 			t.Errorf("%d of 400 not served", n)
 		}
-		d.now += d.b.settings.WarmUp
-		d.b.Targets(d.now, List{Kind: DeltaList, Version: version + 1})
-		if n := len(d.b.byID); n != 2000 {
+		h.now += h.b.settings.WarmUp
+		h.b.Targets(h.now, List{Kind: DeltaList, Version: version + 1})
+		if n := len(h.b.byID); n != 2000 {
 			t.Errorf("%d servers remembered once those that left would be warm, want 2000", n)
 		}
 	})
@@ -233,14 +233,14 @@
 		for i := range 300 {
 			s := small()
 			s.Ordinal = i
-			d := start(t, s, 300)
-			d.serve(4, nil)
-			d.list(Entry{Endpoint: 17, Started: d.now, Weight: 1})
-			at := len(d.sent)
+			h := start(t, s, 300)
+			h.serve(4, nil)
+			h.updateEntry(Entry{Endpoint: 17, Started: h.now, Weight: 1})
+			at := len(h.sent)
 			for range 4 {
-				d.request(read)
+				h.request(read)
 			}
-			for _, x := range d.sent[at:] {
+			for _, x := range h.sent[at:] {
 				if total++; x.to == 17 {
 					cold++
 				}
--- a/internal/decision/token_bucket.go
+++ b/internal/decision/token_bucket.go
@@ -7,7 +7,7 @@
 // tokenBucket meters events at a rate a second, with a fallback rate after a time.
 type tokenBucket struct {
 	level        float64 // tokens now; negative on credit
-	at           time.Duration
+	updatedAt    time.Duration
 	rate         float64       // tokens a second
 	rateUntil    time.Duration // end of rate; 0 for none
 	fallbackRate float64       // from rateUntil on
@@ -20,7 +20,7 @@
 // chance. It starts nearly empty: a tier that starts overloaded must not be filled with a full burst before
 // that is known.
 func newTokenBucket(now time.Duration, rate, burst float64) tokenBucket {
-	return tokenBucket{rate: rate, level: tenantStartTokens, capacity: tenantBurstBase + rate*burst, at: now}
+	return tokenBucket{rate: rate, level: tenantStartTokens, capacity: tenantBurstBase + rate*burst, updatedAt: now}
 }
 
 // setRate sets a rate until a time, and the one from then on. What was saved before counts up to the
@@ -38,9 +38,9 @@
 	if b.rateUntil == 0 || now < b.rateUntil {
 		return
 	}
-	until := max(b.rateUntil, b.at)
-	b.level = min(b.capacity, b.level+b.rate*(until-b.at).Seconds())
-	b.rate, b.rateUntil, b.at = b.fallbackRate, 0, until
+	until := max(b.rateUntil, b.updatedAt)
+	b.level = min(b.capacity, b.level+b.rate*(until-b.updatedAt).Seconds())
+	b.rate, b.rateUntil, b.updatedAt = b.fallbackRate, 0, until
 	b.capacity = b.minCapacity + b.rate*tenantBurstSeconds
 	b.level = min(b.level, b.capacity)
 }
@@ -60,11 +60,11 @@
 // spend takes n tokens, on credit where they are not there, down to minus the capacity.
 func (b *tokenBucket) spend(now time.Duration, n float64) {
 	b.expireRate(now)
-	b.level = max(min(b.capacity, b.level+b.rate*(now-b.at).Seconds())-n, -b.capacity)
-	b.at = now
+	b.level = max(min(b.capacity, b.level+b.rate*(now-b.updatedAt).Seconds())-n, -b.capacity)
+	b.updatedAt = now
 }
 
 // setLevel sets the number of tokens, within what the bucket can hold.
 func (b *tokenBucket) setLevel(now time.Duration, level float64) {
-	b.level, b.at = min(max(level, -b.capacity), b.capacity), now
+	b.level, b.updatedAt = min(max(level, -b.capacity), b.capacity), now
 }
