--- a/internal/decision/api.go
+++ b/internal/decision/api.go
@@ -5,42 +5,42 @@
 	"time"
 )
 
-// RequestID names a request; the Balancer returns it unchanged.
+// RequestID identifies a request; the Balancer passes it back to the Host unchanged.
 type RequestID string
 
-// EndpointID names an endpoint; it stays the same when its process restarts.
+// EndpointID identifies an endpoint; it stays the same when its process restarts.
 type EndpointID uint32
 
 // Request is one client request as it arrives.
 type Request struct {
 	ID        RequestID
 	Class     int           // index in Settings.Classes
-	Tenant    int           // index in Settings.Tenants; another one is of no tenant
-	Remaining time.Duration // until the client gives up this attempt of its own
-	IsRetry   bool          // the client marks it as a retry
-	IdleConns int           // connections of callers to this instance that are idle, beside its own
-	// LongBody says that most of the body is still to come, and is sent as it arrives. RequestSent reports its
-	// end, and Remaining counts from there.
+	Tenant    int           // index in Settings.Tenants; any other number means no tenant
+	Remaining time.Duration // time until the client gives up on this attempt
+	IsRetry   bool          // the client marks the request as a retry
+	IdleConns int           // idle connections from callers to this instance, without the one of this request
+	// LongBody says that most of the body has not arrived yet and is forwarded as it arrives. RequestSent
+	// reports the last byte, and Remaining counts from then on.
 	LongBody bool
 }
 
-// Status is how an attempt ended. Its String form is in logs and the laboratory's records.
+// Status says how an attempt ended. Logs and the records of the laboratory contain its String form.
 type Status int
 
-// The outcomes of an attempt.
+// The statuses of an attempt. Where the String form differs from the name, the comment gives it in quotes.
 const (
 	OK              Status = iota
-	Error                  // answered with an error; may have run
-	Rejected               // rejected unseen; never ran ("full")
-	Timeout                // no answer in time; may have run
-	ConnectFailed          // no connection in time; never ran
-	Reset                  // the connection broke; may have run
-	Cancelled              // withdrawn by the Balancer; may have run
-	NotSent                // never sent ("moot")
-	InvalidResponse        // the response cannot be used, or its connection alone broke; may have run ("spoilt")
+	Error                  // the endpoint answered with an error; the request may have run
+	Rejected               // the endpoint was full and rejected the request before running it ("full")
+	Timeout                // no answer arrived in time; the request may have run
+	ConnectFailed          // no connection was established in time; the request never ran
+	Reset                  // the connection broke; the request may have run
+	Cancelled              // the Balancer withdrew the attempt; the request may have run
+	NotSent                // the attempt was never sent ("moot")
+	InvalidResponse        // the response is malformed, or only its connection broke; may have run ("spoilt")
 )
 
-// String is the status's name in a log.
+// String returns the name of the status in logs.
 func (s Status) String() string {
 	names := [...]string{
 		"ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot",
@@ -55,102 +55,103 @@
 // NeverRan reports whether the outcome proves that the attempt did not run.
 func (s Status) NeverRan() bool { return s == Rejected || s == ConnectFailed || s == NotSent }
 
-// Load is an endpoint's load report; a field that was not reported is negative.
+// Load is the load report of an endpoint. A negative value means that the endpoint did not report it.
 type Load struct {
-	InFlight float64
-	Queue    float64
-	Util     float64
-	Service  time.Duration // recent service time, without waiting
+	InFlight float64       // calls in flight
+	Queue    float64       // calls that wait at the endpoint
+	Util     float64       // utilization
+	Service  time.Duration // recent service time, without the time in the queue
 }
 
 // Outcome is the end of one attempt.
 type Outcome struct {
 	ID            RequestID
 	Endpoint      EndpointID
-	Attempt       int  // number of the attempt of its request, from 0
-	Final         bool // the request has its final answer, by this outcome or before it
+	Attempt       int  // number of the attempt within its request, from 0
+	Final         bool // the client has its final answer, through this outcome or before it
 	Elapsed       time.Duration
 	Status        Status
-	Load          *Load // nil without a report
-	NotReplayable bool  // the request cannot be sent again: the body that was sent is not kept
+	Load          *Load // nil if the endpoint sent no load report
+	NotReplayable bool  // the request cannot be sent again, because the body that was sent is not kept
 }
 
-// State is an endpoint's state in the list.
+// State is the state of an endpoint in the endpoint list.
 type State int
 
 // The states of a listed endpoint.
 const (
 	Ready    State = iota
-	Draining       // finishes its calls; nothing new may be sent
-	Departed       // removed; only in deltas
+	Draining       // the endpoint finishes its calls in flight and must get no new ones
+	Departed       // the endpoint was removed; occurs only in a DeltaList
 )
 
-// Entry is one line of the endpoint list.
+// Entry is the description of one endpoint in the endpoint list.
 type Entry struct {
 	Endpoint EndpointID
 	Zone     int
-	Kind     int // of machine
-	Cell     int
+	Kind     int // machine kind
+	Cell     int // group of endpoints that share the duplicate detection of keyed requests
 	State    State
-	Weight   float64
-	Started  time.Duration // latest start, on the event clock; 0 for long past
+	Weight   float64       // relative capacity
+	Started  time.Duration // latest start of the process, on the clock of the events; 0 if long ago
 }
 
-// ListKind says how a list is to be read.
+// ListKind says which endpoints a List contains.
 type ListKind int
 
-// The kinds of list.
+// The kinds of a List.
 const (
-	DeltaList  ListKind = iota // only entries that changed
-	FullList                   // every endpoint
-	CachedList                 // every endpoint, as this instance last knew them
-	FailedList                 // the list could not be had; the last one stands
+	DeltaList  ListKind = iota // only the entries that changed
+	FullList                   // all endpoints
+	CachedList                 // all endpoints, from a cache of this instance that may be outdated
+	FailedList                 // no endpoints: the list could not be fetched, and the previous one stays valid
 )
 
 // List is an update of the endpoint list.
 type List struct {
 	Kind    ListKind
 	Version uint64
-	// VersionsRestart says that versions count from this one on: the list is of another discovery, or of one
-	// that has begun to count anew.
+	// VersionsRestart says that Version is not comparable with earlier versions: the list comes from another
+	// discovery service, or from one that has restarted its count.
 	VersionsRestart bool
 	Entries         []Entry
 }
 
-// The roles of a Host. Their methods are called only from within the Balancer's events, and must not call
-// back.
+// The parts of a Host. The Balancer calls their methods only while it handles an event; they must not call
+// the Balancer.
 type (
-	// Sender makes and cancels attempts.
+	// Sender sends and cancels attempts.
 	Sender interface {
-		// Send makes an attempt. A timeout of 0 lasts until the client gives up. Within is the time by which the
-		// last byte must be sent, 0 for no bound; an attempt that cannot begin by then ends as NotSent.
+		// Send sends an attempt. With a timeout of 0 the attempt may last until the client gives up. The last byte
+		// of the request must be sent within the duration within, unless that is 0; an attempt that cannot begin
+		// in that time ends as NotSent.
 		Send(id RequestID, to EndpointID, timeout, within time.Duration)
-		// Cancel withdraws an attempt that is in flight; its outcome is still reported.
+		// Cancel withdraws an attempt that is in flight; the Host still reports its outcome.
 		Cancel(id RequestID, attempt int)
 	}
 
-	// Answerer gives the final answers that are not an endpoint's.
+	// Answerer sends the final answers that do not come from an endpoint.
 	Answerer interface {
-		// Refuse answers that the request was not served and that the client may safely retry it after a time.
+		// Refuse answers that the request was not served and that the client may safely retry it after retryAfter.
 		Refuse(id RequestID, retryAfter time.Duration)
-		// Fail answers that the request failed, and promises nothing about retries.
+		// Fail answers that the request failed, without a statement on retries.
 		Fail(id RequestID)
 	}
 
-	// ListSource asks discovery for the endpoint list; answers are reported to Targets.
+	// ListSource requests the endpoint list from discovery. The Host reports each answer to Balancer.Targets.
 	ListSource interface {
-		// Watch begins (again) or ends to follow changes.
+		// Watch starts, restarts or stops the watch for changes of the list.
 		Watch(on bool)
-		// Fetch asks for the full list once.
+		// Fetch requests the full list once.
 		Fetch()
 	}
 
-	// TimerSetter sets timers that are reported to Timer.
+	// TimerSetter sets timers. The Host reports an expired timer to Balancer.Timer with its token.
 	TimerSetter interface {
 		SetTimer(token uint64, after time.Duration)
 	}
 
-	// Logger takes notes for the operator.
+	// Logger writes messages to the operator's log.
 	Logger interface {
 		Log(text string)
 	}
--- a/internal/decision/doc.go
+++ b/internal/decision/doc.go
@@ -1,40 +1,44 @@
-// Package decision makes the decisions of a client-side load balancer for one instance: which endpoint gets a call,
-// when a call is retried, queued, rejected or failed, and how the endpoint list is followed.
+// Package decision makes the decisions of a client-side load balancer for one instance: which endpoint
+// receives a call, when a call is retried, queued, rejected or failed, and when the endpoint list is fetched.
 //
-// # What it owns
+// # State
 //
-// A Balancer owns all state that decisions rest on: the endpoints with their state (usable, in slow start, ejected,
-// draining), the requests from arrival to their last outcome, the statistics of latency and errors, the limit on
-// calls in flight, the retry budget and the tenants' token buckets. Settings is its configuration, and the Host
-// carries out what it decides.
+// A Balancer owns all state that decisions depend on: the endpoints with their state (usable, in slow start,
+// ejected, draining), the requests from arrival to their last outcome, the statistics of latency and errors,
+// the limit on calls in flight, the retry budget and the token buckets of the tenants. Settings is its
+// configuration, and the Host carries out its decisions.
 //
 // # Invariants
 //
-//   - It does no input or output, reads no clock and starts no goroutine. Each event comes with its time, counted
-//     from an arbitrary start; times never decrease.
-//   - For the same settings, seed and events it takes the same actions, in the same order.
-//   - A request gets one final answer: a response, Refuse or Fail. It is refused only where a further attempt by the
-//     client is harmless.
-//   - A request has at most one attempt in flight. One that is Unsafe is never sent again once it may have run, and
-//     one that is Keyed only within the scope and the window in which endpoints drop duplicates.
-//   - An endpoint that drains gets no new calls; ejection by errors or silence never takes more than half of the list.
+//   - The package does no input or output, reads no clock and starts no goroutine. Each event carries its
+//     time, counted from an arbitrary start; times never decrease.
+//   - The same settings, seed and events produce the same actions in the same order.
+//   - A request gets exactly one final answer: a response, Refuse or Fail. It is refused only where another
+//     attempt by the client is harmless.
+//   - A request has at most one attempt in flight. An Unsafe request is never sent again once it may have
+//     run. A Keyed request that may have run is sent again only within the scope and the window in which
+//     endpoints drop duplicates.
+//   - A draining endpoint gets no new calls. Ejection for errors or silence never removes more than half of
+//     the listed endpoints.
 //
-// # What it is not for
+// # Limits of the package
 //
-// Connections, time-outs of attempts, protocols and the endpoint list's transport are the embedding program's.
-// A Balancer is not safe for concurrent use: the embedding program calls it from one goroutine.
+// Connections, time-outs of attempts, protocols and the transport of the endpoint list belong to the
+// embedding program. A Balancer is not safe for concurrent use: the embedding program calls it from one
+// goroutine.
 //
 // # Callers
 //
-// internal/core runs it in the sidecar's event loop, internal/wire on the simulator's protocol, internal/lab/sim in the
-// laboratory's virtual time.
+// internal/core runs a Balancer in the event loop of the sidecar, internal/wire runs it on the protocol of
+// the simulator, and internal/lab/sim runs it in virtual time.
 //
-// # Source
+// # Sources
 //
-// The states of an endpoint and their events follow "Exploration and practice of large-scale Spring Cloud
-// microservices online and offline without loss" (Alibaba): departing endpoints are isolated by their callers before
-// they stop, new ones are warmed up. The article's ReadOnly header and GoAway call are replaced by the discovery's
-// draining state. The pick is the power of two choices (Mitzenmacher 2001), subsets follow the idea of deterministic
-// subsetting (Google SRE book, chapter 20), ejection is the outlier ejection of Envoy with a trial call in place of a
-// fixed time. docs/DESIGN-NOTES.md and docs/FLEET.md give reasons, rejected variants and measurements.
+// The states of an endpoint and their transitions follow "Exploration and practice of large-scale Spring
+// Cloud microservices online and offline without loss" (Alibaba): callers isolate departing endpoints before
+// these stop, and warm up new ones. The draining state of the discovery service replaces the ReadOnly header
+// and the GoAway call of that article. Endpoint selection is the power of two choices (Mitzenmacher 2001).
+// Subsets follow the idea of deterministic subsetting (Google SRE book, chapter 20). Ejection is the outlier
+// ejection of Envoy, with a trial call in place of a fixed ejection time. docs/DESIGN-NOTES.md and
+// docs/FLEET.md give the reasons, the rejected variants and the measurements.
 package decision
--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -5,93 +5,93 @@
 	"time"
 )
 
-// Effect is what a repeated run of a request does, and so how it may be retried.
+// Effect says whether a request may run more than once, which decides how it may be retried.
 type Effect string
 
-// The effects that a class can have.
+// The effects of a class.
 const (
-	Safe   Effect = "safe"   // may run any number of times
-	Keyed  Effect = "keyed"  // endpoints within Scope drop duplicates for Window
-	Unsafe Effect = "unsafe" // must not run twice
+	Safe   Effect = "safe"   // the request may run any number of times
+	Keyed  Effect = "keyed"  // endpoints within Class.Scope drop duplicates for Class.Window
+	Unsafe Effect = "unsafe" // the request must not run twice
 )
 
-// Scope is the group of endpoints that drops duplicates of a keyed request.
+// Scope names the group of endpoints that together drop duplicates of a keyed request.
 type Scope string
 
 // The scopes of a keyed class.
 const (
-	ScopeAll  Scope = "all"
-	ScopeZone Scope = "zone"
-	ScopeCell Scope = "cell"
+	ScopeAll  Scope = "all"  // all endpoints
+	ScopeZone Scope = "zone" // the endpoints of one zone
+	ScopeCell Scope = "cell" // the endpoints of one cell (Entry.Cell)
 )
 
 // Class describes one class of requests.
 type Class struct {
 	Name          string
-	LatencyTarget time.Duration // an answer within it earns the full value
-	Deadline      time.Duration // the client's total wait, over all its attempts
-	Value         float64       // of one answer
-	LateValue     float64       // share of Value for an answer after LatencyTarget, from 0 to 1
+	LatencyTarget time.Duration // an answer within this time earns the full Value
+	Deadline      time.Duration // how long the client waits in total, over all its attempts
+	Value         float64       // value of one answer, in the unit of the site's score
+	LateValue     float64       // share of Value that an answer after LatencyTarget earns, from 0 to 1
 	Effect        Effect
-	Scope         Scope         // of Keyed
-	Window        time.Duration // of Keyed: how long duplicates are dropped
-	Streamed      bool          // answers are streamed, and ResponseStarted is reported
+	Scope         Scope         // only for Keyed: the endpoints that drop duplicates
+	Window        time.Duration // only for Keyed: how long endpoints drop duplicates
+	Streamed      bool          // responses are streamed, and the Host reports ResponseStarted
 }
 
-// Tenant is one of several customers that share the service.
+// Tenant is one of the customers that share the service.
 type Tenant struct {
 	Name      string
-	QuotaPerS float64 // requests a second, over all instances
+	QuotaPerS float64 // requests per second, over all instances
 }
 
-// Settings is the configuration of an instance. The site states all of it; nothing is tuned here (see
-// tunables.go).
+// Settings is the configuration of an instance. It holds the properties of the site; the constants that tune
+// the algorithms are in tunables.go.
 type Settings struct {
-	// The tier that this instance belongs to.
-	Instances int           // in this tier, at least 1
-	Ordinal   int           // of this instance, from 0
-	Stage     int           // index of the tier that this instance sends to; 0 is the one that clients call
-	Tiers     int           // in all; a call may wait in each from Stage on
-	Quantum   time.Duration // least time between two batches of events
+	// Position of this instance in the fleet.
+	Instances int           // number of instances of this tier, at least 1
+	Ordinal   int           // number of this instance within the tier, from 0
+	Stage     int           // index of the tier that this instance calls; clients call the instances of stage 0
+	Tiers     int           // number of tiers; a call may wait in each tier from Stage on
+	Quantum   time.Duration // shortest time between two batches of events
 
-	// What is served, and how the site values it.
+	// Requests, and how the site values them.
 	Classes        []Class
 	Tenants        []Tenant
-	ValueByWork    bool    // Class.Value is of a unit of work, not of a request
-	GoalTotal      float64 // weight of the value served, in the site's score
-	GoalWorstClass float64 // weight of the share that the worst-served class has served
+	ValueByWork    bool    // Class.Value applies to a unit of work instead of a request
+	GoalTotal      float64 // weight of the total served value in the site's score
+	GoalWorstClass float64 // weight of the answered share of the worst-served class in that score
 
-	// What the site permits.
-	MayCancel      bool
-	MaxAttempts    int // of each request; 0 where the site states no limit
-	MaxRetryAfter  time.Duration
-	ConnectTimeout time.Duration
+	// Limits that the site sets.
+	MayCancel      bool          // attempts in flight may be cancelled
+	MaxAttempts    int           // attempts of one request; 0 if the site sets no limit
+	MaxRetryAfter  time.Duration // longest wait that a refused client may be told
+	ConnectTimeout time.Duration // time within which a connection must be established
 
 	// Discovery of the endpoint list.
-	PullDiscovery     bool          // changes come only after Watch or Fetch; else they are pushed
-	DiscoveryInterval time.Duration // an instance that has not asked for so long is taken to be informed
+	PullDiscovery     bool          // changes arrive only after Watch or Fetch; otherwise they are pushed
+	DiscoveryInterval time.Duration // how often the instance is expected to ask for changes
 
 	// ClientsMarkRetries says that clients flag their retries.
 	ClientsMarkRetries bool
 
-	// Warm-up of endpoints that have just started, and what overload does to any.
+	// Warm-up of endpoints that have just started, and the load that makes an endpoint fail.
 	ColdCapacity     float64       // share of its capacity that an endpoint starts with, from 0 to 1
-	WarmUp           time.Duration // until it has all of it
-	OverloadMultiple float64       // load, as a multiple of the present capacity,
-	OverloadWindow   time.Duration // that pushes an endpoint over when held for so long
+	WarmUp           time.Duration // time from the start of an endpoint until it has its full capacity
+	OverloadMultiple float64       // load that makes an endpoint fail, as a multiple of its present capacity
+	OverloadWindow   time.Duration // how long an endpoint withstands that load
 }
 
-// Check returns an error that names the first setting that cannot be acted on.
+// Check returns an error that names the first invalid setting, under its key in the configuration.
 func (s *Settings) Check() error {
 	if len(s.Classes) == 0 {
-		return fmt.Errorf("settings: classes: none given")
+		return fmt.Errorf("settings: classes: at least one class is required")
 	}
-	type figure struct {
-		key   string
-		value float64
-		least float64
+	type lowerBound struct {
+		key     string
+		value   float64
+		minimum float64
 	}
-	figures := []figure{
+	bounds := []lowerBound{
 		{"instances", float64(s.Instances), 1},
 		{"ordinal", float64(s.Ordinal), 0},
 		{"quantum", float64(s.Quantum), 0},
@@ -106,12 +106,12 @@
 		{"connectTimeout", float64(s.ConnectTimeout), 0},
 	}
 	for i, t := range s.Tenants {
-		figures = append(figures, figure{fmt.Sprintf("tenants[%d].quotaPerS", i), t.QuotaPerS, 0})
+		bounds = append(bounds, lowerBound{fmt.Sprintf("tenants[%d].quotaPerS", i), t.QuotaPerS, 0})
 	}
 	for i, c := range s.Classes {
 		key := fmt.Sprintf("classes[%d].", i)
-		figures = append(figures, figure{key + "aim", float64(c.LatencyTarget), 0},
-			figure{key + "deadline", float64(c.Deadline), 0}, figure{key + "window", float64(c.Window), 0})
+		bounds = append(bounds, lowerBound{key + "aim", float64(c.LatencyTarget), 0},
+			lowerBound{key + "deadline", float64(c.Deadline), 0}, lowerBound{key + "window", float64(c.Window), 0})
 		switch {
 		case c.Effect != Safe && c.Effect != Keyed && c.Effect != Unsafe:
 			return fmt.Errorf("settings: %seffect: unknown effect %q", key, c.Effect)
@@ -119,13 +119,13 @@
 			return fmt.Errorf("settings: %sscope: unknown scope %q", key, c.Scope)
 		}
 	}
-	for _, f := range figures {
-		if f.value < f.least {
-			return fmt.Errorf("settings: %s: below %v", f.key, f.least)
+	for _, bound := range bounds {
+		if bound.value < bound.minimum {
+			return fmt.Errorf("settings: %s: must not be below %v, but is %v", bound.key, bound.minimum, bound.value)
 		}
 	}
 	if s.ColdCapacity > 1 {
-		return fmt.Errorf("settings: coldFrom: %v is not a share", s.ColdCapacity)
+		return fmt.Errorf("settings: coldFrom: must not be above 1, but is %v", s.ColdCapacity)
 	}
 	return nil
 }
