--- a/internal/decision/statistics.go
+++ b/internal/decision/statistics.go
@@ -42,7 +42,7 @@
 	if c.meanLatency == 0 {
 		c.meanLatency, c.baseLatency = s, s
 	}
-	if c.tailRatio -= tailStep * tailQuantile; s > (c.tailRatio+tailStep)*c.meanLatency {
+	if c.tailRatio -= tailStep * tailExceedance; s > (c.tailRatio+tailStep)*c.meanLatency {
 		c.tailRatio += tailStep
 	}
 	c.meanLatency += classMeanWeight * (s - c.meanLatency)
