--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Request is the event of a new request. It is refused at once where the client has no time left, where it
-// is beyond its tenant's quota while capacity is short, or where this instance ends too soon; else it is
-// queued and, if the limits allow it, sent.
+// Request handles the event that a request has arrived. It refuses the request at once if the client has no
+// time left, if the request is beyond the quota of its tenant while capacity is short, or if this instance
+// ends too soon. Otherwise the request is queued, and sent as soon as the limits allow it.
 func (b *Balancer) Request(now time.Duration, q Request) {
 	c := &b.classes[q.Class]
 	r := &request{
@@ -33,8 +33,8 @@
 	b.startTick()
 }
 
-// Abandoned is the event of a client that has gone away: no answer is due, and an attempt in flight is
-// withdrawn.
+// Abandoned handles the event that the client has gone away. The request needs no answer any more, and an
+// attempt in flight is withdrawn.
 func (b *Balancer) Abandoned(_ time.Duration, id RequestID) {
 	r := b.requests[id]
 	if r == nil {
@@ -51,20 +51,21 @@
 	b.withdraw(r)
 }
 
-// Drain is the event of this instance's coming end: at is the time by which all must be answered, and
-// hasSuccessor says that another process already serves in its place. Requests that can hardly be served by
-// then are refused at once; calls that are in flight at that time are the host's to end.
-func (b *Balancer) Drain(now, at time.Duration, hasSuccessor bool) {
-	b.drainDeadline, b.hasSuccessor = at, hasSuccessor
+// Drain handles the event that this instance will end at the given deadline. hasSuccessor says that another
+// process already serves in its place. Requests that can probably not be answered before the deadline are
+// refused at once. The host ends the calls that are still in flight at the deadline.
+func (b *Balancer) Drain(now, deadline time.Duration, hasSuccessor bool) {
+	b.drainDeadline, b.hasSuccessor = deadline, hasSuccessor
 	for _, r := range b.requests {
-		r.deadline, r.targetAt = min(r.deadline, at), min(r.targetAt, at)
+		r.deadline, r.targetAt = min(r.deadline, deadline), min(r.targetAt, deadline)
 	}
 	b.dispatch(now)
 }
 
-// refusesWhileDraining reports whether an instance that ends refuses a request: for want of time or, where
-// it is the only one, of idle connections. Callers open no more connections then; one that finds all in use
-// would find nobody and stop trying. Where callers do open more, some requests are refused in vain.
+// refusesWhileDraining reports whether an instance that will end refuses a request because too little time is
+// left or, if it is the only instance, because too few connections from callers are idle. Callers cannot open
+// new connections to a draining instance: a caller that finds all connections in use would find no instance
+// and stop trying. If callers do open new connections, some requests are refused without need.
 func (b *Balancer) refusesWhileDraining(now time.Duration, c *class, q Request) bool {
 	if b.endsBeforeAnswer(now, c) {
 		return true
@@ -74,18 +75,18 @@
 	return isDraining && isOnly && q.IdleConns < minIdleCallerConns
 }
 
-// endsBeforeAnswer reports whether this instance ends before a call that is sent at a time is answered,
-// with room for a slow answer.
-func (b *Balancer) endsBeforeAnswer(at time.Duration, c *class) bool {
-	return at+seconds(sendSlackMeans*c.meanLatency) >= b.drainDeadline
+// endsBeforeAnswer reports whether this instance may end before a call that is sent at the given time is
+// answered, with a margin for an answer that is slower than the mean.
+func (b *Balancer) endsBeforeAnswer(sentAt time.Duration, c *class) bool {
+	return sentAt+seconds(sendSlackMeans*c.meanLatency) >= b.drainDeadline
 }
 
-// clientElapsed is a lower bound of the time that had passed for the client when the request arrived. All
-// first attempts of clients begin with the same remaining time, so a shorter one shows a retry, or work in
-// the tiers above.
+// clientElapsed returns a lower bound of the time that the client had already waited when the request
+// arrived. All first attempts of clients start with the same remaining time. A shorter remaining time
+// therefore shows a retry, or time spent in the tiers above.
 func (b *Balancer) clientElapsed(c *class, q Request) time.Duration {
 	c.maxRemaining = max(c.maxRemaining, q.Remaining)
-	// Clients pass the whole deadline on, so that the remaining time shows what has elapsed.
+	// If clients pass on their whole deadline, the remaining time shows how long they have waited.
 	passedOn := float64(c.maxRemaining) >= firstAttemptShare*float64(c.Deadline)
 	b.retriesHideElapsed = b.settings.Stage == 0 && !(b.settings.ClientsMarkRetries && passedOn)
 	switch {
@@ -98,8 +99,8 @@
 		}
 		return elapsed
 	case q.IsRetry:
-		// Its client has waited for about as long as those that show it. Taken for new requests, retries would fill
-		// an overloaded tier with calls whose latency target has passed.
+		// The client has waited about as long as the clients whose retries show it. Retries that are treated as new
+		// requests would fill an overloaded tier with calls whose latency target has passed.
 		return seconds(b.meanRetryElapsed)
 	}
 	return 0
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// send makes an attempt. Where the Balancer may not cancel, the attempt gets a time-out at the age from
+// send sends an attempt. If the site does not permit cancellation, the attempt gets a time-out at the age at
 // which an endpoint counts as silent.
 func (b *Balancer) send(now time.Duration, r *request, e *endpoint, trial bool) {
 	r.current, r.sentAt, r.trial, r.answersAtSend, r.withdrawn = e, now, trial, b.answers, false
@@ -20,8 +20,8 @@
 	if e.state == stateSlowStart {
 		e.slowStartTokens--
 	}
-	if w := b.warmSubsetWeight(); w > 0 && e.state == stateUsable && e.subsetWeight > 0 {
-		b.warmSends.add(now, b.rateWindow, 1/w)
+	if weight := b.warmSubsetWeight(); weight > 0 && e.state == stateUsable && e.subsetWeight > 0 {
+		b.warmSends.add(now, b.rateWindow, 1/weight)
 	}
 	var timeout time.Duration
 	if !b.settings.MayCancel && r.class.Effect != Unsafe && r.class.meanLatency > 0 {
@@ -33,8 +33,8 @@
 	b.host.Send(r.id, e.id, timeout, b.replayWindowLeft(now, r))
 }
 
-// startCall counts a call as in flight. One with a long body counts once the endpoint has all of it and can
-// begin.
+// startCall counts a call as in flight. A call with a long body counts only when the whole body has been
+// sent, because the endpoint cannot begin earlier.
 func (b *Balancer) startCall(e *endpoint, r *request) {
 	if e.state != stateEjected {
 		b.inFlight++
@@ -43,7 +43,7 @@
 	b.updateSets(e)
 }
 
-// endCall ends what startCall, or the upload of a long body, has counted.
+// endCall reverts the count of startCall or, before the end of a long body, of the upload.
 func (b *Balancer) endCall(e *endpoint, r *request) {
 	if r.uploading {
 		e.uploads--
@@ -52,26 +52,26 @@
 	if e.state != stateEjected {
 		b.inFlight--
 	}
-	e.calls = slices.DeleteFunc(e.calls, func(x *request) bool { return x == r })
+	e.calls = slices.DeleteFunc(e.calls, func(call *request) bool { return call == r })
 	b.updateSets(e)
 }
 
-// RequestSent is the event of the last byte of a long body being sent: the remaining time and the
-// endpoint's latency count from here.
-func (b *Balancer) RequestSent(now time.Duration, id RequestID, left time.Duration) {
+// RequestSent handles the event that the last byte of a long body has been sent. The remaining time of the
+// client and the latency of the endpoint count from now.
+func (b *Balancer) RequestSent(now time.Duration, id RequestID, remaining time.Duration) {
 	r := b.requests[id]
 	if r == nil || r.current == nil || !r.uploading {
 		return
 	}
 	r.current.uploads--
 	r.uploading, r.sentAt, r.answersAtSend = false, now, b.answers
-	r.deadline, r.targetAt = min(now+left, b.drainDeadline), min(now+r.class.LatencyTarget, b.drainDeadline)
+	r.deadline, r.targetAt = min(now+remaining, b.drainDeadline), min(now+r.class.LatencyTarget, b.drainDeadline)
 	b.startCall(r.current, r)
 	b.startTick()
 }
 
-// ResponseStarted is the event of a streamed response that has begun: the endpoint has done its work,
-// however slowly the client reads.
+// ResponseStarted handles the event that a streamed response has begun. The call no longer counts as in
+// flight: how fast the client reads the rest does not depend on the endpoint.
 func (b *Balancer) ResponseStarted(now time.Duration, id RequestID, attempt int, from EndpointID) {
 	r := b.requests[id]
 	if r == nil || r.responding || !r.isCurrent(attempt, from) {
@@ -83,7 +83,8 @@
 	b.dispatch(now)
 }
 
-// withdraw cancels the attempt in flight, once, where the site permits it and no response has begun.
+// withdraw cancels the attempt in flight if the site permits it and no response has begun. It cancels an
+// attempt only once.
 func (b *Balancer) withdraw(r *request) {
 	if b.settings.MayCancel && !r.withdrawn && !r.responding {
 		r.withdrawn = true
--- a/internal/decision/balancer.go
+++ b/internal/decision/balancer.go
@@ -7,76 +7,76 @@
 	"time"
 )
 
-// Balancer decides for one instance. Its exported methods are its events; they must be called from one
-// goroutine, with times that never decrease. See the package's documentation for its invariants.
+// Balancer makes the decisions of one instance. Its exported methods are events and queries; they must be
+// called from one goroutine, with times that never decrease. The package documentation lists its invariants.
 type Balancer struct {
 	settings     Settings
 	host         Host
 	rng          *rand.Rand
 	rateWindow   time.Duration // time constant of all smoothed rates
-	tickInterval time.Duration // interval between looks at queued and overdue calls
+	tickInterval time.Duration // interval between checks of queued and overdue calls
 	ticking      bool          // a tick timer is set
 
 	endpointIndex
 	predecessor      predecessorCalls
-	hasListedWeights bool   // the listed weights tell endpoints apart
-	listVersion      uint64 // of the last list taken
+	hasListedWeights bool   // the listed weights are plausible and differ
+	listVersion      uint64 // version of the last list that was applied
 
 	requests map[RequestID]*request
-	queue    []*request  // wait for an endpoint, in order of arrival
-	scratch  []*endpoint // reused by functions that collect endpoints
+	queue    []*request  // requests that wait for an endpoint, in order of arrival
+	scratch  []*endpoint // buffer that functions reuse to collect endpoints
 
 	// Statistics of latency (statistics.go).
-	classes         []class       // as in Settings.Classes
-	kindLatency     []runningMean // by machine kind: latency over the class's mean
-	kindServiceTime []runningMean // by machine kind: seconds of service that endpoints report
+	classes         []class       // in the order of Settings.Classes
+	kindLatency     []runningMean // by machine kind: latency divided by the mean of the class
+	kindServiceTime []runningMean // by machine kind: reported service time in seconds
 	errorRate       float64       // smoothed share of answers that are errors
-	missingShare    float64       // smoothed share of lost calls that go missing
-	answers         int           // answers of any kind since the start
+	missingShare    float64       // smoothed share of lost calls that are never answered
+	answers         int           // number of answers of any kind since the start
 
-	// Rates (rates.go). Those of load are kept for each usable endpoint, so that the limit follows at once when
+	// Rates (rates.go). The load rates are stored per usable endpoint, so that the limit follows at once when
 	// endpoints leave.
-	baseLoad    smoothedRate // base latencies answered a second: calls in flight at little load
-	slackLoad   smoothedRate // the same for a share of the time from base latency to latency target
-	answerRate  smoothedRate // answers a second
-	requestRate smoothedRate // requests a second
-	demandRate  decayingRate // requests a second, over a longer time
-	warmSends   smoothedRate // sends a second to warm endpoints, for each unit of their draw weight
+	baseLoad    smoothedRate // base latencies answered per second: calls in flight at little load
+	slackLoad   smoothedRate // the same sum for a share of the time from base latency to latency target
+	answerRate  smoothedRate // answers per second
+	requestRate smoothedRate // requests per second
+	demandRate  decayingRate // requests per second, averaged over a longer time
+	warmSends   smoothedRate // sends per second to warm endpoints, per unit of their draw weight
 
 	// Limits (limits.go).
-	inFlight        int     // attempts in flight, but for those to ejected endpoints
-	overdueCalls    int     // of them, those that no answer is expected for
-	inFlightLimit   float64 // on attempts in flight
-	latencyPressure float64 // smoothed latency over what it should at most be on average
+	inFlight        int     // attempts in flight, without those to ejected endpoints
+	overdueCalls    int     // attempts of inFlight that will probably not be answered
+	inFlightLimit   float64 // limit on attempts in flight
+	latencyPressure float64 // smoothed latency divided by the highest acceptable mean latency
 	pressureAt      time.Duration
-	isPaced         bool    // sends are paced, until the pressure is below 1
-	sendRate        float64 // sends a second while they are paced
-	sendCredit      float64 // sends that may be made now while they are paced
+	isPaced         bool    // sends are paced until the pressure is at most 1
+	sendRate        float64 // allowed sends per second while sends are paced
+	sendCredit      float64 // sends that are allowed now while sends are paced
 	sendCreditAt    time.Duration
 
 	// Subset (subset.go).
-	position       int     // of this instance on the ring
-	subsetSize     float64 // in endpoints
-	demandedSubset float64 // in endpoints, as the calls in flight ask for
+	position       int     // slot of this instance on the ring of endpoints
+	subsetSize     float64 // number of endpoints in the subset
+	demandedSubset float64 // number of endpoints that the calls in flight require
 	subsetSizedAt  time.Duration
 
 	// Quotas and retries (quotas.go, retries.go).
-	tenants       []tokenBucket // as in Settings.Tenants
-	totalQuota    float64       // requests a second within all quotas, at this instance
-	shortageUntil time.Duration // capacity counts as short until then
-	retryTokens   float64       // further attempts that may be made
-	fleetRetries  *tokenBucket  // this instance's share of the fleet's retries; nil where answers earn them
+	tenants       []tokenBucket // in the order of Settings.Tenants
+	totalQuota    float64       // sum of the tenants' quotas at this instance, in requests per second
+	shortageUntil time.Duration // capacity counts as insufficient until this time
+	retryTokens   float64       // retries that the budget allows now
+	fleetRetries  *tokenBucket  // share of the fleet's retry budget; nil if answers refill the budget
 
 	// Clients (admission.go).
-	retriesHideElapsed bool    // retries do not show how long the client has waited
-	meanRetryElapsed   float64 // mean time that it had waited where they show it, in seconds
+	retriesHideElapsed bool    // the retries of clients do not show how long the client has waited
+	meanRetryElapsed   float64 // mean wait of clients before retries that show it, in seconds
 	drainDeadline      time.Duration
-	hasSuccessor       bool // another instance serves in this one's place already
+	hasSuccessor       bool // the successor process already serves in place of this one
 
 	// Endpoint list (endpoint_list.go).
-	nextFetchAt    time.Duration // no fetch before
-	watchScheduled bool          // a watch begins after a pause
-	watchBackoff   time.Duration // that pause, counted from watchStartedAt
+	nextFetchAt    time.Duration // no fetch before this time
+	watchScheduled bool          // a timer is set that starts a watch
+	watchBackoff   time.Duration // pause between the start of a watch and the next one
 	watchStartedAt time.Duration
 }
 
@@ -86,13 +86,13 @@
 	tokenWatch
 )
 
-// New makes a Balancer. The error names the first setting that it cannot act on.
-func New(set Settings, seed uint64, host Host) (*Balancer, error) {
-	if err := set.Check(); err != nil {
+// New returns a Balancer. The error names the first invalid setting.
+func New(settings Settings, seed uint64, host Host) (*Balancer, error) {
+	if err := settings.Check(); err != nil {
 		return nil, err
 	}
 	b := &Balancer{
-		settings:      set,
+		settings:      settings,
 		host:          host,
 		rng:           rand.New(rand.NewPCG(seed, 0x6a617370)),
 		endpointIndex: endpointIndex{byID: map[EndpointID]*endpoint{}},
@@ -101,18 +101,18 @@
 		missingShare:  missingShareStart,
 		drainDeadline: math.MaxInt64,
 	}
-	// Attempts without end would be no bound for a tier that rejects every call.
-	b.settings.MaxAttempts = cmp.Or(set.MaxAttempts, maxRetryTokens)
-	b.rateWindow = cmp.Or(set.OverloadWindow, time.Second)
-	b.position = ringPosition(set.Ordinal, set.Instances)
-	b.tickInterval = max(tickQuanta*set.Quantum, time.Millisecond)
-	for _, c := range set.Classes {
+	// Without a limit on attempts, a request would be sent again without end on a tier that rejects every call.
+	b.settings.MaxAttempts = cmp.Or(settings.MaxAttempts, maxRetryTokens)
+	b.rateWindow = cmp.Or(settings.OverloadWindow, time.Second)
+	b.position = ringPosition(settings.Ordinal, settings.Instances)
+	b.tickInterval = max(tickQuanta*settings.Quantum, time.Millisecond)
+	for _, c := range settings.Classes {
 		b.classes = append(b.classes, class{Class: c, tailRatio: tailStartRatio})
 	}
 	return b, nil
 }
 
-// Timer is the event of a timer that has expired.
+// Timer handles the event that a timer has expired.
 func (b *Balancer) Timer(now time.Duration, token uint64) {
 	switch token {
 	case tokenTick:
@@ -123,7 +123,8 @@
 	}
 }
 
-// onTick ends slow starts, ejects silent endpoints, withdraws overdue calls and dispatches queued requests.
+// onTick ends slow starts that are complete, ejects silent endpoints, withdraws overdue calls and dispatches
+// queued requests.
 func (b *Balancer) onTick(now time.Duration) {
 	b.ticking = false
 	b.overdueCalls = 0
@@ -144,7 +145,7 @@
 	b.startTick()
 }
 
-// startTick keeps the tick timer set while there are requests.
+// startTick sets the tick timer if there are requests and it is not set.
 func (b *Balancer) startTick() {
 	if !b.ticking && len(b.requests) > 0 {
 		b.ticking = true
@@ -152,5 +153,5 @@
 	}
 }
 
-// seconds converts a number of seconds to a duration.
+// seconds returns a number of seconds as a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/decision/endpoint_index.go
+++ b/internal/decision/endpoint_index.go
@@ -5,41 +5,41 @@
 	"slices"
 )
 
-// endpointIndex holds the known endpoints and the sets that decisions go over, so that a tick over a list of
-// thousands looks only at the few that matter. All sets but departed are of listed endpoints, in the order of
-// their ids: going over one is the same as going over the list and skipping the others.
+// endpointIndex holds the known endpoints and subsets of them, so that a tick with thousands of endpoints
+// visits only the few that it needs. All sets except departed contain only listed endpoints, in the order of
+// their ids. Iterating over a set therefore gives the same order as filtering the whole list.
 type endpointIndex struct {
 	byID        map[EndpointID]*endpoint
 	listed      []*endpoint
-	departed    []*endpoint // no longer listed, but still remembered; in no order
-	subset      []*endpoint // in this instance's subset
-	busy        []*endpoint // with own calls in flight
+	departed    []*endpoint // no longer listed, but still remembered; unordered
+	subset      []*endpoint // endpoints in the subset of this instance
+	busy        []*endpoint // endpoints with calls in flight from this instance
 	inSlowStart []*endpoint
 	ejected     []*endpoint
-	overdue     []*endpoint // with overdue calls, as of the last tick
-	usableCount int         // listed endpoints that are usable
+	overdue     []*endpoint // endpoints with overdue calls, as of the last tick
+	usableCount int         // number of listed endpoints that are usable
 
-	weightsChanged bool // the listed endpoints, or a weight, have changed since checkWeights
-	subsetStale    bool // states, the list or the demand have changed since updateSubset
+	weightsChanged bool // the listed endpoints or a weight have changed since checkWeights ran
+	subsetStale    bool // states, the list or the demand have changed since updateSubset ran
 }
 
-// compareIDs orders endpoints by id.
+// compareIDs compares two endpoints by id, for sorting.
 func compareIDs(x, y *endpoint) int { return cmp.Compare(x.id, y.id) }
 
-// sortByID sorts endpoints by id.
+// sortByID sorts a set in place, in the order that setMembership expects.
 func sortByID(set []*endpoint) { slices.SortFunc(set, compareIDs) }
 
-// setMembership adds an endpoint to a set, or removes it.
+// setMembership inserts an endpoint into a sorted set or removes it, as isMember says.
 func setMembership(set *[]*endpoint, e *endpoint, isMember bool) {
-	switch at, has := slices.BinarySearchFunc(*set, e, compareIDs); {
-	case isMember && !has:
-		*set = slices.Insert(*set, at, e)
-	case !isMember && has:
-		*set = slices.Delete(*set, at, at+1)
+	switch i, found := slices.BinarySearchFunc(*set, e, compareIDs); {
+	case isMember && !found:
+		*set = slices.Insert(*set, i, e)
+	case !isMember && found:
+		*set = slices.Delete(*set, i, i+1)
 	}
 }
 
-// setState changes an endpoint's state, and the sets with it.
+// setState changes the state of an endpoint and updates the sets.
 func (x *endpointIndex) setState(e *endpoint, to endpointState) {
 	if e.state == to {
 		return
@@ -55,22 +55,22 @@
 	x.subsetStale = true
 }
 
-// countUsable adds n to the number of usable endpoints if this is one.
+// countUsable adds n to usableCount if the endpoint is usable.
 func (x *endpointIndex) countUsable(e *endpoint, n int) {
 	if e.state == stateUsable {
 		x.usableCount += n
 	}
 }
 
-// updateSets updates the sets by an endpoint's state and calls.
+// updateSets updates the membership of an endpoint in the sets, by its state and its calls.
 func (x *endpointIndex) updateSets(e *endpoint) {
 	setMembership(&x.busy, e, e.indexed && len(e.calls) > 0)
 	setMembership(&x.inSlowStart, e, e.indexed && e.state == stateSlowStart)
 	setMembership(&x.ejected, e, e.indexed && e.state == stateEjected)
 }
 
-// updateListed takes in which endpoints are listed, after the entries of a list were applied to the endpoints, and returns
-// those that no longer are.
+// updateListed updates the sets after the entries of a list have been applied to the endpoints. It returns
+// the endpoints that are no longer listed.
 func (x *endpointIndex) updateListed(l List) (removed []*endpoint) {
 	x.subsetStale = true
 	if l.Kind == DeltaList {
@@ -81,9 +81,9 @@
 		}
 		return removed
 	}
-	old := x.listed
+	previous := x.listed
 	x.listed = make([]*endpoint, 0, len(l.Entries))
-	for _, e := range old {
+	for _, e := range previous {
 		if !e.listed {
 			removed = x.setListed(e, false, removed)
 		}
@@ -99,7 +99,8 @@
 	return removed
 }
 
-// setListed takes in whether one endpoint is listed. It returns removed, with the endpoint if it no longer is.
+// setListed updates the sets for one endpoint that is listed or not. It returns removed, with the endpoint
+// appended if it is no longer listed.
 func (x *endpointIndex) setListed(e *endpoint, isListed bool, removed []*endpoint) []*endpoint {
 	if e.indexed != isListed {
 		e.indexed = isListed
@@ -112,7 +113,7 @@
 		x.updateSets(e)
 		x.weightsChanged = true
 	}
-	if isListed == e.departed { // it has come back, has departed, or was never listed
+	if isListed == e.departed { // the endpoint has returned, has departed, or was never listed
 		if e.departed = !isListed; e.departed {
 			x.departed = append(x.departed, e)
 		} else {
@@ -122,7 +123,7 @@
 	return removed
 }
 
-// forgetDeparted drops departed endpoints for which a condition holds.
+// forgetDeparted removes the departed endpoints for which mayForget returns true.
 func (x *endpointIndex) forgetDeparted(mayForget func(*endpoint) bool) {
 	x.departed = slices.DeleteFunc(x.departed, func(e *endpoint) bool {
 		if !mayForget(e) {
--- a/internal/decision/evidence.go
+++ b/internal/decision/evidence.go
@@ -4,30 +4,30 @@
 	"time"
 )
 
-// Evidence is what an instance knows of an endpoint by its own calls. Instances exchange it
-// (internal/fleet/replication); which evidence of others counts is decided there.
+// Evidence is what the own calls of an instance have shown about an endpoint. Instances exchange it through
+// internal/fleet/replication, which decides which evidence of other instances is accepted.
 type Evidence struct {
 	Endpoint EndpointID
-	Ejected  bool          // it is ejected; else it has answered well
-	Age      time.Duration // of the last answer of any kind, where it is not ejected
+	Ejected  bool          // true: the endpoint is ejected; false: it has answered without errors
+	Age      time.Duration // age of the last answer of any kind; 0 if the endpoint is ejected
 }
 
-// PeerEjection is an endpoint that other instances have ejected, by the evidence that the fleet accepts.
+// PeerEjection is an endpoint that other instances have ejected, on evidence that the fleet accepts.
 type PeerEjection struct {
 	Endpoint EndpointID
-	Age      time.Duration // of the evidence
+	Age      time.Duration // age of the evidence
 }
 
-// Evidence returns what this instance's own calls have shown lately: the endpoints that it has ejected by
-// itself and, of those named, the ones that answered well. An ejection by other instances' evidence counts
-// only once an own trial call has failed.
-func (b *Balancer) Evidence(now time.Duration, named []EndpointID) (all []Evidence) {
+// Evidence returns what the own calls of this instance have shown recently: all endpoints that it has
+// ejected, and those of the candidates that have answered without errors. An endpoint that was ejected on the
+// evidence of other instances is included only after a trial call of this instance has failed.
+func (b *Balancer) Evidence(now time.Duration, candidates []EndpointID) (evidence []Evidence) {
 	for _, e := range b.ejected {
 		if e.peerTrialBackoff == 0 || e.trialBackoff != e.peerTrialBackoff {
-			all = append(all, Evidence{Endpoint: e.id, Ejected: true})
+			evidence = append(evidence, Evidence{Endpoint: e.id, Ejected: true})
 		}
 	}
-	for _, id := range named {
+	for _, id := range candidates {
 		e := b.byID[id]
 		if e == nil || !e.indexed || e.state > stateSlowStart {
 			continue
@@ -36,27 +36,28 @@
 			continue
 		}
 		if age := now - e.lastAnswer; age <= evidenceMaxAge {
-			all = append(all, Evidence{Endpoint: id, Age: age})
+			evidence = append(evidence, Evidence{Endpoint: id, Age: age})
 		}
 	}
-	return all
+	return evidence
 }
 
-// ApplyPeerEjections ejects endpoints by the evidence of other instances, and returns how many it has
-// ejected. It only hastens what own calls would come to: an endpoint that has answered here since is not
-// ejected, nor one outside of the subset, which would get no trial call; the bound on ejected endpoints
-// holds, and trial calls follow as for any other. Good answers elsewhere bring no trial call forward: all
-// instances' trials at once pushed over endpoints that had just returned cold (docs/REPLICATION.md).
+// ApplyPeerEjections ejects endpoints on the evidence of other instances and returns how many it has ejected.
+// It only ejects earlier what the own calls of this instance would eject later. It skips an endpoint that has
+// answered this instance since, and one outside of the subset, because that would get no trial call. The
+// limit on the share of ejected endpoints and the schedule of trial calls apply as to any other ejection.
+// Good answers at other instances do not advance a trial call: trial calls of all instances at the same time
+// overloaded endpoints that had just returned and were cold.
 func (b *Balancer) ApplyPeerEjections(now time.Duration, ejections []PeerEjection) (ejected int) {
 	if b.subsetStale && len(ejections) > 0 {
-		b.updateSubset() // an instance without a request so far has none
+		b.updateSubset() // it may not have run yet, if no request has arrived so far
 	}
-	for _, x := range ejections {
-		e := b.byID[x.Endpoint]
+	for _, ejection := range ejections {
+		e := b.byID[ejection.Endpoint]
 		if e == nil || e.subsetWeight == 0 || e.state > stateSlowStart {
 			continue
 		}
-		if e.lastAnswer >= now-x.Age || !b.mayEject() {
+		if e.lastAnswer >= now-ejection.Age || !b.mayEject() {
 			continue
 		}
 		b.eject(now, e, "by the word of others")
--- a/internal/decision/outcomes.go
+++ b/internal/decision/outcomes.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// Outcome is the event of an attempt's end. One that is not the attempt in flight is ignored: it was
-// reported twice, or after a further attempt had begun.
+// Outcome handles the event that an attempt has ended. It ignores an attempt that is not the one in flight,
+// which happens when an outcome is reported twice or after a further attempt has begun.
 func (b *Balancer) Outcome(now time.Duration, o Outcome) {
 	r := b.requests[o.ID]
 	if r == nil || !r.isCurrent(o.Attempt, o.Endpoint) {
@@ -32,7 +32,7 @@
 	b.startTick()
 }
 
-// recordOutcome updates the statistics and the state of an endpoint by the outcome of one attempt.
+// recordOutcome updates the statistics and the state of an endpoint after the outcome of one attempt.
 func (b *Balancer) recordOutcome(now time.Duration, r *request, e *endpoint, o Outcome) {
 	switch o.Status {
 	case OK, Error, Rejected, Reset, InvalidResponse:
@@ -44,7 +44,7 @@
 		b.recordOvertaken(r)
 		e.lossRate -= lossRateWeight * e.lossRate
 		if r.overdue {
-			b.missingShare -= missingShareWeight * b.missingShare // slow, but not missing
+			b.missingShare -= missingShareWeight * b.missingShare // the call was slow, but not lost
 		}
 		b.recordLatency(now, r, e, o.Elapsed)
 		b.recordPressure(now, r.class, o.Elapsed)
@@ -69,7 +69,8 @@
 	case Rejected:
 		e.rejectingUntil = now + seconds(r.class.baseLatency)
 	case ConnectFailed:
-		// A full connection table refuses connections as a dead process does, but its open calls go on.
+		// An endpoint with a full connection table refuses connections like a dead process, but its calls in flight
+		// go on.
 		if len(e.calls) > 0 || e.lastAnswer > r.sentAt {
 			e.rejectingUntil = now + b.settings.ConnectTimeout
 		} else {
@@ -81,7 +82,7 @@
 		b.eject(now, e, "connection reset")
 		b.fetchSoon(now)
 	case Timeout:
-		// By its answers alone, an overloaded endpoint that answers few calls in time would look fast.
+		// An overloaded endpoint that answers only a few calls in time would look fast by its answers alone.
 		if r.class.meanLatency > 0 {
 			b.recordLatencyRatio(e, o.Elapsed.Seconds()/r.class.meanLatency)
 		}
--- a/internal/decision/overdue.go
+++ b/internal/decision/overdue.go
@@ -4,7 +4,8 @@
 	"time"
 )
 
-// recordOvertaken counts, at each call that was sent earlier, that a later one has been answered before it.
+// recordOvertaken increments the overtaken counter of each call in flight that was sent before the answered
+// call.
 func (b *Balancer) recordOvertaken(answered *request) {
 	for _, e := range b.busy {
 		for _, r := range e.calls {
@@ -16,11 +17,11 @@
 	}
 }
 
-// withdrawOverdue finds the calls that an endpoint has lost though it answers others: they are older than
-// nearly all calls get, and were overtaken. They are sent again while there is time, and do not count in
-// the limit on calls in flight, which falls by itself as answers fail to come. This serves for lost
-// answers, connections that are cut without notice and stuck tiers below alike. Where a whole tier becomes
-// slow at once, some slow calls run twice.
+// withdrawOverdue finds the calls that an endpoint has probably lost although it answers other calls. Such
+// calls are older than nearly all answered calls, and later calls have overtaken them. They are sent again
+// while there is time, and do not count in the limit on calls in flight, which already falls because their
+// answers are missing. This handles lost answers, connections that are cut without notice, and stuck tiers
+// below. If a whole tier becomes slow at once, some slow calls run twice.
 func (b *Balancer) withdrawOverdue(now time.Duration, e *endpoint) {
 	for _, r := range e.calls {
 		age, tail := now-r.sentAt, r.class.tailRatio*r.class.meanLatency
@@ -49,8 +50,8 @@
 	}
 }
 
-// canWithdrawAndRetry reports whether a call in flight can be withdrawn and sent again in time. A long body
-// is not kept, so it cannot.
+// canWithdrawAndRetry reports whether a call in flight can be withdrawn and sent again in time. A call with a
+// long body cannot, because the body is not kept.
 func (b *Balancer) canWithdrawAndRetry(now time.Duration, r *request) bool {
 	return !r.final && !r.longBody && r.class.Effect != Unsafe && b.retryTokens >= 1 &&
 		now+seconds(r.class.baseLatency) < r.targetAt && r.attempts < b.settings.MaxAttempts
--- a/internal/decision/predecessor.go
+++ b/internal/decision/predecessor.go
@@ -4,15 +4,15 @@
 	"time"
 )
 
-// predecessorCalls are the calls that the preceding process of this instance still has in flight.
+// predecessorCalls holds the calls that the preceding process of this instance still has in flight.
 type predecessorCalls struct {
 	calls      map[EndpointID]int
 	total      int
-	validUntil time.Duration // it is believed until then
+	validUntil time.Duration // the numbers count until this time
 }
 
-// InFlight is the number of calls in flight at each endpoint that may be called, without those that are
-// overdue: what a process that ends tells its successor.
+// InFlight returns the number of calls in flight at each endpoint that is not ejected, without overdue calls.
+// A process that ends reports it to its successor.
 func (b *Balancer) InFlight() map[EndpointID]int {
 	calls := map[EndpointID]int{}
 	for _, e := range b.listed {
@@ -23,9 +23,9 @@
 	return calls
 }
 
-// SetPredecessorCalls takes the calls that the preceding process has in flight. They count as this
-// process's own until the next update, but no longer than until the given time: a process that is killed
-// sends no more updates.
+// SetPredecessorCalls sets the number of calls that the preceding process has in flight at each endpoint.
+// They count like the calls of this process until the next update, but at most until the time validUntil,
+// because a process that is killed sends no more updates.
 func (b *Balancer) SetPredecessorCalls(now time.Duration, calls map[EndpointID]int, until time.Duration) {
 	b.predecessor = predecessorCalls{calls: calls, validUntil: until}
 	for id, n := range calls {
@@ -37,7 +37,7 @@
 	b.startTick()
 }
 
-// at is the number of its calls at an endpoint.
+// callsTo returns the number of calls of the preceding process at an endpoint.
 func (p *predecessorCalls) callsTo(now time.Duration, e *endpoint) int {
 	if now > p.validUntil {
 		return 0
@@ -45,7 +45,7 @@
 	return max(p.calls[e.id], 0)
 }
 
-// sum is the number of its calls at all endpoints.
+// sum returns the number of calls of the preceding process at all endpoints.
 func (p *predecessorCalls) sum(now time.Duration) int {
 	if now > p.validUntil {
 		return 0
--- a/internal/decision/queue.go
+++ b/internal/decision/queue.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// enqueue adds a request to those that wait for an endpoint.
+// enqueue appends a request to the queue of requests that wait for an endpoint.
 func (b *Balancer) enqueue(r *request) {
 	r.queued = true
 	b.queue = append(b.queue, r)
 }
 
-// dispatch sends queued requests, the most valuable first, while the limits allow it, and then sheds what
-// cannot be served.
+// dispatch sends queued requests, the most valuable first, while the limits allow it. It then sheds the
+// requests that cannot be served.
 func (b *Balancer) dispatch(now time.Duration) {
 	b.updateInFlightLimit(now)
 	if b.subsetStale && len(b.queue) > 0 {
@@ -26,30 +26,31 @@
 			break
 		}
 		first := b.firstToDispatch(now)
-		at := first
-		e, trial := b.pick(now, b.queue[at])
-		// The first one may be restricted by its earlier attempts, and another one not.
+		selected := first
+		e, trial := b.pick(now, b.queue[selected])
+		// Earlier attempts may restrict the endpoints of the first request; another request may have no such
+		// restriction.
 		for i := 0; e == nil && b.queue[first].attempts > 0 && i < len(b.queue); i++ {
-			at = i
+			selected = i
 			e, trial = b.pick(now, b.queue[i])
 		}
 		if e == nil {
 			break
 		}
-		r := b.queue[at]
-		b.dequeue(at)
+		r := b.queue[selected]
+		b.dequeue(selected)
 		b.send(now, r, e, trial)
 	}
 	b.shedLoad(now)
 }
 
-// dequeue removes the request at an index of the queue.
+// dequeue removes the request at index i of the queue.
 func (b *Balancer) dequeue(i int) {
 	b.queue[i].queued = false
 	b.queue = slices.Delete(b.queue, i, i+1)
 }
 
-// next is the index of the queued request to send first, by isDispatchedBefore.
+// firstToDispatch returns the index of the queued request to send first, in the order of isDispatchedBefore.
 func (b *Balancer) firstToDispatch(now time.Duration) int {
 	best := 0
 	for i := 1; i < len(b.queue); i++ {
@@ -60,11 +61,11 @@
 	return best
 }
 
-// isDispatchedBefore orders queued requests: those that can still meet their latency target, or have a
-// value after it, before the others; those within their tenant's quota before those beyond; those of a
-// class with the higher marginal value; then those that must be sent first to meet their target. Where
-// retries hide how long the client has waited, the newest goes first instead: one that seems to be at the
-// edge of its target may long be past it.
+// isDispatchedBefore reports whether x is sent before y. The criteria are, in this order: a request that can
+// still meet its latency target, or has a value after it; a request within the quota of its tenant; the
+// higher marginal value of its class; the earlier time by which it must be sent to meet its target. If
+// retries hide how long the client has waited, the last criterion is the later arrival: a request that seems
+// to be just within its target may be long past it.
 func (b *Balancer) isDispatchedBefore(now time.Duration, x, y *request) bool {
 	if rx, ry := b.rank(now, x), b.rank(now, y); rx != ry {
 		return rx > ry
@@ -78,8 +79,8 @@
 	return x.sendBy() < y.sendBy()
 }
 
-// rank is the first criterion of isDispatchedBefore: 2 for a request that can still earn its value, and 1
-// for one within its quota.
+// rank returns the first two criteria of isDispatchedBefore as a number: 2 for a request that can still earn
+// its value, plus 1 for a request within its quota.
 func (b *Balancer) rank(now time.Duration, r *request) int {
 	rank := 0
 	if r.sendBy() > now || r.class.LateValue > 0 {
@@ -91,16 +92,17 @@
 	return rank
 }
 
-// updateMarginalValues sets, for each class, what serving one more unit of its work adds to the site's
-// score: its part of the total value and, for the class that is served worst, the weight of that goal. An
-// order by time alone would cost the most valuable class as many answers as the least valuable.
+// updateMarginalValues sets the marginal value of each class: what one more unit of its work adds to the
+// score of the site. That is the contribution to the total value and, for the worst-served class, to the
+// weight of that goal. If requests were ordered only by time, the most valuable class would lose as many
+// answers as the least valuable one.
 func (b *Balancer) updateMarginalValues() {
-	all, work := 0.0, 0.0
+	totalValue, totalWork := 0.0, 0.0
 	worst := &b.classes[0]
 	for i := range b.classes {
 		c := &b.classes[i]
-		all += c.requests * c.meanLatency * b.valueDensity(c)
-		work += c.requests * c.meanLatency
+		totalValue += c.requests * c.meanLatency * b.valueDensity(c)
+		totalWork += c.requests * c.meanLatency
 		isWorse := worst.requests < classMinRequests || c.onTime*worst.requests < worst.onTime*c.requests
 		if c.requests >= classMinRequests && isWorse {
 			worst = c
@@ -109,16 +111,17 @@
 	for i := range b.classes {
 		c := &b.classes[i]
 		c.marginalValue = 0
-		if all > 0 {
-			c.marginalValue = b.settings.GoalTotal * b.valueDensity(c) * work / all
+		if totalValue > 0 {
+			c.marginalValue = b.settings.GoalTotal * b.valueDensity(c) * totalWork / totalValue
 		}
 		if c == worst && c.requests*c.meanLatency > 0 {
-			c.marginalValue += b.settings.GoalWorstClass * work / (c.requests * c.meanLatency)
+			c.marginalValue += b.settings.GoalWorstClass * totalWork / (c.requests * c.meanLatency)
 		}
 	}
 }
 
-// valueDensity is the value of a unit of a class's work, which is taken to be proportional to its latency.
+// valueDensity returns the value per unit of work of a class. The work of a request is assumed to be
+// proportional to the latency of its class.
 func (b *Balancer) valueDensity(c *class) float64 {
 	if b.settings.ValueByWork || c.meanLatency == 0 {
 		return c.Value
@@ -126,8 +129,8 @@
 	return c.Value / c.meanLatency
 }
 
-// countRequest counts a request of a class, and halves all classes' counts when one is full, so that the
-// past fades.
+// countRequest counts a request of a class. When a counter reaches classWindowRequests, the counters of all
+// classes are halved, so that recent requests weigh more.
 func (b *Balancer) countRequest(now time.Duration, c *class) {
 	b.demandRate.add(now, demandRateWindows*b.rateWindow)
 	if c.requests++; c.requests < classWindowRequests {
@@ -139,9 +142,10 @@
 	}
 }
 
-// shedLoad finishes queued requests that cannot be served, as soon as that shows: those that no endpoint
-// may serve, that will miss their target or could not be answered before the deadline even at little load,
-// and the least valuable ones where the queue is longer than the answer rate works off in time.
+// shedLoad finishes queued requests as soon as it is clear that they cannot be served: requests that no
+// endpoint may serve, requests that will miss their target or could not be answered before their deadline
+// even at little load, and the least valuable requests if the queue is longer than the answer rate can serve
+// in time.
 func (b *Balancer) shedLoad(now time.Duration) {
 	rate := b.answerRate.value(now, b.rateWindow)
 	limit := max(int(queueSecondsMax*rate), len(b.listed))
@@ -151,7 +155,8 @@
 	for i := len(b.queue) - 1; i >= 0; i-- {
 		r := b.queue[i]
 		late := now >= r.sendBy() && r.class.LateValue == 0
-		if late || !b.hasEligibleEndpoint(now, r) || now+max(2*b.tickInterval, seconds(r.class.baseLatency)) >= r.deadline {
+		shortestAnswer := max(2*b.tickInterval, seconds(r.class.baseLatency))
+		if late || !b.hasEligibleEndpoint(now, r) || now+shortestAnswer >= r.deadline {
 			b.dequeue(i)
 			b.finish(now, r)
 		}
@@ -169,7 +174,7 @@
 	}
 }
 
-// hasEligibleEndpoint reports whether any listed endpoint may come to serve a request.
+// hasEligibleEndpoint reports whether any listed endpoint may serve a request, now or later.
 func (b *Balancer) hasEligibleEndpoint(now time.Duration, r *request) bool {
 	return slices.ContainsFunc(b.listed, func(e *endpoint) bool {
 		return e.state != stateDraining && b.isSafeToSend(now, r, e)
--- a/internal/decision/quotas.go
+++ b/internal/decision/quotas.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Usage counts the requests of one tenant since the start.
+// Usage holds the number of requests of one tenant since the start, without retries.
 type Usage struct {
-	Asked       float64 // requests that are no retries
-	WithinQuota float64 // of them, those within its quota at this instance
+	Asked       float64 // all requests
+	WithinQuota float64 // the requests within the tenant's quota at this instance
 }
 
-// Usage returns the usage of each tenant, in the order of Settings.Tenants; it is empty before the first
-// list.
+// Usage returns the usage of each tenant in the order of Settings.Tenants. It is empty before the first
+// endpoint list.
 func (b *Balancer) Usage() []Usage {
 	usage := make([]Usage, len(b.tenants))
 	for i := range b.tenants {
@@ -21,19 +21,19 @@
 	return usage
 }
 
-// QuotaShares are this instance's parts of the fleet's quotas, as rates a second: one set until a time and
-// the fallback from then on (docs/BUDGETS.md).
+// QuotaShares holds the share of this instance in the quotas of the fleet. Rates are per second; the fallback
+// rates apply from Until on.
 type QuotaShares struct {
 	TenantRates         []float64     // in the order of Settings.Tenants
-	TenantFallbackRates []float64     // from Until on
-	RetryRate           float64       // further attempts; negative leaves the retry budget to answered calls
-	RetryFallbackRate   float64       // from Until on
-	Until               time.Duration // 0 for no end
+	TenantFallbackRates []float64     // in the order of Settings.Tenants
+	RetryRate           float64       // retries per second; if negative, answered calls refill the retry budget
+	RetryFallbackRate   float64       // retries per second from Until on
+	Until               time.Duration // 0 if the rates do not expire
 }
 
 // SetQuotaShares sets the rate of each tenant's quota at this instance, in place of an even part of the
-// tenant's quota. Quotas then no longer grow with what is served here, as the shares of all instances add
-// up. The end of the rates takes effect by itself, however late the next shares come.
+// quota. The quotas are then no longer relaxed with the answer rate of this instance, because the shares of
+// all instances add up to the quotas. The rates expire at their end without a further call.
 func (b *Balancer) SetQuotaShares(now time.Duration, shares QuotaShares) {
 	if b.tenants == nil {
 		b.startTenantBuckets(now)
@@ -50,13 +50,13 @@
 	if b.fleetRetries == nil {
 		b.fleetRetries = &tokenBucket{updatedAt: now}
 	}
-	// The bucket continues with what is left of the retry budget.
+	// The bucket starts with the current level of the retry budget.
 	b.fleetRetries.level = b.retryTokens
 	b.fleetRetries.setRate(now, shares.RetryRate, shares.RetryFallbackRate, shares.Until, 1)
 	b.retryTokens = max(b.fleetRetries.level, 0)
 }
 
-// startTenantBuckets makes the token buckets of the tenants, each with an even part of the quota.
+// startTenantBuckets creates the token buckets of the tenants, each with an even part of the tenant's quota.
 func (b *Balancer) startTenantBuckets(now time.Duration) {
 	for _, t := range b.settings.Tenants {
 		rate := t.QuotaPerS / float64(b.settings.Instances)
@@ -65,11 +65,13 @@
 	}
 }
 
-// isOverQuota meters a tenant's request against its quota at this instance. Callers come unevenly, so where
-// an instance serves clearly more than an even part of all quotas, each tenant's grows alike, and one that
-// floods still stands out. Quotas grow somewhat faster than what is served: else half of the requests would
-// be beyond quotas that are just met. A retry counts as beyond its quota: most retries are of requests that
-// were refused for that, and would use up the quota of new ones. Only the first tier meters.
+// isOverQuota takes a request from the quota of its tenant at this instance and reports whether the request
+// is beyond it. Callers are not evenly distributed over the instances. If an instance serves clearly more
+// than an even part of all quotas, the quotas of all tenants are relaxed by the same factor, so that a tenant
+// with too many requests still stands out. The quotas grow somewhat faster than the answer rate; otherwise
+// half of the requests would exceed quotas that are just met. A retry always counts as beyond the quota: most
+// retries follow a refusal for that reason, and would use up the quota of new requests. Only the first tier
+// checks quotas.
 func (b *Balancer) isOverQuota(now time.Duration, q Request) bool {
 	if b.settings.Stage > 0 || q.Tenant >= len(b.tenants) || q.IsRetry {
 		return b.settings.Stage == 0 && q.Tenant < len(b.tenants)
@@ -81,18 +83,19 @@
 	return !b.tenants[q.Tenant].take(now, 1/(1+quotaRelaxation*excess))
 }
 
-// capacityIsShort reports whether capacity is short, as far as this instance sees: requests wait, the limit
-// on calls in flight is reached, or calls take too long. While it is not, no request is refused for being
-// beyond its quota. A shortage counts for a rate window: without that, requests beyond quotas fill each gap
-// up to the limit, and endpoints are pushed over. It counts for less the more instances share the callers,
-// as there an even part of the quotas says less, and a limit of a few calls is reached by chance.
+// capacityIsShort reports whether this instance sees a shortage of capacity: requests are queued, the limit
+// on calls in flight is reached, or calls take too long. Without a shortage, no request is refused for
+// exceeding a quota. A shortage lasts for a rate window after its last sign. Otherwise requests beyond quotas
+// would fill each gap up to the limit and overload endpoints. It lasts shorter the more instances share the
+// callers: an even part of the quotas then says less about one instance, and a limit of a few calls is often
+// reached by chance.
 func (b *Balancer) capacityIsShort(now time.Duration) bool {
 	b.updateInFlightLimit(now)
 	maxPressure := 1.0
 	if b.settings.Instances > len(b.listed) {
 		maxPressure = overQuotaPressure
 	}
-	isRecent := now-b.pressureAt <= b.rateWindow // without answers the pressure is of the past
+	isRecent := now-b.pressureAt <= b.rateWindow // without recent answers, the pressure is outdated
 	isSlow := isRecent && b.latencyPressure > maxPressure
 	if len(b.queue) > 0 || isSlow || b.countedInFlight(now)+1 > b.inFlightLimit {
 		b.shortageUntil = now + b.rateWindow/time.Duration(b.settings.Instances)
--- a/internal/decision/retries.go
+++ b/internal/decision/retries.go
@@ -4,9 +4,9 @@
 	"time"
 )
 
-// retryOrFinish decides what follows an attempt that failed: it queues the request again where its class,
-// the retry budget, the limit on attempts and the time left allow that, else it gives the final answer. An
-// attempt that never ran costs nothing of the budget.
+// retryOrFinish decides what follows a failed attempt. It queues the request again if its class, the retry
+// budget, the limit on attempts and the remaining time allow that. Otherwise it gives the final answer. A
+// retry after an attempt that never ran takes nothing from the budget.
 func (b *Balancer) retryOrFinish(now time.Duration, r *request, e *endpoint, o Outcome) {
 	r.lastFailedEndpoint = e
 	if !o.Status.NeverRan() {
@@ -26,7 +26,7 @@
 	b.enqueue(r)
 }
 
-// finish gives the final answer: Refuse where a retry by the client is proven harmless, else Fail.
+// finish gives the final answer: Refuse if a retry by the client is certainly harmless, otherwise Fail.
 func (b *Balancer) finish(now time.Duration, r *request) {
 	r.final = true
 	if r.mayHaveRunOn == nil && r.current == nil || r.class.Effect == Safe ||
@@ -40,11 +40,11 @@
 	}
 }
 
-// retryAfter is the time after which a refused client should return: when what is queued and in flight now
-// has been answered at the present rate, but no sooner than after the time that it has waited here in vain.
-// Clients that return sooner find the same queue. Where no rate is known, or no listed endpoint may serve
-// the request, it is a rate window. Where this instance ends before that, it is the time until its
-// successor serves.
+// retryAfter returns the time after which a refused client should retry. It is the time in which the requests
+// that are queued and in flight now are answered at the current rate, and at least the time that the client
+// has already waited here without an attempt: clients that return sooner find the same queue. If no rate is
+// known, or no listed endpoint may serve the request, it is one rate window. If this instance ends before
+// that, it is the time until its successor serves.
 func (b *Balancer) retryAfter(now time.Duration, r *request) (wait time.Duration) {
 	if r.attempts == 0 {
 		wait = now - r.arrivedAt
@@ -58,14 +58,15 @@
 	wait = min(max(wait, backlog, seconds(minRetryAfterWindows*b.rateWindow.Seconds())), longest)
 	switch {
 	case b.hasSuccessor:
-		wait = min(b.tickInterval, longest) // its queue is its own
+		wait = min(b.tickInterval, longest) // the queue of the successor is independent of this one
 	case b.settings.Instances == 1 && b.endsBeforeAnswer(now+wait, r.class):
 		wait = min(b.drainDeadline+seconds(successorStartSeconds)-now, longest)
 	}
 	return wait
 }
 
-// refillRetryBudget adds what an answered call earns to the retry budget, where the fleet does not set its rate.
+// refillRetryBudget adds the tokens of one answered call to the retry budget, unless the fleet sets the rate
+// of the budget.
 func (b *Balancer) refillRetryBudget() {
 	if b.fleetRetries == nil {
 		b.retryTokens = min(b.retryTokens+retryTokensPerAnswer, maxRetryTokens)
--- a/internal/decision/selection.go
+++ b/internal/decision/selection.go
@@ -4,19 +4,20 @@
 	"time"
 )
 
-// pick chooses an endpoint for a request: an ejected one that is due for a trial call, else the less loaded
-// of two that are drawn among the healthy endpoints with capacity. Where no endpoint is healthy, silent and
-// ejected ones serve: ejection never empties the set. It returns nil where the request has to wait.
+// pick selects an endpoint for a request: an ejected endpoint that is due for a trial call, or the less
+// loaded of two that are drawn from the healthy endpoints with capacity. If no endpoint is healthy, it
+// selects a silent or ejected one, so that ejections never leave a request without an endpoint. It returns
+// nil if the request has to wait.
 func (b *Balancer) pick(now time.Duration, r *request) (to *endpoint, trial bool) {
 	if e := b.endpointDueForTrial(now, r); e != nil {
 		return e, true
 	}
 	healthy := 0
-	candidates, from := b.scratch[:0], b.subset
+	candidates, eligible := b.scratch[:0], b.subset
 	if r.attempts > 0 {
-		from = b.listed
+		eligible = b.listed
 	}
-	for _, e := range from {
+	for _, e := range eligible {
 		if !b.isHealthyFor(now, r, e) {
 			continue
 		}
@@ -42,9 +43,10 @@
 	return e, e != nil && e.state == stateEjected
 }
 
-// isHealthyFor reports whether an endpoint is a healthy choice for a request, capacity aside. A further
-// attempt goes to the endpoint of the last one only where no other is healthy. It may leave the subset, but
-// not for an endpoint in slow start: the further attempts of all instances together would overload that.
+// isHealthyFor reports whether an endpoint is a healthy choice for a request, regardless of its capacity. A
+// retry goes to the endpoint of the last attempt only if no other endpoint is healthy. A retry may leave the
+// subset, but not for an endpoint in slow start: the retries of all instances together would overload that
+// endpoint.
 func (b *Balancer) isHealthyFor(now time.Duration, r *request, e *endpoint) bool {
 	if e == r.lastFailedEndpoint && len(b.listed) > 1 {
 		return false
@@ -56,17 +58,18 @@
 }
 
 // drawLeastLoaded draws distinct candidates at random by their draw weight and returns the one with the
-// fewest calls in flight for its weight; of equals the one drawn first, so that ties follow the weights. A
-// coin between equals gave both endpoints of a subset of two the same, whatever their weights.
+// fewest calls in flight relative to its weight. Of equally loaded candidates it returns the one drawn first,
+// so that ties follow the weights. A random choice between them would give both endpoints of a subset of two
+// the same number of calls, regardless of their weights.
 func (b *Balancer) drawLeastLoaded(now time.Duration, candidates []*endpoint) *endpoint {
 	var best *endpoint
 	leastLoad := 0.0
-	for n := 0; n < drawCandidates && len(candidates) > 0; n++ {
+	for drawn := 0; drawn < drawCandidates && len(candidates) > 0; drawn++ {
 		i := b.drawIndex(now, candidates)
 		e := candidates[i]
 		candidates[i] = candidates[len(candidates)-1]
 		candidates = candidates[:len(candidates)-1]
-		// The same number of calls in flight is a longer queue at a smaller endpoint.
+		// The same number of calls in flight means a longer queue at a smaller endpoint.
 		if load := float64(b.callsAt(now, e)) / b.drawWeight(e); best == nil || load < leastLoad {
 			best, leastLoad = e, load
 		}
@@ -74,23 +77,25 @@
 	return best
 }
 
-// drawIndex draws the index of one candidate, by draw weight and share of capacity.
+// drawIndex draws the index of one candidate at random, in proportion to its draw weight and share of
+// capacity.
 func (b *Balancer) drawIndex(now time.Duration, candidates []*endpoint) int {
 	total := 0.0
 	for _, e := range candidates {
 		total += b.capacityShare(now, e) * b.drawWeight(e)
 	}
-	rest := b.rng.Float64() * total
+	remaining := b.rng.Float64() * total
 	for i, e := range candidates[:len(candidates)-1] {
-		if rest -= b.capacityShare(now, e) * b.drawWeight(e); rest < 0 {
+		if remaining -= b.capacityShare(now, e) * b.drawWeight(e); remaining < 0 {
 			return i
 		}
 	}
 	return len(candidates) - 1
 }
 
-// isSafeToSend reports whether a request may be sent to an endpoint without the risk of a duplicate run: a
-// request that may have run goes on only if it is Safe, or Keyed within its scope and window.
+// isSafeToSend reports whether a request may be sent to an endpoint without the risk of a duplicate run. A
+// request that may have run is sent again only if it is Safe, or if it is Keyed and within its scope and
+// window.
 func (b *Balancer) isSafeToSend(now time.Duration, r *request, e *endpoint) bool {
 	if r.mayHaveRunOn == nil || r.class.Effect == Safe {
 		return true
@@ -107,9 +112,9 @@
 	return true
 }
 
-// drawWeight is an endpoint's weight in a draw: its relative capacity, by the part of it in the subset, or
-// in full for a further attempt that has left the subset. An instance has so few calls in flight that the
-// draw, and not the comparison of loads, keeps small machines from getting as much as large ones.
+// drawWeight returns the weight of an endpoint in a draw: its relative capacity, multiplied by the part of it
+// that is in the subset, or in full for a retry that leaves the subset. An instance has only a few calls in
+// flight, so the comparison of loads alone would give small machines as many calls as large ones.
 func (b *Balancer) drawWeight(e *endpoint) float64 {
 	if e.subsetWeight > 0 {
 		return b.relativeCapacity(e) * e.subsetWeight / b.weight(e)
@@ -117,12 +122,13 @@
 	return b.relativeCapacity(e)
 }
 
-// relativeCapacity is what an endpoint can serve beside others: its listed weight, corrected by how much
-// slower it is than its machine kind; where the list weighs all alike, what its reported service time or
-// its latency shows.
+// relativeCapacity returns the capacity of an endpoint relative to others. It is the listed weight, corrected
+// by how much slower the endpoint is than its machine kind. If the list has no usable weights, it comes from
+// the reported service times or, without reports, from the latency.
 func (b *Balancer) relativeCapacity(e *endpoint) float64 {
 	if len(b.kindServiceTime) > 0 && !b.hasListedWeights {
-		return b.kindSpeed(e) * b.kindServiceTime[min(e.machineKind, len(b.kindServiceTime)-1)].relativeTo(e.serviceTime)
+		kindMean := b.kindServiceTime[min(e.machineKind, len(b.kindServiceTime)-1)]
+		return b.kindSpeed(e) * kindMean.relativeTo(e.serviceTime)
 	}
 	if !b.hasListedWeights {
 		return 1 / b.relativeLatency(e)
@@ -130,8 +136,8 @@
 	return e.weight * b.kindLatencyRatio(e) / b.relativeLatency(e)
 }
 
-// weight is an endpoint's listed weight where the list tells endpoints apart, else the speed of its machine
-// kind.
+// weight returns the listed weight of an endpoint or, if the list has no usable weights, the speed of its
+// machine kind.
 func (b *Balancer) weight(e *endpoint) float64 {
 	if b.hasListedWeights {
 		return e.weight
@@ -139,17 +145,17 @@
 	return b.kindSpeed(e)
 }
 
-// kindSpeed is the speed of an endpoint's machine kind, relative to the mean of all kinds, by the service
-// times that endpoints report; 1 without reports.
+// kindSpeed returns the speed of the endpoint's machine kind relative to the mean of all kinds, according to
+// the service times that endpoints report. The result is 1 without reports.
 func (b *Balancer) kindSpeed(e *endpoint) float64 {
-	sum, n := 0.0, 0.0
-	for _, k := range b.kindServiceTime {
-		if k.count > 0 {
-			sum, n = sum+1/k.mean, n+1
+	speedSum, kinds := 0.0, 0.0
+	for _, kind := range b.kindServiceTime {
+		if kind.count > 0 {
+			speedSum, kinds = speedSum+1/kind.mean, kinds+1
 		}
 	}
 	if e.machineKind >= len(b.kindServiceTime) || b.kindServiceTime[e.machineKind].count == 0 {
 		return 1
 	}
-	return n / sum / b.kindServiceTime[e.machineKind].mean
+	return kinds / speedSum / b.kindServiceTime[e.machineKind].mean
 }
