--- a/internal/decision/predecessor.go
+++ b/internal/decision/predecessor.go
@@ -24,8 +24,8 @@
 }
 
 // SetPredecessorCalls sets the number of calls that the preceding process has in flight at each endpoint.
-// They count like the calls of this process until the next update, but at most until the time validUntil,
-// because a process that is killed sends no more updates.
+// They count like the calls of this process until the next update, but at most until the given time, because
+// a process that is killed sends no more updates.
 func (b *Balancer) SetPredecessorCalls(now time.Duration, calls map[EndpointID]int, until time.Duration) {
 	b.predecessor = predecessorCalls{calls: calls, validUntil: until}
 	for id, n := range calls {
--- a/internal/decision/slow_start.go
+++ b/internal/decision/slow_start.go
@@ -5,32 +5,33 @@
 )
 
 // startSlowStart puts an endpoint into slow start, with a warm-up that began at the given time. An endpoint
-// that leaves and returns again and again gets no new token for it within a rate window.
-func (b *Balancer) startSlowStart(now time.Duration, e *endpoint, from time.Duration) {
+// that leaves and returns repeatedly gets no new token within a rate window.
+func (b *Balancer) startSlowStart(now time.Duration, e *endpoint, warmUpStart time.Duration) {
 	b.recountCalls(e)
 	b.setState(e, stateSlowStart)
-	e.slowStartFrom = from
+	e.slowStartFrom = warmUpStart
 	if now-e.slowStartTokensAt < b.rateWindow {
 		return
 	}
 	e.slowStartTokens, e.slowStartTokensAt = 1, now
-	if now-from < seconds(returnedWarmShare*b.settings.WarmUp.Seconds()) {
-		e.slowStartTokens = b.rng.Float64() // all instances learn of a start at the same time
+	if now-warmUpStart < seconds(returnedWarmShare*b.settings.WarmUp.Seconds()) {
+		e.slowStartTokens = b.rng.Float64() // random, because all instances learn of a start at the same time
 	}
 }
 
-// slowStartOrigin is the start of the warm-up of an endpoint that is back without a sign of a restart: it
-// need not begin anew, but an endpoint that was cold before is no warmer for having been away.
+// slowStartOrigin returns the assumed start of the warm-up of an endpoint that returns without a sign of a
+// restart. Such an endpoint skips a part of the warm-up, but one that was cold before does not count as
+// warmer than its last known start allows.
 func (b *Balancer) slowStartOrigin(now time.Duration, e *endpoint) time.Duration {
-	from := now - seconds(returnedWarmShare*b.settings.WarmUp.Seconds())
-	if last := max(e.slowStartFrom, e.started); last > 0 {
-		from = max(from, last)
+	origin := now - seconds(returnedWarmShare*b.settings.WarmUp.Seconds())
+	if lastStart := max(e.slowStartFrom, e.started); lastStart > 0 {
+		origin = max(origin, lastStart)
 	}
-	return from
+	return origin
 }
 
-// capacityShare is the share of its capacity that an endpoint is taken to have: it grows from ColdCapacity
-// to 1 over WarmUp in slow start, and is 1 otherwise.
+// capacityShare returns the share of its full capacity that an endpoint is assumed to have. In slow start it
+// grows from ColdCapacity to 1 over WarmUp; otherwise it is 1.
 func (b *Balancer) capacityShare(now time.Duration, e *endpoint) float64 {
 	if e.state != stateSlowStart || b.settings.WarmUp == 0 {
 		return 1
@@ -40,24 +41,25 @@
 	return min(max(share, cold), 1)
 }
 
-// hasSlowStartToken caps the send rate to an endpoint in slow start at its share of what a warm one is
-// sent, by a token bucket. A draw by that share alone would overload cold endpoints when nearly all are
-// cold. The rate follows the draw weight too, else a slow machine, or one of which a small part lies in
-// each of many subsets, would get as much as a fast one.
+// hasSlowStartToken reports whether an endpoint in slow start may get a call now. A token bucket caps its
+// send rate in proportion to its capacity share and to the send rate of warm endpoints. A draw by capacity
+// share alone would overload cold endpoints when nearly all endpoints are cold. The rate is also proportional
+// to the draw weight. Otherwise a slow machine, or one of which many subsets contain a small part, would get
+// as many calls as a fast one.
 func (b *Balancer) hasSlowStartToken(now time.Duration, e *endpoint) bool {
-	warm := b.warmSendRate(now)
+	warmRate := b.warmSendRate(now)
 	if b.warmSends.peakRate == 0 && b.instancesPerEndpoint() <= callersPerEndpoint {
-		return len(e.calls) == 0 // one call of each of those few instances is no more than chance would bring
+		return len(e.calls) == 0 // so few instances, with one call each, do not overload it
 	}
 	headroom := max(slowStartHeadroom*b.settings.OverloadMultiple, 1)
-	rate := headroom * b.capacityShare(now, e) * warm * b.drawWeight(e)
+	rate := headroom * b.capacityShare(now, e) * warmRate * b.drawWeight(e)
 	earned := rate * (now - e.slowStartTokensAt).Seconds()
 	e.slowStartTokens = min(e.slowStartTokens+earned, 1+rate*b.rateWindow.Seconds()/4)
 	e.slowStartTokensAt = now
 	return e.slowStartTokens >= 1
 }
 
-// warmSubsetWeight is the sum of the draw weights of the usable endpoints in the subset.
+// warmSubsetWeight returns the sum of the draw weights of the usable endpoints in the subset.
 func (b *Balancer) warmSubsetWeight() float64 {
 	sum := 0.0
 	for _, e := range b.subset {
@@ -68,13 +70,14 @@
 	return sum
 }
 
-// instancesPerEndpoint is the number of instances whose subsets an endpoint is in, on average.
+// instancesPerEndpoint returns the mean number of instances whose subsets contain a given endpoint.
 func (b *Balancer) instancesPerEndpoint() float64 {
 	return float64(b.settings.Instances) * b.subsetSize / float64(max(len(b.listed), 1))
 }
 
-// warmSendRate is the peak rate of sends to warm endpoints for each unit of draw weight. Where none has
-// been sent to, it is the rate that the demand would give if the whole subset were warm.
+// warmSendRate returns the peak rate of sends to warm endpoints per unit of draw weight. If nothing has been
+// sent to a warm endpoint yet, it returns the rate at which the present demand would reach a fully warm
+// subset.
 func (b *Balancer) warmSendRate(now time.Duration) float64 {
 	if b.warmSends.peakRate > 0 {
 		return b.warmSends.peak(now, b.rateWindow)
--- a/internal/decision/snapshot.go
+++ b/internal/decision/snapshot.go
@@ -4,59 +4,59 @@
 	"time"
 )
 
-// Snapshot is the statistics of a process, which its successor starts from. Without it a process that
-// starts on an overloaded tier would learn overloaded latencies as those of little load. Times are
-// relative, as the processes' clocks differ. The JSON keys are fixed: processes of different builds
-// exchange snapshots.
+// Snapshot holds the statistics of a process for its successor. Without them, a process that starts on an
+// overloaded tier would learn the latencies of the overload as those of little load. Times are relative,
+// because the clocks of the two processes differ. The JSON keys are fixed, because processes of different
+// builds exchange snapshots.
 type Snapshot struct {
 	Classes          []ClassSnapshot    `json:"classes"` // in the order of Settings.Classes
 	Endpoints        []EndpointSnapshot `json:"endpoints,omitempty"`
-	KindLatency      []MeanSnapshot     `json:"kinds,omitempty"`    // by machine kind: latency over the class's mean
-	KindServiceTime  []MeanSnapshot     `json:"services,omitempty"` // by machine kind: reported seconds of service
-	BaseLoad         RateSnapshot       `json:"rate"`               // base latencies answered, for each endpoint
-	SlackLoad        RateSnapshot       `json:"spare"`              // share of the time from there to the target
+	KindLatency      []MeanSnapshot     `json:"kinds,omitempty"`    // by machine kind: relative latency
+	KindServiceTime  []MeanSnapshot     `json:"services,omitempty"` // by machine kind: service time, s
+	BaseLoad         RateSnapshot       `json:"rate"`               // base latencies answered, per endpoint
+	SlackLoad        RateSnapshot       `json:"spare"`              // latency slack answered, per endpoint
 	AnswerRate       RateSnapshot       `json:"served"`
 	RequestRate      RateSnapshot       `json:"asked"`
-	WarmSends        RateSnapshot       `json:"warm"`             // for each unit of warm draw weight
+	WarmSends        RateSnapshot       `json:"warm"`             // per unit of draw weight
 	ErrorRate        float64            `json:"errors"`           // share of answers that are errors
-	MissingShare     float64            `json:"strays"`           // share of lost calls that go missing
-	RetryTokens      float64            `json:"budget"`           // further attempts that may be made
+	MissingShare     float64            `json:"strays"`           // share of lost calls that are never answered
+	RetryTokens      float64            `json:"budget"`           // retries that the budget allows
 	MeanRetryElapsed float64            `json:"repeatSpent"`      // seconds
 	TenantTokens     []float64          `json:"shares,omitempty"` // in the order of Settings.Tenants
 }
 
-// ClassSnapshot is the statistics of a class; latencies are in seconds.
+// ClassSnapshot holds the statistics of a class; latencies are in seconds.
 type ClassSnapshot struct {
 	Name         string        `json:"name"`
-	Windows      int           `json:"windows"` // seen so far; 0 where nothing is known
+	Windows      int           `json:"windows"` // number of complete windows; 0 without statistics
 	MeanLatency  float64       `json:"mean"`
 	BaseLatency  float64       `json:"base"`
 	UsualLatency float64       `json:"usual"`
 	TailRatio    float64       `json:"tail"` // in mean latencies
 	MaxRemaining time.Duration `json:"maxLeft"`
-	Requests     float64       `json:"asked"` // recent ones
-	OnTime       float64       `json:"good"`  // of them, those answered within their latency target
+	Requests     float64       `json:"asked"` // recent requests
+	OnTime       float64       `json:"good"`  // recent requests that were answered within the latency target
 }
 
-// EndpointSnapshot is the statistics and the state of an endpoint.
+// EndpointSnapshot holds the statistics and the state of an endpoint.
 type EndpointSnapshot struct {
 	ID           EndpointID    `json:"id"`
-	LatencyRatio MeanSnapshot  `json:"pace"`    // latency over the class's mean
-	ServiceTime  MeanSnapshot  `json:"service"` // reported seconds of service
+	LatencyRatio MeanSnapshot  `json:"pace"`    // latency divided by the mean of the class
+	ServiceTime  MeanSnapshot  `json:"service"` // reported service time in seconds
 	ErrorRate    float64       `json:"errors,omitempty"`
 	LossRate     float64       `json:"losses,omitempty"`
 	Ejected      bool          `json:"isolated,omitempty"`
 	InSlowStart  bool          `json:"ramping,omitempty"`
-	SlowStartAge time.Duration `json:"ramped,omitempty"` // since its warm-up began
+	SlowStartAge time.Duration `json:"ramped,omitempty"` // time since the warm-up began
 }
 
-// MeanSnapshot is a mean and the number of answers that it rests on.
+// MeanSnapshot holds a mean and the number of answers that it includes.
 type MeanSnapshot struct {
 	Mean  float64 `json:"mean"`
 	Count float64 `json:"n"`
 }
 
-// RateSnapshot is a rate, a second, and its recent peak.
+// RateSnapshot holds a rate per second and its recent peak.
 type RateSnapshot struct {
 	Current float64 `json:"now"`
 	Peak    float64 `json:"peak"`
@@ -84,9 +84,9 @@
 		s.Classes = append(s.Classes, b.classes[i].snapshot())
 	}
 	for _, e := range b.listed {
-		x := e.snapshot(now)
-		if len(s.Endpoints) < maxSnapshotEndpoints && x != (EndpointSnapshot{ID: e.id}) {
-			s.Endpoints = append(s.Endpoints, x)
+		snapshot := e.snapshot(now)
+		if len(s.Endpoints) < maxSnapshotEndpoints && snapshot != (EndpointSnapshot{ID: e.id}) {
+			s.Endpoints = append(s.Endpoints, snapshot)
 		}
 	}
 	for i := range b.tenants {
@@ -111,7 +111,7 @@
 	}
 }
 
-// restore takes the statistics of a class; its window of answers begins anew.
+// restore sets the statistics of a class from a snapshot and starts a new window of answers.
 func (c *class) restore(now time.Duration, s ClassSnapshot) {
 	c.windows = s.Windows
 	c.meanLatency = s.MeanLatency
@@ -149,27 +149,27 @@
 	return snapshots
 }
 
-// Restore takes the statistics of the preceding process, unless this one has seen as many latency windows
-// itself: the one that has seen the tier for longer saw it at little load. Where any value is impossible
-// none is taken, and the error names it.
+// Restore sets the statistics from a snapshot of the preceding process, unless this process has seen at least
+// as many latency windows itself: the process that has observed the tier for longer is more likely to have
+// seen it at little load. If any value is invalid, nothing is restored, and the error names that value.
 func (b *Balancer) Restore(now time.Duration, s Snapshot) error {
 	if err := s.validate(b.classes); err != nil {
 		return err
 	}
-	own, theirs := 0, 0
+	ownWindows, snapshotWindows := 0, 0
 	for i, c := range b.classes {
-		own += c.windows
-		theirs += s.Classes[i].Windows
+		ownWindows += c.windows
+		snapshotWindows += s.Classes[i].Windows
 	}
-	if theirs <= own {
+	if snapshotWindows <= ownWindows {
 		return nil
 	}
 	for i, class := range s.Classes {
 		b.classes[i].restore(now, class)
 	}
 	b.kindLatency, b.kindServiceTime = restoreMeans(s.KindLatency), restoreMeans(s.KindServiceTime)
-	for _, x := range s.Endpoints {
-		b.restoreEndpoint(now, x)
+	for _, e := range s.Endpoints {
+		b.restoreEndpoint(now, e)
 	}
 	b.baseLoad = s.BaseLoad.rate(now)
 	b.slackLoad = s.SlackLoad.rate(now)
@@ -187,12 +187,12 @@
 	return nil
 }
 
-// rate converts a snapshot back to a rate.
+// rate returns the smoothed rate of a snapshot, as of now.
 func (s RateSnapshot) rate(now time.Duration) smoothedRate {
 	return smoothedRate{current: s.Current, peakRate: s.Peak, updatedAt: now}
 }
 
-// restoreMeans converts snapshots back to means.
+// restoreMeans converts snapshots to means.
 func restoreMeans(snapshots []MeanSnapshot) (means []runningMean) {
 	for _, s := range snapshots {
 		means = append(means, runningMean{s.Mean, s.Count})
@@ -200,8 +200,8 @@
 	return means
 }
 
-// restoreEndpoint takes the statistics and the state that an endpoint had at the preceding process. It is
-// skipped where that had another list: the endpoint is unknown here, or its machine kind was unknown there.
+// restoreEndpoint sets the statistics and the state of an endpoint from a snapshot. It skips an endpoint that
+// is not in the list of this process, or whose machine kind was not in the list of the preceding process.
 func (b *Balancer) restoreEndpoint(now time.Duration, s EndpointSnapshot) {
 	e := b.byID[s.ID]
 	if e == nil {
--- a/internal/decision/statistics.go
+++ b/internal/decision/statistics.go
@@ -4,27 +4,27 @@
 	"time"
 )
 
-// class is a class of requests with its statistics of latency.
+// class is a class of requests with its latency statistics.
 type class struct {
 	Class
-	meanLatency   float64       // seconds, smoothed
-	baseLatency   float64       // seconds, at little load
-	usualLatency  float64       // seconds, at a usual load
-	tailRatio     float64       // 99th percentile, in mean latencies
-	windows       int           // windows of answers that are complete
-	windowSum     float64       // seconds of latency in the present window
-	windowAnswers int           // answers in it
-	windowStart   time.Duration // its start
+	meanLatency   float64       // smoothed latency in seconds
+	baseLatency   float64       // latency at little load, in seconds
+	usualLatency  float64       // latency at the usual load, in seconds
+	tailRatio     float64       // 99th percentile of the latency, in mean latencies
+	windows       int           // number of complete windows of answers
+	windowSum     float64       // sum of the latencies in the current window, in seconds
+	windowAnswers int           // number of answers in the current window
+	windowStart   time.Duration // start of the current window
 	maxRemaining  time.Duration // longest remaining time of a request so far
-	requests      float64       // recent requests
-	onTime        float64       // of them, those answered within their latency target
-	marginalValue float64       // what serving one more unit of work adds to the site's score
+	requests      float64       // number of recent requests
+	onTime        float64       // recent requests that were answered within their latency target
+	marginalValue float64       // increase of the site's score per unit of work served
 }
 
-// updateBase moves the base and the usual latency by the mean of a window. The first window has only the
-// answers to the first calls, which are short, and is skipped: a base learned from it would hold back
-// nearly everything. The base latency follows the lowest windows and comes to lie well under the mean of a
-// lightly loaded tier, so pressure is measured against the usual latency instead.
+// updateBase moves the base and the usual latency towards the mean of a window. It skips the first window,
+// which contains only the answers to the first, short calls: a base latency learned from it would keep nearly
+// all requests in the queue. The base latency follows the lowest windows and settles well below the mean of a
+// lightly loaded tier. Latency pressure is therefore relative to the usual latency.
 func (c *class) updateBase(mean float64) {
 	c.windows++
 	if c.windows <= baseSkippedWindows+1 {
@@ -35,10 +35,10 @@
 	c.baseLatency = moveTowards(c.baseLatency, mean, baseRiseWeight)
 }
 
-// recordLatency takes an answer's latency into the statistics of its class and its endpoint and into the
+// recordLatency adds the latency of an answer to the statistics of its class and its endpoint, and to the
 // rates.
-func (b *Balancer) recordLatency(now time.Duration, r *request, e *endpoint, took time.Duration) {
-	c, s := r.class, took.Seconds()
+func (b *Balancer) recordLatency(now time.Duration, r *request, e *endpoint, latency time.Duration) {
+	c, s := r.class, latency.Seconds()
 	if c.meanLatency == 0 {
 		c.meanLatency, c.baseLatency = s, s
 	}
@@ -56,50 +56,51 @@
 		c.updateBase(c.windowSum / float64(c.windowAnswers))
 		c.windowSum, c.windowAnswers, c.windowStart = 0, 0, now
 	}
-	able := b.usableCapacity(now)
-	b.baseLoad.add(now, b.rateWindow, c.baseLatency/able)
-	b.slackLoad.add(now, b.rateWindow, slackShare*max(c.LatencyTarget.Seconds()-c.baseLatency, 0)/able)
+	capacity := b.usableCapacity(now)
+	b.baseLoad.add(now, b.rateWindow, c.baseLatency/capacity)
+	b.slackLoad.add(now, b.rateWindow, slackShare*max(c.LatencyTarget.Seconds()-c.baseLatency, 0)/capacity)
 	b.recordLatencyRatio(e, s/c.meanLatency)
 	b.answerRate.add(now, b.rateWindow, 1)
 }
 
-// recordLoadReport takes the service time that an endpoint reports. It shows how fast a machine is within
-// an answer or two; the latency of calls does not, as it includes the time of the tiers below.
-func (b *Balancer) recordLoadReport(e *endpoint, l *Load) {
-	if l == nil || l.Service <= 0 {
+// recordLoadReport adds the service time that an endpoint reports to the statistics. One or two reports show
+// how fast a machine is. The latency of calls does not, because it includes the time of the tiers below.
+func (b *Balancer) recordLoadReport(e *endpoint, load *Load) {
+	if load == nil || load.Service <= 0 {
 		return
 	}
 	for len(b.kindServiceTime) <= e.machineKind {
 		b.kindServiceTime = append(b.kindServiceTime, runningMean{})
 	}
-	k := &b.kindServiceTime[e.machineKind]
-	if s := l.Service.Seconds(); k.count*kindMeanWeight < 0.5 || s < k.mean {
-		k.add(s, kindMeanWeight)
+	kindMean := &b.kindServiceTime[e.machineKind]
+	if s := load.Service.Seconds(); kindMean.count*kindMeanWeight < 0.5 || s < kindMean.mean {
+		kindMean.add(s, kindMeanWeight)
 	} else {
-		k.add(s, kindMeanWeight/8)
+		kindMean.add(s, kindMeanWeight/8)
 	}
-	e.serviceTime.add(l.Service.Seconds(), reportMeanWeight)
+	e.serviceTime.add(load.Service.Seconds(), reportMeanWeight)
 }
 
-// recordLatencyRatio takes an answer's latency, relative to the mean of its class, into the ratios of its
-// endpoint and of the endpoint's machine kind: a rarely called endpoint is judged by its kind.
-func (b *Balancer) recordLatencyRatio(e *endpoint, slow float64) {
+// recordLatencyRatio adds the latency of an answer, relative to the mean of its class, to the latency ratios
+// of its endpoint and of the endpoint's machine kind. The ratio of the kind stands in for endpoints that are
+// rarely called.
+func (b *Balancer) recordLatencyRatio(e *endpoint, ratio float64) {
 	if e.machineKind >= len(b.kindLatency) {
 		b.kindLatency = append(b.kindLatency, make([]runningMean, e.machineKind+1-len(b.kindLatency))...)
 	}
-	b.kindLatency[e.machineKind].add(slow, kindMeanWeight)
-	e.latencyRatio.add(slow, endpointMeanWeight)
+	b.kindLatency[e.machineKind].add(ratio, kindMeanWeight)
+	e.latencyRatio.add(ratio, endpointMeanWeight)
 }
 
-// relativeLatency is an endpoint's latency over the tier's, drawn towards that of its machine kind while
-// its own answers are few.
+// relativeLatency returns the latency of an endpoint divided by the latency of the tier. While the endpoint
+// has few answers, the result is close to the ratio of its machine kind.
 func (b *Balancer) relativeLatency(e *endpoint) float64 {
 	own := &e.latencyRatio
 	return (kindPriorAnswers*b.kindLatencyRatio(e) + own.count*own.mean) / (kindPriorAnswers + own.count)
 }
 
-// kindLatencyRatio is the latency of an endpoint's machine kind over the tier's; 1 while there are too few
-// answers.
+// kindLatencyRatio returns the latency of the endpoint's machine kind divided by the latency of the tier. The
+// result is 1 while there are too few answers.
 func (b *Balancer) kindLatencyRatio(e *endpoint) float64 {
 	if e.machineKind < len(b.kindLatency) && b.kindLatency[e.machineKind].count >= kindPriorAnswers {
 		return b.kindLatency[e.machineKind].mean
@@ -107,9 +108,9 @@
 	return 1
 }
 
-// recordError takes an answer into the error rates of its endpoint and of the tier: x is 1 for an error and
-// 0 for none.
-func (b *Balancer) recordError(e *endpoint, x, weight float64) {
-	e.errorRate += weight * (x - e.errorRate)
-	b.errorRate += fleetErrorWeight * (x - b.errorRate)
+// recordError adds an answer to the error rates of its endpoint and of the tier. errorValue is 1 for an error
+// and 0 for a good answer; weight applies to the rate of the endpoint.
+func (b *Balancer) recordError(e *endpoint, errorValue, weight float64) {
+	e.errorRate += weight * (errorValue - e.errorRate)
+	b.errorRate += fleetErrorWeight * (errorValue - b.errorRate)
 }
--- a/internal/decision/subset.go
+++ b/internal/decision/subset.go
@@ -5,12 +5,15 @@
 	"slices"
 )
 
-// updateSubset sets which endpoints are in this instance's subset, and with what part of their weight.
-// Where many instances each call every endpoint, idle connections fill the endpoints' tables, and no
-// instance learns much of any endpoint. The subsets tile a ring of the listed weights by the instances'
-// positions, so that together they reach each endpoint in proportion to its weight; an instance that has
-// ejected some goes on along the ring. Draining endpoints are not on the ring: when many left at once,
-// their part fell to the few that came after them.
+// updateSubset selects the endpoints of this instance's subset, and the part of their weight that belongs to
+// it. If many instances called every endpoint, idle connections would fill the connection tables of the
+// endpoints, and no instance would get enough answers from any endpoint to judge it.
+//
+// The endpoints form a ring in which each takes up its weight. The subsets are segments of that ring, placed
+// by the positions of the instances, so that together they reach each endpoint in proportion to its weight.
+// An instance whose segment contains ejected endpoints extends it along the ring. Draining endpoints are not
+// on the ring: otherwise, when many leave at the same time, their load falls on the few endpoints that follow
+// them.
 func (b *Balancer) updateSubset() {
 	b.checkWeights()
 	b.subsetStale = false
@@ -29,7 +32,7 @@
 	b.subsetSize = min(max(evenSize, b.demandedSubset), endpoints)
 	needed := totalWeight * b.subsetSize / endpoints
 	_, skip := math.Modf(float64(b.position) * evenSize / endpoints)
-	skip *= totalWeight // weight on the ring before this instance's part
+	skip *= totalWeight // weight on the ring before the segment of this instance
 	rounding := totalWeight * 1e-9
 	for i := 0; needed > rounding && i < 2*len(b.listed); i++ {
 		e := b.listed[i%len(b.listed)]
@@ -57,21 +60,21 @@
 	sortByID(b.subset)
 }
 
-// checkWeights sets, when weights or endpoints have changed, whether the listed weights are all plausible
-// and tell endpoints apart.
+// checkWeights updates hasListedWeights after a change of weights or endpoints: whether all listed weights
+// are plausible and not all of them are equal.
 func (b *Balancer) checkWeights() {
 	if !b.weightsChanged {
 		return
 	}
 	b.weightsChanged = false
-	apart := func(e *endpoint) bool { return e.weight != b.listed[0].weight }
-	none := func(e *endpoint) bool { return !(e.weight > 0 && e.weight <= maxListedWeight) }
-	b.hasListedWeights = slices.ContainsFunc(b.listed, apart) && !slices.ContainsFunc(b.listed, none)
+	differs := func(e *endpoint) bool { return e.weight != b.listed[0].weight }
+	isImplausible := func(e *endpoint) bool { return !(e.weight > 0 && e.weight <= maxListedWeight) }
+	b.hasListedWeights = slices.ContainsFunc(b.listed, differs) && !slices.ContainsFunc(b.listed, isImplausible)
 }
 
-// ringPosition is an instance's position on the ring: consecutive ordinals are scattered in steps of the
-// golden section. Instances of one zone are numbered consecutively; when callers moved to that zone,
-// subsets side by side on the ring overloaded one part of the tier.
+// ringPosition returns the position of an instance on the ring. Consecutive ordinals are spread out in steps
+// of the golden ratio. Instances of one zone have consecutive ordinals: if their subsets were adjacent on the
+// ring, callers that move to that zone would overload one part of the tier.
 func ringPosition(ordinal, instances int) int {
 	step := max(int(0.618034*float64(instances)), 1)
 	for gcd(step, instances) != 1 {
@@ -80,7 +83,7 @@
 	return ordinal % instances * step % instances
 }
 
-// gcd is the greatest common divisor.
+// gcd returns the greatest common divisor of two positive integers.
 func gcd(a, b int) int {
 	for b != 0 {
 		a, b = b, a%b
--- a/internal/decision/token_bucket.go
+++ b/internal/decision/token_bucket.go
@@ -4,36 +4,39 @@
 	"time"
 )
 
-// tokenBucket meters events at a rate a second, with a fallback rate after a time.
+// tokenBucket limits events to a rate per second, and to a fallback rate after that rate has expired.
 type tokenBucket struct {
-	level        float64 // tokens now; negative on credit
+	level        float64 // tokens at updatedAt; negative if tokens were taken on credit
 	updatedAt    time.Duration
-	rate         float64       // tokens a second
-	rateUntil    time.Duration // end of rate; 0 for none
-	fallbackRate float64       // from rateUntil on
-	capacity     float64       // tokens at the most
-	minCapacity  float64       // part of capacity that does not depend on the rate
+	rate         float64       // tokens per second
+	rateUntil    time.Duration // time when rate expires; 0 if it does not
+	fallbackRate float64       // tokens per second from rateUntil on
+	capacity     float64       // maximum number of tokens
+	minCapacity  float64       // part of capacity that is independent of the rate
 	usage        Usage
 }
 
-// newTokenBucket makes a bucket with a capacity of some seconds of its rate and a few tokens more for
-// chance. It starts nearly empty: a tier that starts overloaded must not be filled with a full burst before
-// that is known.
-func newTokenBucket(now time.Duration, rate, burst float64) tokenBucket {
-	return tokenBucket{rate: rate, level: tenantStartTokens, capacity: tenantBurstBase + rate*burst, updatedAt: now}
+// newTokenBucket returns the bucket of a tenant. Its capacity is burstSeconds of the rate and a few tokens
+// more for random bursts. It starts nearly empty: an instance that starts on an overloaded tier must not
+// admit a full burst before it has detected the overload.
+func newTokenBucket(now time.Duration, rate, burstSeconds float64) tokenBucket {
+	capacity := tenantBurstBase + rate*burstSeconds
+	return tokenBucket{rate: rate, level: tenantStartTokens, capacity: capacity, updatedAt: now}
 }
 
-// setRate sets a rate until a time, and the one from then on. What was saved before counts up to the
-// capacity at the new rate.
-func (b *tokenBucket) setRate(now time.Duration, rate, fallback float64, until time.Duration, minCapacity float64) {
+// setRate sets a rate that is valid until the given time, and the fallback rate from then on. Tokens that are
+// in the bucket remain, up to the capacity at the new rate.
+func (b *tokenBucket) setRate(
+	now time.Duration, rate, fallback float64, until time.Duration, minCapacity float64,
+) {
 	b.spend(now, 0)
 	b.rate, b.fallbackRate, b.rateUntil, b.minCapacity = rate, fallback, until, minCapacity
 	b.capacity = minCapacity + rate*tenantBurstSeconds
 	b.level = min(b.level, b.capacity)
 }
 
-// expireRate changes to the fallback rate at the time when that was due, however late it is called, as
-// after a stall.
+// expireRate changes to the fallback rate as of the time when the rate expired, even if it is called later,
+// for example after the process was suspended.
 func (b *tokenBucket) expireRate(now time.Duration) {
 	if b.rateUntil == 0 || now < b.rateUntil {
 		return
@@ -45,7 +48,7 @@
 	b.level = min(b.level, b.capacity)
 }
 
-// take takes n tokens if they are there, and counts the usage.
+// take takes n tokens if the bucket contains them, and reports whether it did. It also counts the usage.
 func (b *tokenBucket) take(now time.Duration, n float64) bool {
 	b.spend(now, 0)
 	b.usage.Asked++
@@ -57,14 +60,14 @@
 	return true
 }
 
-// spend takes n tokens, on credit where they are not there, down to minus the capacity.
+// spend takes n tokens, on credit if the bucket does not contain them, down to a level of minus the capacity.
 func (b *tokenBucket) spend(now time.Duration, n float64) {
 	b.expireRate(now)
 	b.level = max(min(b.capacity, b.level+b.rate*(now-b.updatedAt).Seconds())-n, -b.capacity)
 	b.updatedAt = now
 }
 
-// setLevel sets the number of tokens, within what the bucket can hold.
+// setLevel sets the number of tokens, within the limits of the bucket.
 func (b *tokenBucket) setLevel(now time.Duration, level float64) {
 	b.level, b.updatedAt = min(max(level, -b.capacity), b.capacity), now
 }
