--- a/internal/decision/admission_test.go
+++ b/internal/decision/admission_test.go
@@ -16,72 +16,75 @@
 	}
 	h.reportOutcome(h.last(), Cancelled, ms)
 	if len(h.sent) != 1 || len(h.fails)+len(h.refusals) > 0 {
-		t.Error("more was done for a client that had gone")
+		t.Error("the request of an abandoned client was sent again or answered")
 	}
 }
 
-// Clients that retry at once are not new. The time that retries have waited, where their remaining time
-// shows it, is assumed for those that do not show it. Served as new requests they filled a tier with calls
-// past their latency target.
+// Some retries show by their remaining time how long the client has waited. Retries that do not show it are
+// assumed to have waited as long. Treated as new requests, they filled a tier with calls past their latency
+// target.
 func TestClientRetriesThatMissTheirTargetAreSentLast(t *testing.T) {
 	h := start(t, settings(), 2)
 	h.serve(200, nil)
 	h.b.Request(h.now, Request{ID: "first", Class: book, Remaining: 3 * time.Second})
 	h.reportOutcome(h.last(), OK, 20*ms)
 	for i := range 50 {
-		h.b.Request(h.now, Request{ID: RequestID(fmt.Sprint("shown", i)), Class: book, Remaining: 1300 * ms, IsRetry: true})
+		id := RequestID(fmt.Sprint("shown", i))
+		h.b.Request(h.now, Request{ID: id, Class: book, Remaining: 1300 * ms, IsRetry: true})
 		h.reportOutcome(h.last(), OK, 20*ms)
 	}
 	for range 60 {
 		h.request(read)
 	}
-	refused := len(h.refusals)
-	h.b.Request(h.now, Request{ID: "repeat", Remaining: 1500 * ms, IsRetry: true})
-	if got := h.refusals[refused:]; !slices.Equal(got, []RequestID{"repeat"}) {
-		t.Errorf("refused %v on a full tier, want the repeat at once", got)
+	refusals := len(h.refusals)
+	h.b.Request(h.now, Request{ID: "retry", Remaining: 1500 * ms, IsRetry: true})
+	if got := h.refusals[refusals:]; !slices.Equal(got, []RequestID{"retry"}) {
+		t.Errorf("refused %v on a full tier, want the retry at once", got)
 	}
 }
 
-// An instance that ends sends nothing that could hardly be answered in time, and states when its successor
-// serves.
+// A draining instance sends no call that would probably not be answered in time. It tells refused clients
+// when its successor serves.
 func TestDrainingInstanceRefusesRequestsThatComeTooLate(t *testing.T) {
 	s := settings()
 	s.MaxRetryAfter = 5 * time.Second
 	h := start(t, s, 4)
 	h.serve(100, nil) // 20 ms each
 	h.request(pay)
-	out := h.last()
+	inFlight := h.last()
 	endsAt := h.now + 200*ms
 	h.b.Drain(h.now, endsAt, false)
-	ask := func(idle int) (sends, refusals int) {
+	request := func(idleConns int) (sends, refusals int) {
 		h.n++
 		sends, refusals = len(h.sent), len(h.refusals)
-		h.b.Request(h.now, Request{ID: RequestID(fmt.Sprint("r", h.n)), Class: read, Remaining: 1500 * ms, IdleConns: idle})
+		id := RequestID(fmt.Sprint("r", h.n))
+		h.b.Request(h.now, Request{ID: id, Class: read, Remaining: 1500 * ms, IdleConns: idleConns})
 		return len(h.sent) - sends, len(h.refusals) - refusals
 	}
-	if sends, _ := ask(minIdleCallerConns); sends != 1 {
-		t.Error("in good time: not sent")
+	if sends, _ := request(minIdleCallerConns); sends != 1 {
+		t.Error("with enough time left: the request is not sent")
 	}
-	if sends, refusals := ask(minIdleCallerConns - 1); sends != 0 || refusals != 1 {
-		t.Errorf("with hardly a connection idle: %d sends, %d refusals", sends, refusals)
+	if sends, refusals := request(minIdleCallerConns - 1); sends != 0 || refusals != 1 {
+		t.Errorf("with too few idle connections: %d sends, %d refusals", sends, refusals)
 	}
 	h.advance(180 * ms)
-	if sends, refusals := ask(minIdleCallerConns); sends != 0 || refusals != 1 {
-		t.Errorf("too late: %d sends, %d refusals", sends, refusals)
+	if sends, refusals := request(minIdleCallerConns); sends != 0 || refusals != 1 {
+		t.Errorf("with too little time left: %d sends, %d refusals", sends, refusals)
 	}
-	if got, want := h.retryAfters[len(h.retryAfters)-1], endsAt+seconds(successorStartSeconds)-h.now; got != want {
-		t.Errorf("told to come back after %v, the successor serves after %v", got, want)
+	successorAfter := endsAt + seconds(successorStartSeconds) - h.now
+	if got := h.retryAfters[len(h.retryAfters)-1]; got != successorAfter {
+		t.Errorf("the client is told to retry after %v, but the successor serves after %v", got, successorAfter)
 	}
 	h.advance(20 * ms)
 	sends := len(h.sent)
-	h.reportOutcome(out, Cancelled, 200*ms)
-	if len(h.sent) != sends || len(h.fails) != 1 || h.fails[0] != out.id {
-		t.Errorf("what was out at the end: %d more sends, failed %v", len(h.sent)-sends, h.fails)
+	h.reportOutcome(inFlight, Cancelled, 200*ms)
+	if len(h.sent) != sends || len(h.fails) != 1 || h.fails[0] != inFlight.id {
+		t.Errorf("call in flight at the end: %d more sends, failed %v", len(h.sent)-sends, h.fails)
 	}
 }
 
-// Where other instances serve on, clients may return as soon as the queue is worked off, and a lack of idle
-// connections refuses nothing.
+// If other instances keep serving, clients may retry as soon as the queue is served, and a lack of idle
+// connections refuses no request.
 func TestDrainingInstanceAmongOthersIgnoresIdleConnections(t *testing.T) {
 	s := settings()
 	s.Instances, s.MaxRetryAfter = 2, 5*time.Second
@@ -91,17 +94,17 @@
 	h.b.Drain(h.now, h.now+200*ms, false)
 	h.request(read)
 	if len(h.sent) != sends+1 {
-		t.Error("in good time: not sent")
+		t.Error("with enough time left: the request is not sent")
 	}
 	h.advance(190 * ms)
 	h.request(read)
 	if len(h.refusals) != 1 || h.retryAfters[0] >= time.Second {
-		t.Errorf("too late: refused %v, told to come back after %v", h.refusals, h.retryAfters)
+		t.Errorf("with too little time left: refused %v, told to retry after %v", h.refusals, h.retryAfters)
 	}
 }
 
-// Where a successor serves already, a lack of idle connections refuses nothing, and refused clients need
-// not wait.
+// If a successor already serves, a lack of idle connections refuses no request, and refused clients need not
+// wait.
 func TestDrainingInstanceWithSuccessorRefusesWithoutWait(t *testing.T) {
 	s := settings()
 	s.MaxRetryAfter = 5 * time.Second
@@ -111,11 +114,11 @@
 	h.b.Drain(h.now, h.now+200*ms, true)
 	h.request(read)
 	if len(h.sent) != sends+1 {
-		t.Error("in good time: not sent")
+		t.Error("with enough time left: the request is not sent")
 	}
 	h.advance(190 * ms)
 	h.request(read)
 	if len(h.refusals) != 1 || h.retryAfters[0] <= 0 || h.retryAfters[0] > 100*ms {
-		t.Errorf("too late: refused %v, told to come back after %v", h.refusals, h.retryAfters)
+		t.Errorf("with too little time left: refused %v, told to retry after %v", h.refusals, h.retryAfters)
 	}
 }
--- a/internal/decision/balancer_test.go
+++ b/internal/decision/balancer_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestNewNamesInvalidSetting(t *testing.T) {
-	for key, spoil := range map[string]func(*Settings){
+	for key, invalidate := range map[string]func(*Settings){
 		"classes":           func(s *Settings) { s.Classes = nil },
 		"classes[0].effect": func(s *Settings) { s.Classes[0].Effect = "maybe" },
 		"classes[2].scope":  func(s *Settings) { s.Classes[2].Scope = "planet" },
@@ -27,9 +27,9 @@
 		"tipMultiple":       func(s *Settings) { s.OverloadMultiple = -1 },
 	} {
 		s := settings()
-		spoil(&s)
+		invalidate(&s)
 		if _, err := New(s, 1, &recordingHost{}); err == nil || !strings.Contains(err.Error(), key) {
-			t.Errorf("%s: error %v does not name it", key, err)
+			t.Errorf("%s: error %v does not name the setting", key, err)
 		}
 	}
 }
@@ -48,11 +48,11 @@
 	h.reportOutcome(s, OK, ms)
 	h.advance(2 * time.Second)
 	if len(h.refusals) != 1 {
-		t.Errorf("refused %v, want the one request that lost its endpoint and has no other", h.refusals)
+		t.Errorf("refused %v, want the one request whose endpoint left the list", h.refusals)
 	}
 }
 
-// The rules that bind one instance hold under random but legal events.
+// The invariants of the package documentation hold under random but legal events.
 func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -61,46 +61,47 @@
 		s.Classes[book].Scope = []Scope{ScopeCell, ScopeZone, ScopeAll}[seed%3]
 		h := start(t, s, 8)
 		type state struct {
-			class, out, answers int
-			deadline            time.Duration
-			mayRun              *sentCall
-			runAt               time.Duration
+			class, inFlight, answers int
+			deadline                 time.Duration
+			firstRun                 *sentCall // first attempt that may have run
+			firstRunAt               time.Duration
 		}
-		reqs := map[RequestID]*state{}
-		told := map[EndpointID]bool{}
-		at := struct{ sent, fails, refusals int }{}
+		requests := map[RequestID]*state{}
+		unready := map[EndpointID]bool{} // endpoints that drain or have departed
+		checked := struct{ sent, fails, refusals int }{}
 		sentAt := map[sentCall]time.Duration{}
 		var open []sentCall
 		check := func() {
-			for ; at.sent < len(h.sent); at.sent++ {
-				x := h.sent[at.sent]
-				r := reqs[x.id]
-				r.out++
-				sentAt[x] = h.now
-				open = append(open, x)
+			for ; checked.sent < len(h.sent); checked.sent++ {
+				call := h.sent[checked.sent]
+				r := requests[call.id]
+				r.inFlight++
+				sentAt[call] = h.now
+				open = append(open, call)
 				switch {
 				case r.answers > 0:
-					t.Fatalf("seed %d: %v sent after its final answer", seed, x)
-				case r.out > 1:
-					t.Fatalf("seed %d: %v: two attempts out at once", seed, x)
-				case told[x.to]:
-					t.Fatalf("seed %d: %v sent to an endpoint that drains or is gone", seed, x)
-				case r.mayRun != nil && r.class == pay:
-					t.Fatalf("seed %d: %v: unsafe, may have run, sent again", seed, x)
-				case r.mayRun != nil && r.class == book && s.Classes[book].Scope == ScopeCell && (x.to-1)/2 != (r.mayRun.to-1)/2:
-					t.Fatalf("seed %d: %v: keyed, left its cell", seed, x)
-				case r.mayRun != nil && r.class == book && h.now-r.runAt > s.Classes[book].Window:
-					t.Fatalf("seed %d: %v: keyed, past its window", seed, x)
+					t.Fatalf("seed %d: %v sent after its final answer", seed, call)
+				case r.inFlight > 1:
+					t.Fatalf("seed %d: %v: two attempts in flight", seed, call)
+				case unready[call.to]:
+					t.Fatalf("seed %d: %v sent to an endpoint that drains or has departed", seed, call)
+				case r.firstRun != nil && r.class == pay:
+					t.Fatalf("seed %d: %v: unsafe call that may have run was sent again", seed, call)
+				case r.firstRun != nil && r.class == book && s.Classes[book].Scope == ScopeCell &&
+					(call.to-1)/2 != (r.firstRun.to-1)/2:
+					t.Fatalf("seed %d: %v: keyed call was sent again outside of its cell", seed, call)
+				case r.firstRun != nil && r.class == book && h.now-r.firstRunAt > s.Classes[book].Window:
+					t.Fatalf("seed %d: %v: keyed call was sent again after its window", seed, call)
 				}
 			}
-			for ; at.fails < len(h.fails); at.fails++ {
-				reqs[h.fails[at.fails]].answers++
+			for ; checked.fails < len(h.fails); checked.fails++ {
+				requests[h.fails[checked.fails]].answers++
 			}
-			for ; at.refusals < len(h.refusals); at.refusals++ {
-				r := reqs[h.refusals[at.refusals]]
+			for ; checked.refusals < len(h.refusals); checked.refusals++ {
+				r := requests[h.refusals[checked.refusals]]
 				r.answers++
-				if r.mayRun != nil && (r.class == pay || r.class == book && s.Classes[book].Scope != ScopeAll) {
-					t.Fatalf("seed %d: %s refused though it may have run", seed, h.refusals[at.refusals])
+				if r.firstRun != nil && (r.class == pay || r.class == book && s.Classes[book].Scope != ScopeAll) {
+					t.Fatalf("seed %d: %s was refused although it may have run", seed, h.refusals[checked.refusals])
 				}
 			}
 		}
@@ -109,65 +110,68 @@
 			case 0, 1:
 				h.n++
 				id, class := RequestID(fmt.Sprint("q", h.n)), rng.IntN(3)
-				left := time.Duration(1+rng.IntN(1500)) * ms
-				reqs[id] = &state{class: class, deadline: h.now + left}
-				h.b.Request(h.now, Request{ID: id, Class: class, Remaining: left})
+				remaining := time.Duration(1+rng.IntN(1500)) * ms
+				requests[id] = &state{class: class, deadline: h.now + remaining}
+				h.b.Request(h.now, Request{ID: id, Class: class, Remaining: remaining})
 			case 2, 3:
 				if len(open) > 0 {
 					i := rng.IntN(len(open))
-					x := open[i]
+					call := open[i]
 					open = slices.Delete(open, i, i+1)
-					r := reqs[x.id]
-					r.out--
+					r := requests[call.id]
+					r.inFlight--
 					status := []Status{OK, OK, OK, OK, OK, Error, Rejected, Timeout, ConnectFailed, Reset}[rng.IntN(10)]
-					if !status.NeverRan() && status != OK && r.mayRun == nil {
-						r.mayRun, r.runAt = &x, sentAt[x]
+					if !status.NeverRan() && status != OK && r.firstRun == nil {
+						r.firstRun, r.firstRunAt = &call, sentAt[call]
 					}
 					final := r.answers > 0 || status == OK
 					if status == OK {
 						r.answers++
 					}
 					h.b.Outcome(h.now, Outcome{
-						ID: x.id, Endpoint: x.to, Attempt: x.attempt, Final: final, Status: status,
-						Elapsed: h.now - sentAt[x],
+						ID: call.id, Endpoint: call.to, Attempt: call.attempt, Final: final, Status: status,
+						Elapsed: h.now - sentAt[call],
 					})
 				}
 			case 4:
 				id := EndpointID(1 + rng.IntN(8))
-				st := State(rng.IntN(3))
-				told[id] = st != Ready
-				h.updateEntry(Entry{Endpoint: id, Cell: int(id-1) / 2, State: st, Started: time.Duration(rng.IntN(2)) * h.now})
+				listed := State(rng.IntN(3))
+				unready[id] = listed != Ready
+				started := time.Duration(rng.IntN(2)) * h.now
+				h.updateEntry(Entry{Endpoint: id, Cell: int(id-1) / 2, State: listed, Started: started})
 			}
 			check()
 			h.advance(time.Duration(rng.IntN(3)) * 10 * ms)
 			check()
-			// What is out at its deadline times out there, as the host trims it.
+			// A call that is in flight at its deadline times out then, as the host bounds it.
 			for i := 0; i < len(open); i++ {
-				x := open[i]
-				if r := reqs[x.id]; h.now >= r.deadline {
+				call := open[i]
+				if r := requests[call.id]; h.now >= r.deadline {
 					open = slices.Delete(open, i, i+1)
 					i--
-					r.out--
-					if r.mayRun == nil {
-						r.mayRun, r.runAt = &x, sentAt[x]
+					r.inFlight--
+					if r.firstRun == nil {
+						r.firstRun, r.firstRunAt = &call, sentAt[call]
 					}
-					h.b.Outcome(h.now, Outcome{ID: x.id, Endpoint: x.to, Attempt: x.attempt, Final: r.answers > 0, Status: Timeout})
+					h.b.Outcome(h.now, Outcome{
+						ID: call.id, Endpoint: call.to, Attempt: call.attempt, Final: r.answers > 0, Status: Timeout,
+					})
 					check()
 				}
 			}
-			for id, r := range reqs {
+			for id, r := range requests {
 				if r.answers > 1 || r.answers == 0 && h.now > r.deadline+20*ms {
-					t.Fatalf("seed %d: %s has %d final answers past its deadline", seed, id, r.answers)
+					t.Fatalf("seed %d: %s has %d final answers, want one by its deadline", seed, id, r.answers)
 				}
-				if r.answers > 0 && r.out == 0 {
-					delete(reqs, id)
+				if r.answers > 0 && r.inFlight == 0 {
+					delete(requests, id)
 				}
 			}
 		}
 	}
 }
 
-// The same events and seed must give the same actions.
+// The same events and seed produce the same actions.
 func TestSameSeedAndEventsGiveSameActions(t *testing.T) {
 	run := func() []sentCall {
 		h := start(t, settings(), 9)
@@ -180,7 +184,7 @@
 		return h.sent
 	}
 	if !slices.Equal(run(), run()) {
-		t.Error("two runs of the same events differ")
+		t.Error("two runs with the same seed and events sent different calls")
 	}
 }
 
@@ -189,11 +193,11 @@
 	id := h.request(read)
 	h.advance(1500 * ms)
 	if !slices.Equal(h.refusals, []RequestID{id}) {
-		t.Errorf("refused %v, want %s: there is no endpoint", h.refusals, id)
+		t.Errorf("refused %v, want %s, as there is no endpoint", h.refusals, id)
 	}
 	h = start(t, settings(), 2)
 	h.b.Request(h.now, Request{ID: "late", Remaining: 0})
 	if len(h.refusals) != 1 || len(h.sent) > 0 {
-		t.Errorf("refused %v, sent %v for a request with no time left", h.refusals, h.sent)
+		t.Errorf("refused %v, sent %v for a request without remaining time", h.refusals, h.sent)
 	}
 }
--- a/internal/decision/compatibility_test.go
+++ b/internal/decision/compatibility_test.go
@@ -6,7 +6,7 @@
 	"dykering/internal/fixture"
 )
 
-// The statistics that a process hands to its successor have the form that released builds write and read.
+// The snapshot that a process passes to its successor has the format that released builds read and write.
 func TestSnapshotOfReleasedBuildIsReadAndWrittenAlike(t *testing.T) {
 	fixture.JSON(t, "testdata/compatibility/learnt.json", &Snapshot{})
 }
--- a/internal/decision/endpoint_index_test.go
+++ b/internal/decision/endpoint_index_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Whatever lists and outcomes come, the sets have what a scan of all endpoints finds, and departed
-// endpoints are forgotten.
+// After any lists and outcomes, each set contains exactly the endpoints that a scan of all endpoints finds,
+// and each known endpoint is either listed or departed.
 func TestIndexSetsEqualScanOfAllEndpoints(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -33,39 +33,41 @@
 			h.request(rng.IntN(3))
 			h.advance(time.Duration(rng.IntN(60)) * ms)
 			for ; answered < len(h.sent) && rng.IntN(4) > 0; answered++ {
-				h.reportOutcome(h.sent[answered], []Status{OK, OK, OK, Error, Reset, ConnectFailed, Rejected, Timeout}[rng.IntN(8)], 20*ms)
+				status := []Status{OK, OK, OK, Error, Reset, ConnectFailed, Rejected, Timeout}[rng.IntN(8)]
+				h.reportOutcome(h.sent[answered], status, 20*ms)
 			}
-			check := func(what string, set []*endpoint, in func(*endpoint) bool) {
+			check := func(name string, set []*endpoint, isMember func(*endpoint) bool) {
 				var want []*endpoint
 				for _, e := range h.b.byID {
-					if e.listed && in(e) {
+					if e.listed && isMember(e) {
 						want = append(want, e)
 					}
 				}
 				if sortByID(want); !slices.Equal(want, set) {
-					t.Fatalf("seed %d, event %d: %s: %d endpoints, want %d", seed, i, what, len(set), len(want))
+					t.Fatalf("seed %d, event %d: %s: %d endpoints, want %d", seed, i, name, len(set), len(want))
 				}
 			}
 			check("listed", h.b.listed, func(*endpoint) bool { return true })
 			check("busy", h.b.busy, func(e *endpoint) bool { return len(e.calls) > 0 })
-			check("ramps", h.b.inSlowStart, func(e *endpoint) bool { return e.state == stateSlowStart })
-			check("shunned", h.b.ejected, func(e *endpoint) bool { return e.state == stateEjected })
-			check("mine", h.b.subset, func(e *endpoint) bool { return e.subsetWeight > 0 })
-			usables := 0
+			check("in slow start", h.b.inSlowStart, func(e *endpoint) bool { return e.state == stateSlowStart })
+			check("ejected", h.b.ejected, func(e *endpoint) bool { return e.state == stateEjected })
+			check("subset", h.b.subset, func(e *endpoint) bool { return e.subsetWeight > 0 })
+			usable := 0
 			for _, e := range h.b.listed {
 				if e.state == stateUsable {
-					usables++
+					usable++
 				}
 			}
-			if usables != h.b.usableCount || len(h.b.listed)+len(h.b.departed) != len(h.b.byID) {
-				t.Fatalf("seed %d, event %d: %d usable for %d; %d listed and %d gone for %d", seed, i, h.b.usableCount, usables,
+			if usable != h.b.usableCount || len(h.b.listed)+len(h.b.departed) != len(h.b.byID) {
+				t.Fatalf("seed %d, event %d: usable count %d, want %d; %d listed and %d departed of %d",
+					seed, i, h.b.usableCount, usable,
 					len(h.b.listed), len(h.b.departed), len(h.b.byID))
 			}
 		}
 	}
 }
 
-// The cost of a tick and a request does not grow with the list.
+// The cost of a tick and of a request does not grow with the number of listed endpoints.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{20, 200, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/decision/example_test.go
+++ b/internal/decision/example_test.go
@@ -7,7 +7,7 @@
 	"dykering/internal/decision"
 )
 
-// printer is a Host that prints the actions it is asked for.
+// printer is a Host that prints the actions of a Balancer.
 type printer struct{}
 
 func (printer) Send(id decision.RequestID, to decision.EndpointID, _, _ time.Duration) {
@@ -21,7 +21,7 @@
 func (printer) Fetch()                                        { fmt.Println("fetch the list") }
 func (printer) Log(text string)                               { fmt.Println("log:", text) }
 
-// A Balancer is fed events with their times, and acts through its Host.
+// A Balancer receives events with their times and acts through its Host.
 func Example() {
 	b, err := decision.New(decision.Settings{
 		Instances: 1, Quantum: time.Millisecond, MaxAttempts: 3, ConnectTimeout: 100 * time.Millisecond,
--- a/internal/decision/harness_test.go
+++ b/internal/decision/harness_test.go
@@ -9,6 +9,7 @@
 
 const ms = time.Millisecond
 
+// sentCall holds the arguments of one Host.Send, and the number of the attempt.
 type sentCall struct {
 	id      RequestID
 	to      EndpointID
@@ -17,17 +18,17 @@
 	within  time.Duration
 }
 
-// recordingHost is a Host that records what it is asked to do, with a clock.
+// recordingHost is a Host that records the actions of a Balancer. It also holds the clock of the test.
 type recordingHost struct {
 	now              time.Duration
 	sent             []sentCall
 	attempts         map[RequestID]int
 	fails, refusals  []RequestID
-	retryAfters      []time.Duration // when refused clients should come back
+	retryAfters      []time.Duration // the waits that refused clients were told, in the order of refusals
 	cancels          []sentCall
-	timers           map[uint64]time.Duration // token to due time
+	timers           map[uint64]time.Duration // due time by token
 	watches, fetches int
-	duplicateTimers  int // timers that were set while one of their token was running
+	duplicateTimers  int // timers that were set while a timer with the same token was running
 	logs             []string
 }
 
@@ -43,8 +44,8 @@
 
 func (h *recordingHost) Fail(id RequestID) { h.fails = append(h.fails, id) }
 
-func (h *recordingHost) Cancel(id RequestID, n int) {
-	h.cancels = append(h.cancels, sentCall{id: id, attempt: n})
+func (h *recordingHost) Cancel(id RequestID, attempt int) {
+	h.cancels = append(h.cancels, sentCall{id: id, attempt: attempt})
 }
 
 func (h *recordingHost) SetTimer(token uint64, after time.Duration) {
@@ -60,10 +61,10 @@
 
 func (h *recordingHost) Log(text string) { h.logs = append(h.logs, text) }
 
-// last is the latest send.
+// last returns the latest sent call.
 func (h *recordingHost) last() sentCall { return h.sent[len(h.sent)-1] }
 
-// settings are those of the only instance, with a class for each effect.
+// settings returns the settings of a single instance, with one class for each effect.
 func settings() Settings {
 	c := Class{LatencyTarget: time.Second, Deadline: 3 * time.Second, Value: 1}
 	read, pay, book := c, c, c
@@ -72,11 +73,13 @@
 	book.Name, book.Effect, book.Scope, book.Window = "book", Keyed, ScopeCell, 5*time.Second
 	return Settings{
 		Instances: 1, Quantum: 2 * ms, MayCancel: true, MaxAttempts: 4, ConnectTimeout: 100 * ms,
-		ColdCapacity: 0.2, WarmUp: 10 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second, DiscoveryInterval: 10 * time.Second,
-		Classes: []Class{read, pay, book},
+		ColdCapacity: 0.2, WarmUp: 10 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second,
+		DiscoveryInterval: 10 * time.Second,
+		Classes:           []Class{read, pay, book},
 	}
 }
 
+// The indices of the classes: read is Safe, pay is Unsafe and book is Keyed.
 const read, pay, book = 0, 1, 2
 
 // harness is a Balancer under test with its recording host.
@@ -87,7 +90,8 @@
 	n int
 }
 
-// start makes a Balancer that knows n warm endpoints, numbered from 1, two to a cell.
+// start returns a harness whose Balancer has a list of n warm endpoints, numbered from 1, with two in each
+// cell.
 func start(t *testing.T, s Settings, n int) *harness {
 	t.Helper()
 	host := &recordingHost{timers: map[uint64]time.Duration{}, attempts: map[RequestID]int{}, now: time.Second}
@@ -103,17 +107,17 @@
 	return &harness{recordingHost: host, t: t, b: b}
 }
 
-// updateEntry hands over a delta with one entry.
+// updateEntry applies a delta of version 2 with one entry.
 func (h *harness) updateEntry(e Entry) {
 	h.b.Targets(h.now, List{Kind: DeltaList, Version: 2, Entries: []Entry{e}})
 }
 
-// applyDelta hands over a delta with one entry and a version.
+// applyDelta applies a delta of the given version with one entry.
 func (h *harness) applyDelta(version uint64, e Entry) {
 	h.b.Targets(h.now, List{Kind: DeltaList, Version: version, Entries: []Entry{e}})
 }
 
-// request brings a request with 1.5 s left.
+// request submits a request with 1.5 s of remaining time and returns its id.
 func (h *harness) request(class int) RequestID {
 	h.n++
 	id := RequestID(fmt.Sprint("r", h.n))
@@ -121,7 +125,7 @@
 	return id
 }
 
-// reportOutcome reports the outcome of a send.
+// reportOutcome reports the outcome of a sent call; it is final if the status is OK.
 func (h *harness) reportOutcome(s sentCall, status Status, took time.Duration) {
 	h.b.Outcome(h.now, Outcome{
 		ID: s.id, Endpoint: s.to, Attempt: s.attempt, Final: status == OK, Status: status,
@@ -129,7 +133,7 @@
 	})
 }
 
-// advance lets time pass, with the timers that expire.
+// advance moves the clock forward and reports the timers that expire.
 func (h *harness) advance(by time.Duration) {
 	for until := h.now + by; h.now < until; h.now += 2 * ms {
 		for _, token := range []uint64{tokenTick, tokenWatch} {
@@ -141,18 +145,18 @@
 	}
 }
 
-// serve runs requests one after another for a while, each answered after 20 ms but where answer says
-// otherwise, and counts the sends to each endpoint.
+// serve submits n requests one after another, with 20 ms each, and returns the number of calls to each
+// endpoint. Each call ends with the status that answer returns, or with OK if answer is nil.
 func (h *harness) serve(n int, answer func(to EndpointID) Status) map[EndpointID]int {
-	got := map[EndpointID]int{}
+	calls := map[EndpointID]int{}
 	for range n {
-		at := len(h.sent)
+		next := len(h.sent)
 		h.request(read)
 		h.advance(20 * ms)
-		for at < len(h.sent) {
-			s := h.sent[at]
-			at++
-			got[s.to]++
+		for next < len(h.sent) {
+			s := h.sent[next]
+			next++
+			calls[s.to]++
 			status := OK
 			if answer != nil {
 				status = answer(s.to)
@@ -160,33 +164,34 @@
 			h.reportOutcome(s, status, 20*ms)
 		}
 	}
-	return got
+	return calls
 }
 
-// serveBatches keeps some calls of a latency in flight for a while.
-func (h *harness) serveBatches(atOnce int, took, lasts time.Duration) {
-	for end := h.now + lasts; h.now < end; {
-		at := len(h.sent)
-		for range atOnce {
+// serveBatches submits batches of concurrent requests for the given duration; each call is answered after
+// latency.
+func (h *harness) serveBatches(batchSize int, latency, duration time.Duration) {
+	for end := h.now + duration; h.now < end; {
+		first := len(h.sent)
+		for range batchSize {
 			h.request(read)
 		}
-		h.advance(took)
-		for _, s := range h.sent[at:] {
-			h.reportOutcome(s, OK, took)
+		h.advance(latency)
+		for _, s := range h.sent[first:] {
+			h.reportOutcome(s, OK, latency)
 		}
 	}
 }
 
-// requestUntilLimit brings requests until nothing more is sent, and returns how many were sent.
+// requestUntilLimit submits requests until one is not sent, and returns the number of sent ones.
 func (h *harness) requestUntilLimit() (n int) {
-	for at := -1; at < len(h.sent); n++ {
-		at = len(h.sent)
+	for before := -1; before < len(h.sent); n++ {
+		before = len(h.sent)
 		h.request(read)
 	}
 	return n - 1
 }
 
-// successor makes a harness that has restored this one's snapshot.
+// successor returns a new harness whose Balancer has restored the snapshot of this one.
 func (h *harness) successor(s Settings, n int) *harness {
 	h.t.Helper()
 	text, err := json.Marshal(h.b.Snapshot(h.now))
@@ -198,7 +203,7 @@
 		h.t.Fatal(err)
 	}
 	next := start(h.t, s, n)
-	next.advance(17 * ms) // the clocks differ
+	next.advance(17 * ms) // so that the clocks of the two differ
 	if err := next.b.Restore(next.now, snapshot); err != nil {
 		h.t.Fatal(err)
 	}
