--- a/internal/decision/ejection_test.go
+++ b/internal/decision/ejection_test.go
@@ -78,9 +78,11 @@
 		minCalls  int
 		ejected   bool
 	}{
-		"all responses of one endpoint":   {func(_ *harness, to EndpointID) bool { return to == 1 }, 40, 1, true},
-		"some responses of all endpoints": {func(h *harness, _ EndpointID) bool { return h.b.rng.Float64() < 0.1 }, 400, 70, false},
-		"all responses of all endpoints":  {func(_ *harness, _ EndpointID) bool { return true }, 800, 70, false},
+		"all responses of one endpoint": {func(_ *harness, to EndpointID) bool { return to == 1 }, 40, 1, true},
+		"some responses of all endpoints": {
+			func(h *harness, _ EndpointID) bool { return h.b.rng.Float64() < 0.1 }, 400, 70, false,
+		},
+		"all responses of all endpoints": {func(_ *harness, _ EndpointID) bool { return true }, 800, 70, false},
 	} {
 		h := start(t, settings(), 4)
 		h.serve(60, nil)
