--- a/internal/decision/retries_test.go
+++ b/internal/decision/retries_test.go
@@ -16,8 +16,8 @@
 	h.request(pay)
 	first := h.last()
 	h.reportOutcome(first, Rejected, ms)
-	if again := h.last(); again.id != first.id || again.attempt != 1 || again.to == first.to {
-		t.Errorf("after a call that never ran: %v, want a second attempt elsewhere", again)
+	if retry := h.last(); retry.id != first.id || retry.attempt != 1 || retry.to == first.to {
+		t.Errorf("after a call that never ran: %v, want a second attempt at another endpoint", retry)
 	}
 }
 
@@ -26,10 +26,10 @@
 	h.request(book)
 	first := h.last()
 	h.reportOutcome(first, Error, ms)
-	if again := h.last(); again.attempt != 1 || (again.to-1)/2 != (first.to-1)/2 {
-		t.Fatalf("retry %v of %v left the cell", again, first)
-	} else if first.within != 0 || again.within <= 0 || ms+again.within > h.b.settings.Classes[book].Window {
-		t.Errorf("first %v, retry %v: want the retry bound by what is left of the window", first, again)
+	if retry := h.last(); retry.attempt != 1 || (retry.to-1)/2 != (first.to-1)/2 {
+		t.Fatalf("retry %v of %v left the cell", retry, first)
+	} else if first.within != 0 || retry.within <= 0 || ms+retry.within > h.b.settings.Classes[book].Window {
+		t.Errorf("first %v, retry %v: want the retry bounded by the rest of the window", first, retry)
 	}
 	s := settings()
 	s.Classes[book].Window = 100 * ms
@@ -39,11 +39,12 @@
 	h.reportOutcome(h.last(), Error, 200*ms)
 	h.advance(3 * time.Second)
 	if len(h.sent) != 1 || !slices.Equal(h.fails, []RequestID{id}) || len(h.refusals) > 0 {
-		t.Errorf("sent %v, failed %v, refused %v; want no retry past the window, then failed", h.sent, h.fails, h.refusals)
+		t.Errorf("sent %v, failed %v, refused %v; want no retry past the window, then failed",
+			h.sent, h.fails, h.refusals)
 	}
 }
 
-// Retries that an outage sets off must not multiply the load.
+// Retries during an outage must not multiply the load.
 func TestRetryBudgetBoundsRetries(t *testing.T) {
 	h := start(t, settings(), 4)
 	got := h.serve(500, func(EndpointID) Status { return Error })
@@ -52,12 +53,12 @@
 		total += n
 	}
 	if total > 500+maxRetryTokens+1 {
-		t.Errorf("%d sends for 500 requests that all fail", total)
+		t.Errorf("%d calls for 500 requests that all fail, want at most %d more", total, int(maxRetryTokens)+1)
 	}
 }
 
-// A refused client is told to return once what is queued now has been answered, and never later than it
-// would obey.
+// A refused client is told to retry when the requests that are queued now have been answered, but not later
+// than Settings.MaxRetryAfter.
 func TestRefusalsStateRetryAfter(t *testing.T) {
 	s := settings()
 	s.MaxRetryAfter = 2 * time.Second
@@ -69,43 +70,43 @@
 			h.request(read)
 		}
 		if len(h.refusals) == 0 {
-			t.Fatalf("nothing of a burst of %d was refused", burst)
+			t.Fatalf("no request of a burst of %d was refused", burst)
 		}
-		queue := seconds(float64(len(h.b.queue)) / rate)
+		drainTime := seconds(float64(len(h.b.queue)) / rate)
 		for _, after := range h.retryAfters {
-			if after > s.MaxRetryAfter || after < min(queue, s.MaxRetryAfter) {
-				t.Fatalf("of a burst of %d: come back after %v, want %v to work off what is held", burst, after, queue)
+			if after > s.MaxRetryAfter || after < min(drainTime, s.MaxRetryAfter) {
+				t.Fatalf("burst of %d: retry after %v, but the queue is served in %v", burst, after, drainTime)
 			}
 		}
 	}
 	h := start(t, s, 2)
 	h.b.Request(h.now, Request{ID: "late", Class: read})
 	if !slices.Equal(h.retryAfters, []time.Duration{h.b.rateWindow}) {
-		t.Errorf("advice %v where no rate is known yet", h.retryAfters)
+		t.Errorf("retry after %v without a known answer rate, want one rate window", h.retryAfters)
 	}
 	h = start(t, s, 2)
 	h.serve(200, nil)
 	h.b.Request(h.now, Request{ID: "late", Class: read})
 	if len(h.retryAfters) != 1 || h.retryAfters[0] < seconds(minRetryAfterWindows*h.b.rateWindow.Seconds()) {
-		t.Errorf("advice %v where nothing waits", h.retryAfters)
+		t.Errorf("retry after %v with an empty queue, want at least the minimum", h.retryAfters)
 	}
 }
 
-// However often an attempt has never run, a request has a bounded number of attempts and then its answer,
-// also where the platform names no bound.
+// The number of attempts of a request is bounded even if no attempt ever ran, and even if the site sets no
+// limit. The request then gets its final answer.
 func TestAttemptsOfRequestAreBounded(t *testing.T) {
 	for _, status := range []Status{Rejected, ConnectFailed, NotSent} {
-		for most, want := range map[int]int{4: 4, 0: maxRetryTokens} {
+		for maxAttempts, want := range map[int]int{4: 4, 0: maxRetryTokens} {
 			s := settings()
-			s.MaxAttempts = most
+			s.MaxAttempts = maxAttempts
 			h := start(t, s, 3)
 			id := h.request(pay)
-			for at := 0; at < len(h.sent) && at <= 100; at++ {
-				h.reportOutcome(h.sent[at], status, ms)
+			for i := 0; i < len(h.sent) && i <= 100; i++ {
+				h.reportOutcome(h.sent[i], status, ms)
 				h.advance(10 * ms)
 			}
 			if got := h.attempts[id]; got > want || len(h.refusals) != 1 {
-				t.Errorf("%v with a bound of %d: %d attempts, refused %v", status, most, got, h.refusals)
+				t.Errorf("%v with a limit of %d: %d attempts, refused %v", status, maxAttempts, got, h.refusals)
 			}
 		}
 	}
--- a/internal/decision/selection_test.go
+++ b/internal/decision/selection_test.go
@@ -12,24 +12,24 @@
 	first := h.last().to
 	h.request(read)
 	if h.last().to == first {
-		t.Error("the second call joined the first although the other endpoint was idle")
+		t.Error("the second call went to the busy endpoint although the other one was idle")
 	}
 }
 
-// In a subset of two the draw takes both endpoints, and a coin for ties gave both the same, whatever their
-// weights.
+// In a subset of two, every draw contains both endpoints. A random choice between equally loaded endpoints
+// would give both the same number of calls, regardless of their weights.
 func TestTiesAreBrokenByWeight(t *testing.T) {
 	s := settings()
 	s.Instances = 40
 	h := start(t, s, 0)
 	h.b.Targets(h.now, List{Kind: FullList, Version: 2, Entries: []Entry{{Endpoint: 1, Weight: 9}, {Endpoint: 2, Weight: 1}}})
 	if got := h.serve(400, nil); got[2] < 20 || got[2] > 70 {
-		t.Errorf("%v sends, want a tenth to the endpoint of a tenth of the weight", got)
+		t.Errorf("calls by endpoint %v, want about 40 to endpoint 2, which has a tenth of the weight", got)
 	}
 }
 
-// With machines of two speeds in a list without weights, the slow ones got as many calls as the fast ones
-// and were overloaded.
+// In a list without weights, reported service times must tell fast and slow machines apart. Otherwise slow
+// machines get as many calls as fast ones and are overloaded.
 func TestReportedServiceTimesSetDrawWeights(t *testing.T) {
 	h := start(t, settings(), 0)
 	l := List{Kind: FullList, Version: 2}
@@ -51,42 +51,44 @@
 		h.advance(20 * ms)
 	}
 	if ratio := float64(got[0]) / float64(got[1]); ratio < 2 || ratio > 4 {
-		t.Errorf("fast machines got %d calls and slow ones %d, want three times as many", got[0], got[1])
+		t.Errorf("fast machines got %d calls and slow ones %d, want a ratio of about 3", got[0], got[1])
 	}
 }
 
-// A list with an impossible weight is taken as one without weights: all endpoints are called, as equals.
+// If one weight of a list is implausible, all weights are ignored, and all endpoints get a similar number of
+// calls.
 func TestImplausibleWeightsAreIgnored(t *testing.T) {
-	for _, odd := range []float64{1e308, math.Inf(1), math.NaN(), -1, 0} {
+	for _, weight := range []float64{1e308, math.Inf(1), math.NaN(), -1, 0} {
 		h := start(t, settings(), 4)
-		h.applyDelta(3, Entry{Endpoint: 2, Weight: odd})
+		h.applyDelta(3, Entry{Endpoint: 2, Weight: weight})
 		got := h.serve(200, nil)
 		for id := EndpointID(1); id <= 4; id++ {
 			if got[id] < 20 {
-				t.Errorf("weight %v: calls %v", odd, got)
+				t.Errorf("weight %v: calls by endpoint %v, want at least 20 to each", weight, got)
 			}
 		}
 	}
 }
 
-// Where the only endpoint that is not ejected is the one at which a request has just failed, the request
-// goes there again or ends: nothing could change that, so it is not queued until its deadline is near.
+// If a request has failed at the only endpoint that is not ejected, the request is sent there again or ends.
+// No other endpoint can become available in time, so the request must not wait in the queue.
 func TestRetryUsesLastHealthyEndpointOrEnds(t *testing.T) {
 	for _, status := range []Status{Error, InvalidResponse, Reset, ConnectFailed} {
 		h := start(t, settings(), 2)
 		h.serve(60, nil)
 		for range 30 {
 			h.request(read)
-			at := len(h.sent) - 1
-			for ; at < len(h.sent); at++ {
-				h.reportOutcome(h.sent[at], status, 10*ms)
+			i := len(h.sent) - 1
+			for ; i < len(h.sent); i++ {
+				h.reportOutcome(h.sent[i], status, 10*ms)
 			}
 			h.advance(100 * ms)
-			for ; at < len(h.sent); at++ { // a trial, or what waited a moment
-				h.reportOutcome(h.sent[at], status, 10*ms)
+			for ; i < len(h.sent); i++ { // trial calls, and requests that waited for a short time
+				h.reportOutcome(h.sent[i], status, 10*ms)
 			}
 			if len(h.b.queue) > 0 {
-				t.Errorf("%v: %s is held after %d attempts, with none out", status, h.b.queue[0].id, h.b.queue[0].attempts)
+				t.Errorf("%v: %s is queued after %d attempts, without a call in flight",
+					status, h.b.queue[0].id, h.b.queue[0].attempts)
 				break
 			}
 		}
