--- a/internal/decision/queue_test.go
+++ b/internal/decision/queue_test.go
@@ -120,10 +120,24 @@
 			h.b.Targets(h.now, List{Kind: FullList, Version: 3})
 			return h.request(read)
 		}, false},
-		"all draining":                 {func(h *harness) RequestID { setAll(h, Draining); return h.request(read) }, false},
-		"all departed":                 {func(h *harness) RequestID { setAll(h, Departed); return h.request(pay) }, false},
-		"all draining, request queued": {func(h *harness) RequestID { id := queueRequest(h); setAll(h, Draining); return id }, false},
-		"all departed, request queued": {func(h *harness) RequestID { id := queueRequest(h); setAll(h, Departed); return id }, false},
+		"all draining": {func(h *harness) RequestID {
+			setAll(h, Draining)
+			return h.request(read)
+		}, false},
+		"all departed": {func(h *harness) RequestID {
+			setAll(h, Departed)
+			return h.request(pay)
+		}, false},
+		"all draining, request queued": {func(h *harness) RequestID {
+			id := queueRequest(h)
+			setAll(h, Draining)
+			return id
+		}, false},
+		"all departed, request queued": {func(h *harness) RequestID {
+			id := queueRequest(h)
+			setAll(h, Departed)
+			return id
+		}, false},
 		"all draining, call rejected": {func(h *harness) RequestID {
 			id := h.request(read)
 			s := h.last()
--- a/internal/decision/selection_test.go
+++ b/internal/decision/selection_test.go
@@ -22,7 +22,8 @@
 	s := settings()
 	s.Instances = 40
 	h := start(t, s, 0)
-	h.b.Targets(h.now, List{Kind: FullList, Version: 2, Entries: []Entry{{Endpoint: 1, Weight: 9}, {Endpoint: 2, Weight: 1}}})
+	entries := []Entry{{Endpoint: 1, Weight: 9}, {Endpoint: 2, Weight: 1}}
+	h.b.Targets(h.now, List{Kind: FullList, Version: 2, Entries: entries})
 	if got := h.serve(400, nil); got[2] < 20 || got[2] > 70 {
 		t.Errorf("calls by endpoint %v, want about 40 to endpoint 2, which has a tenth of the weight", got)
 	}
--- a/internal/decision/slow_start_test.go
+++ b/internal/decision/slow_start_test.go
@@ -9,36 +9,36 @@
 	"time"
 )
 
-// With all endpoints cold at once, what one instance sends each is capped by what warm ones were seen to
-// bear.
+// If all endpoints are cold at the same time, the rate of calls to each is capped in proportion to the rate
+// that warm endpoints have served.
 func TestSendRateToColdEndpointsIsCapped(t *testing.T) {
 	h := start(t, settings(), 10)
-	h.serve(300, nil) // 50 a second, 5 to each
+	h.serve(300, nil) // 50 calls per second, 5 to each endpoint
 	for id := EndpointID(1); id <= 10; id++ {
 		h.updateEntry(Entry{Endpoint: id, Started: h.now})
 	}
-	got := map[EndpointID]int{}
-	at := len(h.sent)
+	calls := map[EndpointID]int{}
+	next := len(h.sent)
 	for range 500 {
 		h.request(read)
 		h.advance(2 * ms)
-		for ; at < len(h.sent); at++ {
-			got[h.sent[at].to]++
-			h.reportOutcome(h.sent[at], OK, 2*ms)
+		for ; next < len(h.sent); next++ {
+			calls[h.sent[next].to]++
+			h.reportOutcome(h.sent[next], OK, 2*ms)
 		}
 	}
-	for id, n := range got {
-		if n > 8 { // 3 times a fifth of ten a second, and a little for chance
-			t.Errorf("%d sends in its first second to cold endpoint %d", n, id)
+	for id, n := range calls {
+		if n > 8 { // three times a fifth of ten calls per second, and a margin for chance
+			t.Errorf("%d calls to cold endpoint %d in its first second, want at most 8", n, id)
 		}
 	}
-	if len(got) == 0 {
-		t.Error("cold endpoints got nothing at all")
+	if len(calls) == 0 {
+		t.Error("cold endpoints got no calls")
 	}
 }
 
-// A cold endpoint was pushed over by retries of instances whose subsets do not have it, and by getting the
-// rate of a full endpoint from each instance whose subset has a small part of it.
+// A cold endpoint can be overloaded by retries of instances whose subsets do not contain it, and by instances
+// whose subsets contain a small part of it but that send it the rate of a whole endpoint.
 func TestColdEndpointIsSentBySubsetWeightAndNoRetriesFromOutside(t *testing.T) {
 	s := settings()
 	s.Instances = 60
@@ -55,7 +55,7 @@
 		h.request(read)
 		h.reportOutcome(h.last(), Rejected, ms)
 		if to := h.last().to; to == outside.id {
-			t.Fatal("a further attempt went to a cold endpoint outside the subset")
+			t.Fatal("a retry went to a cold endpoint outside of the subset")
 		}
 		h.reportOutcome(h.last(), OK, 20*ms)
 		h.advance(100 * ms)
@@ -66,18 +66,19 @@
 			cold = e
 		}
 	}
-	rate := func(part float64) float64 {
+	earnedTokens := func(subsetWeight float64) float64 {
 		h.b.setState(cold, stateSlowStart)
-		cold.subsetWeight, cold.slowStartFrom, cold.slowStartTokens, cold.slowStartTokensAt = part, h.now, 0, h.now-10*ms
+		cold.subsetWeight, cold.slowStartFrom = subsetWeight, h.now
+		cold.slowStartTokens, cold.slowStartTokensAt = 0, h.now-10*ms
 		h.b.hasSlowStartToken(h.now, cold)
 		return cold.slowStartTokens
 	}
-	if whole, sliver := rate(1), rate(0.1); whole == 0 || sliver > 0.11*whole {
-		t.Errorf("%.3f sends allowed for a tenth of a cold endpoint, %.3f for all of it", sliver, whole)
+	if whole, tenth := earnedTokens(1), earnedTokens(0.1); whole == 0 || tenth > 0.11*whole {
+		t.Errorf("%.3f tokens for a tenth of a cold endpoint, %.3f for all of it, want a tenth", tenth, whole)
 	}
 }
 
-// A cold endpoint that was silent and then serves a trial call is as cold as its start says.
+// After an ejection, a cold endpoint that serves a trial call is as cold as its listed start implies.
 func TestTrialDoesNotShortenWarmUp(t *testing.T) {
 	h := start(t, settings(), 4)
 	h.now = 21 * time.Second
@@ -87,42 +88,46 @@
 	h.b.eject(h.now, e, "silent")
 	h.b.endEjection(h.now, e)
 	if got := h.b.capacityShare(h.now, e); e.state != stateSlowStart || got > 0.3 {
-		t.Errorf("mark %d, share %.2f one second after its start", e.state, got)
+		t.Errorf("state %d, capacity share %.2f one second after its start, want slow start and at most 0.3",
+			e.state, got)
 	}
 }
 
-// slowStartSimulation is a fleet of instances and some endpoints, in virtual time: all instances learn of the
-// endpoints that have just started at the same time.
+// slowStartSimulation is a fleet of instances and endpoints in virtual time. All instances learn at nearly
+// the same time that some endpoints have just started.
 type slowStartSimulation struct {
-	rng     *rand.Rand
-	now     time.Duration
-	events  slowStartEvents
-	brokers []*slowStartInstance
-	servers []*slowStartServer
-	set     Settings
-	work    time.Duration // mean, of one call
-	seq     int
+	rng       *rand.Rand
+	now       time.Duration
+	events    slowStartEvents
+	instances []*slowStartInstance
+	endpoints []*slowStartEndpoint
+	settings  Settings
+	workTime  time.Duration // mean service time of a call at a warm endpoint
+	seq       int
 }
 
-type slowStartServer struct {
-	started time.Duration // 0 for long past
-	out     int
-	sent    []time.Duration // while it is cold
+// slowStartEndpoint is one simulated endpoint.
+type slowStartEndpoint struct {
+	started   time.Duration // start of the process; 0 if long ago
+	inFlight  int
+	coldCalls []time.Duration // times of the calls that it got while it was cold
 }
 
+// slowStartInstance is one simulated instance, and the Host of its Balancer.
 type slowStartInstance struct {
-	w    *slowStartSimulation
-	b    *Balancer
-	out  map[RequestID]Outcome
-	sent map[RequestID]int
+	simulation *slowStartSimulation
+	balancer   *Balancer
+	attempts   map[RequestID]int
 }
 
+// slowStartEvent is a function that runs at a point of virtual time.
 type slowStartEvent struct {
 	at  time.Duration
 	seq int
 	do  func()
 }
 
+// slowStartEvents is a heap of events, ordered by time and by the order in which they were added.
 type slowStartEvents []slowStartEvent
 
 func (h slowStartEvents) Len() int { return len(h) }
@@ -142,11 +147,13 @@
 	return x
 }
 
-func (w *slowStartSimulation) after(d time.Duration, do func()) {
+// after runs do after a delay.
+func (w *slowStartSimulation) after(delay time.Duration, do func()) {
 	w.seq++
-	heap.Push(&w.events, slowStartEvent{w.now + d, w.seq, do})
+	heap.Push(&w.events, slowStartEvent{w.now + delay, w.seq, do})
 }
 
+// run runs the events until the given time.
 func (w *slowStartSimulation) run(until time.Duration) {
 	for len(w.events) > 0 && w.events[0].at <= until {
 		e := heap.Pop(&w.events).(slowStartEvent)
@@ -156,152 +163,178 @@
 	w.now = until
 }
 
-// share is the part of its warm capacity that an endpoint has at a time.
-func (w *slowStartSimulation) share(s *slowStartServer, at time.Duration) float64 {
-	if s.started == 0 || at-s.started >= w.set.WarmUp {
+// capacityShare returns the share of its warm capacity that an endpoint has at the given time.
+func (w *slowStartSimulation) capacityShare(e *slowStartEndpoint, at time.Duration) float64 {
+	cold, warmUp := w.settings.ColdCapacity, w.settings.WarmUp
+	if e.started == 0 || at-e.started >= warmUp {
 		return 1
 	}
-	return w.set.ColdCapacity + (1-w.set.ColdCapacity)*float64(at-s.started)/float64(w.set.WarmUp)
+	return cold + (1-cold)*float64(at-e.started)/float64(warmUp)
 }
 
+// slowStartCores is the number of calls that an endpoint serves at the same time without slowing down.
 const slowStartCores = 2
 
-func (r *slowStartInstance) Send(id RequestID, to EndpointID, _, _ time.Duration) {
-	w, s := r.w, r.w.servers[to-1]
-	share := w.share(s, w.now)
+func (i *slowStartInstance) Send(id RequestID, to EndpointID, _, _ time.Duration) {
+	w := i.simulation
+	e := w.endpoints[to-1]
+	share := w.capacityShare(e, w.now)
 	if share < 1 {
-		s.sent = append(s.sent, w.now)
+		e.coldCalls = append(e.coldCalls, w.now)
 	}
-	s.out++
-	work := w.work.Seconds() * w.rng.ExpFloat64()
-	took := seconds(work * max(float64(s.out)/slowStartCores, 1) / share)
-	attempt := r.sent[id]
-	r.sent[id]++
-	w.after(took, func() {
-		s.out--
-		r.b.Outcome(w.now, Outcome{ID: id, Endpoint: to, Attempt: attempt, Final: true, Elapsed: took, Status: OK})
+	e.inFlight++
+	work := w.workTime.Seconds() * w.rng.ExpFloat64()
+	elapsed := seconds(work * max(float64(e.inFlight)/slowStartCores, 1) / share)
+	attempt := i.attempts[id]
+	i.attempts[id]++
+	w.after(elapsed, func() {
+		e.inFlight--
+		i.balancer.Outcome(w.now, Outcome{
+			ID: id, Endpoint: to, Attempt: attempt, Final: true, Elapsed: elapsed, Status: OK,
+		})
 	})
 }
 
-func (r *slowStartInstance) Refuse(RequestID, time.Duration) {}
+func (i *slowStartInstance) Refuse(RequestID, time.Duration) {}
 
-func (r *slowStartInstance) Fail(RequestID) {}
+func (i *slowStartInstance) Fail(RequestID) {}
 
-func (r *slowStartInstance) Cancel(RequestID, int) {}
+func (i *slowStartInstance) Cancel(RequestID, int) {}
 
-func (r *slowStartInstance) Watch(bool) {}
+func (i *slowStartInstance) Watch(bool) {}
 
-func (r *slowStartInstance) Fetch() {}
+func (i *slowStartInstance) Fetch() {}
 
-func (r *slowStartInstance) Log(string) {}
+func (i *slowStartInstance) Log(string) {}
 
-func (r *slowStartInstance) SetTimer(token uint64, after time.Duration) {
-	r.w.after(after, func() { r.b.Timer(r.w.now, token) })
+func (i *slowStartInstance) SetTimer(token uint64, after time.Duration) {
+	i.simulation.after(after, func() { i.balancer.Timer(i.simulation.now, token) })
 }
 
-func (w *slowStartSimulation) entry(i int) Entry {
-	return Entry{Endpoint: EndpointID(i + 1), Weight: 1, Started: w.servers[i].started}
+// entry returns the list entry of the endpoint with the given index.
+func (w *slowStartSimulation) entry(index int) Entry {
+	return Entry{Endpoint: EndpointID(index + 1), Weight: 1, Started: w.endpoints[index].started}
 }
 
-// worst is the most that a cold endpoint gets in the overload window, over what the settings allow it then
-// with a margin for chance: N + 2 x root of N + 2.
-func (w *slowStartSimulation) worst() (ratio float64, got int, allowed float64) {
-	for _, s := range w.servers {
-		for i, at := range s.sent {
+// worstOverload returns the largest number of calls that a cold endpoint got within OverloadWindow, relative
+// to the number N that the settings allow at that time plus a margin for chance of 2 * sqrt(N) + 2. It also
+// returns both numbers.
+func (w *slowStartSimulation) worstOverload() (ratio float64, calls int, allowed float64) {
+	window := w.settings.OverloadWindow
+	for _, e := range w.endpoints {
+		for first, start := range e.coldCalls {
 			n := 0
-			for _, x := range s.sent[i:] {
-				if x-at < w.set.OverloadWindow {
+			for _, at := range e.coldCalls[first:] {
+				if at-start < window {
 					n++
 				}
 			}
-			// What it can do at the beginning of that time: the least.
-			most := w.set.OverloadMultiple * w.share(s, at) * slowStartCores / w.work.Seconds() * w.set.OverloadWindow.Seconds()
-			if most += 2*math.Sqrt(most) + 2; float64(n)/most > ratio {
-				ratio, got, allowed = float64(n)/most, n, most
+			// The capacity grows within the window; its value at the start is the lowest.
+			limit := w.settings.OverloadMultiple * w.capacityShare(e, start) * slowStartCores /
+				w.workTime.Seconds() * window.Seconds()
+			if limit += 2*math.Sqrt(limit) + 2; float64(n)/limit > ratio {
+				ratio, calls, allowed = float64(n)/limit, n, limit
 			}
 		}
 	}
-	return ratio, got, allowed
+	return ratio, calls, allowed
 }
 
-// newSlowStartWorld has instances that have served for a while, or have just started, when some of the
-// endpoints start.
-func newSlowStartWorld(seed uint64, brokers, servers int, restarted float64, fresh, tight bool) *slowStartSimulation {
-	w := &slowStartSimulation{rng: rand.New(rand.NewPCG(seed, 1)), set: settings(), work: 100 * ms}
+// slowStartCase describes one simulated fleet.
+type slowStartCase struct {
+	instances, endpoints int
+	startedShare         float64 // share of the endpoints that start
+	newInstances         bool    // the instances start with the endpoints, and have not served before
+	longCalls            bool    // an endpoint serves hardly any call within OverloadWindow
+}
+
+// runSlowStart simulates a fleet from the start of some of its endpoints through a quarter of their warm-up.
+func runSlowStart(seed uint64, c slowStartCase) *slowStartSimulation {
+	w := &slowStartSimulation{rng: rand.New(rand.NewPCG(seed, 1)), settings: settings(), workTime: 100 * ms}
 	w.now = 24 * time.Hour
-	w.set.Instances, w.set.Tiers = brokers, 1
-	w.set.ColdCapacity, w.set.WarmUp, w.set.OverloadMultiple, w.set.OverloadWindow = 0.3, 8*time.Second, 3, time.Second
-	if tight { // hardly a call in the time that counts
-		w.work, w.set.ColdCapacity, w.set.WarmUp, w.set.OverloadMultiple = 300*ms, 0.15, 16*time.Second, 2.5
+	set := &w.settings
+	set.Instances, set.Tiers = c.instances, 1
+	set.ColdCapacity, set.WarmUp, set.OverloadMultiple, set.OverloadWindow = 0.3, 8*time.Second, 3, time.Second
+	if c.longCalls {
+		w.workTime, set.ColdCapacity, set.WarmUp, set.OverloadMultiple = 300*ms, 0.15, 16*time.Second, 2.5
 	}
-	for range servers {
-		w.servers = append(w.servers, &slowStartServer{})
+	for range c.endpoints {
+		w.endpoints = append(w.endpoints, &slowStartEndpoint{})
 	}
-	all := make([]Entry, servers)
-	for i := range all {
-		all[i] = w.entry(i)
+	entries := make([]Entry, c.endpoints)
+	for i := range entries {
+		entries[i] = w.entry(i)
 	}
-	meanGap := w.work.Seconds() / (0.6 * slowStartCores * float64(servers)) * float64(brokers)
 	begin := w.now
-	for i := range brokers {
-		r := &slowStartInstance{w: w, out: map[RequestID]Outcome{}, sent: map[RequestID]int{}}
-		set := w.set
-		set.Ordinal = i
-		b, err := New(set, seed+uint64(i), r)
-		if err != nil {
-			panic(err)
-		}
-		r.b = b
-		w.brokers = append(w.brokers, r)
-		b.Targets(w.now, List{Kind: FullList, Version: 1, Entries: all})
-		heavy := 0.5 + w.rng.Float64() // callers come unevenly
-		n := 0
-		var arrive func()
-		arrive = func() {
-			n++
-			b.Request(w.now, Request{ID: RequestID(fmt.Sprint(i, "/", n)), Class: read, Remaining: 1500 * ms})
-			w.after(seconds(meanGap*w.rng.ExpFloat64()/heavy), arrive)
-		}
-		w.after(seconds(meanGap*w.rng.ExpFloat64()/heavy), arrive)
+	for ordinal := range c.instances {
+		w.addInstance(seed, ordinal, entries)
 	}
-	if !fresh {
+	if !c.newInstances {
 		w.run(begin + 8*time.Second)
 	}
 	started := w.now
-	for i, s := range w.servers {
-		if float64(i) < restarted*float64(servers) {
-			s.started = started
-			entry := w.entry(i)
-			for _, r := range w.brokers {
-				w.after(seconds(0.3*w.rng.Float64()), func() {
-					r.b.Targets(w.now, List{Kind: DeltaList, Version: 2, Entries: []Entry{entry}})
-				})
-			}
+	for index, e := range w.endpoints {
+		if float64(index) < c.startedShare*float64(c.endpoints) {
+			e.started = started
+			w.announce(w.entry(index))
 		}
 	}
-	w.run(started + w.set.WarmUp/4) // later they bear more
+	w.run(started + set.WarmUp/4) // later the endpoints withstand more calls
 	return w
 }
 
-// A cold endpoint is pushed over by the sum of what all instances send, of which each knows only its own.
-// That sum stays within what the settings allow, and chance, for instances that have served for a while and
-// for a fleet that starts with its endpoints.
+// addInstance adds an instance that knows the given list, and its requests with random pauses.
+func (w *slowStartSimulation) addInstance(seed uint64, ordinal int, entries []Entry) {
+	instance := &slowStartInstance{simulation: w, attempts: map[RequestID]int{}}
+	set := w.settings
+	set.Ordinal = ordinal
+	b, err := New(set, seed+uint64(ordinal), instance)
+	if err != nil {
+		panic(err)
+	}
+	instance.balancer = b
+	w.instances = append(w.instances, instance)
+	b.Targets(w.now, List{Kind: FullList, Version: 1, Entries: entries})
+	meanPause := w.workTime.Seconds() / (0.6 * slowStartCores * float64(len(entries))) * float64(set.Instances)
+	load := 0.5 + w.rng.Float64() // callers are unevenly distributed
+	requests := 0
+	var arrive func()
+	arrive = func() {
+		requests++
+		id := RequestID(fmt.Sprint(ordinal, "/", requests))
+		b.Request(w.now, Request{ID: id, Class: read, Remaining: 1500 * ms})
+		w.after(seconds(meanPause*w.rng.ExpFloat64()/load), arrive)
+	}
+	w.after(seconds(meanPause*w.rng.ExpFloat64()/load), arrive)
+}
+
+// announce reports the entry of an endpoint to all instances within 0.3 s.
+func (w *slowStartSimulation) announce(entry Entry) {
+	for _, instance := range w.instances {
+		w.after(seconds(0.3*w.rng.Float64()), func() {
+			instance.balancer.Targets(w.now, List{Kind: DeltaList, Version: 2, Entries: []Entry{entry}})
+		})
+	}
+}
+
+// The calls of all instances together can overload a cold endpoint, although each instance knows only its own
+// calls. Their sum must stay within what the settings allow and a margin for chance, both for instances that
+// have served for a while and for a fleet that starts with its endpoints.
 func TestSlowStartHoldsForFleet(t *testing.T) {
-	for _, x := range []struct {
-		brokers, servers, seeds int
+	for _, fleet := range []struct {
+		instances, endpoints, seeds int
 	}{{4, 20, 1}, {20, 20, 1}, {30, 20, 1}, {300, 60, 1}} {
-		for _, restarted := range []float64{0.6, 1} {
-			for _, fresh := range []bool{false, true} {
-				for _, tight := range []bool{false, true} {
-					if x.brokers > 100 && !(fresh && tight && restarted == 1) {
-						continue // where it is worst only: they are many
+		for _, startedShare := range []float64{0.6, 1} {
+			for _, newInstances := range []bool{false, true} {
+				for _, longCalls := range []bool{false, true} {
+					if fleet.instances > 100 && !(newInstances && longCalls && startedShare == 1) {
+						continue // the large fleet runs only the worst combination, because it takes long
 					}
-					name := fmt.Sprintf("%d brokers, %d servers, %v of them started, fresh %v, tight %v", x.brokers, x.servers,
-						restarted, fresh, tight)
-					for seed := range uint64(x.seeds) {
-						ratio, got, allowed := newSlowStartWorld(seed, x.brokers, x.servers, restarted, fresh, tight).worst()
-						if ratio > 1 || got == 0 {
-							t.Errorf("%s, seed %d: a cold server got %d calls, %.1f allowed", name, seed, got, allowed)
+					c := slowStartCase{fleet.instances, fleet.endpoints, startedShare, newInstances, longCalls}
+					for seed := range uint64(fleet.seeds) {
+						ratio, calls, allowed := runSlowStart(seed, c).worstOverload()
+						if ratio > 1 || calls == 0 {
+							t.Errorf("%+v, seed %d: a cold endpoint got %d calls, %.1f allowed", c, seed, calls, allowed)
 						}
 					}
 				}
