--- a/internal/decision/snapshot_test.go
+++ b/internal/decision/snapshot_test.go
@@ -38,8 +38,10 @@
 		next  map[EndpointID]int // calls of a second report, if any
 		less  int                // by how much the successor's calls are reduced
 	}{
-		"two endpoints":            {calls: map[EndpointID]int{1: 5, 2: 4}, less: 9},
-		"some calls have ended":    {calls: map[EndpointID]int{1: 5, 2: 4}, next: map[EndpointID]int{2: 1}, less: 1},
+		"two endpoints": {calls: map[EndpointID]int{1: 5, 2: 4}, less: 9},
+		"some calls have ended": {
+			calls: map[EndpointID]int{1: 5, 2: 4}, next: map[EndpointID]int{2: 1}, less: 1,
+		},
 		"all calls have ended":     {calls: map[EndpointID]int{1: 5, 2: 4}, next: map[EndpointID]int{}},
 		"report has expired":       {calls: map[EndpointID]int{1: 5, 2: 4}, after: 600 * ms},
 		"unknown endpoints":        {calls: map[EndpointID]int{77: 9, 78: 9}},
