--- a/internal/decision/api.go
+++ b/internal/decision/api.go
@@ -24,7 +24,7 @@
 	LongBody bool
 }
 
-// Status says how an attempt ended. Logs and the records of the laboratory contain its String form.
+// Status says how an attempt ended. Logs and the records of internal/lab contain its String form.
 type Status int
 
 // The statuses of an attempt. Where the String form differs from the name, the comment gives it in quotes.
--- a/internal/decision/ejection.go
+++ b/internal/decision/ejection.go
@@ -5,6 +5,17 @@
 	"time"
 )
 
+// The reasons for an ejection, as they appear in the log. The digests of the golden test include these texts.
+const (
+	reasonSilent          = "silent"
+	reasonErrors          = "errors"
+	reasonConnectFailed   = "connect failed"
+	reasonConnectionReset = "connection reset"
+	reasonPeerEvidence    = "by the word of others" // other instances have ejected the endpoint
+	reasonReturnedEjected = "as before it left"     // the endpoint was ejected when it left the list
+	reasonRestored        = "by the process before" // the snapshot of the preceding process says so
+)
+
 // mayEject reports whether errors and silence may eject one more endpoint. If more endpoints than
 // maxEjectedShare fail at the same time, they probably share a cause.
 func (b *Balancer) mayEject() bool {
@@ -51,7 +62,7 @@
 	if !silent || e.state == stateEjected && !e.calls[0].trial || e.state != stateEjected && !b.mayEject() {
 		return
 	}
-	b.eject(now, e, "silent")
+	b.eject(now, e, reasonSilent)
 	for _, r := range e.calls {
 		if b.canWithdrawAndRetry(now, r) {
 			b.withdraw(r)
--- a/internal/decision/endpoint_list.go
+++ b/internal/decision/endpoint_list.go
@@ -94,7 +94,7 @@
 	case !restarted && e.state != stateDraining:
 	case e.wasEjected && !restarted:
 		b.setState(e, stateUsable)
-		b.eject(now, e, "as before it left")
+		b.eject(now, e, reasonReturnedEjected)
 	case len(b.listed) == 0 && (e.started == 0 || now-e.started >= b.settings.WarmUp):
 		// The endpoint is in the first list. If all endpoints were in slow start, there would be no warm endpoint
 		// whose send rate limits theirs.
--- a/internal/decision/evidence.go
+++ b/internal/decision/evidence.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// Evidence is what the own calls of an instance have shown about an endpoint. Instances exchange it through
-// internal/fleet/replication, which decides which evidence of other instances is accepted.
+// Evidence is what an instance has learned about an endpoint from its own calls. Instances exchange it
+// through internal/fleet/replication, which decides which evidence of other instances is accepted.
 type Evidence struct {
 	Endpoint EndpointID
 	Ejected  bool          // true: the endpoint is ejected; false: it has answered without errors
@@ -18,7 +18,7 @@
 	Age      time.Duration // age of the evidence
 }
 
-// Evidence returns what the own calls of this instance have shown recently: all endpoints that it has
+// Evidence returns what this instance has recently learned from its own calls: all endpoints that it has
 // ejected, and those of the candidates that have answered without errors. An endpoint that was ejected on the
 // evidence of other instances is included only after a trial call of this instance has failed.
 func (b *Balancer) Evidence(now time.Duration, candidates []EndpointID) (evidence []Evidence) {
@@ -43,11 +43,11 @@
 }
 
 // ApplyPeerEjections ejects endpoints on the evidence of other instances and returns how many it has ejected.
-// It only ejects earlier what the own calls of this instance would eject later. It skips an endpoint that has
-// answered this instance since, and one outside of the subset, because that would get no trial call. The
-// limit on the share of ejected endpoints and the schedule of trial calls apply as to any other ejection.
-// Good answers at other instances do not advance a trial call: trial calls of all instances at the same time
-// overloaded endpoints that had just returned and were cold.
+// The evidence only hastens an ejection that calls of this instance would cause later. The function skips an
+// endpoint that has answered this instance since, and one outside of the subset, because that would get no
+// trial call. The limit on the share of ejected endpoints and the schedule of trial calls apply as to any
+// other ejection. Good answers at other instances do not advance a trial call: trial calls of all instances
+// at the same time overloaded endpoints that had just returned and were cold.
 func (b *Balancer) ApplyPeerEjections(now time.Duration, ejections []PeerEjection) (ejected int) {
 	if b.subsetStale && len(ejections) > 0 {
 		b.updateSubset() // it may not have run yet, if no request has arrived so far
@@ -60,7 +60,7 @@
 		if e.lastAnswer >= now-ejection.Age || !b.mayEject() {
 			continue
 		}
-		b.eject(now, e, "by the word of others")
+		b.eject(now, e, reasonPeerEvidence)
 		e.peerTrialBackoff = e.trialBackoff
 		ejected++
 	}
--- a/internal/decision/golden_amd64_test.go
+++ b/internal/decision/golden_amd64_test.go
@@ -65,55 +65,55 @@
 }
 
 // after schedules do after a delay.
-func (w *goldenSimulation) after(delay time.Duration, do func()) {
-	w.added++
-	heap.Push(&w.queue, goldenEvent{w.now + delay, w.added, do})
+func (sim *goldenSimulation) after(delay time.Duration, do func()) {
+	sim.added++
+	heap.Push(&sim.queue, goldenEvent{sim.now + delay, sim.added, do})
 }
 
 // record adds an action or a result of the Balancer to the digest. The format strings and the texts of Log
 // are part of the digest, so their wording is fixed.
-func (w *goldenSimulation) record(format string, args ...any) {
-	w.actions++
-	fmt.Fprintf(w.digest, "%d ", w.now)
-	fmt.Fprintf(w.digest, format+"\n", args...)
+func (sim *goldenSimulation) record(format string, args ...any) {
+	sim.actions++
+	fmt.Fprintf(sim.digest, "%d ", sim.now)
+	fmt.Fprintf(sim.digest, format+"\n", args...)
 }
 
 // randomBelow returns a random duration below limit.
-func (w *goldenSimulation) randomBelow(limit time.Duration) time.Duration {
-	return time.Duration(w.rng.Int64N(int64(limit)))
+func (sim *goldenSimulation) randomBelow(limit time.Duration) time.Duration {
+	return time.Duration(sim.rng.Int64N(int64(limit)))
 }
 
-func (w *goldenSimulation) Send(
+func (sim *goldenSimulation) Send(
 	id decision.RequestID, to decision.EndpointID, timeout, within time.Duration,
 ) {
-	w.record("send %s %d %d %d", id, to, timeout, within)
-	r := w.requests[id]
-	number := r.attempts
+	sim.record("send %s %d %d %d", id, to, timeout, within)
+	r := sim.requests[id]
+	attempt := r.attempts
 	r.attempts++
 	r.inFlight, r.to = true, to
 	status := decision.OK
-	if drawn := w.rng.IntN(100); drawn < 12 {
-		status = decision.Status(w.rng.IntN(9))
+	if drawn := sim.rng.IntN(100); drawn < 12 {
+		status = decision.Status(sim.rng.IntN(9))
 	}
-	elapsed := 2*time.Millisecond + w.randomBelow(60*time.Millisecond)*time.Duration(1+to%3)
-	if w.rng.IntN(40) == 0 {
+	elapsed := 2*time.Millisecond + sim.randomBelow(60*time.Millisecond)*time.Duration(1+to%3)
+	if sim.rng.IntN(40) == 0 {
 		elapsed += time.Second // overtaken by later calls
 	}
 	if timeout > 0 && elapsed > timeout {
 		elapsed, status = timeout, decision.Timeout
 	}
 	if r.LongBody {
-		sent := w.randomBelow(elapsed)
-		w.after(sent, func() { w.balancer.RequestSent(w.now, id, r.Remaining) })
+		sent := sim.randomBelow(elapsed)
+		sim.after(sent, func() { sim.balancer.RequestSent(sim.now, id, r.Remaining) })
 	}
-	if status == decision.OK && w.settings.Classes[r.Class].Streamed {
-		w.after(elapsed*9/10, func() { w.balancer.ResponseStarted(w.now, id, number, to) })
+	if status == decision.OK && sim.settings.Classes[r.Class].Streamed {
+		sim.after(elapsed*9/10, func() { sim.balancer.ResponseStarted(sim.now, id, attempt, to) })
 	}
-	w.after(elapsed, func() { w.end(r, to, number, status, elapsed) })
+	sim.after(elapsed, func() { sim.end(r, to, attempt, status, elapsed) })
 }
 
 // end reports the outcome of an attempt, unless a cancellation has already ended the attempt.
-func (w *goldenSimulation) end(
+func (sim *goldenSimulation) end(
 	r *goldenRequest, to decision.EndpointID, attempt int, status decision.Status, elapsed time.Duration,
 ) {
 	if !r.inFlight || r.attempts != attempt+1 {
@@ -123,155 +123,155 @@
 	final := r.answered || status == decision.OK
 	r.answered = final
 	var load *decision.Load
-	if w.rng.IntN(3) == 0 {
+	if sim.rng.IntN(3) == 0 {
 		load = &decision.Load{InFlight: 1, Queue: -1, Util: -1, Service: elapsed / 2}
 	}
-	w.balancer.Outcome(w.now, decision.Outcome{
+	sim.balancer.Outcome(sim.now, decision.Outcome{
 		ID: r.ID, Endpoint: to, Attempt: attempt, Final: final, Elapsed: elapsed,
-		Status: status, Load: load, NotReplayable: r.LongBody && w.rng.IntN(2) == 0,
+		Status: status, Load: load, NotReplayable: r.LongBody && sim.rng.IntN(2) == 0,
 	})
 }
 
-func (w *goldenSimulation) Refuse(id decision.RequestID, retryAfter time.Duration) {
-	w.record("refuse %s %d", id, retryAfter)
-	w.requests[id].answered = true
+func (sim *goldenSimulation) Refuse(id decision.RequestID, retryAfter time.Duration) {
+	sim.record("refuse %s %d", id, retryAfter)
+	sim.requests[id].answered = true
 }
 
-func (w *goldenSimulation) Fail(id decision.RequestID) {
-	w.record("fail %s", id)
-	w.requests[id].answered = true
+func (sim *goldenSimulation) Fail(id decision.RequestID) {
+	sim.record("fail %s", id)
+	sim.requests[id].answered = true
 }
 
-func (w *goldenSimulation) Cancel(id decision.RequestID, attempt int) {
-	w.record("cancel %s %d", id, attempt)
-	r := w.requests[id]
-	w.after(time.Millisecond, func() {
+func (sim *goldenSimulation) Cancel(id decision.RequestID, attempt int) {
+	sim.record("cancel %s %d", id, attempt)
+	r := sim.requests[id]
+	sim.after(time.Millisecond, func() {
 		if r.attempts == attempt+1 && r.inFlight {
-			w.end(r, r.to, attempt, decision.Cancelled, 10*time.Millisecond)
+			sim.end(r, r.to, attempt, decision.Cancelled, 10*time.Millisecond)
 		}
 	})
 }
 
-func (w *goldenSimulation) SetTimer(token uint64, after time.Duration) {
-	w.record("timer %d %d", token, after)
-	owner := w.balancer
-	w.after(after, func() {
-		if owner == nil || owner == w.balancer {
-			w.balancer.Timer(w.now, token)
+func (sim *goldenSimulation) SetTimer(token uint64, after time.Duration) {
+	sim.record("timer %d %d", token, after)
+	owner := sim.balancer
+	sim.after(after, func() {
+		if owner == nil || owner == sim.balancer {
+			sim.balancer.Timer(sim.now, token)
 		}
 	})
 }
 
-func (w *goldenSimulation) Watch(on bool) {
-	w.record("watch %t", on)
-	w.after(5*time.Millisecond, func() { w.reportList(w.rng.IntN(2) == 0) })
+func (sim *goldenSimulation) Watch(on bool) {
+	sim.record("watch %t", on)
+	sim.after(5*time.Millisecond, func() { sim.reportList(sim.rng.IntN(2) == 0) })
 }
 
-func (w *goldenSimulation) Fetch() {
-	w.record("fetch")
-	w.after(5*time.Millisecond, func() { w.reportList(w.rng.IntN(4) > 0) })
+func (sim *goldenSimulation) Fetch() {
+	sim.record("fetch")
+	sim.after(5*time.Millisecond, func() { sim.reportList(sim.rng.IntN(4) > 0) })
 }
 
-func (w *goldenSimulation) Log(text string) { w.record("log %s", text) }
+func (sim *goldenSimulation) Log(text string) { sim.record("log %s", text) }
 
 // reportList reports the full list, or that the request for it has failed.
-func (w *goldenSimulation) reportList(ok bool) {
+func (sim *goldenSimulation) reportList(ok bool) {
 	l := decision.List{Kind: decision.FailedList}
 	if ok {
-		w.version++
-		l = decision.List{Kind: decision.FullList, Version: w.version}
-		for _, e := range w.endpoints {
+		sim.version++
+		l = decision.List{Kind: decision.FullList, Version: sim.version}
+		for _, e := range sim.endpoints {
 			if e.State != decision.Departed {
 				l.Entries = append(l.Entries, e)
 			}
 		}
 	}
-	w.balancer.Targets(w.now, l)
+	sim.balancer.Targets(sim.now, l)
 }
 
 // changeEndpoint changes the entry of one endpoint and reports it as a delta.
-func (w *goldenSimulation) changeEndpoint() {
-	e := &w.endpoints[w.rng.IntN(len(w.endpoints))]
-	if e.State = decision.State(w.rng.IntN(5) / 2 % 3); w.rng.IntN(2) == 0 {
-		e.State, e.Started = decision.Ready, w.now
+func (sim *goldenSimulation) changeEndpoint() {
+	e := &sim.endpoints[sim.rng.IntN(len(sim.endpoints))]
+	if e.State = decision.State(sim.rng.IntN(5) / 2 % 3); sim.rng.IntN(2) == 0 {
+		e.State, e.Started = decision.Ready, sim.now
 	}
-	w.version++
-	w.balancer.Targets(w.now, decision.List{
-		Kind: decision.DeltaList, Version: w.version, Entries: []decision.Entry{*e},
+	sim.version++
+	sim.balancer.Targets(sim.now, decision.List{
+		Kind: decision.DeltaList, Version: sim.version, Entries: []decision.Entry{*e},
 	})
 }
 
 // submit submits requests one after another, with a random pause of the given mean.
-func (w *goldenSimulation) submit(number int, pause time.Duration) {
-	s := w.settings
+func (sim *goldenSimulation) submit(number int, pause time.Duration) {
+	s := sim.settings
 	r := &goldenRequest{Request: decision.Request{
 		ID:    decision.RequestID(fmt.Sprint("r", number)),
-		Class: w.rng.IntN(len(s.Classes)), Tenant: w.rng.IntN(len(s.Tenants) + 1),
-		Remaining: time.Second + w.randomBelow(time.Second),
-		IsRetry:   w.rng.IntN(8) == 0, IdleConns: 8, LongBody: w.rng.IntN(12) == 0,
+		Class: sim.rng.IntN(len(s.Classes)), Tenant: sim.rng.IntN(len(s.Tenants) + 1),
+		Remaining: time.Second + sim.randomBelow(time.Second),
+		IsRetry:   sim.rng.IntN(8) == 0, IdleConns: 8, LongBody: sim.rng.IntN(12) == 0,
 	}}
-	w.requests[r.ID] = r
-	w.balancer.Request(w.now, r.Request)
-	if w.rng.IntN(20) == 0 {
-		w.after(w.randomBelow(200*time.Millisecond), func() {
+	sim.requests[r.ID] = r
+	sim.balancer.Request(sim.now, r.Request)
+	if sim.rng.IntN(20) == 0 {
+		sim.after(sim.randomBelow(200*time.Millisecond), func() {
 			if !r.answered {
 				r.answered = true
-				w.balancer.Abandoned(w.now, r.ID)
+				sim.balancer.Abandoned(sim.now, r.ID)
 			}
 		})
 	}
-	w.after(w.randomBelow(2*pause), func() { w.submit(number+1, pause) })
+	sim.after(sim.randomBelow(2*pause), func() { sim.submit(number+1, pause) })
 }
 
 // updateFromFleet reports evidence of other instances and quota shares, once per second.
-func (w *goldenSimulation) updateFromFleet() {
-	id := w.endpoints[w.rng.IntN(len(w.endpoints))].Endpoint
-	ejections := []decision.PeerEjection{{Endpoint: id, Age: w.randomBelow(time.Second)}}
-	w.record("heeded %d", w.balancer.ApplyPeerEjections(w.now, ejections))
-	w.record("evidence %v", w.balancer.Evidence(w.now, []decision.EndpointID{1, 2, 3}))
-	w.record("uses %v", w.balancer.Usage())
-	rates := make([]float64, len(w.settings.Tenants))
+func (sim *goldenSimulation) updateFromFleet() {
+	id := sim.endpoints[sim.rng.IntN(len(sim.endpoints))].Endpoint
+	ejections := []decision.PeerEjection{{Endpoint: id, Age: sim.randomBelow(time.Second)}}
+	sim.record("heeded %d", sim.balancer.ApplyPeerEjections(sim.now, ejections))
+	sim.record("evidence %v", sim.balancer.Evidence(sim.now, []decision.EndpointID{1, 2, 3}))
+	sim.record("uses %v", sim.balancer.Usage())
+	rates := make([]float64, len(sim.settings.Tenants))
 	for i := range rates {
-		rates[i] = 20 * w.rng.Float64()
+		rates[i] = 20 * sim.rng.Float64()
 	}
-	w.balancer.SetQuotaShares(w.now, decision.QuotaShares{
-		TenantRates: rates, TenantFallbackRates: rates, RetryRate: 10*w.rng.Float64() - 2,
-		RetryFallbackRate: 1, Until: w.now + time.Second,
+	sim.balancer.SetQuotaShares(sim.now, decision.QuotaShares{
+		TenantRates: rates, TenantFallbackRates: rates, RetryRate: 10*sim.rng.Float64() - 2,
+		RetryFallbackRate: 1, Until: sim.now + time.Second,
 	})
-	w.after(time.Second, w.updateFromFleet)
+	sim.after(time.Second, sim.updateFromFleet)
 }
 
 // replaceBalancer replaces the Balancer by a successor that restores its snapshot. Calls in flight are
 // dropped.
-func (w *goldenSimulation) replaceBalancer(t *testing.T, seed uint64) {
+func (sim *goldenSimulation) replaceBalancer(t *testing.T, seed uint64) {
 	t.Helper()
-	snapshot, calls := w.balancer.Snapshot(w.now), w.balancer.InFlight()
+	snapshot, calls := sim.balancer.Snapshot(sim.now), sim.balancer.InFlight()
 	text, err := json.Marshal(snapshot)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.record("learnt %s %v", text, calls)
-	for _, r := range w.requests {
+	sim.record("learnt %s %v", text, calls)
+	for _, r := range sim.requests {
 		r.answered, r.inFlight = true, false
 	}
-	previous := w.balancer
-	w.newBalancer(t, seed)
-	if err := w.balancer.Restore(w.now, snapshot); err != nil || previous == w.balancer {
+	previous := sim.balancer
+	sim.newBalancer(t, seed)
+	if err := sim.balancer.Restore(sim.now, snapshot); err != nil || previous == sim.balancer {
 		t.Fatal(err)
 	}
-	w.balancer.SetPredecessorCalls(w.now, calls, w.now+500*time.Millisecond)
+	sim.balancer.SetPredecessorCalls(sim.now, calls, sim.now+500*time.Millisecond)
 }
 
 // newBalancer creates a Balancer and reports the list of all endpoints to it.
-func (w *goldenSimulation) newBalancer(t *testing.T, seed uint64) {
+func (sim *goldenSimulation) newBalancer(t *testing.T, seed uint64) {
 	t.Helper()
-	b, err := decision.New(w.settings, seed, w)
+	b, err := decision.New(sim.settings, seed, sim)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.balancer = b
-	w.version++
-	b.Targets(w.now, decision.List{Kind: decision.CachedList, Version: w.version, Entries: w.endpoints})
+	sim.balancer = b
+	sim.version++
+	b.Targets(sim.now, decision.List{Kind: decision.CachedList, Version: sim.version, Entries: sim.endpoints})
 }
 
 // goldenSettings returns settings with a class for each effect, a streamed class and two tenants.
@@ -329,31 +329,31 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := &goldenSimulation{
+			sim := &goldenSimulation{
 				settings: goldenSettings(c.instances, c.stage), rng: rand.New(rand.NewPCG(7, 11)),
 				now: time.Hour, digest: fnv.New64a(), requests: map[decision.RequestID]*goldenRequest{},
 			}
-			c.configure(&w.settings)
+			c.configure(&sim.settings)
 			for i := range c.endpoints {
-				w.endpoints = append(w.endpoints, decision.Entry{
+				sim.endpoints = append(sim.endpoints, decision.Entry{
 					Endpoint: decision.EndpointID(i + 1), Zone: i % 2, Kind: i % 3,
 					Cell: i / 2, Weight: 1 + float64(i%min(c.instances, 3)),
 				})
 			}
-			w.newBalancer(t, 1)
-			w.submit(1, c.pause)
+			sim.newBalancer(t, 1)
+			sim.submit(1, c.pause)
 			for i := range 12 {
-				w.after(time.Duration(i)*1500*time.Millisecond, w.changeEndpoint)
+				sim.after(time.Duration(i)*1500*time.Millisecond, sim.changeEndpoint)
 			}
-			w.after(2*time.Second, w.updateFromFleet)
-			w.after(12*time.Second, func() { w.replaceBalancer(t, 2) })
-			w.after(18*time.Second, func() { w.balancer.Drain(w.now, w.now+time.Second, c.instances == 2) })
-			for end := w.now + 20*time.Second; w.queue[0].at < end; {
-				e := heap.Pop(&w.queue).(goldenEvent)
-				w.now = e.at
+			sim.after(2*time.Second, sim.updateFromFleet)
+			sim.after(12*time.Second, func() { sim.replaceBalancer(t, 2) })
+			sim.after(18*time.Second, func() { sim.balancer.Drain(sim.now, sim.now+time.Second, c.instances == 2) })
+			for end := sim.now + 20*time.Second; sim.queue[0].at < end; {
+				e := heap.Pop(&sim.queue).(goldenEvent)
+				sim.now = e.at
 				e.do()
 			}
-			if got := fmt.Sprintf("%d actions, %016x", w.actions, w.digest.Sum64()); got != c.digest {
+			if got := fmt.Sprintf("%d actions, %016x", sim.actions, sim.digest.Sum64()); got != c.digest {
 				t.Errorf("got %q, want %q", got, c.digest)
 			}
 		})
--- a/internal/decision/limits.go
+++ b/internal/decision/limits.go
@@ -72,14 +72,14 @@
 // adapts the send rate to it. In that case each instance has only one or two calls in flight, and a limit on
 // their number does not keep the tier from overload. Only the first tier paces its sends: the tiers below do
 // not reject requests that the tiers above have already worked on.
-func (b *Balancer) recordPressure(now time.Duration, c *class, took time.Duration) {
+func (b *Balancer) recordPressure(now time.Duration, c *class, latency time.Duration) {
 	expected := min(pressureUsualFactor*c.usualLatency, pressureTargetShare*c.LatencyTarget.Seconds())
 	if expected <= 0 || b.settings.Stage > 0 {
 		return
 	}
 	sinceLast := (now - b.pressureAt).Seconds()
 	weight := min(pressureMaxWeight, sinceLast/(pressureTargets*c.LatencyTarget.Seconds()))
-	b.latencyPressure += weight * (min(took.Seconds()/expected, pressureMaxSample) - b.latencyPressure)
+	b.latencyPressure += weight * (min(latency.Seconds()/expected, pressureMaxSample) - b.latencyPressure)
 	b.pressureAt = now
 	if b.settings.Instances <= len(b.listed) {
 		b.isPaced = false // pacing may have begun while instances outnumbered the endpoints
--- a/internal/decision/outcomes.go
+++ b/internal/decision/outcomes.go
@@ -64,7 +64,7 @@
 		}
 		b.recordError(e, 1, weight)
 		if e.errorRate >= ejectErrorRate && e.errorRate >= ejectFleetRatio*b.errorRate && b.mayEject() {
-			b.eject(now, e, "errors")
+			b.eject(now, e, reasonErrors)
 		}
 	case Rejected:
 		e.rejectingUntil = now + seconds(r.class.baseLatency)
@@ -74,12 +74,12 @@
 		if len(e.calls) > 0 || e.lastAnswer > r.sentAt {
 			e.rejectingUntil = now + b.settings.ConnectTimeout
 		} else {
-			b.eject(now, e, "connect failed")
+			b.eject(now, e, reasonConnectFailed)
 			b.fetchSoon(now)
 		}
 	case Reset:
 		e.connectionReset = true
-		b.eject(now, e, "connection reset")
+		b.eject(now, e, reasonConnectionReset)
 		b.fetchSoon(now)
 	case Timeout:
 		// An overloaded endpoint that answers only a few calls in time would look fast by its answers alone.
--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -50,7 +50,7 @@
 	// Position of this instance in the fleet.
 	Instances int           // number of instances of this tier, at least 1
 	Ordinal   int           // number of this instance within the tier, from 0
-	Stage     int           // index of the tier that this instance calls; clients call the instances of stage 0
+	Stage     int           // index of the tier that this instance calls; tier 0 is called for clients
 	Tiers     int           // number of tiers; a call may wait in each tier from Stage on
 	Quantum   time.Duration // shortest time between two batches of events
 
@@ -69,7 +69,7 @@
 
 	// Discovery of the endpoint list.
 	PullDiscovery     bool          // changes arrive only after Watch or Fetch; otherwise they are pushed
-	DiscoveryInterval time.Duration // how often the instance is expected to ask for changes
+	DiscoveryInterval time.Duration // discovery assumes after this time that an instance knows a change
 
 	// ClientsMarkRetries says that clients flag their retries.
 	ClientsMarkRetries bool
--- a/internal/decision/slow_start_test.go
+++ b/internal/decision/slow_start_test.go
@@ -148,24 +148,24 @@
 }
 
 // after runs do after a delay.
-func (w *slowStartSimulation) after(delay time.Duration, do func()) {
-	w.seq++
-	heap.Push(&w.events, slowStartEvent{w.now + delay, w.seq, do})
+func (sim *slowStartSimulation) after(delay time.Duration, do func()) {
+	sim.seq++
+	heap.Push(&sim.events, slowStartEvent{sim.now + delay, sim.seq, do})
 }
 
 // run runs the events until the given time.
-func (w *slowStartSimulation) run(until time.Duration) {
-	for len(w.events) > 0 && w.events[0].at <= until {
-		e := heap.Pop(&w.events).(slowStartEvent)
-		w.now = e.at
+func (sim *slowStartSimulation) run(until time.Duration) {
+	for len(sim.events) > 0 && sim.events[0].at <= until {
+		e := heap.Pop(&sim.events).(slowStartEvent)
+		sim.now = e.at
 		e.do()
 	}
-	w.now = until
+	sim.now = until
 }
 
 // capacityShare returns the share of its warm capacity that an endpoint has at the given time.
-func (w *slowStartSimulation) capacityShare(e *slowStartEndpoint, at time.Duration) float64 {
-	cold, warmUp := w.settings.ColdCapacity, w.settings.WarmUp
+func (sim *slowStartSimulation) capacityShare(e *slowStartEndpoint, at time.Duration) float64 {
+	cold, warmUp := sim.settings.ColdCapacity, sim.settings.WarmUp
 	if e.started == 0 || at-e.started >= warmUp {
 		return 1
 	}
@@ -176,20 +176,20 @@
 const slowStartCores = 2
 
 func (i *slowStartInstance) Send(id RequestID, to EndpointID, _, _ time.Duration) {
-	w := i.simulation
-	e := w.endpoints[to-1]
-	share := w.capacityShare(e, w.now)
+	sim := i.simulation
+	e := sim.endpoints[to-1]
+	share := sim.capacityShare(e, sim.now)
 	if share < 1 {
-		e.coldCalls = append(e.coldCalls, w.now)
+		e.coldCalls = append(e.coldCalls, sim.now)
 	}
 	e.inFlight++
-	work := w.workTime.Seconds() * w.rng.ExpFloat64()
+	work := sim.workTime.Seconds() * sim.rng.ExpFloat64()
 	elapsed := seconds(work * max(float64(e.inFlight)/slowStartCores, 1) / share)
 	attempt := i.attempts[id]
 	i.attempts[id]++
-	w.after(elapsed, func() {
+	sim.after(elapsed, func() {
 		e.inFlight--
-		i.balancer.Outcome(w.now, Outcome{
+		i.balancer.Outcome(sim.now, Outcome{
 			ID: id, Endpoint: to, Attempt: attempt, Final: true, Elapsed: elapsed, Status: OK,
 		})
 	})
@@ -212,16 +212,16 @@
 }
 
 // entry returns the list entry of the endpoint with the given index.
-func (w *slowStartSimulation) entry(index int) Entry {
-	return Entry{Endpoint: EndpointID(index + 1), Weight: 1, Started: w.endpoints[index].started}
+func (sim *slowStartSimulation) entry(index int) Entry {
+	return Entry{Endpoint: EndpointID(index + 1), Weight: 1, Started: sim.endpoints[index].started}
 }
 
 // worstOverload returns the largest number of calls that a cold endpoint got within OverloadWindow, relative
 // to the number N that the settings allow at that time plus a margin for chance of 2 * sqrt(N) + 2. It also
 // returns both numbers.
-func (w *slowStartSimulation) worstOverload() (ratio float64, calls int, allowed float64) {
-	window := w.settings.OverloadWindow
-	for _, e := range w.endpoints {
+func (sim *slowStartSimulation) worstOverload() (ratio float64, calls int, allowed float64) {
+	window := sim.settings.OverloadWindow
+	for _, e := range sim.endpoints {
 		for first, start := range e.coldCalls {
 			n := 0
 			for _, at := range e.coldCalls[first:] {
@@ -230,8 +230,8 @@
 				}
 			}
 			// The capacity grows within the window; its value at the start is the lowest.
-			limit := w.settings.OverloadMultiple * w.capacityShare(e, start) * slowStartCores /
-				w.workTime.Seconds() * window.Seconds()
+			limit := sim.settings.OverloadMultiple * sim.capacityShare(e, start) * slowStartCores /
+				sim.workTime.Seconds() * window.Seconds()
 			if limit += 2*math.Sqrt(limit) + 2; float64(n)/limit > ratio {
 				ratio, calls, allowed = float64(n)/limit, n, limit
 			}
@@ -250,69 +250,69 @@
 
 // runSlowStart simulates a fleet from the start of some of its endpoints through a quarter of their warm-up.
 func runSlowStart(seed uint64, c slowStartCase) *slowStartSimulation {
-	w := &slowStartSimulation{rng: rand.New(rand.NewPCG(seed, 1)), settings: settings(), workTime: 100 * ms}
-	w.now = 24 * time.Hour
-	set := &w.settings
+	sim := &slowStartSimulation{rng: rand.New(rand.NewPCG(seed, 1)), settings: settings(), workTime: 100 * ms}
+	sim.now = 24 * time.Hour
+	set := &sim.settings
 	set.Instances, set.Tiers = c.instances, 1
 	set.ColdCapacity, set.WarmUp, set.OverloadMultiple, set.OverloadWindow = 0.3, 8*time.Second, 3, time.Second
 	if c.longCalls {
-		w.workTime, set.ColdCapacity, set.WarmUp, set.OverloadMultiple = 300*ms, 0.15, 16*time.Second, 2.5
+		sim.workTime, set.ColdCapacity, set.WarmUp, set.OverloadMultiple = 300*ms, 0.15, 16*time.Second, 2.5
 	}
 	for range c.endpoints {
-		w.endpoints = append(w.endpoints, &slowStartEndpoint{})
+		sim.endpoints = append(sim.endpoints, &slowStartEndpoint{})
 	}
 	entries := make([]Entry, c.endpoints)
 	for i := range entries {
-		entries[i] = w.entry(i)
+		entries[i] = sim.entry(i)
 	}
-	begin := w.now
+	begin := sim.now
 	for ordinal := range c.instances {
-		w.addInstance(seed, ordinal, entries)
+		sim.addInstance(seed, ordinal, entries)
 	}
 	if !c.newInstances {
-		w.run(begin + 8*time.Second)
+		sim.run(begin + 8*time.Second)
 	}
-	started := w.now
-	for index, e := range w.endpoints {
+	started := sim.now
+	for index, e := range sim.endpoints {
 		if float64(index) < c.startedShare*float64(c.endpoints) {
 			e.started = started
-			w.announce(w.entry(index))
+			sim.announce(sim.entry(index))
 		}
 	}
-	w.run(started + set.WarmUp/4) // later the endpoints withstand more calls
-	return w
+	sim.run(started + set.WarmUp/4) // later the endpoints withstand more calls
+	return sim
 }
 
 // addInstance adds an instance that knows the given list, and its requests with random pauses.
-func (w *slowStartSimulation) addInstance(seed uint64, ordinal int, entries []Entry) {
-	instance := &slowStartInstance{simulation: w, attempts: map[RequestID]int{}}
-	set := w.settings
+func (sim *slowStartSimulation) addInstance(seed uint64, ordinal int, entries []Entry) {
+	instance := &slowStartInstance{simulation: sim, attempts: map[RequestID]int{}}
+	set := sim.settings
 	set.Ordinal = ordinal
 	b, err := New(set, seed+uint64(ordinal), instance)
 	if err != nil {
 		panic(err)
 	}
 	instance.balancer = b
-	w.instances = append(w.instances, instance)
-	b.Targets(w.now, List{Kind: FullList, Version: 1, Entries: entries})
-	meanPause := w.workTime.Seconds() / (0.6 * slowStartCores * float64(len(entries))) * float64(set.Instances)
-	load := 0.5 + w.rng.Float64() // callers are unevenly distributed
+	sim.instances = append(sim.instances, instance)
+	b.Targets(sim.now, List{Kind: FullList, Version: 1, Entries: entries})
+	meanPause := sim.workTime.Seconds() / (0.6 * slowStartCores * float64(len(entries))) * float64(set.Instances)
+	load := 0.5 + sim.rng.Float64() // callers are unevenly distributed
 	requests := 0
 	var arrive func()
 	arrive = func() {
 		requests++
 		id := RequestID(fmt.Sprint(ordinal, "/", requests))
-		b.Request(w.now, Request{ID: id, Class: read, Remaining: 1500 * ms})
-		w.after(seconds(meanPause*w.rng.ExpFloat64()/load), arrive)
+		b.Request(sim.now, Request{ID: id, Class: read, Remaining: 1500 * ms})
+		sim.after(seconds(meanPause*sim.rng.ExpFloat64()/load), arrive)
 	}
-	w.after(seconds(meanPause*w.rng.ExpFloat64()/load), arrive)
+	sim.after(seconds(meanPause*sim.rng.ExpFloat64()/load), arrive)
 }
 
 // announce reports the entry of an endpoint to all instances within 0.3 s.
-func (w *slowStartSimulation) announce(entry Entry) {
-	for _, instance := range w.instances {
-		w.after(seconds(0.3*w.rng.Float64()), func() {
-			instance.balancer.Targets(w.now, List{Kind: DeltaList, Version: 2, Entries: []Entry{entry}})
+func (sim *slowStartSimulation) announce(entry Entry) {
+	for _, instance := range sim.instances {
+		sim.after(seconds(0.3*sim.rng.Float64()), func() {
+			instance.balancer.Targets(sim.now, List{Kind: DeltaList, Version: 2, Entries: []Entry{entry}})
 		})
 	}
 }
--- a/internal/decision/snapshot.go
+++ b/internal/decision/snapshot.go
@@ -13,8 +13,8 @@
 	Endpoints        []EndpointSnapshot `json:"endpoints,omitempty"`
 	KindLatency      []MeanSnapshot     `json:"kinds,omitempty"`    // by machine kind: relative latency
 	KindServiceTime  []MeanSnapshot     `json:"services,omitempty"` // by machine kind: service time, s
-	BaseLoad         RateSnapshot       `json:"rate"`               // base latencies answered, per endpoint
-	SlackLoad        RateSnapshot       `json:"spare"`              // latency slack answered, per endpoint
+	BaseLoad         RateSnapshot       `json:"rate"`               // calls in flight at little load, per endpoint
+	SlackLoad        RateSnapshot       `json:"spare"`              // further calls that the latency target allows
 	AnswerRate       RateSnapshot       `json:"served"`
 	RequestRate      RateSnapshot       `json:"asked"`
 	WarmSends        RateSnapshot       `json:"warm"`             // per unit of draw weight
@@ -215,7 +215,7 @@
 	e.serviceTime = runningMean{s.ServiceTime.Mean, s.ServiceTime.Count}
 	e.errorRate, e.lossRate = s.ErrorRate, s.LossRate
 	if s.Ejected && b.mayEject() {
-		b.eject(now, e, "by the process before")
+		b.eject(now, e, reasonRestored)
 	} else if s.InSlowStart && e.state == stateUsable {
 		b.startSlowStart(now, e, now-s.SlowStartAge)
 	}
--- a/internal/decision/statistics.go
+++ b/internal/decision/statistics.go
@@ -72,6 +72,8 @@
 	for len(b.kindServiceTime) <= e.machineKind {
 		b.kindServiceTime = append(b.kindServiceTime, runningMean{})
 	}
+	// After the first reports, a slower one gets an eighth of the weight, so that the mean follows the faster
+	// ones.
 	kindMean := &b.kindServiceTime[e.machineKind]
 	if s := load.Service.Seconds(); kindMean.count*kindMeanWeight < 0.5 || s < kindMean.mean {
 		kindMean.add(s, kindMeanWeight)
