--- a/internal/decision/endpoint_index.go
+++ b/internal/decision/endpoint_index.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// endpointIndex holds the known endpoints and several sets of them, so that a tick with thousands of endpoints
-// visits only the few that it needs. All sets except departed contain only listed endpoints, in the order of
-// their ids. Iterating over a set therefore gives the same order as filtering the whole list.
+// endpointIndex holds the known endpoints and several sets of them, so that a tick with thousands of
+// endpoints visits only the few that it needs. All sets except departed contain only listed endpoints, in the
+// order of their ids. Iterating over a set therefore gives the same order as filtering the whole list.
 type endpointIndex struct {
 	byID        map[EndpointID]*endpoint
 	listed      []*endpoint
--- a/internal/decision/snapshot.go
+++ b/internal/decision/snapshot.go
@@ -13,8 +13,8 @@
 	Endpoints        []EndpointSnapshot `json:"endpoints,omitempty"`
 	KindLatency      []MeanSnapshot     `json:"kinds,omitempty"`    // by machine kind: relative latency
 	KindServiceTime  []MeanSnapshot     `json:"services,omitempty"` // by machine kind: service time, s
-	BaseLoad         RateSnapshot       `json:"rate"`               // calls in flight at little load, per endpoint
-	SlackLoad        RateSnapshot       `json:"spare"`              // further calls that the latency target allows
+	BaseLoad         RateSnapshot       `json:"rate"`               // see Balancer.baseLoad
+	SlackLoad        RateSnapshot       `json:"spare"`              // see Balancer.slackLoad
 	AnswerRate       RateSnapshot       `json:"served"`
 	RequestRate      RateSnapshot       `json:"asked"`
 	WarmSends        RateSnapshot       `json:"warm"`             // per unit of draw weight
