--- a/internal/decision/outcomes.go
+++ b/internal/decision/outcomes.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// Outcome is the event of an attempt's end. One that is not the attempt in flight is ignored: it was
-// reported twice, or after a further attempt had begun.
+// Outcome handles the event that an attempt has ended. It ignores an attempt that is not the one in flight,
+// which happens when an outcome is reported twice or after a further attempt has begun.
 func (b *Balancer) Outcome(now time.Duration, o Outcome) {
 	r := b.requests[o.ID]
 	if r == nil || !r.isCurrent(o.Attempt, o.Endpoint) {
@@ -32,7 +32,7 @@
 	b.startTick()
 }
 
-// recordOutcome updates the statistics and the state of an endpoint by the outcome of one attempt.
+// recordOutcome updates the statistics and the state of an endpoint after the outcome of one attempt.
 func (b *Balancer) recordOutcome(now time.Duration, r *request, e *endpoint, o Outcome) {
 	switch o.Status {
 	case OK, Error, Rejected, Reset, InvalidResponse:
@@ -44,7 +44,7 @@
 		b.recordOvertaken(r)
 		e.lossRate -= lossRateWeight * e.lossRate
 		if r.overdue {
-			b.missingShare -= missingShareWeight * b.missingShare // slow, but not missing
+			b.missingShare -= missingShareWeight * b.missingShare // the call was slow, but not lost
 		}
 		b.recordLatency(now, r, e, o.Elapsed)
 		b.recordPressure(now, r.class, o.Elapsed)
@@ -52,7 +52,7 @@
 			r.class.onTime++
 		}
 		b.recordError(e, 0, errorRateWeight)
-		b.earnRetry()
+		b.refillRetryBudget()
 		if r.trial && e.state == stateEjected {
 			b.endEjection(now, e)
 		}
@@ -64,24 +64,25 @@
 		}
 		b.recordError(e, 1, weight)
 		if e.errorRate >= ejectErrorRate && e.errorRate >= ejectFleetRatio*b.errorRate && b.mayEject() {
-			b.eject(now, e, "errors")
+			b.eject(now, e, reasonErrors)
 		}
 	case Rejected:
 		e.rejectingUntil = now + seconds(r.class.baseLatency)
 	case ConnectFailed:
-		// A full connection table refuses connections as a dead process does, but its open calls go on.
+		// An endpoint with a full connection table refuses connections like a dead process, but its calls in flight
+		// go on.
 		if len(e.calls) > 0 || e.lastAnswer > r.sentAt {
 			e.rejectingUntil = now + b.settings.ConnectTimeout
 		} else {
-			b.eject(now, e, "connect failed")
+			b.eject(now, e, reasonConnectFailed)
 			b.fetchSoon(now)
 		}
 	case Reset:
 		e.connectionReset = true
-		b.eject(now, e, "connection reset")
+		b.eject(now, e, reasonConnectionReset)
 		b.fetchSoon(now)
 	case Timeout:
-		// By its answers alone, an overloaded endpoint that answers few calls in time would look fast.
+		// An overloaded endpoint that answers only a few calls in time would look fast by its answers alone.
 		if r.class.meanLatency > 0 {
 			b.recordLatencyRatio(e, o.Elapsed.Seconds()/r.class.meanLatency)
 		}
--- a/internal/decision/retries.go
+++ b/internal/decision/retries.go
@@ -4,14 +4,14 @@
 	"time"
 )
 
-// retryOrFinish decides what follows an attempt that failed: it queues the request again where its class,
-// the retry budget, the limit on attempts and the time left allow that, else it gives the final answer. An
-// attempt that never ran costs nothing of the budget.
+// retryOrFinish decides what follows a failed attempt. It queues the request again if its class, the retry
+// budget, the limit on attempts and the remaining time allow that. Otherwise it gives the final answer. A
+// retry after an attempt that never ran takes nothing from the budget.
 func (b *Balancer) retryOrFinish(now time.Duration, r *request, e *endpoint, o Outcome) {
-	r.lastFailed = e
+	r.lastFailedEndpoint = e
 	if !o.Status.NeverRan() {
-		if r.mayHaveRunAt == nil {
-			r.mayHaveRunAt, r.ranInZone, r.ranInCell, r.firstRunAt = e, e.zone, e.cell, r.sentAt
+		if r.mayHaveRunOn == nil {
+			r.mayHaveRunOn, r.ranInZone, r.ranInCell, r.firstRunAt = e, e.zone, e.cell, r.sentAt
 		}
 		if b.retryTokens < 1 || r.class.Effect == Unsafe || o.NotReplayable {
 			b.finish(now, r)
@@ -19,17 +19,17 @@
 		}
 		b.retryTokens--
 	}
-	if o.NotReplayable || r.attempts >= b.settings.MaxAttempts || now+b.tick >= r.deadline {
+	if o.NotReplayable || r.attempts >= b.settings.MaxAttempts || now+b.tickInterval >= r.deadline {
 		b.finish(now, r)
 		return
 	}
 	b.enqueue(r)
 }
 
-// finish gives the final answer: Refuse where a retry by the client is proven harmless, else Fail.
+// finish gives the final answer: Refuse if a retry by the client is certainly harmless, otherwise Fail.
 func (b *Balancer) finish(now time.Duration, r *request) {
 	r.final = true
-	if r.mayHaveRunAt == nil && r.current == nil || r.class.Effect == Safe ||
+	if r.mayHaveRunOn == nil && r.current == nil || r.class.Effect == Safe ||
 		r.class.Effect == Keyed && r.class.Scope == ScopeAll {
 		b.host.Refuse(r.id, b.retryAfter(now, r))
 	} else {
@@ -40,33 +40,34 @@
 	}
 }
 
-// retryAfter is the time after which a refused client should return: when what is queued and in flight now
-// has been answered at the present rate, but no sooner than after the time that it has waited here in vain.
-// Clients that return sooner find the same queue. Where no rate is known, or no listed endpoint may serve
-// the request, it is a rate window. Where this instance ends before that, it is the time until its
-// successor serves.
+// retryAfter returns the time after which a refused client should retry. It is the time in which the requests
+// that are queued and in flight now are answered at the current rate, and at least the time that the client
+// has already waited here without an attempt: clients that return sooner find the same queue. If no rate is
+// known, or no listed endpoint may serve the request, it is one rate window. If this instance ends before
+// that, it is the time until its successor serves.
 func (b *Balancer) retryAfter(now time.Duration, r *request) (wait time.Duration) {
 	if r.attempts == 0 {
 		wait = now - r.arrivedAt
 	}
 	longest := b.settings.MaxRetryAfter
 	backlog := b.rateWindow
-	if rate := b.answerRate.value(now, b.rateWindow); rate > 0 && b.reachable(now, r) {
+	if rate := b.answerRate.value(now, b.rateWindow); rate > 0 && b.hasEligibleEndpoint(now, r) {
 		calls := len(b.queue) + b.inFlight + b.predecessor.sum(now)
 		backlog = seconds(min(float64(calls)/rate, longest.Seconds()))
 	}
 	wait = min(max(wait, backlog, seconds(minRetryAfterWindows*b.rateWindow.Seconds())), longest)
 	switch {
 	case b.hasSuccessor:
-		wait = min(b.tick, longest) // its queue is its own
+		wait = min(b.tickInterval, longest) // the queue of the successor is independent of this one
 	case b.settings.Instances == 1 && b.endsBeforeAnswer(now+wait, r.class):
 		wait = min(b.drainDeadline+seconds(successorStartSeconds)-now, longest)
 	}
 	return wait
 }
 
-// earnRetry adds what an answered call earns to the retry budget, where the fleet does not set its rate.
-func (b *Balancer) earnRetry() {
+// refillRetryBudget adds the tokens of one answered call to the retry budget, unless the fleet sets the rate
+// of the budget.
+func (b *Balancer) refillRetryBudget() {
 	if b.fleetRetries == nil {
 		b.retryTokens = min(b.retryTokens+retryTokensPerAnswer, maxRetryTokens)
 	}
