--- a/internal/controlplane/order.go
+++ b/internal/controlplane/order.go
@@ -17,7 +17,7 @@
 // startOrder starts an order of a plan, unless its endpoint has left.
 func (c *placementController) startOrder(now time.Duration, service fleetconfig.Service, order placement.Order) {
 	address := c.address(order.Endpoint)
-	if address == "" || c.holder.Orders().IsOrdered(order.Endpoint) {
+	if address == "" || c.holder.Orders().HasOrder(order.Endpoint) {
 		return
 	}
 	c.server.log.Info("order.started", "endpoint", order.Endpoint, "operation", string(order.Operation), "model", order.Model,
@@ -46,7 +46,7 @@
 // advanceOrders takes the steps of orders that are due, where this member holds the lease.
 func (c *placementController) advanceOrders() {
 	now := c.server.now()
-	if lease := c.lease(now); c.holder.IsSame(lease) {
+	if lease := c.lease(now); c.holder.MayActUnder(lease) {
 		c.carryOut(c.holder.Orders().Advance(now, lease))
 	}
 }
@@ -74,7 +74,7 @@
 // publish changes an endpoint's overlay, unless another member may hold the lease.
 func (c *placementController) publish(publication orders.Publication) {
 	now := c.server.now()
-	if !c.holder.IsSame(c.lease(now)) {
+	if !c.holder.MayActUnder(c.lease(now)) {
 		return
 	}
 	if publication.Withdraw {
--- a/internal/controlplane/overlays.go
+++ b/internal/controlplane/overlays.go
@@ -48,7 +48,7 @@
 func (c *placementController) expireOverlays(now time.Duration) {
 	lifetime := overlayHeartbeats*c.server.settings.HeartbeatInterval() + orders.MaxReportAge
 	for id, overlay := range c.overlays {
-		if now-overlay.setAt > lifetime && !c.holder.Orders().IsOrdered(id) {
+		if now-overlay.setAt > lifetime && !c.holder.Orders().HasOrder(id) {
 			if len(overlay.overrides) > 0 {
 				c.clearOverrides(now, id)
 			}
--- a/internal/controlplane/placement_controller.go
+++ b/internal/controlplane/placement_controller.go
@@ -86,7 +86,7 @@
 
 // tick follows the lease, and removes what has expired.
 func (c *placementController) tick(now time.Duration) {
-	if c.holder.Follow(now, c.lease(now), c.takeover) {
+	if c.holder.UpdateLease(now, c.lease(now), c.takeover) {
 		c.server.log.Info("placement.lease_acquired", "token", c.holder.Lease().Token)
 	}
 	if !c.holder.Lease().Held {
@@ -172,7 +172,7 @@
 			continue
 		}
 		endpoint := plannerEndpoint(&session)
-		c.holder.Orders().Describe(&endpoint)
+		c.holder.Orders().CompleteEndpoint(&endpoint)
 		endpoints = append(endpoints, endpoint)
 	}
 	return endpoints
--- a/internal/lab/coresim/orders_checker.go
+++ b/internal/lab/coresim/orders_checker.go
@@ -112,7 +112,7 @@
 // checkKnowledge checks that an endpoint without an order has what the lease holder believes.
 func (p *placer) checkKnowledge(e *endpoint) error {
 	known := placement.Endpoint{ID: e.id, Models: e.models}
-	p.holder.Orders().Describe(&known)
+	p.holder.Orders().CompleteEndpoint(&known)
 	if known.OrderInFlight || e.busy {
 		return nil
 	}
--- a/internal/lab/coresim/placement.go
+++ b/internal/lab/coresim/placement.go
@@ -94,7 +94,7 @@
 // tick follows the lease, tells the peers, and plans.
 func (p *placer) tick() {
 	now := p.m.sim.now
-	p.holder.Follow(now, p.lease(), p.takeover)
+	p.holder.UpdateLease(now, p.lease(), p.takeover)
 	if !p.holder.Lease().Held {
 		return
 	}
@@ -158,7 +158,7 @@
 	var endpoints []placement.Endpoint
 	for _, e := range p.table.endpoints {
 		endpoint := placement.Endpoint{ID: e.id, Models: e.heartbeat}
-		p.holder.Orders().Describe(&endpoint)
+		p.holder.Orders().CompleteEndpoint(&endpoint)
 		endpoints = append(endpoints, endpoint)
 	}
 	return endpoints
@@ -199,7 +199,7 @@
 }
 
 func (p *placer) advance() {
-	if lease := p.lease(); p.holder.IsSame(lease) {
+	if lease := p.lease(); p.holder.MayActUnder(lease) {
 		p.carryOut(p.holder.Orders().Advance(p.m.sim.now, lease))
 	}
 }
--- a/internal/orders/endpoint_state.go
+++ b/internal/orders/endpoint_state.go
@@ -10,10 +10,10 @@
 // endpointState is what the lease holder knows that an endpoint has loaded: its report, and the orders that it has executed
 // since. Without a report (known is false) the next order starts by fetching one.
 type endpointState struct {
-	known     bool
-	sequence  uint64 // of the endpoint's orders: the next order is accepted only at this one
-	models    map[string][]string
-	notBefore time.Duration // a report of before is too old to count
+	hasReport       bool
+	sequence        uint64 // of the endpoint's orders: the next order is accepted only at this one
+	models          map[string][]string
+	reportNotBefore time.Duration // a report of before is too old to count
 }
 
 // apply changes the state as an order does once it has been executed.
@@ -23,14 +23,14 @@
 	state.models = endpoint.Models
 }
 
-// forget has the next order start by fetching a report, once it can no longer be older than now.
-func (state *endpointState) forget(now time.Duration) {
-	*state = endpointState{notBefore: now + MaxReportAge}
+// invalidate has the next order start by fetching a report, once it can no longer be older than now.
+func (state *endpointState) invalidate(now time.Duration) {
+	*state = endpointState{reportNotBefore: now + MaxReportAge}
 }
 
-// learn takes the report of an idle endpoint.
-func (state *endpointState) learn(report Report) {
-	*state = endpointState{known: true, sequence: report.Sequence, models: report.Models}
+// applyReport takes the report of an idle endpoint.
+func (state *endpointState) applyReport(report Report) {
+	*state = endpointState{hasReport: true, sequence: report.Sequence, models: report.Models}
 }
 
 // isExecuted reports whether models are as they are after an order.
--- a/internal/orders/holder.go
+++ b/internal/orders/holder.go
@@ -62,17 +62,17 @@
 // Lease returns the lease that this member holds, or has held last.
 func (h *Holder) Lease() Lease { return h.lease }
 
-// IsSame reports whether this member may act now under the lease that its orders were planned under.
-func (h *Holder) IsSame(lease Lease) bool { return lease.Held && lease.Token == h.lease.Token }
+// MayActUnder reports whether this member may act now under the lease that its orders were planned under.
+func (h *Holder) MayActUnder(lease Lease) bool { return lease.Held && lease.Token == h.lease.Token }
 
 // AvailableLoads returns how many loads of weights may start now.
 func (h *Holder) AvailableLoads(now time.Duration, loadsPerS float64) int {
 	return h.ledger.Available(now, loadsPerS)
 }
 
-// Follow takes the lease as it is now. It reports whether this member has just begun to act under it. Where the lease comes
+// UpdateLease takes the lease as it is now. It reports whether this member has just begun to act under it. Where the lease comes
 // back before another member has had it, ledger and orders go on; else it takes over from the other one.
-func (h *Holder) Follow(now time.Duration, lease Lease, takeover func() Takeover) (acquired bool) {
+func (h *Holder) UpdateLease(now time.Duration, lease Lease, takeover func() Takeover) (acquired bool) {
 	if !lease.Held {
 		h.lease.Held = false
 		return false
@@ -90,12 +90,12 @@
 func (h *Holder) takeOver(now time.Duration, token uint64, takeover Takeover) {
 	h.ledger = placement.NewLoadLedger(h.config.Window, h.config.Overshoot)
 	if !takeover.IsFirst || token > 1 {
-		h.assumeLoads(now, takeover)
+		h.recordPredecessorLoads(now, takeover)
 	}
 	h.machine.Reset(now, h.ledger, h.ordersOfPredecessor(takeover.Address))
 }
 
-func (h *Holder) assumeLoads(now time.Duration, takeover Takeover) {
+func (h *Holder) recordPredecessorLoads(now time.Duration, takeover Takeover) {
 	for _, started := range h.predecessor.loadsStarted {
 		h.ledger.RecordStart(started)
 	}
--- a/internal/orders/holder_test.go
+++ b/internal/orders/holder_test.go
@@ -18,10 +18,10 @@
 	BeforeEach(func() { holder = NewHolder(HolderConfig{Window: 5 * s, Overshoot: 1.1, LeaseDuration: s}) })
 
 	It("is kept by a holder that regains the lease before another member has held it", func() {
-		holder.Follow(9*s, Lease{Token: 1, Held: true}, func() Takeover { return Takeover{IsFirst: true} })
+		holder.UpdateLease(9*s, Lease{Token: 1, Held: true}, func() Takeover { return Takeover{IsFirst: true} })
 		holder.ledger.RecordStart(9 * s)
-		Expect(holder.Follow(9500*ms, Lease{Token: 1}, takeover)).To(BeFalse())
-		Expect(holder.Follow(10*s, Lease{Token: 1, Held: true}, takeover)).To(BeTrue())
+		Expect(holder.UpdateLease(9500*ms, Lease{Token: 1}, takeover)).To(BeFalse())
+		Expect(holder.UpdateLease(10*s, Lease{Token: 1, Held: true}, takeover)).To(BeTrue())
 		Expect(holder.ledger.Ages(10 * s)).To(Equal([]time.Duration{s}))
 	})
 
@@ -45,7 +45,7 @@
 			successor.predecessor = holder.predecessor
 			agreedAt := now
 			now += 1500 * ms // until it acts
-			successor.Follow(now, Lease{Token: token, Held: true}, func() Takeover {
+			successor.UpdateLease(now, Lease{Token: token, Held: true}, func() Takeover {
 				return Takeover{AgreedAt: agreedAt, LoadsPerS: []float64{rate}, Address: func(string) string { return "" }}
 			})
 			for actsUntil := now + 2*s; now < actsUntil; now += 50 * ms {
@@ -73,10 +73,10 @@
 
 	It("comes with the orders in flight", func() {
 		first := NewHolder(holder.config)
-		first.Follow(s, Lease{Token: 1, Held: true}, func() Takeover { return Takeover{IsFirst: true} })
+		first.UpdateLease(s, Lease{Token: 1, Held: true}, func() Takeover { return Takeover{IsFirst: true} })
 		first.machine.Begin(s, first.lease, Request{Order: loadA, Address: "address", Engine: engine})
 		holder.ReceiveSync(s, first.Sync(s))
-		holder.Follow(10*s, Lease{Token: 2, Held: true}, takeover)
+		holder.UpdateLease(10*s, Lease{Token: 2, Held: true}, takeover)
 		Expect(holder.machine.InFlight()).To(ConsistOf(InFlight{Order: loadA, Address: "address"}))
 	})
 })
--- a/internal/orders/machine.go
+++ b/internal/orders/machine.go
@@ -27,7 +27,7 @@
 	m.ledger = ledger
 	m.tasks, m.states = map[string]*task{}, map[string]*endpointState{}
 	for _, order := range inFlight {
-		m.tasks[order.Order.Endpoint] = &task{phase: adopted, order: order.Order, address: order.Address, due: now, expectedEnd: now}
+		m.tasks[order.Order.Endpoint] = &task{phase: inherited, order: order.Order, address: order.Address, due: now, expectedEnd: now}
 	}
 }
 
@@ -50,7 +50,7 @@
 		return m.step(now, lease, t)
 	}
 	// Published before the order: a request that reaches the endpoint after it would find the model missing.
-	t.wait(publishing, now+unloadDelay)
+	t.scheduleStep(publishing, now+unloadDelay)
 	return Output{Publications: []Publication{{Endpoint: endpoint, Override: OverrideOf(t.order)}}}
 }
 
@@ -81,14 +81,14 @@
 	maps.DeleteFunc(m.states, func(endpoint string, _ *endpointState) bool { return !keep(endpoint) })
 }
 
-// IsOrdered reports whether an endpoint has an order, or cannot get one yet.
-func (m *Machine) IsOrdered(endpoint string) bool { return m.tasks[endpoint] != nil }
+// HasOrder reports whether an endpoint has an order, or cannot get one yet.
+func (m *Machine) HasOrder(endpoint string) bool { return m.tasks[endpoint] != nil }
 
 // InFlight returns the orders whose end is not known, by endpoint.
 func (m *Machine) InFlight() []InFlight {
 	var orders []InFlight
 	for _, endpoint := range slices.Sorted(maps.Keys(m.tasks)) {
-		if t := m.tasks[endpoint]; t.phase != settling {
+		if t := m.tasks[endpoint]; t.phase != awaitingIdle {
 			orders = append(orders, InFlight{Order: t.order, Address: t.address})
 		}
 	}
@@ -106,9 +106,9 @@
 	return count
 }
 
-// Describe completes an endpoint, as its heartbeats describe it, by what is known of it and by its order.
-func (m *Machine) Describe(endpoint *placement.Endpoint) {
-	if state := m.states[endpoint.ID]; state != nil && state.known {
+// CompleteEndpoint completes an endpoint, as its heartbeats describe it, by what is known of it and by its order.
+func (m *Machine) CompleteEndpoint(endpoint *placement.Endpoint) {
+	if state := m.states[endpoint.ID]; state != nil && state.hasReport {
 		endpoint.Models = state.models
 	}
 	t := m.tasks[endpoint.ID]
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -97,7 +97,7 @@
 	}
 	described := func() placement.Endpoint {
 		e := placement.Endpoint{ID: endpoint, Models: map[string][]string{}}
-		machine.Describe(&e)
+		machine.CompleteEndpoint(&e)
 		return e
 	}
 	published := Publication{Endpoint: endpoint, Override: OverrideOf(loadA)}
@@ -110,7 +110,7 @@
 		Expect(nextDue()).To(Equal(now + loadTime))
 		out = report(advance(now+loadTime), withModels(5, "a"))
 		Expect(out).To(Equal(Output{Publications: []Publication{published}, Replan: true}))
-		Expect(machine.IsOrdered(endpoint)).To(BeFalse())
+		Expect(machine.HasOrder(endpoint)).To(BeFalse())
 		Expect(described().Models).To(HaveKey("a"))
 	})
 
@@ -143,7 +143,7 @@
 	It("is not posted where it does not fit", func() {
 		out := post(loadB, "a")
 		Expect(out.Orders).To(BeEmpty())
-		Expect(machine.IsOrdered(endpoint)).To(BeTrue())
+		Expect(machine.HasOrder(endpoint)).To(BeTrue())
 	})
 
 	It("that unloads is published before it is posted", func() {
@@ -158,7 +158,7 @@
 	table.DescribeTable("that is short is not asked after", func(order placement.Order) {
 		answer(post(order, "a"), Accepted)
 		Expect(advance(now + adapterLoadTime).Reports).To(BeEmpty())
-		Expect(machine.IsOrdered(endpoint)).To(BeFalse())
+		Expect(machine.HasOrder(endpoint)).To(BeFalse())
 	}, table.Entry("adapter", loadAdapter), table.Entry("unload without requests", unloadA))
 
 	Describe("without an answer", func() {
@@ -188,7 +188,7 @@
 		It("ends with the endpoint's session", func() {
 			answer(post(loadA), Unknown)
 			machine.Retain(func(string) bool { return false })
-			Expect(machine.IsOrdered(endpoint)).To(BeFalse())
+			Expect(machine.HasOrder(endpoint)).To(BeFalse())
 		})
 	})
 
--- a/internal/orders/steps.go
+++ b/internal/orders/steps.go
@@ -19,20 +19,20 @@
 			return m.complete(t)
 		}
 	}
-	return m.askReport(t)
+	return m.requestReport(t)
 }
 
 // prepare posts the order, or first asks for the report that it is checked against.
 func (m *Machine) prepare(now time.Duration, lease Lease, t *task) Output {
 	state := m.state(t.order.Endpoint)
 	switch {
-	case state.known:
+	case state.hasReport:
 		return m.post(now, lease, t)
-	case now < state.notBefore:
-		t.due = state.notBefore
+	case now < state.reportNotBefore:
+		t.due = state.reportNotBefore
 		return Output{}
 	}
-	return m.askReport(t)
+	return m.requestReport(t)
 }
 
 // post sends the order if it fits the endpoint and the lease it was planned under is held.
@@ -40,7 +40,7 @@
 	state := m.state(t.order.Endpoint)
 	endpoint := placement.Endpoint{Models: state.models}
 	if !endpoint.Fits(t.order, t.engine) || !lease.Held || lease.Token != t.token {
-		return m.settle(now, t)
+		return m.abandon(now, t)
 	}
 	if LoadsWeights(t.order) {
 		// It may go out later than planned, and the origin's rate holds for when loads take place.
@@ -65,20 +65,20 @@
 		m.state(endpoint).sequence++
 		t.acceptedAt = now
 		t.expectedEnd = now + ExpectedDuration(t.engine, t.order)
-		t.wait(executing, t.expectedEnd)
+		t.scheduleStep(executing, t.expectedEnd)
 		return Output{}
 	case AlreadyDone:
 		return m.complete(t)
 	case Unknown:
-		t.wait(uncertain, now+MaxReportAge)
+		t.scheduleStep(uncertain, now+MaxReportAge)
 		return Output{}
 	case Conflict:
 		if t.conflicts++; t.conflicts <= maxConflictRetries {
-			t.wait(retrying, now+conflictBackoff)
+			t.scheduleStep(retrying, now+conflictBackoff)
 			return Output{}
 		}
 	}
-	out := m.settle(now, t)
+	out := m.abandon(now, t)
 	out.Refusals = append(out.Refusals, Refusal{Endpoint: endpoint, Status: answer.Status})
 	return out
 }
@@ -91,31 +91,31 @@
 	}
 	t.call = 0
 	if report == nil {
-		t.unansweredReports++
-		return m.reportMissing(now, t)
+		t.failedReports++
+		return m.reportFailed(now, t)
 	}
-	t.unansweredReports = 0
+	t.failedReports = 0
 	if t.phase == preparing {
-		return m.prepared(now, lease, t, *report)
+		return m.prepareWithReport(now, lease, t, *report)
 	}
 	return m.resolve(now, t, *report)
 }
 
-// reportMissing has the endpoint be asked again. An order that has not been posted is dropped.
-func (m *Machine) reportMissing(now time.Duration, t *task) Output {
+// reportFailed has the endpoint be asked again. An order that has not been posted is dropped.
+func (m *Machine) reportFailed(now time.Duration, t *task) Output {
 	if t.phase == preparing {
-		return m.settle(now, t)
+		return m.abandon(now, t)
 	}
 	t.due = now + pollInterval(now-t.expectedEnd)
 	return Output{}
 }
 
-// prepared posts the order after a report, unless the endpoint is at work for somebody else.
-func (m *Machine) prepared(now time.Duration, lease Lease, t *task, report Report) Output {
+// prepareWithReport posts the order after a report, unless the endpoint is at work for somebody else.
+func (m *Machine) prepareWithReport(now time.Duration, lease Lease, t *task, report Report) Output {
 	if report.Busy {
-		return m.settle(now, t)
+		return m.abandon(now, t)
 	}
-	m.state(t.order.Endpoint).learn(report)
+	m.state(t.order.Endpoint).applyReport(report)
 	return m.post(now, lease, t)
 }
 
@@ -131,9 +131,9 @@
 		t.due = now + pollInterval(now-t.expectedEnd)
 		return Output{}
 	}
-	state.learn(report)
+	state.applyReport(report)
 	out := m.remove(t)
-	if t.phase == settling {
+	if t.phase == awaitingIdle {
 		return out
 	}
 	publication := Publication{Endpoint: t.order.Endpoint, Override: OverrideOf(t.order)}
@@ -154,11 +154,11 @@
 	return out
 }
 
-// settle drops an order that was not executed, and withdraws what was published of it. Its endpoint gets no other order before
+// abandon drops an order that was not executed, and withdraws what was published of it. Its endpoint gets no other order before
 // it reports to be idle.
-func (m *Machine) settle(now time.Duration, t *task) Output {
-	m.state(t.order.Endpoint).forget(now)
-	t.wait(settling, now+MaxReportAge)
+func (m *Machine) abandon(now time.Duration, t *task) Output {
+	m.state(t.order.Endpoint).invalidate(now)
+	t.scheduleStep(awaitingIdle, now+MaxReportAge)
 	t.expectedEnd = now
 	return Output{Publications: []Publication{{Endpoint: t.order.Endpoint, Withdraw: true}}, Replan: true}
 }
@@ -169,8 +169,8 @@
 	return Output{Replan: true}
 }
 
-// askReport asks the endpoint of a task for its report.
-func (m *Machine) askReport(t *task) Output {
+// requestReport asks the endpoint of a task for its report.
+func (m *Machine) requestReport(t *task) Output {
 	return Output{Reports: []ReportCall{{ID: m.newCall(t), Endpoint: t.order.Endpoint, Address: t.address}}}
 }
 
--- a/internal/orders/task.go
+++ b/internal/orders/task.go
@@ -17,8 +17,8 @@
 	retrying
 	executing
 	uncertain
-	adopted
-	settling
+	inherited
+	awaitingIdle
 )
 
 // task is the order that an endpoint has, or the pause after one (settling).
@@ -40,18 +40,18 @@
 	acceptedAt time.Duration
 	// expectedEnd is when the order should have been executed.
 	expectedEnd time.Duration
-	// unansweredReports counts the reports in a row that were not answered.
-	unansweredReports int
+	// failedReports counts the reports in a row that were not answered.
+	failedReports int
 }
 
 // countsAsExecuted reports whether the planner is to see the endpoint as it will be after the order: not where its outcome is
 // uncertain and the endpoint does not answer, as requests may wait for the model.
 func (t *task) countsAsExecuted() bool {
 	switch t.phase {
-	case settling:
+	case awaitingIdle:
 		return false
-	case uncertain, adopted:
-		return t.unansweredReports == 0
+	case uncertain, inherited:
+		return t.failedReports == 0
 	}
 	return true
 }
@@ -59,7 +59,7 @@
 // usesOrigin reports whether a load still takes part of what the origin of the weights can carry: until its expected end, and
 // again from when its end should have been noticed, as it is late then.
 func (t *task) usesOrigin(now time.Duration) bool {
-	if t.phase == settling || !LoadsWeights(t.order) {
+	if t.phase == awaitingIdle || !LoadsWeights(t.order) {
 		return false
 	}
 	return t.phase != executing || now < t.expectedEnd || now > t.expectedEnd+MaxReportAge+minPollInterval
@@ -71,7 +71,7 @@
 	return t.order.Adapter != "" || t.order.Operation == placement.Unload && !t.hadRequests
 }
 
-// wait has the next step follow at a time.
-func (t *task) wait(next phase, due time.Duration) {
+// scheduleStep has the next step follow at a time.
+func (t *task) scheduleStep(next phase, due time.Duration) {
 	t.phase, t.due, t.call = next, due, 0
 }
--- a/internal/placement/decisions_test.go
+++ b/internal/placement/decisions_test.go
@@ -14,78 +14,78 @@
 // The fixtures hold what the build of commit bfb03d8 decided for the same drawn inputs.
 
 const (
-	stepsOfDay    = 100
-	drawnProxies  = 3
-	drawnModels   = 7
-	drawnAdapters = 4
-	planInterval  = 200 * time.Millisecond
+	simulationSteps      = 100
+	proxyCount           = 3
+	modelCount           = 7
+	adapterCountPerModel = 4
+	planInterval         = 200 * time.Millisecond
 )
 
 // seeds are those of the drawn days. Each gave the same orders in 250 runs of that build: with others, Plan might choose
 // either of two endpoints whose costs differ only by the rounding of a sum over a map, whose order is random.
 var seeds = []uint64{0, 1, 2, 3, 4, 5, 6, 7}
 
-// day is a drawn service with its endpoints, over some minutes.
-type day struct {
+// simulation is a drawn service with its endpoints, over some minutes.
+type simulation struct {
 	random    *rand.Rand
 	engine    *fleetconfig.Engine
 	endpoints []Endpoint
 	demand    *Demand
 }
 
-func drawDay(seed uint64) *day {
-	d := &day{random: rand.New(rand.NewPCG(seed, 11)), demand: NewDemand()}
-	d.engine = &fleetconfig.Engine{WeightsSizeMB: 200 + float64(d.random.IntN(100)), AdapterSlots: float64(1 + d.random.IntN(3))}
-	for i := range drawnModels {
-		d.engine.Models = append(d.engine.Models, fleetconfig.Model{
-			Name: fmt.Sprintf("model-%d", i), WeightsSizeMB: 40 + float64(d.random.IntN(120)), AdapterSizeMB: float64(1 + d.random.IntN(5)),
+func newSimulation(seed uint64) *simulation {
+	sim := &simulation{random: rand.New(rand.NewPCG(seed, 11)), demand: NewDemand()}
+	sim.engine = &fleetconfig.Engine{WeightsSizeMB: 200 + float64(sim.random.IntN(100)), AdapterSlots: float64(1 + sim.random.IntN(3))}
+	for i := range modelCount {
+		sim.engine.Models = append(sim.engine.Models, fleetconfig.Model{
+			Name: fmt.Sprintf("model-%d", i), WeightsSizeMB: 40 + float64(sim.random.IntN(120)), AdapterSizeMB: float64(1 + sim.random.IntN(5)),
 		})
 	}
-	for i := range 4 + d.random.IntN(8) {
-		d.endpoints = append(d.endpoints, Endpoint{ID: fmt.Sprintf("endpoint-%02d", i), Models: map[string][]string{}})
+	for i := range 4 + sim.random.IntN(8) {
+		sim.endpoints = append(sim.endpoints, Endpoint{ID: fmt.Sprintf("endpoint-%02d", i), Models: map[string][]string{}})
 	}
-	return d
+	return sim
 }
 
 // report draws what a proxy reports.
-func (d *day) report(now time.Duration, proxy string) {
+func (sim *simulation) report(now time.Duration, proxy string) {
 	var samples []Sample
-	for range 1 + d.random.IntN(4) {
-		model := d.random.IntN(1 + d.random.IntN(drawnModels)) // the first are asked for most
+	for range 1 + sim.random.IntN(4) {
+		model := sim.random.IntN(1 + sim.random.IntN(modelCount)) // the first are asked for most
 		adapter := ""
-		if d.random.IntN(4) == 0 {
+		if sim.random.IntN(4) == 0 {
 			// The name differs from those of other models: Plan may choose any one of two adapters with the same name that
 			// were last asked for at the same time.
-			adapter = fmt.Sprintf("adapter-%d-%d", model, d.random.IntN(drawnAdapters))
+			adapter = fmt.Sprintf("adapter-%d-%d", model, sim.random.IntN(adapterCountPerModel))
 		}
 		samples = append(samples, Sample{
 			Key:      Key{Service: "service", Model: fmt.Sprintf("model-%d", model), Adapter: adapter},
-			Requests: d.random.IntN(12), Unplaced: d.random.IntN(2), InFlight: d.random.IntN(90), Waiting: max(d.random.IntN(30)-20, 0),
+			Requests: sim.random.IntN(12), Unplaced: sim.random.IntN(2), InFlight: sim.random.IntN(90), Waiting: max(sim.random.IntN(30)-20, 0),
 		})
 	}
-	d.demand.Report(now, proxy, samples)
+	sim.demand.Report(now, proxy, samples)
 }
 
-// trouble draws endpoints that leave, are busy, or have memory freed.
-func (d *day) trouble() {
-	e := &d.endpoints[d.random.IntN(len(d.endpoints))]
-	e.Excluded = d.random.IntN(8) == 0
-	e.OrderInFlight = d.random.IntN(6) == 0
+// disturbEndpoint draws endpoints that leave, are busy, or have memory freed.
+func (sim *simulation) disturbEndpoint() {
+	e := &sim.endpoints[sim.random.IntN(len(sim.endpoints))]
+	e.Excluded = sim.random.IntN(8) == 0
+	e.OrderInFlight = sim.random.IntN(6) == 0
 	e.ReservedFor = ""
-	if e.OrderInFlight && d.random.IntN(3) == 0 {
-		e.ReservedFor = fmt.Sprintf("model-%d", d.random.IntN(drawnModels))
+	if e.OrderInFlight && sim.random.IntN(3) == 0 {
+		e.ReservedFor = fmt.Sprintf("model-%d", sim.random.IntN(modelCount))
 	}
 }
 
 // apply carries an order out, most of the time.
-func (d *day) apply(order Order) string {
-	for i := range d.endpoints {
-		e := &d.endpoints[i]
+func (sim *simulation) apply(order Order) string {
+	for i := range sim.endpoints {
+		e := &sim.endpoints[i]
 		if e.ID != order.Endpoint {
 			continue
 		}
-		fits := e.Fits(order, d.engine)
-		if fits && d.random.IntN(10) > 0 {
+		fits := e.Fits(order, sim.engine)
+		if fits && sim.random.IntN(10) > 0 {
 			e.Apply(order)
 			return "applied"
 		}
@@ -94,24 +94,24 @@
 	return "no such endpoint"
 }
 
-// play plans some minutes and renders the orders.
-func (d *day) play(text *strings.Builder) {
-	for step := range stepsOfDay {
+// run plans some minutes and renders the orders.
+func (sim *simulation) run(text *strings.Builder) {
+	for step := range simulationSteps {
 		now := time.Minute + time.Duration(step)*planInterval
 		if step%25 != 24 { // else there is a pause, in which demand decays
-			d.report(now, fmt.Sprintf("proxy-%d", d.random.IntN(drawnProxies)))
+			sim.report(now, fmt.Sprintf("proxy-%d", sim.random.IntN(proxyCount)))
 		}
-		d.trouble()
-		d.demand.Expire(now)
-		input := Input{Service: "service", Engine: d.engine, Endpoints: d.endpoints, Demand: d.demand, MaxLoads: d.random.IntN(5)}
+		sim.disturbEndpoint()
+		sim.demand.Expire(now)
+		input := Input{Service: "service", Engine: sim.engine, Endpoints: sim.endpoints, Demand: sim.demand, MaxLoads: sim.random.IntN(5)}
 		for _, order := range Plan(now, input) {
 			fmt.Fprintf(text, "  %d %s %s %q %q for %q: ", step, order.Endpoint, string(order.Operation),
 				order.Model, order.Adapter, order.FreesMemoryFor)
-			text.WriteString(d.apply(order) + "\n")
+			text.WriteString(sim.apply(order) + "\n")
 		}
 	}
-	for i := range drawnModels {
-		estimate := d.demand.Estimate(2*time.Minute, Key{Service: "service", Model: fmt.Sprintf("model-%d", i)})
+	for i := range modelCount {
+		estimate := sim.demand.Estimate(2*time.Minute, Key{Service: "service", Model: fmt.Sprintf("model-%d", i)})
 		fmt.Fprintf(text, "  model-%d: rate %.9g, in flight %d, waiting %d, pressure %.9g, unplaced %t, asked at %v\n",
 			i, estimate.Rate, estimate.InFlight, estimate.Waiting, estimate.Pressure, estimate.Unplaced, estimate.LastRequestAt)
 	}
@@ -122,7 +122,7 @@
 	var text strings.Builder
 	for _, seed := range seeds {
 		fmt.Fprintf(&text, "seed %d\n", seed)
-		drawDay(seed).play(&text)
+		newSimulation(seed).run(&text)
 	}
 	fixture.Text(t, "testdata/plans.txt", text.String())
 }
@@ -137,7 +137,7 @@
 		ledger := NewLoadLedger(window, 1+random.Float64()/4)
 		fmt.Fprintf(&text, "seed %d: window %v, %.9g a second, at once %d\n", seed, window, perSecond, ConcurrentLoads(perSecond, 5*random.Float64()))
 		now := time.Minute
-		for range stepsOfDay {
+		for range simulationSteps {
 			now += time.Duration(random.IntN(300)) * time.Millisecond
 			switch available := ledger.Available(now, perSecond); {
 			case random.IntN(60) == 0:
--- a/internal/placement/demand_patterns_test.go
+++ b/internal/placement/demand_patterns_test.go
@@ -23,7 +23,7 @@
 		}
 		orders := Plan(at+time.Second, Input{
 			Service: "s", Engine: engine, Demand: demand, MaxLoads: 4,
-			Endpoints: []Endpoint{holding("a", "hot"), holding("b"), holding("c"), holding("d")},
+			Endpoints: []Endpoint{endpointWith("a", "hot"), endpointWith("b"), endpointWith("c"), endpointWith("d")},
 		})
 		Expect(len(orders)).To(BeNumerically(">=", 2))
 		Expect(orders).To(HaveEach(HaveField("Model", "hot")))
--- a/internal/placement/endpoint.go
+++ b/internal/placement/endpoint.go
@@ -56,14 +56,14 @@
 	case order.Adapter == "":
 		delete(models, order.Model)
 	default:
-		models[order.Model] = without(adapters, order.Adapter)
+		models[order.Model] = withoutAdapter(adapters, order.Adapter)
 	}
 	e.Models = models
 }
 
-// without returns a copy of a list without one of its items. It is not nil: a model with a nil list counts as one that is
+// withoutAdapter returns a copy of a list withoutAdapter one of its items. It is not nil: a model with a nil list counts as one that is
 // not loaded.
-func without(adapters []string, removed string) []string {
+func withoutAdapter(adapters []string, removed string) []string {
 	kept := []string{}
 	for _, adapter := range adapters {
 		if adapter != removed {
--- a/internal/placement/eviction.go
+++ b/internal/placement/eviction.go
@@ -36,14 +36,14 @@
 	idleSeconds := (p.now - demand.LastRequestAt).Seconds()
 	switch {
 	case idle && replicas > 1:
-		return spareValue / (1 + idleSeconds)
+		return spareReplicaValue / (1 + idleSeconds)
 	case idle:
-		return spareValue + lastReplicaValue/(1+idleSeconds)
+		return spareReplicaValue + idleOnlyReplicaValue/(1+idleSeconds)
 	case replicas > 1:
 		waiting := math.Max(demand.Pressure, inFlight/inFlightPerReplica)
-		return spareValue + (evictionMargin*waiting+rateValue*demand.Rate)/(replicas-1)
+		return spareReplicaValue + (evictionMargin*waiting+replicaValuePerRate*demand.Rate)/(replicas-1)
 	}
-	return evictionMargin*missingValue + demand.Rate
+	return evictionMargin*onlyReplicaValue + demand.Rate
 }
 
 // loadOf is an endpoint's share of the requests in flight for its models.
--- a/internal/placement/models.go
+++ b/internal/placement/models.go
@@ -59,15 +59,15 @@
 	demand := p.modelEstimate(model)
 	replicas := float64(p.replicas[model])
 	if replicas == 0 {
-		return replicaRequest{model: model, count: 1, urgency: missingUrgency * math.Max(demand.Pressure, 1)}
+		return replicaRequest{model: model, count: 1, urgency: firstReplicaUrgency * math.Max(demand.Pressure, 1)}
 	}
-	loadedReplicas := float64(demand.InFlight) / inFlightPerReplica
-	desired := math.Max((demand.Pressure-waitingTolerated)/waitingPerReplica, loadedReplicas)
+	replicasForInFlight := float64(demand.InFlight) / inFlightPerReplica
+	desired := math.Max((demand.Pressure-toleratedWaiting)/waitingPerReplica, replicasForInFlight)
 	if desired > replicas {
 		return replicaRequest{
 			model:   model,
 			count:   int(math.Min(math.Ceil(desired-replicas), maxNewReplicas)),
-			urgency: math.Max(demand.Pressure, loadedReplicas) / replicas,
+			urgency: math.Max(demand.Pressure, replicasForInFlight) / replicas,
 		}
 	}
 	if replicas == 1 && demand.Rate > secondReplicaRate {
--- a/internal/placement/plan_test.go
+++ b/internal/placement/plan_test.go
@@ -28,7 +28,7 @@
 	{Name: "large", WeightsSizeMB: 200},
 }}
 
-func holding(id string, models ...string) Endpoint {
+func endpointWith(id string, models ...string) Endpoint {
 	e := Endpoint{ID: id, Models: map[string][]string{}}
 	for _, m := range models {
 		e.Models[m] = nil
@@ -45,68 +45,68 @@
 var _ = Describe("a plan", func() {
 	var demand *Demand
 	BeforeEach(func() { demand = NewDemand() })
-	ask := func(sample Sample) { demand.Report(now, "proxy", []Sample{sample}) }
+	reportDemand := func(sample Sample) { demand.Report(now, "proxy", []Sample{sample}) }
 
 	It("has no orders without demand", func() {
-		Expect(plan(demand, holding("a", "hot"), holding("b"))).To(BeEmpty())
+		Expect(plan(demand, endpointWith("a", "hot"), endpointWith("b"))).To(BeEmpty())
 	})
 
 	It("loads a model without a replica on the endpoint with free memory", func() {
-		ask(Sample{Key: key("rare", ""), Unplaced: 1})
-		Expect(plan(demand, holding("a", "hot", "warm", "idle1"), holding("b", "idle1"))).To(
+		reportDemand(Sample{Key: key("rare", ""), Unplaced: 1})
+		Expect(plan(demand, endpointWith("a", "hot", "warm", "idle1"), endpointWith("b", "idle1"))).To(
 			Equal([]Order{{Endpoint: "b", Operation: Load, Model: "rare"}}))
 	})
 
 	It("evicts idle models, those with other replicas first", func() {
-		ask(Sample{Key: key("rare", ""), Unplaced: 1})
-		ask(Sample{Key: key("hot", ""), Requests: 10, InFlight: 5})
-		Expect(plan(demand, holding("a", "hot", "idle1", "idle2"), holding("b", "hot", "warm", "idle2"))).To(
+		reportDemand(Sample{Key: key("rare", ""), Unplaced: 1})
+		reportDemand(Sample{Key: key("hot", ""), Requests: 10, InFlight: 5})
+		Expect(plan(demand, endpointWith("a", "hot", "idle1", "idle2"), endpointWith("b", "hot", "warm", "idle2"))).To(
 			Equal([]Order{{Endpoint: "a", Operation: Unload, Model: "idle2", FreesMemoryFor: "rare"}}))
 	})
 
 	It("does not repeat an order in flight", func() {
-		ask(Sample{Key: key("rare", ""), Unplaced: 1})
-		freeing := holding("a", "hot", "idle1")
+		reportDemand(Sample{Key: key("rare", ""), Unplaced: 1})
+		freeing := endpointWith("a", "hot", "idle1")
 		freeing.OrderInFlight, freeing.ReservedFor = true, "rare"
-		Expect(plan(demand, freeing, holding("b", "hot", "warm", "idle1"))).To(BeEmpty())
-		loading := holding("a", "hot", "rare")
+		Expect(plan(demand, freeing, endpointWith("b", "hot", "warm", "idle1"))).To(BeEmpty())
+		loading := endpointWith("a", "hot", "rare")
 		loading.OrderInFlight = true
-		Expect(plan(demand, loading, holding("b"))).To(BeEmpty())
+		Expect(plan(demand, loading, endpointWith("b"))).To(BeEmpty())
 	})
 
 	It("does not count the replicas of an excluded endpoint, and gives it no orders", func() {
-		ask(Sample{Key: key("hot", ""), Requests: 5})
-		leaving := holding("a", "hot")
+		reportDemand(Sample{Key: key("hot", ""), Requests: 5})
+		leaving := endpointWith("a", "hot")
 		leaving.Excluded = true
-		Expect(plan(demand, leaving, holding("b"))).To(Equal([]Order{{Endpoint: "b", Operation: Load, Model: "hot"}}))
+		Expect(plan(demand, leaving, endpointWith("b"))).To(Equal([]Order{{Endpoint: "b", Operation: Load, Model: "hot"}}))
 	})
 
 	It("adds replicas to an overloaded model before it loads a rare one", func() {
-		ask(Sample{Key: key("rare", ""), Requests: 1, Unplaced: 1})
+		reportDemand(Sample{Key: key("rare", ""), Requests: 1, Unplaced: 1})
 		for i := range 5 {
 			demand.Report(now+time.Duration(i)*time.Second, "proxy", []Sample{{Key: key("hot", ""), Requests: 40, InFlight: 30, Waiting: 30}})
 		}
 		orders := Plan(now+4500*time.Millisecond, Input{
 			Service: "s", Engine: engine, Demand: demand, MaxLoads: 1,
-			Endpoints: []Endpoint{holding("a", "hot"), holding("b"), holding("c")},
+			Endpoints: []Endpoint{endpointWith("a", "hot"), endpointWith("b"), endpointWith("c")},
 		})
 		Expect(orders).NotTo(BeEmpty())
 		Expect(orders[0].Model).To(Equal("hot"))
 	})
 
 	It("loads an adapter on the endpoint with its model and the most free slots", func() {
-		ask(Sample{Key: key("hot", "a1"), Requests: 1, Unplaced: 1})
-		full := holding("a", "hot")
+		reportDemand(Sample{Key: key("hot", "a1"), Requests: 1, Unplaced: 1})
+		full := endpointWith("a", "hot")
 		full.Models["hot"] = []string{"a2"}
-		Expect(plan(demand, full, holding("b", "hot"), holding("c"))).To(
+		Expect(plan(demand, full, endpointWith("b", "hot"), endpointWith("c"))).To(
 			ContainElement(Order{Endpoint: "b", Operation: Load, Model: "hot", Adapter: "a1"}))
 	})
 
 	It("unloads the longest idle adapter if all slots are taken", func() {
 		demand.Report(now-time.Second, "proxy", []Sample{{Key: key("hot", "a2"), Requests: 1}})
 		demand.Report(now-2*time.Second, "proxy", []Sample{{Key: key("hot", "a3"), Requests: 1}})
-		ask(Sample{Key: key("hot", "a1"), Requests: 1, Unplaced: 1})
-		full := holding("a", "hot")
+		reportDemand(Sample{Key: key("hot", "a1"), Requests: 1, Unplaced: 1})
+		full := endpointWith("a", "hot")
 		full.Models["hot"] = []string{"a2", "a3"}
 		Expect(plan(demand, full)).To(ContainElement(Order{Endpoint: "a", Operation: Unload, Model: "hot", Adapter: "a3"}))
 	})
@@ -115,7 +115,7 @@
 		for range 50 {
 			demand := NewDemand()
 			demand.Report(now, "proxy", []Sample{{Key: key("hot", "a1"), Requests: 1, Unplaced: 1}})
-			full := holding("a")
+			full := endpointWith("a")
 			full.Models["hot"], full.Models["warm"] = []string{"a2"}, []string{"a2"}
 			Expect(plan(demand, full)).To(ContainElement(Order{Endpoint: "a", Operation: Unload, Model: "hot", Adapter: "a2"}))
 		}
@@ -124,7 +124,7 @@
 	It("never exceeds an endpoint's memory or adapter slots, whatever the demand", func() {
 		random := rand.New(rand.NewPCG(5, 6))
 		names := []string{"hot", "warm", "rare", "idle1", "idle2", "large"}
-		endpoints := []Endpoint{holding("a"), holding("b"), holding("c")}
+		endpoints := []Endpoint{endpointWith("a"), endpointWith("b"), endpointWith("c")}
 		for step := range 3000 {
 			at := now + time.Duration(step)*100*time.Millisecond
 			model := names[random.IntN(len(names))]
@@ -158,7 +158,7 @@
 		large.Models = append(large.Models, fleetconfig.Model{Name: fmt.Sprint("m", i), WeightsSizeMB: 70, AdapterSizeMB: 0.1, Adapters: adapters / models})
 	}
 	for i := range endpoints {
-		e := holding(fmt.Sprint("e", i))
+		e := endpointWith(fmt.Sprint("e", i))
 		for range 3 {
 			e.Models[fmt.Sprint("m", random.IntN(models))] = []string{fmt.Sprint("a", random.IntN(adapters/models))}
 		}
--- a/internal/placement/tunables.go
+++ b/internal/placement/tunables.go
@@ -39,8 +39,8 @@
 	idleRate = 0.05
 	// waitingPerReplica is the number of waiting requests for each replica above which another one is ordered.
 	waitingPerReplica = 1.2
-	// waitingTolerated is subtracted from the waiting requests first: so many are normal with any number of replicas.
-	waitingTolerated = 1.2
+	// toleratedWaiting is subtracted from the waiting requests first: so many are normal with any number of replicas.
+	toleratedWaiting = 1.2
 	// inFlightPerReplica is the number of requests in flight for each replica above which another one is ordered.
 	inFlightPerReplica = 24
 	// secondReplicaRate is the rate, in requests a second, above which a model with one replica gets a second one where
@@ -48,8 +48,8 @@
 	secondReplicaRate = 0.5
 	// secondReplicaUrgency is the urgency of such a second replica, which no request waits for yet.
 	secondReplicaUrgency = 0.6
-	// missingUrgency is the least urgency of the first replica of a model.
-	missingUrgency = 2
+	// firstReplicaUrgency is the least urgency of the first replica of a model.
+	firstReplicaUrgency = 2
 	// maxNewReplicas bounds the replicas that one plan adds to a model.
 	maxNewReplicas = 3
 	// maxOrders bounds the orders of one plan.
@@ -58,15 +58,15 @@
 
 // Cost of an eviction, in units of urgency: waiting requests for each replica. Half and double: not measured.
 const (
-	// spareValue is the value of a replica of an idle model that has others. It decays with the time since the last
+	// spareReplicaValue is the value of a replica of an idle model that has others. It decays with the time since the last
 	// request.
-	spareValue = 0.3
-	// lastReplicaValue is what the only replica of an idle model is worth above spareValue. It decays likewise.
-	lastReplicaValue = 1
-	// missingValue, times evictionMargin, is the least value of the only replica of a model that is asked for.
-	missingValue = 2
-	// rateValue is what each request a second adds to the value of a replica.
-	rateValue = 0.1
+	spareReplicaValue = 0.3
+	// idleOnlyReplicaValue is what the only replica of an idle model is worth above spareValue. It decays likewise.
+	idleOnlyReplicaValue = 1
+	// onlyReplicaValue, times evictionMargin, is the least value of the only replica of a model that is asked for.
+	onlyReplicaValue = 2
+	// replicaValuePerRate is what each request a second adds to the value of a replica.
+	replicaValuePerRate = 0.1
 	// evictionMargin is how much more urgent a model must be than the one that it evicts, so that the two do not evict
 	// each other in turn.
 	evictionMargin = 2
--- a/internal/routing/calls.go
+++ b/internal/routing/calls.go
@@ -52,7 +52,7 @@
 		e.fullUntil = now + fullBackoff
 		p.endEjection(now, e)
 	case RejectedNotFound:
-		e.noteNotLoaded(now, q)
+		e.recordNotLoaded(now, q)
 	case Unreachable, ConnectionLost:
 		p.eject(now, e)
 	case Failed, TimedOut:
@@ -62,8 +62,8 @@
 	}
 }
 
-// noteNotLoaded remembers that an endpoint lacks what a query asks for.
-func (e *Endpoint) noteNotLoaded(now time.Duration, q Query) {
+// recordNotLoaded remembers that an endpoint lacks what a query asks for.
+func (e *Endpoint) recordNotLoaded(now time.Duration, q Query) {
 	if len(e.notLoadedUntil) > maxNotLoaded {
 		clear(e.notLoadedUntil)
 	}
--- a/internal/routing/endpoint_load.go
+++ b/internal/routing/endpoint_load.go
@@ -35,7 +35,7 @@
 	case e.othersLoadAt > 0 && now-e.othersLoadAt < fleetLoadTTL:
 		load += e.othersLoad
 	case e.reportedAt > 0 && now-e.reportedAt < reportedLoadTTL:
-		others := max(float64(e.reported.Running+e.reported.Waiting-e.ownWhenReported), 0)
+		others := max(float64(e.reported.Running+e.reported.Waiting-e.ownCallsWhenReported), 0)
 		load += others * (1 - float64(now-e.reportedAt)/float64(reportedLoadTTL))
 	}
 	return load
@@ -55,7 +55,7 @@
 
 // ReportLoad takes an endpoint's own report of its load.
 func (p *Pool) ReportLoad(now time.Duration, e *Endpoint, load ReportedLoad) {
-	e.reported, e.reportedAt, e.ownWhenReported = load, now, e.callsInFlight
+	e.reported, e.reportedAt, e.ownCallsWhenReported = load, now, e.callsInFlight
 }
 
 // OwnCalls has the proxy's own calls in flight, by endpoint id.
--- a/internal/routing/endpoint_pool.go
+++ b/internal/routing/endpoint_pool.go
@@ -68,16 +68,16 @@
 	trialAt        time.Duration // when an ejected endpoint may get a trial call
 	trialInFlight  bool
 
-	callsInFlight   int                      // own calls
-	callsWaiting    int                      // of them, those whose response has not started
-	fullUntil       time.Duration            // it rejected a call for want of capacity and is passed over until then
-	notLoadedUntil  map[string]time.Duration // models, with their adapters, that it rejected as not loaded
-	reported        ReportedLoad
-	reportedAt      time.Duration // 0 for never
-	ownWhenReported int           // own calls in flight when the load was reported
-	othersLoad      float64       // of the other proxies' calls, by the control processes' sums
-	othersLoadAt    time.Duration // 0 for never
-	outcomes        outcomeHistory
+	callsInFlight        int                      // own calls
+	callsWaiting         int                      // of them, those whose response has not started
+	fullUntil            time.Duration            // it rejected a call for want of capacity and is passed over until then
+	notLoadedUntil       map[string]time.Duration // models, with their adapters, that it rejected as not loaded
+	reported             ReportedLoad
+	reportedAt           time.Duration // 0 for never
+	ownCallsWhenReported int           // own calls in flight when the load was reported
+	othersLoad           float64       // of the other proxies' calls, by the control processes' sums
+	othersLoadAt         time.Duration // 0 for never
+	outcomes             outcomeHistory
 }
 
 // Pool is the table of endpoints that a proxy knows. It belongs to one goroutine.
@@ -112,7 +112,7 @@
 	named := map[string]bool{}
 	for i := range updated {
 		named[updated[i].ID] = true
-		p.apply(now, &updated[i])
+		p.applySession(now, &updated[i])
 	}
 	if complete {
 		p.markAbsent(now, named)
@@ -130,10 +130,10 @@
 	}
 }
 
-// apply takes one endpoint's session.
-func (p *Pool) apply(now time.Duration, session *sessions.Endpoint) {
+// applySession takes one endpoint's session.
+func (p *Pool) applySession(now time.Duration, session *sessions.Endpoint) {
 	if session.State == sessions.Departed {
-		p.depart(now, session.ID)
+		p.removeDeparted(now, session.ID)
 		return
 	}
 	if _, departed := p.departed[session.ID]; departed {
@@ -163,8 +163,8 @@
 	return e
 }
 
-// depart removes an endpoint that has deregistered, for good.
-func (p *Pool) depart(now time.Duration, id string) {
+// removeDeparted removes an endpoint that has deregistered, for good.
+func (p *Pool) removeDeparted(now time.Duration, id string) {
 	if len(p.departed) < maxDeparted {
 		p.departed[id] = now
 	}
--- a/internal/routing/selection.go
+++ b/internal/routing/selection.go
@@ -165,8 +165,8 @@
 		return a.callsInFlight < b.callsInFlight
 	case math.Abs(loadA-loadB) > loadTieMargin:
 		return loadA < loadB
-	case affinity == 0 && p.connected(a) != p.connected(b):
-		return p.connected(a)
+	case affinity == 0 && p.hasIdleConnection(a) != p.hasIdleConnection(b):
+		return p.hasIdleConnection(a)
 	case affinity != 0:
 		return affinityRank(affinity, a.ID) > affinityRank(affinity, b.ID)
 	case loadA != loadB:
@@ -187,9 +187,9 @@
 }
 
 func (p *Pool) withIdleConnection(available []*Endpoint) []*Endpoint {
-	return lo.Filter(available, func(e *Endpoint, _ int) bool { return p.connected(e) })
+	return lo.Filter(available, func(e *Endpoint, _ int) bool { return p.hasIdleConnection(e) })
 }
 
-func (p *Pool) connected(e *Endpoint) bool {
+func (p *Pool) hasIdleConnection(e *Endpoint) bool {
 	return p.HasIdleConnection != nil && p.HasIdleConnection(e.ID)
 }
--- a/internal/sessions/range_digest.go
+++ b/internal/sessions/range_digest.go
@@ -66,9 +66,9 @@
 	if parent.IsLeaf() {
 		return digests
 	}
-	for id, known := range t.rows {
+	for id, stored := range t.rows {
 		if path := pathOf(id); parent.contains(path) {
-			digests[path[len(parent)]] ^= known.endpoint.digest()
+			digests[path[len(parent)]] ^= stored.endpoint.digest()
 		}
 	}
 	return digests
@@ -88,9 +88,9 @@
 // RecordsIn returns the records of the sessions in a range, in no order.
 func (t *Table) RecordsIn(now time.Duration, within Range) []Record {
 	var out []Record
-	for id, known := range t.rows {
+	for id, stored := range t.rows {
 		if within.contains(pathOf(id)) {
-			out = append(out, known.record(now))
+			out = append(out, stored.record(now))
 		}
 	}
 	return out
--- a/internal/sessions/replication.go
+++ b/internal/sessions/replication.go
@@ -41,9 +41,9 @@
 	var out []Record
 	seen := map[string]bool{}
 	for _, id := range t.modified {
-		if known := t.rows[id]; known != nil && !seen[id] {
+		if stored := t.rows[id]; stored != nil && !seen[id] {
 			seen[id] = true
-			out = append(out, known.record(now))
+			out = append(out, stored.record(now))
 			delete(t.renewed, id) // the record renews it too
 		}
 	}
@@ -56,8 +56,8 @@
 func (t *Table) FlushRenewals(now time.Duration) []Renewal {
 	var out []Renewal
 	for id := range t.renewed {
-		if known := t.rows[id]; known != nil && known.endpoint.State != Expired {
-			out = append(out, Renewal{ID: id, Sequence: known.endpoint.Heartbeat.Sequence, Age: now - known.lastSeen})
+		if stored := t.rows[id]; stored != nil && stored.endpoint.State != Expired {
+			out = append(out, Renewal{ID: id, Sequence: stored.endpoint.Heartbeat.Sequence, Age: now - stored.lastSeen})
 		}
 	}
 	t.renewed = map[string]bool{}
@@ -68,8 +68,8 @@
 // AllRecords returns the records of all sessions, by ID.
 func (t *Table) AllRecords(now time.Duration) []Record {
 	out := make([]Record, 0, len(t.rows))
-	for _, known := range t.rows {
-		out = append(out, known.record(now))
+	for _, stored := range t.rows {
+		out = append(out, stored.record(now))
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Endpoint.ID < out[j].Endpoint.ID })
 	return out
@@ -79,8 +79,8 @@
 func (t *Table) Records(now time.Duration, ids []string) []Record {
 	var out []Record
 	for _, id := range ids {
-		if known := t.rows[id]; known != nil {
-			out = append(out, known.record(now))
+		if stored := t.rows[id]; stored != nil {
+			out = append(out, stored.record(now))
 		}
 	}
 	return out
--- a/internal/sessions/table.go
+++ b/internal/sessions/table.go
@@ -36,10 +36,10 @@
 // than the stored one. The state of an older one counts all the same, because states only move forward: a notice of
 // draining that was overtaken on its way must not be lost.
 func (t *Table) ApplyHeartbeat(now time.Duration, id string, heartbeat Heartbeat) bool {
-	known := t.rows[id]
-	if known != nil && heartbeat.Sequence <= known.endpoint.Heartbeat.Sequence && heartbeat.Sequence != 0 {
-		if known.endpoint.State.Before(heartbeat.State) {
-			late := known.endpoint
+	stored := t.rows[id]
+	if stored != nil && heartbeat.Sequence <= stored.endpoint.Heartbeat.Sequence && heartbeat.Sequence != 0 {
+		if stored.endpoint.State.Before(heartbeat.State) {
+			late := stored.endpoint
 			late.State = heartbeat.State
 			t.queueForPeers(id, t.merge(now, late))
 		}
@@ -53,8 +53,8 @@
 // peer may have its session.
 func (t *Table) Deregister(now time.Duration, id string) {
 	departed := Endpoint{ID: id, State: Departed}
-	if known := t.rows[id]; known != nil {
-		departed = known.endpoint
+	if stored := t.rows[id]; stored != nil {
+		departed = stored.endpoint
 		departed.State = Departed
 	}
 	t.queueForPeers(id, t.merge(now, departed))
@@ -63,28 +63,28 @@
 // SetOverlay stores what orders have changed at an endpoint. It ignores an overlay that is not newer than the stored one,
 // and one for an endpoint that is not in the table.
 func (t *Table) SetOverlay(id string, overlay Overlay) {
-	known := t.rows[id]
-	if known == nil || overlay.Version <= known.endpoint.Overlay.Version {
+	stored := t.rows[id]
+	if stored == nil || overlay.Version <= stored.endpoint.Overlay.Version {
 		return
 	}
-	next := known.endpoint
+	next := stored.endpoint
 	next.Overlay = overlay
-	t.queueForPeers(id, t.update(known, next))
+	t.queueForPeers(id, t.update(stored, next))
 }
 
 // merge combines a received version of a session with the stored one, field by field, so that the order of arrival does
 // not matter. It reports whether that changed anything that subscribers have to see.
 func (t *Table) merge(lastSeen time.Duration, received Endpoint) bool {
-	known := t.rows[received.ID]
-	if known == nil {
+	stored := t.rows[received.ID]
+	if stored == nil {
 		if len(t.rows) >= maxSessions {
 			return false
 		}
-		known = &row{lastSeen: lastSeen}
-		t.rows[received.ID] = known
-		return t.update(known, received)
+		stored = &row{lastSeen: lastSeen}
+		t.rows[received.ID] = stored
+		return t.update(stored, received)
 	}
-	next := known.endpoint
+	next := stored.endpoint
 	if received.Heartbeat.Sequence >= next.Heartbeat.Sequence {
 		next.Heartbeat = received.Heartbeat
 	}
@@ -94,8 +94,8 @@
 	if stateOrder[received.State] >= stateOrder[next.State] {
 		next.State = received.State
 	}
-	known.lastSeen = max(known.lastSeen, lastSeen)
-	return t.update(known, next)
+	stored.lastSeen = max(stored.lastSeen, lastSeen)
+	return t.update(stored, next)
 }
 
 // update stores the next version of a session and raises the modify index where subscribers have to see the change, which
@@ -112,11 +112,11 @@
 
 // Get returns the session of an endpoint.
 func (t *Table) Get(id string) (Endpoint, bool) {
-	known := t.rows[id]
-	if known == nil {
+	stored := t.rows[id]
+	if stored == nil {
 		return Endpoint{}, false
 	}
-	return known.endpoint, true
+	return stored.endpoint, true
 }
 
 // Endpoints lists all sessions, by ID.
@@ -125,9 +125,9 @@
 // ModifiedSince lists the sessions whose modify index is above index, by ID.
 func (t *Table) ModifiedSince(index uint64) []Endpoint {
 	var out []Endpoint
-	for _, known := range t.rows {
-		if known.modifyIndex > index {
-			out = append(out, known.endpoint)
+	for _, stored := range t.rows {
+		if stored.modifyIndex > index {
+			out = append(out, stored.endpoint)
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
