--- a/internal/routing/affinity.go
+++ b/internal/routing/affinity.go
@@ -5,11 +5,12 @@
 	"slices"
 )
 
-// preferredPerAffinity is how many endpoints the requests of one affinity are drawn to while these are not behind others. One
-// would be crowded, more would cache the same beginning at too many. Half or double: not measured.
+// preferredPerAffinity is the number of endpoints that requests of one affinity prefer as long as those are not more loaded
+// than others. A single endpoint would be overloaded by a popular affinity; with more, too many endpoints would cache the
+// same prompt prefix.
 const preferredPerAffinity = 2
 
-// preferredEndpoints are the endpoints that rank highest for an affinity, the highest first.
+// preferredEndpoints returns the endpoints with the highest rank for an affinity, in descending order of rank.
 func preferredEndpoints(available []*Endpoint, affinity uint64) []*Endpoint {
 	var preferred []*Endpoint
 	for range min(preferredPerAffinity, len(available)) {
@@ -26,8 +27,8 @@
 	return preferred
 }
 
-// affinityRank is the rendezvous hash of an endpoint for an affinity. It is equal at every proxy, so that all of them prefer
-// the same endpoints without agreeing on them.
+// affinityRank returns the rendezvous hash of an endpoint for an affinity. Every proxy computes the same rank, so all proxies
+// prefer the same endpoints without coordination.
 func affinityRank(affinity uint64, id string) uint64 {
 	hash := fnv.New64a()
 	var key [8]byte
@@ -39,7 +40,8 @@
 	return avalanche(hash.Sum64())
 }
 
-// avalanche is the finalizer of MurmurHash3. FNV leaves the last bytes of its input in few bits; ranks must be even.
+// avalanche applies the finalizer of MurmurHash3, which spreads every input bit over the whole hash. FNV alone lets the last
+// bytes of its input affect only a few bits, so the ranks would not be uniformly distributed.
 func avalanche(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/internal/routing/calls.go
+++ b/internal/routing/calls.go
@@ -2,41 +2,40 @@
 
 import "time"
 
-// How long an endpoint's own rejections count against the table of sessions, which lags behind the endpoint.
+// Durations for which an endpoint's rejection overrides its session, which lags behind the endpoint's actual state.
 const (
-	// fullBackoff is how long an endpoint is passed over that has rejected a call for want of capacity. Half or double: not
-	// measured.
+	// fullBackoff is how long an endpoint is not selected after it has rejected a call for lack of capacity.
 	fullBackoff = 80 * time.Millisecond
-	// notLoadedTTL is how long an endpoint counts as lacking a model that it has rejected as not loaded, though its session
-	// lists it. Half or double: not measured.
+	// notLoadedTTL is how long a model counts as not loaded at an endpoint that has rejected a call for it as not loaded,
+	// although the endpoint's session lists the model.
 	notLoadedTTL = 400 * time.Millisecond
 )
 
 // CallResult is how a call to an endpoint ended.
 type CallResult int
 
-// The results.
+// The results of a call.
 const (
-	Succeeded        CallResult = iota // a response of the endpoint's own that is of use
-	Failed                             // a response of the endpoint's own that reports its failure
-	RejectedFull                       // rejected for want of capacity; it has not run
-	RejectedNotFound                   // rejected: the model, adapter or incarnation is not there; it has not run
-	Unreachable                        // no connection
+	Succeeded        CallResult = iota // the endpoint sent a useful response
+	Failed                             // the endpoint sent a response that reports its own failure
+	RejectedFull                       // the endpoint rejected the call for lack of capacity and did not execute it
+	RejectedNotFound                   // the endpoint lacks the model, adapter or incarnation and did not execute the call
+	Unreachable                        // the proxy could not connect to the endpoint
 	ConnectionLost                     // the connection failed after the request was written
-	TimedOut                           // no response in time, or for so long that the client gave up
-	Canceled                           // given up by the caller, through no fault of the endpoint
+	TimedOut                           // the response took longer than the timeout, or than the client waited
+	Canceled                           // the caller canceled the call for a reason unrelated to the endpoint
 )
 
-// BeginCall counts a call to an endpoint.
+// BeginCall counts a new call to an endpoint as in flight and as waiting for its response.
 func (p *Pool) BeginCall(e *Endpoint) {
 	e.callsInFlight++
 	e.callsWaiting++
 }
 
-// ResponseStarted notes that the response to a call has started.
+// ResponseStarted no longer counts a call as waiting, since its response has started.
 func (p *Pool) ResponseStarted(e *Endpoint) { e.callsWaiting-- }
 
-// EndCall records the end of a call. Started says whether ResponseStarted was called for it.
+// EndCall records the result of a call. The argument started must be true if ResponseStarted was called for this call.
 func (p *Pool) EndCall(now time.Duration, e *Endpoint, q Query, result CallResult, started bool) {
 	e.callsInFlight--
 	if !started {
@@ -62,7 +61,7 @@
 	}
 }
 
-// recordNotLoaded remembers that an endpoint lacks what a query asks for.
+// recordNotLoaded remembers for notLoadedTTL that an endpoint has not loaded the queried model or adapter.
 func (e *Endpoint) recordNotLoaded(now time.Duration, q Query) {
 	if len(e.notLoadedUntil) > maxNotLoaded {
 		clear(e.notLoadedUntil)
@@ -70,7 +69,8 @@
 	e.notLoadedUntil[loadedKey(q.Model, q.Adapter)] = now + notLoadedTTL
 }
 
-// hasLoaded reports whether an endpoint holds what a query asks for, as far as is known here.
+// hasLoaded reports whether an endpoint has loaded the queried model or adapter. A recent rejection as not loaded takes
+// precedence over the endpoint's session.
 func (e *Endpoint) hasLoaded(now time.Duration, q Query) bool {
 	if q.Model == "" {
 		return true
@@ -81,4 +81,5 @@
 	return e.session.HasLoaded(q.Model, q.Adapter)
 }
 
+// loadedKey returns the key of a model or adapter in notLoadedUntil.
 func loadedKey(model, adapter string) string { return model + "/" + adapter }
--- a/internal/routing/endpoint_load.go
+++ b/internal/routing/endpoint_load.go
@@ -2,33 +2,34 @@
 
 import "time"
 
-// How an endpoint's load is estimated from sources of different age.
+// Constants of the load estimate, which combines sources of different age.
 const (
-	// fleetLoadTTL is how long the control processes' sums of all proxies' calls count. They come every 250 ms at best and are
-	// 0.3 to 1.1 s old in service; worth of the sums: docs/DECISIONS.md, "Ablation". Half or double: not measured.
+	// fleetLoadTTL is how long the load estimate uses a FleetLoad, the sum of all proxies' calls that a control process sends.
+	// New sums arrive every 250 ms at best, and are 0.3 to 1.1 s old in operation.
 	fleetLoadTTL = 3 * time.Second
-	// reportedLoadTTL is how long an endpoint's own report counts, for less and less. It is the fallback where no sums come.
-	// Half or double: not measured.
+	// reportedLoadTTL is how long the load estimate uses an endpoint's own report, with linearly falling weight. The report is
+	// the fallback while no recent FleetLoad is known.
 	reportedLoadTTL = 2 * time.Second
-	// streamingCallWeight is what a call counts for whose response has started, against one that waits: a stream slows an
-	// endpoint's steps by far less than a prompt. Half or double: not measured.
+	// streamingCallWeight is the load of a call whose response has started, relative to a call that waits for its response.
+	// Streaming a response slows down an endpoint far less than processing a prompt.
 	streamingCallWeight = 0.2
 )
 
-// ReportedLoad is what an endpoint reports of itself in a response: requests that it runs and that wait, and its slots.
+// ReportedLoad is the load that an endpoint reports in its responses: the numbers of running and of waiting requests, and the
+// number of requests that it can run at the same time (Slots).
 type ReportedLoad struct {
 	Running, Waiting, Slots int
 }
 
-// FleetLoad is the calls of all proxies to an endpoint, and the outcomes of those that have ended.
+// FleetLoad sums the calls of all proxies to one endpoint.
 type FleetLoad struct {
-	InFlight int // calls whose outcome is not known yet
-	Waiting  int // of them, those whose response has not started
-	Outcomes Outcomes
+	InFlight int      // calls that have not ended
+	Waiting  int      // calls in flight whose response has not started
+	Outcomes Outcomes // outcomes of the calls that have ended
 }
 
-// estimatedLoad is an endpoint's own calls in flight with the estimated load of the others: by the control processes' sums
-// or, where those are too old, by its own last report.
+// estimatedLoad returns the number of this proxy's calls in flight to the endpoint plus an estimate of the other proxies'
+// load. The estimate comes from the last FleetLoad or, if that is too old, from the endpoint's own last report.
 func (e *Endpoint) estimatedLoad(now time.Duration) float64 {
 	load := float64(e.callsInFlight)
 	switch {
@@ -41,7 +42,8 @@
 	return load
 }
 
-// SetFleetLoads takes the sums of all proxies' calls, by endpoint id. An endpoint that is not named has none.
+// SetFleetLoads stores the sums of all proxies' calls, by endpoint ID, and subtracts this proxy's own calls from them. An
+// endpoint without an entry has no calls.
 func (p *Pool) SetFleetLoads(now time.Duration, loads map[string]FleetLoad) {
 	for id, e := range p.byID {
 		total := loads[id]
@@ -53,12 +55,12 @@
 	}
 }
 
-// ReportLoad takes an endpoint's own report of its load.
+// ReportLoad stores the load that an endpoint has reported in a response.
 func (p *Pool) ReportLoad(now time.Duration, e *Endpoint, load ReportedLoad) {
 	e.reported, e.reportedAt, e.ownCallsWhenReported = load, now, e.callsInFlight
 }
 
-// OwnCalls has the proxy's own calls in flight, by endpoint id.
+// OwnCalls returns this proxy's calls in flight, by endpoint ID. Endpoints without calls have no entry.
 func (p *Pool) OwnCalls() map[string]FleetLoad {
 	calls := map[string]FleetLoad{}
 	for id, e := range p.byID {
--- a/internal/routing/endpoint_pool.go
+++ b/internal/routing/endpoint_pool.go
@@ -8,23 +8,24 @@
 	"dykering/internal/sessions"
 )
 
-// EndpointState is how a proxy treats an endpoint in selection.
+// EndpointState determines how selection treats an endpoint.
 type EndpointState int
 
-// The states.
+// The states of an endpoint in selection.
 const (
-	Available EndpointState = iota
-	SlowStart               // new, or back from ejection: sampled less often
-	Ejected                 // its connections failed: it gets one trial call at a time
-	Draining                // it gets no new calls
+	Available EndpointState = iota // the endpoint is selected normally
+	SlowStart                      // the endpoint is new, or its ejection has ended; it is sampled less often
+	Ejected                        // a connection to the endpoint has failed; it gets only trial calls, one at a time
+	Draining                       // the endpoint gets no new calls
 )
 
-// EndpointStates lists the states.
+// EndpointStates returns all states.
 func EndpointStates() []EndpointState {
 	return []EndpointState{Available, SlowStart, Ejected, Draining}
 }
 
-// String is the state's label in the proxy's metrics, which is fixed.
+// String returns the label of the state in the proxy's metrics. The labels are part of the metrics' format and differ from
+// the names of the constants.
 func (s EndpointState) String() string {
 	switch s {
 	case Available:
@@ -39,66 +40,69 @@
 	return "unknown"
 }
 
-// Bounds on what the pool keeps of endpoints that are no longer registered.
+// Retention times and bounds of the pool's tables.
 const (
-	// absentGracePeriod is how long an endpoint stays in the pool after a complete update has not named it: a control process
-	// that has just started may not have its session yet. Half or double: not measured.
+	// absentGracePeriod is how long an endpoint stays in the pool after a complete update did not contain it. A control process
+	// that has just started may not have received the endpoint's session yet.
 	absentGracePeriod = 6 * time.Second
-	// departedTTL is how long a deregistered endpoint's id is remembered. It must outlive any control process's lag behind the
-	// others. Half or double: not measured.
+	// departedTTL is how long the ID of a deregistered endpoint is remembered. It must be longer than one control process can
+	// lag behind the others.
 	departedTTL = time.Minute
-	// maxDeparted bounds how many such ids are remembered.
+	// maxDeparted is the maximum number of remembered IDs of deregistered endpoints.
 	maxDeparted = 16384
-	// maxNotLoaded bounds the models that one endpoint is remembered to lack.
+	// maxNotLoaded bounds the models and adapters that one endpoint is remembered not to have loaded.
 	maxNotLoaded = 256
 )
 
-// Endpoint is what a proxy knows of one incarnation of an endpoint.
+// Endpoint holds a proxy's knowledge of one incarnation of an endpoint.
 type Endpoint struct {
 	ID      string
 	Address string
 	Service string
 
-	session     sessions.Endpoint // its last registered state
-	absentSince time.Duration     // when a complete update first did not name it; 0 while updates do
+	session     sessions.Endpoint // the last received session
+	absentSince time.Duration     // when a complete update first did not contain the endpoint; 0 if none has since its last update
 
 	state          EndpointState
-	slowStartSince time.Duration // start of SlowStart
-	ejections      int           // in a row, without a call that reached it in between
-	trialAt        time.Duration // when an ejected endpoint may get a trial call
+	slowStartSince time.Duration // when the state became SlowStart
+	ejections      int           // consecutive ejections, without a call that reached the endpoint in between
+	trialAt        time.Duration // when an ejected endpoint may get its next trial call
 	trialInFlight  bool
 
-	callsInFlight        int                      // own calls
-	callsWaiting         int                      // of them, those whose response has not started
-	fullUntil            time.Duration            // it rejected a call for want of capacity and is passed over until then
-	notLoadedUntil       map[string]time.Duration // models, with their adapters, that it rejected as not loaded
+	callsInFlight        int                      // this proxy's calls in flight
+	callsWaiting         int                      // this proxy's calls in flight whose response has not started
+	fullUntil            time.Duration            // end of the backoff after a rejection for lack of capacity
+	notLoadedUntil       map[string]time.Duration // by loadedKey: until when a rejection as not loaded counts
 	reported             ReportedLoad
-	reportedAt           time.Duration // 0 for never
-	ownCallsWhenReported int           // own calls in flight when the load was reported
-	othersLoad           float64       // of the other proxies' calls, by the control processes' sums
-	othersLoadAt         time.Duration // 0 for never
+	reportedAt           time.Duration // 0 if the endpoint has reported no load
+	ownCallsWhenReported int           // this proxy's calls in flight at reportedAt
+	othersLoad           float64       // other proxies' load, from the last FleetLoad
+	othersLoadAt         time.Duration // 0 if no FleetLoad has been received
 	outcomes             outcomeHistory
 }
 
-// Pool is the table of endpoints that a proxy knows. It belongs to one goroutine.
+// Pool is the table of endpoints that a proxy knows. It is not safe for concurrent use.
 type Pool struct {
-	// HasIdleConnection reports whether there is an idle connection to an endpoint; nil where that is not known.
+	// HasIdleConnection reports whether the proxy has an idle connection to an endpoint. If it is nil, selection does not
+	// consider connections.
 	HasIdleConnection func(id string) bool
 
 	byID      map[string]*Endpoint
 	byService map[string][]*Endpoint
 	random    *rand.Rand
 
-	// hasEndpoints and firstEndpointsAt say when the first endpoints became known. Those skip the slow start.
+	// hasEndpoints and firstEndpointsAt record whether and when the pool got its first endpoints. Endpoints that are added
+	// within slowStartDuration of firstEndpointsAt skip the slow start.
 	hasEndpoints     bool
 	firstEndpointsAt time.Duration
 
-	// departed has the ids of deregistered endpoints and when they became known to be. A control process that still names
-	// such an endpoint has not learnt of its end; taking it back would send calls to a process that has exited.
+	// departed maps the IDs of deregistered endpoints to the time at which the pool learned of the deregistration. A lagging
+	// control process may still send the session of such an endpoint; adding the endpoint again would send calls to a process
+	// that has exited.
 	departed map[string]time.Duration
 }
 
-// NewPool makes an empty pool that draws its random numbers from a generator of its own.
+// NewPool returns an empty pool. The pool must be the only user of the random generator.
 func NewPool(random *rand.Rand) *Pool {
 	return &Pool{
 		byID: map[string]*Endpoint{}, byService: map[string][]*Endpoint{},
@@ -106,8 +110,9 @@
 	}
 }
 
-// Update applies sessions that a control process has sent. A complete update names all endpoints that the control process
-// knows; one that it does not name is removed by Expire, unless a later update names it.
+// Update applies the sessions that a control process has sent. A complete update contains all endpoints that the control
+// process knows. An endpoint that a complete update does not contain is removed by Expire after absentGracePeriod, unless a
+// later update contains it.
 func (p *Pool) Update(now time.Duration, updated []sessions.Endpoint, complete bool) {
 	named := map[string]bool{}
 	for i := range updated {
@@ -122,6 +127,7 @@
 	}
 }
 
+// markAbsent sets absentSince of each endpoint that a complete update did not name.
 func (p *Pool) markAbsent(now time.Duration, named map[string]bool) {
 	for id, e := range p.byID {
 		if !named[id] && e.absentSince == 0 {
@@ -130,7 +136,8 @@
 	}
 }
 
-// applySession takes one endpoint's session.
+// applySession adds, updates or removes one endpoint according to its session. The session of an endpoint that has already
+// deregistered is ignored.
 func (p *Pool) applySession(now time.Duration, session *sessions.Endpoint) {
 	if session.State == sessions.Departed {
 		p.removeDeparted(now, session.ID)
@@ -149,7 +156,7 @@
 	}
 }
 
-// add makes the entry of an endpoint that was not known.
+// add creates the entry of a new endpoint.
 func (p *Pool) add(now time.Duration, session *sessions.Endpoint) *Endpoint {
 	e := &Endpoint{
 		ID: session.ID, Address: session.Heartbeat.Address, Service: session.Heartbeat.Service,
@@ -163,7 +170,8 @@
 	return e
 }
 
-// removeDeparted removes an endpoint that has deregistered, for good.
+// removeDeparted removes an endpoint that has deregistered, and remembers its ID so that a stale session does not add it
+// again.
 func (p *Pool) removeDeparted(now time.Duration, id string) {
 	if len(p.departed) < maxDeparted {
 		p.departed[id] = now
@@ -173,6 +181,7 @@
 	}
 }
 
+// remove deletes an endpoint from the tables. Its state becomes Draining for callers that still hold the pointer.
 func (p *Pool) remove(e *Endpoint) {
 	e.state = Draining
 	delete(p.byID, e.ID)
@@ -180,8 +189,8 @@
 	p.byService[e.Service] = slices.DeleteFunc(slices.Clone(p.byService[e.Service]), isRemoved)
 }
 
-// Expire removes endpoints that updates have not named for longer than absentGracePeriod, and the ids of those that departed
-// long ago.
+// Expire removes the endpoints that have been absent from updates for longer than absentGracePeriod, and the IDs of
+// endpoints that deregistered more than departedTTL ago.
 func (p *Pool) Expire(now time.Duration) {
 	for id, since := range p.departed {
 		if now-since > departedTTL {
@@ -195,7 +204,7 @@
 	}
 }
 
-// Find returns the endpoint with an id, or nil.
+// Find returns the endpoint with the given ID, or nil if the pool does not contain it.
 func (p *Pool) Find(id string) *Endpoint { return p.byID[id] }
 
 // CountByState counts the endpoints in each state.
@@ -207,8 +216,8 @@
 	return counts
 }
 
-// CallsInFlight is the number of the proxy's own calls to an endpoint.
+// CallsInFlight returns the number of this proxy's calls in flight to the endpoint.
 func (e *Endpoint) CallsInFlight() int { return e.callsInFlight }
 
-// State is how the proxy treats the endpoint.
+// State returns the endpoint's state in selection.
 func (e *Endpoint) State() EndpointState { return e.state }
--- a/internal/routing/outlier_detection.go
+++ b/internal/routing/outlier_detection.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// Outlier detection: an endpoint that answers with failures is left out of selection, though its connections hold. It works
-// on the outcomes of all proxies, which age exponentially. Its worth: docs/DECISIONS.md, "Ablation".
+// Outlier detection excludes an endpoint from selection that accepts connections but answers with failures. It uses the
+// outcomes of the calls of all proxies, whose weight decays exponentially.
 const (
-	// outcomeHalfLife is the time after which an outcome counts for half. Half or double: not measured.
+	// outcomeHalfLife is the time after which the weight of an outcome has halved.
 	outcomeHalfLife = 15 * time.Second
-	// outlierMinFailures is how many failures, as they count now, make an outlier. Half or double: not measured.
+	// outlierMinFailures is the decayed number of failures from which an endpoint can be an outlier. It exceeds 1, since a
+	// single failure may be chance.
 	outlierMinFailures = 1.5
-	// outlierMinFailureRate is the share of the outcomes that they must be, too. Half or double: not measured.
+	// outlierMinFailureRate is the share of failures among all outcomes from which an endpoint can be an outlier.
 	outlierMinFailureRate = 0.15
-	// maxOutlierShare is the share of the available endpoints that may be left out: where more fail, the cause is not in the
-	// endpoints, and all are selected from. Half or double: not measured.
+	// maxOutlierShare is the maximum share of the available endpoints that may be excluded. If more endpoints fail, they are
+	// probably not the cause of the failures, and none is excluded.
 	maxOutlierShare = 0.5
 )
 
-// Outcomes counts how calls to an endpoint ended, by those that say something of the endpoint. Counts that have aged are
-// fractions.
+// Outcomes counts the successful and the failed calls to an endpoint. Results that do not indicate the endpoint's health are
+// not counted. Decayed counts are fractional.
 type Outcomes struct {
-	Good   float64 // responses of use
-	Failed float64 // failures, as in outcomesOf
+	Good   float64 // calls with a useful response
+	Failed float64 // calls that failed because of the endpoint; see outcomesOf
 }
 
 func (o *Outcomes) add(other Outcomes) {
@@ -31,19 +32,19 @@
 	o.Failed += other.Failed
 }
 
-// Decayed is what outcomes count for once some time has passed.
+// Decayed returns the outcomes with their weight reduced by the elapsed time.
 func (o Outcomes) Decayed(elapsed time.Duration) Outcomes {
 	factor := math.Exp2(-float64(max(elapsed, 0)) / float64(outcomeHalfLife))
 	return Outcomes{Good: o.Good * factor, Failed: o.Failed * factor}
 }
 
-// isOutlier reports whether the outcomes are those of an endpoint that fails.
+// isOutlier reports whether the outcomes reach both thresholds of an outlier.
 func (o Outcomes) isOutlier() bool {
 	return o.Failed >= outlierMinFailures && o.Failed >= outlierMinFailureRate*(o.Failed+o.Good)
 }
 
-// outcomesOf is what the end of a call says of its endpoint. A rejection and a client that gives up say nothing; silence is
-// a failure, a response that has started and takes too long is not.
+// outcomesOf returns the outcome that a call counts for. Rejections and canceled calls do not count. A timeout counts as a
+// failure only if the response had not started: a long response is not a failure.
 func outcomesOf(result CallResult, started bool) Outcomes {
 	switch {
 	case result == Succeeded:
@@ -54,14 +55,14 @@
 	return Outcomes{}
 }
 
-// outcomeHistory is the outcomes at one endpoint: the sums of all proxies, with this proxy's own since.
+// outcomeHistory holds the decaying outcomes of one endpoint: the sum over all proxies plus this proxy's newer outcomes.
 type outcomeHistory struct {
 	total      Outcomes
-	totalAt    time.Duration // the time at which total counts for what it says
-	unreported Outcomes      // own outcomes that have not gone into a report to the control processes
+	totalAt    time.Duration // the time up to which total has decayed
+	unreported Outcomes      // this proxy's outcomes that FlushOutcomes has not returned yet
 }
 
-// add counts an own outcome.
+// add counts outcomes of this proxy's calls.
 func (h *outcomeHistory) add(now time.Duration, outcomes Outcomes) {
 	h.total = h.at(now)
 	h.totalAt = now
@@ -69,21 +70,23 @@
 	h.unreported.add(outcomes)
 }
 
-// replace takes the sums of all proxies. The own outcomes that have not been reported are not among them.
+// replace sets the history to the sums over all proxies plus this proxy's unreported outcomes, which the sums do not contain
+// yet.
 func (h *outcomeHistory) replace(now time.Duration, sums Outcomes) {
 	h.total, h.totalAt = sums, now
 	h.total.add(h.unreported)
 }
 
-// isOutlier reports whether the endpoint fails. The first comparison saves the exponential for most endpoints: outcomes only
-// count for less as they age.
+// isOutlier reports whether the endpoint is an outlier at the given time. The first comparison avoids computing the decay for
+// most endpoints: decay only lowers the counts, so an endpoint with too few failures before it is no outlier after it.
 func (h *outcomeHistory) isOutlier(now time.Duration) bool {
 	return h.total.Failed >= outlierMinFailures && h.at(now).isOutlier()
 }
 
+// at returns the outcomes with their weight at the given time.
 func (h *outcomeHistory) at(now time.Duration) Outcomes { return h.total.Decayed(now - h.totalAt) }
 
-// FlushOutcomes returns the own outcomes since it was last called, by endpoint id.
+// FlushOutcomes returns this proxy's outcomes since the last call of FlushOutcomes, by endpoint ID.
 func (p *Pool) FlushOutcomes() map[string]Outcomes {
 	flushed := map[string]Outcomes{}
 	for id, e := range p.byID {
@@ -95,7 +98,8 @@
 	return flushed
 }
 
-// withoutOutliers leaves out the endpoints that fail, unless these are more than maxOutlierShare.
+// withoutOutliers returns the available endpoints that are no outliers. If the share of outliers exceeds maxOutlierShare, it
+// returns all available endpoints.
 func withoutOutliers(now time.Duration, available []*Endpoint) []*Endpoint {
 	var healthy []*Endpoint
 	for _, e := range available {
--- a/internal/routing/outlier_detection_test.go
+++ b/internal/routing/outlier_detection_test.go
@@ -35,7 +35,7 @@
 		return counts
 	}
 
-	It("leaves out an endpoint that fails though its connections hold, until its failures have aged", func() {
+	It("excludes an endpoint that answers with failures, until the failures have decayed", func() {
 		end(start, "a", Failed)
 		Expect(selections(start)).To(HaveKey("a"), "one failure may be chance")
 		end(start, "a", Failed)
@@ -44,7 +44,7 @@
 		Expect(selections(start + outcomeHalfLife/2)).To(HaveKey("a"))
 	})
 
-	It("keeps an endpoint that fails now and then among many successes", func() {
+	It("keeps an endpoint with few failures among many successes", func() {
 		for range 100 {
 			end(start, "a", Succeeded)
 		}
@@ -54,23 +54,23 @@
 		Expect(selections(start)).To(HaveKey("a"))
 	})
 
-	It("leaves out an endpoint that failed at other proxies alone", func() {
+	It("excludes an endpoint whose failures only other proxies saw", func() {
 		pool.SetFleetLoads(start, map[string]FleetLoad{"b": {Outcomes: Outcomes{Good: 4, Failed: 3}}})
 		Expect(selections(start)).NotTo(HaveKey("b"))
 		pool.SetFleetLoads(start+time.Second, map[string]FleetLoad{})
 		Expect(selections(start + time.Second)).To(HaveKey("b"))
 	})
 
-	It("counts own failures at once, and reports them once", func() {
+	It("counts this proxy's failures immediately, and flushes each one once", func() {
 		end(start, "a", Failed)
 		Expect(pool.FlushOutcomes()).To(Equal(map[string]Outcomes{"a": {Failed: 1}}))
 		Expect(pool.FlushOutcomes()).To(BeEmpty())
 		end(start, "a", Failed)
 		pool.SetFleetLoads(start, map[string]FleetLoad{"a": {Outcomes: Outcomes{Failed: 1}}})
-		Expect(selections(start)).NotTo(HaveKey("a"), "what others say, and the own failure that they do not know")
+		Expect(selections(start)).NotTo(HaveKey("a"), "one failure in the sums and one unreported failure of this proxy")
 	})
 
-	It("keeps all endpoints where most of them fail", func() {
+	It("excludes no endpoint if most of them fail", func() {
 		for _, id := range []string{"a", "b", "c"} {
 			end(start, id, Failed)
 			end(start, id, Failed)
@@ -78,7 +78,7 @@
 		Expect(selections(start)).To(HaveLen(4))
 	})
 
-	It("leaves out an endpoint that fails and succeeds by turns", func() {
+	It("excludes an endpoint that fails every third call", func() {
 		for range 3 {
 			end(start, "a", Succeeded)
 			end(start, "a", Succeeded)
@@ -87,12 +87,12 @@
 		Expect(selections(start)).NotTo(HaveKey("a"))
 	})
 
-	It("leaves out an endpoint that fails the callers of one zone of three alone", func() {
+	It("excludes an endpoint that fails only for the callers of one zone of three", func() {
 		pool.SetFleetLoads(start, map[string]FleetLoad{"a": {Outcomes: Outcomes{Good: 10, Failed: 2}}})
 		Expect(selections(start)).NotTo(HaveKey("a"))
 	})
 
-	It("leaves out as many endpoints as are healthy", func() {
+	It("excludes the failing endpoints if they are half of all", func() {
 		for _, id := range []string{"a", "b"} {
 			end(start, id, Failed)
 			end(start, id, Failed)
@@ -100,7 +100,7 @@
 		Expect(selections(start)).To(And(HaveLen(2), HaveKey("c"), HaveKey("d")))
 	})
 
-	It("keeps a failing endpoint where no other has the model loaded", func() {
+	It("keeps a failing endpoint if no other has loaded the model", func() {
 		pool.Update(start, []sessions.Endpoint{session("e", "n")}, false)
 		end(start, "e", Failed)
 		end(start, "e", Failed)
@@ -109,7 +109,7 @@
 		Expect(e.ID).To(Equal("e"))
 	})
 
-	DescribeTable("counts the end of a call by its result",
+	DescribeTable("counts a call by its result",
 		func(result CallResult, answered bool, expected Outcomes) {
 			Expect(outcomesOf(result, answered)).To(Equal(expected))
 		},
@@ -120,8 +120,8 @@
 		Entry("no connection", Unreachable, false, Outcomes{Failed: 1}),
 		Entry("a timeout before the response", TimedOut, false, Outcomes{Failed: 1}),
 		Entry("a timeout during the response", TimedOut, true, Outcomes{}),
-		Entry("a rejection for want of capacity", RejectedFull, false, Outcomes{}),
+		Entry("a rejection for lack of capacity", RejectedFull, false, Outcomes{}),
 		Entry("a rejection as not loaded", RejectedNotFound, false, Outcomes{}),
-		Entry("a client that has canceled", Canceled, false, Outcomes{}),
+		Entry("a canceled call", Canceled, false, Outcomes{}),
 	)
 })
--- a/internal/routing/retry_budget.go
+++ b/internal/routing/retry_budget.go
@@ -2,46 +2,47 @@
 
 import "time"
 
-// How a budget's window is counted.
+// Constants of the sliding window.
 const (
-	// budgetBuckets is into how many buckets the window is divided. One more is kept, which is being filled.
+	// budgetBuckets is the number of buckets that the window is divided into. A budgetWindow has one bucket more, which is
+	// being filled.
 	budgetBuckets = 10
-	// budgetMargin is the part of the budget that is used: the proxies, and who checks the budget, count in windows that start
-	// at other moments. Half or double: not measured.
+	// budgetMargin is the fraction of the budget that a proxy uses. The rest allows for windows that start at different times:
+	// each proxy has its own, and so has an operator's check of the budget.
 	budgetMargin = 0.8
 )
 
-// RetryBudget bounds how often requests for a service are sent again: by a ratio of the requests in a sliding window, and by
-// a number of retries that all proxies share evenly. It belongs to one goroutine.
+// RetryBudget limits the retries of each service in a sliding window to a ratio of its requests plus a fixed number of
+// retries, the slack, which all proxies share evenly. It is not safe for concurrent use.
 type RetryBudget struct {
 	window   time.Duration
 	ratio    float64
 	slack    float64
-	proxies  int // that share the slack; 0 while that is not known
+	proxies  int // number of proxies that share the slack; 0 while it is not known
 	services map[string]*budgetWindow
 }
 
-// budgetWindow has the counts of one service by bucket; the newest bucket is the last.
+// budgetWindow counts the requests and retries of one service by bucket. The last bucket is the newest.
 type budgetWindow struct {
 	requests, retries [budgetBuckets + 1]int
-	newest            int64 // number of the newest bucket since the start of time
+	newest            int64 // number of the newest bucket, counted from time 0
 }
 
-// NewRetryBudget makes a budget of ratio retries for each request in a window, and of slack retries a window that all proxies
-// share.
+// NewRetryBudget returns a budget that permits, in each window, ratio retries for each request plus this proxy's share of
+// slack retries.
 func NewRetryBudget(window time.Duration, ratio, slack float64) *RetryBudget {
 	return &RetryBudget{window: window, ratio: ratio, slack: slack, services: map[string]*budgetWindow{}}
 }
 
-// SetProxies sets how many proxies share the slack.
+// SetProxies sets the number of proxies that share the slack.
 func (b *RetryBudget) SetProxies(n int) { b.proxies = n }
 
-// CountRequest counts a request for a service.
+// CountRequest counts a request for a service, which raises the number of permitted retries.
 func (b *RetryBudget) CountRequest(now time.Duration, service string) {
 	b.windowOf(now, service).requests[budgetBuckets]++
 }
 
-// AllowRetry takes one retry from the budget; it is false where there is none left.
+// AllowRetry takes one retry from the budget of a service. It returns false if the budget is exhausted.
 func (b *RetryBudget) AllowRetry(now time.Duration, service string) bool {
 	window := b.windowOf(now, service)
 	requests, retries := 0, 0
@@ -57,7 +58,7 @@
 	return true
 }
 
-// ownSlack is this proxy's part of the slack: none while it is not known how many share it.
+// ownSlack returns this proxy's share of the slack. The share is 0 while the number of proxies is not known.
 func (b *RetryBudget) ownSlack() float64 {
 	if b.proxies == 0 {
 		return 0
@@ -65,7 +66,7 @@
 	return b.slack / float64(max(b.proxies, 1))
 }
 
-// windowOf returns a service's window, moved on to the present.
+// windowOf returns the window of a service, advanced to the given time.
 func (b *RetryBudget) windowOf(now time.Duration, service string) *budgetWindow {
 	window := b.services[service]
 	if window == nil {
@@ -76,7 +77,7 @@
 	return window
 }
 
-// advance moves the buckets on until the newest is the one with a number.
+// advance shifts the buckets until the newest one has the given number.
 func (w *budgetWindow) advance(bucket int64) {
 	if bucket-w.newest > budgetBuckets+1 {
 		*w = budgetWindow{newest: bucket}
--- a/internal/routing/retry_budget_test.go
+++ b/internal/routing/retry_budget_test.go
@@ -8,7 +8,7 @@
 )
 
 var _ = Describe("the retry budget", func() {
-	It("allows a ratio of the requests and the proxy's part of the slack", func() {
+	It("allows a ratio of the requests plus the proxy's share of the slack", func() {
 		budget := NewRetryBudget(10*time.Second, 0.2, 50)
 		budget.SetProxies(5)
 		for range 100 {
@@ -22,7 +22,7 @@
 		Expect(allowed).To(BeNumerically(">", 15))
 	})
 
-	It("allows retries again once the window has moved on", func() {
+	It("allows retries again when the window has advanced", func() {
 		budget := NewRetryBudget(10*time.Second, 0, 10)
 		budget.SetProxies(1)
 		for budget.AllowRetry(0, "s") {
@@ -31,7 +31,7 @@
 		Expect(budget.AllowRetry(12*time.Second, "s")).To(BeTrue())
 	})
 
-	It("has no slack before the number of proxies is known", func() {
+	It("has no slack while the number of proxies is not known", func() {
 		budget := NewRetryBudget(10*time.Second, 0, 1000)
 		Expect(budget.AllowRetry(0, "s")).To(BeFalse())
 	})
--- a/internal/routing/routes.go
+++ b/internal/routing/routes.go
@@ -8,12 +8,13 @@
 	"dykering/internal/fleetconfig"
 )
 
-// Routes finds the route of a request. It is immutable.
+// Routes is the route table of a proxy. It is immutable.
 type Routes struct {
-	byHost map[string][]*fleetconfig.Route // longest prefix first
+	byHost map[string][]*fleetconfig.Route // by lower-case host; the routes by falling length of the path prefix
 }
 
-// NewRoutes builds the route table of a configuration. It keeps pointers into the configuration.
+// NewRoutes builds the route table of a configuration. The table keeps pointers into the configuration, which must not be
+// modified afterwards.
 func NewRoutes(p *fleetconfig.Config) *Routes {
 	r := &Routes{byHost: map[string][]*fleetconfig.Route{}}
 	for i := range p.Routes {
@@ -27,8 +28,8 @@
 	return r
 }
 
-// Match finds the route of a host, with or without a port, and an escaped path: of the host's routes the one with the longest
-// prefix of the path.
+// Match returns the route of a host and an escaped path: the route of the host with the longest matching path prefix. The host
+// may have a port. Match returns false if no route matches.
 func (r *Routes) Match(host, path string) (*fleetconfig.Route, bool) {
 	host = strings.ToLower(host)
 	routes, ok := r.byHost[host]
@@ -45,7 +46,7 @@
 	return nil, false
 }
 
-// SelectService selects one of a route's services by weight; chance is drawn from [0, 1).
+// SelectService selects one of a route's services by weight. The argument chance is a random number from [0, 1).
 func SelectService(route *fleetconfig.Route, chance float64) string {
 	shares := route.WeightedServices()
 	var sum float64
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -31,16 +31,16 @@
 			Expect(ok).To(BeTrue())
 			Expect(route.Name).To(Equal(expected))
 		},
-		Entry("the longest", "a.example", "/x/y/z", "long"),
-		Entry("a shorter one", "a.example", "/x/z", "short"),
-		Entry("no complete prefix", "a.example", "/x", "all"),
+		Entry("the longest matching prefix", "a.example", "/x/y/z", "long"),
+		Entry("a shorter matching prefix", "a.example", "/x/z", "short"),
+		Entry("a prefix that the path does not contain completely", "a.example", "/x", "all"),
 		Entry("a host in capitals, with a port", "A.EXAMPLE:8080", "/x/y/", "long"),
 		Entry("another host", "b.example", "/x/y/", "other"),
-		Entry("no prefix of the host", "b.example", "/y/", ""),
-		Entry("no such host", "c.example", "/x/", ""),
+		Entry("no matching prefix of the host", "b.example", "/y/", ""),
+		Entry("a host without routes", "c.example", "/x/", ""),
 	)
 
-	DescribeTable("share their requests by weight",
+	DescribeTable("split their requests by weight",
 		func(chance float64, expected string) {
 			route := &fleetconfig.Route{TrafficSplit: []fleetconfig.WeightedService{{Service: "s0", Weight: 0}, {Service: "s1", Weight: 90}, {Service: "s2", Weight: 10}}}
 			Expect(SelectService(route, chance)).To(Equal(expected))
--- a/internal/routing/selection.go
+++ b/internal/routing/selection.go
@@ -9,56 +9,57 @@
 	"dykering/internal/sessions"
 )
 
-// How endpoints are compared.
+// Constants of the comparison of endpoints.
 const (
-	// sampleSize is how many random endpoints a selection compares. Measured on sites F and G: two leave 0.019 of F's worth
-	// (docs/ROUTING.md), twelve gain nothing (docs/DECISIONS.md, "Rounds").
+	// sampleSize is the number of random endpoints that a selection compares. Two candidates gave a lower request value in
+	// simulations; twelve gave no higher one than four.
 	sampleSize = 4
-	// maxSampleDraws bounds the draws for one candidate while endpoints in slow start are passed over.
+	// maxSampleDraws bounds the draws for one candidate, since a draw may reject an endpoint in slow start.
 	maxSampleDraws = 8
-	// loadTieMargin is by how much two estimated loads may differ for a tie, in calls: the sums are up to a second old. Half
-	// or double: not measured.
+	// loadTieMargin is the difference of two estimated loads, in calls, up to which they count as equal. The estimates are up
+	// to a second old, so that smaller differences mean nothing.
 	loadTieMargin = 1
 )
 
-// Query is what an endpoint is selected for.
+// Query describes the request that an endpoint is selected for.
 type Query struct {
 	Service string
 	Model   string // empty for a service without models
-	Adapter string // empty for the model alone
-	// Affinity is equal for requests that share the beginning of their prompts. They prefer the same endpoints, whose prefix
-	// cache has it. 0 is none.
+	Adapter string // empty if the request needs no adapter
+	// Affinity is equal for requests that share the beginning of their prompts. Such requests prefer the same endpoints, since
+	// those have the beginning in their prefix caches. 0 means no affinity.
 	Affinity uint64
-	// Exclude has the ids of endpoints that are not selected, as they have been tried.
+	// Exclude contains the IDs of endpoints that must not be selected because the request has already been tried there.
 	Exclude map[string]bool
 }
 
-// SelectionResult is whether a selection found an endpoint, or why not.
+// SelectionResult tells whether a selection found an endpoint, and if not, why.
 type SelectionResult int
 
-// The results.
+// The results of a selection.
 const (
 	Selected         SelectionResult = iota
-	NoEndpoint                       // the service has none that may be called at all
-	ModelNotLoaded                   // none has the model, or the adapter's model, loaded
-	AdapterNotLoaded                 // some have the model loaded, none the adapter
-	NoneAvailable                    // those that have it loaded are full, ejected or excluded
+	NoEndpoint                       // the service has no endpoint that may be called
+	ModelNotLoaded                   // no endpoint has loaded the model
+	AdapterNotLoaded                 // some endpoints have loaded the model, but none has loaded the adapter
+	NoneAvailable                    // all endpoints with the model or adapter are at capacity, ejected or excluded
 )
 
-// Candidate is an endpoint with the figures by which selection compared it.
+// Candidate holds the values by which selection compares an endpoint.
 type Candidate struct {
 	ID            string
-	OwnCalls      int     // own calls in flight
-	EstimatedLoad float64 // calls of all proxies, as far as they were known
+	OwnCalls      int     // this proxy's calls in flight
+	EstimatedLoad float64 // estimated load by the calls of all proxies
 }
 
-// Candidate returns the figures by which the endpoint is compared.
+// Candidate returns the values by which selection compares the endpoint.
 func (e *Endpoint) Candidate(now time.Duration) Candidate {
 	return Candidate{ID: e.ID, OwnCalls: e.callsInFlight, EstimatedLoad: e.estimatedLoad(now)}
 }
 
-// Select selects an endpoint that has loaded what is asked for: the one with the fewest own calls in flight of some random
-// ones. Now and then it is an ejected one that is due a trial call. The endpoint is nil unless the result is Selected.
+// Select selects an endpoint that has loaded the queried model or adapter: among random candidates, the one with the fewest
+// calls of this proxy in flight. Occasionally it selects an ejected endpoint that is due for a trial call. The returned
+// endpoint is nil unless the result is Selected.
 func (p *Pool) Select(now time.Duration, q Query) (*Endpoint, SelectionResult) {
 	found := p.eligible(now, q)
 	if result := found.result(); result != Selected {
@@ -74,16 +75,16 @@
 	return p.leastLoaded(now, withoutOutliers(now, found.available), q.Affinity), Selected
 }
 
-// eligibleEndpoints is the endpoints of a service, by what may be sent to them.
+// eligibleEndpoints classifies the endpoints of a service for one query.
 type eligibleEndpoints struct {
-	callable  int // may be called at all
-	modelOnly int // of them, have the model loaded without the adapter
-	loaded    int // of them, have loaded what is asked for
-	available []*Endpoint
-	trialDue  []*Endpoint // ejected ones that are due a trial call
+	callable  int         // number of callable endpoints
+	modelOnly int         // number of callable endpoints with the queried model, but without the queried adapter
+	loaded    int         // number of callable endpoints with the queried model or adapter
+	available []*Endpoint // loaded endpoints that may get the request
+	trialDue  []*Endpoint // loaded, ejected endpoints that are due for a trial call
 }
 
-// eligible sorts the endpoints of a service by what may be sent to them.
+// eligible classifies the endpoints of the queried service.
 func (p *Pool) eligible(now time.Duration, q Query) eligibleEndpoints {
 	var found eligibleEndpoints
 	for _, e := range p.byService[q.Service] {
@@ -109,8 +110,8 @@
 	return found
 }
 
-// callable reports whether an endpoint may be called at all. One whose session has expired still may while its connections
-// hold: it can be the control processes that do not reach it.
+// callable reports whether an endpoint may be called at all. An endpoint whose session has expired remains callable until a
+// connection to it fails, since its heartbeats may merely fail to reach the control processes.
 func (e *Endpoint) callable() bool {
 	if e.state == Draining {
 		return false
@@ -118,7 +119,7 @@
 	return e.session.State != sessions.Expired || e.state != Ejected
 }
 
-// result is why nothing can be selected; Selected where some endpoint has loaded what is asked for.
+// result returns why no endpoint can be selected, or Selected if some endpoint has loaded the queried model or adapter.
 func (f *eligibleEndpoints) result() SelectionResult {
 	switch {
 	case f.callable == 0:
@@ -131,8 +132,8 @@
 	return Selected
 }
 
-// leastLoaded compares random candidates, and beside them the preferred endpoints of an affinity or, without one, those with
-// an idle connection.
+// leastLoaded returns the best of sampleSize random candidates and some additional ones: the preferred endpoints of the
+// affinity or, without an affinity, the endpoints with an idle connection.
 func (p *Pool) leastLoaded(now time.Duration, available []*Endpoint, affinity uint64) *Endpoint {
 	best := p.sample(now, available)
 	consider := func(other *Endpoint) {
@@ -155,9 +156,9 @@
 	return best
 }
 
-// preferable compares two candidates: by own calls in flight, then by estimated load. A tie goes to the one that ranks higher
-// for the affinity, so that requests which share a beginning meet where it is cached; without one, to the one with an idle
-// connection.
+// preferable reports whether candidate a is preferred to candidate b. It compares this proxy's calls in flight, then the
+// estimated loads. With an affinity, a tie goes to the candidate with the higher rank, so that requests with the same prompt
+// prefix go where it is cached. Without one, a tie goes to the candidate with an idle connection.
 func (p *Pool) preferable(now time.Duration, a, b *Endpoint, affinity uint64) bool {
 	loadA, loadB := a.estimatedLoad(now), b.estimatedLoad(now)
 	switch {
@@ -175,7 +176,7 @@
 	return p.random.IntN(2) == 0
 }
 
-// sample draws one endpoint at random, one in slow start less often.
+// sample draws a random endpoint. An endpoint in slow start is drawn with a lower probability.
 func (p *Pool) sample(now time.Duration, available []*Endpoint) *Endpoint {
 	for range maxSampleDraws {
 		e := available[p.random.IntN(len(available))]
@@ -186,10 +187,12 @@
 	return available[p.random.IntN(len(available))]
 }
 
+// withIdleConnection returns the available endpoints to which the proxy has an idle connection.
 func (p *Pool) withIdleConnection(available []*Endpoint) []*Endpoint {
 	return lo.Filter(available, func(e *Endpoint, _ int) bool { return p.hasIdleConnection(e) })
 }
 
+// hasIdleConnection reports whether the proxy is known to have an idle connection to an endpoint.
 func (p *Pool) hasIdleConnection(e *Endpoint) bool {
 	return p.HasIdleConnection != nil && p.HasIdleConnection(e.ID)
 }
--- a/internal/routing/selection_golden_test.go
+++ b/internal/routing/selection_golden_test.go
@@ -13,9 +13,9 @@
 	"dykering/internal/sessions"
 )
 
-// selectionsFile holds the selections that the code of commit bfb03d8 made for three seeds. A refactoring must neither
-// change a selection nor draw random numbers in another order. Set DYKERING_UPDATE_GOLDEN=1 to write the file anew after a
-// deliberate change of the policy.
+// selectionsFile holds the selections that the code of commit bfb03d8 made for three seeds. A refactoring must not change any
+// selection or the order in which random numbers are drawn. After a deliberate change of the policy, run the test with
+// DYKERING_UPDATE_GOLDEN=1 to rewrite the file.
 const selectionsFile = "testdata/selections.golden"
 
 var _ = Describe("endpoint selection", func() {
@@ -33,7 +33,8 @@
 	})
 })
 
-// workload drives a pool by a script. The script's random numbers come from another generator than the pool's.
+// workload drives a pool with random operations. The operations are drawn from the generator script, which is separate from
+// the pool's own generator.
 type workload struct {
 	pool     *Pool
 	script   *rand.Rand
@@ -46,7 +47,7 @@
 	query    Query
 }
 
-// recordSelections runs a workload for a seed and writes each selection on a line.
+// recordSelections runs a workload for a seed and appends one line for each selection to the transcript.
 func recordSelections(transcript *strings.Builder, seed uint64) {
 	const steps = 400
 	w := &workload{pool: NewPool(rand.New(rand.NewPCG(seed, seed+1))), script: rand.New(rand.NewPCG(seed, 99)), now: time.Minute}
@@ -74,8 +75,8 @@
 	fmt.Fprintf(transcript, "next random number %d\n", w.pool.random.Uint64())
 }
 
-// updateEndpoints adds endpoints at step 100, drains one and deregisters another at 200, and names fewer in a complete update
-// at 300.
+// updateEndpoints adds endpoints at step 100, drains one and deregisters another at step 200, and applies a complete update
+// with fewer endpoints at step 300.
 func (w *workload) updateEndpoints(step int) {
 	switch step {
 	case 100:
@@ -115,9 +116,9 @@
 
 // endCalls ends random calls until a random number of them is left in flight.
 func (w *workload) endCalls() {
-	const mostInFlight = 25
+	const maxInFlight = 25
 	results := []CallResult{Succeeded, Succeeded, Succeeded, Succeeded, Succeeded, Failed, RejectedFull, RejectedNotFound, Unreachable, ConnectionLost, TimedOut, Canceled}
-	for len(w.inFlight) > w.script.IntN(mostInFlight) {
+	for len(w.inFlight) > w.script.IntN(maxInFlight) {
 		i := w.script.IntN(len(w.inFlight))
 		ended := w.inFlight[i]
 		w.inFlight = append(w.inFlight[:i], w.inFlight[i+1:]...)
@@ -134,8 +135,8 @@
 
 func scriptedID(i int) string { return fmt.Sprintf("i-%02d", i) }
 
-// scriptedEndpoints has the endpoints from one number up to another. Each holds two of three models, each third one an
-// adapter.
+// scriptedEndpoints returns the sessions of the endpoints with the numbers from <= i < to. Each endpoint has two of three
+// models; every third one also has an adapter.
 func scriptedEndpoints(from, to int) []sessions.Endpoint {
 	var endpoints []sessions.Endpoint
 	for i := from; i < to; i++ {
--- a/internal/routing/selection_load_test.go
+++ b/internal/routing/selection_load_test.go
@@ -23,8 +23,8 @@
 		pool.Update(start, all, true)
 	})
 
-	It("does not crowd the preferred endpoints of an affinity that half of all requests have", func() {
-		const requests, atOnce = 4000, 30
+	It("does not overload the preferred endpoints of an affinity that half of all requests have", func() {
+		const requests, concurrency = 4000, 30
 		counts := map[string]int{}
 		var inFlight []*Endpoint
 		for i := range requests {
@@ -33,7 +33,7 @@
 			Expect(result).To(Equal(Selected))
 			pool.BeginCall(e)
 			counts[e.ID]++
-			if inFlight = append(inFlight, e); len(inFlight) > atOnce {
+			if inFlight = append(inFlight, e); len(inFlight) > concurrency {
 				pool.EndCall(start, inFlight[0], q, Succeeded, false)
 				inFlight = inFlight[1:]
 			}
@@ -43,7 +43,7 @@
 		}
 	})
 
-	It("uses the sums of all proxies while they are a second old, and not when they are three", func() {
+	It("uses the sums of all proxies after one second, and ignores them after fleetLoadTTL", func() {
 		loads := map[string]FleetLoad{}
 		idle := pool.byService["s"][0].ID
 		for _, e := range pool.byService["s"][1:] {
@@ -56,7 +56,7 @@
 	})
 })
 
-// countSelections counts four hundred selections by endpoint.
+// countSelections makes 400 selections and counts them by endpoint ID.
 func countSelections(pool *Pool, at time.Duration) map[string]int {
 	counts := map[string]int{}
 	for range 400 {
--- a/internal/routing/selection_test.go
+++ b/internal/routing/selection_test.go
@@ -11,7 +11,7 @@
 	"dykering/internal/sessions"
 )
 
-// session is the session of a ready endpoint of the service s that has models loaded.
+// session returns the session of a ready endpoint of the service "s" with the given models loaded.
 func session(id string, models ...string) sessions.Endpoint {
 	heartbeat := sessions.Heartbeat{Service: "s", Address: id + ":80", State: sessions.Ready}
 	for _, m := range models {
@@ -47,13 +47,13 @@
 		Expect(counts["a"]).To(BeNumerically("~", 200, 60))
 	})
 
-	It("selects the endpoint with fewer own calls in flight", func() {
+	It("selects the endpoint with fewer calls of this proxy in flight", func() {
 		pool.BeginCall(pool.Find("a"))
 		counts := selections(start, query)
 		Expect(counts["b"]).To(BeNumerically("~", 375, 20))
 	})
 
-	It("breaks ties by affinity, equally at each proxy", func() {
+	It("breaks ties by affinity, in the same way at each proxy", func() {
 		other := NewPool(rand.New(rand.NewPCG(3, 4)))
 		other.Update(start, []sessions.Endpoint{session("b", "m"), session("a", "m")}, true)
 		q := query
@@ -70,7 +70,7 @@
 		Expect(selections(start, query)).To(HaveKeyWithValue("b", 400))
 	})
 
-	It("selects another endpoint where the connected one has more own calls or more load", func() {
+	It("selects another endpoint if the one with an idle connection has more calls or more load", func() {
 		pool.HasIdleConnection = func(id string) bool { return id == "b" }
 		pool.SetFleetLoads(start, map[string]FleetLoad{"b": {InFlight: 4, Waiting: 4}})
 		Expect(selections(start, query)["a"]).To(BeNumerically("~", 375, 20))
@@ -109,15 +109,15 @@
 			}
 		})
 
-		It("selects the second preferred endpoint where the first has more load", func() {
+		It("selects the second preferred endpoint if the first has more load", func() {
 			first, _ := pool.Select(start, with(1))
 			pool.SetFleetLoads(start, map[string]FleetLoad{first.ID: {InFlight: 8, Waiting: 8}})
 			counts := selections(start, with(1))
 			Expect(counts[first.ID]).To(BeZero())
-			Expect(counts).To(HaveLen(1), "the second by rank takes them")
+			Expect(counts).To(HaveLen(1), "all go to the endpoint with the second highest rank")
 		})
 
-		It("selects any endpoint where all preferred ones are ejected", func() {
+		It("selects another endpoint if all preferred ones are ejected", func() {
 			for range preferredPerAffinity {
 				e, _ := pool.Select(start, with(1))
 				pool.BeginCall(e)
@@ -137,10 +137,10 @@
 		Entry("no endpoint of the service", Query{Service: "t"}, NoEndpoint),
 		Entry("none with the model", Query{Service: "s", Model: "o"}, ModelNotLoaded),
 		Entry("none with the adapter", Query{Service: "s", Model: "m", Adapter: "a1"}, AdapterNotLoaded),
-		Entry("all were tried", Query{Service: "s", Model: "n", Exclude: map[string]bool{"c": true}}, NoneAvailable),
+		Entry("all endpoints were tried", Query{Service: "s", Model: "n", Exclude: map[string]bool{"c": true}}, NoneAvailable),
 	)
 
-	It("never selects a draining endpoint, whatever a later update says", func() {
+	It("never selects a draining endpoint, even if a later update reports it ready", func() {
 		draining := session("a", "m")
 		draining.State = sessions.Draining
 		pool.Update(start, []sessions.Endpoint{draining}, false)
@@ -156,7 +156,7 @@
 		Expect(late["new"]).To(BeNumerically("~", 133, 40))
 	})
 
-	It("ejects an endpoint whose connection is lost, tries it once at a time, and has it start slowly after a success", func() {
+	It("ejects an endpoint after a lost connection, sends one trial call at a time, and enters slow start after a success", func() {
 		a := pool.Find("a")
 		pool.BeginCall(a)
 		pool.EndCall(start, a, query, ConnectionLost, false)
@@ -178,7 +178,7 @@
 		Expect(a.State()).To(Equal(SlowStart))
 	})
 
-	It("ejects for longer each time, up to a bound", func() {
+	It("bounds the ejection time of consecutive ejections by maxEjectionTime", func() {
 		a := pool.Find("a")
 		for range 20 {
 			pool.BeginCall(a)
@@ -188,7 +188,7 @@
 		Expect(a.trialAt - start).To(BeNumerically(">=", maxEjectionTime/2))
 	})
 
-	It("passes over a full endpoint, and one that lacks the model, for a bounded time", func() {
+	It("does not select an endpoint for a bounded time after it rejected a call", func() {
 		a, b := pool.Find("a"), pool.Find("b")
 		pool.BeginCall(a)
 		pool.EndCall(start, a, query, RejectedFull, false)
@@ -200,7 +200,7 @@
 		Expect(selections(start+notLoadedTTL, query)).To(HaveKey("b"))
 	})
 
-	It("keeps an endpoint that a complete update does not name for absentGracePeriod", func() {
+	It("keeps an endpoint for absentGracePeriod after a complete update that does not contain it", func() {
 		pool.Update(start, []sessions.Endpoint{session("a", "m")}, true)
 		pool.Expire(start + absentGracePeriod)
 		Expect(pool.Find("b")).NotTo(BeNil())
@@ -209,7 +209,7 @@
 		Expect(pool.Find("a")).NotTo(BeNil())
 	})
 
-	It("adds the other proxies' calls to an endpoint's load, without counting its own twice", func() {
+	It("adds the other proxies' calls to an endpoint's load without counting this proxy's calls twice", func() {
 		a := pool.Find("a")
 		pool.BeginCall(a)
 		pool.BeginCall(pool.Find("b"))
@@ -224,7 +224,7 @@
 		Expect(pool.OwnCalls()).NotTo(HaveKey("a"))
 	})
 
-	It("adds what an endpoint reports of other proxies' calls to its load", func() {
+	It("adds the other proxies' calls that an endpoint reports to its load", func() {
 		pool.ReportLoad(start, pool.Find("a"), ReportedLoad{Running: 9})
 		counts := selections(start, query)
 		Expect(counts["b"]).To(BeNumerically("~", 375, 20))
--- a/internal/routing/slow_start.go
+++ b/internal/routing/slow_start.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Slow start: an endpoint that is new, or back from ejection, takes a share of the samples that grows linearly to its full
-// share, so that its caches and connections warm up before it is as loaded as the others.
+// Slow start: an endpoint that is new, or whose ejection has ended, is sampled with a weight that grows linearly to 1. Its
+// caches and connections warm up before it gets as much load as the others.
 const (
-	// slowStartDuration is how long the share grows. Half or double: not measured.
+	// slowStartDuration is the time in which the sample weight grows to 1.
 	slowStartDuration = 2 * time.Second
-	// slowStartMinWeight is the share with which it starts. Half or double: not measured.
+	// slowStartMinWeight is the sample weight at the start.
 	slowStartMinWeight = 0.25
 )
 
-// sampleWeight is the probability with which an endpoint that was drawn is kept as a candidate. It ends a slow start whose
-// time is over.
+// sampleWeight returns the probability with which a drawn endpoint becomes a candidate. It also ends a slow start whose
+// duration is over: the state becomes Available.
 func (e *Endpoint) sampleWeight(now time.Duration) float64 {
 	if e.state != SlowStart {
 		return 1
