--- a/internal/placement/adapters.go
+++ b/internal/placement/adapters.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// planAdapters orders replicas of the adapters that need one more, on endpoints that have their model.
+// planAdapters orders one more replica of each adapter that needs one, on endpoints that have loaded the adapter's model.
 func (p *planner) planAdapters() {
 	for _, key := range p.adaptersToLoad() {
 		p.addAdapterReplica(key)
 	}
 }
 
-// adaptersToLoad returns the adapters that should have one more replica, by model and name.
+// adaptersToLoad returns the adapters that need one more replica, sorted by model and name.
 func (p *planner) adaptersToLoad() []Key {
 	var keys []Key
 	for _, key := range p.Demand.Keys(p.Service) {
@@ -31,7 +31,8 @@
 	return keys
 }
 
-// needsAdapterReplica reports whether an adapter should have one more replica.
+// needsAdapterReplica reports whether an adapter needs one more replica: an adapter in demand needs a first one, an adapter
+// with too many requests in flight for its replicas another one.
 func (p *planner) needsAdapterReplica(key Key) bool {
 	demand, replicas := p.estimate(key), p.adapterReplicas[key]
 	if replicas == 0 {
@@ -40,8 +41,9 @@
 	return demand.InFlight > inFlightPerAdapterReplica*replicas
 }
 
-// addAdapterReplica orders an adapter to be loaded on the endpoint that has its model and the fewest adapters. Where that
-// one has no slot or memory left, the order unloads its longest idle adapter instead; the load follows in a later plan.
+// addAdapterReplica orders the endpoint with the adapter's model and the fewest adapters to load the adapter. If that
+// endpoint has no slot or memory left, it is ordered to unload its longest idle adapter instead, and a later plan orders
+// the load.
 func (p *planner) addAdapterReplica(key Key) {
 	if p.isFull() {
 		return
@@ -60,8 +62,8 @@
 	}
 }
 
-// endpointForAdapter returns the endpoint with the fewest adapters among those that have the adapter's model, not the
-// adapter, and no order; nil if there is none.
+// endpointForAdapter returns the endpoint with the fewest adapters among those that have loaded the adapter's model but not
+// the adapter, and that have no order. It returns nil if no endpoint qualifies.
 func (p *planner) endpointForAdapter(key Key) *Endpoint {
 	var chosen *Endpoint
 	fewest := math.MaxInt
@@ -76,9 +78,9 @@
 	return chosen
 }
 
-// longestIdleAdapter returns the adapter of an endpoint whose last request is the longest ago. Ties are broken by the names
-// of the adapter and of the model: adapters of different models often have the same name, and without the second the choice
-// would depend on the order of a map.
+// longestIdleAdapter returns the adapter of an endpoint with the oldest last request, and its model. It returns false if the
+// endpoint has no adapters. Ties are broken by the name of the adapter, then by the name of the model: adapters of different
+// models often have the same name, and the result must not depend on the iteration order of a map.
 func (p *planner) longestIdleAdapter(e *Endpoint) (model, adapter string, ok bool) {
 	oldest := time.Duration(math.MaxInt64)
 	for name, adapters := range e.Models {
--- a/internal/placement/decisions_test.go
+++ b/internal/placement/decisions_test.go
@@ -11,7 +11,8 @@
 	"dykering/internal/fleetconfig"
 )
 
-// The fixtures hold what the build of commit bfb03d8 decided for the same drawn inputs.
+// The tests of this file compare the decisions for random inputs with those that the build of commit bfb03d8 made for the
+// same inputs, as recorded in the fixtures.
 
 const (
 	simulationSteps      = 100
@@ -21,11 +22,12 @@
 	planInterval         = 200 * time.Millisecond
 )
 
-// seeds are those of the drawn days. Each gave the same orders in 250 runs of that build: with others, Plan might choose
-// either of two endpoints whose costs differ only by the rounding of a sum over a map, whose order is random.
+// seeds are the seeds of the recorded simulations. Each one gave the same orders in 250 runs of the recorded build. With other
+// seeds, that build could choose either of two endpoints whose costs differ only by the rounding of a floating-point sum over
+// a map, whose iteration order is random.
 var seeds = []uint64{0, 1, 2, 3, 4, 5, 6, 7}
 
-// simulation is a drawn service with its endpoints, over some minutes.
+// simulation is a random service with its endpoints and demand.
 type simulation struct {
 	random    *rand.Rand
 	engine    *fleetconfig.Engine
@@ -33,6 +35,7 @@
 	demand    *Demand
 }
 
+// newSimulation draws an engine and endpoints without models.
 func newSimulation(seed uint64) *simulation {
 	sim := &simulation{random: rand.New(rand.NewPCG(seed, 11)), demand: NewDemand()}
 	sim.engine = &fleetconfig.Engine{WeightsSizeMB: 200 + float64(sim.random.IntN(100)), AdapterSlots: float64(1 + sim.random.IntN(3))}
@@ -47,15 +50,15 @@
 	return sim
 }
 
-// report draws what a proxy reports.
+// report applies a random report of a proxy.
 func (sim *simulation) report(now time.Duration, proxy string) {
 	var samples []Sample
 	for range 1 + sim.random.IntN(4) {
-		model := sim.random.IntN(1 + sim.random.IntN(modelCount)) // the first are asked for most
+		model := sim.random.IntN(1 + sim.random.IntN(modelCount)) // models with low numbers are requested most
 		adapter := ""
 		if sim.random.IntN(4) == 0 {
-			// The name differs from those of other models: Plan may choose any one of two adapters with the same name that
-			// were last asked for at the same time.
+			// The name contains the model: the recorded build could unload either of two adapters with the same name and the
+			// same time of the last request.
 			adapter = fmt.Sprintf("adapter-%d-%d", model, sim.random.IntN(adapterCountPerModel))
 		}
 		samples = append(samples, Sample{
@@ -66,7 +69,7 @@
 	sim.demand.Report(now, proxy, samples)
 }
 
-// disturbEndpoint draws endpoints that leave, are busy, or have memory freed.
+// disturbEndpoint randomly changes whether an endpoint is excluded, has an order in flight, and has memory reserved.
 func (sim *simulation) disturbEndpoint() {
 	e := &sim.endpoints[sim.random.IntN(len(sim.endpoints))]
 	e.Excluded = sim.random.IntN(8) == 0
@@ -77,7 +80,7 @@
 	}
 }
 
-// apply carries an order out, most of the time.
+// apply executes most orders that fit, and returns a description of the result.
 func (sim *simulation) apply(order Order) string {
 	for i := range sim.endpoints {
 		e := &sim.endpoints[i]
@@ -94,11 +97,11 @@
 	return "no such endpoint"
 }
 
-// run plans some minutes and renders the orders.
+// run makes a plan at each step, and appends the orders and the final estimates to text.
 func (sim *simulation) run(text *strings.Builder) {
 	for step := range simulationSteps {
 		now := time.Minute + time.Duration(step)*planInterval
-		if step%25 != 24 { // else there is a pause, in which demand decays
+		if step%25 != 24 { // every 25th step has no report, so that the demand decays
 			sim.report(now, fmt.Sprintf("proxy-%d", sim.random.IntN(proxyCount)))
 		}
 		sim.disturbEndpoint()
@@ -117,7 +120,7 @@
 	}
 }
 
-// For the same demand and endpoints the same orders are given.
+// Plan gives the recorded orders for the recorded demand and endpoints.
 func TestDecisionsUnchangedPlans(t *testing.T) {
 	var text strings.Builder
 	for _, seed := range seeds {
@@ -127,7 +130,7 @@
 	fixture.Text(t, "testdata/plans.txt", text.String())
 }
 
-// For the same loads the ledger leaves the same number of loads available.
+// The ledger permits the recorded numbers of loads for the recorded sequences of loads and changes of the lease holder.
 func TestDecisionsUnchangedLoadLedger(t *testing.T) {
 	var text strings.Builder
 	for _, seed := range seeds {
--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -12,31 +12,31 @@
 	Adapter string // empty for the model itself
 }
 
-// ModelKey is the key of a key's model.
+// ModelKey returns the key of the model itself, without the adapter.
 func (k Key) ModelKey() Key { return Key{Service: k.Service, Model: k.Model} }
 
-// Sample is what a proxy reports of one key.
+// Sample is the part of a proxy's report about one key.
 type Sample struct {
 	Key      Key
-	Requests int // since its last report
-	Unplaced int // of these, those that found no endpoint with the model or adapter
-	InFlight int // now
-	Waiting  int // of those in flight, the ones whose response has not begun
+	Requests int // requests since the proxy's last report
+	Unplaced int // those of Requests that found no endpoint with the model or adapter
+	InFlight int // requests in flight at the time of the report
+	Waiting  int // those of InFlight whose response has not started
 }
 
-// noRequest is the time of the last request for a key that has none: long before any other.
+// noRequest stands for the time of the last request for a key without requests. It is long before the time of any request.
 const noRequest = -time.Hour
 
 // Demand estimates the demand for models and adapters from the reports of all proxies. It is not safe for concurrent use.
 type Demand struct {
 	counters map[Key]*counter
-	reports  map[string]*report // the last of each proxy
+	reports  map[string]*report // the last report of each proxy, by its name
 }
 
-// counter is the demand for one key, over all proxies.
+// counter accumulates the demand of all proxies for one key.
 type counter struct {
-	requests      float64 // decays with rateWindow
-	burstRequests float64 // decays with burstRateWindow
+	requests      float64 // request count that decays with the time constant rateWindow
+	burstRequests float64 // request count that decays with the time constant burstRateWindow
 	countedAt     time.Duration
 	lastRequestAt time.Duration
 	unplacedAt    time.Duration
@@ -46,12 +46,13 @@
 	pressureAt    time.Duration
 }
 
-// report is a proxy's requests in flight.
+// report holds the requests in flight of one proxy.
 type report struct {
 	receivedAt time.Duration
 	active     map[Key]activeRequests
 }
 
+// activeRequests counts the requests of one proxy for one key.
 type activeRequests struct{ inFlight, waiting int }
 
 // NewDemand returns an estimator without any demand.
@@ -59,8 +60,8 @@
 	return &Demand{counters: map[Key]*counter{}, reports: map[string]*report{}}
 }
 
-// Report applies a proxy's report: its requests are added to the rates, its requests in flight replace those of its last
-// report. What an adapter is asked for counts for its model too.
+// Report applies a proxy's report. The new requests are added to the rates; the requests in flight replace those of the
+// proxy's previous report. Requests for an adapter count for its model, too.
 func (d *Demand) Report(now time.Duration, proxy string, samples []Sample) {
 	received := &report{receivedAt: now, active: map[Key]activeRequests{}}
 	for key, sample := range mergeSamples(samples) {
@@ -74,19 +75,20 @@
 	}
 }
 
-// mergeSamples sums samples by key, those of adapters for their model too.
+// mergeSamples sums the samples by key. The samples of an adapter also count for its model.
 func mergeSamples(samples []Sample) map[Key]Sample {
 	merged := map[Key]Sample{}
 	for _, sample := range samples {
 		addSample(merged, sample.Key, sample)
 		if sample.Key.Adapter != "" {
-			sample.Unplaced = 0 // the adapter is missing; the model may well be loaded
+			sample.Unplaced = 0 // only the adapter is known to be missing; the model may be loaded
 			addSample(merged, sample.Key.ModelKey(), sample)
 		}
 	}
 	return merged
 }
 
+// addSample adds a sample to the sum for a key.
 func addSample(merged map[Key]Sample, key Key, sample Sample) {
 	sum := merged[key]
 	sum.Requests += sample.Requests
@@ -96,7 +98,7 @@
 	merged[key] = sum
 }
 
-// count adds a sample to the counter of a key. It returns false if the key is not known and there are too many.
+// count adds a sample to the counter of a key. It returns false if the key has no counter and the table is full.
 func (d *Demand) count(now time.Duration, key Key, sample Sample) bool {
 	c := d.counters[key]
 	if c == nil {
@@ -118,7 +120,7 @@
 	return true
 }
 
-// addReport counts a proxy's requests in flight. Their keys have counters.
+// addReport adds a proxy's requests in flight to the counters. All keys of the report must have counters.
 func (d *Demand) addReport(proxy string, added *report) {
 	for key, active := range added.active {
 		d.counters[key].inFlight += active.inFlight
@@ -127,7 +129,7 @@
 	d.reports[proxy] = added
 }
 
-// removeReport no longer counts the requests in flight of a proxy's last report.
+// removeReport subtracts the requests in flight of a proxy's last report from the counters, and deletes the report.
 func (d *Demand) removeReport(proxy string) {
 	removed := d.reports[proxy]
 	if removed == nil {
@@ -142,7 +144,7 @@
 	delete(d.reports, proxy)
 }
 
-// Expire removes the reports of proxies that have sent none for inFlightTTL, and keys without requests for keyTTL.
+// Expire removes the reports that are older than inFlightTTL, and the keys that have had no request for keyTTL.
 func (d *Demand) Expire(now time.Duration) {
 	for proxy, r := range d.reports {
 		if now-r.receivedAt >= inFlightTTL {
@@ -156,18 +158,18 @@
 	}
 }
 
-// Estimate is the demand for one key at a moment, over all proxies.
+// Estimate is the demand of all proxies for one key at a given time.
 type Estimate struct {
 	Rate     float64 // requests a second, averaged over rateWindow
 	InFlight int     // requests in flight
-	Waiting  int     // of those in flight, the ones whose response has not begun
-	// Pressure is Waiting averaged over pressureWindow, and multiplied by the growth of the rate where it grows.
+	Waiting  int     // those of InFlight whose response has not started
+	// Pressure is Waiting averaged over pressureWindow, multiplied by the growth of the rate if the rate grows.
 	Pressure      float64
-	Unplaced      bool          // a request has found no endpoint within unplacedTTL
-	LastRequestAt time.Duration // an hour before the origin of the clock if there was none
+	Unplaced      bool          // true if a request has found no endpoint in the last unplacedTTL
+	LastRequestAt time.Duration // noRequest if there was no request
 }
 
-// Estimate returns the demand for a key now. It brings the average of waiting requests up to date.
+// Estimate returns the demand for a key at the given time. It updates the average of the waiting requests to that time.
 func (d *Demand) Estimate(now time.Duration, key Key) Estimate {
 	c := d.counters[key]
 	if c == nil {
@@ -184,7 +186,7 @@
 	}
 }
 
-// Keys returns the keys of a service that have been asked for, in no particular order.
+// Keys returns the keys of a service that have been requested, in no particular order.
 func (d *Demand) Keys(service string) []Key {
 	var keys []Key
 	for key := range d.counters {
@@ -195,20 +197,24 @@
 	return keys
 }
 
+// requestsAt returns the request count, decayed to the given time.
 func (c *counter) requestsAt(now time.Duration) float64 {
 	return c.requests * decay(now-c.countedAt, rateWindow)
 }
 
+// burstRequestsAt returns the burst request count, decayed to the given time.
 func (c *counter) burstRequestsAt(now time.Duration) float64 {
 	return c.burstRequests * decay(now-c.countedAt, burstRateWindow)
 }
 
+// updatePressure updates the average of the waiting requests to the given time.
 func (c *counter) updatePressure(now time.Duration) {
 	c.pressure += (float64(c.waiting) - c.pressure) * (1 - decay(now-c.pressureAt, pressureWindow))
 	c.pressureAt = now
 }
 
-// growth is the factor by which the rate over burstRateWindow exceeds that over rateWindow, from 1 to maxGrowth.
+// growth returns the ratio of the rate over burstRateWindow to the rate over rateWindow, limited to the range from 1 to
+// maxGrowth.
 func (c *counter) growth(now time.Duration) float64 {
 	rate := c.requestsAt(now) / rateWindow.Seconds()
 	burstRate := c.burstRequestsAt(now) / burstRateWindow.Seconds()
@@ -218,7 +224,7 @@
 	return min(max(burstRate/rate, 1), maxGrowth)
 }
 
-// decay is the factor by which an exponential average with a time constant has decayed after some time.
+// decay returns the factor by which an exponential average with the given time constant decays in the elapsed time.
 func decay(elapsed, timeConstant time.Duration) float64 {
 	return math.Exp(-float64(elapsed) / float64(timeConstant))
 }
--- a/internal/placement/demand_patterns_test.go
+++ b/internal/placement/demand_patterns_test.go
@@ -10,8 +10,8 @@
 	"dykering/internal/fleetconfig"
 )
 
-var _ = Describe("a plan for a sudden or broad demand", func() {
-	It("adds replicas to a model with one as soon as its demand has grown fivefold", func() {
+var _ = Describe("a plan for sudden or widespread demand", func() {
+	It("adds replicas to a model with one replica when its demand grows fivefold", func() {
 		demand := NewDemand()
 		for i := range 12 {
 			demand.Report(now+time.Duration(i)*250*time.Millisecond, "proxy", []Sample{{Key: key("hot", ""), Requests: 1, InFlight: 2, Waiting: 1}})
@@ -29,11 +29,11 @@
 		Expect(orders).To(HaveEach(HaveField("Model", "hot")))
 	})
 
-	It("loads two hundred models that are asked for once each in turn, as fast as the rate limit permits", func() {
+	It("loads at least 90% of 200 models that are requested once each, under the rate limit", func() {
 		const models, loadsPerSecond, endpoints = 200, 2.0, 30
-		many := &fleetconfig.Engine{WeightsSizeMB: 210, LoadsPerS: loadsPerSecond}
+		largeEngine := &fleetconfig.Engine{WeightsSizeMB: 210, LoadsPerS: loadsPerSecond}
 		for i := range models {
-			many.Models = append(many.Models, fleetconfig.Model{Name: fmt.Sprint("m", i), WeightsSizeMB: 70, LoadTimeS: 1})
+			largeEngine.Models = append(largeEngine.Models, fleetconfig.Model{Name: fmt.Sprint("m", i), WeightsSizeMB: 70, LoadTimeS: 1})
 		}
 		fleet := make([]Endpoint, endpoints)
 		for i := range fleet {
@@ -45,7 +45,7 @@
 			if step%2 == 0 {
 				demand.Report(at, "proxy", []Sample{{Key: key(fmt.Sprint("m", step/2), ""), Requests: 1, Unplaced: 1}})
 			}
-			for _, order := range Plan(at, Input{Service: "s", Engine: many, Endpoints: fleet, Demand: demand, MaxLoads: ledger.Available(at, loadsPerSecond)}) {
+			for _, order := range Plan(at, Input{Service: "s", Engine: largeEngine, Endpoints: fleet, Demand: demand, MaxLoads: ledger.Available(at, loadsPerSecond)}) {
 				for i := range fleet {
 					if fleet[i].ID != order.Endpoint {
 						continue
--- a/internal/placement/demand_test.go
+++ b/internal/placement/demand_test.go
@@ -6,7 +6,7 @@
 )
 
 var _ = Describe("demand", func() {
-	It("counts an adapter's requests for its model too, but not as unplaced ones", func() {
+	It("counts an adapter's requests for its model too, but not its unplaced ones", func() {
 		demand := NewDemand()
 		demand.Report(now, "p1", []Sample{{Key: key("hot", "a1"), Requests: 3, Unplaced: 1, InFlight: 2, Waiting: 1}})
 		demand.Report(now, "p2", []Sample{{Key: key("hot", ""), Requests: 3, InFlight: 4, Waiting: 4}})
--- a/internal/placement/determinism_test.go
+++ b/internal/placement/determinism_test.go
@@ -5,9 +5,10 @@
 	"testing"
 )
 
-// For the same input the plan is the same, whatever the order in which maps are read.
+// Plan returns the same orders for the same input, independent of the iteration order of maps. A floating-point sum over a map
+// once made the choice between two endpoints depend on that order.
 func TestPlanDependsOnItsInputAlone(t *testing.T) {
-	// With sums in the order of a map, seed 105 gave two plans.
+	// The range contains seed 105, which gave two different plans while sums were taken in map order.
 	const firstSeed, lastSeed, repetitions = 90, 110, 6
 	for seed := uint64(firstSeed); seed <= lastSeed; seed++ {
 		var first strings.Builder
@@ -16,7 +17,7 @@
 			var again strings.Builder
 			newSimulation(seed).run(&again)
 			if again.String() != first.String() {
-				t.Errorf("seed %d: two plans of the same input", seed)
+				t.Errorf("seed %d: two runs with the same input gave different plans", seed)
 				break
 			}
 		}
--- a/internal/placement/endpoint.go
+++ b/internal/placement/endpoint.go
@@ -7,39 +7,41 @@
 	"dykering/internal/fleetconfig"
 )
 
-// Operation is what an order has an endpoint do. Its values are those of the endpoints' API.
+// Operation is the kind of an order. Its values are defined by the API of the endpoints.
 type Operation string
 
-// The operations of the endpoints' API.
+// The operations that an endpoint can be ordered to execute.
 const (
 	Load   Operation = "loading"
 	Unload Operation = "unloading"
 )
 
-// Order has an endpoint load or unload a model, or an adapter of a model that it has loaded.
+// Order tells an endpoint to load or unload a model, or an adapter of a model that it has loaded.
 type Order struct {
 	Endpoint  string // ID
 	Operation Operation
 	Model     string
 	Adapter   string // empty for the model itself
-	// FreesMemoryFor is the model that an unload of a model frees memory for; empty otherwise.
+	// FreesMemoryFor is the model that is to be loaded in the memory that an unload frees. It is empty for other orders.
 	FreesMemoryFor string
 }
 
-// Endpoint is an endpoint as the planner sees it: as it will be when the order in flight, if any, has been executed.
+// Endpoint describes an endpoint to the planner. If the endpoint has an order in flight, Models describes the state after
+// its execution.
 type Endpoint struct {
 	ID     string
 	Models map[string][]string // loaded models, each with its loaded adapters
-	// Excluded is true for an endpoint that is not ready, for example since it is draining: it gets no orders, and its
+	// Excluded is true for an endpoint that is not ready, for example because it is draining. It gets no orders, and its
 	// models do not count as replicas.
 	Excluded bool
-	// OrderInFlight is true until the last order has ended: the endpoint gets no other one.
+	// OrderInFlight is true while the endpoint executes an order. It gets no other order in that time.
 	OrderInFlight bool
-	// ReservedFor is the model that the order in flight frees memory for; empty if there is none.
+	// ReservedFor is the model that the order in flight frees memory for. It is empty if the order frees none, or if no order
+	// is in flight.
 	ReservedFor string
 }
 
-// Apply changes Models as an order does once it has been executed. The former map and its lists are not modified.
+// Apply replaces Models by the state after the execution of an order. The previous map and its lists are not modified.
 func (e *Endpoint) Apply(order Order) {
 	models := make(map[string][]string, len(e.Models)+1)
 	maps.Copy(models, e.Models)
@@ -61,8 +63,8 @@
 	e.Models = models
 }
 
-// withoutAdapter returns a copy of a list withoutAdapter one of its items. It is not nil: a model with a nil list counts as one that is
-// not loaded.
+// withoutAdapter returns a copy of a list of adapters without one of them. The copy is never nil, since a nil list means that
+// the model is not loaded.
 func withoutAdapter(adapters []string, removed string) []string {
 	kept := []string{}
 	for _, adapter := range adapters {
@@ -73,12 +75,12 @@
 	return kept
 }
 
-// modelNames returns the names of the loaded models in order. Sums over the models are taken in this order: the rounding of a
-// sum depends on it, and so would the choice between endpoints that are equal but for the rounding.
+// modelNames returns the sorted names of the loaded models. Sums over the models must use this order: the rounding of a
+// floating-point sum depends on its order, and with the random order of the map the plan would, too.
 func (e *Endpoint) modelNames() []string { return slices.Sorted(maps.Keys(e.Models)) }
 
-// Fits reports whether an endpoint has the memory and the adapter slots for what an order loads. It is false for an
-// endpoint with a model that the engine does not list, since that one's size is unknown.
+// Fits reports whether an endpoint has enough memory and adapter slots for the order. An unload always fits. A load does not
+// fit an endpoint with a model that the engine does not list, since the size of that model is unknown.
 func (e *Endpoint) Fits(order Order, engine *fleetconfig.Engine) bool {
 	if order.Operation != Load {
 		return true
@@ -94,7 +96,7 @@
 	return models.usedMB(&after) <= engine.WeightsSizeMB && after.adapterCount() <= int(engine.AdapterSlots)
 }
 
-// adapterCount is the number of adapters that an endpoint has loaded, over all models.
+// adapterCount returns the number of loaded adapters of all models.
 func (e *Endpoint) adapterCount() int {
 	count := 0
 	for _, adapters := range e.Models {
@@ -103,9 +105,10 @@
 	return count
 }
 
-// modelCatalog is the models that an engine lists, by name.
+// modelCatalog maps the names of the models that an engine lists to their configuration.
 type modelCatalog map[string]fleetconfig.Model
 
+// newModelCatalog returns the catalog of an engine's models.
 func newModelCatalog(engine *fleetconfig.Engine) modelCatalog {
 	models := make(modelCatalog, len(engine.Models))
 	for _, model := range engine.Models {
@@ -114,13 +117,14 @@
 	return models
 }
 
-// replicaMB is the memory that a model with a number of adapters takes. A model that is not listed counts as 0.
+// replicaMB returns the memory that a model with the given number of adapters takes, in MB. It returns 0 for a model that the
+// engine does not list.
 func (c modelCatalog) replicaMB(model string, adapters int) float64 {
 	listed := c[model]
 	return listed.WeightsSizeMB + float64(adapters)*listed.AdapterSizeMB
 }
 
-// usedMB is the memory that an endpoint's models and adapters take.
+// usedMB returns the memory that an endpoint's models and adapters take, in MB.
 func (c modelCatalog) usedMB(e *Endpoint) float64 {
 	var used float64
 	for _, model := range e.modelNames() {
--- a/internal/placement/eviction.go
+++ b/internal/placement/eviction.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// costOfReplica determines which model an endpoint would have to evict for a replica of another, and what that costs in
-// units of urgency. The victim is empty where memory is free; the cost then only orders endpoints by their load. It is not
-// ok if no single eviction frees enough memory.
+// costOfReplica returns the cost of adding a replica of a model to an endpoint, in units of urgency, and the victim: the model
+// that must be evicted for it. If enough memory is free, the victim is empty and the cost only ranks endpoints by their load.
+// The result ok is false if no single eviction frees enough memory.
 func (p *planner) costOfReplica(e *Endpoint, model string) (victim string, cost float64, ok bool) {
 	required := p.models[model].WeightsSizeMB
 	free := p.Engine.WeightsSizeMB - p.footprints[e].usedMB
@@ -23,12 +23,12 @@
 	return victim, cost, ok && !math.IsInf(cost, 1)
 }
 
-// replicaValue is the value of one replica of a model, in units of urgency: the requests that wait for it, or that would
-// wait at the replicas that remain.
+// replicaValue returns the value of one replica of a model, in units of urgency: an estimate of the number of requests that
+// wait for it, or that would wait at the remaining replicas without it.
 //
-//	                 other replicas                          only replica
+//	model            with other replicas                     with this replica only
 //	idle             lowest, falling with the idle time      low, falling with the idle time
-//	asked for        share of the load that would move       highest
+//	in demand        share of the load that would move       highest
 func (p *planner) replicaValue(model string) float64 {
 	demand := p.modelEstimate(model)
 	inFlight, replicas := float64(demand.InFlight), float64(p.replicas[model])
@@ -46,7 +46,8 @@
 	return evictionMargin*onlyReplicaValue + demand.Rate
 }
 
-// loadOf is an endpoint's share of the requests in flight for its models.
+// loadOf returns an endpoint's share of the requests in flight for its models, assuming that all replicas of a model have
+// equal shares.
 func (p *planner) loadOf(e *Endpoint) float64 {
 	var load float64
 	for _, model := range p.footprints[e].models {
--- a/internal/placement/example_test.go
+++ b/internal/placement/example_test.go
@@ -8,8 +8,8 @@
 	"dykering/internal/placement"
 )
 
-// A model without a replica is asked for. Both endpoints are full, so that the plan frees memory first: it evicts the model
-// that nobody asks for. When the endpoint has executed the order, the next plan loads the missing model.
+// A model without replicas is requested. Both endpoints are full, so the first plan evicts the model without demand to free
+// memory. After the endpoint has executed that order, the next plan loads the missing model.
 func ExamplePlan() {
 	engine := &fleetconfig.Engine{
 		WeightsSizeMB: 160,
@@ -48,7 +48,7 @@
 			}
 			for i := range endpoints {
 				if endpoints[i].ID == order.Endpoint {
-					endpoints[i].Apply(order) // as if it was executed at once
+					endpoints[i].Apply(order) // simulates the immediate execution of the order
 				}
 			}
 		}
--- a/internal/placement/loadledger.go
+++ b/internal/placement/loadledger.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// LoadLedger is the accounting for the rate limit of the store that the weights of models are loaded from. It records when
-// each load of the last window has started, and how many more may start.
+// LoadLedger accounts for the rate limit of the store that model weights are loaded from. It records the start of each load
+// in the last window, and computes how many more loads may start.
 //
-// The store's limit is rate * window * overshoot + rateLimitSlack loads in any window. The ledger lets only rate * window
-// loads start; the difference covers loads that start later than they were recorded, and loads that a predecessor has
-// started without a successor's knowledge. It is not safe for concurrent use.
+// The store permits rate * window * overshoot + rateLimitSlack loads in any window. The ledger permits only rate * window
+// loads. The difference allows for loads that start later than recorded, and for loads that a previous lease holder has
+// started without reporting them. A LoadLedger is not safe for concurrent use.
 type LoadLedger struct {
 	window    time.Duration
 	overshoot float64
 	startedAt []time.Duration
 }
 
-// NewLoadLedger returns an empty ledger for a window of the rate limit, and the factor by which the store's limit exceeds
-// the nominal rate.
+// NewLoadLedger returns an empty ledger. The window is the one of the store's rate limit; overshoot is the factor by which
+// the store's limit exceeds the nominal rate.
 func NewLoadLedger(window time.Duration, overshoot float64) *LoadLedger {
 	return &LoadLedger{window: window, overshoot: overshoot}
 }
 
-// RecordStart records that a load starts.
+// RecordStart records that a load starts now.
 func (l *LoadLedger) RecordStart(now time.Duration) { l.startedAt = append(l.startedAt, now) }
 
-// Reschedule records that a load which was recorded at one time starts only now. It does nothing if there is no such load.
+// Reschedule changes the recorded start of a load from recordedAt to now. It does nothing if no load is recorded at recordedAt.
 func (l *LoadLedger) Reschedule(recordedAt, now time.Duration) {
 	if i := slices.Index(l.startedAt, recordedAt); i >= 0 {
 		l.startedAt[i] = now
 	}
 }
 
-// Ages returns how long ago each load of the window has started, in the order in which they were recorded.
+// Ages returns the time since the start of each load in the window, in the order in which the loads were recorded.
 func (l *LoadLedger) Ages(now time.Duration) []time.Duration {
 	l.removeExpired(now)
 	ages := make([]time.Duration, len(l.startedAt))
@@ -44,7 +44,7 @@
 	return ages
 }
 
-// Available returns how many loads may start now, for a rate limit in loads a second.
+// Available returns the number of loads that may start now under a rate limit in loads a second.
 func (l *LoadLedger) Available(now time.Duration, loadsPerSecond float64) int {
 	l.removeExpired(now)
 	recent := 0
@@ -58,11 +58,13 @@
 	return max(min(inWindow, inBurst), 0)
 }
 
-// AssumeUnreported records, at the time until, as many loads as a predecessor may have started between its last report
-// and until, when its lease had ended. The loads that the store's limit allows beyond what a ledger uses are subtracted.
+// AssumeUnreported records the loads that a previous lease holder may have started without reporting them. It takes the time
+// lastReportAt of that holder's last report and the time until at which its lease had ended. It records the maximum number of
+// loads that the holder could have started in between, at the time until, minus the loads that the store permits in addition
+// to those of a ledger.
 //
-// Without it a successor could start a full window of loads right after a predecessor that it was not informed of has done
-// the same, and exceed the store's limit.
+// Without these records, a new lease holder could start a full window of loads right after its predecessor has done the same,
+// and exceed the store's limit.
 func (l *LoadLedger) AssumeUnreported(lastReportAt, until time.Duration, loadsPerSecond float64) {
 	unused := l.storeLimit(loadsPerSecond) - l.windowLimit(loadsPerSecond)
 	bursts := int(math.Ceil(float64(max(until-lastReportAt, 0)) / float64(burstWindow)))
@@ -72,33 +74,33 @@
 	}
 }
 
-// AssumeFullWindow records as many loads as a predecessor may have started that has never reported any.
+// AssumeFullWindow records the loads that a previous lease holder may have started if none of its reports has been received.
 func (l *LoadLedger) AssumeFullWindow(until time.Duration, loadsPerSecond float64) {
 	l.AssumeUnreported(until-l.window, until, loadsPerSecond)
 }
 
-// windowLimit is the number of loads that a ledger lets start in a window.
+// windowLimit returns the number of loads that the ledger permits in a window.
 func (l *LoadLedger) windowLimit(loadsPerSecond float64) int {
 	return max(int(loadsPerSecond*l.window.Seconds()), 1)
 }
 
-// burstLimit is the number of loads that a ledger lets start within burstWindow.
+// burstLimit returns the number of loads that the ledger permits within burstWindow.
 func (l *LoadLedger) burstLimit(loadsPerSecond float64) int {
 	return int(math.Ceil(loadsPerSecond*burstFactor*burstWindow.Seconds())) + 1
 }
 
-// storeLimit is the number of loads that the store allows in any window.
+// storeLimit returns the number of loads that the store permits in any window.
 func (l *LoadLedger) storeLimit(loadsPerSecond float64) int {
 	return int(math.Floor(loadsPerSecond*l.window.Seconds()*l.overshoot)) + rateLimitSlack
 }
 
-// removeExpired removes the loads that have left the window.
+// removeExpired removes the loads that started before the window.
 func (l *LoadLedger) removeExpired(now time.Duration) {
 	l.startedAt = slices.DeleteFunc(l.startedAt, func(at time.Duration) bool { return now-at > l.window })
 }
 
-// ConcurrentLoads is the number of loads that the store serves at full speed: as many as the rate limit lets start while
-// one of a duration in seconds is in progress. It is at least 1.
+// ConcurrentLoads returns the number of simultaneous loads that the store serves at full speed: the number of loads that the
+// rate limit permits during a load of loadSeconds. It is at least 1.
 func ConcurrentLoads(loadsPerSecond, loadSeconds float64) int {
 	return int(math.Max(math.Ceil(loadsPerSecond*loadSeconds), 1))
 }
--- a/internal/placement/loadledger_test.go
+++ b/internal/placement/loadledger_test.go
@@ -8,7 +8,7 @@
 )
 
 var _ = Describe("the load ledger", func() {
-	It("permits no more loads than the rate limit in any window", func() {
+	It("permits no more loads in any window than the rate limit", func() {
 		ledger := NewLoadLedger(5*time.Second, 1.1)
 		var started []time.Duration
 		for at := time.Duration(0); at < time.Minute; at += 50 * time.Millisecond {
@@ -29,8 +29,9 @@
 		Expect(len(started)).To(BeNumerically(">", 100))
 	})
 
+	// maxInWindow returns the maximum number of starts in any window of 5 s.
 	maxInWindow := func(started []time.Duration) int {
-		most := 0
+		maximum := 0
 		for _, from := range started {
 			within := 0
 			for _, at := range started {
@@ -38,11 +39,11 @@
 					within++
 				}
 			}
-			most = max(most, within)
+			maximum = max(maximum, within)
 		}
-		return most
+		return maximum
 	}
-	// run starts all loads that a ledger permits in an interval.
+	// run records a start whenever the ledger permits a load, in steps of 10 ms from one time until another, and returns the starts.
 	run := func(ledger *LoadLedger, from, until time.Duration, loadsPerSecond float64) (started []time.Duration) {
 		for at := from; at <= until; at += 10 * time.Millisecond {
 			for ledger.Available(at, loadsPerSecond) > 0 {
@@ -53,7 +54,7 @@
 		return started
 	}
 
-	DescribeTable("subtracts the loads that a predecessor may have started unreported",
+	DescribeTable("subtracts the loads that a previous lease holder may have started without reporting them",
 		func(loadsPerSecond float64, predecessorFor, unreportedFor, pause time.Duration) {
 			predecessor, successor := NewLoadLedger(5*time.Second, 1.1), NewLoadLedger(5*time.Second, 1.1)
 			started := run(predecessor, 0, predecessorFor-unreportedFor, loadsPerSecond)
@@ -66,15 +67,15 @@
 			started = append(started, run(successor, predecessorFor+pause, predecessorFor+pause+12*time.Second, loadsPerSecond)...)
 			Expect(float64(maxInWindow(started))).To(BeNumerically("<=", loadsPerSecond*5*1.1+3))
 		},
-		Entry("few", 0.1, 7*time.Second, 2*time.Second, time.Second),
-		Entry("some", 2.8, 7*time.Second, 2*time.Second, time.Second),
-		Entry("many", 26.0, 7*time.Second, 2*time.Second, time.Second),
-		Entry("many, none reported for a window", 26.0, 9*time.Second, 5*time.Second, 0*time.Second),
-		Entry("many, all reported", 26.0, 9*time.Second, 0*time.Second, 0*time.Second),
-		Entry("many, from a predecessor that has just started", 26.0, 500*time.Millisecond, 400*time.Millisecond, 0*time.Second),
+		Entry("a low rate", 0.1, 7*time.Second, 2*time.Second, time.Second),
+		Entry("a moderate rate", 2.8, 7*time.Second, 2*time.Second, time.Second),
+		Entry("a high rate", 26.0, 7*time.Second, 2*time.Second, time.Second),
+		Entry("a high rate, no report for a whole window", 26.0, 9*time.Second, 5*time.Second, 0*time.Second),
+		Entry("a high rate, all loads reported", 26.0, 9*time.Second, 0*time.Second, 0*time.Second),
+		Entry("a high rate, from a previous lease holder that has just started", 26.0, 500*time.Millisecond, 400*time.Millisecond, 0*time.Second),
 	)
 
-	It("subtracts a full window of loads of a predecessor that has reported none", func() {
+	It("subtracts a full window of loads if the previous lease holder has reported none", func() {
 		for _, loadsPerSecond := range []float64{0.1, 2.8, 26} {
 			predecessor, successor := NewLoadLedger(5*time.Second, 1.1), NewLoadLedger(5*time.Second, 1.1)
 			started := run(predecessor, 0, 5*time.Second, loadsPerSecond)
@@ -84,7 +85,7 @@
 		}
 	})
 
-	It("permits loads right after a handover of which all loads were reported", func() {
+	It("permits loads right after a change of the lease holder if all loads were reported", func() {
 		successor := NewLoadLedger(5*time.Second, 1.1)
 		for _, started := range run(NewLoadLedger(5*time.Second, 1.1), 0, 8*time.Second, 29) {
 			successor.RecordStart(started)
@@ -93,7 +94,7 @@
 		Expect(len(run(successor, 10*time.Second, 12*time.Second, 29))).To(BeNumerically(">", 29))
 	})
 
-	It("counts a load from the time at which its order was sent", func() {
+	It("counts a rescheduled load from its new start", func() {
 		ledger := NewLoadLedger(5*time.Second, 1.1)
 		ledger.RecordStart(time.Second)
 		ledger.Reschedule(time.Second, 3*time.Second)
--- a/internal/placement/models.go
+++ b/internal/placement/models.go
@@ -5,15 +5,15 @@
 	"sort"
 )
 
-// replicaRequest is a model's request for more replicas.
+// replicaRequest is the need of a model for more replicas.
 type replicaRequest struct {
 	model string
-	count int
-	// urgency is the number of requests that wait for each replica there is.
+	count int // additional replicas
+	// urgency is the number of waiting requests for each existing replica. It is compared with the cost of evictions.
 	urgency float64
 }
 
-// planModels orders more replicas for the models that need them, the most urgent model first.
+// planModels orders more replicas of the models that need them, in descending order of urgency.
 func (p *planner) planModels() {
 	for _, request := range p.replicaRequests() {
 		for range request.count {
@@ -22,7 +22,8 @@
 	}
 }
 
-// replicaRequests returns the requests of all models by falling urgency. Equal ones are in the order of modelsByRate.
+// replicaRequests returns the needs of all models in descending order of urgency. Models of equal urgency are in the order of
+// modelsByRate.
 func (p *planner) replicaRequests() []replicaRequest {
 	var requests []replicaRequest
 	for _, model := range p.modelsByRate() {
@@ -34,7 +35,7 @@
 	return requests
 }
 
-// modelsByRate returns the names of the models that are asked for, by falling rate of requests, then by name.
+// modelsByRate returns the names of the models in demand, by descending rate of requests, then by name.
 func (p *planner) modelsByRate() []string {
 	var names []string
 	for name := range p.models {
@@ -52,9 +53,9 @@
 	return names
 }
 
-// replicaRequest determines how many replicas a model should have beyond those that it has. A model without any gets one;
-// one that is overloaded as many as its load needs, up to maxNewReplicas; and one with a single replica a second one from
-// a moderate rate on, so that a sudden rise does not meet a single endpoint.
+// replicaRequest returns how many additional replicas a model needs. A model without replicas needs one. An overloaded model
+// needs as many as its load requires, at most maxNewReplicas in one plan. A model with a single replica needs a second one
+// above secondReplicaRate, so that a sudden rise of its demand does not hit a single endpoint.
 func (p *planner) replicaRequest(model string) replicaRequest {
 	demand := p.modelEstimate(model)
 	replicas := float64(p.replicas[model])
@@ -76,8 +77,8 @@
 	return replicaRequest{}
 }
 
-// addReplica orders one more replica of a model on the endpoint where that costs least, unless it costs more than the
-// urgency everywhere. Where memory must be freed first, the order is the unload; the load follows in a later plan, when
+// addReplica orders one more replica of a model on the endpoint with the lowest cost, unless the cost exceeds the urgency at
+// every endpoint. If memory must be freed first, it orders the unload of another model; a later plan orders the load when
 // the memory is free.
 func (p *planner) addReplica(model string, urgency float64) {
 	if p.MaxLoads <= 0 || p.isFull() {
@@ -97,8 +98,8 @@
 	p.addOrder(Order{Endpoint: chosen.ID, Operation: Load, Model: model})
 }
 
-// cheapestEndpoint returns the endpoint where a replica of a model costs least, and the model to evict there, if any. It
-// returns nil if a replica costs more than maxCost everywhere.
+// cheapestEndpoint returns the endpoint with the lowest cost of a replica of a model, and the model to evict there, which is
+// empty if enough memory is free. It returns nil if no endpoint can take the replica for at most maxCost.
 func (p *planner) cheapestEndpoint(model string, maxCost float64) (cheapest *Endpoint, evicted string) {
 	leastCost := math.Inf(1)
 	for i := range p.Endpoints {
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -6,43 +6,43 @@
 	"dykering/internal/fleetconfig"
 )
 
-// Input is what a plan is derived from. Plan does not modify what it refers to, except that reading the demand brings its
-// averages up to date.
+// Input holds the data that a plan is derived from. Plan does not modify the data that Input refers to, except that reading
+// Demand updates its averages.
 type Input struct {
-	// Service is the name of the service. Keys of other services are ignored.
+	// Service is the name of the service. Demand for other services is ignored.
 	Service string
 	// Engine is the service's configured engine: its models, and the memory of its endpoints.
 	Engine *fleetconfig.Engine
-	// Endpoints are those of the service, in an order that is the same for each plan: ties go to the first.
+	// Endpoints are the endpoints of the service. Their order must be the same for each plan, since the first one wins a tie.
 	Endpoints []Endpoint
 	// Demand is the demand for all services.
 	Demand *Demand
-	// MaxLoads is how many loads of weights may start now.
+	// MaxLoads is the number of loads of weights that may start now.
 	MaxLoads int
 }
 
-// planner derives one plan. It indexes the endpoints, and counts the orders that it adds as executed.
+// planner derives one plan. It indexes the endpoints, and counts the replicas as if its orders had been executed.
 type planner struct {
 	Input
 	now             time.Duration
 	models          modelCatalog
 	estimates       map[Key]Estimate
-	replicas        map[string]int         // of each model, with those that memory is being freed for
-	adapterReplicas map[Key]int            // of each adapter
-	orderable       map[string][]*Endpoint // by model: endpoints that have it loaded and may get an order
-	assigned        map[string]bool        // IDs of endpoints that have an order, in flight or in this plan
+	replicas        map[string]int         // replicas of each model, including those that memory is being freed for
+	adapterReplicas map[Key]int            // replicas of each adapter
+	orderable       map[string][]*Endpoint // by model: endpoints that have loaded it and have no order in flight
+	assigned        map[string]bool        // by endpoint ID: true if the endpoint has an order, in flight or in this plan
 	footprints      map[*Endpoint]footprint
 	orders          []Order
 }
 
-// footprint is what an endpoint's models take, computed once for each plan.
+// footprint caches the loaded models of an endpoint and their memory for the time of one plan.
 type footprint struct {
-	models []string // names, in order
+	models []string // sorted names
 	usedMB float64
 }
 
-// Plan returns the orders that should be given at a time, in no order of execution. Adapters come first: they are cheap to
-// load, and do not compete for the store's rate limit.
+// Plan returns the orders to start now. The orders are in no particular order. Adapters are planned first, since they are
+// cheap to load and the store's rate limit does not apply to them.
 func Plan(now time.Duration, in Input) []Order {
 	p := newPlanner(now, in)
 	p.planAdapters()
@@ -50,6 +50,7 @@
 	return p.orders
 }
 
+// newPlanner returns a planner that has indexed all endpoints of the input.
 func newPlanner(now time.Duration, in Input) *planner {
 	p := &planner{
 		Input:           in,
@@ -68,7 +69,7 @@
 	return p
 }
 
-// index counts what an endpoint has loaded.
+// index adds an endpoint's models and adapters to the counts of replicas. An excluded endpoint is skipped.
 func (p *planner) index(e *Endpoint) {
 	if e.Excluded {
 		return
@@ -86,11 +87,11 @@
 	}
 	if e.ReservedFor != "" {
 		p.replicas[e.ReservedFor]++
-		p.MaxLoads-- // the load that follows the unload in flight
+		p.MaxLoads-- // reserved for the load that follows the unload in flight
 	}
 }
 
-// estimate returns the demand for a key. It is looked up once for each plan.
+// estimate returns the demand for a key. It is computed once for each plan.
 func (p *planner) estimate(key Key) Estimate {
 	estimate, ok := p.estimates[key]
 	if !ok {
@@ -100,16 +101,18 @@
 	return estimate
 }
 
+// modelEstimate returns the demand for a model, including its adapters.
 func (p *planner) modelEstimate(model string) Estimate { return p.estimate(p.key(model, "")) }
 
+// key returns the key of a model or adapter of the planned service.
 func (p *planner) key(model, adapter string) Key {
 	return Key{Service: p.Service, Model: model, Adapter: adapter}
 }
 
-// isFull reports whether the plan has as many orders as it may have.
+// isFull reports whether the plan has maxOrders orders.
 func (p *planner) isFull() bool { return len(p.orders) >= maxOrders }
 
-// addOrder adds an order to the plan. Its endpoint gets no other one.
+// addOrder adds an order to the plan. Its endpoint gets no other order in this plan.
 func (p *planner) addOrder(order Order) {
 	p.assigned[order.Endpoint] = true
 	p.orders = append(p.orders, order)
--- a/internal/placement/plan_test.go
+++ b/internal/placement/plan_test.go
@@ -28,6 +28,7 @@
 	{Name: "large", WeightsSizeMB: 200},
 }}
 
+// endpointWith returns an endpoint with the given models loaded.
 func endpointWith(id string, models ...string) Endpoint {
 	e := Endpoint{ID: id, Models: map[string][]string{}}
 	for _, m := range models {
@@ -38,6 +39,7 @@
 
 func key(model, adapter string) Key { return Key{Service: "s", Model: model, Adapter: adapter} }
 
+// plan makes a plan for the test engine that may start four loads.
 func plan(demand *Demand, endpoints ...Endpoint) []Order {
 	return Plan(now, Input{Service: "s", Engine: engine, Endpoints: endpoints, Demand: demand, MaxLoads: 4})
 }
@@ -51,13 +53,13 @@
 		Expect(plan(demand, endpointWith("a", "hot"), endpointWith("b"))).To(BeEmpty())
 	})
 
-	It("loads a model without a replica on the endpoint with free memory", func() {
+	It("loads a model without replicas on the endpoint with free memory", func() {
 		reportDemand(Sample{Key: key("rare", ""), Unplaced: 1})
 		Expect(plan(demand, endpointWith("a", "hot", "warm", "idle1"), endpointWith("b", "idle1"))).To(
 			Equal([]Order{{Endpoint: "b", Operation: Load, Model: "rare"}}))
 	})
 
-	It("evicts idle models, those with other replicas first", func() {
+	It("evicts idle models, and among them those with other replicas first", func() {
 		reportDemand(Sample{Key: key("rare", ""), Unplaced: 1})
 		reportDemand(Sample{Key: key("hot", ""), Requests: 10, InFlight: 5})
 		Expect(plan(demand, endpointWith("a", "hot", "idle1", "idle2"), endpointWith("b", "hot", "warm", "idle2"))).To(
@@ -111,7 +113,7 @@
 		Expect(plan(demand, full)).To(ContainElement(Order{Endpoint: "a", Operation: Unload, Model: "hot", Adapter: "a3"}))
 	})
 
-	It("unloads the same adapter each time if several with the same name have been idle for as long", func() {
+	It("unloads the same adapter each time if two models have equally idle adapters of the same name", func() {
 		for range 50 {
 			demand := NewDemand()
 			demand.Report(now, "proxy", []Sample{{Key: key("hot", "a1"), Requests: 1, Unplaced: 1}})
@@ -121,7 +123,7 @@
 		}
 	})
 
-	It("never exceeds an endpoint's memory or adapter slots, whatever the demand", func() {
+	It("never exceeds an endpoint's memory or adapter slots under random demand", func() {
 		random := rand.New(rand.NewPCG(5, 6))
 		names := []string{"hot", "warm", "rare", "idle1", "idle2", "large"}
 		endpoints := []Endpoint{endpointWith("a"), endpointWith("b"), endpointWith("c")}
@@ -150,7 +152,7 @@
 
 // BenchmarkPlan measures one plan for a service of the expected size in two years.
 func BenchmarkPlan(b *testing.B) {
-	const endpoints, models, adapters, sidecars = 620, 52, 1800, 340
+	const endpoints, models, adapters, proxies = 620, 52, 1800, 340
 	large := &fleetconfig.Engine{WeightsSizeMB: 220, AdapterSlots: 8, LoadsPerS: 3}
 	demand, random := NewDemand(), rand.New(rand.NewPCG(1, 2))
 	var all []Endpoint
@@ -164,7 +166,7 @@
 		}
 		all = append(all, e)
 	}
-	for i := range sidecars {
+	for i := range proxies {
 		var samples []Sample
 		for range 20 {
 			samples = append(samples, Sample{Key: key(fmt.Sprint("m", random.IntN(models)), fmt.Sprint("a", random.IntN(adapters/models))), Requests: 1, InFlight: 1})
