--- a/internal/orders/endpoint_state.go
+++ b/internal/orders/endpoint_state.go
@@ -7,33 +7,34 @@
 	"dykering/internal/placement"
 )
 
-// endpointState is what the lease holder knows that an endpoint has loaded: its report, and the orders that it has executed
-// since. Without a report (known is false) the next order starts by fetching one.
+// endpointState is what the lease holder knows of the models of an endpoint: its last report, plus the orders that it has
+// executed since. If hasReport is false, the next order starts by fetching a report.
 type endpointState struct {
 	hasReport       bool
-	sequence        uint64 // of the endpoint's orders: the next order is accepted only at this one
+	sequence        uint64 // sequence number of the endpoint's last accepted order; the next order is conditional on it
 	models          map[string][]string
-	reportNotBefore time.Duration // a report of before is too old to count
+	reportNotBefore time.Duration // earliest time at which a report can be fetched that is recent enough
 }
 
-// apply changes the state as an order does once it has been executed.
+// apply updates the models by an order that the endpoint has executed.
 func (state *endpointState) apply(order placement.Order) {
 	endpoint := placement.Endpoint{Models: state.models}
 	endpoint.Apply(order)
 	state.models = endpoint.Models
 }
 
-// invalidate has the next order start by fetching a report, once it can no longer be older than now.
+// invalidate discards the state. The next order starts by fetching a report, and does so MaxReportAge after now at the
+// earliest, so that the report cannot describe a time before now.
 func (state *endpointState) invalidate(now time.Duration) {
 	*state = endpointState{reportNotBefore: now + MaxReportAge}
 }
 
-// applyReport takes the report of an idle endpoint.
+// applyReport replaces the state by the report of an idle endpoint.
 func (state *endpointState) applyReport(report Report) {
 	*state = endpointState{hasReport: true, sequence: report.Sequence, models: report.Models}
 }
 
-// isExecuted reports whether models are as they are after an order.
+// isExecuted reports whether the models match the state after the execution of an order.
 func isExecuted(order placement.Order, models map[string][]string) bool {
 	adapters, loaded := models[order.Model]
 	present := loaded
--- a/internal/orders/holder.go
+++ b/internal/orders/holder.go
@@ -8,70 +8,72 @@
 	"dykering/internal/protocol"
 )
 
-// ageUnit is the unit of the ages in a protocol.LoadLedgerSync.
+// ageUnit is the unit of protocol.LoadLedgerSync.Ages.
 const ageUnit = 10 * time.Millisecond
 
 // HolderConfig configures a Holder.
 type HolderConfig struct {
-	// Window and Overshoot describe the origin's rate limit; see placement.NewLoadLedger.
+	// Window and Overshoot describe the rate limit of the store that weights are loaded from; see placement.NewLoadLedger.
 	Window    time.Duration
 	Overshoot float64
-	// LeaseDuration is how long a predecessor may have acted after its successor was agreed on.
+	// LeaseDuration is the maximum time for which a previous holder may have acted after its successor was agreed on.
 	LeaseDuration time.Duration
 }
 
-// Holder is what a member of the core keeps as the lease holder of the placement, the ledger of loads and the orders, and what
-// it keeps while it is not: what the present holder has told it. It is not safe for concurrent use.
+// Holder is the placement state of a control process. While the process holds the placement lease, Holder keeps the ledger of
+// loads and the orders. While another process holds it, Holder keeps the last state that the other one has sent, to continue
+// from it at a change of the lease holder. A Holder is not safe for concurrent use.
 type Holder struct {
 	config      HolderConfig
-	lease       Lease // that this member holds, or has held last
+	lease       Lease // the lease that this process holds, or has held last
 	ledger      *placement.LoadLedger
 	machine     *Machine
 	predecessor receivedSync
 }
 
-// receivedSync is what a lease holder has told last.
+// receivedSync is the last state that another lease holder has sent.
 type receivedSync struct {
-	token        uint64 // fencing token of its lease
+	token        uint64 // fencing token of the sender's lease; 0 if no state has been received
 	receivedAt   time.Duration
 	loadsStarted []time.Duration
 	orders       []protocol.OrderInFlight
 }
 
-// Takeover is what a new holder needs to know of the system.
+// Takeover describes the system to a new lease holder.
 type Takeover struct {
-	// AgreedAt is when this member became the lease holder, before it could act.
+	// AgreedAt is when the control processes agreed on this process as the lease holder. It may act only later.
 	AgreedAt time.Duration
-	// IsFirst is true for the first holder of a new system, which has no predecessor.
+	// IsFirst is true if the system is new, so that its first lease holder has no predecessor.
 	IsFirst bool
-	// LoadsPerS are the rate limits of the origins, in loads a second.
+	// LoadsPerS are the rate limits of the services' stores, in loads a second.
 	LoadsPerS []float64
-	// Address returns the address of an endpoint; empty if it has no session.
+	// Address returns the address of an endpoint. It returns an empty string if the endpoint has no session.
 	Address func(endpoint string) string
 }
 
-// NewHolder returns a holder that has never held the lease.
+// NewHolder returns the state of a process that has never held the lease.
 func NewHolder(config HolderConfig) *Holder {
 	ledger := placement.NewLoadLedger(config.Window, config.Overshoot)
 	return &Holder{config: config, ledger: ledger, machine: New(ledger)}
 }
 
-// Orders returns the orders of this holder.
+// Orders returns the state machine of this process's orders.
 func (h *Holder) Orders() *Machine { return h.machine }
 
-// Lease returns the lease that this member holds, or has held last.
+// Lease returns the lease that this process holds, or has held last.
 func (h *Holder) Lease() Lease { return h.lease }
 
-// MayActUnder reports whether this member may act now under the lease that its orders were planned under.
+// MayActUnder reports whether the lease permits this process to act now, and is the lease that its orders were planned under.
 func (h *Holder) MayActUnder(lease Lease) bool { return lease.Held && lease.Token == h.lease.Token }
 
-// AvailableLoads returns how many loads of weights may start now.
+// AvailableLoads returns the number of loads of weights that may start now under a rate limit in loads a second.
 func (h *Holder) AvailableLoads(now time.Duration, loadsPerS float64) int {
 	return h.ledger.Available(now, loadsPerS)
 }
 
-// UpdateLease takes the lease as it is now. It reports whether this member has just begun to act under it. Where the lease comes
-// back before another member has had it, ledger and orders go on; else it takes over from the other one.
+// UpdateLease sets the current lease. It returns true if this process may act under the lease from now on and could not
+// before. If the process regains the same lease, it continues its ledger and orders. If the lease is a new one, it takes over
+// from the previous lease holder.
 func (h *Holder) UpdateLease(now time.Duration, lease Lease, takeover func() Takeover) (acquired bool) {
 	if !lease.Held {
 		h.lease.Held = false
@@ -85,8 +87,9 @@
 	return acquired
 }
 
-// takeOver rebuilds the ledger with what the predecessor may have loaded: the loads that it has told of, and as many as it may
-// have started from then until its lease had expired. The orders that it is known to have had in flight are asked after.
+// takeOver starts a new ledger with the loads that the previous lease holder has reported and those that it may have started
+// between its last report and the end of its lease. It resets the orders to those that the previous lease holder is known to
+// have had in flight.
 func (h *Holder) takeOver(now time.Duration, token uint64, takeover Takeover) {
 	h.ledger = placement.NewLoadLedger(h.config.Window, h.config.Overshoot)
 	if !takeover.IsFirst || token > 1 {
@@ -95,6 +98,7 @@
 	h.machine.Reset(now, h.ledger, h.ordersOfPredecessor(takeover.Address))
 }
 
+// recordPredecessorLoads records the reported and the possible loads of the previous lease holder in the new ledger.
 func (h *Holder) recordPredecessorLoads(now time.Duration, takeover Takeover) {
 	for _, started := range h.predecessor.loadsStarted {
 		h.ledger.RecordStart(started)
@@ -109,7 +113,7 @@
 	}
 }
 
-// ordersOfPredecessor returns the orders of the predecessor at endpoints that still have a session.
+// ordersOfPredecessor returns the orders in flight of the previous lease holder, except at endpoints without a session.
 func (h *Holder) ordersOfPredecessor(addressOf func(endpoint string) string) []InFlight {
 	var inFlight []InFlight
 	for _, order := range h.predecessor.orders {
@@ -120,8 +124,9 @@
 	return inFlight
 }
 
-// Sync returns what the holder tells its peers, one of which may be its successor. Without it a successor would have to assume
-// that all loads were started which the origin's rate allows, and start none itself for a window.
+// Sync returns the state that the lease holder sends to its peers, one of which may be its successor. A successor without this
+// state would have to assume that all loads permitted by the store's rate limit were started, and could start none for a
+// window.
 func (h *Holder) Sync(now time.Duration) protocol.LoadLedgerSync {
 	sync := protocol.LoadLedgerSync{Token: h.lease.Token}
 	for _, age := range h.ledger.Ages(now) {
@@ -133,8 +138,8 @@
 	return sync
 }
 
-// ReceiveSync stores what a holder tells, but for one of an earlier lease. The time on the way is not known: a load counts as
-// started as late as it may have been.
+// ReceiveSync stores the state that the lease holder has sent. It ignores the state of an earlier lease. Since the message may
+// have been sent at any time up to now, each load counts as started at the latest possible time.
 func (h *Holder) ReceiveSync(now time.Duration, sync protocol.LoadLedgerSync) {
 	if sync.Token < h.predecessor.token {
 		return
--- a/internal/orders/holder_test.go
+++ b/internal/orders/holder_test.go
@@ -17,7 +17,7 @@
 	}
 	BeforeEach(func() { holder = NewHolder(HolderConfig{Window: 5 * s, Overshoot: 1.1, LeaseDuration: s}) })
 
-	It("is kept by a holder that regains the lease before another member has held it", func() {
+	It("is kept by a holder that regains the same lease", func() {
 		holder.UpdateLease(9*s, Lease{Token: 1, Held: true}, func() Takeover { return Takeover{IsFirst: true} })
 		holder.ledger.RecordStart(9 * s)
 		Expect(holder.UpdateLease(9500*ms, Lease{Token: 1}, takeover)).To(BeFalse())
@@ -25,7 +25,7 @@
 		Expect(holder.ledger.Ages(10 * s)).To(Equal([]time.Duration{s}))
 	})
 
-	It("counts a peer's loads as started as late as they may have been", func() {
+	It("counts a peer's loads as started at the latest possible time", func() {
 		holder.ReceiveSync(10*s, protocol.LoadLedgerSync{Token: 4, Ages: []uint16{200, 0}})
 		Expect(holder.predecessor).To(Equal(receivedSync{token: 4, receivedAt: 10 * s, loadsStarted: []time.Duration{8 * s, 10 * s}}))
 	})
@@ -37,14 +37,14 @@
 		Expect(holder.predecessor.loadsStarted).To(HaveLen(1))
 	})
 
-	It("at its ceiling over three holders lets start no more than the origin allows", func() {
+	It("permits no more loads than the store over three lease holders at the rate limit", func() {
 		var started []time.Duration
 		now := 100 * s
 		for token := uint64(2); token <= 4; token++ {
 			successor := NewHolder(holder.config)
 			successor.predecessor = holder.predecessor
 			agreedAt := now
-			now += 1500 * ms // until it acts
+			now += 1500 * ms // the time until the new holder may act
 			successor.UpdateLease(now, Lease{Token: token, Held: true}, func() Takeover {
 				return Takeover{AgreedAt: agreedAt, LoadsPerS: []float64{rate}, Address: func(string) string { return "" }}
 			})
@@ -53,7 +53,7 @@
 					successor.ledger.RecordStart(now)
 					started = append(started, now)
 				}
-				if now == actsUntil-s { // the last second of it reaches no peer
+				if now == actsUntil-s { // the state of the last second reaches no peer
 					successor.ReceiveSync(now, successor.Sync(now))
 				}
 			}
@@ -68,10 +68,10 @@
 			}
 			Expect(count).To(BeNumerically("<=", int(rate*5*1.1)+3))
 		}
-		Expect(len(started)).To(BeNumerically(">", 5), "the successors go on loading")
+		Expect(len(started)).To(BeNumerically(">", 5), "the later holders continue to load")
 	})
 
-	It("comes with the orders in flight", func() {
+	It("is sent together with the orders in flight", func() {
 		first := NewHolder(holder.config)
 		first.UpdateLease(s, Lease{Token: 1, Held: true}, func() Takeover { return Takeover{IsFirst: true} })
 		first.machine.Begin(s, first.lease, Request{Order: loadA, Address: "address", Engine: engine})
--- a/internal/orders/machine.go
+++ b/internal/orders/machine.go
@@ -8,21 +8,22 @@
 	"dykering/internal/placement"
 )
 
-// Machine has the orders of one lease holder. See the package comment for its contract.
+// Machine tracks the orders of one lease holder. The package comment describes its contract.
 type Machine struct {
 	ledger   *placement.LoadLedger
-	tasks    map[string]*task          // by endpoint
-	states   map[string]*endpointState // by endpoint
+	tasks    map[string]*task          // by endpoint ID
+	states   map[string]*endpointState // by endpoint ID
 	lastCall CallID
 }
 
-// New returns a machine without orders. It records loads of weights in the ledger.
+// New returns a machine without orders. The machine records loads of weights in the ledger.
 func New(ledger *placement.LoadLedger) *Machine {
 	return &Machine{ledger: ledger, tasks: map[string]*task{}, states: map[string]*endpointState{}}
 }
 
-// Reset starts a new lease. What is known of orders and endpoints is out of date, but for the orders that the previous holder
-// is known to have had in flight: their endpoints are asked what came of them, and get no other order before.
+// Reset starts a new lease: it discards the outdated state of all orders and endpoints. The argument inFlight contains the
+// orders that the previous lease holder is known to have had in flight. Their endpoints are asked for reports, and get no
+// other order until a report shows the outcome.
 func (m *Machine) Reset(now time.Duration, ledger *placement.LoadLedger, inFlight []InFlight) {
 	m.ledger = ledger
 	m.tasks, m.states = map[string]*task{}, map[string]*endpointState{}
@@ -31,7 +32,7 @@
 	}
 }
 
-// Begin starts an order, unless its endpoint has one.
+// Begin starts an order. It does nothing if the endpoint already has an order.
 func (m *Machine) Begin(now time.Duration, lease Lease, request Request) Output {
 	endpoint := request.Order.Endpoint
 	if m.tasks[endpoint] != nil {
@@ -49,12 +50,13 @@
 	if t.order.Operation != placement.Unload {
 		return m.step(now, lease, t)
 	}
-	// Published before the order: a request that reaches the endpoint after it would find the model missing.
+	// The unload is published before it is posted, since a request that reached the endpoint afterwards would find the model
+	// missing.
 	t.scheduleStep(publishing, now+unloadDelay)
 	return Output{Publications: []Publication{{Endpoint: endpoint, Override: OverrideOf(t.order)}}}
 }
 
-// Advance takes the steps that are due.
+// Advance executes the steps that are due.
 func (m *Machine) Advance(now time.Duration, lease Lease) Output {
 	var out Output
 	for _, endpoint := range slices.Sorted(maps.Keys(m.tasks)) {
@@ -65,7 +67,7 @@
 	return out
 }
 
-// NextDue returns when the next step is due; ok is false if none waits for a time.
+// NextDue returns the time at which the next step is due. The result ok is false if no order waits for a time.
 func (m *Machine) NextDue() (due time.Duration, ok bool) {
 	for _, t := range m.tasks {
 		if t.call == 0 && (!ok || t.due < due) {
@@ -75,16 +77,17 @@
 	return due, ok
 }
 
-// Retain forgets the endpoints that are not kept, with their orders.
+// Retain removes the state and the orders of all endpoints for which keep returns false.
 func (m *Machine) Retain(keep func(endpoint string) bool) {
 	maps.DeleteFunc(m.tasks, func(endpoint string, _ *task) bool { return !keep(endpoint) })
 	maps.DeleteFunc(m.states, func(endpoint string, _ *endpointState) bool { return !keep(endpoint) })
 }
 
-// HasOrder reports whether an endpoint has an order, or cannot get one yet.
+// HasOrder reports whether an endpoint has an order, or has dropped one and not reported to be idle since. Such an endpoint
+// gets no other order.
 func (m *Machine) HasOrder(endpoint string) bool { return m.tasks[endpoint] != nil }
 
-// InFlight returns the orders whose end is not known, by endpoint.
+// InFlight returns the orders that have not ended, sorted by endpoint ID.
 func (m *Machine) InFlight() []InFlight {
 	var orders []InFlight
 	for _, endpoint := range slices.Sorted(maps.Keys(m.tasks)) {
@@ -95,7 +98,8 @@
 	return orders
 }
 
-// LoadsAtOrigin returns how many loads take part of what the origin of the weights can carry.
+// LoadsAtOrigin returns the number of loads that count against the capacity of the origin, the store that weights are
+// loaded from.
 func (m *Machine) LoadsAtOrigin(now time.Duration) int {
 	count := 0
 	for _, t := range m.tasks {
@@ -106,7 +110,8 @@
 	return count
 }
 
-// CompleteEndpoint completes an endpoint, as its heartbeats describe it, by what is known of it and by its order.
+// CompleteEndpoint updates a planner's endpoint, which the caller has filled from the heartbeats, with the newer state that the
+// machine knows and with the order in flight.
 func (m *Machine) CompleteEndpoint(endpoint *placement.Endpoint) {
 	if state := m.states[endpoint.ID]; state != nil && state.hasReport {
 		endpoint.Models = state.models
@@ -122,6 +127,7 @@
 	}
 }
 
+// state returns the state of an endpoint, and creates an empty one if there is none.
 func (m *Machine) state(endpoint string) *endpointState {
 	state := m.states[endpoint]
 	if state == nil {
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -39,7 +39,7 @@
 
 var held = Lease{Token: 1, Held: true}
 
-// withModels is the report of an idle endpoint.
+// withModels returns the report of an idle endpoint with the given models.
 func withModels(sequence uint64, models ...string) *Report {
 	report := &Report{Models: map[string][]string{}, Sequence: sequence}
 	for _, model := range models {
@@ -48,7 +48,7 @@
 	return report
 }
 
-// busy is the report of an endpoint that is at work.
+// busy returns the report of an endpoint that is executing an order.
 func busy(sequence uint64) *Report {
 	return &Report{Models: map[string][]string{}, Busy: true, Sequence: sequence}
 }
@@ -114,7 +114,7 @@
 		Expect(described().Models).To(HaveKey("a"))
 	})
 
-	It("is in flight for as long as the endpoint is at work, however long that takes", func() {
+	It("is in flight while the endpoint reports to be busy, however long that takes", func() {
 		answer(post(loadA), Accepted)
 		end := now + 10*loadTime
 		for now < end {
@@ -125,7 +125,7 @@
 		Expect(report(advance(nextDue()), withModels(5, "a")).Publications).To(ConsistOf(published))
 	})
 
-	It("is not counted as taking part of the origin's rate between its expected end and when that is noticed to be late", func() {
+	It("does not count against the store's capacity between its expected end and the time at which it is late", func() {
 		answer(post(loadA), Accepted)
 		expectedEnd := now + loadTime
 		Expect(machine.LoadsAtOrigin(expectedEnd - ms)).To(Equal(1))
@@ -133,14 +133,14 @@
 		Expect(machine.LoadsAtOrigin(expectedEnd + MaxReportAge + minPollInterval + ms)).To(Equal(1))
 	})
 
-	It("has the ledger count a load from when it goes out", func() {
+	It("counts in the ledger from the time at which it is posted", func() {
 		out := begin(loadA)
 		now += s
 		report(out, withModels(4))
 		Expect(ledger.Ages(now)).To(Equal([]time.Duration{0}))
 	})
 
-	It("is not posted where it does not fit", func() {
+	It("is not posted if it does not fit the endpoint", func() {
 		out := post(loadB, "a")
 		Expect(out.Orders).To(BeEmpty())
 		Expect(machine.HasOrder(endpoint)).To(BeTrue())
@@ -155,21 +155,21 @@
 		Expect(advance(now + adapterLoadTime)).To(Equal(Output{Replan: true}))
 	})
 
-	table.DescribeTable("that is short is not asked after", func(order placement.Order) {
+	table.DescribeTable("that is normally short ends without a report", func(order placement.Order) {
 		answer(post(order, "a"), Accepted)
 		Expect(advance(now + adapterLoadTime).Reports).To(BeEmpty())
 		Expect(machine.HasOrder(endpoint)).To(BeFalse())
 	}, table.Entry("adapter", loadAdapter), table.Entry("unload without requests", unloadA))
 
-	Describe("without an answer", func() {
-		It("was accepted if the endpoint is at work or has what it loads, also after a long silence", func() {
+	Describe("whose call is not answered", func() {
+		It("was accepted if the endpoint reports to be busy or to have the model, also after a long time without reports", func() {
 			Expect(answer(post(loadA), Unknown)).To(BeZero())
 			Expect(described().Models).To(HaveKey("a"))
-			silence := now + 60*s
-			for now < silence {
+			reportsFailUntil := now + 60*s
+			for now < reportsFailUntil {
 				Expect(report(advance(nextDue()), nil)).To(BeZero())
 				Expect(described()).To(HaveField("OrderInFlight", true))
-				Expect(described().Models).NotTo(HaveKey("a"), "requests may wait for it")
+				Expect(described().Models).NotTo(HaveKey("a"), "requests may wait for the model")
 				Expect(begin(loadB)).To(BeZero())
 			}
 			Expect(report(advance(nextDue()), busy(5))).To(BeZero())
@@ -177,7 +177,7 @@
 			Expect(report(advance(nextDue()), withModels(5, "a")).Publications).To(ConsistOf(published))
 		})
 
-		It("was not accepted if the endpoint is idle without what it loads", func() {
+		It("was not accepted if the endpoint is idle without the model", func() {
 			answer(post(loadA), Unknown)
 			Expect(nextDue()).To(Equal(now+MaxReportAge), "an earlier report may be older than the order")
 			out := report(advance(nextDue()), withModels(4))
@@ -192,7 +192,7 @@
 		})
 	})
 
-	It("is retried while the order before it is just ending", func() {
+	It("is retried after conflicts up to maxConflictRetries times", func() {
 		out := post(loadA)
 		for range maxConflictRetries {
 			Expect(answer(out, Conflict)).To(BeZero())
@@ -203,7 +203,7 @@
 		}))
 	})
 
-	It("that was refused keeps the endpoint from the next one until it reports to be idle", func() {
+	It("that was refused prevents other orders until the endpoint reports to be idle", func() {
 		answer(post(loadA), Refused)
 		Expect(described().Models).NotTo(HaveKey("a"))
 		Expect(report(advance(nextDue()), busy(5))).To(BeZero())
@@ -213,17 +213,17 @@
 		Expect(begin(unloadA).Publications).To(HaveLen(1))
 	})
 
-	Describe("and the lease", func() {
+	Describe("under a changed lease", func() {
 		table.DescribeTable("is not posted without the lease that it was planned under",
 			func(lease Lease) {
 				out := begin(loadA)
 				out = machine.ReportReceived(now, lease, endpoint, out.Reports[0].ID, withModels(4))
 				Expect(out.Orders).To(BeEmpty())
 			},
-			table.Entry("lost", Lease{Token: 1}), table.Entry("of a later token", Lease{Token: 2, Held: true}),
+			table.Entry("a lost lease", Lease{Token: 1}), table.Entry("a lease with a later token", Lease{Token: 2, Held: true}),
 		)
 
-		It("an answer that is late for a new lease changes nothing", func() {
+		It("ignores an answer to a call of the previous lease", func() {
 			out := post(loadA)
 			machine.Reset(now, ledger, nil)
 			Expect(answer(out, Accepted)).To(BeZero())
@@ -233,7 +233,7 @@
 			Expect(machine.tasks[endpoint].phase).To(Equal(posting))
 		})
 
-		table.DescribeTable("an order of the previous holder is asked after",
+		table.DescribeTable("that is inherited from the previous holder ends by a report",
 			func(order placement.Order, found *Report, publication Publication) {
 				machine.Reset(now, ledger, []InFlight{{Order: order, Address: "address"}})
 				Expect(described()).To(HaveField("OrderInFlight", true))
@@ -241,9 +241,9 @@
 				Expect(begin(loadB)).To(BeZero())
 				Expect(report(advance(nextDue()), found)).To(Equal(Output{Publications: []Publication{publication}, Replan: true}))
 			},
-			table.Entry("and finished", loadA, withModels(7, "a"), published),
-			table.Entry("and undone", loadA, withModels(7), withdrawn),
-			table.Entry("an unload that was published and not sent", unloadA, withModels(7, "a"), withdrawn),
+			table.Entry("a load that was executed", loadA, withModels(7, "a"), published),
+			table.Entry("a load that was not executed", loadA, withModels(7), withdrawn),
+			table.Entry("an unload that was published and not posted", unloadA, withModels(7, "a"), withdrawn),
 		)
 	})
 })
--- a/internal/orders/steps.go
+++ b/internal/orders/steps.go
@@ -6,7 +6,7 @@
 	"dykering/internal/placement"
 )
 
-// step takes the next step of a task that is due.
+// step executes the next step of a task that is due.
 func (m *Machine) step(now time.Duration, lease Lease, t *task) Output {
 	switch t.phase {
 	case publishing, preparing:
@@ -22,7 +22,8 @@
 	return m.requestReport(t)
 }
 
-// prepare posts the order, or first asks for the report that it is checked against.
+// prepare posts the order if the state of its endpoint is known. Otherwise it requests a report first, at the earliest time at
+// which the report is recent enough.
 func (m *Machine) prepare(now time.Duration, lease Lease, t *task) Output {
 	state := m.state(t.order.Endpoint)
 	switch {
@@ -35,7 +36,7 @@
 	return m.requestReport(t)
 }
 
-// post sends the order if it fits the endpoint and the lease it was planned under is held.
+// post sends the order if it fits the endpoint and the lease that it was planned under is held. Otherwise it drops the order.
 func (m *Machine) post(now time.Duration, lease Lease, t *task) Output {
 	state := m.state(t.order.Endpoint)
 	endpoint := placement.Endpoint{Models: state.models}
@@ -43,7 +44,7 @@
 		return m.abandon(now, t)
 	}
 	if LoadsWeights(t.order) {
-		// It may go out later than planned, and the origin's rate holds for when loads take place.
+		// The order may be sent later than planned, and the store's rate limit applies to the actual start of a load.
 		m.ledger.Reschedule(t.recordedAt, now)
 		t.recordedAt = now
 	}
@@ -53,7 +54,7 @@
 	return Output{Orders: []OrderCall{call}}
 }
 
-// OrderAnswered takes the answer to an OrderCall.
+// OrderAnswered applies the answer to an OrderCall.
 func (m *Machine) OrderAnswered(now time.Duration, endpoint string, id CallID, answer Answer) Output {
 	t := m.tasks[endpoint]
 	if t == nil || t.call != id {
@@ -83,7 +84,7 @@
 	return out
 }
 
-// ReportReceived takes the answer to a ReportCall. The report is nil if there was none.
+// ReportReceived applies the answer to a ReportCall. The report is nil if the call was not answered.
 func (m *Machine) ReportReceived(now time.Duration, lease Lease, endpoint string, id CallID, report *Report) Output {
 	t := m.tasks[endpoint]
 	if t == nil || t.call != id {
@@ -101,7 +102,8 @@
 	return m.resolve(now, t, *report)
 }
 
-// reportFailed has the endpoint be asked again. An order that has not been posted is dropped.
+// reportFailed handles a report call without an answer. An order that has not been posted is dropped; for any other order, the
+// next report call is scheduled.
 func (m *Machine) reportFailed(now time.Duration, t *task) Output {
 	if t.phase == preparing {
 		return m.abandon(now, t)
@@ -110,7 +112,8 @@
 	return Output{}
 }
 
-// prepareWithReport posts the order after a report, unless the endpoint is at work for somebody else.
+// prepareWithReport posts the order after a report of an idle endpoint. If the endpoint executes another order, it drops the
+// order.
 func (m *Machine) prepareWithReport(now time.Duration, lease Lease, t *task, report Report) Output {
 	if report.Busy {
 		return m.abandon(now, t)
@@ -119,13 +122,14 @@
 	return m.post(now, lease, t)
 }
 
-// resolve ends a task by a report: an idle endpoint shows what came of its order. A busy one is asked again.
+// resolve ends a task if the report shows the outcome, which only the report of an idle endpoint does. Otherwise it schedules
+// the next report call.
 func (m *Machine) resolve(now time.Duration, t *task, report Report) Output {
 	state := m.state(t.order.Endpoint)
 	isOutdated := t.phase == executing && report.Sequence < state.sequence && now < t.acceptedAt+MaxReportAge
 	if report.Busy || isOutdated {
 		if t.phase == uncertain && report.Sequence > state.sequence {
-			state.sequence = report.Sequence // it was accepted after all
+			state.sequence = report.Sequence // the higher number shows that the order was accepted
 			t.phase, t.acceptedAt = executing, now
 		}
 		t.due = now + pollInterval(now-t.expectedEnd)
@@ -144,7 +148,7 @@
 	return out
 }
 
-// complete ends an order that was executed.
+// complete ends an order that was executed. It publishes a load; an unload was already published before it was posted.
 func (m *Machine) complete(t *task) Output {
 	m.state(t.order.Endpoint).apply(t.order)
 	out := m.remove(t)
@@ -154,8 +158,8 @@
 	return out
 }
 
-// abandon drops an order that was not executed, and withdraws what was published of it. Its endpoint gets no other order before
-// it reports to be idle.
+// abandon drops an order that was not executed, and withdraws its publication. The endpoint gets no other order until it
+// reports to be idle.
 func (m *Machine) abandon(now time.Duration, t *task) Output {
 	m.state(t.order.Endpoint).invalidate(now)
 	t.scheduleStep(awaitingIdle, now+MaxReportAge)
@@ -163,18 +167,18 @@
 	return Output{Publications: []Publication{{Endpoint: t.order.Endpoint, Withdraw: true}}, Replan: true}
 }
 
-// remove ends a task.
+// remove deletes a task, so that its endpoint may get the next order.
 func (m *Machine) remove(t *task) Output {
 	delete(m.tasks, t.order.Endpoint)
 	return Output{Replan: true}
 }
 
-// requestReport asks the endpoint of a task for its report.
+// requestReport starts a call that asks the endpoint of a task for its report.
 func (m *Machine) requestReport(t *task) Output {
 	return Output{Reports: []ReportCall{{ID: m.newCall(t), Endpoint: t.order.Endpoint, Address: t.address}}}
 }
 
-// newCall makes a call the one whose answer a task awaits.
+// newCall returns a new call ID and records it as the task's call in flight.
 func (m *Machine) newCall(t *task) CallID {
 	m.lastCall++
 	t.call = m.lastCall
--- a/internal/orders/task.go
+++ b/internal/orders/task.go
@@ -7,7 +7,7 @@
 	"dykering/internal/placement"
 )
 
-// phase is the state of an order; see the package comment.
+// phase is the state of an order. The package comment describes the states and their transitions.
 type phase int
 
 const (
@@ -21,31 +21,32 @@
 	awaitingIdle
 )
 
-// task is the order that an endpoint has, or the pause after one (settling).
+// task tracks the order of an endpoint. In the phase awaitingIdle, the order has been dropped and the task only keeps the
+// endpoint from getting the next order.
 type task struct {
 	phase       phase
 	order       placement.Order
-	engine      *fleetconfig.Engine // nil if the order is adopted
+	engine      *fleetconfig.Engine // nil if the phase is inherited
 	address     string
-	token       uint64 // of the lease that it was planned under
-	hadRequests bool
-	conflicts   int // answers Conflict so far
-	// call is the call whose answer is awaited; 0 for none.
+	token       uint64 // fencing token of the lease that the order was planned under
+	hadRequests bool   // Request.HadRequests
+	conflicts   int    // number of Conflict answers so far
+	// call is the call in flight, whose answer is awaited. It is 0 if no call is in flight.
 	call CallID
-	// due is when the next step is due; it has no meaning while a call is in flight.
+	// due is the time of the next step. It has no meaning while a call is in flight.
 	due time.Duration
-	// recordedAt is when the ledger has the load start.
+	// recordedAt is the start of the load in the ledger.
 	recordedAt time.Duration
-	// acceptedAt is when the endpoint has accepted the order.
+	// acceptedAt is the time at which the endpoint has accepted the order.
 	acceptedAt time.Duration
-	// expectedEnd is when the order should have been executed.
+	// expectedEnd is the time by which the order should have been executed.
 	expectedEnd time.Duration
-	// failedReports counts the reports in a row that were not answered.
+	// failedReports counts the consecutive report calls without an answer.
 	failedReports int
 }
 
-// countsAsExecuted reports whether the planner is to see the endpoint as it will be after the order: not where its outcome is
-// uncertain and the endpoint does not answer, as requests may wait for the model.
+// countsAsExecuted reports whether the planner should see the endpoint in the state after the order. It should not if the
+// outcome is uncertain and the endpoint does not answer, since requests may wait for a model that will not be loaded there.
 func (t *task) countsAsExecuted() bool {
 	switch t.phase {
 	case awaitingIdle:
@@ -56,8 +57,9 @@
 	return true
 }
 
-// usesOrigin reports whether a load still takes part of what the origin of the weights can carry: until its expected end, and
-// again from when its end should have been noticed, as it is late then.
+// usesOrigin reports whether a load counts against the capacity of the origin, the store that weights are loaded from. A load
+// counts until its expected end. If no report has shown its end MaxReportAge + minPollInterval later, the load is late and
+// counts again.
 func (t *task) usesOrigin(now time.Duration) bool {
 	if t.phase == awaitingIdle || !LoadsWeights(t.order) {
 		return false
@@ -65,13 +67,13 @@
 	return t.phase != executing || now < t.expectedEnd || now > t.expectedEnd+MaxReportAge+minPollInterval
 }
 
-// isAssumedDone reports whether the order is not asked after at its expected end: it is short as a rule. Where it takes longer,
-// the next order to the endpoint meets a conflict and is retried.
+// isAssumedDone reports whether the order counts as executed at its expected end without a report. This holds for orders that
+// are normally short. If one takes longer, the next order to the endpoint is answered with a conflict and retried.
 func (t *task) isAssumedDone() bool {
 	return t.order.Adapter != "" || t.order.Operation == placement.Unload && !t.hadRequests
 }
 
-// scheduleStep has the next step follow at a time.
+// scheduleStep sets the phase and the time of the next step.
 func (t *task) scheduleStep(next phase, due time.Duration) {
 	t.phase, t.due, t.call = next, due, 0
 }
--- a/internal/orders/timing.go
+++ b/internal/orders/timing.go
@@ -2,26 +2,28 @@
 
 import "time"
 
+// Delays and expected durations of the state machine.
 const (
-	// unloadDelay is the time between the publication that a model is unloaded and the order: proxies stop sending it
-	// requests by then.
+	// unloadDelay is the time between the publication of an unload and its order. In this time, the proxies receive the
+	// publication and stop sending requests for the model to the endpoint.
 	unloadDelay = 30 * time.Millisecond
-	// MaxReportAge is how old an endpoint's report may be.
+	// MaxReportAge is the maximum age of the state that an endpoint reports.
 	MaxReportAge = 300 * time.Millisecond
-	// adapterLoadTime is the expected duration of loading an adapter, and of unloading anything.
+	// adapterLoadTime is the expected duration of a load of an adapter and of any unload.
 	adapterLoadTime = 25 * time.Millisecond
-	// maxConflictRetries is how often an order is retried while another one is just ending at the endpoint, and
-	// conflictBackoff the pause before each retry.
+	// maxConflictRetries is how often an order is retried after a conflict, which occurs while another order is still ending
+	// at the endpoint.
 	maxConflictRetries = 5
-	conflictBackoff    = 60 * time.Millisecond
-	// minPollInterval and maxPollInterval bound the time between two reports that are fetched while an order takes longer than
-	// expected. It grows with the time that has passed: pollIntervalFraction of it.
-	minPollInterval      = 100 * time.Millisecond
-	maxPollInterval      = 500 * time.Millisecond
+	// conflictBackoff is the pause before each of these retries.
+	conflictBackoff = 60 * time.Millisecond
+	// minPollInterval and maxPollInterval bound the time between two report calls for an order that takes longer than expected.
+	minPollInterval = 100 * time.Millisecond
+	maxPollInterval = 500 * time.Millisecond
+	// pollIntervalFraction is the divisor of the overdue time that gives the time until the next report call.
 	pollIntervalFraction = 8
 )
 
-// pollInterval is the time until the next report of an order that has been overdue for some time.
+// pollInterval returns the time until the next report call for an order that is overdue for the given time.
 func pollInterval(overdue time.Duration) time.Duration {
 	return min(max(overdue/pollIntervalFraction, minPollInterval), maxPollInterval)
 }
