--- a/internal/sessions/compatibility_test.go
+++ b/internal/sessions/compatibility_test.go
@@ -6,7 +6,7 @@
 	"dykering/internal/fixture"
 )
 
-// The heartbeats of endpoints keep their form.
+// The JSON form of a heartbeat is the one recorded in the fixture, since endpoints of every version send it.
 func TestHeartbeatFormIsUnchanged(t *testing.T) {
 	fixture.JSON(t, "testdata/compatibility/heartbeat.json", &Heartbeat{})
 }
--- a/internal/sessions/range_digest.go
+++ b/internal/sessions/range_digest.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// Replicas of the table are compared by a tree of digests over ranges of IDs, as in a Merkle tree: each range has Fanout
-// children, and only children whose digests differ are compared further. Two replicas that differ in little so find out
+// Replicas of the table are compared by a tree of digests over ranges of hashed IDs, as in a Merkle tree. Each range has
+// Fanout children, and only children whose digests differ are compared further. Two replicas with few differences find them
 // with few messages.
 const (
 	// Fanout is the number of children of a range.
 	Fanout = 16
-	// Depth is the number of levels below the root. A range at this depth is a leaf: its sessions are sent themselves.
+	// Depth is the number of levels below the root. A range at this depth is a leaf: replicas exchange its records.
 	Depth = 2
 )
 
-// Range is a node of the tree, and the IDs below it: the index of the child taken at each level, from the root on. The
-// empty range is the root.
+// Range identifies a node of the tree, and thereby the IDs below the node. It contains the index of the child at each level,
+// starting at the root. The empty range is the root.
 type Range []byte
 
-// Valid reports whether a range is a node of the tree. A range that a peer has sent may be any bytes.
+// Valid reports whether a range identifies a node of the tree. A range that a peer has sent can contain arbitrary bytes.
 func (r Range) Valid() bool {
 	for _, child := range r {
 		if child >= Fanout {
@@ -37,7 +37,7 @@
 // Child returns a child of a range.
 func (r Range) Child(index int) Range { return append(append(Range{}, r...), byte(index)) }
 
-// contains reports whether an ID, by its path, is below a range.
+// contains reports whether the ID with the given path is in a range.
 func (r Range) contains(path [Depth]byte) bool {
 	for level, child := range r {
 		if path[level] != child {
@@ -47,8 +47,8 @@
 	return true
 }
 
-// pathOf returns the path from the root to the leaf that an ID is in. All replicas must compute the same one: changing it
-// makes processes of two versions find differences that do not exist.
+// pathOf returns the path from the root to the leaf that contains an ID. All replicas must compute the same path: if it were
+// changed, processes of two versions would find differences that do not exist.
 func pathOf(id string) [Depth]byte {
 	hash := fnv.New64a()
 	io.WriteString(hash, id)
@@ -60,7 +60,7 @@
 	return path
 }
 
-// ChildDigests returns the digests of the children of a range; all zero for a leaf.
+// ChildDigests returns the digests of the children of a range. All digests are zero if the range is a leaf.
 func (t *Table) ChildDigests(parent Range) [Fanout]uint64 {
 	var digests [Fanout]uint64
 	if parent.IsLeaf() {
@@ -74,18 +74,18 @@
 	return digests
 }
 
-// DifferingChildren lists the children of a range whose digests differ from those of a peer.
-func (t *Table) DifferingChildren(parent Range, theirs [Fanout]uint64) []Range {
+// DifferingChildren returns the children of a range whose digests differ from the digests of a peer.
+func (t *Table) DifferingChildren(parent Range, peerDigests [Fanout]uint64) []Range {
 	var differing []Range
 	for index, digest := range t.ChildDigests(parent) {
-		if digest != theirs[index] {
+		if digest != peerDigests[index] {
 			differing = append(differing, parent.Child(index))
 		}
 	}
 	return differing
 }
 
-// RecordsIn returns the records of the sessions in a range, in no order.
+// RecordsIn returns the records of the sessions in a range, in no particular order.
 func (t *Table) RecordsIn(now time.Duration, within Range) []Record {
 	var out []Record
 	for id, stored := range t.rows {
@@ -96,8 +96,8 @@
 	return out
 }
 
-// digest covers the fields that replicas have to agree on. Sequence numbers and times are left out, as they differ while a
-// renewal is on its way; so is expiry, which each replica judges by itself.
+// digest hashes the fields that replicas must agree on. It excludes sequence numbers and times, which differ while a renewal is
+// on its way. It also treats Expired as Ready, since each replica determines the expiry by its own clock.
 func (e *Endpoint) digest() uint64 {
 	hash := fnv.New64a()
 	write := func(text string) {
--- a/internal/sessions/replication.go
+++ b/internal/sessions/replication.go
@@ -5,29 +5,28 @@
 	"time"
 )
 
-// Record is a session as replicas send it to one another. Replicas have no common clock, so a record carries the age of
-// the latest heartbeat and not its time.
+// Record is a session as replicas send it to each other. Since replicas have no common clock, a record contains the age of the
+// latest heartbeat instead of its time.
 type Record struct {
 	Endpoint Endpoint
-	Age      time.Duration // since the latest heartbeat
+	Age      time.Duration // time since the latest heartbeat
 }
 
-// Renewal says that a heartbeat has come which changed nothing but its sequence number. It stands for a complete record,
-// which most heartbeats do not need.
+// Renewal tells peers that an endpoint has sent a heartbeat in which nothing but the sequence number is new. It is sent in
+// place of a complete record, which most heartbeats do not need.
 type Renewal struct {
 	ID       string
 	Sequence uint64
-	Age      time.Duration // since the heartbeat
+	Age      time.Duration // time since the heartbeat
 }
 
-// Merge stores a record of a peer. It reports whether that changed anything that subscribers have to see. The record is
-// not passed on to other peers: each process sends its own heartbeats to all of them itself.
+// Merge stores a record of a peer. It returns true if that changed anything that is relevant to subscribers. The record is
+// not forwarded to other peers, since each process sends the heartbeats that it receives to all peers itself.
 func (t *Table) Merge(now time.Duration, record Record) bool {
 	return t.merge(now-record.Age, record.Endpoint)
 }
 
-// markForPeers has the next flush send a session to the peers: as a record where subscribers see a change, else as a
-// renewal.
+// queueForPeers adds a session to the next flush: as a record if the change is visible to subscribers, else as a renewal.
 func (t *Table) queueForPeers(id string, visible bool) {
 	if visible {
 		t.modified = append(t.modified, id)
@@ -36,7 +35,7 @@
 	t.renewed[id] = true
 }
 
-// FlushModified returns the records that peers have to receive in full since the last call.
+// FlushModified returns the records that have been queued for the peers since the last call.
 func (t *Table) FlushModified(now time.Duration) []Record {
 	var out []Record
 	seen := map[string]bool{}
@@ -44,15 +43,15 @@
 		if stored := t.rows[id]; stored != nil && !seen[id] {
 			seen[id] = true
 			out = append(out, stored.record(now))
-			delete(t.renewed, id) // the record renews it too
+			delete(t.renewed, id) // the record replaces the renewal
 		}
 	}
 	t.modified = nil
 	return out
 }
 
-// FlushRenewals returns the renewals that peers have to receive since the last call, by ID. A session that has expired here
-// in the meantime is left out: it would be renewed at the peers by an old heartbeat.
+// FlushRenewals returns the renewals that have been queued for the peers since the last call, sorted by ID. It omits a session
+// that has expired at this replica in the meantime, since the old heartbeat must not renew it at the peers.
 func (t *Table) FlushRenewals(now time.Duration) []Renewal {
 	var out []Renewal
 	for id := range t.renewed {
@@ -65,7 +64,7 @@
 	return out
 }
 
-// AllRecords returns the records of all sessions, by ID.
+// AllRecords returns the records of all sessions, sorted by ID.
 func (t *Table) AllRecords(now time.Duration) []Record {
 	out := make([]Record, 0, len(t.rows))
 	for _, stored := range t.rows {
@@ -75,7 +74,7 @@
 	return out
 }
 
-// Records returns the records of the sessions with these IDs that are in the table.
+// Records returns the records of the sessions with the given IDs. It skips IDs that are not in the table.
 func (t *Table) Records(now time.Duration, ids []string) []Record {
 	var out []Record
 	for _, id := range ids {
@@ -86,6 +85,7 @@
 	return out
 }
 
+// record returns the session as it is sent to peers.
 func (r *row) record(now time.Duration) Record {
 	return Record{Endpoint: r.endpoint, Age: now - r.lastSeen}
 }
--- a/internal/sessions/session_ttl.go
+++ b/internal/sessions/session_ttl.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// retention is how long a session is kept after the last heartbeat. It is longer than any late heartbeat or peer's record
-// is on its way: a departed endpoint must not come back by one.
+// retention is how long a session is kept after the last heartbeat. It must exceed the delay of any heartbeat or record of a
+// peer, so that a delayed one does not add a departed endpoint again.
 const retention = 60 * time.Second
 
-// ExpireTTLs expires the sessions whose TTL has run out by now, and deletes those past their retention. It is called
-// often enough for the caller's bounds; peers are not notified, as each replica judges by its own clock.
+// ExpireTTLs expires the sessions whose TTL has elapsed, and deletes the sessions whose retention has elapsed. The caller must
+// call it regularly, as often as the accuracy of the expiry requires. Peers are not notified, since each replica determines the
+// expiry by its own clock.
 func (t *Table) ExpireTTLs(now time.Duration) {
 	for id, stored := range t.rows {
 		sinceLastSeen := now - stored.lastSeen
@@ -17,14 +18,15 @@
 		case sinceLastSeen > t.ttl && stored.endpoint.State == Ready:
 			t.setState(stored, Expired)
 		case sinceLastSeen > 2*t.ttl && stored.endpoint.State == Draining:
-			// It ended without deregistering. A draining endpoint takes no new requests either way, so it gets a second TTL.
+			// The endpoint has ended without deregistering. It can be given twice the TTL, since a draining endpoint gets no new
+			// requests anyway.
 			t.setState(stored, Departed)
 		}
 	}
 }
 
-// Renew extends the TTL of a session that a peer has received a heartbeat of, age ago. It reports false for a session that
-// is not in the table, whose record has then to be asked for.
+// Renew applies a renewal of a peer: it extends the TTL of a session whose heartbeat the peer has received the given age ago.
+// It returns false if the session is not in the table, so that the caller must request its record.
 func (t *Table) Renew(now time.Duration, id string, sequence uint64, age time.Duration) bool {
 	stored := t.rows[id]
 	if stored == nil {
@@ -40,6 +42,7 @@
 	return true
 }
 
+// setState changes the state of a session.
 func (t *Table) setState(stored *row, state State) {
 	next := stored.endpoint
 	next.State = state
--- a/internal/sessions/table.go
+++ b/internal/sessions/table.go
@@ -8,33 +8,33 @@
 // row is a session in the table.
 type row struct {
 	endpoint    Endpoint
-	lastSeen    time.Duration // on the session clock, when the latest heartbeat arrived, here or at a peer
-	modifyIndex uint64        // the table's, when a field that subscribers act on last changed
+	lastSeen    time.Duration // time on the session clock at which the latest heartbeat arrived, at this process or a peer
+	modifyIndex uint64        // index of the last change that is relevant to subscribers
 }
 
-// maxSessions bounds the table's memory: heartbeats come from outside.
+// maxSessions bounds the memory of the table, since heartbeats with arbitrary IDs can arrive from other programs.
 const maxSessions = 16384
 
 // Table is a replica of the table of sessions. It is not safe for concurrent use.
 type Table struct {
-	rows        map[string]*row // by the endpoint's ID
+	rows        map[string]*row // by endpoint ID
 	modifyIndex uint64
 	ttl         time.Duration
-	modified    []string        // IDs of the sessions that FlushModified gives next
-	renewed     map[string]bool // IDs of the sessions that FlushRenewals gives next
+	modified    []string        // IDs of the sessions that the next FlushModified returns
+	renewed     map[string]bool // IDs of the sessions that the next FlushRenewals returns
 }
 
-// New makes an empty table. A session expires when no heartbeat has come for the time ttl.
+// New returns an empty table. A session expires when no heartbeat has arrived for the time ttl.
 func New(ttl time.Duration) *Table {
 	return &Table{rows: map[string]*row{}, ttl: ttl, renewed: map[string]bool{}}
 }
 
-// ModifyIndex rises with every change that subscribers have to see.
+// ModifyIndex returns the modify index of the table, which rises with every change that is relevant to subscribers.
 func (t *Table) ModifyIndex() uint64 { return t.modifyIndex }
 
-// ApplyHeartbeat stores a heartbeat that an endpoint sent to this process. It reports false for a heartbeat that is older
-// than the stored one. The state of an older one counts all the same, because states only move forward: a notice of
-// draining that was overtaken on its way must not be lost.
+// ApplyHeartbeat stores a heartbeat that an endpoint has sent to this process. It returns false for a heartbeat that is not
+// newer than the stored one. The state in such a heartbeat is applied nevertheless if it is further in the life cycle: states
+// only move forward, and the notice that an endpoint drains must not be lost if a later heartbeat overtakes it.
 func (t *Table) ApplyHeartbeat(now time.Duration, id string, heartbeat Heartbeat) bool {
 	stored := t.rows[id]
 	if stored != nil && heartbeat.Sequence <= stored.endpoint.Heartbeat.Sequence && heartbeat.Sequence != 0 {
@@ -49,8 +49,8 @@
 	return true
 }
 
-// Deregister stores that an endpoint has departed. An endpoint that is not in the table is stored as departed too, since a
-// peer may have its session.
+// Deregister sets the state of an endpoint to Departed. It also stores an endpoint that is not in the table as departed, since
+// a peer may have a session of it.
 func (t *Table) Deregister(now time.Duration, id string) {
 	departed := Endpoint{ID: id, State: Departed}
 	if stored := t.rows[id]; stored != nil {
@@ -60,8 +60,8 @@
 	t.queueForPeers(id, t.merge(now, departed))
 }
 
-// SetOverlay stores what orders have changed at an endpoint. It ignores an overlay that is not newer than the stored one,
-// and one for an endpoint that is not in the table.
+// SetOverlay sets the overlay of an endpoint. It ignores an overlay that is not newer than the stored one, and an overlay for
+// an endpoint that is not in the table.
 func (t *Table) SetOverlay(id string, overlay Overlay) {
 	stored := t.rows[id]
 	if stored == nil || overlay.Version <= stored.endpoint.Overlay.Version {
@@ -72,8 +72,8 @@
 	t.queueForPeers(id, t.update(stored, next))
 }
 
-// merge combines a received version of a session with the stored one, field by field, so that the order of arrival does
-// not matter. It reports whether that changed anything that subscribers have to see.
+// merge combines a received version of a session with the stored one, field by field, so that the result is independent of the
+// order of arrival. It returns true if the change is relevant to subscribers.
 func (t *Table) merge(lastSeen time.Duration, received Endpoint) bool {
 	stored := t.rows[received.ID]
 	if stored == nil {
@@ -98,8 +98,8 @@
 	return t.update(stored, next)
 }
 
-// update stores the next version of a session and raises the modify index where subscribers have to see the change, which
-// it reports.
+// update stores the next version of a session. If the change is relevant to subscribers, it raises the modify index and returns
+// true.
 func (t *Table) update(target *row, next Endpoint) bool {
 	visible := target.endpoint.ID == "" || !equalForSubscribers(&target.endpoint, &next)
 	if visible {
@@ -110,7 +110,7 @@
 	return visible
 }
 
-// Get returns the session of an endpoint.
+// Get returns the session of an endpoint, and false if there is none.
 func (t *Table) Get(id string) (Endpoint, bool) {
 	stored := t.rows[id]
 	if stored == nil {
@@ -119,10 +119,10 @@
 	return stored.endpoint, true
 }
 
-// Endpoints lists all sessions, by ID.
+// Endpoints returns all sessions, sorted by ID.
 func (t *Table) Endpoints() []Endpoint { return t.ModifiedSince(0) }
 
-// ModifiedSince lists the sessions whose modify index is above index, by ID.
+// ModifiedSince returns the sessions whose modify index is above the given one, sorted by ID.
 func (t *Table) ModifiedSince(index uint64) []Endpoint {
 	var out []Endpoint
 	for _, stored := range t.rows {
--- a/internal/sessions/table_test.go
+++ b/internal/sessions/table_test.go
@@ -11,7 +11,7 @@
 
 func TestSessions(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "the table of sessions")
+	RunSpecs(t, "the session table")
 }
 
 const ttl = 4 * time.Second
@@ -38,7 +38,7 @@
 		Expect(state("i")).To(Equal(Draining))
 	})
 
-	It("keeps a draining or departed state when an earlier one is reported later", func() {
+	It("keeps a draining or departed state when a later heartbeat reports an earlier state", func() {
 		table.ApplyHeartbeat(0, "i", heartbeat(5, Draining))
 		table.ApplyHeartbeat(1, "i", heartbeat(6, Ready))
 		Expect(state("i")).To(Equal(Draining))
@@ -47,20 +47,20 @@
 		Expect(state("i")).To(Equal(Departed))
 	})
 
-	It("applies the state of a late heartbeat when that state is further on", func() {
+	It("applies the state of a late heartbeat if it is further in the life cycle", func() {
 		table.ApplyHeartbeat(0, "i", heartbeat(5, Ready))
 		Expect(table.ApplyHeartbeat(1, "i", heartbeat(4, Draining))).To(BeFalse())
 		Expect(state("i")).To(Equal(Draining))
 		Expect(table.FlushModified(1)).To(HaveLen(1))
 	})
 
-	It("stores the departure of an unknown endpoint, so that a peer's record does not revive it", func() {
+	It("stores the departure of an unknown endpoint, so that a peer's record does not make it ready", func() {
 		table.Deregister(0, "i")
 		table.Merge(1, Record{Endpoint: Endpoint{ID: "i", State: Ready, Heartbeat: heartbeat(5, Ready)}})
 		Expect(state("i")).To(Equal(Departed))
 	})
 
-	It("raises the modify index only when a field that subscribers act on changes", func() {
+	It("raises the modify index only when a field that subscribers use changes", func() {
 		table.ApplyHeartbeat(0, "i", heartbeat(1, Ready))
 		index := table.ModifyIndex()
 		table.ApplyHeartbeat(time.Second, "i", heartbeat(2, Ready))
@@ -69,7 +69,7 @@
 		Expect(table.ModifiedSince(index)).To(HaveLen(1))
 	})
 
-	It("expires a session without heartbeat and renews it by the next one", func() {
+	It("expires a session without heartbeats and renews it on the next heartbeat", func() {
 		table.ApplyHeartbeat(0, "i", heartbeat(1, Ready))
 		table.ExpireTTLs(ttl + 1)
 		Expect(state("i")).To(Equal(Expired))
@@ -85,7 +85,7 @@
 		Expect(table.Renew(0, "unknown", 1, 0)).To(BeFalse())
 	})
 
-	It("sends peers its own heartbeats, whatever peers send meanwhile, and none of theirs", func() {
+	It("flushes the heartbeats that it has received itself, and none of those that peers have sent", func() {
 		table.ApplyHeartbeat(0, "mine", heartbeat(1, Ready))
 		table.FlushModified(0)
 		table.ApplyHeartbeat(time.Second, "mine", heartbeat(2, Ready))
@@ -95,7 +95,7 @@
 		Expect(table.FlushRenewals(time.Second)).To(Equal([]Renewal{{ID: "mine", Sequence: 2}}))
 	})
 
-	It("reaches the same session whatever the order of merges", func() {
+	It("merges records to the same session in any order", func() {
 		records := []Record{
 			{Endpoint: Endpoint{ID: "i", Heartbeat: heartbeat(1, Ready), State: Ready}},
 			{Endpoint: Endpoint{ID: "i", Heartbeat: heartbeat(3, Draining), State: Draining}},
@@ -118,7 +118,7 @@
 		Expect(results[0].Overlay.Version).To(Equal(uint64(7)))
 	})
 
-	It("deletes a departed session after its retention", func() {
+	It("deletes a departed session after the retention time", func() {
 		table.ApplyHeartbeat(0, "i", heartbeat(1, Ready))
 		table.Deregister(0, "i")
 		table.ExpireTTLs(retention + 1)
@@ -131,7 +131,7 @@
 	endpoint := func(overlay ...ModelOverride) *Endpoint {
 		return &Endpoint{Heartbeat: heartbeat(1, Ready), Overlay: Overlay{Holdings: overlay}}
 	}
-	DescribeTable("follows the heartbeat, with overrides by orders taking precedence",
+	DescribeTable("is determined by the heartbeat and by overrides, which take precedence",
 		func(e *Endpoint, model, adapter string, expected bool) {
 			Expect(e.HasLoaded(model, adapter)).To(Equal(expected))
 		},
@@ -147,7 +147,7 @@
 })
 
 var _ = Describe("anti-entropy between two replicas", func() {
-	// compare returns the IDs that two replicas find to differ, and the number of digest messages that took.
+	// compare returns the IDs in the leaf ranges in which two replicas differ, and the number of digest messages needed.
 	compare := func(a, b *Table) (found map[string]bool, messages int) {
 		found = map[string]bool{}
 		ranges := []Range{{}}
@@ -165,6 +165,7 @@
 		}
 		return found, messages
 	}
+	// fill returns a table with 1000 sessions.
 	fill := func() *Table {
 		t := New(ttl)
 		for i := range 1000 {
@@ -173,9 +174,9 @@
 		return t
 	}
 
-	It("ends after one message when the replicas agree", func() {
+	It("ends after one message if the replicas agree", func() {
 		a, b := fill(), fill()
-		b.ApplyHeartbeat(0, "i-5", heartbeat(9, Ready)) // a renewal is no difference
+		b.ApplyHeartbeat(0, "i-5", heartbeat(9, Ready)) // replicas that differ only by a renewal agree
 		found, messages := compare(a, b)
 		Expect(found).To(BeEmpty())
 		Expect(messages).To(Equal(1))
@@ -192,7 +193,7 @@
 		Expect(len(found)).To(BeNumerically("<", 30))
 	})
 
-	It("accepts no range that is not a node of the tree", func() {
+	It("rejects a range that is not a node of the tree", func() {
 		Expect(Range{Fanout}.Valid()).To(BeFalse())
 		Expect(Range{1, 2, 3}.Valid()).To(BeFalse())
 		Expect(Range{1, 2}.Valid()).To(BeTrue())
