--- a/internal/orders/doc.go
+++ b/internal/orders/doc.go
@@ -1,5 +1,5 @@
 // Package orders is the state machine of the orders that the holder of the placement lease sends to endpoints. An endpoint
-// gets one order at a time, and the next one only after the outcome of the previous one is known.
+// gets one order at a time, and the next one only after the previous one has ended.
 //
 // # Contract
 //
@@ -11,15 +11,15 @@
 //
 // # States of an order
 //
-//	state         waits for                                         next states
-//	publishing    proxies to receive the publication of an unload   preparing
-//	preparing     a recent report of the endpoint                   posting, awaitingIdle
-//	posting       the answer to the order                           executing, uncertain, retrying, awaitingIdle, done
-//	retrying      the end of another order at the endpoint          posting, awaitingIdle
-//	executing     its expected end, then a report unless it is short  done
-//	uncertain     a report that shows whether it was accepted       executing, done
-//	inherited     a report on an order of the previous holder       done
-//	awaitingIdle  a report of an idle endpoint                      done
+//	state         waits for                                            next states
+//	publishing    the proxies to receive the publication of an unload  preparing
+//	preparing     a recent report of the endpoint                      posting, awaitingIdle
+//	posting       the answer to the order                              executing, uncertain, retrying, awaitingIdle, done
+//	retrying      the end of another order at the endpoint             posting, awaitingIdle
+//	executing     its expected end, then a report unless it is short   done
+//	uncertain     a report that shows whether it was accepted          executing, done
+//	inherited     a report on an order of the previous lease holder    done
+//	awaitingIdle  a report of an idle endpoint                         done
 //
 // Done is not a value of phase: the order is removed, and its endpoint may get the next one. An order that was not executed
 // is dropped when it enters awaitingIdle.
@@ -27,7 +27,7 @@
 // # Invariants
 //
 //   - An endpoint has at most one order, and at most one call in flight.
-//   - An order is posted only while this member holds the lease, and only under the fencing token that it was planned under.
+//   - An order is posted only while the process holds the lease, and only under the fencing token that it was planned under.
 //   - An order with an unknown outcome ends when the endpoint reports to be idle, or when its session ends. It never ends
 //     by a timeout.
 //   - Each load of weights is in the ledger at the time at which it is posted.
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -26,7 +26,10 @@
 )
 
 var engine = &fleetconfig.Engine{
-	Models:        []fleetconfig.Model{{Name: "a", WeightsSizeMB: 60, LoadTimeS: loadSeconds, AdapterSizeMB: 1}, {Name: "b", WeightsSizeMB: 60, LoadTimeS: loadSeconds}},
+	Models: []fleetconfig.Model{
+		{Name: "a", WeightsSizeMB: 60, LoadTimeS: loadSeconds, AdapterSizeMB: 1},
+		{Name: "b", WeightsSizeMB: 60, LoadTimeS: loadSeconds},
+	},
 	WeightsSizeMB: 100, AdapterSlots: 2, LoadsPerS: 1,
 }
 
--- a/internal/placement/demand_patterns_test.go
+++ b/internal/placement/demand_patterns_test.go
@@ -45,7 +45,9 @@
 			if step%2 == 0 {
 				demand.Report(at, "proxy", []Sample{{Key: key(fmt.Sprint("m", step/2), ""), Requests: 1, Unplaced: 1}})
 			}
-			for _, order := range Plan(at, Input{Service: "s", Engine: largeEngine, Endpoints: fleet, Demand: demand, MaxLoads: ledger.Available(at, loadsPerSecond)}) {
+			for _, order := range Plan(at, Input{
+				Service: "s", Engine: largeEngine, Endpoints: fleet, Demand: demand, MaxLoads: ledger.Available(at, loadsPerSecond),
+			}) {
 				for i := range fleet {
 					if fleet[i].ID != order.Endpoint {
 						continue
--- a/internal/placement/plan_test.go
+++ b/internal/placement/plan_test.go
@@ -157,7 +157,9 @@
 	demand, random := NewDemand(), rand.New(rand.NewPCG(1, 2))
 	var all []Endpoint
 	for i := range models {
-		large.Models = append(large.Models, fleetconfig.Model{Name: fmt.Sprint("m", i), WeightsSizeMB: 70, AdapterSizeMB: 0.1, Adapters: adapters / models})
+		large.Models = append(large.Models, fleetconfig.Model{
+			Name: fmt.Sprint("m", i), WeightsSizeMB: 70, AdapterSizeMB: 0.1, Adapters: adapters / models,
+		})
 	}
 	for i := range endpoints {
 		e := endpointWith(fmt.Sprint("e", i))
@@ -169,7 +171,8 @@
 	for i := range proxies {
 		var samples []Sample
 		for range 20 {
-			samples = append(samples, Sample{Key: key(fmt.Sprint("m", random.IntN(models)), fmt.Sprint("a", random.IntN(adapters/models))), Requests: 1, InFlight: 1})
+			adapterKey := key(fmt.Sprint("m", random.IntN(models)), fmt.Sprint("a", random.IntN(adapters/models)))
+			samples = append(samples, Sample{Key: adapterKey, Requests: 1, InFlight: 1})
 		}
 		demand.Report(now, fmt.Sprint("p", i), samples)
 	}
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -42,7 +42,9 @@
 
 	DescribeTable("split their requests by weight",
 		func(chance float64, expected string) {
-			route := &fleetconfig.Route{TrafficSplit: []fleetconfig.WeightedService{{Service: "s0", Weight: 0}, {Service: "s1", Weight: 90}, {Service: "s2", Weight: 10}}}
+			route := &fleetconfig.Route{TrafficSplit: []fleetconfig.WeightedService{
+				{Service: "s0", Weight: 0}, {Service: "s1", Weight: 90}, {Service: "s2", Weight: 10},
+			}}
 			Expect(SelectService(route, chance)).To(Equal(expected))
 		},
 		Entry("none to a weight of 0", 0.0, "s1"),
--- a/internal/routing/selection_golden_test.go
+++ b/internal/routing/selection_golden_test.go
@@ -117,7 +117,10 @@
 // endCalls ends random calls until a random number of them is left in flight.
 func (w *workload) endCalls() {
 	const maxInFlight = 25
-	results := []CallResult{Succeeded, Succeeded, Succeeded, Succeeded, Succeeded, Failed, RejectedFull, RejectedNotFound, Unreachable, ConnectionLost, TimedOut, Canceled}
+	results := []CallResult{
+		Succeeded, Succeeded, Succeeded, Succeeded, Succeeded, Failed, RejectedFull, RejectedNotFound, Unreachable, ConnectionLost,
+		TimedOut, Canceled,
+	}
 	for len(w.inFlight) > w.script.IntN(maxInFlight) {
 		i := w.script.IntN(len(w.inFlight))
 		ended := w.inFlight[i]
