--- a/internal/orders/timing.go
+++ b/internal/orders/timing.go
@@ -19,11 +19,11 @@
 	// minPollInterval and maxPollInterval bound the time between two report calls for an order that takes longer than expected.
 	minPollInterval = 100 * time.Millisecond
 	maxPollInterval = 500 * time.Millisecond
-	// pollIntervalFraction is the divisor of the overdue time that gives the time until the next report call.
-	pollIntervalFraction = 8
+	// pollIntervalDivisor is the divisor of the overdue time that gives the time until the next report call.
+	pollIntervalDivisor = 8
 )
 
 // pollInterval returns the time until the next report call for an order that is overdue for the given time.
 func pollInterval(overdue time.Duration) time.Duration {
-	return min(max(overdue/pollIntervalFraction, minPollInterval), maxPollInterval)
+	return min(max(overdue/pollIntervalDivisor, minPollInterval), maxPollInterval)
 }
