--- a/internal/placement/demand_test.go
+++ b/internal/placement/demand_test.go
@@ -6,15 +6,15 @@
 )
 
 var _ = Describe("demand", func() {
-	It("counts an adapter's requests for its model too, but not as unplaced ones", func() {
+	It("counts an adapter's requests for its model too, but not its unplaced ones", func() {
 		demand := NewDemand()
 		demand.Report(now, "p1", []Sample{{Key: key("hot", "a1"), Requests: 3, Unplaced: 1, InFlight: 2, Waiting: 1}})
 		demand.Report(now, "p2", []Sample{{Key: key("hot", ""), Requests: 3, InFlight: 4, Waiting: 4}})
-		need := demand.Estimate(now, key("hot", ""))
-		Expect(need.InFlight).To(Equal(6))
-		Expect(need.Waiting).To(Equal(5))
-		Expect(need.Unplaced).To(BeFalse())
-		Expect(need.Rate).To(BeNumerically("~", 2, 0.01))
+		estimate := demand.Estimate(now, key("hot", ""))
+		Expect(estimate.InFlight).To(Equal(6))
+		Expect(estimate.Waiting).To(Equal(5))
+		Expect(estimate.Unplaced).To(BeFalse())
+		Expect(estimate.Rate).To(BeNumerically("~", 2, 0.01))
 		Expect(demand.Estimate(now, key("hot", "a1")).Unplaced).To(BeTrue())
 	})
 
--- a/internal/sessions/session_ttl.go
+++ b/internal/sessions/session_ttl.go
@@ -2,46 +2,49 @@
 
 import "time"
 
-// retention is how long a session is kept after the last heartbeat. It is longer than any late heartbeat or peer's record
-// is on its way: a departed endpoint must not come back by one.
+// retention is how long a session is kept after the last heartbeat. It must exceed the delay of any heartbeat or record of a
+// peer, so that a delayed one does not add a departed endpoint again.
 const retention = 60 * time.Second
 
-// ExpireTTLs expires the sessions whose TTL has run out by now, and deletes those past their retention. It is called
-// often enough for the caller's bounds; peers are not notified, as each replica judges by its own clock.
+// ExpireTTLs expires the sessions whose TTL has elapsed, and deletes the sessions whose retention has elapsed. The caller must
+// call it regularly, as often as the accuracy of the expiry requires. Peers are not notified, since each replica determines the
+// expiry by its own clock.
 func (t *Table) ExpireTTLs(now time.Duration) {
-	for id, known := range t.rows {
-		sinceLastSeen := now - known.lastSeen
+	for id, stored := range t.rows {
+		sinceLastSeen := now - stored.lastSeen
 		switch {
 		case sinceLastSeen > retention:
 			delete(t.rows, id)
-		case sinceLastSeen > t.ttl && known.endpoint.State == Ready:
-			t.setState(known, Expired)
-		case sinceLastSeen > 2*t.ttl && known.endpoint.State == Draining:
-			// It ended without deregistering. A draining endpoint takes no new requests either way, so it gets a second TTL.
-			t.setState(known, Departed)
+		case sinceLastSeen > t.ttl && stored.endpoint.State == Ready:
+			t.setState(stored, Expired)
+		case sinceLastSeen > 2*t.ttl && stored.endpoint.State == Draining:
+			// The endpoint has ended without deregistering. It can be given twice the TTL, since a draining endpoint gets no new
+			// requests anyway.
+			t.setState(stored, Departed)
 		}
 	}
 }
 
-// Renew extends the TTL of a session that a peer has received a heartbeat of, age ago. It reports false for a session that
-// is not in the table, whose record has then to be asked for.
+// Renew applies a renewal of a peer: it extends the TTL of a session whose heartbeat the peer has received the given age ago.
+// It returns false if the session is not in the table, so that the caller must request its record.
 func (t *Table) Renew(now time.Duration, id string, sequence uint64, age time.Duration) bool {
-	known := t.rows[id]
-	if known == nil {
+	stored := t.rows[id]
+	if stored == nil {
 		return false
 	}
-	known.lastSeen = max(known.lastSeen, now-age)
-	if sequence > known.endpoint.Heartbeat.Sequence {
-		known.endpoint.Heartbeat.Sequence = sequence
+	stored.lastSeen = max(stored.lastSeen, now-age)
+	if sequence > stored.endpoint.Heartbeat.Sequence {
+		stored.endpoint.Heartbeat.Sequence = sequence
 	}
-	if known.endpoint.State == Expired && now-known.lastSeen < t.ttl {
-		t.setState(known, Ready)
+	if stored.endpoint.State == Expired && now-stored.lastSeen < t.ttl {
+		t.setState(stored, Ready)
 	}
 	return true
 }
 
-func (t *Table) setState(known *row, state State) {
-	next := known.endpoint
+// setState changes the state of a session.
+func (t *Table) setState(stored *row, state State) {
+	next := stored.endpoint
 	next.State = state
-	t.update(known, next)
+	t.update(stored, next)
 }
