--- a/internal/chain/chain_test.go
+++ b/internal/chain/chain_test.go
@@ -1,6 +1,7 @@
 package chain
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
@@ -16,7 +17,7 @@
 // countOperations is the Apply function of these tests: the value is the number of operations.
 func countOperations(value any, _ []byte) any { return value.(int) + 1 }
 
-// chainOf returns the members of a first view, head first. Each has its name as identifier and address.
+// chainOf returns the members of a first view, head first. The identifier and the address of each member are its name.
 func chainOf(names ...string) []*Node {
 	view := View{Number: 1, Token: 1}
 	for _, name := range names {
@@ -37,7 +38,7 @@
 	return nodes
 }
 
-// messageTo returns the message of a type to an address.
+// messageTo returns the output's message of type T to an address. It fails the test if there is none.
 func messageTo[T any](out Output, to string) T {
 	GinkgoHelper()
 	for _, envelope := range out.Messages {
@@ -45,7 +46,7 @@
 			return message
 		}
 	}
-	Fail("no such message to " + to)
+	Fail(fmt.Sprintf("the output has no %T for %s", *new(T), to))
 	panic("unreachable")
 }
 
@@ -59,14 +60,14 @@
 		out = tail.Receive(0, messageTo[Append](out, "c"))
 		Expect(out.Records).To(HaveLen(1))
 		Expect(tail.LatestState().Value).To(Equal(1), "the tail has the entry")
-		Expect(tail.CommittedState().Value).To(Equal(0), "the record is not persisted yet: a read must not show it")
+		Expect(tail.CommittedState().Value).To(Equal(0), "the record is not persisted yet, so a read must not return it")
 		tail.Receive(0, messageTo[Committed](out, "c")) // sent once the record is persisted
 		Expect(tail.CommittedState().Value).To(Equal(1))
 	})
 })
 
 var _ = Describe("the view", func() {
-	It("lists each former holder once, the latest first, up to a bound", func() {
+	It("lists each former holder once, the most recent first, up to a bound", func() {
 		view := View{Voters: []Member{{ID: "a/1", Address: "a"}, {ID: "c/1", Address: "c"}}, Holder: "a/1", Token: 4}
 		view.transferLease("b/1", "a")
 		Expect(view.FormerHolders).To(Equal([]string{"a"}))
@@ -75,7 +76,7 @@
 		view.transferLease("d/1", "c")
 		Expect(view.FormerHolders).To(Equal([]string{"c", "b", "a"}))
 		view.transferLease("e/1", "d")
-		Expect(view.FormerHolders).To(Equal([]string{"d", "c", "b", "a"}), "in a core of five all former holders are listed")
+		Expect(view.FormerHolders).To(Equal([]string{"d", "c", "b", "a"}), "with five members, all former holders are listed")
 		Expect(view.Token).To(Equal(uint64(8)))
 		view.transferLease("c/1", "e")
 		Expect(view.isFormerHolder(view.Holder)).To(BeTrue(), "c has held the lease before")
@@ -95,10 +96,10 @@
 })
 
 var _ = Describe("a pong", func() {
-	It("that answers a ping of an earlier incarnation does not confirm the view", func() {
+	It("to an earlier incarnation does not confirm the view", func() {
 		earlier := chainOf("a", "b", "c")[0]
 		later := chainOf("a", "b", "c")[0]
-		later.lastNonce = 1 << 32 // as the process draws it
+		later.lastNonce = 1 << 32 // a process chooses a random value
 		pong := func(node *Node) Pong {
 			ping := node.PingVoters(5 * time.Second).ImmediateMessages[0].Message.(Ping)
 			return Pong{From: Member{ID: "b", Address: "b"}, Nonce: ping.Nonce, Status: Status{View: 1, Healthy: true}}
@@ -113,7 +114,7 @@
 })
 
 var _ = Describe("a restarted member", func() {
-	It("pings the members that ping its address, if all of its seeds have departed", func() {
+	It("pings the members that ping it if all of its seeds are gone", func() {
 		config := chainOf("a")[0].config
 		config.Self, config.Seeds = Member{ID: "c/1", Address: "c"}, []string{"gone"}
 		joiner, _ := NewJoiner(config, 0, 0)
@@ -127,10 +128,10 @@
 		Expect(pinged(0)).To(ConsistOf("gone"))
 		joiner.Receive(time.Second, Ping{From: Member{ID: "a", Address: "a"}, Status: Status{View: 3}})
 		Expect(pinged(time.Second)).To(ConsistOf("gone", "a"))
-		Expect(pinged(time.Minute)).To(ConsistOf("gone"), "its pings have ended")
+		Expect(pinged(time.Minute)).To(ConsistOf("gone"), "the other member has stopped pinging")
 	})
 
-	It("applies each entry once, if a snapshot was persisted in place of the first of several records", func() {
+	It("applies each entry once if a snapshot was persisted in place of the first of several records", func() {
 		nodes := chainOf("a", "b")
 		_, out, _ := nodes[0].Propose([]byte("x"))
 		first := messageTo[Append](out, "b")
--- a/internal/chain/example_test.go
+++ b/internal/chain/example_test.go
@@ -7,14 +7,14 @@
 	"dykering/internal/chain"
 )
 
-// process is a minimal driver of a node: it persists records and then sends messages, here by direct calls.
+// process is a minimal driver of a node. It persists records and then sends messages, here by direct calls.
 type process struct {
 	node    *chain.Node
 	records []any
 	others  map[string]*process
 }
 
-// handle does what an output asks for, in the order that it asks for.
+// handle sends the messages and persists the records of an output, in the required order.
 func (p *process) handle(now time.Duration, out chain.Output) {
 	p.send(now, out.ImmediateMessages)
 	p.records = append(p.records, out.Records...) // a real process syncs them to its disk here
@@ -28,7 +28,7 @@
 	}
 }
 
-// Three members replicate a counter. A write goes to the head and is answered once the tail has persisted it.
+// Three members replicate a counter. The client sends a write to the head. The head answers it once the tail has persisted it.
 func Example() {
 	view := chain.View{Number: 1, Token: 1, Holder: "a"}
 	for _, address := range []string{"a", "b", "c"} {
--- a/internal/chain/late_messages_test.go
+++ b/internal/chain/late_messages_test.go
@@ -8,7 +8,7 @@
 )
 
 var _ = Describe("a late message", func() {
-	It("that brings a later state of the next view does not pass off its entry for one of the replaced head", func() {
+	It("with a later state of the next view does not acknowledge an entry of the replaced head", func() {
 		nodes := chainOf("a", "b", "c")
 		replaced, head := nodes[0], nodes[1]
 		confirm(replaced, 0)
@@ -19,7 +19,7 @@
 			Respond: func(err error) { answers <- err },
 		})
 
-		// The next view begins without the entry, and the new head commits another one under its sequence number.
+		// The next view starts without the entry, and the new head commits another entry with the same sequence number.
 		next := head.View()
 		next.Number, next.Chain = 2, []MemberID{"b", "c"}
 		head.Receive(0, Install{Proposal: Proposal{View: next, Base: State{Value: 0}}})
@@ -38,20 +38,20 @@
 		Expect(answers).To(Receive(MatchError(ErrNotConfirmed)))
 	})
 
-	It("that says that a voter is not sealed does not count for a ping which it has answered since as a sealed one", func() {
+	It("from a voter before it was sealed does not confirm the view at the time of a later ping", func() {
 		head := chainOf("a", "b", "c")[0]
-		pings := func(now time.Duration) uint64 {
+		ping := func(now time.Duration) (nonce uint64) {
 			return head.PingVoters(now).ImmediateMessages[0].Message.(Ping).Nonce
 		}
 		voter := head.View().Voters[1]
-		earlier := pings(time.Second)
-		later := pings(2 * time.Second)
+		earlier := ping(time.Second)
+		later := ping(2 * time.Second)
 		head.Receive(2*time.Second, Pong{From: voter, Nonce: later, Status: Status{View: 1, Sealed: true, Healthy: true}})
 		head.Receive(2*time.Second, Pong{From: voter, Nonce: earlier, Status: Status{View: 1, Healthy: true}})
 		Expect(head.QuorumConfirmedAt(2 * time.Second)).To(BeNumerically("<", time.Second))
 	})
 
-	It("that answers an earlier ping does not unseal a member which a later answer has reported as sealed", func() {
+	It("to an earlier ping does not overwrite the sealed status that a later answer has reported", func() {
 		nodes := chainOf("a", "b", "c")
 		head := nodes[0]
 		ping := func(now time.Duration) (nonce uint64) {
@@ -65,6 +65,6 @@
 			head.Receive(3*time.Millisecond, Pong{From: member, Nonce: earlier, Status: Status{View: 1}})
 		}
 		Expect(head.QuorumConfirmedAt(3*time.Millisecond)).To(BeNumerically("<", 2*time.Millisecond),
-			"at that time both others were sealed already")
+			"both other members were sealed at that time")
 	})
 })
--- a/internal/chain/log.go
+++ b/internal/chain/log.go
@@ -1,10 +1,10 @@
 package chain
 
-// State is the replicated value after a number of operations. Its field names are fixed.
+// State is the replicated value after Seq operations. Its field names are fixed.
 type State struct {
-	// Seq is the number of operations applied since the system first started.
+	// Seq is the number of operations that were applied since the first start of the system.
 	Seq uint64
-	// Value is shared between states and must not be modified.
+	// Value is the replicated value. States share it, so it must not be modified.
 	Value any
 }
 
@@ -15,14 +15,14 @@
 	Operation []byte
 }
 
-// logEntry is an entry of the log with the state after it. The state of each entry is kept because the tail may show only
-// what is committed, while the head decides on writes by the latest state.
+// logEntry is an entry of the log with the state after it. The log keeps the state after each entry because reads return only
+// committed state, while the head evaluates writes against the latest state.
 type logEntry struct {
 	entry      Entry
 	stateAfter State
 }
 
-// appendEntry applies an entry and appends it to the log.
+// appendEntry applies an entry to the latest state and appends the entry to the log.
 func (n *Node) appendEntry(entry Entry) {
 	value := n.config.Apply(n.state.Value, entry.Operation)
 	n.state = State{Seq: entry.Seq, Value: value}
@@ -40,7 +40,7 @@
 	return entries
 }
 
-// compact replaces the committed prefix of the log by the state after it.
+// compact replaces the committed prefix of the log with the state after that prefix.
 func (n *Node) compact() {
 	committed := 0
 	for committed < len(n.log) && n.log[committed].entry.Seq <= n.committed {
@@ -50,11 +50,11 @@
 	n.log = append([]logEntry(nil), n.log[committed:]...)
 }
 
-// LatestState returns the state after all entries of this member, committed or not.
+// LatestState returns the state after all entries of this member, including uncommitted ones.
 func (n *Node) LatestState() State { return n.state }
 
-// LatestOrAcceptedState returns the latest state that this member has a replica of: LatestState, or the state of a proposal
-// that it has accepted for the next view, if that is later.
+// LatestOrAcceptedState returns the latest state that this member stores. It is LatestState or, if that is later, the state
+// of the proposal that this member has accepted for the next view.
 func (n *Node) LatestOrAcceptedState() State {
 	if n.accepted != nil && n.accepted.Proposal.Base.Seq > n.state.Seq {
 		return n.accepted.Proposal.Base
@@ -62,7 +62,7 @@
 	return n.state
 }
 
-// CommittedState returns the latest state of this member that it knows to be committed.
+// CommittedState returns the latest state that this member knows to be committed.
 func (n *Node) CommittedState() State {
 	for i := len(n.log) - 1; i >= 0; i-- {
 		if n.log[i].entry.Seq <= n.committed {
@@ -72,10 +72,11 @@
 	return n.base
 }
 
-// hasCommitted reports whether the entry that this member appended as the head of a view, with a sequence number, is known to
-// be committed. Every log of that view is a prefix of the head's, so that the next view has the entry if its first state is
-// late enough. A later state of the next view says nothing, as it may have another entry under that number. Of later views it
-// is not known, as this member may have missed one.
+// hasCommitted reports whether an entry is known to be committed. This member appended the entry with the given sequence
+// number as the head of the given view. Every log of that view is a prefix of the head's log, so the next view contains the
+// entry if its initial state has at least that sequence number. A later state of the next view proves nothing, as the next
+// view may have appended another entry with that number. If the current view is neither the given view nor the next one, this
+// member may have missed a view, and the function returns false.
 func (n *Node) hasCommitted(view, seq uint64) bool {
 	switch n.view.Number {
 	case view:
@@ -89,6 +90,6 @@
 // CommittedSeq returns the sequence number up to which this member knows the log to be committed.
 func (n *Node) CommittedSeq() uint64 { return n.committed }
 
-// IsCommitKnown reports whether this incarnation has learnt how far the log is committed, from the tail or from a decided
-// view. A restarted member that has not may know less to be committed than it has reported before.
+// IsCommitKnown reports whether this incarnation has learned the commit position from the tail or from a decided view. Until
+// then, the committed sequence number of a restarted member may be lower than the one that it reported before the restart.
 func (n *Node) IsCommitKnown() bool { return n.commitKnown }
--- a/internal/chain/membership.go
+++ b/internal/chain/membership.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// absenceTimeouts times Config.SuspectTimeout is how long a surplus voter must be unreachable before it is removed. It is
-// much longer than a restart: a voter that returns with its disk is worth more than a smaller majority.
+// absenceTimeouts is how long a surplus voter must be unreachable before it is removed, in multiples of
+// Config.SuspectTimeout. It is much longer than a restart, as keeping a voter that returns with its disk is better than a
+// smaller majority.
 const absenceTimeouts = 20
 
 // minVoters returns the number of voters with which a majority survives MaxFailures failures.
 func (n *Node) minVoters() int { return 2*n.config.MaxFailures + 1 }
 
-// desiredView returns the view that this member would propose at present, which may have the members of the present one. It
-// is false if this member reaches no majority of the voters, or if no chain with a majority of them is possible.
+// desiredView returns the view that this member would propose now, which may have the same members as the current view. It
+// returns false if this member reaches no majority of the voters, or if no chain with a majority of the voters is possible.
 func (n *Node) desiredView(now time.Duration) (desired View, ok bool) {
 	if n.reachableVoters(now) < n.view.Majority() {
 		return View{}, false
@@ -27,7 +28,7 @@
 		FormerHolders: n.view.FormerHolders,
 	}
 	desired.Chain = n.desiredChain(now, desired)
-	// A shorter chain could be missed by a majority of promises, and so could what it commits.
+	// With a shorter chain, a majority of promises could include no member of the chain, and miss committed entries.
 	if len(desired.Chain) < desired.Majority() {
 		return View{}, false
 	}
@@ -38,8 +39,9 @@
 	return desired, true
 }
 
-// desiredHolder returns the lease holder of a desired view: the present one, unless it is out of the chain or leaves, as a
-// leaving member does not act. If every member of the chain leaves, the present holder or else the head remains.
+// desiredHolder returns the lease holder of a desired view. It prefers the current holder, then the members of the chain in
+// their order. It skips members that are not in the chain, and leaving members, as a leaving member does not act as the holder.
+// If every member of the chain is leaving, the holder is the current one if it is in the chain, and the head otherwise.
 func (n *Node) desiredHolder(desired *View) MemberID {
 	holder := desired.Head()
 	if desired.Position(desired.Holder) >= 0 {
@@ -53,8 +55,8 @@
 	return holder
 }
 
-// desiredChain returns the eligible candidates. Where these are no majority, it retains as few leaving members as are needed
-// for one: the core must not lose its chain while a member that is asked to leave still runs.
+// desiredChain returns the eligible candidates. If they are not a majority, it also retains as many leaving members as the
+// majority needs: the control plane must not lose its chain while a member that was asked to leave still runs.
 func (n *Node) desiredChain(now time.Duration, desired View) []MemberID {
 	candidates := n.chainCandidates(&desired)
 	vacancies := desired.Majority()
@@ -76,8 +78,8 @@
 	return chain
 }
 
-// chainCandidates returns the voters of the desired view that may be in its chain: the members of the present chain in their
-// order, followed by the others that are up to date.
+// chainCandidates returns the voters of the desired view that may be in its chain: the members of the current chain in their
+// order, followed by the other voters that are up to date.
 func (n *Node) chainCandidates(desired *View) []Member {
 	var candidates []Member
 	for _, id := range n.view.Chain {
@@ -93,8 +95,9 @@
 	return candidates
 }
 
-// isUpToDate reports whether a member has the view in force, or joins with the next one. A voter with an older view is first
-// sent the present one: as the Install has the complete state, the chain would wait for its transfer.
+// isUpToDate reports whether a member has the current view, joins with the next view, or is this member. A voter with an older
+// view must receive the current view before it enters the chain. Otherwise the chain would wait for the transfer of the
+// complete state, which the Install message carries.
 func (n *Node) isUpToDate(member Member) bool {
 	if _, voter := n.view.Voter(member.ID); !voter || member.ID == n.self.ID {
 		return true
@@ -103,15 +106,15 @@
 	return p != nil && p.status.View == n.view.Number
 }
 
-// desiredVoters returns the present voters with joining members added, each in place of one that leaves or cannot be reached.
-// Surplus voters are removed, since a voter that has left for good makes the majority larger than it need be: those that
-// leave at once, those that cannot be reached only after absenceTimeouts, as they may return with their disk and the
-// majority bears MaxFailures failures with them too.
+// desiredVoters returns the current voters plus the joining members. If there are enough voters, each joining member replaces
+// a leaving or unreachable voter. Surplus voters are removed, because a voter that never returns makes the majority larger
+// than necessary. A leaving surplus voter is removed at once. An unreachable one is removed only after absenceTimeouts: it may
+// return with its disk, and the majority survives MaxFailures failures with the surplus voter as well.
 func (n *Node) desiredVoters(now time.Duration) []Member {
 	target := n.minVoters()
 	voters := slices.Clone(n.view.Voters)
 	for _, joiner := range n.joiningMembers(now) {
-		// A member at the address of a voter replaces it: it is the same machine with a new disk.
+		// A joining member at the address of a voter replaces that voter: it is the same machine with a new disk.
 		voters = slices.DeleteFunc(voters, func(voter Member) bool { return voter.Address == joiner.Address })
 		if len(voters) >= target {
 			voters = n.removeVoter(now, voters, 0)
@@ -128,7 +131,7 @@
 	return voters
 }
 
-// joiningMembers returns the members that ask to join, are healthy and answer, by address.
+// joiningMembers returns the healthy and reachable members that ask to join, sorted by address.
 func (n *Node) joiningMembers(now time.Duration) []Member {
 	var joining []Member
 	for _, p := range n.peers {
@@ -140,9 +143,9 @@
 	return joining
 }
 
-// removeVoter removes one voter that leaves or, if there is none, one that has been unreachable for longer than a duration.
-// It returns the voters unchanged if there is neither. A leaving member goes first, so that it can stop without remaining a
-// voter, and an unreachable one that may return keeps its vote.
+// removeVoter removes one leaving voter or, if there is none, one voter that has been unreachable for longer than the given
+// duration. If there is neither, it returns the voters unchanged. A leaving voter is removed first, so that it can stop, and
+// so that an unreachable voter that may return keeps its vote.
 func (n *Node) removeVoter(now time.Duration, voters []Member, absence time.Duration) []Member {
 	i := slices.IndexFunc(voters, n.isLeaving)
 	if i < 0 {
@@ -154,7 +157,7 @@
 	return slices.Delete(voters, i, i+1)
 }
 
-// isLeaving reports whether a voter's last status was that it leaves, even if it has stopped since.
+// isLeaving reports whether a voter's last status said that it is leaving, even if the voter has stopped since then.
 func (n *Node) isLeaving(voter Member) bool {
 	if voter.ID == n.self.ID {
 		return n.leaving
@@ -163,7 +166,7 @@
 	return p != nil && p.status.Leaving
 }
 
-// isAbsent reports whether a voter has been unreachable for longer than a duration and does not ask to join.
+// isAbsent reports whether a voter has been unreachable for longer than the given duration and does not ask to join.
 func (n *Node) isAbsent(now time.Duration, voter Member, duration time.Duration) bool {
 	if p := n.knownPeer(voter); p != nil && p.joining {
 		return false
@@ -171,8 +174,8 @@
 	return !n.isReachable(now, voter) && now-n.lastReachableAt(voter) > duration
 }
 
-// lastReachableAt returns when a voter was last known to be reachable. The time at which this member itself reached no
-// majority counts too: it says nothing about the voter.
+// lastReachableAt returns when a voter was last known to be reachable. A time at which this member itself reached no majority
+// counts as such a time: the failure may have been on this member's side.
 func (n *Node) lastReachableAt(voter Member) time.Duration {
 	reachableAt := n.lastWithoutQuorumAt
 	if p := n.knownPeer(voter); p != nil {
@@ -199,20 +202,24 @@
 	return true
 }
 
-// Leave marks this member as leaving: the others remove it from the chain and, if there are enough voters without it, from
-// the voters. The caller stops the process once CanStop is true. It cannot be revoked.
+// Leave marks this member as leaving. The other members remove it from the chain and, if there are enough voters without it,
+// from the voters. The caller stops the process once CanStop returns true. Leave cannot be revoked.
 func (n *Node) Leave(now time.Duration) {
 	n.leaving = true
 	n.leavingSince = now
 }
 
-// CanStop reports whether a leaving member may stop without reducing the number of failures that the core tolerates. It must
-// be out of the chain and no surplus voter, or the next lost disk could leave no majority. At least minReplicas members of
-// the chain must have its view on disk: until then this member's disk may be one of too few that have the committed state.
-// The voters that it reaches must be a majority without it, or its vote is needed for the next view. If the whole core stops,
-// none of this can come, and its disks keep the state.
+// CanStop reports whether a leaving member may stop without reducing the number of failures that the control plane tolerates.
+// The conditions are:
+//
+//   - The member is not in the chain and is not a surplus voter. Otherwise the next lost disk could leave no majority.
+//   - At least minReplicas members of the chain have this member's view on disk. Until then, too few other disks may have the
+//     committed state.
+//   - The other voters that the member reaches are a majority. Otherwise its vote is needed for the next view.
+//
+// If all voters are leaving, these conditions can never hold. The member may then stop, as the disks keep the state.
 func (n *Node) CanStop(now time.Duration) bool {
-	if n.wholeCoreLeaves() {
+	if n.areAllVotersLeaving() {
 		return true
 	}
 	surplus := n.isVoter() && len(n.view.Voters) > n.minVoters()
@@ -220,9 +227,9 @@
 	return !n.IsInChain() && !surplus && !isVoteNeeded && n.persistedReplicas() >= n.minReplicas()
 }
 
-// wholeCoreLeaves reports whether every voter leaves, by statuses that have arrived since this member leaves itself: an older
-// one may be that of a process that has stopped since and is about to start again.
-func (n *Node) wholeCoreLeaves() bool {
+// areAllVotersLeaving reports whether every voter is leaving. It counts only statuses that have arrived since this member
+// began to leave: an older status may come from a process that has stopped since then and is about to start again.
+func (n *Node) areAllVotersLeaving() bool {
 	for _, voter := range n.view.Voters {
 		if !n.isLeaving(voter) {
 			return false
@@ -234,8 +241,8 @@
 	return len(n.view.Voters) > 0
 }
 
-// TolerableLosses returns how many more voters may be lost before no majority of them is left. Voters that cannot be reached
-// count as lost, and so do those that leave. It is negative if there is no majority without those.
+// TolerableLosses returns how many more voters may be lost before there is no majority. Unreachable and leaving voters count as
+// lost. The result is negative if the other voters are not a majority.
 func (n *Node) TolerableLosses(now time.Duration) int {
 	remaining := 0
 	for _, voter := range n.view.Voters {
@@ -246,7 +253,7 @@
 	return remaining - n.view.Majority()
 }
 
-// persistedReplicas returns the number of other members of the chain that report to have this member's view on disk.
+// persistedReplicas returns the number of other members of the chain that have reported this member's view as persisted.
 func (n *Node) persistedReplicas() int {
 	count := 0
 	for _, id := range n.view.Chain {
--- a/internal/chain/membership_test.go
+++ b/internal/chain/membership_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// answerAs lets another member answer a ping that is sent now.
+// answerAs sends a ping from a node and has another member answer it at once.
 func answerAs(node *Node, id MemberID, now time.Duration, status Status) {
 	ping := node.PingVoters(now).ImmediateMessages[0].Message.(Ping)
 	node.Receive(now, Pong{From: Member{ID: id, Address: string(id)}, Nonce: ping.Nonce, Status: status})
@@ -25,7 +25,7 @@
 		}
 		return ids
 	}
-	// answer lets the members answer pings until a time. Those that are not given are unreachable.
+	// answer advances the time and has the given members answer pings. The other members are unreachable.
 	answer := func(until time.Duration, members ...MemberID) {
 		for at := now; at <= until; at += time.Second / 2 {
 			for _, id := range members {
@@ -44,32 +44,32 @@
 		Expect(desired(now + 5*time.Second)).To(ConsistOf(MemberID("a"), MemberID("b"), MemberID("c"), MemberID("d")))
 	})
 
-	It("become three after one has been unreachable for a long time", func() {
+	It("become three after one has been unreachable for longer than absenceTimeouts", func() {
 		later := now + (absenceTimeouts+2)*node.config.SuspectTimeout
 		answer(later, "b", "c")
 		Expect(desired(later)).To(ConsistOf(MemberID("a"), MemberID("b"), MemberID("c")))
 	})
 
-	It("remain four for a member that had no quorum itself meanwhile", func() {
+	It("remain four if the proposing member itself had no quorum in the meantime", func() {
 		later := now + (absenceTimeouts+2)*node.config.SuspectTimeout
 		answer(later, "b")
 		answer(later, "b", "c")
 		Expect(desired(later)).To(HaveLen(4))
 	})
 
-	It("become three at once without a leaving member, while another one is unreachable", func() {
+	It("become three at once by removing a leaving member, while another member is unreachable", func() {
 		answer(now+3*time.Second, "b", "c")
 		answerAs(node, "c", now+3*time.Second, Status{View: 1, Leaving: true})
 		Expect(desired(now + 3*time.Second)).To(ConsistOf(MemberID("a"), MemberID("b"), MemberID("d")))
 	})
 
-	It("become three without a member whose last status was that it leaves", func() {
+	It("become three by removing an unreachable member whose last status said that it is leaving", func() {
 		answerAs(node, "c", now, Status{View: 1, Leaving: true})
 		answer(now+3*time.Second, "b", "d")
 		Expect(desired(now + 3*time.Second)).To(ConsistOf(MemberID("a"), MemberID("b"), MemberID("d")))
 	})
 
-	It("replace an unreachable member by a joining one at once", func() {
+	It("replace an unreachable member with a joining one at once", func() {
 		answer(now+3*time.Second, "b", "c")
 		node.Receive(now+3*time.Second, Ping{From: Member{ID: "e", Address: "e"}, Status: Status{Healthy: true}})
 		answerAs(node, "e", now+3*time.Second, Status{Healthy: true})
@@ -84,7 +84,7 @@
 		node = chainOf("a", "b", "c")[2]
 		node.Leave(0)
 	})
-	// install installs the view whose chain does not include the leaving member.
+	// install installs a view whose chain does not include the leaving member.
 	install := func(voters ...MemberID) {
 		view := View{Number: 2, Chain: []MemberID{"a", "b"}}
 		for _, id := range voters {
@@ -122,7 +122,7 @@
 })
 
 var _ = Describe("an installed view", func() {
-	It("is reported as persisted only after its record is", func() {
+	It("is reported as persisted only after its record is persisted", func() {
 		node := chainOf("a", "b", "c")[1]
 		view := node.View()
 		view.Number = 2
--- a/internal/chain/network_test.go
+++ b/internal/chain/network_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// testNetwork runs members in memory under the control of a test: it decides when records are persisted and which messages
-// arrive. Everything but pings and pongs is written to the trace.
+// testNetwork runs members in memory under the control of a test. The test decides when records are persisted and which
+// messages arrive. The trace records all events except pings and pongs.
 type testNetwork struct {
 	now      time.Duration
 	members  []*testMember // in the order in which they were added
@@ -85,10 +85,10 @@
 			return m
 		}
 	}
-	panic("no member " + name)
+	panic("unknown member " + name)
 }
 
-// receiver is the running member at an address; nil for none.
+// receiver returns the running member at an address, or nil if there is none.
 func (t *testNetwork) receiver(address string) *testMember {
 	for _, m := range t.members {
 		if m.address == address && m.node != nil {
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// crash ends a process: what it has not persisted is lost.
+// crash ends a process. Its unpersisted records and unsent messages are lost.
 func (t *testNetwork) crash(m *testMember) {
 	m.node, m.requests, m.unsynced = nil, nil, nil
 }
@@ -108,7 +108,7 @@
 	m.requests = NewPendingRequests(m.node, testRequestTimeout)
 }
 
-// process takes the output of an input to a member.
+// process handles the output that a member has returned.
 func (t *testNetwork) process(m *testMember, out Output) {
 	for _, envelope := range out.ImmediateMessages {
 		t.send(m, envelope)
@@ -132,7 +132,7 @@
 	t.inFlight = append(t.inFlight, testMessage{from: m.name, envelope: envelope})
 }
 
-// persist syncs a member's records, which releases its messages.
+// persist writes a member's pending records to its disk and then sends its pending messages.
 func (t *testNetwork) persist(m *testMember) {
 	outputs := m.unsynced
 	m.unsynced = nil
@@ -144,7 +144,7 @@
 	}
 }
 
-// deliver delivers the messages that are in flight and match. Those to a member that is not running are lost.
+// deliver delivers the matching messages in flight. Messages to a member that is not running are lost.
 func (t *testNetwork) deliver(matches func(testMessage) bool) {
 	messages := t.take(matches)
 	for _, message := range messages {
@@ -154,7 +154,7 @@
 	}
 }
 
-// take removes and returns the messages in flight that match.
+// take removes and returns the matching messages in flight.
 func (t *testNetwork) take(matches func(testMessage) bool) []testMessage {
 	var taken []testMessage
 	t.inFlight = slices.DeleteFunc(t.inFlight, func(message testMessage) bool {
@@ -169,7 +169,7 @@
 
 func anyMessage(testMessage) bool { return true }
 
-// stabilize persists and delivers until nothing is left to do.
+// stabilize persists records and delivers messages until there are none left.
 func (t *testNetwork) stabilize() {
 	for {
 		for _, m := range t.members {
@@ -268,7 +268,7 @@
 	panic(fmt.Sprintf("unexpected record %T", record))
 }
 
-// describeMessage is empty for messages that are left out of the trace.
+// describeMessage returns the trace's description of a message, or "" for a message that the trace omits.
 func describeMessage(message any) string {
 	number := func(n ProposalNumber) string { return fmt.Sprintf("%d.%s", n.Counter, n.Proposer) }
 	switch m := message.(type) {
@@ -292,9 +292,9 @@
 	return ""
 }
 
-var errUsage = errors.New("wrong arguments")
+var errUsage = errors.New("unknown command or wrong number of arguments")
 
-// execute runs one command of a transcript and returns its trace. The commands are described at TestInteractions.
+// execute runs one command of a transcript and returns its trace. The comment of TestInteractions lists the commands.
 func (t *testNetwork) execute(command string) (string, error) {
 	t.trace.Reset()
 	words := strings.Fields(command)
@@ -332,7 +332,7 @@
 	return t.trace.String(), nil
 }
 
-// runStep is the time between two ticks of the command run.
+// runStep is the time between two ticks of the "run" command.
 const runStep = 100 * time.Millisecond
 
 func (t *testNetwork) executeTimed(name, argument string) (string, error) {
@@ -351,7 +351,8 @@
 	return t.trace.String(), nil
 }
 
-// between matches the messages from the first to the second of the names; of those that are missing, all.
+// between returns a filter for messages by sender (the first argument) and receiver (the second one). A missing argument
+// matches every member.
 func between(args []string) func(testMessage) bool {
 	return func(message testMessage) bool {
 		return (len(args) < 1 || message.from == args[0]) && (len(args) < 2 || message.envelope.To == args[1])
--- a/internal/chain/node.go
+++ b/internal/chain/node.go
@@ -6,17 +6,17 @@
 
 // Node is the state machine of one member. See the package comment for its contract.
 //
-// The states of a member follow from its fields:
+// The state of a member follows from its fields:
 //
-//	state      condition                       writes  next states
-//	joining    view number 0                   none    follower or in chain, by Install
-//	follower   voter outside of the chain      none    in chain, sealed, removed
-//	in chain   voter in the chain              taken   follower, sealed, removed
-//	sealed     voter, promisedNumber not zero  none    follower, in chain, removed; by Install only
-//	removed    not a voter of its view         none    follower or in chain, if it is healthy and asks to join
+//	state      condition                       writes    next states
+//	joining    view number 0                   rejected  follower or in chain, by Install
+//	follower   voter outside of the chain      rejected  in chain, sealed, removed
+//	in chain   voter in the chain              accepted  follower, sealed, removed
+//	sealed     voter, promisedNumber not zero  rejected  follower, in chain, removed; by Install only
+//	removed    not a voter of its view         rejected  follower or in chain, if it is healthy and asks to join
 //
-// A sealed member stays sealed until a next view is installed, also across restarts: nothing revokes a promise. A removed
-// member receives the view that leaves it out from the proposer, and stops if it is leaving (CanStop).
+// A sealed member stays sealed until it installs a later view, even across restarts, because a promise is never revoked. The
+// proposer sends the view to the members that the view removes. A removed member stops if it is leaving (see CanStop).
 type Node struct {
 	config Config
 	self   Member
@@ -24,31 +24,31 @@
 	// Replication.
 
 	view View
-	// viewBaseSeq is the sequence number of the state that the view started from; 0 if this incarnation does not know it, as
-	// it has not installed the view or was sent it with a later state.
+	// viewBaseSeq is the sequence number of the state that the view started from. It is 0 if this incarnation does not know
+	// it: the member was restored from disk, or it received the view with a later state.
 	viewBaseSeq uint64
-	// base is the state before log: the one that the view started from, or a later committed one.
+	// base is the state before the first entry of log: the state that the view started from, or a later committed state.
 	base State
 	log  []logEntry
 	// state is base with all entries of log applied.
 	state State
 	// committed is the highest sequence number known to be committed.
 	committed uint64
-	// commitKnown is true once this incarnation has learnt the commit position (see IsCommitKnown).
+	// commitKnown is true once this incarnation has learned the commit position (see IsCommitKnown).
 	commitKnown  bool
 	lastResendAt time.Duration
 
-	// Agreement on the next view. The first two are the acceptor's persistent state.
+	// Agreement on the next view. promisedNumber and accepted are the persistent state of the Paxos acceptor.
 
-	// promisedNumber is the highest proposal number promised for the next view; zero for none.
+	// promisedNumber is the highest proposal number promised for the next view, or zero if there is none.
 	promisedNumber ProposalNumber
-	// accepted is the accepted proposal for the next view; nil for none.
+	// accepted is the accepted proposal for the next view, or nil if there is none.
 	accepted *Accepted
-	// proposer is the proposal that this member makes at present; nil for none.
+	// proposer is the state of this member's ongoing proposal, or nil if there is none.
 	proposer *proposer
-	// sealedAt is when this member made its first promise in this view.
+	// sealedAt is when this member made its first promise in the current view.
 	sealedAt time.Duration
-	// reconfigureSince is since when this member wants another view than the present one; 0 if it does not.
+	// reconfigureSince is when this member first wanted to replace the current view. It is 0 if the view should stay.
 	reconfigureSince time.Duration
 	// nextProposalAt is the earliest time of this member's next proposal.
 	nextProposalAt time.Duration
@@ -57,57 +57,58 @@
 
 	// Failure detection.
 
-	// peers are the other members by address, also those that are in no view.
+	// peers are the other known processes by address, including those that are in no view.
 	peers      map[string]*peer
 	lastNonce  uint64
 	nextPingAt time.Duration
-	// lastWithoutQuorumAt is when this member last reached no majority of the voters.
+	// lastWithoutQuorumAt is the last time at which this member did not reach a majority of the voters.
 	lastWithoutQuorumAt time.Duration
-	// diskHealthy is false while this member's own disk does not answer.
+	// diskHealthy is false while this member's own disk does not respond.
 	diskHealthy bool
-	// leaving is true once this member was asked to leave the core.
+	// leaving is true once Leave was called.
 	leaving bool
-	// leavingSince is when that was.
+	// leavingSince is when Leave was called.
 	leavingSince time.Duration
 
 	// Lease of the singleton role.
 
-	// leaseHolderSince is when this member learnt that it is the holder.
+	// leaseHolderSince is when this member learned that it is the lease holder.
 	leaseHolderSince time.Duration
-	// leaseToken is the latest token whose takeover delay this member has waited out. It is persistent.
+	// leaseToken is the latest fencing token whose takeover delay this member has waited out. It is persistent.
 	leaseToken uint64
 }
 
 // Output is the result of an input to a Node. The caller processes outputs in the order in which they are returned.
 type Output struct {
-	// Records are to be persisted in this order, after those of earlier outputs. The type of each is one of those in
-	// storage.go. If a record cannot be persisted, the caller drops the messages of its output too, persists nothing more
-	// before a Snapshot, and may then go on.
+	// Records must be persisted in this order, after the records of earlier outputs. Each has one of the types in
+	// storage.go. If the caller cannot persist a record, it also drops the messages of this output, and persists nothing
+	// more until it has persisted a Snapshot. It may then continue.
 	Records []any
 
-	// Messages are to be sent only after all records of this and of earlier outputs are on stable storage. Sent earlier, they
-	// state what a crash may revoke: an Append or Committed would acknowledge an entry that is not on enough disks, and a
-	// forgotten Promise or AcceptedReply would let two views with the same number be decided. An envelope to the member's
-	// own address is passed back to Receive under the same condition. They may be lost: all are repeated.
+	// Messages must be sent only after all records of this output and of earlier outputs are on stable storage. If they
+	// were sent earlier, a crash could revoke what they state: an Append or Committed would acknowledge an entry that is not
+	// on enough disks, and a forgotten Promise or AcceptedReply would allow two decided views with the same number. The
+	// caller passes an envelope to the member's own address to Receive under the same condition. The network may lose
+	// messages: all of them are repeated.
 	Messages []Envelope
 
-	// ImmediateMessages are to be sent at once. They are pings and pongs, which promise nothing about stored records; if
-	// they waited for the disk, a slow disk would look like a failed member.
+	// ImmediateMessages must be sent at once. They are pings and pongs, which promise nothing about stored records. If they
+	// waited for the disk, a slow disk would look like a failed member.
 	ImmediateMessages []Envelope
 
-	// ViewInstalled reports that a new view is in force at this member. The caller reads it with View.
+	// ViewInstalled reports whether a new view is in force at this member. View returns it.
 	ViewInstalled bool
 }
 
-// NewGenesis returns a member of the first view of a system that starts for the first time. All members of the view must be
-// started with the same view and value.
+// NewGenesis returns a member of the first view, for a system that starts for the first time. All members of the view must
+// start with the same view and value.
 func NewGenesis(config Config, now time.Duration, view View, value any) (*Node, Output) {
 	n := newNode(config, now)
 	n.view = view
 	n.base = State{Value: value}
 	n.state = n.base
 	n.commitKnown = true
-	// Nobody has held the lease before, so that there is no takeover to wait for.
+	// No member has held the lease before, so the holder need not wait for a takeover delay.
 	n.leaseHolderSince = now - config.ReturnDelay
 	return n, Output{Records: []any{n.snapshot()}}
 }
@@ -120,7 +121,7 @@
 	return n, Output{Records: []any{n.snapshot()}}
 }
 
-// Restore returns a member from its persisted records. The first of them is a Snapshot.
+// Restore returns a member from its persisted records. The first record is a Snapshot.
 func Restore(config Config, now time.Duration, records []any) *Node {
 	n := newNode(config, now)
 	for _, record := range records {
@@ -129,13 +130,13 @@
 	n.committed = n.base.Seq
 	n.persistedView = n.view.Number
 	if n.IsTail() {
-		// What the tail has persisted is committed, as all of its predecessors have persisted it before.
+		// Each entry that the tail has persisted is committed, as all members before the tail persisted it earlier.
 		n.committed = n.state.Seq
 		n.commitKnown = true
 	}
 	if n.view.Holder == n.self.ID && n.leaseToken == n.view.Token {
-		// The token is unchanged since this member waited its takeover delay out: nobody else has held the lease since.
-		// For any other holder the delay begins anew, as its predecessor may still be acting.
+		// The token has not changed since this member waited out its takeover delay, so no other member has held the lease
+		// since then. Any other holder waits for the full delay again, as its predecessor may still be acting.
 		n.leaseHolderSince = now - config.ReturnDelay
 	}
 	return n
@@ -150,13 +151,13 @@
 		lastNonce:           config.FirstNonce,
 		lastWithoutQuorumAt: now,
 		leaseHolderSince:    now,
-		// At the start all other members look unreachable: the first proposal waits until the answers to pings are in.
+		// At the start all other members look unreachable, so the first proposal waits for the answers to pings.
 		nextProposalAt: now + 2*config.SuspectTimeout,
 	}
 }
 
-// Tick advances the time. It sends pings, resends uncommitted entries and proposes a next view when these are due. The
-// caller ticks at least once in each Config.PingInterval.
+// Tick advances the time. It sends pings, resends uncommitted entries and proposes the next view when these are due. The
+// caller must call it at least once in each Config.PingInterval.
 func (n *Node) Tick(now time.Duration) Output {
 	var out Output
 	if !n.HasQuorum(now) {
@@ -178,7 +179,7 @@
 	return out
 }
 
-// Receive handles a message of another member, or one of this member to itself. Messages of unknown types are ignored.
+// Receive handles a message from another member or from this member to itself. It ignores messages of unknown types.
 func (n *Node) Receive(now time.Duration, message any) Output {
 	switch m := message.(type) {
 	case Ping:
@@ -207,8 +208,8 @@
 	return Output{}
 }
 
-// SetDiskHealthy sets whether this member's disk answers. While it does not, the member leaves the chain and proposes
-// nothing, but remains a voter.
+// SetDiskHealthy sets whether this member's disk responds. While the disk does not respond, the member is removed from the
+// chain and proposes nothing, but it remains a voter.
 func (n *Node) SetDiskHealthy(healthy bool) { n.diskHealthy = healthy }
 
 // SetSeeds replaces Config.Seeds.
--- a/internal/chain/operation_version_test.go
+++ b/internal/chain/operation_version_test.go
@@ -12,7 +12,7 @@
 		head.config.OperationVersion = 2
 	})
 
-	It("is that of the member of the chain with the lowest", func() {
+	It("is the lowest version that a member of the chain understands", func() {
 		answerAs(head, "b", 0, Status{View: 1, OperationVersion: 1})
 		answerAs(head, "c", 0, Status{View: 1, OperationVersion: 3})
 		Expect(head.OperationVersion()).To(Equal(1))
@@ -20,7 +20,7 @@
 		Expect(head.OperationVersion()).To(Equal(2))
 	})
 
-	It("is 0 while a member of the chain has not been heard from, or is of a build that does not report one", func() {
+	It("is 0 while a member of the chain has not reported a status, or runs a build that reports no version", func() {
 		answerAs(head, "b", 0, Status{View: 1, OperationVersion: 2})
 		Expect(head.OperationVersion()).To(BeZero())
 		answerAs(head, "c", 0, Status{View: 1})
--- a/internal/chain/paxos.go
+++ b/internal/chain/paxos.go
@@ -7,13 +7,13 @@
 )
 
 // ProposalNumber orders the proposals for one view ("Paxos Made Simple", section 2.2). Numbers of different proposers differ.
-// It is part of messages and records: its field names are fixed.
+// It is part of messages and records, so its field names are fixed.
 type ProposalNumber struct {
 	Counter  uint64
 	Proposer MemberID
 }
 
-// Less reports whether a number is lower than another one.
+// Less reports whether p is lower than other.
 func (p ProposalNumber) Less(other ProposalNumber) bool {
 	if p.Counter != other.Counter {
 		return p.Counter < other.Counter
@@ -28,33 +28,33 @@
 	return a
 }
 
-// Proposal is the value that Paxos decides: a view and the state that it starts from. Its field names are fixed.
+// Proposal is the value that Paxos decides: a view and the state that the view starts from. Its field names are fixed.
 type Proposal struct {
 	View View
 	Base State
 }
 
-// Accepted is a proposal that a voter has accepted, with its number (Ballot). Its field names are fixed.
+// Accepted is a proposal that a voter has accepted. Ballot is the number of the proposal. The field names are fixed.
 type Accepted struct {
 	Ballot   ProposalNumber
 	Proposal Proposal
 }
 
-// proposer is the state of a proposal that this member makes.
+// proposer is the state of this member's ongoing proposal.
 type proposer struct {
 	number     ProposalNumber
 	viewNumber uint64
-	// desired is the view that is proposed unless another proposal may have been chosen already.
+	// desired is the view to propose, unless another proposal may have been chosen already.
 	desired    View
 	promises   map[MemberID]Promise
 	acceptedBy map[MemberID]bool
-	// proposal is what phase 2 proposes; nil during phase 1.
+	// proposal is the proposal of phase 2. It is nil during phase 1.
 	proposal *Proposal
-	// deadline is when the proposal is given up.
+	// deadline is when this member abandons the proposal.
 	deadline time.Duration
 }
 
-// prepare begins a proposal: phase 1a.
+// prepare starts a proposal and sends the Prepare messages (phase 1a).
 func (n *Node) prepare(now time.Duration, desired View) Output {
 	number := ProposalNumber{Counter: n.promisedNumber.Counter + 1, Proposer: n.self.ID}
 	n.proposer = &proposer{
@@ -68,17 +68,17 @@
 	return n.sendToVoters(now, Prepare{From: n.self.ID, Number: desired.Number, Ballot: number})
 }
 
-// handlePrepare is phase 1b at a voter.
+// handlePrepare promises a proposal number or rejects it (phase 1b).
 func (n *Node) handlePrepare(now time.Duration, m Prepare) Output {
-	// Only a voter whose disk has the present view may answer: a member with an older view knows neither its state nor what
-	// it has promised for this one.
+	// Only a voter with the current view may answer. A member with an older view does not know the state of the current view
+	// or its own promises in it.
 	if m.Number != n.view.Number+1 || !n.isVoter() {
 		return Output{}
 	}
 	if _, ok := n.view.Voter(m.From); !ok {
 		return Output{}
 	}
-	// The same number is promised again, as the answer may have been lost.
+	// The same number may be promised again, as the first answer may have been lost.
 	if !n.promisedNumber.Less(m.Ballot) && n.promisedNumber != m.Ballot {
 		return Output{Messages: n.reply(m.From, n.reject(m.Number))}
 	}
@@ -91,7 +91,7 @@
 	return Output{Records: []any{PromiseRecord{m.Ballot}}, Messages: n.reply(m.From, promise)}
 }
 
-// handlePromise counts a promise and, with a majority of them, begins phase 2.
+// handlePromise counts a promise. Once enough voters have promised, it sends the Accept messages (phase 2a).
 func (n *Node) handlePromise(now time.Duration, m Promise) Output {
 	p := n.proposer
 	if p == nil || p.viewNumber != m.Number || p.number != m.Ballot || p.proposal != nil {
@@ -105,9 +105,9 @@
 	return n.sendToVoters(now, Accept{From: n.self.ID, Ballot: p.number, Proposal: *p.proposal})
 }
 
-// hasChainPromises reports whether all present voters that the desired chain includes have promised, or have been given
-// half of the proposal's time for it. A majority alone is enough for agreement, but a chain with a member that has just
-// failed would need yet another view.
+// hasChainPromises reports whether all current voters in the desired chain have promised, or half of the proposal's time has
+// passed. A majority of promises is enough for agreement. But if a member of the desired chain has just failed, the decided
+// view would have to be replaced at once, so the proposer waits a while for that member.
 func (n *Node) hasChainPromises(now time.Duration, p *proposer) bool {
 	if now >= p.deadline-n.config.ProposalTimeout/2 {
 		return true
@@ -123,10 +123,10 @@
 	return true
 }
 
-// chooseProposal returns what phase 2 must propose. It is the proposal with the highest number that a voter has reported as
-// accepted, since that one may have been chosen already ("Paxos Made Simple", section 2.2). If there is none, it is the
-// desired view with the latest state of the members of the present chain: a majority of promises includes at least one of
-// them, and each has all that was committed.
+// chooseProposal returns the proposal for phase 2. It is the highest-numbered proposal that a voter has reported as accepted,
+// as that proposal may have been chosen already ("Paxos Made Simple", section 2.2). If no voter has accepted a proposal, it is
+// the desired view with the latest state that a member of the current chain has reported: a majority of promises includes at
+// least one member of the chain, and each member of the chain has every committed entry.
 func (n *Node) chooseProposal(p *proposer) *Proposal {
 	var accepted *Accepted
 	var state State
@@ -145,21 +145,21 @@
 	return &Proposal{View: p.desired, Base: state}
 }
 
-// handleReject gives a proposal up that a higher number has overtaken.
+// handleReject abandons the ongoing proposal, as a voter has promised a higher number.
 func (n *Node) handleReject(now time.Duration, m Reject) Output {
 	p := n.proposer
 	if p == nil || p.viewNumber != m.Number || !p.number.Less(m.Promised) {
 		return Output{}
 	}
 	n.proposer = nil
-	// The random pause keeps two proposers from overtaking each other again and again.
+	// The random pause keeps two proposers from preempting each other repeatedly.
 	n.nextProposalAt = now + n.config.ProposalTimeout/2 + n.config.Jitter(n.config.ProposalTimeout)
-	// This member's next proposal must have a higher number than the one that it lost to.
+	// This member's next proposal must have a higher number than the promised one.
 	n.promisedNumber = maxProposalNumber(n.promisedNumber, m.Promised)
 	return Output{Records: []any{PromiseRecord{n.promisedNumber}}}
 }
 
-// handleAccept is phase 2b at a voter.
+// handleAccept accepts a proposal or rejects it (phase 2b).
 func (n *Node) handleAccept(now time.Duration, m Accept) Output {
 	number := m.Proposal.View.Number
 	if number != n.view.Number+1 || !n.isVoter() {
@@ -175,8 +175,8 @@
 	return Output{Records: []any{AcceptRecord{*n.accepted}}, Messages: n.reply(m.From, accepted)}
 }
 
-// handleAccepted counts an acceptance. With a majority of them the proposal is chosen: it is installed here and announced to
-// the voters of both views, so that those that it leaves out learn of it too.
+// handleAccepted counts an acceptance. Once a majority has accepted the proposal, the proposal is chosen. This member then
+// installs the view and announces it to the voters of both views, so that removed voters learn of it too.
 func (n *Node) handleAccepted(now time.Duration, m AcceptedReply) Output {
 	p := n.proposer
 	if p == nil || p.proposal == nil || p.viewNumber != m.Number || p.number != m.Ballot {
@@ -202,20 +202,20 @@
 	return out
 }
 
-// seal notes the time of the first promise in this view. The caller sets promisedNumber.
+// seal records the time of the first promise in this view. The caller sets promisedNumber.
 func (n *Node) seal(now time.Duration) {
 	if !n.IsSealed() {
 		n.sealedAt = now
 	}
 }
 
-// reject returns the answer to a proposal for a view whose number is too low.
+// reject returns the answer to a Prepare or Accept for a view whose proposal number is too low.
 func (n *Node) reject(viewNumber uint64) Reject {
 	return Reject{From: n.self.ID, Number: viewNumber, Promised: n.promisedNumber}
 }
 
-// sendToVoters sends a message to all other voters and handles it at this member, which is a voter too. This member's own
-// answer is among the messages: like those of others it counts only after it was persisted.
+// sendToVoters sends a message to all other voters and handles it at this member, which is a voter too. This member's answer
+// is one of the returned messages, because it counts only after its record is persisted, like the answers of other voters.
 func (n *Node) sendToVoters(now time.Duration, message any) Output {
 	var messages []Envelope
 	for _, voter := range n.view.Voters {
--- a/internal/chain/reconfiguration.go
+++ b/internal/chain/reconfiguration.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// maybePropose begins a proposal if the view should be another one, and gives up one that takes too long.
+// maybePropose starts a proposal if the view should change, and abandons an ongoing proposal that takes too long.
 func (n *Node) maybePropose(now time.Duration) Output {
 	if n.proposer != nil {
 		if now < n.proposer.deadline {
@@ -17,8 +17,8 @@
 		return Output{}
 	}
 	desired, ok := n.desiredView(now)
-	// A voter that is sealed for long without a next view takes no more writes, even if the view should stay as it is: its
-	// proposer has failed. Only another proposal ends this.
+	// If a voter stays sealed for a long time without a next view, its proposer has failed. A sealed voter accepts no writes,
+	// and only another proposal ends that, even if the members of the view should not change.
 	stuck := n.IsSealed() && now-n.sealedAt > n.config.ProposalTimeout
 	unchanged := ok && sameMembers(desired, n.view) && desired.Holder == n.view.Holder
 	if !ok || unchanged && !stuck {
@@ -28,15 +28,15 @@
 	if n.reconfigureSince == 0 {
 		n.reconfigureSince = now
 	}
-	// The voters propose one after another, so that in the common case there is a single proposer.
+	// The voters wait in the order of their rank before they propose, so that there is usually a single proposer.
 	if now-n.reconfigureSince < time.Duration(n.proposerRank(now))*n.config.ProposalTimeout {
 		return Output{}
 	}
 	return n.prepare(now, desired)
 }
 
-// proposerRank returns the number of voters that are to propose before this one: the eligible members of the chain before
-// it, or, for a follower, those and the eligible followers before it.
+// proposerRank returns the number of voters that propose before this one. The eligible members of the chain rank in the order
+// of the chain. The eligible voters outside the chain follow in the order of the voters.
 func (n *Node) proposerRank(now time.Duration) int {
 	rank := 0
 	for _, id := range n.view.Chain {
@@ -59,7 +59,7 @@
 }
 
 func (n *Node) handleInstall(now time.Duration, m Install) Output {
-	// Messages may be reordered: an older view must not replace a later one.
+	// Messages may be reordered, and an older view must not replace a later one.
 	if m.Proposal.View.Number <= n.view.Number {
 		return Output{}
 	}
@@ -82,14 +82,14 @@
 	if !remainsHolder {
 		n.leaseHolderSince = now
 	}
-	// Delivered once the record is persisted. Before, this member must not report to have the view on disk: a leaving member
-	// might stop that has the only other replica (CanStop).
+	// The message is delivered once the record is persisted. This member must not report the view as persisted earlier:
+	// a leaving member that has the only other replica could stop (see CanStop).
 	stored := Envelope{To: n.self.Address, Message: Stored{View: decided.View.Number}}
 	return Output{Records: []any{InstallRecord{decided}}, Messages: []Envelope{stored}, ViewInstalled: true}
 }
 
-// adopt replaces the view, the state and the acceptor's state by those of a decided proposal. Its state is committed, as a
-// majority has accepted and so persisted it.
+// adopt replaces the view and the state with those of a decided proposal, and clears the state of the acceptor. The state of
+// the proposal is committed, as a majority has accepted and persisted it.
 func (n *Node) adopt(decided Proposal) {
 	n.view = decided.View
 	n.viewBaseSeq = 0
@@ -101,11 +101,12 @@
 	n.committed = decided.Base.Seq
 }
 
-// viewSendsPerSuspectTimeout is how often an outdated member is sent the view within Config.SuspectTimeout. The view comes
-// with the complete state, which takes a while to transfer.
+// viewSendsPerSuspectTimeout is how often this member sends the view to an outdated member within Config.SuspectTimeout. The
+// rate is limited because the view comes with the complete state, which takes some time to transfer.
 const viewSendsPerSuspectTimeout = 2
 
-// sendViewIfOutdated sends the view to a voter that reports an older one: the Install was lost, or it was not running.
+// sendViewIfOutdated sends the view to a voter that reports an older view. The Install was lost, or the voter was not running
+// when the view was decided.
 func (n *Node) sendViewIfOutdated(now time.Duration, member Member, status Status) []Envelope {
 	_, voter := n.view.Voter(member.ID)
 	p := n.peer(member.Address)
--- a/internal/chain/replication.go
+++ b/internal/chain/replication.go
@@ -5,13 +5,13 @@
 )
 
 // resendsPerSuspectTimeout is how often an uncommitted entry is sent again within Config.SuspectTimeout, so that a single
-// lost message is repaired before the failure detector suspects anybody.
+// lost message is repeated before the failure detector suspects a member.
 const resendsPerSuspectTimeout = 3
 
-// Propose appends an operation at the head and returns its sequence number. It reports false, and changes nothing, if this
-// member is not the head of an unsealed view whose chain is long enough. The operation is committed later, or never.
+// Propose appends an operation at the head and returns its sequence number. If this member is not the head, is sealed, or its
+// chain is too short, Propose returns false and changes nothing. The operation is committed later, or never.
 func (n *Node) Propose(operation []byte) (seq uint64, out Output, ok bool) {
-	// A chain that is shorter would commit entries that are lost with the disks of MaxFailures members.
+	// A shorter chain would commit entries that are lost if MaxFailures members lose their disks.
 	if !n.IsHead() || n.IsSealed() || len(n.view.Chain) < n.minReplicas() {
 		return 0, Output{}, false
 	}
@@ -20,11 +20,11 @@
 	return entry.Seq, out, true
 }
 
-// minReplicas returns the number of members that must persist an entry before it is committed.
+// minReplicas returns the smallest number of members that must persist an entry before it is committed.
 func (n *Node) minReplicas() int { return min(n.config.MaxFailures+1, len(n.view.Voters)) }
 
-// appendAndForward appends entries to the log and forwards them. As messages wait for the records of the same output, the
-// successor receives an entry only after this member has persisted it.
+// appendAndForward appends entries to the log and forwards them. The successor receives an entry only after this member has
+// persisted it, because messages wait for the records of the same output.
 func (n *Node) appendAndForward(entries []Entry) Output {
 	var out Output
 	for _, entry := range entries {
@@ -36,7 +36,7 @@
 }
 
 func (n *Node) handleAppend(m Append) Output {
-	// A sealed member must not grow its log: its promise has reported the state from which the next view may start.
+	// A sealed member must not append entries: its promise has reported the state from which the next view may start.
 	if m.View != n.view.Number || n.IsSealed() {
 		return Output{}
 	}
@@ -44,8 +44,8 @@
 	if position < 1 || n.view.Chain[position-1] != m.From {
 		return Output{}
 	}
-	// Messages may be lost or reordered: only entries that follow on the log without a gap are appended. The predecessor
-	// sends the others again.
+	// Messages may be lost or reordered. Only the entries that continue the log without a gap are appended; the predecessor
+	// sends the other entries again.
 	var next []Entry
 	nextSeq := n.state.Seq + 1
 	for _, entry := range m.Entries {
@@ -60,8 +60,8 @@
 	return n.appendAndForward(next)
 }
 
-// retransmit forwards those entries that this member already has. The predecessor has sent them again because it does not
-// know them to be committed: either the message to the successor was lost, or the announcement of the commit.
+// retransmit forwards the entries that this member already has. The predecessor has sent them again because it does not know
+// that they are committed: the message to the successor or the announcement of the commit was lost.
 func (n *Node) retransmit(entries []Entry) Output {
 	var known []Entry
 	for _, entry := range entries {
@@ -72,8 +72,8 @@
 	return Output{Messages: n.forward(known)}
 }
 
-// forward sends entries to the successor. At the tail it announces to all voters that they are committed; the tail is among
-// them, as it too may count an entry as committed only once its record is persisted.
+// forward sends entries to the successor. The tail instead announces to all voters that the entries are committed. It sends
+// the announcement to itself too, because an entry is committed only once the tail has persisted its record.
 func (n *Node) forward(entries []Entry) []Envelope {
 	position := n.view.Position(n.self.ID)
 	if position < 0 || len(entries) == 0 {
@@ -93,7 +93,8 @@
 	return out
 }
 
-// resend forwards the entries that are not known to be committed, at most once in an interval.
+// resend forwards the entries that are not known to be committed, at most resendsPerSuspectTimeout times within
+// Config.SuspectTimeout.
 func (n *Node) resend(now time.Duration) []Envelope {
 	if !n.IsInChain() || n.IsSealed() || n.committed >= n.state.Seq {
 		return nil
@@ -105,7 +106,7 @@
 	return n.forward(n.entriesAfter(n.committed))
 }
 
-// handleCommitted takes over the commit position that a member of the same view reports.
+// handleCommitted advances the commit position to the one that a member of the same view has reported.
 func (n *Node) handleCommitted(from MemberID, view, seq uint64) {
 	if view != n.view.Number || !n.IsInChain() {
 		return
--- a/internal/chain/requests.go
+++ b/internal/chain/requests.go
@@ -7,7 +7,8 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of a request that this member cannot answer. They leave the outcome of a write open: it may be applied or not.
+// Errors of a request that this member cannot answer. After a write, the outcome is unknown: the write may have been applied
+// or not.
 var (
 	// ErrNotHead is returned for a write at a member that is not the head of a confirmed view.
 	ErrNotHead = errors.New("this member is not the head")
@@ -15,35 +16,38 @@
 	ErrNotTail = errors.New("this member is not the tail")
 	// ErrNotWritable is returned for a write while the head is sealed or its chain is too short.
 	ErrNotWritable = errors.New("no change can be taken now")
-	// ErrNotConfirmed is returned when the timeout has passed, or a new view was installed, before an answer was certain.
+	// ErrNotConfirmed is returned if the timeout has passed, or a new view was installed, before the answer was certain.
 	ErrNotConfirmed = errors.New("not confirmed in time")
-	// ErrTooManyPending is returned when maxPendingRequests are pending already.
+	// ErrTooManyPending is returned if maxPendingRequests requests are pending already.
 	ErrTooManyPending = errors.New("too many requests wait")
 )
 
-// maxPendingRequests bounds the pending writes and the pending reads of a member, each.
+// maxPendingRequests bounds the number of pending writes at a member, and separately the number of pending reads.
 const maxPendingRequests = 1024
 
-// Decision is what Write.Decide returns. It is one of four: rejected, already applied, unchanged, or an operation to append.
+// Decision is the result of Write.Decide. Rejection and Unchanged take precedence over AlreadyApplied, and AlreadyApplied takes
+// precedence over Operation.
 type Decision struct {
-	// AlreadyApplied reports whether the value contains the write. It is then acknowledged without being appended again.
+	// AlreadyApplied reports whether the value already contains the write. The write is then acknowledged without being
+	// appended again.
 	AlreadyApplied bool
-	// Rejection is why the write is rejected; nil if it is not.
+	// Rejection is the reason for which the write is rejected, or nil.
 	Rejection error
-	// Unchanged reports whether the value stays as it is. The write is then acknowledged under the conditions of a rejection.
+	// Unchanged reports whether the write leaves the value unchanged. The write is then acknowledged under the same
+	// conditions as a rejection.
 	Unchanged bool
-	// Operation is appended to the log if the write is none of the above.
+	// Operation is the operation to append to the log if no other field is set.
 	Operation []byte
 }
 
 // Write is a request to change the value.
 type Write struct {
-	// Decide decides on the write by the head's latest value, which may not be committed yet.
+	// Decide evaluates the write against the head's latest value, which may not be committed yet.
 	Decide func(latest any) Decision
-	// IsApplied reports whether a value contains the write. If it is nil, the write is contained once its entry is committed:
-	// that is certain only in the view in which the entry was appended, and in the next one.
+	// IsApplied reports whether a value contains the write. If IsApplied is nil, the write counts as applied once its entry
+	// is committed. That can be determined only in the view in which the entry was appended and in the next view.
 	IsApplied func(value any) bool
-	// Respond is called once: with nil once the write is committed, with Decision.Rejection, or with one of this package's
+	// Respond is called once: with nil after the write is committed, with Decision.Rejection, or with one of this package's
 	// errors.
 	Respond func(error)
 }
@@ -54,17 +58,17 @@
 	Respond func(State, error)
 }
 
-// PendingRequests keeps the writes that wait at the head and the reads that wait at the tail, so that the answers are
-// linearizable:
+// PendingRequests keeps the writes that wait at the head and the reads that wait at the tail. It answers them so that they
+// are linearizable:
 //
 //   - A write is acknowledged once it is committed.
-//   - A rejection, or the acknowledgement of a write that changes nothing, is returned once the state that it rests on is
-//     committed and a majority has confirmed the view since the write was received.
-//   - A read is answered once a majority has confirmed the view since it was received.
+//   - A write that is rejected or changes nothing is answered once the state that the answer is based on is committed, and a
+//     majority has confirmed the view since the write was received.
+//   - A read is answered once a majority has confirmed the view since the read was received.
 //
-// Without these confirmations a head or tail that was replaced without knowing it would answer from an old state.
+// Without these confirmations, a head or tail that does not know that it was replaced would answer from an old state.
 //
-// It must be used from the goroutine of its Node. The caller processes the outputs as those of the Node.
+// PendingRequests must be used from the goroutine of its Node. The caller processes its outputs like those of the Node.
 type PendingRequests struct {
 	node    *Node
 	timeout time.Duration
@@ -74,14 +78,14 @@
 
 type pendingWrite struct {
 	write Write
-	// rejection is nil for a write that is not rejected.
+	// rejection is the reason for which the write is rejected, or nil if it is not rejected.
 	rejection error
 	// needsConfirmation is true for a write that is rejected or changes nothing.
 	needsConfirmation bool
-	// view is the number of the view in which the write was decided on.
+	// view is the number of the view in which the write was evaluated.
 	view uint64
-	// requiredSeq must be committed before the answer is given: it is that of the write's entry or, for a write that appends
-	// nothing, of the state on which the answer rests.
+	// requiredSeq is the sequence number that must be committed before the write is answered. It is the number of the write's
+	// entry or, for a write that appends nothing, the number of the state that the answer is based on.
 	requiredSeq uint64
 	receivedAt  time.Duration
 }
@@ -93,14 +97,14 @@
 	receivedAt time.Duration
 }
 
-// NewPendingRequests returns an empty set of requests at a member. Each request is answered within the timeout, provided that
-// AnswerReady is called regularly.
+// NewPendingRequests returns an empty set of requests for a Node. Each request is answered within the timeout, provided that
+// the caller calls AnswerReady regularly.
 func NewPendingRequests(node *Node, timeout time.Duration) *PendingRequests {
 	return &PendingRequests{node: node, timeout: timeout}
 }
 
-// Write decides on a write at the head. It is answered at once if this member cannot take it, and later by AnswerReady
-// otherwise.
+// Write evaluates a write at the head. If this member cannot accept the write, Write answers it at once with an error.
+// Otherwise AnswerReady answers it later.
 func (r *PendingRequests) Write(now time.Duration, write Write) Output {
 	n := r.node
 	if !n.IsHead() || !n.IsViewConfirmed(now) {
@@ -136,7 +140,8 @@
 	return out
 }
 
-// Read takes a read at the tail. It is answered at once if this member cannot take it, and later by AnswerReady otherwise.
+// Read accepts a read at the tail. If this member cannot accept the read, Read answers it at once with an error. Otherwise
+// AnswerReady answers it later.
 func (r *PendingRequests) Read(now time.Duration, read Read) Output {
 	n := r.node
 	if !n.IsTail() {
@@ -151,14 +156,14 @@
 	return n.PingVoters(now)
 }
 
-// AnswerReady answers the requests whose answer is certain and those whose timeout has passed. The caller calls it after each
-// input to the Node.
+// AnswerReady answers the requests whose answer is certain and the requests whose timeout has passed. The caller calls it after
+// each input to the Node.
 func (r *PendingRequests) AnswerReady(now time.Duration) {
 	r.writes = slices.DeleteFunc(r.writes, func(w pendingWrite) bool { return r.answerWrite(now, w) })
 	r.reads = slices.DeleteFunc(r.reads, func(p pendingRead) bool { return r.answerRead(now, p) })
 }
 
-// answerWrite answers a write and reports true, or reports false while it must wait.
+// answerWrite answers a write and returns true, or returns false if the write must wait.
 func (r *PendingRequests) answerWrite(now time.Duration, w pendingWrite) (answered bool) {
 	if w.needsConfirmation {
 		return r.answerConfirmed(now, w)
@@ -182,12 +187,12 @@
 	return r.node.hasCommitted(w.view, w.requiredSeq)
 }
 
-// answerConfirmed answers a write that is rejected or changes nothing and reports true, or reports false while it must wait.
+// answerConfirmed answers a write that is rejected or changes nothing. It returns false if the write must wait.
 func (r *PendingRequests) answerConfirmed(now time.Duration, w pendingWrite) (answered bool) {
 	n := r.node
 	switch {
 	case w.view != n.view.Number:
-		// The state that the rejection rests on may not be part of the new view: the write could then be applied.
+		// The state that the answer is based on may not be part of the new view, so the answer may no longer be right.
 		w.write.Respond(ErrNotConfirmed)
 	case n.committed >= w.requiredSeq && n.QuorumConfirmedAt(now) >= w.receivedAt:
 		w.write.Respond(w.rejection)
@@ -199,14 +204,14 @@
 	return true
 }
 
-// answerRead answers a read and reports true, or reports false while it must wait.
+// answerRead answers a read and returns true, or returns false if the read must wait.
 func (r *PendingRequests) answerRead(now time.Duration, p pendingRead) (answered bool) {
 	n := r.node
 	switch {
 	case p.view != n.view.Number || now-p.receivedAt > r.timeout:
 		p.read.Respond(State{}, ErrNotConfirmed)
 	case n.QuorumConfirmedAt(now) >= p.receivedAt:
-		// The committed state, not the latest one: a crash of the tail may revoke what it has not persisted yet.
+		// The latest state must not be returned: a crash of the tail may lose entries that it has not persisted yet.
 		p.read.Respond(n.CommittedState(), nil)
 	default:
 		return false
--- a/internal/chain/requests_test.go
+++ b/internal/chain/requests_test.go
@@ -51,7 +51,7 @@
 	It("is rejected once a majority has confirmed the view since it was received", func() {
 		write(time.Millisecond, Decision{Rejection: errRejected})
 		requests.AnswerReady(time.Millisecond)
-		Expect(answers).NotTo(Receive(), "the confirming pings were sent before")
+		Expect(answers).NotTo(Receive(), "the pings that confirmed the view were sent before the request")
 		confirm(head, 2*time.Millisecond)
 		requests.AnswerReady(2 * time.Millisecond)
 		Expect(answers).To(Receive(MatchError(errRejected)))
@@ -67,7 +67,7 @@
 		Expect(answers).To(Receive(MatchError(ErrNotConfirmed)))
 	})
 
-	It("is not taken by a head whose view no majority has confirmed lately", func() {
+	It("is not accepted by a head whose view was not confirmed recently by a majority", func() {
 		write(time.Minute, Decision{Operation: []byte("x")})
 		Expect(answers).To(Receive(MatchError(ErrNotHead)))
 		Expect(head.LatestState().Seq).To(BeZero())
@@ -92,7 +92,7 @@
 		Expect(states).To(Receive(HaveField("Value", 0)))
 	})
 
-	Context("to write that is contained once its entry is committed", func() {
+	Context("to write without IsApplied, which counts as applied once its entry is committed", func() {
 		writeEntry := func(now time.Duration) {
 			GinkgoHelper()
 			requests.Write(now, Write{
@@ -101,7 +101,7 @@
 			})
 			Expect(answers).NotTo(Receive())
 		}
-		// install puts a view into force at the head that began from a state with a number of entries.
+		// install installs a view at the head. The view starts from a state with the given sequence number.
 		install := func(number, baseSeq uint64) {
 			view := head.View()
 			view.Number = number
@@ -109,7 +109,7 @@
 			head.Receive(0, Install{Proposal: Proposal{View: view, Base: base}})
 		}
 
-		It("is acknowledged once the tail has committed the entry, not an earlier one", func() {
+		It("is acknowledged once its own entry is committed, not an earlier one", func() {
 			head.Propose([]byte("earlier"))
 			writeEntry(0)
 			head.Receive(0, Committed{From: "c", View: 1, Seq: 1})
@@ -125,13 +125,13 @@
 			view, baseSeq uint64
 			expected      any
 		}{
-			{"the next view has the entry", 2, 2, BeNil()},
-			{"the next view has it and later ones", 2, 5, BeNil()},
-			{"the next view does not have it", 2, 1, MatchError(ErrNotConfirmed)},
-			{"a view was missed", 3, 2, MatchError(ErrNotConfirmed)},
-			{"a view was missed, and the state is later", 3, 5, MatchError(ErrNotConfirmed)},
+			{"it contains the entry", 2, 2, BeNil()},
+			{"it contains the entry and later ones", 2, 5, BeNil()},
+			{"it does not contain the entry", 2, 1, MatchError(ErrNotConfirmed)},
+			{"a view in between was missed", 3, 2, MatchError(ErrNotConfirmed)},
+			{"a view in between was missed and the state is later", 3, 5, MatchError(ErrNotConfirmed)},
 		} {
-			It("is answered when a new view is in force by the state that it began from: "+next.name, func() {
+			It("is answered according to the state that a new view starts from: "+next.name, func() {
 				head.Propose([]byte("earlier"))
 				writeEntry(0)
 				install(next.view, next.baseSeq)
@@ -140,7 +140,7 @@
 			})
 		}
 
-		It("does not take an entry of the next view for its own", func() {
+		It("is not acknowledged by another entry of the next view with the same sequence number", func() {
 			writeEntry(0)
 			install(2, 0)
 			head.Propose([]byte("other"))
@@ -150,7 +150,7 @@
 			Expect(answers).To(Receive(MatchError(ErrNotConfirmed)))
 		})
 
-		It("waits while the next view is being agreed on, and is not confirmed once the timeout has passed", func() {
+		It("waits while the members agree on the next view, and fails once the timeout has passed", func() {
 			writeEntry(0)
 			head.Receive(0, Prepare{From: "b", Number: 2, Ballot: ProposalNumber{Counter: 1, Proposer: "b"}})
 			Expect(head.IsSealed()).To(BeTrue())
@@ -162,11 +162,11 @@
 	})
 
 	Context("to write that changes nothing", func() {
-		It("is acknowledged without an entry, once a majority has confirmed the view since it was received", func() {
+		It("is acknowledged without an entry once a majority has confirmed the view since it was received", func() {
 			write(time.Millisecond, Decision{Unchanged: true})
 			Expect(head.LatestState().Seq).To(BeZero())
 			requests.AnswerReady(time.Millisecond)
-			Expect(answers).NotTo(Receive(), "the confirming pings were sent before")
+			Expect(answers).NotTo(Receive(), "the pings that confirmed the view were sent before the request")
 			confirm(head, 2*time.Millisecond)
 			requests.AnswerReady(2 * time.Millisecond)
 			Expect(answers).To(Receive(BeNil()))
@@ -180,7 +180,7 @@
 			Expect(answers).To(Receive(MatchError(ErrNotConfirmed)))
 		})
 
-		It("waits until the state that it rests on is committed", func() {
+		It("waits until the state that the answer is based on is committed", func() {
 			head.Propose([]byte("x"))
 			write(0, Decision{Unchanged: true})
 			confirm(head, time.Millisecond)
@@ -191,7 +191,7 @@
 			Expect(answers).To(Receive(BeNil()))
 		})
 
-		It("is not confirmed by a new view, whose state may be another", func() {
+		It("is not confirmed by a new view, whose state may differ", func() {
 			write(0, Decision{Unchanged: true})
 			view := head.View()
 			view.Number = 2
@@ -202,7 +202,7 @@
 		})
 	})
 
-	It("is rejected if too many are pending", func() {
+	It("is rejected if too many requests are pending", func() {
 		for range maxPendingRequests {
 			write(0, Decision{Operation: []byte("x")})
 		}
@@ -211,7 +211,7 @@
 	})
 })
 
-// confirm lets all other members answer a ping that is sent now.
+// confirm pings all other members from a node and has them answer at once.
 func confirm(node *Node, now time.Duration) {
 	for _, envelope := range node.PingVoters(now).ImmediateMessages {
 		ping := envelope.Message.(Ping)
--- a/internal/chain/status.go
+++ b/internal/chain/status.go
@@ -3,10 +3,11 @@
 // Self returns this member.
 func (n *Node) Self() Member { return n.self }
 
-// View returns the view in force at this member. Another member may already have a later one.
+// View returns the view in force at this member. Other members may already have a later view.
 func (n *Node) View() View { return n.view }
 
-// IsSealed reports whether this member has promised to take part in the next view and so takes no more writes in this one.
+// IsSealed reports whether this member has promised a proposal number for the next view. A sealed member accepts no more
+// writes in the current view.
 func (n *Node) IsSealed() bool { return n.promisedNumber != ProposalNumber{} }
 
 // IsInChain reports whether this member is in the chain of its view.
@@ -19,7 +20,7 @@
 func (n *Node) IsTail() bool { return n.view.Number > 0 && n.view.Tail() == n.self.ID }
 
 // OperationVersion returns the highest version of operations that every member of the chain understands. A member that has not
-// been heard from counts as one that understands version 0 alone.
+// reported a status yet counts as a member that understands only version 0.
 func (n *Node) OperationVersion() int {
 	lowest := n.config.OperationVersion
 	for _, id := range n.view.Chain {
@@ -42,7 +43,7 @@
 	return ok
 }
 
-// status returns what this member reports of itself to others.
+// status returns the status that this member reports to the other members.
 func (n *Node) status() Status {
 	return Status{
 		View:        n.view.Number,
--- a/internal/chain/storage.go
+++ b/internal/chain/storage.go
@@ -1,7 +1,7 @@
 package chain
 
 // Records are persisted in the order in which outputs return them, and passed to Restore in that order. A Snapshot replaces
-// all records before it. They are encoded with gob: their field names are fixed.
+// all records before it. Records are encoded with gob, so their field names are fixed.
 type (
 	// Snapshot is the complete persistent state of a member.
 	Snapshot struct {
@@ -9,29 +9,29 @@
 		View View
 		// Base is the state before Entries.
 		Base State
-		// Entries are the log of the view after Base.
+		// Entries are the entries of the view's log after Base.
 		Entries []Entry
-		// Promised is the promised proposal number for the next view; zero for none.
+		// Promised is the highest proposal number promised for the next view, or zero if there is none.
 		Promised ProposalNumber
-		// Accepted is the accepted proposal for the next view; nil for none.
+		// Accepted is the accepted proposal for the next view, or nil if there is none.
 		Accepted *Accepted
 		// Held is the latest fencing token whose takeover delay the member has waited out.
 		Held uint64
 	}
-	// EntryRecord appends an entry to the log.
+	// EntryRecord records an entry that is appended to the log.
 	EntryRecord struct{ Entry Entry }
-	// PromiseRecord is a promise for the next view. The field Ballot is its proposal number.
+	// PromiseRecord records a promise for the next view. Ballot is the promised proposal number.
 	PromiseRecord struct{ Ballot ProposalNumber }
-	// AcceptRecord is an accepted proposal, which is also a promise of its number.
+	// AcceptRecord records an accepted proposal. Accepting a proposal also promises its number.
 	AcceptRecord struct{ Accepted Accepted }
-	// LeaseRecord states that the member, as the lease holder with a token, has waited out its takeover delay.
+	// LeaseRecord records that the member, as the lease holder with this token, has waited out its takeover delay.
 	LeaseRecord struct{ Token uint64 }
-	// InstallRecord is a decided view. It ends the log, the promise and the accepted proposal of the view before it.
+	// InstallRecord records a decided view. It discards the log, the promise and the accepted proposal of the previous view.
 	InstallRecord struct{ Proposal Proposal }
 )
 
-// Snapshot compacts the log up to the committed entries and returns the complete persistent state. The caller may persist
-// it in place of any record that was returned before, provided that the records after that one follow it.
+// Snapshot drops the committed entries from the log and returns the complete persistent state. The caller may persist the
+// snapshot in place of any record that was returned before, provided that it persists the records after that one as well.
 func (n *Node) Snapshot() Snapshot {
 	n.compact()
 	return n.snapshot()
@@ -55,8 +55,8 @@
 	case Snapshot:
 		n.replaySnapshot(r)
 	case EntryRecord:
-		// A snapshot that was persisted in place of a record already contains the records of the same output. Without this
-		// condition those would be applied twice.
+		// A snapshot that was persisted in place of a record already contains all records of the same output. Without this
+		// condition, the remaining records of that output would be applied twice.
 		if r.Entry.Seq > n.state.Seq {
 			n.appendEntry(r.Entry)
 		}
