--- a/internal/coordination/bounds_test.go
+++ b/internal/coordination/bounds_test.go
@@ -21,47 +21,47 @@
 	DescribeTable("is valid at its bounds",
 		func(command Command) { Expect(command.Validate()).To(Succeed()) },
 		Entry("the longest name of a lock", begin(long, "a")),
-		Entry("the longest holder", begin("l", long)),
+		Entry("the longest name of a holder", begin("l", long)),
 		Entry("the shortest hold", withHold(begin("l", "a"), 1)),
 		Entry("the longest hold", withHold(renew("l", "a", 1), MaxHoldMs)),
-		Entry("a finish without a time", finish("l", "a", 1)),
+		Entry("a finish without a duration", finish("l", "a", 1)),
 		Entry("a number", next("n")),
-		Entry("the empty value", put("g.a", "")),
+		Entry("an empty value", put("g.a", "")),
 		Entry("the longest value", put("g.a", strings.Repeat("x", MaxValueBytes))),
-		Entry("letters of any script", put("åäö.ö", "å")),
+		Entry("non-ASCII letters", put("åäö.ö", "å")),
 	)
 
-	DescribeTable("is malformed beyond them",
+	DescribeTable("is rejected beyond its bounds",
 		func(command Command, kind errkind.Kind) {
 			err := command.Validate()
 			Expect(err).To(HaveOccurred())
 			Expect(errkind.KindOf(err)).To(Equal(kind))
 		},
 		Entry("no name", next(""), errkind.Malformed),
-		Entry("a longer name", next(long+"x"), errkind.Malformed),
-		Entry("a name with a byte 0, which separates the name from the value in the history", put("g.a\x00b", "c"), errkind.Malformed),
-		Entry("a name that is not text, which no answer can show", put("g.\xff", "c"), errkind.Malformed),
-		Entry("no holder", begin("l", ""), errkind.Malformed),
+		Entry("a name that is too long", next(long+"x"), errkind.Malformed),
+		Entry("a name with a zero byte, which separates the name from the value in the history", put("g.a\x00b", "c"), errkind.Malformed),
+		Entry("a name that is not valid UTF-8, which no answer can contain", put("g.\xff", "c"), errkind.Malformed),
+		Entry("no holder of a begin", begin("l", ""), errkind.Malformed),
 		Entry("no holder of a finish", finish("l", "", 1), errkind.Malformed),
-		Entry("a longer holder", begin("l", long+"x"), errkind.Malformed),
-		Entry("no time", withHold(begin("l", "a"), 0), errkind.Malformed),
-		Entry("a negative time", withHold(renew("l", "a", 1), -1), errkind.Malformed),
-		Entry("a longer time", withHold(begin("l", "a"), MaxHoldMs+1), errkind.Malformed),
-		Entry("a longer value", put("g.a", strings.Repeat("x", MaxValueBytes+1)), errkind.TooLarge),
+		Entry("a holder that is too long", begin("l", long+"x"), errkind.Malformed),
+		Entry("no duration", withHold(begin("l", "a"), 0), errkind.Malformed),
+		Entry("a negative duration", withHold(renew("l", "a", 1), -1), errkind.Malformed),
+		Entry("a duration that is too long", withHold(begin("l", "a"), MaxHoldMs+1), errkind.Malformed),
+		Entry("a value that is too long", put("g.a", strings.Repeat("x", MaxValueBytes+1)), errkind.TooLarge),
 	)
 
-	It("of an unknown operation is rejected", func() {
-		newMachine().reject(Command{Operation: "other", Name: "l"}, errkind.Malformed)
+	It("with an unknown operation is rejected", func() {
+		newStateMachine().reject(Command{Operation: "other", Name: "l"}, errkind.Malformed)
 	})
 })
 
 var _ = Describe("a full state", func() {
 	const oldest = "g.0"
 	value := strings.Repeat("x", MaxValueBytes-8)
-	var m *machine
+	var m *stateMachine
 
 	BeforeEach(func() {
-		m = newMachine()
+		m = newStateMachine()
 		m.do(begin("held", "a"))
 		m.do(next("known"))
 		for i := 0; ; i++ {
@@ -77,7 +77,7 @@
 		}
 	})
 
-	It("takes nothing that needs space", func() {
+	It("rejects commands that need space", func() {
 		Expect(m.Bytes()).To(BeNumerically("<=", maxStateBytes))
 		m.reject(begin("new", "a"), errkind.RateLimited)
 		m.reject(next("new"), errkind.RateLimited)
@@ -85,7 +85,7 @@
 		m.reject(put(oldest, value), errkind.RateLimited)
 	})
 
-	It("goes on for locks that are held, numbers and puts that it has", func() {
+	It("accepts commands on held locks, known numbers and repeated puts", func() {
 		token := m.do(begin("held", "a")).Token
 		m.do(renew("held", "a", token))
 		Expect(m.do(next("known")).Number).To(Equal(uint64(2)))
@@ -93,7 +93,7 @@
 		m.do(finish("held", "a", token))
 	})
 
-	It("has space again once history is dropped or locks are given back", func() {
+	It("has space again once history is dropped or locks are released", func() {
 		m.do(finish("held", "a", m.lock("held").Token))
 		m.do(begin("new", "b"))
 		m.do(dropHistory("g.", 1))
--- a/internal/coordination/cells.go
+++ b/internal/coordination/cells.go
@@ -6,15 +6,15 @@
 	"dykering/internal/errkind"
 )
 
-// Cell is the value of a key. Its field names are fixed: it is stored with gob.
+// Cell is the value of a key. It is stored with gob, so its field names are fixed.
 type Cell struct {
 	Value string
-	// Revision is that of the put which brought the value.
+	// Revision is the revision of the put that set the value.
 	Revision uint64
 }
 
-// GroupOf returns the group of a cell: its name up to the first dot, the dot included, or all of a name without one. The
-// cells of a group share one count of revisions and one history.
+// GroupOf returns the group of a cell. It is the cell's name up to and including the first dot, or the whole name if there is no
+// dot. The cells of a group share one revision counter and one history.
 func GroupOf(name string) string {
 	if dot := strings.IndexByte(name, '.'); dot >= 0 {
 		return name[:dot+1]
@@ -28,7 +28,7 @@
 	return Result{Value: cell.Value, Revision: cell.Revision, Found: found}
 }
 
-// ReadGroup returns the revision of the latest put in a group; 0 for none.
+// ReadGroup returns the revision of the latest put in a group. The revision of a group without puts is 0.
 func (s *State) ReadGroup(name string) Result {
 	g, found := s.groups.Get(name)
 	if !found {
@@ -61,7 +61,7 @@
 	if !known {
 		size += entryOverheadBytes + len(groupName)
 	}
-	if err := s.reserve(size); err != nil {
+	if err := s.checkCapacity(size); err != nil {
 		return s, Result{}, err
 	}
 	next := *s
--- a/internal/coordination/command.go
+++ b/internal/coordination/command.go
@@ -7,58 +7,63 @@
 	"dykering/internal/errkind"
 )
 
-// Limits of what one command may bring. Longer names and values are malformed.
+// Limits of a command. Validate rejects longer names, values and holds.
 const (
-	// MaxNameBytes bounds the name of a lock, a number or a cell, and of a lock holder.
+	// MaxNameBytes bounds the names of locks, numbers, cells and lock holders.
 	MaxNameBytes = 256
 	// MaxValueBytes bounds the value of a cell.
 	MaxValueBytes = 16 << 10
-	// MaxHoldMs bounds the time for which a lock is held without a renewal: a day.
+	// MaxHoldMs bounds the time for which a lock is held without a renewal. It is one day in milliseconds.
 	MaxHoldMs = 24 * 60 * 60 * 1000
 )
 
-// Operation is what a Command does. The values are stored and sent: they are fixed.
+// Operation is the kind of a Command. The values are stored and sent, so they are fixed.
 type Operation string
 
 // The operations.
 const (
-	// BeginLock takes a lock, or takes it again for its holder.
+	// BeginLock acquires a lock. The current holder may acquire its lock again.
 	BeginLock Operation = "begin"
-	// RenewLock gives the holder of a lock more time.
+	// RenewLock extends the hold of a lock.
 	RenewLock Operation = "renew"
-	// FinishLock gives a lock back.
+	// FinishLock releases a lock.
 	FinishLock Operation = "finish"
-	// NextNumber hands out the next value of a number.
+	// NextNumber issues the next value of a number.
 	NextNumber Operation = "number"
 	// PutCell sets the value of a cell.
 	PutCell Operation = "put"
-	// Compact drops history and holds that are over. Only the head makes it.
+	// Compact drops old history and expired holds. Only the head creates it.
 	Compact Operation = "compact"
 )
 
-// Command changes the state. It is stored and sent with gob: the names of its fields are fixed.
+// Command changes the state. It is stored and sent with gob, so its field names are fixed.
 type Command struct {
 	Operation Operation
-	// Name is that of the lock, the number or the cell.
+	// Name is the name of the lock, the number or the cell.
 	Name string
-	// Holder, Token and HoldMs are those of a lock's hold.
+	// Holder is the name of the caller that acquires, renews or releases a lock.
 	Holder string
-	Token  uint64
+	// Token is the fencing token of the hold that is renewed or released.
+	Token uint64
+	// HoldMs is the requested duration of a hold in milliseconds.
 	HoldMs int64
-	// ExpiredToken is the token of a hold that the head knows to be over; 0 for none. It is set by the head alone.
+	// ExpiredToken is the token of the lock's current hold if the head knows that it has expired, and 0 otherwise. Only the
+	// head sets it.
 	ExpiredToken uint64
-	// Value is that of a cell.
+	// Value is the new value of a cell.
 	Value string
-	// Conditional is true if the cell must have the revision IfRevision, which is 0 for a cell that must not exist.
+	// Conditional is true if the put requires the cell to have the revision IfRevision. A cell that does not exist has
+	// revision 0.
 	Conditional bool
 	IfRevision  uint64
-	// Floors are, for a Compact, the revisions by group up to which the history is dropped.
+	// Floors maps a group to the revision up to which a Compact drops the group's history.
 	Floors map[string]uint64
-	// ExpiredHolds are, for a Compact, the tokens of holds that are over, by lock.
+	// ExpiredHolds maps a lock to the token of the expired hold that a Compact drops.
 	ExpiredHolds map[string]uint64
 }
 
-// Validate returns an error of kind errkind.Malformed for a command that no state can execute.
+// Validate returns an error for a command that no state can execute. The kind is errkind.TooLarge for a value that is too long,
+// and errkind.Malformed otherwise.
 func (c *Command) Validate() error {
 	if c.Name == "" || len(c.Name) > MaxNameBytes || !utf8.ValidString(c.Name) || strings.ContainsRune(c.Name, 0) {
 		return errkind.New(errkind.Malformed, "name")
@@ -75,27 +80,28 @@
 	return nil
 }
 
-// Result is what the caller of a command or of a read is answered. It is sent with gob: its field names are fixed.
+// Result is the result of a command or of a read. It is sent with gob, so its field names are fixed.
 type Result struct {
-	// Token is the fencing token of a lock that was taken.
+	// Token is the fencing token of an acquired lock.
 	Token uint64
-	// Number is the value that was handed out.
+	// Number is the issued value of a number.
 	Number uint64
-	// Revision is that of a cell: after a put, at a conflict, or as read. For a read of a group it is the group's.
+	// Revision is the revision of the cell after a put, after a revision conflict or in a read. For a read of a group, it is
+	// the revision of the group.
 	Revision uint64
-	// Value is that of a cell that was read.
+	// Value is the value of the cell in a read.
 	Value string
-	// Found reports whether the cell that was read exists.
+	// Found reports whether the cell or the group in a read exists.
 	Found bool
 }
 
-// Execute returns the state after a command and the caller's result. If the command changes nothing, the state is returned
-// itself. A rejected command changes nothing; the error is an *errkind.Error:
+// Execute returns the state after a command and the result for the caller. If the command changes nothing, Execute returns s
+// itself. A rejected command changes nothing. The error of a rejected command is an *errkind.Error of one of these kinds:
 //
-//   - errkind.LockHeld for a BeginLock of a lock that another holder has,
-//   - errkind.LockLost for a RenewLock of a lock that the holder has no longer,
-//   - errkind.RevisionConflict for a PutCell whose condition does not hold; Result.Revision is then the cell's,
-//   - errkind.RateLimited for a command for which there is no space,
+//   - errkind.LockHeld for a BeginLock if another caller holds the lock,
+//   - errkind.LockLost for a RenewLock if the caller no longer holds the lock,
+//   - errkind.RevisionConflict for a PutCell whose condition is not met; Result.Revision is then the cell's revision,
+//   - errkind.RateLimited if the state has no space for the command,
 //   - errkind.Malformed for an unknown operation.
 func (s *State) Execute(command Command) (*State, Result, error) {
 	switch command.Operation {
--- a/internal/coordination/compatibility_test.go
+++ b/internal/coordination/compatibility_test.go
@@ -8,14 +8,14 @@
 	"dykering/internal/fixture"
 )
 
-// The fixtures were written by the first build that has the coordination service.
+// The fixtures were written by the first build that had the coordination service.
 const (
-	storedFile   = "testdata/compatibility/state.gob"         // the stored form of a state with all tables
-	renderedFile = "testdata/compatibility/state.txt"         // what it holds
-	schemaFile   = "testdata/compatibility/state-schema.json" // the structure of its type
+	storedFile   = "testdata/compatibility/state.gob"         // the stored form of a state with entries in all tables
+	renderedFile = "testdata/compatibility/state.txt"         // the content of that state as text
+	schemaFile   = "testdata/compatibility/state-schema.json" // the structure of the stored type
 )
 
-// storedFixture is the stored form that the earlier build has written, without zero fields.
+// storedFixture returns the stored form that the earlier build has written, without zero fields.
 func storedFixture(t *testing.T) []byte {
 	t.Helper()
 	return fixture.Bytes(t, storedFile, func() []byte {
@@ -36,12 +36,12 @@
 	return state
 }
 
-// A state that an earlier build has stored is read in full.
+// The present code reads all of a state that an earlier build has stored.
 func TestStateOfEarlierBuildIsRead(t *testing.T) {
 	fixture.Text(t, renderedFile, fixture.Render("", restoredFixture(t).stored()))
 }
 
-// The types of an earlier build read in full the state that the present code stores.
+// The types of an earlier build read all of a state that the present code stores.
 func TestEarlierTypesReadPresentState(t *testing.T) {
 	text := fixture.Bytes(t, schemaFile, func() []byte {
 		text, err := json.Marshal(fixture.SchemaOf(reflect.TypeFor[storedState]()))
@@ -65,7 +65,7 @@
 	fixture.Text(t, renderedFile, fixture.Render("", decoded))
 }
 
-// The states that commands of an earlier build lead to are the same, as the members of a core may have both builds.
+// Commands lead to the same state as in an earlier build, as the members of a control plane may run different builds.
 func TestCommandsOfEarlierBuildLeadToTheSameState(t *testing.T) {
 	fixture.Text(t, renderedFile, fixture.Render("", seedState().stored()))
 }
--- a/internal/coordination/coordination_test.go
+++ b/internal/coordination/coordination_test.go
@@ -14,28 +14,28 @@
 	RunSpecs(t, "coordination")
 }
 
-// machine is a state that commands are executed on.
-type machine struct{ *State }
+// stateMachine executes commands and has the resulting state.
+type stateMachine struct{ *State }
 
-func newMachine() *machine { return &machine{Empty()} }
+func newStateMachine() *stateMachine { return &stateMachine{Empty()} }
 
-// try executes a command and returns its result and why it is rejected.
-func (m *machine) try(command Command) (Result, error) {
+// try executes a command and returns its result, or the error if the command is rejected.
+func (m *stateMachine) try(command Command) (Result, error) {
 	next, result, err := m.Execute(command)
 	m.State = next
 	return result, err
 }
 
-// do executes a command that is not rejected.
-func (m *machine) do(command Command) Result {
+// do executes a command and expects that it is not rejected.
+func (m *stateMachine) do(command Command) Result {
 	GinkgoHelper()
 	result, err := m.try(command)
 	Expect(err).NotTo(HaveOccurred())
 	return result
 }
 
-// reject executes a command that is rejected for a reason.
-func (m *machine) reject(command Command, kind errkind.Kind) Result {
+// reject executes a command and expects that it is rejected with an error of a kind and leaves the state unchanged.
+func (m *stateMachine) reject(command Command, kind errkind.Kind) Result {
 	GinkgoHelper()
 	before := m.State
 	result, err := m.try(command)
@@ -45,7 +45,7 @@
 	return result
 }
 
-func (m *machine) lock(name string) Lock {
+func (m *stateMachine) lock(name string) Lock {
 	GinkgoHelper()
 	lock, held := m.State.Lock(name)
 	Expect(held).To(BeTrue())
@@ -58,7 +58,7 @@
 	return Command{Operation: BeginLock, Name: lock, Holder: holder, HoldMs: holdMs}
 }
 
-// takeOver begins a lock whose hold the head knows to be over.
+// takeOver begins a lock in place of the expired hold with the given token.
 func takeOver(lock, holder string, expired uint64) Command {
 	command := begin(lock, holder)
 	command.ExpiredToken = expired
--- a/internal/coordination/encoding.go
+++ b/internal/coordination/encoding.go
@@ -8,10 +8,11 @@
 	"github.com/pkg/errors"
 )
 
-// storedVersion is the version of the stored form. A reader rejects versions that it does not know.
+// storedVersion is the version of the stored form. State.GobDecode rejects all other versions.
 const storedVersion = 1
 
-// storedState is the stored form of a State. Its field names are fixed.
+// storedState is the stored form of a State. It is encoded with gob, so the names of its fields are fixed, and so are those of
+// the types that it contains.
 type storedState struct {
 	Version   int
 	LastToken uint64
@@ -43,11 +44,11 @@
 	Events   []Event
 }
 
-// GobEncode returns the stored form. Equal states have equal forms: all tables are sorted.
+// GobEncode returns the encoded stored form. Equal states have equal forms, as all tables are sorted.
 func (s *State) GobEncode() ([]byte, error) {
 	var buffer bytes.Buffer
 	err := gob.NewEncoder(&buffer).Encode(s.stored())
-	return buffer.Bytes(), errors.Wrap(err, "coordination state")
+	return buffer.Bytes(), errors.Wrap(err, "encode coordination state")
 }
 
 func (s *State) stored() storedState {
@@ -80,17 +81,17 @@
 	return stored
 }
 
-// GobDecode sets the state to what a stored form says.
+// GobDecode replaces the state with the one of an encoded stored form. After an error the state is unchanged.
 func (s *State) GobDecode(data []byte) error {
 	var stored storedState
 	if err := gob.NewDecoder(bytes.NewReader(data)).Decode(&stored); err != nil {
-		return errors.Wrap(err, "coordination state")
+		return errors.Wrap(err, "decode coordination state")
 	}
 	if stored.Version != storedVersion {
-		return errors.Errorf("coordination state: version %d is not known", stored.Version)
+		return errors.Errorf("decode coordination state: got version %d, want version %d", stored.Version, storedVersion)
 	}
 	if err := stored.validate(); err != nil {
-		return errors.Wrap(err, "coordination state")
+		return errors.Wrap(err, "decode coordination state")
 	}
 	*s = *Empty()
 	s.lastToken = stored.LastToken
--- a/internal/coordination/fuzz_test.go
+++ b/internal/coordination/fuzz_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// seedState is a state with all tables and a history that was shortened.
+// seedState returns a state with entries in all tables and a history whose beginning was dropped.
 func seedState() *State {
 	state := Empty()
 	for _, command := range []Command{
@@ -18,8 +18,8 @@
 	return state
 }
 
-// FuzzDecode: whatever bytes are decoded, a state that comes of them is as good as one that was executed: it can be read,
-// changed and stored, and it counts no more than a multiple of the bytes.
+// FuzzDecode checks that any state that GobDecode accepts is valid: it can be read, changed and stored, and its estimated size
+// is at most a multiple of the size of the input.
 func FuzzDecode(f *testing.F) {
 	for _, state := range []*State{Empty(), seedState()} {
 		data, err := state.GobEncode()
@@ -52,19 +52,20 @@
 		}
 		restored := &State{}
 		if err := restored.GobDecode(form); err != nil {
-			t.Fatalf("what was decoded cannot be decoded again: %v", err)
+			t.Fatalf("decode the encoded state again: %v", err)
 		}
 		if restored.Bytes() != state.Bytes() || restored.Counts() != state.Counts() {
-			t.Fatalf("decoded again %d bytes, %+v of %d, %+v", restored.Bytes(), restored.Counts(), state.Bytes(), state.Counts())
+			t.Fatalf("the restored state has %d bytes and %+v; the original has %d bytes and %+v",
+				restored.Bytes(), restored.Counts(), state.Bytes(), state.Counts())
 		}
-		if most := (entryOverheadBytes + MaxNameBytes + 2) * (len(data) + 1); state.Bytes() > most {
-			t.Fatalf("%d bytes give a state of %d", len(data), state.Bytes())
+		if limit := (entryOverheadBytes + MaxNameBytes + 2) * (len(data) + 1); state.Bytes() > limit {
+			t.Fatalf("an input of %d bytes gives a state of %d bytes, want at most %d", len(data), state.Bytes(), limit)
 		}
 		readAndChange(state)
 	})
 }
 
-// readAndChange reads each group from all revisions that matter, and executes a command on each table.
+// readAndChange reads each group from the revisions at its boundaries, and executes commands on each table.
 func readAndChange(state *State) {
 	for iterator := state.groups.Iterator(); !iterator.Done(); {
 		name, g, _ := iterator.Next()
--- a/internal/coordination/head.go
+++ b/internal/coordination/head.go
@@ -15,18 +15,18 @@
 	HoldMargin time.Duration
 	// HistoryKept is how long the puts of a group are kept for watches.
 	HistoryKept time.Duration
-	// CompactionInterval is the time between two looks at what is old enough to be dropped.
+	// CompactionInterval is the time between two compactions of the state.
 	CompactionInterval time.Duration
-	// ExpiredHoldGrace is how long a hold that is over is kept before it is dropped.
+	// ExpiredHoldGrace is how long an expired hold is kept before a compaction drops it.
 	ExpiredHoldGrace time.Duration
 	// StateOf returns the state of the coordination service in a value of the chain.
 	StateOf func(value any) *State
-	// Encode returns the form of a command in the log of the chain.
+	// Encode returns a command as an operation for the log of the chain.
 	Encode func(Command) ([]byte, error)
 }
 
-// Head is what a member needs to decide on commands while it is the head of the chain. It is volatile, and belongs to one
-// incarnation of one member. At other members it means nothing.
+// Head evaluates commands while a member is the head of the chain. It is volatile and belongs to one incarnation of one member.
+// At other members it has no meaning.
 type Head struct {
 	config        HeadConfig
 	holds         *HoldTimers
@@ -34,7 +34,7 @@
 	compactionDue time.Duration
 }
 
-// NewHead returns the head's part of a member that starts now.
+// NewHead returns the Head of a member that starts now.
 func NewHead(now time.Duration, config HeadConfig) *Head {
 	return &Head{
 		config:    config,
@@ -43,19 +43,19 @@
 	}
 }
 
-// ViewInstalled forgets when holds end. It must be called whenever a view is installed, as another head may have renewed
-// holds before.
+// ViewInstalled drops all timers of holds. The caller must call it whenever a view is installed, as another head may have
+// renewed holds before.
 func (h *Head) ViewInstalled(now time.Duration) { h.holds.Reset(now) }
 
-// Write returns the request to the chain that executes a command. Respond is called once, with the result and nil or an
-// *errkind.Error:
+// Write returns the request to the chain that executes a command. The request calls respond once, with the result and nil, or
+// with an *errkind.Error:
 //
-//   - that of the rejection,
-//   - errkind.OutcomeUnknown if the command may have been executed, or may still be,
-//   - errkind.NotReady if it has not been executed and never will be.
+//   - the rejection of the command,
+//   - errkind.OutcomeUnknown if the command may have been executed or may still be executed,
+//   - errkind.NotReady if the command was not executed and never will be.
 func (h *Head) Write(now time.Duration, command Command, respond func(Result, error)) chain.Write {
 	var result Result
-	var finished Lock // by the command; without a token if it finishes none
+	var finished Lock // the hold that the command finishes; the zero value if there is none
 	accepted := false
 	return chain.Write{
 		Decide: func(latest any) chain.Decision {
@@ -77,8 +77,8 @@
 	}
 }
 
-// decide returns what the head does with a command in its latest state. A hold that is over is named in the operation, so that
-// all members replace the same one.
+// decide evaluates a command in the head's latest state. It puts the token of an expired hold into the command, so that all
+// members replace the same hold.
 func (h *Head) decide(now time.Duration, latest *State, command Command) (chain.Decision, Result) {
 	if command.Operation == BeginLock {
 		command.ExpiredToken = h.expiredToken(now, latest, command.Name)
@@ -98,16 +98,16 @@
 	return chain.Decision{Operation: operation}, result
 }
 
-// expiredToken returns the token of the hold of a lock if it is over, and 0 otherwise.
+// expiredToken returns the token of a lock's hold if the hold has expired, and 0 otherwise.
 func (h *Head) expiredToken(now time.Duration, latest *State, name string) uint64 {
-	if lock, held := latest.Lock(name); held && h.holds.IsOver(now, name, lock) {
+	if lock, held := latest.Lock(name); held && h.holds.IsExpired(now, name, lock) {
 		return lock.Token
 	}
 	return 0
 }
 
-// extendHold notes how long the holder of a lock may count on it after a command that takes or renews it. The caller has sent
-// the command before now.
+// extendHold extends the timer of a lock after a command that acquires or renews the lock. The hold is counted from now, which
+// is later than the time at which the caller sent the command.
 func (h *Head) extendHold(now time.Duration, next *State, command Command) {
 	if command.Operation != BeginLock && command.Operation != RenewLock {
 		return
@@ -117,11 +117,11 @@
 	}
 }
 
-// HoldEndsAt returns when another holder can have a lock that is held in the head's latest state.
+// HoldEndsAt returns when the hold of a lock in the head's latest state ends, so that another caller can acquire the lock.
 func (h *Head) HoldEndsAt(name string, lock Lock) time.Duration { return h.holds.endsAt(name, lock) }
 
-// classify returns an error of the chain as the caller of a command sees it. The outcome of an accepted command without a clear
-// end is unknown, also where it changed nothing: it may repeat one that has been executed.
+// classify converts an error of the chain to the error for the caller of a command. If an accepted command was not confirmed,
+// its outcome is unknown, even if it changed nothing: it may be the repetition of a command that was executed.
 func classify(err error, accepted bool) error {
 	var classified *errkind.Error
 	switch {
@@ -135,9 +135,9 @@
 	return errkind.New(errkind.NotReady, err.Error())
 }
 
-// Compaction returns the command that drops the history and the holds that are old enough, given the committed state of the
-// chain; ok is false if nothing is to be dropped. It is called at an interval while this member is the head of a confirmed
-// view; Pause is called otherwise.
+// Compaction returns the command that drops old history and expired holds, given the committed value of the chain. If there is
+// nothing to drop, or HeadConfig.CompactionInterval has not passed, ok is false. The caller calls Compaction regularly while
+// this member is the head of a confirmed view, and Pause otherwise.
 func (h *Head) Compaction(now time.Duration, committed any) (command Command, ok bool) {
 	if now < h.compactionDue {
 		return Command{}, false
@@ -152,5 +152,5 @@
 	return command, len(command.Floors) > 0 || len(command.ExpiredHolds) > 0
 }
 
-// Pause forgets the ages of the history: this member is not the head of a confirmed view.
+// Pause drops the recorded ages of the history. The caller calls it while this member is not the head of a confirmed view.
 func (h *Head) Pause() { h.retention.Reset() }
--- a/internal/coordination/head_test.go
+++ b/internal/coordination/head_test.go
@@ -13,7 +13,7 @@
 	"dykering/internal/errkind"
 )
 
-// encodeCommand and decodeCommand stand for the log of the chain.
+// encodeCommand and decodeCommand convert commands to and from operations in the log of the chain.
 func encodeCommand(command Command) ([]byte, error) {
 	var buffer bytes.Buffer
 	err := gob.NewEncoder(&buffer).Encode(command)
@@ -35,9 +35,9 @@
 		grace    = time.Minute
 	)
 	var head *Head
-	var m *machine
+	var m *stateMachine
 	BeforeEach(func() {
-		m = newMachine()
+		m = newStateMachine()
 		head = NewHead(0, HeadConfig{
 			HoldMargin:         margin,
 			HistoryKept:        kept,
@@ -47,7 +47,7 @@
 			Encode:             encodeCommand,
 		})
 	})
-	// decide has the head decide on a command, and applies what it would append.
+	// decide has the head evaluate a command, and executes the operation that the head would append.
 	decide := func(now time.Duration, command Command) (decision chain.Decision, respond func(error) (Result, error)) {
 		var result Result
 		var answer error
@@ -63,7 +63,7 @@
 		}
 	}
 
-	It("appends what changes the state, and answers with its result", func() {
+	It("appends a command that changes the state, and answers with its result", func() {
 		decision, respond := decide(0, begin("l", "a"))
 		Expect(decision.Operation).NotTo(BeEmpty())
 		result, err := respond(nil)
@@ -71,7 +71,7 @@
 		Expect(result.Token).To(Equal(uint64(1)))
 	})
 
-	It("appends nothing for what changes nothing", func() {
+	It("appends nothing for a command that changes nothing", func() {
 		decide(0, begin("l", "a"))
 		decide(0, put("g.a", "1"))
 		for _, command := range []Command{renew("l", "a", 1), finish("l", "b", 1), put("g.a", "1")} {
@@ -80,7 +80,7 @@
 		}
 	})
 
-	It("rejects with the revision of the key", func() {
+	It("rejects a conditional put with the current revision of the cell", func() {
 		decide(0, put("g.a", "1"))
 		decision, respond := decide(0, putIf("g.a", "2", 0))
 		Expect(errkind.KindOf(decision.Rejection)).To(Equal(errkind.RevisionConflict))
@@ -89,7 +89,7 @@
 		Expect(result.Revision).To(Equal(uint64(1)))
 	})
 
-	It("lets another caller take a lock once the time of its hold and the margin are over, naming that hold", func() {
+	It("lets another caller acquire a lock once the hold and the margin have passed, with the token of the expired hold", func() {
 		decide(0, begin("l", "a"))
 		decision, _ := decide(hold+margin-1, begin("l", "b"))
 		Expect(errkind.KindOf(decision.Rejection)).To(Equal(errkind.LockHeld))
@@ -98,13 +98,13 @@
 		Expect(m.lock("l").Holder).To(Equal("b"))
 	})
 
-	It("decides itself on whether a hold is over, whatever a peer sends", func() {
+	It("ignores the expired token that a peer sends", func() {
 		decide(0, begin("l", "a"))
 		decision, _ := decide(time.Second, takeOver("l", "b", 1))
 		Expect(errkind.KindOf(decision.Rejection)).To(Equal(errkind.LockHeld))
 	})
 
-	It("counts a hold from its last renewal, also from one that changes nothing", func() {
+	It("counts a hold from its last renewal, even if the renewal changes nothing", func() {
 		decide(0, begin("l", "a"))
 		decide(2*time.Second, renew("l", "a", 1))
 		decision, _ := decide(2*time.Second+hold+margin-1, begin("l", "b"))
@@ -113,7 +113,7 @@
 		Expect(decision.Rejection).NotTo(HaveOccurred())
 	})
 
-	It("does not count a hold from a call that was refused", func() {
+	It("does not extend a hold after a rejected call", func() {
 		decide(0, begin("l", "a"))
 		decide(time.Second, begin("l", "b"))
 		decide(time.Second, renew("l", "a", 7))
@@ -130,7 +130,7 @@
 		Expect(decision.Rejection).NotTo(HaveOccurred())
 	})
 
-	DescribeTable("tells whether a command without a clear end may have been executed",
+	DescribeTable("reports whether a command that failed in the chain may have been executed",
 		func(command Command, err error, kind errkind.Kind) {
 			decide(0, begin("l", "a"))
 			decide(0, put("g.a", "1"))
@@ -138,14 +138,14 @@
 			_, answer := respond(err)
 			Expect(errkind.KindOf(answer)).To(Equal(kind))
 		},
-		Entry("appended, not confirmed", next("n"), chain.ErrNotConfirmed, errkind.OutcomeUnknown),
+		Entry("appended but not confirmed", next("n"), chain.ErrNotConfirmed, errkind.OutcomeUnknown),
 		Entry("not appended, as the head is sealed", next("n"), chain.ErrNotWritable, errkind.NotReady),
-		Entry("changes nothing, not confirmed", put("g.a", "1"), chain.ErrNotConfirmed, errkind.OutcomeUnknown),
-		Entry("rejected, not confirmed", putIf("g.a", "2", 0), chain.ErrNotConfirmed, errkind.NotReady),
-		Entry("another error", next("n"), errors.New("other"), errkind.OutcomeUnknown),
+		Entry("unchanged but not confirmed", put("g.a", "1"), chain.ErrNotConfirmed, errkind.OutcomeUnknown),
+		Entry("rejected but not confirmed", putIf("g.a", "2", 0), chain.ErrNotConfirmed, errkind.NotReady),
+		Entry("failed with another error", next("n"), errors.New("other"), errkind.OutcomeUnknown),
 	)
 
-	It("that was never asked to decide promises that nothing was executed", func() {
+	It("reports that a command was not executed if the chain failed before evaluating it", func() {
 		var answer error
 		head.Write(0, next("n"), func(_ Result, err error) { answer = err }).Respond(chain.ErrNotHead)
 		Expect(errkind.KindOf(answer)).To(Equal(errkind.NotReady))
@@ -157,7 +157,7 @@
 		Expect(decision.Rejection).To(MatchError("not encoded"))
 	})
 
-	It("drops, at an interval, the history and the holds that are old enough", func() {
+	It("drops old history and expired holds at each compaction interval", func() {
 		decide(0, begin("l", "a"))
 		decide(0, put("g.a", "1"))
 		_, ok := head.Compaction(0, m.State)
@@ -175,7 +175,7 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	It("counts the ages of the history anew after a pause", func() {
+	It("determines the age of the history from the start again after a pause", func() {
 		decide(0, put("g.a", "1"))
 		head.Compaction(0, m.State)
 		head.Pause()
@@ -185,7 +185,7 @@
 		Expect(ok).To(BeTrue())
 	})
 
-	It("drops no hold that was renewed or taken again since the committed state", func() {
+	It("drops no hold that was renewed or acquired after the committed state", func() {
 		decide(0, begin("l", "a"))
 		decide(0, begin("m", "a"))
 		committed := m.State
@@ -199,8 +199,8 @@
 	})
 })
 
-var _ = Describe("the memory of calls", func() {
-	It("knows a call that comes again, by its sender and number", func() {
+var _ = Describe("the set of recent calls", func() {
+	It("recognizes a repeated call by its sender and identifier", func() {
 		calls := NewRecentCalls()
 		Expect(calls.IsRepeated("a", 1)).To(BeFalse())
 		Expect(calls.IsRepeated("a", 2)).To(BeFalse())
@@ -209,7 +209,7 @@
 		Expect(calls.IsRepeated("a", 1)).To(BeTrue())
 	})
 
-	It("keeps the latest calls up to its bound", func() {
+	It("keeps the latest maxRecentCalls calls", func() {
 		calls := NewRecentCalls()
 		const sent = 3 * maxRecentCalls
 		for id := range uint64(sent) {
--- a/internal/coordination/history.go
+++ b/internal/coordination/history.go
@@ -4,29 +4,29 @@
 	"github.com/benbjohnson/immutable"
 )
 
-// maxEventBytesPerAnswer bounds what the events of one answer count by Event.bytes, which is twice their names and values: each
-// caller that catches up is sent a copy of them.
+// maxEventBytesPerAnswer bounds the size of the events in one answer, because each caller that catches up receives its own copy.
+// The size is the sum of Event.bytes, which counts names and values twice.
 const maxEventBytesPerAnswer = 512 << 10
 
-// Event is one put in the history of a group. Its field names are fixed: it is stored with gob.
+// Event is one put in the history of a group. It is stored with gob, so its field names are fixed.
 type Event struct {
 	Name     string
 	Value    string
 	Revision uint64
 }
 
-// bytes is what an event counts for maxStateBytes.
+// bytes returns the estimated size of an event. Names and values count twice, as group.revisions has them too.
 func (e Event) bytes() int { return 2*(len(e.Name)+len(e.Value)) + entryOverheadBytes }
 
-// group is the count of revisions and the history of the cells whose names begin alike. It is immutable.
+// group has the revision counter and the history of the cells of one group (see GroupOf). It is immutable.
 type group struct {
-	// revision is that of the latest put.
+	// revision is the revision of the latest put.
 	revision uint64
 	// floor is the revision up to which the history was dropped.
 	floor uint64
 	// events are the puts above floor, by revision.
 	events *immutable.SortedMap[uint64, Event]
-	// revisions are those of the puts above floor, by cell and value, for puts that come again.
+	// revisions are the revisions of the puts above floor, by putKey. They identify repeated puts.
 	revisions *immutable.SortedMap[string, uint64]
 }
 
@@ -37,10 +37,10 @@
 	}
 }
 
-// putKey identifies a put by its cell and value. A name has no byte 0: see Command.Validate.
+// putKey identifies a put by its cell and value. The result is unambiguous, as Command.Validate rejects names with a zero byte.
 func putKey(name, value string) string { return name + "\x00" + value }
 
-// revisionOf returns the revision of a put that the history has.
+// revisionOf returns the revision of a put. If the history does not have the put, ok is false.
 func (g *group) revisionOf(name, value string) (revision uint64, ok bool) {
 	return g.revisions.Get(putKey(name, value))
 }
@@ -53,7 +53,7 @@
 	return &next
 }
 
-// withoutEventsUpTo drops the events up to a revision, and returns what they counted for maxStateBytes.
+// withoutEventsUpTo returns the group without the events up to a revision, and the total size of the dropped events.
 func (g *group) withoutEventsUpTo(floor uint64) (next *group, freed int) {
 	floor = min(floor, g.revision)
 	if floor <= g.floor {
@@ -73,10 +73,10 @@
 	return &shortened, freed
 }
 
-// EventsAfter returns the puts of a group above a revision, at most a number of them and of their bytes, and the revision up
-// to which they are complete. It reports false if the history begins later. A revision that this replica has not reached yet
-// has no events.
-func (s *State) EventsAfter(groupName string, after uint64, most int) (events []Event, upTo uint64, ok bool) {
+// EventsAfter returns the puts of a group above a revision, and the revision up to which the returned puts are complete. It
+// returns at most limit events and, apart from the first event, at most maxEventBytesPerAnswer. If the history starts after
+// the given revision, ok is false. If this replica has not reached the given revision yet, there are no events.
+func (s *State) EventsAfter(groupName string, after uint64, limit int) (events []Event, upTo uint64, ok bool) {
 	g, known := s.groups.Get(groupName)
 	if !known || after >= g.revision {
 		return nil, after, true
@@ -86,7 +86,7 @@
 	}
 	size := 0
 	iterator := g.events.Iterator()
-	for iterator.Seek(after + 1); !iterator.Done() && len(events) < most; {
+	for iterator.Seek(after + 1); !iterator.Done() && len(events) < limit; {
 		_, event, _ := iterator.Next()
 		size += event.bytes()
 		if len(events) > 0 && size > maxEventBytesPerAnswer {
@@ -97,7 +97,7 @@
 	return events, events[len(events)-1].Revision, true
 }
 
-// compact drops the history up to the floors of a command, and the holds that it names.
+// compact returns the state without the history up to Command.Floors and without the holds in Command.ExpiredHolds.
 func (s *State) compact(command Command) *State {
 	next := s
 	for name, floor := range command.Floors {
--- a/internal/coordination/hold_timers_test.go
+++ b/internal/coordination/hold_timers_test.go
@@ -13,26 +13,26 @@
 		hold   = holdMs * time.Millisecond
 		grace  = time.Minute
 	)
-	var m *machine
+	var m *stateMachine
 	var timers *HoldTimers
 	var lock Lock
 	BeforeEach(func() {
-		m, timers = newMachine(), NewHoldTimers(0, margin)
+		m, timers = newStateMachine(), NewHoldTimers(0, margin)
 		m.do(begin("l", "a"))
 		lock = m.lock("l")
 	})
 	expectEnd := func(end time.Duration) {
 		GinkgoHelper()
-		Expect(timers.IsOver(end-1, "l", lock)).To(BeFalse())
-		Expect(timers.IsOver(end, "l", lock)).To(BeTrue())
+		Expect(timers.IsExpired(end-1, "l", lock)).To(BeFalse())
+		Expect(timers.IsExpired(end, "l", lock)).To(BeTrue())
 	}
 
-	It("count from the installation of the view for a hold that this head has not seen taken", func() {
+	It("count from the installation of the view for a hold whose begin this head has not handled", func() {
 		timers.Reset(time.Second)
 		expectEnd(time.Second + hold + margin)
 	})
 
-	It("count from the call that took or renewed the hold, with a margin", func() {
+	It("count from the call that acquired or renewed the lock, and add the margin", func() {
 		timers.Extend(time.Minute, "l", lock, hold)
 		expectEnd(time.Minute + hold + margin)
 	})
@@ -43,7 +43,7 @@
 		expectEnd(time.Minute + time.Hour + margin)
 	})
 
-	It("count anew for the next hold of the lock, and ignore the timer of the earlier one", func() {
+	It("start again for the next hold of the lock, and ignore the timer of the earlier hold", func() {
 		timers.Extend(0, "l", lock, time.Hour)
 		m.do(takeOver("l", "b", lock.Token))
 		lock = m.lock("l")
@@ -52,7 +52,7 @@
 		expectEnd(time.Minute + hold + margin)
 	})
 
-	It("go on for a holder that takes its lock again", func() {
+	It("keep the end of the hold if the holder acquires its lock again", func() {
 		timers.Extend(0, "l", lock, time.Hour)
 		m.do(begin("l", "a"))
 		lock = m.lock("l")
@@ -60,13 +60,13 @@
 		expectEnd(time.Hour + margin)
 	})
 
-	It("are all forgotten when a view is installed: another head may have renewed any hold until then", func() {
+	It("are all dropped when a view is installed, as another head may have renewed any hold until then", func() {
 		timers.Extend(0, "l", lock, time.Millisecond)
 		timers.Reset(time.Minute)
 		expectEnd(time.Minute + hold + margin)
 	})
 
-	It("name the holds that have been over for longer than the grace time", func() {
+	It("return the holds that ended more than the grace period ago", func() {
 		m.do(begin("later", "b"))
 		timers.Extend(time.Hour, "later", m.lock("later"), hold)
 		end := hold + margin
@@ -74,7 +74,7 @@
 		Expect(timers.Expired(end+grace+1, m.State, grace)).To(Equal(map[string]uint64{"l": lock.Token}))
 	})
 
-	It("run to their end whatever a state says, and are forgotten a grace time after it", func() {
+	It("are kept until the grace period after their end, even if the state no longer has the hold", func() {
 		timers.Extend(0, "l", lock, hold)
 		m.do(finish("l", "a", lock.Token))
 		timers.Expired(hold+margin+grace-1, m.State, grace)
--- a/internal/coordination/late_calls_test.go
+++ b/internal/coordination/late_calls_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// A look at the committed state, for what has expired, comes while the begin of a lock waits for its commit. The head then
-// still knows when that hold ends.
+// The head checks the committed state for expired holds while the begin of a lock is not committed yet. It must keep the end of
+// that hold.
 func TestTimerOfAnUncommittedHoldIsKept(t *testing.T) {
 	g := NewWithT(t)
 	const viewInstalledAt, now = time.Second, time.Hour
@@ -19,12 +19,13 @@
 	lock, _ := latest.Lock("l")
 	timers.Extend(now, "l", lock, 3*time.Second)
 	timers.Expired(now, committed, time.Minute)
-	g.Expect(timers.IsOver(now+time.Second, "l", lock)).To(BeFalse())
-	g.Expect(timers.IsOver(now+3*time.Second, "l", lock)).To(BeTrue())
+	g.Expect(timers.IsExpired(now+time.Second, "l", lock)).To(BeFalse())
+	g.Expect(timers.IsExpired(now+3*time.Second, "l", lock)).To(BeTrue())
 }
 
-// A hold of which a new head knows only the longest time is not shortened by a call that asks for less.
-func TestShorterCallAfterANewViewShortensNoHold(t *testing.T) {
+// A new head knows only the longest requested duration of a hold. A call that requests a shorter duration must not shorten the
+// hold.
+func TestShorterBeginAfterANewViewShortensNoHold(t *testing.T) {
 	g := NewWithT(t)
 	const viewInstalledAt = time.Minute
 	timers := NewHoldTimers(viewInstalledAt, 0)
@@ -34,12 +35,13 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	lock, _ := again.Lock("l")
 	timers.Extend(viewInstalledAt+time.Second, "l", lock, 500*time.Millisecond)
-	g.Expect(timers.IsOver(viewInstalledAt+2*time.Second, "l", lock)).To(BeFalse())
-	g.Expect(timers.IsOver(viewInstalledAt+3*time.Second, "l", lock)).To(BeTrue())
+	g.Expect(timers.IsExpired(viewInstalledAt+2*time.Second, "l", lock)).To(BeFalse())
+	g.Expect(timers.IsExpired(viewInstalledAt+3*time.Second, "l", lock)).To(BeTrue())
 }
 
-// A holder dies with a renewal and a finish on their way, comes back and takes its lock again. The late calls then end nothing.
-func TestLateRenewalAndFinishOfAnEarlierIncarnationKeepTheLock(t *testing.T) {
+// A holder crashes after it has sent a renewal and a finish. It restarts and acquires its lock again before these calls arrive.
+// The delayed calls must not release the lock.
+func TestDelayedRenewalAndFinishOfAnEarlierIncarnationKeepTheLock(t *testing.T) {
 	g := NewWithT(t)
 	state := Empty()
 	execute := func(command Command) Result {
@@ -52,13 +54,13 @@
 		return Command{Operation: operation, Name: "l", Holder: "a", Token: token, HoldMs: 3000}
 	}
 	earlier := execute(call(BeginLock, 0)).Token
-	present := execute(call(BeginLock, 0)).Token
+	current := execute(call(BeginLock, 0)).Token
 	execute(call(RenewLock, earlier))
 	execute(call(FinishLock, earlier))
 	lock, held := state.Lock("l")
 	g.Expect(held).To(BeTrue())
-	g.Expect(lock.Token).To(Equal(present))
-	execute(call(FinishLock, present))
+	g.Expect(lock.Token).To(Equal(current))
+	execute(call(FinishLock, current))
 	_, held = state.Lock("l")
 	g.Expect(held).To(BeFalse())
 }
--- a/internal/coordination/locks.go
+++ b/internal/coordination/locks.go
@@ -4,36 +4,37 @@
 	"dykering/internal/errkind"
 )
 
-// Lock is a lock that is held. Its field names are fixed: it is stored with gob.
+// Lock is the hold of a lock. It is stored with gob, so its field names are fixed.
 type Lock struct {
 	Holder string
-	// FirstToken is the token with which the holder took the lock, and Token the latest one, as each further begin of the
-	// holder gets another token. In between lie those of begins whose answers may have been lost. Only a finish with the
-	// latest one gives the lock back: one with an earlier token may be a late one of the holder's earlier incarnation.
+	// FirstToken is the token with which the holder first acquired the lock. Token is the latest token, as each further begin
+	// of the holder gets a new token. The tokens in between include those of begins whose answers may have been lost. Only a
+	// finish with the latest token releases the lock: a finish with an earlier token may be a delayed call of an earlier
+	// incarnation of the holder.
 	FirstToken, Token uint64
-	// HoldMs is the longest time, in milliseconds, for which the holder has asked since it took the lock.
+	// HoldMs is the longest duration, in milliseconds, that the holder has requested since it first acquired the lock.
 	HoldMs int64
 }
 
-// Lock returns the hold of a lock; ok is false if nobody holds it. The hold may be over.
+// Lock returns the hold of a lock, which may have expired. If the lock is free, ok is false.
 func (s *State) Lock(name string) (lock Lock, ok bool) { return s.locks.Get(name) }
 
-// IsHeldBy reports whether a holder has the lock under a token that it was given.
+// IsHeldBy reports whether the holder holds the lock, and the token lies between the first and the latest token of its hold.
 func (l Lock) IsHeldBy(holder string, token uint64) bool {
 	return l.Holder == holder && l.FirstToken <= token && token <= l.Token
 }
 
 func (s *State) beginLock(command Command) (*State, Result, error) {
 	current, held := s.locks.Get(command.Name)
-	isOver := held && current.Token == command.ExpiredToken
-	if held && !isOver && current.Holder != command.Holder {
+	isExpired := held && current.Token == command.ExpiredToken
+	if held && !isExpired && current.Holder != command.Holder {
 		return s, Result{}, errkind.New(errkind.LockHeld, "")
 	}
 	size := 0
 	if !held {
 		size = entryOverheadBytes + len(command.Name) + MaxNameBytes
 	}
-	if err := s.reserve(size); err != nil {
+	if err := s.checkCapacity(size); err != nil {
 		return s, Result{}, err
 	}
 	token := s.lastToken + 1
@@ -43,7 +44,7 @@
 		Token:      token,
 		HoldMs:     command.HoldMs,
 	}
-	if held && !isOver {
+	if held && !isExpired {
 		lock.FirstToken = current.FirstToken
 		lock.HoldMs = max(current.HoldMs, command.HoldMs)
 	}
--- a/internal/coordination/locks_test.go
+++ b/internal/coordination/locks_test.go
@@ -8,10 +8,10 @@
 )
 
 var _ = Describe("a lock", func() {
-	var m *machine
-	BeforeEach(func() { m = newMachine() })
+	var m *stateMachine
+	BeforeEach(func() { m = newStateMachine() })
 
-	It("is held by one holder until it is given back", func() {
+	It("is held by one holder until it is released", func() {
 		token := m.do(begin("l", "a")).Token
 		m.reject(begin("l", "b"), errkind.LockHeld)
 		m.do(renew("l", "a", token))
@@ -20,7 +20,7 @@
 		Expect(m.do(begin("l", "b")).Token).To(BeNumerically(">", token))
 	})
 
-	It("is taken over only where the command names the present hold as over", func() {
+	It("is taken over only if the command has the token of the current hold as expired", func() {
 		first := m.do(begin("l", "a")).Token
 		second := m.do(begin("l", "a")).Token
 		m.reject(takeOver("l", "b", first), errkind.LockHeld)
@@ -32,7 +32,7 @@
 		Expect(m.lock("l").Holder).To(Equal("b"))
 	})
 
-	It("is renewed by its holder alone, under a token that it was given", func() {
+	It("is renewed only by its holder, and only under a token that the holder was given", func() {
 		token := m.do(begin("l", "a")).Token
 		m.reject(renew("l", "b", token), errkind.LockLost)
 		m.reject(renew("l", "a", token+1), errkind.LockLost)
@@ -40,37 +40,38 @@
 		m.reject(renew("absent", "a", token), errkind.LockLost)
 	})
 
-	It("stays renewable under the earlier token when the answer to a further begin was lost", func() {
+	It("can be renewed under the earlier token if the answer to a further begin was lost", func() {
 		token := m.do(begin("l", "a")).Token
 		m.do(begin("l", "a"))
 		m.do(renew("l", "a", token))
 	})
 
-	It("is not given back by a late finish of a dead life with the same name", func() {
-		dead := m.do(begin("l", "a")).Token
+	It("is not released by a delayed finish of an earlier incarnation of the holder", func() {
+		earlier := m.do(begin("l", "a")).Token
 		m.do(begin("l", "a"))
-		m.do(finish("l", "a", dead))
+		m.do(finish("l", "a", earlier))
 		m.reject(begin("l", "b"), errkind.LockHeld)
 	})
 
-	// A late renewal of the dead life made its token the active one, so that its late finish gave the lock back.
-	It("is not given back by a late renewal and a late finish of a dead life with the same name", func() {
-		dead := m.do(begin("l", "a")).Token
-		living := m.do(begin("l", "a")).Token
-		m.do(renew("l", "a", dead))
-		m.do(finish("l", "a", dead))
+	// Guards against a renewal that makes its own token the latest one. A delayed renewal of an earlier incarnation then let
+	// the delayed finish of that incarnation release the lock.
+	It("is not released by a delayed renewal and a delayed finish of an earlier incarnation of the holder", func() {
+		earlier := m.do(begin("l", "a")).Token
+		current := m.do(begin("l", "a")).Token
+		m.do(renew("l", "a", earlier))
+		m.do(finish("l", "a", earlier))
 		m.reject(begin("l", "b"), errkind.LockHeld)
-		m.do(finish("l", "a", living))
+		m.do(finish("l", "a", current))
 		m.do(begin("l", "b"))
 	})
 
-	It("rejects a late renewal of a life whose hold was over before the same name took the lock again", func() {
-		dead := m.do(begin("l", "a")).Token
-		m.do(takeOver("l", "a", dead))
-		m.reject(renew("l", "a", dead), errkind.LockLost)
+	It("rejects a delayed renewal of a hold that expired before the same holder acquired the lock again", func() {
+		earlier := m.do(begin("l", "a")).Token
+		m.do(takeOver("l", "a", earlier))
+		m.reject(renew("l", "a", earlier), errkind.LockLost)
 	})
 
-	It("keeps the longest time that was asked for since it was taken", func() {
+	It("keeps the longest duration that was requested since it was acquired", func() {
 		command := begin("l", "a")
 		command.HoldMs = 100
 		token := m.do(command).Token
@@ -83,7 +84,7 @@
 		Expect(m.lock("l").HoldMs).To(Equal(int64(holdMs)))
 	})
 
-	It("gets tokens that rise over all locks, also over locks that were given back", func() {
+	It("gets tokens that increase over all locks, including released ones", func() {
 		var tokens []uint64
 		for _, name := range []string{"x", "y", "x", "z", "x"} {
 			token := m.do(begin(name, "a")).Token
@@ -94,7 +95,7 @@
 		Expect(m.Counts().Locks).To(BeZero())
 	})
 
-	It("that is over is dropped by a compaction under its present token alone", func() {
+	It("whose hold has expired is dropped by a compaction only under its latest token", func() {
 		first := m.do(begin("l", "a")).Token
 		second := m.do(begin("l", "a")).Token
 		m.do(Command{Operation: Compact, ExpiredHolds: map[string]uint64{"l": first, "absent": 7}})
--- a/internal/coordination/model_test.go
+++ b/internal/coordination/model_test.go
@@ -6,19 +6,19 @@
 	"dykering/internal/errkind"
 )
 
-// model is the simplest form of the state that the properties compare with: it has no bounds and keeps every put.
+// model is a simple reference implementation of State for the property tests. It has no bounds and keeps every put.
 type model struct {
 	lastToken uint64
 	locks     map[string]modelLock
 	numbers   map[string]uint64
-	puts      map[string][]Event // of each group, from revision 1 on
-	floors    map[string]uint64  // of each group
+	puts      map[string][]Event // by group, from revision 1 on
+	floors    map[string]uint64  // by group
 }
 
 type modelLock struct {
-	holder       string
-	tokens       []uint64 // all that the holder was given since it took the lock
-	longestAsked int64
+	holder        string
+	tokens        []uint64 // all tokens that the holder was given since it acquired the lock
+	longestHoldMs int64
 }
 
 func newModel() *model {
@@ -37,7 +37,7 @@
 		if !held || lock.holder != command.Holder || !slices.Contains(lock.tokensBetween(), command.Token) {
 			return Result{}, errkind.LockLost, true
 		}
-		lock.longestAsked = max(lock.longestAsked, command.HoldMs)
+		lock.longestHoldMs = max(lock.longestHoldMs, command.HoldMs)
 		m.locks[command.Name] = lock
 	case FinishLock:
 		lock, held := m.locks[command.Name]
@@ -57,7 +57,8 @@
 
 func (l modelLock) latestToken() uint64 { return l.tokens[len(l.tokens)-1] }
 
-// tokensBetween are the tokens from the first to the latest one: those between went to other locks, or to this holder.
+// tokensBetween returns all tokens from the first to the latest one. Tokens in between were issued for other locks or to this
+// holder.
 func (l modelLock) tokensBetween() (tokens []uint64) {
 	for token := l.tokens[0]; token <= l.latestToken(); token++ {
 		tokens = append(tokens, token)
@@ -67,21 +68,21 @@
 
 func (m *model) begin(command Command) (Result, errkind.Kind, bool) {
 	lock, held := m.locks[command.Name]
-	isOver := held && lock.latestToken() == command.ExpiredToken
-	if held && !isOver && lock.holder != command.Holder {
+	isExpired := held && lock.latestToken() == command.ExpiredToken
+	if held && !isExpired && lock.holder != command.Holder {
 		return Result{}, errkind.LockHeld, true
 	}
-	if !held || isOver {
+	if !held || isExpired {
 		lock = modelLock{holder: command.Holder}
 	}
 	m.lastToken++
 	lock.tokens = append(slices.Clone(lock.tokens), m.lastToken)
-	lock.longestAsked = max(lock.longestAsked, command.HoldMs)
+	lock.longestHoldMs = max(lock.longestHoldMs, command.HoldMs)
 	m.locks[command.Name] = lock
 	return Result{Token: m.lastToken}, 0, false
 }
 
-// cell returns the latest put of a cell; one at revision 0 for none.
+// cell returns the latest put of a cell. If there is none, the result has revision 0.
 func (m *model) cell(name string) (latest Event) {
 	for _, event := range m.puts[GroupOf(name)] {
 		if event.Name == name {
--- a/internal/coordination/numbers.go
+++ b/internal/coordination/numbers.go
@@ -6,7 +6,7 @@
 	if !known {
 		size = entryOverheadBytes + len(command.Name)
 	}
-	if err := s.reserve(size); err != nil {
+	if err := s.checkCapacity(size); err != nil {
 		return s, Result{}, err
 	}
 	next := *s
--- a/internal/coordination/properties_test.go
+++ b/internal/coordination/properties_test.go
@@ -10,7 +10,7 @@
 	"dykering/internal/errkind"
 )
 
-// Few names and values, so that commands meet.
+// The generators use few names and values, so that commands often affect the same lock, number or cell.
 var (
 	lockNames   = rapid.SampledFrom([]string{"l1", "l2"})
 	holderNames = rapid.SampledFrom([]string{"a", "b", "c"})
@@ -24,7 +24,7 @@
 	})
 )
 
-// commands draws commands, with tokens and revisions near those that were handed out.
+// commands generates commands with tokens and revisions near the issued ones.
 var commands = rapid.Custom(func(t *rapid.T) Command {
 	command := Command{Operation: operations.Draw(t, "operation")}
 	switch command.Operation {
@@ -66,7 +66,7 @@
 	return state
 }
 
-// The state answers as the model does, whatever the commands.
+// For any sequence of commands, the state returns the same results as the model.
 func TestStateBehavesAsTheModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state, model := Empty(), newModel()
@@ -74,10 +74,11 @@
 			nextState, result, err := state.Execute(command)
 			wanted, kind, rejected := model.execute(command)
 			if result != wanted || (err != nil) != rejected || rejected && errkind.KindOf(err) != kind {
-				t.Fatalf("command %d %+v: %+v, %v; the model has %+v, rejected %v for %v", i, command, result, err, wanted, rejected, kind)
+				t.Fatalf("command %d %+v: got %+v, %v; the model has %+v, rejected %v with kind %v",
+					i, command, result, err, wanted, rejected, kind)
 			}
 			if rejected && nextState != state {
-				t.Fatalf("command %d is rejected and changes the state", i)
+				t.Fatalf("command %d %+v is rejected but changes the state", i, command)
 			}
 			state = nextState
 			compareWithModel(t, state, model)
@@ -90,7 +91,7 @@
 		lock, held := state.Lock(name)
 		wanted, wantedHeld := model.locks[name]
 		if held != wantedHeld || held && (lock.Holder != wanted.holder || lock.Token != wanted.latestToken() ||
-			lock.FirstToken != wanted.tokens[0] || lock.HoldMs != wanted.longestAsked) {
+			lock.FirstToken != wanted.tokens[0] || lock.HoldMs != wanted.longestHoldMs) {
 			t.Fatalf("lock %s is %+v, %v; the model has %+v, %v", name, lock, held, wanted, wantedHeld)
 		}
 	}
@@ -108,27 +109,27 @@
 func compareHistory(t *rapid.T, state *State, model *model, name string) {
 	puts, floor := model.puts[name], model.floors[name]
 	if got := state.ReadGroup(name).Revision; got != uint64(len(puts)) {
-		t.Fatalf("group %s is at %d; the model at %d", name, got, len(puts))
+		t.Fatalf("group %s is at revision %d; the model is at revision %d", name, got, len(puts))
 	}
-	const most = 4
+	const limit = 4
 	for after := range uint64(len(puts)) + 2 {
-		events, upTo, ok := state.EventsAfter(name, after, most)
+		events, upTo, ok := state.EventsAfter(name, after, limit)
 		if wanted := after >= floor || after >= uint64(len(puts)); ok != wanted {
-			t.Fatalf("group %s above %d with floor %d: history %v", name, after, floor, ok)
+			t.Fatalf("group %s above revision %d with floor %d: got ok %v, want %v", name, after, floor, ok, wanted)
 		}
 		if !ok {
 			continue
 		}
 		wanted := puts[min(after, uint64(len(puts))):]
-		wanted = wanted[:min(len(wanted), most)]
+		wanted = wanted[:min(len(wanted), limit)]
 		if len(events) != len(wanted) || len(events) > 0 && !reflect.DeepEqual(events, wanted) || upTo != after+uint64(len(wanted)) {
-			t.Fatalf("group %s above %d: %+v up to %d; the model has %+v", name, after, events, upTo, wanted)
+			t.Fatalf("group %s above revision %d: got %+v up to %d; the model has %+v", name, after, events, upTo, wanted)
 		}
 	}
 }
 
-// Replicas that apply the same commands are equal, also where one of them went on from the stored form of the other. A command
-// changes no state that was there before it.
+// Replicas that execute the same commands are equal, even if one of them was restored from its stored form in between. A command
+// does not change the state that it is executed on.
 func TestReplicasAreEqualAndStatesImmutable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first, second := Empty(), Empty()
@@ -149,8 +150,8 @@
 	})
 }
 
-// The stored form gives the state back: the same form again, the same count of bytes and the same tables.
-func TestStoredFormGivesTheStateBack(t *testing.T) {
+// A state that is restored from its stored form has the same stored form, estimated size and table sizes.
+func TestStateSurvivesEncodingAndDecoding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := Empty()
 		for _, command := range histories.Draw(t, "commands") {
@@ -158,19 +159,21 @@
 		}
 		restored := decoded(t, encoded(t, state))
 		if !bytes.Equal(encoded(t, restored), encoded(t, state)) {
-			t.Fatal("the restored state has another form")
+			t.Fatal("the restored state has a different stored form")
 		}
 		if restored.Bytes() != state.Bytes() || restored.Counts() != state.Counts() {
-			t.Fatalf("restored %d bytes, %+v of %d, %+v", restored.Bytes(), restored.Counts(), state.Bytes(), state.Counts())
+			t.Fatalf("the restored state has %d bytes and %+v; the original has %d bytes and %+v",
+				restored.Bytes(), restored.Counts(), state.Bytes(), state.Counts())
 		}
 		if state.Counts() == (Counts{}) && state.Bytes() != 0 {
-			t.Fatalf("an empty state counts %d bytes", state.Bytes())
+			t.Fatalf("an empty state has %d bytes, want 0", state.Bytes())
 		}
 	})
 }
 
-// No token, number or revision is handed out twice, and each is above those before it, also over the stored form.
-func TestWhatIsHandedOutRises(t *testing.T) {
+// No token, number or revision is issued twice, and each one is above the earlier ones, even if the state is restored from its
+// stored form in between.
+func TestTokensNumbersAndRevisionsIncrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := Empty()
 		var lastToken uint64
@@ -187,7 +190,7 @@
 			case command.Operation == BeginLock && result.Token <= lastToken,
 				command.Operation == NextNumber && result.Number != lastNumbers[command.Name]+1,
 				command.Operation == PutCell && result.Revision != lastRevisions[group]+1:
-				t.Fatalf("%+v is given %+v after token %d, numbers %v, revisions %v", command, result, lastToken, lastNumbers, lastRevisions)
+				t.Fatalf("%+v returned %+v after token %d, numbers %v and revisions %v", command, result, lastToken, lastNumbers, lastRevisions)
 			case command.Operation == BeginLock:
 				lastToken = result.Token
 			case command.Operation == NextNumber:
--- a/internal/coordination/recent_calls.go
+++ b/internal/coordination/recent_calls.go
@@ -1,7 +1,7 @@
 package coordination
 
-// maxRecentCalls bounds the calls of peers that are remembered. A second delivery follows the first one within the time that a
-// link needs to connect again.
+// maxRecentCalls bounds the number of remembered calls. A bounded number suffices, as a duplicate arrives within the time in
+// which a link reconnects and sends its last message again.
 const maxRecentCalls = 4096
 
 // recentCall identifies a call of a peer.
@@ -10,18 +10,18 @@
 	id   uint64
 }
 
-// RecentCalls are the last calls of peers, to recognise one that is delivered twice.
+// RecentCalls remembers the latest calls of peers in order to detect duplicate deliveries.
 type RecentCalls struct {
 	known map[recentCall]bool
-	// order has the known calls, the oldest at next once it is full.
+	// order is a ring buffer of the known calls. Once it is full, next is the index of the oldest call.
 	order []recentCall
 	next  int
 }
 
-// NewRecentCalls returns a memory without calls.
+// NewRecentCalls returns an empty set of calls.
 func NewRecentCalls() *RecentCalls { return &RecentCalls{known: map[recentCall]bool{}} }
 
-// IsRepeated reports whether a call was seen before, and remembers it.
+// IsRepeated reports whether a call was seen before, and remembers the call.
 func (r *RecentCalls) IsRepeated(from string, id uint64) bool {
 	call := recentCall{from: from, id: id}
 	if r.known[call] {
--- a/internal/coordination/retention.go
+++ b/internal/coordination/retention.go
@@ -2,28 +2,29 @@
 
 import "time"
 
-// Retention is since when the head has seen each group at a revision, so that history is dropped by its age. It is volatile
-// and belongs to one member: a new head keeps the history for longer, never for shorter.
+// Retention determines the age of the history by sampling the revisions of the groups at the head. It is volatile and belongs
+// to one member. As a new head starts without samples, it keeps the history for longer than necessary, but never for less.
 type Retention struct {
-	// keep is how long an event is kept at least.
+	// keep is the minimum time for which an event is kept.
 	keep time.Duration
-	// samples are the revisions of the groups at some times, the oldest first.
+	// samples are the recorded revisions, the oldest first.
 	samples []revisionSample
 }
 
+// revisionSample has the revisions of all groups at one time.
 type revisionSample struct {
 	at        time.Duration
 	revisions map[string]uint64
 }
 
-// NewRetention returns the retention of a member that has seen nothing yet.
+// NewRetention returns a Retention without samples.
 func NewRetention(keep time.Duration) *Retention { return &Retention{keep: keep} }
 
-// Reset forgets what was seen. It is called while the member is not the head.
+// Reset drops all samples. The caller calls it while the member is not the head.
 func (r *Retention) Reset() { r.samples = nil }
 
-// Sample notes the revisions of the groups, and returns those up to which the history is older than the time to keep it; nil
-// for none.
+// Sample records the current revisions of the groups. It returns the revisions by group up to which the history is older than
+// the time to keep it, or nil if there is nothing to drop.
 func (r *Retention) Sample(now time.Duration, state *State) (floors map[string]uint64) {
 	sample := revisionSample{at: now, revisions: map[string]uint64{}}
 	for iterator := state.groups.Iterator(); !iterator.Done(); {
@@ -38,7 +39,7 @@
 	return withoutReachedFloors(floors, state)
 }
 
-// withoutReachedFloors returns the floors that are above those of the state; nil for none.
+// withoutReachedFloors returns the floors that are above the current floors of their groups, or nil if there are none.
 func withoutReachedFloors(floors map[string]uint64, state *State) map[string]uint64 {
 	var rising map[string]uint64
 	for name, floor := range floors {
--- a/internal/coordination/state.go
+++ b/internal/coordination/state.go
@@ -7,26 +7,27 @@
 )
 
 const (
-	// maxStateBytes bounds the names and values of a state. A state must fit into a file of the ring of records, and every
-	// change of the view sends it.
+	// maxStateBytes bounds the size of a state. A state must fit into one file of the ring log, and every change of the view
+	// transfers it.
 	maxStateBytes = 4 << 20
-	// entryOverheadBytes is what an entry of a table counts beside its names and values.
+	// entryOverheadBytes is the estimated size of a table entry without its names and values.
 	entryOverheadBytes = 64
 )
 
-// State is the state of the coordination service. It is immutable: changes return a new state that shares what is unchanged.
+// State is the state of the coordination service. It is immutable: a change returns a new state that shares the unchanged parts.
 type State struct {
-	// lastToken is the highest fencing token that was handed out, over all locks: a lock that is forgotten needs no counter.
+	// lastToken is the highest fencing token that was issued for any lock. As all locks share the counter, a released lock
+	// can be dropped completely.
 	lastToken uint64
 	locks     *immutable.SortedMap[string, Lock]
 	numbers   *immutable.SortedMap[string, uint64]
 	cells     *immutable.SortedMap[string, Cell]
 	groups    *immutable.SortedMap[string, *group]
-	// bytes is what the tables and the history count for maxStateBytes.
+	// bytes is the estimated size of the tables and the history. It is at most maxStateBytes.
 	bytes int
 }
 
-// Empty returns the state in which a system starts.
+// Empty returns the initial state of a system.
 func Empty() *State {
 	return &State{
 		locks:   immutable.NewSortedMap[string, Lock](nil),
@@ -36,21 +37,21 @@
 	}
 }
 
-// reserve returns an error of kind errkind.RateLimited if a state has no space for more bytes.
-func (s *State) reserve(bytes int) error {
+// checkCapacity returns an error of kind errkind.RateLimited if the state has no space for the given number of bytes.
+func (s *State) checkCapacity(bytes int) error {
 	if s.bytes+bytes > maxStateBytes {
 		return errkind.New(errkind.RateLimited, "the tables are full")
 	}
 	return nil
 }
 
-// Bytes returns what the names and values of the state take, approximately.
+// Bytes returns the estimated size of the state in bytes.
 func (s *State) Bytes() int { return s.bytes }
 
-// Counts are the sizes of the tables.
+// Counts has the number of entries of each table, and the number of events in the histories of all groups.
 type Counts struct{ Locks, Numbers, Cells, Groups, Events int }
 
-// Counts returns the sizes of the tables.
+// Counts returns the numbers of entries and events of the state.
 func (s *State) Counts() Counts {
 	counts := Counts{Locks: s.locks.Len(), Numbers: s.numbers.Len(), Cells: s.cells.Len(), Groups: s.groups.Len()}
 	for iterator := s.groups.Iterator(); !iterator.Done(); {
--- a/internal/coordination/uncommitted_hold_test.go
+++ b/internal/coordination/uncommitted_hold_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// Guards against the failure of 3 December 2026 that two callers held one lock: the head dropped the timer of a hold that it had
-// just granted when it looked at the committed state, which did not have the hold yet, and took the hold for over.
-func TestTimerOfHoldOutlivesLookAtOlderState(t *testing.T) {
+// Guards against two callers that hold one lock at the same time. When the head checked the committed state for expired holds, it
+// dropped the timer of a hold that it had just granted and that the committed state did not have yet. The head then treated that
+// hold as expired.
+func TestHoldTimersKeepTimerOfHoldMissingFromOlderState(t *testing.T) {
 	const hold = 2 * time.Second
 	const grantedAt = 10 * time.Second
 	committed := Empty()
@@ -21,10 +22,10 @@
 
 	timers.Expired(grantedAt, committed, time.Minute)
 
-	if timers.IsOver(grantedAt+hold-1, "l", lock) {
-		t.Error("the hold is over before its time")
+	if timers.IsExpired(grantedAt+hold-1, "l", lock) {
+		t.Error("the hold has expired before its end")
 	}
-	if !timers.IsOver(grantedAt+hold, "l", lock) {
-		t.Error("the hold is not over at its end")
+	if !timers.IsExpired(grantedAt+hold, "l", lock) {
+		t.Error("the hold has not expired at its end")
 	}
 }
--- a/internal/coordination/watch_answer_size_test.go
+++ b/internal/coordination/watch_answer_size_test.go
@@ -8,12 +8,12 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("the answer of a watch that catches up", func() {
+var _ = Describe("the answer to a watch that catches up", func() {
 	const maxValueBytesPerAnswer = 256 << 10
 
-	It("is bounded in bytes, and the next one goes on where it ends", func() {
+	It("is bounded in bytes, and the next answer continues where it ends", func() {
 		const puts = 64
-		m := newMachine()
+		m := newStateMachine()
 		value := strings.Repeat("x", MaxValueBytes-8)
 		for i := range puts {
 			m.do(put("g.a", fmt.Sprintf("%08d", i)+value))
--- a/internal/coordination/watch_table_test.go
+++ b/internal/coordination/watch_table_test.go
@@ -12,15 +12,15 @@
 
 var _ = Describe("the table of watches", func() {
 	const wait = 2 * time.Second
-	var m *machine
+	var m *stateMachine
 	var table *WatchTable
 	var seq uint64
 	BeforeEach(func() {
-		m, table, seq = newMachine(), NewWatchTable(), 1
+		m, table, seq = newStateMachine(), NewWatchTable(), 1
 		m.do(put("g.a", "1"))
 	})
 	source := func() WatchSource { return WatchSource{Seq: seq, State: m.State, CanServe: true} }
-	// add adds a watch of g. above a revision, which waits for 2 s.
+	// add adds a watch of the group "g." above a revision. The watch waits for 2 s.
 	add := func(after uint64, from WatchSource) (*Watch, <-chan WatchAnswer) {
 		answers := make(chan WatchAnswer, 2)
 		w := &Watch{Group: "g.", After: after, Deadline: wait, Answer: func(answer WatchAnswer) { answers <- answer }}
@@ -38,13 +38,13 @@
 		Expect(errkind.KindOf(answer.Err)).To(Equal(kind))
 	}
 
-	It("answers at once where there are puts", func() {
+	It("answers at once if there are puts", func() {
 		_, answers := add(0, source())
 		Expect(answers).To(Receive(Equal(WatchAnswer{Events: []Event{{"g.a", "1", 1}}, Revision: 1})))
 		Expect(table.IsEmpty()).To(BeTrue())
 	})
 
-	It("answers once there is a put of the group, to all that wait, once", func() {
+	It("answers all waiting watches once when there is a put in the group", func() {
 		_, first := add(1, source())
 		_, second := add(1, source())
 		commit(put("h.a", "2"))
@@ -60,7 +60,7 @@
 		Expect(table.Len()).To(BeZero())
 	})
 
-	It("answers without puts at the deadline, with the revision that was asked for", func() {
+	It("answers without puts at the deadline, with the requested revision", func() {
 		_, answers := add(1, source())
 		table.AnswerReady(wait-1, source())
 		Expect(answers).NotTo(Receive())
@@ -68,7 +68,7 @@
 		Expect(answers).To(Receive(Equal(WatchAnswer{Revision: 1})))
 	})
 
-	It("waits above a revision that this member has not reached", func() {
+	It("keeps a watch waiting above a revision that this member has not reached", func() {
 		_, answers := add(5, source())
 		commit(put("g.b", "2"))
 		table.AnswerReady(time.Second, source())
@@ -77,7 +77,7 @@
 		Expect(answers).To(Receive(Equal(WatchAnswer{Revision: 5})))
 	})
 
-	It("answers a bounded number of puts, from which the caller goes on without a gap", func() {
+	It("answers with a bounded number of puts, after which the caller continues without a gap", func() {
 		for i := range maxEventsPerAnswer + 1 {
 			commit(put("g.c", fmt.Sprint("x", i)))
 		}
@@ -90,14 +90,14 @@
 		Expect(answers).To(Receive(HaveField("Revision", uint64(2+maxEventsPerAnswer))))
 	})
 
-	It("says so where the history begins later, at once and to those that wait", func() {
+	It("fails a watch if the history starts later", func() {
 		commit(put("g.a", "2"))
 		commit(dropHistory("g.", 2))
 		_, answers := add(1, source())
 		expectFailure(answers, errkind.HistoryGone)
 	})
 
-	It("serves nothing where this member may be behind", func() {
+	It("fails new and waiting watches if this member may be behind", func() {
 		_, waiting := add(1, source())
 		behind := source()
 		behind.CanServe = false
@@ -108,7 +108,7 @@
 		Expect(table.IsEmpty()).To(BeTrue())
 	})
 
-	It("has watches wait while the next view is being agreed on, and serves them after it", func() {
+	It("keeps watches waiting while the members agree on the next view, and serves them afterwards", func() {
 		_, answers := add(1, source())
 		commit(put("g.b", "2"))
 		changing := source()
@@ -119,26 +119,26 @@
 		Expect(answers).To(Receive(HaveField("Revision", uint64(2))))
 	})
 
-	It("forgets a watch whose caller has gone", func() {
-		gone, answers := add(1, source())
+	It("does not answer a removed watch", func() {
+		removed, answers := add(1, source())
 		_, other := add(1, source())
-		table.Remove(gone)
-		table.Remove(gone)
+		table.Remove(removed)
+		table.Remove(removed)
 		commit(put("g.b", "2"))
 		table.AnswerReady(time.Second, source())
 		Expect(answers).NotTo(Receive())
 		Expect(other).To(Receive())
 	})
 
-	It("ends all watches when the process stops, and takes none after", func() {
+	It("fails all watches when the process stops, and rejects new ones afterwards", func() {
 		_, waiting := add(1, source())
 		table.Stop()
 		expectFailure(waiting, errkind.NotReady)
-		_, late := add(0, source())
-		expectFailure(late, errkind.NotReady)
+		_, later := add(0, source())
+		expectFailure(later, errkind.NotReady)
 	})
 
-	It("takes a bounded number", func() {
+	It("accepts a bounded number of watches", func() {
 		for range maxWatches {
 			add(1, source())
 		}
