--- a/internal/peerlink/conn.go
+++ b/internal/peerlink/conn.go
@@ -14,16 +14,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// userTimeout is how long sent data may remain unacknowledged before the kernel breaks the connection
-// (TCP_USER_TIMEOUT). A peer without power or behind a partition says nothing, and the default is many minutes.
+// userTimeout is how long sent data may remain unacknowledged before the kernel closes the connection (TCP_USER_TIMEOUT). A peer
+// that has lost power or is behind a partition sends no reset, and the kernel's default is many minutes.
 const userTimeout = 1500 * time.Millisecond
 
-// message is what gob encodes on a connection: it needs a struct around an interface value. The field's name is part of
-// the wire format.
+// message is the type that gob encodes on a connection, as gob needs a struct around an interface value. The name of the field
+// is part of the wire format.
 type message struct{ Body any }
 
-// Conn sends and receives messages on a connection. One goroutine may send while another receives; neither method may be
-// called from two.
+// Conn sends and receives messages on a connection. One goroutine may call Send while another one calls Receive. Neither method
+// may be called concurrently with itself.
 type Conn struct {
 	raw     net.Conn
 	out     bytes.Buffer
@@ -32,7 +32,7 @@
 	decoder *gob.Decoder
 }
 
-// NewConn returns a Conn that uses a connection and owns it.
+// NewConn returns a Conn that takes ownership of a network connection.
 func NewConn(raw net.Conn) *Conn {
 	c := &Conn{raw: raw, in: frameReader{source: bufio.NewReader(raw)}}
 	c.encoder = gob.NewEncoder(&c.out)
@@ -68,19 +68,19 @@
 	return optionErr
 }
 
-// Send writes one message. It fails with a *FrameTooLongError, before anything is written, if the message is too long, and
-// with the connection's error if it is not written in time. After an error the connection must be closed: the peer may
-// have received a part of a frame, or lack type definitions of the gob stream.
+// Send writes one message. If the message is too long, Send writes nothing and the error wraps a *FrameTooLongError. If the
+// message is not written in time, Send returns the error of the connection. After an error the caller must close the
+// connection: the peer may have received a part of a frame, or may lack type definitions of the gob stream.
 func (c *Conn) Send(body any, timeout time.Duration) error {
 	c.out.Reset()
 	c.out.Write(make([]byte, headerBytes))
 	if err := c.encoder.Encode(message{Body: body}); err != nil {
-		return errors.Wrap(err, "message cannot be encoded")
+		return errors.Wrapf(err, "encode message of type %T", body)
 	}
 	frame := c.out.Bytes()
 	length := len(frame) - headerBytes
 	if length > MaxFrameBytes {
-		return errors.Wrap(&FrameTooLongError{Bytes: length}, "message cannot be sent")
+		return errors.Wrapf(&FrameTooLongError{Bytes: length}, "send message of type %T", body)
 	}
 	binary.BigEndian.PutUint32(frame, uint32(length))
 	if err := c.raw.SetWriteDeadline(time.Now().Add(timeout)); err != nil {
@@ -90,9 +90,9 @@
 	return err
 }
 
-// Receive reads one message. It fails if none arrives in time, if the connection has ended, or if what arrives is not a
-// message of a registered type; the error wraps a *FrameTooLongError for a frame that is too long. After an error the
-// connection must be closed.
+// Receive reads one message. It fails if no message arrives in time, if the connection has ended, or if the received data is not
+// a message of a registered type. The error wraps a *FrameTooLongError if the frame is too long. After an error the caller must
+// close the connection.
 func (c *Conn) Receive(timeout time.Duration) (any, error) {
 	if err := c.raw.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		return nil, err
@@ -104,5 +104,5 @@
 	return m.Body, nil
 }
 
-// Close closes the connection. It may be called from any goroutine, more than once.
+// Close closes the connection. It may be called from any goroutine and more than once.
 func (c *Conn) Close() error { return c.raw.Close() }
--- a/internal/peerlink/frame.go
+++ b/internal/peerlink/frame.go
@@ -7,28 +7,30 @@
 )
 
 const (
-	// MaxFrameBytes bounds the encoded length of one message. A complete configuration and a snapshot of all sessions have
-	// to fit.
+	// MaxFrameBytes bounds the encoded length of one message. A complete configuration and a snapshot of all sessions must
+	// fit into a message.
 	MaxFrameBytes = 24 << 20
-	// headerBytes is the length of a frame's header, which has the length of the rest in big endian.
+	// headerBytes is the length of a frame's header. The header has the length of the rest of the frame in big endian.
 	headerBytes = 4
 )
 
-// FrameTooLongError is the error for a message that is, or a received frame that claims to be, longer than MaxFrameBytes.
+// FrameTooLongError is the error for a message that is longer than MaxFrameBytes, or for a received frame whose header has such
+// a length.
 type FrameTooLongError struct {
+	// Bytes is the length of the frame without its header.
 	Bytes int
 }
 
-// Error returns the length.
+// Error returns a message with the length of the frame and the limit.
 func (e *FrameTooLongError) Error() string {
-	return fmt.Sprintf("frame of %d bytes is too long", e.Bytes)
+	return fmt.Sprintf("frame of %d bytes is too long: the limit is %d bytes", e.Bytes, MaxFrameBytes)
 }
 
-// frameReader reads the content of frames as one stream. It rejects lengths above MaxFrameBytes before it reads the frame,
-// so that a sender cannot make the decoder allocate more.
+// frameReader reads the content of frames as one stream. It rejects a length above MaxFrameBytes before it reads the frame, so
+// that a sender cannot make the decoder allocate more memory.
 type frameReader struct {
 	source    io.Reader
-	remaining int // bytes of the present frame that have not been read
+	remaining int // unread bytes of the current frame
 }
 
 func (r *frameReader) Read(b []byte) (int, error) {
--- a/internal/peerlink/link.go
+++ b/internal/peerlink/link.go
@@ -6,27 +6,28 @@
 )
 
 const (
-	// queueLength is the number of messages that a link holds before it drops further ones.
+	// queueLength is the number of messages that a link queues before it drops further messages.
 	queueLength = 512
-	// sendTimeout bounds the time for writing one message.
+	// sendTimeout bounds the time to write one message.
 	sendTimeout = 2 * time.Second
-	// dialTimeout bounds the time for connecting, over all attempts that Wake restarts.
+	// dialTimeout bounds the time to connect, including attempts that Wake restarts.
 	dialTimeout = 500 * time.Millisecond
-	// minBackoff and maxBackoff bound the pause after a dial that failed. It doubles with each failure.
+	// minBackoff and maxBackoff bound the pause after a failed dial. The pause doubles with each failure.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 400 * time.Millisecond
 )
 
-// Link sends messages to one address. Its goroutine dials when there is something to send, and again when the connection
-// has broken. Messages that cannot be sent are dropped, in particular all that are queued while the peer is unreachable.
+// Link sends messages to one address. Its goroutine connects when there is a message to send, and reconnects after the connection
+// has failed. The link drops messages that it cannot send, including all messages that are queued while the peer is unreachable.
 type Link struct {
 	address string
 	queue   chan any
-	wake    chan struct{}
-	cancel  context.CancelFunc
+	// wake has an element after a call of Wake that no dial or backoff has handled yet.
+	wake   chan struct{}
+	cancel context.CancelFunc
 }
 
-// NewLink returns a link to a host:port. Its goroutine ends with the context or with Close.
+// NewLink returns a link to a host:port and starts its goroutine, which ends with the context or with Close.
 func NewLink(ctx context.Context, address string) *Link {
 	ctx, cancel := context.WithCancel(ctx)
 	l := &Link{
@@ -39,7 +40,7 @@
 	return l
 }
 
-// Send queues a message. It never blocks: if the queue is full, the message is dropped. The message must not be modified
+// Send queues a message. It never blocks; if the queue is full, it drops the message. The caller must not modify the message
 // afterwards.
 func (l *Link) Send(body any) {
 	select {
@@ -48,8 +49,8 @@
 	}
 }
 
-// Wake ends a backoff and restarts a dial in progress. It is called when something has been received from the peer, which
-// is therefore reachable again.
+// Wake ends a backoff and restarts a dial in progress. The caller calls it after it has received a message from the peer, as the
+// peer is then reachable again.
 func (l *Link) Wake() {
 	select {
 	case l.wake <- struct{}{}:
@@ -57,11 +58,11 @@
 	}
 }
 
-// Close ends the link and drops what is queued.
+// Close ends the link and drops the queued messages.
 func (l *Link) Close() { l.cancel() }
 
-// run sends queued messages until the context ends. A message that the present connection fails to send is sent once more
-// on a new one: the peer may just have closed it.
+// run sends queued messages until the context ends. If sending a message on the current connection fails, run sends the message
+// once more on a new connection, as the peer may have closed the current one.
 func (l *Link) run(ctx context.Context) {
 	var conn *Conn
 	defer func() {
@@ -98,13 +99,14 @@
 	}
 }
 
-// dial connects to the peer within dialTimeout. Wake restarts an attempt: one to a machine without power hangs, since its
-// opening packet was lost, and does not notice that the machine is back until the packet is sent again after seconds.
+// dial connects to the peer within dialTimeout. Wake restarts an attempt to connect. An attempt to a machine that has no power
+// hangs, as its SYN packet is lost. Without a restart, it would not notice that the machine is back until the kernel sends the
+// SYN packet again, seconds later.
 func (l *Link) dial(ctx context.Context) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	select {
-	case <-l.wake: // a call before this dial does not concern it
+	case <-l.wake: // a call of Wake before this dial does not apply to it
 	default:
 	}
 	for {
@@ -115,7 +117,7 @@
 	}
 }
 
-// dialUntilWoken makes one attempt to connect. If Wake interrupts it, restart is true.
+// dialUntilWoken makes one attempt to connect. If Wake interrupts the attempt before it succeeds, restart is true.
 func (l *Link) dialUntilWoken(ctx context.Context) (conn *Conn, restart bool, err error) {
 	ctx, abandon := context.WithCancel(ctx)
 	defer abandon()
@@ -134,16 +136,16 @@
 	}
 }
 
-// closeWithPeer closes a connection as soon as the peer has, so that the next message finds that out without being lost.
-// Nothing is ever received on a link's connection. It returns when the connection ends.
+// closeWithPeer closes a connection as soon as the peer has closed it, so that the next Send fails and the message is sent on a
+// new connection instead of being lost. It returns when the connection ends, as a link's peer never sends data.
 func closeWithPeer(conn *Conn) {
 	var b [1]byte
-	_, _ = conn.raw.Read(b[:]) // returns only at the end of the connection; which error ended it does not matter
+	_, _ = conn.raw.Read(b[:]) // returns only at the end of the connection; the error does not matter
 	conn.Close()
 }
 
-// waitBackoff waits after a dial that failed. It drops what is queued meanwhile, so that a peer which returns does not get
-// messages that are out of date.
+// waitBackoff waits after a failed dial. It drops the messages that are queued during the wait, so that a peer that returns does
+// not receive outdated messages.
 func (l *Link) waitBackoff(ctx context.Context, backoff time.Duration) {
 	timer := time.NewTimer(backoff)
 	defer timer.Stop()
--- a/internal/peerlink/peerlink_test.go
+++ b/internal/peerlink/peerlink_test.go
@@ -17,7 +17,7 @@
 func TestPeerlink(t *testing.T) {
 	RegisterFailHandler(Fail)
 	gob.Register(testMessage{})
-	RunSpecs(t, "links between processes")
+	RunSpecs(t, "peer links")
 }
 
 type testMessage struct {
@@ -59,7 +59,7 @@
 		Expect(err).To(MatchError(ContainSubstring("too long")))
 	})
 
-	It("rejects a frame whose header claims a length above the limit", func() {
+	It("rejects a frame whose header has a length above the limit", func() {
 		_, to, raw := pair()
 		go func() {
 			var header [4]byte
@@ -81,7 +81,7 @@
 })
 
 var _ = Describe("a link", func() {
-	It("dials again after its peer has closed the connection", func() {
+	It("reconnects after its peer has closed the connection", func() {
 		listener, err := loopback.Listen()
 		Expect(err).NotTo(HaveOccurred())
 		defer listener.Close()
--- a/internal/ringlog/compatibility_test.go
+++ b/internal/ringlog/compatibility_test.go
@@ -9,15 +9,15 @@
 	"testing"
 )
 
-// The files of the fixture are those that the build of commit bfb03d8 has written for writtenRecords, without the zeros
-// at their ends. They are never written anew.
+// The build of commit bfb03d8 has written the files of the fixture for writtenRecords. The zeros at the ends of the files were
+// removed. The files must not be regenerated.
 const (
 	fixtureDirectory = "testdata/ring"
 	fixtureFiles     = 3
 	fixtureFileSize  = 4096
 )
 
-// writtenRecords are appended with one call for each list.
+// writtenRecords returns the records of the fixture. Each list is appended with one call.
 func writtenRecords() [][]Record {
 	return [][]Record{
 		{{Payload: []byte("snapshot 1"), Rotate: true}},
@@ -29,7 +29,7 @@
 	}
 }
 
-// readableRecords are the payloads from the newest snapshot on.
+// readableRecords returns the payloads of the newest snapshot and of the records after it.
 func readableRecords() [][]byte {
 	return [][]byte{[]byte("snapshot 3"), {}, bytes.Repeat([]byte{0, 1, 0xff}, 100), []byte("e")}
 }
@@ -44,7 +44,7 @@
 	return ring, payloads
 }
 
-// A ring that an earlier build has written is read.
+// The present code reads a ring that an earlier build has written.
 func TestRingOfEarlierBuildIsRead(t *testing.T) {
 	directory := t.TempDir()
 	if err := os.CopyFS(directory, os.DirFS(fixtureDirectory)); err != nil {
@@ -52,7 +52,7 @@
 	}
 	_, payloads := openFixture(t, directory)
 	if !slices.EqualFunc(payloads, readableRecords(), bytes.Equal) {
-		t.Errorf("read %q", payloads)
+		t.Errorf("read payloads %q, want %q", payloads, readableRecords())
 	}
 }
 
@@ -76,7 +76,7 @@
 			t.Fatal(err)
 		}
 		if !bytes.Equal(bytes.TrimRight(written, "\x00"), expected) {
-			t.Errorf("%s differs from that of the earlier build", name)
+			t.Errorf("%s differs from the file that the earlier build has written", name)
 		}
 	}
 }
--- a/internal/ringlog/example_test.go
+++ b/internal/ringlog/example_test.go
@@ -7,7 +7,8 @@
 	"dykering/internal/ringlog"
 )
 
-// A counter is logged: snapshots hold its value, other records add to it. The snapshot begins the next file of the ring.
+// The example logs a counter. A snapshot has the value of the counter and begins the next file of the ring. The other records
+// add to the value.
 func Example() {
 	directory, err := os.MkdirTemp("", "ringlog")
 	if err != nil {
--- a/internal/ringlog/record.go
+++ b/internal/ringlog/record.go
@@ -6,7 +6,8 @@
 	"io"
 )
 
-// Magic numbers begin each copy of a record and state how the record is stored. They share their first three bytes.
+// Each copy of a record begins with a magic number, which states how the record is stored. The magic numbers share their first
+// three bytes.
 const (
 	// magicSingle ("drl1") begins a record with a single copy, written by an earlier version of this program.
 	magicSingle uint32 = 0x6472_6c31 + iota
@@ -30,17 +31,18 @@
 
 var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-// checksum returns the checksum of a copy from its header without the checksum and its payload.
+// checksum returns the CRC-32C of a copy. The header is passed without its checksum field.
 func checksum(header, payload []byte) uint32 {
 	return crc32.Update(crc32.Checksum(header, checksumTable), checksumTable, payload)
 }
 
-// RecordSize returns the number of bytes that a record with a payload takes in a file, with both copies.
+// RecordSize returns the number of bytes that both copies of a record with the given payload take in a file.
 func RecordSize(payload []byte) int64 { return copiesPerRecord * copySize(payload) }
 
+// copySize returns the number of bytes that one copy of a record with the given payload takes in a file.
 func copySize(payload []byte) int64 { return headerSize + int64(len(payload)) }
 
-// storedRecord is a record as it was read from a file.
+// storedRecord is a record that was read from a file.
 type storedRecord struct {
 	magic uint32
 	seq   uint64
@@ -65,7 +67,7 @@
 	return append(buffer, buffer[start:]...)
 }
 
-// readCopy reads the copy of a record that begins at an offset. It is false if there is none, or if its checksum is wrong.
+// readCopy reads the copy of a record that begins at an offset. It returns false if there is no copy or its checksum is wrong.
 // The limit is the size of the file.
 func readCopy(file io.ReaderAt, offset, limit int64) (storedRecord, bool) {
 	var header [headerSize]byte
@@ -93,7 +95,7 @@
 	return record, true
 }
 
-// endOfFirstCopy returns the offset after a record whose first copy begins at an offset.
+// endOfFirstCopy returns the offset of the end of a record whose first copy begins at the given offset.
 func (s storedRecord) endOfFirstCopy(offset int64) int64 {
 	if s.magic == magicSingle {
 		return offset + copySize(s.payload)
@@ -101,5 +103,5 @@
 	return offset + RecordSize(s.payload)
 }
 
-// endOfLastCopy returns the offset after a record whose last copy begins at an offset.
+// endOfLastCopy returns the offset of the end of a record whose last copy begins at the given offset.
 func (s storedRecord) endOfLastCopy(offset int64) int64 { return offset + copySize(s.payload) }
--- a/internal/ringlog/recovery.go
+++ b/internal/ringlog/recovery.go
@@ -7,11 +7,11 @@
 	"github.com/pkg/errors"
 )
 
-// maxScanDistance is how many bytes after an unreadable copy are searched for the second copy, or for proof of damage. It
-// bounds the time that it takes to open a log that simply ends there.
+// maxScanDistance is the number of bytes after an unreadable copy in which recovery searches for the second copy of the record
+// and for evidence of damage. It bounds the time to open a log that ends there without damage.
 const maxScanDistance = 256 << 10
 
-// locatedRecord is a record with the offset after its last copy.
+// locatedRecord is a record with the offset of the end of its last copy.
 type locatedRecord struct {
 	record storedRecord
 	end    int64
@@ -24,7 +24,7 @@
 		return nil, err
 	}
 	if first == nil {
-		// The log is empty: its first snapshot begins the file after the last one, which is the first one.
+		// The log is empty. Its first snapshot goes to the file after the last one, which is the first file.
 		r.current = len(r.files) - 1
 		return nil, nil
 	}
@@ -41,7 +41,7 @@
 	return records, nil
 }
 
-// findNewestFile returns the index and the first record of the file that was begun last. The record is nil if no file has a
+// findNewestFile returns the index and the first record of the most recently started file. The record is nil if no file has a
 // readable first record.
 func (r *Ring) findNewestFile() (newest int, first *locatedRecord, err error) {
 	for i, file := range r.files {
@@ -56,8 +56,8 @@
 	return newest, first, nil
 }
 
-// findFirstRecord returns the record that begins a file, from its second copy if the first one cannot be read. It is nil if
-// there is none.
+// findFirstRecord returns the first record of a file. It uses the second copy if the first one cannot be read. It returns nil
+// if there is no readable copy.
 func findFirstRecord(file *os.File) (*locatedRecord, error) {
 	limit, err := fileSize(file)
 	if err != nil {
@@ -79,15 +79,15 @@
 	return found, nil
 }
 
-// isUnwritten reports whether a file begins with zeros: nothing was ever written to it.
+// isUnwritten reports whether a file begins with zeros, which means that no record was ever written to it.
 func isUnwritten(file io.ReaderAt) bool {
 	var header [headerSize]byte
 	_, err := file.ReadAt(header[:], 0)
 	return err != nil || header == [headerSize]byte{}
 }
 
-// hasLostBeginning reports whether a file whose first record cannot be read is newer than the last record that was read, and
-// was synced. Recovery would otherwise go back to an older file without a sign of the loss.
+// hasLostBeginning reports whether a file lost its first record although that record was synced and is newer than the last
+// recovered record. Without this check, recovery would fall back to an older file and not notice the loss.
 func hasLostBeginning(file *os.File, lastSeq uint64) bool {
 	limit, err := fileSize(file)
 	if err != nil {
@@ -104,12 +104,13 @@
 	return lost
 }
 
-// provesLoss reports whether a record states that records after the last one that was read had been synced before it.
+// provesLoss reports whether a record states that records after the last recovered one had been synced when it was written.
 func provesLoss(record storedRecord, lastSeq uint64) bool {
 	return record.seq > lastSeq && record.synced > lastSeq
 }
 
-// readRecords reads the records of a file, given its first one, and sets where the next one is appended.
+// readRecords returns the payloads of a file's records, given the first record. It sets the position at which the next record
+// is appended.
 func (r *Ring) readRecords(file *os.File, first *locatedRecord) ([][]byte, error) {
 	limit, err := fileSize(file)
 	if err != nil {
@@ -129,8 +130,9 @@
 	return payloads, nil
 }
 
-// findNextRecord returns the record after the last one: at an offset or, if that copy cannot be read, from its second copy.
-// It is nil at the end of the log. It returns ErrDamaged if a record further on proves that the next one had been synced.
+// findNextRecord returns the record that follows the record with the sequence number lastSeq. It reads the copy at the offset
+// or, if that copy cannot be read, the second copy. It returns nil at the end of the log, and ErrDamaged if a later record
+// proves that the next record had been synced.
 func findNextRecord(reader, file io.ReaderAt, offset, limit int64, lastSeq uint64) (*locatedRecord, error) {
 	if record, ok := readCopy(reader, offset, limit); ok && record.seq == lastSeq+1 {
 		return &locatedRecord{record: record, end: record.endOfFirstCopy(offset)}, nil
@@ -156,7 +158,7 @@
 func fileSize(file *os.File) (int64, error) {
 	info, err := file.Stat()
 	if err != nil {
-		return 0, errors.Wrap(err, "ring")
+		return 0, errors.Wrap(err, "get size of ring log file")
 	}
 	return info.Size(), nil
 }
--- a/internal/ringlog/ringlog_test.go
+++ b/internal/ringlog/ringlog_test.go
@@ -108,14 +108,14 @@
 		Expect(records).To(Equal([]string{"s", "a", "b"}))
 	})
 
-	It("does not return a record of an earlier use of the file after the end", func() {
+	It("does not return records of an earlier use of the file", func() {
 		ring, _ := open()
 		appendText(ring, true, "s0")
 		appendText(ring, false, "old1")
 		appendText(ring, false, "old2")
 		appendText(ring, true, "s1")
 		appendText(ring, true, "s2")
-		appendText(ring, true, "s3") // over s0, old1 and old2
+		appendText(ring, true, "s3") // reuses the file of s0, old1 and old2
 		_, records := open()
 		Expect(records).To(Equal([]string{"s3"}))
 	})
@@ -135,7 +135,7 @@
 		appendText(ring, true, "s")
 		at := ring.offset
 		appendText(ring, false, "damaged")
-		appendText(ring, false, "behind")
+		appendText(ring, false, "after")
 		damage(file(0), at, "damaged")
 		_, _, err := Open(options)
 		Expect(err).To(MatchError(ErrDamaged))
@@ -160,10 +160,10 @@
 			Expect(records).To(Equal(append(texts, "more")))
 		},
 		Entry("the first copy of the file's first record", int64(0), 0),
-		Entry("its second copy", int64(1), 0),
+		Entry("the second copy of the file's first record", int64(1), 0),
 		Entry("the first copy of the last record", int64(0), 2),
-		Entry("its second copy", int64(1), 2),
-		Entry("the first copy of one in between", int64(0), 1),
+		Entry("the second copy of the last record", int64(1), 2),
+		Entry("the first copy of a record in between", int64(0), 1),
 	)
 
 	It("reports damage if a file's synced first record is lost", func() {
@@ -194,7 +194,7 @@
 		Expect(records).To(Equal([]string{"s", "a", "b"}))
 	})
 
-	It("returns all synced records after a loss of power, in any state of the unsynced one", func() {
+	It("returns all synced records after a power loss that tears the unsynced record", func() {
 		random := rand.New(rand.NewPCG(1, 1))
 		for range 300 {
 			options.Directory = GinkgoT().TempDir()
@@ -217,7 +217,7 @@
 			if ring.current != current {
 				path, from = file(ring.current), 0
 			}
-			for i := range length { // each byte is there or not
+			for i := range length { // each byte may be lost
 				if random.IntN(8) == 0 {
 					overwrite(path, from+i, []byte{0})
 				}
@@ -230,7 +230,7 @@
 				got = append(got, string(record))
 			}
 			if ring.current != current && len(got) == 1 && got[0] == "not synced" {
-				got = texts // it was present, and stands for all before it
+				got = texts // the snapshot was readable and replaces all records before it
 			}
 			if got[len(got)-1] == "not synced" {
 				got = got[:len(got)-1]
--- a/internal/ringlog/scan.go
+++ b/internal/ringlog/scan.go
@@ -6,16 +6,16 @@
 	"io"
 )
 
-// readBufferSize is the number of bytes that are read from a file at once.
+// readBufferSize is the number of bytes to read from a file at once.
 const readBufferSize = 64 << 10
 
-// magicPrefix are the first bytes of all magic numbers.
+// magicPrefix has the first three bytes, which all magic numbers share.
 var magicPrefix = binary.BigEndian.AppendUint32(nil, magicSingle)[:3]
 
 // magicSize is the size of a magic number in bytes.
 const magicSize = 4
 
-// scanCopies calls visit for each readable copy of a record that begins at an offset from start to end, until visit returns
+// scanCopies calls visit for each readable copy of a record that begins at an offset in [start, end), until visit returns
 // false. The limit is the size of the file.
 func scanCopies(file io.ReaderAt, start, end, limit int64, visit func(offset int64, record storedRecord) (proceed bool)) {
 	buffer := make([]byte, readBufferSize)
@@ -26,7 +26,7 @@
 		}
 		i := bytes.Index(buffer[:n], magicPrefix)
 		if i < 0 {
-			// The buffer may end within a magic number: its last bytes are read again.
+			// The buffer may end within a magic number, so its last bytes are read again.
 			offset += int64(n - len(magicPrefix))
 			continue
 		}
