--- a/internal/controlplane/chain_driver.go
+++ b/internal/controlplane/chain_driver.go
@@ -2,9 +2,9 @@
 
 import "dykering/internal/chain"
 
-// applyOutput carries out what the chain's state machine asks for, in the order that chain.Output prescribes: immediate
+// applyChainOutput carries out what the chain's state machine asks for, in the order that chain.Output prescribes: immediate
 // messages leave at once, all others once the records of the same output are stored.
-func (s *Server) applyOutput(out chain.Output) {
+func (s *Server) applyChainOutput(out chain.Output) {
 	for _, envelope := range out.ImmediateMessages {
 		s.send(envelope.To, envelope.Message)
 	}
@@ -42,7 +42,7 @@
 func (s *Server) onPersisted(messages []chain.Envelope) {
 	for _, envelope := range messages {
 		if envelope.To == s.chain.Self().Address {
-			s.applyOutput(s.chain.Receive(s.now(), envelope.Message))
+			s.applyChainOutput(s.chain.Receive(s.now(), envelope.Message))
 			continue
 		}
 		s.send(envelope.To, envelope.Message)
--- a/internal/controlplane/chain_restore.go
+++ b/internal/controlplane/chain_restore.go
@@ -40,14 +40,14 @@
 func openRing(options ringlog.Options, log *slog.Logger) (ring *ringlog.Ring, payloads [][]byte, discarded bool, err error) {
 	ring, payloads, err = ringlog.Open(options)
 	if errors.Is(err, ringlog.ErrDamaged) {
-		ring, err = discardRing(options, log, err)
+		ring, err = recreateRing(options, log, err)
 		return ring, nil, true, err
 	}
 	return ring, payloads, false, err
 }
 
-// discardRing deletes a ring whose records cannot be used, and makes it anew.
-func discardRing(options ringlog.Options, log *slog.Logger, cause error) (*ringlog.Ring, error) {
+// recreateRing deletes a ring whose records cannot be used, and makes it anew.
+func recreateRing(options ringlog.Options, log *slog.Logger, cause error) (*ringlog.Ring, error) {
 	log.Error("disk.damaged", "error", cause, "directory", filepath.Base(options.Directory), "action", "the copy is discarded")
 	if err := os.RemoveAll(options.Directory); err != nil {
 		return nil, errors.Wrap(err, "damaged copy")
@@ -68,7 +68,7 @@
 		return ring, records, discarded, nil
 	}
 	ring.Close()
-	ring, err = discardRing(options, log, err)
+	ring, err = recreateRing(options, log, err)
 	return ring, nil, true, err
 }
 
@@ -88,7 +88,7 @@
 		view.Holder = view.Chain[0]
 		s.chain, out = chain.NewGenesis(s.chainConfig(genesisID(own)), s.now(), view, corestate.Initial())
 	} else {
-		s.chain, out = chain.NewJoiner(s.chainConfig(freshID(own)), s.now(), corestate.Initial())
+		s.chain, out = chain.NewJoiner(s.chainConfig(joinerID(own)), s.now(), corestate.Initial())
 	}
 	s.persist(out.Records, nil)
 }
@@ -96,8 +96,8 @@
 // genesisID is the ID of a member of the first view. All members compute the same ones.
 func genesisID(address string) chain.MemberID { return chain.MemberID(address + "/0") }
 
-// freshID is the ID of a member that joins. It is unique, as a member whose disk was lost is another one.
-func freshID(address string) chain.MemberID {
+// joinerID is the ID of a member that joins. It is unique, as a member whose disk was lost is another one.
+func joinerID(address string) chain.MemberID {
 	var b [8]byte
 	rand.Read(b[:])
 	return chain.MemberID(address + "/" + hex.EncodeToString(b[:]))
--- a/internal/controlplane/chain_store_test.go
+++ b/internal/controlplane/chain_store_test.go
@@ -16,7 +16,7 @@
 		ring, _, err := ringlog.Open(ringlog.Options{Directory: GinkgoT().TempDir(), Files: 3, FileSize: 1 << 16})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(ring.Close)
-		server, config, out := singleMember()
+		server, config, out := newSingleMember()
 		server.chainStore = newChainStore(ring, server.log, nil)
 		server.chainStore.jobs = make(chan storeJob, 2)
 		server.persist(out.Records, nil)
@@ -48,11 +48,11 @@
 
 var _ = Describe("a chain store whose records cannot be decoded", func() {
 	DescribeTable("is discarded and made anew",
-		func(spoil func(*ringlog.Ring)) {
+		func(corrupt func(*ringlog.Ring)) {
 			options := ringlog.Options{Directory: GinkgoT().TempDir() + "/chain", Files: 3, FileSize: 1 << 16}
 			ring, _, err := ringlog.Open(options)
 			Expect(err).NotTo(HaveOccurred())
-			spoil(ring)
+			corrupt(ring)
 			ring.Close()
 			ring, records, discarded, err := openRecords(options, slog.New(slog.DiscardHandler))
 			Expect(err).NotTo(HaveOccurred())
--- a/internal/controlplane/compatibility_test.go
+++ b/internal/controlplane/compatibility_test.go
@@ -81,8 +81,8 @@
 	return text.String()
 }
 
-// restoreAlone makes the member of the restorable directory out of its records.
-func restoreAlone(records []any) *chain.Node {
+// restoreSingleMember makes the member of the restorable directory out of its records.
+func restoreSingleMember(records []any) *chain.Node {
 	return chain.Restore(chain.Config{Apply: applyOperation}, 0, records)
 }
 
@@ -99,7 +99,7 @@
 // A member is restored from what an earlier build has stored, with the operations of its log applied.
 func TestMemberOfEarlierBuildIsRestored(t *testing.T) {
 	records := readChain(t, copyOfFixture(t, restorableDirectory))
-	fixture.Text(t, restorableText, renderNode(restoreAlone(records)))
+	fixture.Text(t, restorableText, renderNode(restoreSingleMember(records)))
 }
 
 // What the present code stores of the chain is what an earlier build reads: a gob stream of records, each the interface
--- a/internal/controlplane/compatibility_write_test.go
+++ b/internal/controlplane/compatibility_write_test.go
@@ -78,7 +78,7 @@
 	options := ringOptions(directory, fixtureDiskMB)
 	options.FileSize = ringFileBytes
 	ring := openEmpty(t, options)
-	defer trim(t, options.Directory)
+	defer trimZeros(t, options.Directory)
 	defer ring.Close()
 	store := newChainStore(ring, slog.New(slog.DiscardHandler), nil)
 	for _, records := range files {
@@ -99,7 +99,7 @@
 	t.Helper()
 	options := ringlog.Options{Directory: filepath.Join(filledDirectory, "sessions"), Files: sessionFiles, FileSize: ringFileBytes}
 	ring := openEmpty(t, options)
-	defer trim(t, options.Directory)
+	defer trimZeros(t, options.Directory)
 	defer ring.Close()
 	var records []sessions.Record
 	fixture.Fill(&records)
@@ -133,7 +133,7 @@
 }
 
 // trim cuts the zeros off the ends of the files of a ring.
-func trim(t *testing.T, directory string) {
+func trimZeros(t *testing.T, directory string) {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(directory, "*"))
 	if err != nil {
--- a/internal/controlplane/configuration_endpoint.go
+++ b/internal/controlplane/configuration_endpoint.go
@@ -102,7 +102,7 @@
 // proposeAtHead applies a change where this member is the head; the chain answers that it is not otherwise.
 func (s *Server) proposeAtHead(change fleetconfig.Change, answer func(protocol.Reply)) {
 	digests := change.Digests()
-	s.applyOutput(s.pendingRequests.Write(s.now(), chain.Write{
+	s.applyChainOutput(s.pendingRequests.Write(s.now(), chain.Write{
 		Decide:    func(latest any) chain.Decision { return decide(corestate.Configuration(latest), digests, change) },
 		IsApplied: func(value any) bool { return corestate.Configuration(value).HasAppliedAny(digests) },
 		Respond:   func(err error) { answer(replyFor(err)) },
@@ -128,7 +128,7 @@
 
 // readAtTail returns the configuration where this member is the tail; the chain answers that it is not otherwise.
 func (s *Server) readAtTail(answer func(protocol.Reply)) {
-	s.applyOutput(s.pendingRequests.Read(s.now(), chain.Read{Respond: func(state chain.State, err error) {
+	s.applyChainOutput(s.pendingRequests.Read(s.now(), chain.Read{Respond: func(state chain.State, err error) {
 		if err != nil {
 			answer(replyFor(err))
 			return
--- a/internal/controlplane/coordination_admission.go
+++ b/internal/controlplane/coordination_admission.go
@@ -69,8 +69,8 @@
 	return a.total == 0
 }
 
-// callerOf returns the host from which a call comes. The calls of the page name no caller otherwise.
-func callerOf(r *http.Request) string {
+// callerHost returns the host from which a call comes. The calls of the page name no caller otherwise.
+func callerHost(r *http.Request) string {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
 		return r.RemoteAddr
--- a/internal/controlplane/coordination_compatibility_test.go
+++ b/internal/controlplane/coordination_compatibility_test.go
@@ -60,7 +60,7 @@
 	if err := os.CopyFS(directory, os.DirFS(coordinationDirectory)); err != nil {
 		t.Fatal(err)
 	}
-	return restoreAlone(readChain(t, directory))
+	return restoreSingleMember(readChain(t, directory))
 }
 
 // renderCoordination lists what callers can read of the state of a member.
--- a/internal/controlplane/coordination_endpoint.go
+++ b/internal/controlplane/coordination_endpoint.go
@@ -30,31 +30,31 @@
 		Token  uint64 `json:"fencing_token"`
 		HoldMs int64  `json:"hold_ms"`
 	}
-	lockAnswer struct {
+	lockResponse struct {
 		Token uint64 `json:"fencing_token"`
 	}
-	numberAnswer struct {
+	numberResponse struct {
 		Value uint64 `json:"value"`
 	}
 	putRequest struct {
 		Value      *string `json:"value"`
 		IfRevision *uint64 `json:"if_revision"`
 	}
-	revisionAnswer struct {
+	revisionResponse struct {
 		Revision uint64 `json:"revision"`
 	}
-	cellAnswer struct {
+	cellResponse struct {
 		Value    string `json:"value"`
 		Revision uint64 `json:"revision"`
 	}
-	eventAnswer struct {
+	eventResponse struct {
 		Name     string `json:"name"`
 		Value    string `json:"value"`
 		Revision uint64 `json:"revision"`
 	}
-	eventsAnswer struct {
-		Events   []eventAnswer `json:"events"`
-		Revision uint64        `json:"revision"`
+	eventsResponse struct {
+		Events   []eventResponse `json:"events"`
+		Revision uint64          `json:"revision"`
 	}
 )
 
@@ -91,7 +91,7 @@
 		case err != nil:
 			writeCoordinationError(w, err)
 		case operation == coordination.BeginLock:
-			writeJSON(w, http.StatusOK, lockAnswer{Token: result.Token})
+			writeJSON(w, http.StatusOK, lockResponse{Token: result.Token})
 		default:
 			writeEmptyObject(w)
 		}
@@ -105,7 +105,7 @@
 		writeCoordinationError(w, err)
 		return
 	}
-	writeJSON(w, http.StatusOK, numberAnswer{Value: result.Number})
+	writeJSON(w, http.StatusOK, numberResponse{Value: result.Number})
 }
 
 // handlePut serves POST /cells/{id}/replace.
@@ -127,12 +127,12 @@
 	result, err := c.awaitWrite(r, command)
 	switch {
 	case err != nil && errkind.KindOf(err) == errkind.RevisionConflict:
-		noteOutcome(w, err)
-		writeJSON(w, http.StatusPreconditionFailed, revisionAnswer{Revision: result.Revision})
+		recordOutcome(w, err)
+		writeJSON(w, http.StatusPreconditionFailed, revisionResponse{Revision: result.Revision})
 	case err != nil:
 		writeCoordinationError(w, err)
 	default:
-		writeJSON(w, http.StatusOK, revisionAnswer{Revision: result.Revision})
+		writeJSON(w, http.StatusOK, revisionResponse{Revision: result.Revision})
 	}
 }
 
@@ -145,7 +145,7 @@
 	case !result.Found:
 		writeCoordinationError(w, errkind.New(errkind.NotFound, ""))
 	default:
-		writeJSON(w, http.StatusOK, cellAnswer{Value: result.Value, Revision: result.Revision})
+		writeJSON(w, http.StatusOK, cellResponse{Value: result.Value, Revision: result.Revision})
 	}
 }
 
@@ -169,9 +169,9 @@
 		writeCoordinationError(w, answer.Err)
 		return
 	}
-	body := eventsAnswer{Events: []eventAnswer{}, Revision: answer.Revision}
+	body := eventsResponse{Events: []eventResponse{}, Revision: answer.Revision}
 	for _, event := range answer.Events {
-		body.Events = append(body.Events, eventAnswer(event))
+		body.Events = append(body.Events, eventResponse(event))
 	}
 	writeJSON(w, http.StatusOK, body)
 }
@@ -216,7 +216,7 @@
 // has gone, is not started: the process may have been frozen.
 func (c *coordinationService) await(r *http.Request, start func(answer func(protocol.Reply))) (protocol.Reply, error) {
 	s := c.server
-	caller := callerOf(r)
+	caller := callerHost(r)
 	if err := c.admission.begin(caller); err != nil {
 		return protocol.Reply{}, err
 	}
@@ -290,7 +290,7 @@
 // writeCoordinationError responds with the status that belongs to the kind of an error, and says when to come again where the
 // call was not executed.
 func writeCoordinationError(w http.ResponseWriter, err error) {
-	noteOutcome(w, err)
+	recordOutcome(w, err)
 	if errkind.AnswerOf(errkind.KindOf(err)).NotExecuted {
 		w.Header().Set("Retry-After", coordinationRetryAfter)
 	}
--- a/internal/controlplane/coordination_explain.go
+++ b/internal/controlplane/coordination_explain.go
@@ -31,9 +31,9 @@
 
 func newLockLog(log *slog.Logger) *lockLog { return &lockLog{log: log} }
 
-// observeLock returns a function that records how a command ends, with the hold that it meets. It is called before the head
+// lockObserver returns a function that records how a command ends, with the hold that it meets. It is called before the head
 // decides on the command.
-func (c *coordinationService) observeLock(command coordination.Command) func(coordination.Result, error) {
+func (c *coordinationService) lockObserver(command coordination.Command) func(coordination.Result, error) {
 	before, _ := corestate.Coordination(c.server.chain.LatestState().Value).Lock(command.Name)
 	return func(result coordination.Result, err error) {
 		c.lockLog.record(c.server.now(), command, before, result, err)
@@ -52,9 +52,9 @@
 		Holder:      before.Holder,
 		HolderToken: before.Token,
 	}
-	isTaken := err == nil && command.Operation == coordination.BeginLock
+	isAcquired := err == nil && command.Operation == coordination.BeginLock
 	switch {
-	case isTaken && before.Holder != "" && before.Holder != command.Holder:
+	case isAcquired && before.Holder != "" && before.Holder != command.Holder:
 		event.Kind = protocol.LockTakenOver
 		event.Token = result.Token
 		l.logTakeover(event)
@@ -90,7 +90,7 @@
 }
 
 // about returns the events of a lock.
-func (l *lockLog) about(lock string) []protocol.LockEvent {
+func (l *lockLog) eventsAbout(lock string) []protocol.LockEvent {
 	var found []protocol.LockEvent
 	for _, event := range l.events {
 		if event.Lock == lock {
@@ -118,12 +118,12 @@
 
 // AskLockExplain asks the control process at an internal address who has a lock.
 func AskLockExplain(address, lock string) (protocol.LockExplanation, error) {
-	return ask[protocol.LockExplanation](address, protocol.LockExplainRequest{Lock: lock}, "explain")
+	return requestReply[protocol.LockExplanation](address, protocol.LockExplainRequest{Lock: lock}, "explain")
 }
 
 // serveLockExplain replies to a protocol.LockExplainRequest.
-func (s *Server) serveLockExplain(conn *peerlink.Conn, ask protocol.LockExplainRequest) {
-	explanation, ok := query(s, func() protocol.LockExplanation { return s.coordination.explainLock(s.now(), ask.Lock) })
+func (s *Server) serveLockExplain(conn *peerlink.Conn, request protocol.LockExplainRequest) {
+	explanation, ok := query(s, func() protocol.LockExplanation { return s.coordination.explainLock(s.now(), request.Lock) })
 	if !ok {
 		return
 	}
@@ -151,7 +151,7 @@
 	if !explanation.IsHead {
 		return explanation
 	}
-	explanation.Events = c.lockLog.about(name)
+	explanation.Events = c.lockLog.eventsAbout(name)
 	if held {
 		explanation.EndsAt = c.head.HoldEndsAt(name, lock)
 	}
--- a/internal/controlplane/coordination_explain_test.go
+++ b/internal/controlplane/coordination_explain_test.go
@@ -56,11 +56,11 @@
 			locks.record(time.Duration(second)*time.Second, begin("l", "b"), held, coordination.Result{}, refused)
 			locks.record(time.Duration(second)*time.Second, begin("l", "c"), held, coordination.Result{}, refused)
 		}
-		Expect(locks.about("l")).To(HaveLen(2))
-		Expect(locks.about("l")[1]).To(Equal(protocol.LockEvent{
+		Expect(locks.eventsAbout("l")).To(HaveLen(2))
+		Expect(locks.eventsAbout("l")[1]).To(Equal(protocol.LockEvent{
 			At: 4 * time.Second, Count: 5, Lock: "l", Kind: protocol.LockRefused, Caller: "c", Holder: "a", HolderToken: 4,
 		}))
-		Expect(locks.about("m")).To(BeEmpty())
+		Expect(locks.eventsAbout("m")).To(BeEmpty())
 	})
 
 	It("keeps the latest events up to its bound", func() {
@@ -69,7 +69,7 @@
 			locks.record(0, begin(fmt.Sprint(i), "b"), held, coordination.Result{}, refused)
 		}
 		Expect(locks.events).To(HaveLen(maxLockEvents))
-		Expect(locks.about("first")).To(BeEmpty())
+		Expect(locks.eventsAbout("first")).To(BeEmpty())
 	})
 
 	It("writes takeovers to the process's log, a bounded number in a second", func() {
@@ -87,7 +87,7 @@
 	begin := coordination.Command{Operation: coordination.BeginLock, Name: "l", Holder: "a", HoldMs: 60_000}
 
 	It("has the hold, its end and what others have met, at the head", func() {
-		s := headAlone()
+		s := newSingleHead()
 		execute(s, begin)
 		other := begin
 		other.Holder = "b"
--- a/internal/controlplane/coordination_metrics.go
+++ b/internal/controlplane/coordination_metrics.go
@@ -37,28 +37,28 @@
 	outcome string
 }
 
-// noteOutcome notes why a call failed, for its metrics.
-func noteOutcome(w http.ResponseWriter, err error) {
-	if noting, ok := w.(*outcomeWriter); ok {
-		noting.outcome = errkind.KindOf(err).Name()
+// recordOutcome notes why a call failed, for its metrics.
+func recordOutcome(w http.ResponseWriter, err error) {
+	if writer, ok := w.(*outcomeWriter); ok {
+		writer.outcome = errkind.KindOf(err).Name()
 	}
 }
 
 // measure returns a handler that counts and times the calls of an operation.
 func (m *coordinationMetrics) measure(operation string, handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		begun := time.Now()
-		noting := &outcomeWriter{ResponseWriter: w, outcome: outcomeOK}
-		handler(noting, r)
-		m.record(operation, noting.outcome, time.Since(begun))
+		start := time.Now()
+		writer := &outcomeWriter{ResponseWriter: w, outcome: outcomeOK}
+		handler(writer, r)
+		m.record(operation, writer.outcome, time.Since(start))
 	}
 }
 
-func (m *coordinationMetrics) record(operation, outcome string, took time.Duration) {
+func (m *coordinationMetrics) record(operation, outcome string, elapsed time.Duration) {
 	labels := fmt.Sprintf("{operation=%q,outcome=%q}", operation, outcome)
 	m.set.GetOrCreateCounter(coordinationMetricPrefix + "calls_total" + labels).Inc()
 	name := coordinationMetricPrefix + "call_seconds" + labels
-	m.set.GetOrCreatePrometheusHistogramExt(name, callSecondsBounds).Update(took.Seconds())
+	m.set.GetOrCreatePrometheusHistogramExt(name, callSecondsBounds).Update(elapsed.Seconds())
 }
 
 // write writes the counters and the histogram.
--- a/internal/controlplane/coordination_service.go
+++ b/internal/controlplane/coordination_service.go
@@ -93,12 +93,12 @@
 		answer(errorReply(errkind.New(errkind.NotReady, "a member of the chain is of an earlier version")))
 		return
 	}
-	observe := c.observeLock(command)
+	observe := c.lockObserver(command)
 	respond := func(result coordination.Result, err error) {
 		observe(result, err)
 		answer(coordinationReply(result, err))
 	}
-	c.server.applyOutput(c.server.pendingRequests.Write(now, c.head.Write(now, command, respond)))
+	c.server.applyChainOutput(c.server.pendingRequests.Write(now, c.head.Write(now, command, respond)))
 }
 
 // coordinationReply returns the reply to a command. One that failed has a result too: the revision at a conflict.
@@ -132,7 +132,7 @@
 // readAtTail reads where this member is the tail; the chain answers that it is not otherwise.
 func (c *coordinationService) readAtTail(cell, group string, answer func(protocol.Reply)) {
 	s := c.server
-	s.applyOutput(s.pendingRequests.Read(s.now(), chain.Read{Respond: func(state chain.State, err error) {
+	s.applyChainOutput(s.pendingRequests.Read(s.now(), chain.Read{Respond: func(state chain.State, err error) {
 		if err != nil {
 			answer(errorReply(errkind.New(errkind.NotReady, err.Error())))
 			return
--- a/internal/controlplane/coordination_timers_test.go
+++ b/internal/controlplane/coordination_timers_test.go
@@ -15,9 +15,9 @@
 	"dykering/internal/protocol"
 )
 
-// headAlone makes a server that is the only member of its core and runs no goroutine: what it appends is not committed until
+// newSingleHead makes a server that is the only member of its core and runs no goroutine: what it appends is not committed until
 // commitAll is called.
-func headAlone() *Server {
+func newSingleHead() *Server {
 	ctx, cancel := context.WithCancel(context.Background())
 	DeferCleanup(cancel)
 	s := newServer(ctx, newMembers(1)[0].settings, slog.New(slog.DiscardHandler))
@@ -36,7 +36,7 @@
 	for len(s.chainStore.jobs) > 0 {
 		s.onPersisted((<-s.chainStore.jobs).messages)
 	}
-	s.applyOutput(s.chain.Tick(s.now()))
+	s.applyChainOutput(s.chain.Tick(s.now()))
 	s.pendingRequests.AnswerReady(s.now())
 }
 
@@ -54,7 +54,7 @@
 	// The look at what may be dropped took the locks of the committed state: the timer of a hold that was not committed yet
 	// was forgotten, so that the hold counted as over at once and another caller could have the lock.
 	It("keep the time of a hold that is not committed yet", func() {
-		s := headAlone()
+		s := newSingleHead()
 		s.coordination.head.ViewInstalled(s.now() - time.Hour)
 		reply := execute(s, begin)
 		Expect(reply).NotTo(Receive())
--- a/internal/controlplane/endpoint_loads.go
+++ b/internal/controlplane/endpoint_loads.go
@@ -38,9 +38,9 @@
 	outcomes map[string]decayedOutcomes         // by this member's subscribers, by endpoint
 	peers    map[string]peerLoads               // the last broadcast of each peer
 
-	broadcastDue       time.Duration
-	broadcastWasFilled bool // the last broadcast had loads: one without is due before broadcasts cease
-	streamDue          time.Duration
+	broadcastDue          time.Duration
+	lastBroadcastHadLoads bool // the last broadcast had loads: one without is due before broadcasts cease
+	streamDue             time.Duration
 }
 
 type peerLoads struct {
@@ -158,9 +158,9 @@
 	}
 	t.broadcastDue = now + loadBroadcastInterval
 	loads := lo.Values(t.localTotals(now))
-	if len(loads) == 0 && !t.broadcastWasFilled {
+	if len(loads) == 0 && !t.lastBroadcastHadLoads {
 		return
 	}
-	t.broadcastWasFilled = len(loads) > 0
+	t.lastBroadcastHadLoads = len(loads) > 0
 	s.broadcast(protocol.EndpointLoadSync{From: s.chain.Self().Address, Loads: loads})
 }
--- a/internal/controlplane/eventloop.go
+++ b/internal/controlplane/eventloop.go
@@ -10,8 +10,8 @@
 const (
 	// commandQueueLength bounds the commands that wait for the event loop. A sender waits while the queue is full.
 	commandQueueLength = 4096
-	// seedRereadInterval is the time between two readings of the settings' seeds while this member has no quorum.
-	seedRereadInterval = time.Second
+	// seedRefreshInterval is the time between two readings of the settings' seeds while this member has no quorum.
+	seedRefreshInterval = time.Second
 )
 
 // now is the time since the start of the process, by a clock that does not step.
@@ -30,26 +30,26 @@
 func (s *Server) runEventLoop(stop <-chan os.Signal) {
 	ticker := time.NewTicker(s.timing.tickInterval)
 	defer ticker.Stop()
-	var graceOver <-chan time.Time // nil until a signal arrives
+	var graceExpired <-chan time.Time // nil until a signal arrives
 	for {
 		select {
 		case command := <-s.commands:
 			command()
-			s.runQueued()
+			s.runQueuedCommands()
 		case <-ticker.C:
 			s.tick()
 		case sig := <-stop:
-			if graceOver != nil {
-				s.stopNeeded()
+			if graceExpired != nil {
+				s.logForcedStop()
 				return
 			}
-			graceOver = s.leave(sig)
-		case <-graceOver:
-			s.stopNeeded()
+			graceExpired = s.leave(sig)
+		case <-graceExpired:
+			s.logForcedStop()
 			return
 		}
 		s.afterBatch()
-		if graceOver != nil && s.chain.CanStop(s.now()) && s.coordination.admission.isIdle() {
+		if graceExpired != nil && s.chain.CanStop(s.now()) && s.coordination.admission.isIdle() {
 			return
 		}
 	}
@@ -64,14 +64,14 @@
 	return time.After(s.timing.gracePeriod)
 }
 
-// stopNeeded reports that this member ends although the others need its vote or its disk.
-func (s *Server) stopNeeded() {
+// logForcedStop reports that this member ends although the others need its vote or its disk.
+func (s *Server) logForcedStop() {
 	view := s.chain.View()
 	s.log.Warn("process.stopped_needed", "view", view.Number, "in_chain", s.chain.IsInChain())
 }
 
-// runQueued runs the commands that are queued already, so that one afterBatch serves all of them.
-func (s *Server) runQueued() {
+// runQueuedCommands runs the commands that are queued already, so that one afterBatch serves all of them.
+func (s *Server) runQueuedCommands() {
 	for range commandQueueLength {
 		select {
 		case command := <-s.commands:
@@ -86,7 +86,7 @@
 func (s *Server) afterBatch() {
 	now := s.now()
 	s.pendingRequests.AnswerReady(now)
-	s.carryOutSessions(s.sessions.Flush(now, s.core(now)))
+	s.applySessionOutput(s.sessions.Flush(now, s.core(now)))
 	s.broadcastEndpointLoads(now)
 	s.streamUpdates(now)
 	s.coordination.answerWatches(now)
@@ -97,23 +97,23 @@
 func (s *Server) tick() {
 	now := s.now()
 	s.chain.SetDiskHealthy(s.chainStore.writeDuration() < s.timing.maxWriteDuration)
-	s.rereadSeeds(now, s.chain.HasQuorum(now))
-	s.applyOutput(s.chain.Tick(now))
-	s.carryOutSessions(s.sessions.Tick(now, s.core(now)))
+	s.refreshSeeds(now, s.chain.HasQuorum(now))
+	s.applyChainOutput(s.chain.Tick(now))
+	s.applySessionOutput(s.sessions.Tick(now, s.core(now)))
 	s.broadcastSubscriberCount(now)
-	s.expireCalls(now)
+	s.expirePendingCalls(now)
 	s.placement.tick(now)
 	s.coordination.tick(now)
 	s.reportTolerance(now)
 }
 
-// rereadSeeds reads the seeds again while this member has no quorum: all that it started with may have been replaced, and
+// refreshSeeds reads the seeds again while this member has no quorum: all that it started with may have been replaced, and
 // it would else look for its peers at old addresses for ever.
-func (s *Server) rereadSeeds(now time.Duration, hasQuorum bool) {
-	if hasQuorum || now < s.seedsDue {
+func (s *Server) refreshSeeds(now time.Duration, hasQuorum bool) {
+	if hasQuorum || now < s.seedRefreshDue {
 		return
 	}
-	s.seedsDue = now + seedRereadInterval
+	s.seedRefreshDue = now + seedRefreshInterval
 	settings, err := nodefile.LoadFromEnvironment()
 	if err != nil {
 		s.log.Warn("settings.unreadable", "error", err)
--- a/internal/controlplane/explain_endpoint.go
+++ b/internal/controlplane/explain_endpoint.go
@@ -40,7 +40,7 @@
 }
 
 // about returns the orders for a model, and the unloadings that freed memory for it.
-func (l *decisionLog) about(model string) []protocol.Decision {
+func (l *decisionLog) decisionsAbout(model string) []protocol.Decision {
 	var found []protocol.Decision
 	for _, d := range l.decisions {
 		if d.Model == model || d.For == model {
@@ -56,12 +56,12 @@
 
 // AskExplain asks the control process at an internal address why a model is placed as it is.
 func AskExplain(address, model string) (protocol.Explanation, error) {
-	return ask[protocol.Explanation](address, protocol.ExplainRequest{Model: model}, "explain")
+	return requestReply[protocol.Explanation](address, protocol.ExplainRequest{Model: model}, "explain")
 }
 
 // serveExplain replies to a protocol.ExplainRequest.
-func (s *Server) serveExplain(conn *peerlink.Conn, ask protocol.ExplainRequest) {
-	explanation, ok := query(s, func() protocol.Explanation { return s.placement.explain(s.now(), ask.Model) })
+func (s *Server) serveExplain(conn *peerlink.Conn, request protocol.ExplainRequest) {
+	explanation, ok := query(s, func() protocol.Explanation { return s.placement.explain(s.now(), request.Model) })
 	if !ok {
 		return
 	}
@@ -73,7 +73,7 @@
 // explain returns the replicas of a model, the demand for it, and the orders that have concerned it. Only the lease holder
 // knows demand and orders.
 func (c *placementController) explain(now time.Duration, model string) protocol.Explanation {
-	explanation := protocol.Explanation{Model: model, Now: now, Holds: c.holder.Lease().Held, Decisions: c.decisions.about(model)}
+	explanation := protocol.Explanation{Model: model, Now: now, Holds: c.holder.Lease().Held, Decisions: c.decisions.decisionsAbout(model)}
 	services := map[string]bool{}
 	for _, e := range c.server.sessions.Table().Endpoints() {
 		if e.State == sessions.Departed || !e.HasLoaded(model, "") {
--- a/internal/controlplane/explain_endpoint_test.go
+++ b/internal/controlplane/explain_endpoint_test.go
@@ -10,7 +10,7 @@
 )
 
 var _ = Describe("the decision log", func() {
-	note := func(l *decisionLog, model, freesMemoryFor string) {
+	recordOrder := func(l *decisionLog, model, freesMemoryFor string) {
 		demand := placement.NewDemand()
 		demand.Report(time.Second, "proxy", []placement.Sample{{Key: placement.Key{Service: "s", Model: model}, Requests: 3, Unplaced: 1}})
 		l.record(time.Second, "s", []placement.Order{{Endpoint: "i-1", Operation: placement.Unload, Model: model, FreesMemoryFor: freesMemoryFor}},
@@ -19,10 +19,10 @@
 
 	It("returns the orders for a model and those that freed memory for it, with the demand behind them", func() {
 		var l decisionLog
-		note(&l, "a", "")
-		note(&l, "b", "a")
-		note(&l, "b", "")
-		found := l.about("a")
+		recordOrder(&l, "a", "")
+		recordOrder(&l, "b", "a")
+		recordOrder(&l, "b", "")
+		found := l.decisionsAbout("a")
 		Expect(found).To(HaveLen(2))
 		Expect(found[1].Demand.Rate).To(BeNumerically("~", 1, 0.01))
 		Expect(found[1].Demand.Unplaced).To(BeTrue())
@@ -31,11 +31,11 @@
 
 	It("keeps the latest decisions up to its bound", func() {
 		var l decisionLog
-		note(&l, "first", "")
+		recordOrder(&l, "first", "")
 		for range maxDecisions {
-			note(&l, "later", "")
+			recordOrder(&l, "later", "")
 		}
 		Expect(l.decisions).To(HaveLen(maxDecisions))
-		Expect(l.about("first")).To(BeEmpty())
+		Expect(l.decisionsAbout("first")).To(BeEmpty())
 	})
 })
--- a/internal/controlplane/harness_test.go
+++ b/internal/controlplane/harness_test.go
@@ -14,8 +14,8 @@
 	return &fleetconfig.State{Document: fleetconfig.Document{Version: seen + 1}}
 }
 
-// singleMember makes a server that is the only member of its core and runs no goroutine.
-func singleMember() (*Server, chain.Config, chain.Output) {
+// newSingleMember makes a server that is the only member of its core and runs no goroutine.
+func newSingleMember() (*Server, chain.Config, chain.Output) {
 	view := chain.View{Number: 1, Voters: []chain.Member{{ID: "a", Address: "a"}}, Chain: []chain.MemberID{"a"}}
 	config := chain.Config{Self: view.Voters[0], Apply: countOperations, Jitter: func(d time.Duration) time.Duration { return d }}
 	s := &Server{log: slog.New(slog.DiscardHandler), endpointLoads: newEndpointLoadTable(), subscribers: map[*subscriber]bool{}}
--- a/internal/controlplane/http_server.go
+++ b/internal/controlplane/http_server.go
@@ -12,8 +12,8 @@
 const (
 	// headerTimeout is the time within which the header of a request must arrive.
 	headerTimeout = 3 * time.Second
-	// answerTimeout is the time for which a process that ends waits for answers that are being written.
-	answerTimeout = 200 * time.Millisecond
+	// shutdownTimeout is the time for which a process that ends waits for answers that are being written.
+	shutdownTimeout = 200 * time.Millisecond
 	// idleTimeout closes a connection without a request; heartbeats come more often.
 	idleTimeout = 60 * time.Second
 )
--- a/internal/controlplane/leave_test.go
+++ b/internal/controlplane/leave_test.go
@@ -9,8 +9,8 @@
 	"dykering/internal/protocol"
 )
 
-// startAgain starts members with the grace period of the other specs, so that the end of this one need not wait.
-func startAgain(members ...*member) {
+// restartWithShortGrace starts members with the grace period of the other specs, so that the end of this one need not wait.
+func restartWithShortGrace(members ...*member) {
 	for _, m := range members {
 		m.settings.Bounds.GracePeriodS = 3
 		m.start()
@@ -59,7 +59,7 @@
 		eventually(first).Should(Receive(Equal(needed)))
 		gone.awaitEnd()
 		needed.awaitEnd()
-		startAgain(gone, needed)
+		restartWithShortGrace(gone, needed)
 		eventually(func(g Gomega) {
 			status, err := AskStatus(address)
 			g.Expect(err).NotTo(HaveOccurred())
--- a/internal/controlplane/order.go
+++ b/internal/controlplane/order.go
@@ -23,7 +23,7 @@
 	c.server.log.Info("order.started", "endpoint", order.Endpoint, "operation", string(order.Operation), "model", order.Model,
 		"adapter", order.Adapter)
 	key := placement.Key{Service: service.Name, Model: order.Model, Adapter: order.Adapter}
-	c.carryOut(c.holder.Orders().Begin(now, c.lease(now), orders.Request{
+	c.applyOrderOutput(c.holder.Orders().Begin(now, c.lease(now), orders.Request{
 		Order: order, Address: address, Engine: service.Engine, HadRequests: c.demand.Estimate(now, key).InFlight > 0,
 	}))
 }
@@ -47,12 +47,12 @@
 func (c *placementController) advanceOrders() {
 	now := c.server.now()
 	if lease := c.lease(now); c.holder.IsSame(lease) {
-		c.carryOut(c.holder.Orders().Advance(now, lease))
+		c.applyOrderOutput(c.holder.Orders().Advance(now, lease))
 	}
 }
 
-// carryOut does what the machine of the orders asks for.
-func (c *placementController) carryOut(out orders.Output) {
+// applyOrderOutput does what the machine of the orders asks for.
+func (c *placementController) applyOrderOutput(out orders.Output) {
 	for _, publication := range out.Publications {
 		c.publish(publication)
 	}
@@ -103,7 +103,7 @@
 	}
 	s.enqueue(func() {
 		now := s.now()
-		c.carryOut(c.holder.Orders().ReportReceived(now, c.lease(now), call.Endpoint, call.ID, report))
+		c.applyOrderOutput(c.holder.Orders().ReportReceived(now, c.lease(now), call.Endpoint, call.ID, report))
 	})
 }
 
@@ -111,7 +111,9 @@
 func (c *placementController) callOrder(call orders.OrderCall) {
 	s := c.server
 	answer := c.postOrder(s.ctx, call)
-	s.enqueue(func() { c.carryOut(c.holder.Orders().OrderAnswered(s.now(), call.Order.Endpoint, call.ID, answer)) })
+	s.enqueue(func() {
+		c.applyOrderOutput(c.holder.Orders().OrderAnswered(s.now(), call.Order.Endpoint, call.ID, answer))
+	})
 }
 
 // postOrder posts an order and returns the endpoint's answer.
@@ -123,11 +125,11 @@
 	if err != nil {
 		return orders.Answer{Outcome: orders.Unknown}
 	}
-	return orders.Answer{Outcome: outcomeOf(status), Status: status}
+	return orders.Answer{Outcome: orderOutcome(status), Status: status}
 }
 
-// outcomeOf is what the status code of a response to an order means.
-func outcomeOf(status int) orders.Outcome {
+// orderOutcome is what the status code of a response to an order means.
+func orderOutcome(status int) orders.Outcome {
 	switch status {
 	case http.StatusAccepted:
 		return orders.Accepted
--- a/internal/controlplane/overlays.go
+++ b/internal/controlplane/overlays.go
@@ -7,9 +7,9 @@
 	"dykering/internal/sessions"
 )
 
-// overlayHeartbeats is how many heartbeat intervals an overlay outlives its order: by then the endpoint's own heartbeats
+// overlayLifetimeHeartbeats is how many heartbeat intervals an overlay outlives its order: by then the endpoint's own heartbeats
 // say the same.
-const overlayHeartbeats = 2
+const overlayLifetimeHeartbeats = 2
 
 // publishedOverlay is an overlay that is in the table of sessions, of this lease holder or of its predecessor. Proxies
 // learn by it what an order has changed, ahead of the endpoint's next heartbeat.
@@ -46,7 +46,7 @@
 // expireOverlays clears the overlays that the endpoints' heartbeats have caught up with. Those that a predecessor has left
 // are adopted, so that they are cleared too.
 func (c *placementController) expireOverlays(now time.Duration) {
-	lifetime := overlayHeartbeats*c.server.settings.HeartbeatInterval() + orders.MaxReportAge
+	lifetime := overlayLifetimeHeartbeats*c.server.settings.HeartbeatInterval() + orders.MaxReportAge
 	for id, overlay := range c.overlays {
 		if now-overlay.setAt > lifetime && !c.holder.Orders().IsOrdered(id) {
 			if len(overlay.overrides) > 0 {
--- a/internal/controlplane/pending_calls.go
+++ b/internal/controlplane/pending_calls.go
@@ -25,13 +25,13 @@
 }
 
 func newPendingCalls() pendingCalls {
-	return pendingCalls{lastNumber: randomCallNumber(), byNumber: map[uint64]pendingCall{}}
+	return pendingCalls{lastNumber: randomStartNumber(), byNumber: map[uint64]pendingCall{}}
 }
 
-// randomCallNumber returns the number from which a process counts its calls. It is drawn anew at each start: a reply
+// randomStartNumber returns the number from which a process counts its calls. It is drawn anew at each start: a reply
 // carries only the number of its call, and may arrive after the caller has been started again. A late reply must not
 // answer a call of the new process.
-func randomCallNumber() uint64 { return mathrand.Uint64()>>1 + 1 }
+func randomStartNumber() uint64 { return mathrand.Uint64()>>1 + 1 }
 
 // nextNumber returns the number of the next call. It is never 0, which stands for no call.
 func (c *pendingCalls) nextNumber() uint64 {
@@ -58,8 +58,8 @@
 	}
 }
 
-// expireCalls answers the calls whose deadline has passed.
-func (s *Server) expireCalls(now time.Duration) {
+// expirePendingCalls answers the calls whose deadline has passed.
+func (s *Server) expirePendingCalls(now time.Duration) {
 	for number, call := range s.pendingCalls.byNumber {
 		if now > call.deadline {
 			delete(s.pendingCalls.byNumber, number)
--- a/internal/controlplane/pending_calls_test.go
+++ b/internal/controlplane/pending_calls_test.go
@@ -8,11 +8,11 @@
 	"dykering/internal/protocol"
 )
 
-// ownAddress is the address of the member that singleMember makes: nothing is sent there.
+// ownAddress is the address of the member that newSingleMember makes: nothing is sent there.
 const ownAddress = "a"
 
-// pendingCallOf starts a call to a peer and returns its number and the replies that answer it.
-func pendingCallOf(s *Server) (number uint64, replies chan protocol.Reply) {
+// startPendingCall starts a call to a peer and returns its number and the replies that answer it.
+func startPendingCall(s *Server) (number uint64, replies chan protocol.Reply) {
 	replies = make(chan protocol.Reply, 1)
 	message := func(n uint64) any {
 		number = n
@@ -25,8 +25,8 @@
 var _ = Describe("a process that has been restarted", func() {
 	// restarted makes the same process twice: before and after a restart.
 	restarted := func() (before, after *Server) {
-		before, _, _ = singleMember()
-		after, _, _ = singleMember()
+		before, _, _ = newSingleMember()
+		after, _, _ = newSingleMember()
 		for _, server := range []*Server{before, after} {
 			server.pendingCalls = newPendingCalls()
 		}
@@ -35,15 +35,15 @@
 
 	It("has no call answered by the reply to a call of before", func() {
 		before, after := restarted()
-		old, _ := pendingCallOf(before)
-		_, replies := pendingCallOf(after)
+		old, _ := startPendingCall(before)
+		_, replies := startPendingCall(after)
 		after.onReply(protocol.Reply{ID: old})
 		Expect(replies).NotTo(Receive())
 	})
 
 	It("has each call answered once", func() {
 		_, server := restarted()
-		number, replies := pendingCallOf(server)
+		number, replies := startPendingCall(server)
 		server.onReply(protocol.Reply{ID: number, Detail: "first"})
 		server.onReply(protocol.Reply{ID: number, Detail: "second"})
 		Expect(replies).To(Receive(HaveField("Detail", "first")))
--- a/internal/controlplane/rpc.go
+++ b/internal/controlplane/rpc.go
@@ -96,10 +96,10 @@
 		s.placement.applyDemand(m)
 	case chain.Ping:
 		s.wakeLink(now, m.From.Address)
-		s.applyOutput(s.chain.Receive(now, m))
+		s.applyChainOutput(s.chain.Receive(now, m))
 	case chain.Pong, chain.Prepare, chain.Promise, chain.Reject, chain.Accept, chain.AcceptedReply, chain.Install,
 		chain.Append, chain.Committed:
-		s.applyOutput(s.chain.Receive(now, m))
+		s.applyChainOutput(s.chain.Receive(now, m))
 	}
 }
 
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -51,8 +51,8 @@
 
 	tolerance toleranceReport
 
-	peerLinks map[string]*peerlink.Link // by the address of a peer
-	seedsDue  time.Duration             // when the seeds are read again
+	peerLinks      map[string]*peerlink.Link // by the address of a peer
+	seedRefreshDue time.Duration             // when the seeds are read again
 }
 
 // Run runs a control process until a signal arrives on stop and the member has left the chain, or the time for that is
@@ -88,9 +88,9 @@
 	return nil
 }
 
-// closeServer closes an HTTP server once the answers that are being written are complete, or after answerTimeout.
+// closeServer closes an HTTP server once the answers that are being written are complete, or after shutdownTimeout.
 func closeServer(server *http.Server) {
-	ctx, cancel := context.WithTimeout(context.Background(), answerTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if server.Shutdown(ctx) != nil {
 		server.Close()
@@ -142,7 +142,7 @@
 		LeaseDuration:    s.timing.lease,
 		TakeoverDelay:    s.timing.newHolderDelay,
 		ReturnDelay:      s.timing.returningHolderDelay,
-		FirstNonce:       randomCallNumber(),
+		FirstNonce:       randomStartNumber(),
 		Jitter:           func(d time.Duration) time.Duration { return mathrand.N(d + 1) },
 	}
 }
--- a/internal/controlplane/session_replication.go
+++ b/internal/controlplane/session_replication.go
@@ -21,15 +21,15 @@
 		Self: s.chain.Self().Address, TTL: s.timing.sessionTTL, RenewalInterval: s.timing.renewalInterval,
 		AntiEntropyInterval: s.timing.antiEntropyInterval, FullSyncTimeout: s.timing.fullSyncTimeout,
 		DepartureTimeout: s.timing.drainAckTimeout, MaxClockStep: maxSessionClockTicks * s.timing.tickInterval,
-		FirstNumber: randomCallNumber(), Choose: mathrand.IntN, CanStore: canStore,
+		FirstNumber: randomStartNumber(), RandomIndex: mathrand.IntN, CanStore: canStore,
 	}
 }
 
 // core is the core as the replica of the sessions needs to see it.
 func (s *Server) core(now time.Duration) sessionsync.Core { return sessionsync.CoreOf(s.chain, now) }
 
-// sessionCall begins a call of an endpoint that is answered by the replica.
-func (s *Server) sessionCall(answer func(error)) sessionsync.CallID {
+// registerSessionCall begins a call of an endpoint that is answered by the replica.
+func (s *Server) registerSessionCall(answer func(error)) sessionsync.CallID {
 	s.lastSessionCall++
 	s.sessionCalls[s.lastSessionCall] = answer
 	return s.lastSessionCall
@@ -38,28 +38,28 @@
 // applyHeartbeat stores a heartbeat of an endpoint.
 func (s *Server) applyHeartbeat(id string, heartbeat sessions.Heartbeat, answer func(error)) {
 	now := s.now()
-	s.carryOutSessions(s.sessions.Heartbeat(now, s.core(now), id, heartbeat, s.sessionCall(answer)))
+	s.applySessionOutput(s.sessions.Heartbeat(now, s.core(now), id, heartbeat, s.registerSessionCall(answer)))
 }
 
 // deregister stores that an endpoint has departed.
 func (s *Server) deregister(id string, answer func(error)) {
 	now := s.now()
-	s.carryOutSessions(s.sessions.Deregister(now, s.core(now), id, s.sessionCall(answer)))
+	s.applySessionOutput(s.sessions.Deregister(now, s.core(now), id, s.registerSessionCall(answer)))
 }
 
 // receiveSessions handles a message of a peer about sessions.
 func (s *Server) receiveSessions(now time.Duration, message any) {
-	s.carryOutSessions(s.sessions.Receive(now, s.core(now), message))
+	s.applySessionOutput(s.sessions.Receive(now, s.core(now), message))
 }
 
 // onSessionsStored takes the end of the write of a snapshot.
 func (s *Server) onSessionsStored(err error) {
 	now := s.now()
-	s.carryOutSessions(s.sessions.Stored(now, s.core(now), err))
+	s.applySessionOutput(s.sessions.SnapshotStored(now, s.core(now), err))
 }
 
-// carryOutSessions does what the replica asks for.
-func (s *Server) carryOutSessions(out sessionsync.Output) {
+// applySessionOutput does what the replica asks for.
+func (s *Server) applySessionOutput(out sessionsync.Output) {
 	for _, envelope := range out.Messages {
 		s.send(envelope.To, envelope.Message)
 	}
--- a/internal/controlplane/status_endpoint.go
+++ b/internal/controlplane/status_endpoint.go
@@ -16,11 +16,11 @@
 
 // AskStatus asks the control process at an internal address how it sees the system.
 func AskStatus(address string) (protocol.Status, error) {
-	return ask[protocol.Status](address, protocol.StatusRequest{}, "status")
+	return requestReply[protocol.Status](address, protocol.StatusRequest{}, "status")
 }
 
 // ask sends a request to a control process and returns its reply. The operation names the request in errors.
-func ask[Reply any](address string, request any, operation string) (Reply, error) {
+func requestReply[Reply any](address string, request any, operation string) (Reply, error) {
 	var none Reply
 	conn, err := peerlink.Dial(address, statusTimeout)
 	if err != nil {
--- a/internal/controlplane/update_stream.go
+++ b/internal/controlplane/update_stream.go
@@ -43,9 +43,9 @@
 }
 
 // serveSubscriber streams updates to a proxy until either side ends the stream.
-func (s *Server) serveSubscriber(conn *peerlink.Conn, hello protocol.Subscribe) {
+func (s *Server) serveSubscriber(conn *peerlink.Conn, request protocol.Subscribe) {
 	sub := &subscriber{
-		name: hello.Name, zone: hello.Zone, conn: conn, sentConfigSeq: hello.ConfigSeq,
+		name: request.Name, zone: request.Zone, conn: conn, sentConfigSeq: request.ConfigSeq,
 		updates: make(chan protocol.Update, updateQueueLength),
 	}
 	s.enqueue(func() { s.addSubscriber(sub) })
--- a/internal/controlplane/update_stream_test.go
+++ b/internal/controlplane/update_stream_test.go
@@ -26,7 +26,7 @@
 		return conn
 	}
 	// until receives updates until one is as expected, and subscribes anew where the stream ends.
-	until := func(m *member, isExpected func(protocol.Update) bool) {
+	awaitUpdate := func(m *member, isExpected func(protocol.Update) bool) {
 		GinkgoHelper()
 		conn := subscribe(m)
 		eventually(func() bool {
@@ -43,15 +43,15 @@
 	It("delivers the committed configuration", func() {
 		members := startMembers(3)
 		changeUntilAcknowledged(members[0], 3, 0)
-		until(members[2], func(u protocol.Update) bool { return u.Configuration != nil && u.Configuration.Document.Version == 3 })
+		awaitUpdate(members[2], func(u protocol.Update) bool { return u.Configuration != nil && u.Configuration.Document.Version == 3 })
 	})
 
 	It("delivers at any member the state that an endpoint reported to another", func() {
 		members := startMembers(3)
 		eventually(func() int { return sendHeartbeat(members[0], "i-1", 1, sessions.Ready) }).Should(Equal(http.StatusOK))
-		until(members[1], func(u protocol.Update) bool { return len(u.Endpoints) == 1 && u.Endpoints[0].State == sessions.Ready })
+		awaitUpdate(members[1], func(u protocol.Update) bool { return len(u.Endpoints) == 1 && u.Endpoints[0].State == sessions.Ready })
 		eventually(func() int { return sendHeartbeat(members[2], "i-1", 2, sessions.Draining) }).Should(Equal(http.StatusOK))
-		until(members[1], func(u protocol.Update) bool {
+		awaitUpdate(members[1], func(u protocol.Update) bool {
 			return len(u.Endpoints) == 1 && u.Endpoints[0].State == sessions.Draining
 		})
 	})
@@ -86,7 +86,7 @@
 
 var _ = Describe("a proxy whose stream has ended", func() {
 	It("has its reports ignored, as it reports to another member", func() {
-		server, _, _ := singleMember()
+		server, _, _ := newSingleMember()
 		s := &subscriber{name: "p1", updates: make(chan protocol.Update, 1)}
 		server.subscribers[s] = true
 		server.removeSubscriber(s)
--- a/internal/lab/coresim/sessions.go
+++ b/internal/lab/coresim/sessions.go
@@ -57,7 +57,7 @@
 	m.sessions.replica = sessionsync.New(sessionsync.Config{
 		Self: m.address, TTL: sessionTTL, RenewalInterval: renewalInterval, AntiEntropyInterval: antiEntropyInterval,
 		FullSyncTimeout: fullSyncTimeout, DepartureTimeout: departureTimeout, MaxClockStep: maxSessionClockStep,
-		FirstNumber: uint64(m.incarnation) * nonceDistance, Choose: random.IntN, CanStore: true,
+		FirstNumber: uint64(m.incarnation) * nonceDistance, RandomIndex: random.IntN, CanStore: true,
 	}, m.sessionDisk)
 }
 
@@ -140,7 +140,7 @@
 	if p.m.incarnation != incarnation || !p.m.isRunning() {
 		return
 	}
-	p.carryOut(p.replica.Stored(p.m.sim.now, p.core(), nil))
+	p.carryOut(p.replica.SnapshotStored(p.m.sim.now, p.core(), nil))
 	p.flush()
 }
 
--- a/internal/sessionsync/antientropy.go
+++ b/internal/sessionsync/antientropy.go
@@ -15,7 +15,7 @@
 		return out
 	}
 	r.antiEntropyDue = now + r.config.AntiEntropyInterval
-	out.send(peers[r.config.Choose(len(peers))], protocol.SessionDigest{From: r.config.Self, Digests: r.table.ChildDigests(nil)})
+	out.send(peers[r.config.RandomIndex(len(peers))], protocol.SessionDigest{From: r.config.Self, Digests: r.table.ChildDigests(nil)})
 	return out
 }
 
--- a/internal/sessionsync/broadcast.go
+++ b/internal/sessionsync/broadcast.go
@@ -40,15 +40,15 @@
 		// The session's record was lost on its way here.
 		out.send(m.From, protocol.SessionSnapshotRequest{From: r.config.Self})
 	}
-	if m.Ask != 0 && r.hasStates(m.Records) {
+	if m.Ask != 0 && r.hasReachedAll(m.Records) {
 		r.awaitStored(storeWaiter{member: m.From, number: m.Ask})
 	}
 	return out
 }
 
-// hasStates reports whether the table has each endpoint at least as far in its life cycle as the records say. It has not where
+// hasReachedAll reports whether the table has each endpoint at least as far in its life cycle as the records say. It has not where
 // it is full: an acknowledgement would then be given for what was not stored.
-func (r *Replica) hasStates(records []sessions.Record) bool {
+func (r *Replica) hasReachedAll(records []sessions.Record) bool {
 	for _, record := range records {
 		if !r.hasReached(record.Endpoint.ID, record.Endpoint.State) {
 			return false
--- a/internal/sessionsync/replica.go
+++ b/internal/sessionsync/replica.go
@@ -28,8 +28,8 @@
 	// FirstNumber precedes the numbers of this incarnation's departures. The caller draws it anew for each start of a process, so
 	// that an acknowledgement to an earlier incarnation acknowledges nothing.
 	FirstNumber uint64
-	// Choose returns a random number below its argument.
-	Choose func(n int) int
+	// RandomIndex returns a random number below its argument.
+	RandomIndex func(n int) int
 	// CanStore is false for a member without a store: it acknowledges no departure, to its peers or by itself.
 	CanStore bool
 }
--- a/internal/sessionsync/sessionsync_test.go
+++ b/internal/sessionsync/sessionsync_test.go
@@ -19,11 +19,11 @@
 
 const departureTimeout = time.Hour
 
-// replicaOf is a replica of the member at an address.
-func replicaOf(self string) *Replica {
+// newTestReplica is a replica of the member at an address.
+func newTestReplica(self string) *Replica {
 	return New(Config{
 		Self: self, TTL: time.Hour, DepartureTimeout: departureTimeout, MaxClockStep: time.Hour, FullSyncTimeout: time.Second,
-		AntiEntropyInterval: time.Second, Choose: func(int) int { return 0 }, CanStore: true,
+		AntiEntropyInterval: time.Second, RandomIndex: func(int) int { return 0 }, CanStore: true,
 	}, nil)
 }
 
@@ -51,7 +51,7 @@
 	var lastCall CallID
 	var asked []uint64 // numbers of the departures that the peers were asked to store
 	// call applies an input with a new call and returns the answers to it.
-	note := func(out Output) []Answer {
+	collectAnswers := func(out Output) []Answer {
 		for _, update := range messagesTo[protocol.SessionUpdate](out, "b") {
 			if update.Ask != 0 {
 				asked = append(asked, update.Ask)
@@ -62,12 +62,12 @@
 	heartbeat := func(state sessions.State, sequence uint64) []Answer {
 		lastCall++
 		beat := sessions.Heartbeat{Service: "s", Address: "x:1", State: state, Sequence: sequence}
-		return note(replica.Heartbeat(now, threeMembers, "i-1", beat, lastCall))
+		return collectAnswers(replica.Heartbeat(now, threeMembers, "i-1", beat, lastCall))
 	}
 	drain := func(sequence uint64) []Answer { return heartbeat(sessions.Draining, sequence) }
 	deregister := func(id string) []Answer {
 		lastCall++
-		return note(replica.Deregister(now, threeMembers, id, lastCall))
+		return collectAnswers(replica.Deregister(now, threeMembers, id, lastCall))
 	}
 	// store writes the snapshot that is due.
 	store := func() []Answer {
@@ -75,7 +75,7 @@
 		if out.Snapshot == nil {
 			return nil
 		}
-		return replica.Stored(now, threeMembers, nil).Answers
+		return replica.SnapshotStored(now, threeMembers, nil).Answers
 	}
 	// acknowledge has a peer acknowledge all departures.
 	acknowledge := func(peer string) (answers []Answer) {
@@ -84,17 +84,17 @@
 		}
 		return answers
 	}
-	given := func() Answer { return Answer{Call: lastCall} }
+	accepted := func() Answer { return Answer{Call: lastCall} }
 	BeforeEach(func() {
-		replica, now, lastCall, asked = replicaOf("a"), 0, 0, nil
-		Expect(heartbeat(sessions.Ready, 1)).To(ConsistOf(given()))
+		replica, now, lastCall, asked = newTestReplica("a"), 0, 0, nil
+		Expect(heartbeat(sessions.Ready, 1)).To(ConsistOf(accepted()))
 	})
 
 	It("is given once every voter has it on disk", func() {
 		Expect(drain(2)).To(BeEmpty())
 		Expect(acknowledge("b")).To(BeEmpty())
 		Expect(acknowledge("c")).To(BeEmpty(), "it is not on the own disk yet")
-		Expect(store()).To(ConsistOf(given()))
+		Expect(store()).To(ConsistOf(accepted()))
 	})
 
 	It("is not given to a repeated notice while the first one is pending", func() {
@@ -103,8 +103,8 @@
 		Expect(drain(3)).To(BeEmpty())
 		Expect(store()).To(BeEmpty())
 		Expect(acknowledge("b")).To(BeEmpty())
-		Expect(acknowledge("c")).To(ConsistOf(Answer{Call: lastCall - 1}, given()))
-		Expect(drain(4)).To(ConsistOf(given()), "all have it")
+		Expect(acknowledge("c")).To(ConsistOf(Answer{Call: lastCall - 1}, accepted()))
+		Expect(drain(4)).To(ConsistOf(accepted()), "all have it")
 	})
 
 	It("is not given to a repeated notice after the first one was rejected", func() {
@@ -119,14 +119,14 @@
 		store()
 		Expect(acknowledge("c")).To(BeEmpty())
 		now = departureTimeout + 1
-		Expect(replica.Tick(now, threeMembers).Answers).To(ConsistOf(given()))
+		Expect(replica.Tick(now, threeMembers).Answers).To(ConsistOf(accepted()))
 	})
 
 	It("is given to a deregistration once the peers have it too, not before", func() {
 		Expect(deregister("i-1")).To(BeEmpty())
 		Expect(store()).To(BeEmpty())
 		Expect(acknowledge("b")).To(BeEmpty())
-		Expect(acknowledge("c")).To(ConsistOf(given()))
+		Expect(acknowledge("c")).To(ConsistOf(accepted()))
 	})
 
 	It("is asked of the peers also for the deregistration of an endpoint unknown here", func() {
@@ -138,17 +138,17 @@
 	It("waits for the next snapshot when one cannot be written", func() {
 		drain(2)
 		Expect(replica.Flush(now, threeMembers).Snapshot).NotTo(BeNil())
-		Expect(replica.Stored(now, threeMembers, context.DeadlineExceeded).Answers).To(BeEmpty())
+		Expect(replica.SnapshotStored(now, threeMembers, context.DeadlineExceeded).Answers).To(BeEmpty())
 		acknowledge("b")
 		Expect(acknowledge("c")).To(BeEmpty())
 		Expect(replica.Flush(now, threeMembers).Snapshot).To(BeNil(), "it is tried again after a while")
 		now += storeRetryInterval
-		Expect(store()).To(ConsistOf(given()))
+		Expect(store()).To(ConsistOf(accepted()))
 	})
 
 	It("is not waited for by a snapshot that could not be written: it is tried again all the same", func() {
 		Expect(replica.Flush(now, threeMembers).Snapshot).NotTo(BeNil())
-		replica.Stored(now, threeMembers, context.DeadlineExceeded)
+		replica.SnapshotStored(now, threeMembers, context.DeadlineExceeded)
 		now += snapshotInterval + 1
 		Expect(replica.Flush(now, threeMembers).Snapshot).NotTo(BeNil())
 	})
@@ -158,8 +158,8 @@
 		drain(2)
 		acknowledge("b")
 		acknowledge("c")
-		Expect(replica.Stored(now, threeMembers, nil).Answers).To(BeEmpty())
-		Expect(store()).To(ConsistOf(given()))
+		Expect(replica.SnapshotStored(now, threeMembers, nil).Answers).To(BeEmpty())
+		Expect(store()).To(ConsistOf(accepted()))
 	})
 
 	It("is sent to a peer only after the next snapshot", func() {
@@ -167,7 +167,7 @@
 		out := replica.Receive(now, threeMembers, protocol.SessionUpdate{From: "b", Ask: 7, Records: []sessions.Record{record}})
 		Expect(messagesTo[protocol.SessionAck](out, "b")).To(BeEmpty())
 		Expect(replica.Flush(now, threeMembers).Snapshot).NotTo(BeNil())
-		out = replica.Stored(now, threeMembers, nil)
+		out = replica.SnapshotStored(now, threeMembers, nil)
 		Expect(messagesTo[protocol.SessionAck](out, "b")).To(ConsistOf(protocol.SessionAck{From: "a", Ask: 7}))
 	})
 
@@ -188,7 +188,7 @@
 	It("counts none of an earlier incarnation", func() {
 		drain(2)
 		store()
-		restarted := replicaOf("a")
+		restarted := newTestReplica("a")
 		restarted.lastNumber = 1 << 40
 		restarted.Deregister(now, threeMembers, "i-1", 1)
 		for _, number := range asked {
@@ -202,7 +202,7 @@
 
 var _ = Describe("a full sync", func() {
 	It("is complete once all peers that are reachable have answered, and is made again after a time without a quorum", func() {
-		replica := replicaOf("a")
+		replica := newTestReplica("a")
 		out := replica.Tick(time.Second, threeMembers)
 		Expect(messagesTo[protocol.SessionSnapshotRequest](out, "b")).To(HaveLen(1))
 		replica.Receive(time.Second, threeMembers, protocol.SessionSnapshot{From: "b"})
@@ -216,7 +216,7 @@
 	})
 
 	It("is complete after a time-out", func() {
-		replica := replicaOf("a")
+		replica := newTestReplica("a")
 		replica.Tick(time.Second, threeMembers)
 		replica.Tick(2*time.Second+1, threeMembers)
 		Expect(replica.IsSynced()).To(BeTrue())
@@ -225,7 +225,7 @@
 
 var _ = Describe("replicas that differ", func() {
 	It("become equal by comparing digests", func() {
-		a, b := replicaOf("a"), replicaOf("b")
+		a, b := newTestReplica("a"), newTestReplica("b")
 		for i, id := range []string{"i-1", "i-2", "i-3"} {
 			beat := sessions.Heartbeat{Service: "s", Address: "x:1", State: sessions.Ready, Sequence: 1}
 			[]*Replica{a, b, a}[i].Heartbeat(0, threeMembers, id, beat, 1)
