--- a/internal/controlplane/chain_driver.go
+++ b/internal/controlplane/chain_driver.go
@@ -2,8 +2,8 @@
 
 import "dykering/internal/chain"
 
-// applyChainOutput carries out what the chain's state machine asks for, in the order that chain.Output prescribes: immediate
-// messages leave at once, all others once the records of the same output are stored.
+// applyChainOutput executes an output of the chain's state machine. Immediate messages are sent at once. All other
+// messages are sent after the records of the same output are durable, as chain.Output requires.
 func (s *Server) applyChainOutput(out chain.Output) {
 	for _, envelope := range out.ImmediateMessages {
 		s.send(envelope.To, envelope.Message)
@@ -16,14 +16,14 @@
 	}
 }
 
-// persist hands records to the chain store, with the messages that leave once the records are stored.
+// persist queues records for the chain store, together with the messages to send once the records are durable.
 func (s *Server) persist(records []any, messages []chain.Envelope) {
 	job := storeJob{messages: messages}
 	for _, record := range records {
 		encoded, err := s.chainStore.encode(record, s.chain.Snapshot)
 		if err != nil {
 			s.log.Error("record.unencodable", "error", err)
-			s.chainStore.startNewFile() // whose snapshot holds what this record says
+			s.chainStore.startNewFile() // its snapshot includes the change of this record
 			continue
 		}
 		job.records = append(job.records, encoded)
@@ -31,14 +31,15 @@
 	select {
 	case s.chainStore.jobs <- job:
 	default:
-		// The disk has stalled for long. The chain sends its messages again. The records are in the snapshot that begins the
-		// next file; without that a later record would rest on ones that were never stored.
+		// The queue is full because the disk has stalled. The chain sends the dropped messages again. The snapshot at the
+		// start of the next file includes the dropped records; without it, a later record would depend on records that
+		// were never stored.
 		s.log.Error("disk.queue_full")
 		s.chainStore.startNewFile()
 	}
 }
 
-// onPersisted sends messages whose records are stored. Those to this member itself are received at once.
+// onPersisted sends the messages whose records are durable. Messages to this member itself are delivered directly.
 func (s *Server) onPersisted(messages []chain.Envelope) {
 	for _, envelope := range messages {
 		if envelope.To == s.chain.Self().Address {
@@ -49,7 +50,8 @@
 	}
 }
 
-// onViewInstalled starts another full sync of the sessions: a member that was outside the view has missed broadcasts.
+// onViewInstalled logs a new view and passes it on to the services that depend on it. It restarts the full sync of the
+// sessions, because a member that was outside the view has missed broadcasts.
 func (s *Server) onViewInstalled() {
 	view := s.chain.View()
 	s.log.Info("chain.view", "number", view.Number, "voters", len(view.Voters), "chain", len(view.Chain),
--- a/internal/controlplane/chain_restore.go
+++ b/internal/controlplane/chain_restore.go
@@ -15,8 +15,8 @@
 	"dykering/internal/ringlog"
 )
 
-// restoreChain restores the chain's node from disk, or starts one without state. It returns an error where the data
-// directory is not set or cannot be opened.
+// restoreChain restores the chain node from the data directory, or creates a node without state if there are no
+// records. It returns an error if the data directory is not set or cannot be opened.
 func (s *Server) restoreChain() error {
 	directory := s.settings.DataDirectory
 	if directory == "" {
@@ -36,7 +36,8 @@
 	return nil
 }
 
-// openRing opens a ring and returns its payloads. One that is damaged is discarded and made anew, which it reports.
+// openRing opens a ring and returns its payloads. If the ring is damaged, openRing replaces it by an empty one and
+// returns discarded = true.
 func openRing(options ringlog.Options, log *slog.Logger) (ring *ringlog.Ring, payloads [][]byte, discarded bool, err error) {
 	ring, payloads, err = ringlog.Open(options)
 	if errors.Is(err, ringlog.ErrDamaged) {
@@ -46,18 +47,19 @@
 	return ring, payloads, false, err
 }
 
-// recreateRing deletes a ring whose records cannot be used, and makes it anew.
+// recreateRing deletes a ring whose records cannot be used and creates an empty one in its place.
 func recreateRing(options ringlog.Options, log *slog.Logger, cause error) (*ringlog.Ring, error) {
-	log.Error("disk.damaged", "error", cause, "directory", filepath.Base(options.Directory), "action", "the copy is discarded")
+	log.Error("disk.damaged", "error", cause, "directory", filepath.Base(options.Directory),
+		"action", "the ring is deleted and created again, empty")
 	if err := os.RemoveAll(options.Directory); err != nil {
-		return nil, errors.Wrap(err, "damaged copy")
+		return nil, errors.Wrap(err, "delete damaged ring")
 	}
 	ring, _, err := ringlog.Open(options)
 	return ring, err
 }
 
-// openRecords opens the ring of the chain and decodes its records. A ring whose records cannot be decoded is discarded too:
-// the process could else never start again.
+// openRecords opens the ring of the chain and decodes its records. A ring whose records cannot be decoded is recreated
+// as well: otherwise the process could never start again.
 func openRecords(options ringlog.Options, log *slog.Logger) (ring *ringlog.Ring, records []any, discarded bool, err error) {
 	ring, payloads, discarded, err := openRing(options, log)
 	if err != nil {
@@ -72,9 +74,9 @@
 	return ring, nil, true, err
 }
 
-// startFresh makes a node that has nothing on disk: a member of the first view where the whole system starts for the first
-// time, else one that joins. A member that has discarded its records must join under another ID: it may have voted, and
-// would break its promises by voting again.
+// startFresh creates a node without state on disk. If first is true, the whole system starts for the first time, and a
+// seed becomes a member of the first view. Any other node joins the running core. A member whose records were discarded
+// must join under a new ID: it may have voted before, and voting again under the same ID would break its promises.
 func (s *Server) startFresh(first bool) {
 	seeds := s.settings.SeedInternalAddresses()
 	own := s.settings.InternalAddress(s.settings.IPAddress)
@@ -93,10 +95,11 @@
 	s.persist(out.Records, nil)
 }
 
-// genesisID is the ID of a member of the first view. All members compute the same ones.
+// genesisID returns the ID of a member of the first view. All members compute the same IDs from the seeds' addresses.
 func genesisID(address string) chain.MemberID { return chain.MemberID(address + "/0") }
 
-// joinerID is the ID of a member that joins. It is unique, as a member whose disk was lost is another one.
+// joinerID returns a new unique ID for a member that joins. A member that has lost its disk joins as a different
+// member.
 func joinerID(address string) chain.MemberID {
 	var b [8]byte
 	rand.Read(b[:])
--- a/internal/controlplane/chain_store.go
+++ b/internal/controlplane/chain_store.go
@@ -15,33 +15,34 @@
 )
 
 const (
-	// ringFiles is the number of files of the ring of the chain's records.
+	// ringFiles is the number of files in the ring of chain records.
 	ringFiles = 3
-	// minRingFileMB and maxRingFileMB bound the size of a file, in MB; between them it is the disk's limit divided by
-	// ringFileDivisor.
+	// minRingFileMB and maxRingFileMB bound the size of a ring file, in MB. Between these bounds the size is the disk
+	// limit divided by ringFileDivisor.
 	minRingFileMB   = 2
 	maxRingFileMB   = 8
 	ringFileDivisor = 16
-	// maxFileRecords is how many records a file holds before the next one is begun. So many are read at a start, at most.
+	// maxFileRecords is the number of records after which the next file begins. It bounds the number of records to read
+	// at a start.
 	maxFileRecords = 64
-	// storeQueueLength bounds the jobs that wait for the disk; see Server.persist for what happens beyond.
+	// storeQueueLength bounds the jobs that wait for the disk. Server.persist handles a full queue.
 	storeQueueLength = 4096
 	// storeRetryInterval is the pause after a failed write.
 	storeRetryInterval = 100 * time.Millisecond
 )
 
-// ringOptions are the options of the ring of the chain's records, in a data directory with a limit in MB.
+// ringOptions returns the options of the ring of chain records, for a data directory and its disk limit in MB.
 func ringOptions(directory string, diskMB int) ringlog.Options {
 	fileMB := min(max(diskMB/ringFileDivisor, minRingFileMB), maxRingFileMB)
 	return ringlog.Options{Directory: filepath.Join(directory, "chain"), Files: ringFiles, FileSize: int64(fileMB) << 20}
 }
 
-// recordBox is the stored form of a record: gob needs a struct around an interface value. Its field name is fixed by what
-// is on disk.
+// recordBox is the stored form of a record, because gob can encode an interface value only as a struct field. The name
+// of the field is part of the stored format.
 type recordBox struct{ Record any }
 
-// recordEncoder encodes the records of one file. A record can be decoded only after those before it in its file, as gob
-// writes the description of a type once.
+// recordEncoder encodes the records of one file. gob writes the description of a type once per stream, so a record can
+// be decoded only after the records before it in its file.
 type recordEncoder struct {
 	buffer  bytes.Buffer
 	encoder *gob.Encoder
@@ -56,7 +57,7 @@
 func (e *recordEncoder) encode(record any) ([]byte, error) {
 	e.buffer.Reset()
 	if err := e.encoder.Encode(recordBox{record}); err != nil {
-		return nil, errors.Wrap(err, "record")
+		return nil, errors.Wrap(err, "encode record")
 	}
 	return bytes.Clone(e.buffer.Bytes()), nil
 }
@@ -68,30 +69,30 @@
 	for range payloads {
 		var box recordBox
 		if err := decoder.Decode(&box); err != nil {
-			return nil, errors.Wrap(err, "record")
+			return nil, errors.Wrap(err, "decode record")
 		}
 		records = append(records, box.Record)
 	}
 	return records, nil
 }
 
-// storeJob is records to be stored, and messages that may leave once they are.
+// storeJob holds records to store and the messages that may be sent once the records are durable.
 type storeJob struct {
 	records  []ringlog.Record
 	messages []chain.Envelope
 }
 
-// chainStore stores the chain's records in order. Only run touches the ring.
+// chainStore writes the chain's records to disk in order. Only run accesses the ring.
 type chainStore struct {
 	ring         *ringlog.Ring
 	log          *slog.Logger
 	jobs         chan storeJob
-	onStored     func([]chain.Envelope) // called by run
+	onStored     func([]chain.Envelope) // called by run once the records of these messages are durable
 	origin       time.Time
-	writingSince atomic.Int64 // nanoseconds since origin, and 1, when the write in progress began; 0 while there is none
+	writingSince atomic.Int64 // start of the write in progress, in nanoseconds since origin plus 1; 0 if there is none
 
-	// Of the event loop: the file that jobs are encoded for, ahead of what is written.
-	encoder     *recordEncoder // nil where the next record begins a file
+	// Owned by the event loop: the file that records are encoded for. It may be ahead of the file being written.
+	encoder     *recordEncoder // nil if the next record begins a new file
 	fileSize    int64          // bytes
 	fileRecords int
 }
@@ -100,11 +101,12 @@
 	return &chainStore{ring: ring, log: log, jobs: make(chan storeJob, storeQueueLength), onStored: onStored, origin: time.Now()}
 }
 
-// startNewFile has the next record begin a new file, with a snapshot that stands for all records before it.
+// startNewFile makes the next record begin a new file, with a snapshot that replaces all records before it.
 func (cs *chainStore) startNewFile() { cs.encoder = nil }
 
-// encode returns the stored form of a record. Where the file is full, or was begun by another process, a snapshot begins the
-// next one instead; it stands for the record too, which the node has applied already.
+// encode returns the stored form of a record. If the file is full, or if this process has not begun a file yet, a new
+// file begins with a snapshot in place of the record. The node has already applied the record, so the snapshot includes
+// it.
 func (cs *chainStore) encode(record any, snapshot func() chain.Snapshot) (ringlog.Record, error) {
 	_, isSnapshot := record.(chain.Snapshot)
 	if !isSnapshot && cs.encoder != nil && cs.fileRecords < maxFileRecords {
@@ -124,7 +126,7 @@
 	return ringlog.Record{Payload: payload, Rotate: true}, err
 }
 
-// run stores the jobs until done is closed.
+// run writes the queued jobs until done is closed.
 func (cs *chainStore) run(done <-chan struct{}) {
 	for {
 		select {
@@ -136,7 +138,7 @@
 	}
 }
 
-// batch adds the jobs that are queued already, so that one sync serves all.
+// batch merges the jobs that are already queued into one job, so that one sync covers all of them.
 func (cs *chainStore) batch(job storeJob) storeJob {
 	for {
 		select {
@@ -149,8 +151,9 @@
 	}
 }
 
-// write stores the records of a job, with retries until it succeeds, and then releases its messages. It never gives up: a
-// message whose record is not on disk must not leave. The chain goes on without this member meanwhile; see writeDuration.
+// write stores the records of a job, retries until it succeeds, and then releases the messages of the job. It never
+// gives up, because a message must not be sent before its record is durable. Meanwhile the chain continues without this
+// member: a long writeDuration marks its disk as unhealthy.
 func (cs *chainStore) write(job storeJob, done <-chan struct{}) {
 	if len(job.records) > 0 {
 		cs.writingSince.Store(int64(time.Since(cs.origin)) + 1)
@@ -173,7 +176,7 @@
 	cs.onStored(job.messages)
 }
 
-// writeDuration is how long the write in progress has taken; 0 where there is none. Any goroutine may call it.
+// writeDuration returns how long the write in progress has taken, or 0 if there is none. It is safe for concurrent use.
 func (cs *chainStore) writeDuration() time.Duration {
 	since := cs.writingSince.Load()
 	if since == 0 {
--- a/internal/controlplane/configuration_endpoint.go
+++ b/internal/controlplane/configuration_endpoint.go
@@ -16,8 +16,8 @@
 // maxConfigurationBytes bounds the body of a configuration change.
 const maxConfigurationBytes = 16 << 20
 
-// handleConfigurationChange serves POST /configuration/replace and /modify. A change is answered once it is committed, and
-// may be sent again where no clear answer comes: one that was committed before is not applied twice.
+// handleConfigurationChange serves POST /configuration/replace and POST /configuration/modify. It responds once the
+// change is committed. A client may repeat a change whose outcome is unknown: a committed change is not applied twice.
 func (s *Server) handleConfigurationChange(operation fleetconfig.Operation) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		change, err := readChange(r, operation)
@@ -34,7 +34,7 @@
 	}
 }
 
-// readChange reads a change from its request. The header X-Base-Version has the version that it is based on.
+// readChange reads a change from a request. The header X-Base-Version is the version that the change is based on.
 func readChange(r *http.Request, operation fleetconfig.Operation) (fleetconfig.Change, error) {
 	body, err := readBody(r, maxConfigurationBytes)
 	if err != nil {
@@ -47,7 +47,8 @@
 	return fleetconfig.Change{Operation: operation, Base: base, Body: body}, nil
 }
 
-// handleConfigurationRead serves GET /configuration/read. The tail answers: it has all that any caller was acknowledged.
+// handleConfigurationRead serves GET /configuration/read. The read is executed at the tail of the chain, which has
+// every change that was acknowledged to a client.
 func (s *Server) handleConfigurationRead(w http.ResponseWriter, _ *http.Request) {
 	reply, err := s.awaitReply(s.readConfiguration)
 	if err != nil {
@@ -63,7 +64,8 @@
 	w.Write(text)
 }
 
-// awaitReply has the event loop start a write or a read and waits for its reply, or its error of the reply's kind.
+// awaitReply starts a write or a read in the event loop and waits for its reply. If the reply reports a failure, the
+// error has the kind of the reply.
 func (s *Server) awaitReply(start func(answer func(protocol.Reply))) (protocol.Reply, error) {
 	var reply protocol.Reply
 	err := s.awaitOutcome(func(answer func(error)) {
@@ -82,7 +84,7 @@
 	return reply, nil
 }
 
-// writeConfiguration has the head apply a change.
+// writeConfiguration applies a change at the head of the chain.
 func (s *Server) writeConfiguration(change fleetconfig.Change, answer func(protocol.Reply)) {
 	if s.chain.IsHead() {
 		s.proposeAtHead(change, answer)
@@ -99,7 +101,7 @@
 	}, answer)
 }
 
-// proposeAtHead applies a change where this member is the head; the chain answers that it is not otherwise.
+// proposeAtHead proposes a change at this member. The chain rejects it if this member is not the head.
 func (s *Server) proposeAtHead(change fleetconfig.Change, answer func(protocol.Reply)) {
 	digests := change.Digests()
 	s.applyChainOutput(s.pendingRequests.Write(s.now(), chain.Write{
@@ -109,7 +111,7 @@
 	}))
 }
 
-// readConfiguration has the tail return the configuration.
+// readConfiguration reads the configuration at the tail of the chain.
 func (s *Server) readConfiguration(answer func(protocol.Reply)) {
 	if s.chain.IsTail() {
 		s.readAtTail(answer)
@@ -126,7 +128,7 @@
 	}, answer)
 }
 
-// readAtTail returns the configuration where this member is the tail; the chain answers that it is not otherwise.
+// readAtTail reads the configuration at this member. The chain rejects the read if this member is not the tail.
 func (s *Server) readAtTail(answer func(protocol.Reply)) {
 	s.applyChainOutput(s.pendingRequests.Read(s.now(), chain.Read{Respond: func(state chain.State, err error) {
 		if err != nil {
--- a/internal/controlplane/configuration_fsm.go
+++ b/internal/controlplane/configuration_fsm.go
@@ -7,18 +7,18 @@
 	"dykering/internal/fleetconfig"
 )
 
-// The value that the chain replicates is that of package corestate; its operations are encoded fleetconfig.Change and
-// coordination.Command values. The functions here are the state machine: they depend on their arguments alone, so all
-// replicas come to the same state.
+// The functions of this file are the state machine that the chain replicates. Its value is defined by package corestate.
+// Its operations are encoded fleetconfig.Change and coordination.Command values. The functions depend only on their
+// arguments, so that all replicas reach the same state.
 
-// coordinationOperationVersion is the version of the operations that the coordination service brought. Those of the
-// configuration have version 0.
+// coordinationOperationVersion is the operation version that introduced the commands of the coordination service.
+// Configuration changes have version 0.
 const coordinationOperationVersion = 1
 
-// decide returns what the head does with a change in its newest state.
+// decide returns the head's decision on a change, given the head's latest state.
 func decide(latest *fleetconfig.State, digests [2]fleetconfig.Digest, change fleetconfig.Change) chain.Decision {
 	if latest.HasAppliedAny(digests) {
-		return chain.Decision{AlreadyApplied: true} // it was sent again after an answer that got lost
+		return chain.Decision{AlreadyApplied: true} // a retry after a lost response
 	}
 	if _, rejection := latest.Next(&change); rejection != nil {
 		return chain.Decision{Rejection: rejection}
@@ -30,12 +30,13 @@
 	return chain.Decision{Operation: operation}
 }
 
-// encodeOperation encodes a change or a command as the records on disk are encoded.
+// encodeOperation encodes a change or a command in the format of the records on disk.
 func encodeOperation(operation any) ([]byte, error) {
 	return newRecordEncoder().encode(operation)
 }
 
-// applyOperation returns the state after an operation. One that cannot be decoded changes nothing, at any replica.
+// applyOperation returns the state after an operation. An operation that cannot be decoded leaves the state unchanged,
+// on every replica alike.
 func applyOperation(value any, operation []byte) any {
 	records, err := decodeRecords([][]byte{operation})
 	if err != nil {
@@ -45,7 +46,7 @@
 	case fleetconfig.Change:
 		return corestate.WithConfiguration(value, corestate.Configuration(value).Apply(&decoded))
 	case coordination.Command:
-		next, _, _ := corestate.Coordination(value).Execute(decoded) // a command that is rejected here changes nothing, at any replica
+		next, _, _ := corestate.Coordination(value).Execute(decoded) // every replica rejects the same commands
 		return corestate.WithCoordination(value, next)
 	}
 	return value
--- a/internal/controlplane/coordination_admission.go
+++ b/internal/controlplane/coordination_admission.go
@@ -9,25 +9,26 @@
 )
 
 const (
-	// maxCoordinationCalls bounds the calls that are in progress at one member, watches excepted.
+	// maxCoordinationCalls bounds the calls in progress at one member. Watches are not counted.
 	maxCoordinationCalls = 512
-	// maxCallsPerCaller bounds those of one caller, so that one that calls without end leaves most of them to others.
+	// maxCallsPerCaller bounds the calls in progress of one caller, so that a caller that sends too many leaves most of
+	// the capacity to others.
 	maxCallsPerCaller = maxCoordinationCalls / 4
 )
 
-// callAdmission counts the calls in progress, in total and by caller. It is used by the handlers, each in a goroutine.
+// callAdmission counts the calls in progress, in total and by caller. It is safe for concurrent use by HTTP handlers.
 type callAdmission struct {
 	mutex    sync.Mutex
 	total    int
 	byCaller map[string]int
-	// stopping is true once the process is to stop: calls are rejected, so that those in progress come to an end.
+	// stopping is true during a shutdown. New calls are then rejected, so that the calls in progress can finish.
 	stopping bool
 }
 
 func newCallAdmission() *callAdmission { return &callAdmission{byCaller: map[string]int{}} }
 
-// begin admits a call. It returns an error of kind errkind.RateLimited if too many are in progress, and of kind
-// errkind.NotReady if the process is to stop; end must be called otherwise.
+// begin admits a call, which must be released by end. It returns an error of kind errkind.RateLimited if too many calls
+// are in progress, and of kind errkind.NotReady during a shutdown.
 func (a *callAdmission) begin(caller string) error {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -44,7 +45,7 @@
 	return nil
 }
 
-// end ends a call that was admitted.
+// end releases a call that begin has admitted.
 func (a *callAdmission) end(caller string) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -55,21 +56,21 @@
 	}
 }
 
-// stop rejects all further calls.
+// stop makes begin reject all further calls.
 func (a *callAdmission) stop() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.stopping = true
 }
 
-// isIdle reports whether no call is in progress. Once calls are rejected it becomes true within the time-out of a call.
+// isIdle reports whether no call is in progress. After stop it becomes true within the timeout of a call.
 func (a *callAdmission) isIdle() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.total == 0
 }
 
-// callerHost returns the host from which a call comes. The calls of the page name no caller otherwise.
+// callerHost returns the remote host of a request. It identifies the caller, since requests carry no other name of it.
 func callerHost(r *http.Request) string {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
--- a/internal/controlplane/coordination_endpoint.go
+++ b/internal/controlplane/coordination_endpoint.go
@@ -15,15 +15,16 @@
 )
 
 const (
-	// maxCoordinationBytes bounds the body of a call: a value with all its characters escaped, and the other fields.
+	// maxCoordinationBytes bounds the body of a call. It has room for a value of the maximum size with all characters
+	// escaped, and for the other fields.
 	maxCoordinationBytes = 8 * coordination.MaxValueBytes
-	// maxWatchWait bounds the time for which a watch waits.
+	// maxWatchWait bounds the time for which a watch waits for events.
 	maxWatchWait = time.Minute
-	// coordinationRetryAfter is the time, in seconds, after which a rejected call should come again.
+	// coordinationRetryAfter is the value of the Retry-After header of a rejected call, in seconds.
 	coordinationRetryAfter = "1"
 )
 
-// The bodies of calls and answers. Unknown fields are ignored.
+// Bodies of requests and responses. Unknown fields of requests are ignored.
 type (
 	lockRequest struct {
 		Holder string `json:"lease_holder"`
@@ -58,7 +59,7 @@
 	}
 )
 
-// addRoutes adds the calls of the coordination service to the HTTP API.
+// addRoutes registers the routes of the coordination service.
 func (c *coordinationService) addRoutes(mux *http.ServeMux) {
 	handle := func(pattern, operation string, handler http.HandlerFunc) {
 		mux.HandleFunc(pattern, c.metrics.measure(operation, handler))
@@ -72,7 +73,7 @@
 	handle("GET /watch/{id}", "watch", c.handleWatch)
 }
 
-// handleLock serves the three calls on a lock.
+// handleLock serves the calls that begin, renew or finish a lock.
 func (c *coordinationService) handleLock(operation coordination.Operation) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var body lockRequest
@@ -98,7 +99,7 @@
 	}
 }
 
-// handleNumber serves POST /numbers/{id}.
+// handleNumber serves POST /numbers/{id}, which returns the next number of a sequence.
 func (c *coordinationService) handleNumber(w http.ResponseWriter, r *http.Request) {
 	result, err := c.awaitWrite(r, coordination.Command{Operation: coordination.NextNumber, Name: r.PathValue("id")})
 	if err != nil {
@@ -108,7 +109,7 @@
 	writeJSON(w, http.StatusOK, numberResponse{Value: result.Number})
 }
 
-// handlePut serves POST /cells/{id}/replace.
+// handlePut serves POST /cells/{id}/replace. It answers a revision conflict with the current revision.
 func (c *coordinationService) handlePut(w http.ResponseWriter, r *http.Request) {
 	var body putRequest
 	if err := readJSON(r, &body); err != nil {
@@ -149,7 +150,8 @@
 	}
 }
 
-// handleWatch serves GET /watch/{id}.
+// handleWatch serves GET /watch/{id}. If the parameter after is 0 or absent, it returns the current revision of the
+// group at once.
 func (c *coordinationService) handleWatch(w http.ResponseWriter, r *http.Request) {
 	group := r.PathValue("id")
 	after, wait, err := readWatch(r)
@@ -176,7 +178,7 @@
 	writeJSON(w, http.StatusOK, body)
 }
 
-// readWatch reads the query of a watch.
+// readWatch parses the query of a watch: the start revision and the wait, which is capped at maxWatchWait.
 func readWatch(r *http.Request) (after uint64, wait time.Duration, err error) {
 	query := r.URL.Query()
 	if text := query.Get("after"); text != "" {
@@ -194,7 +196,8 @@
 	return after, wait, nil
 }
 
-// awaitWrite executes a command and waits for its result.
+// awaitWrite executes a command and waits for its result. If no reply arrives in time, the error is of kind
+// errkind.OutcomeUnknown.
 func (c *coordinationService) awaitWrite(r *http.Request, command coordination.Command) (coordination.Result, error) {
 	if err := command.Validate(); err != nil {
 		return coordination.Result{}, err
@@ -206,14 +209,14 @@
 	return reply.Coordination, err
 }
 
-// awaitRead reads a cell, or the revision of a group, and waits for the result.
+// awaitRead reads a cell or the revision of a group, and waits for the result. The name of the other is empty.
 func (c *coordinationService) awaitRead(r *http.Request, cell, group string) (coordination.Result, error) {
 	reply, err := c.await(r, func(answer func(protocol.Reply)) { c.read(cell, group, answer) })
 	return reply.Coordination, err
 }
 
-// await has the event loop start a call and waits for its reply. A call that the event loop reaches too late, or whose caller
-// has gone, is not started: the process may have been frozen.
+// await starts a call in the event loop and waits for its reply. A call whose deadline has passed, or whose client has
+// disconnected, is not started: the process may have been frozen before the event loop reached the call.
 func (c *coordinationService) await(r *http.Request, start func(answer func(protocol.Reply))) (protocol.Reply, error) {
 	s := c.server
 	caller := callerHost(r)
@@ -238,12 +241,12 @@
 		})
 	})
 	if err != nil && errkind.KindOf(err) == errkind.Unavailable {
-		return protocol.Reply{}, err // the reply may still come, and belongs to the event loop
+		return protocol.Reply{}, err // the event loop may still write to reply
 	}
 	return reply, err
 }
 
-// awaitWatch waits for the puts of a group above a revision.
+// awaitWatch waits for puts of a group with a revision above after.
 func (c *coordinationService) awaitWatch(r *http.Request, group string, after uint64, wait time.Duration) coordination.WatchAnswer {
 	s := c.server
 	answers := make(chan coordination.WatchAnswer, 1)
@@ -264,7 +267,7 @@
 	}
 }
 
-// readJSON reads the body of a call. An empty one stands for an empty object.
+// readJSON decodes the body of a call. An empty body stands for an empty object.
 func readJSON(r *http.Request, body any) error {
 	text, err := readBody(r, maxCoordinationBytes)
 	if err != nil || len(text) == 0 {
@@ -276,6 +279,7 @@
 	return nil
 }
 
+// writeJSON writes a response with a JSON body.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -287,8 +291,8 @@
 	w.Write(text)
 }
 
-// writeCoordinationError responds with the status that belongs to the kind of an error, and says when to come again where the
-// call was not executed.
+// writeCoordinationError writes a response with the status of the error's kind. If the call was not executed, the
+// response has a Retry-After header.
 func writeCoordinationError(w http.ResponseWriter, err error) {
 	recordOutcome(w, err)
 	if errkind.AnswerOf(errkind.KindOf(err)).NotExecuted {
--- a/internal/controlplane/coordination_explain.go
+++ b/internal/controlplane/coordination_explain.go
@@ -12,27 +12,28 @@
 )
 
 const (
-	// maxLockEvents bounds the refusals and takeovers that a head keeps, of all locks together.
+	// maxLockEvents bounds the refusals and takeovers that a head keeps, over all locks.
 	maxLockEvents = 512
-	// takeoverLogInterval is the time for which maxLoggedTakeovers are logged at most.
+	// takeoverLogInterval is the interval in which at most maxLoggedTakeovers are logged.
 	takeoverLogInterval = time.Second
 	maxLoggedTakeovers  = 20
 )
 
-// lockLog holds the last refusals and takeovers of locks that this member has decided on as the head, the oldest first. It
-// belongs to the event loop.
+// lockLog holds the latest refusals and takeovers of locks that this member has decided on as the head, oldest first.
+// It is owned by the event loop.
 type lockLog struct {
 	log    *slog.Logger
 	events []protocol.LockEvent
-	// Takeovers that were logged, or not for their number, in the interval that began at intervalStart.
+	// logged counts the takeovers logged since intervalStart. suppressed counts the takeovers that were not logged
+	// since the last one that was.
 	intervalStart      time.Duration
 	logged, suppressed int
 }
 
 func newLockLog(log *slog.Logger) *lockLog { return &lockLog{log: log} }
 
-// lockObserver returns a function that records how a command ends, with the hold that it meets. It is called before the head
-// decides on the command.
+// lockObserver returns a function that records the outcome of a command on a lock. It must be called before the head
+// decides on the command, because it captures the hold that the command finds.
 func (c *coordinationService) lockObserver(command coordination.Command) func(coordination.Result, error) {
 	before, _ := corestate.Coordination(c.server.chain.LatestState().Value).Lock(command.Name)
 	return func(result coordination.Result, err error) {
@@ -40,9 +41,11 @@
 	}
 }
 
-// record adds the event that a command was for the callers of its lock, if it was one. The hold before the command is zero
-// for a lock that nobody held.
-func (l *lockLog) record(now time.Duration, command coordination.Command, before coordination.Lock, result coordination.Result, err error) {
+// record adds an event if a command was refused or has taken over a lock. before is the hold of the lock before the
+// command; it is zero if nobody held the lock.
+func (l *lockLog) record(
+	now time.Duration, command coordination.Command, before coordination.Lock, result coordination.Result, err error,
+) {
 	event := protocol.LockEvent{
 		At:          now,
 		Count:       1,
@@ -68,7 +71,8 @@
 	l.add(event)
 }
 
-// add appends an event. One that repeats an earlier one is counted with it, as callers ask again and again for a lock.
+// add appends an event. Callers retry refused commands, so an equal earlier event is removed and its count is added to
+// the new one.
 func (l *lockLog) add(event protocol.LockEvent) {
 	for i, earlier := range l.events {
 		if isRepeated(earlier, event) {
@@ -83,13 +87,14 @@
 	}
 }
 
+// isRepeated reports whether two events differ only in time and count.
 func isRepeated(earlier, event protocol.LockEvent) bool {
 	earlier.At = event.At
 	earlier.Count = event.Count
 	return earlier == event
 }
 
-// about returns the events of a lock.
+// eventsAbout returns the events of a lock.
 func (l *lockLog) eventsAbout(lock string) []protocol.LockEvent {
 	var found []protocol.LockEvent
 	for _, event := range l.events {
@@ -100,7 +105,8 @@
 	return found
 }
 
-// logTakeover logs that a hold that was over went to another caller. Beyond a number in an interval it counts them alone.
+// logTakeover logs that another caller has acquired a lock whose hold had expired. Takeovers beyond maxLoggedTakeovers
+// in an interval are only counted.
 func (l *lockLog) logTakeover(event protocol.LockEvent) {
 	if event.At-l.intervalStart >= takeoverLogInterval {
 		l.intervalStart = event.At
@@ -116,12 +122,12 @@
 	l.suppressed = 0
 }
 
-// AskLockExplain asks the control process at an internal address who has a lock.
+// AskLockExplain asks the control process at an internal address for the holder and the recent events of a lock.
 func AskLockExplain(address, lock string) (protocol.LockExplanation, error) {
 	return requestReply[protocol.LockExplanation](address, protocol.LockExplainRequest{Lock: lock}, "explain")
 }
 
-// serveLockExplain replies to a protocol.LockExplainRequest.
+// serveLockExplain answers a protocol.LockExplainRequest.
 func (s *Server) serveLockExplain(conn *peerlink.Conn, request protocol.LockExplainRequest) {
 	explanation, ok := query(s, func() protocol.LockExplanation { return s.coordination.explainLock(s.now(), request.Lock) })
 	if !ok {
@@ -132,7 +138,8 @@
 	}
 }
 
-// explainLock returns who has a lock in the committed state and, at the head, until when and what other callers have met.
+// explainLock returns the holder of a lock in the committed state. At the head, the explanation also has the end of the
+// hold and the recent events of the lock.
 func (c *coordinationService) explainLock(now time.Duration, name string) protocol.LockExplanation {
 	node := c.server.chain
 	view := node.View()
--- a/internal/controlplane/coordination_metrics.go
+++ b/internal/controlplane/coordination_metrics.go
@@ -14,37 +14,39 @@
 )
 
 const (
-	// coordinationMetricPrefix begins the names of the service's metrics.
+	// coordinationMetricPrefix is the prefix of the names of the service's metrics.
 	coordinationMetricPrefix = "dykering_control_coordination_"
-	// outcomeOK is the outcome of a call that did not fail. That of others is the name of the errkind.Kind.
+	// outcomeOK is the outcome of a successful call. The outcome of a failed call is the name of its errkind.Kind.
 	outcomeOK = "ok"
 )
 
-// callSecondsBounds are the upper bounds of the histogram of calls. Watches wait for up to maxWatchWait.
+// callSecondsBounds are the upper bounds of the buckets of the call duration histogram. Watches wait for up to
+// maxWatchWait.
 var callSecondsBounds = []float64{0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 10, 60}
 
-// coordinationMetrics counts the calls of the coordination service at this process, by operation and outcome. It belongs to
-// no goroutine.
+// coordinationMetrics counts and times the calls of the coordination service at this process, by operation and outcome.
+// It is safe for concurrent use.
 type coordinationMetrics struct{ set *metrics.Set }
 
 func newCoordinationMetrics() *coordinationMetrics {
 	return &coordinationMetrics{set: metrics.NewSet()}
 }
 
-// outcomeWriter is a ResponseWriter that knows how the call ended.
+// outcomeWriter is a ResponseWriter that records the outcome of the call.
 type outcomeWriter struct {
 	http.ResponseWriter
 	outcome string
 }
 
-// recordOutcome notes why a call failed, for its metrics.
+// recordOutcome records the kind of a call's error for its metrics. It has no effect on other types than
+// *outcomeWriter.
 func recordOutcome(w http.ResponseWriter, err error) {
 	if writer, ok := w.(*outcomeWriter); ok {
 		writer.outcome = errkind.KindOf(err).Name()
 	}
 }
 
-// measure returns a handler that counts and times the calls of an operation.
+// measure wraps a handler to count and time the calls of an operation.
 func (m *coordinationMetrics) measure(operation string, handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		start := time.Now()
@@ -61,10 +63,11 @@
 	m.set.GetOrCreatePrometheusHistogramExt(name, callSecondsBounds).Update(elapsed.Seconds())
 }
 
-// write writes the counters and the histogram.
+// write writes the metrics in the Prometheus text format.
 func (m *coordinationMetrics) write(w io.Writer) { m.set.WritePrometheus(w) }
 
-// writeCoordinationGauges writes the sizes of the tables. Nothing is written for the status of an earlier version.
+// writeCoordinationGauges writes the sizes of the service's tables. It writes nothing if status is nil, as in the
+// status of an earlier version.
 func writeCoordinationGauges(w io.Writer, status *protocol.CoordinationStatus) {
 	if status == nil {
 		return
@@ -81,7 +84,7 @@
 	gauge("watches", status.Watches)
 }
 
-// status returns the sizes of the tables in the committed state, and of the watches that wait here.
+// status returns the sizes of the tables in the committed state, and the number of watches that wait at this member.
 func (c *coordinationService) status() *protocol.CoordinationStatus {
 	table := corestate.Coordination(c.server.chain.CommittedState().Value)
 	counts := table.Counts()
--- a/internal/controlplane/coordination_service.go
+++ b/internal/controlplane/coordination_service.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// compactionInterval is the time between two looks at what is old enough to be dropped.
+	// compactionInterval is the time between two checks for history and expired holds that can be dropped.
 	compactionInterval = 2 * time.Second
-	// expiredHoldGrace is how long a hold that is over is kept before it is dropped.
+	// expiredHoldGrace is how long an expired hold is kept before it is dropped.
 	expiredHoldGrace = time.Minute
 )
 
-// coordinationService is this member's part of the coordination service. All of it belongs to the event loop.
+// coordinationService is this member's part of the coordination service: locks, sequences of numbers, and cells with
+// watches. It is owned by the event loop, except for metrics and admission, which HTTP handlers use.
 type coordinationService struct {
 	server  *Server
 	head    *coordination.Head
 	watches *coordination.WatchTable
-	// received are the calls of peers that this member has taken: a link may deliver one twice.
-	received *coordination.RecentCalls
-	lockLog  *lockLog
-	metrics  *coordinationMetrics
-	// admission belongs to the handlers.
+	// received holds the recent calls of peers, to drop duplicates: a link may deliver a call twice.
+	received  *coordination.RecentCalls
+	lockLog   *lockLog
+	metrics   *coordinationMetrics
 	admission *callAdmission
 }
 
@@ -51,8 +51,8 @@
 	}
 }
 
-// write has the head execute a command. A reply of kind errkind.OutcomeUnknown says that the command may have been executed, or
-// may still be; all other failures say that it has not been and never will be.
+// write executes a command at the head. A reply of kind errkind.OutcomeUnknown means that the command may have been
+// executed or may still be. Any other failure means that the command has not been executed and never will be.
 func (c *coordinationService) write(command coordination.Command, answer func(protocol.Reply)) {
 	s := c.server
 	if s.chain.IsHead() {
@@ -70,7 +70,8 @@
 	}, func(reply protocol.Reply) { answer(withUnknownOutcome(reply)) })
 }
 
-// withUnknownOutcome replaces the kind of a write that was sent to the head and got no reply.
+// withUnknownOutcome replaces the kind errkind.Unavailable by errkind.OutcomeUnknown. It applies to a command that was
+// sent to the head and got no reply.
 func withUnknownOutcome(reply protocol.Reply) protocol.Reply {
 	if reply.Failed && errkind.Kind(reply.Kind) == errkind.Unavailable {
 		reply.Kind = int(errkind.OutcomeUnknown)
@@ -78,7 +79,7 @@
 	return reply
 }
 
-// receiveWrite executes a command that a peer has forwarded. A second delivery is dropped: the first one may have been
+// receiveWrite executes a command that a peer has forwarded. A duplicate is dropped: the first delivery may have been
 // rejected with the promise that the command is never executed.
 func (c *coordinationService) receiveWrite(now time.Duration, call protocol.CoordinationWrite) {
 	if c.received.IsRepeated(call.From, call.ID) {
@@ -87,7 +88,7 @@
 	c.executeAtHead(now, call.Command, c.server.replyTo(call.From, call.ID))
 }
 
-// executeAtHead executes a command where this member is the head; the chain answers that it is not otherwise.
+// executeAtHead executes a command at this member. The chain rejects it if this member is not the head.
 func (c *coordinationService) executeAtHead(now time.Duration, command coordination.Command, answer func(protocol.Reply)) {
 	if c.server.chain.OperationVersion() < coordinationOperationVersion {
 		answer(errorReply(errkind.New(errkind.NotReady, "a member of the chain is of an earlier version")))
@@ -101,7 +102,8 @@
 	c.server.applyChainOutput(c.server.pendingRequests.Write(now, c.head.Write(now, command, respond)))
 }
 
-// coordinationReply returns the reply to a command. One that failed has a result too: the revision at a conflict.
+// coordinationReply returns the reply to a command. A failed command may have a result as well: a revision conflict has
+// the current revision.
 func coordinationReply(result coordination.Result, err error) protocol.Reply {
 	if err == nil {
 		return protocol.Reply{Coordination: result}
@@ -111,7 +113,7 @@
 	return reply
 }
 
-// read has the tail return a cell, or the revision of a group. The other name is empty.
+// read reads a cell or the revision of a group at the tail of the chain. The name of the other is empty.
 func (c *coordinationService) read(cell, group string, answer func(protocol.Reply)) {
 	s := c.server
 	if s.chain.IsTail() {
@@ -129,7 +131,7 @@
 	}, answer)
 }
 
-// readAtTail reads where this member is the tail; the chain answers that it is not otherwise.
+// readAtTail reads a cell or a group at this member. The chain rejects the read if this member is not the tail.
 func (c *coordinationService) readAtTail(cell, group string, answer func(protocol.Reply)) {
 	s := c.server
 	s.applyChainOutput(s.pendingRequests.Read(s.now(), chain.Read{Respond: func(state chain.State, err error) {
@@ -146,13 +148,13 @@
 	}}))
 }
 
-// stop ends the watches and rejects further calls: the process is to stop, and those in progress are answered first.
+// stop ends the watches and rejects further calls when the process shuts down. Calls in progress are still answered.
 func (c *coordinationService) stop() {
 	c.watches.Stop()
 	c.admission.stop()
 }
 
-// tick drops, at the head, history and holds that are old enough.
+// tick drops old history and expired holds, if this member is the head.
 func (c *coordinationService) tick(now time.Duration) {
 	s := c.server
 	if !s.chain.IsHead() || !s.chain.IsViewConfirmed(now) {
@@ -160,6 +162,6 @@
 		return
 	}
 	if command, ok := c.head.Compaction(now, s.chain.CommittedState().Value); ok {
-		c.executeAtHead(now, command, func(protocol.Reply) {}) // made again where it fails
+		c.executeAtHead(now, command, func(protocol.Reply) {}) // the next check repeats it if it fails
 	}
 }
--- a/internal/controlplane/coordination_watches.go
+++ b/internal/controlplane/coordination_watches.go
@@ -7,7 +7,7 @@
 	"dykering/internal/corestate"
 )
 
-// watchSource returns the committed state from which this member serves watches now.
+// watchSource returns the committed state from which this member serves watches.
 func (c *coordinationService) watchSource(now time.Duration) coordination.WatchSource {
 	s := c.server
 	return coordination.WatchSource{
@@ -18,7 +18,7 @@
 	}
 }
 
-// answerWatches answers the watches that are ready.
+// answerWatches answers the watches that have events or whose wait is over.
 func (c *coordinationService) answerWatches(now time.Duration) {
 	if !c.watches.IsEmpty() {
 		c.watches.AnswerReady(now, c.watchSource(now))
--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -1,56 +1,62 @@
-// Package controlplane is the control process (dykering control), a member of the core: it receives the endpoints'
-// heartbeats and the operator's configuration changes, replicates both with its peers, streams them to the proxies, and,
-// while it holds the lease of the singleton role "placement", orders endpoints to load and unload models.
+// Package controlplane implements the control process (dykering control). Several control processes form the core of the
+// system, and each is one of its members. A control process receives the heartbeats of endpoints, the configuration changes
+// of operators and the calls of the coordination service. It replicates them with the other members and streams updates to
+// the proxies. While it holds the lease of the singleton role "placement", it orders endpoints to load and unload models.
 //
-// # What it owns
+// # State
 //
-// One Server per process owns, each in a file of its own:
+// Each process has one Server, which owns:
 //
-//   - the replicated configuration, as the driver of a chain.Node (chain_driver.go, chain_store.go, configuration_fsm.go);
-//   - the table of sessions, as the driver of a sessionsync.Replica (heartbeat_endpoint.go, session_replication.go,
+//   - the replicated configuration and the state of the coordination service: the Server drives a chain.Node
+//     (chain_driver.go, chain_store.go, configuration_fsm.go);
+//   - the coordination service: locks, sequences of numbers, and cells with watches (coordination_service.go and the other
+//     coordination_*.go files);
+//   - the table of endpoint sessions: the Server drives a sessionsync.Replica (heartbeat_endpoint.go, session_replication.go,
 //     session_store.go);
-//   - the streams of updates to the proxies (update_stream.go) and the load of every endpoint (endpoint_loads.go);
+//   - the update streams to the proxies (update_stream.go) and the load of every endpoint (endpoint_loads.go);
 //   - the placement controller (placement_controller.go, overlays.go, load_ledger_sync.go) with its orders (order.go,
 //     order_client.go).
 //
-// A resource of the HTTP API or of the command line is served by the file *_endpoint.go of its name; messages of peers are
-// dispatched in rpc.go. What a message or a setting means is defined elsewhere: internal/protocol, internal/nodefile.
-// Decisions are too: internal/chain decides on views and commits, internal/placement on plans, internal/sessions on merges,
-// internal/sessionsync on what replicas of the sessions exchange and when a departure is acknowledged, internal/orders on orders.
+// Each resource of the HTTP API or of the command line is served by the file *_endpoint.go of the same name. rpc.go
+// dispatches the messages of peers. Other packages define the messages (internal/protocol) and the settings
+// (internal/nodefile). Other packages also make the decisions: internal/chain on views and commits, internal/coordination on
+// locks and watches, internal/placement on plans, internal/sessions on merges of sessions, internal/sessionsync on the
+// messages between replicas of the sessions and the acknowledgement of departures, internal/orders on orders.
 //
 // # Invariants
 //
-//   - A message whose record must be durable first leaves only after the record is synced (chainStore.onStored).
-//   - A drain or deregistration is acknowledged only when every voter of the view, or after a time-out a majority, has it on
-//     disk: proxies then never again see the endpoint ready, whichever member they ask and whatever restarts.
-//   - A stream is served only by a member of the chain whose view a majority has confirmed lately, and which has its
-//     peers' sessions: a proxy never goes back to older knowledge by changing its stream.
-//   - An order is sent only while the lease is held, with its fencing token, and confirmed just before the request.
-//   - Loads of weights, over all holders of the lease, stay within the origin's rate in every window.
+//   - A message that depends on a durable record is sent only after the record is synced to disk (chainStore.onStored).
+//   - A drain or deregistration is acknowledged only when every voter of the view has stored it on disk, or a majority after
+//     a timeout. From then on no proxy sees the endpoint as ready again, whichever member the proxy asks and whichever
+//     processes restart.
+//   - A stream is served only by a member of the chain whose view a majority has confirmed recently, and which has the
+//     sessions of its peers. A proxy that changes to another stream therefore never goes back to older state.
+//   - An order is sent only while the lease is held, with its fencing token. The lease is checked just before the request.
+//   - The loads of weights from the origin stay within the origin's rate in every window, summed over all lease holders.
 //
 // # Goroutines and their owners
 //
-// Server.runEventLoop is the owner of all tables; all other goroutines hand it commands by Server.enqueue. Run starts
-// and stops: the event loop (its caller's goroutine), chainStore.run and Server.runSessionStore (the only ones to touch
-// their ring), Server.acceptPeers with one goroutine a connection, the HTTP server with one a request, one peerlink.Link
-// for each peer, one subscriber.writeUpdates for each stream, and one for each call to an endpoint, of which there is at most
-// one an endpoint. All end with Server.ctx or with their connection.
+// Server.runEventLoop owns all tables; all other goroutines send it commands with Server.enqueue. Run starts and stops the
+// goroutines: the event loop (in the goroutine of its caller), chainStore.run and Server.runSessionStore (each the only one
+// to access its ring), Server.acceptPeers with one goroutine per connection, the HTTP server with one per request, one
+// peerlink.Link per peer, one subscriber.writeUpdates per stream, and one per call to an endpoint, with at most one such call
+// per endpoint. All of them end with Server.ctx or with their connection.
 //
 // # Bounded queues
 //
-//	commands to the event loop   commandQueueLength 4096; senders wait
-//	jobs of the chain store      storeQueueLength 4096; beyond, the next record is a snapshot that replaces them
-//	snapshots of the sessions    1; the next one has all
-//	updates of a stream          updateQueueLength 64; beyond, the stream ends and the proxy subscribes elsewhere
-//	subscribers                  maxSubscribers 2048; beyond, sent to another member
+//	commands to the event loop   commandQueueLength 4096; senders block
+//	jobs of the chain store      storeQueueLength 4096; beyond, the next record is a snapshot that replaces the dropped jobs
+//	snapshots of the sessions    1; each snapshot contains all sessions
+//	updates of a stream          updateQueueLength 64; beyond, the stream ends and the proxy subscribes to another member
+//	subscribers                  maxSubscribers 2048; beyond, a proxy is sent to another member
 //	pending calls to peers       maxPendingCalls 1024; beyond, answered as unavailable
 //	pending departures           sessionsync: maxDepartures 4096; beyond, answered as unavailable
-//	links to peers               maxLinks 64; beyond, all are closed and made again
-//	placement decisions kept     maxDecisions 512, the oldest dropped
+//	links to peers               maxLinks 64; beyond, all links are closed and opened again on demand
+//	placement decisions kept     maxDecisions 512; beyond, the oldest are dropped
 //
-// # Callers and sources
+// # Callers and further reading
 //
-// cmd/dykering runs Run, and calls AskStatus and AskExplain for its commands. The mechanisms are described in
-// docs/SYSTEM.md, what to do about them in docs/SYSTEM-OPERATIONS.md, the log events in docs/LOGS.md. The layout follows
-// that of Consul's server: one file a role, a table or an endpoint.
+// cmd/dykering calls Run for the process, and AskStatus, AskExplain and AskLockExplain for its commands. docs/SYSTEM.md
+// describes the mechanisms, docs/SYSTEM-OPERATIONS.md their operation and docs/LOGS.md the log events. The layout follows
+// that of Consul's server: one file per role, table or endpoint.
 package controlplane
--- a/internal/controlplane/endpoint_loads.go
+++ b/internal/controlplane/endpoint_loads.go
@@ -11,44 +11,46 @@
 )
 
 const (
-	// loadBroadcastInterval is the time between two broadcasts to the peers of the load by this member's subscribers.
+	// loadBroadcastInterval is the time between two broadcasts of the loads that this member's subscribers report.
 	loadBroadcastInterval = 200 * time.Millisecond
-	// peerLoadsTTL is how long a peer's broadcast counts: five intervals. After that its proxies report to others.
+	// peerLoadsTTL is how long the broadcast of a peer is used: five intervals. After that the peer counts as gone, and
+	// its proxies report to other members.
 	peerLoadsTTL = time.Second
-	// loadStreamInterval is the least time between two updates with loads in a stream.
+	// loadStreamInterval is the minimum time between two updates with loads in a stream.
 	loadStreamInterval = 250 * time.Millisecond
-	// encodedLoadBytes is the size of one endpoint's load in an update, and maxLoadBytesPerSecond what a stream may carry
-	// of them: with many endpoints loads are sent less often.
+	// encodedLoadBytes is the size of one endpoint's load in an update. maxLoadBytesPerSecond bounds the bytes of loads
+	// in a stream: with many endpoints, loads are sent less often.
 	encodedLoadBytes      = 18
 	maxLoadBytesPerSecond = 4000
 
-	// minOutcomes is the decayed count of failures below which an endpoint's outcomes are not sent, and of all outcomes
-	// below which they are forgotten.
+	// minOutcomes is the decayed count of failures below which the outcomes of an endpoint are not sent. Outcomes whose
+	// total count is below it are deleted.
 	minOutcomes = 0.25
-	// outcomesResolution is what counts are rounded to, so that they take few bytes.
+	// outcomesResolution is the unit to which counts are rounded, so that their encoding is short.
 	outcomesResolution = 0.25
-	// maxOutcomeEndpoints bounds the endpoints whose outcomes are counted: their names come from proxies.
+	// maxOutcomeEndpoints bounds the endpoints whose outcomes are counted, because their names come from proxies.
 	maxOutcomeEndpoints = 16384
 )
 
-// endpointLoadTable holds the requests in flight at each endpoint, and how those that have ended did, over all proxies. The
-// proxies balance by it. The event loop owns it.
+// endpointLoadTable holds, for each endpoint, the requests in flight and the outcomes of recent requests, over all
+// proxies. Proxies balance load with it. It is owned by the event loop.
 type endpointLoadTable struct {
-	proxies  map[string][]protocol.EndpointLoad // the last report of each subscriber of this member
-	outcomes map[string]decayedOutcomes         // by this member's subscribers, by endpoint
-	peers    map[string]peerLoads               // the last broadcast of each peer
+	proxies  map[string][]protocol.EndpointLoad // last report of each subscriber of this member
+	outcomes map[string]decayedOutcomes         // by endpoint, from the reports of this member's subscribers
+	peers    map[string]peerLoads               // last broadcast of each peer
 
 	broadcastDue          time.Duration
-	lastBroadcastHadLoads bool // the last broadcast had loads: one without is due before broadcasts cease
+	lastBroadcastHadLoads bool // if so, one empty broadcast follows before broadcasts stop
 	streamDue             time.Duration
 }
 
+// peerLoads is the last broadcast of a peer.
 type peerLoads struct {
 	loads      []protocol.EndpointLoad
 	receivedAt time.Duration
 }
 
-// decayedOutcomes are the outcomes at one endpoint, with the weight that they had at a time.
+// decayedOutcomes holds the outcomes at one endpoint, with the weights that they had at the given time.
 type decayedOutcomes struct {
 	outcomes routing.Outcomes
 	at       time.Duration
@@ -60,7 +62,7 @@
 	}
 }
 
-// applyReport replaces a proxy's loads by those of its new report, and adds the outcomes since the last one.
+// applyReport replaces the loads of a proxy by those of its new report, and adds the outcomes since its last report.
 func (t *endpointLoadTable) applyReport(now time.Duration, proxy string, loads []protocol.EndpointLoad) {
 	for _, load := range loads {
 		t.addOutcomes(now, load.ID, routing.Outcomes{Good: load.Good, Failed: load.Failed})
@@ -73,6 +75,7 @@
 	t.proxies[proxy] = inFlight
 }
 
+// addOutcomes adds new outcomes at an endpoint to the decayed earlier ones.
 func (t *endpointLoadTable) addOutcomes(now time.Duration, endpoint string, outcomes routing.Outcomes) {
 	before, known := t.outcomes[endpoint]
 	if outcomes == (routing.Outcomes{}) || !known && len(t.outcomes) >= maxOutcomeEndpoints {
@@ -84,8 +87,8 @@
 	t.outcomes[endpoint] = decayedOutcomes{outcomes: sum, at: now}
 }
 
-// rounded returns the outcomes with their weight at a time, as they are sent. Good ones are sent only beside failures, as
-// they serve to weigh those.
+// rounded returns the outcomes as they are sent: decayed to the given time and rounded. Without failures it returns
+// zero, because successes serve only to weigh failures.
 func (d decayedOutcomes) rounded(now time.Duration) routing.Outcomes {
 	outcomes := d.outcomes.Decayed(now - d.at)
 	if outcomes.Failed < minOutcomes {
@@ -95,18 +98,21 @@
 	return routing.Outcomes{Good: round(outcomes.Good), Failed: round(outcomes.Failed)}
 }
 
-// applyPeerLoads replaces the loads by a peer's subscribers.
+// applyPeerLoads replaces the loads that a peer has broadcast.
 func (t *endpointLoadTable) applyPeerLoads(now time.Duration, m protocol.EndpointLoadSync) {
 	t.peers[m.From] = peerLoads{loads: m.Loads, receivedAt: now}
 }
 
-// localTotals sums the loads by this member's subscribers, by endpoint, and forgets outcomes that weigh next to nothing.
+// localTotals sums the loads from this member's subscribers by endpoint. It deletes outcomes whose weight is
+// negligible.
 func (t *endpointLoadTable) localTotals(now time.Duration) map[string]protocol.EndpointLoad {
 	totals := map[string]protocol.EndpointLoad{}
 	for _, loads := range t.proxies {
 		for _, load := range loads {
 			total := totals[load.ID]
-			totals[load.ID] = protocol.EndpointLoad{ID: load.ID, InFlight: total.InFlight + load.InFlight, Waiting: total.Waiting + load.Waiting}
+			totals[load.ID] = protocol.EndpointLoad{
+				ID: load.ID, InFlight: total.InFlight + load.InFlight, Waiting: total.Waiting + load.Waiting,
+			}
 		}
 	}
 	for id, decayed := range t.outcomes {
@@ -122,6 +128,7 @@
 	return totals
 }
 
+// addLoads adds loads to the totals by endpoint.
 func addLoads(totals map[string]protocol.EndpointLoad, loads []protocol.EndpointLoad) {
 	for _, load := range loads {
 		total := totals[load.ID]
@@ -132,7 +139,7 @@
 	}
 }
 
-// totalsIfDue returns the loads by all proxies of the system, where it is time to stream them.
+// totalsIfDue returns the loads over all proxies of the system, if the next update with loads is due.
 func (t *endpointLoadTable) totalsIfDue(now time.Duration) ([]protocol.EndpointLoad, bool) {
 	if now < t.streamDue {
 		return nil, false
@@ -150,7 +157,7 @@
 	return lo.Values(totals), true
 }
 
-// broadcastEndpointLoads sends the peers the loads by this member's subscribers.
+// broadcastEndpointLoads sends the loads from this member's subscribers to the peers, if a broadcast is due.
 func (s *Server) broadcastEndpointLoads(now time.Duration) {
 	t := s.endpointLoads
 	if now < t.broadcastDue {
--- a/internal/controlplane/eventloop.go
+++ b/internal/controlplane/eventloop.go
@@ -8,17 +8,18 @@
 )
 
 const (
-	// commandQueueLength bounds the commands that wait for the event loop. A sender waits while the queue is full.
+	// commandQueueLength bounds the commands that wait for the event loop. Senders block while the queue is full.
 	commandQueueLength = 4096
-	// seedRefreshInterval is the time between two readings of the settings' seeds while this member has no quorum.
+	// seedRefreshInterval is the time between two readings of the seeds from the settings while this member has no
+	// quorum.
 	seedRefreshInterval = time.Second
 )
 
-// now is the time since the start of the process, by a clock that does not step.
+// now returns the time since the start of the process, from a monotonic clock.
 func (s *Server) now() time.Duration { return time.Since(s.origin) }
 
-// enqueue hands a command to the event loop, which owns all tables. It waits while the queue is full, and drops the command
-// where the process ends. The event loop itself must not call it.
+// enqueue hands a command to the event loop, which owns all tables. It blocks while the queue is full, and drops the
+// command if the process ends. The event loop itself must not call it, since it would wait for itself.
 func (s *Server) enqueue(command func()) {
 	select {
 	case s.commands <- command:
@@ -26,7 +27,9 @@
 	}
 }
 
-// runEventLoop runs commands and ticks until a stopping member may end. A second signal ends it at once.
+// runEventLoop runs commands and ticks until the process may end. After the first signal the member leaves the chain
+// and the loop returns when the others no longer need it, or when the grace period has expired. A second signal ends
+// the loop at once.
 func (s *Server) runEventLoop(stop <-chan os.Signal) {
 	ticker := time.NewTicker(s.timing.tickInterval)
 	defer ticker.Stop()
@@ -55,7 +58,7 @@
 	}
 }
 
-// leave begins a planned stop. It returns a channel that delivers once the grace period is over.
+// leave starts a planned shutdown. It returns a channel that delivers a value when the grace period has expired.
 func (s *Server) leave(sig os.Signal) <-chan time.Time {
 	s.log.Info("process.stopping", "signal", sig.String())
 	s.chain.Leave(s.now())
@@ -64,13 +67,13 @@
 	return time.After(s.timing.gracePeriod)
 }
 
-// logForcedStop reports that this member ends although the others need its vote or its disk.
+// logForcedStop logs that this member ends although the other members still need its vote or its disk.
 func (s *Server) logForcedStop() {
 	view := s.chain.View()
 	s.log.Warn("process.stopped_needed", "view", view.Number, "in_chain", s.chain.IsInChain())
 }
 
-// runQueuedCommands runs the commands that are queued already, so that one afterBatch serves all of them.
+// runQueuedCommands runs the commands that are already queued, so that one call of afterBatch serves all of them.
 func (s *Server) runQueuedCommands() {
 	for range commandQueueLength {
 		select {
@@ -82,7 +85,8 @@
 	}
 }
 
-// afterBatch does what a batch of commands has made due: answers, broadcasts, streams, plans and snapshots.
+// afterBatch does the work that a batch of commands has made due: replies, broadcasts, update streams, placement plans
+// and snapshots.
 func (s *Server) afterBatch() {
 	now := s.now()
 	s.pendingRequests.AnswerReady(now)
@@ -93,7 +97,7 @@
 	s.placement.planIfDue(now)
 }
 
-// tick does what time alone makes due.
+// tick does the work that depends only on the time.
 func (s *Server) tick() {
 	now := s.now()
 	s.chain.SetDiskHealthy(s.chainStore.writeDuration() < s.timing.maxWriteDuration)
@@ -107,8 +111,8 @@
 	s.reportTolerance(now)
 }
 
-// refreshSeeds reads the seeds again while this member has no quorum: all that it started with may have been replaced, and
-// it would else look for its peers at old addresses for ever.
+// refreshSeeds reads the seeds from the settings again while this member has no quorum. All of its peers may have been
+// replaced since the start, and it would otherwise look for them at their old addresses forever.
 func (s *Server) refreshSeeds(now time.Duration, hasQuorum bool) {
 	if hasQuorum || now < s.seedRefreshDue {
 		return
@@ -117,7 +121,7 @@
 	settings, err := nodefile.LoadFromEnvironment()
 	if err != nil {
 		s.log.Warn("settings.unreadable", "error", err)
-		return // the seeds known so far stay in use
+		return // the current seeds stay in use
 	}
 	s.chain.SetSeeds(settings.SeedInternalAddresses())
 }
--- a/internal/controlplane/explain_endpoint.go
+++ b/internal/controlplane/explain_endpoint.go
@@ -9,13 +9,13 @@
 	"dykering/internal/sessions"
 )
 
-// maxDecisions bounds the orders that are kept together with the estimates behind them.
+// maxDecisions bounds the orders that are kept together with the estimates that led to them.
 const maxDecisions = 512
 
-// decisionLog holds the last orders of this lease holder, the oldest first.
+// decisionLog holds the latest orders of this lease holder, oldest first.
 type decisionLog struct{ decisions []protocol.Decision }
 
-// record appends the orders of a plan, with the replicas and the demand that the plan was made from.
+// record appends the orders of a plan, with the replicas and the demand that the plan was based on.
 func (l *decisionLog) record(now time.Duration, service string, orders []placement.Order, input *placement.Input) {
 	if len(orders) == 0 {
 		return
@@ -39,7 +39,7 @@
 	}
 }
 
-// about returns the orders for a model, and the unloadings that freed memory for it.
+// decisionsAbout returns the orders for a model, and the unload orders that freed memory for it.
 func (l *decisionLog) decisionsAbout(model string) []protocol.Decision {
 	var found []protocol.Decision
 	for _, d := range l.decisions {
@@ -50,16 +50,21 @@
 	return found
 }
 
+// demandOf converts an estimate to the form of an explanation.
 func demandOf(estimate placement.Estimate) protocol.ModelDemand {
-	return protocol.ModelDemand{Rate: estimate.Rate, InFlight: estimate.InFlight, Waiting: estimate.Waiting, Pressure: estimate.Pressure, Unplaced: estimate.Unplaced}
+	return protocol.ModelDemand{
+		Rate: estimate.Rate, InFlight: estimate.InFlight, Waiting: estimate.Waiting, Pressure: estimate.Pressure,
+		Unplaced: estimate.Unplaced,
+	}
 }
 
-// AskExplain asks the control process at an internal address why a model is placed as it is.
+// AskExplain asks the control process at an internal address for the replicas of a model, the demand for it and the
+// orders that concern it.
 func AskExplain(address, model string) (protocol.Explanation, error) {
 	return requestReply[protocol.Explanation](address, protocol.ExplainRequest{Model: model}, "explain")
 }
 
-// serveExplain replies to a protocol.ExplainRequest.
+// serveExplain answers a protocol.ExplainRequest.
 func (s *Server) serveExplain(conn *peerlink.Conn, request protocol.ExplainRequest) {
 	explanation, ok := query(s, func() protocol.Explanation { return s.placement.explain(s.now(), request.Model) })
 	if !ok {
@@ -70,10 +75,12 @@
 	}
 }
 
-// explain returns the replicas of a model, the demand for it, and the orders that have concerned it. Only the lease holder
-// knows demand and orders.
+// explain returns the replicas of a model, the demand for it and the orders that concern it. Only the lease holder
+// knows the demand and the orders.
 func (c *placementController) explain(now time.Duration, model string) protocol.Explanation {
-	explanation := protocol.Explanation{Model: model, Now: now, Holds: c.holder.Lease().Held, Decisions: c.decisions.decisionsAbout(model)}
+	explanation := protocol.Explanation{
+		Model: model, Now: now, Holds: c.holder.Lease().Held, Decisions: c.decisions.decisionsAbout(model),
+	}
 	services := map[string]bool{}
 	for _, e := range c.server.sessions.Table().Endpoints() {
 		if e.State == sessions.Departed || !e.HasLoaded(model, "") {
--- a/internal/controlplane/heartbeat_endpoint.go
+++ b/internal/controlplane/heartbeat_endpoint.go
@@ -26,7 +26,7 @@
 	writeEmptyObject(w)
 }
 
-// readHeartbeat reads and checks the body of a heartbeat.
+// readHeartbeat decodes and validates the body of a heartbeat.
 func readHeartbeat(r *http.Request) (sessions.Heartbeat, error) {
 	var heartbeat sessions.Heartbeat
 	body, err := readBody(r, maxHeartbeatBytes)
--- a/internal/controlplane/http_server.go
+++ b/internal/controlplane/http_server.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// headerTimeout is the time within which the header of a request must arrive.
+	// headerTimeout bounds the time in which the header of a request must arrive.
 	headerTimeout = 3 * time.Second
-	// shutdownTimeout is the time for which a process that ends waits for answers that are being written.
+	// shutdownTimeout bounds the time that a process that ends waits for responses in progress.
 	shutdownTimeout = 200 * time.Millisecond
-	// idleTimeout closes a connection without a request; heartbeats come more often.
+	// idleTimeout closes a connection without requests. Heartbeats arrive more often.
 	idleTimeout = 60 * time.Second
 )
 
-// httpHandler serves the HTTP API of endpoints, the operator and the monitoring. Each handler runs in its request's
-// goroutine and reaches the tables through the event loop.
+// httpHandler returns the handler of the HTTP API for endpoints, operators and monitoring. Each request runs in a
+// goroutine of its own and accesses the tables through the event loop.
 func (s *Server) httpHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /instances/{id}/heartbeat", s.handleHeartbeat)
@@ -32,20 +32,20 @@
 	return mux
 }
 
-// writeError responds with the status that belongs to the kind of an error.
+// writeError writes a response with the text of an error and the status of its kind.
 func writeError(w http.ResponseWriter, err error) {
 	answer := errkind.AnswerOf(errkind.KindOf(err))
 	http.Error(w, err.Error(), answer.Status)
 }
 
-// writeEmptyObject responds to a request that was carried out and returns nothing.
+// writeEmptyObject writes the response to a request that succeeded and has no result.
 func writeEmptyObject(w http.ResponseWriter) {
 	w.Header().Set("Content-Type", "application/json")
 	io.WriteString(w, "{}\n")
 }
 
-// readBody reads the body of a request of at most maxBytes. Its errors are of the kinds errkind.Malformed and
-// errkind.TooLarge.
+// readBody reads a request body of at most maxBytes. The error is of kind errkind.Malformed if the body is incomplete,
+// and of kind errkind.TooLarge if it is too long.
 func readBody(r *http.Request, maxBytes int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBytes+1))
 	if err != nil {
@@ -57,9 +57,9 @@
 	return body, nil
 }
 
-// awaitOutcome has the event loop start an operation and waits for its outcome. The operation calls answer in the event
-// loop, now or later; calls after the first have no effect. The error is of the kind errkind.Unavailable where no answer
-// comes in time: the operation may have succeeded or not.
+// awaitOutcome starts an operation in the event loop and waits for its outcome. The operation calls answer in the event
+// loop, immediately or later. Calls of answer after the first have no effect. If there is no answer in time, the error
+// is of kind errkind.Unavailable and the operation may or may not have succeeded.
 func (s *Server) awaitOutcome(start func(answer func(error))) error {
 	answered := make(chan error, 1)
 	s.enqueue(func() {
@@ -78,7 +78,7 @@
 	}
 }
 
-// query has the event loop compute a value and waits for it. It reports false where the process ends first.
+// query computes a value in the event loop and waits for it. It returns false if the process ends first.
 func query[T any](s *Server, compute func() T) (T, bool) {
 	computed := make(chan T, 1)
 	s.enqueue(func() { computed <- compute() })
@@ -86,7 +86,7 @@
 	case value := <-computed:
 		return value, true
 	case <-s.ctx.Done():
-		var none T
-		return none, false
+		var zero T
+		return zero, false
 	}
 }
--- a/internal/controlplane/load_ledger_sync.go
+++ b/internal/controlplane/load_ledger_sync.go
@@ -5,7 +5,8 @@
 // ledgerBroadcastInterval is the time between two broadcasts of the load ledger by the lease holder.
 const ledgerBroadcastInterval = 200 * time.Millisecond
 
-// broadcastLedger tells the peers of the loads that this lease holder has started, and of its orders in flight.
+// broadcastLedger sends the peers the load ledger of this lease holder: the loads of weights that it has started, and
+// its orders in flight.
 func (c *placementController) broadcastLedger(now time.Duration) {
 	if now < c.ledgerBroadcastDue {
 		return
--- a/internal/controlplane/metrics_endpoint.go
+++ b/internal/controlplane/metrics_endpoint.go
@@ -12,7 +12,7 @@
 	"dykering/internal/sessions"
 )
 
-// handleMetrics serves GET /metrics: the status of the process, in the exposition format of Prometheus.
+// handleMetrics serves GET /metrics: the status of the process in the Prometheus text format.
 func (s *Server) handleMetrics(w http.ResponseWriter, _ *http.Request) {
 	status, ok := query(s, s.status)
 	if !ok {
@@ -24,6 +24,7 @@
 	s.coordination.metrics.write(w)
 }
 
+// writeMetrics writes the gauges of a status.
 func writeMetrics(w io.Writer, status *protocol.Status) {
 	gauge := func(name string, value uint64) { metrics.WriteGaugeUint64(w, "dykering_control_"+name, value) }
 	gauge("view_number", status.View.Number)
@@ -49,7 +50,7 @@
 	}
 }
 
-// tolerableLosses returns how many more voters may be lost; 0 where the status does not say.
+// tolerableLosses returns how many more voters the core can lose, or 0 if the status does not have this number.
 func tolerableLosses(status *protocol.Status) int {
 	if status.Tolerance == nil {
 		return 0
@@ -57,7 +58,7 @@
 	return status.Tolerance.Losses
 }
 
-// longestLag returns the number of committed changes that the slowest subscriber has not acknowledged.
+// longestLag returns the largest number of committed changes that a subscriber has not acknowledged.
 func longestLag(subscribers []protocol.SubscriberStatus) uint64 {
 	var longest uint64
 	for _, subscriber := range subscribers {
--- a/internal/controlplane/order.go
+++ b/internal/controlplane/order.go
@@ -11,10 +11,10 @@
 	"dykering/internal/sessions"
 )
 
-// The orders themselves are decided by orders.Machine. The functions here connect it with the event loop: they give it what
-// happens, and carry out what it asks for. Calls to endpoints are made in goroutines that own nothing and report back.
+// The functions of this file connect orders.Machine, which decides on orders, with the event loop: they feed it events and
+// execute its outputs. Each call to an endpoint runs in a goroutine that owns no state and reports to the event loop.
 
-// startOrder starts an order of a plan, unless its endpoint has left.
+// startOrder starts an order of a plan, unless its endpoint has left or already has an order in flight.
 func (c *placementController) startOrder(now time.Duration, service fleetconfig.Service, order placement.Order) {
 	address := c.address(order.Endpoint)
 	if address == "" || c.holder.Orders().IsOrdered(order.Endpoint) {
@@ -28,7 +28,7 @@
 	}))
 }
 
-// address returns the address of an endpoint; empty if it has no session.
+// address returns the address of an endpoint, or an empty string if the endpoint has no session.
 func (c *placementController) address(endpoint string) string {
 	session, ok := c.server.sessions.Table().Get(endpoint)
 	if !ok {
@@ -37,13 +37,13 @@
 	return session.Heartbeat.Address
 }
 
-// lease returns the lease that orders may be sent under now.
+// lease returns the lease of the placement role as this member sees it. Orders may be sent only while it is held.
 func (c *placementController) lease(now time.Duration) orders.Lease {
 	token, holds := c.server.chain.HoldsLease(now)
 	return orders.Lease{Token: token, Held: holds}
 }
 
-// advanceOrders takes the steps of orders that are due, where this member holds the lease.
+// advanceOrders takes the due steps of all orders, if this member still holds the lease.
 func (c *placementController) advanceOrders() {
 	now := c.server.now()
 	if lease := c.lease(now); c.holder.IsSame(lease) {
@@ -51,7 +51,7 @@
 	}
 }
 
-// applyOrderOutput does what the machine of the orders asks for.
+// applyOrderOutput executes an output of the state machine of the orders.
 func (c *placementController) applyOrderOutput(out orders.Output) {
 	for _, publication := range out.Publications {
 		c.publish(publication)
@@ -71,7 +71,7 @@
 	c.armOrderTimer()
 }
 
-// publish changes an endpoint's overlay, unless another member may hold the lease.
+// publish changes the overlay of an endpoint, unless another member may hold the lease.
 func (c *placementController) publish(publication orders.Publication) {
 	now := c.server.now()
 	if !c.holder.IsSame(c.lease(now)) {
@@ -84,7 +84,7 @@
 	c.addOverride(now, publication.Endpoint, publication.Override)
 }
 
-// armOrderTimer has the orders advance when their next step is due. Ticks alone would be too far apart.
+// armOrderTimer schedules a call of advanceOrders for the next due step. Ticks alone would be too far apart.
 func (c *placementController) armOrderTimer() {
 	if c.orderTimer != nil {
 		c.orderTimer.Stop()
@@ -94,7 +94,7 @@
 	}
 }
 
-// callReport fetches a report and hands it to the event loop.
+// callReport fetches the report of an endpoint and hands it to the event loop.
 func (c *placementController) callReport(call orders.ReportCall) {
 	s := c.server
 	var report *orders.Report
@@ -107,7 +107,7 @@
 	})
 }
 
-// callOrder posts an order and hands the answer to the event loop.
+// callOrder posts an order to an endpoint and hands the answer to the event loop.
 func (c *placementController) callOrder(call orders.OrderCall) {
 	s := c.server
 	answer := c.postOrder(s.ctx, call)
@@ -128,7 +128,7 @@
 	return orders.Answer{Outcome: orderOutcome(status), Status: status}
 }
 
-// orderOutcome is what the status code of a response to an order means.
+// orderOutcome returns the outcome that the response status of an order stands for.
 func orderOutcome(status int) orders.Outcome {
 	switch status {
 	case http.StatusAccepted:
@@ -141,14 +141,14 @@
 	return orders.Refused
 }
 
-// plannerEndpoint is an endpoint as its heartbeats describe it to the planner.
+// plannerEndpoint converts a session to the planner's form, from the endpoint's own heartbeats.
 func plannerEndpoint(session *sessions.Endpoint) placement.Endpoint {
 	return placement.Endpoint{
 		ID: session.ID, Models: adaptersByModel(session.Heartbeat.Models), Excluded: session.State != sessions.Ready,
 	}
 }
 
-// adaptersByModel is what an endpoint reports to have loaded, in the planner's form.
+// adaptersByModel converts the loaded models of an endpoint to the planner's form: the adapters by model.
 func adaptersByModel(loaded []sessions.LoadedModel) map[string][]string {
 	models := map[string][]string{}
 	for _, model := range loaded {
--- a/internal/controlplane/order_client.go
+++ b/internal/controlplane/order_client.go
@@ -13,7 +13,7 @@
 	"dykering/internal/sessions"
 )
 
-// orderTimeout bounds each request to an endpoint. A new lease holder waits for it too; see timing.newHolderDelay.
+// orderTimeout bounds each request to an endpoint. A new lease holder waits for it as well; see timing.newHolderDelay.
 const orderTimeout = 500 * time.Millisecond
 
 // orderIdleTimeout closes the connection to an endpoint that gets no more orders.
@@ -36,7 +36,7 @@
 	FencingToken uint64              `json:"fencing_token"`
 }
 
-// orderClient sends requests to endpoints.
+// orderClient sends orders and report requests to endpoints.
 type orderClient struct{ http *http.Client }
 
 func newOrderClient() *orderClient {
@@ -44,7 +44,7 @@
 	return &orderClient{http: &http.Client{Timeout: orderTimeout, Transport: transport}}
 }
 
-// dialAbortive makes a connection that is reset when it is closed. What is still in its buffers is then discarded: an order
+// dialAbortive opens a connection that is reset when it is closed, which discards the data in its buffers. An order
 // whose request has timed out must not reach its endpoint later, when another member may hold the lease.
 func dialAbortive(ctx context.Context, network, address string) (net.Conn, error) {
 	var dialer net.Dialer
@@ -55,7 +55,7 @@
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		if err := tcp.SetLinger(0); err != nil {
 			conn.Close()
-			return nil, errors.Wrap(err, "linger")
+			return nil, errors.Wrap(err, "set SO_LINGER")
 		}
 	}
 	return conn, nil
@@ -65,16 +65,16 @@
 func (c *orderClient) report(ctx context.Context, address string) (endpointReport, error) {
 	request, err := sling.New().Get("http://" + address + "/report").Request()
 	if err != nil {
-		return endpointReport{}, errors.Wrap(err, "report")
+		return endpointReport{}, errors.Wrapf(err, "create report request to %s", address)
 	}
 	var report endpointReport
 	//nolint:bodyclose // sling closes the body once it has decoded it
 	response, err := sling.New().Client(c.http).Do(request.WithContext(ctx), &report, nil)
 	if err != nil {
-		return endpointReport{}, errors.Wrap(err, "report")
+		return endpointReport{}, errors.Wrapf(err, "fetch report of %s", address)
 	}
 	if response.StatusCode != http.StatusOK {
-		return endpointReport{}, errors.Errorf("report: status %d", response.StatusCode)
+		return endpointReport{}, errors.Errorf("fetch report of %s: status %d", address, response.StatusCode)
 	}
 	return report, nil
 }
@@ -83,11 +83,11 @@
 func (c *orderClient) order(ctx context.Context, address string, body orderRequest) (status int, err error) {
 	request, err := sling.New().Post("http://" + address + "/order").BodyJSON(body).Request()
 	if err != nil {
-		return 0, errors.Wrap(err, "order")
+		return 0, errors.Wrapf(err, "create order request to %s", address)
 	}
 	response, err := c.http.Do(request.WithContext(ctx))
 	if err != nil {
-		return 0, errors.Wrap(err, "order")
+		return 0, errors.Wrapf(err, "post order to %s", address)
 	}
 	response.Body.Close()
 	return response.StatusCode, nil
--- a/internal/controlplane/overlays.go
+++ b/internal/controlplane/overlays.go
@@ -7,18 +7,19 @@
 	"dykering/internal/sessions"
 )
 
-// overlayLifetimeHeartbeats is how many heartbeat intervals an overlay outlives its order: by then the endpoint's own heartbeats
-// say the same.
+// overlayLifetimeHeartbeats is how many heartbeat intervals an overlay is kept after its order. By then the endpoint's
+// own heartbeats report the same change.
 const overlayLifetimeHeartbeats = 2
 
-// publishedOverlay is an overlay that is in the table of sessions, of this lease holder or of its predecessor. Proxies
-// learn by it what an order has changed, ahead of the endpoint's next heartbeat.
+// publishedOverlay is an overlay in the table of sessions that this lease holder or its predecessor has published.
+// Proxies learn from it what an order has changed, before the endpoint's next heartbeat.
 type publishedOverlay struct {
 	overrides []sessions.ModelOverride
 	setAt     time.Duration
 }
 
-// addOverride publishes what an order has changed at an endpoint, in place of what was published of the same model.
+// addOverride publishes the change that an order has made at an endpoint. It replaces an earlier override of the same
+// model and adapter.
 func (c *placementController) addOverride(now time.Duration, id string, override sessions.ModelOverride) {
 	overrides := []sessions.ModelOverride{override}
 	for _, other := range c.overlays[id].overrides {
@@ -29,8 +30,8 @@
 	c.setOverrides(now, id, overrides)
 }
 
-// setOverrides publishes an overlay. Its version is the fencing token and a counter, so that the overlay of a later lease
-// holder replaces all of an earlier one.
+// setOverrides publishes an overlay. Its version consists of the fencing token and a counter, so that the overlays of a
+// later lease holder replace those of an earlier one.
 func (c *placementController) setOverrides(now time.Duration, id string, overrides []sessions.ModelOverride) {
 	c.overlayCounter++
 	version := c.holder.Lease().Token<<32 | c.overlayCounter
@@ -38,13 +39,13 @@
 	c.server.sessions.Table().SetOverlay(id, sessions.Overlay{Version: version, Holdings: overrides})
 }
 
-// clearOverrides has an endpoint's heartbeats alone count again.
+// clearOverrides publishes an empty overlay, so that only the endpoint's heartbeats count.
 func (c *placementController) clearOverrides(now time.Duration, id string) {
 	c.setOverrides(now, id, nil)
 }
 
-// expireOverlays clears the overlays that the endpoints' heartbeats have caught up with. Those that a predecessor has left
-// are adopted, so that they are cleared too.
+// expireOverlays clears the overlays that the endpoints' heartbeats have caught up with. It adopts overlays that a
+// predecessor has left, so that they are cleared as well.
 func (c *placementController) expireOverlays(now time.Duration) {
 	lifetime := overlayLifetimeHeartbeats*c.server.settings.HeartbeatInterval() + orders.MaxReportAge
 	for id, overlay := range c.overlays {
--- a/internal/controlplane/placement_controller.go
+++ b/internal/controlplane/placement_controller.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// planInterval is the time between two plans where no proxy has reported an unplaced request since.
+	// planInterval is the time between two plans if no proxy has reported an unplaced request in between.
 	planInterval = 250 * time.Millisecond
-	// minPlanPause is the least time between two plans.
+	// minPlanPause is the minimum time between two plans.
 	minPlanPause = 15 * time.Millisecond
-	// maxPlanningFraction is the part of the event loop's time that plans may take: with many endpoints a plan takes long,
-	// and heartbeats and changes must not wait for it.
+	// maxPlanningFraction is the fraction of the event loop's time that planning may take. With many endpoints a plan
+	// takes long, and heartbeats and changes must not wait for it.
 	maxPlanningFraction = 0.1
 )
 
-// placementController orders endpoints to load and unload models while this member holds the lease of the singleton role
-// "placement". The decisions are those of the package placement. The event loop owns the controller.
+// placementController orders endpoints to load and unload models while this member holds the lease of the singleton
+// role "placement". Package placement makes the plans. The controller is owned by the event loop.
 type placementController struct {
 	server *Server
 	client *orderClient
@@ -40,7 +40,7 @@
 	cleanupDue         time.Duration
 	ledgerBroadcastDue time.Duration
 
-	// The committed configuration, parsed once a change.
+	// The committed configuration, parsed once for each change.
 	parsed    *fleetconfig.Config
 	parsedSeq uint64
 }
@@ -55,7 +55,7 @@
 	}
 }
 
-// forwardDemand passes a proxy's report on to the lease holder.
+// forwardDemand sends the report of a proxy to the lease holder.
 func (c *placementController) forwardDemand(report protocol.DemandReport) {
 	view := c.server.chain.View()
 	if view.Holder == c.server.chain.Self().ID {
@@ -67,7 +67,7 @@
 	}
 }
 
-// applyDemand adds a proxy's report to the demand. An unplaced request makes a plan due at once.
+// applyDemand adds the report of a proxy to the demand. An unplaced request makes a plan due at once.
 func (c *placementController) applyDemand(report protocol.DemandReport) {
 	samples := make([]placement.Sample, 0, len(report.Demands))
 	unplaced := false
@@ -84,7 +84,7 @@
 	}
 }
 
-// tick follows the lease, and removes what has expired.
+// tick follows changes of the lease, advances orders and removes expired state.
 func (c *placementController) tick(now time.Duration) {
 	if c.holder.Follow(now, c.lease(now), c.takeover) {
 		c.server.log.Info("placement.lease_acquired", "token", c.holder.Lease().Token)
@@ -102,7 +102,7 @@
 	}
 }
 
-// takeover is what the holder needs to know where it takes over from another member.
+// takeover returns what the holder needs to know when it takes over from another member.
 func (c *placementController) takeover() orders.Takeover {
 	takeover := orders.Takeover{
 		AgreedAt: c.server.chain.LeaseHolderSince(), IsFirst: !c.server.restoredFromDisk, Address: c.address,
@@ -114,7 +114,7 @@
 	return takeover
 }
 
-// planIfDue makes a plan for each service and starts its orders.
+// planIfDue makes a plan for each service and starts its orders, if a plan is due.
 func (c *placementController) planIfDue(now time.Duration) {
 	if !c.holder.Lease().Held || now < c.planDue || now < c.planNotBefore {
 		return
@@ -135,7 +135,8 @@
 	c.planNotBefore = finished + max(minPlanPause, time.Duration(float64(finished-now)/maxPlanningFraction))
 }
 
-// modelServices lists the services of the committed configuration that have an engine, that is, endpoints with models.
+// modelServices returns the services of the committed configuration whose endpoints have an inference engine, and so
+// load models.
 func (c *placementController) modelServices() []fleetconfig.Service {
 	state := c.server.chain.CommittedState()
 	seq := corestate.ConfigurationSeq(state)
@@ -155,16 +156,19 @@
 	return services
 }
 
-// permittedLoads is how many loads of weights may start now, by the origin's rate and by what is in flight.
+// permittedLoads returns how many loads of weights may start now, given the rate of the origin and the loads in flight.
 func (c *placementController) permittedLoads(now time.Duration, engine *fleetconfig.Engine) int {
 	var longest float64
 	for _, model := range engine.Models {
 		longest = max(longest, model.LoadTimeS)
 	}
-	return min(placement.ConcurrentLoads(engine.LoadsPerS, longest)-c.holder.Orders().LoadsAtOrigin(now), c.holder.AvailableLoads(now, engine.LoadsPerS))
+	return min(
+		placement.ConcurrentLoads(engine.LoadsPerS, longest)-c.holder.Orders().LoadsAtOrigin(now),
+		c.holder.AvailableLoads(now, engine.LoadsPerS),
+	)
 }
 
-// plannerEndpoints lists the endpoints of a service as the planner sees them.
+// plannerEndpoints returns the endpoints of a service in the planner's form.
 func (c *placementController) plannerEndpoints(service string) []placement.Endpoint {
 	var endpoints []placement.Endpoint
 	for _, session := range c.server.sessions.Table().Endpoints() {
--- a/internal/controlplane/rpc.go
+++ b/internal/controlplane/rpc.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// firstMessageTimeout is the time within which a connection must say what it is for.
+	// firstMessageTimeout bounds the time in which the first message of a connection must arrive.
 	firstMessageTimeout = 5 * time.Second
-	// peerIdleTimeout closes the connection of a peer that has gone. Pings come far more often.
+	// peerIdleTimeout closes the connection of a peer that has gone. Pings arrive far more often.
 	peerIdleTimeout = 30 * time.Second
-	// acceptBackoff is the pause after a failed accept, which lacks a file descriptor as a rule.
+	// acceptBackoff is the pause after a failed accept. The usual cause is a lack of file descriptors.
 	acceptBackoff = 20 * time.Millisecond
 	// maxLinks bounds the links to peers. A core has a handful of members, but their addresses come from messages.
 	maxLinks = 64
 )
 
-// acceptPeers serves connections of other processes of the system until the process ends.
+// acceptPeers serves connections from other processes of the system until this process ends.
 func (s *Server) acceptPeers(listener net.Listener) {
 	for {
 		raw, err := listener.Accept()
@@ -36,8 +36,8 @@
 	}
 }
 
-// servePeer serves one connection until it or the process ends. Its first message says what it is for: a proxy's stream of updates, a command of the
-// command line, or a peer's messages.
+// servePeer serves one connection until the connection or the process ends. The first message determines its use: the
+// update stream of a proxy, a request of a command-line tool, or the messages of a peer.
 func (s *Server) servePeer(conn *peerlink.Conn) {
 	defer conn.Close()
 	defer context.AfterFunc(s.ctx, func() { conn.Close() })()
@@ -59,7 +59,7 @@
 	}
 }
 
-// servePeerMessages dispatches the messages of a peer, from the first one on, until the connection ends.
+// servePeerMessages dispatches the messages of a peer, starting with the first one, until the connection ends.
 func (s *Server) servePeerMessages(conn *peerlink.Conn, message any) {
 	var err error
 	for err == nil {
@@ -69,7 +69,7 @@
 	}
 }
 
-// dispatch handles a message of a peer. A message of a type that is not known here, as of a later version, is ignored.
+// dispatch handles a message of a peer. It ignores messages of unknown types, which later versions may send.
 func (s *Server) dispatch(message any) {
 	now := s.now()
 	switch m := message.(type) {
@@ -103,8 +103,8 @@
 	}
 }
 
-// wakeLink dials a peer at once that pings although it counted as unreachable. Without that the link would wait out its
-// backoff, and the member would stay out of the view for that long.
+// wakeLink dials a peer at once if the peer pings although it counted as unreachable. Otherwise the link would wait for
+// its backoff to end, and the peer would stay out of the view for that long.
 func (s *Server) wakeLink(now time.Duration, address string) {
 	if link := s.peerLinks[address]; link != nil && !s.chain.IsReachable(now, address) {
 		link.Wake()
@@ -119,7 +119,7 @@
 	}
 }
 
-// send queues a message to a peer. It does not wait; a message that cannot be delivered is lost.
+// send queues a message to a peer without blocking. A message that cannot be delivered is dropped.
 func (s *Server) send(address string, message any) {
 	if address == "" || address == s.chain.Self().Address {
 		return
@@ -135,13 +135,14 @@
 	link.Send(message)
 }
 
-// broadcast queues a message to all peers.
+// broadcast queues a message to all other voters of the view.
 func (s *Server) broadcast(message any) {
 	for _, peer := range s.peerAddresses() {
 		s.send(peer, message)
 	}
 }
 
+// closeLinks closes the links to all peers. The next message to a peer opens a new link.
 func (s *Server) closeLinks() {
 	for address, link := range s.peerLinks {
 		link.Close()
@@ -149,7 +150,7 @@
 	}
 }
 
-// peerAddresses lists the addresses of the other voters of the view.
+// peerAddresses returns the addresses of the other voters of the view.
 func (s *Server) peerAddresses() []string {
 	var addresses []string
 	view := s.chain.View()
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -17,26 +17,27 @@
 	"dykering/internal/sessionsync"
 )
 
-// Server is a running control process. All fields but the first block belong to the event loop; see eventloop.go.
+// Server is a running control process. The event loop owns all fields except those of the first block; see
+// eventloop.go.
 type Server struct {
 	settings nodefile.Settings
 	timing   timing
 	log      *slog.Logger
-	origin   time.Time // of the clock that now reads
+	origin   time.Time // start of the process, which now counts from
 	commands chan func()
 	ctx      context.Context
 
 	// The replicated configuration.
 	chain            *chain.Node
 	chainStore       *chainStore
-	restoredFromDisk bool                   // the node was restored, and has not joined or begun anew
-	pendingRequests  *chain.PendingRequests // to the head or tail that this member is
-	pendingCalls     pendingCalls           // to other members
+	restoredFromDisk bool                   // false if the node joined or started without state
+	pendingRequests  *chain.PendingRequests // requests that this member executes as head or tail
+	pendingCalls     pendingCalls           // calls to other members
 
 	// The table of sessions.
 	sessions        *sessionsync.Replica
 	sessionStore    *sessionStore
-	sessionCalls    map[sessionsync.CallID]func(error) // of endpoints, to be answered
+	sessionCalls    map[sessionsync.CallID]func(error) // calls of endpoints that wait for an answer
 	lastSessionCall sessionsync.CallID
 
 	// The proxies.
@@ -55,8 +56,9 @@
 	seedRefreshDue time.Duration             // when the seeds are read again
 }
 
-// Run runs a control process until a signal arrives on stop and the member has left the chain, or the time for that is
-// over. It returns an error where the process cannot start: its disk or one of its addresses cannot be opened.
+// Run runs a control process. After a signal on stop it returns when the member has left the chain or the grace period
+// has expired. It returns an error if the process cannot start because its disk or one of its addresses cannot be
+// opened.
 func Run(settings nodefile.Settings, log *slog.Logger, stop <-chan os.Signal) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -70,14 +72,14 @@
 	var listenConfig net.ListenConfig
 	internal, err := listenConfig.Listen(ctx, "tcp", settings.InternalAddress(settings.IPAddress))
 	if err != nil {
-		return errors.Wrap(err, "internal address")
+		return errors.Wrap(err, "listen on the internal address")
 	}
 	defer internal.Close()
 	go s.acceptPeers(internal)
 
 	external, err := listenConfig.Listen(ctx, "tcp", settings.Listen.ControlPlane)
 	if err != nil {
-		return errors.Wrap(err, "control plane address")
+		return errors.Wrap(err, "listen on the control plane address")
 	}
 	server := &http.Server{Handler: s.httpHandler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	go server.Serve(external)
@@ -88,7 +90,7 @@
 	return nil
 }
 
-// closeServer closes an HTTP server once the answers that are being written are complete, or after shutdownTimeout.
+// closeServer closes an HTTP server when the responses in progress are complete, or after shutdownTimeout.
 func closeServer(server *http.Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -97,7 +99,7 @@
 	}
 }
 
-// newServer makes a server that has neither state nor addresses yet.
+// newServer creates a server without stored state and without listeners.
 func newServer(ctx context.Context, settings nodefile.Settings, log *slog.Logger) *Server {
 	s := &Server{
 		settings: settings, timing: newTiming(&settings), log: log, origin: time.Now(), ctx: ctx,
@@ -114,7 +116,7 @@
 	return s
 }
 
-// openStores restores the state from disk.
+// openStores opens the stores of the chain and of the sessions, and restores the state from them.
 func (s *Server) openStores() error {
 	if err := s.restoreChain(); err != nil {
 		return err
@@ -125,7 +127,8 @@
 	return nil
 }
 
-// chainConfig is the configuration of this member's chain.Node. The ID is empty for a node that has it on disk.
+// chainConfig returns the configuration of this member's chain.Node. The ID is empty for a node that restores its ID
+// from disk.
 func (s *Server) chainConfig(id chain.MemberID) chain.Config {
 	return chain.Config{
 		Self: chain.Member{
--- a/internal/controlplane/session_replication.go
+++ b/internal/controlplane/session_replication.go
@@ -9,13 +9,13 @@
 	"dykering/internal/sessionsync"
 )
 
-// What the replicas of the sessions exchange is decided by sessionsync.Replica. The functions here connect it with the event
-// loop: they give it what happens, and carry out what it asks for.
+// The functions of this file connect sessionsync.Replica, which decides what the replicas of the sessions exchange, with the
+// event loop: they feed it events and execute its outputs.
 
-// maxSessionClockTicks bounds, in ticks, by how much the session clock advances at once.
+// maxSessionClockTicks bounds how far the session clock advances in one step, in tick intervals.
 const maxSessionClockTicks = 4
 
-// sessionConfig is the configuration of this member's replica.
+// sessionConfig returns the configuration of this member's session replica.
 func (s *Server) sessionConfig(canStore bool) sessionsync.Config {
 	return sessionsync.Config{
 		Self: s.chain.Self().Address, TTL: s.timing.sessionTTL, RenewalInterval: s.timing.renewalInterval,
@@ -25,40 +25,40 @@
 	}
 }
 
-// core is the core as the replica of the sessions needs to see it.
+// core returns the view of the core that the session replica needs.
 func (s *Server) core(now time.Duration) sessionsync.Core { return sessionsync.CoreOf(s.chain, now) }
 
-// registerSessionCall begins a call of an endpoint that is answered by the replica.
+// registerSessionCall registers a call of an endpoint, to be answered when the replica has the outcome.
 func (s *Server) registerSessionCall(answer func(error)) sessionsync.CallID {
 	s.lastSessionCall++
 	s.sessionCalls[s.lastSessionCall] = answer
 	return s.lastSessionCall
 }
 
-// applyHeartbeat stores a heartbeat of an endpoint.
+// applyHeartbeat passes the heartbeat of an endpoint to the replica.
 func (s *Server) applyHeartbeat(id string, heartbeat sessions.Heartbeat, answer func(error)) {
 	now := s.now()
 	s.applySessionOutput(s.sessions.Heartbeat(now, s.core(now), id, heartbeat, s.registerSessionCall(answer)))
 }
 
-// deregister stores that an endpoint has departed.
+// deregister passes the deregistration of an endpoint to the replica.
 func (s *Server) deregister(id string, answer func(error)) {
 	now := s.now()
 	s.applySessionOutput(s.sessions.Deregister(now, s.core(now), id, s.registerSessionCall(answer)))
 }
 
-// receiveSessions handles a message of a peer about sessions.
+// receiveSessions passes a message of a peer about sessions to the replica.
 func (s *Server) receiveSessions(now time.Duration, message any) {
 	s.applySessionOutput(s.sessions.Receive(now, s.core(now), message))
 }
 
-// onSessionsStored takes the end of the write of a snapshot.
+// onSessionsStored passes the result of writing a snapshot to the replica.
 func (s *Server) onSessionsStored(err error) {
 	now := s.now()
 	s.applySessionOutput(s.sessions.SnapshotStored(now, s.core(now), err))
 }
 
-// applySessionOutput does what the replica asks for.
+// applySessionOutput executes an output of the replica.
 func (s *Server) applySessionOutput(out sessionsync.Output) {
 	for _, envelope := range out.Messages {
 		s.send(envelope.To, envelope.Message)
@@ -72,11 +72,11 @@
 		answer(answered.Err)
 	}
 	if out.Snapshot != nil {
-		s.sessionStore.snapshots <- out.Snapshot // the replica waits for the end of one before the next
+		s.sessionStore.snapshots <- out.Snapshot // does not block: the replica has one snapshot written at a time
 	}
 }
 
-// broadcastSubscriberCount tells the peers how many proxies follow this member, at an interval.
+// broadcastSubscriberCount tells the peers at an interval how many proxies subscribe to this member.
 func (s *Server) broadcastSubscriberCount(now time.Duration) {
 	if now < s.subscriberCountDue {
 		return
--- a/internal/controlplane/session_store.go
+++ b/internal/controlplane/session_store.go
@@ -13,23 +13,25 @@
 )
 
 const (
-	// sessionFiles is the number of files of the ring: the last snapshot stays until the next one is complete.
+	// sessionFiles is the number of files in the ring of snapshots. The last snapshot is kept until the next one is
+	// complete.
 	sessionFiles = 2
 	// sessionFileSize is the preallocated size of a file, in bytes.
 	sessionFileSize = 256 << 10
 )
 
-// sessionStore keeps a snapshot of the sessions on disk, so that a control process which starts again knows the endpoints
-// before their next heartbeats, and does not take one that drains for ready. Only runSessionStore touches the ring.
+// sessionStore keeps a snapshot of the sessions on disk. A control process that restarts then knows the endpoints
+// before their next heartbeats, and does not mistake a draining endpoint for a ready one. Only runSessionStore accesses
+// the ring.
 type sessionStore struct {
-	ring      *ringlog.Ring // nil where it cannot be opened
+	ring      *ringlog.Ring // nil if it could not be opened
 	log       *slog.Logger
-	snapshots chan []sessions.Record // to runSessionStore; holds one
+	snapshots chan []sessions.Record // read by runSessionStore; has a capacity of one
 }
 
-// openSessionStore opens the store and returns the sessions in it. The sessions come back with the endpoints' heartbeats too, so
-// a store that cannot be read does not keep the process from starting. Without a store this member acknowledges no departure,
-// to its peers or by itself.
+// openSessionStore opens the store and returns the sessions in it. A store that cannot be read does not prevent the
+// start, because the endpoints' heartbeats restore the sessions as well. Without a store this member acknowledges no
+// departure, neither its own nor those of its peers.
 func (s *Server) openSessionStore() (store *sessionStore, restored []sessions.Record) {
 	store = &sessionStore{log: s.log, snapshots: make(chan []sessions.Record, 1)}
 	options := ringlog.Options{
@@ -55,15 +57,15 @@
 func encodeSessions(records []sessions.Record) ([]byte, error) {
 	var buffer bytes.Buffer
 	err := gob.NewEncoder(&buffer).Encode(records)
-	return buffer.Bytes(), errors.Wrap(err, "sessions")
+	return buffer.Bytes(), errors.Wrap(err, "encode sessions")
 }
 
 func decodeSessions(payload []byte) (records []sessions.Record, err error) {
 	err = gob.NewDecoder(bytes.NewReader(payload)).Decode(&records)
-	return records, errors.Wrap(err, "sessions")
+	return records, errors.Wrap(err, "decode sessions")
 }
 
-// runSessionStore writes the snapshots until the process ends.
+// runSessionStore writes snapshots until the process ends.
 func (s *Server) runSessionStore() {
 	store := s.sessionStore
 	for {
@@ -80,6 +82,7 @@
 	}
 }
 
+// write stores a snapshot in a new file of the ring.
 func (store *sessionStore) write(records []sessions.Record) error {
 	payload, err := encodeSessions(records)
 	if err != nil {
--- a/internal/controlplane/status_endpoint.go
+++ b/internal/controlplane/status_endpoint.go
@@ -11,37 +11,37 @@
 	"dykering/internal/sessions"
 )
 
-// statusTimeout bounds each step of a call of the command line.
+// statusTimeout bounds each network operation of a request from a command-line tool.
 const statusTimeout = 2 * time.Second
 
-// AskStatus asks the control process at an internal address how it sees the system.
+// AskStatus asks the control process at an internal address for its view of the system.
 func AskStatus(address string) (protocol.Status, error) {
 	return requestReply[protocol.Status](address, protocol.StatusRequest{}, "status")
 }
 
-// ask sends a request to a control process and returns its reply. The operation names the request in errors.
+// requestReply sends a request to a control process and returns its reply. Errors begin with the name of the operation.
 func requestReply[Reply any](address string, request any, operation string) (Reply, error) {
-	var none Reply
+	var zero Reply
 	conn, err := peerlink.Dial(address, statusTimeout)
 	if err != nil {
-		return none, errors.Wrap(err, operation)
+		return zero, errors.Wrap(err, operation)
 	}
 	defer conn.Close()
 	if err := conn.Send(request, statusTimeout); err != nil {
-		return none, errors.Wrap(err, operation)
+		return zero, errors.Wrap(err, operation)
 	}
 	message, err := conn.Receive(statusTimeout)
 	if err != nil {
-		return none, errors.Wrap(err, operation)
+		return zero, errors.Wrap(err, operation)
 	}
 	reply, ok := message.(Reply)
 	if !ok {
-		return none, errors.Errorf("%s: %s answers with a %T", operation, address, message)
+		return zero, errors.Errorf("%s: %s answers with a %T", operation, address, message)
 	}
 	return reply, nil
 }
 
-// serveStatus replies to a protocol.StatusRequest.
+// serveStatus answers a protocol.StatusRequest.
 func (s *Server) serveStatus(conn *peerlink.Conn) {
 	status, ok := query(s, s.status)
 	if !ok {
@@ -52,7 +52,8 @@
 	}
 }
 
-// status is how this member sees the system. Its field names are fixed, by gob and by the command line's JSON.
+// status returns this member's view of the system. Its field names are fixed by gob and by the JSON output of the
+// command line.
 func (s *Server) status() protocol.Status {
 	now := s.now()
 	committed := s.chain.CommittedState()
--- a/internal/controlplane/timing.go
+++ b/internal/controlplane/timing.go
@@ -6,67 +6,82 @@
 	"dykering/internal/nodefile"
 )
 
-// timing holds the time-outs and intervals of a control process. Each derives from a bound of the settings file: ContactMs
-// is the time within which the loss of a member must be repaired, and most times here are fractions of it that have to fit
-// into it one after another.
+// timing holds the timeouts and intervals of a control process. Each is derived from the settings. ContactMs is the
+// time in which the loss of a member must be repaired. Most times are fractions of it, because several of them have to
+// elapse one after another within it.
 type timing struct {
-	// tickInterval is the time between two ticks of the event loop, which is the resolution of all times below.
-	// Source: ContactMs / 60.
+	// tickInterval is the time between two ticks of the event loop. It is the resolution of all times below.
+	// Derived as ContactMs / 60.
 	tickInterval time.Duration
 
-	// pingInterval is the time between two pings of a voter: six fit into suspectAfter, so that one lost packet does not
-	// make a member suspected. Source: ContactMs / 30.
+	// pingInterval is the time between two pings to a voter. Six pings fit into suspectAfter, so that one lost packet
+	// does not make a member suspected.
+	// Derived as ContactMs / 30.
 	pingInterval time.Duration
 	// suspectAfter is the silence after which a member is suspected and a view without it is proposed.
-	// Source: ContactMs / 5.
+	// Derived as ContactMs / 5.
 	suspectAfter time.Duration
-	// proposeTimeout is the time after which a proposal that was not decided is made again. Source: ContactMs / 6.
+	// proposeTimeout is the time after which a proposal without a decision is repeated.
+	// Derived as ContactMs / 6.
 	proposeTimeout time.Duration
-	// maxWriteDuration is the time that a write to disk may take before this member counts as unfit for the chain, in
-	// which it would delay every change. Source: ContactMs / 6.
+	// maxWriteDuration is how long a write to disk may take before this member counts as unfit for the chain. A chain
+	// member with a slow disk would delay every change.
+	// Derived as ContactMs / 6.
 	maxWriteDuration time.Duration
 
-	// callTimeout is the time within which a caller is answered, be it with an error. The operator and the endpoints turn
-	// to another member after a second without an answer, which has to leave time for that. Source: AcknowledgeMs / 4, at
-	// most 900 ms.
+	// callTimeout is the time in which a caller gets an answer, which may be an error. Operators and endpoints turn to
+	// another member after one second without an answer, so callTimeout has to be shorter.
+	// Derived as AcknowledgeMs / 4, at most 900 ms.
 	callTimeout time.Duration
-	// drainAckTimeout is the time that all voters have to store a departure before a majority is enough. A voter that is
-	// down must not use up the endpoint's time to drain. Source: the lesser of ContactMs / 6 and DrainTimeoutMs / 4.
+	// drainAckTimeout is the time that all voters have to store a departure before a majority is enough. A failed voter
+	// must not use up the endpoint's time to drain.
+	// Derived as the smaller of ContactMs / 6 and DrainTimeoutMs / 4.
 	drainAckTimeout time.Duration
-	// gracePeriod is the time after the signal to stop at which the platform kills the process. A member that the others
-	// need stays until then: its exit would count as a lost disk. Source: GracePeriodS.
+	// gracePeriod is the time from the stop signal until the platform kills the process. A member that the others need
+	// runs until then, because its exit would count as a lost disk.
+	// Derived as GracePeriodS.
 	gracePeriod time.Duration
 
-	// holdMargin is added to the time for which a lock is held, for the difference between the clocks of its holder and of
-	// the head. Source: FreeMs / 10.
+	// holdMargin is added to the time for which a lock is held, to cover the difference between the clocks of the
+	// holder and of the head.
+	// Derived as FreeMs / 10.
 	holdMargin time.Duration
-	// historyKept is how long the puts of a group are kept for watches. Source: twice HistoryS, as a watch may have been
-	// given its revision by a member that was behind.
+	// historyKept is how long the puts of a group are kept for watches. It is twice the setting, because a watch may
+	// have got its revision from a member that lagged behind.
+	// Derived as 2 * HistoryS.
 	historyKept time.Duration
 
-	// sessionTTL is the time without a heartbeat after which an endpoint is no longer offered. Source: three heartbeat
-	// intervals, so that two may be lost, and a second for their way.
+	// sessionTTL is the time without a heartbeat after which an endpoint is no longer offered. Two heartbeats may be
+	// lost, and one second covers network delay.
+	// Derived as three heartbeat intervals and one second.
 	sessionTTL time.Duration
-	// renewalInterval is the time between two broadcasts of session renewals to the peers. Source: a quarter of the
-	// heartbeat interval, by which a renewal is late at the most.
+	// renewalInterval is the time between two broadcasts of session renewals to the peers, and so the maximum delay of
+	// a renewal.
+	// Derived as a quarter of the heartbeat interval.
 	renewalInterval time.Duration
-	// antiEntropyInterval is the time between two comparisons of the sessions with a peer. Source: the heartbeat interval.
+	// antiEntropyInterval is the time between two comparisons of the sessions with a peer.
+	// Derived as the heartbeat interval.
 	antiEntropyInterval time.Duration
-	// fullSyncTimeout is the time after which a started member serves streams although peers have not sent their
-	// sessions. Source: ContactMs / 4.
+	// fullSyncTimeout is the time after which a started member serves streams even if peers have not sent their
+	// sessions.
+	// Derived as ContactMs / 4.
 	fullSyncTimeout time.Duration
-	// maxUnconfirmed is the time without a majority's confirmation of the view after which a member ends its streams:
-	// proxies must not follow a member that is cut off. Source: ContactMs / 4.
+	// maxUnconfirmed is the time without a majority's confirmation of the view after which a member ends its streams,
+	// because proxies must not follow a partitioned member.
+	// Derived as ContactMs / 4.
 	maxUnconfirmed time.Duration
 
-	// lease is the time for which a majority's confirmation lets the holder of the placement act. Source: ContactMs / 4.
+	// lease is how long the holder of the placement role may act after a majority's confirmation.
+	// Derived as ContactMs / 4.
 	lease time.Duration
-	// newHolderDelay is the time that a new lease holder waits before it acts, by when the last order of its predecessor
-	// has reached its endpoint or failed. Source: lease + orderTimeout + ThawSlackMs, the time by which the predecessor's
-	// process may have been frozen between the check of its lease and the order.
+	// newHolderDelay is the time that a new lease holder waits before it acts. By then the last order of its
+	// predecessor has reached its endpoint or failed. The predecessor's process may have been frozen for ThawSlackMs
+	// between the check of its lease and the order.
+	// Derived as lease + orderTimeout + ThawSlackMs.
 	newHolderDelay time.Duration
-	// returningHolderDelay is that time for a member that has held the lease before, so that two members which lose contact
-	// in turns do not hand the role to and fro. Source: newHolderDelay + LeaseDurationMs.
+	// returningHolderDelay replaces newHolderDelay for a member that has held the lease before, so that the role does
+	// not alternate between two members that lose contact in turn.
+	// Derived as newHolderDelay + LeaseDurationMs.
 	returningHolderDelay time.Duration
 }
 
--- a/internal/controlplane/tolerance.go
+++ b/internal/controlplane/tolerance.go
@@ -6,17 +6,17 @@
 	"dykering/internal/protocol"
 )
 
-// toleranceReport is what was last logged about the losses that the core tolerates.
+// toleranceReport holds the number of tolerable losses that was logged last.
 type toleranceReport struct {
 	losses int
 	known  bool // false before the first report
 }
 
-// reportTolerance logs when the number of further losses that the core tolerates changes: a warning where there is none, with
-// the members that are the cause.
+// reportTolerance logs when the number of further member losses that the core tolerates changes. If the core tolerates
+// no further loss, it logs a warning with the members that cause this.
 func (s *Server) reportTolerance(now time.Duration) {
 	tolerance := s.toleranceAt(now)
-	isStarting := !s.tolerance.known && now < s.timing.suspectAfter // the first answers to pings are not in
+	isStarting := !s.tolerance.known && now < s.timing.suspectAfter // the first pings may not be answered yet
 	if s.chain.View().Number == 0 || isStarting || s.tolerance.known && s.tolerance.losses == tolerance.Losses {
 		return
 	}
@@ -28,7 +28,8 @@
 	s.log.Warn("chain.no_tolerance", "losses", tolerance.Losses, "leaving", tolerance.Leaving, "unreachable", tolerance.Unreachable)
 }
 
-// toleranceAt is which further losses the core can bear, as this member sees it.
+// toleranceAt returns how many further member losses the core tolerates as this member sees it, and which members are
+// leaving or unreachable.
 func (s *Server) toleranceAt(now time.Duration) *protocol.Tolerance {
 	tolerance := &protocol.Tolerance{Losses: s.chain.TolerableLosses(now)}
 	for _, voter := range s.chain.View().Voters {
--- a/internal/controlplane/update_stream.go
+++ b/internal/controlplane/update_stream.go
@@ -10,27 +10,27 @@
 
 const (
 	// updateQueueLength bounds the updates that wait for one proxy's connection. A proxy that falls further behind
-	// subscribes anew elsewhere, with a full update.
+	// subscribes to another member and gets a full update.
 	updateQueueLength = 64
 	// maxSubscribers bounds the streams of one member.
 	maxSubscribers = 2048
-	// subscriberIdleTimeout ends the stream of a proxy that has gone: it acknowledges each message, of which there is one
-	// at least every protocol.Keepalive.
+	// subscriberIdleTimeout ends the stream of a proxy that has gone. A proxy acknowledges each update, and updates are
+	// sent at least every protocol.Keepalive.
 	subscriberIdleTimeout = 5 * time.Second
-	// updateWriteTimeout ends a stream whose connection takes no more bytes.
+	// updateWriteTimeout ends a stream whose connection accepts no more data.
 	updateWriteTimeout = time.Second
 )
 
-// subscriber is a proxy that follows a stream of this member.
+// subscriber is a proxy that follows an update stream of this member.
 type subscriber struct {
 	name    string
 	zone    string
 	conn    *peerlink.Conn
-	updates chan protocol.Update // to writeUpdates; closed when the subscriber is removed
+	updates chan protocol.Update // read by writeUpdates; closed when the subscriber is removed
 
-	// Of the event loop: what has been queued for the proxy, and what it has acknowledged.
+	// Owned by the event loop: what has been queued for the proxy, and what the proxy has acknowledged.
 	fullUpdateSent bool
-	sentIndex      uint64 // modify index of the sessions
+	sentIndex      uint64 // modify index of the table of sessions
 	sentConfigSeq  uint64
 	sentAt         time.Duration
 	acked          protocol.Ack
@@ -60,8 +60,8 @@
 	s.enqueue(func() { s.removeSubscriber(sub) })
 }
 
-// writeUpdates sends the queued updates and closes the connection when the queue is closed, or a write fails. It then
-// empties the queue until the event loop closes it.
+// writeUpdates sends the queued updates. It closes the connection when the queue is closed or a write fails. After a
+// failed write it discards updates until the event loop closes the queue.
 func (sub *subscriber) writeUpdates() {
 	defer sub.conn.Close()
 	for update := range sub.updates {
@@ -74,6 +74,7 @@
 	}
 }
 
+// addSubscriber adds a subscriber, or ends its stream at once if this member cannot serve it.
 func (s *Server) addSubscriber(sub *subscriber) {
 	s.subscribers[sub] = true
 	if len(s.subscribers) > maxSubscribers || !s.canStream(s.now()) || !s.sessions.IsSynced() {
@@ -81,6 +82,7 @@
 	}
 }
 
+// removeSubscriber removes a subscriber and the loads that it has reported.
 func (s *Server) removeSubscriber(sub *subscriber) {
 	if s.subscribers[sub] {
 		delete(s.subscribers, sub)
@@ -89,11 +91,11 @@
 	}
 }
 
-// endStream has a subscriber follow another member.
+// endStream ends the stream of a subscriber and tells it to subscribe to another member.
 func (s *Server) endStream(sub *subscriber) {
 	select {
 	case sub.updates <- protocol.Update{Leaving: true, Members: s.streamMembers(s.now())}:
-	default: // the queue is full: it sees the end of the connection
+	default: // the queue is full: the proxy notices that the connection ends
 	}
 	s.removeSubscriber(sub)
 }
@@ -104,7 +106,7 @@
 	}
 }
 
-// streamMembers lists the voters of the view, any of which a proxy may subscribe to.
+// streamMembers returns the voters of the view. A proxy may subscribe to any of them.
 func (s *Server) streamMembers(now time.Duration) []protocol.ControlProcess {
 	view := s.chain.View()
 	members := make([]protocol.ControlProcess, 0, len(view.Voters))
@@ -114,10 +116,11 @@
 	return members
 }
 
+// onSubscriberMessage handles an acknowledgement or a report of a subscriber.
 func (s *Server) onSubscriberMessage(sub *subscriber, message any) {
 	if !s.subscribers[sub] {
-		// It was queued when the stream ended. The proxy reports to another member from now on: its requests would count
-		// twice, and here for ever.
+		// The message was queued when the stream ended. The proxy now reports to another member: this member would count
+		// its requests a second time, and never remove them.
 		return
 	}
 	switch m := message.(type) {
@@ -130,17 +133,17 @@
 	}
 }
 
-// canStream reports whether this member may serve streams: it is in the chain, knows what is committed, and a majority has
-// confirmed its view lately. A member that is cut off must not keep proxies on old knowledge.
+// canStream reports whether this member may serve streams: it is in the chain, it knows what is committed, and a
+// majority has confirmed its view recently. A partitioned member must not keep proxies on outdated state.
 func (s *Server) canStream(now time.Duration) bool {
 	return s.chain.IsInChain() && s.chain.IsCommitKnown() && now-s.chain.QuorumConfirmedAt(now) < s.timing.maxUnconfirmed
 }
 
-// streamUpdates queues for each subscriber what is new to it.
+// streamUpdates queues for each subscriber the changes that it does not have yet.
 func (s *Server) streamUpdates(now time.Duration) {
 	if !s.canStream(now) {
 		if s.chain.IsSealed() && s.chain.HasQuorum(now) {
-			// The next view is being agreed on. Ending the streams would move all proxies at each change of the view.
+			// The members are agreeing on the next view. Ending the streams would move all proxies at each view change.
 			return
 		}
 		s.endStreams()
@@ -152,7 +155,8 @@
 	loads, loadsDue := s.endpointLoads.totalsIfDue(now)
 	for sub := range s.subscribers {
 		keepaliveDue := now-sub.sentAt >= protocol.Keepalive
-		if sub.fullUpdateSent && !keepaliveDue && !loadsDue && sub.sentIndex >= s.sessions.Table().ModifyIndex() && sub.sentConfigSeq >= configurationSeq {
+		if sub.fullUpdateSent && !keepaliveDue && !loadsDue && sub.sentIndex >= s.sessions.Table().ModifyIndex() &&
+			sub.sentConfigSeq >= configurationSeq {
 			continue
 		}
 		update := protocol.Update{
@@ -170,12 +174,12 @@
 			update.Members = s.streamMembers(now)
 		}
 		if !sub.queue(now, update, configurationSeq) {
-			s.endStream(sub) // it does not keep up: it gets a full update elsewhere
+			s.endStream(sub) // the proxy is too slow: another member sends it a full update
 		}
 	}
 }
 
-// queue hands an update to the stream's connection. It reports false where the queue is full.
+// queue adds an update to the queue of the stream. It returns false if the queue is full.
 func (sub *subscriber) queue(now time.Duration, update protocol.Update, configSeq uint64) bool {
 	select {
 	case sub.updates <- update:
@@ -187,8 +191,9 @@
 	return true
 }
 
-// subscriberCount is the number of proxies in the system as far as it is known, and at least as many as if each voter had
-// as many as this one. An estimate that is too high only makes a proxy's quota of retries smaller.
+// subscriberCount estimates the number of proxies in the system. It sums the known counts, and assumes that each voter
+// has at least as many subscribers as this one. An estimate that is too high only makes the retry quota of each proxy
+// smaller.
 func (s *Server) subscriberCount(now time.Duration) int {
 	count := len(s.subscribers)
 	for _, peer := range s.peerSubscribers {
