--- a/internal/controlplane/chain_store_test.go
+++ b/internal/controlplane/chain_store_test.go
@@ -20,7 +20,7 @@
 		server.chainStore = newChainStore(ring, server.log, nil)
 		server.chainStore.jobs = make(chan storeJob, 2)
 		server.persist(out.Records, nil)
-		for range 5 { // more than the queue takes
+		for range 5 { // more records than the queue has room for
 			_, out, ok := server.chain.Propose([]byte("x"))
 			Expect(ok).To(BeTrue())
 			server.persist(out.Records, nil)
@@ -47,7 +47,7 @@
 })
 
 var _ = Describe("a chain store whose records cannot be decoded", func() {
-	DescribeTable("is discarded and made anew",
+	DescribeTable("is deleted and created again, empty",
 		func(corrupt func(*ringlog.Ring)) {
 			options := ringlog.Options{Directory: GinkgoT().TempDir() + "/chain", Files: 3, FileSize: 1 << 16}
 			ring, _, err := ringlog.Open(options)
@@ -61,7 +61,7 @@
 			Expect(ring.Append([]ringlog.Record{{Payload: []byte("x"), Rotate: true}})).To(Succeed())
 			ring.Close()
 		},
-		Entry("bytes that are no gob", func(ring *ringlog.Ring) {
+		Entry("bytes that are not gob", func(ring *ringlog.Ring) {
 			Expect(ring.Append([]ringlog.Record{{Payload: []byte("no gob"), Rotate: true}})).To(Succeed())
 		}),
 		Entry("a truncated record", func(ring *ringlog.Ring) {
@@ -73,7 +73,7 @@
 })
 
 var _ = Describe("a member that has discarded its records", func() {
-	It("joins under a new ID although the settings name an initial start", func() {
+	It("joins under a new ID even if initial_start is set", func() {
 		m := newMembers(1)[0]
 		options := ringOptions(m.settings.DataDirectory, m.settings.Limits.DiskMB)
 		ring, _, err := ringlog.Open(options)
@@ -84,7 +84,7 @@
 		Expect(server.restoreChain()).To(Succeed())
 		DeferCleanup(server.chainStore.ring.Close)
 		own := m.settings.InternalAddress(m.settings.IPAddress)
-		Expect(server.chain.Self().ID).NotTo(Equal(genesisID(own)), "the one that may have voted")
+		Expect(server.chain.Self().ID).NotTo(Equal(genesisID(own)), "the genesis ID may have voted")
 		Expect(server.chain.View().Number).To(BeZero())
 	})
 })
--- a/internal/controlplane/cluster_test.go
+++ b/internal/controlplane/cluster_test.go
@@ -30,12 +30,12 @@
 // eventuallyTimeout bounds each wait for a condition.
 const eventuallyTimeout = 20 * time.Second
 
-// eventually waits until a polled value satisfies the assertion that follows, for eventuallyTimeout at most.
+// eventually polls a value until it satisfies the assertion that follows, for at most eventuallyTimeout.
 func eventually(actual any) AsyncAssertion {
 	return EventuallyWithOffset(1, actual, eventuallyTimeout)
 }
 
-// member is a control process under test, which runs in the process of the test.
+// member is a control process under test. It runs in the process of the test.
 type member struct {
 	settings nodefile.Settings
 	stop     chan os.Signal
@@ -48,14 +48,14 @@
 	go func() { finished <- Run(settings, slog.New(slog.DiscardHandler), stop) }()
 }
 
-// signal sends the signal to stop, as the platform does.
+// signal sends the stop signal, as the platform does.
 func (m *member) signal() {
 	if m.stop != nil {
 		m.stop <- syscall.SIGTERM
 	}
 }
 
-// awaitEnd waits for the end of a member that was sent the signal to stop.
+// awaitEnd waits for the end of a member that has got the stop signal.
 func (m *member) awaitEnd() {
 	if m.stop == nil {
 		return
@@ -71,7 +71,7 @@
 	m.awaitEnd()
 }
 
-// endAll stops members at the same time.
+// endAll stops members concurrently.
 func endAll(members []*member) {
 	for _, m := range members {
 		m.signal()
@@ -83,7 +83,8 @@
 
 func (m *member) url(path string) string { return "http://" + m.settings.Listen.ControlPlane + path }
 
-// newMembers makes the members of a core that have not been started. Those that run when the spec ends are stopped.
+// newMembers creates the members of a core without starting them. Members that still run at the end of the spec are
+// stopped.
 func newMembers(n int) []*member {
 	_, port, err := net.SplitHostPort(loopback.Address())
 	Expect(err).NotTo(HaveOccurred())
@@ -95,7 +96,7 @@
 	var members []*member
 	var seeds []string
 	for i := range n {
-		// Hosts of this process alone: see loopback.Host, whose hosts are below these.
+		// Hosts that no other test process uses. loopback.Host uses lower addresses.
 		host := fmt.Sprintf("127.%d.%d.%d", 128+i, os.Getpid()>>8&0xff, os.Getpid()&0xff)
 		settings := nodefile.Defaults()
 		settings.NodeName, settings.IPAddress, settings.InternalPortRange = fmt.Sprintf("core-%d", i), host, []int{internal, internal}
@@ -113,7 +114,7 @@
 	return members
 }
 
-// startMembers makes and starts the members of a core.
+// startMembers creates and starts the members of a core.
 func startMembers(n int) []*member {
 	members := newMembers(n)
 	for _, m := range members {
@@ -124,7 +125,7 @@
 
 var client = &http.Client{Timeout: 2 * time.Second}
 
-// call sends a request and returns the status and body of its response; 0 where there is none.
+// call sends a request and returns the status and the body of the response. The status is 0 if there is no response.
 func call(method, url, body string, headers ...string) (int, string) {
 	r, err := http.NewRequest(method, url, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
@@ -144,20 +145,20 @@
 	return response.StatusCode, string(text)
 }
 
-// sendChange sends a change to a version of the configuration and returns the status of the response.
+// sendChange sends a configuration that is based on version base, and returns the status of the response.
 func sendChange(m *member, version, base int) int {
 	body := fmt.Sprintf(`{"version":%d,"routes":[],"services":[{"name":"s%d"}]}`, version, version)
 	status, _ := call(http.MethodPost, m.url("/configuration/replace"), body, fmt.Sprintf("X-Base-Version: %d", base))
 	return status
 }
 
-// changeUntilAcknowledged sends a change until it is acknowledged, as the operator does.
+// changeUntilAcknowledged repeats a change until it is acknowledged, as an operator does.
 func changeUntilAcknowledged(m *member, version, base int) {
 	GinkgoHelper()
 	eventually(func() int { return sendChange(m, version, base) }).Should(Equal(http.StatusOK))
 }
 
-// readVersion returns the version of the configuration that a member returns; empty where it returns none.
+// readVersion reads the configuration at a member and returns its version, or an empty string if the read fails.
 func readVersion(m *member) string {
 	status, text := call(http.MethodGet, m.url("/configuration/read"), "")
 	if status != http.StatusOK {
--- a/internal/controlplane/compatibility_test.go
+++ b/internal/controlplane/compatibility_test.go
@@ -20,19 +20,19 @@
 	"dykering/internal/sessions"
 )
 
-// The fixtures are data directories that the build of commit bfb03d8 has written, the last one before the types were
-// renamed, and their contents as text; compatibility_write_test.go has what wrote them.
+// The fixtures are data directories written by the build of commit bfb03d8, the last one before the types were renamed,
+// and their contents as text. The functions that wrote the directories are in compatibility_write_test.go.
 const (
-	filledDirectory     = "testdata/data-filled"           // a record of each type, no field zero
-	filledText          = "testdata/data-filled-chain.txt" // the records of its ring of the chain
+	filledDirectory     = "testdata/data-filled"           // a record of each type, without zero fields
+	filledText          = "testdata/data-filled-chain.txt" // its chain records
 	sessionsText        = "testdata/data-filled-sessions.txt"
-	sessionsSchema      = "testdata/sessions-schema.json" // the structure of the type of its sessions
-	restorableDirectory = "testdata/data-restorable"      // of a member alone, with a change of the configuration in its log
+	sessionsSchema      = "testdata/sessions-schema.json" // the structure of the session record type
+	restorableDirectory = "testdata/data-restorable"      // a single member with a configuration change in its log
 	restorableText      = "testdata/data-restorable.txt"  // its view and state
 	fixtureDiskMB       = 64
 )
 
-// copyOfFixture copies a data directory of an earlier build to where a test may write.
+// copyOfFixture copies the data directory of an earlier build to a directory that the test may write to.
 func copyOfFixture(t *testing.T, from string) string {
 	t.Helper()
 	if fixture.Updating() {
@@ -45,7 +45,7 @@
 	return directory
 }
 
-// readChain reads the records of a data directory as a process that starts does.
+// readChain reads the chain records of a data directory as a starting process does.
 func readChain(t *testing.T, directory string) []any {
 	t.Helper()
 	protocol.Register()
@@ -57,7 +57,7 @@
 	return records
 }
 
-// readSessions reads the sessions of a data directory as a process that starts does.
+// readSessions reads the sessions of a data directory as a starting process does.
 func readSessions(t *testing.T, directory string) []sessions.Record {
 	t.Helper()
 	options := ringlog.Options{Directory: filepath.Join(directory, "sessions"), Files: sessionFiles, FileSize: sessionFileSize}
@@ -81,7 +81,7 @@
 	return text.String()
 }
 
-// restoreSingleMember makes the member of the restorable directory out of its records.
+// restoreSingleMember restores the member of the restorable directory from its records.
 func restoreSingleMember(records []any) *chain.Node {
 	return chain.Restore(chain.Config{Apply: applyOperation}, 0, records)
 }
@@ -90,20 +90,22 @@
 	return fixture.Render("view ", node.View()) + fixture.Render("state ", node.LatestState())
 }
 
-// Records of the chain that an earlier build has stored are read in full.
+// TestChainRecordsOfEarlierBuildAreRead checks that the chain records of an earlier build are decoded in full.
 func TestChainRecordsOfEarlierBuildAreRead(t *testing.T) {
 	records := readChain(t, copyOfFixture(t, filledDirectory))
 	fixture.Text(t, filledText, renderRecords(records))
 }
 
-// A member is restored from what an earlier build has stored, with the operations of its log applied.
+// TestMemberOfEarlierBuildIsRestored checks that a member is restored from the records of an earlier build, with the
+// operations of its log applied.
 func TestMemberOfEarlierBuildIsRestored(t *testing.T) {
 	records := readChain(t, copyOfFixture(t, restorableDirectory))
 	fixture.Text(t, restorableText, renderNode(restoreSingleMember(records)))
 }
 
-// What the present code stores of the chain is what an earlier build reads: a gob stream of records, each the interface
-// value of the field Record. Package protocol compares the types of the records.
+// TestStoredFormOfChainRecords checks that the current code stores chain records in the form that an earlier build
+// reads: a gob stream in which each record is the interface value of the field Record. Package protocol compares the
+// types of the records.
 func TestStoredFormOfChainRecords(t *testing.T) {
 	encoder := newRecordEncoder()
 	var stream bytes.Buffer
@@ -127,7 +129,8 @@
 	fixture.Text(t, filledText, renderRecords(decoded))
 }
 
-// An operation of the log is the interface value of the field Record, of the type fleetconfig.Change.
+// TestStoredFormOfOperations checks that an operation of the log is stored as the interface value of the field Record,
+// under the registered name of fleetconfig.Change.
 func TestStoredFormOfOperations(t *testing.T) {
 	protocol.Register()
 	change := fleetconfig.Change{Operation: fleetconfig.Replace, Base: 3, Body: []byte("{}")}
@@ -141,17 +144,18 @@
 	}
 	expected := ".Operation = \"replace\"\n.Base = 3\n.Body = 7b7d\n"
 	if got := fixture.Render("", box.Record); got != expected || !bytes.Contains(operation, []byte("dykering/internal/fleetconfig.Change")) {
-		t.Errorf("operation is stored as %q", operation)
+		t.Errorf("the operation is stored as %q, which decodes as %s", operation, got)
 	}
 }
 
-// Sessions that an earlier build has stored are read in full.
+// TestSessionsOfEarlierBuildAreRead checks that the sessions of an earlier build are decoded in full.
 func TestSessionsOfEarlierBuildAreRead(t *testing.T) {
 	records := readSessions(t, copyOfFixture(t, filledDirectory))
 	fixture.Text(t, sessionsText, fixture.Render("sessions", records))
 }
 
-// The types of an earlier build read in full the sessions that the present code stores.
+// TestEarlierTypesReadPresentSessions checks that the types of an earlier build decode in full the sessions that the
+// current code stores.
 func TestEarlierTypesReadPresentSessions(t *testing.T) {
 	payload, err := encodeSessions(readSessions(t, copyOfFixture(t, filledDirectory)))
 	if err != nil {
@@ -169,7 +173,7 @@
 	fixture.Text(t, sessionsText, fixture.Render("sessions", decoded))
 }
 
-// The calls to endpoints keep their form.
+// TestEndpointCallsAreUnchanged checks that the JSON bodies of calls to endpoints keep their form.
 func TestEndpointCallsAreUnchanged(t *testing.T) {
 	fixture.JSON(t, "testdata/compatibility/report.json", &endpointReport{})
 	fixture.JSON(t, "testdata/compatibility/order.json", &orderRequest{})
--- a/internal/controlplane/compatibility_write_test.go
+++ b/internal/controlplane/compatibility_write_test.go
@@ -17,7 +17,8 @@
 	"dykering/internal/sessions"
 )
 
-// ringFileBytes is the size of a file of a ring before what is empty of it is cut off; a start preallocates it again.
+// ringFileBytes is the preallocated size of a ring file in the fixtures. trimZeros cuts the unused part off, and
+// opening the ring preallocates it again.
 const ringFileBytes = 64 << 10
 
 // writeDataDirectories writes the data directories of the fixtures.
@@ -29,14 +30,14 @@
 	writeChain(t, restorableDirectory, [][]any{restorableRecords(t)})
 }
 
-// filled makes a record without zero fields.
+// filled returns a record without zero fields.
 func filled[Record any]() any {
 	var record Record
 	fixture.Fill(&record, fixture.Interfaces[fleetconfig.State]())
 	return record
 }
 
-// filledRecords are the records of three files. The last one has all types.
+// filledRecords returns the records of three files. The last file has records of all types.
 func filledRecords() [][]any {
 	return [][]any{
 		{filled[chain.Snapshot](), filled[chain.EntryRecord]()},
@@ -48,7 +49,8 @@
 	}
 }
 
-// restorableRecords are those of a member alone that holds the role, has a configuration and has taken a change of it.
+// restorableRecords returns the records of a single member that holds the placement role, and whose log has a change of
+// the configuration.
 func restorableRecords(t *testing.T) []any {
 	t.Helper()
 	self := chain.Member{ID: "10.0.0.1:7000/0", Name: "core-0", Address: "10.0.0.1:7000", ControlAddress: "10.0.0.1:8000", Zone: "a"}
@@ -72,7 +74,7 @@
 	}
 }
 
-// writeChain stores records as a process does. Each list begins a file.
+// writeChain stores records as a control process does. Each list begins a new file.
 func writeChain(t *testing.T, directory string, files [][]any) {
 	t.Helper()
 	options := ringOptions(directory, fixtureDiskMB)
@@ -111,6 +113,7 @@
 	}
 }
 
+// encodedSchema returns the structure of a type as JSON.
 func encodedSchema(t *testing.T, of reflect.Type) []byte {
 	t.Helper()
 	text, err := json.Marshal(fixture.SchemaOf(of))
@@ -120,6 +123,7 @@
 	return append(text, '\n')
 }
 
+// openEmpty deletes the files of a ring and opens it.
 func openEmpty(t *testing.T, options ringlog.Options) *ringlog.Ring {
 	t.Helper()
 	if err := os.RemoveAll(options.Directory); err != nil {
@@ -132,7 +136,7 @@
 	return ring
 }
 
-// trim cuts the zeros off the ends of the files of a ring.
+// trimZeros cuts the zeros off the ends of the files of a ring.
 func trimZeros(t *testing.T, directory string) {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(directory, "*"))
--- a/internal/controlplane/configuration_endpoint_test.go
+++ b/internal/controlplane/configuration_endpoint_test.go
@@ -10,14 +10,15 @@
 )
 
 var _ = Describe("the configuration", func() {
-	It("is committed at any member, read at any other, and rejected where the page says so", func() {
+	It("is committed and read at any member, and rejected if its base or its version is invalid", func() {
 		members := startMembers(3)
 		changeUntilAcknowledged(members[1], 3, 0)
 		eventually(func() string { return readVersion(members[2]) }).Should(Equal("3"))
 		eventually(func() int { return sendChange(members[0], 5, 1) }).Should(Equal(http.StatusPreconditionFailed))
 		eventually(func() int { return sendChange(members[2], 2, 3) }).Should(Equal(http.StatusBadRequest))
 		changeUntilAcknowledged(members[2], 7, 3)
-		changeUntilAcknowledged(members[0], 3, 0) // an order that was taken is acknowledged again, at any member, also after others
+		// A committed change is acknowledged again at any member, even after later changes.
+		changeUntilAcknowledged(members[0], 3, 0)
 		eventually(func() string { return readVersion(members[0]) }).Should(Equal("7"))
 	})
 
@@ -51,7 +52,7 @@
 		eventually(func() int { return sendChange(members[0], 3, 0) }).Should(Equal(http.StatusServiceUnavailable))
 	})
 
-	DescribeTable("is rejected with the status of its fault",
+	DescribeTable("is rejected with the status of its error",
 		func(path, body, base string, status int) {
 			members := startMembers(1)
 			eventually(func() int {
--- a/internal/controlplane/coordination_admission_test.go
+++ b/internal/controlplane/coordination_admission_test.go
@@ -20,13 +20,13 @@
 	}
 	BeforeEach(func() { admission = newCallAdmission() })
 
-	It("leaves calls to others where one caller has all that one may have", func() {
+	It("admits other callers when one caller has reached its limit", func() {
 		beginMany("a", maxCallsPerCaller)
 		Expect(isRejected("a")).To(BeTrue())
 		beginMany("b", maxCallsPerCaller)
 	})
 
-	It("rejects calls beyond the total, and admits again once others have ended", func() {
+	It("rejects calls beyond the total limit, and admits calls again once others have ended", func() {
 		for _, caller := range []string{"a", "b", "c", "d"} {
 			beginMany(caller, maxCallsPerCaller)
 		}
@@ -35,7 +35,7 @@
 		beginMany("e", 1)
 	})
 
-	It("rejects calls of a process that is to stop, which is idle once those in progress have ended", func() {
+	It("rejects calls during a shutdown, and is idle once the calls in progress have ended", func() {
 		beginMany("a", 1)
 		admission.stop()
 		Expect(errkind.KindOf(admission.begin("b"))).To(Equal(errkind.NotReady))
@@ -44,7 +44,7 @@
 		Expect(admission.isIdle()).To(BeTrue())
 	})
 
-	It("keeps nothing of callers whose calls have ended", func() {
+	It("keeps no entry for a caller whose calls have ended", func() {
 		beginMany("a", 2)
 		admission.end("a")
 		admission.end("a")
--- a/internal/controlplane/coordination_client_test.go
+++ b/internal/controlplane/coordination_client_test.go
@@ -11,7 +11,7 @@
 	coordinationclient "dykering/client"
 )
 
-// newCoordinationClient returns a client of all members, as an application has it.
+// newCoordinationClient returns a client that knows all members, as that of an application does.
 func newCoordinationClient(members []*member, holder string) *coordinationclient.Client {
 	options := coordinationclient.Options{Holder: holder, CallTimeout: eventuallyTimeout}
 	for _, m := range members {
--- a/internal/controlplane/coordination_compatibility_test.go
+++ b/internal/controlplane/coordination_compatibility_test.go
@@ -13,15 +13,15 @@
 	"dykering/internal/protocol"
 )
 
-// The fixture is a data directory of the first build that has the coordination service, and its contents as text. It is
-// written apart from those of earlier builds.
+// The fixture is a data directory written by the first build with the coordination service, and its contents as text. The
+// fixtures of earlier builds are separate.
 const (
-	coordinationDirectory = "testdata/data-coordination" // of a member alone, with commands in its log
+	coordinationDirectory = "testdata/data-coordination" // a single member with commands in its log
 	coordinationText      = "testdata/data-coordination.txt"
 )
 
-// coordinationRecords are those of a member alone whose value has the configuration alone, as of a build without the service,
-// and whose log has a command of each operation, and one that is rejected.
+// coordinationRecords returns the records of a single member. Its snapshot has only the configuration, as that of a
+// build without the service. Its log has a command of each operation, and one command that is rejected.
 func coordinationRecords(t *testing.T) []any {
 	t.Helper()
 	records := restorableRecords(t)
@@ -63,7 +63,7 @@
 	return restoreSingleMember(readChain(t, directory))
 }
 
-// renderCoordination lists what callers can read of the state of a member.
+// renderCoordination renders what callers can read of the state of a member.
 func renderCoordination(state chain.State) string {
 	table := corestate.Coordination(state.Value)
 	lock, held := table.Lock("l")
@@ -81,13 +81,14 @@
 		fixture.Render("configuration", corestate.Configuration(state.Value))
 }
 
-// A member is restored from what an earlier build has stored, with the commands of its log applied to the value of a build
-// without the service.
+// TestCommandsOfEarlierBuildAreRestored checks that a member is restored from the records of an earlier build, with the
+// commands of its log applied to the state of a build without the service.
 func TestCommandsOfEarlierBuildAreRestored(t *testing.T) {
 	fixture.Text(t, coordinationText, renderCoordination(readCoordinationDirectory(t).LatestState()))
 }
 
-// A command is stored as the interface value of the field Record, under its registered name, and read again.
+// TestStoredFormOfCommands checks that a command is stored as the interface value of the field Record, under its
+// registered name, and is decoded again.
 func TestStoredFormOfCommands(t *testing.T) {
 	protocol.Register()
 	command := coordination.Command{Operation: coordination.NextNumber, Name: "n"}
@@ -104,7 +105,8 @@
 	}
 }
 
-// An operation that this build does not know changes nothing, as on every member of the same build.
+// TestUnknownOperationsChangeNothing checks that an operation that cannot be decoded leaves the state unchanged, so
+// that all members of the same build agree.
 func TestUnknownOperationsChangeNothing(t *testing.T) {
 	protocol.Register()
 	value := any(&fleetconfig.State{Document: fleetconfig.Document{Version: 3}})
--- a/internal/controlplane/coordination_explain_test.go
+++ b/internal/controlplane/coordination_explain_test.go
@@ -29,7 +29,7 @@
 		locks = newLockLog(slog.New(slog.NewTextHandler(&written, nil)))
 	})
 
-	DescribeTable("has what other callers have met, and nothing else",
+	DescribeTable("has refusals and takeovers, and no other outcomes",
 		func(command coordination.Command, before coordination.Lock, err error, kind string) {
 			locks.record(time.Second, command, before, coordination.Result{Token: 9}, err)
 			if kind == "" {
@@ -43,15 +43,15 @@
 		Entry("a refusal", begin("l", "b"), held, refused, "refused"),
 		Entry("a takeover", begin("l", "b"), held, nil, "taken over"),
 		Entry("a free lock", begin("l", "b"), coordination.Lock{}, nil, ""),
-		Entry("the holder again", begin("l", "a"), held, nil, ""),
+		Entry("a repeated begin of the holder", begin("l", "a"), held, nil, ""),
 		Entry("a renewal", coordination.Command{Operation: coordination.RenewLock, Name: "l", Holder: "a"}, held, nil, ""),
-		Entry("a lost renewal", coordination.Command{Operation: coordination.RenewLock, Name: "l", Holder: "b", Token: 2}, held,
+		Entry("a renewal of a lost lock", coordination.Command{Operation: coordination.RenewLock, Name: "l", Holder: "b", Token: 2}, held,
 			errkind.New(errkind.LockLost, ""), "renewal refused"),
-		Entry("a takeover that may not have happened", begin("l", "b"), held, errkind.New(errkind.OutcomeUnknown, ""), ""),
+		Entry("a takeover with an unknown outcome", begin("l", "b"), held, errkind.New(errkind.OutcomeUnknown, ""), ""),
 		Entry("an error without a kind", begin("l", "b"), held, chain.ErrNotHead, ""),
 	)
 
-	It("counts a caller that asks again and again as one event, at its last time", func() {
+	It("counts repeated refusals of a caller as one event, with the last time", func() {
 		for second := range 5 {
 			locks.record(time.Duration(second)*time.Second, begin("l", "b"), held, coordination.Result{}, refused)
 			locks.record(time.Duration(second)*time.Second, begin("l", "c"), held, coordination.Result{}, refused)
@@ -72,7 +72,7 @@
 		Expect(locks.eventsAbout("first")).To(BeEmpty())
 	})
 
-	It("writes takeovers to the process's log, a bounded number in a second", func() {
+	It("logs takeovers, at most a bounded number per second", func() {
 		for i := range maxLoggedTakeovers + 3 {
 			locks.record(time.Second, begin(fmt.Sprint(i), "b"), held, coordination.Result{Token: 9}, nil)
 		}
@@ -86,7 +86,7 @@
 var _ = Describe("the explanation of a lock", func() {
 	begin := coordination.Command{Operation: coordination.BeginLock, Name: "l", Holder: "a", HoldMs: 60_000}
 
-	It("has the hold, its end and what others have met, at the head", func() {
+	It("has the hold, its end and the refusals of other callers, at the head", func() {
 		s := newSingleHead()
 		execute(s, begin)
 		other := begin
@@ -105,10 +105,10 @@
 		Expect(s.coordination.explainLock(now, "free").Held).To(BeFalse())
 	})
 
-	It("is given by every member, which names the head", func() {
+	It("is returned by every member, and names the head", func() {
 		members := startMembers(3)
 		eventually(func() int { return first(beginLock(members[0], "l", "a", time.Minute)) }).Should(Equal(200))
-		// The head may change at any time where the machine is busy, and the next one begins with an empty list.
+		// On a busy machine the head may change at any time, and a new head starts with an empty list.
 		eventually(func(g Gomega) {
 			g.Expect(first(beginLock(members[0], "l", "b", time.Minute))).To(Equal(409))
 			heads := 0
--- a/internal/controlplane/coordination_fuzz_test.go
+++ b/internal/controlplane/coordination_fuzz_test.go
@@ -12,7 +12,8 @@
 	"dykering/internal/errkind"
 )
 
-// FuzzCoordinationBody: a body of any bytes is read or malformed, and what the calls take from it is within the bounds.
+// FuzzCoordinationBody checks that any body is either decoded or rejected as malformed, and that validated values are
+// within their bounds.
 func FuzzCoordinationBody(f *testing.F) {
 	f.Add(`{"lease_holder":"a3.7","fencing_token":41,"hold_ms":3000}`)
 	f.Add(`{"value":"5c0e7a21d94b36f8","if_revision":907}`)
@@ -26,7 +27,7 @@
 		expectReadOrMalformed(t, readJSON(request, &lock))
 		command := coordination.Command{Operation: coordination.BeginLock, Name: "l", Holder: lock.Holder, HoldMs: lock.HoldMs}
 		if command.Validate() == nil && (lock.HoldMs <= 0 || lock.HoldMs > coordination.MaxHoldMs || lock.Holder == "") {
-			t.Fatalf("%q is taken: %+v", text, lock)
+			t.Fatalf("the body %q passes validation as %+v", text, lock)
 		}
 
 		request = httptest.NewRequest(http.MethodPost, "/cells/g.a/replace", strings.NewReader(text))
@@ -37,22 +38,24 @@
 		}
 		command = coordination.Command{Operation: coordination.PutCell, Name: "g.a", Value: *put.Value}
 		if command.Validate() == nil && len(*put.Value) > coordination.MaxValueBytes {
-			t.Fatalf("a value of %d bytes is taken", len(*put.Value))
+			t.Fatalf("a value of %d bytes passes validation", len(*put.Value))
 		}
 	})
 }
 
+// expectReadOrMalformed fails the test for an error of another kind than errkind.Malformed and errkind.TooLarge.
 func expectReadOrMalformed(t *testing.T, err error) {
 	t.Helper()
 	if err == nil {
 		return
 	}
 	if kind := errkind.KindOf(err); kind != errkind.Malformed && kind != errkind.TooLarge {
-		t.Fatalf("kind %v: %v", kind, err)
+		t.Fatalf("the error has the unexpected kind %v: %v", kind, err)
 	}
 }
 
-// FuzzWatchQuery: a query of any text is read or malformed, and the wait is within its bounds.
+// FuzzWatchQuery checks that any query is either parsed or rejected as malformed, and that the wait is within its
+// bounds.
 func FuzzWatchQuery(f *testing.F) {
 	f.Add("930", "2000")
 	f.Add("", "")
--- a/internal/controlplane/coordination_metrics_test.go
+++ b/internal/controlplane/coordination_metrics_test.go
@@ -14,7 +14,7 @@
 )
 
 var _ = Describe("the metrics of the coordination service", func() {
-	It("have the sizes of the tables, and nothing for an earlier version", func() {
+	It("have the sizes of the tables, and are absent for the status of an earlier version", func() {
 		var text bytes.Buffer
 		writeCoordinationGauges(&text, nil)
 		Expect(text.String()).To(BeEmpty())
@@ -26,10 +26,10 @@
 		}
 	})
 
-	It("count the calls by operation and outcome, with their times", func() {
-		calls := newCoordinationMetrics()
+	It("count and time the calls by operation and outcome", func() {
+		collector := newCoordinationMetrics()
 		answer := func(err error) {
-			handler := calls.measure("begin", func(w http.ResponseWriter, _ *http.Request) {
+			handler := collector.measure("begin", func(w http.ResponseWriter, _ *http.Request) {
 				if err != nil {
 					writeCoordinationError(w, err)
 				}
@@ -39,9 +39,9 @@
 		answer(nil)
 		answer(nil)
 		answer(errkind.New(errkind.LockHeld, ""))
-		calls.record("watch", outcomeOK, 300*time.Millisecond)
+		collector.record("watch", outcomeOK, 300*time.Millisecond)
 		var text bytes.Buffer
-		calls.write(&text)
+		collector.write(&text)
 		for _, line := range []string{
 			`calls_total{operation="begin",outcome="ok"} 2`,
 			`calls_total{operation="begin",outcome="lock_held"} 1`,
@@ -53,7 +53,7 @@
 		}
 	})
 
-	It("are served with the outcomes of all calls, and the status has the tables", func() {
+	It("are served with the outcomes of all calls, and the status has the sizes of the tables", func() {
 		members := startMembers(1)
 		putUntilAcknowledged(members[0], "g.a", "1")
 		eventually(func() int { return first(beginLock(members[0], "l", "a", time.Minute)) }).Should(Equal(http.StatusOK))
--- a/internal/controlplane/coordination_service.go
+++ b/internal/controlplane/coordination_service.go
@@ -40,13 +40,12 @@
 		Encode:             func(command coordination.Command) ([]byte, error) { return encodeOperation(command) },
 	})
 	return &coordinationService{
-		server:   s,
-		head:     head,
-		watches:  coordination.NewWatchTable(),
-		received: coordination.NewRecentCalls(),
-		lockLog:  newLockLog(s.log),
-		metrics:  newCoordinationMetrics(),
-
+		server:    s,
+		head:      head,
+		watches:   coordination.NewWatchTable(),
+		received:  coordination.NewRecentCalls(),
+		lockLog:   newLockLog(s.log),
+		metrics:   newCoordinationMetrics(),
 		admission: newCallAdmission(),
 	}
 }
--- a/internal/controlplane/coordination_test.go
+++ b/internal/controlplane/coordination_test.go
@@ -11,8 +11,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// callJSON sends a call of the coordination service until it has a clear answer, as callers do: on a busy machine the view may
-// change at any time. It decodes the JSON object of the response.
+// callJSON repeats a call of the coordination service until it has a definite answer, as callers do: on a busy machine
+// the view may change at any time. It decodes the JSON object of the response.
 func callJSON(m *member, method, path, body string) (status int, decoded map[string]any) {
 	GinkgoHelper()
 	eventually(func() bool {
@@ -25,11 +25,11 @@
 			return false
 		}
 		return true
-	}).Should(BeTrue(), "a clear answer to "+path)
+	}).Should(BeTrue(), "a definite answer to "+path)
 	return status, decoded
 }
 
-// beginLock begins a lock and returns the status and the fencing token.
+// beginLock acquires a lock and returns the status and the fencing token.
 func beginLock(m *member, lock, holder string, hold time.Duration) (int, float64) {
 	body := fmt.Sprintf(`{"lease_holder":%q,"hold_ms":%d}`, holder, hold.Milliseconds())
 	status, answer := callJSON(m, http.MethodPost, "/locks/"+lock+"/begin", body)
@@ -55,9 +55,9 @@
 var _ = Describe("the coordination service", func() {
 	const hold = time.Minute
 
-	// Guards against the failure of 3 December 2026: each call was answered 404, so that nothing was served (SHORT) and
-	// what callers asked for at the end of a day never came (LOST).
-	It("serves every call of the page at every member", func() {
+	// Guards against missing routes: a released build answered each call of the service with 404, so that no call was
+	// served.
+	It("serves every call at every member", func() {
 		members := startMembers(3)
 		putUntilAcknowledged(members[0], "g1.first", "v1")
 		var lastNumber float64
@@ -90,7 +90,7 @@
 		}
 	})
 
-	It("replaces a cell on the condition of its revision, and knows a put that comes again", func() {
+	It("replaces a cell conditionally on its revision, and recognizes a repeated put", func() {
 		members := startMembers(3)
 		Expect(putUntilAcknowledged(members[0], "g.a", "1")).To(Equal(1.0))
 		status, revision := putCell(members[1], "g.a", `{"value":"2","if_revision":0}`)
@@ -100,10 +100,10 @@
 		status, revision = putCell(members[2], "g.a", `{"value":"3"}`)
 		Expect([]any{status, revision}).To(Equal([]any{http.StatusOK, 3.0}))
 		status, revision = putCell(members[2], "g.a", `{"value":"2","if_revision":1}`)
-		Expect([]any{status, revision}).To(Equal([]any{http.StatusOK, 2.0}), "its answer may have been lost")
+		Expect([]any{status, revision}).To(Equal([]any{http.StatusOK, 2.0}), "the response to the first put may have been lost")
 	})
 
-	It("answers a watch at any member as soon as there is a put, without gaps", func() {
+	It("answers a watch at any member when there is a put, without gaps", func() {
 		members := startMembers(3)
 		putUntilAcknowledged(members[0], "g.a", "1")
 		var waiting sync.WaitGroup
@@ -124,7 +124,7 @@
 		waiting.Wait()
 	})
 
-	It("keeps what was acknowledged when all members end and start again", func() {
+	It("keeps what was acknowledged when all members restart", func() {
 		members := startMembers(3)
 		putUntilAcknowledged(members[0], "g.a", "1")
 		_, token := beginLock(members[0], "l", "a", hold)
@@ -146,7 +146,7 @@
 		Expect(later).To(BeNumerically(">", token))
 	})
 
-	It("rejects what cannot be read", func() {
+	It("rejects malformed requests", func() {
 		members := startMembers(1)
 		for path, body := range map[string]string{
 			"/locks/l/begin":       `{"lease_holder":"a"}`,
--- a/internal/controlplane/coordination_timers_test.go
+++ b/internal/controlplane/coordination_timers_test.go
@@ -15,8 +15,8 @@
 	"dykering/internal/protocol"
 )
 
-// newSingleHead makes a server that is the only member of its core and runs no goroutine: what it appends is not committed until
-// commitAll is called.
+// newSingleHead creates a server that is the only member of its core and runs no goroutines. What it appends is not
+// committed until commitAll is called.
 func newSingleHead() *Server {
 	ctx, cancel := context.WithCancel(context.Background())
 	DeferCleanup(cancel)
@@ -31,7 +31,7 @@
 	return s
 }
 
-// commitAll takes it that what was appended is stored, and answers what waits for it.
+// commitAll reports all appended records as stored, and answers the requests that wait for them.
 func commitAll(s *Server) {
 	for len(s.chainStore.jobs) > 0 {
 		s.onPersisted((<-s.chainStore.jobs).messages)
@@ -40,20 +40,20 @@
 	s.pendingRequests.AnswerReady(s.now())
 }
 
-// execute executes a command at the head; the reply is sent to the channel that it returns.
+// execute starts a command at the head and returns a channel that receives the reply.
 func execute(s *Server, command coordination.Command) <-chan protocol.Reply {
 	replies := make(chan protocol.Reply, 1)
 	s.coordination.executeAtHead(s.now(), command, func(reply protocol.Reply) { replies <- reply })
 	return replies
 }
 
-var _ = Describe("the head's timers of holds", func() {
+var _ = Describe("the head's hold timers", func() {
 	const hold = 10 * time.Second
 	begin := coordination.Command{Operation: coordination.BeginLock, Name: "l", Holder: "a", HoldMs: hold.Milliseconds()}
 
-	// The look at what may be dropped took the locks of the committed state: the timer of a hold that was not committed yet
-	// was forgotten, so that the hold counted as over at once and another caller could have the lock.
-	It("keep the time of a hold that is not committed yet", func() {
+	// Guards against a compaction check that deletes timers of uncommitted holds: it compared the timers with the locks of
+	// the committed state. Such a hold then counted as expired at once, and another caller could acquire the lock.
+	It("keep the timer of a hold that is not committed yet", func() {
 		s := newSingleHead()
 		s.coordination.head.ViewInstalled(s.now() - time.Hour)
 		reply := execute(s, begin)
--- a/internal/controlplane/endpoint_loads_test.go
+++ b/internal/controlplane/endpoint_loads_test.go
@@ -11,32 +11,32 @@
 )
 
 var _ = Describe("the load of endpoints", func() {
-	calls := func(id string, inFlight, waiting int) protocol.EndpointLoad {
+	loadOf := func(id string, inFlight, waiting int) protocol.EndpointLoad {
 		return protocol.EndpointLoad{ID: id, InFlight: inFlight, Waiting: waiting}
 	}
 
-	It("is summed over proxies and peers, by the last report of each", func() {
+	It("is the sum of the last reports of all proxies and peers", func() {
 		table := newEndpointLoadTable()
-		table.applyReport(0, "p1", []protocol.EndpointLoad{calls("a", 5, 5)})
-		table.applyReport(0, "p1", []protocol.EndpointLoad{calls("a", 2, 1), calls("b", 1, 0)})
-		table.applyReport(0, "p2", []protocol.EndpointLoad{calls("a", 3, 1)})
-		table.applyPeerLoads(0, protocol.EndpointLoadSync{From: "peer", Loads: []protocol.EndpointLoad{calls("b", 4, 4)}})
+		table.applyReport(0, "p1", []protocol.EndpointLoad{loadOf("a", 5, 5)})
+		table.applyReport(0, "p1", []protocol.EndpointLoad{loadOf("a", 2, 1), loadOf("b", 1, 0)})
+		table.applyReport(0, "p2", []protocol.EndpointLoad{loadOf("a", 3, 1)})
+		table.applyPeerLoads(0, protocol.EndpointLoadSync{From: "peer", Loads: []protocol.EndpointLoad{loadOf("b", 4, 4)}})
 		loads, due := table.totalsIfDue(0)
 		Expect(due).To(BeTrue())
-		Expect(loads).To(ConsistOf(calls("a", 5, 2), calls("b", 5, 4)))
+		Expect(loads).To(ConsistOf(loadOf("a", 5, 2), loadOf("b", 5, 4)))
 	})
 
-	It("is dropped with its proxy, and with a peer whose TTL has expired", func() {
+	It("is dropped when its proxy is removed, and when the TTL of a peer has expired", func() {
 		table := newEndpointLoadTable()
-		table.applyReport(0, "p1", []protocol.EndpointLoad{calls("a", 1, 1)})
+		table.applyReport(0, "p1", []protocol.EndpointLoad{loadOf("a", 1, 1)})
 		table.applyReport(0, "p1", nil)
-		table.applyPeerLoads(0, protocol.EndpointLoadSync{From: "peer", Loads: []protocol.EndpointLoad{calls("b", 4, 4)}})
+		table.applyPeerLoads(0, protocol.EndpointLoadSync{From: "peer", Loads: []protocol.EndpointLoad{loadOf("b", 4, 4)}})
 		loads, due := table.totalsIfDue(2 * peerLoadsTTL)
 		Expect(due).To(BeTrue())
 		Expect(loads).To(BeEmpty())
 	})
 
-	It("sums outcomes over proxies and peers, decays them, and leaves them out without failures", func() {
+	It("sums outcomes over proxies and peers, decays them, and omits them without failures", func() {
 		ended := func(id string, good, failed float64) protocol.EndpointLoad {
 			return protocol.EndpointLoad{ID: id, Good: good, Failed: failed}
 		}
@@ -49,10 +49,10 @@
 		Expect(due).To(BeTrue())
 		Expect(loads).To(ConsistOf(ended("a", 3, 6)))
 		Expect(table.localTotals(time.Hour)).To(BeEmpty())
-		Expect(table.outcomes).To(BeEmpty(), "forgotten")
+		Expect(table.outcomes).To(BeEmpty(), "negligible outcomes are deleted")
 	})
 
-	It("counts outcomes at a bounded number of endpoints", func() {
+	It("counts outcomes of a bounded number of endpoints", func() {
 		table := newEndpointLoadTable()
 		for i := range 2 * maxOutcomeEndpoints {
 			table.applyReport(0, "p1", []protocol.EndpointLoad{{ID: fmt.Sprint("e", i), Failed: 1}})
@@ -60,11 +60,11 @@
 		Expect(table.outcomes).To(HaveLen(maxOutcomeEndpoints))
 	})
 
-	It("is streamed within a bound of bytes a second, whatever the number of endpoints", func() {
+	It("is streamed with a bounded number of bytes per second, for any number of endpoints", func() {
 		table := newEndpointLoadTable()
 		var many []protocol.EndpointLoad
 		for i := range 5000 {
-			many = append(many, calls(fmt.Sprint("e", i), 1, 0))
+			many = append(many, loadOf(fmt.Sprint("e", i), 1, 0))
 		}
 		table.applyReport(0, "p1", many)
 		sent := 0
--- a/internal/controlplane/explain_endpoint_test.go
+++ b/internal/controlplane/explain_endpoint_test.go
@@ -17,7 +17,7 @@
 			&placement.Input{Demand: demand, Endpoints: []placement.Endpoint{{Models: map[string][]string{model: nil}}, {Models: map[string][]string{model: nil}}}})
 	}
 
-	It("returns the orders for a model and those that freed memory for it, with the demand behind them", func() {
+	It("returns the orders for a model and those that freed memory for it, with the demand that led to them", func() {
 		var l decisionLog
 		recordOrder(&l, "a", "")
 		recordOrder(&l, "b", "a")
--- a/internal/controlplane/harness_test.go
+++ b/internal/controlplane/harness_test.go
@@ -8,13 +8,13 @@
 	"dykering/internal/fleetconfig"
 )
 
-// countOperations is a state machine whose version is the number of operations applied.
+// countOperations is a state machine that counts the applied operations in the version of the document.
 func countOperations(value any, _ []byte) any {
 	seen := value.(*fleetconfig.State).Document.Version
 	return &fleetconfig.State{Document: fleetconfig.Document{Version: seen + 1}}
 }
 
-// newSingleMember makes a server that is the only member of its core and runs no goroutine.
+// newSingleMember creates a server that is the only member of its core and runs no goroutines.
 func newSingleMember() (*Server, chain.Config, chain.Output) {
 	view := chain.View{Number: 1, Voters: []chain.Member{{ID: "a", Address: "a"}}, Chain: []chain.MemberID{"a"}}
 	config := chain.Config{Self: view.Voters[0], Apply: countOperations, Jitter: func(d time.Duration) time.Duration { return d }}
--- a/internal/controlplane/leave_test.go
+++ b/internal/controlplane/leave_test.go
@@ -9,7 +9,8 @@
 	"dykering/internal/protocol"
 )
 
-// restartWithShortGrace starts members with the grace period of the other specs, so that the end of this one need not wait.
+// restartWithShortGrace starts members with the grace period of the other specs, so that stopping them at the end of
+// the spec does not take long.
 func restartWithShortGrace(members ...*member) {
 	for _, m := range members {
 		m.settings.Bounds.GracePeriodS = 3
@@ -18,28 +19,30 @@
 }
 
 var _ = Describe("two of three members that leave at once", func() {
-	const longGracePeriod = 600 // seconds; it must not end within the spec
+	const longGracePeriod = 600 // seconds; it must not expire during the spec
 
-	It("leave one by one: the last is needed until it gets a second signal", func() {
+	It("leave one after the other: the last one is needed and stays until a second signal", func() {
 		members := newMembers(3)
 		for _, m := range members {
 			m.settings.Bounds.GracePeriodS = longGracePeriod
 			m.start()
 		}
-		DeferCleanup(members[0].signal) // the first of two: it would wait for the others, which have stopped
+		// This is the first of two signals; the cleanup of newMembers sends the second. With one signal the member would
+		// wait for the others, which have stopped.
+		DeferCleanup(members[0].signal)
 		changeUntilAcknowledged(members[0], 1, 0)
 		members[1].signal()
 		members[2].signal()
-		first := make(chan *member, 2)
+		ended := make(chan *member, 2)
 		for _, m := range members[1:] {
 			go func() {
 				m.finished <- <-m.finished
-				first <- m
+				ended <- m
 			}()
 		}
 		var voters []chain.Member
 		var gone *member
-		eventually(first).Should(Receive(&gone))
+		eventually(ended).Should(Receive(&gone))
 		needed, _ := lo.Find(members[1:], func(m *member) bool { return m != gone })
 
 		address := members[0].settings.InternalAddress(members[0].settings.IPAddress)
@@ -53,10 +56,10 @@
 			voters = status.View.Voters
 		}).Should(Succeed())
 		changeUntilAcknowledged(members[0], 2, 1)
-		Expect(first).NotTo(Receive())
+		Expect(ended).NotTo(Receive())
 
 		needed.signal()
-		eventually(first).Should(Receive(Equal(needed)))
+		eventually(ended).Should(Receive(Equal(needed)))
 		gone.awaitEnd()
 		needed.awaitEnd()
 		restartWithShortGrace(gone, needed)
--- a/internal/controlplane/log_events_test.go
+++ b/internal/controlplane/log_events_test.go
@@ -12,20 +12,21 @@
 	"testing"
 )
 
-// logsPage lists the log events; its section on the control process has one row an event.
+// logsPage lists the log events. Its section on the control process has one row per event.
 const logsPage = "../../docs/LOGS.md"
 
-// logsSection is the heading of that section.
+// logsSection is the heading of the section on the control process.
 const logsSection = "## Control process"
 
-// logEvent is a log event as the page and the code have it.
+// logEvent is a log event as described on the page or as logged by the code.
 type logEvent struct {
 	name   string
 	level  string
 	fields string
 }
 
-// Each event that the code logs is on the page with its level and fields, and the page has no other.
+// TestLogEventsOfThePageAreThoseOfTheCode checks that the page has each event that the code logs, with its level and
+// its fields, and no other events.
 func TestLogEventsOfThePageAreThoseOfTheCode(t *testing.T) {
 	fromPage, fromCode := eventsOfPage(t), eventsOfCode(t)
 	if len(fromCode) == 0 {
@@ -43,7 +44,7 @@
 	}
 }
 
-// eventsOfPage reads the rows of the section's table.
+// eventsOfPage parses the rows of the section's table.
 func eventsOfPage(t *testing.T) []logEvent {
 	t.Helper()
 	text, err := os.ReadFile(logsPage)
@@ -62,7 +63,7 @@
 		}
 		cells := strings.Split(line, "|")
 		if len(cells) != 6 {
-			t.Fatalf("not a row of four cells: %s", line)
+			t.Fatalf("the table row does not have four cells: %s", line)
 		}
 		fields := strings.ReplaceAll(strings.TrimSpace(cells[3]), "`", "")
 		events = append(events, logEvent{name: strings.Trim(cells[1], " `"), level: strings.TrimSpace(cells[2]), fields: fields})
@@ -70,7 +71,7 @@
 	return events
 }
 
-// eventsOfCode finds the calls of a logger in the package's files.
+// eventsOfCode finds the logger calls in the files of the package.
 func eventsOfCode(t *testing.T) []logEvent {
 	t.Helper()
 	files, err := filepath.Glob("*.go")
@@ -98,7 +99,7 @@
 	return events
 }
 
-// eventOfCall returns the event of a call log.Info(event, field, value, ...), or of another level.
+// eventOfCall returns the event of a call such as log.Info(event, field, value, ...). It returns false for other calls.
 func eventOfCall(t *testing.T, call *ast.CallExpr) (logEvent, bool) {
 	t.Helper()
 	method, ok := call.Fun.(*ast.SelectorExpr)
@@ -114,6 +115,7 @@
 	return event, true
 }
 
+// isLogger reports whether an expression is a variable or a field with the name log.
 func isLogger(expression ast.Expr) bool {
 	switch e := expression.(type) {
 	case *ast.Ident:
@@ -124,8 +126,8 @@
 	return false
 }
 
-// literal returns the value of a string literal: names of events and fields are written out where they are logged, so that
-// a search for them finds the place.
+// literal returns the value of a string literal. The names of events and fields have to be literals, so that a text
+// search finds the call that logs them.
 func literal(t *testing.T, expression ast.Expr) string {
 	t.Helper()
 	basic, ok := expression.(*ast.BasicLit)
--- a/internal/controlplane/metrics_names_test.go
+++ b/internal/controlplane/metrics_names_test.go
@@ -9,6 +9,7 @@
 	"dykering/internal/protocol"
 )
 
+// TestMetricsAreThoseOfThePage checks that the page lists exactly the metrics that the control process exposes.
 func TestMetricsAreThoseOfThePage(t *testing.T) {
 	status := protocol.Status{Members: []protocol.MemberStatus{{ID: "a/0"}}, Coordination: &protocol.CoordinationStatus{}}
 	var text bytes.Buffer
--- a/internal/controlplane/pending_calls_test.go
+++ b/internal/controlplane/pending_calls_test.go
@@ -8,10 +8,11 @@
 	"dykering/internal/protocol"
 )
 
-// ownAddress is the address of the member that newSingleMember makes: nothing is sent there.
+// ownAddress is the address of the member that newSingleMember creates. Messages to it are not sent.
 const ownAddress = "a"
 
-// startPendingCall starts a call to a peer and returns its number and the replies that answer it.
+// startPendingCall starts a call to a peer. It returns the number of the call and a channel that receives the replies
+// that answer it.
 func startPendingCall(s *Server) (number uint64, replies chan protocol.Reply) {
 	replies = make(chan protocol.Reply, 1)
 	message := func(n uint64) any {
@@ -23,7 +24,7 @@
 }
 
 var _ = Describe("a process that has been restarted", func() {
-	// restarted makes the same process twice: before and after a restart.
+	// restarted creates two servers that stand for the same process before and after a restart.
 	restarted := func() (before, after *Server) {
 		before, _, _ = newSingleMember()
 		after, _, _ = newSingleMember()
@@ -33,7 +34,7 @@
 		return before, after
 	}
 
-	It("has no call answered by the reply to a call of before", func() {
+	It("does not answer a call with the reply to a call from before the restart", func() {
 		before, after := restarted()
 		old, _ := startPendingCall(before)
 		_, replies := startPendingCall(after)
@@ -41,7 +42,7 @@
 		Expect(replies).NotTo(Receive())
 	})
 
-	It("has each call answered once", func() {
+	It("answers each call once", func() {
 		_, server := restarted()
 		number, replies := startPendingCall(server)
 		server.onReply(protocol.Reply{ID: number, Detail: "first"})
@@ -50,12 +51,12 @@
 		Expect(replies).NotTo(Receive())
 	})
 
-	It("numbers its departures otherwise than before", func() {
+	It("numbers its departures differently after the restart", func() {
 		before, after := restarted()
 		Expect(before.sessionConfig(true).FirstNumber).NotTo(Equal(after.sessionConfig(true).FirstNumber))
 	})
 
-	It("sends pings with other nonces than before", func() {
+	It("sends pings with different nonces after the restart", func() {
 		before, after := restarted()
 		view := chain.View{Number: 1, Voters: []chain.Member{{ID: "a", Address: "a"}, {ID: "b", Address: "b"}}, Chain: []chain.MemberID{"a", "b"}}
 		nonces := map[uint64]int{}
@@ -66,6 +67,6 @@
 				nonces[envelope.Message.(chain.Ping).Nonce]++
 			}
 		}
-		Expect(nonces).To(HaveLen(2), "one for each start")
+		Expect(nonces).To(HaveLen(2), "one nonce for each start")
 	})
 })
--- a/internal/controlplane/update_stream_test.go
+++ b/internal/controlplane/update_stream_test.go
@@ -25,7 +25,7 @@
 		Expect(conn.Send(protocol.Subscribe{Name: "proxy"}, time.Second)).To(Succeed())
 		return conn
 	}
-	// until receives updates until one is as expected, and subscribes anew where the stream ends.
+	// awaitUpdate receives updates until one is as expected. It subscribes again if the stream ends.
 	awaitUpdate := func(m *member, isExpected func(protocol.Update) bool) {
 		GinkgoHelper()
 		conn := subscribe(m)
@@ -56,7 +56,7 @@
 		})
 	})
 
-	It("is given no departure that a majority has not stored: the notice is answered with 503", func() {
+	It("has no departure that a majority has not stored: the notice is answered with 503", func() {
 		members := startMembers(3)
 		eventually(func() int { return sendHeartbeat(members[0], "i-1", 1, sessions.Ready) }).Should(Equal(http.StatusOK))
 		members[1].end()
@@ -85,7 +85,7 @@
 })
 
 var _ = Describe("a proxy whose stream has ended", func() {
-	It("has its reports ignored, as it reports to another member", func() {
+	It("has its reports ignored, because it reports to another member", func() {
 		server, _, _ := newSingleMember()
 		s := &subscriber{name: "p1", updates: make(chan protocol.Update, 1)}
 		server.subscribers[s] = true
--- a/internal/sessionsync/antientropy.go
+++ b/internal/sessionsync/antientropy.go
@@ -6,8 +6,8 @@
 	"dykering/internal/protocol"
 )
 
-// compareWithPeer compares this member's sessions with those of a peer drawn at random, at an interval, so that what a lost
-// broadcast has left different is repaired.
+// compareWithPeer starts a comparison of this member's sessions with those of a random peer, once per interval.
+// Comparisons repair the differences that lost broadcasts leave.
 func (r *Replica) compareWithPeer(now time.Duration, core Core) Output {
 	var out Output
 	peers := r.peers(core)
@@ -19,8 +19,9 @@
 	return out
 }
 
-// handleDigest compares the children of a range with a peer's digests. For each child that differs it replies with the digests
-// one level down, or, at a leaf, with the sessions themselves and a request for the peer's.
+// handleDigest compares the digests of a peer with those of this replica, for the children of a range. For each child
+// that differs it sends the digests one level down or, for a leaf, the sessions themselves with a request for the
+// peer's sessions.
 func (r *Replica) handleDigest(m protocol.SessionDigest) Output {
 	var out Output
 	if !m.Range.Valid() || m.Range.IsLeaf() {
@@ -37,7 +38,8 @@
 	return out
 }
 
-// handleRange merges a peer's sessions of a leaf, after it has replied with its own where the peer asks for them.
+// handleRange merges the sessions of a peer in a leaf range. If the peer asks for this replica's sessions, handleRange
+// sends them before the merge.
 func (r *Replica) handleRange(m protocol.SessionRange) Output {
 	var out Output
 	if !m.Range.Valid() || !m.Range.IsLeaf() {
--- a/internal/sessionsync/broadcast.go
+++ b/internal/sessionsync/broadcast.go
@@ -7,8 +7,8 @@
 	"dykering/internal/sessions"
 )
 
-// broadcast sends the peers what endpoints have reported to this member since the last time: changed sessions at once, renewals
-// at their interval.
+// broadcast sends the peers what endpoints have reported to this member since the last broadcast: changed sessions at
+// once, and renewals once per renewal interval.
 func (r *Replica) broadcast(now time.Duration, core Core) Output {
 	var out Output
 	update := protocol.SessionUpdate{From: r.config.Self, Records: r.table.FlushModified(r.clock)}
@@ -25,8 +25,8 @@
 	return out
 }
 
-// handleUpdate stores sessions that endpoints have reported to a peer. An update that asks for an acknowledgement, as of a
-// departure, gets it once the sessions are on this member's disk.
+// handleUpdate stores sessions that endpoints have reported to a peer. If the update asks for an acknowledgement, as
+// the one for a departure does, the acknowledgement is sent once the sessions are on this member's disk.
 func (r *Replica) handleUpdate(m protocol.SessionUpdate) Output {
 	var out Output
 	r.merge(m.Records)
@@ -37,7 +37,7 @@
 		}
 	}
 	if unknown {
-		// The session's record was lost on its way here.
+		// The broadcast with the record of this session was lost.
 		out.send(m.From, protocol.SessionSnapshotRequest{From: r.config.Self})
 	}
 	if m.Ask != 0 && r.hasReachedAll(m.Records) {
@@ -46,8 +46,8 @@
 	return out
 }
 
-// hasReachedAll reports whether the table has each endpoint at least as far in its life cycle as the records say. It has not where
-// it is full: an acknowledgement would then be given for what was not stored.
+// hasReachedAll reports whether the table has each endpoint in the state of its record or in a later one. It returns
+// false if the table is full: an acknowledgement would otherwise cover sessions that were not stored.
 func (r *Replica) hasReachedAll(records []sessions.Record) bool {
 	for _, record := range records {
 		if !r.hasReached(record.Endpoint.ID, record.Endpoint.State) {
--- a/internal/sessionsync/core.go
+++ b/internal/sessionsync/core.go
@@ -6,9 +6,9 @@
 	"dykering/internal/chain"
 )
 
-// Core is how a member sees the core.
+// Core is a member's view of the core, which is the group of control processes.
 type Core struct {
-	// Voters are the addresses of the voters, with this member's if it is one.
+	// Voters are the addresses of the voters, including this member's address if it is a voter.
 	Voters []string
 	// Majority is the number of voters that form a majority.
 	Majority int
@@ -18,7 +18,7 @@
 	IsReachable func(address string) bool
 }
 
-// CoreOf is the core as a member of the chain sees it.
+// CoreOf returns the view of the core that a chain node has.
 func CoreOf(node *chain.Node, now time.Duration) Core {
 	view := node.View()
 	core := Core{
--- a/internal/sessionsync/departures.go
+++ b/internal/sessionsync/departures.go
@@ -10,22 +10,23 @@
 	"dykering/internal/sessions"
 )
 
-// maxDepartures bounds the notices that wait for their acknowledgement.
+// maxDepartures bounds the departures that wait for their acknowledgement.
 const maxDepartures = 4096
 
-// departure is an endpoint's notice that it drains or deregisters, on its way to its acknowledgement. Once acknowledged, the
-// endpoint may stop serving: no proxy may take it for ready from then on, whichever member it follows, and whatever members
-// restart, or lose power all at once. So the notice waits until every voter of the view has it on disk or, when its deadline has
-// passed, a majority.
+// departure is the notice of an endpoint that it drains or deregisters, until the notice is answered. Once the notice
+// is acknowledged, the endpoint may stop serving. From then on no proxy may treat it as ready, whichever member the
+// proxy follows, and whichever members restart or lose power, even all at once. Therefore the acknowledgement waits
+// until every voter of the view has the departure on disk or, after the deadline, a majority.
 type departure struct {
 	id       string
-	state    sessions.State // Draining or Departed
+	state    sessions.State // sessions.Draining or sessions.Departed
 	deadline time.Duration
 	storedAt map[string]bool // addresses of the members that have it on disk
 	call     CallID
 }
 
-// replicateDeparture has all voters store that an endpoint has reached a state, and answers the endpoint's notice afterwards.
+// replicateDeparture makes all voters store that an endpoint has reached a state, and answers the endpoint's call
+// afterwards.
 func (r *Replica) replicateDeparture(now time.Duration, core Core, id string, state sessions.State, call CallID) Output {
 	var out Output
 	switch {
@@ -53,7 +54,7 @@
 	return out
 }
 
-// countStored counts a member that has a notice on disk.
+// countStored records that a member has a departure on disk.
 func (r *Replica) countStored(now time.Duration, core Core, number uint64, member string) Output {
 	pending := r.departures[number]
 	if pending == nil {
@@ -63,7 +64,8 @@
 	return r.answerDeparture(now, core, number, pending)
 }
 
-// answerDeparture answers a notice that all voters have stored or, after its deadline, by whether a majority has.
+// answerDeparture answers a departure if all voters have stored it or if its deadline has passed. After the deadline,
+// the answer is an error if no majority has stored the departure.
 func (r *Replica) answerDeparture(now time.Duration, core Core, number uint64, pending *departure) Output {
 	var out Output
 	stored := 0
@@ -86,8 +88,8 @@
 	return out
 }
 
-// expireDepartures answers the notices whose deadline has passed, and forgets the acknowledgements of endpoints whose session
-// has been deleted.
+// expireDepartures answers the departures whose deadline has passed, and deletes the acknowledgements of endpoints
+// whose sessions have been deleted.
 func (r *Replica) expireDepartures(now time.Duration, core Core) Output {
 	var out Output
 	for _, number := range slices.Sorted(maps.Keys(r.departures)) {
--- a/internal/sessionsync/fullsync.go
+++ b/internal/sessionsync/fullsync.go
@@ -6,23 +6,24 @@
 	"dykering/internal/protocol"
 )
 
-// fullSync is the progress of the full sync that a member makes before it serves streams.
+// fullSync is the progress of the full sync that a member completes before it serves streams.
 type fullSync struct {
 	complete bool
-	// startedAt is when this member asked its peers for their sessions; 0 before.
+	// startedAt is when this member asked its peers for their sessions, or 0 if it has not done so.
 	startedAt time.Duration
-	// awaited are the addresses of the peers that have not sent their sessions since.
+	// awaited holds the addresses of the peers that have not sent their sessions since then.
 	awaited map[string]bool
 }
 
-// RestartSync has the next tick start another full sync: a member that was outside the view has missed broadcasts.
+// RestartSync makes the next tick start another full sync. A member that was outside the view needs one, because it has
+// missed broadcasts.
 func (r *Replica) RestartSync() { r.sync = fullSync{} }
 
-// IsSynced reports whether a full sync is complete, so that streams may be served.
+// IsSynced reports whether the full sync is complete, so that this member may serve streams.
 func (r *Replica) IsSynced() bool { return r.sync.complete }
 
-// updateFullSync starts or completes a full sync. One is needed after a start, after a change of the view and after a time
-// without a quorum, as broadcasts of that time are missing here.
+// updateFullSync starts or completes a full sync. A member needs one after a start, after a view change and after a
+// time without a quorum, because it has missed the broadcasts of that time.
 func (r *Replica) updateFullSync(now time.Duration, core Core) Output {
 	var out Output
 	switch {
@@ -41,7 +42,7 @@
 	return out
 }
 
-// haveReachablePeersAnswered reports whether all peers that can be reached have sent their sessions.
+// haveReachablePeersAnswered reports whether all reachable peers have sent their sessions.
 func (r *Replica) haveReachablePeersAnswered(core Core) bool {
 	for peer := range r.sync.awaited {
 		if core.IsReachable(peer) {
@@ -51,12 +52,14 @@
 	return true
 }
 
+// handleSnapshotRequest sends all sessions to a peer.
 func (r *Replica) handleSnapshotRequest(m protocol.SessionSnapshotRequest) Output {
 	var out Output
 	out.send(m.From, protocol.SessionSnapshot{From: r.config.Self, Records: r.table.AllRecords(r.clock)})
 	return out
 }
 
+// handleSnapshot merges all sessions of a peer.
 func (r *Replica) handleSnapshot(m protocol.SessionSnapshot) {
 	r.merge(m.Records)
 	delete(r.sync.awaited, m.From)
--- a/internal/sessionsync/replica.go
+++ b/internal/sessionsync/replica.go
@@ -10,7 +10,7 @@
 
 // Config configures a Replica.
 type Config struct {
-	// Self is the address of this member.
+	// Self is the internal address of this member.
 	Self string
 	// TTL is the time without a heartbeat after which an endpoint expires.
 	TTL time.Duration
@@ -18,48 +18,50 @@
 	RenewalInterval time.Duration
 	// AntiEntropyInterval is the time between two comparisons with a peer.
 	AntiEntropyInterval time.Duration
-	// FullSyncTimeout is the time after which a full sync is complete although peers have not answered.
+	// FullSyncTimeout is the time after which a full sync is complete even if peers have not answered.
 	FullSyncTimeout time.Duration
 	// DepartureTimeout is the time that all voters have to store a departure before a majority is enough.
 	DepartureTimeout time.Duration
-	// MaxClockStep bounds by how much the session clock advances at once. After a pause of the whole process the heartbeats of
-	// that time are still unread: no endpoint may expire by it.
+	// MaxClockStep bounds how far the session clock advances in one tick. After a pause of the whole process, the
+	// heartbeats of that time are still unread, and no endpoint may expire because of the pause.
 	MaxClockStep time.Duration
-	// FirstNumber precedes the numbers of this incarnation's departures. The caller draws it anew for each start of a process, so
-	// that an acknowledgement to an earlier incarnation acknowledges nothing.
+	// FirstNumber is the number after which this incarnation counts its departures. The caller draws it at random at
+	// each start of the process, so that an acknowledgement for an earlier incarnation has no effect.
 	FirstNumber uint64
-	// RandomIndex returns a random number below its argument.
+	// RandomIndex returns a random number in [0, n).
 	RandomIndex func(n int) int
-	// CanStore is false for a member without a store: it acknowledges no departure, to its peers or by itself.
+	// CanStore is false for a member without a store. Such a member acknowledges no departure, neither its own nor
+	// those of its peers.
 	CanStore bool
 }
 
-// CallID identifies a call of an endpoint, which is to be answered.
+// CallID identifies a call of an endpoint that is to be answered.
 type CallID uint64
 
-// Answer answers a call. The error is nil if the endpoint's notice was accepted.
+// Answer is the answer to a call. Err is nil if the notice of the endpoint was accepted.
 type Answer struct {
 	Call CallID
 	Err  error
 }
 
-// Envelope is a message with the address of its receiver.
+// Envelope is a message with the address of its recipient.
 type Envelope struct {
 	To      string
 	Message any
 }
 
-// Output is what the caller is to do after an input.
+// Output holds what the caller has to do after an input.
 type Output struct {
 	Messages []Envelope
 	Answers  []Answer
-	// Departing are the endpoints whose departure is being replicated, for the log.
+	// Departing are the endpoints whose departure has begun to be replicated, for the log.
 	Departing []Departing
-	// Snapshot is to be written to disk in place of the last one; nil for none. The caller reports the end to Stored.
+	// Snapshot is to be written to disk in place of the last one; nil if there is none to write. The caller reports the
+	// result to SnapshotStored.
 	Snapshot []sessions.Record
 }
 
-// Departing is an endpoint that has said that it leaves.
+// Departing is an endpoint that drains or has deregistered.
 type Departing struct {
 	ID    string
 	State sessions.State
@@ -92,13 +94,13 @@
 
 	departures   map[uint64]*departure
 	lastNumber   uint64
-	acknowledged map[string]sessions.State // by endpoint, up to which state its departure has been acknowledged
+	acknowledged map[string]sessions.State // by endpoint: the last state that was acknowledged as a departure
 
 	store storeState
 }
 
-// New returns a replica that has only what was restored from disk. For how long the process was down is not known: each
-// endpoint gets a full TTL.
+// New returns a replica with the sessions that were restored from disk. Each endpoint gets a full TTL, because it is
+// unknown how long the process was down.
 func New(config Config, restored []sessions.Record) *Replica {
 	r := &Replica{
 		config: config, table: sessions.New(config.TTL), departures: map[uint64]*departure{}, lastNumber: config.FirstNumber,
@@ -111,11 +113,11 @@
 	return r
 }
 
-// Table returns the table, to be read and for overlays to be set.
+// Table returns the table of sessions. Callers may read it and set overlays.
 func (r *Replica) Table() *sessions.Table { return r.table }
 
-// Heartbeat stores a heartbeat of an endpoint. One that announces draining is answered once that is replicated. Without a quorum
-// it is refused, so that the endpoint turns to a member that proxies can follow.
+// Heartbeat stores a heartbeat of an endpoint. A heartbeat that announces draining is answered once it is replicated.
+// Without a quorum a heartbeat is rejected, so that the endpoint turns to a member that proxies can follow.
 func (r *Replica) Heartbeat(now time.Duration, core Core, id string, heartbeat sessions.Heartbeat, call CallID) Output {
 	var out Output
 	if !core.HasQuorum {
@@ -134,7 +136,7 @@
 	return out
 }
 
-// Deregister stores that an endpoint has departed, and answers once that is replicated.
+// Deregister stores that an endpoint has departed, and answers the call once this is replicated.
 func (r *Replica) Deregister(now time.Duration, core Core, id string, call CallID) Output {
 	if !core.HasQuorum {
 		return Output{Answers: []Answer{{Call: call, Err: errNoQuorum()}}}
@@ -143,12 +145,12 @@
 	return r.replicateDeparture(now, core, id, sessions.Departed, call)
 }
 
-// Tick does what time alone makes due.
+// Tick does the work that depends only on the time.
 func (r *Replica) Tick(now time.Duration, core Core) Output {
 	sinceLastTick := now - r.lastTick
 	r.lastTick = now
 	if core.HasQuorum {
-		// Without a quorum the session clock stands still: heartbeats are then refused, and no endpoint may expire by that.
+		// Without a quorum the session clock does not advance: heartbeats are rejected, which must not expire endpoints.
 		r.clock += min(sinceLastTick, r.config.MaxClockStep)
 	}
 	r.table.ExpireTTLs(r.clock)
@@ -158,14 +160,14 @@
 	return out
 }
 
-// Flush ends a batch of inputs: it sends the peers what is new, and writes what is due.
+// Flush ends a batch of inputs. It sends the changes to the peers, and returns a snapshot if one is due.
 func (r *Replica) Flush(now time.Duration, core Core) Output {
 	out := r.broadcast(now, core)
 	out.Snapshot = r.snapshotIfDue(now)
 	return out
 }
 
-// Receive handles a message of a peer. Messages of other types are ignored.
+// Receive handles a message of a peer. It ignores messages of unknown types.
 func (r *Replica) Receive(now time.Duration, core Core, message any) Output {
 	switch m := message.(type) {
 	case protocol.SessionUpdate:
@@ -190,7 +192,7 @@
 	}
 }
 
-// hasReached reports whether the table has an endpoint at least as far in its life cycle as a state.
+// hasReached reports whether the table has an endpoint in a state or in a later one.
 func (r *Replica) hasReached(id string, state sessions.State) bool {
 	known, ok := r.table.Get(id)
 	return ok && !known.State.Before(state)
--- a/internal/sessionsync/sessionsync_test.go
+++ b/internal/sessionsync/sessionsync_test.go
@@ -19,7 +19,7 @@
 
 const departureTimeout = time.Hour
 
-// newTestReplica is a replica of the member at an address.
+// newTestReplica returns the replica of the member at an address.
 func newTestReplica(self string) *Replica {
 	return New(Config{
 		Self: self, TTL: time.Hour, DepartureTimeout: departureTimeout, MaxClockStep: time.Hour, FullSyncTimeout: time.Second,
@@ -27,15 +27,15 @@
 	}, nil)
 }
 
-// threeMembers is the core as a member sees it that reaches both others.
+// threeMembers is the core as seen by a member that reaches both others.
 var threeMembers = Core{
 	Voters: []string{"a", "b", "c"}, Majority: 2, HasQuorum: true, IsReachable: func(string) bool { return true },
 }
 
-// withoutQuorum is the core as a member sees it that reaches no other.
+// withoutQuorum is the core as seen by a member that reaches no other.
 var withoutQuorum = Core{Voters: threeMembers.Voters, Majority: 2, IsReachable: func(string) bool { return false }}
 
-// messagesTo returns the messages of a type to a member.
+// messagesTo returns the messages of type M to a member.
 func messagesTo[M any](out Output, to string) (messages []M) {
 	for _, envelope := range out.Messages {
 		if m, ok := envelope.Message.(M); ok && envelope.To == to {
@@ -50,7 +50,8 @@
 	var now time.Duration
 	var lastCall CallID
 	var asked []uint64 // numbers of the departures that the peers were asked to store
-	// call applies an input with a new call and returns the answers to it.
+	// collectAnswers records the departures that the output asks peer b to store, and returns the answers of the
+	// output.
 	collectAnswers := func(out Output) []Answer {
 		for _, update := range messagesTo[protocol.SessionUpdate](out, "b") {
 			if update.Ask != 0 {
@@ -69,7 +70,7 @@
 		lastCall++
 		return collectAnswers(replica.Deregister(now, threeMembers, id, lastCall))
 	}
-	// store writes the snapshot that is due.
+	// store writes the snapshot that is due, if there is one.
 	store := func() []Answer {
 		out := replica.Flush(now, threeMembers)
 		if out.Snapshot == nil {
@@ -77,44 +78,45 @@
 		}
 		return replica.SnapshotStored(now, threeMembers, nil).Answers
 	}
-	// acknowledge has a peer acknowledge all departures.
+	// acknowledge makes a peer acknowledge all departures that it was asked to store.
 	acknowledge := func(peer string) (answers []Answer) {
 		for _, number := range asked {
 			answers = append(answers, replica.Receive(now, threeMembers, protocol.SessionAck{From: peer, Ask: number}).Answers...)
 		}
 		return answers
 	}
+	// accepted is the successful answer to the last call.
 	accepted := func() Answer { return Answer{Call: lastCall} }
 	BeforeEach(func() {
 		replica, now, lastCall, asked = newTestReplica("a"), 0, 0, nil
 		Expect(heartbeat(sessions.Ready, 1)).To(ConsistOf(accepted()))
 	})
 
-	It("is given once every voter has it on disk", func() {
+	It("is sent once every voter has the departure on disk", func() {
 		Expect(drain(2)).To(BeEmpty())
 		Expect(acknowledge("b")).To(BeEmpty())
-		Expect(acknowledge("c")).To(BeEmpty(), "it is not on the own disk yet")
+		Expect(acknowledge("c")).To(BeEmpty(), "it is not on this member's disk yet")
 		Expect(store()).To(ConsistOf(accepted()))
 	})
 
-	It("is not given to a repeated notice while the first one is pending", func() {
+	It("is not sent for a repeated notice while the first one is pending", func() {
 		drain(2)
 		store()
 		Expect(drain(3)).To(BeEmpty())
 		Expect(store()).To(BeEmpty())
 		Expect(acknowledge("b")).To(BeEmpty())
 		Expect(acknowledge("c")).To(ConsistOf(Answer{Call: lastCall - 1}, accepted()))
-		Expect(drain(4)).To(ConsistOf(accepted()), "all have it")
+		Expect(drain(4)).To(ConsistOf(accepted()), "all voters have it on disk")
 	})
 
-	It("is not given to a repeated notice after the first one was rejected", func() {
+	It("is not sent for a repeated notice after the first one was rejected", func() {
 		drain(2)
 		now = departureTimeout + 1
 		Expect(replica.Tick(now, threeMembers).Answers).To(ConsistOf(HaveField("Err", HaveOccurred())))
 		Expect(drain(3)).To(BeEmpty())
 	})
 
-	It("is given after the deadline when a majority has it on disk", func() {
+	It("is sent after the deadline if a majority has the departure on disk", func() {
 		drain(2)
 		store()
 		Expect(acknowledge("c")).To(BeEmpty())
@@ -122,38 +124,38 @@
 		Expect(replica.Tick(now, threeMembers).Answers).To(ConsistOf(accepted()))
 	})
 
-	It("is given to a deregistration once the peers have it too, not before", func() {
+	It("is sent for a deregistration once all voters have it on disk, not before", func() {
 		Expect(deregister("i-1")).To(BeEmpty())
 		Expect(store()).To(BeEmpty())
 		Expect(acknowledge("b")).To(BeEmpty())
 		Expect(acknowledge("c")).To(ConsistOf(accepted()))
 	})
 
-	It("is asked of the peers also for the deregistration of an endpoint unknown here", func() {
+	It("is requested from the peers even if the deregistered endpoint is unknown to this member", func() {
 		Expect(deregister("i-2")).To(BeEmpty())
 		Expect(replica.Table().Records(0, []string{"i-2"})).To(ConsistOf(HaveField("Endpoint.State", sessions.Departed)))
 		Expect(asked).To(HaveLen(1))
 	})
 
-	It("waits for the next snapshot when one cannot be written", func() {
+	It("waits for the next snapshot if a write fails", func() {
 		drain(2)
 		Expect(replica.Flush(now, threeMembers).Snapshot).NotTo(BeNil())
 		Expect(replica.SnapshotStored(now, threeMembers, context.DeadlineExceeded).Answers).To(BeEmpty())
 		acknowledge("b")
 		Expect(acknowledge("c")).To(BeEmpty())
-		Expect(replica.Flush(now, threeMembers).Snapshot).To(BeNil(), "it is tried again after a while")
+		Expect(replica.Flush(now, threeMembers).Snapshot).To(BeNil(), "the retry interval has not passed")
 		now += storeRetryInterval
 		Expect(store()).To(ConsistOf(accepted()))
 	})
 
-	It("is not waited for by a snapshot that could not be written: it is tried again all the same", func() {
+	It("need not be pending for a failed snapshot to be written again", func() {
 		Expect(replica.Flush(now, threeMembers).Snapshot).NotTo(BeNil())
 		replica.SnapshotStored(now, threeMembers, context.DeadlineExceeded)
 		now += snapshotInterval + 1
 		Expect(replica.Flush(now, threeMembers).Snapshot).NotTo(BeNil())
 	})
 
-	It("is not given by what was stored before it", func() {
+	It("is not sent for a snapshot that was started before the departure", func() {
 		Expect(replica.Flush(now, threeMembers).Snapshot).NotTo(BeNil())
 		drain(2)
 		acknowledge("b")
@@ -171,7 +173,7 @@
 		Expect(messagesTo[protocol.SessionAck](out, "b")).To(ConsistOf(protocol.SessionAck{From: "a", Ask: 7}))
 	})
 
-	It("is never given without a store", func() {
+	It("is never sent without a store", func() {
 		replica.config.CanStore = false
 		drain(2)
 		acknowledge("b")
@@ -185,7 +187,7 @@
 		Expect(replica.Deregister(now, withoutQuorum, "i-1", 10).Answers).To(ConsistOf(HaveField("Err", HaveOccurred())))
 	})
 
-	It("counts none of an earlier incarnation", func() {
+	It("does not count what peers stored for an earlier incarnation", func() {
 		drain(2)
 		store()
 		restarted := newTestReplica("a")
@@ -201,7 +203,7 @@
 })
 
 var _ = Describe("a full sync", func() {
-	It("is complete once all peers that are reachable have answered, and is made again after a time without a quorum", func() {
+	It("is complete once all reachable peers have answered, and is repeated after a time without a quorum", func() {
 		replica := newTestReplica("a")
 		out := replica.Tick(time.Second, threeMembers)
 		Expect(messagesTo[protocol.SessionSnapshotRequest](out, "b")).To(HaveLen(1))
@@ -215,7 +217,7 @@
 		Expect(replica.IsSynced()).To(BeFalse())
 	})
 
-	It("is complete after a time-out", func() {
+	It("is complete after its timeout", func() {
 		replica := newTestReplica("a")
 		replica.Tick(time.Second, threeMembers)
 		replica.Tick(2*time.Second+1, threeMembers)
--- a/internal/sessionsync/store.go
+++ b/internal/sessionsync/store.go
@@ -8,37 +8,39 @@
 )
 
 const (
-	// snapshotInterval is the least time between two snapshots on disk, but for one that a departure waits for.
+	// snapshotInterval is the minimum time between two snapshots on disk. A snapshot that a departure waits for is not
+	// delayed.
 	snapshotInterval = time.Second
-	// storeRetryInterval is the time after a failed write until the next one.
+	// storeRetryInterval is the pause after a failed write.
 	storeRetryInterval = 100 * time.Millisecond
 )
 
-// storeState is what is on disk, and what waits for it. A snapshot is written as a whole, one at a time.
+// storeState tracks the snapshots on disk and the departures that wait for them. A snapshot contains all sessions, and
+// one is written at a time.
 type storeState struct {
-	savedIndex   uint64        // modify index of the last snapshot that was handed out
-	due          time.Duration // of the next one
-	retryAfter   time.Duration // no snapshot is written before, as the last one failed
+	savedIndex   uint64        // modify index of the last snapshot whose write was started
+	due          time.Duration // time of the next snapshot
+	retryAfter   time.Duration // after a failed write, no snapshot is written before this time
 	writing      bool
-	nextWaiters  []storeWaiter // for the next snapshot
-	writeWaiters []storeWaiter // for the one that is being written
+	nextWaiters  []storeWaiter // departures that wait for the next snapshot
+	writeWaiters []storeWaiter // departures that wait for the snapshot being written
 }
 
 // storeWaiter is a departure that waits until this member has it on disk.
 type storeWaiter struct {
-	member string // who is told: a peer, or this member itself
-	number uint64 // of the departure, at that member
+	member string // member to notify: a peer, or this member itself
+	number uint64 // number of the departure at that member
 }
 
-// awaitStored has a departure wait until the table as it is now is on disk.
+// awaitStored makes a departure wait until the current table is on disk.
 func (r *Replica) awaitStored(waiter storeWaiter) {
 	if r.config.CanStore && len(r.store.nextWaiters) < maxDepartures {
 		r.store.nextWaiters = append(r.store.nextWaiters, waiter)
 	}
 }
 
-// snapshotIfDue returns the sessions to be written where the interval is over and something has changed, or where a departure
-// waits for it; nil if none is due, or while one is being written.
+// snapshotIfDue returns the sessions to write if the interval has passed and the table has changed, or if a departure
+// waits. It returns nil if no snapshot is due or if one is being written.
 func (r *Replica) snapshotIfDue(now time.Duration) []sessions.Record {
 	due := r.table.ModifyIndex() != r.store.savedIndex && now >= r.store.due || len(r.store.nextWaiters) > 0
 	if !due || !r.config.CanStore || r.store.writing || now < r.store.retryAfter {
@@ -49,7 +51,7 @@
 	return r.table.AllRecords(r.clock)
 }
 
-// SnapshotStored takes the end of the write of a snapshot. Where it has failed, the departures wait for the next one.
+// SnapshotStored handles the result of writing a snapshot. After a failure, the departures wait for the next snapshot.
 func (r *Replica) SnapshotStored(now time.Duration, core Core, err error) Output {
 	var out Output
 	written := r.store.writeWaiters
