--- a/internal/controlplane/chain_driver.go
+++ b/internal/controlplane/chain_driver.go
@@ -23,7 +23,7 @@
 		encoded, err := s.chainStore.encode(record, s.chain.Snapshot)
 		if err != nil {
 			s.log.Error("record.unencodable", "error", err)
-			s.chainStore.startNewFile() // its snapshot includes the change of this record
+			s.chainStore.startNewFile() // the snapshot at its start includes this record's change
 			continue
 		}
 		job.records = append(job.records, encoded)
--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -3,6 +3,16 @@
 // of operators and the calls of the coordination service. It replicates them with the other members and streams updates to
 // the proxies. While it holds the lease of the singleton role "placement", it orders endpoints to load and unload models.
 //
+// # Terms
+//
+//   - A view is the agreed list of voters and the chain formed from them. The head of the chain orders writes, the tail
+//     answers reads, and a write is committed once the tail has stored it (internal/chain).
+//   - A lease is the right of one member, the holder, to act in the placement role for a limited time.
+//   - A hold is the ownership of a lock for a limited time. A hold that has expired may be taken over by another caller.
+//   - A session is what the control plane knows about an endpoint from its heartbeats. An overlay is a change to it that
+//     the placement controller publishes before the endpoint's next heartbeat (internal/sessions).
+//   - A departure is the notice of an endpoint that it drains or deregisters (internal/sessionsync).
+//
 // # State
 //
 // Each process has one Server, which owns:
