--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -11,6 +11,7 @@
 //   - A hold is the ownership of a lock for a limited time. A hold that has expired may be taken over by another caller.
 //   - A session is what the control plane knows about an endpoint from its heartbeats. An overlay is a change to it that
 //     the placement controller publishes before the endpoint's next heartbeat (internal/sessions).
+//   - The origin is the store from which endpoints load the weights of models. It carries a limited rate of loads.
 //   - A departure is the notice of an endpoint that it drains or deregisters (internal/sessionsync).
 //
 // # State
--- a/internal/controlplane/leave_test.go
+++ b/internal/controlplane/leave_test.go
@@ -41,9 +41,9 @@
 			}()
 		}
 		var voters []chain.Member
-		var gone *member
-		eventually(ended).Should(Receive(&gone))
-		needed, _ := lo.Find(members[1:], func(m *member) bool { return m != gone })
+		var left *member
+		eventually(ended).Should(Receive(&left))
+		needed, _ := lo.Find(members[1:], func(m *member) bool { return m != left })
 
 		address := members[0].settings.InternalAddress(members[0].settings.IPAddress)
 		eventually(func(g Gomega) {
@@ -60,9 +60,9 @@
 
 		needed.signal()
 		eventually(ended).Should(Receive(Equal(needed)))
-		gone.awaitEnd()
+		left.awaitEnd()
 		needed.awaitEnd()
-		restartWithShortGrace(gone, needed)
+		restartWithShortGrace(left, needed)
 		eventually(func(g Gomega) {
 			status, err := AskStatus(address)
 			g.Expect(err).NotTo(HaveOccurred())
--- a/internal/controlplane/log_events_test.go
+++ b/internal/controlplane/log_events_test.go
@@ -12,22 +12,23 @@
 	"testing"
 )
 
-// logsPage lists the log events. Its section on the control process has one row per event.
+// logsPage is the documentation page of the log events. Its section on the control process has a table with one row per
+// event.
 const logsPage = "../../docs/LOGS.md"
 
 // logsSection is the heading of the section on the control process.
 const logsSection = "## Control process"
 
-// logEvent is a log event as described on the page or as logged by the code.
+// logEvent is a log event as documented on the page or as logged by the code.
 type logEvent struct {
 	name   string
 	level  string
 	fields string
 }
 
-// TestLogEventsOfThePageAreThoseOfTheCode checks that the page has each event that the code logs, with its level and
-// its fields, and no other events.
-func TestLogEventsOfThePageAreThoseOfTheCode(t *testing.T) {
+// TestLoggedEventsMatchDocumentation checks that the documentation page has each event that the code logs, with its
+// level and its fields, and no other events.
+func TestLoggedEventsMatchDocumentation(t *testing.T) {
 	fromPage, fromCode := eventsOfPage(t), eventsOfCode(t)
 	if len(fromCode) == 0 {
 		t.Fatal("no event found in the code")
--- a/internal/controlplane/metrics_names_test.go
+++ b/internal/controlplane/metrics_names_test.go
@@ -9,14 +9,15 @@
 	"dykering/internal/protocol"
 )
 
-// TestMetricsAreThoseOfThePage checks that the page lists exactly the metrics that the control process exposes.
-func TestMetricsAreThoseOfThePage(t *testing.T) {
+// TestMetricsMatchDocumentation checks that the documentation page lists exactly the metrics that the control process
+// exposes.
+func TestMetricsMatchDocumentation(t *testing.T) {
 	status := protocol.Status{Members: []protocol.MemberStatus{{ID: "a/0"}}, Coordination: &protocol.CoordinationStatus{}}
 	var text bytes.Buffer
 	writeMetrics(&text, &status)
-	calls := newCoordinationMetrics()
-	calls.record("begin", outcomeOK, time.Millisecond)
-	calls.write(&text)
+	collector := newCoordinationMetrics()
+	collector.record("begin", outcomeOK, time.Millisecond)
+	collector.write(&text)
 	page := fixture.Names(t, "../../docs/FIXED.md", "Metrics of the control process")
 	fixture.SameNames(t, "metrics", page, fixture.MetricNames(text.String()))
 }
