--- a/internal/controlplane/leave_test.go
+++ b/internal/controlplane/leave_test.go
@@ -9,8 +9,9 @@
 	"dykering/internal/protocol"
 )
 
-// startAgain starts members with the grace period of the other specs, so that the end of this one need not wait.
-func startAgain(members ...*member) {
+// restartWithShortGrace starts members with the grace period of the other specs, so that stopping them at the end of
+// the spec does not take long.
+func restartWithShortGrace(members ...*member) {
 	for _, m := range members {
 		m.settings.Bounds.GracePeriodS = 3
 		m.start()
@@ -18,29 +19,31 @@
 }
 
 var _ = Describe("two of three members that leave at once", func() {
-	const longGracePeriod = 600 // seconds; it must not end within the spec
+	const longGracePeriod = 600 // seconds; it must not expire during the spec
 
-	It("leave one by one: the last is needed until it gets a second signal", func() {
+	It("leave one after the other: the last one is needed and stays until a second signal", func() {
 		members := newMembers(3)
 		for _, m := range members {
 			m.settings.Bounds.GracePeriodS = longGracePeriod
 			m.start()
 		}
-		DeferCleanup(members[0].signal) // the first of two: it would wait for the others, which have stopped
+		// This is the first of two signals; the cleanup of newMembers sends the second. With one signal the member would
+		// wait for the others, which have stopped.
+		DeferCleanup(members[0].signal)
 		changeUntilAcknowledged(members[0], 1, 0)
 		members[1].signal()
 		members[2].signal()
-		first := make(chan *member, 2)
+		ended := make(chan *member, 2)
 		for _, m := range members[1:] {
 			go func() {
 				m.finished <- <-m.finished
-				first <- m
+				ended <- m
 			}()
 		}
 		var voters []chain.Member
-		var gone *member
-		eventually(first).Should(Receive(&gone))
-		needed, _ := lo.Find(members[1:], func(m *member) bool { return m != gone })
+		var left *member
+		eventually(ended).Should(Receive(&left))
+		needed, _ := lo.Find(members[1:], func(m *member) bool { return m != left })
 
 		address := members[0].settings.InternalAddress(members[0].settings.IPAddress)
 		eventually(func(g Gomega) {
@@ -53,13 +56,13 @@
 			voters = status.View.Voters
 		}).Should(Succeed())
 		changeUntilAcknowledged(members[0], 2, 1)
-		Expect(first).NotTo(Receive())
+		Expect(ended).NotTo(Receive())
 
 		needed.signal()
-		eventually(first).Should(Receive(Equal(needed)))
-		gone.awaitEnd()
+		eventually(ended).Should(Receive(Equal(needed)))
+		left.awaitEnd()
 		needed.awaitEnd()
-		startAgain(gone, needed)
+		restartWithShortGrace(left, needed)
 		eventually(func(g Gomega) {
 			status, err := AskStatus(address)
 			g.Expect(err).NotTo(HaveOccurred())
