--- a/internal/dataplane/control_processes.go
+++ b/internal/dataplane/control_processes.go
@@ -25,7 +25,7 @@
 type controlProcesses struct {
 	zone                 string // zone of this proxy
 	known                []protocol.ControlProcess
-	remoteStreamDuration time.Duration // how long the next stream from another zone is kept
+	remoteStreamDuration time.Duration // mean time that the next stream from another zone is kept
 }
 
 // newControlProcesses returns a list of the seeds from the settings. Their zones are unknown until a control process sends its
--- a/internal/dataplane/selection.go
+++ b/internal/dataplane/selection.go
@@ -16,7 +16,7 @@
 	// retryWaitFraction is the fraction of its time until the deadline for which a client's retry waits. A retry waits longer
 	// than a first attempt, since the client may make no further one.
 	retryWaitFraction = 0.5
-	// modelLoadMargin is the time that passes beyond the load of a model itself until every proxy knows that the model is loaded.
+	// modelLoadMargin is added to the load time of a model in a Retry-After, until every proxy knows that the model is loaded.
 	modelLoadMargin = 250 * time.Millisecond
 	// maxWaitFraction is the fraction of the remaining time that any wait may take. The rest is left for the response.
 	maxWaitFraction = 0.8
--- a/internal/fleetconfig/change.go
+++ b/internal/fleetconfig/change.go
@@ -9,31 +9,31 @@
 	"github.com/pkg/errors"
 )
 
-// Operation is the kind of a change. Its values are the last part of the paths of the operator's API.
+// Operation is the kind of a change. Its values are the last segments of the URL paths of the operator's API.
 type Operation string
 
 // The operations of the operator's API.
 const (
-	Replace Operation = "replace" // of the complete configuration
-	Modify  Operation = "modify"  // of named items
+	Replace Operation = "replace" // replaces the complete configuration
+	Modify  Operation = "modify"  // adds, replaces or removes named items
 )
 
 // Change is an operator's change as it was sent.
 type Change struct {
 	Operation Operation
-	Base      int64 // version that it is based on; 0 for the first
-	Body      []byte
+	Base      int64  // version that the change is based on; 0 for the first change
+	Body      []byte // JSON
 }
 
-// Digest is the identity of a change: a truncated SHA-256 of operation, base and body.
+// Digest identifies a change. It is a truncated SHA-256 of the operation, the base and the body.
 type Digest [16]byte
 
-// Digest returns the identity of a change. It does not depend on white space or on the order of keys in the body, so that
-// it is the same when a client renders the body anew for a retry.
+// Digest returns the identity of a change. It does not depend on white space or on the order of keys in the body, so a
+// client may encode the body again for a retry.
 func (c *Change) Digest() Digest { return c.digestOf(canonicalJSON(c.Body)) }
 
-// Digests returns the identities by which a change may be known: its Digest, and the digest of the exact bytes, which
-// members of an earlier build recorded.
+// Digests returns the digests under which a change may be recorded: its Digest, and the digest of the exact bytes of its
+// body, which earlier builds record.
 func (c *Change) Digests() [2]Digest { return [2]Digest{c.Digest(), c.digestOf(c.Body)} }
 
 func (c *Change) digestOf(body []byte) Digest {
@@ -49,8 +49,8 @@
 	return digest
 }
 
-// canonicalJSON returns one rendering for all equal JSON values. Numbers keep their text. What is not JSON is returned as
-// it is.
+// canonicalJSON returns the same text for all equal JSON values. Numbers keep their text. A body that is not valid JSON is
+// returned unchanged.
 func canonicalJSON(body []byte) []byte {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.UseNumber()
@@ -65,7 +65,8 @@
 	return rendered
 }
 
-// rawModification is the JSON form of the body of a Modify change. Its name is part of the parser's messages.
+// rawModification is the JSON form of the body of a Modify change. The error messages of encoding/json contain the name of
+// this type, so it must not change.
 type rawModification struct {
 	Version int64 `json:"version"`
 	Upsert  struct {
@@ -80,7 +81,7 @@
 	Limits json.RawMessage `json:"limits"`
 }
 
-// applyTo returns the document that a change makes of another.
+// applyTo returns the document that results from applying a change to another document.
 func (c *Change) applyTo(d *Document) (Document, error) {
 	if c.Operation == Replace {
 		return parseDocument(c.Body)
@@ -88,7 +89,7 @@
 	return d.modified(c.Body)
 }
 
-// modified returns the document that the body of a Modify change makes of another.
+// modified returns the document that results from applying the body of a Modify change.
 func (d *Document) modified(body []byte) (Document, error) {
 	var raw rawModification
 	if err := json.Unmarshal(body, &raw); err != nil {
--- a/internal/fleetconfig/compatibility_test.go
+++ b/internal/fleetconfig/compatibility_test.go
@@ -6,14 +6,14 @@
 	"dykering/internal/fixture"
 )
 
-// The items of an operator's configuration keep their form.
+// The JSON form of the items in an operator's configuration must not change.
 func TestConfigurationFormIsUnchanged(t *testing.T) {
 	fixture.JSON(t, "testdata/compatibility/route.json", &Route{})
 	fixture.JSON(t, "testdata/compatibility/service.json", &Service{})
 	fixture.JSON(t, "testdata/compatibility/limits.json", &Limits{})
 }
 
-// A document keeps the form in which it is read by the operator.
+// The JSON form of a document, which the operator's API returns, must not change.
 func TestDocumentFormIsUnchanged(t *testing.T) {
 	document := Document{
 		Version:  7,
--- a/internal/fleetconfig/config.go
+++ b/internal/fleetconfig/config.go
@@ -7,7 +7,7 @@
 	"github.com/samber/lo"
 )
 
-// Config is a configuration in the terms of the program. Keys of the JSON form that are not listed here are ignored.
+// Config is a parsed configuration. Unknown keys of the JSON form are ignored.
 type Config struct {
 	Version  int64
 	Routes   []Route
@@ -15,38 +15,38 @@
 	Limits   Limits
 }
 
-// RouteKind is how requests of a route are answered, and whether they may be executed more than once. An empty one is
-// treated as NonIdempotent.
+// RouteKind determines how the responses of a route are sent, and whether its requests may be executed more than once. An
+// empty kind is treated as NonIdempotent.
 type RouteKind string
 
 // The kinds of routes.
 const (
 	Idempotent    RouteKind = "idempotent"
 	NonIdempotent RouteKind = "non_idempotent"
-	Streaming     RouteKind = "streaming" // the response is a stream of events
+	Streaming     RouteKind = "streaming" // the response is a stream of server-sent events
 )
 
-// Route is where requests with a host and a path prefix are sent.
+// Route sends the requests with a host and a path prefix to a service.
 type Route struct {
 	Name       string    `json:"name"`
-	Host       string    `json:"host"` // in any case
+	Host       string    `json:"host"` // case-insensitive
 	PathPrefix string    `json:"path_prefix"`
 	Kind       RouteKind `json:"kind"`
-	// TimeoutMs bounds the time for a request, in milliseconds. Above 0.
+	// TimeoutMs bounds the duration of a request, in milliseconds. It is above 0.
 	TimeoutMs float64 `json:"timeout_ms"`
-	// TargetLatencyMs is the time within which the response should begin, in milliseconds; 0 for none.
+	// TargetLatencyMs is the time within which the response should begin, in milliseconds; 0 for no target.
 	TargetLatencyMs float64 `json:"target_latency_ms"`
-	// TargetGapMs is the longest time that should pass between two events of a stream, in milliseconds; 0 for none.
+	// TargetGapMs is the longest time that should pass between two events of a stream, in milliseconds; 0 for no target.
 	TargetGapMs float64 `json:"gap_aim_ms"`
-	// Priority ranks the route when endpoints are overloaded: 0 is the most urgent.
+	// Priority is the priority of the route's requests at overloaded endpoints. 0 is the most urgent.
 	Priority float64 `json:"priority"`
-	// MaxAttempts bounds the attempts that may have been executed; less than 1 counts as 1.
+	// MaxAttempts bounds the attempts of a request that may have executed it. A value below 1 counts as 1.
 	MaxAttempts float64 `json:"max_attempts"`
-	// StickySessions asks for affinity: requests with the same beginning of their prompt go to the same few endpoints.
+	// StickySessions enables affinity: requests whose prompts begin equally go to the same few endpoints.
 	StickySessions bool `json:"sticky_sessions"`
-	// Resumable is true for a stream that can be resumed at another endpoint after its last event.
+	// Resumable is true if another endpoint can resume a stream after its last event.
 	Resumable bool `json:"resumable"`
-	// Service is the service, unless TrafficSplit is set.
+	// Service is the name of the service. It is ignored if TrafficSplit is set.
 	Service string `json:"service"`
 	// TrafficSplit divides the requests among services by weight.
 	TrafficSplit []WeightedService `json:"traffic_split"`
@@ -58,36 +58,36 @@
 	Weight  float64 `json:"weight"`
 }
 
-// Service is a group of endpoints that serve the same.
+// Service is a group of interchangeable endpoints.
 type Service struct {
 	Name            string `json:"name"`
 	HealthCheckPath string `json:"health_check_path"`
-	// ConnectionLimit is the number of connections that an endpoint accepts from all callers together; 0 for unknown.
+	// ConnectionLimit is the number of connections that an endpoint accepts from all callers together; 0 if it is unknown.
 	ConnectionLimit float64 `json:"connection_limit"`
-	// Engine describes the endpoints of a service for inference; nil for others.
+	// Engine describes the inference engine of the endpoints. It is nil for a service without models.
 	Engine *Engine `json:"inference_engine"`
 }
 
-// Engine describes the endpoints of a service for inference. All have the same size.
+// Engine describes the inference engine of each endpoint of a service. All endpoints of a service have the same size.
 type Engine struct {
-	Slots         float64 `json:"slots"`           // requests in a batch
-	KVCacheTokens float64 `json:"kv_cache_tokens"` // size of the cache of prompts
-	WeightsSizeMB float64 `json:"weights_size_mb"` // memory for models and adapters, in MB
-	AdapterSlots  float64 `json:"adapter_slots"`   // adapters that an endpoint can have loaded
-	LoadsPerS     float64 `json:"loads_per_s"`     // rate limit of the store of weights, over all endpoints
+	Slots         float64 `json:"slots"`           // largest number of requests in a batch
+	KVCacheTokens float64 `json:"kv_cache_tokens"` // size of the key-value cache, in tokens
+	WeightsSizeMB float64 `json:"weights_size_mb"` // memory for the weights of models and adapters, in MB
+	AdapterSlots  float64 `json:"adapter_slots"`   // largest number of loaded adapters
+	LoadsPerS     float64 `json:"loads_per_s"`     // rate limit of the weight store over all endpoints, in loads a second
 	Models        []Model `json:"models"`
 }
 
-// Model is one of the models that a service can be asked for.
+// Model is a model that a service offers.
 type Model struct {
 	Name          string  `json:"name"`
-	WeightsSizeMB float64 `json:"weights_size_mb"` // memory that it takes, in MB
-	LoadTimeS     float64 `json:"load_time_s"`     // time for loading it from the store, in seconds
-	Adapters      float64 `json:"adapters"`        // number of its adapters
-	AdapterSizeMB float64 `json:"adapter_size_mb"` // memory that each of them takes, in MB
+	WeightsSizeMB float64 `json:"weights_size_mb"` // memory for the weights of the model, in MB
+	LoadTimeS     float64 `json:"load_time_s"`     // time to load the model from the weight store, in seconds
+	Adapters      float64 `json:"adapters"`        // number of adapters of the model
+	AdapterSizeMB float64 `json:"adapter_size_mb"` // memory for the weights of one adapter, in MB
 }
 
-// Limits bound what a client may send, and how long it may take or stay idle.
+// Limits bounds the size of requests, and the time that a client may take to send headers or keep a connection idle.
 type Limits struct {
 	MaxHeaderBytes  float64 `json:"max_header_bytes"`
 	MaxBodyBytes    float64 `json:"max_body_bytes"`
@@ -95,7 +95,7 @@
 	IdleTimeoutMs   float64 `json:"idle_timeout_ms"`
 }
 
-// Parse reads and validates a document. The error is an *errkind.Error of the kind errkind.InvalidConfig.
+// Parse parses and validates a document. Its errors have the type *errkind.Error and the kind errkind.InvalidConfig.
 func Parse(d *Document) (*Config, error) {
 	config := &Config{Version: d.Version}
 	for _, item := range d.Services {
@@ -120,7 +120,7 @@
 	return config, config.validate()
 }
 
-// Service returns the service with a name.
+// Service returns the service with a name, and whether the configuration has one.
 func (c *Config) Service(name string) (Service, bool) {
 	return lo.Find(c.Services, func(s Service) bool { return s.Name == name })
 }
@@ -145,7 +145,7 @@
 	return time.Duration(r.TargetGapMs * float64(time.Millisecond))
 }
 
-// WeightedServices returns the services that the route's requests are divided among: one, without a traffic split.
+// WeightedServices returns the services among which the route's requests are divided. Without a traffic split it is one service.
 func (r *Route) WeightedServices() []WeightedService {
 	if len(r.TrafficSplit) > 0 {
 		return r.TrafficSplit
--- a/internal/fleetconfig/document.go
+++ b/internal/fleetconfig/document.go
@@ -10,19 +10,20 @@
 
 // Document is a complete configuration. It is immutable.
 type Document struct {
-	Version  int64 // chosen by the operator; rises with every change, by any step
+	Version  int64 // chosen by the operator; must be higher after each change
 	Routes   []Item
 	Services []Item
-	Limits   []byte // JSON; empty for none
+	Limits   []byte // JSON; empty if the operator has set no limits
 }
 
-// Item is a named part of a configuration, a route or a service.
+// Item is a named part of a configuration: a route or a service.
 type Item struct {
 	Name string
-	Text []byte // JSON, as it was sent
+	Text []byte // JSON, as the operator sent it
 }
 
-// rawDocument is the JSON form of a document. Its name is part of the parser's messages.
+// rawDocument is the JSON form of a document. The error messages of encoding/json contain the name of this type, so it must
+// not change.
 type rawDocument struct {
 	Version  int64             `json:"version"`
 	Routes   []json.RawMessage `json:"routes"`
@@ -30,7 +31,7 @@
 	Limits   json.RawMessage   `json:"limits,omitempty"`
 }
 
-// JSON returns the JSON form of a document, with the text of each item as it was sent.
+// JSON returns the JSON form of a document, with the text of each item as the operator sent it.
 func (d *Document) JSON() ([]byte, error) {
 	raw := rawDocument{Version: d.Version, Routes: itemTexts(d.Routes), Services: itemTexts(d.Services), Limits: d.Limits}
 	var out bytes.Buffer
@@ -42,11 +43,12 @@
 	return out.Bytes(), nil
 }
 
+// itemTexts returns the JSON texts of items.
 func itemTexts(items []Item) []json.RawMessage {
 	return lo.Map(items, func(item Item, _ int) json.RawMessage { return item.Text })
 }
 
-// parseDocument reads the JSON form of a document.
+// parseDocument parses the JSON form of a document.
 func parseDocument(body []byte) (Document, error) {
 	var raw rawDocument
 	if err := json.Unmarshal(body, &raw); err != nil {
@@ -61,7 +63,7 @@
 	return document, err
 }
 
-// parseItems reads the names of items. The schema has ensured that each has one.
+// parseItems parses the names of items. The caller has validated with the schema that each item has a name.
 func parseItems(raw []json.RawMessage) ([]Item, error) {
 	items := make([]Item, 0, len(raw))
 	for _, text := range raw {
@@ -76,8 +78,8 @@
 	return items, nil
 }
 
-// modifyItems returns a list with some items replaced by name or appended, and others removed. Names to remove that are not
-// in the list are ignored; an item that is both replaced and removed stays.
+// modifyItems returns a list with the upserts and without the removals. An upsert replaces the item of the same name or is
+// appended. Removals of items that are not in the list are ignored. An item that is both upserted and removed stays.
 func modifyItems(items, upserts []Item, removals []string) []Item {
 	removed := lo.Associate(removals, func(name string) (string, bool) { return name, true })
 	pending := lo.SliceToMap(upserts, func(item Item) (string, Item) { return item.Name, item })
--- a/internal/fleetconfig/fleetconfig_test.go
+++ b/internal/fleetconfig/fleetconfig_test.go
@@ -18,11 +18,13 @@
 
 const route = `{"name":"r1","host":"a.example","path_prefix":"/x/","kind":"streaming","timeout_ms":5000,"service":"s1"}`
 
+// replace returns a Replace change to a configuration of the routes and services.
 func replace(version, base int64, routes, services string) *Change {
 	body := fmt.Sprintf(`{"version":%d,"routes":[%s],"services":[%s],"limits":{"idle_timeout_ms":15000}}`, version, routes, services)
 	return &Change{Operation: Replace, Base: base, Body: []byte(body)}
 }
 
+// applied returns the state after a change of the initial state.
 func applied(c *Change) *State {
 	next, err := (&State{}).Next(c)
 	Expect(err).NotTo(HaveOccurred())
@@ -52,7 +54,7 @@
 		Entry("another base", replace(5, 2, route, `{"name":"s1"}`), errkind.VersionConflict),
 	)
 
-	It("is rendered as it was sent, with keys that this program does not know", func() {
+	It("is returned as it was sent, including keys that this program does not know", func() {
 		const odd = `{"name":"r1","host":"a.example","path_prefix":"/x/","timeout_ms":5000.0,"service":"s1","colour":"<blue>"}`
 		state := applied(replace(3, 0, odd, `{"name":"s1","big":65099.99999999999}`))
 		text, err := state.Document.JSON()
@@ -102,7 +104,7 @@
 })
 
 var _ = Describe("a change that was applied", func() {
-	It("is recognised by its digest, also after other changes", func() {
+	It("is recognized by its digest, also after other changes", func() {
 		first := replace(3, 0, route, `{"name":"s1"}`)
 		state := applied(first)
 		next, err := state.Next(replace(4, 3, "", `{"name":"s1"}`))
@@ -116,7 +118,7 @@
 		Expect((&State{}).Apply(change)).To(Equal(applied(change)))
 	})
 
-	It("is recognised with other white space and another order of keys", func() {
+	It("is recognized with other white space and another order of keys", func() {
 		first := &Change{Operation: Replace, Body: []byte(`{"version":3,"routes":[],"services":[{"name":"s1","weight":1.50}]}`)}
 		again := &Change{Operation: Replace, Body: []byte("{ \"services\": [ {\"weight\": 1.50, \"name\": \"s1\"} ],\n\"routes\": [], \"version\": 3 }")}
 		other := &Change{Operation: Replace, Body: []byte(`{"version":3,"routes":[],"services":[{"name":"s2","weight":1.50}]}`)}
@@ -124,14 +126,14 @@
 		Expect(applied(first).HasApplied(other.Digest())).To(BeFalse())
 	})
 
-	It("is recognised by its exact bytes where a member of an earlier build has applied it", func() {
+	It("is recognized by its exact bytes if a member of an earlier build has applied it", func() {
 		change := &Change{Operation: Replace, Body: []byte(`{ "version": 3, "services": [], "routes": [] }`)}
 		state := &State{Taken: []Digest{change.digestOf(change.Body)}}
 		Expect(state.HasApplied(change.Digest())).To(BeFalse())
 		Expect(state.HasAppliedAny(change.Digests())).To(BeTrue())
 	})
 
-	DescribeTable("is not rejected when it is sent again after very many others",
+	DescribeTable("is not rejected when it is sent again after many others",
 		func(others int, isKnown bool) {
 			first := replace(1, 0, "", "")
 			state := applied(first)
@@ -141,13 +143,13 @@
 			Expect(state.HasApplied(first.Digest())).To(Equal(isKnown))
 			_, err := state.Next(first)
 			if !isKnown {
-				Expect(errkind.KindOf(err)).To(Equal(errkind.Unavailable), "no clear answer")
+				Expect(errkind.KindOf(err)).To(Equal(errkind.Unavailable), "the change may have been applied")
 			}
 			late := replace(state.Document.Version+1, state.Document.Version-1, "", "")
 			_, err = state.Next(late)
-			Expect(errkind.KindOf(err)).To(Equal(errkind.VersionConflict), "one that cannot have been taken")
+			Expect(errkind.KindOf(err)).To(Equal(errkind.VersionConflict), "this change cannot have been applied")
 		},
-		Entry("some", 500, true),
+		Entry("fewer than digests are kept", 500, true),
 		Entry("more than digests are kept", 10000, false),
 	)
 
--- a/internal/fleetconfig/state.go
+++ b/internal/fleetconfig/state.go
@@ -7,27 +7,27 @@
 	"dykering/internal/errkind"
 )
 
-// maxKeptDigests is the number of digests of applied changes that a State keeps, to acknowledge a change that is sent
-// again. At 16 bytes each they take 128 KiB of every snapshot. A day has some hundred changes.
+// maxKeptDigests bounds the digests of applied changes that a State keeps to recognize retries. With some hundred changes a
+// day they cover weeks. At 16 bytes each they take 128 KiB of every snapshot.
 const maxKeptDigests = 8192
 
-// State is the value that the chain replicates: the configuration, and the identities of the changes that led to it. It is
-// immutable. The names of its fields are fixed, since it is stored and sent with gob.
+// State is the replicated value: the configuration, and the digests of the changes that led to it. It is immutable. It is
+// stored and sent with encoding/gob, so the names of its fields must not change.
 type State struct {
 	Document Document
-	// Taken are the digests of the applied changes, oldest first. (gob field name, fixed.)
+	// Taken has the digests of the applied changes, oldest first.
 	Taken []Digest
-	// TakenVersions are the versions to which the changes in Taken led. It may be shorter than Taken, with the last ones
-	// corresponding, where an earlier build has recorded digests alone. (gob field name, fixed.)
+	// TakenVersions has the versions that the changes in Taken led to. It is shorter than Taken if an earlier build, which did
+	// not record versions, applied the first of these changes; its last element then belongs to the last element of Taken.
 	TakenVersions []int64
-	// Forgotten is the highest version whose digest is no longer kept: it is unknown whether a change that led to a version
-	// up to it has been applied. (gob field name, fixed.)
+	// Forgotten is the highest version whose digest has been dropped. For a change to this or a lower version, it is unknown
+	// whether it has been applied.
 	Forgotten int64
 }
 
-// HasApplied reports whether the change with a digest has been applied, and is still known.
+// HasApplied reports whether a change with the digest has been applied and its digest is still kept.
 func (s *State) HasApplied(d Digest) bool {
-	for i := len(s.Taken) - 1; i >= 0; i-- { // a retry is mostly of a recent change
+	for i := len(s.Taken) - 1; i >= 0; i-- { // newest first, since most retries are of a recent change
 		if s.Taken[i] == d {
 			return true
 		}
@@ -35,7 +35,7 @@
 	return false
 }
 
-// HasAppliedAny reports whether the change with one of the digests of Change.Digests has been applied.
+// HasAppliedAny reports whether a change has been applied that was recorded with one of the digests of Change.Digests.
 func (s *State) HasAppliedAny(digests [2]Digest) bool {
 	return s.HasApplied(digests[0]) || s.HasApplied(digests[1])
 }
@@ -45,9 +45,9 @@
 //   - errkind.Malformed for an unknown operation,
 //   - errkind.InvalidConfig for a change, or a configuration after it, that breaks a rule,
 //   - errkind.VersionConflict for a base other than the current version,
-//   - errkind.Unavailable for such a base where the change may have been applied before.
+//   - errkind.Unavailable for such a base if the change may have been applied before.
 //
-// Whether the change has been applied is for the caller to ask first (HasAppliedAny).
+// The caller must check first whether the change has already been applied (HasAppliedAny).
 func (s *State) Next(c *Change) (*State, error) {
 	if err := validateSchema(c); err != nil {
 		return nil, err
@@ -68,9 +68,8 @@
 	return next, nil
 }
 
-// versionConflict returns the error for a change that is based on another version than the current one. A change that may
-// have been applied so long ago that its digest is no longer kept must not be rejected, since its sender may be retrying
-// after a lost acknowledgement.
+// versionConflict returns the error for a change that is not based on the current version. It is not a rejection if the change
+// may have been applied and its digest dropped, since the sender may be retrying after a lost acknowledgement.
 func (s *State) versionConflict(c *Change) error {
 	var body struct {
 		Version int64 `json:"version"`
@@ -85,11 +84,12 @@
 func (s *State) Apply(c *Change) *State {
 	next, err := s.stateAfter(c)
 	if err != nil {
-		return s // cannot occur after Next; if it did, it would at each replica alike
+		return s // cannot occur after Next; every replica would keep its state, so they would not diverge
 	}
 	return next
 }
 
+// stateAfter returns the state after a change whose body conforms to the schema. It checks no other rules.
 func (s *State) stateAfter(c *Change) (*State, error) {
 	document, err := c.applyTo(&s.Document)
 	if err != nil {
@@ -98,8 +98,8 @@
 	return s.withApplied(document, c.Digest()), nil
 }
 
-// withApplied returns the state with a document, and with the digest of the change that led to it. The oldest digests
-// beyond maxKeptDigests are dropped.
+// withApplied returns the state with a new document and the digest of the change that led to it. It drops the oldest digests
+// beyond maxKeptDigests.
 func (s *State) withApplied(document Document, digest Digest) *State {
 	digests, versions := s.Taken, s.TakenVersions
 	forgotten := s.Forgotten
@@ -110,7 +110,7 @@
 		forgotten = versions[excess-1]
 		versions = versions[excess:]
 	}
-	// The lists are clipped, so that appending copies them: other states share them.
+	// Clip forces append to copy the lists, which other states share.
 	return &State{
 		Document:      document,
 		Taken:         append(slices.Clip(digests), digest),
--- a/internal/fleetconfig/validation.go
+++ b/internal/fleetconfig/validation.go
@@ -14,14 +14,14 @@
 //go:embed schema.json
 var schemaText []byte
 
-// schemaName is the name under which the compiler knows the schema. It is part of the messages of validation errors.
+// schemaName is the resource name of the schema. It is part of the messages of validation errors.
 const schemaName = "configuration.json"
 
-// schemas returns the schema of each operation's body. They are compiled at the first use.
+// schemas returns the schema of each operation's body. It compiles the schemas at its first call.
 var schemas = sync.OnceValue(func() map[Operation]*jsonschema.Schema {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(schemaText))
 	if err != nil {
-		panic(err) // the schema is part of the program; every test of this package compiles it
+		panic(err) // the schema is embedded, and the tests compile it
 	}
 	compiler := jsonschema.NewCompiler()
 	if err := compiler.AddResource(schemaName, document); err != nil {
@@ -33,7 +33,7 @@
 	}
 })
 
-// validateSchema checks the form of a change.
+// validateSchema validates the body of a change against the JSON schema of its operation.
 func validateSchema(c *Change) error {
 	schema := schemas()[c.Operation]
 	if schema == nil {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// validate checks the rules that a schema cannot express: names are unique, no two routes have the same host and prefix,
+// validate checks the rules that the schema cannot express: names are unique, no two routes have the same host and prefix,
 // and each route is valid.
 func (c *Config) validate() error {
 	services := map[string]bool{}
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// validate checks that a route has a time-out, and services that exist, with a weight among them.
+// validate checks that a route has a timeout, that its services exist, and that their weights do not sum to 0.
 func (r *Route) validate(services map[string]bool) error {
 	if r.TimeoutMs <= 0 {
 		return invalidConfigError("route " + r.Name + ": timeout_ms is 0")
@@ -96,4 +96,5 @@
 	return nil
 }
 
+// invalidConfigError returns an error of the kind errkind.InvalidConfig.
 func invalidConfigError(detail string) error { return errkind.New(errkind.InvalidConfig, detail) }
