--- a/internal/corestate/doc.go
+++ b/internal/corestate/doc.go
@@ -1,9 +1,10 @@
-// Package corestate is the value that the chain replicates: the operator's configuration (internal/fleetconfig) and the state of
-// the coordination service (internal/coordination), in one log.
+// Package corestate defines the value that the control plane replicates with chain replication. It consists of the operator's
+// configuration (internal/fleetconfig) and the state of the coordination service (internal/coordination), which share one log.
 //
-// While nothing was written to the coordination service, the value is a *fleetconfig.State alone: that is the stored and sent
-// form of builds without the service, and a system that does not use it stores and sends what it always did. The first
-// operation on the service makes a *State of it. Callers use the functions here, which take either.
+// Until the first write to the coordination service, the value is a *fleetconfig.State alone. Builds without the service store
+// and send this form, so they remain compatible with a system that does not use the service. The first operation on the service
+// turns the value into a *State. The functions of this package accept both forms.
 //
-// A value is immutable. internal/controlplane is the caller; the names of the fields of State are fixed by gob.
+// A value is immutable. Package controlplane uses this package. State is encoded with encoding/gob, so the names of its fields
+// must not change.
 package corestate
--- a/internal/corestate/state_test.go
+++ b/internal/corestate/state_test.go
@@ -18,11 +18,12 @@
 	RunSpecs(t, "the replicated value")
 }
 
+// version returns a configuration with a version number and no items.
 func version(number int64) *fleetconfig.State {
 	return &fleetconfig.State{Document: fleetconfig.Document{Version: number}}
 }
 
-// withNumber returns a value after a number was handed out.
+// withNumber returns the value after a NextNumber command.
 func withNumber(value any) any {
 	GinkgoHelper()
 	next, _, err := Coordination(value).Execute(coordination.Command{Operation: coordination.NextNumber, Name: "n"})
@@ -31,7 +32,7 @@
 }
 
 var _ = Describe("the replicated value", func() {
-	It("of a build without the service is a configuration, and stays one while the service is not used", func() {
+	It("is a configuration alone, as in a build without the service, until the service is used", func() {
 		value := Initial()
 		Expect(value).To(BeAssignableToTypeOf(&fleetconfig.State{}))
 		Expect(Coordination(value).Counts()).To(Equal(coordination.Counts{}))
@@ -47,7 +48,7 @@
 		Expect(Coordination(value).Counts().Numbers).To(Equal(1))
 	})
 
-	It("keeps each part when the other changes, and the value before", func() {
+	It("keeps each part when the other changes, and leaves the previous value unchanged", func() {
 		first := withNumber(version(3))
 		second := WithConfiguration(first, version(4))
 		Expect(Coordination(second)).To(BeIdenticalTo(Coordination(first)))
@@ -56,12 +57,12 @@
 		Expect(Configuration(first)).To(Equal(version(3)))
 	})
 
-	It("of an unknown type has an empty configuration and empty tables", func() {
+	It("has an empty configuration and empty tables if its type is unknown", func() {
 		Expect(Configuration("other")).To(Equal(&fleetconfig.State{}))
 		Expect(Coordination(nil).Counts()).To(Equal(coordination.Counts{}))
 	})
 
-	It("has a sequence number of the configuration that operations on the service leave as it is", func() {
+	It("has a sequence number of the configuration that operations on the service do not change", func() {
 		state := chain.State{Value: Initial()}
 		apply := func(value any) uint64 {
 			state = chain.State{Seq: state.Seq + 1, Value: value}
@@ -75,7 +76,7 @@
 		Expect(state.Seq).To(Equal(uint64(5)))
 	})
 
-	DescribeTable("is given back by its encoded form",
+	DescribeTable("is decoded equal to what was encoded",
 		func(value *State) {
 			var buffer bytes.Buffer
 			Expect(gob.NewEncoder(&buffer).Encode(value)).To(Succeed())
@@ -85,7 +86,7 @@
 			Expect(Coordination(&decoded).Counts()).To(Equal(value.Coordination.Counts()))
 			Expect(decoded.CoordinationOperations).To(Equal(value.CoordinationOperations))
 		},
-		Entry("with nothing in it", &State{Configuration: &fleetconfig.State{}, Coordination: coordination.Empty()}),
-		Entry("with both parts", &State{Configuration: version(3), Coordination: coordination.Empty(), CoordinationOperations: 7}),
+		Entry("with empty parts", &State{Configuration: &fleetconfig.State{}, Coordination: coordination.Empty()}),
+		Entry("with a configuration and a count of operations", &State{Configuration: version(3), Coordination: coordination.Empty(), CoordinationOperations: 7}),
 	)
 })
--- a/internal/protocol/compatibility_test.go
+++ b/internal/protocol/compatibility_test.go
@@ -16,14 +16,14 @@
 	"dykering/internal/peerlink"
 )
 
-// The fixtures were written by the build of commit bfb03d8, the last one before the types were renamed.
+// The fixtures were written by an earlier build, of commit bfb03d8, in which the types had other names.
 const (
-	streamFile   = "testdata/messages.peerlink"    // one message of each registered type, as a connection carries them
-	renderedFile = "testdata/messages.txt"         // what the messages hold
-	schemasFile  = "testdata/message-schemas.json" // the structure of their types
+	streamFile   = "testdata/messages.peerlink"    // one message of each registered type, in the frames of a connection
+	renderedFile = "testdata/messages.txt"         // text form of the messages
+	schemasFile  = "testdata/message-schemas.json" // field names and types of the messages
 )
 
-// recordedConn reads from and writes to a buffer in place of a network.
+// recordedConn is a connection that reads from and writes to a buffer.
 type recordedConn struct {
 	net.Conn
 	bytes.Buffer
@@ -34,7 +34,7 @@
 func (c *recordedConn) SetReadDeadline(time.Time) error  { return nil }
 func (c *recordedConn) SetWriteDeadline(time.Time) error { return nil }
 
-// typeName is the name under which the type of a message is registered.
+// typeName returns the name under which the type of a message is registered.
 func typeName(message any) string {
 	for _, registered := range registeredTypes {
 		if reflect.TypeOf(registered.value) == reflect.TypeOf(message) {
@@ -44,7 +44,7 @@
 	return "not registered"
 }
 
-// receiveAll reads the messages of a recorded stream with the present code.
+// receiveAll decodes all messages of a recorded stream with the current code.
 func receiveAll(t *testing.T, stream []byte) []any {
 	t.Helper()
 	raw := &recordedConn{}
@@ -61,7 +61,7 @@
 	return messages
 }
 
-// sendAll writes messages to a stream with the present code.
+// sendAll encodes messages to a stream with the current code.
 func sendAll(t *testing.T, messages []any) []byte {
 	t.Helper()
 	raw := &recordedConn{}
@@ -74,6 +74,7 @@
 	return raw.Bytes()
 }
 
+// renderAll returns the registered names and the field values of messages as text.
 func renderAll(messages []any) string {
 	var text strings.Builder
 	for _, message := range messages {
@@ -83,13 +84,13 @@
 	return text.String()
 }
 
-// schema is the structure of a registered type.
+// schema has the field names and types of a registered type.
 type schema struct {
 	Name   string         `json:"name"`
 	Schema fixture.Schema `json:"schema"`
 }
 
-// schemas reads the structures of the registered types.
+// schemas reads the schemas of the registered types of the earlier build.
 func schemas(t *testing.T) []schema {
 	t.Helper()
 	text := fixture.Bytes(t, schemasFile, func() []byte {
@@ -110,7 +111,7 @@
 	return all
 }
 
-// filledMessages makes a message of each registered type.
+// filledMessages returns a message of each registered type with all fields set.
 func filledMessages() []any {
 	var messages []any
 	for _, registered := range registeredTypes {
@@ -121,19 +122,20 @@
 	return messages
 }
 
+// fixtureMessages decodes the messages of the earlier build with the current code.
 func fixtureMessages(t *testing.T) []any {
 	t.Helper()
 	Register()
 	return receiveAll(t, fixture.Bytes(t, streamFile, func() []byte { return sendAll(t, filledMessages()) }))
 }
 
-// Messages of an earlier build are read in full.
+// The current code decodes all fields of the messages of an earlier build.
 func TestMessagesOfEarlierBuildAreRead(t *testing.T) {
 	fixture.Text(t, renderedFile, renderAll(fixtureMessages(t)))
 }
 
-// The types of an earlier build read in full what the present types encode.
-func TestEarlierTypesReadPresentMessages(t *testing.T) {
+// The types of an earlier build decode all fields of the messages that the current types encode.
+func TestEarlierTypesReadCurrentMessages(t *testing.T) {
 	messages := fixtureMessages(t)
 	var text strings.Builder
 	for i, earlier := range schemas(t) {
@@ -148,9 +150,9 @@
 	fixture.Text(t, renderedFile, text.String())
 }
 
-// The frames of the present code are those that an earlier build reads: a length, and the part of one gob stream that has
-// a message as the interface value of the field Body, under its registered name.
-func TestFramesOfPresentCode(t *testing.T) {
+// The current code writes the frames that an earlier build reads. A frame has a length and a part of one gob stream, which
+// encodes the message as the interface value of the field Body under its registered name.
+func TestFramesOfCurrentCode(t *testing.T) {
 	messages := fixtureMessages(t)
 	stream := sendAll(t, messages)
 	var joined bytes.Buffer
@@ -158,7 +160,7 @@
 		length := binary.BigEndian.Uint32(stream)
 		frame := stream[4 : 4+length]
 		if name := []byte(schemas(t)[i].Name); !bytes.Contains(frame, name) {
-			t.Errorf("frame %d does not hold the name %q", i, name)
+			t.Errorf("frame %d does not contain the registered name %q", i, name)
 		}
 		joined.Write(frame)
 		stream = stream[4+length:]
--- a/internal/protocol/coordination.go
+++ b/internal/protocol/coordination.go
@@ -7,36 +7,37 @@
 	"dykering/internal/coordination"
 )
 
-// CoordinationWrite asks the head of the chain to execute a command of the coordination service. A control process sends it to
-// forward a caller's request; the head answers with a Reply. If either is lost, the outcome of the command is not known.
+// CoordinationWrite requests the head of the chain to execute a command of the coordination service. A control process sends it
+// to forward a caller's request; the head answers with a Reply. If either is lost, the outcome of the command is unknown.
 type CoordinationWrite struct {
 	From    string // address to which the reply is sent
 	ID      uint64 // number of the call, unique for the sender's incarnation
 	Command coordination.Command
 }
 
-// CoordinationRead asks the tail of the chain for a cell or for the revision of a group; the other name is empty. If it or its
-// Reply is lost, the caller's request fails as unavailable.
+// CoordinationRead requests a cell, or the revision of a group of cells, from the tail of the chain, which answers with a Reply.
+// If either is lost, the caller's request fails as unavailable.
 type CoordinationRead struct {
 	From  string // address to which the reply is sent
 	ID    uint64 // number of the call, unique for the sender's incarnation
-	Cell  string
-	Group string
+	Cell  string // name of the cell; empty to read a group
+	Group string // name of the group; empty to read a cell
 }
 
-// CoordinationStatus is the coordination service as one control process sees it.
+// CoordinationStatus is the status of the coordination service from the view of one control process.
 type CoordinationStatus struct {
-	// Locks, Numbers, Cells, Groups and Events are the sizes of the tables in the committed state. Events are the puts that
-	// are kept for watches.
+	// Locks, Numbers, Cells, Groups and Events are the numbers of entries in the tables of the committed state. The events are
+	// the puts that are kept for watches.
 	Locks, Numbers, Cells, Groups, Events int
-	// Bytes is what the names and values of the tables take, approximately.
+	// Bytes is the approximate size of the names and values in the tables.
 	Bytes int
-	// Watches is how many callers wait at this process.
+	// Watches is the number of callers that wait for events at this process.
 	Watches int
 }
 
-// LockExplainRequest asks a control process who has a lock, and why others do not get it. An operator's command sends it as
-// the only message on a connection; the answer is a LockExplanation. If either is lost, the command times out.
+// LockExplainRequest requests an explanation from a control process of who holds a lock and why others cannot acquire it. An
+// operator's command sends it as the only message on a connection; the answer is a LockExplanation. If either is lost, the
+// command times out.
 type LockExplainRequest struct {
 	Lock string
 }
@@ -44,43 +45,45 @@
 // LockExplanation answers a LockExplainRequest.
 type LockExplanation struct {
 	Lock string
-	Now  time.Duration // on the clock of the process that answers, as are all times here
-	// Head is the member that decides on locks. IsHead is true if it is the process that answers: only then are EndsAt and
-	// Events known.
+	Now  time.Duration // current time on the clock of the answering process, which all times here refer to
+	// Head is the head of the chain, which decides on locks. IsHead is true if the answering process is the head. EndsAt and
+	// Events are set only in that case.
 	Head   chain.MemberID
 	IsHead bool
-	// Held is true if the lock is held in the committed state, by Holder, which took it with FirstToken and has Token now.
+	// Held is true if Holder holds the lock in the committed state. The holder acquired the lock with FirstToken; Token is its
+	// current token.
 	Held       bool
 	Holder     string
 	FirstToken uint64
 	Token      uint64
-	HoldMs     int64         // the longest time that the holder has asked for
-	EndsAt     time.Duration // when another caller can have the lock, unless it is renewed
+	HoldMs     int64         // longest hold time that the holder has requested, in milliseconds
+	EndsAt     time.Duration // when another caller can acquire the lock, unless the holder renews it
 	Events     []LockEvent   // oldest first; bounded
 }
 
-// LockEventKind is what a LockEvent tells.
+// LockEventKind is the kind of a LockEvent.
 type LockEventKind string
 
 // The kinds of lock events.
 const (
-	// LockRefused is a begin that found the lock held by another caller.
+	// LockRefused is an attempt to acquire the lock while another caller held it.
 	LockRefused LockEventKind = "refused"
-	// LockRenewalRefused is a renewal by a caller that does not hold the lock any more.
+	// LockRenewalRefused is a renewal by a caller that no longer held the lock.
 	LockRenewalRefused LockEventKind = "renewal refused"
-	// LockTakenOver is a begin that replaced a hold that was over.
+	// LockTakenOver is the acquisition of a lock whose previous hold had expired.
 	LockTakenOver LockEventKind = "taken over"
 )
 
-// LockEvent is something that callers of a lock have met.
+// LockEvent is a series of equal outcomes of one caller's requests for a lock.
 type LockEvent struct {
-	At     time.Duration // the last time
-	Count  int           // how many times in a row
+	At     time.Duration // time of the last outcome in the series
+	Count  int           // number of outcomes in the series
 	Lock   string
 	Kind   LockEventKind
 	Caller string
-	Token  uint64 // of the caller: the one that it got, or brought
-	// Holder and HolderToken are the hold that was in the way or was replaced; empty where nobody held the lock.
+	Token  uint64 // token that the caller acquired, or sent with its renewal
+	// Holder and HolderToken identify the hold that prevented the request or was replaced. They are empty if nobody held the
+	// lock.
 	Holder      string
 	HolderToken uint64
 }
--- a/internal/protocol/coordination_compatibility_test.go
+++ b/internal/protocol/coordination_compatibility_test.go
@@ -16,22 +16,22 @@
 	"dykering/internal/peerlink"
 )
 
-// The fixtures of the types of the coordination service were written by the first builds that have them.
+// The fixtures of the types of the coordination service were written by the first builds with these types.
 const (
 	coordinationStateFile = "testdata/coordination-state.peerlink"
 	coordinationStateText = "testdata/coordination-state.txt"
 )
 
-// messageFixture is one message of each of some types.
+// messageFixture is a set of fixture files with one message of each of some types.
 type messageFixture struct {
 	types    []any
-	stream   string // the messages, as a connection carries them
-	rendered string // what they hold
-	schemas  string // the structure of their types
+	stream   string // file with the messages in the frames of a connection
+	rendered string // file with the text form of the messages
+	schemas  string // file with the field names and types of the messages
 }
 
-// coordinationFixtures have the registered types of the service, and the types that got a field for it. The replicated value
-// has tests of its own: its tables are encoded by a method.
+// coordinationFixtures cover the registered types of the service, and the types that were extended by a field for it. The
+// replicated value has a separate test, since a method encodes its tables.
 var coordinationFixtures = []messageFixture{
 	{
 		types:    []any{CoordinationWrite{}, CoordinationRead{}, coordination.Command{}, Reply{}},
@@ -47,6 +47,7 @@
 	},
 }
 
+// filled returns a message of each type with all fields set.
 func (f messageFixture) filled() []any {
 	var messages []any
 	for _, value := range f.types {
@@ -57,6 +58,7 @@
 	return messages
 }
 
+// messages decodes the messages of the fixture with the current code.
 func (f messageFixture) messages(t *testing.T) []any {
 	t.Helper()
 	Register()
@@ -64,7 +66,7 @@
 	return receiveCount(t, stream, len(f.types))
 }
 
-// earlierSchemas reads the structures of the types.
+// earlierSchemas reads the schemas of the types of the earlier build.
 func (f messageFixture) earlierSchemas(t *testing.T) (earlier []schema) {
 	t.Helper()
 	text := fixture.Bytes(t, f.schemas, func() []byte {
@@ -84,7 +86,8 @@
 	return earlier
 }
 
-// receiveCount reads a number of messages of a recorded stream with the present code.
+// receiveCount decodes the messages of a recorded stream with the current code. It fails the test unless there are exactly as
+// many as count.
 func receiveCount(t *testing.T, stream []byte, count int) []any {
 	t.Helper()
 	raw := &recordedConn{}
@@ -104,15 +107,15 @@
 	return messages
 }
 
-// Messages of the service of an earlier build are read in full.
+// The current code decodes all fields of the coordination service's messages of an earlier build.
 func TestCoordinationMessagesOfEarlierBuildAreRead(t *testing.T) {
 	for _, f := range coordinationFixtures {
 		fixture.Text(t, f.rendered, renderAll(f.messages(t)))
 	}
 }
 
-// The types of an earlier build read in full what the present types of the service encode.
-func TestEarlierTypesReadPresentCoordinationMessages(t *testing.T) {
+// The types of an earlier build decode all fields of the messages that the current types of the service encode.
+func TestEarlierTypesReadCurrentCoordinationMessages(t *testing.T) {
 	for _, f := range coordinationFixtures {
 		messages := f.messages(t)
 		var rendered strings.Builder
@@ -127,7 +130,7 @@
 	}
 }
 
-// replicatedValue is a value of the chain once the service is in use.
+// replicatedValue returns a replicated value after some commands to the coordination service.
 func replicatedValue(t *testing.T) any {
 	t.Helper()
 	configuration := &fleetconfig.State{}
@@ -149,7 +152,8 @@
 	return value
 }
 
-// renderValue lists what a replicated value holds. Its coordination part is rendered by what callers read of it.
+// renderValue returns the text form of a replicated value. Its coordination part is rendered through the exported methods, since
+// its fields are not exported.
 func renderValue(value any) string {
 	state, ok := value.(*corestate.State)
 	if !ok {
@@ -170,7 +174,7 @@
 	}, []string{fixture.Render("configuration", state.Configuration)}), "\n")
 }
 
-// A replicated value of an earlier build is read in full, and what the present code sends of it is read in full again.
+// The current code decodes a replicated value of an earlier build completely, also after it has encoded the value again.
 func TestReplicatedValueOfEarlierBuildIsRead(t *testing.T) {
 	Register()
 	stream := fixture.Bytes(t, coordinationStateFile, func() []byte { return sendAll(t, []any{replicatedValue(t)}) })
--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -1,24 +1,24 @@
-// Package protocol defines the typed messages that the processes of the system send to one another, apart from those of
-// chain replication, which are in package chain.
+// Package protocol defines the typed messages that the processes of the system send to one another. The messages of chain
+// replication are in package chain.
 //
-// Three kinds of process use it: control processes (dykering control), proxies (dykering proxy) and the operator's
-// commands (dykering status, dykering explain). Package peerlink encodes the messages with encoding/gob and carries them
-// in frames over TCP. A connection serves one purpose, which its first message determines:
+// Three kinds of processes use it: control processes (dykering control), proxies (dykering proxy) and the operator's
+// commands (dykering status, dykering explain). Package peerlink encodes the messages with encoding/gob and sends them
+// in frames over TCP. The first message on a connection determines its purpose:
 //
-//   - Subscribe: a proxy follows the stream of updates of a control process (stream.go, demand.go).
+//   - Subscribe: a proxy receives the stream of updates of a control process (stream.go, demand.go).
 //   - StatusRequest, ExplainRequest, LockExplainRequest: an operator's command makes one call (status.go, explain.go,
 //     coordination.go).
-//   - any other: a control process sends its messages to a peer; the answers come on the peer's own connection.
+//   - Any other message: a control process sends messages to a peer. The peer answers on a connection of its own.
 //
-// The package owns the form of the messages and the names under which gob knows their types (registry.go). It has no
-// logic, no input or output, and no state.
+// The package defines the fields of the messages and the names under which their types are registered with gob (registry.go).
+// It has no logic and no state, and performs no input or output.
 //
 // Invariants:
 //
-//   - Builds of different age talk to each other during a rolling upgrade. A type may be renamed, since it is registered
-//     under its historical name; the name of an exported field may not, since gob matches fields by name and drops without
-//     an error a value that the receiver has no field for. Fields are only ever added.
-//   - Every message may be lost, since a full queue of package peerlink drops it. The comment of each message says what is
-//     lost with it, and what replaces it.
-//   - All times are ages or durations: the processes share no clock.
+//   - Builds of different versions communicate during a rolling upgrade. A type may be renamed, since it is registered under
+//     its historical name. An exported field must not be renamed or removed, since gob matches fields by name and silently
+//     drops a value if the receiver has no field for it. Fields may be added.
+//   - Every message may be lost, since package peerlink drops messages when a queue is full. The comment of each message says
+//     what its loss causes and what repairs it.
+//   - All times are ages or durations, since the processes share no clock.
 package protocol
--- a/internal/protocol/explain.go
+++ b/internal/protocol/explain.go
@@ -6,8 +6,8 @@
 	"dykering/internal/sessions"
 )
 
-// ExplainRequest asks a control process why a model has the replicas that it has. An operator's command sends it as the
-// only message on a connection; the answer is an Explanation. If either is lost, the command times out.
+// ExplainRequest requests an explanation from a control process of how many replicas a model has. An operator's command sends
+// it as the only message on a connection; the answer is an Explanation. If either is lost, the command times out.
 type ExplainRequest struct {
 	Model string
 }
@@ -15,11 +15,11 @@
 // Explanation answers an ExplainRequest.
 type Explanation struct {
 	Model string
-	Now   time.Duration // on the clock of the process that answers, as is the time of each decision
-	// Holds is true if the process is the lease holder of the placement: only then are demand and decisions known.
-	// (gob field name, fixed.)
+	Now   time.Duration // current time on the clock of the answering process, which the times of the decisions refer to
+	// Holds is true if the answering process is the lease holder of the placement. Demand and Decisions are set only in that
+	// case.
 	Holds bool
-	// Copies are the replicas of the model. (gob field name, fixed.)
+	// Copies are the replicas of the model.
 	Copies    []ModelReplica
 	Demand    []ServiceDemand
 	Decisions []Decision // oldest first; bounded
@@ -32,13 +32,13 @@
 	State    sessions.State
 }
 
-// ModelDemand is the demand for a model at a moment. Package placement describes how it is estimated.
+// ModelDemand is the estimated demand for a model. Package placement describes the estimate.
 type ModelDemand struct {
 	Rate     float64 // requests a second
 	InFlight int     // requests in flight
-	Waiting  int     // of those in flight, the ones whose response has not begun
-	Pressure float64 // Waiting, averaged and extrapolated if the rate grows
-	Unplaced bool    // a request has recently found no endpoint
+	Waiting  int     // requests in flight whose response has not begun
+	Pressure float64 // moving average of Waiting, extrapolated if the rate grows
+	Unplaced bool    // a recent request found no endpoint
 }
 
 // ServiceDemand is the demand for a model at one service.
@@ -47,7 +47,7 @@
 	ModelDemand
 }
 
-// Decision is an order of the placement, with the figures that led to it.
+// Decision is an order of the placement with the demand that led to it.
 type Decision struct {
 	At        time.Duration // on the clock of the lease holder's process
 	Service   string
@@ -55,9 +55,9 @@
 	Operation string // "loading" or "unloading"
 	Model     string
 	Adapter   string // empty for the model itself
-	// For is the model that an unload frees memory for; empty for a load. (gob field name, fixed.)
+	// For is the model that an unload frees memory for; empty for a load.
 	For string
-	// Copies is the number of the model's replicas before the order. (gob field name, fixed.)
+	// Copies is the number of replicas of the model before the order.
 	Copies int
 	Demand ModelDemand
 }
--- a/internal/protocol/registry.go
+++ b/internal/protocol/registry.go
@@ -9,7 +9,7 @@
 	"dykering/internal/fleetconfig"
 )
 
-// registeredType is a type that gob encodes as an interface value, with the name that identifies it there.
+// registeredType is a type that gob encodes as an interface value, with its name in the encoded form.
 type registeredType struct {
 	name  string
 	value any
@@ -17,11 +17,11 @@
 
 // registeredTypes are the types that processes send to one another or store as interface values.
 //
-// The names are part of the wire format and of the disk format: gob writes them with each interface value and finds the
-// type to decode by them. They are the names under which gob.Register registered the types at first: the import path and
-// the name of the type at that time, or, for a pointer, only the name of the package. This package was then named feed.
-// They stay as they are when a type or a package is renamed or moved. The same holds for the names of the exported fields
-// of all these types, and of the types that they contain: gob matches fields by name.
+// The names are part of the wire format and of the disk format. gob writes the name with each interface value and looks up
+// the type by it when decoding. Each name is the one under which gob.Register first registered the type: its import path and
+// type name at that time or, for a pointer, the package name and the type name. This package was then named feed. A name must
+// not change when a type or a package is renamed or moved. The names of the exported fields of these types, and of the types
+// that they contain, must not change either, since gob matches fields by name.
 var registeredTypes = []registeredType{
 	// Messages between members of the core.
 	{"dykering/internal/chain.Ping", chain.Ping{}},
@@ -63,7 +63,7 @@
 	{"dykering/internal/protocol.LockExplainRequest", LockExplainRequest{}},
 	{"dykering/internal/protocol.LockExplanation", LockExplanation{}},
 
-	// The replicated value, and the changes to it. While nothing was written to the coordination service, the value is the
+	// The replicated value and the changes to it. Until the first write to the coordination service, the value is the
 	// configuration alone, as in builds without that service.
 	{"dykering/internal/corestate.State", &corestate.State{}},
 	{"dykering/internal/coordination.Command", coordination.Command{}},
@@ -79,7 +79,7 @@
 	{"dykering/internal/chain.InstallRecord", chain.InstallRecord{}},
 }
 
-// Register registers with gob all types that are sent or stored as interface values.
+// Register registers all types with gob that are sent or stored as interface values.
 func Register() {
 	for _, registered := range registeredTypes {
 		gob.RegisterName(registered.name, registered.value)
--- a/internal/protocol/status.go
+++ b/internal/protocol/status.go
@@ -7,27 +7,27 @@
 	"dykering/internal/sessions"
 )
 
-// StatusRequest asks a control process for its status. An operator's command sends it as the only message on a
+// StatusRequest requests the status of a control process. An operator's command sends it as the only message on a
 // connection; the answer is a Status. If either is lost, the command times out.
 type StatusRequest struct{}
 
-// Status is the system as one control process sees it.
+// Status is the status of the system from the view of one control process.
 type Status struct {
 	Self    chain.Member
 	View    chain.View
 	InForce bool // a majority has recently confirmed the view
-	Sealed  bool // this process accepts no writes in the view, as it has promised to support another
-	// Seq and Committed are the sequence numbers of the last change that this process has stored, and of the last that it
+	Sealed  bool // this process accepts no writes in the view, since it has promised to support another view
+	// Seq is the sequence number of the last change that this process has stored. Committed is that of the last change that it
 	// knows to be committed.
 	Seq       uint64
 	Committed uint64
-	Version   int64 // of the committed configuration
-	// Holds is true if this process is the lease holder of the placement. (gob field name, fixed.)
+	Version   int64 // version of the committed configuration
+	// Holds is true if this process is the lease holder of the placement.
 	Holds       bool
 	Members     []MemberStatus
-	Subscribers []SubscriberStatus // of this process alone
-	Endpoints   map[sessions.State]int
-	// DiskBehind is how long the write that is now in progress has taken; 0 if there is none.
+	Subscribers []SubscriberStatus     // proxies that are subscribed to this process
+	Endpoints   map[sessions.State]int // number of endpoints in each state
+	// DiskBehind is how long the disk write in progress has taken so far; 0 if there is none.
 	DiskBehind time.Duration
 	// Tolerance is nil in the answer of an earlier version.
 	Tolerance *Tolerance `json:",omitempty"`
@@ -35,26 +35,26 @@
 	Coordination *CoordinationStatus `json:",omitempty"`
 }
 
-// Tolerance is which further losses the core can bear.
+// Tolerance describes how many further failures of control processes the system can tolerate.
 type Tolerance struct {
-	// Losses is how many more voters may be lost before no majority is left; negative if there is none without those that
-	// leave or cannot be reached.
+	// Losses is the number of further voters that may fail before there is no majority. It is negative if the voters that are
+	// neither leaving nor unreachable are no majority.
 	Losses int
-	// Leaving are the voters that have been asked to stop, Unreachable the others that do not answer.
+	// Leaving are the voters that were told to stop. Unreachable are the other voters that do not answer.
 	Leaving, Unreachable []chain.MemberID
 }
 
-// MemberStatus is what a control process knows of a voter.
+// MemberStatus is the status of a voter from the view of a control process.
 type MemberStatus struct {
 	ID        chain.MemberID
-	Reachable bool // it has recently answered
-	InChain   bool // it is a replica of the view's chain, not only a voter
+	Reachable bool // the voter has answered recently
+	InChain   bool // the voter is also a replica in the chain of the view
 }
 
-// SubscriberStatus is how far a proxy has followed its stream.
+// SubscriberStatus is the progress of a proxy on its stream.
 type SubscriberStatus struct {
 	Name string // node_name of the proxy
-	Ack  Ack    // its last acknowledgement
-	// Behind is how many committed changes of the configuration it has not acknowledged.
+	Ack  Ack    // last acknowledgement of the proxy
+	// Behind is the number of committed changes of the configuration that the proxy has not acknowledged.
 	Behind uint64
 }
--- a/internal/protocol/stream.go
+++ b/internal/protocol/stream.go
@@ -7,36 +7,34 @@
 	"dykering/internal/sessions"
 )
 
-// Keepalive is the longest time between two messages of a stream of updates. A proxy that receives nothing for
-// well over this time considers the stream broken.
+// Keepalive is the longest time between two messages of a stream of updates. A proxy closes a stream on which it receives no
+// message for considerably longer.
 const Keepalive = 400 * time.Millisecond
 
 // Subscribe opens a stream of updates. It is the first message of a proxy on a connection to a control process, which
 // answers with Update messages. If it is lost, the proxy times out and subscribes to another control process.
 type Subscribe struct {
 	Name      string // node_name of the proxy
-	Zone      string
-	ConfigSeq uint64 // sequence number of the configuration that the proxy has in force; 0 for none
+	Zone      string // zone of the proxy
+	ConfigSeq uint64 // sequence number of the proxy's active configuration; 0 if it has none
 }
 
-// Update is one message of a stream, from a control process to a proxy. It is sent as soon as something has changed, and
-// otherwise every Keepalive. Parts that have not changed since the last message of the stream are left out. A stream is
-// never resumed after a lost message: a proxy whose queue is full has its stream ended, and the next stream begins with
-// a full sync.
+// Update is a message of a stream from a control process to a proxy. It is sent after each change, and otherwise at the
+// interval Keepalive. It omits the parts that have not changed since the last message of the stream. A stream cannot continue
+// after a lost message: if the queue to a proxy is full, its stream is closed, and the next stream begins with a full sync.
 type Update struct {
-	// Revision is the modify index of the session table that the receiver has after this update.
+	// Revision is the modify index of the receiver's session table after this update.
 	Revision uint64
-	// Whole is true for a full sync: Endpoints are then all that there are, and replace what the proxy has.
-	// (gob field name, fixed.)
+	// Whole is true for a full sync: Endpoints has all endpoints and replaces the proxy's table.
 	Whole         bool
-	Endpoints     []sessions.Endpoint // those that were modified since the last update, including departed ones
-	Configuration *Configuration      // nil if it has not changed
-	Members       []ControlProcess    // with the first update and each keepalive
-	Subscribers   int                 // proxies, over all control processes, for the fleet's retry budget; 0 for unknown
-	HasLoads      bool                // Loads is present
-	Loads         []EndpointLoad      // of all proxies together; an endpoint that is not listed has none
-	// Leaving is true in the last message of a stream that the control process can no longer serve: the proxy subscribes
-	// to another of Members. (gob field name, fixed.)
+	Endpoints     []sessions.Endpoint // endpoints that were modified since the last update, including departed ones
+	Configuration *Configuration      // nil if the configuration has not changed
+	Members       []ControlProcess    // sent with the first update and with each keepalive
+	Subscribers   int                 // proxies of all control processes, for the shared retry budget; 0 if unknown
+	HasLoads      bool                // true if Loads is present
+	Loads         []EndpointLoad      // loads of all proxies together; an endpoint that is not listed has no load
+	// Leaving is true in the last message of a stream that the control process can no longer serve. The proxy then subscribes
+	// to another one of Members.
 	Leaving bool
 }
 
@@ -49,19 +47,19 @@
 // ControlProcess is a control process that a proxy may subscribe to, as part of an Update.
 type ControlProcess struct {
 	Address string // host:port for internal messages
-	Zone    string // empty if it is not known, or if the process cannot be reached now
+	Zone    string // empty if the zone is unknown or the process is unreachable
 }
 
-// Ack acknowledges an Update, from a proxy on its stream. It holds what the proxy has in force after it. Acks are for
-// the operator's status only; a lost one is superseded by the next.
+// Ack acknowledges an Update. A proxy sends it on its stream, with the revisions that it has after the update. Acks are used
+// only for the operator's status. If one is lost, the next one supersedes it.
 type Ack struct {
 	Revision  uint64 // modify index of the session table
-	ConfigSeq uint64
+	ConfigSeq uint64 // sequence number of the active configuration
 }
 
-// SubscriberCount informs the other control processes how many proxies follow a stream of the sender. It is sent with
-// each round of anti-entropy. If it is lost, the last count remains valid for some rounds; after that the receiver
-// assumes that each peer has as many subscribers as itself.
+// SubscriberCount informs the other control processes how many proxies are subscribed to the sender. It is sent with each
+// round of anti-entropy. If it is lost, the last count remains valid for some rounds; after that, the receiver assumes that
+// the sender has as many subscribers as the receiver itself.
 type SubscriberCount struct {
 	From  string // address of the sender
 	Count int
