--- a/internal/dataplane/connection_pool.go
+++ b/internal/dataplane/connection_pool.go
@@ -63,7 +63,8 @@
 	return e
 }
 
-// hasIdle reports whether the pool has an unexpired idle connection to an endpoint. The selection prefers such endpoints.
+// hasIdle reports whether the pool has an unexpired idle connection to an endpoint. The
+// selection prefers such an endpoint among endpoints of equal load.
 func (p *connectionPool) hasIdle(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/dataplane/shutdown.go
+++ b/internal/dataplane/shutdown.go
@@ -13,8 +13,8 @@
 	// readinessDetectionTime is how long the platform takes to stop sending new connections. It checks the readiness once a second
 	// and stops after two failed checks.
 	readinessDetectionTime = 2500 * time.Millisecond
-	// abortableRequestWindow is the time after SIGTERM in which a request must have been sent for its response to be aborted at
-	// all. The response to a request that is sent later must be complete.
+	// abortableRequestWindow is the time after SIGTERM within which a request must be sent so that its response may be aborted. A
+	// request that is sent later must be completed or rejected.
 	abortableRequestWindow = 3 * time.Second
 	// maxSignalDelay bounds the time from the platform's SIGTERM until the process receives it, plus the time from the receipt of
 	// a request until its admission.
