--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -124,7 +124,7 @@
 		"bad endpoint":    {batch("1", "ledger 0 1", "item 5000000000 0 0 0 2 1 -"), "field endpoint: out of range"},
 		"no settings":     {batch("1", "new_instance 3 42"), "field config: missing"},
 		"bad settings":    {batch("1", "new_instance 3 42 {"), "field config: not a settings object"},
-		"no classes":      {batch("1", `new_instance 3 42 {"discovery":"push","instances":1}`), "classes: none given"},
+		"no classes":      {batch("1", `new_instance 3 42 {"discovery":"push","instances":1}`), "classes: at least one class is required"},
 		"bad discovery":   {batch("1", `new_instance 3 42 {"discovery":"guess"}`), "discovery: unknown word"},
 		"bad effect":      {batch("1", strings.Replace(start("3"), "read_like", "perhaps", 1)), `classes[0].effect: unknown effect "perhaps"`},
 	} {
