--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -11,11 +11,11 @@
 type validationErrors struct {
 	path      string
 	positions keyPositions
-	all       []validation.Error
+	errors       []validation.Error
 }
 
 func (e *validationErrors) add(key, text string) {
-	e.all = append(e.all, validation.Error{File: e.path, Line: e.positions.lines[key], Key: key, Text: text})
+	e.errors = append(e.errors, validation.Error{File: e.path, Line: e.positions.lines[key], Key: key, Text: text})
 }
 
 // check reports the values that a process cannot run with.
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -68,8 +68,8 @@
 	c.parseSeed(file.Seed, &errs)
 	c.parseSettings(file.Settings, &errs)
 	c.check(&errs)
-	if len(errs.all) > 0 {
-		return nil, validation.Join(errs.all)
+	if len(errs.errors) > 0 {
+		return nil, validation.Join(errs.errors)
 	}
 	return c, nil
 }
--- a/internal/config/positions.go
+++ b/internal/config/positions.go
@@ -19,12 +19,12 @@
 // in an array have the prefix of the array, so that the last one's lines remain.
 func findKeys(text []byte) keyPositions {
 	p := keyPositions{text: text, lines: map[string]int{}}
-	p.findIn(json.NewDecoder(bytes.NewReader(text)), "")
+	p.findInValue(json.NewDecoder(bytes.NewReader(text)), "")
 	return p
 }
 
-// findIn reads a value whose keys have a prefix; it returns false where the text cannot be read.
-func (p keyPositions) findIn(decoder *json.Decoder, prefix string) bool {
+// findInValue reads a value whose keys have a prefix; it returns false where the text cannot be read.
+func (p keyPositions) findInValue(decoder *json.Decoder, prefix string) bool {
 	token, err := decoder.Token()
 	if err != nil {
 		return false
@@ -46,7 +46,7 @@
 		}
 		name := prefix + fmt.Sprint(key)
 		p.lines[name] = p.lineAt(decoder.InputOffset())
-		if !p.findIn(decoder, name+".") {
+		if !p.findInValue(decoder, name+".") {
 			return false
 		}
 	}
@@ -56,7 +56,7 @@
 
 func (p keyPositions) findInArray(decoder *json.Decoder, prefix string) bool {
 	for decoder.More() {
-		if !p.findIn(decoder, prefix) {
+		if !p.findInValue(decoder, prefix) {
 			return false
 		}
 	}
--- a/internal/control/handler.go
+++ b/internal/control/handler.go
@@ -35,7 +35,7 @@
 // route is what a path is answered with.
 type route struct {
 	method string
-	do     func() bool
+	handle     func() bool
 }
 
 // handler answers calls. http.ServeMux would redirect paths that are not clean.
@@ -47,13 +47,13 @@
 func newHandler(s Sidecar, fleet Fleet) *handler {
 	return &handler{fleet: fleet, routes: map[string]route{
 		readyPath:  {http.MethodGet, s.CanServe},
-		drainPath:  {http.MethodPost, always(s.Drain)},
-		resumePath: {http.MethodPost, always(s.Resume)},
+		drainPath:  {http.MethodPost, alwaysSucceeds(s.Drain)},
+		resumePath: {http.MethodPost, alwaysSucceeds(s.Resume)},
 	}}
 }
 
-// always makes a call of an action that cannot fail.
-func always(act func()) func() bool {
+// alwaysSucceeds makes a call of an action that cannot fail.
+func alwaysSucceeds(act func()) func() bool {
 	return func() bool {
 		act()
 		return true
@@ -81,7 +81,7 @@
 		http.Error(w, "malformed call", http.StatusBadRequest)
 		return
 	}
-	if !route.do() {
+	if !route.handle() {
 		http.Error(w, "no", http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -17,24 +17,24 @@
 // testTimeout bounds what a test waits for; it only passes when something is wrong.
 const testTimeout = 20 * time.Second
 
-// sidecar counts what is asked of it.
-type sidecar struct {
-	able            atomic.Bool
+// fakeSidecar counts what is asked of it.
+type fakeSidecar struct {
+	canServe            atomic.Bool
 	drains, resumes atomic.Int32
 }
 
-func (s *sidecar) CanServe() bool { return s.able.Load() }
-func (s *sidecar) Drain()         { s.drains.Add(1) }
-func (s *sidecar) Resume()        { s.resumes.Add(1) }
+func (s *fakeSidecar) CanServe() bool { return s.canServe.Load() }
+func (s *fakeSidecar) Drain()         { s.drains.Add(1) }
+func (s *fakeSidecar) Resume()        { s.resumes.Add(1) }
 
 // start serves calls on loopback.
-func start(t *testing.T) (*sidecar, string) {
+func start(t *testing.T) (*fakeSidecar, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &sidecar{}
+	s := &fakeSidecar{}
 	server := New(l, s, nil)
 	ended := make(chan error, 1)
 	go func() { ended <- server.Run() }()
@@ -99,7 +99,7 @@
 			t.Errorf("%s: got %d, want %d", c.first, got, c.want)
 		}
 	}
-	s.able.Store(true)
+	s.canServe.Store(true)
 	if got := call(t, address, "GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n"); got != 200 {
 		t.Errorf("able, and the answer is %d", got)
 	}
@@ -138,7 +138,7 @@
 // However many clients send nothing or half a call, the next call is answered, and connections stay within the bound.
 func TestSilentClientsTakeNoRoomFromTheNextCall(t *testing.T) {
 	s, address := start(t)
-	s.able.Store(true)
+	s.canServe.Store(true)
 	var silent []net.Conn
 	for i := range 5 * MaxConnections {
 		c := dial(t, address)
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -59,7 +59,7 @@
 	case res.Response == nil:
 	case res.Status == decision.OK && !c.isAnswered:
 		final = true
-		l.finish(c, Answer{Response: res.Response})
+		l.answerCall(c, Answer{Response: res.Response})
 	default:
 		res.Response.Discard()
 	}
@@ -71,7 +71,7 @@
 		ID: c.ID, Endpoint: a.Endpoint.ID, Attempt: a.number, Final: final,
 		Elapsed: res.Elapsed, Status: res.Status, Load: res.Load, NotReplayable: res.NotReplayable,
 	})
-	l.forget(c)
+	l.removeIfDone(c)
 }
 
 // RequestSent is called when the last byte of a long body was sent: the client's time, and the endpoint's, count from
@@ -99,7 +99,7 @@
 			return
 		}
 		l.balancer.ResponseStarted(l.now(), c.ID, a.number, a.Endpoint.ID)
-		l.finish(c, Answer{Response: response})
+		l.answerCall(c, Answer{Response: response})
 	})
 }
 
--- a/internal/core/attempts_test.go
+++ b/internal/core/attempts_test.go
@@ -13,7 +13,7 @@
 		b := newTestLoop(t, nil, ready("s-1", 0), ready("s-2", 0))
 		b.send = func(_ *Attempt, n int) Result { return []Result{{Status: decision.Error}, b.served("again")}[n-1] }
 		c := b.submit("x", class)
-		if got := b.final(c); got != "again" {
+		if got := b.finalAnswer(c); got != "again" {
 			t.Error(got)
 		}
 		first, second := b.sends[c.ID][0], b.sends[c.ID][1]
@@ -43,10 +43,10 @@
 		}
 		return b.served("whole")
 	}
-	if got := b.final(b.submit("short", once)); got != "whole" {
+	if got := b.finalAnswer(b.submit("short", once)); got != "whole" {
 		t.Error(got)
 	}
-	if got := b.final(b.submit("long", once)); got != "begun" {
+	if got := b.finalAnswer(b.submit("long", once)); got != "begun" {
 		t.Error(got)
 	}
 	b.waitFor("it is still under way", func(s Stats) bool { return s.Calls == 1 && s.Attempts == 1 })
--- a/internal/core/calls.go
+++ b/internal/core/calls.go
@@ -62,7 +62,7 @@
 
 func (l *Loop) submit(c *Call, received time.Time) {
 	switch limit := l.config.Settings.OpenCap; {
-	case l.calls[c.ID] != nil || l.recent.has(c.ID, l.now()):
+	case l.calls[c.ID] != nil || l.recent.contains(c.ID, l.now()):
 		// The id is another request's: an endpoint may run it twice, so the answer promises nothing.
 		c.Answered <- Answer{}
 		return
@@ -95,7 +95,7 @@
 		c.attempt.Cancel() // its outcome is still reported
 	}
 	l.balancer.Abandoned(l.now(), c.ID)
-	l.forget(c)
+	l.removeIfDone(c)
 }
 
 // Drain has all calls answered by a given time, when the process ends. HasSuccessor says that another process already
@@ -126,8 +126,8 @@
 	}
 }
 
-// finish gives a call its answer, unless it has one.
-func (l *Loop) finish(c *Call, a Answer) {
+// answerCall gives a call its answer, unless it has one.
+func (l *Loop) answerCall(c *Call, a Answer) {
 	if c.isAnswered {
 		return
 	}
@@ -139,16 +139,16 @@
 	c.Answered <- a
 }
 
-// finishID gives the call of a request its answer, as the Balancer decided.
-func (l *Loop) finishID(id decision.RequestID, a Answer) {
+// answerRequest gives the call of a request its answer, as the Balancer decided.
+func (l *Loop) answerRequest(id decision.RequestID, a Answer) {
 	if c := l.calls[id]; c != nil {
-		l.finish(c, a)
-		l.forget(c)
+		l.answerCall(c, a)
+		l.removeIfDone(c)
 	}
 }
 
-// forget drops a call that is answered and has no attempt in flight.
-func (l *Loop) forget(c *Call) {
+// removeIfDone drops a call that is answered and has no attempt in flight.
+func (l *Loop) removeIfDone(c *Call) {
 	if c.isAnswered && c.attempt == nil && l.calls[c.ID] == c {
 		delete(l.calls, c.ID)
 		l.recent.add(c.ID, l.now())
--- a/internal/core/calls_test.go
+++ b/internal/core/calls_test.go
@@ -39,7 +39,7 @@
 				return b.served("again")
 			}
 			c := b.submit(fmt.Sprint(name, class), class)
-			if got := b.final(c); got != want {
+			if got := b.finalAnswer(c); got != want {
 				t.Errorf("%s, class %d: %s, want %s", name, class, got, want)
 			}
 			b.waitFor("it is forgotten", func(s Stats) bool { return s.Calls+s.Attempts == 0 && s.Conns == s.IdleConns })
@@ -59,27 +59,27 @@
 	b := newTestLoop(t, nil, ready("s-1", 0))
 	b.send = func(_ *Attempt, _ int) Result { <-goOn; return b.served("ok") }
 	first := b.submit("x", read)
-	if got := b.final(b.submit("x", read)); got != "failed" {
+	if got := b.finalAnswer(b.submit("x", read)); got != "failed" {
 		t.Error(got)
 	}
 	goOn <- true
-	if got := b.final(first); got != "ok" {
+	if got := b.finalAnswer(first); got != "ok" {
 		t.Error(got)
 	}
 	b.waitFor("it is forgotten", func(s Stats) bool { return s.Calls == 0 })
-	if got := b.final(b.submit("x", read)); got != "failed" || len(b.sends["x"]) != 1 {
+	if got := b.finalAnswer(b.submit("x", read)); got != "failed" || len(b.sends["x"]) != 1 {
 		t.Errorf("%s after %d sends", got, len(b.sends["x"]))
 	}
 	var held []*Call
 	for i := range 51 {
 		held = append(held, b.submit(fmt.Sprint(i), read))
 	}
-	if got := b.final(held[50]); got != "refused" {
+	if got := b.finalAnswer(held[50]); got != "refused" {
 		t.Errorf("beyond the cap: %s", got)
 	}
 	close(goOn)
 	for _, c := range held[:50] {
-		b.final(c)
+		b.finalAnswer(c)
 	}
 }
 
@@ -120,11 +120,11 @@
 	end := time.Now().Add(50 * time.Millisecond)
 	b.loop.Drain(end, true)
 	for i, want := range []string{"refused", "failed"} {
-		if got := b.final(calls[i]); got != want || time.Now().Before(end) {
+		if got := b.finalAnswer(calls[i]); got != want || time.Now().Before(end) {
 			t.Errorf("%s, want %s at the end", got, want)
 		}
 	}
-	if got := b.final(b.submit("late", read)); got != "refused" {
+	if got := b.finalAnswer(b.submit("late", read)); got != "refused" {
 		t.Error(got)
 	}
 }
@@ -135,8 +135,8 @@
 	for i := range 3 * maxRecentIDs {
 		past.add(decision.RequestID(fmt.Sprint(i)), 0)
 	}
-	past.add("last", 2*recentIDsFor)
-	if len(past.endedAt) != 1 || len(past.order) != 1 || past.has("1", 2*recentIDsFor) || !past.has("last", 2*recentIDsFor) {
+	past.add("last", 2*recentIDTTL)
+	if len(past.endedAt) != 1 || len(past.order) != 1 || past.contains("1", 2*recentIDTTL) || !past.contains("last", 2*recentIDTTL) {
 		t.Errorf("%d ids are kept", len(past.endedAt))
 	}
 }
--- a/internal/core/discovery.go
+++ b/internal/core/discovery.go
@@ -51,8 +51,8 @@
 	BootMS  int64   `json:"boot_ms"` // start of the process, in Unix milliseconds
 }
 
-// states are the platform's names of the states of a target.
-var states = map[string]decision.State{
+// targetStates are the platform's names of the targetStates of a target.
+var targetStates = map[string]decision.State{
 	"Ready": decision.Ready, "Terminating": decision.Draining, "Gone": decision.Departed,
 }
 
--- a/internal/core/discovery_test.go
+++ b/internal/core/discovery_test.go
@@ -59,7 +59,7 @@
 	}
 	want := "[first watch first stop first fetch first watch first stop first watch " +
 		"first stop second fetch second watch second stop second watch]"
-	if got := fmt.Sprint(b.asked); got != want {
+	if got := fmt.Sprint(b.discoveryCalls); got != want {
 		t.Errorf("asked %s, want %s", got, want)
 	}
 }
@@ -77,7 +77,7 @@
 		}
 		asked := func() (n int) {
 			got := make(chan int)
-			b.loop.Post(func() { got <- len(b.asked) })
+			b.loop.Post(func() { got <- len(b.discoveryCalls) })
 			return <-got
 		}
 		tell(9, FromWatch)
--- a/internal/core/endpoint.go
+++ b/internal/core/endpoint.go
@@ -13,7 +13,7 @@
 	Address          string
 	AwaitingResponse atomic.Int32 // attempts that wait for a response on an established connection
 
-	unsolicitedAt atomic.Int64 // when it last sent data that nobody had asked for, in Unix nanoseconds
+	lastUnsolicitedData atomic.Int64 // when it last sent data that nobody had asked for, in Unix nanoseconds
 	open          atomic.Bool  // it may get new attempts
 	uid           string
 	bootMS        int64
@@ -36,15 +36,15 @@
 	// rested so long is preferred, and one to an endpoint that has sent such data in the last unsolicitedMemory
 	// rests so long in any case.
 	cautiousReuseDelay = 20 * time.Millisecond
-	unsolicitedMemory  = 10 * time.Second
+	unsolicitedDataWindow  = 10 * time.Second
 )
 
 // NoteUnsolicitedData notes that the endpoint has sent data beyond a response.
-func (e *Endpoint) NoteUnsolicitedData() { e.unsolicitedAt.Store(time.Now().UnixNano()) }
+func (e *Endpoint) NoteUnsolicitedData() { e.lastUnsolicitedData.Store(time.Now().UnixNano()) }
 
 // ReuseDelay is how long a connection to the endpoint rests after a response.
 func (e *Endpoint) ReuseDelay() time.Duration {
-	if time.Since(time.Unix(0, e.unsolicitedAt.Load())) < unsolicitedMemory {
+	if time.Since(time.Unix(0, e.lastUnsolicitedData.Load())) < unsolicitedDataWindow {
 		return cautiousReuseDelay
 	}
 	return reuseDelay
--- a/internal/core/endpoint_table.go
+++ b/internal/core/endpoint_table.go
@@ -98,7 +98,7 @@
 func (t *endpointTable) update(l List) (entries []decision.Entry, retired []*Endpoint) {
 	listed := map[decision.EndpointID]bool{}
 	for _, target := range l.Targets {
-		entry, ok := t.parse(target)
+		entry, ok := t.parseTarget(target)
 		if !ok {
 			if known, ok := t.ids[target.UID]; ok && l.Full && !listed[known] {
 				listed[known] = true
@@ -108,7 +108,7 @@
 		}
 		entry.Endpoint = t.id(target.UID)
 		listed[entry.Endpoint] = true
-		if old := t.apply(target, entry); old != nil {
+		if old := t.applyTarget(target, entry); old != nil {
 			retired = append(retired, old)
 		}
 		e := t.byID[entry.Endpoint]
@@ -131,9 +131,9 @@
 	return entries, retired
 }
 
-// parse reads a line of a list, but for the endpoint's number. It logs a line that it cannot read.
-func (t *endpointTable) parse(target Target) (entry decision.Entry, ok bool) {
-	state, stateOK := states[target.State]
+// parseTarget reads a line of a list, but for the endpoint's number. It logs a line that it cannot read.
+func (t *endpointTable) parseTarget(target Target) (entry decision.Entry, ok bool) {
+	state, stateOK := targetStates[target.State]
 	zone, zoneOK := t.zones.lookup(target.Zone)
 	model, modelOK := t.models.lookup(target.Model)
 	_, _, err := net.SplitHostPort(target.Address)
@@ -153,9 +153,9 @@
 	return entry, true
 }
 
-// apply updates the endpoint of a line. Where its address or its start has changed another one takes its place, and the
+// applyTarget updates the endpoint of a line. Where its address or its start has changed another one takes its place, and the
 // one before is returned.
-func (t *endpointTable) apply(target Target, entry decision.Entry) (replaced *Endpoint) {
+func (t *endpointTable) applyTarget(target Target, entry decision.Entry) (replaced *Endpoint) {
 	e := t.byID[entry.Endpoint]
 	isReady := entry.State == decision.Ready
 	if e == nil || isReady && (e.Address != target.Address || e.bootMS != target.BootMS) {
--- a/internal/core/endpoint_table_test.go
+++ b/internal/core/endpoint_table_test.go
@@ -21,7 +21,7 @@
 		return b.served(a.Endpoint.Address)
 	}
 	slow := b.submit("slow", once)
-	b.final(b.submit("quick", once))
+	b.finalAnswer(b.submit("quick", once))
 	b.waitFor("one is idle", func(s Stats) bool { return s.IdleConns == 1 && s.Attempts == 1 })
 	drains, other := ready("s-1", 0), ready("s-2", 0)
 	drains.State, other.Address = "Terminating", "127.0.0.1:10"
@@ -30,12 +30,12 @@
 	})
 	b.waitFor("it is taken in", func(s Stats) bool { return s.Revision == 2 && s.IdleConns == 0 })
 	for i := range 9 {
-		if got := b.final(b.submit(fmt.Sprint(i), read)); got != other.Address {
+		if got := b.finalAnswer(b.submit(fmt.Sprint(i), read)); got != other.Address {
 			t.Errorf("a call went to %s", got)
 		}
 	}
 	goOn <- true
-	if got := b.final(slow); got != drains.Address {
+	if got := b.finalAnswer(slow); got != drains.Address {
 		t.Errorf("what was running: %s", got)
 	}
 	b.waitFor("its connection is closed", func(s Stats) bool { return s.Conns == s.IdleConns && s.IdleConns == 1 })
@@ -65,7 +65,7 @@
 			t.Errorf("%s: %v", name, open)
 		}
 		for i := range 20 {
-			if got := b.final(b.submit(fmt.Sprint(name, i), read)); got != "ok" {
+			if got := b.finalAnswer(b.submit(fmt.Sprint(name, i), read)); got != "ok" {
 				t.Errorf("%s: %s", name, got)
 			}
 		}
--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -32,11 +32,11 @@
 
 // Refuse answers a call that the client may safely retry.
 func (l *Loop) Refuse(id decision.RequestID, retryAfter time.Duration) {
-	l.finishID(id, Answer{Retryable: true, RetryAfter: retryAfter})
+	l.answerRequest(id, Answer{Retryable: true, RetryAfter: retryAfter})
 }
 
 // Fail answers a call without a promise about retries.
-func (l *Loop) Fail(id decision.RequestID) { l.finishID(id, Answer{}) }
+func (l *Loop) Fail(id decision.RequestID) { l.answerRequest(id, Answer{}) }
 
 // SetTimer has the Balancer's Timer called after a time.
 func (l *Loop) SetTimer(token uint64, after time.Duration) {
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -38,8 +38,8 @@
 	return &Lifecycle{log: log, since: time.Now(), changed: make(chan struct{})}
 }
 
-// enter changes the phase. The caller holds mu.
-func (c *Lifecycle) enter(p Phase) {
+// setPhase changes the phase. The caller holds mu.
+func (c *Lifecycle) setPhase(p Phase) {
 	if c.phase == p {
 		return
 	}
@@ -55,7 +55,7 @@
 	defer c.mu.Unlock()
 	c.hasList = true
 	if c.phase == Starting {
-		c.enter(Serving)
+		c.setPhase(Serving)
 	}
 }
 
@@ -64,7 +64,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.phase < Draining {
-		c.enter(Draining)
+		c.setPhase(Draining)
 	}
 }
 
@@ -76,9 +76,9 @@
 		return
 	}
 	if c.hasList {
-		c.enter(Serving)
+		c.setPhase(Serving)
 	} else {
-		c.enter(Starting)
+		c.setPhase(Starting)
 	}
 }
 
@@ -87,7 +87,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.connsCloseAt, c.deadline = connsCloseAt, deadline
-	c.enter(Stopping)
+	c.setPhase(Stopping)
 }
 
 // Now returns the phase, its start, and a channel that is closed when it changes.
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -38,13 +38,13 @@
 	idle        map[*Endpoint][]Conn // the most recently used last
 	oldestFirst list.List            // all idle connections, the longest idle first
 	total       int                  // connections in use, idle or being made
-	max         int                  // bound on total
+	maxTotal         int                  // bound on total
 	maxIdle     time.Duration        // an older idle connection is closed
 }
 
 // newPool makes a pool for at most maxConns connections.
 func newPool(s *settings.Settings, maxConns int) pool {
-	p := pool{idle: map[*Endpoint][]Conn{}, maxIdle: defaultConnIdle, max: maxConns}
+	p := pool{idle: map[*Endpoint][]Conn{}, maxIdle: defaultConnIdle, maxTotal: maxConns}
 	if idle := s.ConnIdle; idle > 0 {
 		p.maxIdle = time.Duration(idleTimeoutShare * float64(idle))
 	}
@@ -76,7 +76,7 @@
 
 // reserve counts a new connection. Where the bound is reached it closes the longest idle one, and is false without one.
 func (p *pool) reserve() bool {
-	if p.total >= p.max {
+	if p.total >= p.maxTotal {
 		oldest := p.oldestFirst.Front()
 		if oldest == nil {
 			return false
--- a/internal/core/pool_test.go
+++ b/internal/core/pool_test.go
@@ -77,7 +77,7 @@
 	b := newTestLoop(t, nil, ready("s-1", 0), ready("s-2", 0))
 	b.send = func(_ *Attempt, _ int) Result { return b.served("ok") }
 	most := 0
-	b.loop.Post(func() { most, b.loop.pool.max = b.loop.pool.max, 0 })
+	b.loop.Post(func() { most, b.loop.pool.maxTotal = b.loop.pool.maxTotal, 0 })
 	for _, class := range []int{read, once} {
 		c := b.submit(fmt.Sprint("full", class), class)
 		select {
@@ -89,8 +89,8 @@
 			t.Errorf("class %d: it waits", class)
 		}
 	}
-	b.loop.Post(func() { b.loop.pool.max = most })
-	if got := b.final(b.submit("after", once)); got != "ok" {
+	b.loop.Post(func() { b.loop.pool.maxTotal = most })
+	if got := b.finalAnswer(b.submit("after", once)); got != "ok" {
 		t.Error(got)
 	}
 	b.waitFor("nothing is left", func(s Stats) bool { return s.Calls+s.Attempts == 0 && s.Conns == s.IdleConns })
--- a/internal/core/recent_ids.go
+++ b/internal/core/recent_ids.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// recentIDsFor is how long the id of a finished request is remembered, and maxRecentIDs how many are.
-	recentIDsFor = 10 * time.Second
+	// recentIDTTL is how long the id of a finished request is remembered, and maxRecentIDs how many are.
+	recentIDTTL = 10 * time.Second
 	maxRecentIDs = 4096
 )
 
@@ -24,7 +24,7 @@
 	if r.endedAt == nil {
 		r.endedAt = map[decision.RequestID]time.Duration{}
 	}
-	for len(r.order) > 0 && (len(r.order) >= maxRecentIDs || now-r.endedAt[r.order[0]] > recentIDsFor) {
+	for len(r.order) > 0 && (len(r.order) >= maxRecentIDs || now-r.endedAt[r.order[0]] > recentIDTTL) {
 		delete(r.endedAt, r.order[0])
 		r.order = r.order[1:]
 	}
@@ -32,8 +32,8 @@
 	r.order = append(r.order, id)
 }
 
-// has reports whether a request with this id has finished a short while ago.
-func (r *recentIDs) has(id decision.RequestID, now time.Duration) bool {
+// contains reports whether a request with this id contains finished a short while ago.
+func (r *recentIDs) contains(id decision.RequestID, now time.Duration) bool {
 	at, ok := r.endedAt[id]
-	return ok && now-at <= recentIDsFor
+	return ok && now-at <= recentIDTTL
 }
--- a/internal/core/testloop_test.go
+++ b/internal/core/testloop_test.go
@@ -38,7 +38,7 @@
 
 	mu    sync.Mutex
 	sends map[decision.RequestID][]*Attempt
-	asked []string // of the discovery
+	discoveryCalls []string // of the discovery
 }
 
 func (b *testLoop) Send(a *Attempt, over Conn) Result {
@@ -62,7 +62,7 @@
 func (l *recordingDiscovery) record(what string) {
 	l.b.mu.Lock()
 	defer l.b.mu.Unlock()
-	l.b.asked = append(l.b.asked, l.address+" "+what)
+	l.b.discoveryCalls = append(l.b.discoveryCalls, l.address+" "+what)
 }
 
 func (l *recordingDiscovery) Watch(*uint64) { l.record("watch") }
@@ -121,8 +121,8 @@
 	return c
 }
 
-// final waits for a call's answer, and returns its text or its kind.
-func (b *testLoop) final(c *Call) string {
+// finalAnswer waits for a call's answer, and returns its text or its kind.
+func (b *testLoop) finalAnswer(c *Call) string {
 	b.t.Helper()
 	select {
 	case a := <-c.Answered:
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -147,12 +147,12 @@
 }
 
 var (
-	// errSilent is the end of a watch that sends nothing, not even an empty line.
-	errSilent = errors.New("watch: silent")
-	// errWatchEnded is the end of a watch by the discovery.
-	errWatchEnded = errors.New("watch ended")
-	// errNotFull is a fetched list that has not all endpoints.
-	errNotFull = errors.New("fetch: not the whole list")
+	// errWatchTimeout is the end of a watch that sends nothing, not even an empty line.
+	errWatchTimeout = errors.New("watch: silent")
+	// errWatchClosed is the end of a watch by the discovery.
+	errWatchClosed = errors.New("watch ended")
+	// errPartialList is a fetched list that has not all endpoints.
+	errPartialList = errors.New("fetch: not the whole list")
 )
 
 // watch follows the list until the connection ends. It returns the version that it has reached, so that the next watch
@@ -160,11 +160,11 @@
 func (w *watcher) watch(ctx context.Context, since *uint64) (reached *uint64, received bool, err error) {
 	watchCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := time.AfterFunc(answerTimeout, func() { cancel(errSilent) })
+	silence := time.AfterFunc(answerTimeout, func() { cancel(errWatchTimeout) })
 	defer silence.Stop()
 	defer func() {
-		if errors.Is(context.Cause(watchCtx), errSilent) {
-			err = errSilent
+		if errors.Is(context.Cause(watchCtx), errWatchTimeout) {
+			err = errWatchTimeout
 		}
 	}()
 	url := w.url + "?follow=1"
@@ -183,7 +183,7 @@
 		l, err := lists.next()
 		switch {
 		case errors.Is(err, io.EOF):
-			return since, received, errWatchEnded
+			return since, received, errWatchClosed
 		case errors.Is(err, errMalformedList):
 			// The changes of that list are missing: begin again with the full list.
 			return nil, received, fmt.Errorf("watch: %w", err)
@@ -232,7 +232,7 @@
 		return l, fmt.Errorf("fetch: %w", unexpectedEOF(err))
 	}
 	if !l.Full {
-		return l, errNotFull
+		return l, errPartialList
 	}
 	return l, nil
 }
--- a/internal/settings/compatibility_test.go
+++ b/internal/settings/compatibility_test.go
@@ -7,8 +7,8 @@
 	"dykering/internal/fixture"
 )
 
-// setWords sets the values of which there are only some.
-func setWords(pointer any) bool {
+// fillEnums sets the values of which there are only some.
+func fillEnums(pointer any) bool {
 	c, ok := pointer.(*config)
 	if !ok {
 		return false
@@ -28,7 +28,7 @@
 // Each key of the settings is read, and by the name that the platform writes it with.
 func TestSettingsOfPlatformAreReadByTheirKeys(t *testing.T) {
 	const path = "testdata/compatibility/settings.json"
-	fixture.JSON(t, path, &config{}, setWords)
+	fixture.JSON(t, path, &config{}, fillEnums)
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -159,8 +159,8 @@
 			Deadline:      Micros(service.Deadline),
 			Value:         service.Gain,
 			LateValue:     service.LateValue,
-			Effect:        translate(effects, service.Effect),
-			Scope:         translate(scopes, service.KeyScope),
+			Effect:        lookUpTerm(effects, service.Effect),
+			Scope:         lookUpTerm(scopes, service.KeyScope),
 			Window:        Micros(service.Window),
 			Streamed:      service.Streamed,
 		})
@@ -171,9 +171,9 @@
 	return s
 }
 
-// translate looks up one of the platform's words. An unknown one is returned as it is, for the Balancer to reject it by
+// lookUpTerm looks up one of the platform's words. An unknown one is returned as it is, for the Balancer to reject it by
 // name.
-func translate[T ~string](terms map[string]T, word string) T {
+func lookUpTerm[T ~string](terms map[string]T, word string) T {
 	if term, ok := terms[word]; ok {
 		return term
 	}
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// fleetOf returns the fleet for the control address: an interface that is nil without a fleet.
-func fleetOf(f *fleet) control.Fleet {
+// controlFleet returns the fleet for the control address: an interface that is nil without a fleet.
+func controlFleet(f *fleet) control.Fleet {
 	if f == nil {
 		return nil
 	}
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -65,7 +65,7 @@
 		return nil, fmt.Errorf("control: %w", err)
 	}
 	file.log.Info("control.listening", zap.Stringer("address", listener.Addr()))
-	operators := control.New(listener, server, fleetOf(fleet))
+	operators := control.New(listener, server, controlFleet(fleet))
 	go func() {
 		if err := operators.Run(); err != nil {
 			file.log.Error("control.failed", zap.Error(err))
