--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -7,52 +7,52 @@
 	"time"
 )
 
-// Attempt is one sending of a call to an endpoint, with its time-out. The upstream's goroutine has it; its methods may be
-// called by any.
+// Attempt is one try to send a call to an endpoint, with its timeout. An upstream goroutine carries it out. Its methods
+// are safe for concurrent use.
 type Attempt struct {
 	Call         *Call
 	Endpoint     *Endpoint
-	Ctx          context.Context // ends with the time-out, or when the attempt is cancelled
-	SendBy       time.Time       // the last byte must be sent by then, or nothing is; zero for no bound
-	AnswerWithin time.Duration   // the time that the endpoint is told to answer within, from the sending on
+	Ctx          context.Context // done when the attempt times out or is cancelled
+	SendBy       time.Time       // deadline for sending the last byte of the request; zero for no deadline
+	AnswerWithin time.Duration   // time from the sending that the endpoint is given to answer
 
-	number   int // of the attempt of its call, from 0
+	number   int // index among the attempts of the call, from 0
 	cancel   context.CancelCauseFunc
 	observer AttemptObserver
 	phase    atomic.Int32 // an AttemptPhase
 
 	mu        sync.Mutex
-	sentAt    time.Time   // start of the time that Elapsed counts
-	timer     *time.Timer // cancels at the deadline; nil while a long body is being sent
-	streaming bool        // a long response has begun: there is no time-out any more
+	sentAt    time.Time   // start of the interval that Elapsed returns
+	timer     *time.Timer // cancels the attempt at its deadline; nil while a long body is being sent
+	streaming bool        // a long response has begun, so the attempt no longer times out
 }
 
-// AttemptPhase is how far an attempt has come, for statistics.
+// AttemptPhase is the progress of an attempt. It is used for statistics only.
 type AttemptPhase int32
 
 // The phases of an attempt.
 const (
-	PhaseConnecting   AttemptPhase = iota
-	PhaseSending                   // the request
-	PhaseAwaiting                  // the response
-	PhaseReceiving                 // a long response
-	AttemptPhaseCount              // number of phases
+	PhaseConnecting   AttemptPhase = iota // obtaining a connection
+	PhaseSending                          // sending the request
+	PhaseAwaiting                         // waiting for the response
+	PhaseReceiving                        // receiving a long response
+	AttemptPhaseCount                     // number of phases
 )
 
-// SetPhase notes how far the attempt has come.
+// SetPhase records the progress of the attempt.
 func (a *Attempt) SetPhase(p AttemptPhase) { a.phase.Store(int32(p)) }
 
-// AttemptObserver is notified of an attempt's progress. It is called by the upstream's goroutines and must not block.
+// AttemptObserver is notified of the progress of attempts. Upstream goroutines call its methods, which must not block.
 type AttemptObserver interface {
-	// RequestSent is called when the last byte of a long body was sent.
+	// RequestSent is called when the last byte of a long body has been sent.
 	RequestSent(*Attempt)
-	// StartResponse answers the call with a response whose end is still to come. The response itself reports to the
+	// StartResponse answers the call with a response that is still being received. The response itself reports to the
 	// upstream how its delivery ended.
 	StartResponse(*Attempt, Response)
 }
 
-// NewAttempt makes an attempt that ends at its call's deadline, or after a time-out before that; 0 is none. The time of
-// one with a long body begins when the body was sent.
+// NewAttempt creates an attempt that times out at the deadline of its call, or after the given timeout if that is earlier.
+// A timeout of 0 sets no earlier bound. An attempt with a long body has no deadline until the body has been sent.
 func NewAttempt(c *Call, e *Endpoint, timeout time.Duration, observer AttemptObserver) *Attempt {
 	a := &Attempt{Call: c, Endpoint: e, number: c.attempts, sentAt: time.Now(), observer: observer}
 	a.Ctx, a.cancel = context.WithCancelCause(context.Background())
@@ -69,7 +69,7 @@
 	return a
 }
 
-// RequestSent is called when the last byte of a long body was sent: the endpoint's time counts from now on.
+// RequestSent is called when the last byte of a long body has been sent. Elapsed counts from this moment.
 func (a *Attempt) RequestSent() {
 	a.mu.Lock()
 	a.sentAt = time.Now()
@@ -77,8 +77,9 @@
 	a.observer.RequestSent(a)
 }
 
-// StartResponse answers the call with a response whose end is still to come. It is false when the time-out
-// has passed; else there is no time-out any more. Took is the time until the response began.
+// StartResponse answers the call with a response that is still being received, and disables the timeout of the attempt.
+// It returns false, and does not answer the call, if the attempt has already timed out. Took is the time from the sending
+// of the request to the start of the response.
 func (a *Attempt) StartResponse(r Response) (took time.Duration, ok bool) {
 	a.mu.Lock()
 	a.streaming = a.timer == nil || a.timer.Stop()
@@ -94,7 +95,7 @@
 // Cancel ends the attempt's context.
 func (a *Attempt) Cancel() { a.cancel(context.Canceled) }
 
-// Close releases what an attempt that is over holds.
+// Close stops the timer and releases the context of an attempt that has ended.
 func (a *Attempt) Close() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -104,7 +105,7 @@
 	a.cancel(context.Canceled)
 }
 
-// SetDeadline sets when the attempt times out, unless a long response has begun.
+// SetDeadline sets the time at which the attempt times out. It has no effect once a long response has begun.
 func (a *Attempt) SetDeadline(deadline time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -124,7 +125,7 @@
 	return a.streaming
 }
 
-// Elapsed is the time since the request was sent or, with a long body, since its last byte was.
+// Elapsed returns the time since the attempt was created or, for a long body, since its last byte was sent.
 func (a *Attempt) Elapsed() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -8,31 +8,32 @@
 	"dykering/internal/decision"
 )
 
-// Upstream carries out attempts, in a protocol.
+// Upstream carries out attempts in a specific protocol.
 type Upstream interface {
-	// Send makes one attempt over an idle connection to its endpoint, or over a new one where that is nil. When it
-	// returns, the connection is closed or in the result, so that the call may be sent again. It may block until the
-	// attempt's context ends, and little longer.
-	Send(a *Attempt, over Conn) Result
+	// Send carries out one attempt over an idle connection to its endpoint, or over a new connection if idle is nil.
+	// When it returns, the connection is either closed or part of the result, so that the call may be sent again. It
+	// may block until shortly after the context of the attempt is done.
+	Send(a *Attempt, idle Conn) Result
 }
 
-// Result is how an attempt ended.
+// Result is the outcome of an attempt.
 type Result struct {
 	Status        decision.Status
-	Elapsed       time.Duration  // from the sending to the answer
-	Response      Response       // complete and good; nil otherwise, and for one that was started before
-	Load          *decision.Load // reported by the endpoint; nil for none
-	Conn          Conn           // can carry another attempt; nil for none
+	Elapsed       time.Duration  // from the sending of the request to the response
+	Response      Response       // a complete, successful response; nil for a failure or after StartResponse
+	Load          *decision.Load // load reported by the endpoint; nil if it reported none
+	Conn          Conn           // connection that can carry another attempt; nil if it was closed
 	NotReplayable bool           // the request cannot be sent again
 }
 
-// Response is an endpoint's good answer, in terms of the protocol.
+// Response is a successful response of an endpoint. The protocol implementation defines its contents.
 type Response interface {
-	// Discard releases what it holds, whether it was delivered or not.
+	// Discard releases the resources of the response, whether or not it was delivered.
 	Discard()
 }
 
-// startAttempt sends an attempt from a goroutine of its own, if there may be a connection for it.
+// startAttempt runs an attempt in its own goroutine. If the pool has no connection for the attempt, it ends with the
+// status decision.NotSent.
 func (l *Loop) startAttempt(a *Attempt) {
 	conn, ok := l.pool.acquire(a.Endpoint, a.sentAt)
 	go func() {
@@ -50,7 +51,8 @@
 	}()
 }
 
-// attemptEnded is the event of an attempt's end, after its connection was released.
+// attemptEnded handles the end of an attempt, after its connection was released. It answers the call if the attempt
+// succeeded, and reports the outcome to the Balancer.
 func (l *Loop) attemptEnded(a *Attempt, res Result) {
 	c := a.Call
 	c.attempt = nil
@@ -74,8 +76,8 @@
 	l.removeIfDone(c)
 }
 
-// RequestSent is called when the last byte of a long body was sent: the client's time, and the endpoint's, count from
-// now on. It implements AttemptObserver.
+// RequestSent is called when the last byte of a long body has been sent. The deadline of the call, and so that of its
+// attempt, counts from this moment. It implements AttemptObserver.
 func (l *Loop) RequestSent(a *Attempt) {
 	received := time.Now()
 	l.Post(func() {
@@ -90,7 +92,8 @@
 	})
 }
 
-// StartResponse answers a call with a long response that its front delivers as it arrives. It implements AttemptObserver.
+// StartResponse answers a call with a long response that the frontend delivers as it arrives. It implements
+// AttemptObserver.
 func (l *Loop) StartResponse(a *Attempt, response Response) {
 	l.Post(func() {
 		c := a.Call
@@ -103,10 +106,11 @@
 	})
 }
 
-// AdoptAttempt takes over an attempt that the preceding process began. Its connection was reserved by ReserveConn.
+// AdoptAttempt takes over an attempt that the previous process started. The caller has reserved its connection with
+// ReserveConn.
 func (l *Loop) AdoptAttempt(a *Attempt) { l.Post(func() { l.adopted[a] = true }) }
 
-// AdoptedEnded is called when an adopted attempt and its connection have ended.
+// AdoptedEnded is called when an adopted attempt has ended and its connection is closed.
 func (l *Loop) AdoptedEnded(a *Attempt) {
 	l.Post(func() {
 		delete(l.adopted, a)
@@ -114,11 +118,11 @@
 	})
 }
 
-// ReserveConn counts a connection to an endpoint that the preceding process has made. It is false where there may be no
-// further connection, and once the loop has ended.
+// ReserveConn reserves a place in the pool for a connection to an endpoint that the previous process established. It
+// returns false if the connection limit is reached or the loop is closed.
 func (l *Loop) ReserveConn() bool {
 	return query(l, l.pool.reserve)
 }
 
-// ReleaseConn ends a reservation by ReserveConn whose connection was not taken over.
+// ReleaseConn cancels a reservation made by ReserveConn whose connection was not taken over.
 func (l *Loop) ReleaseConn() { l.Post(func() { l.pool.total-- }) }
--- a/internal/core/attempts_test.go
+++ b/internal/core/attempts_test.go
@@ -6,8 +6,8 @@
 	"dykering/internal/decision"
 )
 
-// A retry of a keyed call that may have run has a time by which its last byte must be sent; no other
-// attempt has.
+// A keyed call may only be retried within the endpoints' deduplication window after its first attempt. Its retry therefore
+// has a send deadline (SendBy) inside that window, and no other attempt has one.
 func TestKeyedRetryHasSendBound(t *testing.T) {
 	for _, class := range []int{read, keyed} {
 		b := newTestLoop(t, nil, ready("s-1", 0), ready("s-2", 0))
@@ -19,25 +19,25 @@
 		first, second := b.sends[c.ID][0], b.sends[c.ID][1]
 		window := b.loop.config.Settings.Classes[class].Window
 		if !first.SendBy.IsZero() || second.SendBy.IsZero() != (class == read) || second.SendBy.After(first.sentAt.Add(window)) {
-			t.Errorf("class %d: out by %v and %v, sent %v", class, first.SendBy, second.SendBy, first.sentAt)
+			t.Errorf("class %d: send deadlines %v and %v, first attempt sent at %v", class, first.SendBy, second.SendBy, first.sentAt)
 		}
 	}
 }
 
-// A response that is complete, or whose end is still to come, is delivered to the call; one that nobody
-// waits for is discarded.
+// A complete response and a response that is still being received are both delivered to their calls. A response to an
+// abandoned call is discarded.
 func TestResponseIsDeliveredOrDiscarded(t *testing.T) {
-	goOn := make(chan bool)
+	proceed := make(chan bool)
 	b := newTestLoop(t, nil, ready("s-1", 0))
 	b.send = func(a *Attempt, _ int) Result {
 		switch a.Call.Message {
 		case "long":
-			if _, ok := a.StartResponse(textResponse{"begun", b.discarded}); !ok {
-				t.Error("out of time")
+			if _, ok := a.StartResponse(textResponse{"started", b.discarded}); !ok {
+				t.Error("StartResponse reports a timeout")
 			}
-			<-goOn
+			<-proceed
 			return Result{Status: decision.OK}
-		case "left":
+		case "abandoned":
 			<-a.Ctx.Done()
 			return b.served("too late")
 		}
@@ -46,19 +46,19 @@
 	if got := b.finalAnswer(b.submit("short", once)); got != "whole" {
 		t.Error(got)
 	}
-	if got := b.finalAnswer(b.submit("long", once)); got != "begun" {
+	if got := b.finalAnswer(b.submit("long", once)); got != "started" {
 		t.Error(got)
 	}
-	b.waitFor("it is still under way", func(s Stats) bool { return s.Calls == 1 && s.Attempts == 1 })
-	goOn <- true
-	left := b.submit("left", once)
-	b.waitFor("it is out", func(s Stats) bool { return s.Attempts == 1 })
-	b.loop.Abandon(left)
+	b.waitFor("the long response to be in flight", func(s Stats) bool { return s.Calls == 1 && s.Attempts == 1 })
+	proceed <- true
+	abandoned := b.submit("abandoned", once)
+	b.waitFor("the attempt to be in flight", func(s Stats) bool { return s.Attempts == 1 })
+	b.loop.Abandon(abandoned)
 	if got := <-b.discarded; got != "too late" {
 		t.Error(got)
 	}
-	b.waitFor("all is forgotten", func(s Stats) bool { return s.Calls+s.Attempts == 0 })
-	if len(left.Answered) > 0 {
-		t.Error("a client that has gone gets an answer")
+	b.waitFor("all calls to be removed", func(s Stats) bool { return s.Calls+s.Attempts == 0 })
+	if len(abandoned.Answered) > 0 {
+		t.Error("an abandoned call was answered")
 	}
 }
--- a/internal/core/calls_test.go
+++ b/internal/core/calls_test.go
@@ -10,25 +10,25 @@
 	"dykering/internal/decision"
 )
 
-// Every way in which an attempt can end gives one final answer, retries only as the class allows, and
-// leaves nothing behind.
+// Each attempt outcome leads to one final answer, causes only the retries that the class of the call allows, and leaves no
+// call, attempt or connection behind.
 func TestEachOutcomeGivesOneAnswer(t *testing.T) {
 	for name, tc := range map[string]struct {
 		first      Result
-		read, once string // final answer, and
-		reads      int    // attempts
-		onces      int
+		read, once string // expected answer for a safe and for an unsafe call
+		reads      int    // expected attempts of the safe call
+		onces      int    // expected attempts of the unsafe call
 	}{
-		"error":          {Result{Status: decision.Error}, "again", "failed", 2, 1},
-		"full":           {Result{Status: decision.Rejected}, "again", "again", 2, 2},
-		"time-out":       {Result{Status: decision.Timeout}, "again", "failed", 2, 1},
-		"connect failed": {Result{Status: decision.ConnectFailed}, "again", "again", 2, 2},
-		"reset":          {Result{Status: decision.Reset}, "again", "failed", 2, 1},
-		"cancelled":      {Result{Status: decision.Cancelled}, "again", "failed", 2, 1},
-		"moot":           {Result{Status: decision.NotSent}, "again", "again", 2, 2},
-		"spoilt":         {Result{Status: decision.InvalidResponse}, "again", "failed", 2, 1},
-		"full, spent":    {Result{Status: decision.Rejected, NotReplayable: true}, "refused", "refused", 1, 1},
-		"error, spent":   {Result{Status: decision.Error, NotReplayable: true}, "refused", "failed", 1, 1},
+		"error":                    {Result{Status: decision.Error}, "again", "failed", 2, 1},
+		"rejected":                 {Result{Status: decision.Rejected}, "again", "again", 2, 2},
+		"timeout":                  {Result{Status: decision.Timeout}, "again", "failed", 2, 1},
+		"connect failed":           {Result{Status: decision.ConnectFailed}, "again", "again", 2, 2},
+		"reset":                    {Result{Status: decision.Reset}, "again", "failed", 2, 1},
+		"cancelled":                {Result{Status: decision.Cancelled}, "again", "failed", 2, 1},
+		"not sent":                 {Result{Status: decision.NotSent}, "again", "again", 2, 2},
+		"invalid":                  {Result{Status: decision.InvalidResponse}, "again", "failed", 2, 1},
+		"rejected, not replayable": {Result{Status: decision.Rejected, NotReplayable: true}, "refused", "refused", 1, 1},
+		"error, not replayable":    {Result{Status: decision.Error, NotReplayable: true}, "refused", "failed", 1, 1},
 	} {
 		for class, want := range []string{tc.read, tc.once} {
 			b := newTestLoop(t, nil, ready("s-1", 0), ready("s-2", 0))
@@ -42,70 +42,70 @@
 			if got := b.finalAnswer(c); got != want {
 				t.Errorf("%s, class %d: %s, want %s", name, class, got, want)
 			}
-			b.waitFor("it is forgotten", func(s Stats) bool { return s.Calls+s.Attempts == 0 && s.Conns == s.IdleConns })
+			b.waitFor("the call to be removed", func(s Stats) bool { return s.Calls+s.Attempts == 0 && s.Conns == s.IdleConns })
 			b.mu.Lock()
-			if got, most := len(b.sends[c.ID]), []int{tc.reads, tc.onces}[class]; got != most {
-				t.Errorf("%s, class %d: %d attempts, want %d", name, class, got, most)
+			if got, want := len(b.sends[c.ID]), []int{tc.reads, tc.onces}[class]; got != want {
+				t.Errorf("%s, class %d: %d attempts, want %d", name, class, got, want)
 			}
 			b.mu.Unlock()
 		}
 	}
 }
 
-// A call with an id that is in use, or was a short while ago, gets an answer without a promise about
-// retries, and never runs.
-func TestRepeatedIDIsAnsweredWithoutPromise(t *testing.T) {
-	goOn := make(chan bool)
+// A call whose ID is in use, or was in use a short time ago, is answered as not retryable and is never sent. Calls beyond
+// the limit on open calls are refused.
+func TestRepeatedIDIsAnsweredAsNotRetryable(t *testing.T) {
+	proceed := make(chan bool)
 	b := newTestLoop(t, nil, ready("s-1", 0))
-	b.send = func(_ *Attempt, _ int) Result { <-goOn; return b.served("ok") }
+	b.send = func(_ *Attempt, _ int) Result { <-proceed; return b.served("ok") }
 	first := b.submit("x", read)
 	if got := b.finalAnswer(b.submit("x", read)); got != "failed" {
 		t.Error(got)
 	}
-	goOn <- true
+	proceed <- true
 	if got := b.finalAnswer(first); got != "ok" {
 		t.Error(got)
 	}
-	b.waitFor("it is forgotten", func(s Stats) bool { return s.Calls == 0 })
+	b.waitFor("the call to be removed", func(s Stats) bool { return s.Calls == 0 })
 	if got := b.finalAnswer(b.submit("x", read)); got != "failed" || len(b.sends["x"]) != 1 {
 		t.Errorf("%s after %d sends", got, len(b.sends["x"]))
 	}
-	var held []*Call
+	var open []*Call
 	for i := range 51 {
-		held = append(held, b.submit(fmt.Sprint(i), read))
+		open = append(open, b.submit(fmt.Sprint(i), read))
 	}
-	if got := b.finalAnswer(held[50]); got != "refused" {
-		t.Errorf("beyond the cap: %s", got)
+	if got := b.finalAnswer(open[50]); got != "refused" {
+		t.Errorf("call beyond the limit on open calls: %s, want refused", got)
 	}
-	close(goOn)
-	for _, c := range held[:50] {
+	close(proceed)
+	for _, c := range open[:50] {
 		b.finalAnswer(c)
 	}
 }
 
-// A call whose client has gone is cancelled at once, and forgotten.
-func TestAbandonedCallIsCancelledAndForgotten(t *testing.T) {
-	out, calledOff := make(chan bool, 1), make(chan bool, 1)
+// When a client disconnects, the attempt of its call is cancelled at once and the call is removed.
+func TestAbandonedCallIsCancelledAndRemoved(t *testing.T) {
+	sent, cancelled := make(chan bool, 1), make(chan bool, 1)
 	b := newTestLoop(t, func(a *Attempt, _ int) Result {
-		out <- true
+		sent <- true
 		select {
 		case <-a.Ctx.Done():
-			calledOff <- true
+			cancelled <- true
 		case <-time.After(2 * time.Second):
-			calledOff <- false
+			cancelled <- false
 		}
 		return Result{Status: decision.Cancelled}
 	}, ready("s-1", 0))
 	c := b.submit("1", once)
-	<-out
+	<-sent
 	b.loop.Abandon(c)
-	if !<-calledOff {
-		t.Error("its client has gone, and the attempt goes on")
+	if !<-cancelled {
+		t.Error("the attempt of an abandoned call was not cancelled")
 	}
-	b.waitFor("the call is forgotten", func(s Stats) bool { return s.Calls == 0 })
+	b.waitFor("the call to be removed", func(s Stats) bool { return s.Calls == 0 })
 }
 
-// When its process ends a call is answered, and its attempt is cancelled.
+// At the drain deadline, calls are answered and their attempts are cancelled. Later calls are refused.
 func TestDrainAnswersCallsAndCancelsAttempts(t *testing.T) {
 	b := newTestLoop(t, nil, ready("s-1", 0))
 	b.send = func(a *Attempt, _ int) Result {
@@ -116,12 +116,12 @@
 		return Result{Status: decision.Cancelled}
 	}
 	calls := []*Call{b.submit("r", read), b.submit("o", once)}
-	b.waitFor("they are out", func(s Stats) bool { return s.Attempts == 2 })
+	b.waitFor("both attempts to be in flight", func(s Stats) bool { return s.Attempts == 2 })
 	end := time.Now().Add(50 * time.Millisecond)
 	b.loop.Drain(end, true)
 	for i, want := range []string{"refused", "failed"} {
 		if got := b.finalAnswer(calls[i]); got != want || time.Now().Before(end) {
-			t.Errorf("%s, want %s at the end", got, want)
+			t.Errorf("%s, want %s at the drain deadline", got, want)
 		}
 	}
 	if got := b.finalAnswer(b.submit("late", read)); got != "refused" {
@@ -129,14 +129,14 @@
 	}
 }
 
-// The ids of finished requests are kept for a while, and a bounded number of them.
+// The IDs of finished requests expire, and their number is bounded.
 func TestRecentIDsAreBounded(t *testing.T) {
-	var past recentIDs
+	var recent recentIDs
 	for i := range 3 * maxRecentIDs {
-		past.add(decision.RequestID(fmt.Sprint(i)), 0)
+		recent.add(decision.RequestID(fmt.Sprint(i)), 0)
 	}
-	past.add("last", 2*recentIDTTL)
-	if len(past.endedAt) != 1 || len(past.order) != 1 || past.contains("1", 2*recentIDTTL) || !past.contains("last", 2*recentIDTTL) {
-		t.Errorf("%d ids are kept", len(past.endedAt))
+	recent.add("last", 2*recentIDTTL)
+	if len(recent.endedAt) != 1 || len(recent.order) != 1 || recent.contains("1", 2*recentIDTTL) || !recent.contains("last", 2*recentIDTTL) {
+		t.Errorf("%d IDs are kept, want 1", len(recent.endedAt))
 	}
 }
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -6,12 +6,12 @@
 	"dykering/internal/settings"
 )
 
-// Config is what a Loop is started with.
+// Config is the configuration of a Loop.
 type Config struct {
 	Settings         settings.Settings
-	Seed             uint64 // of the Balancer's random numbers
-	Limits           Limits // that this process may use
-	CachedList       List   // the endpoints as this instance last had them; may be old
-	DiscoveryAddress string
-	Log              *zap.Logger // nil logs nothing
+	Seed             uint64      // seed of the Balancer's random numbers
+	Limits           Limits      // resources that this process may use
+	CachedList       List        // the last endpoint list of a previous process; may be stale
+	DiscoveryAddress string      // host:port of the discovery service
+	Log              *zap.Logger // nil disables logging
 }
--- a/internal/core/discovery.go
+++ b/internal/core/discovery.go
@@ -8,74 +8,76 @@
 	"dykering/internal/decision"
 )
 
-// Discovery follows the list of endpoints. The loop calls its methods, which never block; what it receives goes to its
-// sink, in the loop's goroutine.
+// Discovery is a client of the discovery service that follows the list of endpoints. The loop calls its methods, which must
+// not block. It reports lists and failures to its Sink, in the loop's goroutine.
 type Discovery interface {
-	// Watch begins to watch for changes after a version; nil asks for the full list first.
+	// Watch starts a watch for the changes after a version. With nil, the watch starts with the full list.
 	Watch(since *uint64)
-	// Stop ends the watch. What it has received and the loop has not yet taken is dropped.
+	// Stop ends the watch. Lists that the watch has received but not yet reported are dropped.
 	Stop()
-	// Fetch gets the full list once, unless a fetch is under way.
+	// Fetch requests the full list once, unless a fetch is in progress.
 	Fetch()
 }
 
-// Sink takes what a Discovery receives.
+// Sink receives the lists and failures that a Discovery reports.
 type Sink interface {
-	// Post has the loop call a function.
+	// Post runs a function in the loop's goroutine.
 	Post(func())
-	// ListReceived takes a list, and ListFailed the failure to get one. They are called in the loop's goroutine and
-	// ignore a discovery that is no longer followed.
-	ListReceived(from Discovery, l List, how Source)
+	// ListReceived handles a list, and ListFailed handles a failure to get one. Both are called in the loop's goroutine,
+	// and both ignore a Discovery that the loop no longer follows.
+	ListReceived(from Discovery, list List, source Source)
 	ListFailed(from Discovery, err error)
 }
 
-// NewDiscovery makes the Discovery at an address.
+// NewDiscovery creates a client for the discovery service at an address.
 type NewDiscovery func(address string, to Sink) Discovery
 
-// List is an update of discovery's list of endpoints. Its JSON form is the platform's.
+// List is a full or partial update of the endpoint list. The platform defines its JSON form.
 type List struct {
-	Rev     uint64   `json:"rev"` // version
-	Full    bool     `json:"all"` // all endpoints; else only those that changed
+	Rev     uint64   `json:"rev"` // version of the list
+	Full    bool     `json:"all"` // Targets has all endpoints; otherwise only the changed ones
 	Targets []Target `json:"targets"`
 }
 
-// Target is one line of a list. Its JSON form is the platform's.
+// Target is the entry of one endpoint in a List. The platform defines its JSON form.
 type Target struct {
 	UID     string  `json:"uid"`
 	Address string  `json:"endpoint"`
 	Zone    string  `json:"az"`
 	Model   string  `json:"model"`
 	Cell    int     `json:"pod_group"`
-	State   string  `json:"state"` // see states
+	State   string  `json:"state"` // a key of targetStates
 	Weight  float64 `json:"capacity_hint"`
-	BootMS  int64   `json:"boot_ms"` // start of the process, in Unix milliseconds
+	BootMS  int64   `json:"boot_ms"` // start time of the endpoint's process, in Unix milliseconds
 }
 
-// targetStates are the platform's names of the targetStates of a target.
+// targetStates maps the platform's names of endpoint states to the Balancer's.
 var targetStates = map[string]decision.State{
 	"Ready": decision.Ready, "Terminating": decision.Draining, "Gone": decision.Departed,
 }
 
-// Source is where a list came from.
+// Source is the origin of a list.
 type Source int
 
 // The sources of a list.
 const (
-	FromCache Source = iota // this instance's own record
-	FromWatch
-	FromFetch
+	FromCache Source = iota // the last list of a previous process, from the configuration
+	FromWatch               // a watch of the discovery service
+	FromFetch               // a fetch of the full list
 )
 
-// A watch may bring a full list that is older than the one at hand: it was under way for longer than a fetch, or
-// discovery has begun to count anew, or one of its replicas lags. Then the full list is fetched again whatever its
-// version, but not again for minResyncBackoff; the pause doubles each time that this goes on, up to maxResyncBackoff.
+// A watch may deliver a full list that is older than the current one: because it took longer than a later fetch, because
+// the discovery service has restarted its version count, or because one of its replicas lags. The loop then resyncs: it
+// fetches the full list and accepts any version. Resyncs are rate-limited, so that a lagging replica does not cause a
+// fetch for each list.
 const (
-	minResyncBackoff = 3 * time.Second
-	maxResyncBackoff = 30 * time.Second
+	minResyncBackoff = 3 * time.Second  // initial pause between two resyncs; doubles with each delayed one
+	maxResyncBackoff = 30 * time.Second // upper bound of the pause
 )
 
-// SwitchDiscovery follows the discovery at another address. Its versions may count otherwise, so its full list is
-// fetched, and the old discovery is ignored from now on. The present list stands until the new one has come.
+// SwitchDiscovery follows the discovery service at another address and ignores the previous one from now on. The two
+// services may number their versions differently, so the loop fetches the full list. The current list stays in use until
+// that list arrives.
 func (l *Loop) SwitchDiscovery(address string) { l.Post(func() { l.switchDiscovery(address) }) }
 
 func (l *Loop) switchDiscovery(address string) {
@@ -84,14 +86,14 @@
 	l.awaitingFullList = true
 	l.discovery.Fetch()
 	if l.config.Settings.PullDiscovery {
-		// The Balancer watches again after a pause of its own.
+		// The Balancer restarts the watch after its own pause.
 		l.balancer.Targets(l.now(), decision.List{Kind: decision.FailedList})
 		return
 	}
 	l.discovery.Watch(nil)
 }
 
-// watchFrom is the version after which a watch is to begin; nil for the full list.
+// watchFrom returns the version after which a watch should start, or nil to start with the full list.
 func (l *Loop) watchFrom() *uint64 {
 	if l.awaitingFullList {
 		return nil
@@ -100,14 +102,14 @@
 	return &rev
 }
 
-// ListReceived takes a list of the followed discovery.
-func (l *Loop) ListReceived(from Discovery, got List, how Source) {
+// ListReceived handles a list from a discovery client. It ignores a client that the loop no longer follows.
+func (l *Loop) ListReceived(from Discovery, list List, source Source) {
 	if from == l.discovery {
-		l.applyList(got, how)
+		l.applyList(list, source)
 	}
 }
 
-// ListFailed takes the failure of the followed discovery to get a list.
+// ListFailed handles the failure of a discovery client to get a list. It ignores a client that the loop no longer follows.
 func (l *Loop) ListFailed(from Discovery, err error) {
 	if from != l.discovery {
 		return
@@ -116,58 +118,58 @@
 	l.balancer.Targets(l.now(), decision.List{Kind: decision.FailedList})
 }
 
-// applyList applies a list, unless it is older than the present one: an endpoint that has left would come back.
-func (l *Loop) applyList(got List, from Source) {
+// applyList applies a list unless it is older than the current one, which would bring back endpoints that have departed.
+func (l *Loop) applyList(list List, source Source) {
 	versionsRestart := l.awaitingFullList
 	switch {
-	case l.awaitingFullList && !got.Full:
-		return // changes of a list that the Balancer does not have
+	case l.awaitingFullList && !list.Full:
+		return // changes relative to a list that the Balancer does not have
 	case l.awaitingFullList:
 		l.awaitingFullList = false
-		if from == FromFetch && !l.config.Settings.PullDiscovery {
-			// The watch may have brought changes before this list, which were ignored.
+		if source == FromFetch && !l.config.Settings.PullDiscovery {
+			// The loop ignored the changes that the watch delivered before this list. Watch again from its version.
 			l.discovery.Stop()
-			l.discovery.Watch(&got.Rev)
+			l.discovery.Watch(&list.Rev)
 		}
-	case from == FromFetch && got.Rev < l.revision:
+	case source == FromFetch && list.Rev < l.revision:
 		return
-	case from == FromWatch && !got.Full && got.Rev <= l.revision:
+	case source == FromWatch && !list.Full && list.Rev <= l.revision:
 		return
-	case from == FromWatch && got.Rev < l.revision:
+	case source == FromWatch && list.Rev < l.revision:
 		l.resync()
 		return
 	}
-	l.setList(got, from, versionsRestart)
+	l.setList(list, source, versionsRestart)
 }
 
-// setList hands a list to the Balancer. It updates the table of endpoints first, so that what the Balancer then sends
-// finds its address.
-func (l *Loop) setList(got List, from Source, versionsRestart bool) {
-	l.revision = got.Rev
-	entries, retired := l.endpoints.update(got)
+// setList passes a list to the Balancer. It updates the endpoint table first, so that the attempts that the Balancer
+// starts in response find their endpoints.
+func (l *Loop) setList(list List, source Source, versionsRestart bool) {
+	l.revision = list.Rev
+	entries, retired := l.endpoints.update(list)
 	for _, e := range retired {
 		l.pool.closeIdle(e)
 	}
 	kind := decision.DeltaList
 	switch {
-	case from == FromCache:
+	case source == FromCache:
 		kind = decision.CachedList
-	case got.Full:
+	case list.Full:
 		kind = decision.FullList
 	}
 	l.balancer.Targets(l.now(), decision.List{
 		Kind:            kind,
-		Version:         got.Rev,
+		Version:         list.Rev,
 		VersionsRestart: versionsRestart,
 		Entries:         entries,
 	})
-	if from != FromCache || len(entries) > 0 {
+	if source != FromCache || len(entries) > 0 {
 		l.lifecycle.listReceived()
 	}
 }
 
-// resync gets the full list of the followed discovery whatever its version: at once or, within the pause after the last
-// time, at the pause's end if nothing newer has come by then.
+// resync fetches the full list and accepts any version. Within resyncBackoff of the last resync it waits until the backoff
+// has passed, and then skips the resync if another list was applied in the meantime.
 func (l *Loop) resync() {
 	if l.resyncPending {
 		return
@@ -188,7 +190,7 @@
 	l.switchDiscovery(l.discoveryAddress)
 }
 
-// resyncIfStale gets the full list if the discovery and the revision are still those of a time before.
+// resyncIfStale runs a delayed resync, unless the discovery client or the list revision has changed since it was scheduled.
 func (l *Loop) resyncIfStale(discovery Discovery, revision uint64) {
 	l.resyncPending = false
 	if discovery != l.discovery || revision != l.revision {
--- a/internal/core/discovery_test.go
+++ b/internal/core/discovery_test.go
@@ -7,101 +7,101 @@
 	"time"
 )
 
-// Lists reach the Balancer in order: one that is older than the present one is dropped, and so is what a
-// discovery says that is no longer followed.
+// A list that is older than the current one is dropped, as are lists and failures from a discovery client that the loop no
+// longer follows.
 func TestOlderListsAreDropped(t *testing.T) {
 	b := newTestLoop(t, nil, ready("s-1", 0), ready("s-2", 0))
 	open := func(uid string) (open bool) {
-		told := make(chan bool)
+		result := make(chan bool)
 		b.loop.Post(func() {
 			e := b.loop.endpoints.byID[b.loop.endpoints.id(uid)]
-			told <- e != nil && e.IsOpen()
+			result <- e != nil && e.IsOpen()
 		})
-		return <-told
+		return <-result
 	}
-	tell := func(from Discovery, l List, how Source) {
-		b.loop.Post(func() { b.loop.ListReceived(from, l, how) })
+	report := func(from Discovery, l List, source Source) {
+		b.loop.Post(func() { b.loop.ListReceived(from, l, source) })
 	}
 	draining := ready("s-1", 0)
 	draining.State = "Terminating"
 	first := b.loop.discovery
-	tell(first, List{Rev: 5, Targets: []Target{draining}}, FromWatch)
-	tell(first, List{Rev: 4, Full: true, Targets: []Target{ready("s-1", 0)}}, FromFetch)
-	tell(first, List{Rev: 5, Targets: []Target{ready("s-1", 0)}}, FromWatch)
+	report(first, List{Rev: 5, Targets: []Target{draining}}, FromWatch)
+	report(first, List{Rev: 4, Full: true, Targets: []Target{ready("s-1", 0)}}, FromFetch)
+	report(first, List{Rev: 5, Targets: []Target{ready("s-1", 0)}}, FromWatch)
 	if open("s-1") || !open("s-2") || b.loop.Stats().Revision != 5 {
 		t.Error("an older list undid a drain")
 	}
-	tell(first, List{Rev: 6, Full: true, Targets: []Target{ready("s-1", 0)}}, FromFetch)
+	report(first, List{Rev: 6, Full: true, Targets: []Target{ready("s-1", 0)}}, FromFetch)
 	if !open("s-1") || open("s-2") {
-		t.Error("a newer list is not followed")
+		t.Error("a newer list was not applied")
 	}
-	tell(first, List{Rev: 5, Full: true, Targets: []Target{ready("s-2", 0)}}, FromWatch)
+	report(first, List{Rev: 5, Full: true, Targets: []Target{ready("s-2", 0)}}, FromWatch)
 	if s := b.loop.Stats(); s.Revision != 6 || !s.AwaitingFullList || !open("s-1") || open("s-2") {
-		t.Errorf("an older whole list of a watch is taken without a look at what holds now: %+v", s)
+		t.Errorf("an older full list from a watch was applied without a resync: %+v", s)
 	}
-	tell(b.loop.discovery, List{Rev: 6, Full: true, Targets: []Target{ready("s-1", 0)}}, FromFetch)
-	for range 3 { // a copy of discovery that lags must not have it asked without end
-		tell(b.loop.discovery, List{Rev: 5, Full: true, Targets: []Target{ready("s-2", 0)}}, FromWatch)
+	report(b.loop.discovery, List{Rev: 6, Full: true, Targets: []Target{ready("s-1", 0)}}, FromFetch)
+	for range 3 { // a lagging discovery replica must not cause a resync for each of its lists
+		report(b.loop.discovery, List{Rev: 5, Full: true, Targets: []Target{ready("s-2", 0)}}, FromWatch)
 	}
 	if s := b.loop.Stats(); s.Revision != 6 || s.AwaitingFullList || !open("s-1") || open("s-2") {
-		t.Errorf("older whole lists, one after another: %+v", s)
+		t.Errorf("repeated older full lists from a watch: %+v", s)
 	}
 	b.loop.SwitchDiscovery("second")
-	tell(first, List{Rev: 9, Full: true}, FromFetch)
+	report(first, List{Rev: 9, Full: true}, FromFetch)
 	b.loop.Post(func() { b.loop.ListFailed(first, errors.New("old")) })
 	if s := b.loop.Stats(); s.Revision != 6 || !s.AwaitingFullList || s.DiscoveryAddress != "second" || !open("s-1") {
-		t.Errorf("the old discovery is heard: %+v", s)
+		t.Errorf("reports of the previous discovery client were handled: %+v", s)
 	}
-	tell(b.loop.discovery, List{Rev: 3, Targets: []Target{ready("s-3", 0)}}, FromWatch)
-	tell(b.loop.discovery, List{Rev: 2, Full: true, Targets: []Target{ready("s-4", 0)}}, FromFetch)
+	report(b.loop.discovery, List{Rev: 3, Targets: []Target{ready("s-3", 0)}}, FromWatch)
+	report(b.loop.discovery, List{Rev: 2, Full: true, Targets: []Target{ready("s-4", 0)}}, FromFetch)
 	if s := b.loop.Stats(); s.Revision != 2 || s.AwaitingFullList || open("s-3") || !open("s-4") {
-		t.Errorf("the new discovery is followed from changes on, or not at all: %+v", s)
+		t.Errorf("the new discovery's full list was not applied, or its changes were applied before it: %+v", s)
 	}
 	want := "[first watch first stop first fetch first watch first stop first watch " +
 		"first stop second fetch second watch second stop second watch]"
 	if got := fmt.Sprint(b.discoveryCalls); got != want {
-		t.Errorf("asked %s, want %s", got, want)
+		t.Errorf("discovery calls %s, want %s", got, want)
 	}
 }
 
-// A discovery that begins to count anew for a second time, shortly after the first, is asked again once the
-// pause is over, unless something newer has come by then: its lists would be dropped for ever.
+// When the discovery service restarts its version count twice in quick succession, the loop resyncs again after the
+// backoff, unless a newer list has arrived by then. Without the second resync all later lists would be dropped as old.
 func TestOlderFullListOfWatchCausesResync(t *testing.T) {
 	for _, newer := range []bool{false, true} {
 		b := newTestLoop(t, nil, ready("s-1", 0))
-		const pause = time.Second
-		tell := func(rev uint64, how Source) {
+		const backoff = time.Second
+		report := func(rev uint64, source Source) {
 			b.loop.Post(func() {
-				b.loop.ListReceived(b.loop.discovery, List{Rev: rev, Full: true, Targets: []Target{ready("s-1", 0)}}, how)
+				b.loop.ListReceived(b.loop.discovery, List{Rev: rev, Full: true, Targets: []Target{ready("s-1", 0)}}, source)
 			})
 		}
-		asked := func() (n int) {
+		callCount := func() (n int) {
 			got := make(chan int)
 			b.loop.Post(func() { got <- len(b.discoveryCalls) })
 			return <-got
 		}
-		tell(9, FromWatch)
-		tell(8, FromWatch)
-		tell(8, FromFetch) // what holds now
-		b.loop.Post(func() { b.loop.resyncBackoff = pause })
-		before := asked()
-		tell(7, FromWatch)
+		report(9, FromWatch)
+		report(8, FromWatch)
+		report(8, FromFetch) // the answer to the resync
+		b.loop.Post(func() { b.loop.resyncBackoff = backoff })
+		before := callCount()
+		report(7, FromWatch)
 		if newer {
-			tell(10, FromWatch)
+			report(10, FromWatch)
 		}
-		if asked() != before {
-			t.Error("asked anew at once, for the second time")
+		if callCount() != before {
+			t.Error("the second resync did not wait for the backoff")
 		}
-		end := time.Now().Add(2 * pause)
+		end := time.Now().Add(2 * backoff)
 		if !newer {
-			end = end.Add(time.Minute) // it comes sooner
+			end = end.Add(time.Minute) // the loop below ends as soon as the resync starts
 		}
 		again := false
 		for ; !again && time.Now().Before(end); time.Sleep(time.Millisecond) {
-			again = asked() > before
+			again = callCount() > before
 		}
 		if again == newer {
-			t.Errorf("something newer came %v: asked anew %v", newer, again)
+			t.Errorf("newer list received: %v, resync after the backoff: %v", newer, again)
 		}
 	}
 }
--- a/internal/core/doc.go
+++ b/internal/core/doc.go
@@ -1,35 +1,38 @@
-// Package core is the part of the sidecar that no protocol changes: calls from their arrival to their final answer, the
-// event loop that runs the decisions, the endpoints and the connections to them, the lifecycle, and the budgets of
-// memory and sockets.
+// Package core is the protocol-independent part of the sidecar. It tracks each call from its arrival to its final answer,
+// runs the event loop that drives the load-balancing decisions, maintains the endpoint table and the connection pool,
+// and holds the lifecycle and the memory and socket budgets of the process.
 //
-// # What it owns
+// # Ownership
 //
-// A Loop owns the decision.Balancer and all state beside it: the calls, the table of endpoints, the pool of idle
-// connections, and which discovery is followed. One goroutine runs its events; the decisions are the Balancer's, and
-// the Loop is the Balancer's Host. Lifecycle, Memory and Buffers are shared by goroutines and lock for themselves.
+// A Loop owns the decision.Balancer and all state around it: the calls, the endpoint table, the pool of idle connections
+// and the discovery client that it follows. One goroutine runs the events of the Loop. The Balancer makes the decisions,
+// and the Loop carries them out as the Balancer's Host. Lifecycle, Memory and Buffers are shared between goroutines and
+// synchronize access themselves.
 //
 // # Invariants
 //
-//   - State of the Loop is read and written by its goroutine alone. Other goroutines Post events or query.
-//   - The Loop's goroutine never blocks: not on a front (Call.Answered has room for the one answer), not on an upstream
-//     (each attempt has a goroutine of its own), not on discovery.
-//   - Each call gets exactly one Answer, or none if it was abandoned first; an answer that nobody takes is discarded.
-//   - There are never more connections to endpoints than Limits.MaxOutbound, those being made counted.
-//   - A list that is older than the one that the Balancer has is never applied, unless discovery was changed or asked
-//     anew.
+//   - Only the Loop's goroutine reads and writes the state of the Loop. Other goroutines post events or run queries.
+//   - The Loop's goroutine never blocks. It does not wait for a frontend, because Call.Answered has room for the single
+//     answer; nor for an upstream, because each attempt runs in its own goroutine; nor for discovery.
+//   - Each call gets exactly one Answer, or none if its client abandoned it first. An answer that no frontend receives is
+//     discarded.
+//   - The number of connections to endpoints, including those being established, never exceeds Limits.MaxOutbound.
+//   - A list that is older than the Balancer's current list is never applied, unless the Loop has switched to another
+//     discovery address or has requested a resync.
 //
-// # What it is not for
+// # Scope
 //
-// It knows no protocol and makes no decisions. A front (internal/http1) makes Calls and delivers Answers; an Upstream
-// (internal/http1) carries out attempts; a Discovery (internal/discovery) follows the endpoint list.
+// The package implements no protocol and makes no load-balancing decisions. A frontend (internal/http1) creates Calls and
+// delivers Answers, an Upstream (internal/http1) carries out attempts, and a Discovery (internal/discovery) follows the
+// endpoint list.
 //
 // # Callers
 //
-// internal/http1 makes and drives the Loop; internal/fleet/replication and internal/fleet/budgets exchange evidence and
-// quotas with it; internal/discovery reports lists to it.
+// internal/http1 creates and drives the Loop. internal/fleet/replication exchanges ejection evidence with it, and
+// internal/fleet/budgets sets its quota shares. internal/discovery reports endpoint lists to it.
 //
-// # Source
+// # Further reading
 //
-// docs/DESIGN-NOTES.md, "A core without a protocol", with the variants that were rejected; docs/HANDOVER.md for what a
-// process tells its successor.
+// docs/DESIGN-NOTES.md, "A core without a protocol", describes the rejected alternatives. docs/HANDOVER.md describes what
+// a process passes to its successor.
 package core
--- a/internal/core/endpoint.go
+++ b/internal/core/endpoint.go
@@ -7,42 +7,44 @@
 	"dykering/internal/decision"
 )
 
-// Endpoint is one process of an endpoint at one address. When either changes, another Endpoint takes its place.
+// Endpoint is one process of a listed endpoint at one address. When the process restarts or its address changes, a new
+// Endpoint replaces it.
 type Endpoint struct {
 	ID               decision.EndpointID
 	Address          string
-	AwaitingResponse atomic.Int32 // attempts that wait for a response on an established connection
+	AwaitingResponse atomic.Int32 // number of attempts that wait for a response on an established connection
 
-	lastUnsolicitedData atomic.Int64 // when it last sent data that nobody had asked for, in Unix nanoseconds
-	open          atomic.Bool  // it may get new attempts
-	uid           string
-	bootMS        int64
-	entry         decision.Entry // as last listed
+	lastUnsolicitedData atomic.Int64 // last time at which it sent data beyond a response, in Unix nanoseconds
+	open                atomic.Bool  // accepts new attempts
+	uid                 string
+	bootMS              int64
+	entry               decision.Entry // from the last list that had a valid target for it
 }
 
-// NewEndpoint makes an endpoint that is open to attempts.
+// NewEndpoint creates an endpoint that is open to attempts.
 func NewEndpoint(id decision.EndpointID, address string) *Endpoint {
 	e := &Endpoint{ID: id, Address: address}
 	e.open.Store(true)
 	return e
 }
 
-// In HTTP/1.1 nothing ties a response to its request, so data that an endpoint sends beyond a response must be seen
-// before the next request is written to the connection, else it would be taken for that one's response.
+// HTTP/1.1 responses carry no reference to their requests. Unsolicited data, which an endpoint sends beyond a response, must
+// therefore be detected before the next request is written to the connection. Otherwise it would be taken for the response
+// to that request.
 const (
-	// reuseDelay is how long a connection rests after a response at the least.
+	// reuseDelay is the minimum time that a connection stays idle after a response.
 	reuseDelay = time.Millisecond
-	// cautiousReuseDelay is the time by which data arrives that is some milliseconds late. A connection that has
-	// rested so long is preferred, and one to an endpoint that has sent such data in the last unsolicitedMemory
-	// rests so long in any case.
-	cautiousReuseDelay = 20 * time.Millisecond
-	unsolicitedDataWindow  = 10 * time.Second
+	// cautiousReuseDelay is long enough to detect unsolicited data that arrives some milliseconds after a response. The
+	// pool prefers connections that have been idle for this long. It is the minimum idle time for connections to an
+	// endpoint that has sent unsolicited data within unsolicitedDataWindow.
+	cautiousReuseDelay    = 20 * time.Millisecond
+	unsolicitedDataWindow = 10 * time.Second
 )
 
-// NoteUnsolicitedData notes that the endpoint has sent data beyond a response.
+// NoteUnsolicitedData records that the endpoint has just sent data beyond a response.
 func (e *Endpoint) NoteUnsolicitedData() { e.lastUnsolicitedData.Store(time.Now().UnixNano()) }
 
-// ReuseDelay is how long a connection to the endpoint rests after a response.
+// ReuseDelay returns the minimum time that a connection to the endpoint stays idle after a response.
 func (e *Endpoint) ReuseDelay() time.Duration {
 	if time.Since(time.Unix(0, e.lastUnsolicitedData.Load())) < unsolicitedDataWindow {
 		return cautiousReuseDelay
@@ -50,8 +52,8 @@
 	return reuseDelay
 }
 
-// IsOpen reports whether the endpoint may get new attempts.
+// IsOpen reports whether the endpoint accepts new attempts.
 func (e *Endpoint) IsOpen() bool { return e.open.Load() }
 
-// Close closes the endpoint to new attempts; those in flight go on.
+// Close closes the endpoint to new attempts. Attempts in flight continue.
 func (e *Endpoint) Close() { e.open.Store(false) }
--- a/internal/core/endpoint_table.go
+++ b/internal/core/endpoint_table.go
@@ -13,24 +13,24 @@
 	"dykering/internal/decision"
 )
 
-// endpointTable holds the listed endpoints. One that has departed is removed at once: attempts in flight keep their
-// Endpoint, which is closed to new ones. The loop owns the table.
+// endpointTable holds the listed endpoints. A departed endpoint is removed at once, and closed to new attempts. Attempts in
+// flight keep their reference to it. The loop owns the table.
 type endpointTable struct {
 	log    *zap.Logger
-	origin time.Time // zero of the event clock
+	origin time.Time // zero time of the event clock
 	byID   map[decision.EndpointID]*Endpoint
 	ids    map[string]decision.EndpointID // by uid
 	zones  nameIndex
 	models nameIndex
 }
 
-// nameIndex numbers names: those of the settings in their order, and others after them.
+// nameIndex assigns numbers to names: first to those in the settings, in their order, then to others as lists mention them.
 type nameIndex map[string]int
 
-// maxNames bounds the names of one kind that lists may bring.
+// maxNames bounds the entries of a nameIndex, so that endpoint lists cannot grow it without limit.
 const maxNames = 256
 
-// lookup returns the number of a name; it is false where there are too many names.
+// lookup returns the number of a name, and assigns one to a new name. It returns false if a new name exceeds maxNames.
 func (n nameIndex) lookup(name string) (int, bool) {
 	if i, ok := n[name]; ok {
 		return i, true
@@ -42,7 +42,7 @@
 	return n[name], true
 }
 
-// newEndpointTable makes a table whose numbers of zones and models are the settings'.
+// newEndpointTable creates an empty table that numbers zones and models in the order of the settings.
 func newEndpointTable(zones, models []string, origin time.Time, log *zap.Logger) *endpointTable {
 	t := &endpointTable{
 		log:    log,
@@ -61,9 +61,8 @@
 	return t
 }
 
-// id returns the number of a uid. Where that ends in 32 bits of hexadecimal, as discovery's do, these are the number: the
-// same at all sidecars, and no two share it. Other uids are hashed, and where two would share a number the later one
-// gets the next that is free.
+// id returns the ID for a uid. A uid normally ends in a hexadecimal number of 32 bits, which becomes the ID: it is unique
+// and the same at all sidecars. Any other uid is hashed. If the ID is taken by another uid, the next free one is returned.
 func (t *endpointTable) id(uid string) decision.EndpointID {
 	if id, ok := t.ids[uid]; ok {
 		return id
@@ -81,20 +80,20 @@
 	return id
 }
 
-// add adds an endpoint to the table, in the place of one that it replaces.
+// add adds an endpoint to the table. It replaces an endpoint with the same ID.
 func (t *endpointTable) add(e *Endpoint) {
 	t.byID[e.ID], t.ids[e.uid] = e, e.ID
 }
 
-// remove takes an endpoint that has departed out of the table.
+// remove closes a departed endpoint and removes it from the table.
 func (t *endpointTable) remove(e *Endpoint) {
 	e.Close()
 	delete(t.byID, e.ID)
 	delete(t.ids, e.uid)
 }
 
-// update applies a list and returns it in the Balancer's terms, with the endpoints whose idle connections are of no
-// more use. A line that cannot be read is skipped, and its endpoint stays as it was.
+// update applies a list. It returns the list as entries for the Balancer, and the endpoints whose idle connections should
+// be closed. An invalid target is skipped, and its endpoint stays unchanged.
 func (t *endpointTable) update(l List) (entries []decision.Entry, retired []*Endpoint) {
 	listed := map[decision.EndpointID]bool{}
 	for _, target := range l.Targets {
@@ -131,7 +130,7 @@
 	return entries, retired
 }
 
-// parseTarget reads a line of a list, but for the endpoint's number. It logs a line that it cannot read.
+// parseTarget converts a target to an entry without the endpoint ID. It logs an invalid target and returns false.
 func (t *endpointTable) parseTarget(target Target) (entry decision.Entry, ok bool) {
 	state, stateOK := targetStates[target.State]
 	zone, zoneOK := t.zones.lookup(target.Zone)
@@ -153,8 +152,8 @@
 	return entry, true
 }
 
-// applyTarget updates the endpoint of a line. Where its address or its start has changed another one takes its place, and the
-// one before is returned.
+// applyTarget updates the endpoint of a target. If the address or the start time has changed, it adds a new endpoint in
+// place of the old one, and returns the old one.
 func (t *endpointTable) applyTarget(target Target, entry decision.Entry) (replaced *Endpoint) {
 	e := t.byID[entry.Endpoint]
 	isReady := entry.State == decision.Ready
@@ -170,8 +169,8 @@
 	return replaced
 }
 
-// startTime puts a start in Unix milliseconds on the event clock; 0 stays 0. It always returns the same for the same
-// start: the Balancer takes a later one for a restart.
+// startTime converts a start time in Unix milliseconds to the event clock; 0 stays 0. The result for a given start time
+// never changes, because the Balancer interprets a later start time as a restart.
 func (t *endpointTable) startTime(bootMS int64) time.Duration {
 	if bootMS == 0 {
 		return 0
--- a/internal/core/endpoint_table_test.go
+++ b/internal/core/endpoint_table_test.go
@@ -10,52 +10,52 @@
 	"dykering/internal/decision"
 )
 
-// A draining endpoint may finish its calls; it gets no new ones, and no idle connection to it is kept.
+// A draining endpoint finishes its calls in flight, gets no new calls, and loses its idle connections.
 func TestDrainingEndpointKeepsCallsAndLosesIdleConnections(t *testing.T) {
-	goOn := make(chan bool)
+	proceed := make(chan bool)
 	b := newTestLoop(t, nil, ready("s-1", 0))
 	b.send = func(a *Attempt, _ int) Result {
 		if a.Call.ID == "slow" {
-			<-goOn
+			<-proceed
 		}
 		return b.served(a.Endpoint.Address)
 	}
 	slow := b.submit("slow", once)
 	b.finalAnswer(b.submit("quick", once))
-	b.waitFor("one is idle", func(s Stats) bool { return s.IdleConns == 1 && s.Attempts == 1 })
-	drains, other := ready("s-1", 0), ready("s-2", 0)
-	drains.State, other.Address = "Terminating", "127.0.0.1:10"
+	b.waitFor("one idle connection and one attempt in flight", func(s Stats) bool { return s.IdleConns == 1 && s.Attempts == 1 })
+	draining, other := ready("s-1", 0), ready("s-2", 0)
+	draining.State, other.Address = "Terminating", "127.0.0.1:10"
 	b.loop.Post(func() {
-		b.loop.ListReceived(b.loop.discovery, List{Rev: 2, Targets: []Target{drains, other}}, FromWatch)
+		b.loop.ListReceived(b.loop.discovery, List{Rev: 2, Targets: []Target{draining, other}}, FromWatch)
 	})
-	b.waitFor("it is taken in", func(s Stats) bool { return s.Revision == 2 && s.IdleConns == 0 })
+	b.waitFor("the list to be applied", func(s Stats) bool { return s.Revision == 2 && s.IdleConns == 0 })
 	for i := range 9 {
 		if got := b.finalAnswer(b.submit(fmt.Sprint(i), read)); got != other.Address {
-			t.Errorf("a call went to %s", got)
+			t.Errorf("a call was sent to %s, want only the endpoint that is ready", got)
 		}
 	}
-	goOn <- true
-	if got := b.finalAnswer(slow); got != drains.Address {
-		t.Errorf("what was running: %s", got)
+	proceed <- true
+	if got := b.finalAnswer(slow); got != draining.Address {
+		t.Errorf("the call in flight at the start of the drain: %s", got)
 	}
-	b.waitFor("its connection is closed", func(s Stats) bool { return s.Conns == s.IdleConns && s.IdleConns == 1 })
+	b.waitFor("the connection to be closed", func(s Stats) bool { return s.Conns == s.IdleConns && s.IdleConns == 1 })
 }
 
-// A line of a full list that cannot be read loses nothing: its endpoint stays as it was, also one that
-// drains, and others are served. An endpoint that is not named has departed.
-func TestMalformedLinesKeepTheirEndpoints(t *testing.T) {
-	drains := ready("s-4", 0)
-	drains.State = "Terminating"
-	for name, spoil := range map[string]func(*Target){
+// An invalid target in a full list leaves its endpoint unchanged, whether it is ready or draining, and does not affect other
+// targets. An endpoint that a full list omits has departed.
+func TestInvalidTargetsKeepTheirEndpoints(t *testing.T) {
+	draining := ready("s-4", 0)
+	draining.State = "Terminating"
+	for name, corrupt := range map[string]func(*Target){
 		"state":   func(x *Target) { x.State = "Reddy" },
 		"address": func(x *Target) { x.Address = "127.0.0.1" },
 	} {
-		b := newTestLoop(t, nil, ready("s-1", 0), ready("s-2", 0), ready("s-3", 0), drains)
+		b := newTestLoop(t, nil, ready("s-1", 0), ready("s-2", 0), ready("s-3", 0), draining)
 		b.send = func(*Attempt, int) Result { return b.served("ok") }
-		bad, alsoBad := ready("s-1", 0), ready("s-4", 0)
-		spoil(&bad)
-		spoil(&alsoBad)
-		list := List{Rev: 2, Full: true, Targets: []Target{bad, ready("s-2", 0), alsoBad}}
+		invalid, invalidDraining := ready("s-1", 0), ready("s-4", 0)
+		corrupt(&invalid)
+		corrupt(&invalidDraining)
+		list := List{Rev: 2, Full: true, Targets: []Target{invalid, ready("s-2", 0), invalidDraining}}
 		b.loop.Post(func() { b.loop.ListReceived(b.loop.discovery, list, FromWatch) })
 		open := map[decision.EndpointID]bool{}
 		for _, e := range b.loop.Stats().Endpoints {
@@ -79,7 +79,7 @@
 	}
 }
 
-// An endpoint's number is the same at every sidecar, in whatever order lists name it, and no two share one.
+// The ID of an endpoint is the same at all sidecars, regardless of the order in which lists mention it, and is unique.
 func TestEndpointIDsAreSameAtAllSidecars(t *testing.T) {
 	a, b := newEndpointTable(nil, nil, time.Now(), zap.NewNop()), newEndpointTable(nil, nil, time.Now(), zap.NewNop())
 	put := func(t *endpointTable, uid string) decision.EndpointID {
@@ -88,30 +88,32 @@
 		return id
 	}
 	if a.id("s-00000001") != 1 || a.id("s-5be2a07c") != 0x5be2a07c {
-		t.Error("the uid's own number is not used")
+		t.Error("the ID is not the number at the end of the uid")
 	}
 	b.id("s-5be2a07c")
 	if b.id("s-00000001") != a.id("s-00000001") || a.id("box.west") != b.id("box.west") {
-		t.Error("the order tells")
+		t.Error("the ID depends on the order of the uids")
 	}
 	if x, y := put(a, "s-1"), put(a, "t-1"); x == y || x != a.id("s-1") || y != a.id("t-1") {
-		t.Errorf("two uids have %d and %d", x, y)
+		t.Errorf("two uids with the same number have the IDs %d and %d, want two stable and different IDs", x, y)
 	}
 }
 
-// A start has the same time on the event clock each time: a later one means a restart.
+// A start time is always converted to the same time on the event clock. The Balancer would take a later one for a restart.
 func TestStartTimesAreStable(t *testing.T) {
 	now := time.Now()
 	e := newEndpointTable(nil, nil, now.Add(-clockStart), zap.NewNop())
 	boot := now.Add(-3 * time.Second).UnixMilli()
 	if got := e.startTime(boot); got < clockStart-4*time.Second || got > clockStart-2*time.Second || got != e.startTime(boot) {
-		t.Errorf("3 s ago is %v on a clock at %v", got, clockStart)
+		t.Errorf("a start 3 s ago is at %v on an event clock at %v", got, clockStart)
 	}
 	if e.startTime(0) != 0 || e.startTime(1) != 0 {
-		t.Error("long past is not 0")
+		t.Error("a start of 0 or before the clock's origin is not 0")
 	}
 }
 
+// An endpoint whose address or start time changes is replaced. Partial lists leave other endpoints alone, full lists remove
+// the endpoints that they omit, and the number of zone and model names is bounded.
 func TestChangedAddressOrStartReplacesEndpoint(t *testing.T) {
 	e := newEndpointTable([]string{"y", "z"}, []string{"m"}, time.Now().Add(-clockStart), zap.NewNop())
 	x := ready("s-1", 0)
@@ -131,15 +133,15 @@
 			t.Errorf("after a change: %+v", e.byID[1])
 		}
 		if x.BootMS > 0 && entries[0].Started == 0 {
-			t.Error("the start is not told")
+			t.Error("the entry for the Balancer lacks the start time")
 		}
 	}
 	if first.IsOpen() || !e.byID[2].IsOpen() {
-		t.Error("a delta closed what it does not name, or left the old address open")
+		t.Error("a partial list closed an endpoint that it omits, or the replaced endpoint is still open")
 	}
 	e.update(List{Full: true, Targets: []Target{x}})
 	if e.byID[2] != nil || len(e.ids) != 1 {
-		t.Error("an endpoint that left the whole list is open")
+		t.Error("an endpoint that a full list omits was not removed")
 	}
 	for i := range 2 * maxNames {
 		y := ready("s-3", 0)
@@ -147,9 +149,9 @@
 		e.update(List{Targets: []Target{y}})
 	}
 	if len(e.zones) > maxNames || len(e.models) > maxNames {
-		t.Error("names that lists bring are kept without end")
+		t.Error("the number of zone or model names exceeds maxNames")
 	}
 	if entries, _ := e.update(List{Targets: []Target{{UID: "s-3", Address: "nowhere", State: "Ready"}}}); len(entries) != 0 {
-		t.Error("an endpoint without an address is told to the Balancer")
+		t.Error("an endpoint without a valid address is passed to the Balancer")
 	}
 }
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -10,23 +10,22 @@
 	"dykering/internal/decision"
 )
 
-// Evidence is what this process's own calls have shown of a server, under a name that is the same at all sidecars of a
-// fleet.
+// Evidence is the health of a server as observed by the calls of this process. Sidecars of a fleet exchange it.
 type Evidence struct {
-	Server  string // uid and start: a server that has restarted is another one
-	Ejected bool   // it is ejected; else it has answered well
-	Age     time.Duration
+	Server  string        // uid and start time, so that a restarted server has a new name; the same at all sidecars
+	Ejected bool          // the server is ejected; otherwise it has answered successfully
+	Age     time.Duration // time since the observation
 }
 
-// Usage counts the requests of one tenant since the start.
+// Usage counts the requests of one tenant since the start of the process.
 type Usage = decision.Usage
 
-// serverName is the name of an endpoint's process among sidecars.
+// serverName returns the name that sidecars use for the process of an endpoint.
 func serverName(e *Endpoint) string { return e.uid + "@" + strconv.FormatInt(e.bootMS, 10) }
 
-// Evidence returns what this process's own calls have shown: the servers that it has ejected and, of those named, the
-// ones that have answered it lately; and how many endpoints are listed. It fails with the context's error or once the
-// loop has ended.
+// Evidence returns the observations of this process: the servers that it has ejected and, among the named servers, those
+// that have recently answered its calls successfully. Listed is the number of listed endpoints. The error is that of the
+// context, or errLoopClosed.
 func (l *Loop) Evidence(ctx context.Context, named []string) (all []Evidence, listed int, err error) {
 	type answer struct {
 		all    []Evidence
@@ -44,8 +43,8 @@
 	return a.all, a.listed, err
 }
 
-// ApplyPeerEjections hands the Balancer the servers that are bad by the evidence of other sidecars, and returns how many
-// it has ejected. It fails as Evidence does.
+// ApplyPeerEjections passes the ejections that other sidecars report to the Balancer. It returns the number of servers that
+// the Balancer ejected. The error is that of the context, or errLoopClosed.
 func (l *Loop) ApplyPeerEjections(ctx context.Context, evidence []Evidence) (ejected int, err error) {
 	return queryContext(ctx, l, func() int {
 		var ejections []decision.PeerEjection
@@ -58,7 +57,7 @@
 	})
 }
 
-// listedIDs are the ids of the named servers that are listed, with the start that the name has.
+// listedIDs returns the IDs of the named servers that are listed with the start time in the name.
 func (l *Loop) listedIDs(named []string) (ids []decision.EndpointID) {
 	for _, name := range named {
 		at := strings.LastIndexByte(name, '@')
@@ -72,14 +71,14 @@
 	return ids
 }
 
-// Usage returns the usage of each tenant, in the order of the settings; it is empty before the first list. It fails as
-// Evidence does.
+// Usage returns the usage of each tenant, in the order of the settings. It is empty before the first list. The error is
+// that of the context, or errLoopClosed.
 func (l *Loop) Usage(ctx context.Context) ([]Usage, error) {
 	return queryContext(ctx, l, func() []Usage { return l.balancer.Usage() })
 }
 
-// SetQuotaShares sets this process's parts of the fleet's quotas until a time; the zero time is for no end. It sets
-// Until from that time.
+// SetQuotaShares sets the shares of the fleet's quotas that this process may use until the given time. The zero time means
+// no expiry. SetQuotaShares overwrites shares.Until unless the time is zero.
 func (l *Loop) SetQuotaShares(shares decision.QuotaShares, until time.Time) {
 	shares.TenantRates = slices.Clone(shares.TenantRates)
 	shares.TenantFallbackRates = slices.Clone(shares.TenantFallbackRates)
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -10,8 +10,9 @@
 	"dykering/internal/decision"
 )
 
-// FuzzList: whatever discovery says, the table has one endpoint for each number and name, a whole list leaves nothing
-// that it does not name, said again it retires nobody who is ready, and the names it brings are bounded.
+// FuzzList checks the endpoint table with arbitrary lists, each applied twice. IDs and uids correspond one to one, a full
+// list removes all endpoints that it omits, repeating a list retires no endpoint that is ready, and the number of zone and
+// model names is bounded.
 func FuzzList(f *testing.F) {
 	f.Add([]byte(`{"rev":1,"all":true,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:80","az":"z","model":"m","state":"Ready","weight":1}]}`))
 	f.Add([]byte(`{"rev":2,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:80","az":"z","model":"m","state":"Gone"},{"uid":"x","endpoint":"h:1","state":"Terminating"}]}`))
@@ -32,24 +33,24 @@
 			for _, e := range entries {
 				ready[e.Endpoint] = e.State == decision.Ready
 				if e.Started < 0 || e.Zone < 0 || e.Zone > maxNames || e.Kind > maxNames {
-					t.Fatalf("%q: %+v", text, e)
+					t.Fatalf("%q: entry out of range: %+v", text, e)
 				}
 			}
 			if len(table.ids) != len(table.byID) {
-				t.Fatalf("%q: %d names, %d numbers", text, len(table.ids), len(table.byID))
+				t.Fatalf("%q: the table has %d uids and %d IDs", text, len(table.ids), len(table.byID))
 			}
 			for id, e := range table.byID {
 				if e.ID != id || table.ids[e.uid] != id || l.Full && !named[e.uid] {
-					t.Fatalf("%q: %+v is kept", text, e)
+					t.Fatalf("%q: inconsistent or omitted endpoint %+v is in the table", text, e)
 				}
 			}
-			once := map[string]int{}
+			occurrences := map[string]int{}
 			for _, x := range l.Targets {
-				once[x.UID]++
+				occurrences[x.UID]++
 			}
 			for _, e := range retired {
-				if round == 1 && once[e.uid] == 1 && ready[e.ID] && table.byID[e.ID] != nil {
-					t.Fatalf("%q, said again, retires %s", text, e.uid)
+				if round == 1 && occurrences[e.uid] == 1 && ready[e.ID] && table.byID[e.ID] != nil {
+					t.Fatalf("%q: applying the list again retires %s, which is ready", text, e.uid)
 				}
 			}
 		}
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -9,21 +9,23 @@
 )
 
 const (
-	// HandoverInterval is how often a process that ends reports its calls in flight to its successor: often compared
-	// with the duration of a call, and rarely compared with the cost of a report.
+	// HandoverInterval is the interval at which a stopping process reports its calls in flight to its successor. It is
+	// shorter than most calls, and long compared with the time that a report takes.
 	HandoverInterval = 50 * time.Millisecond
-	// HandoverValidity is how long a successor relies on the last report: a process that is killed sends none.
+	// HandoverValidity is how long a successor relies on the last report. The reports then expire, because a process that
+	// is killed sends no final one.
 	HandoverValidity = 10 * HandoverInterval
 )
 
-// HandoverUpdate is what a process that ends reports to its successor. Its JSON form is fixed: the two processes may be
-// of different builds.
+// HandoverUpdate is a report of a stopping process to its successor. Its JSON form is fixed, because the two processes may
+// run different builds.
 type HandoverUpdate struct {
-	Snapshot *decision.Snapshot          `json:"learnt,omitempty"` // in the first update
-	InFlight map[decision.EndpointID]int `json:"calls,omitempty"`  // calls by endpoint
+	Snapshot *decision.Snapshot          `json:"learnt,omitempty"` // statistics of the Balancer; only in the first update
+	InFlight map[decision.EndpointID]int `json:"calls,omitempty"`  // number of calls in flight by endpoint
 }
 
-// HandoverUpdate returns the present update; with the statistics of this process if it is the first.
+// HandoverUpdate returns an update with the current calls in flight. The first update also contains the statistics of this
+// process.
 func (l *Loop) HandoverUpdate(first bool) HandoverUpdate {
 	return query(l, func() HandoverUpdate {
 		update := HandoverUpdate{InFlight: l.balancer.InFlight()}
@@ -35,7 +37,7 @@
 	})
 }
 
-// ApplyHandoverUpdate takes an update of the preceding process.
+// ApplyHandoverUpdate passes an update from the previous process to the Balancer.
 func (l *Loop) ApplyHandoverUpdate(update *HandoverUpdate) {
 	l.Post(func() {
 		if update.Snapshot != nil {
--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -8,10 +8,10 @@
 	"dykering/internal/decision"
 )
 
-// This file is the Loop's part as the Balancer's decision.Host. The Balancer calls these methods from within its events,
-// in the loop's goroutine; they never block and never call the Balancer.
+// This file implements decision.Host. The Balancer calls these methods while it handles an event, in the loop's goroutine.
+// They must neither block nor call the Balancer.
 
-// Send makes an attempt. Within is the time by which its last byte must be sent, 0 for no bound.
+// Send starts an attempt. Within bounds the time in which its last byte must be sent; 0 means no bound.
 func (l *Loop) Send(id decision.RequestID, to decision.EndpointID, timeout, within time.Duration) {
 	c := l.calls[id]
 	a := NewAttempt(c, l.endpoints.byID[to], timeout, l)
@@ -23,29 +23,29 @@
 	l.startAttempt(a)
 }
 
-// Cancel withdraws an attempt that is in flight.
+// Cancel cancels an attempt that is in flight.
 func (l *Loop) Cancel(id decision.RequestID, number int) {
 	if c := l.calls[id]; c != nil && c.attempt != nil && c.attempt.number == number {
 		c.attempt.Cancel()
 	}
 }
 
-// Refuse answers a call that the client may safely retry.
+// Refuse answers a call with a rejection that the client may safely retry.
 func (l *Loop) Refuse(id decision.RequestID, retryAfter time.Duration) {
 	l.answerRequest(id, Answer{Retryable: true, RetryAfter: retryAfter})
 }
 
-// Fail answers a call without a promise about retries.
+// Fail answers a call with a failure that the client must not assume to be safe to retry.
 func (l *Loop) Fail(id decision.RequestID) { l.answerRequest(id, Answer{}) }
 
-// SetTimer has the Balancer's Timer called after a time.
+// SetTimer calls the Balancer's Timer with the token after the given time.
 func (l *Loop) SetTimer(token uint64, after time.Duration) {
 	time.AfterFunc(after, func() {
 		l.Post(func() { l.balancer.Timer(l.now(), token) })
 	})
 }
 
-// Watch begins to watch the endpoint list anew, or ends it.
+// Watch restarts the watch of the endpoint list, or stops it.
 func (l *Loop) Watch(on bool) {
 	l.discovery.Stop()
 	if on {
@@ -53,8 +53,8 @@
 	}
 }
 
-// Fetch asks discovery for the full list once.
+// Fetch requests the full endpoint list once.
 func (l *Loop) Fetch() { l.discovery.Fetch() }
 
-// Log writes a note of the Balancer to the log.
+// Log writes a message of the Balancer to the log.
 func (l *Loop) Log(text string) { l.log.Info("decision.note", zap.String("text", text)) }
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -7,119 +7,121 @@
 	"go.uber.org/zap"
 )
 
-// Phase is a phase in the life of a sidecar.
+// Phase is a phase in the lifecycle of a sidecar process.
 type Phase int
 
-// The phases, in order. Stopping is the last one; Draining may end with Serving again.
+// The phases, in order. Stopping is final. A drain may end with a return to Serving.
 const (
 	Starting Phase = iota // the Balancer has no endpoint list yet
-	Serving
-	Draining // by an operator: callers are sent away, and may come back
-	Stopping // the process ends
+	Serving               // clients are served
+	Draining              // an operator has asked clients to move elsewhere; they may come back
+	Stopping              // the process is shutting down
 )
 
-// String is the phase's name in the log, the status and the metrics.
+// String returns the name of the phase in the log, the status and the metrics.
 func (p Phase) String() string { return [...]string{"starting", "serving", "draining", "stopping"}[p] }
 
-// Lifecycle holds the phase of the process. Handlers, the loop and the admin address use it; it never blocks.
+// Lifecycle holds the phase of the process. It is safe for concurrent use by request handlers, the loop and the control
+// address.
 type Lifecycle struct {
 	log *zap.Logger
 
 	mu           sync.Mutex
 	phase        Phase
-	since        time.Time     // start of the phase
+	since        time.Time     // start time of the phase
 	changed      chan struct{} // closed when the phase changes
 	hasList      bool          // the Balancer has an endpoint list
-	connsCloseAt time.Time     // of Stopping: when callers' connections are closed with their answer
-	deadline     time.Time     // of Stopping: when all must be answered
+	connsCloseAt time.Time     // only in Stopping: from when on client connections are closed after their next answer
+	deadline     time.Time     // only in Stopping: by when all requests must be answered
 }
 
 func newLifecycle(log *zap.Logger) *Lifecycle {
 	return &Lifecycle{log: log, since: time.Now(), changed: make(chan struct{})}
 }
 
-// setPhase changes the phase. The caller holds mu.
-func (c *Lifecycle) setPhase(p Phase) {
-	if c.phase == p {
+// setPhase changes the phase and wakes the goroutines that wait for a change. The caller holds mu.
+func (l *Lifecycle) setPhase(p Phase) {
+	if l.phase == p {
 		return
 	}
-	c.log.Info("lifecycle.phase", zap.Stringer("phase", p), zap.Stringer("was", c.phase))
-	c.phase, c.since = p, time.Now()
-	close(c.changed)
-	c.changed = make(chan struct{})
+	l.log.Info("lifecycle.phase", zap.Stringer("phase", p), zap.Stringer("was", l.phase))
+	l.phase, l.since = p, time.Now()
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
-// listReceived is called when the Balancer has an endpoint list: the sidecar can serve.
-func (c *Lifecycle) listReceived() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.hasList = true
-	if c.phase == Starting {
-		c.setPhase(Serving)
+// listReceived is called when the Balancer has an endpoint list. The sidecar can serve from then on.
+func (l *Lifecycle) listReceived() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.hasList = true
+	if l.phase == Starting {
+		l.setPhase(Serving)
 	}
 }
 
-// Drain sends callers away, unless the sidecar stops and so does that already.
-func (c *Lifecycle) Drain() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.phase < Draining {
-		c.setPhase(Draining)
+// Drain starts a drain, which asks clients to move elsewhere. It has no effect while the sidecar is stopping.
+func (l *Lifecycle) Drain() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.phase < Draining {
+		l.setPhase(Draining)
 	}
 }
 
-// Resume ends a drain; in any other phase it does nothing.
-func (c *Lifecycle) Resume() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.phase != Draining {
+// Resume ends a drain. It has no effect in any other phase.
+func (l *Lifecycle) Resume() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.phase != Draining {
 		return
 	}
-	if c.hasList {
-		c.setPhase(Serving)
+	if l.hasList {
+		l.setPhase(Serving)
 	} else {
-		c.setPhase(Starting)
+		l.setPhase(Starting)
 	}
 }
 
-// Stop begins the last phase. Callers' connections are closed from connsCloseAt on, and all is answered by the deadline.
-func (c *Lifecycle) Stop(connsCloseAt, deadline time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.connsCloseAt, c.deadline = connsCloseAt, deadline
-	c.setPhase(Stopping)
+// Stop enters the last phase. Client connections are closed from connsCloseAt on, and all requests are answered by the
+// deadline.
+func (l *Lifecycle) Stop(connsCloseAt, deadline time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.connsCloseAt, l.deadline = connsCloseAt, deadline
+	l.setPhase(Stopping)
 }
 
-// Now returns the phase, its start, and a channel that is closed when it changes.
-func (c *Lifecycle) Now() (p Phase, since time.Time, changed <-chan struct{}) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.phase, c.since, c.changed
+// Now returns the current phase, its start time, and a channel that is closed when the phase changes.
+func (l *Lifecycle) Now() (p Phase, since time.Time, changed <-chan struct{}) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.phase, l.since, l.changed
 }
 
-// IsReady reports whether callers may be sent here.
-func (c *Lifecycle) IsReady() bool {
-	p, _, _ := c.Now()
+// IsReady reports whether new clients should be routed to this sidecar.
+func (l *Lifecycle) IsReady() bool {
+	p, _, _ := l.Now()
 	return p == Serving
 }
 
-// CanServe reports whether requests would be served: also in a drain, which only sends callers away.
-func (c *Lifecycle) CanServe() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.hasList && c.phase != Stopping
+// CanServe reports whether the sidecar serves requests. It does so in a drain too.
+func (l *Lifecycle) CanServe() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.hasList && l.phase != Stopping
 }
 
-// IsClosingWithin reports whether the sidecar stops and closes its callers' connections now or within a time.
-func (c *Lifecycle) IsClosingWithin(within time.Duration) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.phase == Stopping && time.Until(c.connsCloseAt) < within
+// IsClosingWithin reports whether the sidecar is stopping and closes client connections now or within the given time.
+func (l *Lifecycle) IsClosingWithin(within time.Duration) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.phase == Stopping && time.Until(l.connsCloseAt) < within
 }
 
-// Deadline is when all must be answered; zero unless the sidecar stops.
-func (c *Lifecycle) Deadline() time.Time {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.deadline
+// Deadline returns the time by which all requests must be answered. It is zero unless the sidecar is stopping.
+func (l *Lifecycle) Deadline() time.Time {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.deadline
 }
--- a/internal/core/lifecycle_test.go
+++ b/internal/core/lifecycle_test.go
@@ -7,34 +7,34 @@
 	"go.uber.org/zap"
 )
 
-// Stopping is final, and a drain before it ends in it.
+// Stopping is final: no later drain, resume or endpoint list leaves it. A drain can be resumed before.
 func TestStoppingIsFinal(t *testing.T) {
-	f := newLifecycle(zap.NewNop())
+	l := newLifecycle(zap.NewNop())
 	check := func(step string, ready, canServe bool) {
 		t.Helper()
-		if f.IsReady() != ready || f.CanServe() != canServe {
-			t.Errorf("%s: ready %v, can serve %v", step, f.IsReady(), f.CanServe())
+		if l.IsReady() != ready || l.CanServe() != canServe {
+			t.Errorf("%s: ready %v, can serve %v", step, l.IsReady(), l.CanServe())
 		}
 	}
 	check("new", false, false)
-	f.Resume()
-	f.Drain()
-	f.Resume()
+	l.Resume()
+	l.Drain()
+	l.Resume()
 	check("drained and resumed without a list", false, false)
-	_, _, changed := f.Now()
-	f.listReceived()
+	_, _, changed := l.Now()
+	l.listReceived()
 	<-changed
 	check("with a list", true, true)
-	f.Drain()
-	f.listReceived()
+	l.Drain()
+	l.listReceived()
 	check("draining", false, true)
-	f.Resume()
-	check("back", true, true)
-	f.Drain()
-	f.Stop(time.Now(), time.Now())
-	f.Resume()
-	f.Drain()
-	f.Resume()
-	f.listReceived()
+	l.Resume()
+	check("resumed", true, true)
+	l.Drain()
+	l.Stop(time.Now(), time.Now())
+	l.Resume()
+	l.Drain()
+	l.Resume()
+	l.listReceived()
 	check("stopping", false, false)
 }
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -10,45 +10,45 @@
 )
 
 const (
-	// clockStart is the event clock at the start of the process. It is well above 0, so that an endpoint that
-	// started shortly before this sidecar has a start above 0 too: 0 stands for long past.
+	// clockStart is the time of the event clock at the start of the process. It is well above 0, so that an endpoint
+	// that started shortly before this sidecar has a positive start time. A start time of 0 means long ago.
 	clockStart = 24 * time.Hour
-	// eventQueueSize is the number of events that may wait for the loop; Post blocks beyond it.
+	// eventQueueSize is the number of events that may be queued for the loop. Post blocks while the queue is full.
 	eventQueueSize = 1024
-	// sweepInterval is the interval at which idle connections are checked.
+	// sweepInterval is the interval at which the pool closes expired and dead idle connections.
 	sweepInterval = time.Second
 )
 
-// Loop is the event loop. One goroutine, Run, calls the functions in events, and only it touches the fields from closed
-// on. Loop is the Balancer's Host (host.go).
+// Loop is the event loop. One goroutine, in Run, calls the functions in events. Only that goroutine uses the fields from
+// closed on. Loop is the decision.Host of the Balancer (host.go).
 type Loop struct {
 	events       chan func()
-	done         chan struct{} // closed when the loop has ended
+	done         chan struct{} // closed when the loop is closed
 	closing      sync.Once
-	origin       time.Time // zero of the event clock
+	origin       time.Time // zero time of the event clock
 	config       Config
 	log          *zap.Logger
 	upstream     Upstream
 	newDiscovery NewDiscovery
 	lifecycle    *Lifecycle
 
-	closed        bool      // Close was carried out: no further event is
-	drainDeadline time.Time // when all must be answered; zero unless this process drains
+	closed        bool      // close has run, so no further events are handled
+	drainDeadline time.Time // by when all calls must be answered; zero unless Drain was called
 	balancer      *decision.Balancer
 	calls         map[decision.RequestID]*Call // not yet answered, or with an attempt in flight
 	recent        recentIDs
 	endpoints     *endpointTable
 	pool          pool
-	adopted       map[*Attempt]bool // attempts that the preceding process began, and that are not yet over
+	adopted       map[*Attempt]bool // attempts in flight that the previous process started
 
 	// The endpoint list (discovery.go).
 	discovery        Discovery
 	discoveryAddress string
-	revision         uint64 // of the list that the Balancer has
-	awaitingFullList bool   // the followed discovery has not yet sent its full list
-	resyncAt         time.Time
-	resyncBackoff    time.Duration // no resync for so long after resyncAt,
-	resyncPending    bool          // and one is due then
+	revision         uint64        // version of the Balancer's current list
+	awaitingFullList bool          // no full list has been received from the current discovery client
+	resyncAt         time.Time     // time of the last resync
+	resyncBackoff    time.Duration // minimum time between resyncAt and the next resync
+	resyncPending    bool          // a resync is scheduled for the end of the backoff
 }
 
 var (
@@ -57,7 +57,7 @@
 	_ Sink            = (*Loop)(nil)
 )
 
-// New makes a loop that Run starts. The error names the first setting that cannot be acted on.
+// New creates a loop. Run starts it. The error describes the first setting that the Balancer rejects.
 func New(c Config, upstream Upstream, newDiscovery NewDiscovery) (*Loop, error) {
 	if c.Log == nil {
 		c.Log = zap.NewNop()
@@ -87,11 +87,11 @@
 // Lifecycle returns the lifecycle of the process.
 func (l *Loop) Lifecycle() *Lifecycle { return l.lifecycle }
 
-// now is the time on the event clock.
+// now returns the current time of the event clock.
 func (l *Loop) now() time.Duration { return time.Since(l.origin) }
 
-// Post hands an event to the loop. Only other goroutines may call it: it blocks while the queue is full. It does
-// nothing once the loop has ended.
+// Post queues an event for the loop. The loop's own goroutine must not call it, because it blocks while the queue is full.
+// It has no effect once the loop is closed.
 func (l *Loop) Post(event func()) {
 	select {
 	case l.events <- event:
@@ -99,7 +99,7 @@
 	}
 }
 
-// Run handles events until Close.
+// Run handles events until Close is called.
 func (l *Loop) Run() {
 	l.applyList(l.config.CachedList, FromCache)
 	if !l.config.Settings.PullDiscovery {
@@ -120,8 +120,8 @@
 	}
 }
 
-// Close ends the loop after it has stopped discovery, cancelled the attempts in flight and closed the idle connections.
-// Events that are posted later are not carried out: no answer is due by then.
+// Close stops discovery, cancels the attempts in flight, closes the idle connections, and then ends the loop. Events that
+// are posted later are not handled, so the caller must not need any further answers.
 func (l *Loop) Close() {
 	l.closing.Do(func() { l.Post(l.close) })
 }
--- a/internal/core/loop_test.go
+++ b/internal/core/loop_test.go
@@ -8,20 +8,20 @@
 	"dykering/internal/decision"
 )
 
-// A loop that has ended blocks nobody, whatever is asked of it, and has stopped discovery and closed idle
-// connections.
+// Methods of a closed loop return without blocking. Posted events are dropped, and queries return zero values or
+// errLoopClosed.
 func TestClosedLoopBlocksNobody(t *testing.T) {
 	b := newTestLoop(t, func(*Attempt, int) Result { return Result{Status: decision.NotSent} }, ready("s-1", 0))
 	b.loop.Close()
 	<-b.loop.done
 	b.loop.Close()
 	for range 2 * eventQueueSize { // more than the queue holds
-		b.loop.Post(func() { t.Error("it still runs") })
+		b.loop.Post(func() { t.Error("an event was handled after Close") })
 	}
 	if s := b.loop.Stats(); s.Calls != 0 || b.loop.ReserveConn() {
-		t.Errorf("%+v", s)
+		t.Errorf("a closed loop has calls or reserves connections: %+v", s)
 	}
 	if _, _, err := b.loop.Evidence(context.Background(), nil); !errors.Is(err, errLoopClosed) {
-		t.Errorf("evidence of an ended loop: %v", err)
+		t.Errorf("Evidence of a closed loop: %v, want errLoopClosed", err)
 	}
 }
--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -9,40 +9,41 @@
 )
 
 const (
-	// idleTimeoutShare is the share of ConnIdle after which an idle connection is closed: a request that is written
-	// while the endpoint closes the connection would be lost.
+	// idleTimeoutShare is the share of the endpoints' idle timeout (ConnIdle) after which the pool closes an idle
+	// connection. A request that is written while the endpoint closes the connection would be lost.
 	idleTimeoutShare = 0.5
-	// defaultConnIdle is how long a connection is kept where the site does not state ConnIdle.
+	// defaultConnIdle is the idle timeout of the pool if the settings do not specify ConnIdle.
 	defaultConnIdle = 10 * time.Second
 )
 
-// Conn is a connection to an endpoint that carries one attempt at a time. It embeds a PoolEntry.
+// Conn is a connection to an endpoint that carries one attempt at a time. Implementations embed a PoolEntry.
 type Conn interface {
 	Close() error
-	// Alive reports whether it can carry a request: its peer has neither closed it nor sent unsolicited data.
+	// Alive reports whether the connection can carry a request. It returns false if the peer has closed the connection
+	// or has sent unsolicited data.
 	Alive() bool
 	poolEntry() *PoolEntry
 }
 
-// PoolEntry is the pool's state of one connection.
+// PoolEntry is the state that the pool keeps for one connection.
 type PoolEntry struct {
-	IdleSince time.Time // end of its last attempt
-	endpoint  *Endpoint // while it is idle
-	element   *list.Element
+	IdleSince time.Time     // end of the last attempt on the connection
+	endpoint  *Endpoint     // set while the connection is idle
+	element   *list.Element // position in pool.oldestFirst while the connection is idle
 }
 
 func (e *PoolEntry) poolEntry() *PoolEntry { return e }
 
-// pool holds the idle connections to all endpoints, and bounds the number of all connections to them. The loop owns it.
+// pool holds the idle connections to all endpoints, and bounds the total number of connections. The loop owns it.
 type pool struct {
-	idle        map[*Endpoint][]Conn // the most recently used last
-	oldestFirst list.List            // all idle connections, the longest idle first
-	total       int                  // connections in use, idle or being made
-	maxTotal         int                  // bound on total
-	maxIdle     time.Duration        // an older idle connection is closed
+	idle        map[*Endpoint][]Conn // by endpoint, the most recently used connection last
+	oldestFirst list.List            // all idle connections, the one that has been idle longest first
+	total       int                  // connections that are in use, idle or being established
+	maxTotal    int                  // bound on total
+	maxIdle     time.Duration        // idle connections are closed after this time
 }
 
-// newPool makes a pool for at most maxConns connections.
+// newPool creates a pool for at most maxConns connections.
 func newPool(s *settings.Settings, maxConns int) pool {
 	p := pool{idle: map[*Endpoint][]Conn{}, maxIdle: defaultConnIdle, maxTotal: maxConns}
 	if idle := s.ConnIdle; idle > 0 {
@@ -51,9 +52,10 @@
 	return p
 }
 
-// acquire takes an idle connection to an endpoint: the most recently used one that has rested for cautiousReuseDelay, or
-// else the one that has rested longest. Where there is none it reserves a new connection, and returns nil; it is false
-// where there may be no further connection. Whether the connection is alive shows when it is used.
+// acquire returns an idle connection to an endpoint: the most recently used one that has been idle for cautiousReuseDelay,
+// or else the one that has been idle longest. If the endpoint has no idle connection, acquire reserves a new connection and
+// returns nil. It returns false if the connection limit is reached. It does not check whether the connection is alive; the
+// caller notices that on use.
 func (p *pool) acquire(e *Endpoint, now time.Time) (c Conn, ok bool) {
 	conns := p.idle[e]
 	if len(conns) == 0 {
@@ -64,9 +66,9 @@
 		return nil, p.reserve()
 	}
 	c = conns[0]
-	for _, x := range slices.Backward(conns) {
-		if now.Sub(x.poolEntry().IdleSince) >= cautiousReuseDelay {
-			c = x
+	for _, candidate := range slices.Backward(conns) {
+		if now.Sub(candidate.poolEntry().IdleSince) >= cautiousReuseDelay {
+			c = candidate
 			break
 		}
 	}
@@ -74,7 +76,8 @@
 	return c, true
 }
 
-// reserve counts a new connection. Where the bound is reached it closes the longest idle one, and is false without one.
+// reserve counts a new connection. If the limit is reached, it closes the connection that has been idle longest. It returns
+// false if no connection is idle.
 func (p *pool) reserve() bool {
 	if p.total >= p.maxTotal {
 		oldest := p.oldestFirst.Front()
@@ -87,7 +90,8 @@
 	return true
 }
 
-// release takes a connection back after an attempt; nil if it was closed.
+// release returns a connection to the pool after an attempt. A nil connection was closed. A connection to an endpoint that
+// is closed to new attempts is closed too.
 func (p *pool) release(e *Endpoint, c Conn) {
 	switch {
 	case c == nil:
@@ -101,7 +105,7 @@
 	}
 }
 
-// remove takes a connection out of the idle ones.
+// remove removes a connection from the idle connections.
 func (p *pool) remove(c Conn) {
 	e := c.poolEntry().endpoint
 	p.oldestFirst.Remove(c.poolEntry().element)
@@ -114,25 +118,25 @@
 	}
 }
 
-// close closes an idle connection.
+// close closes an idle connection and removes it from the pool.
 func (p *pool) close(c Conn) {
 	p.remove(c)
 	c.Close()
 	p.total--
 }
 
-// closeIdle closes the idle connections to an endpoint.
+// closeIdle closes all idle connections to an endpoint.
 func (p *pool) closeIdle(e *Endpoint) {
 	for _, c := range slices.Clone(p.idle[e]) {
 		p.close(c)
 	}
 }
 
-// sweep closes connections that have been idle for too long or are no longer alive.
+// sweep closes the idle connections that have exceeded maxIdle or are no longer alive.
 func (p *pool) sweep(now time.Time) {
-	for at := p.oldestFirst.Front(); at != nil; {
-		c := at.Value.(Conn)
-		at = at.Next()
+	for element := p.oldestFirst.Front(); element != nil; {
+		c := element.Value.(Conn)
+		element = element.Next()
 		if now.Sub(c.poolEntry().IdleSince) >= p.maxIdle || !c.Alive() {
 			p.close(c)
 		}
--- a/internal/core/query.go
+++ b/internal/core/query.go
@@ -5,17 +5,17 @@
 	"errors"
 )
 
-// errLoopClosed is the error of a query to a loop that has ended.
-var errLoopClosed = errors.New("the core has ended")
+// errLoopClosed is returned by queries to a closed loop.
+var errLoopClosed = errors.New("core: the event loop is closed")
 
-// query has the loop compute a value and waits for it. It returns the zero value once the loop has ended.
+// query runs compute in the loop's goroutine and waits for its value. It returns the zero value if the loop is closed.
 func query[T any](l *Loop, compute func() T) T {
 	value, _ := queryContext(context.Background(), l, compute)
 	return value
 }
 
-// queryContext is query with a bound on the wait, as the queue of events may be long: it returns the context's error, or
-// errLoopClosed.
+// queryContext is like query, but stops waiting when the context is done, because the event queue may be long. The error is
+// that of the context, or errLoopClosed.
 func queryContext[T any](ctx context.Context, l *Loop, compute func() T) (T, error) {
 	computed := make(chan T, 1)
 	var zero T
--- a/internal/core/recent_ids.go
+++ b/internal/core/recent_ids.go
@@ -7,19 +7,18 @@
 )
 
 const (
-	// recentIDTTL is how long the id of a finished request is remembered, and maxRecentIDs how many are.
-	recentIDTTL = 10 * time.Second
-	maxRecentIDs = 4096
+	recentIDTTL  = 10 * time.Second // how long the ID of a finished request is remembered
+	maxRecentIDs = 4096             // maximum number of remembered IDs
 )
 
-// recentIDs are the ids of requests that have finished a short while ago. Each request has an id of its own: one that
-// is used again is another's, and endpoints may run it twice or reject it.
+// recentIDs holds the IDs of requests that have finished recently. Request IDs are unique. A repeated ID therefore belongs
+// to another request, which endpoints might run a second time or reject as a duplicate.
 type recentIDs struct {
 	endedAt map[decision.RequestID]time.Duration
-	order   []decision.RequestID // in the order in which they finished
+	order   []decision.RequestID // IDs in the order in which the requests finished
 }
 
-// add remembers an id, and forgets those that are too old or too many.
+// add adds an ID, and removes the oldest IDs that have expired or exceed maxRecentIDs.
 func (r *recentIDs) add(id decision.RequestID, now time.Duration) {
 	if r.endedAt == nil {
 		r.endedAt = map[decision.RequestID]time.Duration{}
@@ -32,7 +31,7 @@
 	r.order = append(r.order, id)
 }
 
-// contains reports whether a request with this id contains finished a short while ago.
+// contains reports whether a request with this ID has finished within recentIDTTL.
 func (r *recentIDs) contains(id decision.RequestID, now time.Duration) bool {
 	at, ok := r.endedAt[id]
 	return ok && now-at <= recentIDTTL
--- a/internal/core/stats.go
+++ b/internal/core/stats.go
@@ -4,30 +4,30 @@
 	"dykering/internal/decision"
 )
 
-// Stats is what a loop holds at one moment.
+// Stats describes the state of a loop at one moment.
 type Stats struct {
-	Calls            int                    // not yet answered, or with an attempt in flight
-	Attempts         int                    // in flight, adopted ones included
-	Phases           [AttemptPhaseCount]int // the calls' attempts by AttemptPhase
+	Calls            int                    // calls that are not yet answered or have an attempt in flight
+	Attempts         int                    // attempts in flight, including adopted ones
+	Phases           [AttemptPhaseCount]int // attempts in flight by AttemptPhase, without adopted ones
 	Queued           int                    // calls that wait for their first attempt
 	AwaitingRetry    int                    // calls that wait for a further attempt
 	Conns            int                    // connections to endpoints
-	IdleConns        int                    // of them, those that are idle
-	Revision         uint64                 // of the endpoint list
-	AwaitingFullList bool                   // the followed discovery has not yet sent its full list
-	DiscoveryAddress string
-	Endpoints        []EndpointStats // in no order
+	IdleConns        int                    // connections among Conns that are idle
+	Revision         uint64                 // version of the endpoint list
+	AwaitingFullList bool                   // no full list has been received from the current discovery client
+	DiscoveryAddress string                 // host:port of the discovery service
+	Endpoints        []EndpointStats        // in no particular order
 }
 
-// EndpointStats is what a loop holds of one endpoint.
+// EndpointStats describes the state of one endpoint.
 type EndpointStats struct {
 	ID        decision.EndpointID
 	Address   string
-	Open      bool // it may get new attempts
+	Open      bool // accepts new attempts
 	IdleConns int
 }
 
-// Stats returns what the loop holds; the zero value once it has ended.
+// Stats returns the state of the loop, or the zero value if the loop is closed.
 func (l *Loop) Stats() Stats {
 	return query(l, func() Stats {
 		s := Stats{
--- a/internal/core/testloop_test.go
+++ b/internal/core/testloop_test.go
@@ -9,71 +9,77 @@
 	"dykering/internal/settings"
 )
 
+// testTimeout bounds each wait of a test, so that a failure does not hang.
 const testTimeout = 20 * time.Second
 
-// memoryConn is a connection in memory.
+// memoryConn is an in-memory Conn.
 type memoryConn struct {
 	PoolEntry
 	closed bool
 }
 
-func (l *memoryConn) Close() error { l.closed = true; return nil }
+func (c *memoryConn) Close() error { c.closed = true; return nil }
 
-func (l *memoryConn) Alive() bool { return !l.closed }
+func (c *memoryConn) Alive() bool { return !c.closed }
 
-// textResponse is a response in memory.
+// textResponse is an in-memory Response that reports when it is discarded.
 type textResponse struct {
 	text      string
 	discarded chan string
 }
 
-func (s textResponse) Discard() { s.discarded <- s.text }
+func (r textResponse) Discard() { r.discarded <- r.text }
 
-// testLoop is a Loop whose front and upstream are the test's.
+// testLoop is a running Loop for which the test acts as frontend and upstream.
 type testLoop struct {
 	t         *testing.T
 	loop      *Loop
-	send      func(a *Attempt, n int) Result // the upstream; n counts the sends of a call from 1
+	send      func(a *Attempt, n int) Result // implements the upstream; n is the number of the attempt of its call, from 1
 	discarded chan string
 
-	mu    sync.Mutex
-	sends map[decision.RequestID][]*Attempt
-	discoveryCalls []string // of the discovery
+	mu             sync.Mutex
+	sends          map[decision.RequestID][]*Attempt // attempts by call
+	discoveryCalls []string                          // calls of the discovery clients, as "address method"
 }
 
-func (b *testLoop) Send(a *Attempt, over Conn) Result {
+func (b *testLoop) Send(a *Attempt, idle Conn) Result {
 	b.mu.Lock()
 	b.sends[a.Call.ID] = append(b.sends[a.Call.ID], a)
 	n := len(b.sends[a.Call.ID])
 	b.mu.Unlock()
 	res := b.send(a, n)
-	if res.Conn = over; over == nil {
+	if res.Conn = idle; idle == nil {
 		res.Conn = &memoryConn{}
 	}
 	return res
 }
 
-// recordingDiscovery is a Discovery that records what it is asked for.
+// recordingDiscovery is a Discovery that records the calls of its methods.
 type recordingDiscovery struct {
 	b       *testLoop
 	address string
 }
 
-func (l *recordingDiscovery) record(what string) {
-	l.b.mu.Lock()
-	defer l.b.mu.Unlock()
-	l.b.discoveryCalls = append(l.b.discoveryCalls, l.address+" "+what)
+func (d *recordingDiscovery) record(method string) {
+	d.b.mu.Lock()
+	defer d.b.mu.Unlock()
+	d.b.discoveryCalls = append(d.b.discoveryCalls, d.address+" "+method)
 }
 
-func (l *recordingDiscovery) Watch(*uint64) { l.record("watch") }
+func (d *recordingDiscovery) Watch(*uint64) { d.record("watch") }
 
-func (l *recordingDiscovery) Stop() { l.record("stop") }
+func (d *recordingDiscovery) Stop() { d.record("stop") }
 
-func (l *recordingDiscovery) Fetch() { l.record("fetch") }
+func (d *recordingDiscovery) Fetch() { d.record("fetch") }
 
-const read, once, keyed = 0, 1, 2
+// Indexes of the classes that newTestLoop configures.
+const (
+	read  = 0 // safe to retry
+	once  = 1 // unsafe to retry
+	keyed = 2 // deduplicated by its key within a window
+)
 
-// newTestLoop starts a loop that knows some endpoints.
+// newTestLoop starts a loop whose cached list has the given targets.
 func newTestLoop(t *testing.T, send func(a *Attempt, n int) Result, targets ...Target) *testLoop {
 	t.Helper()
 	b := &testLoop{t: t, send: send, sends: map[decision.RequestID][]*Attempt{}, discarded: make(chan string, 100)}
@@ -110,18 +116,19 @@
 	return b
 }
 
+// served returns a successful result with the given text.
 func (b *testLoop) served(text string) Result {
 	return Result{Status: decision.OK, Elapsed: 5 * time.Millisecond, Response: textResponse{text, b.discarded}}
 }
 
-// submit submits a call.
+// submit submits a call with the given ID and class. Its message is the ID.
 func (b *testLoop) submit(id string, class int) *Call {
 	c := NewCall(decision.Request{ID: decision.RequestID(id), Class: class, Remaining: 10 * time.Second}, id)
 	b.loop.Submit(c, time.Now())
 	return c
 }
 
-// finalAnswer waits for a call's answer, and returns its text or its kind.
+// finalAnswer waits for the answer to a call. It returns the text of the response, "refused" or "failed".
 func (b *testLoop) finalAnswer(c *Call) string {
 	b.t.Helper()
 	select {
@@ -139,16 +146,17 @@
 	}
 }
 
-// until waits for something that shows in what the loop holds.
+// waitFor waits until the statistics of the loop meet a condition, which what describes.
 func (b *testLoop) waitFor(what string, done func(Stats) bool) {
 	b.t.Helper()
 	for end := time.Now().Add(testTimeout); !done(b.loop.Stats()); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			b.t.Fatal("never: ", what)
+			b.t.Fatalf("timeout while waiting for %s", what)
 		}
 	}
 }
 
+// ready returns a target in the state Ready.
 func ready(uid string, bootMS int64) Target {
 	return Target{UID: uid, Address: "127.0.0.1:9", Zone: "z", Model: "m", State: "Ready", Weight: 1, BootMS: bootMS}
 }
