--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -13,7 +13,7 @@
 	Call         *Call
 	Endpoint     *Endpoint
 	Ctx          context.Context // done when the attempt times out or is cancelled
-	SendBy       time.Time       // deadline for sending the last byte of the request; zero for no deadline
+	SendBy       time.Time       // by when the last byte of the request must be sent, or else none is; zero for no bound
 	AnswerWithin time.Duration   // time from the sending that the endpoint is given to answer
 
 	number   int // index among the attempts of the call, from 0
--- a/internal/handover/compatibility_test.go
+++ b/internal/handover/compatibility_test.go
@@ -13,22 +13,24 @@
 	"dykering/internal/fixture"
 )
 
+// compatibleState is the state of the offer in the fixture.
 const compatibleState = `{"version":1}`
 
 // socketPrefix is the beginning of the socket's name for the service "n0": the first six bytes of the SHA-256 of the
 // service's name.
 const socketPrefix = "handover-820d5d8baf76-"
 
+// offerOfReleasedBuild returns the offer frame in the fixture, as released builds send it.
 func offerOfReleasedBuild(t *testing.T) []byte {
 	t.Helper()
 	return fixture.Bytes(t, "testdata/compatibility/offer.bin",
 		func() []byte { return append([]byte{frameOffer}, compatibleState...) })
 }
 
-// A sender of a released build offers 'o' with the state, awaits 'y', and answers 'g'.
+// A released sender sends 'o' with the state, waits for 'y', and sends 'g'.
 func TestReceiverAcceptsOfferOfReleasedBuild(t *testing.T) {
 	offer := offerOfReleasedBuild(t)
-	const dir = "." // a socket's whole path may be too long
+	const dir = "." // the absolute path may exceed the limit for socket paths
 	t.Chdir(t.TempDir())
 	received := make(chan string, 1)
 	serveUntilEnd(t, dir, func(state []byte, _ []net.Conn) (start, drop func(), ok bool) {
@@ -37,7 +39,7 @@
 	})
 	files, err := filepath.Glob(filepath.Join(dir, socketPrefix+"*"))
 	if err != nil || len(files) != 1 {
-		t.Fatalf("sockets %v, %v: want one that begins with %s", files, err, socketPrefix)
+		t.Fatalf("sockets %v, %v: want one with the prefix %s", files, err, socketPrefix)
 	}
 	sender, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: files[0], Net: "unixpacket"})
 	if err != nil {
@@ -61,13 +63,13 @@
 			t.Errorf("state %q, want %q", state, compatibleState)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("not started")
+		t.Error("the handler's start was not called")
 	}
 }
 
-// A receiver of a released build listens at a socket of sequenced packets with this name, and declines with 'n'.
+// A released receiver listens on a SOCK_SEQPACKET socket with this file name, accepts with 'y' and declines with 'n'.
 func TestSenderOffersToReceiverOfReleasedBuild(t *testing.T) {
-	const dir = "." // a socket's whole path may be too long
+	const dir = "." // the absolute path may exceed the limit for socket paths
 	offer := string(offerOfReleasedBuild(t))
 	t.Chdir(t.TempDir())
 	path := fmt.Sprintf("%s%d.%d", socketPrefix, time.Now().UnixNano(), os.Getpid())
@@ -114,10 +116,10 @@
 	}
 	defer sender.Close()
 	if err := sender.Pass([]byte(compatibleState)); err != nil {
-		t.Errorf("accepted: %v", err)
+		t.Errorf("Pass of an accepted offer: %v", err)
 	}
 	if err := sender.Pass([]byte(compatibleState)); !errors.Is(err, ErrDeclined) {
-		t.Errorf("declined: %v, want %v", err, ErrDeclined)
+		t.Errorf("Pass of a declined offer: %v, want %v", err, ErrDeclined)
 	}
 	x := <-ended
 	if got, want := strings.Join(x.frames, "|"), strings.Join([]string{offer, "g", offer}, "|"); x.err != nil || got != want {
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// tcpPair returns the two ends of a TCP connection.
+// tcpPair returns the two ends of a TCP connection on loopback.
 func tcpPair(tb testing.TB) (near, far *net.TCPConn) {
 	tb.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -36,7 +36,7 @@
 	return s.(*net.TCPConn), c.(*net.TCPConn)
 }
 
-// readText reads n bytes.
+// readText reads n bytes from a connection.
 func readText(tb testing.TB, c net.Conn, n int) string {
 	tb.Helper()
 	b := make([]byte, n)
@@ -46,15 +46,15 @@
 	return string(b)
 }
 
-// serveUntilEnd runs a receiver with a handler until the test ends.
-func serveUntilEnd(tb testing.TB, dir string, take Handler) *Receiver {
+// serveUntilEnd runs a receiver with a handler until the test ends. Its name is "n0".
+func serveUntilEnd(tb testing.TB, dir string, handler Handler) *Receiver {
 	tb.Helper()
 	r, err := Listen(dir, "n0")
 	if err != nil {
 		tb.Fatal(err)
 	}
 	ended := make(chan error)
-	go func() { ended <- r.Serve(take) }()
+	go func() { ended <- r.Serve(handler) }()
 	tb.Cleanup(func() {
 		r.Close()
 		if err := <-ended; err != nil {
@@ -64,17 +64,17 @@
 	return r
 }
 
-// Connections arrive with their state, whatever its size, and the sender may close its own
-// descriptors without anything sent to their peers.
+// Connections arrive with their state, whatever its size. When the sender closes its descriptors, the
+// connections stay open and usable.
 func TestPassedConnectionsArriveWithTheirState(t *testing.T) {
-	type got struct {
+	type offer struct {
 		state []byte
 		conns []net.Conn
 	}
-	came := make(chan got, 1)
+	accepted := make(chan offer, 1)
 	dir := t.TempDir()
 	serveUntilEnd(t, dir, func(state []byte, conns []net.Conn) (func(), func(), bool) {
-		return func() { came <- got{bytes.Clone(state), conns} }, func() { t.Error("dropped") }, true
+		return func() { accepted <- offer{bytes.Clone(state), conns} }, func() { t.Error("an accepted connection was dropped") }, true
 	})
 	s, err := Dial(dir, "n0", nil)
 	if err != nil {
@@ -83,45 +83,45 @@
 	defer s.Close()
 	for _, size := range []int{0, 1, 100000, MaxState} {
 		for conns := range maxConns + 1 {
-			var mine []syscall.Conn
+			var passed []syscall.Conn
 			var far []net.Conn
 			for range conns {
 				n, f := tcpPair(t)
-				mine, far = append(mine, n), append(far, f)
+				passed, far = append(passed, n), append(far, f)
 			}
 			state := bytes.Repeat([]byte{'x'}, size)
-			if err := s.Pass(state, mine...); err != nil {
+			if err := s.Pass(state, passed...); err != nil {
 				t.Fatalf("%d bytes, %d connections: %v", size, conns, err)
 			}
-			g := <-came
-			if !bytes.Equal(g.state, state) || len(g.conns) != conns {
-				t.Errorf("got %d bytes of %d, %d connections of %d", len(g.state), size, len(g.conns), conns)
+			got := <-accepted
+			if !bytes.Equal(got.state, state) || len(got.conns) != conns {
+				t.Errorf("got %d bytes of %d, %d connections of %d", len(got.state), size, len(got.conns), conns)
 			}
-			for i := range g.conns {
-				mine[i].(net.Conn).Close()
-				io.WriteString(g.conns[i], "there")
+			for i := range got.conns {
+				passed[i].(net.Conn).Close()
+				io.WriteString(got.conns[i], "there")
 				io.WriteString(far[i], "back")
-				if a, b := readText(t, far[i], 5), readText(t, g.conns[i], 4); a != "there" || b != "back" {
-					t.Errorf("heard %q and %q", a, b)
+				if a, b := readText(t, far[i], 5), readText(t, got.conns[i], 4); a != "there" || b != "back" {
+					t.Errorf("received %q and %q, want %q and %q", a, b, "there", "back")
 				}
-				g.conns[i].Close()
+				got.conns[i].Close()
 			}
 		}
 	}
 	if err := s.Pass(make([]byte, MaxState+1)); err == nil || !s.Alive() {
-		t.Errorf("too much was passed: %v", err)
+		t.Errorf("Pass beyond MaxState: %v, sender alive %v", err, s.Alive())
 	}
 }
 
-// Whatever goes wrong before the commit, the connection still belongs to its first owner, and
-// works.
+// If the receiver declines or violates the protocol before the commit, the connection stays with the
+// sender and remains usable.
 func TestConnectionStaysWithSenderUnlessAccepted(t *testing.T) {
-	for name, play := range map[string]func(c *net.UnixConn){
-		"declined":      func(c *net.UnixConn) { writeFrame(c, frameDecline) },
-		"ends unheard":  func(c *net.UnixConn) { c.Close() },
-		"says nonsense": func(c *net.UnixConn) { writeFrame(c, 'q') },
-		"says too much": func(c *net.UnixConn) { c.Write([]byte("yy")) },
-		"says nothing":  func(_ *net.UnixConn) {},
+	for name, respond := range map[string]func(c *net.UnixConn){
+		"declined":          func(c *net.UnixConn) { writeFrame(c, frameDecline) },
+		"no answer, closes": func(c *net.UnixConn) { c.Close() },
+		"unknown frame":     func(c *net.UnixConn) { writeFrame(c, 'q') },
+		"frame too long":    func(c *net.UnixConn) { c.Write([]byte("yy")) },
+		"no answer":         func(_ *net.UnixConn) {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -141,7 +141,7 @@
 				oob := make([]byte, 64)
 				_, n, _, _, _ := c.ReadMsgUnix(make([]byte, 8), oob)
 				conns, _ := parseConnections(oob[:n])
-				play(c)
+				respond(c)
 				for _, x := range conns {
 					x.Close()
 				}
@@ -154,29 +154,30 @@
 			err = s.Pass([]byte("s"), near)
 			<-done
 			if err == nil || errors.Is(err, ErrDeclined) != (name == "declined") || s.Alive() != (name == "declined") {
-				t.Errorf("got %v, alive %v", err, s.Alive())
+				t.Errorf("Pass returned %v, sender alive %v", err, s.Alive())
 			}
 			io.WriteString(near, "still")
 			if got := readText(t, far, 5); got != "still" {
-				t.Errorf("heard %q", got)
+				t.Errorf("received %q", got)
 			}
 		})
 	}
 }
 
-// A receiver that gets no commit leaves the connection alone, and serves the next sender.
+// A receiver that receives no commit drops the connection without affecting it, and then serves the
+// next sender.
 func TestReceiverDropsConnectionsWithoutCommit(t *testing.T) {
 	offer := func(c *net.UnixConn, near *net.TCPConn) {
 		raw, _ := near.SyscallConn()
 		raw.Control(func(fd uintptr) { c.WriteMsgUnix([]byte("os"), syscall.UnixRights(int(fd)), nil) })
 		readFrame(c, time.Time{})
 	}
-	for name, play := range map[string]func(c *net.UnixConn, near *net.TCPConn){
-		"ends before the last word": offer,
-		"another word": func(c *net.UnixConn, near *net.TCPConn) {
+	for name, send := range map[string]func(c *net.UnixConn, near *net.TCPConn){
+		"closed before the commit": offer,
+		"another frame instead of the commit": func(c *net.UnixConn, near *net.TCPConn) {
 			offer(c, near)
 			writeFrame(c, 'x')
-			c.Read(make([]byte, 1)) // until it is closed
+			c.Read(make([]byte, 1)) // returns when the receiver closes the socket
 		},
 		"no offer": func(c *net.UnixConn, _ *net.TCPConn) {
 			c.Write([]byte("hello"))
@@ -197,14 +198,14 @@
 				t.Fatal(err)
 			}
 			near, far := tcpPair(t)
-			play(c, near)
+			send(c, near)
 			c.Close()
-			if strings.Contains(name, "word") {
+			if strings.Contains(name, "commit") {
 				<-dropped
 			}
 			io.WriteString(near, "mine")
 			if got := readText(t, far, 4); got != "mine" {
-				t.Errorf("heard %q", got)
+				t.Errorf("received %q", got)
 			}
 			s, err := Dial(dir, "n0", nil)
 			if err != nil {
@@ -216,35 +217,36 @@
 			}
 			<-started
 			if len(started) > 0 {
-				t.Error("started twice")
+				t.Error("start was called for both offers, want one call")
 			}
 		})
 	}
 }
 
-// The youngest other process is found among others, files of killed ones, and files that are no
-// sockets, also where a path is longer than an address.
-func TestDialFindsTheYoungestOtherReceiver(t *testing.T) {
+// Dial finds the most recently started other receiver. It skips its own receiver, older receivers, the
+// socket file of a killed process, and files that are not sockets. It also works if the path exceeds
+// the length limit of socket addresses.
+func TestDialFindsTheNewestOtherReceiver(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), strings.Repeat("x", maxSocketPath))
 	if _, err := Listen(dir, "n0"); err == nil {
-		t.Error("listens in no directory")
+		t.Error("Listen succeeded in a directory that does not exist")
 	}
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Dial(dir, "n0", nil); !errors.Is(err, ErrNoReceiver) {
-		t.Errorf("an empty directory: %v", err)
+		t.Errorf("Dial in an empty directory: %v, want ErrNoReceiver", err)
 	}
 	var own *Receiver
-	came := make(chan string, 1)
-	for _, who := range []string{"oldest", "youngest", "own"} {
+	called := make(chan string, 1)
+	for _, receiver := range []string{"oldest", "newest", "own"} {
 		own = serveUntilEnd(t, dir, func([]byte, []net.Conn) (func(), func(), bool) {
-			came <- who
+			called <- receiver
 			return nil, nil, false
 		})
 	}
-	left := filepath.Join(dir, filePrefix("n0")+"9.9")
-	if err := withSocketAddress(left, func(a *net.UnixAddr) error {
+	stale := filepath.Join(dir, filePrefix("n0")+"9.9")
+	if err := withSocketAddress(stale, func(a *net.UnixAddr) error {
 		l, err := net.ListenUnix("unixpacket", a)
 		if err == nil {
 			l.SetUnlinkOnClose(false)
@@ -265,10 +267,10 @@
 	}
 	defer s.Close()
 	if err := s.Pass(nil); !errors.Is(err, ErrDeclined) {
-		t.Errorf("got %v", err)
+		t.Errorf("Pass returned %v, want ErrDeclined", err)
 	}
-	if who := <-came; who != "youngest" {
-		t.Errorf("found the %s", who)
+	if receiver := <-called; receiver != "newest" {
+		t.Errorf("Dial connected to the %s receiver, want the newest", receiver)
 	}
 }
 
--- a/internal/handover/receiver.go
+++ b/internal/handover/receiver.go
@@ -11,21 +11,20 @@
 	"time"
 )
 
-// Receiver receives the connections of the predecessor.
+// Receiver receives connections from predecessors of this process.
 type Receiver struct {
 	listener *net.UnixListener
 	path     string
 
-	mu sync.Mutex
-	// Connections of senders.
-	open   map[*net.UnixConn]bool
+	mu     sync.Mutex
+	open   map[*net.UnixConn]bool // sockets of the connected senders
 	closed bool
 }
 
-// Listen creates the socket to which a predecessor passes its connections. Both have to give the
-// same directory and name.
+// Listen creates the socket to which a predecessor passes its connections. Both processes have to use
+// the same directory and name.
 func Listen(dir, name string) (*Receiver, error) {
-	// The time in the name distinguishes the youngest process from older ones that may still listen.
+	// The time in the file name distinguishes this process from older ones that may still listen.
 	path := filepath.Join(dir, fmt.Sprintf("%s%d.%d", filePrefix(name), time.Now().UnixNano(), os.Getpid()))
 	var l *net.UnixListener
 	err := withSocketAddress(path, func(address *net.UnixAddr) (err error) {
@@ -35,7 +34,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	l.SetUnlinkOnClose(false) // Close removes the file, by its full path
+	l.SetUnlinkOnClose(false) // Receiver.Close removes the file by its full path
 	if err := os.Chmod(path, 0o600); err != nil {
 		l.Close()
 		os.Remove(path)
@@ -44,14 +43,14 @@
 	return &Receiver{listener: l, path: path, open: map[*net.UnixConn]bool{}}, nil
 }
 
-// Handler reserves what passed connections need. It returns false if there is no capacity; the
-// connections are closed then. Otherwise exactly one of the two functions is called: start once the
-// connections belong to this process, or drop if they do not, after which they are closed. The
-// state is valid until Handler returns.
+// Handler reserves the resources for offered connections. If it returns false, the offer is declined
+// and the received descriptors are closed. Otherwise exactly one of the two functions is called: start
+// once the connections belong to this process, or drop if the sender keeps them. After drop, the
+// received descriptors are closed. The state is valid until Handler returns.
 type Handler func(state []byte, conns []net.Conn) (start, drop func(), ok bool)
 
-// Serve calls the handler for each offer until the receiver is closed; then it returns nil. The
-// handler is called by one goroutine for each sender.
+// Serve calls the handler for each offer until the receiver is closed, and then returns nil. Each
+// sender has its own goroutine, which calls the handler.
 func (r *Receiver) Serve(handler Handler) error {
 	for {
 		c, err := r.listener.AcceptUnix()
@@ -77,8 +76,8 @@
 	}
 }
 
-// track registers a sender's connection. It reports false for one too many, of another user, or
-// after Close.
+// track registers the socket of a sender. It returns false if there are too many senders, if the
+// sender runs as another user, or after Close.
 func (r *Receiver) track(c *net.UnixConn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -89,7 +88,7 @@
 	return true
 }
 
-// untrack closes and removes a sender's connection.
+// untrack closes the socket of a sender and removes it.
 func (r *Receiver) untrack(c *net.UnixConn) {
 	c.Close()
 	r.mu.Lock()
@@ -97,7 +96,7 @@
 	delete(r.open, c)
 }
 
-// Close ends the receiver and removes its file.
+// Close stops the receiver and removes its socket file.
 func (r *Receiver) Close() error {
 	r.mu.Lock()
 	r.closed = true
@@ -108,11 +107,11 @@
 	return errors.Join(r.listener.Close(), os.Remove(r.path))
 }
 
-// receiveOne receives one offer and answers it. After an error the sender's connection cannot be
-// used any more.
+// receiveOne receives one offer and completes the protocol for it. After an error the caller has to
+// close the socket of the sender.
 func (r *Receiver) receiveOne(c *net.UnixConn, buffer []byte, handler Handler) error {
 	oob := make([]byte, syscall.CmsgSpace(4*maxConns))
-	// The read ends with the sender, or with Close.
+	// The read ends when the sender exits, or with Close.
 	if err := c.SetReadDeadline(time.Time{}); err != nil {
 		return err
 	}
@@ -136,8 +135,8 @@
 		return writeFrame(c, frameDecline)
 	}
 	if err = writeFrame(c, frameAccept); err == nil {
-		// The commit, or the end of the sender, is awaited without a deadline: if one passed just as the commit is
-		// received, neither process would own the connections.
+		// Wait without a deadline for the commit or for the end of the sender. If a deadline expired while the commit
+		// is being delivered, neither process would own the connections.
 		var frame byte
 		if frame, err = readFrame(c, time.Time{}); err == nil && frame != frameCommit {
 			err = errNotCommitted
@@ -152,8 +151,8 @@
 	return nil
 }
 
-// parseConnections makes connections of the descriptors in a control message. Also with an error
-// the caller has to close those that are returned.
+// parseConnections converts the descriptors in a control message to connections. The caller has to
+// close the returned connections even if there is an error.
 func parseConnections(oob []byte) (conns []net.Conn, err error) {
 	messages, err := syscall.ParseSocketControlMessage(oob)
 	if err != nil {
--- a/internal/handover/sender.go
+++ b/internal/handover/sender.go
@@ -17,22 +17,21 @@
 	"time"
 )
 
-// Sender passes connections to the successor. Its methods may be called concurrently.
+// Sender passes connections to the successor. It is safe for concurrent use.
 type Sender struct {
 	mu   sync.Mutex
 	conn *net.UnixConn
-	// Why nothing can be passed any more; nil while it can.
-	err error
-	// Whether err is set, readable without waiting for a step in progress.
-	closed atomic.Bool
+	err  error // set once connections can no longer be passed
+
+	closed atomic.Bool // err is set; readable without waiting for a call of Pass
 }
 
-// Dial connects to the youngest other process that listens under a name in a directory; own is the
-// receiver of this process, which is not dialed, or nil. The error is ErrNoReceiver if there is no
-// such process, or that of reading the directory.
+// Dial connects to the most recently started other process that listens under a name in a directory.
+// Own is the receiver of this process, which Dial skips; it may be nil. The error is ErrNoReceiver if
+// there is no such process, or the error of reading the directory.
 //
-// A socket file without a listener was left by a process that was killed. It is skipped and, once
-// old, removed.
+// A process that is killed leaves its socket file behind. Dial skips a file without a listener, and
+// removes it once it is older than staleSocketAge.
 func Dial(dir, name string, own *Receiver) (*Sender, error) {
 	found, err := findSockets(dir, name)
 	if err != nil {
@@ -45,7 +44,7 @@
 		conn, err := dialSocket(socket.path)
 		if err != nil {
 			if errors.Is(err, syscall.ECONNREFUSED) && time.Since(time.Unix(0, socket.created)) > staleSocketAge {
-				os.Remove(socket.path) // a file that cannot be removed is skipped the next time too
+				os.Remove(socket.path) // on failure, the next Dial tries again
 			}
 			continue
 		}
@@ -60,12 +59,11 @@
 
 // socketFile is the socket of a process that may receive connections.
 type socketFile struct {
-	path string
-	// When its process created it, in Unix nanoseconds.
-	created int64
+	path    string
+	created int64 // creation time, in Unix nanoseconds
 }
 
-// findSockets lists the socket files of a name, the youngest first.
+// findSockets returns the socket files of a name, the most recently created first.
 func findSockets(dir, name string) ([]socketFile, error) {
 	files, err := os.ReadDir(dir)
 	if err != nil {
@@ -100,14 +98,15 @@
 	return conn.(*net.UnixConn), nil
 }
 
-// Pass passes up to two connections with their state of up to MaxState bytes. Without an error they
-// belong to the other process, and have to be closed here without anything sent or shut down on
-// them. After ErrDeclined or another error they still belong to the caller; after an error other
-// than ErrDeclined the receiver may hold copies of them until it closes the socket. Calls are
-// serialized, and each step ends within half a second.
+// Pass passes up to two connections with their state of up to MaxState bytes. If it succeeds, the
+// connections belong to the other process: the caller has to close its descriptors without sending
+// anything or shutting the connections down. If it fails, they still belong to the caller. After an
+// error other than ErrDeclined, the receiver may hold copies of the descriptors until it closes the
+// socket. Calls are serialized, and each protocol step ends within half a second.
 func (s *Sender) Pass(state []byte, conns ...syscall.Conn) error {
 	if len(state) > MaxState || len(conns) > maxConns {
-		return fmt.Errorf("handover: %d bytes with %d connections are too much to pass", len(state), len(conns))
+		return fmt.Errorf("handover: %d bytes of state with %d connections exceed the limits of %d bytes and %d connections",
+			len(state), len(conns), MaxState, maxConns)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,7 +115,7 @@
 	}
 	reply, err := s.offer(state, conns)
 	if errors.Is(err, syscall.EMSGSIZE) {
-		return fmt.Errorf("handover: %w", err) // nothing has been offered
+		return fmt.Errorf("handover: %w", err) // the message was too long to send, so nothing was offered
 	}
 	switch {
 	case err != nil:
@@ -128,7 +127,7 @@
 		err = errMalformedFrame
 	}
 	if err != nil {
-		// A receiver that has not received the commit drops the connections when the socket closes.
+		// A receiver that has not received the commit closes its descriptors when the socket closes.
 		s.err = fmt.Errorf("handover: %w", err)
 		s.closed.Store(true)
 		s.conn.Close()
@@ -137,7 +136,7 @@
 	return nil
 }
 
-// offer sends an offer and returns the frame that answers it.
+// offer sends an offer and returns the type of the frame that answers it.
 func (s *Sender) offer(state []byte, conns []syscall.Conn) (reply byte, err error) {
 	var fds []int
 	err = withDescriptors(conns, &fds, func() error {
@@ -153,7 +152,8 @@
 	return readFrame(s.conn, time.Now().Add(stepTimeout))
 }
 
-// withDescriptors calls f with the descriptors of connections, which cannot be closed meanwhile.
+// withDescriptors appends the descriptors of connections to fds and calls f. The connections cannot be
+// closed before f returns.
 func withDescriptors(conns []syscall.Conn, fds *[]int, f func() error) error {
 	if len(conns) == 0 {
 		return f()
@@ -174,7 +174,7 @@
 // Alive reports whether connections can still be passed. It does not block.
 func (s *Sender) Alive() bool { return !s.closed.Load() }
 
-// Close ends the passing.
+// Close closes the socket to the receiver. Later calls of Pass fail.
 func (s *Sender) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -10,14 +10,14 @@
 	"syscall"
 )
 
-// filePrefix is the beginning of the names of all socket files of a name.
+// filePrefix returns the prefix of the file names of all sockets that belong to a service name.
 func filePrefix(name string) string {
 	sum := sha256.Sum256([]byte(name))
 	return "handover-" + hex.EncodeToString(sum[:6]) + "-"
 }
 
-// withSocketAddress calls f with the address of a socket file. Where the path is longer than an
-// address may be, the address goes through the descriptor of the directory.
+// withSocketAddress calls f with the address of a socket file. If the path exceeds the length limit
+// of socket addresses, the address refers to the directory by its descriptor in /proc/self/fd.
 func withSocketAddress(path string, f func(*net.UnixAddr) error) error {
 	if len(path) > maxSocketPath {
 		dir, err := os.Open(filepath.Dir(path))
