--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -16,49 +16,53 @@
 	"dykering/internal/core"
 )
 
-// A change counts as known 6 s after discovery could be reached, whatever became of the calls before; with the time-outs
-// below another watch has brought it by then (docs/review-of-parts.md adds up the cases).
+// The platform expects a sidecar to know each change 6 s after the discovery service is reachable, whatever happened to
+// earlier requests. The timeouts are short enough that a silent or unanswered watch is replaced, and the new watch has
+// delivered the change, within that time.
 const (
 	// fetchTimeout bounds a fetch of the full list.
 	fetchTimeout = 3200 * time.Millisecond
-	// keepAliveTimeout ends a watch that sends nothing: an empty line is due every 2 s.
+	// keepAliveTimeout ends a watch that is silent. The service sends an empty line every 2 s.
 	keepAliveTimeout = 3200 * time.Millisecond
-	// answerTimeout ends a watch that is not answered.
+	// answerTimeout ends a watch that receives no response headers.
 	answerTimeout = 2 * time.Second
 )
 
-// The pause before a watch is begun again where lists are pushed. There a change counts as known at once: one and a half
-// times maxBackoff, the longest pause, and an answer fit in a drain's grace of a second.
+// Bounds of the pause before a watch is restarted in push mode. In that mode, the platform expects a sidecar to know a
+// change at once. The longest pause is one and a half times maxBackoff. Together with the response to the next watch it
+// has to fit into a drain's grace period of one second.
 const (
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 400 * time.Millisecond
 )
 
-// Options are how a discovery is called.
+// Options configure a discovery client.
 type Options struct {
-	ConnectTimeout time.Duration
-	// Dial makes a connection within a time; nil uses net.Dialer.
+	ConnectTimeout time.Duration // bounds the establishment of a connection
+	// Dial establishes a connection within a time. Nil means net.Dialer.
 	Dial func(ctx context.Context, address string, within time.Duration) (net.Conn, error)
-	// Pull says that lists must be asked for: a watch costs, and is begun again only by the sink.
+	// Pull selects pull mode, in which each watch has a cost. The client then does not reconnect by itself: the sink
+	// decides when to start the next watch.
 	Pull bool
 	Log  *zap.Logger
 }
 
-// watcher follows the discovery at one address. Its fields belong to the sink's goroutine.
+// watcher is the client of the discovery service at one address. Only the sink's goroutine uses the fields from cancel on.
+// The others do not change.
 type watcher struct {
 	url        string
 	sink       core.Sink
 	log        *zap.Logger
 	client     *http.Client
-	reconnects bool // begins a watch again by itself: where lists are pushed, that costs nothing
+	reconnects bool // restarts a broken watch by itself; true in push mode, where a watch has no cost
 	cancel     context.CancelFunc
-	watching   bool // until a watch is stopped or has ended by itself
-	fetching   bool
+	watching   bool // a watch is running: neither stopped nor ended by itself
+	fetching   bool // a fetch is in progress
 }
 
 var _ core.Discovery = (*watcher)(nil)
 
-// New makes the discovery at an address; it does nothing before Watch or Fetch.
+// New creates a client of the discovery service at an address. It sends no request before Watch or Fetch is called.
 func New(address string, to core.Sink, o Options) core.Discovery {
 	dial := (&net.Dialer{Timeout: o.ConnectTimeout}).DialContext
 	if o.Dial != nil {
@@ -73,20 +77,20 @@
 		reconnects: !o.Pull,
 		client: &http.Client{
 			Transport: &http.Transport{DialContext: dial, DisableKeepAlives: true},
-			// One call is one request, so a redirection is a failure.
+			// Each call sends exactly one request, so a redirect is an error.
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
 	}
 }
 
-// Watch begins to watch for changes after a version; nil asks for the full list first.
+// Watch starts a watch for the changes after a version. With nil, the watch starts with the full list.
 func (w *watcher) Watch(since *uint64) {
 	ctx, cancel := context.WithCancel(context.Background())
 	w.cancel, w.watching = cancel, true
 	go w.run(ctx, since)
 }
 
-// Stop ends the watch. What it has received and the sink has not yet taken is dropped.
+// Stop ends the watch. Lists that it has received but not yet reported are dropped.
 func (w *watcher) Stop() {
 	if w.cancel != nil {
 		w.cancel()
@@ -94,7 +98,7 @@
 	w.watching = false
 }
 
-// post runs an event of a watch in the sink's goroutine, unless the watch was stopped by then.
+// post runs an event of a watch in the sink's goroutine, unless the watch has been stopped by then.
 func (w *watcher) post(ctx context.Context, event func()) {
 	w.sink.Post(func() {
 		if ctx.Err() == nil {
@@ -103,8 +107,9 @@
 	})
 }
 
-// run watches until it is stopped or, where lists must be asked for, until the watch ends. It logs a failure once, until
-// a watch has received something.
+// run watches the list until the context is done. In pull mode, it returns after one watch and reports its end to the sink.
+// In push mode, it restarts the watch after a backoff. It logs consecutive failures with the same text only once, until a
+// watch receives a list.
 func (w *watcher) run(ctx context.Context, since *uint64) {
 	failures, lastLogged := 0, ""
 	for {
@@ -136,27 +141,27 @@
 	}
 }
 
-// backoff is the pause after so many failed watches in a row. It doubles from minBackoff to maxBackoff; jitter, from 0 to
-// 1, places it between half and one and a half times that.
+// backoff returns the pause after a number of consecutive failures. The base pause doubles from minBackoff to maxBackoff.
+// Jitter, between 0 and 1, scales it to between half and one and a half times the base.
 func backoff(failures int, jitter float64) time.Duration {
-	usual := maxBackoff
-	if failures < 16 { // more doublings could overflow
-		usual = min(minBackoff<<failures, maxBackoff)
+	base := maxBackoff
+	if failures < 16 { // a larger shift could overflow
+		base = min(minBackoff<<failures, maxBackoff)
 	}
-	return usual/2 + time.Duration(jitter*float64(usual))
+	return base/2 + time.Duration(jitter*float64(base))
 }
 
 var (
-	// errWatchTimeout is the end of a watch that sends nothing, not even an empty line.
-	errWatchTimeout = errors.New("watch: silent")
-	// errWatchClosed is the end of a watch by the discovery.
-	errWatchClosed = errors.New("watch ended")
-	// errPartialList is a fetched list that has not all endpoints.
-	errPartialList = errors.New("fetch: not the whole list")
+	// errWatchTimeout ends a watch that receives no response in time, or neither a list nor an empty line.
+	errWatchTimeout = errors.New("watch: neither a response nor a keep-alive line within the timeout")
+	// errWatchClosed means that the discovery service has ended the response to a watch.
+	errWatchClosed = errors.New("watch: the discovery service ended the response")
+	// errPartialList means that a fetch returned a list without all endpoints.
+	errPartialList = errors.New("fetch: received a partial list, want the full list")
 )
 
-// watch follows the list until the connection ends. It returns the version that it has reached, so that the next watch
-// misses nothing, and whether it has received any list.
+// watch runs one watch until its connection ends. It returns the version after which the next watch should start, or nil if
+// that one has to start with the full list, and whether it has received any list.
 func (w *watcher) watch(ctx context.Context, since *uint64) (reached *uint64, received bool, err error) {
 	watchCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -185,7 +190,7 @@
 		case errors.Is(err, io.EOF):
 			return since, received, errWatchClosed
 		case errors.Is(err, errMalformedList):
-			// The changes of that list are missing: begin again with the full list.
+			// The changes in that list are lost, so the next watch has to start with the full list.
 			return nil, received, fmt.Errorf("watch: %w", err)
 		case err != nil:
 			return since, received, fmt.Errorf("watch: %w", err)
@@ -196,7 +201,7 @@
 	}
 }
 
-// Fetch gets the full list once, unless a fetch is under way. It is reported to the sink even after Stop.
+// Fetch requests the full list once, unless a fetch is in progress. The result is reported to the sink even after Stop.
 func (w *watcher) Fetch() {
 	if w.fetching {
 		return
@@ -208,7 +213,7 @@
 			w.fetching = false
 			switch {
 			case err != nil && w.watching:
-				// The watch brings changes all the same, so this is no failure to the sink.
+				// The running watch still delivers changes, so the sink need not know of this failure.
 				w.log.Warn("discovery.fetch_failed", zap.Error(err))
 			case err != nil:
 				w.sink.ListFailed(w, err)
@@ -219,7 +224,7 @@
 	}()
 }
 
-// fetchFullList asks for the full list.
+// fetchFullList requests the full list and returns it. A partial list is an error.
 func (w *watcher) fetchFullList() (l core.List, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
@@ -237,7 +242,7 @@
 	return l, nil
 }
 
-// get sends a request and returns the body of its response, which the caller closes; a status other than 200 is an error.
+// get sends a GET request and returns the response body, which the caller has to close. A status other than 200 is an error.
 func (w *watcher) get(ctx context.Context, url string) (io.ReadCloser, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -249,7 +254,7 @@
 	}
 	if response.StatusCode != http.StatusOK {
 		response.Body.Close()
-		return nil, fmt.Errorf("answered %s", response.Status)
+		return nil, fmt.Errorf("the discovery service responded with status %s", response.Status)
 	}
 	return response.Body, nil
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -14,9 +14,10 @@
 	"dykering/internal/core"
 )
 
+// testTimeout bounds each wait of a test, so that a failure does not hang.
 const testTimeout = 20 * time.Second
 
-// sink runs what is posted in one goroutine, and records what is reported.
+// sink is a core.Sink that runs posted functions in one goroutine and records the reports as texts.
 type sink struct {
 	events  chan func()
 	reports chan string
@@ -41,48 +42,51 @@
 }
 
 func (s *sink) Post(event func()) { s.events <- event }
-func (s *sink) ListReceived(_ core.Discovery, l core.List, how core.Source) {
-	s.reports <- fmt.Sprint("list ", l.Rev, " by ", how)
+func (s *sink) ListReceived(_ core.Discovery, l core.List, source core.Source) {
+	s.reports <- fmt.Sprint("list ", l.Rev, " by ", source)
 }
 func (s *sink) ListFailed(_ core.Discovery, _ error) { s.reports <- "failed" }
 
-// startWatcher makes the watcher of a discovery that the test serves.
-func startWatcher(t *testing.T, mustAsk bool, serve http.HandlerFunc) (*sink, *watcher) {
+// startWatcher creates a client of a discovery service whose handler the test implements.
+func startWatcher(t *testing.T, pull bool, serve http.HandlerFunc) (*sink, *watcher) {
 	t.Helper()
-	place := httptest.NewServer(serve)
+	server := httptest.NewServer(serve)
 	s := newSink(t)
-	w := New(place.Listener.Addr().String(), s, Options{ConnectTimeout: testTimeout, Pull: mustAsk, Log: zap.NewNop()}).(*watcher)
+	w := New(server.Listener.Addr().String(), s, Options{ConnectTimeout: testTimeout, Pull: pull, Log: zap.NewNop()}).(*watcher)
 	t.Cleanup(func() {
 		s.Post(w.Stop)
-		place.CloseClientConnections()
-		place.Close()
+		server.CloseClientConnections()
+		server.Close()
 	})
 	return s, w
 }
 
+// listLine returns a list between empty lines, as a watch sends it. Lists with an even version are full.
 func listLine(rev uint64) string {
 	text, _ := json.Marshal(core.List{Rev: rev, Full: rev%2 == 0})
 	return "\n" + string(text) + "\n\n"
 }
 
+// watch starts a watch after a version in the sink's goroutine.
 func watch(s *sink, w *watcher, since uint64) { s.Post(func() { w.Watch(&since) }) }
 
+// next receives from a channel, or fails the test after testTimeout.
 func next[T any](t *testing.T, c <-chan T) (x T) {
 	t.Helper()
 	select {
 	case x = <-c:
 	case <-time.After(testTimeout):
-		t.Fatal("nothing comes")
+		t.Fatalf("received nothing within %v", testTimeout)
 	}
 	return x
 }
 
-// A watch that ends is begun again after the version that it reached; after a list that cannot be read,
-// with the full list.
+// In push mode, a watch that ends is restarted after the last version that it received. After a malformed list, it is
+// restarted with the full list.
 func TestWatchReconnectsWhereItEnded(t *testing.T) {
-	asked, replies := make(chan string, 8), make(chan string, 8)
+	requests, replies := make(chan string, 8), make(chan string, 8)
 	s, w := startWatcher(t, false, func(w http.ResponseWriter, r *http.Request) {
-		asked <- r.URL.RawQuery
+		requests <- r.URL.RawQuery
 		select {
 		case reply := <-replies:
 			fmt.Fprint(w, reply)
@@ -96,52 +100,52 @@
 		{"follow=1&since=45", "{broken\n"},
 		{"follow=1", ""},
 	} {
-		if got := next(t, asked); got != step.query {
-			t.Errorf("asked %q, want %q", got, step.query)
+		if got := next(t, requests); got != step.query {
+			t.Errorf("requested %q, want %q", got, step.query)
 		}
 		replies <- step.reply
 	}
 	for _, rev := range []int{43, 44, 45} {
 		if got := next(t, s.reports); got != fmt.Sprint("list ", rev, " by ", core.FromWatch) {
-			t.Errorf("told %q", got)
+			t.Errorf("reported %q", got)
 		}
 	}
 }
 
-// A change is reported within 6 s also where a call hung, the longest pause follows, and the next watch
-// hangs too.
+// In push mode, a change is reported within 6 s even if one watch gets no answer, the longest backoff follows, and the next
+// watch gets no answer either.
 func TestChangeIsKnownWithinSixSeconds(t *testing.T) {
-	const told = 6 * time.Second
+	const maxDelay = 6 * time.Second
 	for failures := range 100 {
-		least, most := backoff(failures, 0), backoff(failures, 1)
-		if least <= 0 || least > most {
-			t.Fatalf("after %d failures: %v to %v", failures, least, most)
+		shortest, longest := backoff(failures, 0), backoff(failures, 1)
+		if shortest <= 0 || shortest > longest {
+			t.Fatalf("after %d failures: backoff from %v to %v", failures, shortest, longest)
 		}
-		if late := 2*answerTimeout + most; late >= told {
-			t.Fatalf("after %d failures a change may be told %v late", failures, late)
+		if delay := 2*answerTimeout + longest; delay >= maxDelay {
+			t.Fatalf("after %d failures a change may be reported after %v, want less than %v", failures, delay, maxDelay)
 		}
 	}
 }
 
-// A watch may become silent and stay open. Another one replaces it before changes in the meantime count as
-// known.
+// A watch that becomes silent but stays open is replaced early enough that changes in the meantime are reported within
+// 6 s.
 func TestSilentWatchIsReplaced(t *testing.T) {
-	const told = 6 * time.Second
-	asked := make(chan time.Time, 8)
+	const maxDelay = 6 * time.Second
+	requests := make(chan time.Time, 8)
 	s, w := startWatcher(t, false, func(w http.ResponseWriter, r *http.Request) {
-		asked <- time.Now()
+		requests <- time.Now()
 		http.NewResponseController(w).Flush()
 		<-r.Context().Done()
 	})
 	watch(s, w, 1)
-	began := next(t, asked)
-	if took := next(t, asked).Sub(began); took > told-500*time.Millisecond {
-		t.Errorf("silent for %v", took)
+	began := next(t, requests)
+	if took := next(t, requests).Sub(began); took > maxDelay-500*time.Millisecond {
+		t.Errorf("a silent watch was replaced after %v", took)
 	}
 }
 
-// The lists of a watch may be broken into lines anywhere, and arrive in any pieces.
-func TestListsMayBeBrokenIntoLines(t *testing.T) {
+// The JSON of a list may contain line breaks, and may arrive in pieces of any size.
+func TestListsMaySpanLinesAndPieces(t *testing.T) {
 	text := ""
 	for rev := range uint64(3) {
 		whole, err := json.MarshalIndent(core.List{Rev: rev, Targets: []core.Target{{UID: "a\n"}, {UID: "b"}}}, "", "\t")
@@ -162,23 +166,28 @@
 		watch(s, w, 0)
 		for rev := range 5 {
 			if got := next(t, s.reports); got != fmt.Sprint("list ", rev, " by ", core.FromWatch) {
-				t.Errorf("pieces of %d: told %q", piece, got)
+				t.Errorf("pieces of %d bytes: reported %q", piece, got)
 			}
 		}
 	}
 }
 
-// A part of a list, however slowly it comes, is no sign of life: a change behind it would not be noticed.
+// A watch that keeps sending whitespace within a list is replaced. If an incomplete list counted as a keep-alive, later
+// changes would never be noticed.
 func TestPartOfListIsNoKeepAlive(t *testing.T) {
 	t.Parallel()
-	const told = 6 * time.Second
-	for name, half := range map[string]string{"of a line": `{"rev":8,"targets":[`, "of many": "{\n\t\"rev\": 8,\n", "behind a list": "{\"rev\":8,\"targets\":[]}\n{\n"} {
+	const maxDelay = 6 * time.Second
+	for name, incomplete := range map[string]string{
+		"one line":           `{"rev":8,"targets":[`,
+		"several lines":      "{\n\t\"rev\": 8,\n",
+		"after another list": "{\"rev\":8,\"targets\":[]}\n{\n",
+	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			asked := make(chan time.Time, 8)
+			requests := make(chan time.Time, 8)
 			s, w := startWatcher(t, false, func(w http.ResponseWriter, r *http.Request) {
-				asked <- time.Now()
-				fmt.Fprint(w, half)
+				requests <- time.Now()
+				fmt.Fprint(w, incomplete)
 				for r.Context().Err() == nil {
 					http.NewResponseController(w).Flush()
 					time.Sleep(50 * time.Millisecond)
@@ -186,20 +195,20 @@
 				}
 			})
 			watch(s, w, 1)
-			began := next(t, asked)
-			if took := next(t, asked).Sub(began); took > told-2*time.Second {
-				t.Errorf("taken for alive for %v", took)
+			began := next(t, requests)
+			if took := next(t, requests).Sub(began); took > maxDelay-2*time.Second {
+				t.Errorf("a watch with an incomplete list was replaced after %v", took)
 			}
 		})
 	}
 }
 
-// A malformed list loses nothing: a watch asks for the full list instead, and a fetch has failed.
+// A malformed list loses no change: the watch is restarted with the full list. A fetch that returns one is reported as failed.
 func TestMalformedListCausesFullList(t *testing.T) {
 	for _, text := range []string{`{"rev":9,"all":true}`, `{"rev":9,"all":true,"targets":[{}]}`, `null`, `{"rev":"9"}`, `[]`, `7`, `{"rev":-1}`} {
-		asked := make(chan string, 8)
+		requests := make(chan string, 8)
 		s, w := startWatcher(t, false, func(w http.ResponseWriter, r *http.Request) {
-			asked <- r.URL.RawQuery
+			requests <- r.URL.RawQuery
 			fmt.Fprintln(w, text)
 			http.NewResponseController(w).Flush()
 			if r.URL.Query().Has("since") {
@@ -207,70 +216,70 @@
 			}
 		})
 		watch(s, w, 4)
-		next(t, asked)
-		if got := next(t, asked); got != "follow=1" {
-			t.Errorf("%s: then asked %q, want the whole list", text, got)
+		next(t, requests)
+		if got := next(t, requests); got != "follow=1" {
+			t.Errorf("%s: the next request is %q, want a watch from the full list", text, got)
 		}
 		s.Post(w.Stop)
 		s.Post(w.Fetch)
-		for next(t, asked) != "" { // until the fetch, which follows nothing
+		for next(t, requests) != "" { // skip watches until the fetch, which has no query
 			continue
 		}
 		if got := next(t, s.reports); got != "failed" {
-			t.Errorf("%s: told %q", text, got)
+			t.Errorf("%s: reported %q, want failed", text, got)
 		}
 	}
 }
 
-// Where lists must be asked for, a watch that is silent, breaks in the middle of a line or is not answered
-// ends with a report, and is begun again when the sink says so.
+// In pull mode, a watch that becomes silent, breaks off within a list or gets no answer is reported as failed. It is
+// restarted only when the sink calls Watch.
 func TestBrokenWatchIsReportedWhereListsArePulled(t *testing.T) {
 	step := 0
 	s, w := startWatcher(t, true, func(w http.ResponseWriter, r *http.Request) {
 		switch step++; step {
-		case 1: // silent after its first line
+		case 1: // becomes silent after its first list
 			fmt.Fprint(w, listLine(8))
 			http.NewResponseController(w).Flush()
-		case 2: // breaks off
+		case 2: // breaks off within a list
 			half := listLine(9)
 			fmt.Fprint(w, half[:len(half)/2])
 			http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
 		}
-		<-r.Context().Done() // not answered
+		<-r.Context().Done() // silent, or without an answer
 	})
 	for i, want := range []string{fmt.Sprint("list 8 by ", core.FromWatch), "failed", "failed", "failed"} {
 		if i != 1 {
 			watch(s, w, 7)
 		}
 		if got := next(t, s.reports); got != want {
-			t.Errorf("told %q, want %q", got, want)
+			t.Errorf("reported %q, want %q", got, want)
 		}
 	}
 }
 
-// A call of a discovery is one request: where it is redirected or fails, nothing else is requested.
+// Each watch and each fetch sends one request. A redirect or an error status is reported as a failure and causes no further
+// request.
 func TestRedirectIsNotFollowed(t *testing.T) {
 	for _, status := range []int{http.StatusFound, http.StatusTemporaryRedirect, http.StatusServiceUnavailable} {
-		var asked atomic.Int64
+		var requests atomic.Int64
 		s, w := startWatcher(t, true, func(w http.ResponseWriter, _ *http.Request) {
-			asked.Add(1)
+			requests.Add(1)
 			w.Header().Set("Location", "/v1/endpoints?elsewhere=1")
 			w.WriteHeader(status)
 		})
 		s.Post(w.Fetch)
-		if got := next(t, s.reports); got != "failed" || asked.Load() != 1 {
-			t.Errorf("status %d: a fetch is %q after %d requests", status, got, asked.Load())
+		if got := next(t, s.reports); got != "failed" || requests.Load() != 1 {
+			t.Errorf("status %d: the fetch reported %q after %d requests", status, got, requests.Load())
 		}
 		watch(s, w, 1)
-		if got := next(t, s.reports); got != "failed" || asked.Load() != 2 {
-			t.Errorf("status %d: a watch is %q after %d requests in all", status, got, asked.Load())
+		if got := next(t, s.reports); got != "failed" || requests.Load() != 2 {
+			t.Errorf("status %d: the watch reported %q after %d requests in total", status, got, requests.Load())
 		}
 	}
 }
 
-// A fetch reports the full list. One that fails does not end a watch that stands, and is reported where
-// there is none.
+// A fetch reports the full list. A failed fetch is reported only if no watch is running, and does not end a running watch.
 func TestFetchReportsFullListOrFailure(t *testing.T) {
 	watches, replies := make(chan bool, 8), make(chan string, 8)
 	s, w := startWatcher(t, true, func(w http.ResponseWriter, r *http.Request) {
@@ -301,12 +310,12 @@
 		}
 	}
 	if got := next(t, s.reports); got != fmt.Sprint("list 4 by ", core.FromFetch) || len(s.reports) > 0 || len(watches) > 0 {
-		t.Errorf("told %q and %d more; %d more watches", got, len(s.reports), len(watches))
+		t.Errorf("reported %q and %d more reports; %d more watches", got, len(s.reports), len(watches))
 	}
 	s.Post(w.Stop)
 	replies <- ""
 	s.Post(w.Fetch)
 	if got := next(t, s.reports); got != "failed" {
-		t.Errorf("told %q", got)
+		t.Errorf("reported %q", got)
 	}
 }
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -1,27 +1,28 @@
-// Package discovery follows a service discovery over HTTP: which endpoints there are, and what changes.
+// Package discovery is the HTTP client of the discovery service. It fetches the list of endpoints and watches it for
+// changes.
 //
-// # What it owns
+// # Ownership
 //
-// The connections to the discovery at one address: a watch, which is a response without end with one JSON list after
-// another, and fetches of the full list. It reconnects where lists are pushed; where they must be asked for, a watch is
-// begun again only when its sink says so.
+// A client owns the connections to the discovery service at one address. A watch is an endless response that contains one
+// JSON list after another. A fetch gets the full list once. In push mode, the client reconnects a broken watch itself. In
+// pull mode (Options.Pull), it starts a watch only when its sink calls Watch.
 //
 // # Invariants
 //
-//   - Watch, Stop and Fetch never block; they and everything that is reported run in the sink's goroutine.
-//   - After Stop nothing of the watch is reported, also not what was received before.
-//   - A watch without a line for keepAliveTimeout is ended, and one that is not answered after answerTimeout.
-//   - A list that cannot be read ends the watch, and the next one begins with the full list: no change is lost.
+//   - Watch, Stop and Fetch never block. The sink calls them in its goroutine, and receives all reports there.
+//   - After Stop, nothing from the watch is reported, not even lists that were received before.
+//   - A watch ends if no response arrives within answerTimeout, or if it is then silent for keepAliveTimeout.
+//   - A malformed list ends the watch. The next watch starts with the full list, so that no change is lost.
 //
-// # What it is not for
+// # Scope
 //
-// It does not judge versions and keeps no list: internal/core decides which list is applied.
+// The package does not compare versions and stores no list. internal/core decides which lists to apply.
 //
 // # Callers
 //
-// internal/http1 makes it for the core.Loop, which drives it as a core.Discovery.
+// internal/http1 creates the client for the core.Loop, which uses it as a core.Discovery.
 //
-// # Source
+// # Further reading
 //
-// The platform's discovery protocol, and docs/DESIGN-NOTES.md, "Discovery that stalls or breaks off".
+// docs/DESIGN-NOTES.md, "Discovery that stalls or breaks off".
 package discovery
--- a/internal/discovery/fuzz_test.go
+++ b/internal/discovery/fuzz_test.go
@@ -10,7 +10,8 @@
 	"dykering/internal/core"
 )
 
-// Whatever a watch brings, in whatever pieces: the lists are the same, each names what it is to list, and reading ends.
+// FuzzLists checks that the list reader returns the same lists for arbitrary text whether it is read at once or byte by byte,
+// that each list has targets or an empty array, and that reading terminates.
 func FuzzLists(f *testing.F) {
 	for _, text := range []string{
 		"", "\n\n", `{"rev":1,"targets":[]}`, "{\n\"rev\": 2,\n\"all\": true,\n\"targets\": [{\"uid\": \"a\"}]\n}\n\n{",
@@ -26,7 +27,7 @@
 					return revs, err
 				}
 				if len(got.Targets) == 1 && got.Targets[0] == (core.Target{}) {
-					t.Fatal("a list that names nothing")
+					t.Fatal("the reader accepted a list without targets")
 				}
 				revs = append(revs, got.Rev)
 			}
@@ -34,11 +35,11 @@
 		whole, wholeErr := read(strings.NewReader(text))
 		pieces, err := read(iotest.OneByteReader(strings.NewReader(text)))
 		if len(whole) != len(pieces) || errors.Is(wholeErr, io.EOF) != errors.Is(err, io.EOF) {
-			t.Fatalf("%d lists and %v, in pieces %d and %v", len(whole), wholeErr, len(pieces), err)
+			t.Fatalf("%d lists and error %v at once, %d lists and error %v byte by byte", len(whole), wholeErr, len(pieces), err)
 		}
 		for i := range whole {
 			if whole[i] != pieces[i] {
-				t.Fatal(whole, pieces)
+				t.Fatalf("revisions %v at once, %v byte by byte", whole, pieces)
 			}
 		}
 	})
--- a/internal/discovery/list_reader.go
+++ b/internal/discovery/list_reader.go
@@ -10,25 +10,25 @@
 	"dykering/internal/core"
 )
 
-// maxListBytes bounds one list, in bytes.
+// maxListBytes is the maximum size of one list, in bytes.
 const maxListBytes = 4 << 20
 
 var (
-	// errMalformedList is a list that cannot be read; the changes in it are lost.
-	errMalformedList = errors.New("not a list")
-	// errListTooLong is a list of more than maxListBytes.
-	errListTooLong = errors.New("a list is too long")
+	// errMalformedList means that a list cannot be decoded, so that the changes in it are lost.
+	errMalformedList = errors.New("malformed endpoint list")
+	// errListTooLong means that a list exceeds maxListBytes.
+	errListTooLong = fmt.Errorf("endpoint list exceeds %d bytes", maxListBytes)
 )
 
-// listReader reads lists one after another, however they are broken into lines, with empty lines between them.
+// listReader reads a sequence of JSON lists with empty lines between them. A list may span several lines.
 type listReader struct {
 	body io.Reader
-	// onKeepAlive is called for an empty line where a list may begin. A part of a list, however slowly it comes, is no
-	// sign of life.
+	// onKeepAlive is called for an empty line between two lists. Data within a list does not count as a keep-alive, because
+	// a list that arrives slowly without end would hide later changes.
 	onKeepAlive func()
 	decoder     *json.Decoder
 	inList      bool // a list has begun
-	listBytes   int  // read of it
+	listBytes   int  // number of bytes read of that list
 }
 
 func newListReader(body io.Reader, onKeepAlive func()) *listReader {
@@ -37,7 +37,7 @@
 	return l
 }
 
-// Read is called by the decoder. It counts the bytes of a list and notices empty lines between lists.
+// Read implements io.Reader for the decoder. It counts the bytes of each list and detects empty lines between lists.
 func (l *listReader) Read(b []byte) (int, error) {
 	if l.listBytes > maxListBytes {
 		return 0, errListTooLong
@@ -54,10 +54,10 @@
 	return n, err
 }
 
-// next reads the next list. It returns io.EOF at the end where no list has begun, an errMalformedList where a list
-// cannot be read, and the reader's error otherwise.
+// next reads the next list. It returns io.EOF if the body ends between two lists, an error that wraps errMalformedList if a
+// list cannot be decoded, and otherwise the error of the reader.
 func (l *listReader) next() (list core.List, err error) {
-	// One empty target stays only where the list names no targets, not even an empty or null array.
+	// The empty target remains only if the JSON object has no key "targets". An empty or null array overwrites it.
 	list.Targets = []core.Target{{}}
 	if err = l.decoder.Decode(&list); err != nil {
 		var syntaxError *json.SyntaxError
@@ -74,12 +74,12 @@
 	rest = bytes.TrimSpace(rest)
 	l.inList, l.listBytes = len(rest) > 0, len(rest)
 	if len(list.Targets) == 1 && list.Targets[0] == (core.Target{}) {
-		return list, fmt.Errorf("%w: no targets", errMalformedList)
+		return list, fmt.Errorf("%w: key \"targets\" is missing or has one empty target", errMalformedList)
 	}
 	return list, nil
 }
 
-// unexpectedEOF turns the end of a response into an error where a list was due.
+// unexpectedEOF converts io.EOF to io.ErrUnexpectedEOF, for a response that ends before its list.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
