--- a/internal/control/connection_limit.go
+++ b/internal/control/connection_limit.go
@@ -7,8 +7,9 @@
 	"sync"
 )
 
-// limitedListener bounds the connections to a server. Beyond the bound the oldest is closed: a call takes no time, so that
-// the client which has been connected the longest is one that sends nothing.
+// limitedListener bounds the number of connections to a server. When a new connection exceeds the bound, it closes the
+// oldest one. Requests are answered at once, so the oldest connection belongs to a client that has not sent a complete
+// request.
 type limitedListener struct {
 	net.Listener
 	maxConnections int
@@ -17,7 +18,7 @@
 	open []net.Conn // oldest first
 }
 
-// Accept accepts the next connection, and closes the oldest one where there are too many.
+// Accept accepts the next connection. It closes the oldest one if maxConnections are open.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -26,14 +27,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.open) >= l.maxConnections {
-		l.open[0].Close() // its handler fails by that, and ends
+		l.open[0].Close() // makes the handler of the connection fail and end
 		l.open = l.open[1:]
 	}
 	l.open = append(l.open, conn)
 	return conn, nil
 }
 
-// trackState is the server's ConnState: it forgets connections that have ended.
+// trackState is the ConnState hook of the server. It removes connections that have ended.
 func (l *limitedListener) trackState(conn net.Conn, state http.ConnState) {
 	if state != http.StateClosed && state != http.StateHijacked {
 		return
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -1,7 +1,8 @@
-// Package control serves the control address of the sidecar: whether the process can serve, calls that drain it and end a
-// drain, and what it holds of the fleet.
+// Package control is the HTTP server for operators at the control address of the sidecar. It reports whether the process
+// can serve, starts and ends drains, and reports the state of the fleet.
 //
-// It knows the sidecar only by an interface whose methods do not block, and shares nothing with the proxy: an operator is
-// answered under any load. A call is answered once its body has arrived completely; a client that sends half a call, or
-// nothing, changes nothing and takes no room from the next one. Package sidecar starts it.
+// The package uses the sidecar only through an interface whose methods do not block, and shares no resources with the
+// proxy. It therefore answers operators under any load. A request takes effect only after its body has arrived completely.
+// A client that sends an incomplete request, or nothing, has no effect and does not keep other clients from being served.
+// Package sidecar starts the server.
 package control
--- a/internal/control/handler.go
+++ b/internal/control/handler.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// The paths of the control address. They are fixed; see docs/FIXED.md.
+// The paths of the control address. Operators' tools depend on them.
 const (
 	readyPath  = "/-/ready"
 	drainPath  = "/-/drain"
@@ -15,9 +15,10 @@
 	fleetPath  = "/-/fleet"
 )
 
-// Sidecar is what operators control. Its methods must not block: an answer is due under any load.
+// Sidecar is the process that operators control. Its methods must not block, because operators expect answers under any
+// load.
 type Sidecar interface {
-	// CanServe reports whether the process can serve, drained or not.
+	// CanServe reports whether the process can serve requests. It can during a drain too.
 	CanServe() bool
 	// Drain starts a drain.
 	Drain()
@@ -25,20 +26,20 @@
 	Resume()
 }
 
-// Fleet is what the process holds of the fleet.
+// Fleet provides the state of the fleet as this process knows it.
 type Fleet interface {
-	// Answer returns the JSON value of a path below that of the fleet, empty for the path itself; nil for one that the
-	// process does not have.
+	// Answer returns the value to be encoded as JSON for a path relative to /-/fleet. The empty path is /-/fleet itself. It
+	// returns nil if the process has no value for the path.
 	Answer(path string) any
 }
 
-// route is what a path is answered with.
+// route is the method of a path and the function that handles its requests.
 type route struct {
 	method string
-	handle     func() bool
+	handle func() bool // false is answered with 503 Service Unavailable
 }
 
-// handler answers calls. http.ServeMux would redirect paths that are not clean.
+// handler answers the requests. It replaces http.ServeMux, which would redirect paths such as //-/drain.
 type handler struct {
 	routes map[string]route
 	fleet  Fleet
@@ -52,7 +53,7 @@
 	}}
 }
 
-// alwaysSucceeds makes a call of an action that cannot fail.
+// alwaysSucceeds converts an action that cannot fail to a route's handle function.
 func alwaysSucceeds(act func()) func() bool {
 	return func() bool {
 		act()
@@ -60,7 +61,7 @@
 	}
 }
 
-// ServeHTTP answers a call.
+// ServeHTTP answers a request.
 func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if h.serveFleet(w, r) {
 		return
@@ -75,7 +76,7 @@
 		http.Error(w, "the method is "+route.method, http.StatusMethodNotAllowed)
 		return
 	}
-	// The announced body has to have arrived: half a call must change nothing.
+	// Wait for the complete body, because an incomplete request must have no effect.
 	received, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxBodyBytes+1))
 	if err != nil || received > maxBodyBytes {
 		http.Error(w, "malformed call", http.StatusBadRequest)
@@ -88,7 +89,8 @@
 	io.WriteString(w, "yes\n")
 }
 
-// serveFleet answers a call about the fleet, and reports whether it was one that can be answered.
+// serveFleet answers a GET request for the state of the fleet. It returns false if the request is for something else or the
+// fleet has no answer.
 func (h *handler) serveFleet(w http.ResponseWriter, r *http.Request) bool {
 	path, ok := strings.CutPrefix(r.URL.Path, fleetPath)
 	if !ok || h.fleet == nil || r.Method != http.MethodGet {
@@ -99,6 +101,6 @@
 		return false
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(answer) // a client that has departed cannot be notified
+	_ = json.NewEncoder(w).Encode(answer) // an encoding error means that the client has disconnected
 	return true
 }
--- a/internal/control/server_test.go
+++ b/internal/control/server_test.go
@@ -14,12 +14,12 @@
 	"time"
 )
 
-// testTimeout bounds what a test waits for; it only passes when something is wrong.
+// testTimeout bounds each wait of a test, so that a failure does not hang.
 const testTimeout = 20 * time.Second
 
-// fakeSidecar counts what is asked of it.
+// fakeSidecar is a Sidecar that counts the drains and resumes.
 type fakeSidecar struct {
-	canServe            atomic.Bool
+	canServe        atomic.Bool
 	drains, resumes atomic.Int32
 }
 
@@ -27,7 +27,7 @@
 func (s *fakeSidecar) Drain()         { s.drains.Add(1) }
 func (s *fakeSidecar) Resume()        { s.resumes.Add(1) }
 
-// start serves calls on loopback.
+// start starts a server without a fleet on loopback. It returns the sidecar and the address.
 func start(t *testing.T) (*fakeSidecar, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -47,7 +47,7 @@
 	return s, l.Addr().String()
 }
 
-// dial connects, for no longer than a test may take.
+// dial connects to an address. The connection has a deadline of testTimeout.
 func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -59,7 +59,8 @@
 	return c
 }
 
-// call sends text and returns the status of its answer, after which the connection must end.
+// call sends the text of a request and returns the status of the answer. It checks that the server then closes the
+// connection.
 func call(t *testing.T, address, text string) int {
 	t.Helper()
 	c := dial(t, address)
@@ -71,16 +72,17 @@
 	}
 	io.Copy(io.Discard, res.Body)
 	if _, err := r.ReadByte(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("%.60q: one call a connection, and it goes on: %v", text, err)
+		t.Errorf("%.60q: the connection is still open after the answer: %v", text, err)
 	}
 	return res.StatusCode
 }
 
-func TestCallIsAnsweredByItsPathAndMethod(t *testing.T) {
+// Each request is answered according to its path and method, and drains and resumes reach the sidecar.
+func TestRequestIsAnsweredByItsPathAndMethod(t *testing.T) {
 	s, address := start(t)
 	for _, c := range []struct {
-		first string
-		want  int
+		request string
+		want    int
 	}{
 		{"GET /-/ready", 503},
 		{"POST /-/drain", 200},
@@ -95,28 +97,28 @@
 		{"POST //-/drain", 404},
 		{"POST /api", 404},
 	} {
-		if got := call(t, address, c.first+" HTTP/1.1\r\nHost: h\r\n\r\n"); got != c.want {
-			t.Errorf("%s: got %d, want %d", c.first, got, c.want)
+		if got := call(t, address, c.request+" HTTP/1.1\r\nHost: h\r\n\r\n"); got != c.want {
+			t.Errorf("%s: got %d, want %d", c.request, got, c.want)
 		}
 	}
 	s.canServe.Store(true)
 	if got := call(t, address, "GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n"); got != 200 {
-		t.Errorf("able, and the answer is %d", got)
+		t.Errorf("the sidecar can serve, but /-/ready is answered with %d", got)
 	}
 	if s.drains.Load() != 2 || s.resumes.Load() != 1 {
-		t.Errorf("%d drains, %d resumes", s.drains.Load(), s.resumes.Load())
+		t.Errorf("%d drains and %d resumes, want 2 and 1", s.drains.Load(), s.resumes.Load())
 	}
 }
 
-// A call that is malformed, too long or incomplete is answered with 400 or more, and changes nothing.
-func TestMalformedCallIsRejectedAndChangesNothing(t *testing.T) {
+// A request that is malformed, too long or incomplete is answered with a client error and has no effect.
+func TestMalformedRequestIsRejectedWithoutEffect(t *testing.T) {
 	s, address := start(t)
 	head := "POST /-/drain HTTP/1.1\r\nHost: h\r\n"
 	for name, text := range map[string]string{
 		"no request":   "\x00\x01\x02\r\n\r\n",
 		"no colon":     head + "nonsense\r\n\r\n",
 		"no host":      "POST /-/drain HTTP/1.1\r\n\r\n",
-		"long head":    head + "X-Pad: " + strings.Repeat("x", 4*maxHeadBytes) + "\r\n\r\n",
+		"long head":    head + "X-Pad: " + strings.Repeat("x", 4*maxHeaderBytes) + "\r\n\r\n",
 		"long body":    head + fmt.Sprintf("Content-Length: %d\r\n\r\n", maxBodyBytes+1) + strings.Repeat("x", maxBodyBytes+1),
 		"broken chunk": head + "Transfer-Encoding: chunked\r\n\r\nzz\r\n",
 	} {
@@ -128,15 +130,16 @@
 	io.WriteString(c, head+"Content-Length: 9\r\n\r\nhalf")
 	c.CloseWrite()
 	if res, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil && res.StatusCode < 400 {
-		t.Errorf("half a call: got %d", res.StatusCode)
+		t.Errorf("incomplete request: got %d", res.StatusCode)
 	}
 	if s.drains.Load() != 0 {
-		t.Errorf("%d drains", s.drains.Load())
+		t.Errorf("%d drains, want none", s.drains.Load())
 	}
 }
 
-// However many clients send nothing or half a call, the next call is answered, and connections stay within the bound.
-func TestSilentClientsTakeNoRoomFromTheNextCall(t *testing.T) {
+// A request is answered even if many clients are connected that send nothing or an incomplete request. The server closes the
+// connections of such clients to stay within MaxConnections.
+func TestSilentClientsDoNotBlockRequests(t *testing.T) {
 	s, address := start(t)
 	s.canServe.Store(true)
 	var silent []net.Conn
@@ -148,16 +151,16 @@
 		silent = append(silent, c)
 		if i%MaxConnections == 0 {
 			if got := call(t, address, "GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n"); got != 200 {
-				t.Errorf("behind %d silent ones: got %d", i+1, got)
+				t.Errorf("after %d silent clients: got %d", i+1, got)
 			}
 		}
 	}
 	for i, c := range silent {
 		if _, err := io.ReadAll(c); errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Fatalf("silent caller %d is still connected", i)
+			t.Fatalf("silent client %d is still connected", i)
 		}
 	}
 	if s.drains.Load() != 0 {
-		t.Error("half a call had effect")
+		t.Error("an incomplete request started a drain")
 	}
 }
--- a/internal/listen/listen.go
+++ b/internal/listen/listen.go
@@ -1,7 +1,7 @@
-// Package listen opens the socket that clients connect to, or takes over one that the platform holds.
+// Package listen opens the listening socket for clients, or uses one that the process has inherited from the platform.
 //
-// The platform may pass a listening socket as a descriptor, so that the versions of a program before and after an upgrade
-// accept on the same socket. The package owns no connection; package sidecar calls it once at the start.
+// The platform may pass a listening socket as a descriptor, so that the processes before and after an upgrade accept
+// connections on the same socket. The package does not own the connections. Package sidecar calls it once at startup.
 package listen
 
 import (
@@ -13,10 +13,10 @@
 	"syscall"
 )
 
-// ErrNotListening is the fault of a descriptor that is no listening TCP socket.
+// ErrNotListening is returned for a descriptor that is not a listening TCP socket.
 var ErrNotListening = errors.New("not a listening TCP socket")
 
-// Open listens at an address, or on the inherited descriptor where there is one.
+// Open returns a listener for the inherited descriptor or, if that is nil, for the address.
 func Open(address string, inherited *int) (net.Listener, error) {
 	if inherited != nil {
 		listener, err := inherit(*inherited)
@@ -33,10 +33,10 @@
 	return listener, nil
 }
 
-// inherit listens on a socket that other processes share. The listener is a copy: closing it ends this process's
-// accepting, and leaves the socket and its backlog to the others.
+// inherit returns a listener for a socket that other processes may share. The listener has a duplicate of the descriptor.
+// Closing it leaves the socket and its backlog to the other processes.
 func inherit(fd int) (net.Listener, error) {
-	// Checked before a file is made of the number, which would close a descriptor that is in other use.
+	// Check the descriptor before creating an os.File for it: closing the file would close a descriptor in other use.
 	isListening, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotListening, err)
--- a/internal/listen/listen_test.go
+++ b/internal/listen/listen_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// What is not a listening socket is named, and left alone.
-func TestInheritFaults(t *testing.T) {
+// A descriptor that is not a listening TCP socket is rejected with an error that names BALANCER_ACCEPT_FD.
+func TestOpenRejectsInvalidInheritedDescriptors(t *testing.T) {
 	file, err := os.Create(filepath.Join(t.TempDir(), "file"))
 	if err != nil {
 		t.Fatal(err)
@@ -42,8 +42,8 @@
 	}
 	defer other.Close()
 	for name, fd := range map[string]int{
-		"none": 1 << 20, "a file": dup(t, int(file.Fd())), "a connection": dup(t, int(raw.Fd())),
-		"another sort": dup(t, int(other.Fd())),
+		"not open": 1 << 20, "a file": dup(t, int(file.Fd())), "a connection": dup(t, int(raw.Fd())),
+		"a Unix socket": dup(t, int(other.Fd())),
 	} {
 		l, err := Open("", &fd)
 		if err == nil {
@@ -55,7 +55,7 @@
 	}
 }
 
-// dup makes a further number for a descriptor.
+// dup duplicates a descriptor, because Open closes the one that it is given.
 func dup(t *testing.T, fd int) int {
 	t.Helper()
 	n, err := syscall.Dup(fd)
--- a/internal/sidecar/doc.go
+++ b/internal/sidecar/doc.go
@@ -1,8 +1,7 @@
-// Package sidecar assembles the one-tier program `dykering run`: its limits, its sockets, the proxy that serves on them
-// (package http1), the control address (package control), the operator's file with the log, and the fleet (packages
-// gossip, replication and budgets) where the operator's file enables it.
+// Package sidecar assembles the process of `dykering run`: its resource limits, its sockets, the proxy (package http1), the
+// control address (package control), the operator's file with the log settings, and the fleet membership (packages gossip,
+// replication and budgets) if the operator's file enables it.
 //
-// It owns the order of starting and ending: what serves is started last and ended first, and the log outlives all else.
-// It decides nothing about requests. Command dykering calls Main; the laboratory calls Run with configurations of its
-// own.
+// The package owns the order of startup and shutdown. The proxy is the last component to start and the first to stop. The
+// log is closed last. The package makes no decisions about requests. Commands dykering and dykering-lab call Main.
 package sidecar
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -19,19 +19,20 @@
 	"dykering/internal/settings"
 )
 
-// fleet is this process's membership in the fleet: the gossip, and what the operator's file enables on top of it.
+// fleet is the membership of this process in the fleet: the gossip protocol, and the services on top of it that the
+// operator's file enables.
 type fleet struct {
 	section gossip.Section
 	gossip  *gossip.Gossip
-	replica *replication.Service // nil where replication is off
-	budgets *budgets.Service     // nil where fleet-wide budgets are off
+	replica *replication.Service // nil if replication is disabled
+	budgets *budgets.Service     // nil if fleet-wide budgets are disabled
 	log     *zap.Logger
 }
 
 // fleetSection is the name of the fleet's table in the operator's file.
 const fleetSection = "fleet"
 
-// startFleet starts the gossip where the operator's file enables it; nil where it does not.
+// startFleet starts the gossip protocol if the operator's file enables it. Otherwise it returns nil.
 func startFleet(platform *config.Config, file *operatorFile) (*fleet, error) {
 	section := *operator.Section[gossip.Section](file.current, fleetSection)
 	if !section.Enabled {
@@ -52,7 +53,7 @@
 	return &fleet{section: section, gossip: member, log: file.log.Logger}, nil
 }
 
-// join starts what is enabled on top of the gossip, and then joins the other members.
+// join starts the services that are enabled on top of the gossip protocol, and then joins the other members.
 func (f *fleet) join(server *http1.Server, platform *config.Config) error {
 	if f.section.Replication.Enabled {
 		f.replica = replication.Start(f.section.ID, f.section.Most, f.section.Replication, server.Loop(),
@@ -69,7 +70,8 @@
 	return nil
 }
 
-// quotas returns the tenants' quotas of the platform, with those that the operator's file sets in their place.
+// quotas returns the configuration of the budgets: the tenants' quotas from the platform's settings, overridden by those in
+// the operator's file.
 func (f *fleet) quotas(platform *settings.Settings) (budgets.Config, error) {
 	section := f.section.Budgets
 	quotas := budgets.Config{
@@ -90,7 +92,7 @@
 	return quotas, nil
 }
 
-// close ends all of it, the gossip last.
+// close stops the services, and then leaves the fleet.
 func (f *fleet) close() {
 	if f.budgets != nil {
 		f.budgets.Close()
@@ -103,8 +105,8 @@
 	}
 }
 
-// Answer returns what the control address serves of the fleet: the view, the facts ("state") or the budgets; nil for what is
-// off.
+// Answer implements control.Fleet. The empty path returns the view of the members, "state" the replicated facts, and
+// "budgets" the state of the budgets. Answer returns nil for any other path and for a service that is disabled.
 func (f *fleet) Answer(path string) any {
 	switch {
 	case path == "":
@@ -117,7 +119,7 @@
 	return nil
 }
 
-// controlFleet returns the fleet for the control address: an interface that is nil without a fleet.
+// controlFleet converts a fleet to the interface of package control. A nil pointer becomes a nil interface.
 func controlFleet(f *fleet) control.Fleet {
 	if f == nil {
 		return nil
--- a/internal/sidecar/fleet_answers.go
+++ b/internal/sidecar/fleet_answers.go
@@ -5,13 +5,13 @@
 	"dykering/internal/fleet/replication"
 )
 
-// viewAnswer is what the control address answers about the members of the fleet.
+// viewAnswer is the answer at /-/fleet: the members of the fleet and the counters of the gossip protocol.
 type viewAnswer struct {
 	*gossip.Snapshot
 	Counters viewCounters `json:"counters"`
 }
 
-// viewCounters are those of package gossip. Their names are JSON keys.
+// viewCounters are the values of gossip.Counters. The field names are JSON keys.
 type viewCounters struct {
 	Acks, Suspicions, Refutations, Deaths, Joins, Leaves, Conflicts, Future, Lost uint64
 	PacketsIn, PacketsOut, BytesIn, BytesOut, StreamsIn, StreamsOut, Bad          uint64
@@ -27,14 +27,14 @@
 	}}
 }
 
-// factsAnswer is what the control address answers about the replicated facts.
+// factsAnswer is the answer at /-/fleet/state: the replicated facts and the counters of the replication.
 type factsAnswer struct {
 	Self string `json:"self"`
 	*replication.State
 	Counters factsCounters `json:"counters"`
 }
 
-// factsCounters are those of package replication. Their names are JSON keys.
+// factsCounters are the values of replication.Counters. The field names are JSON keys.
 type factsCounters struct {
 	Told, Merged, Known, Refused, Bad, Heeded, CaughtUp, Snapshots, Lost, Held, BytesTold, BytesSent uint64
 }
--- a/internal/sidecar/main.go
+++ b/internal/sidecar/main.go
@@ -8,13 +8,13 @@
 	"dykering/internal/config"
 )
 
-// Main runs the process until SIGTERM or an interrupt, as the environment and an operator's file say; an empty path
-// stands for no file. SIGHUP has both files read again.
+// Main runs the process until SIGTERM or an interrupt. The environment names the platform's file, and operatorPath is the
+// operator's file; an empty path means none. SIGHUP reloads both files.
 func Main(getenv func(string) string, operatorPath string) error {
 	stop, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
-	signal.Notify(reload, syscall.SIGHUP) // before all else: not handled, it ends the process
-	signal.Ignore(syscall.SIGPIPE)        // as does a line of the log once its reader has gone
+	signal.Notify(reload, syscall.SIGHUP) // first, because an unhandled SIGHUP terminates the process
+	signal.Ignore(syscall.SIGPIPE)        // otherwise a log write after its reader exited terminates the process
 	platform, err := config.Load(getenv)
 	if err != nil {
 		return err
--- a/internal/sidecar/operator_file.go
+++ b/internal/sidecar/operator_file.go
@@ -14,17 +14,17 @@
 // logSection is the name of the log's table in the operator's file.
 const logSection = "log"
 
-// operatorFile holds the generation of the operator's file that is in force, and the log that follows it. One goroutine
-// uses it.
+// operatorFile holds the current generation of the operator's file, and the log that it configures. It is not safe for
+// concurrent use.
 type operatorFile struct {
-	path       string // empty without a file
+	path       string // empty if there is no file
 	getenv     func(string) (string, bool)
 	current    *operator.File
-	generation int // 0 for the defaults
+	generation int // number of files loaded; 0 means the defaults
 	log        *logs.Log
 }
 
-// loadOperatorFile loads the first generation, and makes the log that it configures.
+// loadOperatorFile loads the first generation of the file, and creates the log that it configures.
 func loadOperatorFile(path string, getenv func(string) (string, bool), out io.Writer) (*operatorFile, error) {
 	f := &operatorFile{path: path, getenv: getenv, current: operator.Defaults()}
 	if path != "" {
@@ -39,10 +39,10 @@
 	return f, nil
 }
 
-// close ends the log.
+// close closes the log.
 func (f *operatorFile) close() { f.log.Close() }
 
-// reload reads the file again. With any fault in it the generation in force stays.
+// reload reads the file again and applies it. If the file has any error, the current generation stays in force.
 func (f *operatorFile) reload() {
 	if f.path == "" {
 		return
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -18,12 +18,12 @@
 	"dykering/internal/listen"
 )
 
-// memoryLimitShare is the share of the memory limit at which the garbage collector works harder. The rest is for the
-// stacks of system threads and what the kernel counts.
+// memoryLimitShare is the share of the process's memory that becomes the soft limit of the Go runtime. The rest is for
+// memory outside of the runtime's control: stacks of system threads, and kernel memory that counts towards the limit.
 const memoryLimitShare = 0.75
 
-// run serves until a signal arrives on stop, and then until what was accepted has ended. A signal on reload has the
-// platform's file and the operator's file read again.
+// run serves until a signal arrives on stop, and then until the accepted requests have ended. A signal on reload reloads the
+// platform's file and the operator's file.
 func run(platform *config.Config, file *operatorFile, stop, reload <-chan os.Signal) error {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(platform.Limits.Cores))))
 	debug.SetMemoryLimit(int64(memoryLimitShare * float64(platform.Plan().MemoryMB<<20)))
@@ -57,7 +57,7 @@
 	return server.Run(listener, stop, forwardReloads(file, reload, ended))
 }
 
-// serveControl serves the control address until the returned server is closed.
+// serveControl starts a server for the control address. It serves until the caller closes it.
 func serveControl(address string, server *http1.Server, fleet *fleet, file *operatorFile) (*control.Server, error) {
 	var listenConfig net.ListenConfig
 	listener, err := listenConfig.Listen(context.Background(), "tcp", address)
@@ -74,8 +74,9 @@
 	return operators, nil
 }
 
-// forwardReloads reloads the operator's file at each signal, and passes the signal on for the platform's file. A signal
-// that finds one waiting is dropped: that one reads the file as it is then.
+// forwardReloads reloads the operator's file at each signal, and forwards the signal to the returned channel for the reload
+// of the platform's file. It drops a signal while an earlier one is pending, because the pending reload reads the latest
+// file. It stops when ended is closed.
 func forwardReloads(file *operatorFile, reload <-chan os.Signal, ended <-chan struct{}) <-chan os.Signal {
 	platform := make(chan os.Signal, 1)
 	go func() {
