--- a/internal/config/compatibility_test.go
+++ b/internal/config/compatibility_test.go
@@ -11,7 +11,7 @@
 	"dykering/internal/core"
 )
 
-// platformFileText is what the platform writes, with each of its keys.
+// platformFileText is a configuration file as the platform writes it, with all keys.
 const platformFileText = `{
 "name": "b1",
 "listen": "127.0.0.1:1001",
@@ -23,6 +23,7 @@
   "pod_group": 6, "state": "ready", "capacity_hint": 7.5, "boot_ms": 8}]},
 "settings": ` + settingsText + "\n}"
 
+// loadPlatformFile loads platformFileText with the given environment variables.
 func loadPlatformFile(t *testing.T, environment map[string]string) *Config {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "platform.json")
@@ -41,7 +42,7 @@
 	return c
 }
 
-// Each key of the platform's file is read by the name that the platform writes it with.
+// Each key of the platform's file is read under the name that the platform writes.
 func TestPlatformFileIsReadByItsKeys(t *testing.T) {
 	c := loadPlatformFile(t, nil)
 	target := core.Target{UID: "u1", Address: "127.0.0.1:1005", Zone: "z", Model: "m", Cell: 6, State: "ready", Weight: 7.5, BootMS: 8}
@@ -60,7 +61,7 @@
 	}
 }
 
-// The environment's variables have the names that the platform sets.
+// The environment variables are read under the names that the platform sets.
 func TestEnvironmentOfPlatformIsReadByItsNames(t *testing.T) {
 	c := loadPlatformFile(t, map[string]string{
 		"BALANCER_NAME":      "b2",
@@ -71,7 +72,7 @@
 		"TMPDIR":             "/shared",
 	})
 	if c.Accept == nil {
-		t.Fatal("no descriptor")
+		t.Fatal("BALANCER_ACCEPT_FD was not read")
 	}
 	got := fmt.Sprint(c.Name, c.Listen, c.Control, c.Discovery, *c.Accept, c.Handover)
 	want := fmt.Sprint("b2", "127.0.0.1:2001", "127.0.0.1:2002", "127.0.0.1:2003", 7, "/shared")
@@ -80,7 +81,7 @@
 	}
 }
 
-// The keys that `dykering config show` prints.
+// Values returns the keys that `dykering config show` prints, in their order.
 func TestValuesHaveTheirKeys(t *testing.T) {
 	var keys []string
 	for _, value := range loadPlatformFile(t, map[string]string{"BALANCER_ACCEPT_FD": "7"}).Values() {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,6 +9,7 @@
 	"dykering/internal/core"
 )
 
+// settingsText is a valid settings object.
 const settingsText = `{"allowed":{"cancel":true,"connIdle":30000000,"connectTimeout":2000000,"maxRetryAfter":2000000,
 	"mayProbe":true,"openCap":1000,"peers":false,"retryAfter":true,"secondCopies":false,"sendCap":5},
 	"clientHabits":{"marksRetry":false},"discovery":"push","instances":1,"ordinal":0,"quantum":5000,"stage":0,
@@ -19,7 +20,8 @@
 	{"name":"once","aim":9000000,"deadline":10000000,"effect":"non_idempotent","gain":1,"window":0}],
 	"tenants":[],"tiers":["front"],"zones":["z"],"models":["m"]}`
 
-func TestConfigFaultsAreNamed(t *testing.T) {
+// An invalid value is reported with its key on a single line, and an invalid descriptor with its variable.
+func TestLoadErrorsNameTheKeyOrVariable(t *testing.T) {
 	good := `{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"a1","limits":{"cores":1,"memory_mb":9,"sockets":99},"settings":` + settingsText + `}`
 	file := filepath.Join(t.TempDir(), "c.json")
 	load := func(text string) error {
@@ -33,14 +35,14 @@
 		t.Fatal(err)
 	}
 	for want, change := range map[string][2]string{
-		"listen":          {"127.0.0.1:1", "nowhere"},
-		"discovery":       {"127.0.0.1:2", ""},
-		"control":         {`"name":"n"`, `"name":"n","control":"here"`},
-		"seed":            {`"a1"`, `"xyz"`},
-		"name":            {`"n"`, `""`},
-		"cores":           {`"cores":1`, `"cores":0`},
-		"memory_mb":       {`"memory_mb":9`, `"memory_mb":-1`},
-		"sockets":         {`"sockets":99`, `"sockets":9`},
+		"listen":    {"127.0.0.1:1", "nowhere"},
+		"discovery": {"127.0.0.1:2", ""},
+		"control":   {`"name":"n"`, `"name":"n","control":"here"`},
+		"seed":      {`"a1"`, `"xyz"`},
+		"name":      {`"n"`, `""`},
+		"cores":     {`"cores":1`, `"cores":0`},
+		"memory_mb: -1 leaves no memory for a process":          {`"memory_mb":9`, `"memory_mb":-1`},
+		"sockets: 9 leaves fewer than 64 sockets for a process": {`"sockets":99`, `"sockets":9`},
 		"connectTimeout":  {`"connectTimeout":2000000`, `"connectTimeout":0`},
 		"unexpected end":  {"}]", ""},
 		"settings object": {`"cancel":true`, `"cancel":7`},
@@ -64,16 +66,16 @@
 		}
 	}
 	if _, err := Load(func(string) string { return "" }); err == nil {
-		t.Error("no configuration, and no fault")
+		t.Error("Load without BALANCER_CONFIG succeeded")
 	}
 }
 
-// Two processes together may hold what one may.
+// The limits of two processes that share a container add up to at most those of a single process.
 func TestTwoProcessesShareTheLimits(t *testing.T) {
 	c := &Config{Limits: core.Limits{Cores: 1, MemoryMB: 64, Sockets: 512}}
 	alone := c.Plan()
 	c.Accept = new(int)
 	if half := c.Plan(); alone != c.Limits || 2*half.MemoryMB > alone.MemoryMB || 2*half.Sockets > alone.Sockets {
-		t.Errorf("alone %+v, each of two %+v", alone, half)
+		t.Errorf("limits of a single process %+v, of each of two processes %+v", alone, half)
 	}
 }
--- a/internal/config/environment.go
+++ b/internal/config/environment.go
@@ -5,22 +5,23 @@
 	"strconv"
 )
 
-// override is an environment variable that takes precedence over a key of the file.
+// override describes an environment variable that takes precedence over a key of the file.
 type override struct {
 	variable, key string
 	field         func(c *Config) *string
 }
 
+// overrides apply to Load and Reload.
 var overrides = []override{
 	{"BALANCER_NAME", "name", func(c *Config) *string { return &c.Name }},
 	{"BALANCER_LISTEN", "listen", func(c *Config) *string { return &c.Listen }},
 	{"BALANCER_CONTROL", "control", func(c *Config) *string { return &c.Control }},
 }
 
-// discoveryOverride holds at the start only; see Reload.
+// discoveryOverride applies to Load only; Reload explains why.
 var discoveryOverride = override{"BALANCER_DISCOVERY", "discovery", func(c *Config) *string { return &c.Discovery }}
 
-// applyEnvironment sets the values whose variables are set and not empty.
+// applyEnvironment overrides the values whose environment variables are not empty.
 func (c *Config) applyEnvironment(overrides []override) {
 	for _, o := range overrides {
 		if value := c.getenv(o.variable); value != "" {
@@ -30,7 +31,7 @@
 	}
 }
 
-// inheritListener takes the descriptor of the listening socket and the directory for the handover from the environment.
+// inheritListener reads the descriptor of the inherited listening socket and the handover directory from the environment.
 func (c *Config) inheritListener() error {
 	text := c.getenv("BALANCER_ACCEPT_FD")
 	if text == "" {
@@ -46,5 +47,5 @@
 	return nil
 }
 
-// environmentSource is the source of a value from an environment variable.
+// environmentSource returns the text of Value.Source for a value from an environment variable.
 func environmentSource(variable string) string { return "environment " + variable }
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -12,11 +12,11 @@
 	"dykering/internal/validation"
 )
 
-// ErrNotSet is returned if the environment names no configuration file.
+// ErrNotSet is returned if BALANCER_CONFIG is not set or empty.
 var ErrNotSet = errors.New("BALANCER_CONFIG: not set")
 
-// platformFile is the file that the platform writes. It is an alias because encoding/json puts the name of a defined type
-// into its errors, which operators see.
+// platformFile is the JSON form of the configuration file. It is an alias, because encoding/json includes the name of a
+// defined type in its errors, which operators see.
 type platformFile = struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -28,19 +28,20 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// Load reads the configuration file that BALANCER_CONFIG names. BALANCER_NAME, BALANCER_LISTEN, BALANCER_CONTROL and
-// BALANCER_DISCOVERY take precedence over the file. The values that are wrong are returned as one error, a
-// validation.Error each.
+// Load loads the configuration file at the path in BALANCER_CONFIG. BALANCER_NAME, BALANCER_LISTEN, BALANCER_CONTROL and
+// BALANCER_DISCOVERY take precedence over the file. If values are invalid, the returned error joins one validation.Error for
+// each of them.
 func Load(getenv func(string) string) (*Config, error) {
 	return load(getenv, append([]override{discoveryOverride}, overrides...))
 }
 
-// Reload reads the file again. BALANCER_DISCOVERY is ignored: the file was replaced to change the address of the
-// discovery service, while the environment is as old as the process.
+// Reload loads the file again and returns a new configuration. It ignores BALANCER_DISCOVERY: the platform replaces the file
+// to change the address of the discovery service, while the environment does not change during the life of the process.
 func (c *Config) Reload() (*Config, error) {
 	return load(c.getenv, overrides)
 }
 
+// load loads the file and applies the overrides from the environment.
 func load(getenv func(string) string, overrides []override) (*Config, error) {
 	path := getenv("BALANCER_CONFIG")
 	if path == "" {
@@ -74,6 +75,7 @@
 	return c, nil
 }
 
+// parseSeed parses the hexadecimal seed.
 func (c *Config) parseSeed(text string, errs *validationErrors) {
 	seed, err := strconv.ParseUint(text, 16, 64)
 	if err != nil {
@@ -82,6 +84,7 @@
 	c.Seed = seed
 }
 
+// parseSettings decodes and checks the settings.
 func (c *Config) parseSettings(text json.RawMessage, errs *validationErrors) {
 	if len(text) == 0 {
 		errs.add("settings", "missing")
--- a/internal/config/load_test.go
+++ b/internal/config/load_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// loadText loads a configuration file with this text and returns the error without the directory of the file.
+// loadText loads a configuration file with the given text. It returns the text of the error without the directory of the
+// file, or an empty string if there is no error.
 func loadText(t *testing.T, text string) string {
 	t.Helper()
 	directory := t.TempDir()
@@ -23,7 +24,7 @@
 	return strings.ReplaceAll(err.Error(), directory+string(filepath.Separator), "")
 }
 
-// Errors name the file, the line and the key; those of the values are reported together.
+// Errors contain the file, the line and the key. The errors of several values are reported together.
 func TestLoadErrors(t *testing.T) {
 	tests := map[string]struct{ old, changed, want string }{
 		"wrong type": {
@@ -51,7 +52,7 @@
 		t.Run(name, func(t *testing.T) {
 			text := strings.Replace(platformFileText, tc.old, tc.changed, 1)
 			if text == platformFileText {
-				t.Fatal("nothing is changed")
+				t.Fatalf("the text to replace, %q, is not in the file", tc.old)
 			}
 			if got := loadText(t, text); got != tc.want {
 				t.Errorf("got  %s\nwant %s", got, tc.want)
@@ -60,7 +61,7 @@
 	}
 }
 
-// Without the variable there is no file to load.
+// Load fails with ErrNotSet if BALANCER_CONFIG is not set.
 func TestLoadWithoutFile(t *testing.T) {
 	if _, err := Load(func(string) string { return "" }); !errors.Is(err, ErrNotSet) {
 		t.Errorf("got %v", err)
--- a/internal/config/positions.go
+++ b/internal/config/positions.go
@@ -9,21 +9,21 @@
 	"dykering/internal/validation"
 )
 
-// keyPositions has the lines of the keys of a JSON text.
+// keyPositions maps the keys of a JSON text to their lines, for error messages.
 type keyPositions struct {
 	text  []byte
-	lines map[string]int // by key, with the names of the objects around it, as limits.cores; counted from 1
+	lines map[string]int // by full key, such as limits.cores; the first line is 1
 }
 
-// findKeys finds the line of each key of an object and of the objects in it, up to where the text is not JSON. Objects
-// in an array have the prefix of the array, so that the last one's lines remain.
+// findKeys finds the line of each key of the top-level object and of the objects nested in it. It stops at the first syntax
+// error. The objects in an array share the prefix of the array, so the lines of the last one remain.
 func findKeys(text []byte) keyPositions {
 	p := keyPositions{text: text, lines: map[string]int{}}
 	p.findInValue(json.NewDecoder(bytes.NewReader(text)), "")
 	return p
 }
 
-// findInValue reads a value whose keys have a prefix; it returns false where the text cannot be read.
+// findInValue reads a value and records its keys with a prefix. It returns false at a syntax error.
 func (p keyPositions) findInValue(decoder *json.Decoder, prefix string) bool {
 	token, err := decoder.Token()
 	if err != nil {
@@ -38,6 +38,7 @@
 	return true
 }
 
+// findInObject reads the rest of an object after its opening brace.
 func (p keyPositions) findInObject(decoder *json.Decoder, prefix string) bool {
 	for decoder.More() {
 		key, err := decoder.Token()
@@ -54,6 +55,7 @@
 	return err == nil
 }
 
+// findInArray reads the rest of an array after its opening bracket.
 func (p keyPositions) findInArray(decoder *json.Decoder, prefix string) bool {
 	for decoder.More() {
 		if !p.findInValue(decoder, prefix) {
@@ -64,13 +66,13 @@
 	return err == nil
 }
 
-// lineAt returns the line of a byte offset, counted from 1.
+// lineAt returns the line of a byte offset. The first line is 1.
 func (p keyPositions) lineAt(offset int64) int {
 	end := min(max(offset, 0), int64(len(p.text)))
 	return 1 + bytes.Count(p.text[:end], []byte("\n"))
 }
 
-// locate adds the line, and the key if it is known, to an error of decoding the text.
+// locate adds the file, the line and, if known, the key to an error from decoding the text.
 func (p keyPositions) locate(path string, err error) error {
 	located := validation.Error{File: path, Text: err.Error()}
 	if syntaxError := new(json.SyntaxError); errors.As(err, &syntaxError) {
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -5,11 +5,11 @@
 	"strconv"
 )
 
-// Value is a value for display, and where it comes from: "path:line", "environment NAME" or "not set".
+// Value is a configuration value for display. Its source is "path:line", "environment NAME" or "not set".
 type Value struct{ Key, Text, Source string }
 
-// Values returns the values of the configuration. Of the settings and the endpoint list, which are long, it returns a
-// summary.
+// Values returns the values of the configuration for display. It summarizes the settings and the endpoint list, which are
+// long.
 func (c *Config) Values() []Value {
 	var values []Value
 	add := func(key, text string) {
@@ -31,6 +31,7 @@
 	return values
 }
 
+// sourceOf returns the text of Value.Source for the value of a key.
 func (c *Config) sourceOf(key string) string {
 	if source, ok := c.sources[key]; ok {
 		return source
--- a/internal/settings/compatibility_test.go
+++ b/internal/settings/compatibility_test.go
@@ -7,8 +7,9 @@
 	"dykering/internal/fixture"
 )
 
-// fillEnums sets the values of which there are only some.
-func fillEnums(pointer any) bool {
+// fillConfig fills a *config with non-zero values, and sets a valid value for each field that only allows certain values.
+// It returns false for other types.
+func fillConfig(pointer any) bool {
 	c, ok := pointer.(*config)
 	if !ok {
 		return false
@@ -25,16 +26,16 @@
 	return true
 }
 
-// Each key of the settings is read, and by the name that the platform writes it with.
+// Each key of the settings is read under the name that the platform writes.
 func TestSettingsOfPlatformAreReadByTheirKeys(t *testing.T) {
 	const path = "testdata/compatibility/settings.json"
-	fixture.JSON(t, path, &config{}, fillEnums)
+	fixture.JSON(t, path, &config{}, fillConfig)
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, unknown, err := Parse(text)
 	if err != nil || len(unknown) > 0 {
-		t.Errorf("%v, unknown keys %v", err, unknown)
+		t.Errorf("error %v, unknown keys %v, want none of both", err, unknown)
 	}
 }
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,12 +1,13 @@
-// Package settings decodes the JSON object that starts an instance, and an endpoint's load report.
+// Package settings decodes the platform's settings of an instance, a JSON object, and the load reports of endpoints.
 //
-// It owns the platform's names: JSON keys, the words for effects, scopes and discovery, and microseconds as the unit of
-// times. Parse translates them to decision.Settings and to what only the embedding program needs. Unknown keys are
-// passed over and returned, so that a newer platform can start an older build. It checks what it translates; the
-// Balancer checks the values (decision.Settings.Check).
+// The package owns the platform's vocabulary: the JSON keys, the values for effects, scopes and discovery modes, and
+// microseconds as the unit of times. The platform defines the keys. Parse translates the settings to decision.Settings and
+// to the additional settings of the program around the Balancer. It ignores unknown keys and returns them, so that a newer
+// platform can start an older build. Parse reports only errors of the translation; decision.Settings.Check validates the
+// values.
 //
-// It is not for the operator's own configuration, which is internal/operator's.
+// The operator's own configuration belongs to internal/operator.
 //
-// Callers: internal/config for the sidecar, internal/wire for the simulator, internal/http1 and internal/wire for load
-// reports. Source: the platform's pages on deployment and on the wire; the keys are fixed.
+// internal/config uses the package for the sidecar, and internal/wire for the simulator. internal/http1 and internal/wire
+// parse load reports.
 package settings
--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -2,8 +2,7 @@
 
 import "testing"
 
-// FuzzParse: settings that are taken and pass their check are those of a platform that can be served: times and counts are
-// not negative, and read again they are the same.
+// FuzzParse checks that settings which pass Parse and Check have no negative times or counts.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"allowed":{"cancel":true,"connectTimeout":100000,"sendCap":3},"instances":1,"quantum":1000,"rules":{"cold":10,"coldFrom":0.2,"fall":1,"tipMultiple":3},"services":[{"name":"a","aim":1,"deadline":2,"effect":"read_like","keyScope":"all"}]}`))
 	f.Add([]byte(`{"instances":-1,"services":[{"deadline":-5}]}`))
@@ -14,11 +13,11 @@
 			return
 		}
 		if s.Instances < 0 || s.Ordinal < 0 || s.Quantum < 0 || s.ConnectTimeout < 0 || s.MaxRetryAfter < 0 {
-			t.Fatalf("%q is taken: %+v", text, s)
+			t.Fatalf("%q is accepted: %+v", text, s)
 		}
 		for _, c := range s.Classes {
 			if c.Deadline < 0 || c.LatencyTarget < 0 || c.Window < 0 {
-				t.Fatalf("%q is taken: %+v", text, c)
+				t.Fatalf("%q is accepted: %+v", text, c)
 			}
 		}
 	})
--- a/internal/settings/load_report.go
+++ b/internal/settings/load_report.go
@@ -9,11 +9,12 @@
 	"dykering/internal/decision"
 )
 
-// maxLoadValue is more than any value of a load report can be.
+// maxLoadValue is a bound that no plausible value in a load report exceeds.
 const maxLoadValue = 1e9
 
-// ParseLoad reads a load report: pairs of a name (of the setting feedback.fields) and a value, separated by commas. The
-// separator within a pair differs between sockets and the simulator's wire. Unknown names are passed over.
+// ParseLoad parses a load report: comma-separated pairs of a name and a value. The names are those in the platform's setting
+// feedback.fields; unknown names are ignored. The separator between name and value is "=" over HTTP and ":" in the
+// simulator's protocol.
 func ParseLoad(text, separator string) (*decision.Load, error) {
 	l := &decision.Load{InFlight: -1, Queue: -1, Util: -1, Service: -1}
 	for pair := range strings.SplitSeq(text, ",") {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -9,8 +9,8 @@
 	"dykering/internal/decision"
 )
 
-// config is the JSON form of the settings, with the platform's keys. Times are in microseconds. Its field names are fixed:
-// they are those of the fixture in testdata/compatibility.
+// config is the JSON form of the settings, with the platform's keys. Times are in microseconds. The fixture in
+// testdata/compatibility depends on the field names.
 type config struct {
 	Allowed struct {
 		Cancel         bool  `json:"cancel"`
@@ -62,7 +62,7 @@
 	} `json:"tenants"`
 }
 
-// knownKeys are the top-level keys that config has or that the program has no use for.
+// knownKeys are the top-level keys that Parse does not report as unknown: those in config, and those that the program ignores.
 var knownKeys = map[string]bool{
 	"allowed": true, "clientHabits": true, "discovery": true, "family": true, "familyInfo": true,
 	"feedback": true, "goal": true, "instances": true, "models": true, "myZone": true, "ordinal": true,
@@ -70,7 +70,7 @@
 	"stage": true, "tenants": true, "tiers": true, "weights": true, "worthBy": true, "zones": true,
 }
 
-// The platform's words for effects and scopes.
+// The platform's names of effects and scopes.
 var (
 	effects = map[string]decision.Effect{
 		"read_like": decision.Safe, "idempotency_key": decision.Keyed, "non_idempotent": decision.Unsafe,
@@ -80,18 +80,18 @@
 	}
 )
 
-// Settings are the Balancer's settings, and those that only the program around it needs.
+// Settings are the settings of the Balancer, and those that only the program around it needs.
 type Settings struct {
 	decision.Settings
-	Zones         []string      // names; the Balancer has their indexes
-	Models        []string      // names of machine kinds; the Balancer has their indexes
-	ConnIdle      time.Duration // an endpoint closes a connection that is idle for so long; 0 if not stated
-	GraceToAnswer time.Duration // how long after the deadline an answer still counts; attempts end so long before it
-	OpenCap       int           // requests that may be open at once; 0 for no limit
+	Zones         []string      // zone names; the Balancer uses their indexes
+	Models        []string      // names of machine kinds; the Balancer uses their indexes
+	ConnIdle      time.Duration // idle time after which endpoints close a connection; 0 if unknown
+	GraceToAnswer time.Duration // how long after the deadline an answer still counts; attempts end this long before the deadline
+	OpenCap       int           // maximum number of open requests; 0 means no limit
 }
 
-// Parse decodes an instance's settings. It returns the unknown top-level keys, sorted, and an error where the text is no
-// settings object or names an unknown kind of discovery.
+// Parse decodes the settings of an instance. It returns the unknown top-level keys in sorted order. The error reports that
+// the text is not a settings object, or that its discovery mode is unknown.
 func Parse(text []byte) (s Settings, unknown []string, err error) {
 	var c config
 	if err := json.Unmarshal(text, &c); err != nil {
@@ -115,7 +115,7 @@
 	return c.settings(), unknown, nil
 }
 
-// settings translates the JSON form.
+// settings translates the JSON form to Settings.
 func (c *config) settings() Settings {
 	return Settings{
 		Settings:      c.balancerSettings(),
@@ -127,7 +127,7 @@
 	}
 }
 
-// balancerSettings translates what the Balancer needs of the JSON form.
+// balancerSettings translates the settings of the Balancer from the JSON form.
 func (c *config) balancerSettings() decision.Settings {
 	s := decision.Settings{
 		Instances:          c.Instances,
@@ -171,14 +171,14 @@
 	return s
 }
 
-// lookUpTerm looks up one of the platform's words. An unknown one is returned as it is, for the Balancer to reject it by
-// name.
-func lookUpTerm[T ~string](terms map[string]T, word string) T {
-	if term, ok := terms[word]; ok {
+// lookUpTerm translates one of the platform's names. It returns an unknown name unchanged, so that the error of
+// decision.Settings.Check contains it.
+func lookUpTerm[T ~string](terms map[string]T, name string) T {
+	if term, ok := terms[name]; ok {
 		return term
 	}
-	return T(word)
+	return T(name)
 }
 
-// Micros converts a number of microseconds, the unit of all times in the settings.
+// Micros converts microseconds, the unit of all times in the settings, to a time.Duration.
 func Micros(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// Known fields of a load report are read, unknown ones are ignored, and a malformed report is an error.
 func TestParseLoadReadsKnownFields(t *testing.T) {
 	l, err := ParseLoad("inflight=7, queue=2,latency_ms=20,novelty=1", "=")
 	if err != nil || l.InFlight != 7 || l.Queue != 2 || l.Util != -1 || l.Service != 20*time.Millisecond {
@@ -12,12 +13,12 @@
 	}
 	for _, text := range []string{"", "queue", "queue=x", "queue:1"} {
 		if l, err := ParseLoad(text, "="); err == nil || l != nil {
-			t.Errorf("%q: a report out of nothing: %+v", text, l)
+			t.Errorf("%q: parsed as %+v, want an error", text, l)
 		}
 	}
 }
 
-// What only the sidecar needs is read beside what the Balancer does.
+// Parse returns the settings that only the sidecar needs, and the unknown keys.
 func TestParseReadsSettingsOfSidecar(t *testing.T) {
 	s, unknown, err := Parse([]byte(`{"allowed":{"connIdle":30000000,"openCap":7,"maxRetryAfter":2000000,"retryAfter":true},
 		"discovery":"push","models":["m"],"zones":["y","z"],"rules":{"graceToAnswer":20000},"novelty":1}`))
