--- a/internal/core/attempts_test.go
+++ b/internal/core/attempts_test.go
@@ -10,14 +10,14 @@
 // has a send deadline (SendBy) inside that window, and no other attempt has one.
 func TestKeyedRetryHasSendBound(t *testing.T) {
 	for _, class := range []int{read, keyed} {
-		b := newTestLoop(t, nil, ready("s-1", 0), ready("s-2", 0))
-		b.send = func(_ *Attempt, n int) Result { return []Result{{Status: decision.Error}, b.served("again")}[n-1] }
-		c := b.submit("x", class)
-		if got := b.finalAnswer(c); got != "again" {
-			t.Error(got)
+		tl := newTestLoop(t, nil, ready("s-1", 0), ready("s-2", 0))
+		tl.send = func(_ *Attempt, n int) Result { return []Result{{Status: decision.Error}, tl.served("again")}[n-1] }
+		c := tl.submit("x", class)
+		if got := tl.finalAnswer(c); got != "again" {
+			t.Errorf("answer %q, want %q", got, "again")
 		}
-		first, second := b.sends[c.ID][0], b.sends[c.ID][1]
-		window := b.loop.config.Settings.Classes[class].Window
+		first, second := tl.sends[c.ID][0], tl.sends[c.ID][1]
+		window := tl.loop.config.Settings.Classes[class].Window
 		if !first.SendBy.IsZero() || second.SendBy.IsZero() != (class == read) || second.SendBy.After(first.sentAt.Add(window)) {
 			t.Errorf("class %d: send deadlines %v and %v, first attempt sent at %v", class, first.SendBy, second.SendBy, first.sentAt)
 		}
@@ -28,36 +28,36 @@
 // abandoned call is discarded.
 func TestResponseIsDeliveredOrDiscarded(t *testing.T) {
 	proceed := make(chan bool)
-	b := newTestLoop(t, nil, ready("s-1", 0))
-	b.send = func(a *Attempt, _ int) Result {
+	tl := newTestLoop(t, nil, ready("s-1", 0))
+	tl.send = func(a *Attempt, _ int) Result {
 		switch a.Call.Message {
 		case "long":
-			if _, ok := a.StartResponse(textResponse{"started", b.discarded}); !ok {
+			if _, ok := a.StartResponse(textResponse{"started", tl.discarded}); !ok {
 				t.Error("StartResponse reports a timeout")
 			}
 			<-proceed
 			return Result{Status: decision.OK}
 		case "abandoned":
 			<-a.Ctx.Done()
-			return b.served("too late")
+			return tl.served("too late")
 		}
-		return b.served("whole")
+		return tl.served("whole")
 	}
-	if got := b.finalAnswer(b.submit("short", once)); got != "whole" {
-		t.Error(got)
+	if got := tl.finalAnswer(tl.submit("short", once)); got != "whole" {
+		t.Errorf("answer %q, want %q", got, "whole")
 	}
-	if got := b.finalAnswer(b.submit("long", once)); got != "started" {
-		t.Error(got)
+	if got := tl.finalAnswer(tl.submit("long", once)); got != "started" {
+		t.Errorf("answer %q, want %q", got, "started")
 	}
-	b.waitFor("the long response to be in flight", func(s Stats) bool { return s.Calls == 1 && s.Attempts == 1 })
+	tl.waitFor("the long response to be in flight", func(s Stats) bool { return s.Calls == 1 && s.Attempts == 1 })
 	proceed <- true
-	abandoned := b.submit("abandoned", once)
-	b.waitFor("the attempt to be in flight", func(s Stats) bool { return s.Attempts == 1 })
-	b.loop.Abandon(abandoned)
-	if got := <-b.discarded; got != "too late" {
-		t.Error(got)
+	abandoned := tl.submit("abandoned", once)
+	tl.waitFor("the attempt to be in flight", func(s Stats) bool { return s.Attempts == 1 })
+	tl.loop.Abandon(abandoned)
+	if got := <-tl.discarded; got != "too late" {
+		t.Errorf("discarded response %q, want %q", got, "too late")
 	}
-	b.waitFor("all calls to be removed", func(s Stats) bool { return s.Calls+s.Attempts == 0 })
+	tl.waitFor("all calls to be removed", func(s Stats) bool { return s.Calls+s.Attempts == 0 })
 	if len(abandoned.Answered) > 0 {
 		t.Error("an abandoned call was answered")
 	}
--- a/internal/core/calls_test.go
+++ b/internal/core/calls_test.go
@@ -14,10 +14,10 @@
 // call, attempt or connection behind.
 func TestEachOutcomeGivesOneAnswer(t *testing.T) {
 	for name, tc := range map[string]struct {
-		first      Result
-		read, once string // expected answer for a safe and for an unsafe call
-		reads      int    // expected attempts of the safe call
-		onces      int    // expected attempts of the unsafe call
+		first        Result
+		read, once   string // expected answer for a safe and for an unsafe call
+		readAttempts int    // expected attempts of the safe call
+		onceAttempts int    // expected attempts of the unsafe call
 	}{
 		"error":                    {Result{Status: decision.Error}, "again", "failed", 2, 1},
 		"rejected":                 {Result{Status: decision.Rejected}, "again", "again", 2, 2},
@@ -31,23 +31,23 @@
 		"error, not replayable":    {Result{Status: decision.Error, NotReplayable: true}, "refused", "failed", 1, 1},
 	} {
 		for class, want := range []string{tc.read, tc.once} {
-			b := newTestLoop(t, nil, ready("s-1", 0), ready("s-2", 0))
-			b.send = func(_ *Attempt, n int) Result {
+			tl := newTestLoop(t, nil, ready("s-1", 0), ready("s-2", 0))
+			tl.send = func(_ *Attempt, n int) Result {
 				if n == 1 {
 					return tc.first
 				}
-				return b.served("again")
+				return tl.served("again")
 			}
-			c := b.submit(fmt.Sprint(name, class), class)
-			if got := b.finalAnswer(c); got != want {
+			c := tl.submit(fmt.Sprint(name, class), class)
+			if got := tl.finalAnswer(c); got != want {
 				t.Errorf("%s, class %d: %s, want %s", name, class, got, want)
 			}
-			b.waitFor("the call to be removed", func(s Stats) bool { return s.Calls+s.Attempts == 0 && s.Conns == s.IdleConns })
-			b.mu.Lock()
-			if got, want := len(b.sends[c.ID]), []int{tc.reads, tc.onces}[class]; got != want {
+			tl.waitFor("the call to be removed", func(s Stats) bool { return s.Calls+s.Attempts == 0 && s.Conns == s.IdleConns })
+			tl.mu.Lock()
+			if got, want := len(tl.sends[c.ID]), []int{tc.readAttempts, tc.onceAttempts}[class]; got != want {
 				t.Errorf("%s, class %d: %d attempts, want %d", name, class, got, want)
 			}
-			b.mu.Unlock()
+			tl.mu.Unlock()
 		}
 	}
 }
@@ -56,37 +56,37 @@
 // the limit on open calls are refused.
 func TestRepeatedIDIsAnsweredAsNotRetryable(t *testing.T) {
 	proceed := make(chan bool)
-	b := newTestLoop(t, nil, ready("s-1", 0))
-	b.send = func(_ *Attempt, _ int) Result { <-proceed; return b.served("ok") }
-	first := b.submit("x", read)
-	if got := b.finalAnswer(b.submit("x", read)); got != "failed" {
-		t.Error(got)
+	tl := newTestLoop(t, nil, ready("s-1", 0))
+	tl.send = func(_ *Attempt, _ int) Result { <-proceed; return tl.served("ok") }
+	first := tl.submit("x", read)
+	if got := tl.finalAnswer(tl.submit("x", read)); got != "failed" {
+		t.Errorf("answer %q, want %q", got, "failed")
 	}
 	proceed <- true
-	if got := b.finalAnswer(first); got != "ok" {
-		t.Error(got)
+	if got := tl.finalAnswer(first); got != "ok" {
+		t.Errorf("answer %q, want %q", got, "ok")
 	}
-	b.waitFor("the call to be removed", func(s Stats) bool { return s.Calls == 0 })
-	if got := b.finalAnswer(b.submit("x", read)); got != "failed" || len(b.sends["x"]) != 1 {
-		t.Errorf("%s after %d sends", got, len(b.sends["x"]))
+	tl.waitFor("the call to be removed", func(s Stats) bool { return s.Calls == 0 })
+	if got := tl.finalAnswer(tl.submit("x", read)); got != "failed" || len(tl.sends["x"]) != 1 {
+		t.Errorf("answer %q after %d attempts, want \"failed\" after 1", got, len(tl.sends["x"]))
 	}
 	var open []*Call
 	for i := range 51 {
-		open = append(open, b.submit(fmt.Sprint(i), read))
+		open = append(open, tl.submit(fmt.Sprint(i), read))
 	}
-	if got := b.finalAnswer(open[50]); got != "refused" {
+	if got := tl.finalAnswer(open[50]); got != "refused" {
 		t.Errorf("call beyond the limit on open calls: %s, want refused", got)
 	}
 	close(proceed)
 	for _, c := range open[:50] {
-		b.finalAnswer(c)
+		tl.finalAnswer(c)
 	}
 }
 
 // When a client disconnects, the attempt of its call is cancelled at once and the call is removed.
 func TestAbandonedCallIsCancelledAndRemoved(t *testing.T) {
 	sent, cancelled := make(chan bool, 1), make(chan bool, 1)
-	b := newTestLoop(t, func(a *Attempt, _ int) Result {
+	tl := newTestLoop(t, func(a *Attempt, _ int) Result {
 		sent <- true
 		select {
 		case <-a.Ctx.Done():
@@ -96,36 +96,36 @@
 		}
 		return Result{Status: decision.Cancelled}
 	}, ready("s-1", 0))
-	c := b.submit("1", once)
+	c := tl.submit("1", once)
 	<-sent
-	b.loop.Abandon(c)
+	tl.loop.Abandon(c)
 	if !<-cancelled {
 		t.Error("the attempt of an abandoned call was not cancelled")
 	}
-	b.waitFor("the call to be removed", func(s Stats) bool { return s.Calls == 0 })
+	tl.waitFor("the call to be removed", func(s Stats) bool { return s.Calls == 0 })
 }
 
 // At the drain deadline, calls are answered and their attempts are cancelled. Later calls are refused.
 func TestDrainAnswersCallsAndCancelsAttempts(t *testing.T) {
-	b := newTestLoop(t, nil, ready("s-1", 0))
-	b.send = func(a *Attempt, _ int) Result {
+	tl := newTestLoop(t, nil, ready("s-1", 0))
+	tl.send = func(a *Attempt, _ int) Result {
 		<-a.Ctx.Done()
 		if !errors.Is(context.Cause(a.Ctx), context.Canceled) {
 			return Result{Status: decision.Timeout}
 		}
 		return Result{Status: decision.Cancelled}
 	}
-	calls := []*Call{b.submit("r", read), b.submit("o", once)}
-	b.waitFor("both attempts to be in flight", func(s Stats) bool { return s.Attempts == 2 })
+	calls := []*Call{tl.submit("r", read), tl.submit("o", once)}
+	tl.waitFor("both attempts to be in flight", func(s Stats) bool { return s.Attempts == 2 })
 	end := time.Now().Add(50 * time.Millisecond)
-	b.loop.Drain(end, true)
+	tl.loop.Drain(end, true)
 	for i, want := range []string{"refused", "failed"} {
-		if got := b.finalAnswer(calls[i]); got != want || time.Now().Before(end) {
+		if got := tl.finalAnswer(calls[i]); got != want || time.Now().Before(end) {
 			t.Errorf("%s, want %s at the drain deadline", got, want)
 		}
 	}
-	if got := b.finalAnswer(b.submit("late", read)); got != "refused" {
-		t.Error(got)
+	if got := tl.finalAnswer(tl.submit("late", read)); got != "refused" {
+		t.Errorf("answer %q, want %q", got, "refused")
 	}
 }
 
--- a/internal/core/discovery_test.go
+++ b/internal/core/discovery_test.go
@@ -10,25 +10,25 @@
 // A list that is older than the current one is dropped, as are lists and failures from a discovery client that the loop no
 // longer follows.
 func TestOlderListsAreDropped(t *testing.T) {
-	b := newTestLoop(t, nil, ready("s-1", 0), ready("s-2", 0))
+	tl := newTestLoop(t, nil, ready("s-1", 0), ready("s-2", 0))
 	open := func(uid string) (open bool) {
 		result := make(chan bool)
-		b.loop.Post(func() {
-			e := b.loop.endpoints.byID[b.loop.endpoints.id(uid)]
+		tl.loop.Post(func() {
+			e := tl.loop.endpoints.byID[tl.loop.endpoints.id(uid)]
 			result <- e != nil && e.IsOpen()
 		})
 		return <-result
 	}
 	report := func(from Discovery, l List, source Source) {
-		b.loop.Post(func() { b.loop.ListReceived(from, l, source) })
+		tl.loop.Post(func() { tl.loop.ListReceived(from, l, source) })
 	}
 	draining := ready("s-1", 0)
 	draining.State = "Terminating"
-	first := b.loop.discovery
+	first := tl.loop.discovery
 	report(first, List{Rev: 5, Targets: []Target{draining}}, FromWatch)
 	report(first, List{Rev: 4, Full: true, Targets: []Target{ready("s-1", 0)}}, FromFetch)
 	report(first, List{Rev: 5, Targets: []Target{ready("s-1", 0)}}, FromWatch)
-	if open("s-1") || !open("s-2") || b.loop.Stats().Revision != 5 {
+	if open("s-1") || !open("s-2") || tl.loop.Stats().Revision != 5 {
 		t.Error("an older list undid a drain")
 	}
 	report(first, List{Rev: 6, Full: true, Targets: []Target{ready("s-1", 0)}}, FromFetch)
@@ -36,30 +36,30 @@
 		t.Error("a newer list was not applied")
 	}
 	report(first, List{Rev: 5, Full: true, Targets: []Target{ready("s-2", 0)}}, FromWatch)
-	if s := b.loop.Stats(); s.Revision != 6 || !s.AwaitingFullList || !open("s-1") || open("s-2") {
+	if s := tl.loop.Stats(); s.Revision != 6 || !s.AwaitingFullList || !open("s-1") || open("s-2") {
 		t.Errorf("an older full list from a watch was applied without a resync: %+v", s)
 	}
-	report(b.loop.discovery, List{Rev: 6, Full: true, Targets: []Target{ready("s-1", 0)}}, FromFetch)
+	report(tl.loop.discovery, List{Rev: 6, Full: true, Targets: []Target{ready("s-1", 0)}}, FromFetch)
 	for range 3 { // a lagging discovery replica must not cause a resync for each of its lists
-		report(b.loop.discovery, List{Rev: 5, Full: true, Targets: []Target{ready("s-2", 0)}}, FromWatch)
+		report(tl.loop.discovery, List{Rev: 5, Full: true, Targets: []Target{ready("s-2", 0)}}, FromWatch)
 	}
-	if s := b.loop.Stats(); s.Revision != 6 || s.AwaitingFullList || !open("s-1") || open("s-2") {
+	if s := tl.loop.Stats(); s.Revision != 6 || s.AwaitingFullList || !open("s-1") || open("s-2") {
 		t.Errorf("repeated older full lists from a watch: %+v", s)
 	}
-	b.loop.SwitchDiscovery("second")
+	tl.loop.SwitchDiscovery("second")
 	report(first, List{Rev: 9, Full: true}, FromFetch)
-	b.loop.Post(func() { b.loop.ListFailed(first, errors.New("old")) })
-	if s := b.loop.Stats(); s.Revision != 6 || !s.AwaitingFullList || s.DiscoveryAddress != "second" || !open("s-1") {
+	tl.loop.Post(func() { tl.loop.ListFailed(first, errors.New("old")) })
+	if s := tl.loop.Stats(); s.Revision != 6 || !s.AwaitingFullList || s.DiscoveryAddress != "second" || !open("s-1") {
 		t.Errorf("reports of the previous discovery client were handled: %+v", s)
 	}
-	report(b.loop.discovery, List{Rev: 3, Targets: []Target{ready("s-3", 0)}}, FromWatch)
-	report(b.loop.discovery, List{Rev: 2, Full: true, Targets: []Target{ready("s-4", 0)}}, FromFetch)
-	if s := b.loop.Stats(); s.Revision != 2 || s.AwaitingFullList || open("s-3") || !open("s-4") {
+	report(tl.loop.discovery, List{Rev: 3, Targets: []Target{ready("s-3", 0)}}, FromWatch)
+	report(tl.loop.discovery, List{Rev: 2, Full: true, Targets: []Target{ready("s-4", 0)}}, FromFetch)
+	if s := tl.loop.Stats(); s.Revision != 2 || s.AwaitingFullList || open("s-3") || !open("s-4") {
 		t.Errorf("the new discovery's full list was not applied, or its changes were applied before it: %+v", s)
 	}
 	want := "[first watch first stop first fetch first watch first stop first watch " +
 		"first stop second fetch second watch second stop second watch]"
-	if got := fmt.Sprint(b.discoveryCalls); got != want {
+	if got := fmt.Sprint(tl.discoveryCalls); got != want {
 		t.Errorf("discovery calls %s, want %s", got, want)
 	}
 }
@@ -68,22 +68,22 @@
 // backoff, unless a newer list has arrived by then. Without the second resync all later lists would be dropped as old.
 func TestOlderFullListOfWatchCausesResync(t *testing.T) {
 	for _, newer := range []bool{false, true} {
-		b := newTestLoop(t, nil, ready("s-1", 0))
+		tl := newTestLoop(t, nil, ready("s-1", 0))
 		const backoff = time.Second
 		report := func(rev uint64, source Source) {
-			b.loop.Post(func() {
-				b.loop.ListReceived(b.loop.discovery, List{Rev: rev, Full: true, Targets: []Target{ready("s-1", 0)}}, source)
+			tl.loop.Post(func() {
+				tl.loop.ListReceived(tl.loop.discovery, List{Rev: rev, Full: true, Targets: []Target{ready("s-1", 0)}}, source)
 			})
 		}
 		callCount := func() (n int) {
 			got := make(chan int)
-			b.loop.Post(func() { got <- len(b.discoveryCalls) })
+			tl.loop.Post(func() { got <- len(tl.discoveryCalls) })
 			return <-got
 		}
 		report(9, FromWatch)
 		report(8, FromWatch)
 		report(8, FromFetch) // the answer to the resync
-		b.loop.Post(func() { b.loop.resyncBackoff = backoff })
+		tl.loop.Post(func() { tl.loop.resyncBackoff = backoff })
 		before := callCount()
 		report(7, FromWatch)
 		if newer {
--- a/internal/core/endpoint_table_test.go
+++ b/internal/core/endpoint_table_test.go
@@ -13,32 +13,32 @@
 // A draining endpoint finishes its calls in flight, gets no new calls, and loses its idle connections.
 func TestDrainingEndpointKeepsCallsAndLosesIdleConnections(t *testing.T) {
 	proceed := make(chan bool)
-	b := newTestLoop(t, nil, ready("s-1", 0))
-	b.send = func(a *Attempt, _ int) Result {
+	tl := newTestLoop(t, nil, ready("s-1", 0))
+	tl.send = func(a *Attempt, _ int) Result {
 		if a.Call.ID == "slow" {
 			<-proceed
 		}
-		return b.served(a.Endpoint.Address)
+		return tl.served(a.Endpoint.Address)
 	}
-	slow := b.submit("slow", once)
-	b.finalAnswer(b.submit("quick", once))
-	b.waitFor("one idle connection and one attempt in flight", func(s Stats) bool { return s.IdleConns == 1 && s.Attempts == 1 })
+	slow := tl.submit("slow", once)
+	tl.finalAnswer(tl.submit("quick", once))
+	tl.waitFor("one idle connection and one attempt in flight", func(s Stats) bool { return s.IdleConns == 1 && s.Attempts == 1 })
 	draining, other := ready("s-1", 0), ready("s-2", 0)
 	draining.State, other.Address = "Terminating", "127.0.0.1:10"
-	b.loop.Post(func() {
-		b.loop.ListReceived(b.loop.discovery, List{Rev: 2, Targets: []Target{draining, other}}, FromWatch)
+	tl.loop.Post(func() {
+		tl.loop.ListReceived(tl.loop.discovery, List{Rev: 2, Targets: []Target{draining, other}}, FromWatch)
 	})
-	b.waitFor("the list to be applied", func(s Stats) bool { return s.Revision == 2 && s.IdleConns == 0 })
+	tl.waitFor("the list to be applied", func(s Stats) bool { return s.Revision == 2 && s.IdleConns == 0 })
 	for i := range 9 {
-		if got := b.finalAnswer(b.submit(fmt.Sprint(i), read)); got != other.Address {
+		if got := tl.finalAnswer(tl.submit(fmt.Sprint(i), read)); got != other.Address {
 			t.Errorf("a call was sent to %s, want only the endpoint that is ready", got)
 		}
 	}
 	proceed <- true
-	if got := b.finalAnswer(slow); got != draining.Address {
+	if got := tl.finalAnswer(slow); got != draining.Address {
 		t.Errorf("the call in flight at the start of the drain: %s", got)
 	}
-	b.waitFor("the connection to be closed", func(s Stats) bool { return s.Conns == s.IdleConns && s.IdleConns == 1 })
+	tl.waitFor("the connection to be closed", func(s Stats) bool { return s.Conns == s.IdleConns && s.IdleConns == 1 })
 }
 
 // An invalid target in a full list leaves its endpoint unchanged, whether it is ready or draining, and does not affect other
@@ -50,31 +50,31 @@
 		"state":   func(x *Target) { x.State = "Reddy" },
 		"address": func(x *Target) { x.Address = "127.0.0.1" },
 	} {
-		b := newTestLoop(t, nil, ready("s-1", 0), ready("s-2", 0), ready("s-3", 0), draining)
-		b.send = func(*Attempt, int) Result { return b.served("ok") }
+		tl := newTestLoop(t, nil, ready("s-1", 0), ready("s-2", 0), ready("s-3", 0), draining)
+		tl.send = func(*Attempt, int) Result { return tl.served("ok") }
 		invalid, invalidDraining := ready("s-1", 0), ready("s-4", 0)
 		corrupt(&invalid)
 		corrupt(&invalidDraining)
 		list := List{Rev: 2, Full: true, Targets: []Target{invalid, ready("s-2", 0), invalidDraining}}
-		b.loop.Post(func() { b.loop.ListReceived(b.loop.discovery, list, FromWatch) })
+		tl.loop.Post(func() { tl.loop.ListReceived(tl.loop.discovery, list, FromWatch) })
 		open := map[decision.EndpointID]bool{}
-		for _, e := range b.loop.Stats().Endpoints {
+		for _, e := range tl.loop.Stats().Endpoints {
 			open[e.ID] = e.Open
 		}
-		if id := b.loop.endpoints.id; len(open) != 3 || !open[id("s-1")] || !open[id("s-2")] || open[id("s-4")] {
-			t.Errorf("%s: %v", name, open)
+		if id := tl.loop.endpoints.id; len(open) != 3 || !open[id("s-1")] || !open[id("s-2")] || open[id("s-4")] {
+			t.Errorf("invalid %s: endpoints in the table, true if open: %v", name, open)
 		}
 		for i := range 20 {
-			if got := b.finalAnswer(b.submit(fmt.Sprint(name, i), read)); got != "ok" {
-				t.Errorf("%s: %s", name, got)
+			if got := tl.finalAnswer(tl.submit(fmt.Sprint(name, i), read)); got != "ok" {
+				t.Errorf("invalid %s: answer %q, want \"ok\"", name, got)
 			}
 		}
 		sent := map[decision.EndpointID]bool{}
-		for _, attempts := range b.sends {
+		for _, attempts := range tl.sends {
 			sent[attempts[0].Endpoint.ID] = true
 		}
-		if id := b.loop.endpoints.id; len(sent) != 2 || !sent[id("s-1")] {
-			t.Errorf("%s: sent to %v", name, sent)
+		if id := tl.loop.endpoints.id; len(sent) != 2 || !sent[id("s-1")] {
+			t.Errorf("invalid %s: calls were sent to the endpoints %v", name, sent)
 		}
 	}
 }
@@ -102,12 +102,12 @@
 // A start time is always converted to the same time on the event clock. The Balancer would take a later one for a restart.
 func TestStartTimesAreStable(t *testing.T) {
 	now := time.Now()
-	e := newEndpointTable(nil, nil, now.Add(-clockStart), zap.NewNop())
+	table := newEndpointTable(nil, nil, now.Add(-clockStart), zap.NewNop())
 	boot := now.Add(-3 * time.Second).UnixMilli()
-	if got := e.startTime(boot); got < clockStart-4*time.Second || got > clockStart-2*time.Second || got != e.startTime(boot) {
+	if got := table.startTime(boot); got < clockStart-4*time.Second || got > clockStart-2*time.Second || got != table.startTime(boot) {
 		t.Errorf("a start 3 s ago is at %v on an event clock at %v", got, clockStart)
 	}
-	if e.startTime(0) != 0 || e.startTime(1) != 0 {
+	if table.startTime(0) != 0 || table.startTime(1) != 0 {
 		t.Error("a start of 0 or before the clock's origin is not 0")
 	}
 }
@@ -115,43 +115,43 @@
 // An endpoint whose address or start time changes is replaced. Partial lists leave other endpoints alone, full lists remove
 // the endpoints that they omit, and the number of zone and model names is bounded.
 func TestChangedAddressOrStartReplacesEndpoint(t *testing.T) {
-	e := newEndpointTable([]string{"y", "z"}, []string{"m"}, time.Now().Add(-clockStart), zap.NewNop())
-	x := ready("s-1", 0)
-	entries, _ := e.update(List{Full: true, Targets: []Target{x, ready("s-2", 0)}})
+	table := newEndpointTable([]string{"y", "z"}, []string{"m"}, time.Now().Add(-clockStart), zap.NewNop())
+	target := ready("s-1", 0)
+	entries, _ := table.update(List{Full: true, Targets: []Target{target, ready("s-2", 0)}})
 	if len(entries) != 2 || entries[0].Zone != 1 || entries[0].Kind != 0 {
-		t.Fatalf("entries %+v", entries)
+		t.Fatalf("entries %+v, want two, the first with zone 1 and kind 0", entries)
 	}
-	first := e.byID[1]
+	first := table.byID[1]
 	for _, change := range []func(){
-		func() { x.Address = "127.0.0.1:10" },
-		func() { x.BootMS = time.Now().UnixMilli() },
+		func() { target.Address = "127.0.0.1:10" },
+		func() { target.BootMS = time.Now().UnixMilli() },
 	} {
 		change()
-		old := e.byID[1]
-		entries, retired := e.update(List{Targets: []Target{x}})
-		if len(retired) != 1 || retired[0] != old || old.IsOpen() || !e.byID[1].IsOpen() || e.byID[1].Address != x.Address {
-			t.Errorf("after a change: %+v", e.byID[1])
+		old := table.byID[1]
+		entries, retired := table.update(List{Targets: []Target{target}})
+		if len(retired) != 1 || retired[0] != old || old.IsOpen() || !table.byID[1].IsOpen() || table.byID[1].Address != target.Address {
+			t.Errorf("the endpoint was not replaced after a change: %+v", table.byID[1])
 		}
-		if x.BootMS > 0 && entries[0].Started == 0 {
+		if target.BootMS > 0 && entries[0].Started == 0 {
 			t.Error("the entry for the Balancer lacks the start time")
 		}
 	}
-	if first.IsOpen() || !e.byID[2].IsOpen() {
+	if first.IsOpen() || !table.byID[2].IsOpen() {
 		t.Error("a partial list closed an endpoint that it omits, or the replaced endpoint is still open")
 	}
-	e.update(List{Full: true, Targets: []Target{x}})
-	if e.byID[2] != nil || len(e.ids) != 1 {
+	table.update(List{Full: true, Targets: []Target{target}})
+	if table.byID[2] != nil || len(table.ids) != 1 {
 		t.Error("an endpoint that a full list omits was not removed")
 	}
 	for i := range 2 * maxNames {
-		y := ready("s-3", 0)
-		y.Zone, y.Model = fmt.Sprint(i), fmt.Sprint(i)
-		e.update(List{Targets: []Target{y}})
+		other := ready("s-3", 0)
+		other.Zone, other.Model = fmt.Sprint(i), fmt.Sprint(i)
+		table.update(List{Targets: []Target{other}})
 	}
-	if len(e.zones) > maxNames || len(e.models) > maxNames {
+	if len(table.zones) > maxNames || len(table.models) > maxNames {
 		t.Error("the number of zone or model names exceeds maxNames")
 	}
-	if entries, _ := e.update(List{Targets: []Target{{UID: "s-3", Address: "nowhere", State: "Ready"}}}); len(entries) != 0 {
+	if entries, _ := table.update(List{Targets: []Target{{UID: "s-3", Address: "nowhere", State: "Ready"}}}); len(entries) != 0 {
 		t.Error("an endpoint without a valid address is passed to the Balancer")
 	}
 }
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -26,21 +26,21 @@
 // Evidence returns the observations of this process: the servers that it has ejected and, among the named servers, those
 // that have recently answered its calls successfully. Listed is the number of listed endpoints. The error is that of the
 // context, or errLoopClosed.
-func (l *Loop) Evidence(ctx context.Context, named []string) (all []Evidence, listed int, err error) {
+func (l *Loop) Evidence(ctx context.Context, names []string) (observations []Evidence, listed int, err error) {
 	type answer struct {
-		all    []Evidence
-		listed int
+		observations []Evidence
+		listed       int
 	}
 	a, err := queryContext(ctx, l, func() (a answer) {
 		a.listed = len(l.endpoints.byID)
-		for _, e := range l.balancer.Evidence(l.now(), l.listedIDs(named)) {
+		for _, e := range l.balancer.Evidence(l.now(), l.listedIDs(names)) {
 			if endpoint := l.endpoints.byID[e.Endpoint]; endpoint != nil {
-				a.all = append(a.all, Evidence{Server: serverName(endpoint), Ejected: e.Ejected, Age: e.Age})
+				a.observations = append(a.observations, Evidence{Server: serverName(endpoint), Ejected: e.Ejected, Age: e.Age})
 			}
 		}
 		return a
 	})
-	return a.all, a.listed, err
+	return a.observations, a.listed, err
 }
 
 // ApplyPeerEjections passes the ejections that other sidecars report to the Balancer. It returns the number of servers that
@@ -58,8 +58,8 @@
 }
 
 // listedIDs returns the IDs of the named servers that are listed with the start time in the name.
-func (l *Loop) listedIDs(named []string) (ids []decision.EndpointID) {
-	for _, name := range named {
+func (l *Loop) listedIDs(names []string) (ids []decision.EndpointID) {
+	for _, name := range names {
 		at := strings.LastIndexByte(name, '@')
 		if at < 0 {
 			continue
--- a/internal/core/pool_test.go
+++ b/internal/core/pool_test.go
@@ -75,12 +75,12 @@
 // A call that gets no connection, because the limit is reached and none is idle, is refused with a retry-after time. Calls
 // are served again once connections are available.
 func TestCallIsRefusedWhereNoConnectionIsLeft(t *testing.T) {
-	b := newTestLoop(t, nil, ready("s-1", 0), ready("s-2", 0))
-	b.send = func(_ *Attempt, _ int) Result { return b.served("ok") }
+	tl := newTestLoop(t, nil, ready("s-1", 0), ready("s-2", 0))
+	tl.send = func(_ *Attempt, _ int) Result { return tl.served("ok") }
 	maxTotal := 0
-	b.loop.Post(func() { maxTotal, b.loop.pool.maxTotal = b.loop.pool.maxTotal, 0 })
+	tl.loop.Post(func() { maxTotal, tl.loop.pool.maxTotal = tl.loop.pool.maxTotal, 0 })
 	for _, class := range []int{read, once} {
-		c := b.submit(fmt.Sprint("full", class), class)
+		c := tl.submit(fmt.Sprint("full", class), class)
 		select {
 		case a := <-c.Answered:
 			if !a.Retryable || a.RetryAfter <= 0 {
@@ -90,12 +90,12 @@
 			t.Errorf("class %d: the call was not answered in time", class)
 		}
 	}
-	b.loop.Post(func() { b.loop.pool.maxTotal = maxTotal })
-	if got := b.finalAnswer(b.submit("after", once)); got != "ok" {
-		t.Error(got)
+	tl.loop.Post(func() { tl.loop.pool.maxTotal = maxTotal })
+	if got := tl.finalAnswer(tl.submit("after", once)); got != "ok" {
+		t.Errorf("answer %q, want %q", got, "ok")
 	}
-	b.waitFor("all calls to be removed", func(s Stats) bool { return s.Calls+s.Attempts == 0 && s.Conns == s.IdleConns })
-	if n := len(b.sends["full0"]) + len(b.sends["full1"]); n > 0 {
+	tl.waitFor("all calls to be removed", func(s Stats) bool { return s.Calls+s.Attempts == 0 && s.Conns == s.IdleConns })
+	if n := len(tl.sends["full0"]) + len(tl.sends["full1"]); n > 0 {
 		t.Errorf("%d attempts were sent without a connection", n)
 	}
 }
--- a/internal/core/testloop_test.go
+++ b/internal/core/testloop_test.go
@@ -42,12 +42,12 @@
 	discoveryCalls []string                          // calls of the discovery clients, as "address method"
 }
 
-func (b *testLoop) Send(a *Attempt, idle Conn) Result {
-	b.mu.Lock()
-	b.sends[a.Call.ID] = append(b.sends[a.Call.ID], a)
-	n := len(b.sends[a.Call.ID])
-	b.mu.Unlock()
-	res := b.send(a, n)
+func (tl *testLoop) Send(a *Attempt, idle Conn) Result {
+	tl.mu.Lock()
+	tl.sends[a.Call.ID] = append(tl.sends[a.Call.ID], a)
+	n := len(tl.sends[a.Call.ID])
+	tl.mu.Unlock()
+	res := tl.send(a, n)
 	if res.Conn = idle; idle == nil {
 		res.Conn = &memoryConn{}
 	}
@@ -56,14 +56,14 @@
 
 // recordingDiscovery is a Discovery that records the calls of its methods.
 type recordingDiscovery struct {
-	b       *testLoop
+	tl      *testLoop
 	address string
 }
 
 func (d *recordingDiscovery) record(method string) {
-	d.b.mu.Lock()
-	defer d.b.mu.Unlock()
-	d.b.discoveryCalls = append(d.b.discoveryCalls, d.address+" "+method)
+	d.tl.mu.Lock()
+	defer d.tl.mu.Unlock()
+	d.tl.discoveryCalls = append(d.tl.discoveryCalls, d.address+" "+method)
 }
 
 func (d *recordingDiscovery) Watch(*uint64) { d.record("watch") }
@@ -82,7 +82,7 @@
 // newTestLoop starts a loop whose cached list has the given targets.
 func newTestLoop(t *testing.T, send func(a *Attempt, n int) Result, targets ...Target) *testLoop {
 	t.Helper()
-	b := &testLoop{t: t, send: send, sends: map[decision.RequestID][]*Attempt{}, discarded: make(chan string, 100)}
+	tl := &testLoop{t: t, send: send, sends: map[decision.RequestID][]*Attempt{}, discarded: make(chan string, 100)}
 	class := decision.Class{LatencyTarget: 9 * time.Second, Deadline: 10 * time.Second, Value: 1}
 	safe, unsafe, withKey := class, class, class
 	withKey.Name, withKey.Effect, withKey.Scope, withKey.Window = "keyed", decision.Keyed, decision.ScopeAll, 4*time.Second
@@ -107,30 +107,30 @@
 		DiscoveryAddress: "first",
 		CachedList:       List{Rev: 1, Full: true, Targets: targets},
 	}
-	l, err := New(config, b, func(address string, _ Sink) Discovery { return &recordingDiscovery{b, address} })
+	l, err := New(config, tl, func(address string, _ Sink) Discovery { return &recordingDiscovery{tl, address} })
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.loop = l
+	tl.loop = l
 	go l.Run()
-	return b
+	return tl
 }
 
 // served returns a successful result with the given text.
-func (b *testLoop) served(text string) Result {
-	return Result{Status: decision.OK, Elapsed: 5 * time.Millisecond, Response: textResponse{text, b.discarded}}
+func (tl *testLoop) served(text string) Result {
+	return Result{Status: decision.OK, Elapsed: 5 * time.Millisecond, Response: textResponse{text, tl.discarded}}
 }
 
 // submit submits a call with the given ID and class. Its message is the ID.
-func (b *testLoop) submit(id string, class int) *Call {
+func (tl *testLoop) submit(id string, class int) *Call {
 	c := NewCall(decision.Request{ID: decision.RequestID(id), Class: class, Remaining: 10 * time.Second}, id)
-	b.loop.Submit(c, time.Now())
+	tl.loop.Submit(c, time.Now())
 	return c
 }
 
 // finalAnswer waits for the answer to a call. It returns the text of the response, "refused" or "failed".
-func (b *testLoop) finalAnswer(c *Call) string {
-	b.t.Helper()
+func (tl *testLoop) finalAnswer(c *Call) string {
+	tl.t.Helper()
 	select {
 	case a := <-c.Answered:
 		switch {
@@ -141,17 +141,17 @@
 		}
 		return "failed"
 	case <-time.After(testTimeout):
-		b.t.Fatal("no answer to ", c.ID)
+		tl.t.Fatal("no answer to ", c.ID)
 		return ""
 	}
 }
 
 // waitFor waits until the statistics of the loop meet a condition, which what describes.
-func (b *testLoop) waitFor(what string, done func(Stats) bool) {
-	b.t.Helper()
-	for end := time.Now().Add(testTimeout); !done(b.loop.Stats()); time.Sleep(time.Millisecond) {
+func (tl *testLoop) waitFor(what string, done func(Stats) bool) {
+	tl.t.Helper()
+	for end := time.Now().Add(testTimeout); !done(tl.loop.Stats()); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			b.t.Fatalf("timeout while waiting for %s", what)
+			tl.t.Fatalf("timeout while waiting for %s", what)
 		}
 	}
 }
--- a/internal/sidecar/operator_file.go
+++ b/internal/sidecar/operator_file.go
@@ -28,9 +28,9 @@
 func loadOperatorFile(path string, getenv func(string) (string, bool), out io.Writer) (*operatorFile, error) {
 	f := &operatorFile{path: path, getenv: getenv, current: operator.Defaults()}
 	if path != "" {
-		loaded, faults := operator.Load(path, getenv)
-		if len(faults) > 0 {
-			return nil, validation.Join(faults)
+		loaded, errs := operator.Load(path, getenv)
+		if len(errs) > 0 {
+			return nil, validation.Join(errs)
 		}
 		f.current, f.generation = loaded, 1
 	}
@@ -47,9 +47,9 @@
 	if f.path == "" {
 		return
 	}
-	loaded, faults := operator.Load(f.path, f.getenv)
-	if len(faults) > 0 {
-		f.log.Warn("operator.refused", zap.String("fault", faults[0].Error()), zap.Int("faults", len(faults)))
+	loaded, errs := operator.Load(f.path, f.getenv)
+	if len(errs) > 0 {
+		f.log.Warn("operator.refused", zap.String("fault", errs[0].Error()), zap.Int("faults", len(errs)))
 		return
 	}
 	changes := operator.Changes(f.current, loaded)
--- a/internal/sidecar/run.go
+++ b/internal/sidecar/run.go
@@ -46,11 +46,11 @@
 		}
 	}
 	if platform.Control != "" {
-		operators, err := serveControl(platform.Control, server, fleet, file)
+		controlServer, err := serveControl(platform.Control, server, fleet, file)
 		if err != nil {
 			return errors.Join(err, listener.Close())
 		}
-		defer operators.Close()
+		defer controlServer.Close()
 	}
 	ended := make(chan struct{})
 	defer close(ended)
@@ -65,13 +65,13 @@
 		return nil, fmt.Errorf("control: %w", err)
 	}
 	file.log.Info("control.listening", zap.Stringer("address", listener.Addr()))
-	operators := control.New(listener, server, controlFleet(fleet))
+	controlServer := control.New(listener, server, controlFleet(fleet))
 	go func() {
-		if err := operators.Run(); err != nil {
+		if err := controlServer.Run(); err != nil {
 			file.log.Error("control.failed", zap.Error(err))
 		}
 	}()
-	return operators, nil
+	return controlServer, nil
 }
 
 // forwardReloads reloads the operator's file at each signal, and forwards the signal to the returned channel for the reload
