--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -23,6 +23,7 @@
 	reports chan string
 }
 
+// newSink starts a sink that runs until the test ends.
 func newSink(t *testing.T) *sink {
 	t.Helper()
 	s := &sink{events: make(chan func(), 16), reports: make(chan string, 16)}
@@ -107,7 +108,7 @@
 	}
 	for _, rev := range []int{43, 44, 45} {
 		if got := next(t, s.reports); got != fmt.Sprint("list ", rev, " by ", core.FromWatch) {
-			t.Errorf("reported %q", got)
+			t.Errorf("reported %q, want list %d by the watch", got, rev)
 		}
 	}
 }
@@ -241,8 +242,8 @@
 			fmt.Fprint(w, listLine(8))
 			http.NewResponseController(w).Flush()
 		case 2: // breaks off within a list
-			half := listLine(9)
-			fmt.Fprint(w, half[:len(half)/2])
+			list := listLine(9)
+			fmt.Fprint(w, list[:len(list)/2])
 			http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
 		}
@@ -316,6 +317,6 @@
 	replies <- ""
 	s.Post(w.Fetch)
 	if got := next(t, s.reports); got != "failed" {
-		t.Errorf("reported %q", got)
+		t.Errorf("reported %q, want failed", got)
 	}
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -158,7 +158,7 @@
 			}
 			io.WriteString(near, "still")
 			if got := readText(t, far, 5); got != "still" {
-				t.Errorf("received %q", got)
+				t.Errorf("received %q, want %q", got, "still")
 			}
 		})
 	}
@@ -205,7 +205,7 @@
 			}
 			io.WriteString(near, "mine")
 			if got := readText(t, far, 4); got != "mine" {
-				t.Errorf("received %q", got)
+				t.Errorf("received %q, want %q", got, "mine")
 			}
 			s, err := Dial(dir, "n0", nil)
 			if err != nil {
@@ -274,6 +274,7 @@
 	}
 }
 
+// BenchmarkPass measures the passing of two connections with a state of 1000 bytes.
 func BenchmarkPass(b *testing.B) {
 	dir := b.TempDir()
 	serveUntilEnd(b, dir, func(_ []byte, conns []net.Conn) (func(), func(), bool) {
@@ -284,9 +285,9 @@
 		b.Fatal(err)
 	}
 	defer s.Close()
-	x, y := tcpPair(b)
+	near, far := tcpPair(b)
 	for b.Loop() {
-		if err := s.Pass(make([]byte, 1000), x, y); err != nil {
+		if err := s.Pass(make([]byte, 1000), near, far); err != nil {
 			b.Fatal(err)
 		}
 	}
