--- a/internal/commandline/commandline.go
+++ b/internal/commandline/commandline.go
@@ -13,18 +13,18 @@
 // Exit codes of the programs.
 const (
 	ExitOK      = 0
-	ExitFailure = 1 // the command could not do its work, or found errors in what it was given
-	ExitUsage   = 2 // the command line is wrong
+	ExitFailure = 1 // the command failed, or found errors in its input
+	ExitUsage   = 2 // the command line is invalid
 )
 
-// failure marks an error of a command's work.
+// failure marks an error that occurred while a command ran.
 type failure struct{ error }
 
-// Unwrap returns the error without the mark.
+// Unwrap returns the marked error.
 func (f failure) Unwrap() error { return f.error }
 
-// Failure marks an error as one of a command's work, so that Run returns ExitFailure; an error without the mark is one of
-// the command line. Failure of nil is nil.
+// Failure marks an error that occurred while a command ran, so that Run returns ExitFailure. Run treats an unmarked error as
+// a usage error. Failure returns nil for nil.
 func Failure(err error) error {
 	if err == nil {
 		return nil
@@ -32,11 +32,11 @@
 	return failure{err}
 }
 
-// Run runs a command line, prints its error to errOut and returns the exit code. Each line of the error follows the
-// program's name; an error of the command line is followed by a hint at the help.
+// Run runs a command line, prints its error to errOut and returns the exit code. Each line of the error is prefixed with the
+// program's name. A usage error is followed by a reference to --help.
 func Run(ctx context.Context, root *cli.Command, args []string, out, errOut io.Writer) int {
 	root.Writer, root.ErrWriter = out, errOut
-	root.ExitErrHandler = func(context.Context, *cli.Command, error) {} // the library's would print the error too
+	root.ExitErrHandler = func(context.Context, *cli.Command, error) {} // the library's handler would print the error a second time
 	root.HideVersion = true
 	root.Action = MissingCommand
 	forEachCommand(root, func(command *cli.Command) { command.OnUsageError = usageError })
@@ -54,8 +54,8 @@
 	return ExitUsage
 }
 
-// MissingCommand is the action of a command that only groups others. It prints the help to the error output and returns
-// an error of the command line.
+// MissingCommand is the action of a command that only has subcommands. It prints the help to the error output and returns a
+// usage error.
 func MissingCommand(_ context.Context, command *cli.Command) error {
 	if command.Args().Present() {
 		return errors.Errorf("unknown command %q", command.Args().First())
@@ -67,7 +67,7 @@
 	return errors.New("a command is missing")
 }
 
-// forEachCommand calls visit with a command and all below it.
+// forEachCommand calls visit for a command and all its subcommands.
 func forEachCommand(command *cli.Command, visit func(*cli.Command)) {
 	visit(command)
 	for _, subcommand := range command.Commands {
@@ -75,12 +75,12 @@
 	}
 }
 
-// usageError names an unknown flag with two dashes, as it is written; the library names it with one.
+// usageError writes an unknown flag with two dashes. The library writes it with one.
 func usageError(_ context.Context, _ *cli.Command, err error, _ bool) error {
 	return errors.New(strings.Replace(err.Error(), "not defined: -", "not defined: --", 1))
 }
 
-// NoArgs returns the action of a command that takes no arguments; work does what the command is for.
+// NoArgs returns an action that rejects arguments and otherwise calls work.
 func NoArgs(work func(ctx context.Context, command *cli.Command) error) cli.ActionFunc {
 	return func(ctx context.Context, command *cli.Command) error {
 		if command.Args().Present() {
@@ -90,8 +90,8 @@
 	}
 }
 
-// Args returns the action of a command that takes from least to most arguments; there is no upper bound if most is
-// negative. work does what the command is for.
+// Args returns an action that calls work with the command's arguments. It rejects fewer than least and more than most
+// arguments. A negative most sets no upper bound.
 func Args(least, most int, work func(ctx context.Context, command *cli.Command, args []string) error) cli.ActionFunc {
 	return func(ctx context.Context, command *cli.Command) error {
 		args := command.Args().Slice()
@@ -102,7 +102,7 @@
 	}
 }
 
-// expectation says how many arguments a command takes.
+// expectation describes how many arguments a command takes.
 func expectation(least, most int) string {
 	switch {
 	case most < 0:
--- a/internal/commandline/doc.go
+++ b/internal/commandline/doc.go
@@ -1,7 +1,7 @@
-// Package commandline runs the command lines of the project's programs on urfave/cli: the exit codes, how errors are
-// printed, and how many arguments a command takes. It has no commands of its own; the programs in cmd build the tree of
-// theirs and pass it to Run.
+// Package commandline runs the command lines of the project's programs with urfave/cli. It defines the exit codes, prints
+// errors, and checks the number of arguments. It has no commands; the programs in cmd build their command trees and pass
+// them to Run.
 //
-// Invariant: an error that a command marks with Failure ends the program with ExitFailure, any other with ExitUsage and a
-// hint at the help.
+// Invariant: an error that a command marks with Failure ends the program with ExitFailure. Any other error ends it with
+// ExitUsage and a reference to --help.
 package commandline
--- a/internal/nodefile/compatibility_test.go
+++ b/internal/nodefile/compatibility_test.go
@@ -9,10 +9,10 @@
 	"dykering/internal/fixture"
 )
 
-// addedBounds are the bounds that have come since the file was written, with their defaults.
+// addedBounds are the bounds that were added since the fixture was written, with their defaults.
 var addedBounds = map[string]any{"history_s": 20.0, "free_ms": 1500.0}
 
-// Each key of the settings file is read, and by the name that the platform writes it with.
+// Each key that the platform writes is read under its name.
 func TestSettingsFileOfPlatformIsReadByItsKeys(t *testing.T) {
 	const path = "testdata/compatibility/boot.toml"
 	written := fixture.Bytes(t, path, func() []byte {
--- a/internal/nodefile/example_file_test.go
+++ b/internal/nodefile/example_file_test.go
@@ -13,7 +13,7 @@
 
 const exampleFile = "../../deploy/node.example.toml"
 
-// The example is a valid file of a control process, with the defaults of the bounds.
+// The example file is valid for a control process, and its bounds equal the defaults.
 func TestExampleFileIsValid(t *testing.T) {
 	s, err := Load(exampleFile)
 	if err != nil {
@@ -27,7 +27,7 @@
 	}
 }
 
-// The example has each key of the settings and no other; those of a proxy alone stand in comments.
+// The example file has exactly the keys of Settings. Keys that only a proxy uses are commented out.
 func TestExampleFileHasEveryKey(t *testing.T) {
 	text, err := os.ReadFile(exampleFile)
 	if err != nil {
@@ -46,7 +46,7 @@
 	fixture.SameNames(t, exampleFile, keysOf(t, []byte(withProxyKeys)), keysOf(t, complete))
 }
 
-// keysOf lists the keys of a document, each behind the name of its table.
+// keysOf lists the keys of a document, each with the name of its table as prefix.
 func keysOf(t *testing.T, document []byte) (keys []string) {
 	t.Helper()
 	var tables map[string]any
@@ -55,7 +55,7 @@
 	}
 	for name, value := range tables {
 		table, isTable := value.(map[string]any)
-		if !isTable || name == "zones" { // the names of zones are the operator's
+		if !isTable || name == "zones" { // the operator chooses the names of zones
 			keys = append(keys, name)
 			continue
 		}
--- a/internal/nodefile/load.go
+++ b/internal/nodefile/load.go
@@ -9,15 +9,15 @@
 	"github.com/pkg/errors"
 )
 
-// Variable is the environment variable that holds the path of the settings file.
+// Variable is the name of the environment variable with the path of the settings file.
 const Variable = "DYKERING_NODE_FILE"
 
-// ErrVariableNotSet is the error for an environment without a path of a settings file.
+// ErrVariableNotSet means that the environment variable with the path of the settings file is not set.
 var ErrVariableNotSet = errors.New(Variable + " is not set: it names the settings file")
 
-// InvalidSettingError is the error for a setting whose value breaks a rule.
+// InvalidSettingError is the error for a setting whose value fails validation.
 type InvalidSettingError struct {
-	Key     string // as in the file, with its table
+	Key     string // with the name of its table, as in the file
 	Problem string
 }
 
@@ -38,7 +38,7 @@
 	return Load(path)
 }
 
-// Load reads and validates a settings file. Its errors wrap those of the file system and those of Parse.
+// Load reads and validates a settings file. Its errors wrap errors of the file system and of Parse.
 func Load(path string) (Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -48,8 +48,8 @@
 	return s, errors.Wrapf(err, "settings file %s", path)
 }
 
-// Parse reads settings from TOML and validates them. A value that breaks a rule is an *InvalidSettingError; text that is
-// not TOML, or a value of a wrong type, is an error that wraps the parser's.
+// Parse decodes settings from TOML and validates them. It returns an *InvalidSettingError for a value that fails validation,
+// and wraps the parser's error for text that is not TOML or a value of a wrong type.
 func Parse(text []byte) (Settings, error) {
 	s := Defaults()
 	if err := toml.Unmarshal(text, &s); err != nil {
@@ -63,7 +63,7 @@
 		return invalid("ip_address", "%q is not an IP address", s.IPAddress)
 	}
 	if !isPortRange(s.InternalPortRange) {
-		return invalid("internal_port_range", "%v is not a range of ports", s.InternalPortRange)
+		return invalid("internal_port_range", "%v is not a range of ports from 1 to 65535, such as [7660, 7675]", s.InternalPortRange)
 	}
 	if err := validateSeeds(s.SeedNodes); err != nil {
 		return err
@@ -81,17 +81,17 @@
 
 func validateSeeds(seeds []string) error {
 	if len(seeds) == 0 {
-		return invalid("seed_nodes", "none given")
+		return invalid("seed_nodes", "at least one address is required")
 	}
 	for _, seed := range seeds {
 		if _, _, err := net.SplitHostPort(seed); err != nil {
-			return invalid("seed_nodes", "%q is not an address", seed)
+			return invalid("seed_nodes", "%q is not an address of the form host:port", seed)
 		}
 	}
 	return nil
 }
 
-// validate rejects bounds of 0 or less where a time-out or a window is a fraction of the bound.
+// validate rejects values of 0 or less for bounds from which time-outs or windows derive.
 func (b *Bounds) validate() error {
 	positive := []struct {
 		key   string
--- a/internal/nodefile/nodefile_test.go
+++ b/internal/nodefile/nodefile_test.go
@@ -59,7 +59,7 @@
 		Entry("a value of a wrong type", "node_name = 3", "TOML"),
 	)
 
-	It("names the key of an invalid value in the type of the error, also behind the file's path", func() {
+	It("returns an InvalidSettingError with the key of an invalid value, wrapped with the file's path", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "boot.toml")
 		Expect(os.WriteFile(path, []byte(completeFile+"lease_duration_ms = 0\n"), 0o600)).To(Succeed())
 		_, err := Load(path)
@@ -69,7 +69,7 @@
 		Expect(err).To(MatchError("settings file " + path + ": bounds.lease_duration_ms: 0 is not above 0"))
 	})
 
-	It("is found by the environment variable, whose absence is an error of its own", func() {
+	It("is located by the environment variable, and fails with ErrVariableNotSet without it", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "boot.toml")
 		Expect(os.WriteFile(path, []byte(completeFile), 0o600)).To(Succeed())
 		GinkgoT().Setenv(Variable, path)
--- a/internal/nodefile/settings.go
+++ b/internal/nodefile/settings.go
@@ -6,40 +6,40 @@
 	"time"
 )
 
-// Settings is the content of a settings file. Each field is one key. Fields that this program does not use are read all the
-// same, so that a value of a wrong type is an error.
+// Settings is the content of a settings file. Each field is one key. Fields marked "Not used" are decoded too, so that a
+// value of a wrong type is an error.
 type Settings struct {
-	// NodeName identifies the process in logs, in the status and as lease holder in orders to endpoints. It is unique.
+	// NodeName is the unique name of the process in logs, in the status, and as the lease holder in orders to endpoints.
 	NodeName string `toml:"node_name"`
-	// Role is the name that the deploy file gives the process. It is logged only.
+	// Role is the role of the process in the deploy file. It is only logged.
 	Role string `toml:"role"`
-	// MachineClass is the class of the machine, as in the deploy file. Not used.
+	// MachineClass is the class of the machine in the deploy file. Not used.
 	MachineClass string `toml:"machine_class"`
-	// Serves lists who may call the role from outside: "frontend" (clients), "control_plane" (endpoints and operators). Not
-	// used: the addresses in Listen say the same.
+	// Serves lists the external interfaces of the role: "frontend" for clients, "control_plane" for endpoints and operators.
+	// Not used: the addresses in Listen contain the same information.
 	Serves []string `toml:"serves"`
 	// IPAddress is the machine's address. Required.
 	IPAddress string `toml:"ip_address"`
-	// Zone is the zone of the machine, compared with those of endpoints and of control processes. Default: none.
+	// Zone is the zone of the machine, which is compared with the zones of endpoints and control processes. Default: none.
 	Zone string `toml:"zone"`
 	// Region is the region of the machine. Not used.
 	Region string `toml:"region"`
-	// InternalPortRange is the first and the last of the ports that are free for messages between processes, from 1 to
-	// 65535. The first one is used. It is the same on all machines. Required.
+	// InternalPortRange holds the first and the last port, from 1 to 65535, of the range for messages between processes. The
+	// first port is used. The range is the same on all machines. Required.
 	InternalPortRange []int `toml:"internal_port_range"`
-	// SeedNodes are the control_plane addresses (host:port) of some control processes, to contact first. The machine's own
-	// may be among them. At least one is required.
+	// SeedNodes are the control_plane addresses (host:port) of the control processes to contact first. The machine's own
+	// address may be among them. At least one is required.
 	SeedNodes []string `toml:"seed_nodes"`
-	// InitialStart is true when the whole system starts for the first time, with empty disks: only then may the control
-	// processes found a new chain. Default: false.
+	// InitialStart is true when the whole system starts for the first time, with empty disks. The control processes create a
+	// new chain only then. Default: false.
 	InitialStart bool `toml:"initial_start"`
-	// CountsForQuorum is true if the machine counts for FaultTolerance. Not used.
+	// CountsForQuorum is true if the machine counts towards FaultTolerance. Not used.
 	CountsForQuorum bool `toml:"counts_for_quorum"`
-	// DataDirectory is the folder for files that must survive the process. A control process requires it. Default: none, for a
-	// machine without a disk.
+	// DataDirectory is the folder for files that must survive a restart of the process. A control process requires it.
+	// Default: none, for a machine without a disk.
 	DataDirectory string `toml:"data_directory"`
-	// HeartbeatIntervalMs is the time between two heartbeats of an endpoint, in milliseconds, above 0. Sessions expire after
-	// three of these and a second. Default: 1200.
+	// HeartbeatIntervalMs is the time between two heartbeats of an endpoint, in milliseconds, above 0. A session expires after
+	// three intervals and one second without a heartbeat. Default: 1200.
 	HeartbeatIntervalMs int `toml:"heartbeat_interval_ms"`
 	// Zones maps each zone to its region. Not used.
 	Zones map[string]string `toml:"zones"`
@@ -50,27 +50,27 @@
 	Bounds    Bounds          `toml:"bounds"`
 }
 
-// ListenAddresses are the addresses (host:port) at which a role is called from outside. Those of what the role does not
-// serve are empty.
+// ListenAddresses are the external addresses (host:port) of a role. Addresses of interfaces that the role does not serve are
+// empty.
 type ListenAddresses struct {
-	// Frontend is where a proxy serves clients.
+	// Frontend is the address at which a proxy serves clients.
 	Frontend string `toml:"frontend"`
-	// Readiness is where a proxy answers readiness probes and serves its metrics.
+	// Readiness is the address at which a proxy answers readiness probes and serves its metrics.
 	Readiness string `toml:"readiness"`
-	// ControlPlane is where a control process serves endpoints and operators.
+	// ControlPlane is the address at which a control process serves endpoints and operators.
 	ControlPlane string `toml:"control_plane"`
 }
 
-// Limits bound the resources that the process may use. The default of each is 0.
+// Limits bound the resources of the process. The default of each is 0.
 type Limits struct {
 	// CPUShare is the fraction of a core that the process gets. Not used.
 	CPUShare float64 `toml:"cpu_share"`
-	// CPUCores is the number of cores, to which GOMAXPROCS is set. 0 counts as 1.
+	// CPUCores is the number of cores and the value of GOMAXPROCS. 0 counts as 1.
 	CPUCores int `toml:"cpu_cores"`
-	// MemoryMB is the memory, in MiB, above which the process is killed. The memory limit of the Go runtime and the memory
-	// for request bodies derive from it. 0 sets no limit for the runtime.
+	// MemoryMB is the memory, in MiB, above which the platform kills the process. The memory limit of the Go runtime and the
+	// memory for request bodies derive from it. With 0 the runtime has no limit.
 	MemoryMB int `toml:"memory_mb"`
-	// FileDescriptors is the number of file descriptors. A proxy derives the number of its connections from it.
+	// FileDescriptors is the limit of file descriptors. A proxy derives its connection limits from it.
 	FileDescriptors int `toml:"file_descriptors"`
 	// LinkMbps is the bandwidth of the machine's link, in megabits a second. Not used.
 	LinkMbps float64 `toml:"link_mbps"`
@@ -78,76 +78,76 @@
 	DiskMB int `toml:"disk_mb"`
 }
 
-// FaultTolerance is what may be lost at once while all rules are kept.
+// FaultTolerance is the number of simultaneous failures that the system must tolerate.
 type FaultTolerance struct {
-	// MachineFailures is the number of machines that count for the quorum which may be lost at once. The number of replicas
-	// of the chain and of voters derives from it. Default: 1.
+	// MachineFailures is the number of quorum machines that may fail at once. The numbers of replicas in the chain and of
+	// voters derive from it. Default: 1.
 	MachineFailures int `toml:"machine_failures"`
 	// Zones is the number of zones. Not used.
 	Zones int `toml:"zones"`
-	// RegionFailures is the number of regions. Not used.
+	// RegionFailures is the number of regions that may fail at once. Not used.
 	RegionFailures int `toml:"region_failures"`
 }
 
-// Bounds are the figures of the rules that are in force. Names end in their unit. docs/SYSTEM.md lists what derives from
-// each.
+// Bounds are the limits that the platform's rules set. The names end in their unit. docs/SYSTEM.md lists the time-outs and
+// windows that derive from each bound.
 type Bounds struct {
-	// SeedLagS is how far SeedNodes may lag behind. Default: 3. Not used.
+	// SeedLagS is the time by which SeedNodes may be out of date. Default: 3. Not used.
 	SeedLagS float64 `toml:"seed_lag_s"`
-	// AddressReuseS is how long after the end of an endpoint its address may go to another. Default: 2. Not used: requests
-	// name the endpoint that they expect.
+	// AddressReuseS is the time after the end of an endpoint before its address may be given to another one. Default: 2. Not
+	// used: requests name the endpoint that they expect.
 	AddressReuseS float64 `toml:"address_reuse_s"`
-	// ContactMs is the time within which processes that can reach each other have noticed. Intervals of pings, suspicion of
-	// members, the lease and the end of a stream are fractions of it. Above 0. Default: 3000.
+	// ContactMs is the time within which processes must detect that they can reach each other. Ping intervals, the suspicion
+	// of members, the lease and the time-out of a stream are fractions of it. Above 0. Default: 3000.
 	ContactMs float64 `toml:"contact_ms"`
-	// AcknowledgeMs bounds the time for acknowledging a change of the configuration. Above 0. Default: 4000.
+	// AcknowledgeMs is the time limit for acknowledging a configuration change. Above 0. Default: 4000.
 	AcknowledgeMs float64 `toml:"acknowledge_ms"`
-	// CatchUpS is the time after which a machine that has returned counts as present. Default: 4. Not used.
+	// CatchUpS is the time after which a restarted machine counts as available again. Default: 4. Not used.
 	CatchUpS float64 `toml:"catch_up_s"`
-	// DrainTimeoutMs is the time for which an endpoint still serves once its drain has been acknowledged. Above 0.
+	// DrainTimeoutMs is the time for which an endpoint continues to serve after its drain was acknowledged. Above 0.
 	// Default: 2000.
 	DrainTimeoutMs float64 `toml:"drain_timeout_ms"`
 	// GracePeriodS is the time between SIGTERM and SIGKILL. Above 0. Default: 8.
 	GracePeriodS float64 `toml:"grace_period_s"`
-	// LossSlackMs. Default: 200. Not used.
+	// LossSlackMs is not used. Default: 200.
 	LossSlackMs float64 `toml:"loss_slack_ms"`
-	// ConfigApplyMs is the time within which all proxies apply an acknowledged configuration. Above 0. Default: 2000. It is
-	// validated only: configurations are streamed as soon as they are committed.
+	// ConfigApplyMs is the time within which all proxies must apply an acknowledged configuration. Above 0. Default: 2000. It
+	// is only validated: configurations are streamed as soon as they are committed.
 	ConfigApplyMs float64 `toml:"config_apply_ms"`
-	// RollbackSlackMs. Default: 250. Not used.
+	// RollbackSlackMs is not used. Default: 250.
 	RollbackSlackMs float64 `toml:"rollback_slack_ms"`
-	// InstabilityBoundMs. Default: 5000. Not used.
+	// InstabilityBoundMs is not used. Default: 5000.
 	InstabilityBoundMs float64 `toml:"instability_bound_ms"`
-	// RetryBudgetRatio is the number of retries that the fleet may make for each request. Default: 0.2.
+	// RetryBudgetRatio is the number of retries per request that the fleet may make. Default: 0.2.
 	RetryBudgetRatio float64 `toml:"retry_budget_ratio"`
 	// BudgetWindowS is the window over which the retry budget is counted. Above 0. Default: 10.
 	BudgetWindowS float64 `toml:"budget_window_s"`
 	// RetryBudgetSlack is the number of retries that the fleet may make in each window beyond the ratio. Default: 0.
 	RetryBudgetSlack float64 `toml:"retry_budget_slack"`
-	// RecoveryS. Default: 12. Not used.
+	// RecoveryS is not used. Default: 12.
 	RecoveryS float64 `toml:"recovery_s"`
-	// PassMs. Default: 120. Not used.
+	// PassMs is not used. Default: 120.
 	PassMs float64 `toml:"pass_ms"`
 	// FencingEnabled is true if endpoints reject orders with a lower fencing token than they have seen. Default: false. Not
 	// used: orders always carry the token.
 	FencingEnabled bool `toml:"fencing_enabled"`
-	// LeaseDurationMs is the time within which two lease holders may not alternate. Above 0. Default: 3000.
+	// LeaseDurationMs is the time within which the lease may not alternate between two holders. Above 0. Default: 3000.
 	LeaseDurationMs float64 `toml:"lease_duration_ms"`
-	// ThawSlackMs is for how long a process that was frozen may go on acting with a lease that has expired meanwhile. A new
-	// lease holder waits for it. Default: 300.
+	// ThawSlackMs is the time for which a process that was frozen may continue to act on a lease that expired meanwhile. A new
+	// lease holder waits for this time. Default: 300.
 	ThawSlackMs float64 `toml:"thaw_slack_ms"`
 	// CeilingWindowS is the window of the weight store's rate limit (loads_per_s of a service). Above 0. Default: 5.
 	CeilingWindowS float64 `toml:"ceiling_window_s"`
-	// HistoryS is the time, in seconds, for which a watch can be resumed from a revision that it was given. Above 0.
+	// HistoryS is the time, in seconds, for which a watch can be resumed from a revision that it received. Above 0.
 	// Default: 20.
 	HistoryS float64 `toml:"history_s"`
-	// FreeMs is the time within which a lock whose hold is over is handed out again. Above 0. Default: 1500.
+	// FreeMs is the time within which a lock must be available again after its hold expired. Above 0. Default: 1500.
 	FreeMs float64 `toml:"free_ms"`
 	// OriginRateOvershoot is the factor by which loads in a window may exceed the rate limit. Default: 1.
 	OriginRateOvershoot float64 `toml:"origin_rate_overshoot"`
 }
 
-// Defaults returns the settings that hold for keys which a file leaves out.
+// Defaults returns the settings for keys that a file omits.
 func Defaults() Settings {
 	return Settings{
 		HeartbeatIntervalMs: 1200,
@@ -179,8 +179,8 @@
 	}
 }
 
-// InternalAddress returns the address (host:port) for messages between processes of the control process on a host. Ports
-// are the same on all machines.
+// InternalAddress returns the address (host:port) at which the control process on a host receives messages of other
+// processes. Its port is the same on all machines.
 func (s *Settings) InternalAddress(host string) string {
 	return net.JoinHostPort(host, strconv.Itoa(s.InternalPortRange[0]))
 }
@@ -191,7 +191,7 @@
 	for _, seed := range s.SeedNodes {
 		host, _, err := net.SplitHostPort(seed)
 		if err != nil {
-			continue // validate has rejected it
+			continue // cannot happen: validate rejects such seeds
 		}
 		addresses = append(addresses, s.InternalAddress(host))
 	}
--- a/internal/operator/changes.go
+++ b/internal/operator/changes.go
@@ -7,12 +7,12 @@
 	"dykering/internal/tomlconfig"
 )
 
-// Change is a key whose value differs between two files. From and To are as in tomlconfig.Value.Text; From is empty for
-// a key that is new, To for one that is no longer there.
+// Change is a key whose value differs between two files. From and To are formatted like tomlconfig.Value.Text. From is empty
+// for an added key, and To for a removed one.
 type Change struct{ Key, From, To string }
 
-// Changes returns the differences between two files: first the keys of to in its order, then those that it lacks, by
-// name. The values of secrets are compared but masked in the result.
+// Changes returns the differences between two files: first the changed and added keys in the order of to, then the removed
+// keys by name. The values of secrets are compared but masked in the result.
 func Changes(from, to *File) []Change {
 	var changes []Change
 	remaining := map[string]tomlconfig.Value{}
--- a/internal/operator/example.go
+++ b/internal/operator/example.go
@@ -13,10 +13,10 @@
 version = %d
 `
 
-// commentedOut precedes the keys of arrays of tables, which are empty by default.
+// commentedOut is the prefix of the keys of arrays of tables, since these arrays are empty by default.
 const commentedOut = "# "
 
-// Example returns a file that has every key with its documentation, its bounds and its default.
+// Example returns the content of a file with every key, its documentation, its bounds and its default.
 func Example() string {
 	var example strings.Builder
 	fmt.Fprintf(&example, exampleHeader, Version)
--- a/internal/operator/file.go
+++ b/internal/operator/file.go
@@ -8,20 +8,20 @@
 	"dykering/internal/validation"
 )
 
-// File is a file that was read and has no errors, or the defaults.
+// File holds the validated content of a settings file, or the defaults.
 type File struct {
 	sections map[string]any
 	sources  tomlconfig.Sources
 }
 
-// Section returns a section of a file by its name. T is the type that the section's defaults point to; Section panics
-// if it is another.
+// Section returns a section of a file by its name. T is the type that the section's defaults point to; Section panics for
+// another type.
 func Section[T any](f *File, name string) *T { return f.sections[name].(*T) }
 
-// Defaults returns what holds without a file.
+// Defaults returns the settings that apply without a file.
 func Defaults() *File { return newFile(newRoot(), nil) }
 
-// Load reads a file. getenv looks up the environment variables that the file refers to.
+// Load reads and decodes a file. getenv looks up the environment variables that the file refers to.
 func Load(path string, getenv func(string) (string, bool)) (*File, []validation.Error) {
 	data, errs := tomlconfig.Read(path)
 	if len(errs) > 0 {
@@ -30,7 +30,7 @@
 	return Parse(path, data, getenv)
 }
 
-// Parse decodes the content of a file; path appears in errors and sources only. It returns either a file or all errors.
+// Parse decodes the content of a file and returns either a File or all errors. path is used only in errors and sources.
 func Parse(path string, data []byte, getenv func(string) (string, bool)) (*File, []validation.Error) {
 	root, sources, errs := tomlconfig.DecodeAny(path, data, func() any { return newRoot().Interface() }, getenv)
 	if len(errs) > 0 {
@@ -39,7 +39,8 @@
 	return newFile(reflect.ValueOf(root), sources), nil
 }
 
-// newRoot makes a pointer to a struct of the complete file: the version, then a pointer to each section's defaults.
+// newRoot returns a pointer to a struct for the complete file. Its fields are the version and a pointer to the defaults of
+// each section.
 func newRoot() reflect.Value {
 	fields := []reflect.StructField{{
 		Name: "Version", Type: reflect.TypeFor[int](),
@@ -58,7 +59,7 @@
 	return root
 }
 
-// newFile takes the sections out of what newRoot made.
+// newFile returns a File with the sections of a struct that newRoot created.
 func newFile(root reflect.Value, sources tomlconfig.Sources) *File {
 	f := &File{sections: map[string]any{}, sources: sources}
 	for i, s := range sections {
@@ -67,7 +68,7 @@
 	return f
 }
 
-// Values returns the values of all keys but the version, and where they come from.
+// Values returns the values of all keys except the version, with their sources.
 func (f *File) Values() []tomlconfig.Value {
 	var values []tomlconfig.Value
 	for _, s := range sections {
--- a/internal/operator/fuzz_test.go
+++ b/internal/operator/fuzz_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// FuzzParse: a file is taken whole, or not at all with each fault's line; taken, it says the same of every key again.
+// FuzzParse checks that Parse returns either a file or errors with valid line numbers, and that parsing an accepted file
+// again yields the same values.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(Example()))
 	f.Add([]byte("version = 1\n[log]\nlevel = \"debug\"\n"))
@@ -14,7 +15,7 @@
 		getenv := func(string) (string, bool) { return "", false }
 		got, wrong := Parse("f", text, getenv)
 		if (got == nil) != (len(wrong) > 0) {
-			t.Fatalf("%q: a file and %d faults", text, len(wrong))
+			t.Fatalf("%q: want a file or errors, got %d errors", text, len(wrong))
 		}
 		lines := 1 + strings.Count(string(text), "\n")
 		for _, w := range wrong {
@@ -25,7 +26,7 @@
 		if got != nil {
 			again, _ := Parse("f", text, getenv)
 			if changes := Changes(got, again); len(changes) > 0 {
-				t.Errorf("%q: read again it differs: %v", text, changes)
+				t.Errorf("%q: parsed again, the values differ: %v", text, changes)
 			}
 		}
 	})
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -13,15 +13,15 @@
 )
 
 type team struct {
-	Name  string `toml:"name" doc:"whose it is"`
-	Calls int    `toml:"calls" doc:"a second" min:"1"`
+	Name  string `toml:"name" doc:"the team's name"`
+	Calls int    `toml:"calls" doc:"calls per second" min:"1"`
 }
 
 type sample struct {
 	Word  string              `toml:"word" doc:"a word" oneof:"one two"`
 	Count int                 `toml:"count" doc:"a number" min:"1" max:"9"`
 	Part  float64             `toml:"part" doc:"a part" min:"0" max:"1"`
-	On    bool                `toml:"on" doc:"whether"`
+	On    bool                `toml:"on" doc:"a switch"`
 	Wait  tomlconfig.Duration `toml:"wait" doc:"a time" min:"1ms" max:"1s"`
 	Size  tomlconfig.Bytes    `toml:"size" doc:"a size" max:"1MiB"`
 	Key   string              `toml:"key" doc:"a secret" secret:"yes"`
@@ -31,7 +31,7 @@
 }
 
 type inner struct {
-	Depth int `toml:"depth" doc:"how deep" max:"3"`
+	Depth int `toml:"depth" doc:"a depth" max:"3"`
 }
 
 func (s *sample) Check() (wrong []validation.Error) {
@@ -44,7 +44,7 @@
 }
 
 func init() {
-	Register("sample", "What tests need.", func() any {
+	Register("sample", "Section for tests.", func() any {
 		return &sample{Word: "one", Count: 3, Wait: tomlconfig.Duration(20 * time.Millisecond), Size: 4 << 10, Names: []string{"a"}}
 	})
 }
@@ -60,8 +60,8 @@
 	return Section[sample](f, "sample"), f, wrong
 }
 
-// Every fault is named, with its line, its key and what would be right; a file with one is not taken at all.
-func TestFaults(t *testing.T) {
+// Every error is reported with its line, its key and the expected value. A file with an error is rejected as a whole.
+func TestParseReportsEveryError(t *testing.T) {
 	for name, tc := range map[string]struct {
 		text string
 		want []string
@@ -79,7 +79,7 @@
 			[]string{
 				"f.toml:3: sample.count: has to be a whole number", "f.toml:4: sample.on: has to be true or false",
 				"f.toml:5: sample.wait: \"5\" is not a time", "f.toml:6: sample.word: \"three\" is not one of one, two",
-				"f.toml:7: sample.names: has to be a list, each of it a text in quotes", "f.toml:9: sample.inner.depth: has to be at most 3",
+				"f.toml:7: sample.names: has to be a list, each element a text in quotes", "f.toml:9: sample.inner.depth: has to be at most 3",
 			},
 		},
 		"bounds": {
@@ -101,7 +101,7 @@
 	} {
 		s, _, wrong := read(tc.text)
 		if s != nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: the file was accepted", name)
 		}
 		for i, want := range tc.want {
 			if i >= len(wrong) || !strings.HasPrefix(wrong[i].Error(), want) {
@@ -110,12 +110,12 @@
 			}
 		}
 		if len(wrong) != len(tc.want) && name != "no such variable" {
-			t.Errorf("%s: %d faults: %v", name, len(wrong), wrong)
+			t.Errorf("%s: %d errors: %v", name, len(wrong), wrong)
 		}
 	}
 }
 
-// What the file and the environment say holds, and it is told where each value comes from; secrets are not.
+// Values of the file and of the environment override the defaults, and each value has its source. Secrets are masked.
 func TestValues(t *testing.T) {
 	s, f, wrong := read(`version = 1
 [sample]
@@ -151,11 +151,11 @@
 		t.Errorf("changes %+v", changes)
 	}
 	if changes := Changes(f, Defaults()); len(changes) != 7 {
-		t.Errorf("changes back %+v", changes)
+		t.Errorf("changes in the reverse direction %+v", changes)
 	}
 }
 
-// A file that is gone, or too long to be one, is a fault of the file's.
+// A file that is absent, a folder or too large is reported as one error with its path.
 func TestFilesThatCannotBeRead(t *testing.T) {
 	long := filepath.Join(t.TempDir(), "long.toml")
 	if err := os.WriteFile(long, make([]byte, 2<<20), 0o600); err != nil {
@@ -168,7 +168,7 @@
 	}
 }
 
-// The example is a file that says what the defaults are.
+// The example is a valid file whose values equal the defaults.
 func TestExample(t *testing.T) {
 	f, wrong := Parse("example", []byte(Example()), os.LookupEnv)
 	if len(wrong) > 0 {
--- a/internal/roles/roles.go
+++ b/internal/roles/roles.go
@@ -16,16 +16,17 @@
 	"dykering/internal/protocol"
 )
 
-// memoryShare is the part of the memory limit at which the collector works harder.
-const memoryShare = 0.7
+// runtimeMemoryShare is the share of the process's memory limit that is set as the soft memory limit of the Go runtime. Near
+// this limit the garbage collector runs more often, before the process reaches the hard limit.
+const runtimeMemoryShare = 0.7
 
 // role runs one role of the system.
 type role func(settings nodefile.Settings, log *slog.Logger, stop <-chan os.Signal) error
 
-// RunControl serves the control plane until SIGTERM or SIGINT.
+// RunControl runs the control plane until SIGTERM or SIGINT.
 func RunControl() error { return run(controlplane.Run) }
 
-// RunProxy carries the traffic of clients until SIGTERM or SIGINT.
+// RunProxy runs the proxy for client traffic until SIGTERM or SIGINT.
 func RunProxy() error { return run(dataplane.Run) }
 
 func run(r role) error {
@@ -35,12 +36,12 @@
 	}
 	runtime.GOMAXPROCS(max(1, settings.Limits.CPUCores))
 	if settings.Limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(settings.Limits.MemoryMB<<20)))
+		debug.SetMemoryLimit(int64(runtimeMemoryShare * float64(settings.Limits.MemoryMB<<20)))
 	}
 	protocol.Register()
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
-	signal.Ignore(syscall.SIGHUP) // the settings file is read again whenever it is needed
+	signal.Ignore(syscall.SIGHUP) // the roles read the settings file again by themselves when needed
 	return r(settings, newLog(), stop)
 }
 
--- a/internal/tomlconfig/bounds.go
+++ b/internal/tomlconfig/bounds.go
@@ -12,14 +12,14 @@
 	"dykering/internal/validation"
 )
 
-// Checker is implemented by structs whose rules concern more than the type and the bounds of one key.
+// Checker is implemented by structs with validation rules beyond the type and the bounds of a single key.
 type Checker interface {
-	// Check returns what is wrong. Key is relative to the struct; File and Line are filled in by the decoder.
+	// Check returns the errors found. Error.Key is relative to the struct; the decoder fills in File and Line.
 	Check() []validation.Error
 }
 
-// checkBounds reports the values that are outside their bounds and have no error yet, and fills in what the tag omitted
-// says.
+// checkBounds reports the values that are outside their bounds and have no error yet. It also sets empty texts to the value
+// of the tag omitted.
 func (d *decoder) checkBounds(root reflect.Value) {
 	for _, s := range settings("", root, presentElements) {
 		setOmitted(s)
@@ -29,7 +29,7 @@
 	}
 }
 
-// setOmitted gives an empty text the value of the tag omitted: the elements of arrays have no defaults.
+// setOmitted sets an empty text to the value of the tag omitted, since elements of arrays have no other defaults.
 func setOmitted(s setting) {
 	omitted := s.field.Tag.Get("omitted")
 	if omitted != "" && s.value.Kind() == reflect.String && s.value.String() == "" {
@@ -37,7 +37,7 @@
 	}
 }
 
-// outOfBounds says which of its bounds a value violates, "" if none.
+// outOfBounds describes the bound that a value violates. It returns "" if the value is within its bounds.
 func outOfBounds(s setting) string {
 	tag := s.field.Tag
 	if allowed := strings.Fields(tag.Get("oneof")); len(allowed) > 0 && !slices.Contains(allowed, s.value.String()) {
@@ -52,8 +52,8 @@
 	return ""
 }
 
-// parseBound reads a bound, which is written as the values of its key. It panics if it cannot: bounds are part of the
-// program, and the tests of the package that declares one decode its section.
+// parseBound parses a bound, which has the same syntax as the values of its key. It panics on a malformed bound: bounds are
+// part of the program, and the tests of the package that declares a bound decode its section.
 func parseBound(t reflect.Type, text string) reflect.Value {
 	bound := reflect.New(t)
 	if unmarshaler, ok := bound.Interface().(encoding.TextUnmarshaler); ok {
@@ -77,8 +77,8 @@
 	return cmp.Compare(a.Float(), b.Float())
 }
 
-// runCheckers reports what the Checkers among a struct, to which a pointer is given, and the structs nested in it find.
-// Elements of arrays are the duty of the struct that has the array.
+// runCheckers reports the errors of the Checkers among a struct, given by pointer, and the structs nested in it. Elements of
+// arrays are checked by the struct that has the array.
 func (d *decoder) runCheckers(table string, pointer reflect.Value) {
 	if checker, ok := pointer.Interface().(Checker); ok {
 		for _, err := range checker.Check() {
@@ -92,7 +92,8 @@
 	}
 }
 
-// DescribeBounds returns the bounds of a key for its documentation, in parentheses after a space; "" if it has none.
+// DescribeBounds returns the bounds of a key for its documentation: a space and the bounds in parentheses, or "" for a key
+// without bounds.
 func DescribeBounds(field reflect.StructField) string {
 	switch lower, upper := field.Tag.Get("min"), field.Tag.Get("max"); {
 	case lower != "" && upper != "":
--- a/internal/tomlconfig/decode.go
+++ b/internal/tomlconfig/decode.go
@@ -13,19 +13,19 @@
 	"dykering/internal/validation"
 )
 
-// maxErrors bounds the errors that are reported of one file, and the attempts to decode it.
+// maxErrors bounds the errors reported for one file, and the attempts to decode it.
 const maxErrors = 100
 
-// tomlErrorPrefix is what the TOML library puts before its messages.
+// tomlErrorPrefix is the prefix of the TOML library's messages.
 const tomlErrorPrefix = "toml: "
 
-// Sources gives for each key of a file, with the indexes of arrays, where its value comes from: "path:line" or
-// "environment NAME". A key that is absent has its default.
+// Sources maps each key of a file, with the indexes of arrays, to the origin of its value: "path:line" or
+// "environment NAME". A key that is absent from the map has its default.
 type Sources map[string]string
 
 // Decode decodes the content of a file into the struct that defaults returns a pointer to. The struct's fields have the
-// tags that the package comment lists; what the file does not mention keeps its default. path appears in the errors and
-// in the sources only. Decode reports up to 100 errors, ordered by line; if there are any, the other results are nil.
+// tags that the package comment lists. Keys that the file does not mention keep their defaults. path is used only in the
+// errors and in the sources. Decode reports up to 100 errors, ordered by line; if there are any, the other results are nil.
 func Decode[T any](path string, data []byte, defaults func() *T, getenv func(string) (string, bool)) (*T, Sources, []validation.Error) {
 	root, sources, errs := DecodeAny(path, data, func() any { return defaults() }, getenv)
 	if len(errs) > 0 {
@@ -34,7 +34,7 @@
 	return root.(*T), sources, nil
 }
 
-// DecodeAny is Decode for a type that is known at run time only.
+// DecodeAny is Decode for a type that is known only at run time.
 func DecodeAny(path string, data []byte, defaults func() any, getenv func(string) (string, bool)) (any, Sources, []validation.Error) {
 	if err, ok := checkSyntax(path, data); !ok {
 		return nil, nil, []validation.Error{err}
@@ -56,7 +56,7 @@
 // decoder decodes one file.
 type decoder struct {
 	path  string
-	data  []byte         // the file's content, as it is in the file
+	data  []byte         // the original content of the file
 	known map[string]Key // by Key.Name
 
 	sources       Sources
@@ -75,7 +75,7 @@
 	return d
 }
 
-// report adds an error of a key, on the line that the key has in the file. A key without a line is missing there.
+// report adds an error for a key, on the key's line in the file. A key without a line is reported as missing.
 func (d *decoder) report(key, text string) {
 	line := d.lineOf(key)
 	if line == 0 {
@@ -84,7 +84,7 @@
 	d.reportAt(line, key, text)
 }
 
-// reportAt adds an error on a line.
+// reportAt adds an error for a key on a line.
 func (d *decoder) reportAt(line int, key, text string) {
 	d.errs = append(d.errs, validation.Error{File: d.path, Line: line, Key: key, Text: text})
 }
@@ -94,7 +94,7 @@
 	return slices.ContainsFunc(d.errs, func(err validation.Error) bool { return err.Key == key })
 }
 
-// checkSyntax returns the error that makes the content no TOML; ok if there is none.
+// checkSyntax parses the content as TOML. It returns the syntax error, or ok if the content is valid.
 func checkSyntax(path string, data []byte) (found validation.Error, ok bool) {
 	var discarded map[string]any
 	err := toml.Unmarshal(data, &discarded)
@@ -110,8 +110,9 @@
 	return found, false
 }
 
-// unmarshal decodes data into a struct. The TOML library stops at the first value of a wrong type; that value is
-// reported and blanked and the rest decoded again, so that all of them are found. It returns nil if it cannot go on.
+// unmarshal decodes data into a struct. The TOML library stops at the first value of a wrong type. unmarshal reports that
+// value, blanks it and decodes the data again, so that it finds all such values. It returns nil if an error belongs to no key
+// or there are too many errors.
 func (d *decoder) unmarshal(data []byte, defaults func() any) any {
 	for range maxErrors {
 		root := defaults()
@@ -133,8 +134,8 @@
 	return nil
 }
 
-// reportWrongType reports a value that does not fit its key's type, and returns the position of that key. It is not ok
-// if the error belongs to no key that could be blanked.
+// reportWrongType reports a value that does not match the type of its key, and returns the position of that key. ok is false
+// if the error belongs to no key that can be blanked.
 func (d *decoder) reportWrongType(err *toml.DecodeError) (position keyPosition, ok bool) {
 	line, _ := err.Position()
 	text := strings.TrimPrefix(err.Error(), tomlErrorPrefix)
@@ -150,7 +151,7 @@
 	return position, true
 }
 
-// describeType names a type in an error.
+// describeType returns the description of a type in an error message.
 func describeType(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Int, reflect.Int64, reflect.Uint64:
@@ -160,7 +161,7 @@
 	case reflect.Bool:
 		return "true or false"
 	case reflect.Slice:
-		return fmt.Sprintf("a list, each of it %s", describeType(t.Elem()))
+		return fmt.Sprintf("a list, each element %s", describeType(t.Elem()))
 	}
 	return "a text in quotes"
 }
--- a/internal/tomlconfig/decode_test.go
+++ b/internal/tomlconfig/decode_test.go
@@ -30,7 +30,7 @@
 	Upper int `toml:"upper" doc:"the upper limit" max:"100"`
 }
 
-// Check has a rule for two keys.
+// Check implements Checker with a rule that concerns two keys.
 func (l *limitsTable) Check() []validation.Error {
 	if l.Lower > l.Upper {
 		return []validation.Error{{Key: "lower", Text: "has to be at most upper"}}
@@ -62,7 +62,7 @@
 	return Decode("settings.toml", []byte(text), defaultSettings, testEnvironment)
 }
 
-// Each error names the file, the line, the key and what would be right.
+// Each error names the file, the line, the key and what is expected.
 func TestDecodeReportsErrors(t *testing.T) {
 	tests := map[string]struct {
 		text string
@@ -74,7 +74,7 @@
 		"number":         {"ratio = \"x\"", []string{"settings.toml:1: ratio: has to be a number"}},
 		"boolean":        {"enabled = 1", []string{"settings.toml:1: enabled: has to be true or false"}},
 		"text":           {"mode = 1", []string{"settings.toml:1: mode: has to be a text in quotes"}},
-		"list":           {"names = [1]", []string{"settings.toml:1: names: has to be a list, each of it a text in quotes"}},
+		"list":           {"names = [1]", []string{"settings.toml:1: names: has to be a list, each element a text in quotes"}},
 		"duration":       {"timeout = \"5\"", []string{"settings.toml:1: timeout: \"5\" is not a time with its unit, as 250ms"}},
 		"size":           {"buffer = \"5MB\"", []string{"settings.toml:1: buffer: \"5MB\" is not a size with its unit, as 16MiB"}},
 		"lower bound":    {"workers = 0", []string{"settings.toml:1: workers: has to be at least 1"}},
@@ -100,7 +100,7 @@
 		"value over several lines": {
 			"names = [\n  1,\n  2,\n]\nworkers = 0\n",
 			[]string{
-				"settings.toml:1: names: has to be a list, each of it a text in quotes",
+				"settings.toml:1: names: has to be a list, each element a text in quotes",
 				"settings.toml:5: workers: has to be at least 1",
 			},
 		},
@@ -110,7 +110,8 @@
 	}
 }
 
-// expectErrors decodes a text and compares its errors by their beginnings: the TOML library words the syntax errors.
+// expectErrors decodes a text and compares its errors. An expected error that ends with ": " is compared as a prefix, since
+// the texts of syntax errors come from the TOML library.
 func expectErrors(t *testing.T, text string, want []string) {
 	t.Helper()
 	decoded, sources, errs := decodeSettings(text)
@@ -128,7 +129,7 @@
 	}
 }
 
-// No more than maxErrors are reported, the first ones.
+// Only the first maxErrors errors are reported.
 func TestDecodeBoundsTheErrors(t *testing.T) {
 	text := strings.Repeat("[[route]]\nkind = \"glob\"\n", maxErrors+5)
 	_, _, errs := decodeSettings(text)
@@ -137,7 +138,7 @@
 	}
 }
 
-// What a file does not mention keeps its default, and each value that it does mention has its line as its source.
+// Keys that a file does not mention keep their defaults. Each value from the file has its line as its source.
 func TestDecodeOverDefaults(t *testing.T) {
 	decoded, sources, errs := decodeSettings("workers = 3\n\n[limits]\nlower = 5\n[[route]]\npath = \"/\"\n[[route]]\nkind = \"prefix\"\n")
 	if len(errs) > 0 {
@@ -168,7 +169,7 @@
 	}
 }
 
-// A type that is known at run time only is decoded like any other.
+// A type that is known only at run time is decoded like any other.
 func TestDecodeAny(t *testing.T) {
 	root, _, errs := DecodeAny("settings.toml", []byte("workers = 3"), func() any { return defaultSettings() }, testEnvironment)
 	if decoded, ok := root.(*settingsFile); len(errs) > 0 || !ok || decoded.Workers != 3 {
--- a/internal/tomlconfig/environment.go
+++ b/internal/tomlconfig/environment.go
@@ -11,11 +11,11 @@
 )
 
 var (
-	// environmentReference matches a value that stands for an environment variable.
+	// environmentReference matches a value that refers to an environment variable.
 	environmentReference = regexp.MustCompile(`^\$\{([A-Za-z_][A-Za-z0-9_]*)\}$`)
 
-	// bareValue matches what may replace a reference without quotes: numbers and booleans. It has no character that
-	// could end the value.
+	// bareValue matches the texts that may replace a reference without quotes, such as numbers and booleans. They contain
+	// no character that could end the TOML value.
 	bareValue = regexp.MustCompile(`^[A-Za-z0-9_+.-]+$`)
 )
 
@@ -37,7 +37,8 @@
 	return match[1], true
 }
 
-// resolve looks up the environment variable that the value of a key refers to. The value is at raw.
+// resolve looks up the environment variable that the value of a key refers to, and records the substitution of the value,
+// whose byte range is raw.
 func (d *decoder) resolve(variable, name string, key Key, line int, raw unstable.Range, getenv func(string) (string, bool)) {
 	text, isSet := getenv(variable)
 	if !isSet {
@@ -52,8 +53,8 @@
 	d.sources[name] = "environment " + variable
 }
 
-// substitute returns the file's content with all substitutions made, from the last to the first so that the offsets of
-// those before stay right, and moves the positions of the keys accordingly.
+// substitute returns the file's content after all substitutions, and moves the positions of the keys accordingly. It applies
+// the substitutions from last to first, so that the offsets of the remaining ones stay valid.
 func (d *decoder) substitute() []byte {
 	data := d.data
 	for _, s := range slices.Backward(d.substitutions) {
@@ -63,7 +64,7 @@
 	return data
 }
 
-// movePositions moves the offsets after a byte offset by a number of bytes.
+// movePositions shifts all key offsets after a byte offset by a number of bytes.
 func (d *decoder) movePositions(after, by int) {
 	for i := range d.positions {
 		position := &d.positions[i]
@@ -76,7 +77,7 @@
 	}
 }
 
-// quote writes a text as a TOML basic string.
+// quote returns a text as a TOML basic string.
 func quote(text string) string {
 	const deleteCharacter = 0x7f
 	var quoted strings.Builder
--- a/internal/tomlconfig/environment_test.go
+++ b/internal/tomlconfig/environment_test.go
@@ -7,7 +7,7 @@
 	"dykering/internal/validation"
 )
 
-// A reference takes the type of its key, and the variable is the value's source.
+// A reference is decoded with the type of its key, and the variable is the source of the value.
 func TestEnvironmentReferences(t *testing.T) {
 	decoded, sources, errs := decodeSettings(`mode = "${MODE}"
 workers = "${WORKERS}" # a comment
@@ -28,7 +28,7 @@
 		t.Errorf("decoded %+v", decoded)
 	}
 	if decoded.Names[0] != "${MODE}" {
-		t.Errorf("the reference in a list became %q", decoded.Names[0])
+		t.Errorf("the reference in a list was replaced by %q", decoded.Names[0])
 	}
 	expectSources(t, sources, Sources{
 		"mode": "environment MODE", "workers": "environment WORKERS", "ratio": "environment RATIO",
@@ -37,7 +37,7 @@
 	})
 }
 
-// A variable that is not set, or whose value does not fit the key, is an error on the line of the reference.
+// A variable that is not set, or whose value is invalid for the key, is an error on the line of the reference.
 func TestEnvironmentErrors(t *testing.T) {
 	tests := map[string]struct {
 		text string
--- a/internal/tomlconfig/file.go
+++ b/internal/tomlconfig/file.go
@@ -7,10 +7,11 @@
 	"dykering/internal/validation"
 )
 
-// maxFileSize is the size in bytes of the longest file that is read; a longer one is hardly a settings file.
+// maxFileSize is the size limit of a file in bytes. It protects against reading something that is not a settings file.
 const maxFileSize = 1 << 20
 
-// Read returns the content of a file of at most 1 MiB. A file that cannot be read or is longer is one error of that file.
+// Read returns the content of a file of at most 1 MiB. It returns one error, with the file's path, if the file cannot be read
+// or is larger.
 func Read(path string) ([]byte, []validation.Error) {
 	data, err := readFile(path)
 	if err != nil {
@@ -25,7 +26,7 @@
 		return nil, err
 	}
 	if info.Size() > maxFileSize {
-		return nil, fmt.Errorf("%d bytes are more than %d", info.Size(), maxFileSize)
+		return nil, fmt.Errorf("the file has %d bytes, the limit is %d", info.Size(), maxFileSize)
 	}
 	return os.ReadFile(path)
 }
--- a/internal/tomlconfig/keys.go
+++ b/internal/tomlconfig/keys.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// Key describes a key that a struct has.
+// Key describes a key of a settings struct.
 type Key struct {
-	Name  string // with the names of its tables, as log.level; [] stands for any index of an array
+	Name  string // with the names of its tables, such as log.level; [] stands for any index of an array
 	Field reflect.StructField
-	Value reflect.Value // its default
+	Value reflect.Value // default value
 }
 
-// Keys returns the keys of a struct, to which a pointer is given, in the order of its fields.
+// Keys returns the keys of a struct in the order of its fields. root is a pointer to the struct.
 func Keys(root any) []Key {
 	var keys []Key
 	for _, s := range settings("", reflect.ValueOf(root).Elem(), anyElement) {
@@ -23,20 +23,20 @@
 	return keys
 }
 
-// setting is a value of a struct that is no table, with its key.
+// setting is a value of a struct that is not a table, with its key.
 type setting struct {
 	key   string
 	field reflect.StructField
 	value reflect.Value
 }
 
-// element is an element of an array of tables; index is what follows the array's name, as [2].
+// element is an element of an array of tables. index is the suffix of the array's name, such as [2].
 type element struct {
 	index string
 	value reflect.Value
 }
 
-// presentElements returns the elements that an array has.
+// presentElements returns the elements of an array.
 func presentElements(array reflect.Value) []element {
 	elements := make([]element, array.Len())
 	for i := range elements {
@@ -45,13 +45,13 @@
 	return elements
 }
 
-// anyElement returns one element that stands for any of an array.
+// anyElement returns a zero element with the index [], which represents all elements of an array.
 func anyElement(array reflect.Value) []element {
 	return []element{{index: "[]", value: reflect.Zero(array.Type().Elem())}}
 }
 
-// settings returns the settings of a struct whose name is table, and of the tables and arrays of tables in it, in the
-// order of the fields. elementsOf chooses the elements of the arrays.
+// settings returns the settings of a struct and of the tables and arrays of tables in it, in the order of the fields. table
+// is the name of the struct's table. elementsOf selects the elements of the arrays.
 func settings(table string, root reflect.Value, elementsOf func(array reflect.Value) []element) []setting {
 	var all []setting
 	for _, f := range fieldsOf(root) {
@@ -70,9 +70,9 @@
 	return all
 }
 
-// taggedField is a field of a struct that has the tag toml. Pointers are followed.
+// taggedField is a field of a struct that has the tag toml. Pointers are dereferenced.
 type taggedField struct {
-	name  string // of the tag
+	name  string // name in the tag
 	field reflect.StructField
 	value reflect.Value
 }
@@ -94,7 +94,7 @@
 	return fields
 }
 
-// join puts the name of a table before that of a key in it.
+// join returns the name of a key with the name of its table as prefix.
 func join(table, name string) string {
 	if table == "" {
 		return name
@@ -102,7 +102,7 @@
 	return table + "." + name
 }
 
-// isTable reports whether a type is a table in the file.
+// isTable reports whether a type is written as a table in the file.
 func isTable(t reflect.Type) bool { return t.Kind() == reflect.Struct && !isText(t) }
 
 // isText reports whether the values of a type are written as a text.
--- a/internal/tomlconfig/positions.go
+++ b/internal/tomlconfig/positions.go
@@ -9,20 +9,20 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// keyPosition is where a key, or the header of a table, is in the file.
+// keyPosition is the position of a key, or of the header of a table, in the file.
 type keyPosition struct {
 	key        string // with the indexes of arrays
 	line       int    // counted from 1
-	start, end int    // of its lines, as byte offsets into the content that is decoded
+	start, end int    // byte offsets of its lines in the content that is decoded
 }
 
 var arrayIndex = regexp.MustCompile(`\[\d+\]`)
 
-// withoutIndexes turns a key of a file into the name that Key has: team[3].name becomes team[].name.
+// withoutIndexes converts a key of a file to the form of Key.Name: team[3].name becomes team[].name.
 func withoutIndexes(key string) string { return arrayIndex.ReplaceAllString(key, "[]") }
 
-// scan goes through the file's expressions. It records the position and the source of each key, reports keys that are
-// not known, and collects the substitutions of references to the environment.
+// scan parses the file's expressions. It records the position and the source of each key, reports unknown keys, and collects
+// the substitutions of references to environment variables.
 func (d *decoder) scan(getenv func(string) (string, bool)) {
 	var parser unstable.Parser
 	parser.Reset(d.data)
@@ -46,14 +46,14 @@
 	}
 }
 
-// scanTable reports a table of which no key is known.
+// scanTable reports a table without any known key.
 func (d *decoder) scanTable(name string, line int) {
 	if !d.hasKeysIn(name) {
 		d.reportUnknownTable(name, line)
 	}
 }
 
-// scanKey records the source of a key, or reports that it is not known.
+// scanKey records the source of a known key and reports an unknown one.
 func (d *decoder) scanKey(name string, line int, value *unstable.Node, getenv func(string) (string, bool)) {
 	key, ok := d.known[withoutIndexes(name)]
 	if !ok {
@@ -68,7 +68,7 @@
 	}
 }
 
-// fullName joins the parts of a dotted key and returns the byte offset of the first.
+// fullName joins the parts of a dotted key, and returns the byte offset of the first part.
 func fullName(parts unstable.Iterator) (name string, offset int) {
 	offset = -1
 	for parts.Next() {
@@ -80,7 +80,8 @@
 	return name, offset
 }
 
-// addPosition records a key at a byte offset, which ends the lines of the key before it, and returns its line.
+// addPosition records the position of a key that starts at a byte offset, and returns its line. The lines of the previous
+// key end there.
 func (d *decoder) addPosition(key string, offset int) int {
 	before := d.data[:offset]
 	line := 1 + bytes.Count(before, []byte("\n"))
@@ -92,7 +93,7 @@
 	return line
 }
 
-// lineOf returns the last line on which a key is, 0 if it is not in the file.
+// lineOf returns the last line on which a key occurs, or 0 if the file does not have the key.
 func (d *decoder) lineOf(key string) int {
 	for _, position := range slices.Backward(d.positions) {
 		if position.key == key {
@@ -102,7 +103,7 @@
 	return 0
 }
 
-// positionAt returns the position of the key to which a line belongs: the last one that begins on it or before.
+// positionAt returns the position of the key that a line belongs to: the last key that starts on or before the line.
 func (d *decoder) positionAt(line int) (keyPosition, bool) {
 	for _, position := range slices.Backward(d.positions) {
 		if position.line <= line {
@@ -112,7 +113,7 @@
 	return keyPosition{}, false
 }
 
-// blank returns a copy of data with spaces on the lines of a key, so that the lines that follow keep their numbers.
+// blank returns a copy of data in which the lines of a key are replaced by spaces, so that line numbers do not change.
 func blank(data []byte, position keyPosition) []byte {
 	blanked := slices.Clone(data)
 	for i := position.start; i < position.end; i++ {
--- a/internal/tomlconfig/units.go
+++ b/internal/tomlconfig/units.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Duration is a time.Duration that is written with its unit, as "250ms", "1.5s" or "2m".
+// Duration is a time.Duration that is written with its unit, such as "250ms", "1.5s" or "2m".
 type Duration time.Duration
 
-// UnmarshalText reads a number with its unit.
+// UnmarshalText parses a number with its unit.
 func (d *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -20,22 +20,22 @@
 	return nil
 }
 
-// MarshalText writes the duration as time.Duration does.
+// MarshalText formats the duration like time.Duration.String.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// Bytes is a number of bytes that is written with its unit, as "16MiB", "4KiB" or "512B".
+// Bytes is a number of bytes that is written with its unit, such as "16MiB", "4KiB" or "512B".
 type Bytes int64
 
-// maxBytes is the largest size that can be read.
+// maxBytes is the largest size that can be parsed.
 const maxBytes = 1 << 62
 
-// byteUnits has the units of Bytes, the largest first; each name ends in the last, which is therefore tried last.
+// byteUnits lists the units of Bytes in descending order. All names end in "B", so "B" itself must be tried last.
 var byteUnits = []struct {
 	name string
 	size int64
 }{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
 
-// UnmarshalText reads a whole number with its unit.
+// UnmarshalText parses a whole number with its unit.
 func (b *Bytes) UnmarshalText(text []byte) error {
 	for _, unit := range byteUnits {
 		digits, ok := strings.CutSuffix(string(text), unit.name)
@@ -52,7 +52,7 @@
 	return fmt.Errorf("%q is not a size with its unit, as 16MiB", text)
 }
 
-// MarshalText writes the size in the largest unit that divides it.
+// MarshalText formats the size in the largest unit that divides it.
 func (b Bytes) MarshalText() ([]byte, error) {
 	for _, unit := range byteUnits {
 		if int64(b)%unit.size == 0 && int64(b) >= unit.size {
--- a/internal/tomlconfig/unknown_keys.go
+++ b/internal/tomlconfig/unknown_keys.go
@@ -7,14 +7,14 @@
 	"github.com/agnivade/levenshtein"
 )
 
-// A known key is suggested for an unknown one if their edit distance is at most a third of the latter's length, and for
-// short keys at most two.
+// A known key is suggested for an unknown one if their edit distance is at most a third of the unknown key's length, or at
+// most two for short keys.
 const (
 	suggestionMinDistance   = 2
 	suggestionLengthDivisor = 3
 )
 
-// hasKeysIn reports whether a known key is in the table of this name.
+// hasKeysIn reports whether the table of this name has a known key.
 func (d *decoder) hasKeysIn(table string) bool {
 	for known := range d.known {
 		if strings.HasPrefix(known, table+".") {
@@ -24,20 +24,20 @@
 	return false
 }
 
-// isInlineTable reports whether the value of this key is a table, or an array of tables, written in one line. Its inner
-// keys are left to the TOML library.
+// isInlineTable reports whether the value of this key is an inline table or an inline array of tables. The decoder does not
+// check the keys within; the TOML library decodes them.
 func (d *decoder) isInlineTable(key string) bool {
 	name := withoutIndexes(key)
 	return d.hasKeysIn(name) || d.hasKeysIn(name+"[]")
 }
 
-// reportUnknownTable reports a table that is not known, by its name as in the file.
+// reportUnknownTable reports an unknown table by its name in the file.
 func (d *decoder) reportUnknownTable(table string, line int) {
 	d.reportUnknown(strings.TrimSuffix(table, "[]"), line)
 }
 
-// reportUnknown reports a key that is not known, with the known key or table that is most similar to it. Keys of a table
-// that was reported are not reported again.
+// reportUnknown reports an unknown key, with a suggestion of the most similar known key or table. It skips keys of a table
+// that was reported.
 func (d *decoder) reportUnknown(key string, line int) {
 	isInReportedTable := func(table string) bool { return strings.HasPrefix(key, table+".") }
 	if slices.ContainsFunc(d.unknown, isInReportedTable) {
@@ -51,8 +51,8 @@
 	d.reportAt(line, key, text)
 }
 
-// mostSimilar returns the known key or outermost table that is nearest to a name, the first in alphabetical order among
-// equals; "" if none is near enough.
+// mostSimilar returns the known key or outermost table with the least edit distance to a name, the alphabetically first one
+// in a tie. It returns "" if none is similar enough.
 func (d *decoder) mostSimilar(name string) string {
 	nearest := ""
 	least := 1 + max(suggestionMinDistance, len(name)/suggestionLengthDivisor)
--- a/internal/tomlconfig/values.go
+++ b/internal/tomlconfig/values.go
@@ -15,15 +15,15 @@
 // Value is the value of a key for display.
 type Value struct {
 	Key    string // with the indexes of arrays
-	Text   string // as it is written in a file; masked if it is secret
+	Text   string // formatted as in a file; masked if the key is secret
 	Source string // as in Sources, or "default"
 	Doc    string // the key's documentation
 
-	Unmasked string // Text without the mask, to compare values; must not be displayed
+	Unmasked string // Text without the mask, for comparisons; must not be displayed
 }
 
-// Values returns the values of all keys of a struct, to which a pointer is given. The keys begin with the name of its
-// table. Values whose field has the tag secret are masked.
+// Values returns the values of all keys of a struct, given by pointer. The keys have the name of the table as prefix. Values
+// whose field has the tag secret are masked.
 func Values(table string, root any, sources Sources) []Value {
 	var values []Value
 	for _, s := range settings(table, reflect.ValueOf(root).Elem(), presentElements) {
@@ -37,7 +37,7 @@
 	return values
 }
 
-// Format writes a value as in a file.
+// Format returns a value in the syntax of a file.
 func Format(value reflect.Value) string {
 	if marshaler, ok := value.Interface().(encoding.TextMarshaler); ok {
 		text, err := marshaler.MarshalText()
--- a/internal/tomlconfig/values_test.go
+++ b/internal/tomlconfig/values_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Keys are in the order of the fields; [] stands for the index of an array.
+// Keys returns the keys in the order of the fields, with [] for the index of an array.
 func TestKeys(t *testing.T) {
 	var names []string
 	for _, key := range Keys(defaultSettings()) {
@@ -22,7 +22,7 @@
 	}
 }
 
-// Values are written as in a file, with their sources; secrets are masked.
+// Values are formatted as in a file and have their sources. Secrets are masked.
 func TestValues(t *testing.T) {
 	decoded, sources, errs := decodeSettings("token = \"${TOKEN}\"\ntimeout = \"1500us\"\n[[route]]\npath = \"/\"\n")
 	if len(errs) > 0 {
@@ -35,7 +35,8 @@
 			t.Errorf("unmasked %q", value.Unmasked)
 		}
 	}
-	// The sources are those of the table's own keys; package operator gives the table's name in the file itself.
+	// Sources has the keys without the table's name, so with a table name all values count as defaults. In package operator
+	// the keys of the file have the name of the table.
 	want := []string{
 		`main.mode "fast" default`, `main.workers 2 default`, `main.ratio 0 default`, `main.enabled false default`,
 		`main.timeout "1.5ms" default`, `main.buffer "1KiB" default`, `main.token "***" default`, `main.names ["a"] default`,
@@ -49,7 +50,7 @@
 	}
 }
 
-// What is written is read again as the same value.
+// Formatting and parsing a size or a duration yields the same value. Malformed texts are errors.
 func TestUnits(t *testing.T) {
 	for text, want := range map[string]Bytes{"0B": 0, "512B": 512, "4KiB": 4 << 10, "1536KiB": 3 << 19, "16 MiB": 16 << 20, "2GiB": 2 << 30} {
 		var size, again Bytes
@@ -90,7 +91,7 @@
 	}
 }
 
-// A file is read up to its largest size; one that cannot be read is an error of that file.
+// A file up to the size limit is read. A larger or unreadable file is an error with the file's path.
 func TestRead(t *testing.T) {
 	directory := t.TempDir()
 	largest, tooLong := filepath.Join(directory, "largest.toml"), filepath.Join(directory, "long.toml")
--- a/internal/validation/validation.go
+++ b/internal/validation/validation.go
@@ -1,6 +1,6 @@
-// Package validation has the error that names what is wrong with one value of a file or of the environment: where it
-// stands, which key it is, and what would be right. Readers of files collect all such errors of a file, so that one run
-// names them all; nothing of a file with errors is used.
+// Package validation defines the error for one invalid value of a file or of the environment. It has the position of the
+// value, its key, and a description of the problem and of valid values. Readers of files collect the errors of a whole file,
+// so that one run reports them all. No value of a file with errors is used.
 package validation
 
 import (
@@ -8,15 +8,15 @@
 	"strconv"
 )
 
-// Error is one thing that is wrong.
+// Error describes one invalid value.
 type Error struct {
 	File string // empty for the environment
-	Line int    // counted from 1; 0 where the error belongs to no line
-	Key  string // with the names of its tables, as log.level; empty where no key can be named
-	Text string // what is wrong and what would be right
+	Line int    // counted from 1; 0 if the error belongs to no line
+	Key  string // with the names of its tables, such as log.level; empty if the error belongs to no key
+	Text string // the problem, and what a valid value is
 }
 
-// Error gives it in one line: file, line, key, text.
+// Error returns file, line, key and text in one line.
 func (e Error) Error() string {
 	where := e.File
 	if e.Line > 0 {
@@ -32,7 +32,7 @@
 	return text
 }
 
-// Join makes one error of several, each on a line of its own; nil of none.
+// Join combines errors to one error with one line for each. It returns nil for an empty list.
 func Join(all []Error) error {
 	var errs []error
 	for _, err := range all {
