--- a/client/addresses.go
+++ b/client/addresses.go
@@ -6,26 +6,27 @@
 	"time"
 )
 
-// noAddress stands for the address of the attempt before the first.
+// noAddressIndex is the index of the failed address before the first attempt.
 const noAddressIndex = -1
 
-// addressList decides which address is asked next. Calls share it, so that a call begins at an address that answered
-// others.
+// addressList selects the address of the next attempt. All calls of a client share it, so that a call starts with an address
+// that answered other calls.
 type addressList struct {
 	hostPorts []string
 
 	mu        sync.Mutex
-	current   int         // the address that calls begin with
-	notBefore []time.Time // by address: when it may be asked again
+	current   int         // index of the address that calls start with
+	notBefore []time.Time // by address: earliest time of the next attempt
 }
 
-// newAddressList returns a list that begins at a random address, so that many clients spread over all of them.
+// newAddressList returns a list that starts with a random address, so that clients spread over all addresses.
 func newAddressList(names []string) *addressList {
 	return &addressList{hostPorts: names, current: rand.IntN(len(names)), notBefore: make([]time.Time, len(names))}
 }
 
-// next returns the address to ask after one failed, and the time before which it should not be asked. It prefers another
-// address that may be asked now; if there is none, it returns the one that may be asked first.
+// next takes the index of the address that failed last. It returns the index of the address for the next attempt, and the
+// earliest time of that attempt, which is zero for now. It prefers another address that is available now. If there is none, it
+// returns the address that becomes available first.
 func (l *addressList) next(failed int) (index int, notBefore time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -42,7 +43,8 @@
 	return earliest, l.notBefore[earliest]
 }
 
-// fail notes that an address failed: calls begin at the one after it. It is not asked before retryAfter has passed.
+// markFailed records that an address failed. Calls then start with the next address, and the failed one is not used again
+// until retryAfter has passed.
 func (l *addressList) markFailed(index int, retryAfter time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/client/call.go
+++ b/client/call.go
@@ -15,39 +15,39 @@
 )
 
 const (
-	maxResponseBytes        = 64 << 20         // of a body that is read; a watch may have many events
-	maxErrorTextBytes       = 200              // bytes of a body that a StatusError shows
-	maxRetryAfter           = 10 * time.Second // a longer Retry-After is cut to this
-	retryAfterJitterDivisor = 10               // up to a tenth of a wait for Retry-After is added at random
+	maxResponseBytes        = 64 << 20         // limit of a response body; that of a watch may have many events
+	maxErrorTextBytes       = 200              // bytes of the body that a StatusError contains
+	maxRetryAfter           = 10 * time.Second // upper limit of a Retry-After
+	retryAfterJitterDivisor = 10               // random jitter of up to a tenth of the Retry-After is added
 )
 
-// call is a request that may be sent to any address.
+// call is a request that can be sent to any address.
 type call struct {
 	operation string // for error texts
 	method    string
 	path      string
-	query     any           // struct with url tags, nil for none
-	body      any           // struct with json tags, nil for none
-	timeout   time.Duration // of one attempt
+	query     any           // struct with url tags, or nil
+	body      any           // struct with json tags, or nil
+	timeout   time.Duration // time limit of one attempt
 }
 
-// answer is a final answer of the service.
+// finalResponse is a response that ends a call.
 type finalResponse struct {
 	status int
 	body   []byte
-	sent   time.Time // when the answered attempt was sent
-	// earlierUnclear is true if an earlier attempt of the same call may have taken effect.
+	sent   time.Time // when the attempt with this response was sent
+	// earlierOutcomeUnknown is true if an earlier attempt of the same call may have been executed.
 	earlierOutcomeUnknown bool
 }
 
-// failure is an attempt without a final answer.
+// attemptError is the error of an attempt without a final response.
 type attemptError struct {
 	cause           error
-	mayHaveExecuted bool // it may have taken effect
+	mayHaveExecuted bool // the service may have executed the request
 	retryAfter      time.Duration
 }
 
-// newPost returns a call that changes something.
+// newPost returns a call that changes state.
 func (c *Client) newPost(operation, path string, body any) call {
 	return call{operation: operation, method: http.MethodPost, path: path, body: body, timeout: c.options.AttemptTimeout}
 }
@@ -57,7 +57,7 @@
 	return call{operation: operation, method: http.MethodGet, path: path, query: query, timeout: c.options.AttemptTimeout}
 }
 
-// do sends a call to one address after another, until there is a final answer or the time is over.
+// do sends a call to one address after another, until it has a final response or the time limit has passed.
 func (c *Client) do(ctx context.Context, call call) (finalResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.options.CallTimeout)
 	defer cancel()
@@ -80,7 +80,7 @@
 	}
 }
 
-// awaitAddress pauses before an attempt, and returns the address to send it to.
+// awaitAddress waits until the next attempt is due, and returns the index of its address.
 func (c *Client) awaitAddress(ctx context.Context, attempt, failed int) (index int, err error) {
 	if err := sleep(ctx, backoff(attempt, c.options.MaxPause)); err != nil {
 		return failed, err
@@ -133,7 +133,8 @@
 	return builder.Request()
 }
 
-// failed is the error of a call without a final answer. Reads have no outcome that could be unknown.
+// errorWithoutAnswer returns the error of a call without a final response. The kind is ErrOutcomeUnknown only for calls that
+// change state.
 func (c call) errorWithoutAnswer(mayHaveExecuted bool, contextError, lastError error) error {
 	kind := ErrUnavailable
 	if mayHaveExecuted && c.method != http.MethodGet {
@@ -142,13 +143,13 @@
 	return &callError{operation: c.operation, kind: kind, contextError: contextError, lastError: lastError}
 }
 
-// unexpected is the error for a status that the operation does not have.
+// statusError returns the error for a status that the operation does not define.
 func (c call) statusError(response finalResponse) error {
 	text := string(response.body[:min(len(response.body), maxErrorTextBytes)])
 	return &StatusError{Operation: c.operation, Status: response.status, Text: text}
 }
 
-// decode reads the body of a final answer.
+// decode decodes the body of a final response.
 func (c call) decode(response finalResponse, into any) error {
 	if err := json.Unmarshal(response.body, into); err != nil {
 		return c.errorWithoutAnswer(true, nil, errors.Wrap(err, "malformed answer"))
@@ -156,13 +157,13 @@
 	return nil
 }
 
-// neverSent reports whether no connection was made, so that the request cannot have arrived.
+// neverSent reports whether an error occurred while dialing, so that the service cannot have received the request.
 func neverSent(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
 }
 
-// retryAfter reads the header of that name in seconds, which may have a fraction. It is 0 if there is none.
+// retryAfter parses the Retry-After header in seconds, which may have a fraction. It returns 0 for an absent or invalid one.
 func retryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
 	if err != nil || !(seconds > 0) {
@@ -171,10 +172,10 @@
 	return time.Duration(min(seconds, maxRetryAfter.Seconds()) * float64(time.Second))
 }
 
-// pathOf returns the path for a name: "/locks/", the name, and "/begin".
+// pathOf returns a path with an escaped name, such as "/locks/" + name + "/begin".
 func pathOf(prefix, name, suffix string) (string, error) {
 	if name == "" || name == "." || name == ".." {
-		return "", errors.Errorf("%q is not a name", name)
+		return "", errors.Errorf("invalid name %q: it must not be empty, \".\" or \"..\"", name)
 	}
 	return prefix + url.PathEscape(name) + suffix, nil
 }
--- a/client/client.go
+++ b/client/client.go
@@ -18,33 +18,33 @@
 	DefaultWatchWait      = 2 * time.Second
 )
 
-// Limits of the connections that a client keeps.
+// Limits of the idle connections that a client keeps.
 const (
 	idleConnectionsPerAddress = 8
 	idleConnectionTimeout     = 30 * time.Second
 )
 
-// Options configure a Client. The zero value of each field but Addresses stands for its default.
+// Options configure a Client. The zero value of each field except Addresses selects its default.
 type Options struct {
 	// Addresses are the control_plane addresses of the control processes, each HOST:PORT.
 	Addresses []string
-	// Holder names this client as a holder of locks; the default is a random name. No other caller may have the same name
-	// at the same time: it would be given the same locks. A program that keeps its name over a restart gets the locks
-	// that it held before without waiting for their hold to pass.
+	// Holder is the name of this client as a holder of locks; the default is a random name. No two clients may use the same
+	// name at the same time, since the service would grant both the same locks. A program that keeps its name over a restart
+	// can acquire the locks that it held before without waiting until their hold has passed.
 	Holder string
 	// AttemptTimeout bounds one request to one address.
 	AttemptTimeout time.Duration
-	// CallTimeout bounds one call with all its attempts, also where the context has no deadline.
+	// CallTimeout bounds one call with all its attempts, even if the context has no deadline.
 	CallTimeout time.Duration
-	// MaxPause bounds the pause between two attempts, which grows from 10 ms. A longer Retry-After is honoured.
+	// MaxPause bounds the pause between two attempts, which starts at 10 ms and doubles. A longer Retry-After is honoured.
 	MaxPause time.Duration
-	// WatchWait is how long the service may hold a watch that has no events.
+	// WatchWait is how long the service may wait for events before it answers a watch call.
 	WatchWait time.Duration
-	// Transport carries the requests; the default is a http.Transport without a proxy.
+	// Transport sends the requests; the default is an http.Transport without a proxy.
 	Transport http.RoundTripper
 }
 
-// Client calls the coordination service. It is safe for use by several goroutines.
+// Client calls the coordination service. It is safe for concurrent use.
 type Client struct {
 	options   Options
 	http      *http.Client
@@ -54,10 +54,10 @@
 	locks map[string]bool // names of the locks that are held or being acquired
 }
 
-// New returns a client. It does not connect yet.
+// New returns a client. It opens no connection.
 func New(options Options) (*Client, error) {
 	if len(options.Addresses) == 0 {
-		return nil, errors.New("no address is given")
+		return nil, errors.New("Options.Addresses is empty: at least one address is required")
 	}
 	for _, address := range options.Addresses {
 		if _, _, err := net.SplitHostPort(address); err != nil {
@@ -73,7 +73,7 @@
 	}, nil
 }
 
-// setDefaults replaces zero values.
+// setDefaults replaces zero values with the defaults.
 func (o *Options) setDefaults() {
 	if o.Holder == "" {
 		o.Holder = rand.Text()
@@ -95,11 +95,11 @@
 	}
 }
 
-// returnRedirect makes a redirect the answer: the service has none.
+// returnRedirect makes the HTTP client return redirects as responses, since the service does not use redirects.
 func returnRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Holder is the name by which the client holds locks.
+// Holder returns the name under which the client holds locks.
 func (c *Client) Holder() string { return c.options.Holder }
 
-// Close closes the idle connections. Locks are not released.
+// Close closes the idle connections. It does not release locks.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 )
 
-// newTestClient returns a client of three addresses that asks a:1 first.
+// newTestClient returns a client of three addresses that starts with a:1.
 func newTestClient(n *network, holder string) *Client {
 	c, err := New(Options{Addresses: []string{"a:1", "b:1", "c:1"}, Holder: holder, Transport: n})
 	if err != nil {
@@ -22,7 +22,7 @@
 	return c
 }
 
-// inBubble runs a test in virtual time with a network.
+// inBubble runs a test with a network in the virtual time of synctest.
 func inBubble(t *testing.T, test func(ctx context.Context, g Gomega, n *network)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { test(t.Context(), NewWithT(t), newNetwork(t)) })
@@ -119,7 +119,7 @@
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, func(ctx context.Context, g Gomega, n *network) {
 				c := newTestClient(n, "h")
-				n.planReactions("a:1", step.failure) // one unclear attempt among others decides
+				n.planReactions("a:1", step.failure) // a single attempt with an unknown outcome is sufficient
 				for range 1000 {
 					n.planReactions("", answeredWith(http.StatusServiceUnavailable))
 				}
@@ -224,7 +224,7 @@
 	l := newAddressList([]string{"a:1", "b:1"})
 	l.current = 0
 	l.markFailed(0, 0)
-	l.markFailed(1, 0) // another call's failure, so that calls begin with the first again
+	l.markFailed(1, 0) // failure of another call: calls start with a:1 again
 	index, notBefore := l.next(0)
 	g.Expect(index).To(Equal(1))
 	g.Expect(notBefore).To(BeZero())
--- a/client/doc.go
+++ b/client/doc.go
@@ -1,29 +1,31 @@
-// Package client calls the coordination service of `dykering control`: locks with fencing tokens, elections, numbers that
-// rise, keys with revisions, and watches. Programs embed it; it imports nothing of dykering itself.
+// Package client calls the coordination service of `dykering control`. The service provides locks with fencing tokens,
+// elections, increasing numbers, keys with revisions, and watches. Other programs embed this package; it imports no other
+// package of dykering.
 //
-// A Client is given the control_plane addresses of all control processes. It calls one of them, and another one after a
-// failure, a status of 5xx or 429, or a time-out, with a growing random pause in between, until the call's context or
-// Options.CallTimeout ends. An address that answers with Retry-After is not asked again before that time, unless no
-// address is left: then the call waits.
+// A Client is given the control_plane addresses of all control processes. After a connection error, a status of 5xx or 429,
+// or a time-out, it retries the call at another address after a random pause with exponential backoff, until the call's
+// context or Options.CallTimeout ends. It does not use an address that sent Retry-After before that time has passed. If no
+// other address is available, the call waits.
 //
 // # Errors
 //
-// Two errors say what is known of a call that got no final answer. With ErrUnavailable nothing was done, and nothing will
-// be. With ErrOutcomeUnknown an attempt may have taken effect, or may still do so. All operations may be repeated after
-// either; a put is repeated safely with the same value.
+// Two errors describe calls without a final response. ErrUnavailable means that the call was not executed and never will be.
+// ErrOutcomeUnknown means that an attempt may have been executed, or may be executed later. All operations may be retried
+// after both errors; a put must be retried with the same value.
 //
 // # Locks
 //
-// The holder of a lock relies on it until the hold has passed since it sent its last good call, by its own steady clock.
-// Lock.Lost is closed at that time at the latest, less a margin of a twentieth of the hold. A renewal that is answered
-// after that counts for nothing. Locks are renewed in the background at a third of the hold.
+// A holder may rely on a lock until the hold has passed since it sent its last successful call, by its own monotonic clock.
+// Lock.Lost is closed a twentieth of the hold before that time, or earlier. A renewal whose response arrives after that is
+// ignored. Locks are renewed in the background after a third of the hold.
 //
-// No lock protects against a holder that sleeps past its time: a paused process finds out late. So a resource that matters
-// must be given Lock.Token with each change, and must refuse a token that is below one that it has seen. Where it cannot,
-// check Lock.Held immediately before each step.
+// A lock alone does not protect against a holder that was paused: the process may continue after its hold has passed, before
+// it detects that the lock is lost. Therefore send Lock.Token with each change of a protected resource, and let the resource
+// reject a token that is lower than one it has seen. If the resource cannot check tokens, check Lock.Held immediately before
+// each step.
 //
 // # Values
 //
-// The service recognises a put that is sent again by its value. Give each put of a key a value of its own, for instance by
-// a random part.
+// The service recognises a repeated put by its value. Use a unique value for each put of a key, for instance by adding a
+// random part.
 package client
--- a/client/election.go
+++ b/client/election.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// A candidate asks for a held leadership after a random pause between these parts of the hold. The candidates thus spread
-// their calls, and a leader that died is replaced within about a third of the hold after its own is over.
+// While another client leads, a candidate tries again after a random pause between the hold divided by
+// minCampaignPauseDivisor and by maxCampaignPauseDivisor. The random pauses spread the calls of the candidates. A leader that
+// died is replaced within about a third of the hold after its hold has passed.
 const (
 	minCampaignPauseDivisor = 6
 	maxCampaignPauseDivisor = 3
 )
 
-// Election elects one leader among the clients that campaign under the same name. It is a lock that is held for long.
+// Election elects one leader among the clients that campaign under the same name. It uses a lock of that name.
 type Election struct {
 	client *Client
 	name   string
 	hold   time.Duration
 }
 
-// Election returns the election of a name. The hold is how long a leader that dies is waited for.
+// Election returns the election of a name. The hold is the time for which candidates wait if the leader dies.
 func (c *Client) Election(name string, hold time.Duration) *Election {
 	return &Election{client: c, name: name, hold: hold}
 }
@@ -35,17 +36,18 @@
 	return &Leadership{lock: lock}, nil
 }
 
-// Leadership is the time of this client as the leader. It is renewed in the background.
+// Leadership represents this client's term as the leader. It is renewed in the background.
 type Leadership struct{ lock *Lock }
 
-// Token is the fencing token: above that of each former leader. Send it with each order of the leader.
+// Token returns the fencing token, which is higher than the tokens of all former leaders. Send it with each command of the
+// leader.
 func (l *Leadership) Token() uint64 { return l.lock.Token() }
 
-// Lost is closed when this client may no longer act as the leader.
+// Lost returns a channel that is closed when this client may no longer act as the leader.
 func (l *Leadership) Lost() <-chan struct{} { return l.lock.Lost() }
 
-// Leads reports whether this client may act as the leader at this moment.
+// Leads reports whether this client may currently act as the leader.
 func (l *Leadership) Leads() bool { return l.lock.Held() }
 
-// Resign ends the leadership, so that another candidate can be elected at once. Errors are those of Lock.Release.
+// Resign ends the leadership, so that another candidate can be elected immediately. It returns the errors of Lock.Release.
 func (l *Leadership) Resign(ctx context.Context) error { return l.lock.Release(ctx) }
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -12,7 +12,7 @@
 	"dykering/client"
 )
 
-// newServer stands in for a control process. It gives each call the answer of the documentation.
+// newServer returns a server in place of a control process. It answers each call with the response in the API documentation.
 func newServer() *httptest.Server {
 	mux := http.NewServeMux()
 	for pattern, body := range map[string]string{
--- a/client/key.go
+++ b/client/key.go
@@ -13,16 +13,16 @@
 	IfRevision *uint64 `json:"if_revision,omitempty"`
 }
 
-// Put sets a key, and returns its new revision. The value must differ from those of all other puts of the key: by it the
-// service recognises an attempt that comes again, and answers with the first revision.
+// Put sets a key and returns its new revision. The value must differ from the values of all other puts of the key, since the
+// service recognises a repeated attempt by its value and answers it with the revision of the first.
 //
-// After ErrOutcomeUnknown, the same value may be put again.
+// After ErrOutcomeUnknown, Put may be called again with the same value.
 func (c *Client) Put(ctx context.Context, key, value string) (revision uint64, err error) {
 	return c.put(ctx, key, putBody{Value: value})
 }
 
-// PutIf sets a key if it has a revision, or if it does not exist where the revision is 0. Otherwise the error is a
-// *ConflictError with the key's present revision. Values are as with Put.
+// PutIf sets a key if its revision is ifRevision; 0 requires that the key does not exist. Otherwise PutIf returns a
+// *ConflictError with the current revision of the key. Values must be unique as for Put.
 func (c *Client) PutIf(ctx context.Context, key, value string, ifRevision uint64) (revision uint64, err error) {
 	return c.put(ctx, key, putBody{Value: value, IfRevision: &ifRevision})
 }
@@ -52,8 +52,8 @@
 	return cell.Revision, nil
 }
 
-// Get reads a key. The answer is at least as new as every put that was acknowledged before the call. If there is no such
-// key, the error is ErrNotFound and the revision 0.
+// Get reads a key. The result is at least as new as every put that was acknowledged before the call. If the key does not
+// exist, Get returns ErrNotFound and revision 0.
 func (c *Client) Get(ctx context.Context, key string) (value string, revision uint64, err error) {
 	path, err := pathOf("/cells/", key, "/read")
 	if err != nil {
--- a/client/lease.go
+++ b/client/lease.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// lease is the time for which a holder may rely on its lock, by the process's monotonic clock. It is extended by renewals
-// and ends once: by itself, or when the lock is lost or released.
+// lease is the time for which a holder may rely on its lock, by the process's monotonic clock. Renewals extend it. It ends
+// once: when it expires, or when the lock is lost or released.
 type lease struct {
-	lost chan struct{} // closed at the end
+	lost chan struct{} // closed when the lease ends
 
 	mu    sync.Mutex
 	until time.Time
@@ -16,7 +16,7 @@
 	timer *time.Timer
 }
 
-// newLease returns a lease that ends by itself at a time.
+// newLease returns a lease that expires at a time.
 func newLease(until time.Time) *lease {
 	l := &lease{lost: make(chan struct{}), until: until}
 	l.mu.Lock()
@@ -25,8 +25,8 @@
 	return l
 }
 
-// extend moves the end. It returns false, and ends the lease, if it is over: a renewal that comes too late counts for
-// nothing.
+// extend moves the expiry to a later time. If the lease has already expired, it ends the lease and returns false, because a
+// late renewal must not revive it.
 func (l *lease) extend(until time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -52,7 +52,7 @@
 	l.endLocked()
 }
 
-// end ends the lease, and returns whether it held until now.
+// end ends the lease and returns whether it was held until now.
 func (l *lease) end() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,14 +61,14 @@
 	return held
 }
 
-// held reports whether the lease has neither ended nor run out. It goes by the clock, not by the timer, which may be late.
+// held reports whether the lease has neither ended nor expired. It reads the clock, because the timer may fire late.
 func (l *lease) held() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.heldLocked()
 }
 
-// deadline returns when the lease ends if it is not extended.
+// deadline returns the time when the lease expires unless it is extended.
 func (l *lease) deadline() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/client/lock.go
+++ b/client/lock.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 )
 
-// retryParts is the part of a hold after which a renewal is begun anew when the one before failed.
+// renewalRetryDivisor is the part of the hold, as a divisor, that passes between a failed renewal and the next one.
 const renewalRetryDivisor = 12
 
 // Lock is a lock that this client holds. It is renewed in the background until it is released or lost.
@@ -22,10 +22,10 @@
 	renewalStopped chan struct{}
 }
 
-// Acquire waits until it has a lock. It asks again, with growing random pauses, while another holder has it and while the
-// service is not available. The hold is how long others must wait if this process dies.
+// Acquire waits until it has acquired a lock. It retries with random pauses and exponential backoff while another holder has
+// the lock or the service is unavailable. The hold is how long others must wait if this process dies.
 //
-// The context bounds the waiting only: it may end without an effect on the acquired lock.
+// The context bounds only the waiting. Its end has no effect on a lock that was acquired.
 func (c *Client) Acquire(ctx context.Context, name string, hold time.Duration) (*Lock, error) {
 	asked := 0
 	return c.acquire(ctx, name, hold, func() time.Duration {
@@ -34,7 +34,7 @@
 	})
 }
 
-// acquire asks for a lock until it has it, with a pause in between.
+// acquire tries to acquire a lock until it succeeds, with a pause after each attempt.
 func (c *Client) acquire(ctx context.Context, name string, hold time.Duration, pause func() time.Duration) (*Lock, error) {
 	for {
 		lock, err := c.TryAcquire(ctx, name, hold)
@@ -47,7 +47,7 @@
 	}
 }
 
-// passes reports whether an error of TryAcquire may be gone by itself later.
+// isTransient reports whether TryAcquire may succeed later after an error.
 func isTransient(err error) bool {
 	for _, transient := range []error{ErrLockHeld, ErrLockLost, ErrUnavailable, ErrOutcomeUnknown} {
 		if errors.Is(err, transient) {
@@ -57,9 +57,9 @@
 	return false
 }
 
-// TryAcquire asks for a lock without waiting for its holder. The error is ErrLockHeld if another holder has it, or if this
-// client has it already. After ErrOutcomeUnknown this client may have the lock without knowing it: others then wait until
-// the hold is over, or until this client acquires it again.
+// TryAcquire tries once to acquire a lock, without waiting for its holder. It returns ErrLockHeld if another holder has the
+// lock, or if this client already has it. After ErrOutcomeUnknown the service may have granted the lock to this client; other
+// clients then wait until the hold has passed, or until this client acquires and releases the lock.
 func (c *Client) TryAcquire(ctx context.Context, name string, hold time.Duration) (*Lock, error) {
 	if !c.claim(name) {
 		return nil, errors.Wrapf(ErrLockHeld, "%s, by this client", name)
@@ -79,8 +79,8 @@
 	return lock, nil
 }
 
-// claim notes that this client is asking for a lock or has it. The service would give it the same lock again, as it knows
-// only the holder's name.
+// claim records that this client has a lock or is acquiring it, and returns false if it already does. The service cannot
+// distinguish two goroutines of a client, because it knows only the holder's name, and would grant the lock to both.
 func (c *Client) claim(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,20 +97,21 @@
 	delete(c.locks, name)
 }
 
-// Name is the lock's name.
+// Name returns the name of the lock.
 func (l *Lock) Name() string { return l.name }
 
-// Token is the fencing token. Send it with each change of what the lock protects.
+// Token returns the fencing token. Send it with each change of the protected resource.
 func (l *Lock) Token() uint64 { return l.token }
 
-// Lost is closed when the lock may no longer be relied on: it was lost, its time is over, or it was released.
+// Lost returns a channel that is closed when the lock was lost, has expired or was released.
 func (l *Lock) Lost() <-chan struct{} { return l.lease.lost }
 
-// Held reports whether the lock may be relied on at this moment. Unlike Lost it is exact after the process was paused.
+// Held reports whether this client may currently rely on the lock. Unlike Lost, it is exact even directly after the process
+// was paused.
 func (l *Lock) Held() bool { return l.lease.held() }
 
-// Release gives the lock back. The error is ErrLockLost if it was no longer held before that. After another error the lock
-// becomes free once its hold is over.
+// Release releases the lock. It returns ErrLockLost if the lock was already lost. After another error the lock becomes free
+// when its hold has passed.
 func (l *Lock) Release(ctx context.Context) error {
 	l.stopRenewal()
 	<-l.renewalStopped
@@ -122,7 +123,7 @@
 	return err
 }
 
-// keepAlive renews the lock until it is lost or the context ends.
+// renewUntilLost renews the lock until it is lost or the context ends.
 func (l *Lock) renewUntilLost(ctx context.Context, sent time.Time) {
 	defer close(l.renewalStopped)
 	defer l.client.unclaim(l.name)
@@ -144,7 +145,7 @@
 	}
 }
 
-// renew renews the lock once, and returns when the call was sent. It gives up when the lease ends.
+// renew renews the lock once, and returns the time at which the call was sent. Its time limit is the end of the lease.
 func (l *Lock) renew(ctx context.Context) (sent time.Time, err error) {
 	ctx, cancel := context.WithDeadline(ctx, l.lease.deadline())
 	defer cancel()
@@ -153,7 +154,7 @@
 		return time.Time{}, err
 	}
 	if !l.lease.extend(grant.Until) {
-		return time.Time{}, errors.Wrap(ErrLockLost, "the renewal came too late")
+		return time.Time{}, errors.Wrap(ErrLockLost, "the renewal was answered after the lease expired")
 	}
 	return grant.Sent, nil
 }
--- a/client/lock_calls.go
+++ b/client/lock_calls.go
@@ -8,47 +8,48 @@
 	"github.com/pkg/errors"
 )
 
-// The parts of a hold.
+// Times that are fractions of a hold, as divisors.
 const (
-	marginDivisor       = 20 // a holder stops to rely on a lock a twentieth of the hold before its end
-	renewalDivisor      = 3  // it is renewed once a third of the hold has passed
-	renewAttemptDivisor = 6  // an attempt to renew may take a sixth of the hold, so that there is time for others
-	beginAttemptDivisor = 2  // an attempt to begin may take half of it, as the hold counts from its sending
+	marginDivisor       = 20 // the client treats a lock as lost a twentieth of the hold before it expires
+	renewalDivisor      = 3  // a lock is renewed after a third of the hold
+	renewAttemptDivisor = 6  // time limit of a renewal attempt; a sixth leaves time for retries
+	beginAttemptDivisor = 2  // time limit of an attempt to begin; the hold counts from its sending
 )
 
-// Grant is what a lock's holder was given by one good call.
+// Grant is the result of a successful call that acquires or renews a lock.
 type Grant struct {
-	// Token is the fencing token: above that of each former holder.
+	// Token is the fencing token, which is higher than the tokens of all former holders.
 	Token uint64
-	// Sent is when the call was sent.
+	// Sent is the time at which the call was sent.
 	Sent time.Time
-	// Until is when the holder must stop to rely on the lock, if no further call succeeds. It is a little before the hold
-	// is over.
+	// Until is the time at which the holder must stop relying on the lock if no further call succeeds. It is a safety margin
+	// before the end of the hold.
 	Until time.Time
 }
 
-// lockBody is the body of the calls of a lock.
+// lockBody is the request body of the lock calls.
 type lockBody struct {
 	Holder       string  `json:"lease_holder"`
 	FencingToken *uint64 `json:"fencing_token,omitempty"`
 	HoldMs       int64   `json:"hold_ms,omitempty"`
 }
 
-// Begin asks for a lock once, without renewing it later; most programs use Acquire. The holder itself gets the lock again,
-// with a higher token. The error is ErrLockHeld if another holder has it, and ErrLockLost if the answer came too late.
+// Begin tries once to acquire a lock and does not renew it; most programs use Acquire. A holder that already has the lock is
+// granted it again with a higher token. Begin returns ErrLockHeld if another holder has the lock, and ErrLockLost if the
+// response arrived after the hold had passed.
 func (c *Client) Begin(ctx context.Context, name string, hold time.Duration) (Grant, error) {
 	return c.grant(ctx, "begin", name, lockBody{Holder: c.Holder()}, hold)
 }
 
-// Heartbeat renews a lock once. The error is ErrLockLost if the lock is lost, or if the answer came too late. The renewal
-// counts only if the holder still had time left when this function returned; see Grant.Until of the call before.
+// Heartbeat renews a lock once. It returns ErrLockLost if the lock is lost, or if the response arrived after the new hold had
+// passed. The renewal is valid only if it returns before Grant.Until of the previous call.
 func (c *Client) Heartbeat(ctx context.Context, name string, token uint64, hold time.Duration) (Grant, error) {
 	body := lockBody{Holder: c.Holder(), FencingToken: &token}
 	return c.grant(ctx, "heartbeat", name, body, hold)
 }
 
-// Finish gives a lock back. It succeeds whether the lock was held or not. A lock that the holder has got again since, with
-// a higher token, is kept.
+// Finish releases a lock. It succeeds whether or not the lock was held. It does not release a lock that the holder has
+// acquired again with a higher token.
 func (c *Client) Finish(ctx context.Context, name string, token uint64) error {
 	call, err := c.lockCall("finish", name, lockBody{Holder: c.Holder(), FencingToken: &token})
 	if err != nil {
@@ -64,11 +65,11 @@
 	return nil
 }
 
-// grant sends a call that asks for time, and returns the time that it gave. A call with a token is a renewal.
+// grant sends a call that acquires a lock, or renews it if the body has a token.
 func (c *Client) grant(ctx context.Context, verb, name string, body lockBody, hold time.Duration) (Grant, error) {
 	body.HoldMs = hold.Milliseconds()
 	if body.HoldMs <= 0 {
-		return Grant{}, errors.Errorf("a lock cannot be held for %v", hold)
+		return Grant{}, errors.Errorf("invalid hold %v of lock %s: it must be at least 1ms", hold, name)
 	}
 	hold = time.Duration(body.HoldMs) * time.Millisecond
 	call, err := c.lockCall(verb, name, body)
@@ -94,7 +95,7 @@
 	return call.parseGrant(response, body, hold)
 }
 
-// granted returns what a good answer gives.
+// parseGrant returns the Grant of a successful response.
 func (c call) parseGrant(response finalResponse, body lockBody, hold time.Duration) (Grant, error) {
 	grant := Grant{Sent: response.sent, Until: response.sent.Add(hold - hold/marginDivisor)}
 	if body.FencingToken != nil {
@@ -111,12 +112,12 @@
 	return grant, checkNotExpired(grant)
 }
 
-// inTime returns ErrLockLost for a grant whose time was over before its answer came.
+// checkNotExpired returns ErrLockLost for a grant that expired before its response arrived.
 func checkNotExpired(grant Grant) error {
 	if time.Now().Before(grant.Until) {
 		return nil
 	}
-	return errors.Wrap(ErrLockLost, "the answer came too late")
+	return errors.Wrap(ErrLockLost, "the answer came after the hold had passed")
 }
 
 func (c *Client) lockCall(verb, name string, body lockBody) (call, error) {
--- a/client/lock_test.go
+++ b/client/lock_test.go
@@ -13,7 +13,7 @@
 
 const hold = 3 * time.Second
 
-// acquired returns a lock that a client has just got.
+// acquireLock acquires the lock "l" and stops its renewal at the end of the test.
 func acquireLock(ctx context.Context, g Gomega, c *Client) *Lock {
 	lock, err := c.Acquire(ctx, "l", hold)
 	g.Expect(err).NotTo(HaveOccurred())
@@ -21,7 +21,7 @@
 	return lock
 }
 
-// lostAfter returns the time until a lock is lost.
+// timeUntilLost waits until a lock is lost and returns how long that took.
 func timeUntilLost(lock *Lock) time.Duration {
 	began := time.Now()
 	<-lock.Lost()
@@ -43,7 +43,8 @@
 
 func TestLockIsLostBeforeTheHoldIsOverWhereNoRenewalIsAnswered(t *testing.T) {
 	for name, failure := range map[string]reaction{
-		"silence": neverAnswered, "503": answeredWith(http.StatusServiceUnavailable), "reset": responseLost, "400": answeredWith(http.StatusBadRequest),
+		"silence": neverAnswered, "503": answeredWith(http.StatusServiceUnavailable), "reset": responseLost,
+		"400": answeredWith(http.StatusBadRequest),
 	} {
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, func(ctx context.Context, g Gomega, n *network) {
@@ -93,7 +94,7 @@
 		c := newTestClient(n, "h")
 		late := func(_ *http.Request, serve func() *http.Response) (*http.Response, error) {
 			response := serve()
-			time.Sleep(hold) // virtual: a process that was paused, whose time-out did not fire
+			time.Sleep(hold) // virtual: the process was paused and its time-out did not fire
 			return response, nil
 		}
 		n.planReactions("", late)
@@ -133,7 +134,7 @@
 		g.Expect(err).To(MatchError(context.DeadlineExceeded))
 		g.Expect(n.count("/begin")).To(BeNumerically("<", 60))
 
-		first.stopRenewal() // it dies
+		first.stopRenewal() // simulates that its process dies
 		began := time.Now()
 		second := acquireLock(ctx, g, other)
 		g.Expect(time.Since(began)).To(BeNumerically("<=", hold+DefaultMaxPause))
@@ -184,7 +185,7 @@
 	})
 }
 
-// Candidates lead one after another, under faults, and never two at once.
+// Under faults, candidates lead one after another and never two at the same time.
 func TestOneCandidateLeadsAtATime(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, n *network) {
 		const candidates, terms = 5, 4
--- a/client/number.go
+++ b/client/number.go
@@ -5,8 +5,8 @@
 	"net/http"
 )
 
-// Next returns a number that is above all that were given under the same name before the call. Numbers may be left out:
-// each attempt without a clear answer may have used one.
+// Next returns a number that is higher than all numbers returned under the same name before the call. The sequence may have
+// gaps, because each attempt with an unknown outcome may have used a number.
 func (c *Client) Next(ctx context.Context, name string) (uint64, error) {
 	path, err := pathOf("/numbers/", name, "")
 	if err != nil {
--- a/client/pause.go
+++ b/client/pause.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// firstPause is the longest pause after the first failed attempt; it doubles with each further one.
+// firstPause is the upper bound of the pause after the first failed attempt. The bound doubles with each further attempt.
 const firstPause = 10 * time.Millisecond
 
-// backoff returns a random pause before an attempt, the first of which is number 0 and has none. Its bound doubles up to
-// a maximum.
+// backoff returns a random pause before an attempt. Attempt 0 has no pause. The upper bound doubles with each further attempt
+// up to a maximum; the pause is at least half of the bound.
 func backoff(attempt int, maximum time.Duration) time.Duration {
 	if attempt == 0 {
 		return 0
@@ -26,7 +26,7 @@
 	return randomBetween(bound/2, bound)
 }
 
-// between returns a random duration from least up to most.
+// randomBetween returns a random duration from minimum up to maximum.
 func randomBetween(minimum, maximum time.Duration) time.Duration {
 	if maximum <= minimum {
 		return minimum
@@ -34,7 +34,7 @@
 	return minimum + rand.N(maximum-minimum)
 }
 
-// sleep waits, or returns the context's error once it ends.
+// sleep waits for a pause. It returns the context's error if the context ends first.
 func sleep(ctx context.Context, pause time.Duration) error {
 	if pause <= 0 {
 		return ctx.Err()
--- a/client/service_test.go
+++ b/client/service_test.go
@@ -14,7 +14,7 @@
 	"github.com/pkg/errors"
 )
 
-// service is the coordination service in memory, as the tests need it.
+// service is an in-memory implementation of the coordination service.
 type service struct {
 	mu            sync.Mutex
 	locks         map[string]serviceLock
@@ -23,9 +23,9 @@
 	cells         map[string]Event
 	first         map[string]uint64 // by key and value: the revision of the first put
 	log           []Event
-	compactedUpTo uint64 // events up to it are gone
+	compactedUpTo uint64 // events up to this revision were removed from the history
 	changed       chan struct{}
-	requests      []string // host, method and path of each request, in their order
+	requests      []string // host, method and path of each request, in order
 }
 
 type serviceLock struct {
@@ -147,7 +147,7 @@
 	answerJSON(w, http.StatusOK, cell)
 }
 
-// watch serves one group: all keys.
+// watch serves watch calls. All keys belong to a single group.
 func (s *service) watch(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	waitMs, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
@@ -179,15 +179,15 @@
 	}
 }
 
-// reaction is what becomes of one request; serve lets the service answer it.
+// reaction handles one request in place of the network. serve passes the request to the service.
 type reaction func(r *http.Request, serve func() *http.Response) (*http.Response, error)
 
-// network carries requests to the service in the time of a synctest bubble. Each request takes the next planned reaction
-// of its host, or of any host, and is served if there is none.
+// network is a transport to the service for tests in a synctest bubble. Each request uses the next planned reaction of its
+// host, or else of any host. Without a planned reaction the service answers it.
 type network struct {
 	*service
 	plan      map[string][]reaction // by host; "" for any
-	atTestEnd func(cleanup func())  // registers what ends the test's goroutines
+	atTestEnd func(cleanup func())  // registers a cleanup that ends goroutines of the test
 }
 
 func newNetwork(t *testing.T) *network {
@@ -221,14 +221,14 @@
 	return nil
 }
 
-// react plans the reactions to the next requests to a host.
+// planReactions plans the reactions to the next requests to a host.
 func (n *network) planReactions(host string, reactions ...reaction) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.plan[host] = append(n.plan[host], reactions...)
 }
 
-// count returns how many requests had a path with this end.
+// count returns the number of requests whose path ends with a suffix.
 func (n *network) count(suffix string) (count int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -240,7 +240,7 @@
 	return count
 }
 
-// served lets the service answer, and returns the answer after a delay.
+// servedAfter passes the request to the service, and returns the response after a delay.
 func servedAfter(delay time.Duration) reaction {
 	return func(r *http.Request, serve func() *http.Response) (*http.Response, error) {
 		response := serve()
@@ -251,7 +251,7 @@
 	}
 }
 
-// answered answers with a status in the service's place.
+// answeredWith answers with a status without calling the service.
 func answeredWith(status int, header ...string) reaction {
 	return func(*http.Request, func() *http.Response) (*http.Response, error) {
 		recorder := httptest.NewRecorder()
@@ -263,19 +263,19 @@
 	}
 }
 
-// silent never answers.
+// neverAnswered waits until the request's context ends.
 func neverAnswered(r *http.Request, _ func() *http.Response) (*http.Response, error) {
 	<-r.Context().Done()
 	return nil, r.Context().Err()
 }
 
-// lost lets the call take effect, and loses the answer.
+// responseLost lets the service execute the call, and then fails as if the connection was reset.
 func responseLost(_ *http.Request, serve func() *http.Response) (*http.Response, error) {
 	serve()
 	return nil, errors.New("connection reset")
 }
 
-// refused makes no connection.
+// connectionRefused fails as if the connection was refused.
 func connectionRefused(*http.Request, func() *http.Response) (*http.Response, error) {
 	return nil, &net.OpError{Op: "dial", Err: errors.New("connection refused")}
 }
--- a/client/watch.go
+++ b/client/watch.go
@@ -9,46 +9,47 @@
 	"github.com/pkg/errors"
 )
 
-// Event is a put that a watch saw.
+// Event is a put that a watch delivers.
 type Event struct {
 	Key      string `json:"name"`
 	Value    string `json:"value"`
 	Revision uint64 `json:"revision"`
 }
 
-// Watch follows the puts of a group of keys: those that begin alike up to the first dot. It is used by one goroutine.
+// Watch delivers the puts to a group of keys. A group consists of the keys with the same prefix up to the first dot. A Watch
+// is not safe for concurrent use.
 type Watch struct {
 	client       *Client
 	group        string
-	position     uint64 // every event up to it is delivered or pending; 0 before the first answer
+	position     uint64 // every event up to this revision is delivered or pending; 0 before the first response
 	delivered    uint64 // revision of the last delivered event
 	pending      []Event
-	missed       bool // events were lost, and ErrHistoryGone was not returned yet
-	emptyAnswers int  // answers in a row that brought nothing and came early
+	missed       bool // events were missed, and ErrHistoryGone was not returned yet
+	emptyAnswers int  // consecutive failures, and early responses without progress; determines the pause before the next call
 }
 
-// watchAnswer is the body of an answer.
+// watchResponse is the response body of a watch call.
 type watchResponse struct {
 	Events   []Event `json:"events"`
 	Revision uint64  `json:"revision"`
 }
 
-// watchQuery is the query of a watch.
+// watchQuery has the query parameters of a watch call.
 type watchQuery struct {
 	After  uint64 `url:"after"`
 	WaitMs int64  `url:"wait_ms"`
 }
 
-// Watch returns a watch of a group, whose name ends with the dot. It delivers the events above the revision after. If that
-// is 0 it begins with the present: call Start, read the keys that matter, and then Next, so that no put is missed.
+// Watch returns a watch of a group, whose name ends with the dot. It delivers the events with a revision above after. With 0
+// it starts at the current revision: call Start, then read the keys, and then call Next, so that no put is missed.
 func (c *Client) Watch(group string, after uint64) (*Watch, error) {
 	if dot := strings.Index(group, "."); dot < 1 || dot != len(group)-1 {
-		return nil, errors.Errorf("%q is not a group: it must end with its only dot", group)
+		return nil, errors.Errorf("%q is not a group: it must end with a dot and have no other", group)
 	}
 	return &Watch{client: c, group: group, position: after, delivered: after}, nil
 }
 
-// Start asks for the present revision, if the watch has none yet. Next does so itself.
+// Start requests the current revision if the watch has none yet. Next calls it if necessary.
 func (w *Watch) Start(ctx context.Context) error {
 	if w.position > 0 {
 		return nil
@@ -58,13 +59,14 @@
 		return err
 	}
 	if w.position = response.Revision; w.position == 0 {
-		w.missed = true // of an empty group, as the first event cannot be asked for
+		w.missed = true // the group is empty, and its first event cannot be requested
 	}
 	w.delivered = w.position
 	return nil
 }
 
-// Revision is the one to resume from: the last event that Next returned, or a later one if there was none in between.
+// Revision returns the revision to resume from. It is that of the last event that Next returned, or a later one if no event
+// lies in between.
 func (w *Watch) Revision() uint64 {
 	if len(w.pending) > 0 {
 		return w.delivered
@@ -72,11 +74,11 @@
 	return w.position
 }
 
-// Next waits for the next event. Events come in the order of their revisions, each once. After a failure of an address
-// the watch resumes at another one.
+// Next waits for the next event. It returns the events in the order of their revisions, each once. If an address fails, the
+// watch continues at another one.
 //
-// With ErrHistoryGone, events were missed, and the watch goes on from the present: read the keys, then call Next again.
-// Other errors do not change the watch.
+// ErrHistoryGone means that events were missed. The watch then continues from the current revision: read the keys, then call
+// Next again. Other errors do not change the state of the watch.
 func (w *Watch) Next(ctx context.Context) (Event, error) {
 	for len(w.pending) == 0 {
 		if err := w.poll(ctx); err != nil {
@@ -89,7 +91,7 @@
 	return event, nil
 }
 
-// advance makes one step: it finds the present revision, or asks for events above the position.
+// poll makes one call: it requests the current revision if the position is unknown, or else the events above the position.
 func (w *Watch) poll(ctx context.Context) error {
 	if err := sleep(ctx, backoff(w.emptyAnswers, w.client.options.MaxPause)); err != nil {
 		return err
@@ -110,7 +112,7 @@
 	return nil
 }
 
-// begin finds the revision to go on from. It returns ErrHistoryGone if events before it were missed.
+// findPosition sets the position to the current revision. It returns ErrHistoryGone if earlier events were missed.
 func (w *Watch) findPosition(ctx context.Context) error {
 	missedBefore := w.missed
 	if err := w.Start(ctx); err != nil {
@@ -128,7 +130,8 @@
 	return nil
 }
 
-// passing returns an error unless the watch may go on in spite of it.
+// ignoreUnavailable returns nil for ErrUnavailable while the context is valid, so that the watch retries. It returns other
+// errors unchanged.
 func (w *Watch) ignoreUnavailable(ctx context.Context, err error) error {
 	if ctx.Err() == nil && errors.Is(err, ErrUnavailable) {
 		w.emptyAnswers++
@@ -137,7 +140,8 @@
 	return err
 }
 
-// accept takes the events above the position. An answer that is older than the position brings nothing.
+// accept adds the events above the position to the pending events. A response that is older than the position has no effect
+// on it.
 func (w *Watch) accept(response watchResponse, took time.Duration) {
 	before := w.position
 	for _, event := range response.Events {
--- a/client/watch_test.go
+++ b/client/watch_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// put sets keys of the group g. to new values, one after another.
+// putValues sets the key g.k to one value after another.
 func putValues(ctx context.Context, g Gomega, n *network, values ...string) {
 	c := newTestClient(&network{service: n.service}, "writer")
 	for _, value := range values {
@@ -26,7 +26,7 @@
 	return w
 }
 
-// values returns those of the next events.
+// nextValues returns the values of the next events.
 func nextValues(ctx context.Context, g Gomega, w *Watch, count int) (values []string) {
 	for range count {
 		event, err := w.Next(ctx)
@@ -58,7 +58,9 @@
 	inBubble(t, func(ctx context.Context, g Gomega, n *network) {
 		putValues(ctx, g, n, "v0")
 		w := newTestWatch(g, n, 1)
-		failures := []reaction{neverAnswered, responseLost, connectionRefused, answeredWith(http.StatusServiceUnavailable), servedAfter(time.Second)}
+		failures := []reaction{
+			neverAnswered, responseLost, connectionRefused, answeredWith(http.StatusServiceUnavailable), servedAfter(time.Second),
+		}
 		var want []string
 		for i := range 50 {
 			want = append(want, fmt.Sprintf("v%d", i+1))
@@ -108,7 +110,7 @@
 	})
 }
 
-// The first revision of a group cannot be asked for, so its event is reported as missed.
+// The first revision of a group cannot be requested, so its event is reported as missed.
 func TestWatchOfAnEmptyGroupReportsItsFirstEventAsMissed(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, n *network) {
 		w := newTestWatch(g, n, 0)
