--- a/client/client_test.go
+++ b/client/client_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestCallsBeginWithTheAddressThatAnsweredLast(t *testing.T) {
+func TestCallsStartWithTheAddressThatAnsweredLast(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, n *network) {
 		c := newTestClient(n, "h")
 		n.planReactions("a:1", neverAnswered)
@@ -59,7 +59,7 @@
 	})
 }
 
-func TestAttemptIsGivenUpAfterItsTimeout(t *testing.T) {
+func TestAttemptEndsAfterItsTimeout(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, n *network) {
 		n.planReactions("a:1", neverAnswered)
 		began := time.Now()
@@ -94,7 +94,7 @@
 	})
 }
 
-func TestRetryAfterIsReadInSecondsAndCut(t *testing.T) {
+func TestRetryAfterIsParsedInSecondsAndLimited(t *testing.T) {
 	g := NewWithT(t)
 	for text, want := range map[string]time.Duration{
 		"2": 2 * time.Second, "0.02": 20 * time.Millisecond, "": 0, "soon": 0, "-1": 0, "NaN": 0, "1e300": maxRetryAfter,
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestErrorSaysWhetherTheCallMayHaveTakenEffect(t *testing.T) {
+func TestErrorTellsWhetherTheCallMayHaveBeenExecuted(t *testing.T) {
 	for name, step := range map[string]struct {
 		failure reaction
 		put     error
@@ -146,7 +146,7 @@
 	})
 }
 
-func TestUnexpectedStatusIsNotRepeated(t *testing.T) {
+func TestUnexpectedStatusIsNotRetried(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, n *network) {
 		n.planReactions("", answeredWith(http.StatusBadRequest))
 		_, err := newTestClient(n, "h").Next(ctx, "n")
@@ -157,7 +157,7 @@
 	})
 }
 
-func TestPutThatComesAgainGetsItsFirstRevision(t *testing.T) {
+func TestRepeatedPutReturnsItsFirstRevision(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, n *network) {
 		c := newTestClient(n, "h")
 		n.planReactions("a:1", responseLost)
@@ -171,7 +171,7 @@
 	})
 }
 
-func TestConditionalPutNamesThePresentRevision(t *testing.T) {
+func TestConditionalPutReturnsTheCurrentRevision(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, n *network) {
 		c := newTestClient(n, "h")
 		_, err := c.Put(ctx, "g.k", "v1")
@@ -219,7 +219,7 @@
 	}
 }
 
-func TestCallAvoidsTheAddressThatFailedForItThoughItAnsweredAnother(t *testing.T) {
+func TestCallAvoidsItsFailedAddressEvenIfOtherCallsStartThere(t *testing.T) {
 	g := NewWithT(t)
 	l := newAddressList([]string{"a:1", "b:1"})
 	l.current = 0
--- a/client/lock_test.go
+++ b/client/lock_test.go
@@ -41,7 +41,7 @@
 	})
 }
 
-func TestLockIsLostBeforeTheHoldIsOverWhereNoRenewalIsAnswered(t *testing.T) {
+func TestLockIsLostBeforeTheHoldExpiresIfNoRenewalIsAnswered(t *testing.T) {
 	for name, failure := range map[string]reaction{
 		"silence": neverAnswered, "503": answeredWith(http.StatusServiceUnavailable), "reset": responseLost,
 		"400": answeredWith(http.StatusBadRequest),
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestHoldCountsFromWhenTheGoodCallWasSent(t *testing.T) {
+func TestHoldCountsFromTheTimeTheCallWasSent(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, n *network) {
 		n.planReactions("", servedAfter(400*time.Millisecond))
 		lock := acquireLock(ctx, g, newTestClient(n, "h"))
@@ -70,7 +70,7 @@
 	})
 }
 
-func TestFailedRenewalsAreMadeUpForInTime(t *testing.T) {
+func TestFailedRenewalsAreRetriedBeforeTheLeaseExpires(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, n *network) {
 		lock := acquireLock(ctx, g, newTestClient(n, "h"))
 		n.planReactions("", neverAnswered, responseLost, answeredWith(http.StatusServiceUnavailable))
@@ -79,7 +79,7 @@
 	})
 }
 
-func TestRenewalThatComesTooLateCountsForNothing(t *testing.T) {
+func TestLateRenewalDoesNotExtendTheLease(t *testing.T) {
 	inBubble(t, func(_ context.Context, g Gomega, _ *network) {
 		l := newLease(time.Now().Add(time.Second))
 		time.Sleep(time.Second) // virtual
@@ -89,7 +89,7 @@
 	})
 }
 
-func TestBeginThatIsAnsweredTooLateGivesNoLock(t *testing.T) {
+func TestBeginAnsweredAfterTheHoldGrantsNoLock(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, n *network) {
 		c := newTestClient(n, "h")
 		late := func(_ *http.Request, serve func() *http.Response) (*http.Response, error) {
@@ -120,7 +120,7 @@
 	})
 }
 
-func TestHeldLockIsWaitedFor(t *testing.T) {
+func TestAcquireWaitsForAHeldLock(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, n *network) {
 		first := acquireLock(ctx, g, newTestClient(n, "h1"))
 		other := newTestClient(n, "h2")
--- a/client/watch_test.go
+++ b/client/watch_test.go
@@ -76,7 +76,7 @@
 	})
 }
 
-func TestWatchSkipsEventsThatItHas(t *testing.T) {
+func TestWatchSkipsDuplicateEvents(t *testing.T) {
 	inBubble(t, func(_ context.Context, g Gomega, n *network) {
 		w := newTestWatch(g, n, 5)
 		w.accept(watchResponse{Events: []Event{{Revision: 4}, {Revision: 5}, {Revision: 6}, {Revision: 6}, {Revision: 7}}, Revision: 9}, 0)
@@ -87,7 +87,7 @@
 	})
 }
 
-func TestWatchReportsThatHistoryIsGoneAndGoesOnFromThePresent(t *testing.T) {
+func TestWatchReportsMissedHistoryAndContinuesFromTheCurrentRevision(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, n *network) {
 		putValues(ctx, g, n, "v1", "v2", "v3", "v4")
 		n.compactedUpTo = 3
@@ -100,7 +100,7 @@
 	})
 }
 
-func TestWatchFromThePresentMissesNothingAfterItsStart(t *testing.T) {
+func TestWatchFromTheCurrentRevisionMissesNothingAfterStart(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, n *network) {
 		putValues(ctx, g, n, "v1")
 		w := newTestWatch(g, n, 0)
--- a/cmd/dykering/config_command.go
+++ b/cmd/dykering/config_command.go
@@ -43,9 +43,9 @@
 	}
 	o := operator.Defaults()
 	if f.operatorFile != "" {
-		var wrong []validation.Error
-		if o, wrong = operator.Load(f.operatorFile, os.LookupEnv); len(wrong) > 0 {
-			return validation.Join(wrong)
+		var errs []validation.Error
+		if o, errs = operator.Load(f.operatorFile, os.LookupEnv); len(errs) > 0 {
+			return validation.Join(errs)
 		}
 	}
 	for _, v := range o.Values() {
--- a/cmd/dykering/deployment_test.go
+++ b/cmd/dykering/deployment_test.go
@@ -34,7 +34,7 @@
 // The deployed program is linked against the C library, and README and Makefile build it with the same command line as the
 // deployment. The deployment's `run` replaces the shell by exec, and the program runs under the platform's restrictions: no
 // further processes, only TCP and UDP sockets over IPv4, no io_uring, splice or sendfile.
-func TestDeployedProgramKeepsThePlatformsTerms(t *testing.T) {
+func TestDeployedProgramRunsUnderThePlatformsRestrictions(t *testing.T) {
 	build := deploymentSetting(t, "build")
 	_, goBuild, _ := strings.Cut(build, "&& ")
 	for _, file := range []string{"../../README.md", "../../Makefile"} {
--- a/cmd/dykering/explain_command_test.go
+++ b/cmd/dykering/explain_command_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestExplainRequestsDoesNotWaitForAProxyThatIsNotThere(t *testing.T) {
+func TestExplainRequestsFailsWithoutAProxy(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	address := strings.TrimPrefix(server.URL, "http://")
 	server.Close()
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestExplainLockShowsTheHoldAndWhatOthersMet(t *testing.T) {
+func TestExplainLockShowsTheHoldAndRefusedCalls(t *testing.T) {
 	held := protocol.LockExplanation{
 		Lock: "l", Now: 10 * time.Second, Head: "core-0/1", IsHead: true, Held: true, Holder: "a3.7", FirstToken: 40, Token: 41,
 		HoldMs: 3000, EndsAt: 12 * time.Second,
--- a/cmd/dykering/fleet_budgets_test.go
+++ b/cmd/dykering/fleet_budgets_test.go
@@ -235,7 +235,7 @@
 	all := s.startMembers(5)
 	currentLeader := func() *broker {
 		var id string
-		s.waitAll(detectionTimeout, "a lead", func(b *broker) bool { id = b.budget(t).Lead; return s.find(id) != nil }, all[0])
+		s.waitAll(detectionTimeout, "a leader", func(b *broker) bool { id = b.budget(t).Lead; return s.find(id) != nil }, all[0])
 		return s.find(id)
 	}
 	firstLeader := currentLeader()
@@ -251,7 +251,7 @@
 	s.relay.Heal()
 	s.waitAll(detectionTimeout, "a lease after slow links", leased(t), all...)
 	var newLeader string
-	s.waitAll(detectionTimeout, "a lead", func(b *broker) bool { newLeader = b.budget(t).Lead; return newLeader != "" }, all[0])
+	s.waitAll(detectionTimeout, "a leader", func(b *broker) bool { newLeader = b.budget(t).Lead; return newLeader != "" }, all[0])
 	if b := s.find(newLeader); b != nil {
 		b.signal(syscall.SIGKILL)
 		b.cmd.Wait()
--- a/cmd/dykering/fleet_state_test.go
+++ b/cmd/dykering/fleet_state_test.go
@@ -104,7 +104,7 @@
 	s.t.Helper()
 	uid := s.servers[server].UID
 	for _, b := range by {
-		s.waitAll(20*time.Second, "finds "+uid+" bad", func(b *broker) bool {
+		s.waitAll(20*time.Second, "marks "+uid+" as bad", func(b *broker) bool {
 			requestFromEach(3, b)
 			return b.hasFact(s.t, b.id, uid, replica.Bad)
 		}, b)
@@ -164,7 +164,7 @@
 		all[0].replicatedState(t).Counters.BytesTold, all[0].replicatedState(t).Counters.BytesSent)
 }
 
-var awayDuration = flag.Duration("away", 0, "how long a member stays away once more in TestFleetStateSurvivesARestartOrCatchesUp, above 2m")
+var awayDuration = flag.Duration("away", 0, "if above 2m: further down time of the member in TestFleetStateSurvivesARestartOrCatchesUp")
 
 // A member that is killed restarts after 5 s with the state that it has on disk. With a corrupt file it starts cold, logs that,
 // and catches up from a peer. Meanwhile links are slow and lose a fifth of the packets. Right after the restart the member
--- a/cmd/dykering/fleet_test.go
+++ b/cmd/dykering/fleet_test.go
@@ -49,14 +49,14 @@
 type broker struct {
 	*program
 	id, gossipAddress string
-	controlAddress    string // the second address
+	controlAddress    string
 	mu                sync.Mutex
-	states            map[string]string // by id, as the log has told
+	states            map[string]string // by id, according to the log
 	memberLines       []memberLine
 	digest            string
 	warnings          []string
-	replicaLines      []string      // lines of the replicated state
-	budgetLines       []string      // and of the budgets
+	replicaLines      []string      // log lines of the replicated state
+	budgetLines       []string      // log lines of the budgets
 	changed           chan struct{} // a token after each line
 }
 
@@ -342,7 +342,7 @@
 	f := newTestFleet(t)
 	all := f.start(10)
 	victim, rest := all[5], without(all, all[5])
-	schedule, wrong := faultnet.LoadSchedule("stall.toml", []byte(`
+	schedule, errs := faultnet.LoadSchedule("stall.toml", []byte(`
 [[step]]
 at = "0s"
 do = "stop"
@@ -353,8 +353,8 @@
 do = "cont"
 member = "b5"
 `))
-	if len(wrong) > 0 {
-		t.Fatal(wrong)
+	if len(errs) > 0 {
+		t.Fatal(errs)
 	}
 	played := make(chan error, 1)
 	go func() { played <- faultnet.Play(context.Background(), schedule, f.relay, f) }()
--- a/cmd/dykering/operate_test.go
+++ b/cmd/dykering/operate_test.go
@@ -56,7 +56,7 @@
 }
 
 // For each key, a misspelt name, a value of a wrong type and a value out of its bounds are reported with key and line.
-func TestFaultOfEveryKeyIsNamedWithItsLine(t *testing.T) {
+func TestErrorOfEveryKeyHasItsLine(t *testing.T) {
 	text := strings.Split(operator.Example(), "\n")
 	keyLine := regexp.MustCompile(`^([a-z_.]+) = (.*)$`)
 	limits := regexp.MustCompile(` \((\S+) to (\S+)\)$`)
--- a/cmd/dykering/output_test.go
+++ b/cmd/dykering/output_test.go
@@ -38,7 +38,7 @@
 	compareOutput(t, "status-other", func(out io.Writer) error { return showStatus(out, status) })
 }
 
-func TestStatusSaysWhichLossesCanBeBorne(t *testing.T) {
+func TestStatusShowsTolerableLosses(t *testing.T) {
 	leaving, unreachable := []chain.MemberID{"a/0"}, []chain.MemberID{"c/0"}
 	for want, tolerance := range map[string]protocol.Tolerance{
 		"further losses that can be borne: 2":                                   {Losses: 2},
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -208,7 +208,7 @@
 }
 
 // Lines that cannot be written are counted by event. The lines that a lost summary represents are counted again.
-func TestLinesThatCannotBeWritten(t *testing.T) {
+func TestUnwrittenLinesAreCounted(t *testing.T) {
 	var writer failingWriter
 	s := settingsFor(FormatJSON)
 	s.Burst = 5
--- a/internal/operator/fuzz_test.go
+++ b/internal/operator/fuzz_test.go
@@ -13,19 +13,19 @@
 	f.Add([]byte("version = 1\n[log]\nlevel = \"${NOT_SET}\"\nunknown = 1\n[log]\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		getenv := func(string) (string, bool) { return "", false }
-		got, wrong := Parse("f", text, getenv)
-		if (got == nil) != (len(wrong) > 0) {
-			t.Fatalf("%q: want a file or errors, got %d errors", text, len(wrong))
+		got, errs := Parse("f", text, getenv)
+		if (got == nil) != (len(errs) > 0) {
+			t.Fatalf("%q: want a file or errors, got %d errors", text, len(errs))
 		}
 		lines := 1 + strings.Count(string(text), "\n")
-		for _, w := range wrong {
-			if w.Line < 0 || w.Line > lines || w.Text == "" {
-				t.Errorf("%q: %+v", text, w)
+		for _, e := range errs {
+			if e.Line < 0 || e.Line > lines || e.Text == "" {
+				t.Errorf("%q: %+v", text, e)
 			}
 		}
 		if got != nil {
-			again, _ := Parse("f", text, getenv)
-			if changes := Changes(got, again); len(changes) > 0 {
+			parsedAgain, _ := Parse("f", text, getenv)
+			if changes := Changes(got, parsedAgain); len(changes) > 0 {
 				t.Errorf("%q: parsed again, the values differ: %v", text, changes)
 			}
 		}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -34,13 +34,13 @@
 	Depth int `toml:"depth" doc:"a depth" max:"3"`
 }
 
-func (s *sample) Check() (wrong []validation.Error) {
+func (s *sample) Check() (errs []validation.Error) {
 	for i, t := range s.Teams {
 		if t.Name == "" {
-			wrong = append(wrong, validation.Error{Key: fmt.Sprintf("team[%d].name", i), Text: "has no name"})
+			errs = append(errs, validation.Error{Key: fmt.Sprintf("team[%d].name", i), Text: "has no name"})
 		}
 	}
-	return wrong
+	return errs
 }
 
 func init() {
@@ -49,15 +49,15 @@
 	})
 }
 
-func read(text string) (*sample, *File, []validation.Error) {
-	f, wrong := Parse("f.toml", []byte(text), func(name string) (string, bool) {
+func parse(text string) (*sample, *File, []validation.Error) {
+	f, errs := Parse("f.toml", []byte(text), func(name string) (string, bool) {
 		v, ok := map[string]string{"COUNT": "7", "WORD": "two", "WAIT": "9ms", "KEY": "s\"e\nc", "BAD": "many words"}[name]
 		return v, ok
 	})
 	if f == nil {
-		return nil, nil, wrong
+		return nil, nil, errs
 	}
-	return Section[sample](f, "sample"), f, wrong
+	return Section[sample](f, "sample"), f, errs
 }
 
 // Every error is reported with its line, its key and the expected value. A file with an error is rejected as a whole.
@@ -99,25 +99,25 @@
 		"no such variable": {"version = 1\n[sample]\ncount = \"${NOWHERE}\"\n", []string{"f.toml:3: sample.count: NOWHERE is not in the environment"}},
 		"variable's type":  {"version = 1\n[sample]\ncount = \"${BAD}\"\non = true\n", []string{"f.toml:3: sample.count: has to be a whole number"}},
 	} {
-		s, _, wrong := read(tc.text)
+		s, _, errs := parse(tc.text)
 		if s != nil {
 			t.Errorf("%s: the file was accepted", name)
 		}
 		for i, want := range tc.want {
-			if i >= len(wrong) || !strings.HasPrefix(wrong[i].Error(), want) {
-				t.Errorf("%s: got %v, want %q", name, wrong, want)
+			if i >= len(errs) || !strings.HasPrefix(errs[i].Error(), want) {
+				t.Errorf("%s: got %v, want %q", name, errs, want)
 				break
 			}
 		}
-		if len(wrong) != len(tc.want) && name != "no such variable" {
-			t.Errorf("%s: %d errors: %v", name, len(wrong), wrong)
+		if len(errs) != len(tc.want) && name != "no such variable" {
+			t.Errorf("%s: %d errors: %v", name, len(errs), errs)
 		}
 	}
 }
 
 // Values of the file and of the environment override the defaults, and each value has its source. Secrets are masked.
 func TestValues(t *testing.T) {
-	s, f, wrong := read(`version = 1
+	s, f, errs := parse(`version = 1
 [sample]
 count = "${COUNT}"
 word = "${WORD}"
@@ -128,8 +128,8 @@
 name = "a"
 calls = 2
 `)
-	if wrong != nil {
-		t.Fatal(wrong)
+	if errs != nil {
+		t.Fatal(errs)
 	}
 	if s.Count != 7 || s.Word != "two" || s.Wait != tomlconfig.Duration(9*time.Millisecond) || s.Key != "s\"e\nc" || s.Size != 1<<10 ||
 		len(s.Teams) != 1 || s.Teams[0] != (team{"a", 2}) || len(s.Names) != 1 {
@@ -156,23 +156,23 @@
 }
 
 // A file that is absent, a folder or too large is reported as one error with its path.
-func TestFilesThatCannotBeRead(t *testing.T) {
+func TestUnreadableFilesAreErrors(t *testing.T) {
 	long := filepath.Join(t.TempDir(), "long.toml")
 	if err := os.WriteFile(long, make([]byte, 2<<20), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, path := range []string{filepath.Join(t.TempDir(), "none.toml"), t.TempDir(), long} {
-		if f, wrong := Load(path, os.LookupEnv); f != nil || len(wrong) != 1 || wrong[0].File != path {
-			t.Errorf("%s: %v", path, wrong)
+		if f, errs := Load(path, os.LookupEnv); f != nil || len(errs) != 1 || errs[0].File != path {
+			t.Errorf("%s: %v", path, errs)
 		}
 	}
 }
 
 // The example is a valid file whose values equal the defaults.
 func TestExample(t *testing.T) {
-	f, wrong := Parse("example", []byte(Example()), os.LookupEnv)
-	if len(wrong) > 0 {
-		t.Fatal(validation.Join(wrong))
+	f, errs := Parse("example", []byte(Example()), os.LookupEnv)
+	if len(errs) > 0 {
+		t.Fatal(validation.Join(errs))
 	}
 	if changes := Changes(Defaults(), f); len(changes) > 0 {
 		t.Errorf("the example changes %+v", changes)
