--- a/client/watch.go
+++ b/client/watch.go
@@ -19,13 +19,13 @@
 // Watch delivers the puts to a group of keys. A group consists of the keys with the same prefix up to the first dot. A Watch
 // is not safe for concurrent use.
 type Watch struct {
-	client       *Client
-	group        string
-	position     uint64 // every event up to this revision is delivered or pending; 0 before the first response
-	delivered    uint64 // revision of the last delivered event
-	pending      []Event
-	missed       bool // events were missed, and ErrHistoryGone was not returned yet
-	emptyAnswers int  // consecutive failures, and early responses without progress; determines the pause before the next call
+	client               *Client
+	group                string
+	position             uint64 // every event up to this revision is delivered or pending; 0 before the first response
+	delivered            uint64 // revision of the last delivered event
+	pending              []Event
+	missed               bool // events were missed, and ErrHistoryGone was not returned yet
+	pollsWithoutProgress int  // consecutive failures, and early responses without progress; determines the pause before the next call
 }
 
 // watchResponse is the response body of a watch call.
@@ -93,13 +93,13 @@
 
 // poll makes one call: it requests the current revision if the position is unknown, or else the events above the position.
 func (w *Watch) poll(ctx context.Context) error {
-	if err := sleep(ctx, backoff(w.emptyAnswers, w.client.options.MaxPause)); err != nil {
+	if err := sleep(ctx, backoff(w.pollsWithoutProgress, w.client.options.MaxPause)); err != nil {
 		return err
 	}
 	if w.position == 0 {
 		return w.findPosition(ctx)
 	}
-	asked := time.Now()
+	sent := time.Now()
 	response, err := w.request(ctx, w.position)
 	if errors.Is(err, ErrHistoryGone) {
 		w.position, w.missed = 0, true
@@ -108,7 +108,7 @@
 	if err != nil {
 		return w.ignoreUnavailable(ctx, err)
 	}
-	w.accept(response, time.Since(asked))
+	w.accept(response, time.Since(sent))
 	return nil
 }
 
@@ -119,10 +119,10 @@
 		return w.ignoreUnavailable(ctx, err)
 	}
 	if w.position == 0 {
-		w.emptyAnswers++
+		w.pollsWithoutProgress++
 		return nil
 	}
-	w.emptyAnswers = 0
+	w.pollsWithoutProgress = 0
 	w.missed = false
 	if missedBefore {
 		return errors.Wrap(ErrHistoryGone, w.group)
@@ -134,7 +134,7 @@
 // errors unchanged.
 func (w *Watch) ignoreUnavailable(ctx context.Context, err error) error {
 	if ctx.Err() == nil && errors.Is(err, ErrUnavailable) {
-		w.emptyAnswers++
+		w.pollsWithoutProgress++
 		return nil
 	}
 	return err
@@ -153,10 +153,10 @@
 	w.position = max(w.position, response.Revision)
 	early := took < w.client.options.WatchWait/2
 	if w.position == before && early {
-		w.emptyAnswers++
+		w.pollsWithoutProgress++
 		return
 	}
-	w.emptyAnswers = 0
+	w.pollsWithoutProgress = 0
 }
 
 // request sends one watch call.
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -127,26 +127,26 @@
 }
 
 func (c *core) Write(e zapcore.Entry, fields []zapcore.Field) error {
-	settings := c.log.currentSettings.Load()
-	if !c.log.counters.allow(e.Time, e.Message, settings) {
+	current := c.log.currentSettings.Load()
+	if !c.log.counters.allow(e.Time, e.Message, current) {
 		return nil
 	}
-	return c.log.emit(settings, e, append(c.fields[:len(c.fields):len(c.fields)], fields...))
+	return c.log.emit(current, e, append(c.fields[:len(c.fields):len(c.fields)], fields...))
 }
 
 func (c *core) Sync() error { return nil }
 
 // emit encodes a line and hands it to the sink.
-func (l *Log) emit(settings *settings, e zapcore.Entry, fields []zapcore.Field) error {
-	return l.enqueue(settings, e, fields, logLine{event: e.Message, represented: 1, counter: l.counters.dropped})
+func (l *Log) emit(current *settings, e zapcore.Entry, fields []zapcore.Field) error {
+	return l.enqueue(current, e, fields, logLine{event: e.Message, represented: 1, counter: l.counters.dropped})
 }
 
 // enqueue encodes a line and puts it into the sink's buffer. If that fails, the lines that it represents are counted again.
-func (l *Log) enqueue(settings *settings, e zapcore.Entry, fields []zapcore.Field, queued logLine) error {
+func (l *Log) enqueue(current *settings, e zapcore.Entry, fields []zapcore.Field, queued logLine) error {
 	if n := l.generation.Load(); n > 0 {
 		fields = append(fields[:len(fields):len(fields)], zap.Int64("generation", n))
 	}
-	text, err := settings.encoder.EncodeEntry(e, fields)
+	text, err := current.encoder.EncodeEntry(e, fields)
 	if err != nil {
 		l.counters.restore(queued)
 		return err
@@ -206,9 +206,9 @@
 
 // reportSampled logs, for each event, how many lines were suppressed by the limits.
 func (l *Log) reportSampled(at time.Time) {
-	for _, x := range l.counters.takeAll(at, l.counters.sampledOut) {
+	for _, summary := range l.counters.takeAll(at, l.counters.sampledOut) {
 		entry := zapcore.Entry{Level: zapcore.WarnLevel, Time: at, Message: EventSampled}
-		_ = l.enqueue(l.currentSettings.Load(), entry, []zapcore.Field{zap.String("of", x.event), zap.Int("left_out", x.represented)}, x)
+		_ = l.enqueue(l.currentSettings.Load(), entry, []zapcore.Field{zap.String("of", summary.event), zap.Int("left_out", summary.represented)}, summary)
 	}
 }
 
@@ -251,15 +251,15 @@
 	defer tick.Stop()
 	for {
 		select {
-		case x := <-s.lines:
-			s.write(l, x)
+		case queued := <-s.lines:
+			s.write(l, queued)
 		case now := <-tick.C:
 			l.reportSampled(now)
 		case <-s.closing:
 			for {
 				select {
-				case x := <-s.lines:
-					s.write(l, x)
+				case queued := <-s.lines:
+					s.write(l, queued)
 				default:
 					l.reportSampled(time.Now())
 					for len(s.lines) > 0 {
@@ -273,13 +273,13 @@
 	}
 }
 
-func (s *sink) write(l *Log, x logLine) {
+func (s *sink) write(l *Log, queued logLine) {
 	if !s.reportDropped(l) {
-		l.counters.restore(x)
+		l.counters.restore(queued)
 		return
 	}
-	if _, err := s.w.Write(x.text); err != nil {
-		l.counters.restore(x) // reported once writing succeeds again
+	if _, err := s.w.Write(queued.text); err != nil {
+		l.counters.restore(queued) // reported once writing succeeds again
 	}
 }
 
