--- a/internal/nodefile/settings.go
+++ b/internal/nodefile/settings.go
@@ -89,8 +89,8 @@
 	RegionFailures int `toml:"region_failures"`
 }
 
-// Bounds are the limits that the platform's rules set. The names end in their unit. docs/SYSTEM.md lists the time-outs and
-// windows that derive from each bound.
+// Bounds are the limits that the platform's rules set. The names end in their unit. The packages that use a bound derive their
+// time-outs and windows from it.
 type Bounds struct {
 	// SeedLagS is the time by which SeedNodes may be out of date. Default: 3. Not used.
 	SeedLagS float64 `toml:"seed_lag_s"`
