--- a/client/client_test.go
+++ b/client/client_test.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 )
 
-// newTestClient returns a client of three addresses that asks a:1 first.
+// newTestClient returns a client of three addresses that starts with a:1.
 func newTestClient(n *network, holder string) *Client {
 	c, err := New(Options{Addresses: []string{"a:1", "b:1", "c:1"}, Holder: holder, Transport: n})
 	if err != nil {
@@ -22,7 +22,7 @@
 	return c
 }
 
-// inBubble runs a test in virtual time with a network.
+// inBubble runs a test with a network in the virtual time of synctest.
 func inBubble(t *testing.T, test func(ctx context.Context, g Gomega, n *network)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { test(t.Context(), NewWithT(t), newNetwork(t)) })
@@ -30,14 +30,14 @@
 
 func TestCallMovesToAnotherAddressAfterEachKindOfFailure(t *testing.T) {
 	for name, failure := range map[string]reaction{
-		"429": answered(http.StatusTooManyRequests), "503": answered(http.StatusServiceUnavailable),
-		"500": answered(http.StatusInternalServerError), "504": answered(http.StatusGatewayTimeout),
-		"silence": silent, "reset": lost, "refused": refused,
+		"429": answeredWith(http.StatusTooManyRequests), "503": answeredWith(http.StatusServiceUnavailable),
+		"500": answeredWith(http.StatusInternalServerError), "504": answeredWith(http.StatusGatewayTimeout),
+		"silence": neverAnswered, "reset": responseLost, "refused": connectionRefused,
 	} {
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, func(ctx context.Context, g Gomega, n *network) {
-				n.react("a:1", failure)
-				n.react("b:1", failure)
+				n.planReactions("a:1", failure)
+				n.planReactions("b:1", failure)
 				value, err := newTestClient(n, "h").Next(ctx, "n1")
 				g.Expect(err).NotTo(HaveOccurred())
 				g.Expect(value).To(BeNumerically(">", 0))
@@ -47,10 +47,10 @@
 	}
 }
 
-func TestCallsBeginWithTheAddressThatAnsweredLast(t *testing.T) {
+func TestCallsStartWithTheAddressThatAnsweredLast(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, n *network) {
 		c := newTestClient(n, "h")
-		n.react("a:1", silent)
+		n.planReactions("a:1", neverAnswered)
 		for range 2 {
 			_, err := c.Next(ctx, "n")
 			g.Expect(err).NotTo(HaveOccurred())
@@ -59,9 +59,9 @@
 	})
 }
 
-func TestAttemptIsGivenUpAfterItsTimeout(t *testing.T) {
+func TestAttemptEndsAfterItsTimeout(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, n *network) {
-		n.react("a:1", silent)
+		n.planReactions("a:1", neverAnswered)
 		began := time.Now()
 		_, err := newTestClient(n, "h").Next(ctx, "n")
 		g.Expect(err).NotTo(HaveOccurred())
@@ -72,7 +72,7 @@
 func TestPausesGrowWhileAllAddressesFail(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, n *network) {
 		for range 1000 {
-			n.react("", refused)
+			n.planReactions("", connectionRefused)
 		}
 		_, err := newTestClient(n, "h").Next(ctx, "n")
 		g.Expect(err).To(MatchError(ErrUnavailable))
@@ -83,9 +83,9 @@
 
 func TestRetryAfterIsHonoured(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, n *network) {
-		n.react("a:1", answered(http.StatusServiceUnavailable, "Retry-After", "0.7"))
-		n.react("b:1", answered(http.StatusTooManyRequests, "Retry-After", "2"))
-		n.react("c:1", answered(http.StatusServiceUnavailable, "Retry-After", "2"))
+		n.planReactions("a:1", answeredWith(http.StatusServiceUnavailable, "Retry-After", "0.7"))
+		n.planReactions("b:1", answeredWith(http.StatusTooManyRequests, "Retry-After", "2"))
+		n.planReactions("c:1", answeredWith(http.StatusServiceUnavailable, "Retry-After", "2"))
 		began := time.Now()
 		_, err := newTestClient(n, "h").Next(ctx, "n")
 		g.Expect(err).NotTo(HaveOccurred())
@@ -94,7 +94,7 @@
 	})
 }
 
-func TestRetryAfterIsReadInSecondsAndCut(t *testing.T) {
+func TestRetryAfterIsParsedInSecondsAndLimited(t *testing.T) {
 	g := NewWithT(t)
 	for text, want := range map[string]time.Duration{
 		"2": 2 * time.Second, "0.02": 20 * time.Millisecond, "": 0, "soon": 0, "-1": 0, "NaN": 0, "1e300": maxRetryAfter,
@@ -103,30 +103,30 @@
 	}
 }
 
-func TestErrorSaysWhetherTheCallMayHaveTakenEffect(t *testing.T) {
+func TestErrorTellsWhetherTheCallMayHaveBeenExecuted(t *testing.T) {
 	for name, step := range map[string]struct {
 		failure reaction
 		put     error
 	}{
-		"429":     {answered(http.StatusTooManyRequests), ErrUnavailable},
-		"503":     {answered(http.StatusServiceUnavailable), ErrUnavailable},
-		"refused": {refused, ErrUnavailable},
-		"504":     {answered(http.StatusGatewayTimeout), ErrOutcomeUnknown},
-		"500":     {answered(http.StatusInternalServerError), ErrOutcomeUnknown},
-		"reset":   {lost, ErrOutcomeUnknown},
-		"silence": {silent, ErrOutcomeUnknown},
+		"429":     {answeredWith(http.StatusTooManyRequests), ErrUnavailable},
+		"503":     {answeredWith(http.StatusServiceUnavailable), ErrUnavailable},
+		"refused": {connectionRefused, ErrUnavailable},
+		"504":     {answeredWith(http.StatusGatewayTimeout), ErrOutcomeUnknown},
+		"500":     {answeredWith(http.StatusInternalServerError), ErrOutcomeUnknown},
+		"reset":   {responseLost, ErrOutcomeUnknown},
+		"silence": {neverAnswered, ErrOutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, func(ctx context.Context, g Gomega, n *network) {
 				c := newTestClient(n, "h")
-				n.react("a:1", step.failure) // one unclear attempt among others decides
+				n.planReactions("a:1", step.failure) // a single attempt with an unknown outcome is sufficient
 				for range 1000 {
-					n.react("", answered(http.StatusServiceUnavailable))
+					n.planReactions("", answeredWith(http.StatusServiceUnavailable))
 				}
 				_, err := c.Put(ctx, "g.k", "v")
 				g.Expect(err).To(MatchError(step.put))
 				g.Expect(err).To(MatchError(context.DeadlineExceeded))
-				n.react("a:1", step.failure)
+				n.planReactions("a:1", step.failure)
 				_, _, err = c.Get(ctx, "g.k")
 				g.Expect(err).To(MatchError(ErrUnavailable), "a read changes nothing")
 			})
@@ -136,7 +136,7 @@
 
 func TestContextEndsACall(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, n *network) {
-		n.react("", silent, silent, silent)
+		n.planReactions("", neverAnswered, neverAnswered, neverAnswered)
 		limited, cancel := context.WithTimeout(ctx, 1500*time.Millisecond)
 		defer cancel()
 		began := time.Now()
@@ -146,9 +146,9 @@
 	})
 }
 
-func TestUnexpectedStatusIsNotRepeated(t *testing.T) {
+func TestUnexpectedStatusIsNotRetried(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, n *network) {
-		n.react("", answered(http.StatusBadRequest))
+		n.planReactions("", answeredWith(http.StatusBadRequest))
 		_, err := newTestClient(n, "h").Next(ctx, "n")
 		var status *StatusError
 		g.Expect(errors.As(err, &status)).To(BeTrue())
@@ -157,10 +157,10 @@
 	})
 }
 
-func TestPutThatComesAgainGetsItsFirstRevision(t *testing.T) {
+func TestRepeatedPutReturnsItsFirstRevision(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, n *network) {
 		c := newTestClient(n, "h")
-		n.react("a:1", lost)
+		n.planReactions("a:1", responseLost)
 		revision, err := c.PutIf(ctx, "g.k", "v", 0)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(revision).To(Equal(uint64(1)))
@@ -171,7 +171,7 @@
 	})
 }
 
-func TestConditionalPutNamesThePresentRevision(t *testing.T) {
+func TestConditionalPutReturnsTheCurrentRevision(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, n *network) {
 		c := newTestClient(n, "h")
 		_, err := c.Put(ctx, "g.k", "v1")
@@ -182,7 +182,7 @@
 		g.Expect(conflict.Revision).To(Equal(uint64(1)))
 		g.Expect(errors.Is(err, ErrOutcomeUnknown)).To(BeFalse())
 
-		n.react("", answered(http.StatusGatewayTimeout))
+		n.planReactions("", answeredWith(http.StatusGatewayTimeout))
 		_, err = c.PutIf(ctx, "g.k", "v3", 7)
 		g.Expect(errors.As(err, &conflict)).To(BeTrue())
 		g.Expect(errors.Is(err, ErrOutcomeUnknown)).To(BeTrue(), "the first attempt may have taken effect")
@@ -219,12 +219,12 @@
 	}
 }
 
-func TestCallAvoidsTheAddressThatFailedForItThoughItAnsweredAnother(t *testing.T) {
+func TestCallAvoidsItsFailedAddressEvenIfOtherCallsStartThere(t *testing.T) {
 	g := NewWithT(t)
 	l := newAddressList([]string{"a:1", "b:1"})
 	l.current = 0
-	l.fail(0, 0)
-	l.fail(1, 0) // another call's failure, so that calls begin with the first again
+	l.markFailed(0, 0)
+	l.markFailed(1, 0) // failure of another call: calls start with a:1 again
 	index, notBefore := l.next(0)
 	g.Expect(index).To(Equal(1))
 	g.Expect(notBefore).To(BeZero())
--- a/client/lock_test.go
+++ b/client/lock_test.go
@@ -13,16 +13,16 @@
 
 const hold = 3 * time.Second
 
-// acquired returns a lock that a client has just got.
-func acquired(ctx context.Context, g Gomega, c *Client) *Lock {
+// acquireLock acquires the lock "l" and stops its renewal at the end of the test.
+func acquireLock(ctx context.Context, g Gomega, c *Client) *Lock {
 	lock, err := c.Acquire(ctx, "l", hold)
 	g.Expect(err).NotTo(HaveOccurred())
-	c.options.Transport.(*network).atEnd(lock.stopRenewal)
+	c.options.Transport.(*network).atTestEnd(lock.stopRenewal)
 	return lock
 }
 
-// lostAfter returns the time until a lock is lost.
-func lostAfter(lock *Lock) time.Duration {
+// timeUntilLost waits until a lock is lost and returns how long that took.
+func timeUntilLost(lock *Lock) time.Duration {
 	began := time.Now()
 	<-lock.Lost()
 	return time.Since(began)
@@ -30,7 +30,7 @@
 
 func TestLockIsKeptByRenewalsAtAThirdOfTheHold(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, n *network) {
-		lock := acquired(ctx, g, newTestClient(n, "h"))
+		lock := acquireLock(ctx, g, newTestClient(n, "h"))
 		time.Sleep(10*hold + hold/2) // virtual
 		g.Expect(lock.Held()).To(BeTrue())
 		g.Expect(n.count("/heartbeat")).To(Equal(31))
@@ -41,44 +41,45 @@
 	})
 }
 
-func TestLockIsLostBeforeTheHoldIsOverWhereNoRenewalIsAnswered(t *testing.T) {
+func TestLockIsLostBeforeTheHoldExpiresIfNoRenewalIsAnswered(t *testing.T) {
 	for name, failure := range map[string]reaction{
-		"silence": silent, "503": answered(http.StatusServiceUnavailable), "reset": lost, "400": answered(http.StatusBadRequest),
+		"silence": neverAnswered, "503": answeredWith(http.StatusServiceUnavailable), "reset": responseLost,
+		"400": answeredWith(http.StatusBadRequest),
 	} {
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, func(ctx context.Context, g Gomega, n *network) {
-				lock := acquired(ctx, g, newTestClient(n, "h"))
+				lock := acquireLock(ctx, g, newTestClient(n, "h"))
 				for range 10_000 {
-					n.react("", failure)
+					n.planReactions("", failure)
 				}
-				g.Expect(lostAfter(lock)).To(Equal(hold - hold/marginParts))
+				g.Expect(timeUntilLost(lock)).To(Equal(hold - hold/marginDivisor))
 				g.Expect(lock.Held()).To(BeFalse())
 			})
 		})
 	}
 }
 
-func TestHoldCountsFromWhenTheGoodCallWasSent(t *testing.T) {
+func TestHoldCountsFromTheTimeTheCallWasSent(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, n *network) {
-		n.react("", served(400*time.Millisecond))
-		lock := acquired(ctx, g, newTestClient(n, "h"))
+		n.planReactions("", servedAfter(400*time.Millisecond))
+		lock := acquireLock(ctx, g, newTestClient(n, "h"))
 		for range 10_000 {
-			n.react("", silent)
+			n.planReactions("", neverAnswered)
 		}
-		g.Expect(lostAfter(lock)).To(Equal(hold - hold/marginParts - 400*time.Millisecond))
+		g.Expect(timeUntilLost(lock)).To(Equal(hold - hold/marginDivisor - 400*time.Millisecond))
 	})
 }
 
-func TestFailedRenewalsAreMadeUpForInTime(t *testing.T) {
+func TestFailedRenewalsAreRetriedBeforeTheLeaseExpires(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, n *network) {
-		lock := acquired(ctx, g, newTestClient(n, "h"))
-		n.react("", silent, lost, answered(http.StatusServiceUnavailable))
+		lock := acquireLock(ctx, g, newTestClient(n, "h"))
+		n.planReactions("", neverAnswered, responseLost, answeredWith(http.StatusServiceUnavailable))
 		time.Sleep(2 * hold) // virtual
 		g.Expect(lock.Held()).To(BeTrue())
 	})
 }
 
-func TestRenewalThatComesTooLateCountsForNothing(t *testing.T) {
+func TestLateRenewalDoesNotExtendTheLease(t *testing.T) {
 	inBubble(t, func(_ context.Context, g Gomega, _ *network) {
 		l := newLease(time.Now().Add(time.Second))
 		time.Sleep(time.Second) // virtual
@@ -88,19 +89,19 @@
 	})
 }
 
-func TestBeginThatIsAnsweredTooLateGivesNoLock(t *testing.T) {
+func TestBeginAnsweredAfterTheHoldGrantsNoLock(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, n *network) {
 		c := newTestClient(n, "h")
 		late := func(_ *http.Request, serve func() *http.Response) (*http.Response, error) {
 			response := serve()
-			time.Sleep(hold) // virtual: a process that was paused, whose time-out did not fire
+			time.Sleep(hold) // virtual: the process was paused and its time-out did not fire
 			return response, nil
 		}
-		n.react("", late)
+		n.planReactions("", late)
 		_, err := c.TryAcquire(ctx, "l", hold)
 		g.Expect(err).To(MatchError(ErrLockLost))
-		n.react("", late)
-		lock := acquired(ctx, g, c)
+		n.planReactions("", late)
+		lock := acquireLock(ctx, g, c)
 		g.Expect(lock.Held()).To(BeTrue())
 	})
 }
@@ -108,20 +109,20 @@
 func TestLockIsLostAtOnceWhenARenewalIsRejected(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, n *network) {
 		c := newTestClient(n, "h")
-		lock := acquired(ctx, g, c)
-		n.react("", answered(http.StatusConflict))
-		g.Expect(lostAfter(lock)).To(Equal(hold / renewalParts))
+		lock := acquireLock(ctx, g, c)
+		n.planReactions("", answeredWith(http.StatusConflict))
+		g.Expect(timeUntilLost(lock)).To(Equal(hold / renewalDivisor))
 		synctest.Wait()
-		again := acquired(ctx, g, c)
+		again := acquireLock(ctx, g, c)
 		g.Expect(again.Token()).To(BeNumerically(">", lock.Token()))
 		g.Expect(lock.Release(ctx)).To(MatchError(ErrLockLost))
 		g.Expect(n.locks["l"].token).To(Equal(again.Token()), "an old token releases nothing")
 	})
 }
 
-func TestHeldLockIsWaitedFor(t *testing.T) {
+func TestAcquireWaitsForAHeldLock(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, n *network) {
-		first := acquired(ctx, g, newTestClient(n, "h1"))
+		first := acquireLock(ctx, g, newTestClient(n, "h1"))
 		other := newTestClient(n, "h2")
 		_, err := other.TryAcquire(ctx, "l", hold)
 		g.Expect(err).To(MatchError(ErrLockHeld))
@@ -133,9 +134,9 @@
 		g.Expect(err).To(MatchError(context.DeadlineExceeded))
 		g.Expect(n.count("/begin")).To(BeNumerically("<", 60))
 
-		first.stopRenewal() // it dies
+		first.stopRenewal() // simulates that its process dies
 		began := time.Now()
-		second := acquired(ctx, g, other)
+		second := acquireLock(ctx, g, other)
 		g.Expect(time.Since(began)).To(BeNumerically("<=", hold+DefaultMaxPause))
 		g.Expect(second.Token()).To(BeNumerically(">", first.Token()))
 		g.Expect(first.Held()).To(BeFalse())
@@ -145,19 +146,19 @@
 func TestClientDoesNotShareALockBetweenItsOwnCallers(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, n *network) {
 		c := newTestClient(n, "h")
-		lock := acquired(ctx, g, c)
+		lock := acquireLock(ctx, g, c)
 		_, err := c.TryAcquire(ctx, "l", hold)
 		g.Expect(err).To(MatchError(ErrLockHeld))
 		g.Expect(n.count("/begin")).To(Equal(1))
 		g.Expect(lock.Release(ctx)).To(Succeed())
-		acquired(ctx, g, c)
+		acquireLock(ctx, g, c)
 	})
 }
 
 func TestTokenOfALostAnswerIsReplacedByAHigherOne(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, n *network) {
-		n.react("", lost)
-		lock := acquired(ctx, g, newTestClient(n, "h"))
+		n.planReactions("", responseLost)
+		lock := acquireLock(ctx, g, newTestClient(n, "h"))
 		g.Expect(lock.Token()).To(Equal(uint64(2)))
 		time.Sleep(2 * hold) // virtual
 		g.Expect(lock.Held()).To(BeTrue())
@@ -184,14 +185,14 @@
 	})
 }
 
-// Candidates lead one after another, under faults, and never two at once.
+// Under faults, candidates lead one after another and never two at the same time.
 func TestOneCandidateLeadsAtATime(t *testing.T) {
 	inBubble(t, func(ctx context.Context, g Gomega, n *network) {
 		const candidates, terms = 5, 4
 		leaders, tokens := 0, []uint64{}
 		for i := range candidates * terms {
-			reactions := []reaction{silent, lost, answered(http.StatusServiceUnavailable), served(hold / 10)}
-			n.react("", reactions[i%len(reactions)])
+			reactions := []reaction{neverAnswered, responseLost, answeredWith(http.StatusServiceUnavailable), servedAfter(hold / 10)}
+			n.planReactions("", reactions[i%len(reactions)])
 		}
 		done := make(chan struct{}, candidates)
 		guard := make(chan struct{}, 1)
--- a/client/number.go
+++ b/client/number.go
@@ -5,23 +5,23 @@
 	"net/http"
 )
 
-// Next returns a number that is above all that were given under the same name before the call. Numbers may be left out:
-// each attempt without a clear answer may have used one.
+// Next returns a number that is higher than all numbers returned under the same name before the call. The sequence may have
+// gaps, because each attempt with an unknown outcome may have used a number.
 func (c *Client) Next(ctx context.Context, name string) (uint64, error) {
 	path, err := pathOf("/numbers/", name, "")
 	if err != nil {
 		return 0, err
 	}
 	call := c.newPost("number "+name, path, struct{}{})
-	final, err := c.do(ctx, call)
+	response, err := c.do(ctx, call)
 	if err != nil {
 		return 0, err
 	}
-	if final.status != http.StatusOK {
-		return 0, call.unexpected(final)
+	if response.status != http.StatusOK {
+		return 0, call.statusError(response)
 	}
 	var number struct {
 		Value uint64 `json:"value"`
 	}
-	return number.Value, call.decode(final, &number)
+	return number.Value, call.decode(response, &number)
 }
--- a/cmd/dykering/config_command.go
+++ b/cmd/dykering/config_command.go
@@ -17,20 +17,20 @@
 
 func newConfig() *cli.Command {
 	return &cli.Command{
-		Name: "config", Usage: "Look at the configuration", Commands: []*cli.Command{newShow(), newDefault()},
+		Name: "config", Usage: "Show the configuration", Commands: []*cli.Command{newShow(), newDefault()},
 		Action: func(context.Context, *cli.Command) error { return errors.New("config: show or default is missing") },
 	}
 }
 
 func newShow() *cli.Command {
-	var f files
+	var f inputFiles
 	return &cli.Command{
-		Name: "show", Usage: "Show what holds, and where each value comes from", Flags: f.flags(),
+		Name: "show", Usage: "Show the values in force and their sources", Flags: f.flags(),
 		Action: action(func(c *cli.Command) error { return f.show(c.Root().Writer) }),
 	}
 }
 
-func (f *files) show(out io.Writer) error {
+func (f *inputFiles) show(out io.Writer) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	if f.getenv("BALANCER_CONFIG") != "" {
 		c, err := config.Load(f.getenv)
@@ -42,10 +42,10 @@
 		}
 	}
 	o := operator.Defaults()
-	if f.operator != "" {
-		var wrong []validation.Error
-		if o, wrong = operator.Load(f.operator, os.LookupEnv); len(wrong) > 0 {
-			return validation.Join(wrong)
+	if f.operatorFile != "" {
+		var errs []validation.Error
+		if o, errs = operator.Load(f.operatorFile, os.LookupEnv); len(errs) > 0 {
+			return validation.Join(errs)
 		}
 	}
 	for _, v := range o.Values() {
@@ -56,7 +56,7 @@
 
 func newDefault() *cli.Command {
 	return &cli.Command{
-		Name: "default", Usage: "Print an operator's file with every key and its default",
+		Name: "default", Usage: "Print an example of the operator's file with every key and its default",
 		Action: action(func(c *cli.Command) error {
 			_, err := fmt.Fprint(c.Root().Writer, operator.Example())
 			return err
--- a/cmd/dykering/output_test.go
+++ b/cmd/dykering/output_test.go
@@ -16,16 +16,16 @@
 	"dykering/internal/sessions"
 )
 
-// compareOutput compares what a command prints with what released builds print.
+// compareOutput compares the output of a command with that of released builds.
 func compareOutput(t *testing.T, name string, show func(out io.Writer) error) {
 	t.Helper()
 	var out bytes.Buffer
 	if err := show(&out); err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
-	released := fixture.Bytes(t, "testdata/compatibility/"+name+".txt", out.Bytes)
-	if out.String() != string(released) {
-		t.Errorf("%s: released builds print\n%s\nthis one prints\n%s", name, released, out.String())
+	want := fixture.Bytes(t, "testdata/compatibility/"+name+".txt", out.Bytes)
+	if out.String() != string(want) {
+		t.Errorf("%s: output of released builds\n%s\noutput of this build\n%s", name, want, out.String())
 	}
 }
 
@@ -38,7 +38,7 @@
 	compareOutput(t, "status-other", func(out io.Writer) error { return showStatus(out, status) })
 }
 
-func TestStatusSaysWhichLossesCanBeBorne(t *testing.T) {
+func TestStatusShowsTolerableLosses(t *testing.T) {
 	leaving, unreachable := []chain.MemberID{"a/0"}, []chain.MemberID{"c/0"}
 	for want, tolerance := range map[string]protocol.Tolerance{
 		"further losses that can be borne: 2":                                   {Losses: 2},
@@ -75,8 +75,8 @@
 	compareOutput(t, "explain-model", func(out io.Writer) error { return showExplanation(out, model) })
 }
 
-// answering serves files as the answers to paths, and returns its address.
-func answering(t *testing.T, files map[string]string) string {
+// serveFiles starts a server that answers paths with the content of files, and returns its address.
+func serveFiles(t *testing.T, files map[string]string) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		text, err := os.ReadFile(files[r.URL.Path])
@@ -92,17 +92,17 @@
 }
 
 func TestExplainedRequestsArePrintedAsByReleasedBuilds(t *testing.T) {
-	address := answering(t, map[string]string{"/explain": "testdata/compatibility/explain-requests.json"})
-	requests, err := askRequests(address, "")
+	address := serveFiles(t, map[string]string{"/explain": "testdata/compatibility/explain-requests.json"})
+	requests, err := fetchRequestExplanations(address, "")
 	if err != nil {
 		t.Fatal(err)
 	}
 	compareOutput(t, "explain-requests", func(out io.Writer) error { return showRequests(out, requests) })
 }
 
-// The answers are those that the fleet's fixtures hold.
+// The responses are the fixtures of the fleet's packages.
 func TestFleetIsPrintedAsByReleasedBuilds(t *testing.T) {
-	address := answering(t, map[string]string{
+	address := serveFiles(t, map[string]string{
 		"/-/fleet":         "../../internal/fleet/gossip/testdata/compatibility/view.json",
 		"/-/fleet/state":   "../../internal/fleet/replication/testdata/compatibility/state.json",
 		"/-/fleet/budgets": "../../internal/fleet/budgets/testdata/compatibility/state.json",
--- a/cmd/dykering/status_command.go
+++ b/cmd/dykering/status_command.go
@@ -17,8 +17,8 @@
 func newStatus() *cli.Command {
 	var address string
 	return &cli.Command{
-		Name: "status", Usage: "How a control sidecar sees the system: view, chain, holder, sidecars, endpoints",
-		Flags: []cli.Flag{&cli.StringFlag{Name: "address", Usage: "the control sidecar's internal address, HOST:PORT", Destination: &address, Required: true}},
+		Name: "status", Usage: "Show the status of the system as seen by a control sidecar: view, chain, holder, sidecars, endpoints",
+		Flags: []cli.Flag{&cli.StringFlag{Name: "address", Usage: "internal address of the control sidecar, HOST:PORT", Destination: &address, Required: true}},
 		Action: action(func(c *cli.Command) error {
 			protocol.Register()
 			status, err := controlplane.AskStatus(address)
@@ -32,20 +32,20 @@
 
 func showStatus(out io.Writer, s protocol.Status) error {
 	fmt.Fprintf(out, "%s, view %d%s, configuration %d, entry %d of %d committed, disk behind by %v\n", s.Self.ID, s.View.Number,
-		inForce(s), s.Version, s.Committed, s.Seq, s.DiskBehind)
-	fmt.Fprintf(out, "the placement is held by %s with token %d%s\n", s.View.Holder, s.View.Token, holds(s))
+		describeViewState(s), s.Version, s.Committed, s.Seq, s.DiskBehind)
+	fmt.Fprintf(out, "the placement is held by %s with token %d%s\n", s.View.Holder, s.View.Token, describePlacementHolder(s))
 	if s.Tolerance != nil {
 		fmt.Fprintln(out, describeTolerance(s.Tolerance))
 	}
 	if s.Coordination != nil {
 		fmt.Fprintln(out, describeCoordination(s.Coordination))
 	}
-	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "member\treachable\tin the chain")
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "member\treachable\tin the chain")
 	for _, m := range s.Members {
-		fmt.Fprintf(t, "%s\t%v\t%v\n", m.ID, m.Reachable, m.InChain)
+		fmt.Fprintf(table, "%s\t%v\t%v\n", m.ID, m.Reachable, m.InChain)
 	}
-	if err := t.Flush(); err != nil {
+	if err := table.Flush(); err != nil {
 		return err
 	}
 	for _, state := range []sessions.State{sessions.Ready, sessions.Expired, sessions.Draining, sessions.Departed} {
@@ -54,15 +54,16 @@
 		}
 	}
 	slices.SortFunc(s.Subscribers, func(a, b protocol.SubscriberStatus) int { return strings.Compare(a.Name, b.Name) })
-	t = tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "sidecar\tchanges behind\trevision")
+	table = tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "sidecar\tchanges behind\trevision")
 	for _, sub := range s.Subscribers {
-		fmt.Fprintf(t, "%s\t%d\t%d\n", sub.Name, sub.Behind, sub.Ack.Revision)
+		fmt.Fprintf(table, "%s\t%d\t%d\n", sub.Name, sub.Behind, sub.Ack.Revision)
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
-func inForce(s protocol.Status) string {
+// describeViewState describes why the view is not in force. It returns "" if it is.
+func describeViewState(s protocol.Status) string {
 	switch {
 	case s.Sealed:
 		return " (the next one is being agreed on)"
@@ -72,14 +73,15 @@
 	return ""
 }
 
-func holds(s protocol.Status) string {
+// describePlacementHolder marks the status of the process that holds the placement.
+func describePlacementHolder(s protocol.Status) string {
 	if s.Holds {
 		return ", which is this one"
 	}
 	return ""
 }
 
-// describeTolerance says how many more members may be lost, and which ones are why there are no more.
+// describeTolerance describes how many more members may fail, and which members reduce that number.
 func describeTolerance(tolerance *protocol.Tolerance) string {
 	if tolerance.Losses > 0 {
 		return fmt.Sprintf("further losses that can be borne: %d", tolerance.Losses)
