--- a/cmd/dykering/fleet_budgets_test.go
+++ b/cmd/dykering/fleet_budgets_test.go
@@ -76,7 +76,7 @@
 func (b *broker) answeredBudget(t *testing.T) budgets.State {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); {
-		if st := b.budget(t); len(st.Parts) > 0 {
+		if st := b.budget(t); len(st.Shares) > 0 {
 			return st
 		}
 	}
@@ -181,21 +181,21 @@
 	all[0].load(60, stop, wg) // ten times another's
 	all[3].load(6, stop, wg)
 	s.waitAll(20*time.Second, "the whole is where demand is", func(b *broker) bool {
-		p := b.answeredBudget(t).Parts[0]
-		return p.Demand > 20 && p.Part > 2*whole/5
+		p := b.answeredBudget(t).Shares[0]
+		return p.Demand > 20 && p.Share > 2*whole/5
 	}, all[0])
 	s.relay.Cut([]string{all[0].addr, all[1].addr, all[2].addr}, []string{all[3].addr, all[4].addr})
 	cut := time.Now()
 	s.waitAll(2*lease, "falls to its floor", func(b *broker) bool { return !leased(t)(b) }, all[3], all[4])
 	floor := whole * floorPart / 6
-	before := all[3].answeredBudget(t).Parts[0]
-	if before.Part != floor {
-		t.Errorf("without a lease it may spend %.2f, the floor is %.2f", before.Part, floor)
+	before := all[3].answeredBudget(t).Shares[0]
+	if before.Share != floor {
+		t.Errorf("without a lease it may spend %.2f, the floor is %.2f", before.Share, floor)
 	}
 	time.Sleep(time.Until(cut.Add(cutFor)))
 	after, took := all[3].budget(t), time.Since(cut)
 	// What a bucket had saved up at the cut, at most four seconds of the part and the eight of chance, comes on top.
-	if spent := after.Parts[0].Within - before.Within; spent == 0 || spent > floor*took.Seconds()+8+4*floor {
+	if spent := after.Shares[0].WithinShare - before.WithinShare; spent == 0 || spent > floor*took.Seconds()+8+4*floor {
 		t.Errorf("the minority admitted %.0f in %v at a floor of %.2f a second", spent, took, floor)
 	}
 	if after.Leased {
@@ -209,13 +209,13 @@
 	s.waitAll(detect, "a lease of the one that joined", leased(t), joined)
 	took = time.Since(began)
 	all[4].load(40, stop, wg)
-	s.waitAll(detect, "a part for its load", func(b *broker) bool { return b.answeredBudget(t).Parts[0].Part > 20 }, all[4])
+	s.waitAll(detect, "a part for its load", func(b *broker) bool { return b.answeredBudget(t).Shares[0].Share > 20 }, all[4])
 	joined.signal(syscall.SIGKILL)
 	all[4].signal(syscall.SIGKILL)
 	back := s.waitAll(detect, "the whole divided anew", func(*broker) bool {
 		sum := 0.0
 		for _, b := range all[:4] {
-			sum += b.answeredBudget(t).Parts[0].Part - floor
+			sum += b.answeredBudget(t).Shares[0].Share - floor
 		}
 		return sum >= 0.95*whole*(1-floorPart)
 	}, all[0])
@@ -231,7 +231,7 @@
 	all := s.beginAll(5)
 	lead := func() *broker {
 		var id string
-		s.waitAll(detect, "a lead", func(b *broker) bool { id = b.budget(t).Lead; return s.find(id) != nil }, all[0])
+		s.waitAll(detect, "a lead", func(b *broker) bool { id = b.budget(t).Leader; return s.find(id) != nil }, all[0])
 		return s.find(id)
 	}
 	first := lead()
@@ -247,7 +247,7 @@
 	s.relay.Heal()
 	s.waitAll(detect, "a lease after slow links", leased(t), all...)
 	var now string
-	s.waitAll(detect, "a lead", func(b *broker) bool { now = b.budget(t).Lead; return now != "" }, all[0])
+	s.waitAll(detect, "a lead", func(b *broker) bool { now = b.budget(t).Leader; return now != "" }, all[0])
 	if b := s.find(now); b != nil {
 		b.signal(syscall.SIGKILL)
 		b.cmd.Wait()
--- a/cmd/dykering/fleet_command.go
+++ b/cmd/dykering/fleet_command.go
@@ -83,9 +83,9 @@
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "server\tword\torigin\twritten\tholds for")
 	for _, f := range s.Facts {
-		word := map[replica.Verdict]string{replica.Good: "good", replica.Bad: "bad"}[f.Word]
+		word := map[replica.Verdict]string{replica.Good: "good", replica.Bad: "bad"}[f.Verdict]
 		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\n", f.Subject, word, f.Origin,
-			time.UnixMilli(f.Stamp.Wall).UTC().Format(time.RFC3339), f.Left.Round(time.Second))
+			time.UnixMilli(f.Stamp.Wall).UTC().Format(time.RFC3339), f.Remaining.Round(time.Second))
 	}
 	return t.Flush()
 }
@@ -96,22 +96,22 @@
 		return err
 	}
 	if b.Leased {
-		fmt.Fprintf(out, "%s spends by lease %d, for %v\n", b.Self, b.Version, b.Left.Round(time.Millisecond))
+		fmt.Fprintf(out, "%s spends by lease %d, for %v\n", b.Self, b.Version, b.Remaining.Round(time.Millisecond))
 	} else {
 		fmt.Fprintf(out, "%s spends by its floor\n", b.Self)
 	}
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "tenant\twhole/s\tfloor/s\tpart/s\tdemand/s")
-	for _, p := range b.Parts {
-		fmt.Fprintf(t, "%s\t%.1f\t%.2f\t%.2f\t%.2f\n", p.Tenant, p.Whole, p.Floor, p.Part, p.Demand)
+	for _, p := range b.Shares {
+		fmt.Fprintf(t, "%s\t%.1f\t%.2f\t%.2f\t%.2f\n", p.Tenant, p.Quota, p.Floor, p.Share, p.Demand)
 	}
 	if b.Ledger == nil {
 		return t.Flush()
 	}
-	fmt.Fprintf(t, "\nthe ledger of the voters, led by %s\nholder\tlease\tparts/s\n", b.Lead)
+	fmt.Fprintf(t, "\nthe ledger of the voters, led by %s\nholder\tlease\tparts/s\n", b.Leader)
 	for _, holder := range slices.Sorted(maps.Keys(b.Ledger.Grants)) {
 		for _, g := range b.Ledger.Grants[holder] {
-			fmt.Fprintf(t, "%s\t%d\t%.2f\n", holder, g.Version, g.Parts)
+			fmt.Fprintf(t, "%s\t%d\t%.2f\n", holder, g.Version, g.Shares)
 		}
 	}
 	return t.Flush()
--- a/cmd/dykering/fleet_state_test.go
+++ b/cmd/dykering/fleet_state_test.go
@@ -80,7 +80,7 @@
 func (b *broker) holds(t *testing.T, origin, server string, word replica.Verdict) bool {
 	t.Helper()
 	for _, f := range b.copied(t).Facts {
-		if f.Origin == origin && strings.HasPrefix(f.Subject, server+"@") && f.Word == word {
+		if f.Origin == origin && strings.HasPrefix(f.Subject, server+"@") && f.Verdict == word {
 			return true
 		}
 	}
@@ -255,7 +255,7 @@
 	liar, err := gossip.Start(gossip.Section{
 		Enabled: true, ID: "liar", Bind: "127.0.0.1:0", Seeds: []string{all[1].addr},
 		Weight: 1, ProbeInterval: tomlconfig.Duration(200 * time.Millisecond), ProbeTimeout: tomlconfig.Duration(100 * time.Millisecond),
-		SuspicionMult: 3, IndirectChecks: 3, DeadKept: tomlconfig.Duration(time.Minute), Most: 16, Relay: s.relay.Addr(),
+		SuspicionMult: 3, IndirectChecks: 3, DeadRetention: tomlconfig.Duration(time.Minute), MaxMembers: 16, Relay: s.relay.Addr(),
 	},
 		membership.Meta{Started: time.Now()}, zap.NewNop())
 	if err != nil {
@@ -267,7 +267,7 @@
 		var facts []replica.Fact
 		for _, x := range s.servers {
 			facts = append(facts, replica.Fact{
-				Origin: origin, Subject: x.UID + "@0", Word: replica.Bad, Left: 10 * time.Second,
+				Origin: origin, Subject: x.UID + "@0", Verdict: replica.Bad, Remaining: 10 * time.Second,
 				Stamp: replica.Stamp{Wall: time.Now().Add(time.Duration(i) * 8 * time.Second).UnixMilli()},
 			})
 		}
--- a/cmd/dykering/fleet_test.go
+++ b/cmd/dykering/fleet_test.go
@@ -503,7 +503,7 @@
 		Enabled: true, ID: "from-the-future", Bind: "127.0.0.1:0",
 		Seeds: []string{all[1].addr}, Weight: 1, ProbeInterval: tomlconfig.Duration(200 * time.Millisecond),
 		ProbeTimeout: tomlconfig.Duration(100 * time.Millisecond), SuspicionMult: 3, IndirectChecks: 3,
-		DeadKept: tomlconfig.Duration(time.Minute), Most: 16, Relay: f.relay.Addr(),
+		DeadRetention: tomlconfig.Duration(time.Minute), MaxMembers: 16, Relay: f.relay.Addr(),
 	},
 		membership.Meta{Started: time.Now().Add(time.Hour)}, zap.NewNop())
 	if err != nil {
--- a/internal/fleet/budget/divide.go
+++ b/internal/fleet/budget/divide.go
@@ -21,7 +21,7 @@
 // more, and half by weight, so that a holder without demand can begin. The shares add up to at most the pool.
 func Divide(pool float64, claims []Claim) []float64 {
 	shares, remaining := maxMinShares(pool, claims)
-	addSpare(shares, claims, remaining)
+	addSurplus(shares, claims, remaining)
 	keepSimilarShares(shares, claims, pool)
 	return shares
 }
@@ -51,8 +51,8 @@
 	return shares, max(remaining, 0)
 }
 
-// addSpare divides what nobody demands.
-func addSpare(shares []float64, claims []Claim, spare float64) {
+// addSurplus divides what nobody demands.
+func addSurplus(shares []float64, claims []Claim, surplus float64) {
 	weight, demand := 0.0, 0.0
 	for i := range claims {
 		weight += claims[i].Weight
@@ -63,7 +63,7 @@
 		if demand > 0 {
 			fraction = (fraction + claims[i].demand()/demand) / 2
 		}
-		shares[i] += spare * fraction
+		shares[i] += surplus * fraction
 	}
 }
 
--- a/internal/fleet/budget/explore_test.go
+++ b/internal/fleet/budget/explore_test.go
@@ -17,50 +17,50 @@
 
 var schedules = flag.Int("schedules", defaultSchedules, "how many schedules are explored")
 
-// fault is what is planted, to see that the explorer finds it.
-type fault string
+// plantedFault is what is planted, to see that the explorer finds it.
+type plantedFault string
 
 const (
-	none       fault = "none"
-	noMargin   fault = "leases without a margin for drift"
-	fromAnswer fault = "a lease counts from its answer"
-	beforeAck  fault = "what a smaller part frees is given before it is acknowledged"
-	forgets    fault = "a new leader takes what it did not see given as ended"
-	beyond     fault = "a clock beyond the bound"
+	noFault             plantedFault = "none"
+	noDriftMargin       plantedFault = "leases without a margin for drift"
+	leaseFromGrant      plantedFault = "a lease counts from its answer"
+	reuseBeforeAck      plantedFault = "what a smaller part frees is given before it is acknowledged"
+	leaderForgetsGrants plantedFault = "a new leader takes what it did not see given as ended"
+	driftBeyondBound    plantedFault = "a clock beyond the bound"
 )
 
-// world is one schedule in virtual time: holders and three replicas of the ledger with clocks of their own, messages that
+// simulation is one schedule in virtual time: holders and three replicas of the ledger with clocks of their own, messages that
 // are late, lost and repeated, a leader that changes, holders that stall, crash and are cut off, and demand that shifts.
-type world struct {
-	rng      *rand.Rand
-	planted  fault
-	terms    Terms
-	now      time.Duration
-	queue    events
-	order    int
-	pool     float64
-	holders  []*node
-	replicas []*ledgerReplica
-	log      []Command
-	leader   int
-	term     int
-	grantor  *Grantor
-	busy     bool
-	flight   Command // that is being replicated, while busy
-	history  []string
-	steps    int
-	most     float64 // of the pool that was ever held
-	moved    int     // changes of the leader
+type simulation struct {
+	rng           *rand.Rand
+	planted       plantedFault
+	terms         Terms
+	now           time.Duration
+	queue         events
+	eventCount    int
+	pool          float64
+	holders       []*simulatedHolder
+	replicas      []*ledgerReplica
+	log           []Command
+	leader        int
+	term          int
+	grantor       *Grantor
+	isReplicating bool
+	inFlight      Command // that is being replicated, while busy
+	history       []string
+	steps         int
+	maxAllowance  float64 // of the pool that was ever held
+	leaderChanges int     // changes of the leader
 }
 
-type node struct {
+type simulatedHolder struct {
 	*Holder
-	rate   float64
-	start  time.Duration
-	demand float64
-	stall  time.Duration
-	cut    time.Duration
-	life   int
+	rate          float64
+	start         time.Duration
+	demand        float64
+	stalledUntil  time.Duration
+	isolatedUntil time.Duration
+	incarnation   int
 }
 
 type ledgerReplica struct {
@@ -72,7 +72,7 @@
 type event struct {
 	at    time.Duration
 	order int
-	what  string
+	name  string
 	do    func()
 }
 
@@ -86,54 +86,56 @@
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
 func (e *events) Pop() any     { x := (*e)[len(*e)-1]; *e = (*e)[:len(*e)-1]; return x }
 
-func (w *world) after(d time.Duration, what string, do func()) {
-	w.order++
-	heap.Push(&w.queue, event{w.now + d, w.order, what, do})
+func (w *simulation) schedule(d time.Duration, what string, do func()) {
+	w.eventCount++
+	heap.Push(&w.queue, event{w.now + d, w.eventCount, what, do})
 }
 
-func (w *world) randomUpTo(d time.Duration) time.Duration {
+func (w *simulation) randomUpTo(d time.Duration) time.Duration {
 	return time.Duration(w.rng.Int64N(int64(d)))
 }
 
 // messageDelay draws how long a message takes: now and then longer than a lease, and often next to nothing.
-func (w *world) messageDelay() time.Duration {
+func (w *simulation) messageDelay() time.Duration {
 	switch x := w.rng.Float64(); {
 	case x < 0.1:
-		return w.randomUpTo(2 * w.terms.Length)
+		return w.randomUpTo(2 * w.terms.LeaseDuration)
 	case x < 0.5:
-		return w.randomUpTo(w.terms.Length / 300)
+		return w.randomUpTo(w.terms.LeaseDuration / 300)
 	}
-	return w.randomUpTo(w.terms.Length / 10)
+	return w.randomUpTo(w.terms.LeaseDuration / 10)
 }
 
-func (w *world) clockRate() float64 {
-	drift := w.terms.Drift
-	if w.planted == beyond {
+func (w *simulation) clockRate() float64 {
+	drift := w.terms.MaxDrift
+	if w.planted == driftBeyondBound {
 		drift *= 2.5
 	}
 	return 1 + drift*[...]float64{-1, 1, 0}[w.rng.IntN(3)]
 }
 
-func (n *node) clock(w *world) time.Duration {
+func (n *simulatedHolder) clock(w *simulation) time.Duration {
 	return n.start + time.Duration(n.rate*float64(w.now))
 }
 
-func (c *ledgerReplica) clock(w *world) time.Duration { return time.Duration(c.rate * float64(w.now)) }
+func (c *ledgerReplica) clock(w *simulation) time.Duration {
+	return time.Duration(c.rate * float64(w.now))
+}
 
 // explore plays a schedule, and tells what broke the invariant, if anything.
-func explore(seed uint64, planted fault) (w *world, broken string) {
-	w = &world{rng: rand.New(rand.NewPCG(seed, 7)), planted: planted, terms: Terms{Length: 3 * time.Second, Drift: 0.1}, pool: 100}
+func explore(seed uint64, planted plantedFault) (w *simulation, broken string) {
+	w = &simulation{rng: rand.New(rand.NewPCG(seed, 7)), planted: planted, terms: Terms{LeaseDuration: 3 * time.Second, MaxDrift: 0.1}, pool: 100}
 	for range 3 {
 		w.replicas = append(w.replicas, &ledgerReplica{ledger: NewLedger([]float64{w.pool}), rate: w.clockRate()})
 	}
 	for i := range 2 + w.rng.IntN(3) {
-		n := &node{rate: w.clockRate(), start: w.randomUpTo(time.Hour)}
+		n := &simulatedHolder{rate: w.clockRate(), start: w.randomUpTo(time.Hour)}
 		w.holders = append(w.holders, n)
-		w.begin(n, i)
+		w.startHolder(n, i)
 	}
 	w.grantor = w.newGrantor()
-	w.after(w.randomUpTo(10*time.Second), "leader", w.changeLeader)
-	w.after(0, "decide", w.decide)
+	w.schedule(w.randomUpTo(10*time.Second), "leader", w.changeLeader)
+	w.schedule(0, "decide", w.proposeCommand)
 	for len(w.queue) > 0 && w.now < 25*time.Second {
 		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
@@ -144,7 +146,7 @@
 			parts, _ := n.Allowance(n.clock(w))
 			sum += parts[0]
 		}
-		w.most = max(w.most, sum)
+		w.maxAllowance = max(w.maxAllowance, sum)
 		if sum > w.pool*(1+roundingSlack)+roundingSlack {
 			return w, fmt.Sprintf("at %v the holders may spend %.3f of %.0f", w.now, sum, w.pool)
 		}
@@ -152,103 +154,103 @@
 	return w, ""
 }
 
-func (w *world) note(format string, args ...any) {
+func (w *simulation) record(format string, args ...any) {
 	w.history = append(w.history, fmt.Sprintf("%8.3fs ", w.now.Seconds())+fmt.Sprintf(format, args...))
 }
 
-func (w *world) begin(n *node, i int) {
-	n.life++
-	n.Holder = NewHolder(fmt.Sprintf("h%d.%d", i, n.life), 1+float64(i), w.terms, []float64{0})
+func (w *simulation) startHolder(n *simulatedHolder, i int) {
+	n.incarnation++
+	n.Holder = NewHolder(fmt.Sprintf("h%d.%d", i, n.incarnation), 1+float64(i), w.terms, []float64{0})
 	n.demand = 120 * w.rng.Float64()
-	life := n.life
+	life := n.incarnation
 	var ask func()
 	ask = func() {
 		switch {
-		case n.life != life:
+		case n.incarnation != life:
 			return
-		case w.now < n.stall:
-			w.after(n.stall-w.now, "ask", ask)
+		case w.now < n.stalledUntil:
+			w.schedule(n.stalledUntil-w.now, "ask", ask)
 			return
 		}
 		r := n.NextRequest(n.clock(w), []float64{n.demand})
 		for range 1 + w.rng.IntN(2) { // once, or twice
-			if w.now >= n.cut && w.rng.Float64() < 0.85 {
-				w.after(w.messageDelay(), "request", func() { w.grantor.Receive(w.replicas[w.leader].clock(w), r) })
+			if w.now >= n.isolatedUntil && w.rng.Float64() < 0.85 {
+				w.schedule(w.messageDelay(), "request", func() { w.grantor.Receive(w.replicas[w.leader].clock(w), r) })
 			}
 		}
-		w.after(w.terms.Length/4, "ask", ask)
+		w.schedule(w.terms.LeaseDuration/4, "ask", ask)
 	}
-	w.after(w.randomUpTo(time.Second), "ask", ask)
+	w.schedule(w.randomUpTo(time.Second), "ask", ask)
 	var trouble func()
 	trouble = func() {
-		if n.life != life {
+		if n.incarnation != life {
 			return
 		}
 		switch w.rng.IntN(4) {
 		case 0:
-			n.stall = w.now + w.randomUpTo(3*w.terms.Length)
-			w.note("%s stalls until %v", n.id, n.stall)
+			n.stalledUntil = w.now + w.randomUpTo(3*w.terms.LeaseDuration)
+			w.record("%s stalls until %v", n.id, n.stalledUntil)
 		case 1:
-			n.cut = w.now + w.randomUpTo(3*w.terms.Length)
-			w.note("%s is cut off until %v", n.id, n.cut)
+			n.isolatedUntil = w.now + w.randomUpTo(3*w.terms.LeaseDuration)
+			w.record("%s is cut off until %v", n.id, n.isolatedUntil)
 		case 2:
 			n.demand = 120 * w.rng.Float64()
 		case 3:
-			w.note("%s crashes and starts again", n.id)
-			w.begin(n, i)
+			w.record("%s crashes and starts again", n.id)
+			w.startHolder(n, i)
 			return
 		}
-		w.after(w.randomUpTo(8*time.Second), "trouble", trouble)
+		w.schedule(w.randomUpTo(8*time.Second), "trouble", trouble)
 	}
-	w.after(w.randomUpTo(8*time.Second), "trouble", trouble)
+	w.schedule(w.randomUpTo(8*time.Second), "trouble", trouble)
 }
 
-func (w *world) apply(c *ledgerReplica) (given []Grant) {
+func (w *simulation) apply(c *ledgerReplica) (given []Grant) {
 	for ; c.applied < len(w.log); c.applied++ {
 		given, _ = c.ledger.Apply(w.log[c.applied])
 	}
 	return given
 }
 
-func (w *world) newGrantor() *Grantor {
+func (w *simulation) newGrantor() *Grantor {
 	c := w.replicas[w.leader]
 	w.apply(c)
 	terms := w.terms
-	if w.planted == noMargin {
-		terms.Drift = 0
+	if w.planted == noDriftMargin {
+		terms.MaxDrift = 0
 	}
 	g := NewGrantor(terms, c.ledger, c.clock(w))
-	if w.planted == forgets {
+	if w.planted == leaderForgetsGrants {
 		g.grantedAt = map[uint64]time.Duration{}
 	}
 	return g
 }
 
 // changeLeader makes another replica the leader. What the old leader had under way is lost, or counts before the new one begins.
-func (w *world) changeLeader() {
+func (w *simulation) changeLeader() {
 	w.term++
-	w.moved++
+	w.leaderChanges++
 	w.leader = w.rng.IntN(len(w.replicas))
-	if w.busy && w.rng.IntN(2) == 0 { // it was replicated, and counts, whether or not the old leader hears of that
-		w.log = append(w.log, w.flight)
-		for _, x := range w.flight.Give {
-			w.after(w.messageDelay(), "grant", func() { w.deliver(x) })
+	if w.isReplicating && w.rng.IntN(2) == 0 { // it was replicated, and counts, whether or not the old leader hears of that
+		w.log = append(w.log, w.inFlight)
+		for _, x := range w.inFlight.Grants {
+			w.schedule(w.messageDelay(), "grant", func() { w.deliverGrant(x) })
 		}
 	}
-	w.busy = false
+	w.isReplicating = false
 	w.grantor = w.newGrantor()
-	w.note("replica %d leads", w.leader)
-	w.after(w.randomUpTo(10*time.Second), "leader", w.changeLeader)
+	w.record("replica %d leads", w.leader)
+	w.schedule(w.randomUpTo(10*time.Second), "leader", w.changeLeader)
 }
 
-// decide has the leader decide, and replicates the command after a while, if it is still the leader then.
-func (w *world) decide() {
-	w.after(w.terms.Length/30, "decide", w.decide)
+// proposeCommand has the leader proposeCommand, and replicates the command after a while, if it is still the leader then.
+func (w *simulation) proposeCommand() {
+	w.schedule(w.terms.LeaseDuration/30, "decide", w.proposeCommand)
 	c := w.replicas[w.leader]
-	if w.busy {
+	if w.isReplicating {
 		return
 	}
-	if w.planted == beforeAck { // only the newest grant of each is taken for charged
+	if w.planted == reuseBeforeAck { // only the newest grant of each is taken for charged
 		for h, grants := range c.ledger.Grants {
 			c.ledger.Grants[h] = grants[len(grants)-1:]
 		}
@@ -257,44 +259,44 @@
 	if !something {
 		return
 	}
-	w.busy, w.flight = true, cmd
+	w.isReplicating, w.inFlight = true, cmd
 	term, g := w.term, w.grantor
-	w.after(w.messageDelay(), "commit", func() {
+	w.schedule(w.messageDelay(), "commit", func() {
 		if w.term != term {
 			return
 		}
-		w.busy = false
+		w.isReplicating = false
 		w.log = append(w.log, cmd)
 		given := w.apply(c)
 		g.Applied(c.clock(w), given)
 		for h, v := range cmd.Expire {
-			w.note("%s: up to grant %d has ended", h, v)
+			w.record("%s: up to grant %d has ended", h, v)
 		}
 		for _, x := range given {
-			w.note("grant %d: %.1f to %s", x.Version, x.Parts[0], x.Holder)
+			w.record("grant %d: %.1f to %s", x.Version, x.Shares[0], x.Holder)
 			for range 1 + w.rng.IntN(2) {
 				if w.rng.Float64() < 0.85 {
-					w.after(w.messageDelay(), "grant", func() { w.deliver(x) })
+					w.schedule(w.messageDelay(), "grant", func() { w.deliverGrant(x) })
 				}
 			}
 		}
 	})
 }
 
-func (w *world) deliver(x Grant) {
+func (w *simulation) deliverGrant(x Grant) {
 	for _, n := range w.holders {
-		if n.id != x.Holder || w.now < n.cut {
+		if n.id != x.Holder || w.now < n.isolatedUntil {
 			continue
 		}
-		if w.now < n.stall {
-			w.after(n.stall-w.now, "grant", func() { w.deliver(x) })
+		if w.now < n.stalledUntil {
+			w.schedule(n.stalledUntil-w.now, "grant", func() { w.deliverGrant(x) })
 			return
 		}
-		if w.planted == fromAnswer {
+		if w.planted == leaseFromGrant {
 			n.askedAt[x.Seq] = n.clock(w)
 		}
 		if n.Accept(n.clock(w), x) {
-			w.note("%s spends %.1f by grant %d", n.id, x.Parts[0], x.Version)
+			w.record("%s spends %.1f by grant %d", n.id, x.Shares[0], x.Version)
 		}
 	}
 }
@@ -304,20 +306,20 @@
 func TestSharesNeverExceedQuotaUnlessFaultIsPlanted(t *testing.T) {
 	used, moved := 0.0, 0
 	for seed := range uint64(*schedules) {
-		w, broken := explore(seed, none)
+		w, broken := explore(seed, noFault)
 		if broken != "" {
 			t.Fatalf("seed %d: %s\n%s", seed, broken, strings.Join(w.history, "\n"))
 		}
-		used += w.most
-		moved += w.moved
+		used += w.maxAllowance
+		moved += w.leaderChanges
 	}
 	t.Logf("%d schedules, %d changes of the leader, at the most %.0f%% of the whole held on average, never more than all",
 		*schedules, moved, used/float64(*schedules))
 	if used/float64(*schedules) < 80 {
 		t.Error("little of the whole was ever held: the schedules say nothing")
 	}
-	for _, planted := range []fault{noMargin, fromAnswer, beforeAck, forgets, beyond} {
-		var shortest *world
+	for _, planted := range []plantedFault{noDriftMargin, leaseFromGrant, reuseBeforeAck, leaderForgetsGrants, driftBeyondBound} {
+		var shortest *simulation
 		how, found := "", 0
 		for seed := range uint64(min(*schedules, defaultSchedules)) {
 			if w, broken := explore(seed, planted); broken != "" {
--- a/internal/fleet/budget/grantor.go
+++ b/internal/fleet/budget/grantor.go
@@ -9,23 +9,23 @@
 
 // Terms are those of all leases.
 type Terms struct {
-	Length time.Duration // Length is how long a holder spends by a lease, by its own clock, from when it asked for it.
-	Drift  float64       // Drift bounds how far the rate of any clock is from the true one.
+	LeaseDuration time.Duration // Length is how long a holder spends by a lease, by its own clock, from when it asked for it.
+	MaxDrift      float64       // Drift bounds how far the rate of any clock is from the true one.
 }
 
-// GrantorLength is how long, by the grantor's clock, a lease counts as spent after it was granted. A holder's clock may
+// GrantorLeaseDuration is how long, by the grantor's clock, a lease counts as spent after it was granted. A holder's clock may
 // run slow by Drift, so that its Length lasts Length/(1-Drift); the grantor's may run fast by as much.
-func (t Terms) GrantorLength() time.Duration {
-	return time.Duration(float64(t.Length)*(1+t.Drift)/(1-t.Drift)) + 1
+func (t Terms) GrantorLeaseDuration() time.Duration {
+	return time.Duration(float64(t.LeaseDuration)*(1+t.MaxDrift)/(1-t.MaxDrift)) + 1
 }
 
 // Request asks for the next lease. Its keys are on the wire.
 type Request struct {
-	Holder string    `codec:"h"`
-	Weight float64   `codec:"w"`
-	Seq    uint64    `codec:"q"`
-	Uses   uint64    `codec:"u"` // Uses is the version of the newest grant that the holder has accepted; 0 for none.
-	Demand []float64 `codec:"d"` // Demand is what the holder would spend beyond its floor, in requests per second.
+	Holder          string    `codec:"h"`
+	Weight          float64   `codec:"w"`
+	Seq             uint64    `codec:"q"`
+	AcceptedVersion uint64    `codec:"u"` // Uses is the version of the newest grant that the holder has accepted; 0 for none.
+	Demand          []float64 `codec:"d"` // Demand is what the holder would spend beyond its floor, in requests per second.
 }
 
 // maxDemand bounds a demand, in requests per second.
@@ -68,7 +68,7 @@
 	if last := g.claimants[request.Holder]; last != nil && request.Seq <= last.Seq {
 		return
 	}
-	if len(request.Demand) != len(g.ledger.Pool) || !(request.Weight > 0) {
+	if len(request.Demand) != len(g.ledger.Pools) || !(request.Weight > 0) {
 		return
 	}
 	for _, demand := range request.Demand {
@@ -85,20 +85,20 @@
 	c = Command{Expire: g.expired(now), Ack: map[string]uint64{}}
 	for _, id := range slices.Sorted(maps.Keys(g.claimants)) {
 		claimant := g.claimants[id]
-		if now-claimant.receivedAt > g.terms.GrantorLength() {
+		if now-claimant.receivedAt > g.terms.GrantorLeaseDuration() {
 			delete(g.claimants, id) // departed: its leases end by themselves
 			continue
 		}
-		if grants := g.ledger.Grants[id]; len(grants) > 0 && grants[0].Version < claimant.Uses {
-			c.Ack[id] = claimant.Uses
+		if grants := g.ledger.Grants[id]; len(grants) > 0 && grants[0].Version < claimant.AcceptedVersion {
+			c.Ack[id] = claimant.AcceptedVersion
 		}
 	}
 	after := g.ledger.clone()
 	if _, err := after.Apply(c); err != nil {
 		return Command{}, false // it has no grants that could be rejected
 	}
-	c.Give = g.grants(after)
-	return c, len(c.Give)+len(c.Expire)+len(c.Ack) > 0
+	c.Grants = g.grants(after)
+	return c, len(c.Grants)+len(c.Expire)+len(c.Ack) > 0
 }
 
 // expired returns the versions up to which holders' grants have ended by any clock.
@@ -106,7 +106,7 @@
 	expired := map[string]uint64{}
 	for holder, grants := range g.ledger.Grants {
 		for _, grant := range grants {
-			if now-g.grantedAt[grant.Version] >= g.terms.GrantorLength() {
+			if now-g.grantedAt[grant.Version] >= g.terms.GrantorLeaseDuration() {
 				expired[holder] = max(expired[holder], grant.Version)
 			}
 		}
@@ -115,7 +115,7 @@
 }
 
 // grants answers the pending requests, by the ledger as it is after the rest of the command.
-func (g *Grantor) grants(after *Ledger) (give []Grant) {
+func (g *Grantor) grants(after *Ledger) (grants []Grant) {
 	ids := slices.Sorted(maps.Keys(g.claimants))
 	targets := g.targets(after, ids)
 	for _, k := range shrinkingFirst(after, ids, targets) {
@@ -125,22 +125,22 @@
 		}
 		claimant.isPending = false
 		others := after.ChargedExcept(ids[k])
-		grant := Grant{Holder: ids[k], Seq: claimant.Seq, Parts: make([]float64, len(after.Pool))}
-		for i := range grant.Parts {
-			grant.Parts[i] = max(min(targets[i][k], after.Pool[i]-others[i]), 0)
+		grant := Grant{Holder: ids[k], Seq: claimant.Seq, Shares: make([]float64, len(after.Pools))}
+		for i := range grant.Shares {
+			grant.Shares[i] = max(min(targets[i][k], after.Pools[i]-others[i]), 0)
 		}
 		g.lastVersion = max(g.lastVersion, after.Version) + 1
 		grant.Version = g.lastVersion
 		after.Grants[ids[k]] = append(after.Grants[ids[k]], grant)
-		give = append(give, grant)
+		grants = append(grants, grant)
 	}
-	return give
+	return grants
 }
 
 // targets divides each pool among the claimants: by quota, and by the claimants' order.
 func (g *Grantor) targets(after *Ledger, ids []string) [][]float64 {
-	targets := make([][]float64, len(after.Pool))
-	for i, pool := range after.Pool {
+	targets := make([][]float64, len(after.Pools))
+	for i, pool := range after.Pools {
 		claims := make([]Claim, len(ids))
 		for k, id := range ids {
 			claims[k] = Claim{Weight: g.claimants[id].Weight, Demand: g.claimants[id].Demand[i], Held: after.ChargedTo(id)[i]}
@@ -166,18 +166,18 @@
 }
 
 // Applied records the grants of a command that the ledger has applied.
-func (g *Grantor) Applied(now time.Duration, given []Grant) {
-	for _, grant := range given {
+func (g *Grantor) Applied(now time.Duration, grants []Grant) {
+	for _, grant := range grants {
 		g.grantedAt[grant.Version] = now
 	}
 	const perHolder, base = 4, 64
 	if len(g.grantedAt) > perHolder*len(g.ledger.Grants)+base {
-		g.forgetEnded()
+		g.forgetRemovedGrants()
 	}
 }
 
-// forgetEnded forgets the grants that the ledger no longer holds.
-func (g *Grantor) forgetEnded() {
+// forgetRemovedGrants forgets the grants that the ledger no longer holds.
+func (g *Grantor) forgetRemovedGrants() {
 	held := map[uint64]time.Duration{}
 	for _, grants := range g.ledger.Grants {
 		for _, grant := range grants {
--- a/internal/fleet/budget/holder.go
+++ b/internal/fleet/budget/holder.go
@@ -4,15 +4,15 @@
 
 // Holder is a broker's side of its leases: its floor, and the lease that it spends by.
 type Holder struct {
-	id      string
-	weight  float64
-	terms   Terms
-	floor   []float64
-	seq     uint64
-	askedAt map[uint64]time.Duration // by the sequence number of a request, by this holder's clock
-	version uint64                   // version of the newest accepted grant; 0 for none
-	shares  []float64
-	from    time.Duration // from is when the lease was asked for: it counts from then.
+	id         string
+	weight     float64
+	terms      Terms
+	floor      []float64
+	lastSeq    uint64
+	askedAt    map[uint64]time.Duration // by the sequence number of a request, by this holder's clock
+	version    uint64                   // version of the newest accepted grant; 0 for none
+	shares     []float64
+	leaseStart time.Duration // from is when the lease was asked for: it counts from then.
 }
 
 // maxOpenRequests bounds the requests whose answers are still accepted.
@@ -28,29 +28,29 @@
 
 // NextRequest returns the request for the next lease, with the demand beyond the floor.
 func (h *Holder) NextRequest(now time.Duration, demand []float64) Request {
-	h.seq++
+	h.lastSeq++
 	beyond := make([]float64, len(h.floor))
 	for i := range beyond {
 		beyond[i] = max(demand[i]-h.floor[i], 0)
 	}
-	h.askedAt[h.seq] = now
+	h.askedAt[h.lastSeq] = now
 	for seq, at := range h.askedAt {
-		if now-at >= h.terms.Length || h.seq-seq >= maxOpenRequests {
+		if now-at >= h.terms.LeaseDuration || h.lastSeq-seq >= maxOpenRequests {
 			delete(h.askedAt, seq) // a lease for it would have ended
 		}
 	}
-	return Request{Holder: h.id, Weight: h.weight, Seq: h.seq, Uses: h.version, Demand: beyond}
+	return Request{Holder: h.id, Weight: h.weight, Seq: h.lastSeq, AcceptedVersion: h.version, Demand: beyond}
 }
 
 // Accept reports whether a grant holds from now on. It has to answer a request of this holder, and to be newer than the
 // one that it spends by.
 func (h *Holder) Accept(now time.Duration, grant Grant) bool {
 	askedAt, known := h.askedAt[grant.Seq]
-	isOurs := known && grant.Holder == h.id && len(grant.Parts) == len(h.floor)
-	if !isOurs || grant.Version <= h.version || now-askedAt >= h.terms.Length {
+	isOurs := known && grant.Holder == h.id && len(grant.Shares) == len(h.floor)
+	if !isOurs || grant.Version <= h.version || now-askedAt >= h.terms.LeaseDuration {
 		return false
 	}
-	h.version, h.shares, h.from = grant.Version, grant.Parts, askedAt
+	h.version, h.shares, h.leaseStart = grant.Version, grant.Shares, askedAt
 	return true
 }
 
@@ -58,7 +58,7 @@
 // lease.
 func (h *Holder) Allowance(now time.Duration) (rates []float64, leased bool) {
 	rates = append(rates, h.floor...)
-	if h.version == 0 || now-h.from >= h.terms.Length {
+	if h.version == 0 || now-h.leaseStart >= h.terms.LeaseDuration {
 		return rates, false
 	}
 	for i, share := range h.shares {
@@ -72,7 +72,7 @@
 	if _, leased := h.Allowance(now); !leased {
 		return 0
 	}
-	return h.terms.Length - (now - h.from)
+	return h.terms.LeaseDuration - (now - h.leaseStart)
 }
 
 // Version returns the version of the newest accepted grant; 0 for none.
--- a/internal/fleet/budgets/allowance.go
+++ b/internal/fleet/budgets/allowance.go
@@ -25,10 +25,10 @@
 	for i, use := range usage {
 		asked[i] = use.Asked
 		requests += use.Asked
-		quotas += s.config.Wholes[i]
+		quotas += s.config.Quotas[i]
 	}
-	if s.config.Section.Retries > 0 && quotas > 0 { // retries are needed where requests arrive
-		asked[len(asked)-1] = requests * s.config.Section.Retries / quotas
+	if s.config.Section.RetryQuota > 0 && quotas > 0 { // retries are needed where requests arrive
+		asked[len(asked)-1] = requests * s.config.Section.RetryQuota / quotas
 	}
 	s.demand.Sample(s.now(), asked)
 	s.usage = usage
@@ -38,7 +38,7 @@
 // retries, where they have a quota. The broker itself ends the rates: this goroutine may run late.
 func (s *Service) setShares(rates, floor []float64, until time.Time) {
 	shares := decision.QuotaShares{TenantRates: rates, TenantFallbackRates: floor, RetryRate: noRetryShare}
-	if last := len(rates) - 1; s.config.Section.Retries > 0 {
+	if last := len(rates) - 1; s.config.Section.RetryQuota > 0 {
 		shares = decision.QuotaShares{
 			TenantRates: rates[:last], TenantFallbackRates: floor[:last],
 			RetryRate: rates[last], RetryFallbackRate: floor[last],
@@ -60,7 +60,7 @@
 	var until time.Time
 	if leased { // exactly, by the clock that the lease was asked by
 		end := now + s.holder.Remaining(now)
-		until = s.start.Add(time.Duration(float64(end) / s.config.Section.Rate))
+		until = s.start.Add(time.Duration(float64(end) / s.config.Section.ClockRate))
 	}
 	s.setShares(rates, s.floor, until)
 	s.logAllowance(rates, leased, from, until)
--- a/internal/fleet/budgets/compatibility_test.go
+++ b/internal/fleet/budgets/compatibility_test.go
@@ -44,12 +44,12 @@
 		t.Fatal(err)
 	}
 	commands := []budget.Command{
-		{Give: []budget.Grant{
-			{Holder: "b1#7", Version: 1, Seq: 3, Parts: []float64{10, 5}},
-			{Holder: "b2#8", Version: 2, Seq: 4, Parts: []float64{20, 6}},
+		{Grants: []budget.Grant{
+			{Holder: "b1#7", Version: 1, Seq: 3, Shares: []float64{10, 5}},
+			{Holder: "b2#8", Version: 2, Seq: 4, Shares: []float64{20, 6}},
 		}},
-		{Give: []budget.Grant{{Holder: "b1#7", Version: 3, Seq: 5, Parts: []float64{11, 7}}}, Ack: map[string]uint64{"b1#7": 3}},
-		{Give: []budget.Grant{{Holder: "b3#9", Version: 4, Seq: 6, Parts: []float64{30, 8}}}, Expire: map[string]uint64{"b2#8": 2}},
+		{Grants: []budget.Grant{{Holder: "b1#7", Version: 3, Seq: 5, Shares: []float64{11, 7}}}, Ack: map[string]uint64{"b1#7": 3}},
+		{Grants: []budget.Grant{{Holder: "b3#9", Version: 4, Seq: 6, Shares: []float64{30, 8}}}, Expire: map[string]uint64{"b2#8": 2}},
 	}
 	var entries []*raftpb.Entry
 	for i, c := range commands {
@@ -81,7 +81,7 @@
 	if err := os.WriteFile(filepath.Join(dir, file), text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	terms := budget.Terms{Length: compatibleLease, Drift: 0.01}
+	terms := budget.Terms{LeaseDuration: compatibleLease, MaxDrift: 0.01}
 	v, err := newVoter(compatibleVoter, []string{compatibleVoter}, dir, terms, compatiblePool, zap.NewNop(),
 		func(string, envelope) {})
 	if err != nil {
--- a/internal/fleet/budgets/message.go
+++ b/internal/fleet/budgets/message.go
@@ -13,10 +13,10 @@
 
 // envelope is a message among members: one of Raft, a request or a grant. Its keys are on the wire.
 type envelope struct {
-	Raft  []byte          `codec:"r,omitempty"`
-	Ask   *budget.Request `codec:"a,omitempty"`
-	Sent  bool            `codec:"s,omitempty"` // Sent marks a request that a voter has forwarded to the leader.
-	Grant *budget.Grant   `codec:"g,omitempty"`
+	Raft      []byte          `codec:"r,omitempty"`
+	Request   *budget.Request `codec:"a,omitempty"`
+	Forwarded bool            `codec:"s,omitempty"` // Sent marks a request that a voter has forwarded to the leader.
+	Grant     *budget.Grant   `codec:"g,omitempty"`
 }
 
 func encode(m any) []byte {
--- a/internal/fleet/budgets/outbox.go
+++ b/internal/fleet/budgets/outbox.go
@@ -34,24 +34,24 @@
 	queue := o.queues[to]
 	if queue == nil {
 		if len(o.queues) >= maxQueues {
-			o.service.lost.Add(1)
+			o.service.dropped.Add(1)
 			return
 		}
 		queue = &sendQueue{messages: make(chan []byte, queuePerMember)}
 		o.queues[to] = queue
-		o.service.wg.Go(func() { o.service.sendAll(to, queue.messages) })
+		o.service.wg.Go(func() { o.service.sendMessages(to, queue.messages) })
 	}
 	queue.lastUsed = time.Now()
 	select {
 	case queue.messages <- message:
 	default:
-		o.service.lost.Add(1)
+		o.service.dropped.Add(1)
 	}
 }
 
-// sendAll sends a member its messages until the queue is closed. Once the service closes it discards them: those to a
+// sendMessages sends a member its messages until the queue is closed. Once the service closes it discards them: those to a
 // member that has departed would delay the end by a timeout each.
-func (s *Service) sendAll(to string, messages <-chan []byte) {
+func (s *Service) sendMessages(to string, messages <-chan []byte) {
 	for message := range messages {
 		select {
 		case <-s.done:
@@ -64,8 +64,8 @@
 	}
 }
 
-// endIdle ends the queues that were not used for a while.
-func (o *outbox) endIdle() {
+// closeIdleQueues ends the queues that were not used for a while.
+func (o *outbox) closeIdleQueues() {
 	for id, queue := range o.queues {
 		if time.Since(queue.lastUsed) > idleTimeout {
 			close(queue.messages)
@@ -74,8 +74,8 @@
 	}
 }
 
-// end ends all queues.
-func (o *outbox) end() {
+// closeQueues ends all queues.
+func (o *outbox) closeQueues() {
 	for id, queue := range o.queues {
 		close(queue.messages)
 		delete(o.queues, id)
--- a/internal/fleet/budgets/service.go
+++ b/internal/fleet/budgets/service.go
@@ -52,44 +52,44 @@
 	floor  []float64
 	outbox *outbox
 
-	askedVoter  int  // the voter that is asked, by its place in the list
-	hasAnswered bool // the voter has answered since the last request
-	leased      bool
-	usage       []core.Usage
-	demand      budget.Demand
+	voterIndex    int  // the voter that is asked, by its place in the list
+	voterAnswered bool // the voter has answered since the last request
+	leased        bool
+	usage         []core.Usage
+	demand        budget.DemandEstimator
 
-	events chan envelope
-	state  atomic.Pointer[State]
-	lost   atomic.Uint64 // messages that did not fit into a queue
-	done   chan struct{}
-	wg     sync.WaitGroup
-	once   sync.Once
+	events    chan envelope
+	state     atomic.Pointer[State]
+	dropped   atomic.Uint64 // messages that did not fit into a queue
+	done      chan struct{}
+	wg        sync.WaitGroup
+	closeOnce sync.Once
 }
 
 // Start begins to take part. The broker spends by its floor from the start on. A voter that cannot open its ledger takes
 // part without a vote.
 func Start(config Config, broker Broker, g Gossip, log *zap.Logger) *Service {
 	section := &config.Section
-	if section.Retries > 0 {
-		config.Tenants = append(slices.Clone(config.Tenants), RetriesName)
-		config.Wholes = append(slices.Clone(config.Wholes), section.Retries)
+	if section.RetryQuota > 0 {
+		config.Tenants = append(slices.Clone(config.Tenants), RetryQuotaName)
+		config.Quotas = append(slices.Clone(config.Quotas), section.RetryQuota)
 	}
 	s := &Service{
 		config: config, broker: broker, gossip: g, log: log, start: time.Now(),
 		events: make(chan envelope, eventQueueSize), done: make(chan struct{}),
 	}
 	s.outbox = newOutbox(s)
-	s.demand.Sample(s.now(), make([]float64, len(config.Wholes)))
+	s.demand.Sample(s.now(), make([]float64, len(config.Quotas)))
 	floor, pool := divideFloor(&config)
 	s.floor = floor
-	terms := budget.Terms{Length: time.Duration(section.Lease), Drift: float64(section.Drift) / percent}
+	terms := budget.Terms{LeaseDuration: time.Duration(section.LeaseDuration), MaxDrift: float64(section.MaxDriftPercent) / percent}
 	// Another process under the same ID is another holder.
 	holderID := fmt.Sprintf("%s#%d", config.Self, time.Now().UnixNano())
 	s.holder = budget.NewHolder(holderID, float64(config.Weight), terms, floor)
-	s.askedVoter = int(time.Now().UnixNano()) % max(len(section.Voters), 1)
+	s.voterIndex = int(time.Now().UnixNano()) % max(len(section.Voters), 1)
 	if slices.Contains(section.Voters, config.Self) {
 		var err error
-		if s.voter, err = newVoter(config.Self, section.Voters, section.Dir, terms, pool, log, s.send); err != nil {
+		if s.voter, err = newVoter(config.Self, section.Voters, section.Directory, terms, pool, log, s.send); err != nil {
 			log.Error("fleet.budget.vote_lost", zap.Error(err))
 		}
 	}
@@ -102,9 +102,9 @@
 // divideFloor sets the floor of each quota aside, in equal parts for all brokers, and returns this broker's and what is
 // left for leases.
 func divideFloor(config *Config) (floor, pool []float64) {
-	pool = make([]float64, len(config.Wholes))
-	for i, whole := range config.Wholes {
-		aside := whole * float64(config.Section.Floor) / percent
+	pool = make([]float64, len(config.Quotas))
+	for i, whole := range config.Quotas {
+		aside := whole * float64(config.Section.FloorPercent) / percent
 		floor = append(floor, aside/float64(max(config.Instances, 1)))
 		pool[i] = whole - aside
 	}
@@ -114,7 +114,7 @@
 // Close ends all goroutines. The broker spends nothing within its share from then on: a process that takes its place has
 // the floor.
 func (s *Service) Close() {
-	s.once.Do(func() {
+	s.closeOnce.Do(func() {
 		none := make([]float64, len(s.floor))
 		s.setShares(none, none, time.Time{})
 		close(s.done)
@@ -132,7 +132,7 @@
 
 // now is this member's clock, which the laboratory may have run fast or slow.
 func (s *Service) now() time.Duration {
-	return time.Duration(float64(time.Since(s.start)) * s.config.Section.Rate)
+	return time.Duration(float64(time.Since(s.start)) * s.config.Section.ClockRate)
 }
 
 // receive receives a message on the gossip's goroutines.
@@ -142,21 +142,21 @@
 		s.log.Warn("fleet.budget.refused", zap.Error(err))
 		return
 	}
-	s.post(m)
+	s.enqueue(m)
 }
 
-// post queues a message for the owner of the state, or counts it as lost.
-func (s *Service) post(m envelope) {
+// enqueue queues a message for the owner of the state, or counts it as lost.
+func (s *Service) enqueue(m envelope) {
 	select {
 	case s.events <- m:
 	default:
-		s.lost.Add(1)
+		s.dropped.Add(1)
 	}
 }
 
 // run is the goroutine that owns the state.
 func (s *Service) run() {
-	lease := time.Duration(s.config.Section.Lease)
+	lease := time.Duration(s.config.Section.LeaseDuration)
 	tick := time.NewTicker(lease / ticksPerLease)
 	defer tick.Stop()
 	renew := time.NewTicker(lease / requestsPerLease)
@@ -171,11 +171,11 @@
 				v.tick(s.now())
 				return nil
 			})
-			s.outbox.endIdle()
+			s.outbox.closeIdleQueues()
 		case <-renew.C:
 			s.requestLease()
 		case <-s.done:
-			s.outbox.end()
+			s.outbox.closeQueues()
 			return
 		}
 		s.withVoter(func(v *voter) error { return v.process(s.now()) })
@@ -208,7 +208,7 @@
 	now := s.now()
 	switch {
 	case m.Grant != nil:
-		s.hasAnswered = true
+		s.voterAnswered = true
 		if s.holder.Accept(now, *m.Grant) {
 			s.applyAllowance(now)
 		}
@@ -221,11 +221,11 @@
 			}
 			return nil
 		})
-	case m.Ask != nil && s.voter.grantor != nil:
-		s.voter.grantor.Receive(now, *m.Ask)
-	case m.Ask != nil && !m.Sent:
+	case m.Request != nil && s.voter.grantor != nil:
+		s.voter.grantor.Receive(now, *m.Request)
+	case m.Request != nil && !m.Forwarded:
 		if leader, known := s.voter.leader(); known {
-			s.send(leader, envelope{Ask: m.Ask, Sent: true})
+			s.send(leader, envelope{Request: m.Request, Forwarded: true})
 		}
 	}
 }
@@ -237,21 +237,21 @@
 	s.applyAllowance(now) // where a lease has ended
 	request := s.holder.NextRequest(now, s.demand.Rates())
 	if s.voter != nil {
-		s.handle(envelope{Ask: &request})
+		s.handle(envelope{Request: &request})
 		return
 	}
 	voters := s.config.Section.Voters
-	if !s.hasAnswered {
-		s.askedVoter = (s.askedVoter + 1) % len(voters)
+	if !s.voterAnswered {
+		s.voterIndex = (s.voterIndex + 1) % len(voters)
 	}
-	s.hasAnswered = false
-	s.send(voters[s.askedVoter], envelope{Ask: &request})
+	s.voterAnswered = false
+	s.send(voters[s.voterIndex], envelope{Request: &request})
 }
 
 // send sends a message to a member, or to this one. It does not block.
 func (s *Service) send(to string, m envelope) {
 	if to == s.config.Self {
-		s.post(m)
+		s.enqueue(m)
 		return
 	}
 	s.outbox.send(to, encode(m))
--- a/internal/fleet/budgets/service_test.go
+++ b/internal/fleet/budgets/service_test.go
@@ -41,10 +41,10 @@
 	m := &fakeMember{}
 	seen, logs := observer.New(zapcore.InfoLevel)
 	s := Start(Config{
-		Self: "a", Weight: 1, Tenants: []string{"one"}, Wholes: []float64{100}, Instances: 4,
+		Self: "a", Weight: 1, Tenants: []string{"one"}, Quotas: []float64{100}, Instances: 4,
 		Section: gossip.Budgets{
-			Enabled: true, Voters: []string{"a", "b", "c"}, Dir: t.TempDir(), Floor: 20, Drift: 1, Rate: 1,
-			Lease: tomlconfig.Duration(300 * time.Millisecond),
+			Enabled: true, Voters: []string{"a", "b", "c"}, Directory: t.TempDir(), FloorPercent: 20, MaxDriftPercent: 1, ClockRate: 1,
+			LeaseDuration: tomlconfig.Duration(300 * time.Millisecond),
 		},
 	}, m, m, zap.New(seen))
 	heartbeat, err := proto.Marshal(&raftpb.Message{
@@ -62,7 +62,7 @@
 			t.Fatalf("it still votes: %v", logs.All())
 		}
 	}
-	if p := s.State().Parts; len(p) != 1 || p[0].Part != 5 || s.State().Leased {
+	if p := s.State().Shares; len(p) != 1 || p[0].Share != 5 || s.State().Leased {
 		t.Errorf("it may spend %+v, want its floor", p)
 	}
 	s.Close()
--- a/internal/fleet/budgets/storage.go
+++ b/internal/fleet/budgets/storage.go
@@ -21,8 +21,8 @@
 	db *bbolt.DB
 }
 
-// fileName is the name of the database in a voter's folder.
-const fileName = "ledger.db"
+// databaseName is the name of the database in a voter's folder.
+const databaseName = "ledger.db"
 
 // The buckets and keys of the database. Entries have their index, in big-endian order, as their key.
 var (
@@ -44,7 +44,7 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("budgets: %w", err)
 	}
-	db, err := bbolt.Open(filepath.Join(dir, fileName), 0o600, &bbolt.Options{Timeout: lockTimeout})
+	db, err := bbolt.Open(filepath.Join(dir, databaseName), 0o600, &bbolt.Options{Timeout: lockTimeout})
 	if err != nil {
 		return nil, fmt.Errorf("budgets: ledger: %w", err)
 	}
@@ -110,16 +110,16 @@
 	if raft.IsEmptyHardState(ready.HardState) && raft.IsEmptySnap(ready.Snapshot) && len(ready.Entries) == 0 {
 		return nil
 	}
-	if err := s.db.Update(func(tx *bbolt.Tx) error { return s.saveIn(tx, ready) }); err != nil {
+	if err := s.db.Update(func(tx *bbolt.Tx) error { return s.saveInTransaction(tx, ready) }); err != nil {
 		return fmt.Errorf("budgets: ledger: %w", err)
 	}
 	return nil
 }
 
-func (s *storage) saveIn(tx *bbolt.Tx, ready raft.Ready) error {
+func (s *storage) saveInTransaction(tx *bbolt.Tx, ready raft.Ready) error {
 	state := tx.Bucket(stateBucket)
 	if !raft.IsEmptySnap(ready.Snapshot) {
-		if err := put(state, keySnapshot, ready.Snapshot); err != nil {
+		if err := putMessage(state, keySnapshot, ready.Snapshot); err != nil {
 			return err
 		}
 		if err := s.ApplySnapshot(ready.Snapshot); err != nil {
@@ -135,7 +135,7 @@
 		}
 	}
 	if !raft.IsEmptyHardState(ready.HardState) {
-		return errors.Join(put(state, keyHardState, ready.HardState), s.SetHardState(ready.HardState))
+		return errors.Join(putMessage(state, keyHardState, ready.HardState), s.SetHardState(ready.HardState))
 	}
 	return nil
 }
@@ -150,7 +150,7 @@
 		}
 	}
 	for _, entry := range entries {
-		if err := put(log, entryKey(entry.GetIndex()), entry); err != nil {
+		if err := putMessage(log, entryKey(entry.GetIndex()), entry); err != nil {
 			return err
 		}
 	}
@@ -159,7 +159,7 @@
 
 func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-func put(bucket *bbolt.Bucket, key []byte, message proto.Message) error {
+func putMessage(bucket *bbolt.Bucket, key []byte, message proto.Message) error {
 	text, err := proto.Marshal(message)
 	if err != nil {
 		return err
@@ -180,7 +180,7 @@
 				return err
 			}
 		}
-		return put(tx.Bucket(stateBucket), keySnapshot, snapshot)
+		return putMessage(tx.Bucket(stateBucket), keySnapshot, snapshot)
 	})
 	if err != nil {
 		return fmt.Errorf("budgets: snapshot: %w", err)
--- a/internal/fleet/budgets/voter.go
+++ b/internal/fleet/budgets/voter.go
@@ -70,8 +70,8 @@
 	if err := v.restore(snapshot); err != nil {
 		return nil, err
 	}
-	if !slices.Equal(v.ledger.Pool, pool) {
-		return nil, fmt.Errorf("budgets: the ledger is of wholes that leave %v, the files now say %v: begin a new folder at all voters once all leases have ended", v.ledger.Pool, pool)
+	if !slices.Equal(v.ledger.Pools, pool) {
+		return nil, fmt.Errorf("budgets: the ledger is of wholes that leave %v, the files now say %v: begin a new folder at all voters once all leases have ended", v.ledger.Pools, pool)
 	}
 	v.node, err = raft.NewRawNode(&raft.Config{
 		ID:                        uint64(slices.Index(voters, self)) + 1,
@@ -85,7 +85,7 @@
 		MaxUncommittedEntriesSize: maxInflightBytes,
 		CheckQuorum:               true,
 		PreVote:                   true,
-		Logger:                    raftLog{log},
+		Logger:                    raftLogger{log},
 	})
 	if err != nil {
 		return nil, fmt.Errorf("budgets: raft: %w", err)
--- a/internal/fleet/gossip/channel.go
+++ b/internal/fleet/gossip/channel.go
@@ -32,8 +32,8 @@
 
 // Channel carries the messages of one kind.
 type Channel struct {
-	g    *Gossip
-	kind Kind
+	gossip *Gossip
+	kind   Kind
 }
 
 // Channel returns the channel of a kind.
@@ -41,29 +41,29 @@
 
 // Handle sets the function that receives the messages of the kind. It is called on memberlist's goroutines and must not
 // block.
-func (c Channel) Handle(receive func(message []byte)) { c.g.handlers[c.kind].Store(&receive) }
+func (c Channel) Handle(receive func(message []byte)) { c.gossip.handlers[c.kind].Store(&receive) }
 
 // Attach makes a replica take part in push-pulls and receive the messages of the kind. There is one replica.
 func (c Channel) Attach(replica Replica) {
-	c.g.replica.Store(&replica)
+	c.gossip.replica.Store(&replica)
 	c.Handle(replica.Receive)
 }
 
 // Broadcast disseminates a message to all members by gossip. A later message under the same name replaces one that is
 // still being sent.
 func (c Channel) Broadcast(name string, message []byte) {
-	c.g.broadcasts.QueueBroadcast(&broadcast{name, c.frame(message)})
+	c.gossip.broadcasts.QueueBroadcast(&broadcast{name, c.frame(message)})
 }
 
 // Send sends a message to one member over a stream. It blocks until it is written, for memberlist's TCP timeout at most.
 func (c Channel) Send(id string, message []byte) error {
-	node, ok := c.g.live.find(id)
+	node, ok := c.gossip.live.find(id)
 	if !ok {
 		return fmt.Errorf("gossip: %s is no member", id)
 	}
 	framed := c.frame(message)
-	c.g.counters.BytesOut.Add(uint64(len(framed)))
-	if err := c.g.list.SendReliable(&node, framed); err != nil {
+	c.gossip.counters.BytesOut.Add(uint64(len(framed)))
+	if err := c.gossip.list.SendReliable(&node, framed); err != nil {
 		return fmt.Errorf("gossip: to %s: %w", id, err)
 	}
 	return nil
@@ -71,7 +71,7 @@
 
 // RandomPeer returns the ID of another live member, or false where there is none.
 func (c Channel) RandomPeer() (id string, ok bool) {
-	peers := slices.DeleteFunc(c.g.live.all(), func(node memberlist.Node) bool { return node.Name == c.g.self.ID })
+	peers := slices.DeleteFunc(c.gossip.live.all(), func(node memberlist.Node) bool { return node.Name == c.gossip.self.ID })
 	if len(peers) == 0 {
 		return "", false
 	}
--- a/internal/fleet/gossip/counting_transport.go
+++ b/internal/fleet/gossip/counting_transport.go
@@ -11,11 +11,11 @@
 // countingTransport counts what passes a transport, and has each packet inspected.
 type countingTransport struct {
 	memberlist.NodeAwareTransport
-	traffic *Traffic
-	inspect func(packet []byte, outgoing bool) // inspect must not block.
-	packets chan *memberlist.Packet
-	once    sync.Once
-	done    chan struct{}
+	traffic       *Traffic
+	inspectPacket func(packet []byte, outgoing bool) // inspect must not block.
+	packets       chan *memberlist.Packet
+	shutdownOnce  sync.Once
+	done          chan struct{}
 }
 
 // newCountingTransport wraps a transport. Received packets pass through a goroutine, which ends with the transport.
@@ -23,7 +23,7 @@
 	inspect func(packet []byte, outgoing bool),
 ) *countingTransport {
 	t := &countingTransport{
-		NodeAwareTransport: transport, traffic: traffic, inspect: inspect,
+		NodeAwareTransport: transport, traffic: traffic, inspectPacket: inspect,
 		packets: make(chan *memberlist.Packet), done: make(chan struct{}),
 	}
 	go t.receive()
@@ -36,7 +36,7 @@
 		case packet := <-t.NodeAwareTransport.PacketCh():
 			t.traffic.PacketsIn.Add(1)
 			t.traffic.BytesIn.Add(uint64(len(packet.Buf)))
-			t.inspect(packet.Buf, false)
+			t.inspectPacket(packet.Buf, false)
 			select {
 			case t.packets <- packet:
 			case <-t.done:
@@ -60,7 +60,7 @@
 func (t *countingTransport) WriteToAddress(packet []byte, address memberlist.Address) (time.Time, error) {
 	t.traffic.PacketsOut.Add(1)
 	t.traffic.BytesOut.Add(uint64(len(packet)))
-	t.inspect(packet, true)
+	t.inspectPacket(packet, true)
 	return t.NodeAwareTransport.WriteToAddress(packet, address)
 }
 
@@ -78,7 +78,7 @@
 // Shutdown ends the transport before its reader. The wrapped transport's shutdown waits for packets that it is about to
 // hand over: they are discarded meanwhile, also where memberlist never began to read.
 func (t *countingTransport) Shutdown() (err error) {
-	t.once.Do(func() {
+	t.shutdownOnce.Do(func() {
 		go t.discard()
 		err = t.NodeAwareTransport.Shutdown()
 		close(t.done)
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -86,7 +86,7 @@
 		return nil, fmt.Errorf("gossip: %w", errors.Join(err, config.Transport.Shutdown()))
 	}
 	g.self.Addr = g.list.LocalNode().Address()
-	limits := membership.Limits{MaxMembers: section.Most, Retention: time.Duration(section.DeadKept)}
+	limits := membership.Limits{MaxMembers: section.MaxMembers, Retention: time.Duration(section.DeadRetention)}
 	owner := newViewOwner(g, membership.New(g.self, limits, time.Now()))
 	owner.publish()
 	go owner.run()
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -75,10 +75,10 @@
 			t.Fatal(err)
 		}
 	}
-	if id, ok := (Channel{g: a}).RandomPeer(); !ok || id != "b" {
+	if id, ok := (Channel{gossip: a}).RandomPeer(); !ok || id != "b" {
 		t.Errorf("a's peer is %q, %v; want b", id, ok)
 	}
-	if err := (Channel{g: a}).Send("c", nil); err == nil {
+	if err := (Channel{gossip: a}).Send("c", nil); err == nil {
 		t.Error("a message to one that is no member was sent")
 	}
 }
--- a/internal/fleet/gossip/memberlist_config.go
+++ b/internal/fleet/gossip/memberlist_config.go
@@ -30,7 +30,7 @@
 	config.ProbeTimeout = time.Duration(section.ProbeTimeout)
 	config.SuspicionMult = section.SuspicionMult
 	config.IndirectChecks = section.IndirectChecks
-	config.GossipToTheDeadTime = time.Duration(section.DeadKept)
+	config.GossipToTheDeadTime = time.Duration(section.DeadRetention)
 	// A process that starts again under its ID at another address replaces the old one once that is dead.
 	config.DeadNodeReclaimTime = config.ProbeInterval
 	config.TCPTimeout = min(config.TCPTimeout, tcpTimeoutIntervals*config.ProbeInterval)
--- a/internal/fleet/gossip/packet.go
+++ b/internal/fleet/gossip/packet.go
@@ -34,7 +34,7 @@
 
 // eachMemberMessage calls a function with each message about a member in a packet that is neither compressed nor
 // encrypted. It skips what it cannot read: memberlist logs malformed packets itself.
-func eachMemberMessage(packet []byte, do func(memberMessage)) {
+func eachMemberMessage(packet []byte, handle func(memberMessage)) {
 	if len(packet) > crcHeaderBytes && packet[0] == kindCRC {
 		packet = packet[crcHeaderBytes:]
 	}
@@ -47,15 +47,15 @@
 		err := codec.NewDecoderBytes(packet[1:], &codec.MsgpackHandle{}).Decode(&message)
 		if err == nil && message.Node != "" {
 			message.kind = kind
-			do(message)
+			handle(message)
 		}
 	case kindCompound:
-		eachOfCompound(int(packet[1]), packet[2:], do)
+		eachCompoundMessage(int(packet[1]), packet[2:], handle)
 	}
 }
 
-// eachOfCompound reads a compound: the lengths of its messages, and the messages.
-func eachOfCompound(count int, body []byte, do func(memberMessage)) {
+// eachCompoundMessage reads a compound: the lengths of its messages, and the messages.
+func eachCompoundMessage(count int, body []byte, handle func(memberMessage)) {
 	if len(body) < lengthBytes*count {
 		return
 	}
@@ -67,7 +67,7 @@
 		}
 		isNested := length > 0 && rest[0] == kindCompound // memberlist makes none; one that nests deeply would exhaust the stack
 		if length > 0 && !isNested {
-			eachMemberMessage(rest[:length], do)
+			eachMemberMessage(rest[:length], handle)
 		}
 		rest = rest[length:]
 	}
--- a/internal/fleet/gossip/relay_transport.go
+++ b/internal/fleet/gossip/relay_transport.go
@@ -24,16 +24,16 @@
 // stream to the relay begins with the address that it is for, and each from the relay with the address that it is from,
 // so that memberlist sees the addresses of its peers. Only the laboratory and tests use it.
 type relayTransport struct {
-	relayUDP *net.UDPAddr
-	relayTCP string
-	udp      *net.UDPConn
-	tcp      *net.TCPListener
-	self     *net.UDPAddr
-	packets  chan *memberlist.Packet
-	streams  chan net.Conn
-	traffic  *Traffic
-	readers  sync.WaitGroup
-	closed   atomic.Bool
+	relayUDP     *net.UDPAddr
+	relayTCP     string
+	udp          *net.UDPConn
+	tcp          *net.TCPListener
+	localAddress *net.UDPAddr
+	packets      chan *memberlist.Packet
+	streams      chan net.Conn
+	traffic      *Traffic
+	wg           sync.WaitGroup
+	closed       atomic.Bool
 }
 
 // newRelayTransport listens at an address by UDP and TCP, and sends through a relay.
@@ -56,10 +56,10 @@
 		return nil, errors.Join(err, tcp.Close())
 	}
 	t := &relayTransport{
-		relayUDP: relayUDP, relayTCP: relay, udp: udp, tcp: tcp, self: self, traffic: traffic,
+		relayUDP: relayUDP, relayTCP: relay, udp: udp, tcp: tcp, localAddress: self, traffic: traffic,
 		packets: make(chan *memberlist.Packet), streams: make(chan net.Conn),
 	}
-	t.readers.Add(2)
+	t.wg.Add(2)
 	go t.readPackets()
 	go t.acceptStreams()
 	return t, nil
@@ -67,7 +67,7 @@
 
 // readPackets hands packets over until the transport is shut down. memberlist reads until then.
 func (t *relayTransport) readPackets() {
-	defer t.readers.Done()
+	defer t.wg.Done()
 	buffer := make([]byte, maxPacketBytes)
 	for {
 		n, _, err := t.udp.ReadFromUDP(buffer)
@@ -101,7 +101,7 @@
 
 // acceptStreams hands streams over until the transport is shut down.
 func (t *relayTransport) acceptStreams() {
-	defer t.readers.Done()
+	defer t.wg.Done()
 	for {
 		conn, err := t.tcp.Accept()
 		if err != nil {
@@ -143,7 +143,7 @@
 
 // FinalAdvertiseAddr returns the address that the transport listens at.
 func (t *relayTransport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
-	return t.self.IP, t.self.Port, nil
+	return t.localAddress.IP, t.localAddress.Port, nil
 }
 
 // WriteTo sends a packet.
@@ -168,7 +168,7 @@
 		return nil, err
 	}
 	conn.SetWriteDeadline(time.Now().Add(timeout))
-	if _, err := conn.Write(Header(address, Header(t.self.String(), nil))); err != nil {
+	if _, err := conn.Write(Header(address, Header(t.localAddress.String(), nil))); err != nil {
 		return nil, errors.Join(err, conn.Close())
 	}
 	conn.SetWriteDeadline(time.Time{})
@@ -189,7 +189,7 @@
 	t.closed.Store(true)
 	err := errors.Join(t.udp.Close(), t.tcp.Close())
 	go t.discard()
-	t.readers.Wait()
+	t.wg.Wait()
 	return err
 }
 
--- a/internal/fleet/gossip/section.go
+++ b/internal/fleet/gossip/section.go
@@ -21,8 +21,8 @@
 	ProbeTimeout   tomlconfig.Duration `toml:"probe_timeout" doc:"how long a probe's answer is awaited" min:"10ms" max:"30s"`
 	SuspicionMult  int                 `toml:"suspicion_mult" doc:"a suspicion lasts this many probe intervals, times log10 of the members where that is over 1" min:"1" max:"20"`
 	IndirectChecks int                 `toml:"indirect_checks" doc:"members asked to probe one that did not answer" min:"1" max:"16"`
-	DeadKept       tomlconfig.Duration `toml:"dead_kept" doc:"how long a dead or left member is remembered" min:"1s" max:"24h"`
-	Most           int                 `toml:"most" doc:"members held at most, this one among them" min:"2" max:"100000"`
+	DeadRetention  tomlconfig.Duration `toml:"dead_kept" doc:"how long a dead or left member is remembered" min:"1s" max:"24h"`
+	MaxMembers     int                 `toml:"most" doc:"members held at most, this one among them" min:"2" max:"100000"`
 	Replication    Replication         `toml:"replication"`
 	Budgets        Budgets             `toml:"budgets"`
 	Relay          string              `toml:"relay" doc:"laboratory only: a fault relay that all gossip goes through; empty: none"`
@@ -30,30 +30,30 @@
 
 // Replication is the table [fleet.replication]: the facts about servers that members share.
 type Replication struct {
-	Enabled   bool                `toml:"enabled" doc:"whether members tell each other which servers they isolated or were answered by"`
-	TTL       tomlconfig.Duration `toml:"ttl" doc:"how long a fact holds that its origin does not tell anew" min:"1s" max:"5m"`
-	Witnesses int                 `toml:"witnesses" doc:"members that have to call a server bad before this one heeds it" min:"1" max:"100"`
-	PerOrigin int                 `toml:"per_origin" doc:"percent of the servers that one member may call bad; one that calls more so is not heard" min:"1" max:"100"`
-	MostBad   int                 `toml:"most_bad" doc:"percent of the servers that may be bad by the word of others" min:"1" max:"100"`
-	Facts     int                 `toml:"facts" doc:"facts of one member held at most" min:"1" max:"4096"`
-	Rate      tomlconfig.Bytes    `toml:"rate" doc:"bytes a second that this member sends of them, at most" min:"1KiB" max:"64MiB"`
-	Ahead     tomlconfig.Duration `toml:"ahead" doc:"how far ahead of this clock another's stamp may be" min:"100ms" max:"1h"`
-	Snapshot  string              `toml:"snapshot" doc:"file that the facts are kept in, so that a restart comes back with them; empty: none"`
-	Every     tomlconfig.Duration `toml:"snapshot_every" doc:"how often it is written" min:"200ms" max:"10m"`
-	Offset    tomlconfig.Duration `toml:"clock_offset" doc:"laboratory only: how far this member's clock is taken to be ahead"`
+	Enabled                bool                `toml:"enabled" doc:"whether members tell each other which servers they isolated or were answered by"`
+	TTL                    tomlconfig.Duration `toml:"ttl" doc:"how long a fact holds that its origin does not tell anew" min:"1s" max:"5m"`
+	MinWitnesses           int                 `toml:"witnesses" doc:"members that have to call a server bad before this one heeds it" min:"1" max:"100"`
+	MaxBadPercentPerOrigin int                 `toml:"per_origin" doc:"percent of the servers that one member may call bad; one that calls more so is not heard" min:"1" max:"100"`
+	MaxBadPercent          int                 `toml:"most_bad" doc:"percent of the servers that may be bad by the word of others" min:"1" max:"100"`
+	MaxFactsPerOrigin      int                 `toml:"facts" doc:"facts of one member held at most" min:"1" max:"4096"`
+	MaxBytesPerSecond      tomlconfig.Bytes    `toml:"rate" doc:"bytes a second that this member sends of them, at most" min:"1KiB" max:"64MiB"`
+	MaxClockSkew           tomlconfig.Duration `toml:"ahead" doc:"how far ahead of this clock another's stamp may be" min:"100ms" max:"1h"`
+	SnapshotPath           string              `toml:"snapshot" doc:"file that the facts are kept in, so that a restart comes back with them; empty: none"`
+	SnapshotInterval       tomlconfig.Duration `toml:"snapshot_every" doc:"how often it is written" min:"200ms" max:"10m"`
+	ClockOffset            tomlconfig.Duration `toml:"clock_offset" doc:"laboratory only: how far this member's clock is taken to be ahead"`
 }
 
 // Budgets is the table [fleet.budgets]: tenants' quotas, divided among the live members by leases.
 type Budgets struct {
-	Enabled bool                `toml:"enabled" doc:"whether tenants' quotas are divided among the live members by leases, in place of even parts"`
-	Voters  []string            `toml:"voters" doc:"ids of the members that keep the ledger by Raft: three or five, the same list at all"`
-	Dir     string              `toml:"dir" doc:"folder for a voter's part of the ledger; it has to outlive the process"`
-	Wholes  []string            `toml:"wholes" doc:"tenant=requests a second, in place of the platform's quota of that tenant"`
-	Retries float64             `toml:"retries" doc:"further attempts a second of the whole fleet; 0 leaves each member those that its answers earn"`
-	Floor   int                 `toml:"floor" doc:"percent of each whole set aside, in even parts, for members that reach no majority of the voters" min:"1" max:"90"`
-	Lease   tomlconfig.Duration `toml:"lease" doc:"how long a lease holds from when it was asked for" min:"300ms" max:"5m"`
-	Drift   int                 `toml:"drift" doc:"percent by which any member's clock may run fast or slow" min:"1" max:"20"`
-	Rate    float64             `toml:"clock_rate" doc:"laboratory only: seconds that this member's clock counts in one"`
+	Enabled         bool                `toml:"enabled" doc:"whether tenants' quotas are divided among the live members by leases, in place of even parts"`
+	Voters          []string            `toml:"voters" doc:"ids of the members that keep the ledger by Raft: three or five, the same list at all"`
+	Directory       string              `toml:"dir" doc:"folder for a voter's part of the ledger; it has to outlive the process"`
+	Quotas          []string            `toml:"wholes" doc:"tenant=requests a second, in place of the platform's quota of that tenant"`
+	RetryQuota      float64             `toml:"retries" doc:"further attempts a second of the whole fleet; 0 leaves each member those that its answers earn"`
+	FloorPercent    int                 `toml:"floor" doc:"percent of each whole set aside, in even parts, for members that reach no majority of the voters" min:"1" max:"90"`
+	LeaseDuration   tomlconfig.Duration `toml:"lease" doc:"how long a lease holds from when it was asked for" min:"300ms" max:"5m"`
+	MaxDriftPercent int                 `toml:"drift" doc:"percent by which any member's clock may run fast or slow" min:"1" max:"20"`
+	ClockRate       float64             `toml:"clock_rate" doc:"laboratory only: seconds that this member's clock counts in one"`
 }
 
 // DefaultSection returns the values that hold where the file has none: memberlist's settings for a LAN.
@@ -65,19 +65,19 @@
 		ProbeTimeout:   tomlconfig.Duration(500 * time.Millisecond),
 		SuspicionMult:  4,
 		IndirectChecks: 3,
-		DeadKept:       tomlconfig.Duration(30 * time.Second),
-		Most:           4096,
+		DeadRetention:  tomlconfig.Duration(30 * time.Second),
+		MaxMembers:     4096,
 		Replication: Replication{
-			TTL:       tomlconfig.Duration(15 * time.Second),
-			Witnesses: 2,
-			PerOrigin: 30,
-			MostBad:   20,
-			Facts:     64,
-			Rate:      64 << 10,
-			Ahead:     tomlconfig.Duration(10 * time.Second),
-			Every:     tomlconfig.Duration(5 * time.Second),
+			TTL:                    tomlconfig.Duration(15 * time.Second),
+			MinWitnesses:           2,
+			MaxBadPercentPerOrigin: 30,
+			MaxBadPercent:          20,
+			MaxFactsPerOrigin:      64,
+			MaxBytesPerSecond:      64 << 10,
+			MaxClockSkew:           tomlconfig.Duration(10 * time.Second),
+			SnapshotInterval:       tomlconfig.Duration(5 * time.Second),
 		},
-		Budgets: Budgets{Floor: 20, Lease: tomlconfig.Duration(3 * time.Second), Drift: 1, Rate: 1},
+		Budgets: Budgets{FloorPercent: 20, LeaseDuration: tomlconfig.Duration(3 * time.Second), MaxDriftPercent: 1, ClockRate: 1},
 	}
 }
 
--- a/internal/fleet/gossip/section_check.go
+++ b/internal/fleet/gossip/section_check.go
@@ -15,8 +15,8 @@
 const (
 	// maxVoters bounds the Raft group: each further voter makes each grant slower.
 	maxVoters = 7
-	// maxRate bounds a quota, in requests per second.
-	maxRate = 1e9
+	// maxQuota bounds a quota, in requests per second.
+	maxQuota = 1e9
 	// minClockRate and maxClockRate bound how far the laboratory sets a clock off.
 	minClockRate, maxClockRate = 0.5, 2
 )
@@ -25,16 +25,16 @@
 func (s *Section) Check() []validation.Error {
 	var wrong []validation.Error
 	reject := func(key, text string) { wrong = append(wrong, validation.Error{Key: key, Text: text}) }
-	if fault := checkAddress(s.Bind, true); fault != "" {
+	if fault := addressFault(s.Bind, true); fault != "" {
 		reject("bind", fault)
 	}
 	for _, seed := range s.Seeds {
-		if fault := checkAddress(seed, false); fault != "" {
+		if fault := addressFault(seed, false); fault != "" {
 			reject("seeds", fault)
 		}
 	}
 	if s.Relay != "" {
-		if fault := checkAddress(s.Relay, false); fault != "" {
+		if fault := addressFault(s.Relay, false); fault != "" {
 			reject("relay", fault)
 		}
 	}
@@ -43,17 +43,17 @@
 		reject("probe_timeout", "has to be shorter than probe_interval")
 	}
 	wrong = append(wrong, s.Budgets.check()...)
-	if s.Budgets.Enabled && s.Budgets.Dir == "" && s.ID != "" && slices.Contains(s.Budgets.Voters, s.ID) {
+	if s.Budgets.Enabled && s.Budgets.Directory == "" && s.ID != "" && slices.Contains(s.Budgets.Voters, s.ID) {
 		reject("budgets.dir", "is needed by a voter")
 	}
-	if len(s.Seeds) > s.Most {
+	if len(s.Seeds) > s.MaxMembers {
 		reject("seeds", "are more than most")
 	}
 	return wrong
 }
 
-// checkAddress returns what is wrong with an IPv4 address and port; empty for nothing. Port 0 stands for any port.
-func checkAddress(address string, allowAnyPort bool) string {
+// addressFault returns what is wrong with an IPv4 address and port; empty for nothing. Port 0 stands for any port.
+func addressFault(address string, allowAnyPort bool) string {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
 		return strconv.Quote(address) + " is not host:port"
@@ -68,11 +68,11 @@
 	return ""
 }
 
-// Whole parses an element of Wholes: a tenant and its quota in requests per second.
-func (b *Budgets) Whole(text string) (tenant string, perS float64, err error) {
+// ParseQuota parses an element of Wholes: a tenant and its quota in requests per second.
+func (b *Budgets) ParseQuota(text string) (tenant string, perS float64, err error) {
 	tenant, rate, ok := strings.Cut(text, "=")
 	perS, parseErr := strconv.ParseFloat(rate, 64)
-	if !ok || tenant == "" || parseErr != nil || !(perS >= 0 && perS <= maxRate) {
+	if !ok || tenant == "" || parseErr != nil || !(perS >= 0 && perS <= maxQuota) {
 		return "", 0, fmt.Errorf("%q is not tenant=requests a second", text)
 	}
 	return tenant, perS, nil
@@ -81,8 +81,8 @@
 // check returns the faults that the bounds in the tags cannot express.
 func (b *Budgets) check() (wrong []validation.Error) {
 	reject := func(key, text string) { wrong = append(wrong, validation.Error{Key: key, Text: text}) }
-	for _, text := range b.Wholes {
-		if _, _, err := b.Whole(text); err != nil {
+	for _, text := range b.Quotas {
+		if _, _, err := b.ParseQuota(text); err != nil {
 			reject("budgets.wholes", err.Error())
 		}
 	}
@@ -97,10 +97,10 @@
 			reject("budgets.voters", fmt.Sprintf("%q is empty or named twice", voter))
 		}
 	}
-	if !(b.Retries >= 0 && b.Retries <= maxRate) {
+	if !(b.RetryQuota >= 0 && b.RetryQuota <= maxQuota) {
 		reject("budgets.retries", "has to be from 0 to 1000000000")
 	}
-	if b.Rate < minClockRate || b.Rate > maxClockRate {
+	if b.ClockRate < minClockRate || b.ClockRate > maxClockRate {
 		reject("budgets.clock_rate", "has to be from 0.5 to 2")
 	}
 	return wrong
--- a/internal/fleet/gossip/suspicion.go
+++ b/internal/fleet/gossip/suspicion.go
@@ -48,11 +48,11 @@
 	switch {
 	case message.kind == kindSuspect && member.State == membership.Alive && message.Incarnation >= o.incarnations[member.ID]:
 		o.suspects[member.ID] = suspicion{message.Incarnation, now.Add(o.maxSuspicion())}
-		o.observe(member, membership.Suspect, now)
+		o.observeState(member, membership.Suspect, now)
 	case message.kind == kindAlive:
 		o.applyAlive(member, message.Incarnation, now)
 	case message.announcesLeave() && member.State == membership.Dead:
-		o.observe(member, membership.Left, now) // memberlist had the departure from a push-pull, without its cause
+		o.observeState(member, membership.Left, now) // memberlist had the departure from a push-pull, without its cause
 	}
 }
 
@@ -64,7 +64,7 @@
 		return
 	}
 	delete(o.suspects, member.ID)
-	o.observe(member, membership.Alive, now)
+	o.observeState(member, membership.Alive, now)
 }
 
 // maxSuspicion is the longest time that memberlist suspects a member in a fleet of this size.
--- a/internal/fleet/gossip/view_owner.go
+++ b/internal/fleet/gossip/view_owner.go
@@ -27,14 +27,14 @@
 // viewOwner is the goroutine that changes the view.
 type viewOwner struct {
 	*Gossip
-	view         *membership.View
-	suspects     map[string]suspicion
-	incarnations map[string]uint32 // memberlist's incarnations by member ID, as its messages have them
-	missing      map[string]bool   // members that memberlist's list lacked at the last reconciliation
+	view           *membership.View
+	suspects       map[string]suspicion
+	incarnations   map[string]uint32 // memberlist's incarnations by member ID, as its messages have them
+	missingMembers map[string]bool   // members that memberlist's list lacked at the last reconciliation
 
-	joining  bool          // a join is running; there is one at a time
-	joined   chan struct{} // receives when a join has ended
-	nextDead int           // the dead member that is asked next, in the order of the view
+	joining        bool          // a join is running; there is one at a time
+	joined         chan struct{} // receives when a join has ended
+	nextDeadMember int           // the dead member that is asked next, in the order of the view
 }
 
 func newViewOwner(g *Gossip, view *membership.View) *viewOwner {
@@ -53,7 +53,7 @@
 	for {
 		select {
 		case event := <-o.events:
-			o.observeNode(event.Node, event.Event == memberlist.NodeLeave)
+			o.applyNode(event.Node, event.Event == memberlist.NodeLeave)
 		case message := <-o.messages:
 			o.applyMessage(message)
 		case <-ticker.C:
@@ -119,8 +119,8 @@
 	if len(dead) == 0 {
 		return nil
 	}
-	address := dead[o.nextDead%len(dead)]
-	o.nextDead++
+	address := dead[o.nextDeadMember%len(dead)]
+	o.nextDeadMember++
 	return []string{address}
 }
 
@@ -146,7 +146,7 @@
 	listed := map[string]bool{}
 	for _, node := range o.live.all() {
 		listed[node.Name] = true
-		o.observeNode(&node, false)
+		o.applyNode(&node, false)
 	}
 	o.declareMissingDead(listed, now)
 	for _, change := range o.view.Expire(now) {
@@ -171,15 +171,15 @@
 			continue
 		}
 		missing[member.ID] = true
-		if o.missing[member.ID] {
-			o.observe(member, membership.Dead, now)
+		if o.missingMembers[member.ID] {
+			o.observeState(member, membership.Dead, now)
 		}
 	}
-	o.missing = missing
+	o.missingMembers = missing
 }
 
-// observeNode applies what memberlist reports of a node.
-func (o *viewOwner) observeNode(node *memberlist.Node, departed bool) {
+// applyNode applies what memberlist reports of a node.
+func (o *viewOwner) applyNode(node *memberlist.Node, departed bool) {
 	var meta membership.Meta
 	if err := json.Unmarshal(node.Meta, &meta); err != nil && node.Name != o.self.ID {
 		o.counters.Bad.Add(1)
@@ -221,8 +221,8 @@
 	return membership.Alive
 }
 
-// observe applies another state of a member that the view holds.
-func (o *viewOwner) observe(member membership.Member, state membership.State, now time.Time) {
+// observeState applies another state of a member that the view holds.
+func (o *viewOwner) observeState(member membership.Member, state membership.State, now time.Time) {
 	o.apply(membership.Observation{
 		ID: member.ID, Addr: member.Addr, Incarnation: member.Incarnation, State: state, Meta: member.Meta,
 	}, now)
@@ -242,7 +242,7 @@
 	o.log.Info("fleet.member", zap.String("id", member.ID), zap.Stringer("from", change.From),
 		zap.Stringer("to", member.State), zap.String("why", string(change.Reason)),
 		zap.Uint32("incarnation", member.Incarnation), zap.String("zone", member.Meta.Zone),
-		zap.Uint64("view", change.Number), zap.String("digest", o.view.Digest()))
+		zap.Uint64("view", change.ViewNumber), zap.String("digest", o.view.Digest()))
 	if !o.hasSubscriber.Load() {
 		return
 	}
--- a/internal/fleet/membership/change.go
+++ b/internal/fleet/membership/change.go
@@ -19,10 +19,10 @@
 
 // Change is one change of a view.
 type Change struct {
-	Member Member // Member is the member after the change.
-	From   State  // From is its state before; the same as Member.State for a member that is new or forgotten.
-	Reason Reason
-	Number uint64 // Number is that of the view after the change.
+	Member     Member // Member is the member after the change.
+	From       State  // From is its state before; the same as Member.State for a member that is new or forgotten.
+	Reason     Reason
+	ViewNumber uint64 // Number is that of the view after the change.
 }
 
 // transition returns the reason of the change from a held member to an observation of it, or false for no change.
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -72,7 +72,7 @@
 
 func (v *View) change(member *Member, from State, reason Reason) Change {
 	v.number++
-	return Change{Member: *member, From: from, Reason: reason, Number: v.number}
+	return Change{Member: *member, From: from, Reason: reason, ViewNumber: v.number}
 }
 
 // Expire forgets members that departed longer ago than the retention, and returns the changes by member ID.
--- a/internal/fleet/membership/view_test.go
+++ b/internal/fleet/membership/view_test.go
@@ -68,7 +68,7 @@
 				State(rapid.IntRange(0, 3).Draw(t, "state")))
 			before := v.Number()
 			c, news := v.Observe(o, now)
-			if news != (v.Number() == before+1) || (news && c.Number != v.Number()) {
+			if news != (v.Number() == before+1) || (news && c.ViewNumber != v.Number()) {
 				t.Fatalf("step %d: news %v, number %d to %d", step, news, before, v.Number())
 			}
 			if inc, ok := held[o.ID]; ok && news && o.Incarnation < inc {
--- a/internal/fleet/replica/fact.go
+++ b/internal/fleet/replica/fact.go
@@ -31,11 +31,11 @@
 
 // Fact is one version of a register. Its keys are on the wire, in snapshots and in the answers of the control address.
 type Fact struct {
-	Origin  string        `codec:"o" json:"origin"`
-	Subject string        `codec:"s" json:"subject"` // Subject is a server: its UID and start.
-	Stamp   Stamp         `codec:"t" json:"stamp"`
-	Word    Verdict       `codec:"k" json:"word"` // Word is the verdict.
-	Left    time.Duration `codec:"f" json:"left"` // Left is the remaining lifetime: not a time, as clocks differ.
+	Origin    string        `codec:"o" json:"origin"`
+	Subject   string        `codec:"s" json:"subject"` // Subject is a server: its UID and start.
+	Stamp     Stamp         `codec:"t" json:"stamp"`
+	Verdict   Verdict       `codec:"k" json:"word"` // Word is the verdict.
+	Remaining time.Duration `codec:"f" json:"left"` // Left is the remaining lifetime: not a time, as clocks differ.
 }
 
 // Key identifies a version of a register.
@@ -49,7 +49,7 @@
 	var fixed [14]byte // the last byte is always 0: it is part of the sums that brokers compare
 	binary.BigEndian.PutUint64(fixed[:], uint64(f.Stamp.Wall))
 	binary.BigEndian.PutUint32(fixed[wallBytes:], f.Stamp.Logical)
-	fixed[wallBytes+logicalBytes] = byte(f.Word)
+	fixed[wallBytes+logicalBytes] = byte(f.Verdict)
 	h := fnv.New64a()
 	h.Write(fixed[:])
 	h.Write([]byte(f.Origin))
--- a/internal/fleet/replica/replica_test.go
+++ b/internal/fleet/replica/replica_test.go
@@ -11,26 +11,26 @@
 
 var limits = Limits{MaxOrigins: 8, FactsPerOrigin: 4, TTL: 15 * time.Second, MaxClockSkew: 10 * time.Second}
 
-var began = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func at(d time.Duration) Now { return Now{Mono: d, Wall: began.Add(d)} }
+func nowAt(d time.Duration) Now { return Now{Mono: d, Wall: startTime.Add(d)} }
 
-// facts draws facts that contradict, repeat and follow each other, of more subjects than an origin may hold.
-func facts(t *rapid.T) []Fact {
+// drawFacts draws drawFacts that contradict, repeat and follow each other, of more subjects than an origin may hold.
+func drawFacts(t *rapid.T) []Fact {
 	one := rapid.Custom(func(t *rapid.T) Fact {
 		return Fact{
-			Origin: fmt.Sprint("b", rapid.IntRange(1, 4).Draw(t, "origin")), Word: Verdict(rapid.IntRange(1, 2).Draw(t, "word")),
-			Subject: fmt.Sprint("s", rapid.IntRange(1, 7).Draw(t, "subject")), Left: time.Duration(rapid.IntRange(1, 15).Draw(t, "left")) * time.Second,
-			Stamp: Stamp{Wall: began.UnixMilli() + rapid.Int64Range(0, 5).Draw(t, "wall"), Logical: uint32(rapid.IntRange(0, 1).Draw(t, "logical"))},
+			Origin: fmt.Sprint("b", rapid.IntRange(1, 4).Draw(t, "origin")), Verdict: Verdict(rapid.IntRange(1, 2).Draw(t, "word")),
+			Subject: fmt.Sprint("s", rapid.IntRange(1, 7).Draw(t, "subject")), Remaining: time.Duration(rapid.IntRange(1, 15).Draw(t, "left")) * time.Second,
+			Stamp: Stamp{Wall: startTime.UnixMilli() + rapid.Int64Range(0, 5).Draw(t, "wall"), Logical: uint32(rapid.IntRange(0, 1).Draw(t, "logical"))},
 		}
 	})
 	return rapid.SliceOfN(one, 0, 40).Draw(t, "facts")
 }
 
-func held(fs []Fact) *Store {
+func storeOf(fs []Fact) *Store {
 	s := New("me", limits)
 	for _, f := range fs {
-		s.Merge(at(0), f)
+		s.Merge(nowAt(0), f)
 	}
 	return s
 }
@@ -39,36 +39,36 @@
 // to the ends of the facts' lifetimes.
 func TestMergeIsCommutativeAssociativeAndIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b, c := facts(t), facts(t), facts(t)
+		a, b, c := drawFacts(t), drawFacts(t), drawFacts(t)
 		all := append(append(append([]Fact(nil), a...), b...), c...)
-		want := held(all)
+		want := storeOf(all)
 		mixed := append(append([]Fact(nil), all...), all...) // each twice, in another order
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "order"), 1))
 		rng.Shuffle(len(mixed), func(i, j int) { mixed[i], mixed[j] = mixed[j], mixed[i] })
-		ab := append(held(a).Facts(at(0)), held(b).Facts(at(0))...)
-		bc := append(held(b).Facts(at(0)), held(c).Facts(at(0))...)
+		ab := append(storeOf(a).Facts(nowAt(0)), storeOf(b).Facts(nowAt(0))...)
+		bc := append(storeOf(b).Facts(nowAt(0)), storeOf(c).Facts(nowAt(0))...)
 		for how, got := range map[string]*Store{
-			"another order": held(mixed), "(a b) c": held(append(held(ab).Facts(at(0)), c...)),
-			"a (b c)": held(append(append([]Fact(nil), a...), held(bc).Facts(at(0))...)),
+			"another order": storeOf(mixed), "(a b) c": storeOf(append(storeOf(ab).Facts(nowAt(0)), c...)),
+			"a (b c)": storeOf(append(append([]Fact(nil), a...), storeOf(bc).Facts(nowAt(0))...)),
 		} {
-			if fmt.Sprint(got.Facts(at(0))) != fmt.Sprint(want.Facts(at(0))) || got.Digest() != want.Digest() {
-				t.Fatalf("%s: %s %v, want %s %v", how, got.Digest(), got.Facts(at(0)), want.Digest(), want.Facts(at(0)))
+			if fmt.Sprint(got.Facts(nowAt(0))) != fmt.Sprint(want.Facts(nowAt(0))) || got.Digest() != want.Digest() {
+				t.Fatalf("%s: %s %v, want %s %v", how, got.Digest(), got.Facts(nowAt(0)), want.Digest(), want.Facts(nowAt(0)))
 			}
 		}
 		// Two copies that exchange summaries and what the other lacks are the same, and then have nothing to send.
-		x, y := held(a), held(b)
-		for _, f := range y.Differing(at(0), x.Summary()) {
-			x.Merge(at(0), f)
+		x, y := storeOf(a), storeOf(b)
+		for _, f := range y.Differing(nowAt(0), x.Summary()) {
+			x.Merge(nowAt(0), f)
 		}
-		for _, f := range x.Differing(at(0), y.Summary()) {
-			y.Merge(at(0), f)
+		for _, f := range x.Differing(nowAt(0), y.Summary()) {
+			y.Merge(nowAt(0), f)
 		}
-		if x.Digest() != y.Digest() || len(x.Differing(at(0), y.Summary())) > 0 {
+		if x.Digest() != y.Digest() || len(x.Differing(nowAt(0), y.Summary())) > 0 {
 			t.Fatalf("after catch-up %s and %s", x.Digest(), y.Digest())
 		}
 		// The sums follow from what is held, and a fact dies by itself.
 		for d := time.Second; d <= limits.TTL; d += time.Second {
-			x.Expire(at(d))
+			x.Expire(nowAt(d))
 		}
 		if x.Digest() != New("me", limits).Digest() || x.Len() != 0 {
 			t.Fatalf("%s is left after all have ended", x.Digest())
@@ -80,46 +80,46 @@
 // with the reason.
 func TestOwnFactsFollowReceivedOnesAndMalformedFactsAreRejected(t *testing.T) {
 	s := New("me", limits)
-	ahead := Fact{Origin: "fast", Subject: "s1", Stamp: Stamp{Wall: began.Add(5 * time.Second).UnixMilli()}, Word: Bad, Left: time.Second}
-	if news, why := s.Merge(at(0), ahead); !news || why != "" {
+	ahead := Fact{Origin: "fast", Subject: "s1", Stamp: Stamp{Wall: startTime.Add(5 * time.Second).UnixMilli()}, Verdict: Bad, Remaining: time.Second}
+	if news, why := s.Merge(nowAt(0), ahead); !news || why != "" {
 		t.Fatalf("5 s ahead: %v %q", news, why)
 	}
-	if f, ok := s.Record(at(0), "s1", Good, time.Hour); !ok || f.Stamp.Compare(ahead.Stamp) <= 0 || f.Left != limits.TTL {
+	if f, ok := s.Record(nowAt(0), "s1", Good, time.Hour); !ok || f.Stamp.Compare(ahead.Stamp) <= 0 || f.Remaining != limits.TTL {
 		t.Errorf("own fact %+v, %v: not after what was heard, or for too long", f, ok)
 	}
-	if _, ok := s.Record(at(time.Second), "s1", Good, time.Hour); ok {
+	if _, ok := s.Record(nowAt(time.Second), "s1", Good, time.Hour); ok {
 		t.Error("the same again is news")
 	}
-	if a := s.Advise(at(0), 100, Rules{MinWitnesses: 1, MaxShareOfOrigin: 0.3, MaxShare: 0.2}); len(a) != 1 {
+	if a := s.PeerEjections(nowAt(0), 100, EjectionRules{MinWitnesses: 1, MaxShareOfOrigin: 0.3, MaxShare: 0.2}); len(a) != 1 {
 		t.Errorf("the fast clock's word: %v", a)
 	}
 	// A second broker that was answered well outweighs it, though its stamp is older.
-	s.Merge(at(0), Fact{Origin: "slow", Subject: "s1", Stamp: Stamp{Wall: began.UnixMilli()}, Word: Good, Left: time.Second})
-	if a := s.Advise(at(0), 100, Rules{MinWitnesses: 1, MaxShareOfOrigin: 0.3, MaxShare: 0.2}); len(a) != 0 {
+	s.Merge(nowAt(0), Fact{Origin: "slow", Subject: "s1", Stamp: Stamp{Wall: startTime.UnixMilli()}, Verdict: Good, Remaining: time.Second})
+	if a := s.PeerEjections(nowAt(0), 100, EjectionRules{MinWitnesses: 1, MaxShareOfOrigin: 0.3, MaxShare: 0.2}); len(a) != 0 {
 		t.Errorf("with a witness that it lives: %v", a)
 	}
-	ok := Fact{Origin: "x", Subject: "s", Stamp: Stamp{Wall: began.UnixMilli()}, Word: Bad, Left: time.Second}
+	ok := Fact{Origin: "x", Subject: "s", Stamp: Stamp{Wall: startTime.UnixMilli()}, Verdict: Bad, Remaining: time.Second}
 	change := func(do func(*Fact)) Fact { f := ok; do(&f); return f }
 	for want, f := range map[Rejection]Fact{
-		Future:    change(func(f *Fact) { f.Stamp.Wall = began.Add(11 * time.Second).UnixMilli() }),
-		Malformed: change(func(f *Fact) { f.Word = 9 }),
+		Future:    change(func(f *Fact) { f.Stamp.Wall = startTime.Add(11 * time.Second).UnixMilli() }),
+		Malformed: change(func(f *Fact) { f.Verdict = 9 }),
 	} {
-		if news, why := s.Merge(at(0), f); news || why != want {
+		if news, why := s.Merge(nowAt(0), f); news || why != want {
 			t.Errorf("%+v: %v %q, want %q", f, news, why, want)
 		}
 	}
 	// What an earlier process of this broker wrote, with a clock that was ahead, is taken, and written over.
-	mine := change(func(f *Fact) { f.Origin, f.Stamp.Wall = "me", began.Add(9*time.Second).UnixMilli() })
-	if news, why := s.Merge(at(0), mine); !news || why != "" {
+	mine := change(func(f *Fact) { f.Origin, f.Stamp.Wall = "me", startTime.Add(9*time.Second).UnixMilli() })
+	if news, why := s.Merge(nowAt(0), mine); !news || why != "" {
 		t.Errorf("an earlier process's: %v %q", news, why)
 	}
-	if f, ok := s.Record(at(0), "s", Good, time.Second); !ok || f.Stamp.Compare(mine.Stamp) <= 0 {
+	if f, ok := s.Record(nowAt(0), "s", Good, time.Second); !ok || f.Stamp.Compare(mine.Stamp) <= 0 {
 		t.Errorf("over it %+v, %v", f, ok)
 	}
 	for i := range 2 * limits.MaxOrigins {
-		s.Merge(at(0), change(func(f *Fact) { f.Origin = fmt.Sprint("o", i) }))
+		s.Merge(nowAt(0), change(func(f *Fact) { f.Origin = fmt.Sprint("o", i) }))
 	}
-	if news, why := s.Merge(at(0), change(func(f *Fact) { f.Origin = "one more" })); news || why != Full {
+	if news, why := s.Merge(nowAt(0), change(func(f *Fact) { f.Origin = "one more" })); news || why != Full {
 		t.Errorf("one origin too many: %v %q", news, why)
 	}
 }
@@ -129,20 +129,20 @@
 func TestAdviceIsBoundedWhateverOthersClaim(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		servers := rapid.IntRange(1, 60).Draw(t, "servers")
-		r := Rules{MinWitnesses: rapid.IntRange(1, 3).Draw(t, "witnesses"), MaxShareOfOrigin: 0.3, MaxShare: 0.2}
+		r := EjectionRules{MinWitnesses: rapid.IntRange(1, 3).Draw(t, "witnesses"), MaxShareOfOrigin: 0.3, MaxShare: 0.2}
 		s := New("me", Limits{MaxOrigins: 20, FactsPerOrigin: 100, TTL: 15 * time.Second, MaxClockSkew: time.Second})
 		claims := map[string]int{}
 		for range rapid.IntRange(0, 300).Draw(t, "claims") {
 			f := Fact{
 				Origin: fmt.Sprint("b", rapid.IntRange(1, 10).Draw(t, "origin")), Subject: fmt.Sprint("s", rapid.IntRange(1, servers).Draw(t, "s")),
-				Stamp: Stamp{Wall: began.UnixMilli()}, Word: Bad, Left: time.Second,
+				Stamp: Stamp{Wall: startTime.UnixMilli()}, Verdict: Bad, Remaining: time.Second,
 			}
-			if news, _ := s.Merge(at(0), f); news {
+			if news, _ := s.Merge(nowAt(0), f); news {
 				claims[f.Origin]++
 			}
 		}
 		for i := range servers { // one says that all are bad
-			s.Merge(at(0), Fact{Origin: "liar", Subject: fmt.Sprint("s", i+1), Stamp: Stamp{Wall: began.UnixMilli()}, Word: Bad, Left: time.Second})
+			s.Merge(nowAt(0), Fact{Origin: "liar", Subject: fmt.Sprint("s", i+1), Stamp: Stamp{Wall: startTime.UnixMilli()}, Verdict: Bad, Remaining: time.Second})
 		}
 		heard := 0
 		for _, n := range claims {
@@ -150,7 +150,7 @@
 				heard++
 			}
 		}
-		bad := s.Advise(at(0), servers, r)
+		bad := s.PeerEjections(nowAt(0), servers, r)
 		if float64(len(bad)) > r.MaxShare*float64(servers) {
 			t.Fatalf("%d of %d bad", len(bad), servers)
 		}
--- a/internal/fleet/replica/store.go
+++ b/internal/fleet/replica/store.go
@@ -28,10 +28,10 @@
 
 // register is the newest known version of a fact.
 type register struct {
-	stamp   Stamp
-	verdict Verdict
-	until   time.Duration // on the caller's monotonic clock
-	hash    uint64
+	stamp     Stamp
+	verdict   Verdict
+	expiresAt time.Duration // on the caller's monotonic clock
+	hash      uint64
 }
 
 // originFacts are the registers of one origin.
@@ -67,12 +67,12 @@
 	ttl = min(ttl, s.limits.TTL)
 	if own := s.origins[s.self]; own != nil {
 		held, ok := own.bySubject[subject]
-		if ok && held.verdict == verdict && held.until-now.Mono > ttl/2 {
+		if ok && held.verdict == verdict && held.expiresAt-now.Mono > ttl/2 {
 			return Fact{}, false
 		}
 	}
 	s.advanceClock(now)
-	fact := Fact{Origin: s.self, Subject: subject, Stamp: s.clock, Word: verdict, Left: ttl}
+	fact := Fact{Origin: s.self, Subject: subject, Stamp: s.clock, Verdict: verdict, Remaining: ttl}
 	s.join(now, fact)
 	return fact, true
 }
@@ -87,7 +87,7 @@
 
 // Merge joins a received fact, and reports whether it was news. A fact under this broker's own name is an earlier
 // process's: this process writes after it, and Advise does not count it.
-func (s *Store) Merge(now Now, fact Fact) (news bool, rejection Rejection) {
+func (s *Store) Merge(now Now, fact Fact) (changed bool, rejection Rejection) {
 	switch {
 	case !s.isWellFormed(&fact):
 		return false, Malformed
@@ -104,8 +104,8 @@
 
 func (s *Store) isWellFormed(fact *Fact) bool {
 	hasNames := fact.Origin != "" && fact.Subject != "" && len(fact.Origin) <= maxNameBytes && len(fact.Subject) <= maxNameBytes
-	hasVerdict := fact.Word == Good || fact.Word == Bad
-	return hasNames && hasVerdict && fact.Left > 0 && fact.Left <= s.limits.TTL
+	hasVerdict := fact.Verdict == Good || fact.Verdict == Bad
+	return hasNames && hasVerdict && fact.Remaining > 0 && fact.Remaining <= s.limits.TTL
 }
 
 // join joins a fact into its register, and reports whether it is news.
@@ -115,14 +115,14 @@
 		facts = &originFacts{bySubject: map[string]register{}}
 		s.origins[fact.Origin] = facts
 	}
-	next := register{stamp: fact.Stamp, verdict: fact.Word, until: now.Mono + fact.Left, hash: fact.hash()}
+	next := register{stamp: fact.Stamp, verdict: fact.Verdict, expiresAt: now.Mono + fact.Remaining, hash: fact.hash()}
 	held, known := facts.bySubject[fact.Subject]
 	switch {
 	case known:
 		order := cmp.Or(next.stamp.Compare(held.stamp), cmp.Compare(next.verdict, held.verdict))
-		if order == 0 && next.until < held.until {
+		if order == 0 && next.expiresAt < held.expiresAt {
 			// The same version with an earlier end: the earlier end holds, and is not worth sending.
-			held.until = next.until
+			held.expiresAt = next.expiresAt
 			facts.bySubject[fact.Subject] = held
 		}
 		if order <= 0 {
@@ -170,7 +170,7 @@
 func (s *Store) Expire(now Now) (expired int) {
 	for id, facts := range s.origins {
 		for subject, held := range facts.bySubject {
-			if held.until <= now.Mono {
+			if held.expiresAt <= now.Mono {
 				s.remove(facts, subject)
 				expired++
 			}
--- a/internal/fleet/replication/compatibility_test.go
+++ b/internal/fleet/replication/compatibility_test.go
@@ -20,7 +20,7 @@
 			return err
 		})
 	fixture.JSON(t, "testdata/compatibility/state.json", &State{})
-	fixture.JSON(t, "testdata/compatibility/head.json", &head{})
+	fixture.JSON(t, "testdata/compatibility/head.json", &snapshotHeader{})
 	if replica.Good != 1 || replica.Bad != 2 {
 		t.Errorf("verdicts %d and %d: 1 and 2 are on the wire", replica.Good, replica.Bad)
 	}
@@ -37,7 +37,7 @@
 			t.Fatal(err)
 		}
 		for i := range m.Facts {
-			m.Facts[i].Left += 10 * time.Second
+			m.Facts[i].Remaining += 10 * time.Second
 		}
 		if err := storeSnapshot(path, self, saved, m.Facts); err != nil {
 			t.Fatal(err)
--- a/internal/fleet/replication/evidence.go
+++ b/internal/fleet/replication/evidence.go
@@ -17,7 +17,7 @@
 	store.Expire(now)
 	ctx, cancel := context.WithTimeout(context.Background(), brokerTimeout)
 	defer cancel()
-	evidence, listed, err := s.broker.Evidence(ctx, store.Disputed(now))
+	evidence, listed, err := s.broker.Evidence(ctx, store.ReportedBad(now))
 	if err != nil {
 		s.log.Warn("fleet.replica.busy", zap.Error(err))
 		return
@@ -31,19 +31,19 @@
 			s.broadcast(fact)
 		}
 	}
-	s.applyAdvice(ctx, store, store.Advise(now, listed, s.rules()))
+	s.applyPeerEjections(ctx, store, store.PeerEjections(now, listed, s.ejectionRules()))
 }
 
-func (s *Service) rules() replica.Rules {
+func (s *Service) ejectionRules() replica.EjectionRules {
 	const percent = 100
-	return replica.Rules{
-		MinWitnesses:     s.section.Witnesses,
-		MaxShareOfOrigin: float64(s.section.PerOrigin) / percent,
-		MaxShare:         float64(s.section.MostBad) / percent,
+	return replica.EjectionRules{
+		MinWitnesses:     s.section.MinWitnesses,
+		MaxShareOfOrigin: float64(s.section.MaxBadPercentPerOrigin) / percent,
+		MaxShare:         float64(s.section.MaxBadPercent) / percent,
 	}
 }
 
-func (s *Service) applyAdvice(ctx context.Context, store *replica.Store, advice []replica.Advice) {
+func (s *Service) applyPeerEjections(ctx context.Context, store *replica.Store, advice []replica.PeerEjection) {
 	if len(advice) == 0 {
 		return
 	}
--- a/internal/fleet/replication/exchange.go
+++ b/internal/fleet/replication/exchange.go
@@ -16,8 +16,8 @@
 	factsPerMessage = 256
 )
 
-// outgoing is a message to a single member.
-type outgoing struct {
+// outgoingMessage is a message to a single member.
+type outgoingMessage struct {
 	to      string
 	message []byte
 }
@@ -25,7 +25,7 @@
 // broadcast disseminates a fact, if the rate allows it. A fact that is held back reaches others by the next comparison.
 func (s *Service) broadcast(fact replica.Fact) {
 	text := encode(message{Facts: []replica.Fact{fact}})
-	if !s.rate.take(time.Now(), len(text)) {
+	if !s.rateLimit.take(time.Now(), len(text)) {
 		s.counters.Held.Add(1)
 		return
 	}
@@ -45,7 +45,7 @@
 		s.sendDifferences(m)
 		return
 	}
-	s.post(func(store *replica.Store) { s.merge(store, m) })
+	s.enqueueEvent(func(store *replica.Store) { s.merge(store, m) })
 }
 
 // Summary returns the summary that memberlist sends with a push-pull, as of the last event.
@@ -97,41 +97,41 @@
 // compareWithPeer sends a random member the summary of this copy, so that it sends back what this one lacks.
 func (s *Service) compareWithPeer(store *replica.Store) {
 	if peer, ok := s.gossip.RandomPeer(); ok {
-		s.enqueue(peer, message{From: s.self, Sums: store.Summary(), Ask: true})
+		s.enqueueMessage(peer, message{From: s.self, Hashes: store.Summary(), RequestSummary: true})
 	}
 }
 
 // sendDifferences sends a member what its copy lacks by its summary: all facts to one that has just started. Where the
 // member asked for it and this copy lacks something, it sends its own summary too.
 func (s *Service) sendDifferences(m message) {
-	s.post(func(store *replica.Store) {
-		facts := store.Differing(s.now(), m.Sums)
+	s.enqueueEvent(func(store *replica.Store) {
+		facts := store.Differing(s.now(), m.Hashes)
 		for len(facts) > 0 {
 			count := min(len(facts), factsPerMessage)
-			if !s.enqueue(m.From, message{From: s.self, Facts: facts[:count]}) {
+			if !s.enqueueMessage(m.From, message{From: s.self, Facts: facts[:count]}) {
 				return
 			}
 			facts = facts[count:]
 		}
 		summary := store.Summary()
-		for origin, hash := range m.Sums {
-			if m.Ask && summary[origin] != hash {
-				s.enqueue(m.From, message{From: s.self, Sums: summary})
+		for origin, hash := range m.Hashes {
+			if m.RequestSummary && summary[origin] != hash {
+				s.enqueueMessage(m.From, message{From: s.self, Hashes: summary})
 				return
 			}
 		}
 	})
 }
 
-// enqueue queues a message to a member, if the rate and the queue allow it.
-func (s *Service) enqueue(to string, m message) bool {
+// enqueueMessage queues a message to a member, if the rate and the queue allow it.
+func (s *Service) enqueueMessage(to string, m message) bool {
 	text := encode(m)
-	if !s.rate.take(time.Now(), len(text)) {
+	if !s.rateLimit.take(time.Now(), len(text)) {
 		s.counters.Held.Add(1)
 		return false
 	}
 	select {
-	case s.outbox <- outgoing{to, text}:
+	case s.outbox <- outgoingMessage{to, text}:
 		return true
 	default:
 		s.counters.Lost.Add(1)
@@ -139,8 +139,8 @@
 	}
 }
 
-// send sends the queued messages one after another. A slow member delays the others' for memberlist's timeout.
-func (s *Service) send() {
+// sendQueued sends the queued messages one after another. A slow member delays the others' for memberlist's timeout.
+func (s *Service) sendQueued() {
 	for {
 		select {
 		case next := <-s.outbox:
@@ -152,7 +152,7 @@
 }
 
 // sendWithRetries sends a message. After the last attempt the next comparison finds the difference again.
-func (s *Service) sendWithRetries(next outgoing) {
+func (s *Service) sendWithRetries(next outgoingMessage) {
 	for range sendAttempts {
 		s.counters.BytesSent.Add(uint64(len(next.message)))
 		err := s.gossip.Send(next.to, next.message)
--- a/internal/fleet/replication/message.go
+++ b/internal/fleet/replication/message.go
@@ -14,10 +14,10 @@
 // message is what members send each other: facts, or a summary of those they hold. Its keys are on the wire, and in
 // snapshots.
 type message struct {
-	From  string            `codec:"i,omitempty"` // From is empty in a broadcast.
-	Facts []replica.Fact    `codec:"f,omitempty"`
-	Sums  map[string]uint64 `codec:"s,omitempty"` // Sums are the hashes of a summary by origin.
-	Ask   bool              `codec:"a,omitempty"` // Ask requests the receiver's summary in return, where it lacks something.
+	From           string            `codec:"i,omitempty"` // From is empty in a broadcast.
+	Facts          []replica.Fact    `codec:"f,omitempty"`
+	Hashes         map[string]uint64 `codec:"s,omitempty"` // Sums are the hashes of a summary by origin.
+	RequestSummary bool              `codec:"a,omitempty"` // Ask requests the receiver's summary in return, where it lacks something.
 }
 
 // isSummary reports whether a message is a summary, perhaps of an empty copy.
--- a/internal/fleet/replication/rate_limit.go
+++ b/internal/fleet/replication/rate_limit.go
@@ -9,7 +9,7 @@
 type tokenBucket struct {
 	rate      float64 // bytes per second
 	available float64
-	at        time.Time
+	updatedAt time.Time
 }
 
 func newTokenBucket(rate float64) tokenBucket {
@@ -18,10 +18,10 @@
 
 // take reports whether so many bytes may be sent now, and spends them.
 func (b *tokenBucket) take(now time.Time, bytes int) bool {
-	if !b.at.IsZero() {
-		b.available = min(b.available+b.rate*now.Sub(b.at).Seconds(), burstSeconds*b.rate)
+	if !b.updatedAt.IsZero() {
+		b.available = min(b.available+b.rate*now.Sub(b.updatedAt).Seconds(), burstSeconds*b.rate)
 	}
-	b.at = now
+	b.updatedAt = now
 	if b.available < float64(bytes) {
 		return false
 	}
--- a/internal/fleet/replication/service.go
+++ b/internal/fleet/replication/service.go
@@ -71,21 +71,21 @@
 
 // Service is a running copy.
 type Service struct {
-	section  gossip.Replication
-	self     string
-	broker   Broker
-	gossip   Gossip
-	log      *zap.Logger
-	events   chan func(*replica.Store)
-	outbox   chan outgoing
-	summary  atomic.Pointer[[]byte]
-	state    atomic.Pointer[State]
-	rate     tokenBucket
-	start    time.Time
-	counters Counters
-	done     chan struct{}
-	wg       sync.WaitGroup
-	once     sync.Once
+	section   gossip.Replication
+	self      string
+	broker    Broker
+	gossip    Gossip
+	log       *zap.Logger
+	events    chan func(*replica.Store)
+	outbox    chan outgoingMessage
+	summary   atomic.Pointer[[]byte]
+	state     atomic.Pointer[State]
+	rateLimit tokenBucket
+	start     time.Time
+	counters  Counters
+	done      chan struct{}
+	wg        sync.WaitGroup
+	closeOnce sync.Once
 }
 
 var _ gossip.Replica = (*Service)(nil)
@@ -95,28 +95,28 @@
 func Start(self string, maxOrigins int, section gossip.Replication, broker Broker, g Gossip, log *zap.Logger) *Service {
 	s := &Service{
 		section: section, self: self, broker: broker, gossip: g, log: log, start: time.Now(),
-		events: make(chan func(*replica.Store), eventQueueSize),
-		outbox: make(chan outgoing, outboxSize),
-		done:   make(chan struct{}),
-		rate:   newTokenBucket(float64(section.Rate)),
+		events:    make(chan func(*replica.Store), eventQueueSize),
+		outbox:    make(chan outgoingMessage, outboxSize),
+		done:      make(chan struct{}),
+		rateLimit: newTokenBucket(float64(section.MaxBytesPerSecond)),
 	}
 	store := replica.New(self, replica.Limits{
 		MaxOrigins:     maxOrigins,
-		FactsPerOrigin: section.Facts,
+		FactsPerOrigin: section.MaxFactsPerOrigin,
 		TTL:            time.Duration(section.TTL),
-		MaxClockSkew:   time.Duration(section.Ahead),
+		MaxClockSkew:   time.Duration(section.MaxClockSkew),
 	})
 	s.restoreSnapshot(store)
 	s.publish(store)
 	g.Attach(s)
 	s.wg.Go(func() { s.run(store) })
-	s.wg.Go(s.send)
+	s.wg.Go(s.sendQueued)
 	return s
 }
 
 // Close ends the goroutines, and writes the snapshot a last time.
 func (s *Service) Close() {
-	s.once.Do(func() {
+	s.closeOnce.Do(func() {
 		close(s.done)
 		s.wg.Wait()
 	})
@@ -131,14 +131,14 @@
 // now is the time of an event. The laboratory may set the wall clock off.
 func (s *Service) now() replica.Now {
 	now := time.Now()
-	return replica.Now{Mono: now.Sub(s.start) + monotonicStart, Wall: now.Add(time.Duration(s.section.Offset))}
+	return replica.Now{Mono: now.Sub(s.start) + monotonicStart, Wall: now.Add(time.Duration(s.section.ClockOffset))}
 }
 
 // run is the goroutine that owns the store.
 func (s *Service) run(store *replica.Store) {
 	evidence := time.NewTicker(evidenceInterval)
 	defer evidence.Stop()
-	save := time.NewTicker(time.Duration(s.section.Every))
+	save := time.NewTicker(time.Duration(s.section.SnapshotInterval))
 	defer save.Stop()
 	compare := time.NewTicker(compareInterval)
 	defer compare.Stop()
@@ -162,8 +162,8 @@
 	}
 }
 
-// post queues an event for the owner of the store, or counts it as lost.
-func (s *Service) post(event func(*replica.Store)) {
+// enqueueEvent queues an event for the owner of the store, or counts it as lost.
+func (s *Service) enqueueEvent(event func(*replica.Store)) {
 	select {
 	case s.events <- event:
 	default:
@@ -173,7 +173,7 @@
 
 // publish stores what State and Summary return.
 func (s *Service) publish(store *replica.Store) {
-	summary := encode(message{From: s.self, Sums: store.Summary()})
+	summary := encode(message{From: s.self, Hashes: store.Summary()})
 	s.summary.Store(&summary)
 	s.state.Store(&State{Digest: store.Digest(), Facts: store.Facts(s.now()), At: time.Now()})
 }
--- a/internal/fleet/replication/snapshot.go
+++ b/internal/fleet/replication/snapshot.go
@@ -22,11 +22,11 @@
 // openTimeout bounds the wait for the file's lock, which a process that hands over may still hold.
 const openTimeout = time.Second
 
-// The bucket and the keys of the file.
+// The snapshotBucket and the keys of the file.
 var (
-	bucket   = []byte("replica")
-	keyHead  = []byte("head")
-	keyFacts = []byte("facts")
+	snapshotBucket = []byte("replica")
+	keyHeader      = []byte("head")
+	keyFacts       = []byte("facts")
 )
 
 var (
@@ -35,17 +35,17 @@
 	errChecksum        = errors.New("its checksum does not fit")
 )
 
-// head describes a snapshot. Its keys are in the file.
-type head struct {
-	Format int       `json:"format"`
-	Build  string    `json:"build"`
-	Self   string    `json:"self"`
-	Saved  time.Time `json:"saved"` // Saved is by the process's wall clock, which the laboratory may set off.
-	Sum    string    `json:"sum"`   // Sum is the SHA-256 of the encoded facts.
+// snapshotHeader describes a snapshot. Its keys are in the file.
+type snapshotHeader struct {
+	Format   int       `json:"format"`
+	Build    string    `json:"build"`
+	Self     string    `json:"self"`
+	SavedAt  time.Time `json:"saved"` // Saved is by the process's wall clock, which the laboratory may set off.
+	Checksum string    `json:"sum"`   // Sum is the SHA-256 of the encoded facts.
 }
 
-// build identifies the program, so that another program's snapshot is not loaded.
-func build() string {
+// programBuild identifies the program, so that another program's snapshot is not loaded.
+func programBuild() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		return info.Main.Path + " " + info.Main.Version
 	}
@@ -76,7 +76,7 @@
 func loadSnapshot(path, self string, now time.Time, ttl time.Duration) (facts []replica.Fact, err error) {
 	err = withDatabase(path, true, func(db *bbolt.DB) error {
 		return db.View(func(tx *bbolt.Tx) error {
-			facts, err = readSnapshot(tx.Bucket(bucket), self, now, ttl)
+			facts, err = readSnapshot(tx.Bucket(snapshotBucket), self, now, ttl)
 			return err
 		})
 	})
@@ -88,18 +88,18 @@
 	if b == nil {
 		return nil, errForeignSnapshot
 	}
-	var h head
-	if err := json.Unmarshal(b.Get(keyHead), &h); err != nil {
+	var h snapshotHeader
+	if err := json.Unmarshal(b.Get(keyHeader), &h); err != nil {
 		return nil, fmt.Errorf("snapshot: its head: %w", err)
 	}
-	if h.Format != snapshotFormat || h.Self != self || h.Build != build() {
+	if h.Format != snapshotFormat || h.Self != self || h.Build != programBuild() {
 		return nil, fmt.Errorf("%w: format %d, member %q, build %q", errForeignSnapshot, h.Format, h.Self, h.Build)
 	}
 	text := b.Get(keyFacts)
-	if checksum(text) != h.Sum {
+	if checksum(text) != h.Checksum {
 		return nil, fmt.Errorf("snapshot: %w", errChecksum)
 	}
-	age := now.Sub(h.Saved)
+	age := now.Sub(h.SavedAt)
 	if age < 0 || age >= ttl {
 		return nil, fmt.Errorf("snapshot: saved %v ago, facts hold for %v", age.Round(time.Second), ttl)
 	}
@@ -108,7 +108,7 @@
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
 	for _, fact := range m.Facts {
-		if fact.Left -= age; fact.Left > 0 {
+		if fact.Remaining -= age; fact.Remaining > 0 {
 			facts = append(facts, fact)
 		}
 	}
@@ -118,17 +118,17 @@
 // storeSnapshot writes a snapshot in one transaction: after a crash the previous one is there.
 func storeSnapshot(path, self string, now time.Time, facts []replica.Fact) error {
 	text := encode(message{Facts: facts})
-	h, err := json.Marshal(head{Format: snapshotFormat, Build: build(), Self: self, Saved: now, Sum: checksum(text)})
+	h, err := json.Marshal(snapshotHeader{Format: snapshotFormat, Build: programBuild(), Self: self, SavedAt: now, Checksum: checksum(text)})
 	if err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
 	return withDatabase(path, false, func(db *bbolt.DB) error {
 		return db.Update(func(tx *bbolt.Tx) error {
-			b, err := tx.CreateBucketIfNotExists(bucket)
+			b, err := tx.CreateBucketIfNotExists(snapshotBucket)
 			if err != nil {
 				return fmt.Errorf("snapshot: %w", err)
 			}
-			return errors.Join(b.Put(keyHead, h), b.Put(keyFacts, text))
+			return errors.Join(b.Put(keyHeader, h), b.Put(keyFacts, text))
 		})
 	})
 }
@@ -141,7 +141,7 @@
 // restoreSnapshot merges the snapshot of the process before. Where it cannot be loaded the copy starts empty, and the
 // file is put aside, so that the next one can be written.
 func (s *Service) restoreSnapshot(store *replica.Store) {
-	path := s.section.Snapshot
+	path := s.section.SnapshotPath
 	if path == "" {
 		return
 	}
@@ -168,7 +168,7 @@
 
 // saveSnapshot writes the snapshot.
 func (s *Service) saveSnapshot(store *replica.Store) {
-	path := s.section.Snapshot
+	path := s.section.SnapshotPath
 	if path == "" {
 		return
 	}
--- a/internal/fleet/replication/snapshot_test.go
+++ b/internal/fleet/replication/snapshot_test.go
@@ -15,12 +15,12 @@
 
 // A snapshot gives back what is left of each fact; one that is too old, another member's, from another format, damaged
 // anywhere in the file or no snapshot at all is refused with its reason, and never more than an error.
-func TestSnapshot(t *testing.T) {
+func TestSnapshotRestoresRemainingLifetimesAndRejectsInvalidFiles(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	path := filepath.Join(t.TempDir(), "replica.db")
 	facts := []replica.Fact{
-		{Origin: "a", Subject: "s1", Stamp: replica.Stamp{Wall: 7}, Word: replica.Bad, Left: 10 * time.Second},
-		{Origin: "b", Subject: "s2", Word: replica.Good, Left: 3 * time.Second},
+		{Origin: "a", Subject: "s1", Stamp: replica.Stamp{Wall: 7}, Verdict: replica.Bad, Remaining: 10 * time.Second},
+		{Origin: "b", Subject: "s2", Verdict: replica.Good, Remaining: 3 * time.Second},
 	}
 	if _, err := loadSnapshot(path, "me", now, time.Minute); !errors.Is(err, errNoSnapshot) {
 		t.Fatal(err)
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	got, err := loadSnapshot(path, "me", now.Add(5*time.Second), time.Minute)
-	if err != nil || len(got) != 1 || got[0].Left != 5*time.Second || got[0].Stamp != facts[0].Stamp {
+	if err != nil || len(got) != 1 || got[0].Remaining != 5*time.Second || got[0].Stamp != facts[0].Stamp {
 		t.Fatalf("%+v, %v", got, err)
 	}
 	for want, load := range map[string]func() error{
@@ -71,7 +71,7 @@
 		t.Errorf("only %d refused", refused)
 	}
 	if err := withDatabase(path, false, func(db *bbolt.DB) error {
-		return db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucket).Put(keyFacts, []byte("other")) })
+		return db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(snapshotBucket).Put(keyFacts, []byte("other")) })
 	}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/sim/budgets.go
+++ b/internal/lab/sim/budgets.go
@@ -27,7 +27,7 @@
 	floorShare = 0.2
 )
 
-var leaseTerms = budget.Terms{Length: leaseLength, Drift: 0.01}
+var leaseTerms = budget.Terms{LeaseDuration: leaseLength, MaxDrift: 0.01}
 
 // fleetBudgets is the voters' part of the budgets: the grantor, its ledger, and the holders that
 // lease from it.
@@ -50,7 +50,7 @@
 	*budget.Holder
 	process *process
 	random  *rand.Rand
-	demand  budget.Demand
+	demand  budget.DemandEstimator
 }
 
 // sharedQuotas returns the balancer of a process and whether it shares quotas by leases. Only the
--- a/internal/lab/sim/replica.go
+++ b/internal/lab/sim/replica.go
@@ -33,7 +33,7 @@
 // The bounds are the defaults of [fleet.replication].
 var (
 	// The limits are the defaults of [fleet.replication].
-	replicaRules  = replica.Rules{MinWitnesses: 2, MaxShareOfOrigin: 0.3, MaxShare: 0.2}
+	replicaRules  = replica.EjectionRules{MinWitnesses: 2, MaxShareOfOrigin: 0.3, MaxShare: 0.2}
 	replicaLimits = replica.Limits{MaxOrigins: 4096, FactsPerOrigin: 64, TTL: factTTL, MaxClockSkew: 10 * time.Second}
 )
 
@@ -173,7 +173,7 @@
 	now := s.brokers.replicaNow()
 	m.store.Expire(now)
 	var disputed []decision.EndpointID
-	for _, name := range m.store.Disputed(now) {
+	for _, name := range m.store.ReportedBad(now) {
 		disputed = append(disputed, endpointOf(name))
 	}
 	for _, e := range b.Evidence(w.Now(), disputed) {
@@ -220,7 +220,7 @@
 		var advice []decision.PeerEjection
 		rules := replicaRules
 		rules.MinWitnesses = cmp.Or(w.Scenario.Broker.MinWitnesses, rules.MinWitnesses)
-		for _, a := range m.store.Advise(now, len(s.model.Tier.Servers), rules) {
+		for _, a := range m.store.PeerEjections(now, len(s.model.Tier.Servers), rules) {
 			advice = append(advice, decision.PeerEjection{Endpoint: endpointOf(a.Subject), Age: a.Age})
 		}
 		w.Result.AppliedAdvice += b.ApplyPeerEjections(w.Now(), advice)
--- a/internal/sidecar/fleet.go
+++ b/internal/sidecar/fleet.go
@@ -55,7 +55,7 @@
 // join starts what is enabled on top of the gossip, and then joins the other members.
 func (f *fleet) join(server *http1.Server, platform *config.Config) error {
 	if f.section.Replication.Enabled {
-		f.replica = replication.Start(f.section.ID, f.section.Most, f.section.Replication, server.Loop(),
+		f.replica = replication.Start(f.section.ID, f.section.MaxMembers, f.section.Replication, server.Loop(),
 			f.gossip.Channel(gossip.KindFacts), f.log)
 	}
 	if f.section.Budgets.Enabled {
@@ -77,15 +77,15 @@
 	}
 	for _, tenant := range platform.Tenants {
 		quotas.Tenants = append(quotas.Tenants, tenant.Name)
-		quotas.Wholes = append(quotas.Wholes, tenant.QuotaPerS)
+		quotas.Quotas = append(quotas.Quotas, tenant.QuotaPerS)
 	}
-	for _, text := range section.Wholes {
-		tenant, perS, err := section.Whole(text)
+	for _, text := range section.Quotas {
+		tenant, perS, err := section.ParseQuota(text)
 		i := slices.Index(quotas.Tenants, tenant)
 		if err != nil || i < 0 {
 			return quotas, fmt.Errorf("fleet.budgets.wholes: the platform names no tenant %q", tenant)
 		}
-		quotas.Wholes[i] = perS
+		quotas.Quotas[i] = perS
 	}
 	return quotas, nil
 }
