--- a/internal/fleet/gossip/compatibility_test.go
+++ b/internal/fleet/gossip/compatibility_test.go
@@ -13,7 +13,7 @@
 	"dykering/internal/fleet/membership"
 )
 
-// setState sets a state of membership, whose names are on the wire.
+// setState sets a membership.State for fixture.Fill, which cannot choose a valid number: states are encoded as names.
 func setState(pointer any) bool {
 	state, ok := pointer.(*membership.State)
 	if ok {
@@ -22,14 +22,14 @@
 	return ok
 }
 
-// The metadata that a member gives of itself, and the view that the control socket shows, have the form of released
-// builds.
+// Guards the format of a member's metadata and of the view that the control address serves, against fixtures written by a
+// released build.
 func TestMetadataAndViewOfReleasedBuildAreReadAndWrittenAlike(t *testing.T) {
 	fixture.JSON(t, "testdata/compatibility/meta.json", &membership.Meta{})
 	fixture.JSON(t, "testdata/compatibility/view.json", &Snapshot{}, setState)
 }
 
-// memberPacket makes a packet as memberlist sends it: a checksum around a compound of messages.
+// memberPacket builds a packet as memberlist sends it: a checksum followed by a compound message.
 func memberPacket() []byte {
 	encode := func(kind byte, message any) []byte {
 		var body []byte
@@ -64,7 +64,7 @@
 	return append(packet, compound...)
 }
 
-// Messages of memberlist are read by the kinds and names of its protocol.
+// Guards the decoding of memberlist's messages by the message numbers and field names of its protocol.
 func TestMessagesInPacketOfReleasedBuildAreRead(t *testing.T) {
 	type message struct {
 		Kind        byte
@@ -79,8 +79,8 @@
 	fixture.Golden(t, "testdata/compatibility/packet.json", got)
 }
 
-// The kinds of messages that the fleet's packages send are bytes on the wire, as is the address before what goes
-// through a fault relay.
+// Guards the kind byte of messages and the address header of packets sent through a fault relay, both part of the wire
+// format.
 func TestFrameOfReleasedBuildIsWrittenAlike(t *testing.T) {
 	got := map[string]string{
 		"facts":   string(rune(KindFacts)),
@@ -90,11 +90,11 @@
 	fixture.Golden(t, "testdata/compatibility/frames.json", got)
 	address, payload, err := SplitHeader([]byte(got["relayed"]))
 	if err != nil || address != "127.0.0.1:7946" || string(payload) != "payload" {
-		t.Errorf("%q %q %v", address, payload, err)
+		t.Errorf("SplitHeader returned address %q, payload %q, error %v", address, payload, err)
 	}
 }
 
-// States are written by their names.
+// Guards the encoding of states as their names.
 func TestStateOfReleasedBuildIsReadAndWrittenAlike(t *testing.T) {
 	states := []membership.State{membership.Alive, membership.Suspect, membership.Dead, membership.Left}
 	fixture.Golden(t, "testdata/compatibility/states.json", states)
--- a/internal/fleet/gossip/counting_transport.go
+++ b/internal/fleet/gossip/counting_transport.go
@@ -8,17 +8,17 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// countingTransport counts what passes a transport, and has each packet inspected.
+// countingTransport counts the packets, bytes and streams of a transport, and passes each packet to a function.
 type countingTransport struct {
 	memberlist.NodeAwareTransport
 	traffic       *Traffic
-	inspectPacket func(packet []byte, outgoing bool) // inspect must not block.
+	inspectPacket func(packet []byte, outgoing bool) // inspectPacket must not block.
 	packets       chan *memberlist.Packet
 	shutdownOnce  sync.Once
 	done          chan struct{}
 }
 
-// newCountingTransport wraps a transport. Received packets pass through a goroutine, which ends with the transport.
+// newCountingTransport wraps a transport. It starts a goroutine that forwards the received packets until Shutdown.
 func newCountingTransport(transport memberlist.NodeAwareTransport, traffic *Traffic,
 	inspect func(packet []byte, outgoing bool),
 ) *countingTransport {
@@ -48,15 +48,15 @@
 	}
 }
 
-// PacketCh returns the received packets.
+// PacketCh returns the channel of received packets.
 func (t *countingTransport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-// WriteTo sends a packet.
+// WriteTo counts and sends a packet.
 func (t *countingTransport) WriteTo(packet []byte, address string) (time.Time, error) {
 	return t.WriteToAddress(packet, memberlist.Address{Addr: address})
 }
 
-// WriteToAddress sends a packet.
+// WriteToAddress counts and sends a packet.
 func (t *countingTransport) WriteToAddress(packet []byte, address memberlist.Address) (time.Time, error) {
 	t.traffic.PacketsOut.Add(1)
 	t.traffic.BytesOut.Add(uint64(len(packet)))
@@ -64,19 +64,19 @@
 	return t.NodeAwareTransport.WriteToAddress(packet, address)
 }
 
-// DialTimeout opens a stream.
+// DialTimeout counts and opens a stream.
 func (t *countingTransport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
 	return t.DialAddressTimeout(memberlist.Address{Addr: address}, timeout)
 }
 
-// DialAddressTimeout opens a stream.
+// DialAddressTimeout counts and opens a stream.
 func (t *countingTransport) DialAddressTimeout(address memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	t.traffic.StreamsOut.Add(1)
 	return t.NodeAwareTransport.DialAddressTimeout(address, timeout)
 }
 
-// Shutdown ends the transport before its reader. The wrapped transport's shutdown waits for packets that it is about to
-// hand over: they are discarded meanwhile, also where memberlist never began to read.
+// Shutdown shuts down the wrapped transport, then the forwarding goroutine. The wrapped transport waits until its last
+// received packets are read. Shutdown discards these packets, because memberlist may no longer read, or never have begun.
 func (t *countingTransport) Shutdown() (err error) {
 	t.shutdownOnce.Do(func() {
 		go t.discard()
--- a/internal/fleet/gossip/delegate.go
+++ b/internal/fleet/gossip/delegate.go
@@ -12,7 +12,8 @@
 	"dykering/internal/fleet/membership"
 )
 
-// delegate is what memberlist calls, on its goroutines and partly under its lock: no method blocks.
+// delegate implements memberlist's callbacks. memberlist calls them on its goroutines and some of them under its lock, so
+// no method may block.
 type delegate Gossip
 
 var (
@@ -23,16 +24,16 @@
 	_ memberlist.AliveDelegate    = (*delegate)(nil)
 )
 
-// NotifyJoin queues the event of a node that is new or back.
+// NotifyJoin queues the event of a node that joined or returned.
 func (d *delegate) NotifyJoin(node *memberlist.Node) { d.queue(memberlist.NodeJoin, node) }
 
-// NotifyLeave queues the event of a node that is dead or has left.
+// NotifyLeave queues the event of a node that died or left.
 func (d *delegate) NotifyLeave(node *memberlist.Node) { d.queue(memberlist.NodeLeave, node) }
 
-// NotifyUpdate queues the event of a node with other metadata.
+// NotifyUpdate queues the event of a node whose metadata changed.
 func (d *delegate) NotifyUpdate(node *memberlist.Node) { d.queue(memberlist.NodeUpdate, node) }
 
-// queue hands a copy of a node to the owner of the view: memberlist goes on changing the node itself.
+// queue sends an event with a copy of the node to the view owner. memberlist keeps changing the node itself.
 func (d *delegate) queue(kind memberlist.NodeEventType, node *memberlist.Node) {
 	copied := *node
 	if kind == memberlist.NodeLeave {
@@ -42,7 +43,7 @@
 	}
 	select {
 	case d.events <- memberlist.NodeEvent{Event: kind, Node: &copied}:
-	default: // the next reconciliation finds it
+	default: // the queue is full; the next reconciliation applies the node
 	}
 }
 
@@ -53,7 +54,7 @@
 		zap.String("other", other.Address()), zap.String("why", "a second process with the same id"))
 }
 
-// AckPayload adds nothing to the answer to a probe.
+// AckPayload returns no payload for the answer to a probe.
 func (d *delegate) AckPayload() []byte { return nil }
 
 // NotifyPingComplete counts an answered probe.
@@ -61,33 +62,33 @@
 	d.counters.Acks.Add(1)
 }
 
-// NotifyAlive rejects a node whose metadata cannot be read, before memberlist adds it.
+// NotifyAlive rejects a node whose metadata cannot be decoded, before memberlist adds the node.
 func (d *delegate) NotifyAlive(node *memberlist.Node) error {
 	var meta membership.Meta
 	if node.Name != d.self.ID && json.Unmarshal(node.Meta, &meta) != nil {
 		d.counters.Bad.Add(1)
-		return fmt.Errorf("%s: meta that is not ours", node.Name)
+		return fmt.Errorf("node %q: metadata cannot be decoded", node.Name)
 	}
 	return nil
 }
 
 // NodeMeta returns this member's metadata, which is well below memberlist's limit of 512 bytes.
 func (d *delegate) NodeMeta(limit int) []byte {
-	text, _ := json.Marshal(d.self.Meta) // strings, a time and a number: it cannot fail
+	text, _ := json.Marshal(d.self.Meta) // encoding strings, a time and a number cannot fail
 	return text[:min(len(text), limit)]
 }
 
-// NotifyMsg hands a message to the handler of its kind.
+// NotifyMsg passes a message to the handler of its kind.
 func (d *delegate) NotifyMsg(message []byte) {
 	if len(message) < 2 {
 		return
 	}
 	if handle := d.handlers[message[0]].Load(); handle != nil {
-		(*handle)(bytes.Clone(message[1:])) // memberlist uses the bytes again
+		(*handle)(bytes.Clone(message[1:])) // memberlist reuses the buffer
 	}
 }
 
-// GetBroadcasts returns messages that fit into a packet.
+// GetBroadcasts returns queued broadcasts that fit into a packet.
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
 	return d.broadcasts.GetBroadcasts(overhead, limit)
 }
@@ -100,7 +101,7 @@
 	return nil
 }
 
-// MergeRemoteState hands the summary in another member's push-pull to the replica.
+// MergeRemoteState passes the summary in another member's push-pull to the replica.
 func (d *delegate) MergeRemoteState(summary []byte, _ bool) {
 	if replica := d.replica.Load(); replica != nil && len(summary) > 0 {
 		(*replica).ReceiveSummary(bytes.Clone(summary))
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	// eventQueueSize bounds each of the queues of memberlist's events and messages that wait for the owner of the view.
+	// eventQueueSize bounds each of the two queues, of memberlist's events and of its messages, that the view owner reads.
 	eventQueueSize = 1024
-	// changeQueueSize bounds the changes that wait for their subscriber; see Changes.
+	// changeQueueSize bounds the queue of changes that a subscriber reads; see Changes.
 	changeQueueSize = 1024
-	// leaveTimeout bounds the wait until other members have received that this one leaves.
+	// leaveTimeout bounds how long Close waits until other members have received this member's departure.
 	leaveTimeout = 2 * time.Second
 )
 
-// Snapshot is the view after its last change, as the control address serves it.
+// Snapshot is a copy of the view after its last change, in the form that the control address serves.
 type Snapshot struct {
 	Self    string              `json:"self"`
 	Number  uint64              `json:"number"`
 	Digest  string              `json:"digest"`
-	Health  int                 `json:"health"` // Health is memberlist's awareness: 0 is healthy, more is a member that is slow itself.
+	Health  int                 `json:"health"` // Health is memberlist's local health score: 0 is healthy; a higher score means that this member itself is slow.
 	Members []membership.Member `json:"members"`
 }
 
-// Gossip is a running member of the fleet. Its methods may be called by many goroutines.
+// Gossip is a running member of the fleet. Its methods are safe for concurrent use.
 type Gossip struct {
 	list    *memberlist.Memberlist
 	live    *liveNodes
@@ -41,7 +41,7 @@
 
 	events   chan memberlist.NodeEvent
 	messages chan memberMessage
-	// leaving has the IDs of members that announced that they leave, until memberlist reports their departure.
+	// leaving holds the IDs of members that announced their departure, until memberlist reports it.
 	leaving sync.Map
 
 	snapshot      atomic.Pointer[Snapshot]
@@ -57,11 +57,11 @@
 	join      chan struct{} // closed by Join
 	closeOnce sync.Once
 	done      chan struct{} // closed by Close
-	ended     chan struct{} // closed when the owner of the view has ended
+	ended     chan struct{} // closed when the view owner's goroutine has ended
 }
 
-// Start makes the broker a member of the fleet, with metadata about it. Other members can join it; it joins them from
-// Join on. It owns memberlist's goroutines and one of its own until Close.
+// Start makes the broker a member of the fleet with the given metadata. Other members can join it from now on; it joins
+// other members once Join is called. It runs memberlist's goroutines and one of its own until Close.
 func Start(section Section, meta membership.Meta, logger *zap.Logger) (*Gossip, error) {
 	meta.Weight = uint16(section.Weight)
 	g := &Gossip{
@@ -94,28 +94,28 @@
 	return g, nil
 }
 
-// incarnation is the second in which a process started: a process that starts again under the same ID is newer.
-// memberlist's own incarnation, which a refutation raises, is not part of its interface.
+// incarnation returns the start time of a process in seconds, so that a restarted process with the same ID has a higher
+// incarnation. memberlist's own incarnation, which a refutation raises, is not part of its API.
 func incarnation(meta membership.Meta) uint32 { return uint32(meta.Started.Unix()) }
 
-// Join starts to join the fleet through the seeds, and goes on for as long as no other member is known. It does not
-// wait. Replicas that take part in the first exchange are attached before.
+// Join starts joining the fleet through the seeds and returns at once. The attempts are repeated while no other member
+// is known. A replica has to be attached before Join to take part in the first push-pull.
 func (g *Gossip) Join() { g.joinOnce.Do(func() { close(g.join) }) }
 
-// Changes returns the changes of the view from the first call on. It has one subscriber; changes that do not fit into
-// its queue are dropped and counted as lost.
+// Changes returns a channel of the view's changes from the first call on. There is one subscriber. Changes that do not
+// fit into the channel's buffer are dropped and counted in Counters.Lost.
 func (g *Gossip) Changes() <-chan membership.Change {
 	g.hasSubscriber.Store(true)
 	return g.changes
 }
 
-// View returns the view after its last change.
+// View returns a copy of the view after its last change.
 func (g *Gossip) View() *Snapshot { return g.snapshot.Load() }
 
-// Counters returns the counters, which go on counting.
+// Counters returns the live counters.
 func (g *Gossip) Counters() *Counters { return &g.counters }
 
-// Close announces to other members that this one leaves, and ends all goroutines.
+// Close announces this member's departure to the other members, and ends all goroutines.
 func (g *Gossip) Close() error {
 	var err error
 	g.closeOnce.Do(func() {
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -23,8 +23,8 @@
 	return g
 }
 
-// On memberlist's own transport, as in production, a subscriber to the changes receives a join and a leave with their
-// reasons; a member without a subscriber counts no change as lost.
+// On memberlist's own transport, as in production, a subscriber receives a join and a leave with their reasons, and a
+// member without a subscriber counts no change as lost.
 func TestSubscriberReceivesJoinAndLeaveWithTheirReasons(t *testing.T) {
 	a := startMember(t, "a")
 	defer a.Close()
@@ -35,15 +35,15 @@
 		select {
 		case c := <-changes:
 			if c.Member.ID != "b" || c.Reason != reason || c.Member.Meta.Zone != "z1" {
-				t.Fatalf("%+v, want b %s", c, reason)
+				t.Fatalf("change %+v, want reason %q for member b", c, reason)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatalf("no change: want b %s", reason)
+			t.Fatalf("no change within 10 s, want reason %q for member b", reason)
 		}
 		if reason == membership.Joined {
-			for end := time.Now().Add(10 * time.Second); len(b.View().Members) != 2; time.Sleep(10 * time.Millisecond) {
-				if time.Now().After(end) { // b's own view is published by its own goroutine
-					t.Fatalf("b holds %v", b.View().Members)
+			for deadline := time.Now().Add(10 * time.Second); len(b.View().Members) != 2; time.Sleep(10 * time.Millisecond) {
+				if time.Now().After(deadline) { // b's view owner publishes its view asynchronously
+					t.Fatalf("view of b holds %v, want 2 members", b.View().Members)
 				}
 			}
 			if err := b.Close(); err != nil {
@@ -56,8 +56,8 @@
 	}
 }
 
-// A member that announces itself again has memberlist write into its node at the others. The owner of the view reads
-// copies; without them the race detector reports the two accesses.
+// When a member announces itself again, memberlist writes to its node at the other members. The view owner has to read
+// copies of the nodes: without them the race detector reports the concurrent accesses.
 func TestViewHasNoDataRaceWithMemberlistsUpdates(t *testing.T) {
 	a := startMember(t, "a")
 	defer a.Close()
@@ -76,9 +76,9 @@
 		}
 	}
 	if id, ok := (Channel{gossip: a}).RandomPeer(); !ok || id != "b" {
-		t.Errorf("a's peer is %q, %v; want b", id, ok)
+		t.Errorf("random peer of a is %q (found: %v), want b", id, ok)
 	}
 	if err := (Channel{gossip: a}).Send("c", nil); err == nil {
-		t.Error("a message to one that is no member was sent")
+		t.Error("sending to c succeeded, but c is not a member")
 	}
 }
--- a/internal/fleet/gossip/live_nodes.go
+++ b/internal/fleet/gossip/live_nodes.go
@@ -7,8 +7,8 @@
 )
 
 // liveNodes holds copies of the nodes in memberlist's list. memberlist.Members returns pointers to nodes that its
-// goroutines go on changing, which is a data race for a reader; its event callbacks run under its lock, so that copies
-// made there are consistent.
+// goroutines keep changing, so reading them is a data race. memberlist's event callbacks run under its lock, so copies
+// made in the callbacks are consistent.
 type liveNodes struct {
 	mu    sync.Mutex
 	nodes map[string]memberlist.Node
@@ -30,7 +30,7 @@
 	delete(l.nodes, name)
 }
 
-// find returns a copy of a live node.
+// find returns a copy of a live node by its name.
 func (l *liveNodes) find(name string) (memberlist.Node, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -38,7 +38,7 @@
 	return node, ok
 }
 
-// all returns copies of the live nodes, in no order.
+// all returns copies of the live nodes in no particular order.
 func (l *liveNodes) all() []memberlist.Node {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fleet/gossip/log_writer.go
+++ b/internal/fleet/gossip/log_writer.go
@@ -9,14 +9,15 @@
 	"go.uber.org/zap"
 )
 
-// maxPartialLine bounds, in bytes, a line that has no end yet.
+// maxPartialLine bounds the bytes that are kept of an unfinished line; a longer one is discarded.
 const maxPartialLine = 4096
 
-// logWriter is the output of memberlist's own log: its warnings and errors become warnings, the rest debug lines.
+// logWriter forwards memberlist's own log to the process's log. Warnings and errors are logged as warnings, other lines
+// at debug level.
 type logWriter struct {
 	log     *zap.Logger
 	mu      sync.Mutex
-	partial []byte // what has been written of a line
+	partial []byte // the beginning of a line that has not ended yet
 }
 
 var _ io.Writer = (*logWriter)(nil)
--- a/internal/fleet/gossip/memberlist_config.go
+++ b/internal/fleet/gossip/memberlist_config.go
@@ -9,10 +9,11 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// tcpTimeoutIntervals bounds, in probe intervals, a stream to a member that does not answer, so that a join ends soon.
+// tcpTimeoutIntervals is the upper bound of memberlist's TCP timeout, in probe intervals, so that a join through a member
+// that does not answer ends soon.
 const tcpTimeoutIntervals = 4
 
-// memberlistConfig makes memberlist's configuration, with a transport that listens. The section has been checked.
+// memberlistConfig returns memberlist's configuration with a listening transport. The section has passed Check.
 func (g *Gossip) memberlistConfig() (*memberlist.Config, error) {
 	section := &g.section
 	host, port, err := net.SplitHostPort(section.Bind)
@@ -31,17 +32,18 @@
 	config.SuspicionMult = section.SuspicionMult
 	config.IndirectChecks = section.IndirectChecks
 	config.GossipToTheDeadTime = time.Duration(section.DeadRetention)
-	// A process that starts again under its ID at another address replaces the old one once that is dead.
+	// A process that restarts with the same ID at another address replaces its predecessor once that is declared dead.
 	config.DeadNodeReclaimTime = config.ProbeInterval
 	config.TCPTimeout = min(config.TCPTimeout, tcpTimeoutIntervals*config.ProbeInterval)
 	config.LogOutput = &logWriter{log: g.log}
 	d := (*delegate)(g)
 	config.Events, config.Conflict, config.Ping, config.Delegate, config.Alive = d, d, d, d, d
-	config.EnableCompression = false // messages are read from the packets, which are small
+	config.EnableCompression = false // inspectPacket decodes the packets, and they are small
 	return config, g.addTransport(config)
 }
 
-// addTransport adds a transport that is counted and inspected: memberlist's own, or the laboratory's through a relay.
+// addTransport sets a transport that counts and inspects packets. It wraps memberlist's own transport, or the relay
+// transport if the section names a fault relay.
 func (g *Gossip) addTransport(config *memberlist.Config) error {
 	if g.section.Relay != "" {
 		transport, err := newRelayTransport(g.section.Bind, g.section.Relay, &g.counters.Traffic)
@@ -57,7 +59,8 @@
 	if err != nil {
 		return err
 	}
-	// memberlist learns the port that port 0 became only from a transport of its own type, not from a wrapper.
+	// If the configured port is 0, memberlist reads the actual port only from a transport of its own type, not from a
+	// wrapper.
 	config.BindPort = transport.GetAutoBindPort()
 	config.AdvertisePort = config.BindPort
 	config.Transport = newCountingTransport(transport, &g.counters.Traffic, g.inspectPacket)
--- a/internal/fleet/gossip/packet.go
+++ b/internal/fleet/gossip/packet.go
@@ -6,7 +6,7 @@
 	"github.com/hashicorp/go-msgpack/v2/codec"
 )
 
-// The kinds of messages in memberlist's packets that are read here. memberlist's documentation says that the numbers of
+// The message types of memberlist that this package decodes. memberlist's documentation guarantees that the numbers of
 // its wire protocol never change.
 const (
 	kindSuspect  = 3
@@ -17,23 +17,24 @@
 )
 
 const (
-	crcHeaderBytes = 5 // the kind and a checksum of 32 bits
-	lengthBytes    = 2 // the length of a message in a compound
+	crcHeaderBytes = 5 // the message type and a 32-bit checksum
+	lengthBytes    = 2 // the length of each message in a compound message
 )
 
-// memberMessage is memberlist's message about a member. The exported names are keys on the wire.
+// memberMessage is a message of memberlist about a member. The names of the exported fields are keys in the encoded
+// message.
 type memberMessage struct {
 	kind        byte
 	Incarnation uint32
 	Node        string
-	From        string // From is the member that suspects it or declares it dead; the member itself where it leaves.
+	From        string // From is the member that suspects Node or declares it dead; it equals Node when Node leaves.
 }
 
-// announcesLeave reports whether the member itself says that it leaves.
+// announcesLeave reports whether the member announces its own departure.
 func (m *memberMessage) announcesLeave() bool { return m.kind == kindDead && m.From == m.Node }
 
-// eachMemberMessage calls a function with each message about a member in a packet that is neither compressed nor
-// encrypted. It skips what it cannot read: memberlist logs malformed packets itself.
+// eachMemberMessage calls handle with each message about a member in a packet that is neither compressed nor encrypted.
+// It skips messages that cannot be decoded, because memberlist itself logs malformed packets.
 func eachMemberMessage(packet []byte, handle func(memberMessage)) {
 	if len(packet) > crcHeaderBytes && packet[0] == kindCRC {
 		packet = packet[crcHeaderBytes:]
@@ -54,7 +55,7 @@
 	}
 }
 
-// eachCompoundMessage reads a compound: the lengths of its messages, and the messages.
+// eachCompoundMessage decodes the body of a compound message: first the lengths of all messages, then the messages.
 func eachCompoundMessage(count int, body []byte, handle func(memberMessage)) {
 	if len(body) < lengthBytes*count {
 		return
@@ -65,7 +66,7 @@
 		if len(rest) < length {
 			return
 		}
-		isNested := length > 0 && rest[0] == kindCompound // memberlist makes none; one that nests deeply would exhaust the stack
+		isNested := length > 0 && rest[0] == kindCompound // memberlist sends none; deep nesting would exhaust the stack
 		if length > 0 && !isNested {
 			eachMemberMessage(rest[:length], handle)
 		}
--- a/internal/fleet/gossip/relay_header.go
+++ b/internal/fleet/gossip/relay_header.go
@@ -9,17 +9,17 @@
 const maxAddressBytes = len("255.255.255.255:65535")
 
 var (
-	errNoPacketAddress = errors.New("no address before the payload")
-	errNoStreamAddress = errors.New("no address at the beginning of the stream")
+	errNoPacketAddress = errors.New("relay packet has no valid address header")
+	errNoStreamAddress = errors.New("relay stream has no valid address header")
 )
 
-// Header puts an address before a payload, as the fault relay and the transports that send through it read it: a byte
-// with its length, and its text.
+// Header returns a payload with an address header before it, as the fault relay and its transports expect. The header is
+// one byte with the length of the address, followed by the address as text.
 func Header(address string, payload []byte) []byte {
 	return append(append([]byte{byte(len(address))}, address...), payload...)
 }
 
-// SplitHeader reads the address before a payload.
+// SplitHeader separates the address header of a packet from the payload.
 func SplitHeader(packet []byte) (address string, payload []byte, err error) {
 	if len(packet) == 0 || int(packet[0]) > maxAddressBytes || len(packet) < 1+int(packet[0]) {
 		return "", nil, errNoPacketAddress
@@ -28,7 +28,7 @@
 	return string(packet[1:end]), packet[end:], nil
 }
 
-// ReadHeader reads the address at the beginning of a stream.
+// ReadHeader reads the address header at the beginning of a stream.
 func ReadHeader(r io.Reader) (string, error) {
 	var length [1]byte
 	if _, err := io.ReadFull(r, length[:]); err != nil {
--- a/internal/fleet/gossip/relay_transport.go
+++ b/internal/fleet/gossip/relay_transport.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// headerTimeout bounds the wait for the header of an accepted stream.
+	// headerTimeout bounds the wait for the address header of an accepted stream.
 	headerTimeout = 2 * time.Second
-	// maxPacketBytes is the largest payload of UDP.
+	// maxPacketBytes exceeds the largest payload of a UDP packet, so that no packet is truncated.
 	maxPacketBytes = 65536
 )
 
-// relayTransport sends all gossip through a fault relay (package faultnet), which forwards it or not. Each packet and
-// stream to the relay begins with the address that it is for, and each from the relay with the address that it is from,
-// so that memberlist sees the addresses of its peers. Only the laboratory and tests use it.
+// relayTransport sends all gossip through a fault relay (package faultnet), which forwards or drops it. Each
+// packet and stream to the relay begins with the receiver's address, and each one from the relay with the sender's
+// address, so that memberlist sees the addresses of its peers. Only the lab and tests use this transport.
 type relayTransport struct {
 	relayUDP     *net.UDPAddr
 	relayTCP     string
@@ -36,7 +36,7 @@
 	closed       atomic.Bool
 }
 
-// newRelayTransport listens at an address by UDP and TCP, and sends through a relay.
+// newRelayTransport listens on an address by UDP and TCP, and sends through a relay.
 func newRelayTransport(bind, relay string, traffic *Traffic) (*relayTransport, error) {
 	self, err := net.ResolveUDPAddr("udp4", bind)
 	if err != nil {
@@ -50,7 +50,7 @@
 	if err != nil {
 		return nil, err
 	}
-	self.Port = tcp.Addr().(*net.TCPAddr).Port // the same port for both where any is asked for
+	self.Port = tcp.Addr().(*net.TCPAddr).Port // with port 0, UDP uses the port that TCP was given
 	udp, err := net.ListenUDP("udp4", self)
 	if err != nil {
 		return nil, errors.Join(err, tcp.Close())
@@ -65,7 +65,7 @@
 	return t, nil
 }
 
-// readPackets hands packets over until the transport is shut down. memberlist reads until then.
+// readPackets sends received packets to the packet channel until Shutdown. memberlist reads the channel until then.
 func (t *relayTransport) readPackets() {
 	defer t.wg.Done()
 	buffer := make([]byte, maxPacketBytes)
@@ -86,7 +86,7 @@
 	}
 }
 
-// packetFromRelay copies a packet and takes its header off.
+// packetFromRelay returns a copy of a received packet without its address header.
 func packetFromRelay(received []byte) (*memberlist.Packet, error) {
 	sender, payload, err := SplitHeader(received)
 	if err != nil {
@@ -99,7 +99,7 @@
 	return &memberlist.Packet{Buf: append([]byte(nil), payload...), From: from, Timestamp: time.Now()}, nil
 }
 
-// acceptStreams hands streams over until the transport is shut down.
+// acceptStreams sends accepted streams to the stream channel until Shutdown.
 func (t *relayTransport) acceptStreams() {
 	defer t.wg.Done()
 	for {
@@ -121,7 +121,7 @@
 	}
 }
 
-// streamFromRelay reads the header of a stream.
+// streamFromRelay reads the address header of a stream and returns the stream from behind the header.
 func streamFromRelay(conn net.Conn) (net.Conn, error) {
 	conn.SetReadDeadline(time.Now().Add(headerTimeout))
 	reader := bufio.NewReader(conn)
@@ -132,35 +132,35 @@
 	return &bufferedConn{Conn: conn, reader: reader}, nil
 }
 
-// bufferedConn is a connection of which some bytes were read ahead.
+// bufferedConn is a connection whose reader may hold bytes that were read with the header.
 type bufferedConn struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-// Read reads what was read ahead first.
+// Read returns the buffered bytes first, then those of the connection.
 func (c *bufferedConn) Read(p []byte) (int, error) { return c.reader.Read(p) }
 
-// FinalAdvertiseAddr returns the address that the transport listens at.
+// FinalAdvertiseAddr returns the address that the transport listens on.
 func (t *relayTransport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	return t.localAddress.IP, t.localAddress.Port, nil
 }
 
-// WriteTo sends a packet.
+// WriteTo sends a packet through the relay.
 func (t *relayTransport) WriteTo(packet []byte, address string) (time.Time, error) {
 	_, err := t.udp.WriteToUDP(Header(address, packet), t.relayUDP)
 	return time.Now(), err
 }
 
-// WriteToAddress sends a packet.
+// WriteToAddress sends a packet through the relay.
 func (t *relayTransport) WriteToAddress(packet []byte, address memberlist.Address) (time.Time, error) {
 	return t.WriteTo(packet, address.Addr)
 }
 
-// PacketCh returns the received packets.
+// PacketCh returns the channel of received packets.
 func (t *relayTransport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-// DialTimeout opens a stream. Its header has the address that it is for, and then the one that it is from.
+// DialTimeout opens a stream through the relay. The stream begins with the receiver's address and the sender's address.
 func (t *relayTransport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout}
 	conn, err := dialer.DialContext(context.Background(), "tcp4", t.relayTCP)
@@ -175,16 +175,16 @@
 	return conn, nil
 }
 
-// DialAddressTimeout opens a stream.
+// DialAddressTimeout opens a stream through the relay.
 func (t *relayTransport) DialAddressTimeout(address memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return t.DialTimeout(address.Addr, timeout)
 }
 
-// StreamCh returns the accepted streams.
+// StreamCh returns the channel of accepted streams.
 func (t *relayTransport) StreamCh() <-chan net.Conn { return t.streams }
 
-// Shutdown closes both sockets and discards what their readers are about to hand over. memberlist calls it once it reads
-// nothing any more.
+// Shutdown closes both sockets and discards the packets and streams that their goroutines are still sending to the
+// channels. memberlist calls it after it has stopped reading the channels.
 func (t *relayTransport) Shutdown() error {
 	t.closed.Store(true)
 	err := errors.Join(t.udp.Close(), t.tcp.Close())
--- a/internal/fleet/gossip/section.go
+++ b/internal/fleet/gossip/section.go
@@ -7,8 +7,8 @@
 	"dykering/internal/tomlconfig"
 )
 
-// Section is the table [fleet] of an operator's file. It is read at the start of a process; a change takes effect with the
-// next one. The tags toml, doc, min and max make the documented example file; see package operator.
+// Section holds the table [fleet] of the operator's file. A process reads it at its start, so a change takes effect with
+// the next process. Package operator generates the documented example file from the tags toml, doc, min and max.
 type Section struct {
 	Enabled        bool                `toml:"enabled" doc:"whether this broker keeps a view of the fleet by gossip with the others"`
 	ID             string              `toml:"id" doc:"this broker's id in the fleet; empty: the platform's name of it"`
@@ -28,7 +28,7 @@
 	Relay          string              `toml:"relay" doc:"laboratory only: a fault relay that all gossip goes through; empty: none"`
 }
 
-// Replication is the table [fleet.replication]: the facts about servers that members share.
+// Replication holds the table [fleet.replication], which configures the exchange of facts about servers among members.
 type Replication struct {
 	Enabled                bool                `toml:"enabled" doc:"whether members tell each other which servers they isolated or were answered by"`
 	TTL                    tomlconfig.Duration `toml:"ttl" doc:"how long a fact holds that its origin does not tell anew" min:"1s" max:"5m"`
@@ -43,7 +43,8 @@
 	ClockOffset            tomlconfig.Duration `toml:"clock_offset" doc:"laboratory only: how far this member's clock is taken to be ahead"`
 }
 
-// Budgets is the table [fleet.budgets]: tenants' quotas, divided among the live members by leases.
+// Budgets holds the table [fleet.budgets], which configures the division of tenants' quotas among the live members by
+// leases.
 type Budgets struct {
 	Enabled         bool                `toml:"enabled" doc:"whether tenants' quotas are divided among the live members by leases, in place of even parts"`
 	Voters          []string            `toml:"voters" doc:"ids of the members that keep the ledger by Raft: three or five, the same list at all"`
@@ -56,7 +57,7 @@
 	ClockRate       float64             `toml:"clock_rate" doc:"laboratory only: seconds that this member's clock counts in one"`
 }
 
-// DefaultSection returns the values that hold where the file has none: memberlist's settings for a LAN.
+// DefaultSection returns the default settings. The settings of the gossip are memberlist's for a LAN.
 func DefaultSection() *Section {
 	return &Section{
 		Bind:           "127.0.0.1:7946",
--- a/internal/fleet/gossip/section_check.go
+++ b/internal/fleet/gossip/section_check.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// maxVoters bounds the Raft group: each further voter makes each grant slower.
+	// maxVoters bounds the Raft group, because each further voter slows down every grant.
 	maxVoters = 7
 	// maxQuota bounds a quota, in requests per second.
 	maxQuota = 1e9
-	// minClockRate and maxClockRate bound how far the laboratory sets a clock off.
+	// minClockRate and maxClockRate bound the clock rate that the lab may set for a member.
 	minClockRate, maxClockRate = 0.5, 2
 )
 
-// Check returns the faults that the bounds in the tags cannot express.
+// Check returns the errors in the section that the bounds in the struct tags cannot detect.
 func (s *Section) Check() []validation.Error {
 	var wrong []validation.Error
 	reject := func(key, text string) { wrong = append(wrong, validation.Error{Key: key, Text: text}) }
@@ -78,7 +78,7 @@
 	return tenant, perS, nil
 }
 
-// check returns the faults that the bounds in the tags cannot express.
+// check returns the errors in the table that the bounds in the struct tags cannot detect.
 func (b *Budgets) check() (wrong []validation.Error) {
 	reject := func(key, text string) { wrong = append(wrong, validation.Error{Key: key, Text: text}) }
 	for _, text := range b.Quotas {
--- a/internal/fleet/gossip/suspicion.go
+++ b/internal/fleet/gossip/suspicion.go
@@ -7,19 +7,21 @@
 	"dykering/internal/fleet/membership"
 )
 
-// suspicionMaxFactor is by how much memberlist's longest suspicion outlasts its shortest (its SuspicionMaxTimeoutMult is
-// 6), with a margin.
+// suspicionMaxFactor is the ratio of memberlist's longest to its shortest suspicion timeout (SuspicionMaxTimeoutMult,
+// which is 6), plus a margin.
 const suspicionMaxFactor = 7
 
-// suspicion is that of a member in one of memberlist's incarnations, which a refutation raises.
+// suspicion is a suspicion of a member that memberlist holds. It applies to one of memberlist's incarnations of the
+// member; a refutation raises the incarnation.
 type suspicion struct {
 	incarnation uint32
-	until       time.Time // until is when memberlist has either declared the member dead or received its refutation.
+	until       time.Time // until is the time by which memberlist has declared the member dead or received its refutation.
 }
 
-// inspectPacket reads a packet on memberlist's goroutines, before it is sent or after it was received. memberlist sends
-// each suspicion, refutation and death that it has accepted itself, so that packets out have its own state; those in
-// announce who leaves. What a full queue drops is reconciled later, except for a suspicion.
+// inspectPacket decodes a packet on memberlist's goroutines, before it is sent or after it was received. memberlist sends
+// each suspicion, refutation and death that it has accepted, so outgoing packets show its own state. Incoming packets
+// announce departures. If the queue is full, the message is dropped; reconciliation later makes up for any message but a
+// suspicion.
 func (g *Gossip) inspectPacket(packet []byte, outgoing bool) {
 	eachMemberMessage(packet, func(message memberMessage) {
 		switch {
@@ -38,7 +40,8 @@
 	})
 }
 
-// applyMessage applies a message that memberlist sends about a member of the view. Each is sent several times.
+// applyMessage applies a message that memberlist sends about a member of the view. memberlist sends each message several
+// times.
 func (o *viewOwner) applyMessage(message memberMessage) {
 	member, known := o.view.Member(message.Node)
 	if !known {
@@ -52,11 +55,11 @@
 	case message.kind == kindAlive:
 		o.applyAlive(member, message.Incarnation, now)
 	case message.announcesLeave() && member.State == membership.Dead:
-		o.observeState(member, membership.Left, now) // memberlist had the departure from a push-pull, without its cause
+		o.observeState(member, membership.Left, now) // memberlist learned of the departure in a push-pull, which does not tell its cause
 	}
 }
 
-// applyAlive ends a suspicion that a higher incarnation refutes.
+// applyAlive records an incarnation of a member, and ends a suspicion that it refutes.
 func (o *viewOwner) applyAlive(member membership.Member, incarnation uint32, now time.Time) {
 	o.incarnations[member.ID] = max(o.incarnations[member.ID], incarnation)
 	suspected, isSuspect := o.suspects[member.ID]
@@ -67,7 +70,7 @@
 	o.observeState(member, membership.Alive, now)
 }
 
-// maxSuspicion is the longest time that memberlist suspects a member in a fleet of this size.
+// maxSuspicion returns the longest time for which memberlist suspects a member in a fleet of the present size.
 func (o *viewOwner) maxSuspicion() time.Duration {
 	live, _ := o.view.Live()
 	sizeFactor := max(1, math.Log10(float64(live)))
--- a/internal/fleet/gossip/view_owner.go
+++ b/internal/fleet/gossip/view_owner.go
@@ -13,28 +13,28 @@
 )
 
 const (
-	// reconnectIntervals is how often, in probe intervals, one dead member is asked to join again, as Serf does. SWIM
-	// never probes the dead: without this the two sides of a partition would stay two fleets after it heals.
+	// reconnectIntervals is the interval, in probe intervals, at which one dead member is asked to join again, as in Serf.
+	// SWIM never probes dead members, so without these attempts the two sides of a healed partition would not merge.
 	reconnectIntervals = 5
-	// announceIntervals is for how long, in probe intervals, a new member exchanges states with random members. One that
-	// starts again at another address before its old process was found dead is rejected until then, and would not be
-	// known before memberlist's next push-pull.
+	// announceIntervals is the time, in probe intervals, for which a new member exchanges states with random members.
+	// Members reject a process that restarted at another address until they have declared its predecessor dead. Without
+	// these exchanges they would accept it only with memberlist's next push-pull.
 	announceIntervals = 60
-	// maxClockSkew is how far in the future a member's start may be. Clocks of one site differ less.
+	// maxClockSkew is the maximum time by which a member's start may lie in the future. Clocks in one site differ by less.
 	maxClockSkew = time.Minute
 )
 
-// viewOwner is the goroutine that changes the view.
+// viewOwner holds the state of the goroutine that changes the view.
 type viewOwner struct {
 	*Gossip
 	view           *membership.View
 	suspects       map[string]suspicion
-	incarnations   map[string]uint32 // memberlist's incarnations by member ID, as its messages have them
-	missingMembers map[string]bool   // members that memberlist's list lacked at the last reconciliation
+	incarnations   map[string]uint32 // memberlist's incarnations by member ID, from its messages
+	missingMembers map[string]bool   // members of the view that were not in memberlist's list at the last reconciliation
 
-	joining        bool          // a join is running; there is one at a time
+	joining        bool          // a join is running; at most one runs at a time
 	joined         chan struct{} // receives when a join has ended
-	nextDeadMember int           // the dead member that is asked next, in the order of the view
+	nextDeadMember int           // counts the reconnection attempts, to select the next dead member in turn
 }
 
 func newViewOwner(g *Gossip, view *membership.View) *viewOwner {
@@ -44,7 +44,7 @@
 	}
 }
 
-// run applies events until the member closes.
+// run applies events to the view until Close.
 func (o *viewOwner) run() {
 	defer close(o.ended)
 	ticker := time.NewTicker(time.Duration(o.section.ProbeInterval))
@@ -77,8 +77,8 @@
 	}
 }
 
-// startJoin joins through addresses in a goroutine, which memberlist's TCP timeout bounds for each address. What it
-// finds arrives as events.
+// startJoin joins through addresses in a goroutine. memberlist's TCP timeout bounds the attempt at each address. Members
+// that the join discovers arrive as events.
 func (o *viewOwner) startJoin(addresses []string) {
 	o.joining = len(addresses) > 0
 	if !o.joining {
@@ -92,8 +92,8 @@
 	}()
 }
 
-// reconnect asks, every few probe intervals, one dead member to join again; a new member exchanges states with a live
-// one where there is no dead one.
+// reconnect asks one dead member to join again, once in reconnectIntervals probe intervals. If no member is dead, a new
+// member exchanges states with a random live member instead.
 func (o *viewOwner) reconnect(intervals int) {
 	if intervals%reconnectIntervals != 0 || o.joining {
 		return
@@ -105,7 +105,7 @@
 	o.startJoin(addresses)
 }
 
-// reconnectAddresses returns the address of the next dead member in turn, or the seeds where no other member is live.
+// reconnectAddresses returns the address of the next dead member in turn, or the seeds if no other member is live.
 func (o *viewOwner) reconnectAddresses() []string {
 	if live, _ := o.view.Live(); live <= 1 && len(o.section.Seeds) > 0 {
 		return o.section.Seeds
@@ -124,7 +124,7 @@
 	return []string{address}
 }
 
-// randomLiveAddress returns the address of another live member, or none.
+// randomLiveAddress returns the address of a random other live member, or nil if there is no other.
 func (o *viewOwner) randomLiveAddress() []string {
 	var live []string
 	for _, member := range o.view.Members() {
@@ -138,7 +138,7 @@
 	return []string{live[rand.IntN(len(live))]}
 }
 
-// reconcile compares the view with memberlist's list, so that events which a queue dropped are made up for, and expires
+// reconcile compares the view with memberlist's list, to apply events that a full queue dropped. It also expires
 // suspicions and departed members.
 func (o *viewOwner) reconcile() {
 	now := time.Now()
@@ -161,8 +161,9 @@
 	})
 }
 
-// declareMissingDead takes for dead each member that memberlist's list has lacked for two reconciliations. A departure's
-// event comes within a moment and has the cause; it is missing only where the queue was full.
+// declareMissingDead marks as dead each live member of the view that was missing from memberlist's list in two
+// consecutive reconciliations. Normally the event of a departure arrives before that and tells its cause; it is missing
+// only if the queue was full.
 func (o *viewOwner) declareMissingDead(listed map[string]bool, now time.Time) {
 	missing := map[string]bool{}
 	for _, member := range o.view.Members() {
@@ -178,7 +179,7 @@
 	o.missingMembers = missing
 }
 
-// applyNode applies what memberlist reports of a node.
+// applyNode applies memberlist's report of a node to the view.
 func (o *viewOwner) applyNode(node *memberlist.Node, departed bool) {
 	var meta membership.Meta
 	if err := json.Unmarshal(node.Meta, &meta); err != nil && node.Name != o.self.ID {
@@ -194,7 +195,7 @@
 		return
 	}
 	if node.Name == o.self.ID {
-		return // memberlist refutes suspicions of this member; the view keeps it alive
+		return // memberlist refutes suspicions of this member, so the view always holds it as alive
 	}
 	state := o.stateOf(node.Name, departed)
 	if departed {
@@ -206,7 +207,7 @@
 	}, now)
 }
 
-// stateOf returns the state of a node that is in memberlist's list or has departed from it.
+// stateOf returns the state of a node that is in memberlist's list or, if departed is set, was removed from it.
 func (o *viewOwner) stateOf(id string, departed bool) membership.State {
 	_, announced := o.leaving.Load(id)
 	_, suspected := o.suspects[id]
@@ -221,21 +222,21 @@
 	return membership.Alive
 }
 
-// observeState applies another state of a member that the view holds.
+// observeState applies a new state of a member that the view holds.
 func (o *viewOwner) observeState(member membership.Member, state membership.State, now time.Time) {
 	o.apply(membership.Observation{
 		ID: member.ID, Addr: member.Addr, Incarnation: member.Incarnation, State: state, Meta: member.Meta,
 	}, now)
 }
 
-// apply applies an observation, and reports the change that it makes.
+// apply applies an observation to the view, and reports the change, if any.
 func (o *viewOwner) apply(observed membership.Observation, now time.Time) {
 	if change, changed := o.view.Observe(observed, now); changed {
 		o.report(change)
 	}
 }
 
-// report counts and logs a change, and hands it to the subscriber.
+// report counts and logs a change, and sends it to the subscriber.
 func (o *viewOwner) report(change membership.Change) {
 	o.countChange(change.Reason)
 	member := &change.Member
@@ -268,7 +269,7 @@
 	}
 }
 
-// publish stores the view for View, if it has changed.
+// publish stores a copy of the view for View, if the view has changed.
 func (o *viewOwner) publish() {
 	if last := o.snapshot.Load(); last != nil && last.Number == o.view.Number() {
 		return
--- a/internal/fleet/membership/change.go
+++ b/internal/fleet/membership/change.go
@@ -1,10 +1,10 @@
 package membership
 
-// Reason is why a member changed. Its text is in the log.
+// Reason is the cause of a member's change. Its text is written to the log.
 type Reason string
 
-// The reasons. memberlist suspects a member only when its direct probe and the indirect probes through other members have
-// failed, and declares it dead when the suspicion was not refuted in time.
+// The reasons for a change. memberlist suspects a member only after its direct probe and the indirect probes through
+// other members have failed, and declares the member dead when the suspicion is not refuted in time.
 const (
 	Joined            Reason = "joined"
 	ProbesFailed      Reason = "direct and indirect probes failed"
@@ -13,11 +13,11 @@
 	Returned          Reason = "came back with a newer incarnation"
 	Restarted         Reason = "a new process under the same id"
 	LeaveAnnounced    Reason = "left"
-	MetaChanged       Reason = "told new meta"
-	RetentionExceeded Reason = "gone for longer than it is remembered"
+	MetaChanged       Reason = "metadata changed"
+	RetentionExceeded Reason = "departed for longer than the retention"
 )
 
-// Change is one change of a view.
+// Change describes one change of a member in a view.
 type Change struct {
 	Member     Member // Member is the member after the change.
 	From       State  // From is its state before; the same as Member.State for a member that is new or forgotten.
@@ -25,15 +25,15 @@
 	ViewNumber uint64 // Number is that of the view after the change.
 }
 
-// transition returns the reason of the change from a held member to an observation of it, or false for no change.
-// A restarted member is one whose process started after the held one.
+// transition returns the reason for the change from the held state of a member to its observed state, or false if
+// nothing changes. restarted reports that the observed process started after the held one.
 func transition(held *Member, observed Observation, restarted bool) (Reason, bool) {
 	newer := observed.Incarnation > held.Incarnation
 	switch {
 	case restarted && !observed.State.hasDeparted():
 		return Restarted, true
 	case held.State == observed.State && newer && observed.State == Alive:
-		return Refuted, true // of a suspicion that never reached this view
+		return Refuted, true // the member refuted a suspicion that this view never observed
 	case held.State == observed.State:
 		changed := held.Meta != observed.Meta || held.Addr != observed.Addr || newer
 		return MetaChanged, changed
--- a/internal/fleet/membership/doc.go
+++ b/internal/fleet/membership/doc.go
@@ -3,16 +3,17 @@
 //
 // The view is a state machine. Its inputs are observations, which package gossip makes of what hashicorp/memberlist
 // reports, and the time, which the caller passes in. It does no I/O, starts no goroutine and reads no clock, so that the
-// laboratory runs it in virtual time and tests drive it event by event. It does not detect failures and does not
-// disseminate anything: both are the protocol's (SWIM, Das, Gupta and Motivala 2002, with the suspicion of Lifeguard,
-// Dadgar, Phillips and Currey 2018).
+// simulator can run it in virtual time and tests can drive it event by event. It neither detects failures nor
+// disseminates them: memberlist does both, by SWIM (Das, Gupta and Motivala 2002) with the suspicion mechanism of
+// Lifeguard (Dadgar, Phillips and Currey 2018).
 //
-// It decides what memberlist does not: whether an observation is news, the reason of a change, when a departed member
-// is forgotten, how many members are held, and what two brokers compare to know that they see the same fleet.
+// The package decides what memberlist does not: whether an observation changes the view, the reason for a change, when a
+// departed member is removed, how many members the view holds, and the digest by which two brokers detect that their
+// views agree.
 //
 // Invariants:
-//   - An observation of a lower incarnation changes nothing, unless it is of a process that started later.
+//   - An observation with a lower incarnation changes nothing, unless its process started later.
 //   - The number of a view rises by one with each change.
-//   - The broker itself is never forgotten, and no more members are held than the limit.
+//   - A view never removes the broker itself, and holds at most Limits.MaxMembers members.
 //   - Two views with the same live members and incarnations have the same digest.
 package membership
--- a/internal/fleet/membership/member.go
+++ b/internal/fleet/membership/member.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// State is the state of a member in a view. Its names, not its numbers, are on the wire.
+// State is the state of a member in a view. Messages carry the state's name, not its number.
 type State uint8
 
-// The states of SWIM. A member that has Left announced it; one that is Dead stopped answering.
+// The states of SWIM. A member in state Left announced its departure; a member in state Dead stopped answering probes.
 const (
 	Alive State = iota
 	Suspect
@@ -31,10 +31,10 @@
 	return fmt.Sprintf("state(%d)", uint8(s))
 }
 
-// MarshalText writes the state's name.
+// MarshalText encodes the state as its name.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText reads a state's name.
+// UnmarshalText decodes a state from its name.
 func (s *State) UnmarshalText(text []byte) error {
 	for state := Alive; state <= Left; state++ {
 		if state.String() == string(text) {
@@ -42,33 +42,33 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%q is no state of a member", text)
+	return fmt.Errorf("unknown member state %q", text)
 }
 
-// hasDeparted reports whether a member in this state takes no part in the fleet.
+// hasDeparted reports whether a member in this state is no longer part of the fleet.
 func (s State) hasDeparted() bool { return s == Dead || s == Left }
 
-// Meta is what a member announces about itself. It travels as JSON in memberlist's node metadata, of which there are at
-// most 512 bytes; its keys are on the wire.
+// Meta is the metadata that a member announces about itself. It is sent as JSON in memberlist's node metadata, which is
+// limited to 512 bytes. The JSON keys are part of the wire format.
 type Meta struct {
 	Zone    string    `json:"z,omitempty"`
 	Tier    string    `json:"t,omitempty"`
-	Version string    `json:"v,omitempty"` // Version is that of the build.
-	Started time.Time `json:"s"`           // Started is the start of the process: a later one under the same ID replaces an earlier one.
+	Version string    `json:"v,omitempty"` // Version is the version of the build.
+	Started time.Time `json:"s"`           // Started is the start time of the process. A later process replaces an earlier one with the same ID.
 	Weight  uint16    `json:"w"`           // Weight is the member's share weight in fleet-wide budgets.
 }
 
-// Member is a broker as the view holds it. Its field names are JSON keys of the view that the control address serves.
+// Member is the state of one broker in a view. Its field names are JSON keys of the view that the control address serves.
 type Member struct {
 	ID          string
-	Addr        string // Addr is the host and port of its gossip.
+	Addr        string // Addr is the host and port of the member's gossip.
 	Incarnation uint32
 	State       State
 	Meta        Meta
 	Since       time.Time // Since is when the member entered its state.
 }
 
-// Observation is what the gossip reports of a member at a time.
+// Observation is the state of a member as the gossip reports it at one time.
 type Observation struct {
 	ID          string
 	Addr        string
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Limits bound a view.
+// Limits bounds the size of a view.
 type Limits struct {
 	MaxMembers int           // MaxMembers includes the broker itself; observations of further members are rejected.
-	Retention  time.Duration // Retention is how long a dead or left member is remembered.
+	Retention  time.Duration // Retention is how long a dead or left member stays in the view.
 }
 
 // View is a broker's view of the fleet. It is not safe for concurrent use: one goroutine owns it.
@@ -32,7 +32,8 @@
 	return v
 }
 
-// Observe applies an observation. It returns the change, or false for an observation that is stale, known or rejected.
+// Observe applies an observation and returns the change. It returns false if the observation is stale, brings nothing
+// new, or is of a further member when the view is full.
 func (v *View) Observe(observed Observation, now time.Time) (Change, bool) {
 	held, known := v.members[observed.ID]
 	if !known {
@@ -60,7 +61,7 @@
 		return Change{}, false
 	}
 	if observed.State.hasDeparted() {
-		return Change{}, false // a member that was never alive here has nothing to be remembered for
+		return Change{}, false // no other state depends on a member that this view never held as alive
 	}
 	member := &Member{
 		ID: observed.ID, Addr: observed.Addr, Incarnation: observed.Incarnation, State: observed.State, Meta: observed.Meta,
@@ -75,7 +76,7 @@
 	return Change{Member: *member, From: from, Reason: reason, ViewNumber: v.number}
 }
 
-// Expire forgets members that departed longer ago than the retention, and returns the changes by member ID.
+// Expire removes the members that departed longer ago than the retention. It returns the changes, ordered by member ID.
 func (v *View) Expire(now time.Time) []Change {
 	var forgotten []Change
 	for id, member := range v.members {
@@ -88,7 +89,7 @@
 	return forgotten
 }
 
-// Members returns copies of all members, by ID.
+// Members returns copies of all members, ordered by ID.
 func (v *View) Members() []Member {
 	all := make([]Member, 0, len(v.members))
 	for _, member := range v.members {
@@ -98,7 +99,7 @@
 	return all
 }
 
-// Member returns a copy of a member.
+// Member returns a copy of the member with an ID, or false if the view does not hold it.
 func (v *View) Member(id string) (Member, bool) {
 	if member := v.members[id]; member != nil {
 		return *member, true
@@ -106,7 +107,7 @@
 	return Member{}, false
 }
 
-// Live counts the members that are alive or suspect, and sums their weights.
+// Live returns the number of members that are alive or suspect, and the sum of their weights.
 func (v *View) Live() (count int, weight uint64) {
 	for _, member := range v.members {
 		if !member.State.hasDeparted() {
@@ -117,11 +118,12 @@
 	return count, weight
 }
 
-// Number counts the changes of this view. Two views with the same number need not be the same; see Digest.
+// Number returns the number of changes that this view has applied. Two views with the same number may differ; compare
+// them by Digest.
 func (v *View) Number() uint64 { return v.number }
 
-// Digest returns a short hash of the live members and their incarnations, which is the same in two views that agree on
-// them. A suspect counts as live, as it may still refute.
+// Digest returns a short hash of the live members and their incarnations. Two views that agree on these have the same
+// digest. A suspect member counts as live, because it may still refute the suspicion.
 func (v *View) Digest() string {
 	live := make([]*Member, 0, len(v.members))
 	for _, member := range v.members {
--- a/internal/fleet/membership/view_test.go
+++ b/internal/fleet/membership/view_test.go
@@ -14,37 +14,37 @@
 	return Observation{ID: id, Addr: "127.0.0.1:1", Incarnation: incarnation, State: state, Meta: Meta{Started: start, Weight: 1}}
 }
 
-// Each transition of a member's state has its reason; an observation that is stale or known has none.
+// Each transition of a member's state has a reason. An observation that is stale or brings nothing new is ignored.
 func TestObservationIsAChangeWithItsReasonOrIsIgnored(t *testing.T) {
 	later := observed("b", 1, Alive)
 	later.Meta.Started = start.Add(time.Minute)
 	cases := []struct {
 		name  string
 		steps []Observation
-		want  Reason // of the last step; "" for none
+		want  Reason // the reason of the last step's change; "" if that step is ignored
 	}{
-		{"joins", []Observation{observed("b", 1, Alive)}, Joined},
-		{"probes fail", []Observation{observed("b", 1, Alive), observed("b", 1, Suspect)}, ProbesFailed},
-		{"refutes", []Observation{observed("b", 1, Alive), observed("b", 1, Suspect), observed("b", 2, Alive)}, Refuted},
-		{"refuted elsewhere", []Observation{observed("b", 1, Alive), observed("b", 2, Alive)}, Refuted},
-		{"expires", []Observation{observed("b", 1, Suspect), observed("b", 1, Dead)}, SuspicionExpired},
-		{"leaves", []Observation{observed("b", 1, Alive), observed("b", 1, Left)}, LeaveAnnounced},
-		{"returns", []Observation{observed("b", 1, Alive), observed("b", 1, Dead), observed("b", 2, Alive)}, Returned},
-		{"restarts under its id", []Observation{observed("b", 5, Alive), later}, Restarted},
-		{"stale is no news", []Observation{observed("b", 3, Alive), observed("b", 3, Suspect), observed("b", 2, Alive)}, ""},
-		{"stale suspicion of the dead", []Observation{observed("b", 1, Alive), observed("b", 1, Dead), observed("b", 1, Suspect)}, ""},
-		{"the same twice", []Observation{observed("b", 1, Alive), observed("b", 1, Alive)}, ""},
-		{"the never seen dead", []Observation{observed("b", 1, Dead)}, ""},
+		{"join", []Observation{observed("b", 1, Alive)}, Joined},
+		{"failed probes", []Observation{observed("b", 1, Alive), observed("b", 1, Suspect)}, ProbesFailed},
+		{"refuted suspicion", []Observation{observed("b", 1, Alive), observed("b", 1, Suspect), observed("b", 2, Alive)}, Refuted},
+		{"refutation of a suspicion that the view never observed", []Observation{observed("b", 1, Alive), observed("b", 2, Alive)}, Refuted},
+		{"expired suspicion", []Observation{observed("b", 1, Suspect), observed("b", 1, Dead)}, SuspicionExpired},
+		{"announced departure", []Observation{observed("b", 1, Alive), observed("b", 1, Left)}, LeaveAnnounced},
+		{"return of a dead member", []Observation{observed("b", 1, Alive), observed("b", 1, Dead), observed("b", 2, Alive)}, Returned},
+		{"restart with the same ID", []Observation{observed("b", 5, Alive), later}, Restarted},
+		{"lower incarnation is ignored", []Observation{observed("b", 3, Alive), observed("b", 3, Suspect), observed("b", 2, Alive)}, ""},
+		{"suspicion of a dead member with its incarnation is ignored", []Observation{observed("b", 1, Alive), observed("b", 1, Dead), observed("b", 1, Suspect)}, ""},
+		{"repeated observation is ignored", []Observation{observed("b", 1, Alive), observed("b", 1, Alive)}, ""},
+		{"death of an unknown member is ignored", []Observation{observed("b", 1, Dead)}, ""},
 	}
 	for _, tc := range cases {
 		v := New(observed("a", 1, Alive), Limits{MaxMembers: 8, Retention: time.Minute}, start)
 		var last Change
-		var news bool
+		var changed bool
 		for i, o := range tc.steps {
-			last, news = v.Observe(o, start.Add(time.Duration(i)*time.Second))
+			last, changed = v.Observe(o, start.Add(time.Duration(i)*time.Second))
 		}
 		got := Reason("")
-		if news {
+		if changed {
 			got = last.Reason
 		}
 		if got != tc.want {
@@ -53,9 +53,9 @@
 	}
 }
 
-// For any order of observations: the view holds at most MaxMembers, never accepts a lower incarnation of the same
-// process, counts each change once, forgets departed members after the retention but never itself, and two views that
-// were given the same last observation of each member have the same digest.
+// Checks the invariants for random sequences of observations: the view holds at most MaxMembers, never accepts a lower
+// incarnation of the same process, counts each change once, and removes departed members after the retention but never
+// the broker itself. Two views that received the same last observation of each member have the same digest.
 func TestInvariantsHoldForAnyOrderOfObservations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{MaxMembers: rapid.IntRange(1, 6).Draw(t, "most"), Retention: 10 * time.Second}
@@ -67,16 +67,16 @@
 			o := observed(fmt.Sprint("m", rapid.IntRange(0, 8).Draw(t, "id")), uint32(rapid.IntRange(0, 4).Draw(t, "inc")),
 				State(rapid.IntRange(0, 3).Draw(t, "state")))
 			before := v.Number()
-			c, news := v.Observe(o, now)
-			if news != (v.Number() == before+1) || (news && c.ViewNumber != v.Number()) {
-				t.Fatalf("step %d: news %v, number %d to %d", step, news, before, v.Number())
+			c, changed := v.Observe(o, now)
+			if changed != (v.Number() == before+1) || (changed && c.ViewNumber != v.Number()) {
+				t.Fatalf("step %d: changed is %v, but the view number went from %d to %d", step, changed, before, v.Number())
 			}
-			if inc, ok := held[o.ID]; ok && news && o.Incarnation < inc {
-				t.Fatalf("step %d: took incarnation %d over %d", step, o.Incarnation, inc)
+			if inc, ok := held[o.ID]; ok && changed && o.Incarnation < inc {
+				t.Fatalf("step %d: accepted incarnation %d after %d", step, o.Incarnation, inc)
 			}
 			for _, f := range v.Expire(now) {
 				if f.Member.ID == "self" || now.Sub(f.Member.Since) < limits.Retention {
-					t.Fatalf("step %d: forgot %v", step, f.Member)
+					t.Fatalf("step %d: removed %v before its retention ended", step, f.Member)
 				}
 			}
 			clear(held)
@@ -84,17 +84,17 @@
 				held[m.ID] = m.Incarnation
 			}
 			if len(held) > limits.MaxMembers || held["self"] != 1 {
-				t.Fatalf("step %d: holds %v", step, held)
+				t.Fatalf("step %d: view holds %v, want at most %d members and the broker itself", step, held, limits.MaxMembers)
 			}
 		}
-		// Another view, given only the last observation of each member, agrees.
+		// A second view receives only the last observation of each member.
 		w := New(observed("self", 1, Alive), Limits{MaxMembers: limits.MaxMembers, Retention: time.Hour}, start)
 		for _, m := range v.Members() {
 			w.Observe(Observation{ID: m.ID, Addr: m.Addr, Incarnation: m.Incarnation, State: Alive, Meta: m.Meta}, now)
 			w.Observe(Observation{ID: m.ID, Addr: m.Addr, Incarnation: m.Incarnation, State: m.State, Meta: m.Meta}, now)
 		}
 		if v.Digest() != w.Digest() {
-			t.Fatalf("digests %s and %s of %v", v.Digest(), w.Digest(), v.Members())
+			t.Fatalf("digests %s and %s differ for members %v", v.Digest(), w.Digest(), v.Members())
 		}
 	})
 }
--- a/internal/fleet/replica/peer_ejections.go
+++ b/internal/fleet/replica/peer_ejections.go
@@ -6,43 +6,43 @@
 	"time"
 )
 
-// EjectionRules bound the effect of other brokers' facts, whatever they claim.
+// EjectionRules bounds the effect of other brokers' facts, so that wrong facts cannot eject most servers.
 type EjectionRules struct {
-	MinWitnesses int // MinWitnesses is how many brokers have to call a server bad.
-	// MaxShareOfOrigin is the share of the servers that one broker may call bad. A broker that calls more bad is ignored,
-	// as the fault is then likely to be its own; one server is always allowed.
+	MinWitnesses int // MinWitnesses is the number of brokers that have to report a server as bad.
+	// MaxShareOfOrigin is the share of the servers that one broker may report as bad. Bad verdicts of a broker that reports
+	// more are ignored, because the fault is then likely its own. One server is always allowed.
 	MaxShareOfOrigin float64
-	MaxShare         float64 // MaxShare is the share of the servers that may be bad by advice at a time.
+	MaxShare         float64 // MaxShare is the share of the servers that peer ejections may cover at a time.
 }
 
-// PeerEjection is a server that is bad by the facts of other brokers.
+// PeerEjection recommends ejecting a server, on the evidence of other brokers' facts.
 type PeerEjection struct {
 	Subject   string
 	Witnesses int
-	Age       time.Duration // Age is that of the latest fact behind it.
+	Age       time.Duration // Age is the age of the latest fact about the server.
 }
 
-// verdictCount counts the facts about a server.
+// verdictCount counts the facts about a server by verdict.
 type verdictCount struct {
 	bad, good int
 	age       time.Duration
 }
 
-// PeerEjections returns the servers, of so many in the list, that are bad by the facts of other brokers. A server is bad by
-// enough witnesses while no other broker was answered well by it, as that shows that it is up. Facts are counted and
-// not compared by their stamps: a broker whose clock is ahead weighs no more than another. Of more bad servers than
-// allowed, those with the most witnesses are returned.
+// PeerEjections returns the servers to eject by the facts of other brokers. servers is the number of servers in this
+// broker's list. A server is ejected if enough brokers report it as bad and no broker reports it as good, because a good
+// answer shows that the server is up. Facts are counted and not compared by their stamps, so that a broker whose clock is
+// ahead has no more weight than another. If more servers qualify than allowed, those with the most witnesses are returned.
 func (s *Store) PeerEjections(now Now, servers int, rules EjectionRules) []PeerEjection {
-	var advice []PeerEjection
+	var ejections []PeerEjection
 	for subject, count := range s.countVerdicts(now, servers, rules) {
 		if count.good == 0 && count.bad >= rules.MinWitnesses {
-			advice = append(advice, PeerEjection{subject, count.bad, count.age})
+			ejections = append(ejections, PeerEjection{subject, count.bad, count.age})
 		}
 	}
-	slices.SortFunc(advice, func(a, b PeerEjection) int {
+	slices.SortFunc(ejections, func(a, b PeerEjection) int {
 		return cmp.Or(cmp.Compare(b.Witnesses, a.Witnesses), cmp.Compare(a.Subject, b.Subject))
 	})
-	return advice[:min(len(advice), int(rules.MaxShare*float64(servers)))]
+	return ejections[:min(len(ejections), int(rules.MaxShare*float64(servers)))]
 }
 
 // countVerdicts counts the facts of other brokers by server.
@@ -82,7 +82,8 @@
 	return bad
 }
 
-// ReportedBad returns the servers that any broker calls bad. Only of those is it worth sending that they answer well.
+// ReportedBad returns the servers that at least one broker reports as bad. Only for these servers is a Good fact worth
+// sending.
 func (s *Store) ReportedBad(now Now) []string {
 	var disputed []string
 	for _, facts := range s.origins {
--- a/internal/fleet/replica/replica_test.go
+++ b/internal/fleet/replica/replica_test.go
@@ -35,14 +35,14 @@
 	return s
 }
 
-// Copies that have received the same facts are equal, whatever the order, the repetitions and the copies in between, up
-// to the ends of the facts' lifetimes.
+// Copies that have received the same facts are equal, whatever the order, the repetitions and the intermediate copies,
+// until the facts' lifetimes end.
 func TestMergeIsCommutativeAssociativeAndIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawFacts(t), drawFacts(t), drawFacts(t)
 		all := append(append(append([]Fact(nil), a...), b...), c...)
 		want := storeOf(all)
-		mixed := append(append([]Fact(nil), all...), all...) // each twice, in another order
+		mixed := append(append([]Fact(nil), all...), all...) // each fact twice, in another order
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "order"), 1))
 		rng.Shuffle(len(mixed), func(i, j int) { mixed[i], mixed[j] = mixed[j], mixed[i] })
 		ab := append(storeOf(a).Facts(nowAt(0)), storeOf(b).Facts(nowAt(0))...)
@@ -55,7 +55,7 @@
 				t.Fatalf("%s: %s %v, want %s %v", how, got.Digest(), got.Facts(nowAt(0)), want.Digest(), want.Facts(nowAt(0)))
 			}
 		}
-		// Two copies that exchange summaries and what the other lacks are the same, and then have nothing to send.
+		// After two copies have exchanged summaries and differing facts, they are equal and have nothing more to send.
 		x, y := storeOf(a), storeOf(b)
 		for _, f := range y.Differing(nowAt(0), x.Summary()) {
 			x.Merge(nowAt(0), f)
@@ -64,39 +64,39 @@
 			y.Merge(nowAt(0), f)
 		}
 		if x.Digest() != y.Digest() || len(x.Differing(nowAt(0), y.Summary())) > 0 {
-			t.Fatalf("after catch-up %s and %s", x.Digest(), y.Digest())
+			t.Fatalf("digests %s and %s after the exchange, or facts still differ", x.Digest(), y.Digest())
 		}
-		// The sums follow from what is held, and a fact dies by itself.
+		// The digest depends only on the held facts, and each fact expires by itself.
 		for d := time.Second; d <= limits.TTL; d += time.Second {
 			x.Expire(nowAt(d))
 		}
 		if x.Digest() != New("me", limits).Digest() || x.Len() != 0 {
-			t.Fatalf("%s is left after all have ended", x.Digest())
+			t.Fatalf("digest is %s after all facts expired, want that of an empty store", x.Digest())
 		}
 	})
 }
 
-// A broker's facts come after all that it has received, also with a clock that is behind; a malformed fact is rejected
-// with the reason.
+// The stamps of a broker's own facts follow those of all received facts, even if its clock is behind. A malformed fact
+// is rejected with its reason.
 func TestOwnFactsFollowReceivedOnesAndMalformedFactsAreRejected(t *testing.T) {
 	s := New("me", limits)
 	ahead := Fact{Origin: "fast", Subject: "s1", Stamp: Stamp{Wall: startTime.Add(5 * time.Second).UnixMilli()}, Verdict: Bad, Remaining: time.Second}
-	if news, why := s.Merge(nowAt(0), ahead); !news || why != "" {
-		t.Fatalf("5 s ahead: %v %q", news, why)
+	if changed, rejection := s.Merge(nowAt(0), ahead); !changed || rejection != "" {
+		t.Fatalf("fact 5 s ahead of the clock: changed %v, rejection %q", changed, rejection)
 	}
 	if f, ok := s.Record(nowAt(0), "s1", Good, time.Hour); !ok || f.Stamp.Compare(ahead.Stamp) <= 0 || f.Remaining != limits.TTL {
-		t.Errorf("own fact %+v, %v: not after what was heard, or for too long", f, ok)
+		t.Errorf("own fact %+v, %v: want a later stamp than the received fact's and the maximum TTL", f, ok)
 	}
 	if _, ok := s.Record(nowAt(time.Second), "s1", Good, time.Hour); ok {
-		t.Error("the same again is news")
+		t.Error("recording the same verdict again returned a fact to send")
 	}
 	if a := s.PeerEjections(nowAt(0), 100, EjectionRules{MinWitnesses: 1, MaxShareOfOrigin: 0.3, MaxShare: 0.2}); len(a) != 1 {
-		t.Errorf("the fast clock's word: %v", a)
+		t.Errorf("peer ejections %v, want the server that the broker with the fast clock reported", a)
 	}
-	// A second broker that was answered well outweighs it, though its stamp is older.
+	// A Good fact of a second broker prevents the ejection, although its stamp is older.
 	s.Merge(nowAt(0), Fact{Origin: "slow", Subject: "s1", Stamp: Stamp{Wall: startTime.UnixMilli()}, Verdict: Good, Remaining: time.Second})
 	if a := s.PeerEjections(nowAt(0), 100, EjectionRules{MinWitnesses: 1, MaxShareOfOrigin: 0.3, MaxShare: 0.2}); len(a) != 0 {
-		t.Errorf("with a witness that it lives: %v", a)
+		t.Errorf("peer ejections %v, want none for a server that another broker reports as good", a)
 	}
 	ok := Fact{Origin: "x", Subject: "s", Stamp: Stamp{Wall: startTime.UnixMilli()}, Verdict: Bad, Remaining: time.Second}
 	change := func(do func(*Fact)) Fact { f := ok; do(&f); return f }
@@ -104,29 +104,30 @@
 		Future:    change(func(f *Fact) { f.Stamp.Wall = startTime.Add(11 * time.Second).UnixMilli() }),
 		Malformed: change(func(f *Fact) { f.Verdict = 9 }),
 	} {
-		if news, why := s.Merge(nowAt(0), f); news || why != want {
-			t.Errorf("%+v: %v %q, want %q", f, news, why, want)
+		if changed, rejection := s.Merge(nowAt(0), f); changed || rejection != want {
+			t.Errorf("%+v: changed %v, rejection %q, want %q", f, changed, rejection, want)
 		}
 	}
-	// What an earlier process of this broker wrote, with a clock that was ahead, is taken, and written over.
+	// A fact that an earlier process of this broker recorded with a clock that was ahead is merged, and a new fact of this
+	// broker replaces it.
 	mine := change(func(f *Fact) { f.Origin, f.Stamp.Wall = "me", startTime.Add(9*time.Second).UnixMilli() })
-	if news, why := s.Merge(nowAt(0), mine); !news || why != "" {
-		t.Errorf("an earlier process's: %v %q", news, why)
+	if changed, rejection := s.Merge(nowAt(0), mine); !changed || rejection != "" {
+		t.Errorf("fact of an earlier process: changed %v, rejection %q", changed, rejection)
 	}
 	if f, ok := s.Record(nowAt(0), "s", Good, time.Second); !ok || f.Stamp.Compare(mine.Stamp) <= 0 {
-		t.Errorf("over it %+v, %v", f, ok)
+		t.Errorf("own fact %+v, %v: want a later stamp than that of the earlier process", f, ok)
 	}
 	for i := range 2 * limits.MaxOrigins {
 		s.Merge(nowAt(0), change(func(f *Fact) { f.Origin = fmt.Sprint("o", i) }))
 	}
-	if news, why := s.Merge(nowAt(0), change(func(f *Fact) { f.Origin = "one more" })); news || why != Full {
-		t.Errorf("one origin too many: %v %q", news, why)
+	if changed, rejection := s.Merge(nowAt(0), change(func(f *Fact) { f.Origin = "one more" })); changed || rejection != Full {
+		t.Errorf("one origin too many: changed %v, rejection %q, want %q", changed, rejection, Full)
 	}
 }
 
-// Whatever other brokers claim, no more than the allowed share of the servers is bad by advice, and a broker that calls
-// too many bad is ignored.
-func TestAdviceIsBoundedWhateverOthersClaim(t *testing.T) {
+// Whatever other brokers report, peer ejections cover at most the allowed share of the servers, and the bad verdicts of
+// a broker that reports too many servers are ignored.
+func TestPeerEjectionsAreBoundedWhateverOthersReport(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		servers := rapid.IntRange(1, 60).Draw(t, "servers")
 		r := EjectionRules{MinWitnesses: rapid.IntRange(1, 3).Draw(t, "witnesses"), MaxShareOfOrigin: 0.3, MaxShare: 0.2}
@@ -137,26 +138,26 @@
 				Origin: fmt.Sprint("b", rapid.IntRange(1, 10).Draw(t, "origin")), Subject: fmt.Sprint("s", rapid.IntRange(1, servers).Draw(t, "s")),
 				Stamp: Stamp{Wall: startTime.UnixMilli()}, Verdict: Bad, Remaining: time.Second,
 			}
-			if news, _ := s.Merge(nowAt(0), f); news {
+			if changed, _ := s.Merge(nowAt(0), f); changed {
 				claims[f.Origin]++
 			}
 		}
-		for i := range servers { // one says that all are bad
+		for i := range servers { // one broker reports all servers as bad
 			s.Merge(nowAt(0), Fact{Origin: "liar", Subject: fmt.Sprint("s", i+1), Stamp: Stamp{Wall: startTime.UnixMilli()}, Verdict: Bad, Remaining: time.Second})
 		}
-		heard := 0
+		credible := 0
 		for _, n := range claims {
 			if float64(n) <= max(r.MaxShareOfOrigin*float64(servers), 1) {
-				heard++
+				credible++
 			}
 		}
 		bad := s.PeerEjections(nowAt(0), servers, r)
 		if float64(len(bad)) > r.MaxShare*float64(servers) {
-			t.Fatalf("%d of %d bad", len(bad), servers)
+			t.Fatalf("%d of %d servers ejected, want at most the share %v", len(bad), servers, r.MaxShare)
 		}
 		for _, a := range bad {
-			if a.Witnesses < r.MinWitnesses || servers > 3 && a.Witnesses > heard {
-				t.Fatalf("%+v of %d that are heard", a, heard)
+			if a.Witnesses < r.MinWitnesses || servers > 3 && a.Witnesses > credible {
+				t.Fatalf("%+v, want at least %d witnesses of %d credible brokers", a, r.MinWitnesses, credible)
 			}
 		}
 	})
--- a/internal/fleet/replica/store.go
+++ b/internal/fleet/replica/store.go
@@ -5,28 +5,29 @@
 	"time"
 )
 
-// Limits bound a store.
+// Limits bounds the content of a store.
 type Limits struct {
-	MaxOrigins     int           // MaxOrigins bounds the origins whose facts are held.
-	FactsPerOrigin int           // FactsPerOrigin bounds the facts of one origin; of more, the newest are held.
+	MaxOrigins     int           // MaxOrigins bounds the number of origins whose facts are held.
+	FactsPerOrigin int           // FactsPerOrigin bounds the number of facts of one origin; the newest are kept.
 	TTL            time.Duration // TTL bounds the lifetime of a fact.
-	MaxClockSkew   time.Duration // MaxClockSkew is how far ahead of this broker's clock a stamp may be.
+	MaxClockSkew   time.Duration // MaxClockSkew is the maximum time by which a stamp may be ahead of this broker's clock.
 }
 
-// maxNameBytes bounds the name of an origin or a subject.
+// maxNameBytes bounds the length of an origin's or a subject's name.
 const maxNameBytes = 128
 
-// Rejection is why a fact was not merged; empty for one that was, or was known. Its text is in the log.
+// Rejection is the reason why a fact was rejected; it is empty for a fact that was merged or already known. Its text is
+// written to the log.
 type Rejection string
 
-// The rejections.
+// The reasons for a rejection.
 const (
 	Malformed Rejection = "malformed"
 	Future    Rejection = "stamp from the future"
 	Full      Rejection = "too many origins"
 )
 
-// register is the newest known version of a fact.
+// register holds the newest known version of a fact.
 type register struct {
 	stamp     Stamp
 	verdict   Verdict
@@ -34,7 +35,7 @@
 	hash      uint64
 }
 
-// originFacts are the registers of one origin.
+// originFacts holds the registers of one origin.
 type originFacts struct {
 	bySubject map[string]register
 	hash      uint64 // the XOR of the registers' hashes
@@ -50,19 +51,19 @@
 	count   int
 }
 
-// New returns an empty store of a broker.
+// New returns an empty store for the broker with the ID self.
 func New(self string, limits Limits) *Store {
 	return &Store{self: self, limits: limits, origins: map[string]*originFacts{}}
 }
 
-// Now is the time of an event.
+// Now is the time of an event on two clocks.
 type Now struct {
-	Mono time.Duration // Mono is monotonic: lifetimes end by it.
-	Wall time.Time     // Wall may be wrong: it is for stamps alone.
+	Mono time.Duration // Mono is the time on a monotonic clock, by which the lifetimes of facts are measured.
+	Wall time.Time     // Wall is the time on the wall clock, which may be wrong. It is used only for stamps.
 }
 
-// Record writes this broker's own verdict, and returns the fact to be sent; false where it is already held with at least
-// half of the lifetime.
+// Record stores a verdict of this broker and returns the fact to send. It returns false if the store already holds this
+// verdict with more than half of its lifetime remaining.
 func (s *Store) Record(now Now, subject string, verdict Verdict, ttl time.Duration) (Fact, bool) {
 	ttl = min(ttl, s.limits.TTL)
 	if own := s.origins[s.self]; own != nil {
@@ -85,8 +86,8 @@
 	s.clock.Logical++
 }
 
-// Merge joins a received fact, and reports whether it was news. A fact under this broker's own name is an earlier
-// process's: this process writes after it, and Advise does not count it.
+// Merge merges a received fact and reports whether it changed the store. A received fact whose origin is this broker was
+// recorded by an earlier process; the stamps of this process follow it, and PeerEjections does not count it.
 func (s *Store) Merge(now Now, fact Fact) (changed bool, rejection Rejection) {
 	switch {
 	case !s.isWellFormed(&fact):
@@ -97,7 +98,7 @@
 		return false, Full
 	}
 	if fact.Stamp.Compare(s.clock) > 0 {
-		s.clock = fact.Stamp // so that this broker's next facts come after all that it has received
+		s.clock = fact.Stamp // so that the stamps of this broker's next facts follow those of all received facts
 	}
 	return s.join(now, fact), ""
 }
@@ -108,7 +109,7 @@
 	return hasNames && hasVerdict && fact.Remaining > 0 && fact.Remaining <= s.limits.TTL
 }
 
-// join joins a fact into its register, and reports whether it is news.
+// join merges a fact into its register, and reports whether the register changed.
 func (s *Store) join(now Now, fact Fact) bool {
 	facts := s.origins[fact.Origin]
 	if facts == nil {
@@ -121,7 +122,7 @@
 	case known:
 		order := cmp.Or(next.stamp.Compare(held.stamp), cmp.Compare(next.verdict, held.verdict))
 		if order == 0 && next.expiresAt < held.expiresAt {
-			// The same version with an earlier end: the earlier end holds, and is not worth sending.
+			// The same version with an earlier expiry: the store keeps the earlier one, but it is not worth sending.
 			held.expiresAt = next.expiresAt
 			facts.bySubject[fact.Subject] = held
 		}
@@ -141,7 +142,8 @@
 	return true
 }
 
-// evictOlder removes the oldest fact of an origin to make room, unless that is newer than the one to come.
+// evictOlder removes the oldest fact of an origin to make room for a new fact. It returns false if the oldest fact is
+// newer than the new one.
 func (s *Store) evictOlder(facts *originFacts, subject string, stamp Stamp) bool {
 	oldest, first := "", true
 	for candidate, held := range facts.bySubject {
@@ -166,7 +168,7 @@
 	s.count--
 }
 
-// Expire removes facts whose lifetime has ended, and returns how many.
+// Expire removes the facts whose lifetime has ended, and returns their number.
 func (s *Store) Expire(now Now) (expired int) {
 	for id, facts := range s.origins {
 		for subject, held := range facts.bySubject {
@@ -182,5 +184,5 @@
 	return expired
 }
 
-// Len returns the number of facts.
+// Len returns the number of facts in the store.
 func (s *Store) Len() int { return s.count }
--- a/internal/fleet/replica/summary.go
+++ b/internal/fleet/replica/summary.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// Digest returns a short hash that is the same in two copies with the same facts.
+// Digest returns a short hash of all facts. Two copies with the same facts have the same digest.
 func (s *Store) Digest() string { return fmt.Sprintf("%d-%016x", s.count, s.hash) }
 
-// Facts returns all facts, by origin and subject.
+// Facts returns all facts, ordered by origin and subject.
 func (s *Store) Facts(now Now) []Fact { return s.Differing(now, nil) }
 
-// Summary returns a hash of the facts of each origin.
+// Summary returns the hash of each origin's facts by origin.
 func (s *Store) Summary() map[string]uint64 {
 	hashes := make(map[string]uint64, len(s.origins))
 	for id, facts := range s.origins {
@@ -21,7 +21,7 @@
 	return hashes
 }
 
-// Differing returns the facts of those origins of which a copy with the given summary holds other facts or none.
+// Differing returns the facts of each origin whose hash differs from, or is missing in, the summary of another copy.
 func (s *Store) Differing(now Now, summary map[string]uint64) []Fact {
 	var differing []Fact
 	for id, facts := range s.origins {
