--- a/internal/fleet/budget/demand.go
+++ b/internal/fleet/budget/demand.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// demandSamples is over how many samples demand is smoothed.
+// demandSamples is the number of samples over which the demand is smoothed.
 const demandSamples = 16
 
-// DemandEstimator estimates the rate at which a holder is asked, as the mean of all samples at first and as an exponential mean
-// later. A broker of a large fleet gets less than one request in a sample: shares that followed that noise would keep
-// much of a pool charged twice, by the grants before and after.
+// DemandEstimator estimates a holder's demand as a rate per second. It takes the mean of all samples at first, and an
+// exponential moving average later. A broker in a large fleet receives less than one request per sample. If shares
+// followed this noise, much of a pool would be charged twice, by the old and the new grants.
 type DemandEstimator struct {
 	rates       []float64
 	lastTotals  []float64
@@ -15,7 +15,7 @@
 	sampleCount float64
 }
 
-// Sample takes the totals since the start, for each quota.
+// Sample updates the estimates with the total demand since the start, for each quota.
 func (d *DemandEstimator) Sample(now time.Duration, totals []float64) {
 	if elapsed := (now - d.sampledAt).Seconds(); d.lastTotals != nil && elapsed > 0 {
 		d.sampleCount = min(d.sampleCount+1, demandSamples)
@@ -29,5 +29,5 @@
 	d.lastTotals, d.sampledAt = append(d.lastTotals[:0], totals...), now
 }
 
-// Rates returns the estimates per second.
+// Rates returns the estimated demand per second, for each quota.
 func (d *DemandEstimator) Rates() []float64 { return append([]float64(nil), d.rates...) }
--- a/internal/fleet/budget/divide.go
+++ b/internal/fleet/budget/divide.go
@@ -6,19 +6,21 @@
 	"slices"
 )
 
-// Claim is what one holder asks of a pool.
+// Claim is one holder's claim to a pool.
 type Claim struct {
-	Weight float64 // Weight is its share weight; it is above 0.
-	Demand float64 // Demand is what it would spend.
-	Held   float64 // Held is its present share.
+	Weight float64 // Weight is the holder's share weight; it is above 0.
+	Demand float64 // Demand is the rate that the holder would spend.
+	Held   float64 // Held is the holder's present share.
 }
 
-// hysteresis is the fraction by which a share has to change to be granted anew: shares follow demand, not its noise.
+// hysteresis is the fraction of a share that a change has to exceed to take effect, so that noise in the demand does not
+// change the shares.
 const hysteresis = 0.1
 
-// Divide returns the share of each claim in a pool: its demand where there is enough, else shares by weight of what is
-// short (weighted max-min fairness). Of what nobody demands half goes by demand, as a holder with more demand varies by
-// more, and half by weight, so that a holder without demand can begin. The shares add up to at most the pool.
+// Divide returns the share of each claim in a pool by weighted max-min fairness: each holder receives its demand if the
+// pool suffices, and otherwise the unsatisfied holders share the rest by weight. The surplus that no holder demands is
+// divided half by demand, because a higher demand varies by more, and half by weight, so that a holder without demand can
+// start to spend. The shares add up to at most the pool.
 func Divide(pool float64, claims []Claim) []float64 {
 	shares, remaining := maxMinShares(pool, claims)
 	addSurplus(shares, claims, remaining)
@@ -28,8 +30,8 @@
 
 func (c *Claim) demand() float64 { return max(c.Demand, 0) }
 
-// maxMinShares grants the claims with the least demand by weight first, as what they leave is the others'. It returns
-// what is left of the pool.
+// maxMinShares serves the claims in ascending order of demand per weight, because the part of its fair share that a claim
+// does not need goes to the later claims. It returns the remainder of the pool too.
 func maxMinShares(pool float64, claims []Claim) (shares []float64, remaining float64) {
 	shares = make([]float64, len(claims))
 	order := make([]int, len(claims))
@@ -51,7 +53,7 @@
 	return shares, max(remaining, 0)
 }
 
-// addSurplus divides what nobody demands.
+// addSurplus adds to the shares the part of the pool that no holder demands.
 func addSurplus(shares []float64, claims []Claim, surplus float64) {
 	weight, demand := 0.0, 0.0
 	for i := range claims {
@@ -67,7 +69,7 @@
 	}
 }
 
-// keepSimilarShares leaves holders the share that they have where it is nearly the new one and the pool allows it.
+// keepSimilarShares replaces a new share by the present one if they are similar and the pool allows it.
 func keepSimilarShares(shares []float64, claims []Claim, pool float64) {
 	sum := 0.0
 	for _, share := range shares {
--- a/internal/fleet/budget/grantor.go
+++ b/internal/fleet/budget/grantor.go
@@ -7,49 +7,50 @@
 	"time"
 )
 
-// Terms are those of all leases.
+// Terms holds the terms that apply to every lease.
 type Terms struct {
-	LeaseDuration time.Duration // Length is how long a holder spends by a lease, by its own clock, from when it asked for it.
-	MaxDrift      float64       // Drift bounds how far the rate of any clock is from the true one.
+	LeaseDuration time.Duration // LeaseDuration is the time for which a holder may spend a lease, by the holder's clock, from the time of its request.
+	MaxDrift      float64       // MaxDrift bounds the relative deviation of any clock's rate from true time.
 }
 
-// GrantorLeaseDuration is how long, by the grantor's clock, a lease counts as spent after it was granted. A holder's clock may
-// run slow by Drift, so that its Length lasts Length/(1-Drift); the grantor's may run fast by as much.
+// GrantorLeaseDuration returns the time, by the grantor's clock, for which a lease stays charged after it was granted. A
+// holder's clock may run slow by MaxDrift, so that its lease lasts LeaseDuration/(1-MaxDrift) of true time. The grantor's
+// clock may run fast by MaxDrift.
 func (t Terms) GrantorLeaseDuration() time.Duration {
 	return time.Duration(float64(t.LeaseDuration)*(1+t.MaxDrift)/(1-t.MaxDrift)) + 1
 }
 
-// Request asks for the next lease. Its keys are on the wire.
+// Request asks for the next lease. Its keys are part of the wire format.
 type Request struct {
 	Holder          string    `codec:"h"`
 	Weight          float64   `codec:"w"`
 	Seq             uint64    `codec:"q"`
-	AcceptedVersion uint64    `codec:"u"` // Uses is the version of the newest grant that the holder has accepted; 0 for none.
-	Demand          []float64 `codec:"d"` // Demand is what the holder would spend beyond its floor, in requests per second.
+	AcceptedVersion uint64    `codec:"u"` // AcceptedVersion is the version of the newest grant that the holder has accepted; 0 if none.
+	Demand          []float64 `codec:"d"` // Demand is the holder's demand beyond its floor, in requests per second, for each quota.
 }
 
 // maxDemand bounds a demand, in requests per second.
 const maxDemand = 1e12
 
-// claimant is a holder as the grantor knows it.
+// claimant is the last request of a holder.
 type claimant struct {
 	Request
 	receivedAt time.Duration
 	isPending  bool // the request has not been answered
 }
 
-// Grantor decides grants. Only the leader of the group that replicates the ledger has one. It is told each command that
-// was applied. Its clock is passed in, and never goes back.
+// Grantor decides on grants. Only the leader of the group that replicates the ledger has one. The caller reports each
+// applied command to it, and passes in the time, which never goes back.
 type Grantor struct {
 	terms       Terms
 	ledger      *Ledger
-	grantedAt   map[uint64]time.Duration // by version: when this replica applied the grant
+	grantedAt   map[uint64]time.Duration // time at which this replica applied each grant, by version
 	claimants   map[string]*claimant
 	lastVersion uint64
 }
 
-// NewGrantor returns the grantor of a replica of the ledger. Every grant in the ledger counts as granted now: when it was
-// applied at the leader before is not known.
+// NewGrantor returns the grantor of a replica of the ledger. It counts every grant in the ledger as granted now, because
+// it does not know when the previous leader applied the grant.
 func NewGrantor(terms Terms, ledger *Ledger, now time.Duration) *Grantor {
 	g := &Grantor{
 		terms: terms, ledger: ledger, grantedAt: map[uint64]time.Duration{}, claimants: map[string]*claimant{},
@@ -63,7 +64,7 @@
 	return g
 }
 
-// Receive receives a request. One that is malformed or not newer than the holder's last is ignored.
+// Receive handles a request. It ignores a request that is malformed or not newer than the holder's last one.
 func (g *Grantor) Receive(now time.Duration, request Request) {
 	if last := g.claimants[request.Holder]; last != nil && request.Seq <= last.Seq {
 		return
@@ -79,14 +80,14 @@
 	g.claimants[request.Holder] = &claimant{request, now, true}
 }
 
-// NextCommand returns the next command: what has ended, what is acknowledged, and a grant for each pending request; false
-// for nothing. The caller replicates it, and calls Applied before it asks for the next one.
+// NextCommand returns the next command, with expirations, acknowledgments and a grant for each pending request. It returns
+// false if the command would be empty. The caller replicates the command, and calls Applied before the next NextCommand.
 func (g *Grantor) NextCommand(now time.Duration) (c Command, ok bool) {
 	c = Command{Expire: g.expired(now), Ack: map[string]uint64{}}
 	for _, id := range slices.Sorted(maps.Keys(g.claimants)) {
 		claimant := g.claimants[id]
 		if now-claimant.receivedAt > g.terms.GrantorLeaseDuration() {
-			delete(g.claimants, id) // departed: its leases end by themselves
+			delete(g.claimants, id) // the holder departed; its leases expire by themselves
 			continue
 		}
 		if grants := g.ledger.Grants[id]; len(grants) > 0 && grants[0].Version < claimant.AcceptedVersion {
@@ -95,13 +96,13 @@
 	}
 	after := g.ledger.clone()
 	if _, err := after.Apply(c); err != nil {
-		return Command{}, false // it has no grants that could be rejected
+		return Command{}, false // not reached: the command has no grants yet, and only grants are rejected
 	}
 	c.Grants = g.grants(after)
 	return c, len(c.Grants)+len(c.Expire)+len(c.Ack) > 0
 }
 
-// expired returns the versions up to which holders' grants have ended by any clock.
+// expired returns, by holder, the highest version among the grants that have ended by any clock within the drift bound.
 func (g *Grantor) expired(now time.Duration) map[string]uint64 {
 	expired := map[string]uint64{}
 	for holder, grants := range g.ledger.Grants {
@@ -114,7 +115,8 @@
 	return expired
 }
 
-// grants answers the pending requests, by the ledger as it is after the rest of the command.
+// grants returns a grant for each pending request. after is the ledger after the rest of the command; the grants are added
+// to it.
 func (g *Grantor) grants(after *Ledger) (grants []Grant) {
 	ids := slices.Sorted(maps.Keys(g.claimants))
 	targets := g.targets(after, ids)
@@ -137,7 +139,7 @@
 	return grants
 }
 
-// targets divides each pool among the claimants: by quota, and by the claimants' order.
+// targets divides each pool among the claimants. The result has a share for each quota and claimant, in the order of ids.
 func (g *Grantor) targets(after *Ledger, ids []string) [][]float64 {
 	targets := make([][]float64, len(after.Pools))
 	for i, pool := range after.Pools {
@@ -150,8 +152,9 @@
 	return targets
 }
 
-// shrinkingFirst orders claimants by how much their shares grow. What a smaller share frees counts only once the holder
-// has acknowledged it, so that those who shrink are granted first.
+// shrinkingFirst returns the indexes of the claimants in ascending order of their shares' growth. The capacity that a
+// smaller share frees is available only after the holder has acknowledged the grant, so shrinking shares are granted
+// first.
 func shrinkingFirst(after *Ledger, ids []string, targets [][]float64) []int {
 	order := make([]int, len(ids))
 	growth := make([]float64, len(ids))
@@ -165,7 +168,7 @@
 	return order
 }
 
-// Applied records the grants of a command that the ledger has applied.
+// Applied records the time of grants that the ledger has added.
 func (g *Grantor) Applied(now time.Duration, grants []Grant) {
 	for _, grant := range grants {
 		g.grantedAt[grant.Version] = now
@@ -176,7 +179,7 @@
 	}
 }
 
-// forgetRemovedGrants forgets the grants that the ledger no longer holds.
+// forgetRemovedGrants deletes the times of grants that the ledger no longer holds.
 func (g *Grantor) forgetRemovedGrants() {
 	held := map[uint64]time.Duration{}
 	for _, grants := range g.ledger.Grants {
--- a/internal/fleet/budget/holder.go
+++ b/internal/fleet/budget/holder.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Holder is a broker's side of its leases: its floor, and the lease that it spends by.
+// Holder is the broker's side of the leases. It holds the broker's floor and its current lease.
 type Holder struct {
 	id         string
 	weight     float64
 	terms      Terms
 	floor      []float64
 	lastSeq    uint64
-	askedAt    map[uint64]time.Duration // by the sequence number of a request, by this holder's clock
+	askedAt    map[uint64]time.Duration // times of open requests by sequence number, on this holder's clock
 	version    uint64                   // version of the newest accepted grant; 0 for none
 	shares     []float64
-	leaseStart time.Duration // from is when the lease was asked for: it counts from then.
+	leaseStart time.Duration // leaseStart is the time of the request that the lease answers.
 }
 
-// maxOpenRequests bounds the requests whose answers are still accepted.
+// maxOpenRequests bounds the number of requests whose grants are still accepted.
 const maxOpenRequests = 64
 
-// NewHolder returns a holder that has its floor only. The ID is that of a process: another process is another holder.
+// NewHolder returns a holder that has only its floor. The ID identifies a process; a restarted process is a new holder.
 func NewHolder(id string, weight float64, terms Terms, floor []float64) *Holder {
 	return &Holder{
 		id: id, weight: weight, terms: terms, floor: floor, askedAt: map[uint64]time.Duration{},
@@ -26,7 +26,7 @@
 	}
 }
 
-// NextRequest returns the request for the next lease, with the demand beyond the floor.
+// NextRequest returns the request for the next lease. The request carries the demand beyond the floor.
 func (h *Holder) NextRequest(now time.Duration, demand []float64) Request {
 	h.lastSeq++
 	beyond := make([]float64, len(h.floor))
@@ -36,14 +36,14 @@
 	h.askedAt[h.lastSeq] = now
 	for seq, at := range h.askedAt {
 		if now-at >= h.terms.LeaseDuration || h.lastSeq-seq >= maxOpenRequests {
-			delete(h.askedAt, seq) // a lease for it would have ended
+			delete(h.askedAt, seq) // a lease for this request would have ended
 		}
 	}
 	return Request{Holder: h.id, Weight: h.weight, Seq: h.lastSeq, AcceptedVersion: h.version, Demand: beyond}
 }
 
-// Accept reports whether a grant holds from now on. It has to answer a request of this holder, and to be newer than the
-// one that it spends by.
+// Accept replaces the current lease by a grant and reports whether it did. The grant has to answer an open request of
+// this holder and to be newer than the current lease.
 func (h *Holder) Accept(now time.Duration, grant Grant) bool {
 	askedAt, known := h.askedAt[grant.Seq]
 	isOurs := known && grant.Holder == h.id && len(grant.Shares) == len(h.floor)
@@ -54,8 +54,8 @@
 	return true
 }
 
-// Allowance returns what the holder may spend now, floor included, in requests per second, and whether that rests on a
-// lease.
+// Allowance returns the rates that the holder may spend now, in requests per second including the floor. leased reports
+// whether a lease is in force.
 func (h *Holder) Allowance(now time.Duration) (rates []float64, leased bool) {
 	rates = append(rates, h.floor...)
 	if h.version == 0 || now-h.leaseStart >= h.terms.LeaseDuration {
@@ -67,7 +67,7 @@
 	return rates, true
 }
 
-// Remaining returns how long the lease still holds; 0 without one.
+// Remaining returns the remaining time of the lease; 0 if none is in force.
 func (h *Holder) Remaining(now time.Duration) time.Duration {
 	if _, leased := h.Allowance(now); !leased {
 		return 0
@@ -75,5 +75,5 @@
 	return h.terms.LeaseDuration - (now - h.leaseStart)
 }
 
-// Version returns the version of the newest accepted grant; 0 for none.
+// Version returns the version of the newest accepted grant; 0 if none was accepted.
 func (h *Holder) Version() uint64 { return h.version }
--- a/internal/fleet/budget/ledger.go
+++ b/internal/fleet/budget/ledger.go
@@ -7,43 +7,45 @@
 	"slices"
 )
 
-// Why a ledger rejects a grant.
+// The reasons for which a ledger rejects a grant.
 var (
-	ErrForeignGrant = errors.New("of another ledger")
-	ErrPoolExceeded = errors.New("passes the pool")
+	ErrForeignGrant = errors.New("the number of shares or the version does not fit the ledger")
+	ErrPoolExceeded = errors.New("the sum of the grants exceeds the pool")
 )
 
-// Grant is a lease. Its keys are on the wire and in the ledger.
+// Grant is a granted lease. Its keys are part of the wire format and of the stored ledger.
 type Grant struct {
 	Holder  string    `codec:"h" json:"holder"`
-	Version uint64    `codec:"v" json:"version"` // Version rises over all grants.
-	Seq     uint64    `codec:"q" json:"seq"`     // Seq is that of the holder's request which the grant answers.
-	Shares  []float64 `codec:"p" json:"parts"`   // Parts are the shares of the quotas, in requests per second, in the quotas' order.
+	Version uint64    `codec:"v" json:"version"` // Version rises with each grant to any holder.
+	Seq     uint64    `codec:"q" json:"seq"`     // Seq is the sequence number of the request that the grant answers.
+	Shares  []float64 `codec:"p" json:"parts"`   // Shares holds the share of each pool, in requests per second.
 }
 
-// Command is one change of the ledger. All replicas apply the same commands in the same order. Its keys are in the log.
+// Command is one change of the ledger. All replicas apply the same commands in the same order. Its keys are part of the
+// Raft log's format.
 type Command struct {
 	Grants []Grant           `codec:"g,omitempty" json:"give,omitempty"`
-	Expire map[string]uint64 `codec:"e,omitempty" json:"expire,omitempty"` // Expire ends a holder's grants up to a version.
-	Ack    map[string]uint64 `codec:"a,omitempty" json:"ack,omitempty"`    // Ack says that a holder spends by a version, and by none before.
+	Expire map[string]uint64 `codec:"e,omitempty" json:"expire,omitempty"` // Expire removes each holder's grants up to a version.
+	Ack    map[string]uint64 `codec:"a,omitempty" json:"ack,omitempty"`    // Ack records that a holder spends the grant with a version, and no earlier grant.
 }
 
 // Ledger holds the grants that may still be spent. Applying commands is deterministic and needs no clock. Its keys are
-// in snapshots and in the answer of the control address.
+// part of the format of snapshots and of the answer of the control address.
 type Ledger struct {
-	Pools   []float64          `codec:"p" json:"pool"` // Pool has the quotas less their floors.
+	Pools   []float64          `codec:"p" json:"pool"` // Pools holds each quota without the floors.
 	Grants  map[string][]Grant `codec:"g" json:"grants"`
-	Version uint64             `codec:"v" json:"version"` // Version is that of the last grant.
+	Version uint64             `codec:"v" json:"version"` // Version is the version of the last grant.
 }
 
-// NewLedger returns a ledger without grants.
+// NewLedger returns a ledger without grants for the given pools.
 func NewLedger(pool []float64) *Ledger { return &Ledger{Pools: pool, Grants: map[string][]Grant{}} }
 
-// roundingSlack is by how much sums of shares may exceed a pool, relative and absolute.
+// roundingSlack is the tolerance, relative and absolute, by which a sum of shares may exceed a pool because of rounding.
 const roundingSlack = 1e-6
 
-// Apply applies a command: first what has ended or was acknowledged, then the grants. A grant that would exceed the pool
-// is left out, whoever decided it, as the ledger is the last guard of the invariant; the error is that of the last one.
+// Apply applies a command: first the expirations and acknowledgments, then the grants. It returns the grants that it added.
+// It rejects a grant that would exceed a pool, whichever grantor decided it, so that the ledger itself guarantees the
+// invariant. rejected is the error of the last rejected grant.
 func (l *Ledger) Apply(c Command) (added []Grant, rejected error) {
 	for holder, version := range c.Expire {
 		l.remove(holder, func(g Grant) bool { return g.Version <= version })
@@ -61,7 +63,7 @@
 	return added, rejected
 }
 
-// add adds a grant unless it is of another ledger or exceeds the pool.
+// add adds a grant unless it does not fit the ledger or exceeds a pool.
 func (l *Ledger) add(grant Grant) error {
 	if len(grant.Shares) != len(l.Pools) || grant.Version <= l.Version {
 		return fmt.Errorf("budget: grant %d to %s: %w", grant.Version, grant.Holder, ErrForeignGrant)
@@ -69,13 +71,13 @@
 	l.Grants[grant.Holder] = append(l.Grants[grant.Holder], grant)
 	if quota := l.exceededQuota(); quota >= 0 {
 		l.remove(grant.Holder, func(g Grant) bool { return g.Version == grant.Version })
-		return fmt.Errorf("budget: grant %d to %s %w of whole %d", grant.Version, grant.Holder, ErrPoolExceeded, quota)
+		return fmt.Errorf("budget: grant %d to %s: %w of quota %d", grant.Version, grant.Holder, ErrPoolExceeded, quota)
 	}
 	l.Version = grant.Version
 	return nil
 }
 
-// remove removes grants of a holder.
+// remove removes the matching grants of a holder.
 func (l *Ledger) remove(holder string, matches func(Grant) bool) {
 	if kept := slices.DeleteFunc(l.Grants[holder], matches); len(kept) > 0 {
 		l.Grants[holder] = kept
@@ -84,7 +86,7 @@
 	delete(l.Grants, holder)
 }
 
-// exceededQuota returns a quota of which more is charged than its pool, or -1.
+// exceededQuota returns the index of a quota whose charged shares exceed its pool, or -1 if there is none.
 func (l *Ledger) exceededQuota() int {
 	for i, charged := range l.ChargedExcept("") {
 		if charged > l.Pools[i]*(1+roundingSlack)+roundingSlack {
@@ -94,7 +96,7 @@
 	return -1
 }
 
-// ChargedTo returns what a holder may still spend by any of its grants, of each quota.
+// ChargedTo returns the highest share of each quota that a holder may still spend by any of its grants.
 func (l *Ledger) ChargedTo(holder string) []float64 {
 	highest := make([]float64, len(l.Pools))
 	for _, grant := range l.Grants[holder] {
@@ -105,8 +107,8 @@
 	return highest
 }
 
-// ChargedExcept returns the sum of what all holders except one may still spend, of each quota. It sums in the order of
-// the holders' IDs, so that the rounding of the sums is the same at every replica.
+// ChargedExcept returns, for each quota, the sum of the charged shares of all holders except one. It adds in the order of
+// the holders' IDs, so that the sums are rounded alike at every replica.
 func (l *Ledger) ChargedExcept(excepted string) []float64 {
 	sum := make([]float64, len(l.Pools))
 	for _, holder := range slices.Sorted(maps.Keys(l.Grants)) {
@@ -120,7 +122,7 @@
 	return sum
 }
 
-// clone returns a ledger that can be changed without changing this one.
+// clone returns a copy whose grants can be changed without changing this ledger.
 func (l *Ledger) clone() *Ledger {
 	cloned := &Ledger{Pools: l.Pools, Grants: make(map[string][]Grant, len(l.Grants)), Version: l.Version}
 	for holder, grants := range l.Grants {
--- a/internal/fleet/replica/peer_ejections.go
+++ b/internal/fleet/replica/peer_ejections.go
@@ -85,14 +85,14 @@
 // ReportedBad returns the servers that at least one broker reports as bad. Only for these servers is a Good fact worth
 // sending.
 func (s *Store) ReportedBad(now Now) []string {
-	var disputed []string
+	var reported []string
 	for _, facts := range s.origins {
 		for subject, held := range facts.bySubject {
 			if held.verdict == Bad && held.expiresAt > now.Mono {
-				disputed = append(disputed, subject)
+				reported = append(reported, subject)
 			}
 		}
 	}
-	slices.Sort(disputed)
-	return slices.Compact(disputed)
+	slices.Sort(reported)
+	return slices.Compact(reported)
 }
--- a/internal/fleet/replication/compatibility_test.go
+++ b/internal/fleet/replication/compatibility_test.go
@@ -10,8 +10,8 @@
 	"dykering/internal/fleet/replica"
 )
 
-// What members send each other about servers, and what the control socket shows of it, have the form of released
-// builds.
+// Guards the format of the messages among members, of the snapshot's header and of the state that the control address
+// serves, against fixtures written by a released build.
 func TestMessageOfReleasedBuildIsReadAndWrittenAlike(t *testing.T) {
 	fixture.MessagePack(t, "testdata/compatibility/message.msgpack", &message{},
 		func(m any) []byte { return encode(*m.(*message)) },
@@ -22,11 +22,11 @@
 	fixture.JSON(t, "testdata/compatibility/state.json", &State{})
 	fixture.JSON(t, "testdata/compatibility/head.json", &snapshotHeader{})
 	if replica.Good != 1 || replica.Bad != 2 {
-		t.Errorf("verdicts %d and %d: 1 and 2 are on the wire", replica.Good, replica.Bad)
+		t.Errorf("verdicts Good and Bad are %d and %d, but the wire format has 1 and 2", replica.Good, replica.Bad)
 	}
 }
 
-// A snapshot file of a released build is loaded, and the member starts warm.
+// Guards the format of the snapshot file: the facts in the file of a released build are loaded.
 func TestSnapshotOfReleasedBuildIsLoaded(t *testing.T) {
 	const path, self, kept = "testdata/compatibility/snapshot.db", "b1", time.Minute
 	saved := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -47,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	copied := filepath.Join(t.TempDir(), "snapshot.db") // a database is locked, and so opened to be written
+	copied := filepath.Join(t.TempDir(), "snapshot.db") // bbolt locks the file that it opens
 	if err := os.WriteFile(copied, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/replication/evidence.go
+++ b/internal/fleet/replication/evidence.go
@@ -10,8 +10,8 @@
 	"dykering/internal/fleet/replica"
 )
 
-// exchangeEvidence records and broadcasts what the broker's own calls have shown, and has the broker apply what the facts
-// of other members amount to.
+// exchangeEvidence records and broadcasts the evidence of the broker's own calls, and applies the peer ejections that
+// follow from the facts of other members.
 func (s *Service) exchangeEvidence(store *replica.Store) {
 	now := s.now()
 	store.Expire(now)
@@ -27,7 +27,7 @@
 		if e.Ejected {
 			verdict = replica.Bad
 		}
-		if fact, news := store.Record(now, e.Server, verdict, time.Duration(s.section.TTL)); news {
+		if fact, changed := store.Record(now, e.Server, verdict, time.Duration(s.section.TTL)); changed {
 			s.broadcast(fact)
 		}
 	}
--- a/internal/fleet/replication/exchange.go
+++ b/internal/fleet/replication/exchange.go
@@ -9,20 +9,22 @@
 )
 
 const (
-	// sendAttempts and retryPause are for one message to a member: a link that loses packets breaks streams too.
+	// sendAttempts and retryPause apply to one message to a member. Retries are needed because packet loss can also break
+	// a stream.
 	sendAttempts = 3
 	retryPause   = 300 * time.Millisecond
-	// factsPerMessage bounds the facts in one message to a member.
+	// factsPerMessage bounds the number of facts in one message to a member.
 	factsPerMessage = 256
 )
 
-// outgoingMessage is a message to a single member.
+// outgoingMessage is a queued message to a single member.
 type outgoingMessage struct {
 	to      string
 	message []byte
 }
 
-// broadcast disseminates a fact, if the rate allows it. A fact that is held back reaches others by the next comparison.
+// broadcast disseminates a fact if the rate limit allows it. Otherwise the fact reaches other members by the next
+// comparison.
 func (s *Service) broadcast(fact replica.Fact) {
 	text := encode(message{Facts: []replica.Fact{fact}})
 	if !s.rateLimit.take(time.Now(), len(text)) {
@@ -34,7 +36,7 @@
 	s.gossip.Broadcast(fact.Origin+"/"+fact.Subject, text)
 }
 
-// Receive receives a message of another member: facts or a summary.
+// Receive handles a message from another member: facts or a summary.
 func (s *Service) Receive(text []byte) {
 	m, err := decode(text)
 	if err != nil {
@@ -48,10 +50,10 @@
 	s.enqueueEvent(func(store *replica.Store) { s.merge(store, m) })
 }
 
-// Summary returns the summary that memberlist sends with a push-pull, as of the last event.
+// Summary returns the summary that memberlist sends with a push-pull. It is as of the last event.
 func (s *Service) Summary() []byte { return *s.summary.Load() }
 
-// ReceiveSummary receives the summary in another member's push-pull.
+// ReceiveSummary handles the summary in another member's push-pull.
 func (s *Service) ReceiveSummary(text []byte) {
 	m, err := decode(text)
 	if err != nil || m.From == "" {
@@ -66,15 +68,15 @@
 	s.log.Warn("fleet.replica.refused", zap.String("why", "no message of ours"), zap.Error(err))
 }
 
-// merge merges received facts, and broadcasts those that are news.
+// merge merges received facts, and broadcasts those that changed the store.
 func (s *Service) merge(store *replica.Store, m message) {
 	now, merged, rejected := s.now(), 0, map[replica.Rejection]int{}
 	for _, fact := range m.Facts {
-		switch news, rejection := store.Merge(now, fact); {
+		switch changed, rejection := store.Merge(now, fact); {
 		case rejection != "":
 			rejected[rejection]++
 			s.counters.Refused.Add(1)
-		case news:
+		case changed:
 			merged++
 			s.counters.Merged.Add(1)
 			s.broadcast(fact)
@@ -90,19 +92,19 @@
 	if isRepair {
 		s.counters.CaughtUp.Add(1)
 		s.log.Info("fleet.replica.caught_up", zap.String("from", m.From), zap.Int("facts", len(m.Facts)),
-			zap.Int("news", merged), zap.String("rule", "the origin's newest word"), zap.String("digest", store.Digest()))
+			zap.Int("news", merged), zap.String("rule", "the origin's newest fact"), zap.String("digest", store.Digest()))
 	}
 }
 
-// compareWithPeer sends a random member the summary of this copy, so that it sends back what this one lacks.
+// compareWithPeer sends the summary of this copy to a random member, which answers with the facts that this copy lacks.
 func (s *Service) compareWithPeer(store *replica.Store) {
 	if peer, ok := s.gossip.RandomPeer(); ok {
 		s.enqueueMessage(peer, message{From: s.self, Hashes: store.Summary(), RequestSummary: true})
 	}
 }
 
-// sendDifferences sends a member what its copy lacks by its summary: all facts to one that has just started. Where the
-// member asked for it and this copy lacks something, it sends its own summary too.
+// sendDifferences sends a member the facts that its copy lacks by its summary: all facts if the summary is empty. If the
+// member requests a summary and this copy lacks facts, it sends its own summary too.
 func (s *Service) sendDifferences(m message) {
 	s.enqueueEvent(func(store *replica.Store) {
 		facts := store.Differing(s.now(), m.Hashes)
@@ -123,7 +125,7 @@
 	})
 }
 
-// enqueueMessage queues a message to a member, if the rate and the queue allow it.
+// enqueueMessage queues a message to a member. It returns false if the rate limit is reached or the queue is full.
 func (s *Service) enqueueMessage(to string, m message) bool {
 	text := encode(m)
 	if !s.rateLimit.take(time.Now(), len(text)) {
@@ -139,7 +141,8 @@
 	}
 }
 
-// sendQueued sends the queued messages one after another. A slow member delays the others' for memberlist's timeout.
+// sendQueued sends the queued messages one after another. A slow member delays the messages to others by at most
+// memberlist's timeout.
 func (s *Service) sendQueued() {
 	for {
 		select {
@@ -151,7 +154,7 @@
 	}
 }
 
-// sendWithRetries sends a message. After the last attempt the next comparison finds the difference again.
+// sendWithRetries sends a message, with retries. If all attempts fail, the next comparison finds the difference again.
 func (s *Service) sendWithRetries(next outgoingMessage) {
 	for range sendAttempts {
 		s.counters.BytesSent.Add(uint64(len(next.message)))
--- a/internal/fleet/replication/rate_limit.go
+++ b/internal/fleet/replication/rate_limit.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// burstSeconds is for how many seconds unused rate is saved up.
+// burstSeconds is the size of the bucket, as the number of seconds in which it fills up.
 const burstSeconds = 2
 
-// tokenBucket limits the bytes that are sent. The owner of the store uses it.
+// tokenBucket limits the rate of sent bytes. Only the goroutine that owns the store uses it.
 type tokenBucket struct {
 	rate      float64 // bytes per second
 	available float64
@@ -16,7 +16,7 @@
 	return tokenBucket{rate: rate, available: burstSeconds * rate}
 }
 
-// take reports whether so many bytes may be sent now, and spends them.
+// take reports whether a number of bytes may be sent now, and if so takes them from the bucket.
 func (b *tokenBucket) take(now time.Time, bytes int) bool {
 	if !b.updatedAt.IsZero() {
 		b.available = min(b.available+b.rate*now.Sub(b.updatedAt).Seconds(), burstSeconds*b.rate)
--- a/internal/fleet/replication/service.go
+++ b/internal/fleet/replication/service.go
@@ -14,31 +14,32 @@
 )
 
 const (
-	// eventQueueSize bounds the events that wait for the owner of the store.
+	// eventQueueSize bounds the queue of events for the goroutine that owns the store.
 	eventQueueSize = 1024
-	// outboxSize bounds the messages that wait to be sent to single members.
+	// outboxSize bounds the queue of messages to single members.
 	outboxSize = 16
-	// compareInterval is how often this copy is compared with a random member's. memberlist's own push-pull would find
-	// what the gossip lost only after 30 s.
+	// compareInterval is the interval at which this copy is compared with that of a random member. memberlist's own
+	// push-pull would repair lost broadcasts only after 30 s.
 	compareInterval = 5 * time.Second
-	// evidenceInterval is how often the broker's own evidence is recorded and other members' facts are applied.
+	// evidenceInterval is the interval at which the broker's evidence is recorded and peer ejections are applied.
 	evidenceInterval = time.Second
-	// brokerTimeout bounds the wait for the broker's event loop.
+	// brokerTimeout bounds a call to the broker's event loop.
 	brokerTimeout = 500 * time.Millisecond
-	// monotonicStart is where the monotonic clock begins, so that ages before the start are positive.
+	// monotonicStart is the time of the monotonic clock at the start, so that times before the start are positive.
 	monotonicStart = time.Hour
 )
 
-// Broker is the source of the evidence and applies the advice.
+// Broker supplies the evidence of its own calls and applies peer ejections.
 type Broker interface {
-	// Evidence returns the servers that the broker has ejected, those of the named that answered it well, and how many
-	// servers are in its list.
+	// Evidence returns the servers that the broker has ejected and those of the named servers that answered it
+	// successfully. listed is the number of servers in the broker's list.
 	Evidence(ctx context.Context, named []string) (all []core.Evidence, listed int, err error)
-	// ApplyPeerEjections applies what other members found, and returns how many servers that changed.
-	ApplyPeerEjections(ctx context.Context, advice []core.Evidence) (applied int, err error)
+	// ApplyPeerEjections applies ejections that other members recommend. applied is the number of servers whose state
+	// changed.
+	ApplyPeerEjections(ctx context.Context, ejections []core.Evidence) (applied int, err error)
 }
 
-// Gossip reaches the other members; see gossip.Channel.
+// Gossip sends messages to other members; gossip.Channel implements it.
 type Gossip interface {
 	Attach(replica gossip.Replica)
 	Broadcast(name string, message []byte)
@@ -46,30 +47,31 @@
 	RandomPeer() (id string, ok bool)
 }
 
-// Counters count what was done since the start. Their names are JSON keys of the answer of the control address.
+// Counters holds the event counts since the start of the service. The field names are JSON keys of the answer of the
+// control address.
 type Counters struct {
-	Told      atomic.Uint64 // Told are facts that were broadcast.
-	Merged    atomic.Uint64 // Merged are received facts that were news.
-	Known     atomic.Uint64 // Known are received facts that were not.
-	Refused   atomic.Uint64 // Refused are received facts that were rejected.
-	Bad       atomic.Uint64 // Bad are received messages that could not be read.
-	Heeded    atomic.Uint64 // Heeded are servers whose treatment the advice changed.
-	CaughtUp  atomic.Uint64 // CaughtUp are messages of another copy with news.
-	Snapshots atomic.Uint64 // Snapshots are those that were written.
-	Lost      atomic.Uint64 // Lost are events and messages that did not fit into a queue.
-	Held      atomic.Uint64 // Held are messages that the rate did not allow.
-	BytesTold atomic.Uint64 // BytesTold are those of broadcasts.
-	BytesSent atomic.Uint64 // BytesSent are those of messages to single members.
+	Told      atomic.Uint64 // Told counts facts that were broadcast.
+	Merged    atomic.Uint64 // Merged counts received facts that changed the store.
+	Known     atomic.Uint64 // Known counts received facts that the store already held, or held in a newer version.
+	Refused   atomic.Uint64 // Refused counts received facts that were rejected.
+	Bad       atomic.Uint64 // Bad counts received messages that could not be decoded.
+	Heeded    atomic.Uint64 // Heeded counts servers whose state was changed by a peer ejection.
+	CaughtUp  atomic.Uint64 // CaughtUp counts messages sent after a comparison that changed the store.
+	Snapshots atomic.Uint64 // Snapshots counts snapshots that were written.
+	Lost      atomic.Uint64 // Lost counts events and messages that were dropped because a queue was full.
+	Held      atomic.Uint64 // Held counts messages that were not sent because of the rate limit.
+	BytesTold atomic.Uint64 // BytesTold counts the bytes of broadcasts.
+	BytesSent atomic.Uint64 // BytesSent counts the bytes of messages to single members, including retries.
 }
 
-// State is the copy after the last event, as the control address serves it.
+// State is the content of the store after the last event, in the form that the control address serves.
 type State struct {
 	Digest string         `json:"digest"`
 	Facts  []replica.Fact `json:"facts"`
 	At     time.Time      `json:"at"`
 }
 
-// Service is a running copy.
+// Service maintains this broker's copy of the facts.
 type Service struct {
 	section   gossip.Replication
 	self      string
@@ -90,8 +92,8 @@
 
 var _ gossip.Replica = (*Service)(nil)
 
-// Start loads the snapshot and begins to take part, with at most maxOrigins members whose facts are held. It owns two
-// goroutines until Close.
+// Start loads the snapshot and starts the exchange of facts. The store holds facts of at most maxOrigins members. The
+// service runs two goroutines until Close.
 func Start(self string, maxOrigins int, section gossip.Replication, broker Broker, g Gossip, log *zap.Logger) *Service {
 	s := &Service{
 		section: section, self: self, broker: broker, gossip: g, log: log, start: time.Now(),
@@ -114,7 +116,7 @@
 	return s
 }
 
-// Close ends the goroutines, and writes the snapshot a last time.
+// Close ends the goroutines after saving a last snapshot.
 func (s *Service) Close() {
 	s.closeOnce.Do(func() {
 		close(s.done)
@@ -122,13 +124,13 @@
 	})
 }
 
-// State returns the copy after the last event.
+// State returns the content of the store after the last event.
 func (s *Service) State() *State { return s.state.Load() }
 
-// Counters returns the counters, which go on counting.
+// Counters returns the live counters.
 func (s *Service) Counters() *Counters { return &s.counters }
 
-// now is the time of an event. The laboratory may set the wall clock off.
+// now returns the time of an event. Its wall clock includes the offset that the lab may configure.
 func (s *Service) now() replica.Now {
 	now := time.Now()
 	return replica.Now{Mono: now.Sub(s.start) + monotonicStart, Wall: now.Add(time.Duration(s.section.ClockOffset))}
@@ -162,7 +164,7 @@
 	}
 }
 
-// enqueueEvent queues an event for the owner of the store, or counts it as lost.
+// enqueueEvent queues an event for the goroutine that owns the store. If the queue is full, it drops and counts the event.
 func (s *Service) enqueueEvent(event func(*replica.Store)) {
 	select {
 	case s.events <- event:
@@ -171,7 +173,7 @@
 	}
 }
 
-// publish stores what State and Summary return.
+// publish updates the results of State and Summary.
 func (s *Service) publish(store *replica.Store) {
 	summary := encode(message{From: s.self, Hashes: store.Summary()})
 	s.summary.Store(&summary)
--- a/internal/fleet/replication/snapshot.go
+++ b/internal/fleet/replication/snapshot.go
@@ -16,10 +16,10 @@
 	"dykering/internal/fleet/replica"
 )
 
-// snapshotFormat is that of the file; another one is not loaded.
+// snapshotFormat is the version of the file's format. A snapshot with another format is not loaded.
 const snapshotFormat = 1
 
-// openTimeout bounds the wait for the file's lock, which a process that hands over may still hold.
+// openTimeout bounds the wait for the file's lock, which the previous process may still hold during a handover.
 const openTimeout = time.Second
 
 // The snapshotBucket and the keys of the file.
@@ -30,21 +30,21 @@
 )
 
 var (
-	errNoSnapshot      = errors.New("there is none")
-	errForeignSnapshot = errors.New("of another fleet member, format or build")
-	errChecksum        = errors.New("its checksum does not fit")
+	errNoSnapshot      = errors.New("snapshot file does not exist")
+	errForeignSnapshot = errors.New("snapshot is of another fleet member, format or build")
+	errChecksum        = errors.New("checksum of the facts does not match the header")
 )
 
-// snapshotHeader describes a snapshot. Its keys are in the file.
+// snapshotHeader describes a snapshot. It is stored in the file as JSON.
 type snapshotHeader struct {
 	Format   int       `json:"format"`
 	Build    string    `json:"build"`
 	Self     string    `json:"self"`
-	SavedAt  time.Time `json:"saved"` // Saved is by the process's wall clock, which the laboratory may set off.
-	Checksum string    `json:"sum"`   // Sum is the SHA-256 of the encoded facts.
+	SavedAt  time.Time `json:"saved"` // SavedAt is the time by Service.now, which includes the clock offset that the lab may configure.
+	Checksum string    `json:"sum"`   // Checksum is the SHA-256 of the encoded facts in hexadecimal.
 }
 
-// programBuild identifies the program, so that another program's snapshot is not loaded.
+// programBuild returns the path and version of the main module, so that the snapshot of another build is not loaded.
 func programBuild() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		return info.Main.Path + " " + info.Main.Version
@@ -52,13 +52,13 @@
 	return "unknown"
 }
 
-// withDatabase opens the file, which locks it, and calls a function with it. A file that is damaged in ways that bbolt
-// does not check makes it panic, or read past the file's end: both become an error here.
+// withDatabase opens and locks the database file, and calls a function with it. Damage that bbolt does not check for
+// makes it panic or read past the end of the mapped file. Both are returned as an error.
 func withDatabase(path string, readOnly bool, do func(*bbolt.DB) error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
-			err = fmt.Errorf("snapshot: damaged: %v", p)
+			err = fmt.Errorf("snapshot: file is damaged: %v", p)
 		}
 	}()
 	if _, missing := os.Stat(path); readOnly && missing != nil {
@@ -72,7 +72,7 @@
 	return do(db)
 }
 
-// loadSnapshot reads the facts of a snapshot of a member, with what remains of their lifetimes.
+// loadSnapshot returns the facts in a member's snapshot file, with their remaining lifetimes.
 func loadSnapshot(path, self string, now time.Time, ttl time.Duration) (facts []replica.Fact, err error) {
 	err = withDatabase(path, true, func(db *bbolt.DB) error {
 		return db.View(func(tx *bbolt.Tx) error {
@@ -83,14 +83,14 @@
 	return facts, err
 }
 
-// readSnapshot reads the facts from the file's bucket; nil for a file without it.
+// readSnapshot checks the header and returns the facts in the bucket. b is nil if the file has no such bucket.
 func readSnapshot(b *bbolt.Bucket, self string, now time.Time, ttl time.Duration) (facts []replica.Fact, err error) {
 	if b == nil {
 		return nil, errForeignSnapshot
 	}
 	var h snapshotHeader
 	if err := json.Unmarshal(b.Get(keyHeader), &h); err != nil {
-		return nil, fmt.Errorf("snapshot: its head: %w", err)
+		return nil, fmt.Errorf("snapshot: decode header: %w", err)
 	}
 	if h.Format != snapshotFormat || h.Self != self || h.Build != programBuild() {
 		return nil, fmt.Errorf("%w: format %d, member %q, build %q", errForeignSnapshot, h.Format, h.Self, h.Build)
@@ -115,7 +115,7 @@
 	return facts, nil
 }
 
-// storeSnapshot writes a snapshot in one transaction: after a crash the previous one is there.
+// storeSnapshot writes a snapshot in one transaction, so that the previous snapshot survives a crash.
 func storeSnapshot(path, self string, now time.Time, facts []replica.Fact) error {
 	text := encode(message{Facts: facts})
 	h, err := json.Marshal(snapshotHeader{Format: snapshotFormat, Build: programBuild(), Self: self, SavedAt: now, Checksum: checksum(text)})
@@ -138,8 +138,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// restoreSnapshot merges the snapshot of the process before. Where it cannot be loaded the copy starts empty, and the
-// file is put aside, so that the next one can be written.
+// restoreSnapshot merges the snapshot of the previous process into the store. If the snapshot cannot be loaded, the store
+// stays empty and the file is renamed, so that the next snapshot can be written.
 func (s *Service) restoreSnapshot(store *replica.Store) {
 	path := s.section.SnapshotPath
 	if path == "" {
@@ -158,7 +158,7 @@
 	}
 	merged := 0
 	for _, fact := range facts {
-		if news, _ := store.Merge(now, fact); news {
+		if changed, _ := store.Merge(now, fact); changed {
 			merged++
 		}
 	}
@@ -166,7 +166,7 @@
 		zap.String("digest", store.Digest()))
 }
 
-// saveSnapshot writes the snapshot.
+// saveSnapshot writes the facts in the store to the snapshot file, if one is configured.
 func (s *Service) saveSnapshot(store *replica.Store) {
 	path := s.section.SnapshotPath
 	if path == "" {
--- a/internal/fleet/replication/snapshot_test.go
+++ b/internal/fleet/replication/snapshot_test.go
@@ -13,8 +13,8 @@
 	"dykering/internal/fleet/replica"
 )
 
-// A snapshot gives back what is left of each fact; one that is too old, another member's, from another format, damaged
-// anywhere in the file or no snapshot at all is refused with its reason, and never more than an error.
+// A loaded snapshot has the remaining lifetime of each fact. A snapshot that is too old, of another member, damaged
+// anywhere in the file, or missing is rejected with an error and never with a panic.
 func TestSnapshotRestoresRemainingLifetimesAndRejectsInvalidFiles(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	path := filepath.Join(t.TempDir(), "replica.db")
@@ -30,7 +30,7 @@
 	}
 	got, err := loadSnapshot(path, "me", now.Add(5*time.Second), time.Minute)
 	if err != nil || len(got) != 1 || got[0].Remaining != 5*time.Second || got[0].Stamp != facts[0].Stamp {
-		t.Fatalf("%+v, %v", got, err)
+		t.Fatalf("loaded %+v, %v, want only the first fact with 5 s remaining", got, err)
 	}
 	for want, load := range map[string]func() error{
 		"saved 5m0s ago": func() error { _, err := loadSnapshot(path, "me", now.Add(5*time.Minute), time.Minute); return err },
@@ -38,14 +38,14 @@
 		"of another":     func() error { _, err := loadSnapshot(path, "other", now, time.Minute); return err },
 	} {
 		if err := load(); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v, want %s", err, want)
+			t.Errorf("error %v, want it to contain %q", err, want)
 		}
 	}
 	whole, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	refused := 0
+	rejected := 0
 	broken := filepath.Join(t.TempDir(), "broken.db")
 	try := func(text []byte) {
 		if err := os.WriteFile(broken, text, 0o600); err != nil {
@@ -54,21 +54,21 @@
 		got, err := loadSnapshot(broken, "me", now, time.Minute)
 		switch {
 		case err != nil:
-			refused++
+			rejected++
 		case len(got) != len(facts) || got[0] != facts[0] || got[1] != facts[1]:
-			t.Fatalf("damaged, and taken as %+v", got)
+			t.Fatalf("a damaged file was loaded as %+v", got)
 		}
 	}
 	for cut := 0; cut < len(whole); cut += 997 {
 		try(whole[:cut])
 	}
-	for at := 0; at < len(whole); at += 61 { // many of the bytes are of no page in use
+	for at := 0; at < len(whole); at += 61 { // many of the bytes are in unused pages, so their damage has no effect
 		text := append([]byte(nil), whole...)
 		text[at] ^= 0x55
 		try(text)
 	}
-	if refused < 10 {
-		t.Errorf("only %d refused", refused)
+	if rejected < 10 {
+		t.Errorf("%d damaged files were rejected, want at least 10", rejected)
 	}
 	if err := withDatabase(path, false, func(db *bbolt.DB) error {
 		return db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(snapshotBucket).Put(keyFacts, []byte("other")) })
@@ -76,6 +76,6 @@
 		t.Fatal(err)
 	}
 	if _, err := loadSnapshot(path, "me", now, time.Minute); err == nil || !strings.Contains(err.Error(), "checksum") {
-		t.Errorf("%v, want its checksum", err)
+		t.Errorf("error %v, want it to name the checksum", err)
 	}
 }
