--- a/internal/fleet/budget/explore_test.go
+++ b/internal/fleet/budget/explore_test.go
@@ -12,25 +12,25 @@
 	"pgregory.net/rapid"
 )
 
-// defaultSchedules is how many are explored without the flag.
+// defaultSchedules is the number of schedules explored unless the flag sets another.
 const defaultSchedules = 600
 
-var schedules = flag.Int("schedules", defaultSchedules, "how many schedules are explored")
+var schedules = flag.Int("schedules", defaultSchedules, "number of schedules to explore")
 
-// plantedFault is what is planted, to see that the explorer finds it.
+// plantedFault is a fault planted into the code under test, to check that the exploration finds it.
 type plantedFault string
 
 const (
 	noFault             plantedFault = "none"
-	noDriftMargin       plantedFault = "leases without a margin for drift"
-	leaseFromGrant      plantedFault = "a lease counts from its answer"
-	reuseBeforeAck      plantedFault = "what a smaller part frees is given before it is acknowledged"
-	leaderForgetsGrants plantedFault = "a new leader takes what it did not see given as ended"
-	driftBeyondBound    plantedFault = "a clock beyond the bound"
+	noDriftMargin       plantedFault = "leases without a margin for clock drift"
+	leaseFromGrant      plantedFault = "a lease starts at its grant instead of its request"
+	reuseBeforeAck      plantedFault = "capacity freed by a smaller share is granted before the acknowledgment"
+	leaderForgetsGrants plantedFault = "a new leader treats grants of earlier leaders as expired"
+	driftBeyondBound    plantedFault = "a clock drifts beyond the bound"
 )
 
-// simulation is one schedule in virtual time: holders and three replicas of the ledger with clocks of their own, messages that
-// are late, lost and repeated, a leader that changes, holders that stall, crash and are cut off, and demand that shifts.
+// simulation is one schedule in virtual time. It has holders and three replicas of the ledger, each with its own clock.
+// Messages are delayed, lost and repeated; the leader changes; holders stall, crash and are isolated; demand shifts.
 type simulation struct {
 	rng           *rand.Rand
 	planted       plantedFault
@@ -46,11 +46,11 @@
 	term          int
 	grantor       *Grantor
 	isReplicating bool
-	inFlight      Command // that is being replicated, while busy
+	inFlight      Command // the command being replicated, while isReplicating
 	history       []string
 	steps         int
-	maxAllowance  float64 // of the pool that was ever held
-	leaderChanges int     // changes of the leader
+	maxAllowance  float64 // the highest sum of allowances at any time
+	leaderChanges int     // number of leader changes
 }
 
 type simulatedHolder struct {
@@ -86,16 +86,16 @@
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
 func (e *events) Pop() any     { x := (*e)[len(*e)-1]; *e = (*e)[:len(*e)-1]; return x }
 
-func (w *simulation) schedule(d time.Duration, what string, do func()) {
+func (w *simulation) schedule(delay time.Duration, name string, do func()) {
 	w.eventCount++
-	heap.Push(&w.queue, event{w.now + d, w.eventCount, what, do})
+	heap.Push(&w.queue, event{w.now + delay, w.eventCount, name, do})
 }
 
 func (w *simulation) randomUpTo(d time.Duration) time.Duration {
 	return time.Duration(w.rng.Int64N(int64(d)))
 }
 
-// messageDelay draws how long a message takes: now and then longer than a lease, and often next to nothing.
+// messageDelay draws the delay of a message. Some delays are longer than a lease, and many are close to zero.
 func (w *simulation) messageDelay() time.Duration {
 	switch x := w.rng.Float64(); {
 	case x < 0.1:
@@ -122,8 +122,8 @@
 	return time.Duration(c.rate * float64(w.now))
 }
 
-// explore plays a schedule, and tells what broke the invariant, if anything.
-func explore(seed uint64, planted plantedFault) (w *simulation, broken string) {
+// explore runs the schedule of a seed. It returns a description of the first violation of the invariant, or "".
+func explore(seed uint64, planted plantedFault) (w *simulation, violation string) {
 	w = &simulation{rng: rand.New(rand.NewPCG(seed, 7)), planted: planted, terms: Terms{LeaseDuration: 3 * time.Second, MaxDrift: 0.1}, pool: 100}
 	for range 3 {
 		w.replicas = append(w.replicas, &ledgerReplica{ledger: NewLedger([]float64{w.pool}), rate: w.clockRate()})
@@ -135,7 +135,7 @@
 	}
 	w.grantor = w.newGrantor()
 	w.schedule(w.randomUpTo(10*time.Second), "leader", w.changeLeader)
-	w.schedule(0, "decide", w.proposeCommand)
+	w.schedule(0, "propose", w.proposeCommand)
 	for len(w.queue) > 0 && w.now < 25*time.Second {
 		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
@@ -143,12 +143,12 @@
 		e.do()
 		sum := 0.0
 		for _, n := range w.holders {
-			parts, _ := n.Allowance(n.clock(w))
-			sum += parts[0]
+			rates, _ := n.Allowance(n.clock(w))
+			sum += rates[0]
 		}
 		w.maxAllowance = max(w.maxAllowance, sum)
 		if sum > w.pool*(1+roundingSlack)+roundingSlack {
-			return w, fmt.Sprintf("at %v the holders may spend %.3f of %.0f", w.now, sum, w.pool)
+			return w, fmt.Sprintf("at %v the holders may spend %.3f of a pool of %.0f", w.now, sum, w.pool)
 		}
 	}
 	return w, ""
@@ -162,28 +162,28 @@
 	n.incarnation++
 	n.Holder = NewHolder(fmt.Sprintf("h%d.%d", i, n.incarnation), 1+float64(i), w.terms, []float64{0})
 	n.demand = 120 * w.rng.Float64()
-	life := n.incarnation
-	var ask func()
-	ask = func() {
+	incarnation := n.incarnation
+	var requestLease func()
+	requestLease = func() {
 		switch {
-		case n.incarnation != life:
+		case n.incarnation != incarnation:
 			return
 		case w.now < n.stalledUntil:
-			w.schedule(n.stalledUntil-w.now, "ask", ask)
+			w.schedule(n.stalledUntil-w.now, "request lease", requestLease)
 			return
 		}
 		r := n.NextRequest(n.clock(w), []float64{n.demand})
-		for range 1 + w.rng.IntN(2) { // once, or twice
+		for range 1 + w.rng.IntN(2) { // the request is sent once or twice
 			if w.now >= n.isolatedUntil && w.rng.Float64() < 0.85 {
 				w.schedule(w.messageDelay(), "request", func() { w.grantor.Receive(w.replicas[w.leader].clock(w), r) })
 			}
 		}
-		w.schedule(w.terms.LeaseDuration/4, "ask", ask)
+		w.schedule(w.terms.LeaseDuration/4, "request lease", requestLease)
 	}
-	w.schedule(w.randomUpTo(time.Second), "ask", ask)
-	var trouble func()
-	trouble = func() {
-		if n.incarnation != life {
+	w.schedule(w.randomUpTo(time.Second), "request lease", requestLease)
+	var injectFault func()
+	injectFault = func() {
+		if n.incarnation != incarnation {
 			return
 		}
 		switch w.rng.IntN(4) {
@@ -192,24 +192,25 @@
 			w.record("%s stalls until %v", n.id, n.stalledUntil)
 		case 1:
 			n.isolatedUntil = w.now + w.randomUpTo(3*w.terms.LeaseDuration)
-			w.record("%s is cut off until %v", n.id, n.isolatedUntil)
+			w.record("%s is isolated until %v", n.id, n.isolatedUntil)
 		case 2:
 			n.demand = 120 * w.rng.Float64()
 		case 3:
-			w.record("%s crashes and starts again", n.id)
+			w.record("%s crashes and restarts", n.id)
 			w.startHolder(n, i)
 			return
 		}
-		w.schedule(w.randomUpTo(8*time.Second), "trouble", trouble)
+		w.schedule(w.randomUpTo(8*time.Second), "fault", injectFault)
 	}
-	w.schedule(w.randomUpTo(8*time.Second), "trouble", trouble)
+	w.schedule(w.randomUpTo(8*time.Second), "fault", injectFault)
 }
 
-func (w *simulation) apply(c *ledgerReplica) (given []Grant) {
+// apply applies the committed commands that a replica has not applied yet. It returns the grants of the last one.
+func (w *simulation) apply(c *ledgerReplica) (added []Grant) {
 	for ; c.applied < len(w.log); c.applied++ {
-		given, _ = c.ledger.Apply(w.log[c.applied])
+		added, _ = c.ledger.Apply(w.log[c.applied])
 	}
-	return given
+	return added
 }
 
 func (w *simulation) newGrantor() *Grantor {
@@ -226,12 +227,13 @@
 	return g
 }
 
-// changeLeader makes another replica the leader. What the old leader had under way is lost, or counts before the new one begins.
+// changeLeader makes a random replica the leader. A command that the old leader was replicating is either lost or
+// committed before the new leader starts.
 func (w *simulation) changeLeader() {
 	w.term++
 	w.leaderChanges++
 	w.leader = w.rng.IntN(len(w.replicas))
-	if w.isReplicating && w.rng.IntN(2) == 0 { // it was replicated, and counts, whether or not the old leader hears of that
+	if w.isReplicating && w.rng.IntN(2) == 0 { // it was committed, although the old leader may not know
 		w.log = append(w.log, w.inFlight)
 		for _, x := range w.inFlight.Grants {
 			w.schedule(w.messageDelay(), "grant", func() { w.deliverGrant(x) })
@@ -243,20 +245,21 @@
 	w.schedule(w.randomUpTo(10*time.Second), "leader", w.changeLeader)
 }
 
-// proposeCommand has the leader proposeCommand, and replicates the command after a while, if it is still the leader then.
+// proposeCommand makes the leader decide on a command. The command is committed after a delay if the leader has not
+// changed by then.
 func (w *simulation) proposeCommand() {
-	w.schedule(w.terms.LeaseDuration/30, "decide", w.proposeCommand)
+	w.schedule(w.terms.LeaseDuration/30, "propose", w.proposeCommand)
 	c := w.replicas[w.leader]
 	if w.isReplicating {
 		return
 	}
-	if w.planted == reuseBeforeAck { // only the newest grant of each is taken for charged
+	if w.planted == reuseBeforeAck { // only each holder's newest grant stays charged
 		for h, grants := range c.ledger.Grants {
 			c.ledger.Grants[h] = grants[len(grants)-1:]
 		}
 	}
-	cmd, something := w.grantor.NextCommand(c.clock(w))
-	if !something {
+	cmd, ok := w.grantor.NextCommand(c.clock(w))
+	if !ok {
 		return
 	}
 	w.isReplicating, w.inFlight = true, cmd
@@ -267,12 +270,12 @@
 		}
 		w.isReplicating = false
 		w.log = append(w.log, cmd)
-		given := w.apply(c)
-		g.Applied(c.clock(w), given)
+		added := w.apply(c)
+		g.Applied(c.clock(w), added)
 		for h, v := range cmd.Expire {
-			w.record("%s: up to grant %d has ended", h, v)
+			w.record("%s: grants up to %d expired", h, v)
 		}
-		for _, x := range given {
+		for _, x := range added {
 			w.record("grant %d: %.1f to %s", x.Version, x.Shares[0], x.Holder)
 			for range 1 + w.rng.IntN(2) {
 				if w.rng.Float64() < 0.85 {
@@ -301,47 +304,48 @@
 	}
 }
 
-// In no explored schedule do the shares exceed the quota; with each planted fault they do, which is reported with the
-// shortest history.
+// The shares never exceed the quota in any explored schedule. With each planted fault they do in some schedule, and the
+// test logs the shortest one, which shows that the exploration can detect the fault.
 func TestSharesNeverExceedQuotaUnlessFaultIsPlanted(t *testing.T) {
-	used, moved := 0.0, 0
+	used, leaderChanges := 0.0, 0
 	for seed := range uint64(*schedules) {
-		w, broken := explore(seed, noFault)
-		if broken != "" {
-			t.Fatalf("seed %d: %s\n%s", seed, broken, strings.Join(w.history, "\n"))
+		w, violation := explore(seed, noFault)
+		if violation != "" {
+			t.Fatalf("seed %d: %s\n%s", seed, violation, strings.Join(w.history, "\n"))
 		}
 		used += w.maxAllowance
-		moved += w.leaderChanges
+		leaderChanges += w.leaderChanges
 	}
-	t.Logf("%d schedules, %d changes of the leader, at the most %.0f%% of the whole held on average, never more than all",
-		*schedules, moved, used/float64(*schedules))
+	t.Logf("%d schedules with %d leader changes: the highest use of the pool was %.0f%% on average, and never above 100%%",
+		*schedules, leaderChanges, used/float64(*schedules))
 	if used/float64(*schedules) < 80 {
-		t.Error("little of the whole was ever held: the schedules say nothing")
+		t.Error("the highest use of the pool was below 80% on average: the schedules hardly test its limit")
 	}
 	for _, planted := range []plantedFault{noDriftMargin, leaseFromGrant, reuseBeforeAck, leaderForgetsGrants, driftBeyondBound} {
 		var shortest *simulation
-		how, found := "", 0
+		shortestViolation, found := "", 0
 		for seed := range uint64(min(*schedules, defaultSchedules)) {
-			if w, broken := explore(seed, planted); broken != "" {
+			if w, violation := explore(seed, planted); violation != "" {
 				if found++; shortest == nil || w.steps < shortest.steps {
-					shortest, how = w, broken
+					shortest, shortestViolation = w, violation
 				}
 			}
 			if found >= 2 && *schedules <= defaultSchedules {
-				break // that it is found is what the default run shows; a longer one counts, and looks for the shortest
+				break // the default run only shows that the fault is found; a longer run counts and looks for the shortest
 			}
 		}
 		if shortest == nil {
-			t.Errorf("%s: not found", planted)
+			t.Errorf("planted fault %q: no schedule exceeds the quota", planted)
 			continue
 		}
 		last := shortest.history[max(0, len(shortest.history)-12):]
-		t.Logf("%s: found in %d schedules, the shortest in %d events: %s\n%s", planted, found, shortest.steps, how, strings.Join(last, "\n"))
+		t.Logf("%s: found in %d schedules, the shortest with %d events: %s\n%s",
+			planted, found, shortest.steps, shortestViolation, strings.Join(last, "\n"))
 	}
 }
 
-// The shares add up to the pool; nobody has less than its fair share who demands more than that; nearly the same demand
-// keeps the shares.
+// The shares add up to the pool. No holder has less than the smaller of its demand and its fair share. Shares do not
+// change if the demand hardly changes.
 func TestDivideIsMaxMinFairAndKeepsSimilarShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pool := rapid.Float64Range(0, 1000).Draw(t, "pool")
@@ -351,31 +355,31 @@
 			claims[i] = Claim{Weight: float64(rapid.IntRange(1, 9).Draw(t, "weight")), Demand: rapid.Float64Range(0, 500).Draw(t, "demand")}
 			weight += claims[i].Weight
 		}
-		parts, sum := Divide(pool, claims), 0.0
-		for i, p := range parts {
-			sum += p
-			if even := pool * claims[i].Weight / weight; p < min(even, claims[i].Demand)-1e-6 {
-				t.Fatalf("%v of %v: %d has less than its even part %v and its demand", parts, claims, i, even)
+		shares, sum := Divide(pool, claims), 0.0
+		for i, share := range shares {
+			sum += share
+			if fair := pool * claims[i].Weight / weight; share < min(fair, claims[i].Demand)-1e-6 {
+				t.Fatalf("shares %v of claims %v: share %d is less than both its demand and its fair share %v", shares, claims, i, fair)
 			}
-			claims[i].Held = p
+			claims[i].Held = share
 		}
 		if sum > pool+1e-6 || sum < pool-1e-6 {
-			t.Fatalf("%v add up to %v of %v", parts, sum, pool)
+			t.Fatalf("shares %v add up to %v, want the pool %v", shares, sum, pool)
 		}
 		for i := range claims {
 			claims[i].Demand *= rapid.Float64Range(0.99, 1.01).Draw(t, "noise")
 		}
 		again, sum := Divide(pool, claims), 0.0
-		for _, p := range again {
-			sum += p
+		for _, share := range again {
+			sum += share
 		}
 		if sum > pool+1e-6 {
-			t.Fatalf("%v add up to %v of %v", again, sum, pool)
+			t.Fatalf("shares %v add up to %v, want at most the pool %v", again, sum, pool)
 		}
 	})
 	first := Divide(100, []Claim{{Weight: 1, Demand: 70}, {Weight: 1, Demand: 20}})
 	held := []Claim{{Weight: 1, Demand: 71, Held: first[0]}, {Weight: 1, Demand: 19.5, Held: first[1]}}
 	if again := Divide(100, held); again[0] != first[0] || again[1] != first[1] {
-		t.Errorf("%v, then %v for nearly the same", first, again)
+		t.Errorf("shares %v, then %v for nearly the same demand, want no change", first, again)
 	}
 }
--- a/internal/fleet/budgets/allowance.go
+++ b/internal/fleet/budgets/allowance.go
@@ -9,16 +9,17 @@
 	"dykering/internal/decision"
 )
 
-// noRetryShare leaves retries to what the broker's own answers earn.
+// noRetryShare is the retry rate for a fleet without a retry quota. Retries are then limited only by the broker's own
+// retry budget.
 const noRetryShare = -1
 
-// sampleDemand samples what was asked of this broker.
+// sampleDemand updates the demand estimate from the requests that this broker received.
 func (s *Service) sampleDemand() {
 	ctx, cancel := context.WithTimeout(context.Background(), brokerTimeout)
 	defer cancel()
 	usage, err := s.broker.Usage(ctx)
 	asked := make([]float64, len(s.floor))
-	if err != nil || len(usage) > len(asked) { // before the first list there is no usage
+	if err != nil || len(usage) > len(asked) { // there is no usage before the broker's first list
 		return
 	}
 	requests, quotas := 0.0, 0.0
@@ -27,15 +28,16 @@
 		requests += use.Asked
 		quotas += s.config.Quotas[i]
 	}
-	if s.config.Section.RetryQuota > 0 && quotas > 0 { // retries are needed where requests arrive
+	if s.config.Section.RetryQuota > 0 && quotas > 0 { // the demand for retries is proportional to the requests
 		asked[len(asked)-1] = requests * s.config.Section.RetryQuota / quotas
 	}
 	s.demand.Sample(s.now(), asked)
 	s.usage = usage
 }
 
-// setShares has the broker spend by rates until a time, and by the floor from then on. The last element is that of
-// retries, where they have a quota. The broker itself ends the rates: this goroutine may run late.
+// setShares sets the rates that the broker may spend until a time, and the floor that applies afterwards. If there is a
+// retry quota, the last element is the retry rate. The broker itself enforces the end, because this goroutine may run
+// late.
 func (s *Service) setShares(rates, floor []float64, until time.Time) {
 	shares := decision.QuotaShares{TenantRates: rates, TenantFallbackRates: floor, RetryRate: noRetryShare}
 	if last := len(rates) - 1; s.config.Section.RetryQuota > 0 {
@@ -47,18 +49,18 @@
 	s.broker.SetQuotaShares(shares, until)
 }
 
-// applyAllowance has the broker spend what the holder may. Each change is logged with the times, by the wall clock, from
-// when until when it holds: the logs of all brokers show that their shares add up to the quotas at each instant.
+// applyAllowance sets the broker's rates to the holder's allowance. It logs each change with the start and the end of its
+// validity by the wall clock, so that the logs of all brokers together show that the shares never exceed the quotas.
 func (s *Service) applyAllowance(now time.Duration) {
 	rates, leased := s.holder.Allowance(now)
 	isUnchangedFloor := s.state.Load() != nil && !leased && !s.leased
 	if isUnchangedFloor {
-		s.setShares(s.floor, s.floor, time.Time{}) // renews the retries that the floor brings
+		s.setShares(s.floor, s.floor, time.Time{}) // renews the retry rate of the floor
 		return
 	}
 	from := time.Now()
 	var until time.Time
-	if leased { // exactly, by the clock that the lease was asked by
+	if leased { // the exact end on the clock that the request was timed by
 		end := now + s.holder.Remaining(now)
 		until = s.start.Add(time.Duration(float64(end) / s.config.Section.ClockRate))
 	}
--- a/internal/fleet/budgets/compatibility_test.go
+++ b/internal/fleet/budgets/compatibility_test.go
@@ -15,8 +15,8 @@
 	"dykering/internal/fleet/budget"
 )
 
-// The messages among members, the commands in the Raft log, the ledger in its snapshot and the state that the control
-// socket shows have the form of released builds.
+// Guards the format of the messages among members, the commands in the Raft log, the ledger in its snapshot and the state
+// that the control address serves, against fixtures written by a released build.
 func TestMessagesAndCommandsOfReleasedBuildAreReadAndWrittenAlike(t *testing.T) {
 	for name, record := range map[string]any{
 		"envelope": &envelope{},
@@ -35,8 +35,7 @@
 
 var compatiblePool = []float64{100, 50}
 
-// writeLedger writes the database of a group of one voter: a snapshot of an empty ledger, and three committed commands
-// behind it.
+// writeLedger writes the database of a single voter: a snapshot of an empty ledger, followed by three committed commands.
 func writeLedger(t *testing.T, dir string) {
 	t.Helper()
 	opened, err := openStorage(dir, []uint64{1}, encode(budget.NewLedger(compatiblePool)))
@@ -64,7 +63,8 @@
 	}
 }
 
-// A voter reads the Raft log of a released build, and its ledger holds what was granted there.
+// Guards the format of a voter's database: a voter that opens the database of a released build applies its Raft log, and
+// its ledger then holds the grants.
 func TestRaftLogOfReleasedBuildIsApplied(t *testing.T) {
 	const folder, file = "testdata/compatibility", "ledger.db"
 	if fixture.Updating() {
@@ -97,6 +97,6 @@
 		t.Fatal(err)
 	}
 	if hard.GetTerm() != 2 || hard.GetVote() != 1 || hard.GetCommit() != 4 || v.applied != 4 {
-		t.Errorf("hard state %v, applied %d", hard, v.applied)
+		t.Errorf("hard state %v, applied index %d, want term 2, vote 1, commit 4 and applied index 4", hard, v.applied)
 	}
 }
--- a/internal/fleet/budgets/outbox.go
+++ b/internal/fleet/budgets/outbox.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// queuePerMember bounds the messages that wait to be sent to one member.
+	// queuePerMember bounds the queue of messages to one member.
 	queuePerMember = 64
-	// maxQueues bounds the members that messages are sent to at a time.
+	// maxQueues bounds the number of members that have a queue at the same time.
 	maxQueues = 4096
-	// idleTimeout is after how long without a message the queue to a member ends.
+	// idleTimeout is the time without a message after which a member's queue is closed.
 	idleTimeout = 30 * time.Second
 )
 
-// outbox sends messages by a queue and a goroutine for each member, so that one that is slow or has departed delays no
-// other. The service's owner uses it.
+// outbox sends messages to other members. Each receiver has a queue and a goroutine, so that a slow or departed member
+// does not delay messages to others. Only the goroutine that owns the service's state uses the outbox.
 type outbox struct {
 	service *Service
 	queues  map[string]*sendQueue
@@ -29,7 +29,7 @@
 
 func newOutbox(s *Service) *outbox { return &outbox{service: s, queues: map[string]*sendQueue{}} }
 
-// send queues a message, or counts it as lost.
+// send queues a message. If the queue is full, it drops and counts the message.
 func (o *outbox) send(to string, message []byte) {
 	queue := o.queues[to]
 	if queue == nil {
@@ -49,8 +49,8 @@
 	}
 }
 
-// sendMessages sends a member its messages until the queue is closed. Once the service closes it discards them: those to a
-// member that has departed would delay the end by a timeout each.
+// sendMessages sends the messages in a member's queue until the queue is closed. Once the service closes, it discards the
+// remaining messages, because each message to a departed member would delay Close by a timeout.
 func (s *Service) sendMessages(to string, messages <-chan []byte) {
 	for message := range messages {
 		select {
@@ -59,12 +59,12 @@
 		default:
 		}
 		if err := s.gossip.Send(to, message); err != nil {
-			s.log.Debug("fleet.budget.unsent", zap.Error(err)) // it is asked for, or sent, again
+			s.log.Debug("fleet.budget.unsent", zap.Error(err)) // the message is requested or sent again later
 		}
 	}
 }
 
-// closeIdleQueues ends the queues that were not used for a while.
+// closeIdleQueues closes the queues that have been idle for longer than idleTimeout.
 func (o *outbox) closeIdleQueues() {
 	for id, queue := range o.queues {
 		if time.Since(queue.lastUsed) > idleTimeout {
@@ -74,7 +74,7 @@
 	}
 }
 
-// closeQueues ends all queues.
+// closeQueues closes all queues, which ends their goroutines.
 func (o *outbox) closeQueues() {
 	for id, queue := range o.queues {
 		close(queue.messages)
--- a/internal/fleet/budgets/raft_log.go
+++ b/internal/fleet/budgets/raft_log.go
@@ -7,8 +7,8 @@
 	"go.uber.org/zap"
 )
 
-// raftLogger writes Raft's own log as debug lines, its errors as warnings: this package logs itself what matters. Raft
-// expects Fatal and Panic not to return.
+// raftLogger writes Raft's errors as warnings and its other lines at debug level, because this package itself logs the
+// events that matter. Raft requires that Fatal and Panic do not return.
 type raftLogger struct{ log *zap.Logger }
 
 var _ raft.Logger = raftLogger{}
--- a/internal/fleet/budgets/service.go
+++ b/internal/fleet/budgets/service.go
@@ -17,30 +17,31 @@
 )
 
 const (
-	// eventQueueSize bounds the messages that wait for the owner of the state.
+	// eventQueueSize bounds the queue of received messages.
 	eventQueueSize = 1024
-	// brokerTimeout bounds the wait for the broker's event loop.
+	// brokerTimeout bounds a call to the broker's event loop.
 	brokerTimeout = 200 * time.Millisecond
-	// requestsPerLease is how many times a lease is asked for anew while it holds.
+	// requestsPerLease is the number of requests for the next lease during one lease, so that lost requests and grants do
+	// not leave the broker without a lease.
 	requestsPerLease = 4
 	percent          = 100
 )
 
-// Broker is whose requests the budgets are for.
+// Broker is the broker whose requests the budgets limit.
 type Broker interface {
-	// Usage returns what was asked of each tenant since the start, in the order of the tenants.
+	// Usage returns the requests of each tenant since the start, in the order of the tenants.
 	Usage(ctx context.Context) ([]core.Usage, error)
-	// SetQuotaShares sets what may be spent until a time, and by the fallback shares from then on.
+	// SetQuotaShares sets the rates that may be spent until a time, and the fallback rates that apply afterwards.
 	SetQuotaShares(shares decision.QuotaShares, until time.Time)
 }
 
-// Gossip reaches the other members; see gossip.Channel.
+// Gossip sends and receives messages of other members; gossip.Channel implements it.
 type Gossip interface {
 	Handle(receive func(message []byte))
 	Send(id string, message []byte) error
 }
 
-// Service takes part in the budgets for one broker.
+// Service obtains leases for one broker, and replicates the ledger if the broker is a voter.
 type Service struct {
 	config Config
 	broker Broker
@@ -48,25 +49,25 @@
 	log    *zap.Logger
 	start  time.Time
 	holder *budget.Holder
-	voter  *voter // nil for a member that does not vote
+	voter  *voter // nil if this member does not vote
 	floor  []float64
 	outbox *outbox
 
-	voterIndex    int  // the voter that is asked, by its place in the list
-	voterAnswered bool // the voter has answered since the last request
+	voterIndex    int  // index of the voter that receives the requests
+	voterAnswered bool // a grant has arrived since the last request
 	leased        bool
 	usage         []core.Usage
 	demand        budget.DemandEstimator
 
 	events    chan envelope
 	state     atomic.Pointer[State]
-	dropped   atomic.Uint64 // messages that did not fit into a queue
+	dropped   atomic.Uint64 // messages that were dropped because a queue was full
 	done      chan struct{}
 	wg        sync.WaitGroup
 	closeOnce sync.Once
 }
 
-// Start begins to take part. The broker spends by its floor from the start on. A voter that cannot open its ledger takes
+// Start starts the service. The broker spends its floor until its first lease. A voter that cannot open its ledger takes
 // part without a vote.
 func Start(config Config, broker Broker, g Gossip, log *zap.Logger) *Service {
 	section := &config.Section
@@ -83,7 +84,7 @@
 	floor, pool := divideFloor(&config)
 	s.floor = floor
 	terms := budget.Terms{LeaseDuration: time.Duration(section.LeaseDuration), MaxDrift: float64(section.MaxDriftPercent) / percent}
-	// Another process under the same ID is another holder.
+	// The holder's ID is unique to this process, because a restarted process is a new holder.
 	holderID := fmt.Sprintf("%s#%d", config.Self, time.Now().UnixNano())
 	s.holder = budget.NewHolder(holderID, float64(config.Weight), terms, floor)
 	s.voterIndex = int(time.Now().UnixNano()) % max(len(section.Voters), 1)
@@ -99,20 +100,19 @@
 	return s
 }
 
-// divideFloor sets the floor of each quota aside, in equal parts for all brokers, and returns this broker's and what is
-// left for leases.
+// divideFloor reserves the floor of each quota in equal shares for all brokers. It returns this broker's floors and the
+// pools, which are left for leases.
 func divideFloor(config *Config) (floor, pool []float64) {
 	pool = make([]float64, len(config.Quotas))
-	for i, whole := range config.Quotas {
-		aside := whole * float64(config.Section.FloorPercent) / percent
-		floor = append(floor, aside/float64(max(config.Instances, 1)))
-		pool[i] = whole - aside
+	for i, quota := range config.Quotas {
+		reserved := quota * float64(config.Section.FloorPercent) / percent
+		floor = append(floor, reserved/float64(max(config.Instances, 1)))
+		pool[i] = quota - reserved
 	}
 	return floor, pool
 }
 
-// Close ends all goroutines. The broker spends nothing within its share from then on: a process that takes its place has
-// the floor.
+// Close ends all goroutines. It sets the broker's rates to 0, because the process that replaces this one spends the floor.
 func (s *Service) Close() {
 	s.closeOnce.Do(func() {
 		none := make([]float64, len(s.floor))
@@ -127,15 +127,15 @@
 	})
 }
 
-// State returns what this broker holds, after the last event.
+// State returns the state of this broker's lease after the last event.
 func (s *Service) State() *State { return s.state.Load() }
 
-// now is this member's clock, which the laboratory may have run fast or slow.
+// now returns the time since the start on this member's clock. The lab may configure the clock's rate.
 func (s *Service) now() time.Duration {
 	return time.Duration(float64(time.Since(s.start)) * s.config.Section.ClockRate)
 }
 
-// receive receives a message on the gossip's goroutines.
+// receive handles a message from another member. It is called on the gossip's goroutines.
 func (s *Service) receive(text []byte) {
 	m, err := decodeEnvelope(text)
 	if err != nil {
@@ -145,7 +145,7 @@
 	s.enqueue(m)
 }
 
-// enqueue queues a message for the owner of the state, or counts it as lost.
+// enqueue queues a message for the goroutine that owns the state. If the queue is full, it drops and counts the message.
 func (s *Service) enqueue(m envelope) {
 	select {
 	case s.events <- m:
@@ -183,8 +183,9 @@
 	}
 }
 
-// withVoter does something as a voter. Where that fails the member votes no more: what a voter cannot store it must not
-// promise. Raft panics where its log contradicts what others hold, as one does that was lost; that must not end the broker.
+// withVoter calls a function with the voter, if this member is one. If the function fails, the member stops voting,
+// because a voter must not promise what it cannot store. Raft panics if the log contradicts that of other voters, for
+// example because the database was lost. withVoter recovers the panic, so that it does not end the broker's process.
 func (s *Service) withVoter(do func(*voter) error) {
 	if s.voter == nil {
 		return
@@ -203,7 +204,7 @@
 	}
 }
 
-// handle handles a message of another member, or of this one.
+// handle handles a message from another member or from this one.
 func (s *Service) handle(m envelope) {
 	now := s.now()
 	switch {
@@ -213,11 +214,11 @@
 			s.applyAllowance(now)
 		}
 	case s.voter == nil:
-		// All other messages are for voters.
+		// All other messages are only for voters.
 	case m.Raft != nil:
 		s.withVoter(func(v *voter) error {
 			if err := v.step(m.Raft); err != nil {
-				s.log.Debug("fleet.raft", zap.Error(err)) // Raft ignores a message that does not fit
+				s.log.Debug("fleet.raft", zap.Error(err)) // a rejected message has no effect on Raft's state
 			}
 			return nil
 		})
@@ -230,11 +231,12 @@
 	}
 }
 
-// requestLease asks a voter for the next lease: the one that answered last, else the next in the list.
+// requestLease requests the next lease. It sends the request to the same voter as before if a grant has arrived since, and
+// otherwise to the next voter in the list.
 func (s *Service) requestLease() {
 	s.sampleDemand()
 	now := s.now()
-	s.applyAllowance(now) // where a lease has ended
+	s.applyAllowance(now) // falls back to the floor if the lease has ended
 	request := s.holder.NextRequest(now, s.demand.Rates())
 	if s.voter != nil {
 		s.handle(envelope{Request: &request})
@@ -248,7 +250,7 @@
 	s.send(voters[s.voterIndex], envelope{Request: &request})
 }
 
-// send sends a message to a member, or to this one. It does not block.
+// send sends a message to a member, which may be this one. It does not block.
 func (s *Service) send(to string, m envelope) {
 	if to == s.config.Self {
 		s.enqueue(m)
@@ -257,7 +259,7 @@
 	s.outbox.send(to, encode(m))
 }
 
-// splitHolder returns the member of a holder, and its process.
+// splitHolder splits a holder's ID into the member's ID and the identifier of its process.
 func splitHolder(holder string) (member, process string) {
 	if i := strings.LastIndexByte(holder, '#'); i >= 0 {
 		return holder[:i], holder[i+1:]
--- a/internal/fleet/budgets/service_test.go
+++ b/internal/fleet/budgets/service_test.go
@@ -19,7 +19,7 @@
 	"dykering/internal/tomlconfig"
 )
 
-// fakeMember is a broker, and a gossip that reaches nobody.
+// fakeMember implements Broker, and Gossip without any other member.
 type fakeMember struct {
 	mu      sync.Mutex
 	rates   []float64
@@ -36,8 +36,9 @@
 func (m *fakeMember) Handle(receive func([]byte)) { m.receive = receive }
 func (m *fakeMember) Send(string, []byte) error   { return nil }
 
-// A voter whose ledger was lost, as the leader's heartbeat shows, votes no more; the broker goes on by its floor.
-func TestVoterThatLostItsLedgerVotesNoMoreAndKeepsItsFloor(t *testing.T) {
+// A voter whose ledger was lost learns of it by a heartbeat with a later commit index. It stops voting, and the broker
+// spends its floor.
+func TestVoterThatLostItsLedgerStopsVotingAndSpendsItsFloor(t *testing.T) {
 	m := &fakeMember{}
 	seen, logs := observer.New(zapcore.InfoLevel)
 	s := Start(Config{
@@ -57,16 +58,16 @@
 	m.receive([]byte("garbage"))
 	m.receive(encode(envelope{Raft: []byte("garbage")}))
 	m.receive(encode(envelope{Raft: heartbeat}))
-	for end := time.Now().Add(10 * time.Second); logs.FilterMessage("fleet.budget.vote_lost").Len() == 0; time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("it still votes: %v", logs.All())
+	for deadline := time.Now().Add(10 * time.Second); logs.FilterMessage("fleet.budget.vote_lost").Len() == 0; time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("the voter still votes after 10 s; its log: %v", logs.All())
 		}
 	}
 	if p := s.State().Shares; len(p) != 1 || p[0].Share != 5 || s.State().Leased {
-		t.Errorf("it may spend %+v, want its floor", p)
+		t.Errorf("shares %+v (leased: %v), want only the floor of 5", p, s.State().Leased)
 	}
 	s.Close()
 	if m.rates[0] != 0 {
-		t.Errorf("closed, it spends %v", m.rates)
+		t.Errorf("rates %v after Close, want 0", m.rates)
 	}
 }
--- a/internal/fleet/budgets/state.go
+++ b/internal/fleet/budgets/state.go
@@ -8,44 +8,44 @@
 	"dykering/internal/fleet/gossip"
 )
 
-// Config is what a service is started with.
+// Config holds the parameters of a service.
 type Config struct {
 	Self      string
 	Weight    int
 	Section   gossip.Budgets
 	Tenants   []string
-	Quotas    []float64 // Wholes are the tenants' quotas, in requests per second.
-	Instances int       // Instances is the number of brokers that floors are set aside for.
+	Quotas    []float64 // Quotas holds the tenants' quotas in requests per second, in the order of Tenants.
+	Instances int       // Instances is the number of brokers that each quota's floor is divided among.
 }
 
-// RetryQuotaName stands for a tenant's name where the quota is that of the fleet's retries.
+// RetryQuotaName takes the place of a tenant's name for the quota of the fleet's retries.
 const RetryQuotaName = "(further attempts)"
 
-// QuotaShare is what this broker may spend of a quota, in requests per second. Its keys are in the answer of the control
-// address.
+// QuotaShare is this broker's share of a quota. Rates are in requests per second. Its keys are part of the format of the
+// control address's answer.
 type QuotaShare struct {
 	Tenant      string  `json:"tenant"`
-	Quota       float64 `json:"whole"` // Whole is the quota.
+	Quota       float64 `json:"whole"` // Quota is the fleet-wide rate.
 	Floor       float64 `json:"floor"`
-	Share       float64 `json:"part"` // Part is the share, floor included.
+	Share       float64 `json:"part"` // Share is the rate that this broker may spend, including the floor.
 	Demand      float64 `json:"demand"`
-	Requested   float64 `json:"asked"`   // Asked counts requests since the start, without repeats.
-	WithinShare float64 `json:"within"`  // Within counts those of them that were within the share.
-	Charged     float64 `json:"charged"` // Charged is what all leases may spend by the ledger, at a voter.
+	Requested   float64 `json:"asked"`   // Requested counts the requests since the start, without retries.
+	WithinShare float64 `json:"within"`  // WithinShare counts the requests among these that were within the share.
+	Charged     float64 `json:"charged"` // Charged is the rate that all leases in the ledger may spend; 0 unless this broker is a voter.
 }
 
-// State is what a broker holds, as the control address serves it.
+// State is the state of a broker's lease, in the form that the control address serves.
 type State struct {
 	Self      string         `json:"self"`
 	Leased    bool           `json:"leased"`
-	Remaining time.Duration  `json:"left"` // Left is the remaining time of the lease.
+	Remaining time.Duration  `json:"left"` // Remaining is the remaining time of the lease.
 	Version   uint64         `json:"version"`
-	Leader    string         `json:"lead,omitempty"` // Lead is the leader as this voter knows it.
+	Leader    string         `json:"lead,omitempty"` // Leader is the leader of the voters as known to this voter; empty if unknown or this broker is not a voter.
 	Shares    []QuotaShare   `json:"parts"`
-	Ledger    *budget.Ledger `json:"ledger,omitempty"` // Ledger is that of a voter.
+	Ledger    *budget.Ledger `json:"ledger,omitempty"` // Ledger is this voter's copy of the ledger; nil if this broker is not a voter.
 }
 
-// publish stores the state for State.
+// publish stores the result of State.
 func (s *Service) publish() {
 	now := s.now()
 	rates, leased := s.holder.Allowance(now)
@@ -61,19 +61,19 @@
 		state.Ledger = copyLedger(s.voter.ledger)
 	}
 	for i, tenant := range s.config.Tenants {
-		part := QuotaShare{
+		share := QuotaShare{
 			Tenant: tenant, Quota: s.config.Quotas[i], Floor: s.floor[i], Share: rates[i], Demand: demand[i],
 			Charged: charged[i],
 		}
 		if i < len(s.usage) {
-			part.Requested, part.WithinShare = s.usage[i].Asked, s.usage[i].WithinQuota
+			share.Requested, share.WithinShare = s.usage[i].Asked, s.usage[i].WithinQuota
 		}
-		state.Shares = append(state.Shares, part)
+		state.Shares = append(state.Shares, share)
 	}
 	s.state.Store(state)
 }
 
-// copyLedger copies what the owner of the ledger goes on changing.
+// copyLedger returns a copy of a ledger that later changes do not affect.
 func copyLedger(ledger *budget.Ledger) *budget.Ledger {
 	copied := &budget.Ledger{Pools: ledger.Pools, Version: ledger.Version, Grants: map[string][]budget.Grant{}}
 	for holder, grants := range ledger.Grants {
--- a/internal/fleet/budgets/storage.go
+++ b/internal/fleet/budgets/storage.go
@@ -14,17 +14,17 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// storage holds a voter's Raft log, hard state and snapshot in a bbolt file, with a copy in memory that Raft reads. What
-// Raft asks to have stored is on disk before anything that follows from it is sent.
+// storage holds a voter's Raft log, hard state and snapshot in a bbolt database, and a copy in memory that Raft reads.
+// save returns only after the state is on disk, so that messages which depend on it can be sent afterwards.
 type storage struct {
 	*raft.MemoryStorage
 	db *bbolt.DB
 }
 
-// databaseName is the name of the database in a voter's folder.
+// databaseName is the file name of the database in a voter's directory.
 const databaseName = "ledger.db"
 
-// The buckets and keys of the database. Entries have their index, in big-endian order, as their key.
+// The buckets and keys of the database. The key of a log entry is its index in big-endian order.
 var (
 	stateBucket  = []byte("state")
 	logBucket    = []byte("log")
@@ -32,11 +32,11 @@
 	keySnapshot  = []byte("snapshot")
 )
 
-// A new log begins, as those of all voters do, with a snapshot of an empty ledger at the first index and term, so that
-// all agree on who votes.
+// The index and term of the snapshot of an empty ledger with which every new log begins. All voters have the same first
+// snapshot, so that they agree on the set of voters.
 const firstIndex, firstTerm = 1, 1
 
-// lockTimeout bounds the wait for the file's lock, which a process that hands over may still hold.
+// lockTimeout bounds the wait for the file's lock, which the previous process may still hold during a handover.
 const lockTimeout = 2 * time.Second
 
 // openStorage opens a voter's database, or creates it with the snapshot of an empty ledger.
@@ -59,7 +59,7 @@
 	return s, nil
 }
 
-// load reads the database into memory, with a first snapshot for one that has none.
+// load reads the database into memory. It uses the first snapshot if the database has none.
 func (s *storage) load(tx *bbolt.Tx, first *raftpb.Snapshot) error {
 	state, err := tx.CreateBucketIfNotExists(stateBucket)
 	if err != nil {
@@ -90,7 +90,7 @@
 	return errors.Join(s.ApplySnapshot(snapshot), s.SetHardState(hardState), s.Append(entries))
 }
 
-// entriesAfter reads the entries behind an index.
+// entriesAfter returns the log entries after an index.
 func entriesAfter(log *bbolt.Bucket, index uint64) (entries []*raftpb.Entry, err error) {
 	err = log.ForEach(func(_, text []byte) error {
 		entry := &raftpb.Entry{}
@@ -105,7 +105,7 @@
 	return entries, err
 }
 
-// save stores Raft's state in one transaction.
+// save stores Raft's hard state, snapshot and entries in one transaction.
 func (s *storage) save(ready raft.Ready) error {
 	if raft.IsEmptyHardState(ready.HardState) && raft.IsEmptySnap(ready.Snapshot) && len(ready.Entries) == 0 {
 		return nil
@@ -140,8 +140,8 @@
 	return nil
 }
 
-// replaceFrom writes entries in place of all that were stored from the first of them on: a new leader's entries replace
-// those that were never committed.
+// replaceFrom writes entries in place of all stored entries from the first new index on. The entries of a new leader
+// replace entries that were never committed.
 func replaceFrom(log *bbolt.Bucket, entries []*raftpb.Entry) error {
 	cursor := log.Cursor()
 	for key, _ := cursor.Seek(entryKey(entries[0].GetIndex())); key != nil; key, _ = cursor.Next() {
@@ -167,7 +167,7 @@
 	return bucket.Put(key, text)
 }
 
-// compact stores a snapshot of what was applied up to an index, and deletes the log up to there.
+// compact stores a snapshot of the ledger at an index, and deletes the log entries up to that index.
 func (s *storage) compact(index uint64, conf *raftpb.ConfState, ledger []byte) error {
 	snapshot, err := s.CreateSnapshot(index, conf, ledger)
 	if err != nil {
--- a/internal/fleet/budgets/voter.go
+++ b/internal/fleet/budgets/voter.go
@@ -14,38 +14,38 @@
 )
 
 const (
-	// ticksPerLease, electionTicks and heartbeatTicks make a leader that is silent for a third of a lease be replaced, and
-	// have a heartbeat sent in each fifteenth.
+	// With ticksPerLease, electionTicks and heartbeatTicks, a leader that is silent for a third of a lease is replaced, and
+	// a heartbeat is sent every fifteenth of a lease.
 	ticksPerLease  = 30
 	electionTicks  = 10
 	heartbeatTicks = 2
-	// snapshotInterval is how many commands are kept before a snapshot replaces them.
+	// snapshotInterval is the number of log entries after which a snapshot replaces them.
 	snapshotInterval = 512
-	// maxInflightBytes bounds Raft's messages in flight to one voter, and its uncommitted entries.
+	// maxInflightBytes bounds the size of Raft's messages in flight to one voter, and of its uncommitted entries.
 	maxInflightBytes = 1 << 20
-	// maxMessageSize bounds the entries in one of Raft's messages.
+	// maxMessageSize bounds the size in bytes of the entries in one Raft message.
 	maxMessageSize = maxInflightBytes / 4
-	// maxInflightMessages bounds Raft's messages in flight to one voter.
+	// maxInflightMessages bounds the number of Raft's messages in flight to one voter.
 	maxInflightMessages = 32
 )
 
-// voter is a replica of the ledger. The service's goroutine owns it.
+// voter is a replica of the ledger. Only the goroutine that owns the service's state uses it.
 type voter struct {
 	node           *raft.RawNode
 	storage        *storage
-	voters         []string // by Raft's IDs, less 1
+	voters         []string // member IDs; the voter at index i has the Raft ID i+1
 	terms          budget.Terms
 	ledger         *budget.Ledger
 	applied        uint64          // index of the last applied entry
 	snapshotIndex  uint64          // index of the last snapshot
-	grantor        *budget.Grantor // nil unless this voter leads and has applied what was committed before
-	grantorTerm    uint64          // Raft's term of the grantor
-	isCommandInLog bool            // a command is being replicated; there is one at a time
+	grantor        *budget.Grantor // nil unless this voter leads and has applied all entries of earlier terms
+	grantorTerm    uint64          // Raft term in which the grantor was created
+	isCommandInLog bool            // a command is being replicated; at most one is at a time
 	log            *zap.Logger
 	send           func(to string, m envelope)
 }
 
-// newVoter opens the storage and restores the ledger.
+// newVoter opens a voter's storage, restores the ledger and starts Raft.
 func newVoter(self string, voters []string, dir string, terms budget.Terms, pool []float64, log *zap.Logger,
 	send func(string, envelope),
 ) (v *voter, err error) {
@@ -71,7 +71,8 @@
 		return nil, err
 	}
 	if !slices.Equal(v.ledger.Pools, pool) {
-		return nil, fmt.Errorf("budgets: the ledger is of wholes that leave %v, the files now say %v: begin a new folder at all voters once all leases have ended", v.ledger.Pools, pool)
+		return nil, fmt.Errorf("budgets: the ledger has the pools %v, but the configured quotas give %v: "+
+			"once all leases have ended, configure a new directory at every voter", v.ledger.Pools, pool)
 	}
 	v.node, err = raft.NewRawNode(&raft.Config{
 		ID:                        uint64(slices.Index(voters, self)) + 1,
@@ -93,7 +94,7 @@
 	return v, nil
 }
 
-// restore replaces the ledger by a snapshot.
+// restore replaces the ledger by that of a snapshot.
 func (v *voter) restore(snapshot *raftpb.Snapshot) error {
 	ledger := &budget.Ledger{}
 	if err := decode(snapshot.GetData(), ledger); err != nil {
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// step hands Raft a message of another voter. The error is that of a message that does not fit.
+// step passes a message of another voter to Raft. It returns an error if the message cannot be decoded or Raft rejects it.
 func (v *voter) step(text []byte) error {
 	m := &raftpb.Message{}
 	if err := proto.Unmarshal(text, m); err != nil {
@@ -117,10 +118,10 @@
 	return v.node.Step(m)
 }
 
-// leader returns the leader, as far as this voter knows one.
+// leader returns the member ID of the leader, or false if this voter knows none.
 func (v *voter) leader() (string, bool) { return v.memberOf(v.node.BasicStatus().Lead) }
 
-// memberOf returns the member with one of Raft's IDs.
+// memberOf returns the member ID of a voter by its Raft ID.
 func (v *voter) memberOf(id uint64) (string, bool) {
 	if id == 0 || id > uint64(len(v.voters)) {
 		return "", false
@@ -139,14 +140,14 @@
 		return
 	}
 	if err := v.node.Propose(encode(command)); err != nil {
-		v.log.Debug("fleet.budget.unproposed", zap.Error(err)) // it is decided anew
+		v.log.Debug("fleet.budget.unproposed", zap.Error(err)) // the next tick proposes a new command
 		return
 	}
 	v.isCommandInLog = true
 }
 
-// process does what Raft is ready for: state is stored before messages that follow from it are sent, and committed
-// entries are applied.
+// process handles all pending output of Raft. For each batch it stores the state, then sends the messages that depend on
+// it, and applies the committed entries.
 func (v *voter) process(now time.Duration) error {
 	for v.node.HasReady() {
 		ready := v.node.Ready()
@@ -188,7 +189,7 @@
 	return nil
 }
 
-// checkLeadership drops the grantor once another voter may lead.
+// checkLeadership removes the grantor once another voter may be the leader.
 func (v *voter) checkLeadership() {
 	status := v.node.BasicStatus()
 	isLeader := status.RaftState == raft.StateLeader && status.GetTerm() == v.grantorTerm
@@ -199,7 +200,7 @@
 	v.grantor, v.isCommandInLog = nil, false
 }
 
-// compact replaces the applied entries by a snapshot, now and then.
+// compact replaces the applied entries by a snapshot if there are at least snapshotInterval of them.
 func (v *voter) compact() error {
 	if v.applied-v.snapshotIndex < snapshotInterval {
 		return nil
@@ -215,8 +216,8 @@
 	return nil
 }
 
-// apply applies a committed entry to the ledger. The first entry of a leader's own term shows that it has applied all
-// from before it: from then on it grants.
+// apply applies a committed entry to the ledger. When a leader applies the first entry of its own term, it has applied all
+// entries of earlier terms, and creates its grantor.
 func (v *voter) apply(now time.Duration, entry *raftpb.Entry) error {
 	if entry.GetIndex() <= v.applied {
 		return nil
@@ -238,13 +239,13 @@
 	return nil
 }
 
-// applyCommand applies a command. The leader sends the grants to their holders.
+// applyCommand applies a command to the ledger. The leader then sends the added grants to their holders.
 func (v *voter) applyCommand(now time.Duration, data []byte, isLeader bool) error {
 	var command budget.Command
 	if err := decode(data, &command); err != nil {
 		return fmt.Errorf("budgets: command: %w", err)
 	}
-	given, rejected := v.ledger.Apply(command)
+	added, rejected := v.ledger.Apply(command)
 	if rejected != nil {
 		v.log.Warn("fleet.budget.refused", zap.Error(rejected))
 	}
@@ -252,8 +253,8 @@
 		return nil
 	}
 	v.isCommandInLog = false
-	v.grantor.Applied(now, given)
-	for _, grant := range given {
+	v.grantor.Applied(now, added)
+	for _, grant := range added {
 		member, _ := splitHolder(grant.Holder)
 		v.send(member, envelope{Grant: &grant})
 	}
--- a/internal/fleet/replication/snapshot.go
+++ b/internal/fleet/replication/snapshot.go
@@ -22,7 +22,7 @@
 // openTimeout bounds the wait for the file's lock, which the previous process may still hold during a handover.
 const openTimeout = time.Second
 
-// The snapshotBucket and the keys of the file.
+// The bucket and the keys in the database file.
 var (
 	snapshotBucket = []byte("replica")
 	keyHeader      = []byte("head")
