--- a/internal/fleet/budget/explore_test.go
+++ b/internal/fleet/budget/explore_test.go
@@ -124,7 +124,10 @@
 
 // explore runs the schedule of a seed. It returns a description of the first violation of the invariant, or "".
 func explore(seed uint64, planted plantedFault) (w *simulation, violation string) {
-	w = &simulation{rng: rand.New(rand.NewPCG(seed, 7)), planted: planted, terms: Terms{LeaseDuration: 3 * time.Second, MaxDrift: 0.1}, pool: 100}
+	w = &simulation{
+		rng: rand.New(rand.NewPCG(seed, 7)), planted: planted, pool: 100,
+		terms: Terms{LeaseDuration: 3 * time.Second, MaxDrift: 0.1},
+	}
 	for range 3 {
 		w.replicas = append(w.replicas, &ledgerReplica{ledger: NewLedger([]float64{w.pool}), rate: w.clockRate()})
 	}
--- a/internal/fleet/budget/grantor.go
+++ b/internal/fleet/budget/grantor.go
@@ -9,8 +9,10 @@
 
 // Terms holds the terms that apply to every lease.
 type Terms struct {
-	LeaseDuration time.Duration // LeaseDuration is the time for which a holder may spend a lease, by the holder's clock, from the time of its request.
-	MaxDrift      float64       // MaxDrift bounds the relative deviation of any clock's rate from true time.
+	// LeaseDuration is the time for which a holder may spend a lease, by the holder's clock, from the time of its
+	// request.
+	LeaseDuration time.Duration
+	MaxDrift      float64 // MaxDrift bounds the relative deviation of any clock's rate from true time.
 }
 
 // GrantorLeaseDuration returns the time, by the grantor's clock, for which a lease stays charged after it was granted. A
@@ -22,11 +24,13 @@
 
 // Request asks for the next lease. Its keys are part of the wire format.
 type Request struct {
-	Holder          string    `codec:"h"`
-	Weight          float64   `codec:"w"`
-	Seq             uint64    `codec:"q"`
-	AcceptedVersion uint64    `codec:"u"` // AcceptedVersion is the version of the newest grant that the holder has accepted; 0 if none.
-	Demand          []float64 `codec:"d"` // Demand is the holder's demand beyond its floor, in requests per second, for each quota.
+	Holder string  `codec:"h"`
+	Weight float64 `codec:"w"`
+	Seq    uint64  `codec:"q"`
+	// AcceptedVersion is the version of the newest grant that the holder has accepted; 0 if none.
+	AcceptedVersion uint64 `codec:"u"`
+	// Demand is the holder's demand beyond its floor, in requests per second, for each quota.
+	Demand []float64 `codec:"d"`
 }
 
 // maxDemand bounds a demand, in requests per second.
--- a/internal/fleet/budget/ledger.go
+++ b/internal/fleet/budget/ledger.go
@@ -9,7 +9,7 @@
 
 // The reasons for which a ledger rejects a grant.
 var (
-	ErrForeignGrant = errors.New("the number of shares or the version does not fit the ledger")
+	ErrInvalidGrant = errors.New("the number of shares or the version does not fit the ledger")
 	ErrPoolExceeded = errors.New("the sum of the grants exceeds the pool")
 )
 
@@ -24,9 +24,11 @@
 // Command is one change of the ledger. All replicas apply the same commands in the same order. Its keys are part of the
 // Raft log's format.
 type Command struct {
-	Grants []Grant           `codec:"g,omitempty" json:"give,omitempty"`
-	Expire map[string]uint64 `codec:"e,omitempty" json:"expire,omitempty"` // Expire removes each holder's grants up to a version.
-	Ack    map[string]uint64 `codec:"a,omitempty" json:"ack,omitempty"`    // Ack records that a holder spends the grant with a version, and no earlier grant.
+	Grants []Grant `codec:"g,omitempty" json:"give,omitempty"`
+	// Expire removes each holder's grants up to a version.
+	Expire map[string]uint64 `codec:"e,omitempty" json:"expire,omitempty"`
+	// Ack records that a holder spends the grant with a version, and no earlier grant.
+	Ack map[string]uint64 `codec:"a,omitempty" json:"ack,omitempty"`
 }
 
 // Ledger holds the grants that may still be spent. Applying commands is deterministic and needs no clock. Its keys are
@@ -66,7 +68,7 @@
 // add adds a grant unless it does not fit the ledger or exceeds a pool.
 func (l *Ledger) add(grant Grant) error {
 	if len(grant.Shares) != len(l.Pools) || grant.Version <= l.Version {
-		return fmt.Errorf("budget: grant %d to %s: %w", grant.Version, grant.Holder, ErrForeignGrant)
+		return fmt.Errorf("budget: grant %d to %s: %w", grant.Version, grant.Holder, ErrInvalidGrant)
 	}
 	l.Grants[grant.Holder] = append(l.Grants[grant.Holder], grant)
 	if quota := l.exceededQuota(); quota >= 0 {
@@ -100,8 +102,8 @@
 func (l *Ledger) ChargedTo(holder string) []float64 {
 	highest := make([]float64, len(l.Pools))
 	for _, grant := range l.Grants[holder] {
-		for i, part := range grant.Shares {
-			highest[i] = max(highest[i], part)
+		for i, share := range grant.Shares {
+			highest[i] = max(highest[i], share)
 		}
 	}
 	return highest
--- a/internal/fleet/budgets/allowance.go
+++ b/internal/fleet/budgets/allowance.go
@@ -18,20 +18,20 @@
 	ctx, cancel := context.WithTimeout(context.Background(), brokerTimeout)
 	defer cancel()
 	usage, err := s.broker.Usage(ctx)
-	asked := make([]float64, len(s.floor))
-	if err != nil || len(usage) > len(asked) { // there is no usage before the broker's first list
+	demand := make([]float64, len(s.floor))
+	if err != nil || len(usage) > len(demand) { // there is no usage before the broker's first list
 		return
 	}
 	requests, quotas := 0.0, 0.0
 	for i, use := range usage {
-		asked[i] = use.Asked
+		demand[i] = use.Asked
 		requests += use.Asked
 		quotas += s.config.Quotas[i]
 	}
 	if s.config.Section.RetryQuota > 0 && quotas > 0 { // the demand for retries is proportional to the requests
-		asked[len(asked)-1] = requests * s.config.Section.RetryQuota / quotas
+		demand[len(demand)-1] = requests * s.config.Section.RetryQuota / quotas
 	}
-	s.demand.Sample(s.now(), asked)
+	s.demand.Sample(s.now(), demand)
 	s.usage = usage
 }
 
@@ -69,6 +69,7 @@
 	s.leased = leased
 }
 
+// logAllowance logs the rates that apply from a time, and for a lease the time at which they end.
 func (s *Service) logAllowance(rates []float64, leased bool, from, until time.Time) {
 	fields := []zap.Field{
 		zap.Uint64("version", s.holder.Version()), zap.Float64s("parts", rates),
--- a/internal/fleet/budgets/compatibility_test.go
+++ b/internal/fleet/budgets/compatibility_test.go
@@ -73,12 +73,12 @@
 		}
 		writeLedger(t, folder)
 	}
-	text, err := os.ReadFile(filepath.Join(folder, file))
+	data, err := os.ReadFile(filepath.Join(folder, file))
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, file), text, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, file), data, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	terms := budget.Terms{LeaseDuration: compatibleLease, MaxDrift: 0.01}
--- a/internal/fleet/budgets/message.go
+++ b/internal/fleet/budgets/message.go
@@ -19,20 +19,21 @@
 	Grant     *budget.Grant   `codec:"g,omitempty"`
 }
 
+// encode encodes a message, a command or a ledger as MessagePack.
 func encode(m any) []byte {
-	var text []byte
-	codec.NewEncoderBytes(&text, &codec.MsgpackHandle{}).MustEncode(m) // every message type can be encoded
-	return text
+	var data []byte
+	codec.NewEncoderBytes(&data, &codec.MsgpackHandle{}).MustEncode(m) // every message type can be encoded
+	return data
 }
 
-func decode(text []byte, m any) error {
-	return codec.NewDecoderBytes(text, &codec.MsgpackHandle{}).Decode(m)
+func decode(data []byte, m any) error {
+	return codec.NewDecoderBytes(data, &codec.MsgpackHandle{}).Decode(m)
 }
 
 // decodeEnvelope decodes a received message.
-func decodeEnvelope(text []byte) (m envelope, err error) {
-	if len(text) > maxMessageBytes {
-		return m, fmt.Errorf("message of %d bytes exceeds the limit of %d", len(text), maxMessageBytes)
+func decodeEnvelope(data []byte) (m envelope, err error) {
+	if len(data) > maxMessageBytes {
+		return m, fmt.Errorf("message of %d bytes exceeds the limit of %d", len(data), maxMessageBytes)
 	}
-	return m, decode(text, &m)
+	return m, decode(data, &m)
 }
--- a/internal/fleet/budgets/outbox.go
+++ b/internal/fleet/budgets/outbox.go
@@ -22,6 +22,7 @@
 	queues  map[string]*sendQueue
 }
 
+// sendQueue is the queue of messages to one member.
 type sendQueue struct {
 	messages chan []byte
 	lastUsed time.Time
--- a/internal/fleet/budgets/service.go
+++ b/internal/fleet/budgets/service.go
@@ -115,8 +115,8 @@
 // Close ends all goroutines. It sets the broker's rates to 0, because the process that replaces this one spends the floor.
 func (s *Service) Close() {
 	s.closeOnce.Do(func() {
-		none := make([]float64, len(s.floor))
-		s.setShares(none, none, time.Time{})
+		zeroRates := make([]float64, len(s.floor))
+		s.setShares(zeroRates, zeroRates, time.Time{})
 		close(s.done)
 		s.wg.Wait()
 		if s.voter != nil {
@@ -136,8 +136,8 @@
 }
 
 // receive handles a message from another member. It is called on the gossip's goroutines.
-func (s *Service) receive(text []byte) {
-	m, err := decodeEnvelope(text)
+func (s *Service) receive(data []byte) {
+	m, err := decodeEnvelope(data)
 	if err != nil {
 		s.log.Warn("fleet.budget.refused", zap.Error(err))
 		return
--- a/internal/fleet/budgets/service_test.go
+++ b/internal/fleet/budgets/service_test.go
@@ -40,14 +40,14 @@
 // spends its floor.
 func TestVoterThatLostItsLedgerStopsVotingAndSpendsItsFloor(t *testing.T) {
 	m := &fakeMember{}
-	seen, logs := observer.New(zapcore.InfoLevel)
+	observed, logs := observer.New(zapcore.InfoLevel)
 	s := Start(Config{
 		Self: "a", Weight: 1, Tenants: []string{"one"}, Quotas: []float64{100}, Instances: 4,
 		Section: gossip.Budgets{
 			Enabled: true, Voters: []string{"a", "b", "c"}, Directory: t.TempDir(), FloorPercent: 20, MaxDriftPercent: 1, ClockRate: 1,
 			LeaseDuration: tomlconfig.Duration(300 * time.Millisecond),
 		},
-	}, m, m, zap.New(seen))
+	}, m, m, zap.New(observed))
 	heartbeat, err := proto.Marshal(&raftpb.Message{
 		Type: raftpb.MsgHeartbeat.Enum(), To: proto.Uint64(1), From: proto.Uint64(2),
 		Term: proto.Uint64(9), Commit: proto.Uint64(500),
--- a/internal/fleet/budgets/state.go
+++ b/internal/fleet/budgets/state.go
@@ -10,7 +10,7 @@
 
 // Config holds the parameters of a service.
 type Config struct {
-	Self      string
+	Self      string // Self is this member's ID.
 	Weight    int
 	Section   gossip.Budgets
 	Tenants   []string
@@ -29,20 +29,23 @@
 	Floor       float64 `json:"floor"`
 	Share       float64 `json:"part"` // Share is the rate that this broker may spend, including the floor.
 	Demand      float64 `json:"demand"`
-	Requested   float64 `json:"asked"`   // Requested counts the requests since the start, without retries.
-	WithinShare float64 `json:"within"`  // WithinShare counts the requests among these that were within the share.
-	Charged     float64 `json:"charged"` // Charged is the rate that all leases in the ledger may spend; 0 unless this broker is a voter.
+	Requested   float64 `json:"asked"`  // Requested counts the requests since the start, without retries.
+	WithinShare float64 `json:"within"` // WithinShare counts the requests among these that were within the share.
+	// Charged is the rate that all leases in the ledger may spend; 0 unless this broker is a voter.
+	Charged float64 `json:"charged"`
 }
 
 // State is the state of a broker's lease, in the form that the control address serves.
 type State struct {
-	Self      string         `json:"self"`
-	Leased    bool           `json:"leased"`
-	Remaining time.Duration  `json:"left"` // Remaining is the remaining time of the lease.
-	Version   uint64         `json:"version"`
-	Leader    string         `json:"lead,omitempty"` // Leader is the leader of the voters as known to this voter; empty if unknown or this broker is not a voter.
-	Shares    []QuotaShare   `json:"parts"`
-	Ledger    *budget.Ledger `json:"ledger,omitempty"` // Ledger is this voter's copy of the ledger; nil if this broker is not a voter.
+	Self      string        `json:"self"`
+	Leased    bool          `json:"leased"`
+	Remaining time.Duration `json:"left"` // Remaining is the remaining time of the lease.
+	Version   uint64        `json:"version"`
+	// Leader is the leader of the voters as known to this voter; empty if unknown or this broker is not a voter.
+	Leader string       `json:"lead,omitempty"`
+	Shares []QuotaShare `json:"parts"`
+	// Ledger is this voter's copy of the ledger; nil if this broker is not a voter.
+	Ledger *budget.Ledger `json:"ledger,omitempty"`
 }
 
 // publish stores the result of State.
--- a/internal/fleet/budgets/storage.go
+++ b/internal/fleet/budgets/storage.go
@@ -70,16 +70,16 @@
 		return err
 	}
 	snapshot := first
-	if text := state.Get(keySnapshot); text != nil {
+	if data := state.Get(keySnapshot); data != nil {
 		snapshot = &raftpb.Snapshot{}
-		if err := proto.Unmarshal(text, snapshot); err != nil {
+		if err := proto.Unmarshal(data, snapshot); err != nil {
 			return err
 		}
 	}
 	hardState := &raftpb.HardState{Term: proto.Uint64(firstTerm), Commit: proto.Uint64(firstIndex)}
-	if text := state.Get(keyHardState); text != nil {
+	if data := state.Get(keyHardState); data != nil {
 		hardState = &raftpb.HardState{}
-		if err := proto.Unmarshal(text, hardState); err != nil {
+		if err := proto.Unmarshal(data, hardState); err != nil {
 			return err
 		}
 	}
@@ -92,9 +92,9 @@
 
 // entriesAfter returns the log entries after an index.
 func entriesAfter(log *bbolt.Bucket, index uint64) (entries []*raftpb.Entry, err error) {
-	err = log.ForEach(func(_, text []byte) error {
+	err = log.ForEach(func(_, data []byte) error {
 		entry := &raftpb.Entry{}
-		if err := proto.Unmarshal(text, entry); err != nil {
+		if err := proto.Unmarshal(data, entry); err != nil {
 			return err
 		}
 		if entry.GetIndex() > index {
@@ -116,6 +116,7 @@
 	return nil
 }
 
+// saveInTransaction writes Raft's state to the database within a transaction, and updates the copy in memory.
 func (s *storage) saveInTransaction(tx *bbolt.Tx, ready raft.Ready) error {
 	state := tx.Bucket(stateBucket)
 	if !raft.IsEmptySnap(ready.Snapshot) {
@@ -160,11 +161,11 @@
 func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
 func putMessage(bucket *bbolt.Bucket, key []byte, message proto.Message) error {
-	text, err := proto.Marshal(message)
+	data, err := proto.Marshal(message)
 	if err != nil {
 		return err
 	}
-	return bucket.Put(key, text)
+	return bucket.Put(key, data)
 }
 
 // compact stores a snapshot of the ledger at an index, and deletes the log entries up to that index.
--- a/internal/fleet/budgets/voter.go
+++ b/internal/fleet/budgets/voter.go
@@ -110,9 +110,9 @@
 }
 
 // step passes a message of another voter to Raft. It returns an error if the message cannot be decoded or Raft rejects it.
-func (v *voter) step(text []byte) error {
+func (v *voter) step(data []byte) error {
 	m := &raftpb.Message{}
-	if err := proto.Unmarshal(text, m); err != nil {
+	if err := proto.Unmarshal(data, m); err != nil {
 		return fmt.Errorf("budgets: message: %w", err)
 	}
 	return v.node.Step(m)
@@ -178,12 +178,12 @@
 
 func (v *voter) sendMessages(messages []*raftpb.Message) error {
 	for _, m := range messages {
-		text, err := proto.Marshal(m)
+		data, err := proto.Marshal(m)
 		if err != nil {
 			return fmt.Errorf("budgets: message: %w", err)
 		}
 		if to, ok := v.memberOf(m.GetTo()); ok {
-			v.send(to, envelope{Raft: text})
+			v.send(to, envelope{Raft: data})
 		}
 	}
 	return nil
--- a/internal/fleet/gossip/compatibility_test.go
+++ b/internal/fleet/gossip/compatibility_test.go
@@ -99,11 +99,11 @@
 	states := []membership.State{membership.Alive, membership.Suspect, membership.Dead, membership.Left}
 	fixture.Golden(t, "testdata/compatibility/states.json", states)
 	var read []membership.State
-	text, err := os.ReadFile("testdata/compatibility/states.json")
+	data, err := os.ReadFile("testdata/compatibility/states.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := json.Unmarshal(text, &read); err != nil {
+	if err := json.Unmarshal(data, &read); err != nil {
 		t.Fatal(err)
 	}
 	for i, state := range read {
--- a/internal/fleet/gossip/counting_transport.go
+++ b/internal/fleet/gossip/counting_transport.go
@@ -30,6 +30,7 @@
 	return t
 }
 
+// receive counts and forwards received packets until Shutdown.
 func (t *countingTransport) receive() {
 	for {
 		select {
@@ -86,6 +87,7 @@
 	return err
 }
 
+// discard reads and drops forwarded packets until Shutdown has ended.
 func (t *countingTransport) discard() {
 	for {
 		select {
--- a/internal/fleet/gossip/delegate.go
+++ b/internal/fleet/gossip/delegate.go
@@ -74,8 +74,8 @@
 
 // NodeMeta returns this member's metadata, which is well below memberlist's limit of 512 bytes.
 func (d *delegate) NodeMeta(limit int) []byte {
-	text, _ := json.Marshal(d.self.Meta) // encoding strings, a time and a number cannot fail
-	return text[:min(len(text), limit)]
+	data, _ := json.Marshal(d.self.Meta) // encoding strings, a time and a number cannot fail
+	return data[:min(len(data), limit)]
 }
 
 // NotifyMsg passes a message to the handler of its kind.
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -24,10 +24,11 @@
 
 // Snapshot is a copy of the view after its last change, in the form that the control address serves.
 type Snapshot struct {
-	Self    string              `json:"self"`
-	Number  uint64              `json:"number"`
-	Digest  string              `json:"digest"`
-	Health  int                 `json:"health"` // Health is memberlist's local health score: 0 is healthy; a higher score means that this member itself is slow.
+	Self   string `json:"self"`
+	Number uint64 `json:"number"`
+	Digest string `json:"digest"`
+	// Health is memberlist's local health score: 0 is healthy; a higher score means that this member itself is slow.
+	Health  int                 `json:"health"`
 	Members []membership.Member `json:"members"`
 }
 
--- a/internal/fleet/gossip/relay_transport.go
+++ b/internal/fleet/gossip/relay_transport.go
@@ -193,6 +193,8 @@
 	return err
 }
 
+// discard drops packets and closes streams until none has arrived for headerTimeout, the longest time that a stream
+// takes to be accepted.
 func (t *relayTransport) discard() {
 	for {
 		select {
--- a/internal/fleet/gossip/section_check.go
+++ b/internal/fleet/gossip/section_check.go
@@ -23,8 +23,8 @@
 
 // Check returns the errors in the section that the bounds in the struct tags cannot detect.
 func (s *Section) Check() []validation.Error {
-	var wrong []validation.Error
-	reject := func(key, text string) { wrong = append(wrong, validation.Error{Key: key, Text: text}) }
+	var errs []validation.Error
+	reject := func(key, text string) { errs = append(errs, validation.Error{Key: key, Text: text}) }
 	if fault := addressFault(s.Bind, true); fault != "" {
 		reject("bind", fault)
 	}
@@ -42,17 +42,17 @@
 	if areWithinBounds && s.ProbeTimeout >= s.ProbeInterval {
 		reject("probe_timeout", "has to be shorter than probe_interval")
 	}
-	wrong = append(wrong, s.Budgets.check()...)
+	errs = append(errs, s.Budgets.check()...)
 	if s.Budgets.Enabled && s.Budgets.Directory == "" && s.ID != "" && slices.Contains(s.Budgets.Voters, s.ID) {
 		reject("budgets.dir", "is needed by a voter")
 	}
 	if len(s.Seeds) > s.MaxMembers {
 		reject("seeds", "are more than most")
 	}
-	return wrong
+	return errs
 }
 
-// addressFault returns what is wrong with an IPv4 address and port; empty for nothing. Port 0 stands for any port.
+// addressFault returns why a string is not a usable IPv4 address and port, or "" if it is. Port 0 stands for any port.
 func addressFault(address string, allowAnyPort bool) string {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
@@ -68,19 +68,19 @@
 	return ""
 }
 
-// ParseQuota parses an element of Wholes: a tenant and its quota in requests per second.
-func (b *Budgets) ParseQuota(text string) (tenant string, perS float64, err error) {
+// ParseQuota parses an element of Quotas: a tenant and its quota in requests per second.
+func (b *Budgets) ParseQuota(text string) (tenant string, requestsPerSecond float64, err error) {
 	tenant, rate, ok := strings.Cut(text, "=")
-	perS, parseErr := strconv.ParseFloat(rate, 64)
-	if !ok || tenant == "" || parseErr != nil || !(perS >= 0 && perS <= maxQuota) {
+	requestsPerSecond, parseErr := strconv.ParseFloat(rate, 64)
+	if !ok || tenant == "" || parseErr != nil || !(requestsPerSecond >= 0 && requestsPerSecond <= maxQuota) {
 		return "", 0, fmt.Errorf("%q is not tenant=requests a second", text)
 	}
-	return tenant, perS, nil
+	return tenant, requestsPerSecond, nil
 }
 
 // check returns the errors in the table that the bounds in the struct tags cannot detect.
-func (b *Budgets) check() (wrong []validation.Error) {
-	reject := func(key, text string) { wrong = append(wrong, validation.Error{Key: key, Text: text}) }
+func (b *Budgets) check() (errs []validation.Error) {
+	reject := func(key, text string) { errs = append(errs, validation.Error{Key: key, Text: text}) }
 	for _, text := range b.Quotas {
 		if _, _, err := b.ParseQuota(text); err != nil {
 			reject("budgets.wholes", err.Error())
@@ -103,5 +103,5 @@
 	if b.ClockRate < minClockRate || b.ClockRate > maxClockRate {
 		reject("budgets.clock_rate", "has to be from 0.5 to 2")
 	}
-	return wrong
+	return errs
 }
--- a/internal/fleet/gossip/suspicion.go
+++ b/internal/fleet/gossip/suspicion.go
@@ -55,7 +55,8 @@
 	case message.kind == kindAlive:
 		o.applyAlive(member, message.Incarnation, now)
 	case message.announcesLeave() && member.State == membership.Dead:
-		o.observeState(member, membership.Left, now) // memberlist learned of the departure in a push-pull, which does not tell its cause
+		// memberlist learned of the departure in a push-pull, which does not tell its cause.
+		o.observeState(member, membership.Left, now)
 	}
 }
 
--- a/internal/fleet/gossip/view_owner.go
+++ b/internal/fleet/gossip/view_owner.go
@@ -254,6 +254,7 @@
 	}
 }
 
+// countChange adds a change to the counter of its reason.
 func (o *viewOwner) countChange(reason membership.Reason) {
 	switch reason {
 	case membership.ProbesFailed:
--- a/internal/fleet/membership/member.go
+++ b/internal/fleet/membership/member.go
@@ -51,11 +51,12 @@
 // Meta is the metadata that a member announces about itself. It is sent as JSON in memberlist's node metadata, which is
 // limited to 512 bytes. The JSON keys are part of the wire format.
 type Meta struct {
-	Zone    string    `json:"z,omitempty"`
-	Tier    string    `json:"t,omitempty"`
-	Version string    `json:"v,omitempty"` // Version is the version of the build.
-	Started time.Time `json:"s"`           // Started is the start time of the process. A later process replaces an earlier one with the same ID.
-	Weight  uint16    `json:"w"`           // Weight is the member's share weight in fleet-wide budgets.
+	Zone    string `json:"z,omitempty"`
+	Tier    string `json:"t,omitempty"`
+	Version string `json:"v,omitempty"` // Version is the version of the build.
+	// Started is the start time of the process. A later process replaces an earlier one with the same ID.
+	Started time.Time `json:"s"`
+	Weight  uint16    `json:"w"` // Weight is the member's share weight in fleet-wide budgets.
 }
 
 // Member is the state of one broker in a view. Its field names are JSON keys of the view that the control address serves.
--- a/internal/fleet/replica/fact.go
+++ b/internal/fleet/replica/fact.go
@@ -32,11 +32,12 @@
 // Fact is one version of a register: a broker's verdict on a server. Its codec keys are part of the wire format and of
 // snapshots, its JSON keys of the answers of the control address.
 type Fact struct {
-	Origin    string        `codec:"o" json:"origin"`
-	Subject   string        `codec:"s" json:"subject"` // Subject identifies a server by its UID and start time.
-	Stamp     Stamp         `codec:"t" json:"stamp"`
-	Verdict   Verdict       `codec:"k" json:"word"`
-	Remaining time.Duration `codec:"f" json:"left"` // Remaining is the remaining lifetime. It is a duration, because the clocks of brokers differ.
+	Origin  string  `codec:"o" json:"origin"`
+	Subject string  `codec:"s" json:"subject"` // Subject identifies a server by its UID and start time.
+	Stamp   Stamp   `codec:"t" json:"stamp"`
+	Verdict Verdict `codec:"k" json:"word"`
+	// Remaining is the remaining lifetime. It is a duration, because the clocks of brokers differ.
+	Remaining time.Duration `codec:"f" json:"left"`
 }
 
 // Key returns a string that identifies this version of a register.
--- a/internal/fleet/replica/peer_ejections.go
+++ b/internal/fleet/replica/peer_ejections.go
@@ -73,6 +73,7 @@
 	return tallies
 }
 
+// countBad returns the number of servers that the origin reports as bad.
 func (f *originFacts) countBad(now Now) (bad int) {
 	for _, held := range f.bySubject {
 		if held.verdict == Bad && held.expiresAt > now.Mono {
--- a/internal/fleet/replica/replica_test.go
+++ b/internal/fleet/replica/replica_test.go
@@ -15,7 +15,7 @@
 
 func nowAt(d time.Duration) Now { return Now{Mono: d, Wall: startTime.Add(d)} }
 
-// drawFacts draws drawFacts that contradict, repeat and follow each other, of more subjects than an origin may hold.
+// drawFacts draws facts that contradict, repeat and follow each other, about more subjects than the limit for one origin.
 func drawFacts(t *rapid.T) []Fact {
 	one := rapid.Custom(func(t *rapid.T) Fact {
 		return Fact{
@@ -47,12 +47,12 @@
 		rng.Shuffle(len(mixed), func(i, j int) { mixed[i], mixed[j] = mixed[j], mixed[i] })
 		ab := append(storeOf(a).Facts(nowAt(0)), storeOf(b).Facts(nowAt(0))...)
 		bc := append(storeOf(b).Facts(nowAt(0)), storeOf(c).Facts(nowAt(0))...)
-		for how, got := range map[string]*Store{
-			"another order": storeOf(mixed), "(a b) c": storeOf(append(storeOf(ab).Facts(nowAt(0)), c...)),
+		for name, got := range map[string]*Store{
+			"shuffled repetitions": storeOf(mixed), "(a b) c": storeOf(append(storeOf(ab).Facts(nowAt(0)), c...)),
 			"a (b c)": storeOf(append(append([]Fact(nil), a...), storeOf(bc).Facts(nowAt(0))...)),
 		} {
 			if fmt.Sprint(got.Facts(nowAt(0))) != fmt.Sprint(want.Facts(nowAt(0))) || got.Digest() != want.Digest() {
-				t.Fatalf("%s: %s %v, want %s %v", how, got.Digest(), got.Facts(nowAt(0)), want.Digest(), want.Facts(nowAt(0)))
+				t.Fatalf("%s: digest %s, facts %v, want digest %s, facts %v", name, got.Digest(), got.Facts(nowAt(0)), want.Digest(), want.Facts(nowAt(0)))
 			}
 		}
 		// After two copies have exchanged summaries and differing facts, they are equal and have nothing more to send.
--- a/internal/fleet/replica/store.go
+++ b/internal/fleet/replica/store.go
@@ -78,6 +78,7 @@
 	return fact, true
 }
 
+// advanceClock sets the clock to the wall time, or increments its logical part if the wall time has not advanced.
 func (s *Store) advanceClock(now Now) {
 	if wall := now.Wall.UnixMilli(); wall > s.clock.Wall {
 		s.clock = Stamp{Wall: wall}
--- a/internal/fleet/replica/summary.go
+++ b/internal/fleet/replica/summary.go
@@ -29,8 +29,8 @@
 			continue
 		}
 		for subject, held := range facts.bySubject {
-			if left := held.expiresAt - now.Mono; left > 0 {
-				differing = append(differing, Fact{Origin: id, Subject: subject, Stamp: held.stamp, Verdict: held.verdict, Remaining: left})
+			if remaining := held.expiresAt - now.Mono; remaining > 0 {
+				differing = append(differing, Fact{Origin: id, Subject: subject, Stamp: held.stamp, Verdict: held.verdict, Remaining: remaining})
 			}
 		}
 	}
--- a/internal/fleet/replication/compatibility_test.go
+++ b/internal/fleet/replication/compatibility_test.go
@@ -43,12 +43,12 @@
 			t.Fatal(err)
 		}
 	}
-	text, err := os.ReadFile(path)
+	data, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	copied := filepath.Join(t.TempDir(), "snapshot.db") // bbolt locks the file that it opens
-	if err := os.WriteFile(copied, text, 0o600); err != nil {
+	if err := os.WriteFile(copied, data, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	facts, err := loadSnapshot(copied, self, saved.Add(2*time.Second), kept)
--- a/internal/fleet/replication/exchange.go
+++ b/internal/fleet/replication/exchange.go
@@ -26,19 +26,19 @@
 // broadcast disseminates a fact if the rate limit allows it. Otherwise the fact reaches other members by the next
 // comparison.
 func (s *Service) broadcast(fact replica.Fact) {
-	text := encode(message{Facts: []replica.Fact{fact}})
-	if !s.rateLimit.take(time.Now(), len(text)) {
+	data := encode(message{Facts: []replica.Fact{fact}})
+	if !s.rateLimit.take(time.Now(), len(data)) {
 		s.counters.Held.Add(1)
 		return
 	}
 	s.counters.Told.Add(1)
-	s.counters.BytesTold.Add(uint64(len(text)))
-	s.gossip.Broadcast(fact.Origin+"/"+fact.Subject, text)
+	s.counters.BytesTold.Add(uint64(len(data)))
+	s.gossip.Broadcast(fact.Origin+"/"+fact.Subject, data)
 }
 
 // Receive handles a message from another member: facts or a summary.
-func (s *Service) Receive(text []byte) {
-	m, err := decode(text)
+func (s *Service) Receive(data []byte) {
+	m, err := decode(data)
 	if err != nil {
 		s.rejectMessage(err)
 		return
@@ -54,8 +54,8 @@
 func (s *Service) Summary() []byte { return *s.summary.Load() }
 
 // ReceiveSummary handles the summary in another member's push-pull.
-func (s *Service) ReceiveSummary(text []byte) {
-	m, err := decode(text)
+func (s *Service) ReceiveSummary(data []byte) {
+	m, err := decode(data)
 	if err != nil || m.From == "" {
 		s.rejectMessage(err)
 		return
@@ -127,13 +127,13 @@
 
 // enqueueMessage queues a message to a member. It returns false if the rate limit is reached or the queue is full.
 func (s *Service) enqueueMessage(to string, m message) bool {
-	text := encode(m)
-	if !s.rateLimit.take(time.Now(), len(text)) {
+	data := encode(m)
+	if !s.rateLimit.take(time.Now(), len(data)) {
 		s.counters.Held.Add(1)
 		return false
 	}
 	select {
-	case s.outbox <- outgoingMessage{to, text}:
+	case s.outbox <- outgoingMessage{to, data}:
 		return true
 	default:
 		s.counters.Lost.Add(1)
--- a/internal/fleet/replication/snapshot.go
+++ b/internal/fleet/replication/snapshot.go
@@ -37,11 +37,12 @@
 
 // snapshotHeader describes a snapshot. It is stored in the file as JSON.
 type snapshotHeader struct {
-	Format   int       `json:"format"`
-	Build    string    `json:"build"`
-	Self     string    `json:"self"`
-	SavedAt  time.Time `json:"saved"` // SavedAt is the time by Service.now, which includes the clock offset that the lab may configure.
-	Checksum string    `json:"sum"`   // Checksum is the SHA-256 of the encoded facts in hexadecimal.
+	Format int    `json:"format"`
+	Build  string `json:"build"`
+	Self   string `json:"self"`
+	// SavedAt is the time by Service.now, which includes the clock offset that the lab may configure.
+	SavedAt  time.Time `json:"saved"`
+	Checksum string    `json:"sum"` // Checksum is the SHA-256 of the encoded facts in hexadecimal.
 }
 
 // programBuild returns the path and version of the main module, so that the snapshot of another build is not loaded.
@@ -61,7 +62,7 @@
 			err = fmt.Errorf("snapshot: file is damaged: %v", p)
 		}
 	}()
-	if _, missing := os.Stat(path); readOnly && missing != nil {
+	if _, statErr := os.Stat(path); readOnly && statErr != nil {
 		return errNoSnapshot
 	}
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openTimeout, ReadOnly: readOnly})
@@ -95,15 +96,15 @@
 	if h.Format != snapshotFormat || h.Self != self || h.Build != programBuild() {
 		return nil, fmt.Errorf("%w: format %d, member %q, build %q", errForeignSnapshot, h.Format, h.Self, h.Build)
 	}
-	text := b.Get(keyFacts)
-	if checksum(text) != h.Checksum {
+	data := b.Get(keyFacts)
+	if checksum(data) != h.Checksum {
 		return nil, fmt.Errorf("snapshot: %w", errChecksum)
 	}
 	age := now.Sub(h.SavedAt)
 	if age < 0 || age >= ttl {
 		return nil, fmt.Errorf("snapshot: saved %v ago, facts hold for %v", age.Round(time.Second), ttl)
 	}
-	m, err := decode(text)
+	m, err := decode(data)
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
@@ -117,8 +118,10 @@
 
 // storeSnapshot writes a snapshot in one transaction, so that the previous snapshot survives a crash.
 func storeSnapshot(path, self string, now time.Time, facts []replica.Fact) error {
-	text := encode(message{Facts: facts})
-	h, err := json.Marshal(snapshotHeader{Format: snapshotFormat, Build: programBuild(), Self: self, SavedAt: now, Checksum: checksum(text)})
+	data := encode(message{Facts: facts})
+	h, err := json.Marshal(snapshotHeader{
+		Format: snapshotFormat, Build: programBuild(), Self: self, SavedAt: now, Checksum: checksum(data),
+	})
 	if err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
@@ -128,13 +131,13 @@
 			if err != nil {
 				return fmt.Errorf("snapshot: %w", err)
 			}
-			return errors.Join(b.Put(keyHeader, h), b.Put(keyFacts, text))
+			return errors.Join(b.Put(keyHeader, h), b.Put(keyFacts, data))
 		})
 	})
 }
 
-func checksum(text []byte) string {
-	sum := sha256.Sum256(text)
+func checksum(data []byte) string {
+	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:])
 }
 
@@ -151,9 +154,9 @@
 	case errors.Is(err, errNoSnapshot):
 		return
 	case err != nil:
-		aside := path + ".refused"
+		renamed := path + ".refused"
 		s.log.Warn("fleet.replica.cold", zap.String("snapshot", path), zap.Error(err),
-			zap.String("aside", aside), zap.NamedError("rename", os.Rename(path, aside)))
+			zap.String("aside", renamed), zap.NamedError("rename", os.Rename(path, renamed)))
 		return
 	}
 	merged := 0
--- a/internal/fleet/replication/snapshot_test.go
+++ b/internal/fleet/replication/snapshot_test.go
@@ -41,14 +41,14 @@
 			t.Errorf("error %v, want it to contain %q", err, want)
 		}
 	}
-	whole, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	rejected := 0
 	broken := filepath.Join(t.TempDir(), "broken.db")
-	try := func(text []byte) {
-		if err := os.WriteFile(broken, text, 0o600); err != nil {
+	try := func(data []byte) {
+		if err := os.WriteFile(broken, data, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		got, err := loadSnapshot(broken, "me", now, time.Minute)
@@ -59,13 +59,13 @@
 			t.Fatalf("a damaged file was loaded as %+v", got)
 		}
 	}
-	for cut := 0; cut < len(whole); cut += 997 {
-		try(whole[:cut])
+	for cut := 0; cut < len(content); cut += 997 {
+		try(content[:cut])
 	}
-	for at := 0; at < len(whole); at += 61 { // many of the bytes are in unused pages, so their damage has no effect
-		text := append([]byte(nil), whole...)
-		text[at] ^= 0x55
-		try(text)
+	for at := 0; at < len(content); at += 61 { // many of the bytes are in unused pages, so their damage has no effect
+		data := append([]byte(nil), content...)
+		data[at] ^= 0x55
+		try(data)
 	}
 	if rejected < 10 {
 		t.Errorf("%d damaged files were rejected, want at least 10", rejected)
