--- a/internal/fleet/budget/explore_test.go
+++ b/internal/fleet/budget/explore_test.go
@@ -299,7 +299,7 @@
 			return
 		}
 		if w.planted == leaseFromGrant {
-			n.askedAt[x.Seq] = n.clock(w)
+			n.requestedAt[x.Seq] = n.clock(w)
 		}
 		if n.Accept(n.clock(w), x) {
 			w.record("%s spends %.1f by grant %d", n.id, x.Shares[0], x.Version)
--- a/internal/fleet/budget/grantor.go
+++ b/internal/fleet/budget/grantor.go
@@ -177,7 +177,7 @@
 	for _, grant := range grants {
 		g.grantedAt[grant.Version] = now
 	}
-	const perHolder, base = 4, 64
+	const perHolder, base = 4, 64 // the map may hold this many grants before the removed ones are deleted
 	if len(g.grantedAt) > perHolder*len(g.ledger.Grants)+base {
 		g.forgetRemovedGrants()
 	}
@@ -185,11 +185,11 @@
 
 // forgetRemovedGrants deletes the times of grants that the ledger no longer holds.
 func (g *Grantor) forgetRemovedGrants() {
-	held := map[uint64]time.Duration{}
+	remaining := map[uint64]time.Duration{}
 	for _, grants := range g.ledger.Grants {
 		for _, grant := range grants {
-			held[grant.Version] = g.grantedAt[grant.Version]
+			remaining[grant.Version] = g.grantedAt[grant.Version]
 		}
 	}
-	g.grantedAt = held
+	g.grantedAt = remaining
 }
--- a/internal/fleet/budget/holder.go
+++ b/internal/fleet/budget/holder.go
@@ -4,15 +4,15 @@
 
 // Holder is the broker's side of the leases. It holds the broker's floor and its current lease.
 type Holder struct {
-	id         string
-	weight     float64
-	terms      Terms
-	floor      []float64
-	lastSeq    uint64
-	askedAt    map[uint64]time.Duration // times of open requests by sequence number, on this holder's clock
-	version    uint64                   // version of the newest accepted grant; 0 for none
-	shares     []float64
-	leaseStart time.Duration // leaseStart is the time of the request that the lease answers.
+	id          string
+	weight      float64
+	terms       Terms
+	floor       []float64
+	lastSeq     uint64
+	requestedAt map[uint64]time.Duration // times of open requests by sequence number, on this holder's clock
+	version     uint64                   // version of the newest accepted grant; 0 if none was accepted
+	shares      []float64
+	leaseStart  time.Duration // leaseStart is the time of the request that the lease answers.
 }
 
 // maxOpenRequests bounds the number of requests whose grants are still accepted.
@@ -21,7 +21,7 @@
 // NewHolder returns a holder that has only its floor. The ID identifies a process; a restarted process is a new holder.
 func NewHolder(id string, weight float64, terms Terms, floor []float64) *Holder {
 	return &Holder{
-		id: id, weight: weight, terms: terms, floor: floor, askedAt: map[uint64]time.Duration{},
+		id: id, weight: weight, terms: terms, floor: floor, requestedAt: map[uint64]time.Duration{},
 		shares: make([]float64, len(floor)),
 	}
 }
@@ -33,10 +33,10 @@
 	for i := range beyond {
 		beyond[i] = max(demand[i]-h.floor[i], 0)
 	}
-	h.askedAt[h.lastSeq] = now
-	for seq, at := range h.askedAt {
+	h.requestedAt[h.lastSeq] = now
+	for seq, at := range h.requestedAt {
 		if now-at >= h.terms.LeaseDuration || h.lastSeq-seq >= maxOpenRequests {
-			delete(h.askedAt, seq) // a lease for this request would have ended
+			delete(h.requestedAt, seq) // a lease for this request would have ended
 		}
 	}
 	return Request{Holder: h.id, Weight: h.weight, Seq: h.lastSeq, AcceptedVersion: h.version, Demand: beyond}
@@ -45,12 +45,12 @@
 // Accept replaces the current lease by a grant and reports whether it did. The grant has to answer an open request of
 // this holder and to be newer than the current lease.
 func (h *Holder) Accept(now time.Duration, grant Grant) bool {
-	askedAt, known := h.askedAt[grant.Seq]
-	isOurs := known && grant.Holder == h.id && len(grant.Shares) == len(h.floor)
-	if !isOurs || grant.Version <= h.version || now-askedAt >= h.terms.LeaseDuration {
+	requestedAt, isOpen := h.requestedAt[grant.Seq]
+	answersRequest := isOpen && grant.Holder == h.id && len(grant.Shares) == len(h.floor)
+	if !answersRequest || grant.Version <= h.version || now-requestedAt >= h.terms.LeaseDuration {
 		return false
 	}
-	h.version, h.shares, h.leaseStart = grant.Version, grant.Shares, askedAt
+	h.version, h.shares, h.leaseStart = grant.Version, grant.Shares, requestedAt
 	return true
 }
 
--- a/internal/fleet/budget/ledger.go
+++ b/internal/fleet/budget/ledger.go
@@ -40,7 +40,7 @@
 }
 
 // NewLedger returns a ledger without grants for the given pools.
-func NewLedger(pool []float64) *Ledger { return &Ledger{Pools: pool, Grants: map[string][]Grant{}} }
+func NewLedger(pools []float64) *Ledger { return &Ledger{Pools: pools, Grants: map[string][]Grant{}} }
 
 // roundingSlack is the tolerance, relative and absolute, by which a sum of shares may exceed a pool because of rounding.
 const roundingSlack = 1e-6
--- a/internal/fleet/budgets/service.go
+++ b/internal/fleet/budgets/service.go
@@ -193,7 +193,7 @@
 	err := func() (err error) {
 		defer func() {
 			if p := recover(); p != nil {
-				err = fmt.Errorf("budgets: raft: %v", p)
+				err = fmt.Errorf("budgets: Raft panicked: %v", p)
 			}
 		}()
 		return do(s.voter)
--- a/internal/fleet/budgets/storage.go
+++ b/internal/fleet/budgets/storage.go
@@ -42,11 +42,11 @@
 // openStorage opens a voter's database, or creates it with the snapshot of an empty ledger.
 func openStorage(dir string, voters []uint64, emptyLedger []byte) (*storage, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return nil, fmt.Errorf("budgets: %w", err)
+		return nil, fmt.Errorf("budgets: create ledger directory: %w", err)
 	}
 	db, err := bbolt.Open(filepath.Join(dir, databaseName), 0o600, &bbolt.Options{Timeout: lockTimeout})
 	if err != nil {
-		return nil, fmt.Errorf("budgets: ledger: %w", err)
+		return nil, fmt.Errorf("budgets: open ledger database: %w", err)
 	}
 	s := &storage{MemoryStorage: raft.NewMemoryStorage(), db: db}
 	first := &raftpb.Snapshot{Data: emptyLedger, Metadata: &raftpb.SnapshotMetadata{
@@ -54,7 +54,7 @@
 		ConfState: &raftpb.ConfState{Voters: voters},
 	}}
 	if err := db.Update(func(tx *bbolt.Tx) error { return s.load(tx, first) }); err != nil {
-		return nil, fmt.Errorf("budgets: ledger: %w", errors.Join(err, db.Close()))
+		return nil, fmt.Errorf("budgets: load ledger database: %w", errors.Join(err, db.Close()))
 	}
 	return s, nil
 }
@@ -111,7 +111,7 @@
 		return nil
 	}
 	if err := s.db.Update(func(tx *bbolt.Tx) error { return s.saveInTransaction(tx, ready) }); err != nil {
-		return fmt.Errorf("budgets: ledger: %w", err)
+		return fmt.Errorf("budgets: write ledger database: %w", err)
 	}
 	return nil
 }
@@ -172,7 +172,7 @@
 func (s *storage) compact(index uint64, conf *raftpb.ConfState, ledger []byte) error {
 	snapshot, err := s.CreateSnapshot(index, conf, ledger)
 	if err != nil {
-		return fmt.Errorf("budgets: snapshot: %w", err)
+		return fmt.Errorf("budgets: create ledger snapshot: %w", err)
 	}
 	err = s.db.Update(func(tx *bbolt.Tx) error {
 		cursor := tx.Bucket(logBucket).Cursor()
@@ -184,7 +184,7 @@
 		return putMessage(tx.Bucket(stateBucket), keySnapshot, snapshot)
 	})
 	if err != nil {
-		return fmt.Errorf("budgets: snapshot: %w", err)
+		return fmt.Errorf("budgets: write ledger snapshot: %w", err)
 	}
 	return s.Compact(index)
 }
--- a/internal/fleet/budgets/voter.go
+++ b/internal/fleet/budgets/voter.go
@@ -89,7 +89,7 @@
 		Logger:                    raftLogger{log},
 	})
 	if err != nil {
-		return nil, fmt.Errorf("budgets: raft: %w", err)
+		return nil, fmt.Errorf("budgets: start Raft: %w", err)
 	}
 	return v, nil
 }
@@ -98,7 +98,7 @@
 func (v *voter) restore(snapshot *raftpb.Snapshot) error {
 	ledger := &budget.Ledger{}
 	if err := decode(snapshot.GetData(), ledger); err != nil {
-		return fmt.Errorf("budgets: snapshot: %w", err)
+		return fmt.Errorf("budgets: decode ledger in snapshot: %w", err)
 	}
 	if ledger.Grants == nil {
 		ledger.Grants = map[string][]budget.Grant{}
@@ -113,7 +113,7 @@
 func (v *voter) step(data []byte) error {
 	m := &raftpb.Message{}
 	if err := proto.Unmarshal(data, m); err != nil {
-		return fmt.Errorf("budgets: message: %w", err)
+		return fmt.Errorf("budgets: decode Raft message: %w", err)
 	}
 	return v.node.Step(m)
 }
@@ -176,11 +176,12 @@
 	return nil
 }
 
+// sendMessages sends Raft's messages to other voters.
 func (v *voter) sendMessages(messages []*raftpb.Message) error {
 	for _, m := range messages {
 		data, err := proto.Marshal(m)
 		if err != nil {
-			return fmt.Errorf("budgets: message: %w", err)
+			return fmt.Errorf("budgets: encode Raft message: %w", err)
 		}
 		if to, ok := v.memberOf(m.GetTo()); ok {
 			v.send(to, envelope{Raft: data})
@@ -243,7 +244,7 @@
 func (v *voter) applyCommand(now time.Duration, data []byte, isLeader bool) error {
 	var command budget.Command
 	if err := decode(data, &command); err != nil {
-		return fmt.Errorf("budgets: command: %w", err)
+		return fmt.Errorf("budgets: decode command in Raft log: %w", err)
 	}
 	added, rejected := v.ledger.Apply(command)
 	if rejected != nil {
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -79,12 +79,12 @@
 	}
 	config, err := g.memberlistConfig()
 	if err != nil {
-		return nil, fmt.Errorf("gossip: %w", err)
+		return nil, fmt.Errorf("gossip: configure memberlist: %w", err)
 	}
 	g.broadcasts.RetransmitMult = config.RetransmitMult
 	g.broadcasts.NumNodes = func() int { return len(g.snapshot.Load().Members) }
 	if g.list, err = memberlist.Create(config); err != nil {
-		return nil, fmt.Errorf("gossip: %w", errors.Join(err, config.Transport.Shutdown()))
+		return nil, fmt.Errorf("gossip: start memberlist: %w", errors.Join(err, config.Transport.Shutdown()))
 	}
 	g.self.Addr = g.list.LocalNode().Address()
 	limits := membership.Limits{MaxMembers: section.MaxMembers, Retention: time.Duration(section.DeadRetention)}
--- a/internal/fleet/gossip/relay_transport.go
+++ b/internal/fleet/gossip/relay_transport.go
@@ -44,7 +44,7 @@
 	}
 	relayUDP, err := net.ResolveUDPAddr("udp4", relay)
 	if err != nil {
-		return nil, fmt.Errorf("relay: %w", err)
+		return nil, fmt.Errorf("resolve relay address %q: %w", relay, err)
 	}
 	tcp, err := net.ListenTCP("tcp4", &net.TCPAddr{IP: self.IP, Port: self.Port})
 	if err != nil {
--- a/internal/fleet/gossip/section_check.go
+++ b/internal/fleet/gossip/section_check.go
@@ -38,6 +38,7 @@
 			reject("relay", fault)
 		}
 	}
+	// The bounds in the tags already reject other values of the two settings.
 	areWithinBounds := s.ProbeInterval >= tomlconfig.Duration(50*time.Millisecond) && s.ProbeTimeout <= tomlconfig.Duration(30*time.Second)
 	if areWithinBounds && s.ProbeTimeout >= s.ProbeInterval {
 		reject("probe_timeout", "has to be shorter than probe_interval")
--- a/internal/fleet/gossip/view_owner.go
+++ b/internal/fleet/gossip/view_owner.go
@@ -184,7 +184,7 @@
 	var meta membership.Meta
 	if err := json.Unmarshal(node.Meta, &meta); err != nil && node.Name != o.self.ID {
 		o.counters.Bad.Add(1)
-		o.log.Warn("fleet.refused", zap.String("id", node.Name), zap.String("why", "meta that is not ours"))
+		o.log.Warn("fleet.refused", zap.String("id", node.Name), zap.String("why", "metadata cannot be decoded"))
 		return
 	}
 	now := time.Now()
--- a/internal/fleet/membership/change.go
+++ b/internal/fleet/membership/change.go
@@ -20,9 +20,9 @@
 // Change describes one change of a member in a view.
 type Change struct {
 	Member     Member // Member is the member after the change.
-	From       State  // From is its state before; the same as Member.State for a member that is new or forgotten.
+	From       State  // From is the previous state; it equals Member.State if the member was added or removed.
 	Reason     Reason
-	ViewNumber uint64 // Number is that of the view after the change.
+	ViewNumber uint64 // ViewNumber is the number of the view after the change.
 }
 
 // transition returns the reason for the change from the held state of a member to its observed state, or false if
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -71,6 +71,7 @@
 	return v.change(member, observed.State, Joined), true
 }
 
+// change increments the view's number and returns the description of a change.
 func (v *View) change(member *Member, from State, reason Reason) Change {
 	v.number++
 	return Change{Member: *member, From: from, Reason: reason, ViewNumber: v.number}
@@ -78,15 +79,15 @@
 
 // Expire removes the members that departed longer ago than the retention. It returns the changes, ordered by member ID.
 func (v *View) Expire(now time.Time) []Change {
-	var forgotten []Change
+	var removed []Change
 	for id, member := range v.members {
 		if member.State.hasDeparted() && now.Sub(member.Since) >= v.limits.Retention && id != v.self {
 			delete(v.members, id)
-			forgotten = append(forgotten, v.change(member, member.State, RetentionExceeded))
+			removed = append(removed, v.change(member, member.State, RetentionExceeded))
 		}
 	}
-	slices.SortFunc(forgotten, func(a, b Change) int { return cmp.Compare(a.Member.ID, b.Member.ID) })
-	return forgotten
+	slices.SortFunc(removed, func(a, b Change) int { return cmp.Compare(a.Member.ID, b.Member.ID) })
+	return removed
 }
 
 // Members returns copies of all members, ordered by ID.
--- a/internal/fleet/membership/view_test.go
+++ b/internal/fleet/membership/view_test.go
@@ -26,15 +26,15 @@
 		{"join", []Observation{observed("b", 1, Alive)}, Joined},
 		{"failed probes", []Observation{observed("b", 1, Alive), observed("b", 1, Suspect)}, ProbesFailed},
 		{"refuted suspicion", []Observation{observed("b", 1, Alive), observed("b", 1, Suspect), observed("b", 2, Alive)}, Refuted},
-		{"refutation of a suspicion that the view never observed", []Observation{observed("b", 1, Alive), observed("b", 2, Alive)}, Refuted},
+		{"unobserved suspicion refuted", []Observation{observed("b", 1, Alive), observed("b", 2, Alive)}, Refuted},
 		{"expired suspicion", []Observation{observed("b", 1, Suspect), observed("b", 1, Dead)}, SuspicionExpired},
 		{"announced departure", []Observation{observed("b", 1, Alive), observed("b", 1, Left)}, LeaveAnnounced},
 		{"return of a dead member", []Observation{observed("b", 1, Alive), observed("b", 1, Dead), observed("b", 2, Alive)}, Returned},
 		{"restart with the same ID", []Observation{observed("b", 5, Alive), later}, Restarted},
-		{"lower incarnation is ignored", []Observation{observed("b", 3, Alive), observed("b", 3, Suspect), observed("b", 2, Alive)}, ""},
-		{"suspicion of a dead member with its incarnation is ignored", []Observation{observed("b", 1, Alive), observed("b", 1, Dead), observed("b", 1, Suspect)}, ""},
-		{"repeated observation is ignored", []Observation{observed("b", 1, Alive), observed("b", 1, Alive)}, ""},
-		{"death of an unknown member is ignored", []Observation{observed("b", 1, Dead)}, ""},
+		{"lower incarnation", []Observation{observed("b", 3, Alive), observed("b", 3, Suspect), observed("b", 2, Alive)}, ""},
+		{"suspicion of a dead member", []Observation{observed("b", 1, Alive), observed("b", 1, Dead), observed("b", 1, Suspect)}, ""},
+		{"repeated observation", []Observation{observed("b", 1, Alive), observed("b", 1, Alive)}, ""},
+		{"death of an unknown member", []Observation{observed("b", 1, Dead)}, ""},
 	}
 	for _, tc := range cases {
 		v := New(observed("a", 1, Alive), Limits{MaxMembers: 8, Retention: time.Minute}, start)
--- a/internal/fleet/replica/peer_ejections.go
+++ b/internal/fleet/replica/peer_ejections.go
@@ -47,7 +47,7 @@
 
 // countVerdicts counts the facts of other brokers by server.
 func (s *Store) countVerdicts(now Now, servers int, rules EjectionRules) map[string]*verdictCount {
-	tallies := map[string]*verdictCount{}
+	counts := map[string]*verdictCount{}
 	for id, facts := range s.origins {
 		if id == s.self {
 			continue
@@ -57,10 +57,10 @@
 			if held.expiresAt <= now.Mono || held.verdict == Bad && !isCredible {
 				continue
 			}
-			count := tallies[subject]
+			count := counts[subject]
 			if count == nil {
 				count = &verdictCount{age: s.limits.TTL}
-				tallies[subject] = count
+				counts[subject] = count
 			}
 			if held.verdict == Bad {
 				count.bad++
@@ -70,7 +70,7 @@
 			count.age = min(count.age, s.limits.TTL-(held.expiresAt-now.Mono))
 		}
 	}
-	return tallies
+	return counts
 }
 
 // countBad returns the number of servers that the origin reports as bad.
--- a/internal/fleet/replication/compatibility_test.go
+++ b/internal/fleet/replication/compatibility_test.go
@@ -28,8 +28,8 @@
 
 // Guards the format of the snapshot file: the facts in the file of a released build are loaded.
 func TestSnapshotOfReleasedBuildIsLoaded(t *testing.T) {
-	const path, self, kept = "testdata/compatibility/snapshot.db", "b1", time.Minute
-	saved := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	const path, self, ttl = "testdata/compatibility/snapshot.db", "b1", time.Minute
+	savedAt := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	if fixture.Updating() {
 		var m message
 		fixture.Fill(&m)
@@ -39,7 +39,7 @@
 		for i := range m.Facts {
 			m.Facts[i].Remaining += 10 * time.Second
 		}
-		if err := storeSnapshot(path, self, saved, m.Facts); err != nil {
+		if err := storeSnapshot(path, self, savedAt, m.Facts); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -51,7 +51,7 @@
 	if err := os.WriteFile(copied, data, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	facts, err := loadSnapshot(copied, self, saved.Add(2*time.Second), kept)
+	facts, err := loadSnapshot(copied, self, savedAt.Add(2*time.Second), ttl)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/replication/evidence.go
+++ b/internal/fleet/replication/evidence.go
@@ -34,6 +34,7 @@
 	s.applyPeerEjections(ctx, store, store.PeerEjections(now, listed, s.ejectionRules()))
 }
 
+// ejectionRules returns the configured rules for peer ejections.
 func (s *Service) ejectionRules() replica.EjectionRules {
 	const percent = 100
 	return replica.EjectionRules{
@@ -43,21 +44,22 @@
 	}
 }
 
-func (s *Service) applyPeerEjections(ctx context.Context, store *replica.Store, advice []replica.PeerEjection) {
-	if len(advice) == 0 {
+// applyPeerEjections makes the broker apply peer ejections, and logs how many servers changed.
+func (s *Service) applyPeerEjections(ctx context.Context, store *replica.Store, ejections []replica.PeerEjection) {
+	if len(ejections) == 0 {
 		return
 	}
-	ejections := make([]core.Evidence, 0, len(advice))
-	for _, a := range advice {
-		ejections = append(ejections, core.Evidence{Server: a.Subject, Ejected: true, Age: a.Age})
+	evidence := make([]core.Evidence, 0, len(ejections))
+	for _, e := range ejections {
+		evidence = append(evidence, core.Evidence{Server: e.Subject, Ejected: true, Age: e.Age})
 	}
-	applied, err := s.broker.ApplyPeerEjections(ctx, ejections)
+	applied, err := s.broker.ApplyPeerEjections(ctx, evidence)
 	if err != nil {
 		s.log.Warn("fleet.replica.busy", zap.Error(err))
 	}
 	if applied > 0 {
 		s.counters.Heeded.Add(uint64(applied))
-		s.log.Info("fleet.replica.advice_applied", zap.Int("servers", applied), zap.Int("advice", len(advice)),
+		s.log.Info("fleet.replica.advice_applied", zap.Int("servers", applied), zap.Int("advice", len(ejections)),
 			zap.String("digest", store.Digest()))
 	}
 }
--- a/internal/fleet/replication/exchange.go
+++ b/internal/fleet/replication/exchange.go
@@ -63,6 +63,7 @@
 	s.sendDifferences(m)
 }
 
+// rejectMessage counts and logs a message that cannot be decoded.
 func (s *Service) rejectMessage(err error) {
 	s.counters.Bad.Add(1)
 	s.log.Warn("fleet.replica.refused", zap.String("why", "no message of ours"), zap.Error(err))
--- a/internal/fleet/replication/snapshot.go
+++ b/internal/fleet/replication/snapshot.go
@@ -67,7 +67,7 @@
 	}
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openTimeout, ReadOnly: readOnly})
 	if err != nil {
-		return fmt.Errorf("snapshot: %w", err)
+		return fmt.Errorf("snapshot: open database: %w", err)
 	}
 	defer func() { err = errors.Join(err, db.Close()) }()
 	return do(db)
@@ -102,11 +102,11 @@
 	}
 	age := now.Sub(h.SavedAt)
 	if age < 0 || age >= ttl {
-		return nil, fmt.Errorf("snapshot: saved %v ago, facts hold for %v", age.Round(time.Second), ttl)
+		return nil, fmt.Errorf("snapshot: saved %v ago, but facts expire after %v", age.Round(time.Second), ttl)
 	}
 	m, err := decode(data)
 	if err != nil {
-		return nil, fmt.Errorf("snapshot: %w", err)
+		return nil, fmt.Errorf("snapshot: decode facts: %w", err)
 	}
 	for _, fact := range m.Facts {
 		if fact.Remaining -= age; fact.Remaining > 0 {
@@ -123,19 +123,20 @@
 		Format: snapshotFormat, Build: programBuild(), Self: self, SavedAt: now, Checksum: checksum(data),
 	})
 	if err != nil {
-		return fmt.Errorf("snapshot: %w", err)
+		return fmt.Errorf("snapshot: encode header: %w", err)
 	}
 	return withDatabase(path, false, func(db *bbolt.DB) error {
 		return db.Update(func(tx *bbolt.Tx) error {
 			b, err := tx.CreateBucketIfNotExists(snapshotBucket)
 			if err != nil {
-				return fmt.Errorf("snapshot: %w", err)
+				return fmt.Errorf("snapshot: create bucket: %w", err)
 			}
 			return errors.Join(b.Put(keyHeader, h), b.Put(keyFacts, data))
 		})
 	})
 }
 
+// checksum returns the SHA-256 of data in hexadecimal.
 func checksum(data []byte) string {
 	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:])
