--- a/internal/fleet/budgets/storage.go
+++ b/internal/fleet/budgets/storage.go
@@ -158,8 +158,10 @@
 	return nil
 }
 
+// entryKey returns the key of the log entry with an index.
 func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
+// putMessage stores an encoded protobuf message under a key.
 func putMessage(bucket *bbolt.Bucket, key []byte, message proto.Message) error {
 	data, err := proto.Marshal(message)
 	if err != nil {
--- a/internal/fleet/gossip/gossip_test.go
+++ b/internal/fleet/gossip/gossip_test.go
@@ -10,6 +10,7 @@
 	"dykering/internal/tomlconfig"
 )
 
+// startMember starts a member with short probe intervals and joins it through the seeds.
 func startMember(t *testing.T, id string, seeds ...string) *Gossip {
 	t.Helper()
 	s := *DefaultSection()
--- a/internal/fleet/gossip/relay_transport.go
+++ b/internal/fleet/gossip/relay_transport.go
@@ -20,9 +20,9 @@
 	maxPacketBytes = 65536
 )
 
-// relayTransport sends all gossip through a fault relay (package faultnet), which forwards or drops it. Each
-// packet and stream to the relay begins with the receiver's address, and each one from the relay with the sender's
-// address, so that memberlist sees the addresses of its peers. Only the lab and tests use this transport.
+// relayTransport sends all gossip through a fault relay (package faultnet), which forwards or drops it. Each packet and
+// stream to the relay begins with the receiver's address, and each one from the relay with the sender's address, so that
+// memberlist sees the addresses of its peers. Only the lab and tests use this transport.
 type relayTransport struct {
 	relayUDP     *net.UDPAddr
 	relayTCP     string
@@ -38,7 +38,7 @@
 
 // newRelayTransport listens on an address by UDP and TCP, and sends through a relay.
 func newRelayTransport(bind, relay string, traffic *Traffic) (*relayTransport, error) {
-	self, err := net.ResolveUDPAddr("udp4", bind)
+	localAddress, err := net.ResolveUDPAddr("udp4", bind)
 	if err != nil {
 		return nil, err
 	}
@@ -46,17 +46,17 @@
 	if err != nil {
 		return nil, fmt.Errorf("resolve relay address %q: %w", relay, err)
 	}
-	tcp, err := net.ListenTCP("tcp4", &net.TCPAddr{IP: self.IP, Port: self.Port})
+	tcp, err := net.ListenTCP("tcp4", &net.TCPAddr{IP: localAddress.IP, Port: localAddress.Port})
 	if err != nil {
 		return nil, err
 	}
-	self.Port = tcp.Addr().(*net.TCPAddr).Port // with port 0, UDP uses the port that TCP was given
-	udp, err := net.ListenUDP("udp4", self)
+	localAddress.Port = tcp.Addr().(*net.TCPAddr).Port // with port 0, UDP uses the port that TCP was given
+	udp, err := net.ListenUDP("udp4", localAddress)
 	if err != nil {
 		return nil, errors.Join(err, tcp.Close())
 	}
 	t := &relayTransport{
-		relayUDP: relayUDP, relayTCP: relay, udp: udp, tcp: tcp, localAddress: self, traffic: traffic,
+		relayUDP: relayUDP, relayTCP: relay, udp: udp, tcp: tcp, localAddress: localAddress, traffic: traffic,
 		packets: make(chan *memberlist.Packet), streams: make(chan net.Conn),
 	}
 	t.wg.Add(2)
--- a/internal/fleet/membership/view_test.go
+++ b/internal/fleet/membership/view_test.go
@@ -10,6 +10,7 @@
 
 var start = time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
 
+// observed returns an observation of a member whose process started at start.
 func observed(id string, incarnation uint32, state State) Observation {
 	return Observation{ID: id, Addr: "127.0.0.1:1", Incarnation: incarnation, State: state, Meta: Meta{Started: start, Weight: 1}}
 }
@@ -58,13 +59,13 @@
 // the broker itself. Two views that received the same last observation of each member have the same digest.
 func TestInvariantsHoldForAnyOrderOfObservations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limits := Limits{MaxMembers: rapid.IntRange(1, 6).Draw(t, "most"), Retention: 10 * time.Second}
+		limits := Limits{MaxMembers: rapid.IntRange(1, 6).Draw(t, "max members"), Retention: 10 * time.Second}
 		v := New(observed("self", 1, Alive), limits, start)
 		held := map[string]uint32{}
 		now := start
 		for step := range rapid.IntRange(0, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond)
-			o := observed(fmt.Sprint("m", rapid.IntRange(0, 8).Draw(t, "id")), uint32(rapid.IntRange(0, 4).Draw(t, "inc")),
+			o := observed(fmt.Sprint("m", rapid.IntRange(0, 8).Draw(t, "id")), uint32(rapid.IntRange(0, 4).Draw(t, "incarnation")),
 				State(rapid.IntRange(0, 3).Draw(t, "state")))
 			before := v.Number()
 			c, changed := v.Observe(o, now)
--- a/internal/fleet/replica/replica_test.go
+++ b/internal/fleet/replica/replica_test.go
@@ -13,20 +13,27 @@
 
 var startTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
+// nowAt returns a time after startTime on both clocks.
 func nowAt(d time.Duration) Now { return Now{Mono: d, Wall: startTime.Add(d)} }
 
 // drawFacts draws facts that contradict, repeat and follow each other, about more subjects than the limit for one origin.
 func drawFacts(t *rapid.T) []Fact {
 	one := rapid.Custom(func(t *rapid.T) Fact {
 		return Fact{
-			Origin: fmt.Sprint("b", rapid.IntRange(1, 4).Draw(t, "origin")), Verdict: Verdict(rapid.IntRange(1, 2).Draw(t, "word")),
-			Subject: fmt.Sprint("s", rapid.IntRange(1, 7).Draw(t, "subject")), Remaining: time.Duration(rapid.IntRange(1, 15).Draw(t, "left")) * time.Second,
-			Stamp: Stamp{Wall: startTime.UnixMilli() + rapid.Int64Range(0, 5).Draw(t, "wall"), Logical: uint32(rapid.IntRange(0, 1).Draw(t, "logical"))},
+			Origin:    fmt.Sprint("b", rapid.IntRange(1, 4).Draw(t, "origin")),
+			Verdict:   Verdict(rapid.IntRange(1, 2).Draw(t, "verdict")),
+			Subject:   fmt.Sprint("s", rapid.IntRange(1, 7).Draw(t, "subject")),
+			Remaining: time.Duration(rapid.IntRange(1, 15).Draw(t, "remaining")) * time.Second,
+			Stamp: Stamp{
+				Wall:    startTime.UnixMilli() + rapid.Int64Range(0, 5).Draw(t, "wall"),
+				Logical: uint32(rapid.IntRange(0, 1).Draw(t, "logical")),
+			},
 		}
 	})
 	return rapid.SliceOfN(one, 0, 40).Draw(t, "facts")
 }
 
+// storeOf returns a store that has merged the given facts.
 func storeOf(fs []Fact) *Store {
 	s := New("me", limits)
 	for _, f := range fs {
@@ -52,7 +59,8 @@
 			"a (b c)": storeOf(append(append([]Fact(nil), a...), storeOf(bc).Facts(nowAt(0))...)),
 		} {
 			if fmt.Sprint(got.Facts(nowAt(0))) != fmt.Sprint(want.Facts(nowAt(0))) || got.Digest() != want.Digest() {
-				t.Fatalf("%s: digest %s, facts %v, want digest %s, facts %v", name, got.Digest(), got.Facts(nowAt(0)), want.Digest(), want.Facts(nowAt(0)))
+				t.Fatalf("%s: digest %s, facts %v, want digest %s, facts %v",
+					name, got.Digest(), got.Facts(nowAt(0)), want.Digest(), want.Facts(nowAt(0)))
 			}
 		}
 		// After two copies have exchanged summaries and differing facts, they are equal and have nothing more to send.
@@ -80,7 +88,10 @@
 // is rejected with its reason.
 func TestOwnFactsFollowReceivedOnesAndMalformedFactsAreRejected(t *testing.T) {
 	s := New("me", limits)
-	ahead := Fact{Origin: "fast", Subject: "s1", Stamp: Stamp{Wall: startTime.Add(5 * time.Second).UnixMilli()}, Verdict: Bad, Remaining: time.Second}
+	ahead := Fact{
+		Origin: "fast", Subject: "s1", Stamp: Stamp{Wall: startTime.Add(5 * time.Second).UnixMilli()},
+		Verdict: Bad, Remaining: time.Second,
+	}
 	if changed, rejection := s.Merge(nowAt(0), ahead); !changed || rejection != "" {
 		t.Fatalf("fact 5 s ahead of the clock: changed %v, rejection %q", changed, rejection)
 	}
@@ -94,7 +105,9 @@
 		t.Errorf("peer ejections %v, want the server that the broker with the fast clock reported", a)
 	}
 	// A Good fact of a second broker prevents the ejection, although its stamp is older.
-	s.Merge(nowAt(0), Fact{Origin: "slow", Subject: "s1", Stamp: Stamp{Wall: startTime.UnixMilli()}, Verdict: Good, Remaining: time.Second})
+	s.Merge(nowAt(0), Fact{
+		Origin: "slow", Subject: "s1", Stamp: Stamp{Wall: startTime.UnixMilli()}, Verdict: Good, Remaining: time.Second,
+	})
 	if a := s.PeerEjections(nowAt(0), 100, EjectionRules{MinWitnesses: 1, MaxShareOfOrigin: 0.3, MaxShare: 0.2}); len(a) != 0 {
 		t.Errorf("peer ejections %v, want none for a server that another broker reports as good", a)
 	}
@@ -132,21 +145,25 @@
 		servers := rapid.IntRange(1, 60).Draw(t, "servers")
 		r := EjectionRules{MinWitnesses: rapid.IntRange(1, 3).Draw(t, "witnesses"), MaxShareOfOrigin: 0.3, MaxShare: 0.2}
 		s := New("me", Limits{MaxOrigins: 20, FactsPerOrigin: 100, TTL: 15 * time.Second, MaxClockSkew: time.Second})
-		claims := map[string]int{}
-		for range rapid.IntRange(0, 300).Draw(t, "claims") {
+		reports := map[string]int{}
+		for range rapid.IntRange(0, 300).Draw(t, "reports") {
 			f := Fact{
-				Origin: fmt.Sprint("b", rapid.IntRange(1, 10).Draw(t, "origin")), Subject: fmt.Sprint("s", rapid.IntRange(1, servers).Draw(t, "s")),
-				Stamp: Stamp{Wall: startTime.UnixMilli()}, Verdict: Bad, Remaining: time.Second,
+				Origin:  fmt.Sprint("b", rapid.IntRange(1, 10).Draw(t, "origin")),
+				Subject: fmt.Sprint("s", rapid.IntRange(1, servers).Draw(t, "subject")),
+				Stamp:   Stamp{Wall: startTime.UnixMilli()}, Verdict: Bad, Remaining: time.Second,
 			}
 			if changed, _ := s.Merge(nowAt(0), f); changed {
-				claims[f.Origin]++
+				reports[f.Origin]++
 			}
 		}
 		for i := range servers { // one broker reports all servers as bad
-			s.Merge(nowAt(0), Fact{Origin: "liar", Subject: fmt.Sprint("s", i+1), Stamp: Stamp{Wall: startTime.UnixMilli()}, Verdict: Bad, Remaining: time.Second})
+			s.Merge(nowAt(0), Fact{
+				Origin: "liar", Subject: fmt.Sprint("s", i+1), Stamp: Stamp{Wall: startTime.UnixMilli()},
+				Verdict: Bad, Remaining: time.Second,
+			})
 		}
 		credible := 0
-		for _, n := range claims {
+		for _, n := range reports {
 			if float64(n) <= max(r.MaxShareOfOrigin*float64(servers), 1) {
 				credible++
 			}
