--- a/cmd/dykering/fleet_budgets_test.go
+++ b/cmd/dykering/fleet_budgets_test.go
@@ -77,7 +77,7 @@
 func (b *broker) answeredBudget(t *testing.T) budgets.State {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); {
-		if st := b.budget(t); len(st.Parts) > 0 {
+		if st := b.budget(t); len(st.Shares) > 0 {
 			return st
 		}
 	}
@@ -183,22 +183,22 @@
 	all[0].generateLoad(60, stop, wg) // ten times the load of another member
 	all[3].generateLoad(6, stop, wg)
 	s.waitAll(20*time.Second, "the quota follows the demand", func(b *broker) bool {
-		p := b.answeredBudget(t).Parts[0]
-		return p.Demand > 20 && p.Part > 2*tenantQuota/5
+		p := b.answeredBudget(t).Shares[0]
+		return p.Demand > 20 && p.Share > 2*tenantQuota/5
 	}, all[0])
 	s.relay.Cut([]string{all[0].gossipAddress, all[1].gossipAddress, all[2].gossipAddress}, []string{all[3].gossipAddress, all[4].gossipAddress})
 	cut := time.Now()
 	s.waitAll(2*leaseDuration, "falls back to its floor", func(b *broker) bool { return !leased(t)(b) }, all[3], all[4])
 	floor := tenantQuota * floorShare / 6
-	before := all[3].answeredBudget(t).Parts[0]
-	if before.Part != floor {
-		t.Errorf("the share without a lease is %.2f, the floor is %.2f", before.Part, floor)
+	before := all[3].answeredBudget(t).Shares[0]
+	if before.Share != floor {
+		t.Errorf("the share without a lease is %.2f, the floor is %.2f", before.Share, floor)
 	}
 	time.Sleep(time.Until(cut.Add(partitionDuration)))
 	after, took := all[3].budget(t), time.Since(cut)
 	// The token bucket adds what it had accumulated at the partition: at most four seconds of the floor, and a margin of eight
 	// requests for chance.
-	if spent := after.Parts[0].Within - before.Within; spent == 0 || spent > floor*took.Seconds()+8+4*floor {
+	if spent := after.Shares[0].WithinShare - before.WithinShare; spent == 0 || spent > floor*took.Seconds()+8+4*floor {
 		t.Errorf("the minority admitted %.0f in %v at a floor of %.2f a second", spent, took, floor)
 	}
 	if after.Leased {
@@ -213,13 +213,13 @@
 	s.waitAll(detectionTimeout, "a lease of the member that joined", leased(t), joined)
 	took = time.Since(began)
 	all[4].generateLoad(40, stop, wg)
-	s.waitAll(detectionTimeout, "a part for its load", func(b *broker) bool { return b.answeredBudget(t).Parts[0].Part > 20 }, all[4])
+	s.waitAll(detectionTimeout, "a part for its load", func(b *broker) bool { return b.answeredBudget(t).Shares[0].Share > 20 }, all[4])
 	joined.signal(syscall.SIGKILL)
 	all[4].signal(syscall.SIGKILL)
 	back := s.waitAll(detectionTimeout, "the quota is divided again", func(*broker) bool {
 		sum := 0.0
 		for _, b := range all[:4] {
-			sum += b.answeredBudget(t).Parts[0].Part - floor
+			sum += b.answeredBudget(t).Shares[0].Share - floor
 		}
 		return sum >= 0.95*tenantQuota*(1-floorShare)
 	}, all[0])
@@ -235,7 +235,7 @@
 	all := s.startMembers(5)
 	currentLeader := func() *broker {
 		var id string
-		s.waitAll(detectionTimeout, "a leader", func(b *broker) bool { id = b.budget(t).Lead; return s.find(id) != nil }, all[0])
+		s.waitAll(detectionTimeout, "a leader", func(b *broker) bool { id = b.budget(t).Leader; return s.find(id) != nil }, all[0])
 		return s.find(id)
 	}
 	firstLeader := currentLeader()
@@ -251,7 +251,7 @@
 	s.relay.Heal()
 	s.waitAll(detectionTimeout, "a lease after slow links", leased(t), all...)
 	var newLeader string
-	s.waitAll(detectionTimeout, "a leader", func(b *broker) bool { newLeader = b.budget(t).Lead; return newLeader != "" }, all[0])
+	s.waitAll(detectionTimeout, "a leader", func(b *broker) bool { newLeader = b.budget(t).Leader; return newLeader != "" }, all[0])
 	if b := s.find(newLeader); b != nil {
 		b.signal(syscall.SIGKILL)
 		b.cmd.Wait()
--- a/cmd/dykering/fleet_command.go
+++ b/cmd/dykering/fleet_command.go
@@ -83,9 +83,9 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "server\tword\torigin\twritten\tholds for")
 	for _, f := range state.Facts {
-		word := map[replica.Verdict]string{replica.Good: "good", replica.Bad: "bad"}[f.Word]
+		word := map[replica.Verdict]string{replica.Good: "good", replica.Bad: "bad"}[f.Verdict]
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\n", f.Subject, word, f.Origin,
-			time.UnixMilli(f.Stamp.Wall).UTC().Format(time.RFC3339), f.Left.Round(time.Second))
+			time.UnixMilli(f.Stamp.Wall).UTC().Format(time.RFC3339), f.Remaining.Round(time.Second))
 	}
 	return table.Flush()
 }
@@ -96,22 +96,22 @@
 		return err
 	}
 	if state.Leased {
-		fmt.Fprintf(out, "%s spends by lease %d, for %v\n", state.Self, state.Version, state.Left.Round(time.Millisecond))
+		fmt.Fprintf(out, "%s spends by lease %d, for %v\n", state.Self, state.Version, state.Remaining.Round(time.Millisecond))
 	} else {
 		fmt.Fprintf(out, "%s spends by its floor\n", state.Self)
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "tenant\twhole/s\tfloor/s\tpart/s\tdemand/s")
-	for _, p := range state.Parts {
-		fmt.Fprintf(table, "%s\t%.1f\t%.2f\t%.2f\t%.2f\n", p.Tenant, p.Whole, p.Floor, p.Part, p.Demand)
+	for _, p := range state.Shares {
+		fmt.Fprintf(table, "%s\t%.1f\t%.2f\t%.2f\t%.2f\n", p.Tenant, p.Quota, p.Floor, p.Share, p.Demand)
 	}
 	if state.Ledger == nil {
 		return table.Flush()
 	}
-	fmt.Fprintf(table, "\nthe ledger of the voters, led by %s\nholder\tlease\tparts/s\n", state.Lead)
+	fmt.Fprintf(table, "\nthe ledger of the voters, led by %s\nholder\tlease\tparts/s\n", state.Leader)
 	for _, holder := range slices.Sorted(maps.Keys(state.Ledger.Grants)) {
 		for _, g := range state.Ledger.Grants[holder] {
-			fmt.Fprintf(table, "%s\t%d\t%.2f\n", holder, g.Version, g.Parts)
+			fmt.Fprintf(table, "%s\t%d\t%.2f\n", holder, g.Version, g.Shares)
 		}
 	}
 	return table.Flush()
--- a/internal/fleet/budgets/compatibility_test.go
+++ b/internal/fleet/budgets/compatibility_test.go
@@ -15,8 +15,8 @@
 	"dykering/internal/fleet/budget"
 )
 
-// The messages among members, the commands in the Raft log, the ledger in its snapshot and the state that the control
-// socket shows have the form of released builds.
+// Guards the format of the messages among members, the commands in the Raft log, the ledger in its snapshot and the state
+// that the control address serves, against fixtures written by a released build.
 func TestMessagesAndCommandsOfReleasedBuildAreReadAndWrittenAlike(t *testing.T) {
 	for name, record := range map[string]any{
 		"envelope": &envelope{},
@@ -35,8 +35,7 @@
 
 var compatiblePool = []float64{100, 50}
 
-// writeLedger writes the database of a group of one voter: a snapshot of an empty ledger, and three committed commands
-// behind it.
+// writeLedger writes the database of a single voter: a snapshot of an empty ledger, followed by three committed commands.
 func writeLedger(t *testing.T, dir string) {
 	t.Helper()
 	opened, err := openStorage(dir, []uint64{1}, encode(budget.NewLedger(compatiblePool)))
@@ -44,12 +43,12 @@
 		t.Fatal(err)
 	}
 	commands := []budget.Command{
-		{Give: []budget.Grant{
-			{Holder: "b1#7", Version: 1, Seq: 3, Parts: []float64{10, 5}},
-			{Holder: "b2#8", Version: 2, Seq: 4, Parts: []float64{20, 6}},
+		{Grants: []budget.Grant{
+			{Holder: "b1#7", Version: 1, Seq: 3, Shares: []float64{10, 5}},
+			{Holder: "b2#8", Version: 2, Seq: 4, Shares: []float64{20, 6}},
 		}},
-		{Give: []budget.Grant{{Holder: "b1#7", Version: 3, Seq: 5, Parts: []float64{11, 7}}}, Ack: map[string]uint64{"b1#7": 3}},
-		{Give: []budget.Grant{{Holder: "b3#9", Version: 4, Seq: 6, Parts: []float64{30, 8}}}, Expire: map[string]uint64{"b2#8": 2}},
+		{Grants: []budget.Grant{{Holder: "b1#7", Version: 3, Seq: 5, Shares: []float64{11, 7}}}, Ack: map[string]uint64{"b1#7": 3}},
+		{Grants: []budget.Grant{{Holder: "b3#9", Version: 4, Seq: 6, Shares: []float64{30, 8}}}, Expire: map[string]uint64{"b2#8": 2}},
 	}
 	var entries []*raftpb.Entry
 	for i, c := range commands {
@@ -64,7 +63,8 @@
 	}
 }
 
-// A voter reads the Raft log of a released build, and its ledger holds what was granted there.
+// Guards the format of a voter's database: a voter that opens the database of a released build applies its Raft log, and
+// its ledger then holds the grants.
 func TestRaftLogOfReleasedBuildIsApplied(t *testing.T) {
 	const folder, file = "testdata/compatibility", "ledger.db"
 	if fixture.Updating() {
@@ -73,15 +73,15 @@
 		}
 		writeLedger(t, folder)
 	}
-	text, err := os.ReadFile(filepath.Join(folder, file))
+	data, err := os.ReadFile(filepath.Join(folder, file))
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, file), text, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, file), data, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	terms := budget.Terms{Length: compatibleLease, Drift: 0.01}
+	terms := budget.Terms{LeaseDuration: compatibleLease, MaxDrift: 0.01}
 	v, err := newVoter(compatibleVoter, []string{compatibleVoter}, dir, terms, compatiblePool, zap.NewNop(),
 		func(string, envelope) {})
 	if err != nil {
@@ -97,6 +97,6 @@
 		t.Fatal(err)
 	}
 	if hard.GetTerm() != 2 || hard.GetVote() != 1 || hard.GetCommit() != 4 || v.applied != 4 {
-		t.Errorf("hard state %v, applied %d", hard, v.applied)
+		t.Errorf("hard state %v, applied index %d, want term 2, vote 1, commit 4 and applied index 4", hard, v.applied)
 	}
 }
--- a/internal/fleet/budgets/outbox.go
+++ b/internal/fleet/budgets/outbox.go
@@ -7,21 +7,22 @@
 )
 
 const (
-	// queuePerMember bounds the messages that wait to be sent to one member.
+	// queuePerMember bounds the queue of messages to one member.
 	queuePerMember = 64
-	// maxQueues bounds the members that messages are sent to at a time.
+	// maxQueues bounds the number of members that have a queue at the same time.
 	maxQueues = 4096
-	// idleTimeout is after how long without a message the queue to a member ends.
+	// idleTimeout is the time without a message after which a member's queue is closed.
 	idleTimeout = 30 * time.Second
 )
 
-// outbox sends messages by a queue and a goroutine for each member, so that one that is slow or has departed delays no
-// other. The service's owner uses it.
+// outbox sends messages to other members. Each receiver has a queue and a goroutine, so that a slow or departed member
+// does not delay messages to others. Only the goroutine that owns the service's state uses the outbox.
 type outbox struct {
 	service *Service
 	queues  map[string]*sendQueue
 }
 
+// sendQueue is the queue of messages to one member.
 type sendQueue struct {
 	messages chan []byte
 	lastUsed time.Time
@@ -29,29 +30,29 @@
 
 func newOutbox(s *Service) *outbox { return &outbox{service: s, queues: map[string]*sendQueue{}} }
 
-// send queues a message, or counts it as lost.
+// send queues a message. If the queue is full, it drops and counts the message.
 func (o *outbox) send(to string, message []byte) {
 	queue := o.queues[to]
 	if queue == nil {
 		if len(o.queues) >= maxQueues {
-			o.service.lost.Add(1)
+			o.service.dropped.Add(1)
 			return
 		}
 		queue = &sendQueue{messages: make(chan []byte, queuePerMember)}
 		o.queues[to] = queue
-		o.service.wg.Go(func() { o.service.sendAll(to, queue.messages) })
+		o.service.wg.Go(func() { o.service.sendMessages(to, queue.messages) })
 	}
 	queue.lastUsed = time.Now()
 	select {
 	case queue.messages <- message:
 	default:
-		o.service.lost.Add(1)
+		o.service.dropped.Add(1)
 	}
 }
 
-// sendAll sends a member its messages until the queue is closed. Once the service closes it discards them: those to a
-// member that has departed would delay the end by a timeout each.
-func (s *Service) sendAll(to string, messages <-chan []byte) {
+// sendMessages sends the messages in a member's queue until the queue is closed. Once the service closes, it discards the
+// remaining messages, because each message to a departed member would delay Close by a timeout.
+func (s *Service) sendMessages(to string, messages <-chan []byte) {
 	for message := range messages {
 		select {
 		case <-s.done:
@@ -59,13 +60,13 @@
 		default:
 		}
 		if err := s.gossip.Send(to, message); err != nil {
-			s.log.Debug("fleet.budget.unsent", zap.Error(err)) // it is asked for, or sent, again
+			s.log.Debug("fleet.budget.unsent", zap.Error(err)) // the message is requested or sent again later
 		}
 	}
 }
 
-// endIdle ends the queues that were not used for a while.
-func (o *outbox) endIdle() {
+// closeIdleQueues closes the queues that have been idle for longer than idleTimeout.
+func (o *outbox) closeIdleQueues() {
 	for id, queue := range o.queues {
 		if time.Since(queue.lastUsed) > idleTimeout {
 			close(queue.messages)
@@ -74,8 +75,8 @@
 	}
 }
 
-// end ends all queues.
-func (o *outbox) end() {
+// closeQueues closes all queues, which ends their goroutines.
+func (o *outbox) closeQueues() {
 	for id, queue := range o.queues {
 		close(queue.messages)
 		delete(o.queues, id)
--- a/internal/fleet/budgets/service.go
+++ b/internal/fleet/budgets/service.go
@@ -17,30 +17,31 @@
 )
 
 const (
-	// eventQueueSize bounds the messages that wait for the owner of the state.
+	// eventQueueSize bounds the queue of received messages.
 	eventQueueSize = 1024
-	// brokerTimeout bounds the wait for the broker's event loop.
+	// brokerTimeout bounds a call to the broker's event loop.
 	brokerTimeout = 200 * time.Millisecond
-	// requestsPerLease is how many times a lease is asked for anew while it holds.
+	// requestsPerLease is the number of requests for the next lease during one lease, so that lost requests and grants do
+	// not leave the broker without a lease.
 	requestsPerLease = 4
 	percent          = 100
 )
 
-// Broker is whose requests the budgets are for.
+// Broker is the broker whose requests the budgets limit.
 type Broker interface {
-	// Usage returns what was asked of each tenant since the start, in the order of the tenants.
+	// Usage returns the requests of each tenant since the start, in the order of the tenants.
 	Usage(ctx context.Context) ([]core.Usage, error)
-	// SetQuotaShares sets what may be spent until a time, and by the fallback shares from then on.
+	// SetQuotaShares sets the rates that may be spent until a time, and the fallback rates that apply afterwards.
 	SetQuotaShares(shares decision.QuotaShares, until time.Time)
 }
 
-// Gossip reaches the other members; see gossip.Channel.
+// Gossip sends and receives messages of other members; gossip.Channel implements it.
 type Gossip interface {
 	Handle(receive func(message []byte))
 	Send(id string, message []byte) error
 }
 
-// Service takes part in the budgets for one broker.
+// Service obtains leases for one broker, and replicates the ledger if the broker is a voter.
 type Service struct {
 	config Config
 	broker Broker
@@ -48,48 +49,48 @@
 	log    *zap.Logger
 	start  time.Time
 	holder *budget.Holder
-	voter  *voter // nil for a member that does not vote
+	voter  *voter // nil if this member does not vote
 	floor  []float64
 	outbox *outbox
 
-	askedVoter  int  // the voter that is asked, by its place in the list
-	hasAnswered bool // the voter has answered since the last request
-	leased      bool
-	usage       []core.Usage
-	demand      budget.Demand
+	voterIndex    int  // index of the voter that receives the requests
+	voterAnswered bool // a grant has arrived since the last request
+	leased        bool
+	usage         []core.Usage
+	demand        budget.DemandEstimator
 
-	events chan envelope
-	state  atomic.Pointer[State]
-	lost   atomic.Uint64 // messages that did not fit into a queue
-	done   chan struct{}
-	wg     sync.WaitGroup
-	once   sync.Once
+	events    chan envelope
+	state     atomic.Pointer[State]
+	dropped   atomic.Uint64 // messages that were dropped because a queue was full
+	done      chan struct{}
+	wg        sync.WaitGroup
+	closeOnce sync.Once
 }
 
-// Start begins to take part. The broker spends by its floor from the start on. A voter that cannot open its ledger takes
+// Start starts the service. The broker spends its floor until its first lease. A voter that cannot open its ledger takes
 // part without a vote.
 func Start(config Config, broker Broker, g Gossip, log *zap.Logger) *Service {
 	section := &config.Section
-	if section.Retries > 0 {
-		config.Tenants = append(slices.Clone(config.Tenants), RetriesName)
-		config.Wholes = append(slices.Clone(config.Wholes), section.Retries)
+	if section.RetryQuota > 0 {
+		config.Tenants = append(slices.Clone(config.Tenants), RetryQuotaName)
+		config.Quotas = append(slices.Clone(config.Quotas), section.RetryQuota)
 	}
 	s := &Service{
 		config: config, broker: broker, gossip: g, log: log, start: time.Now(),
 		events: make(chan envelope, eventQueueSize), done: make(chan struct{}),
 	}
 	s.outbox = newOutbox(s)
-	s.demand.Sample(s.now(), make([]float64, len(config.Wholes)))
+	s.demand.Sample(s.now(), make([]float64, len(config.Quotas)))
 	floor, pool := divideFloor(&config)
 	s.floor = floor
-	terms := budget.Terms{Length: time.Duration(section.Lease), Drift: float64(section.Drift) / percent}
-	// Another process under the same ID is another holder.
+	terms := budget.Terms{LeaseDuration: time.Duration(section.LeaseDuration), MaxDrift: float64(section.MaxDriftPercent) / percent}
+	// The holder's ID is unique to this process, because a restarted process is a new holder.
 	holderID := fmt.Sprintf("%s#%d", config.Self, time.Now().UnixNano())
 	s.holder = budget.NewHolder(holderID, float64(config.Weight), terms, floor)
-	s.askedVoter = int(time.Now().UnixNano()) % max(len(section.Voters), 1)
+	s.voterIndex = int(time.Now().UnixNano()) % max(len(section.Voters), 1)
 	if slices.Contains(section.Voters, config.Self) {
 		var err error
-		if s.voter, err = newVoter(config.Self, section.Voters, section.Dir, terms, pool, log, s.send); err != nil {
+		if s.voter, err = newVoter(config.Self, section.Voters, section.Directory, terms, pool, log, s.send); err != nil {
 			log.Error("fleet.budget.vote_lost", zap.Error(err))
 		}
 	}
@@ -99,24 +100,23 @@
 	return s
 }
 
-// divideFloor sets the floor of each quota aside, in equal parts for all brokers, and returns this broker's and what is
-// left for leases.
+// divideFloor reserves the floor of each quota in equal shares for all brokers. It returns this broker's floors and the
+// pools, which are left for leases.
 func divideFloor(config *Config) (floor, pool []float64) {
-	pool = make([]float64, len(config.Wholes))
-	for i, whole := range config.Wholes {
-		aside := whole * float64(config.Section.Floor) / percent
-		floor = append(floor, aside/float64(max(config.Instances, 1)))
-		pool[i] = whole - aside
+	pool = make([]float64, len(config.Quotas))
+	for i, quota := range config.Quotas {
+		reserved := quota * float64(config.Section.FloorPercent) / percent
+		floor = append(floor, reserved/float64(max(config.Instances, 1)))
+		pool[i] = quota - reserved
 	}
 	return floor, pool
 }
 
-// Close ends all goroutines. The broker spends nothing within its share from then on: a process that takes its place has
-// the floor.
+// Close ends all goroutines. It sets the broker's rates to 0, because the process that replaces this one spends the floor.
 func (s *Service) Close() {
-	s.once.Do(func() {
-		none := make([]float64, len(s.floor))
-		s.setShares(none, none, time.Time{})
+	s.closeOnce.Do(func() {
+		zeroRates := make([]float64, len(s.floor))
+		s.setShares(zeroRates, zeroRates, time.Time{})
 		close(s.done)
 		s.wg.Wait()
 		if s.voter != nil {
@@ -127,36 +127,36 @@
 	})
 }
 
-// State returns what this broker holds, after the last event.
+// State returns the state of this broker's lease after the last event.
 func (s *Service) State() *State { return s.state.Load() }
 
-// now is this member's clock, which the laboratory may have run fast or slow.
+// now returns the time since the start on this member's clock. The lab may configure the clock's rate.
 func (s *Service) now() time.Duration {
-	return time.Duration(float64(time.Since(s.start)) * s.config.Section.Rate)
+	return time.Duration(float64(time.Since(s.start)) * s.config.Section.ClockRate)
 }
 
-// receive receives a message on the gossip's goroutines.
-func (s *Service) receive(text []byte) {
-	m, err := decodeEnvelope(text)
+// receive handles a message from another member. It is called on the gossip's goroutines.
+func (s *Service) receive(data []byte) {
+	m, err := decodeEnvelope(data)
 	if err != nil {
 		s.log.Warn("fleet.budget.refused", zap.Error(err))
 		return
 	}
-	s.post(m)
+	s.enqueue(m)
 }
 
-// post queues a message for the owner of the state, or counts it as lost.
-func (s *Service) post(m envelope) {
+// enqueue queues a message for the goroutine that owns the state. If the queue is full, it drops and counts the message.
+func (s *Service) enqueue(m envelope) {
 	select {
 	case s.events <- m:
 	default:
-		s.lost.Add(1)
+		s.dropped.Add(1)
 	}
 }
 
 // run is the goroutine that owns the state.
 func (s *Service) run() {
-	lease := time.Duration(s.config.Section.Lease)
+	lease := time.Duration(s.config.Section.LeaseDuration)
 	tick := time.NewTicker(lease / ticksPerLease)
 	defer tick.Stop()
 	renew := time.NewTicker(lease / requestsPerLease)
@@ -171,11 +171,11 @@
 				v.tick(s.now())
 				return nil
 			})
-			s.outbox.endIdle()
+			s.outbox.closeIdleQueues()
 		case <-renew.C:
 			s.requestLease()
 		case <-s.done:
-			s.outbox.end()
+			s.outbox.closeQueues()
 			return
 		}
 		s.withVoter(func(v *voter) error { return v.process(s.now()) })
@@ -183,8 +183,9 @@
 	}
 }
 
-// withVoter does something as a voter. Where that fails the member votes no more: what a voter cannot store it must not
-// promise. Raft panics where its log contradicts what others hold, as one does that was lost; that must not end the broker.
+// withVoter calls a function with the voter, if this member is one. If the function fails, the member stops voting,
+// because a voter must not promise what it cannot store. Raft panics if the log contradicts that of other voters, for
+// example because the database was lost. withVoter recovers the panic, so that it does not end the broker's process.
 func (s *Service) withVoter(do func(*voter) error) {
 	if s.voter == nil {
 		return
@@ -192,7 +193,7 @@
 	err := func() (err error) {
 		defer func() {
 			if p := recover(); p != nil {
-				err = fmt.Errorf("budgets: raft: %v", p)
+				err = fmt.Errorf("budgets: Raft panicked: %v", p)
 			}
 		}()
 		return do(s.voter)
@@ -203,61 +204,62 @@
 	}
 }
 
-// handle handles a message of another member, or of this one.
+// handle handles a message from another member or from this one.
 func (s *Service) handle(m envelope) {
 	now := s.now()
 	switch {
 	case m.Grant != nil:
-		s.hasAnswered = true
+		s.voterAnswered = true
 		if s.holder.Accept(now, *m.Grant) {
 			s.applyAllowance(now)
 		}
 	case s.voter == nil:
-		// All other messages are for voters.
+		// All other messages are only for voters.
 	case m.Raft != nil:
 		s.withVoter(func(v *voter) error {
 			if err := v.step(m.Raft); err != nil {
-				s.log.Debug("fleet.raft", zap.Error(err)) // Raft ignores a message that does not fit
+				s.log.Debug("fleet.raft", zap.Error(err)) // a rejected message has no effect on Raft's state
 			}
 			return nil
 		})
-	case m.Ask != nil && s.voter.grantor != nil:
-		s.voter.grantor.Receive(now, *m.Ask)
-	case m.Ask != nil && !m.Sent:
+	case m.Request != nil && s.voter.grantor != nil:
+		s.voter.grantor.Receive(now, *m.Request)
+	case m.Request != nil && !m.Forwarded:
 		if leader, known := s.voter.leader(); known {
-			s.send(leader, envelope{Ask: m.Ask, Sent: true})
+			s.send(leader, envelope{Request: m.Request, Forwarded: true})
 		}
 	}
 }
 
-// requestLease asks a voter for the next lease: the one that answered last, else the next in the list.
+// requestLease requests the next lease. It sends the request to the same voter as before if a grant has arrived since, and
+// otherwise to the next voter in the list.
 func (s *Service) requestLease() {
 	s.sampleDemand()
 	now := s.now()
-	s.applyAllowance(now) // where a lease has ended
+	s.applyAllowance(now) // falls back to the floor if the lease has ended
 	request := s.holder.NextRequest(now, s.demand.Rates())
 	if s.voter != nil {
-		s.handle(envelope{Ask: &request})
+		s.handle(envelope{Request: &request})
 		return
 	}
 	voters := s.config.Section.Voters
-	if !s.hasAnswered {
-		s.askedVoter = (s.askedVoter + 1) % len(voters)
+	if !s.voterAnswered {
+		s.voterIndex = (s.voterIndex + 1) % len(voters)
 	}
-	s.hasAnswered = false
-	s.send(voters[s.askedVoter], envelope{Ask: &request})
+	s.voterAnswered = false
+	s.send(voters[s.voterIndex], envelope{Request: &request})
 }
 
-// send sends a message to a member, or to this one. It does not block.
+// send sends a message to a member, which may be this one. It does not block.
 func (s *Service) send(to string, m envelope) {
 	if to == s.config.Self {
-		s.post(m)
+		s.enqueue(m)
 		return
 	}
 	s.outbox.send(to, encode(m))
 }
 
-// splitHolder returns the member of a holder, and its process.
+// splitHolder splits a holder's ID into the member's ID and the identifier of its process.
 func splitHolder(holder string) (member, process string) {
 	if i := strings.LastIndexByte(holder, '#'); i >= 0 {
 		return holder[:i], holder[i+1:]
--- a/internal/fleet/replication/evidence.go
+++ b/internal/fleet/replication/evidence.go
@@ -10,14 +10,14 @@
 	"dykering/internal/fleet/replica"
 )
 
-// exchangeEvidence records and broadcasts what the broker's own calls have shown, and has the broker apply what the facts
-// of other members amount to.
+// exchangeEvidence records and broadcasts the evidence of the broker's own calls, and applies the peer ejections that
+// follow from the facts of other members.
 func (s *Service) exchangeEvidence(store *replica.Store) {
 	now := s.now()
 	store.Expire(now)
 	ctx, cancel := context.WithTimeout(context.Background(), brokerTimeout)
 	defer cancel()
-	evidence, listed, err := s.broker.Evidence(ctx, store.Disputed(now))
+	evidence, listed, err := s.broker.Evidence(ctx, store.ReportedBad(now))
 	if err != nil {
 		s.log.Warn("fleet.replica.busy", zap.Error(err))
 		return
@@ -27,37 +27,39 @@
 		if e.Ejected {
 			verdict = replica.Bad
 		}
-		if fact, news := store.Record(now, e.Server, verdict, time.Duration(s.section.TTL)); news {
+		if fact, changed := store.Record(now, e.Server, verdict, time.Duration(s.section.TTL)); changed {
 			s.broadcast(fact)
 		}
 	}
-	s.applyAdvice(ctx, store, store.Advise(now, listed, s.rules()))
+	s.applyPeerEjections(ctx, store, store.PeerEjections(now, listed, s.ejectionRules()))
 }
 
-func (s *Service) rules() replica.Rules {
+// ejectionRules returns the configured rules for peer ejections.
+func (s *Service) ejectionRules() replica.EjectionRules {
 	const percent = 100
-	return replica.Rules{
-		MinWitnesses:     s.section.Witnesses,
-		MaxShareOfOrigin: float64(s.section.PerOrigin) / percent,
-		MaxShare:         float64(s.section.MostBad) / percent,
+	return replica.EjectionRules{
+		MinWitnesses:     s.section.MinWitnesses,
+		MaxShareOfOrigin: float64(s.section.MaxBadPercentPerOrigin) / percent,
+		MaxShare:         float64(s.section.MaxBadPercent) / percent,
 	}
 }
 
-func (s *Service) applyAdvice(ctx context.Context, store *replica.Store, advice []replica.Advice) {
-	if len(advice) == 0 {
+// applyPeerEjections makes the broker apply peer ejections, and logs how many servers changed.
+func (s *Service) applyPeerEjections(ctx context.Context, store *replica.Store, ejections []replica.PeerEjection) {
+	if len(ejections) == 0 {
 		return
 	}
-	ejections := make([]core.Evidence, 0, len(advice))
-	for _, a := range advice {
-		ejections = append(ejections, core.Evidence{Server: a.Subject, Ejected: true, Age: a.Age})
+	evidence := make([]core.Evidence, 0, len(ejections))
+	for _, e := range ejections {
+		evidence = append(evidence, core.Evidence{Server: e.Subject, Ejected: true, Age: e.Age})
 	}
-	applied, err := s.broker.ApplyPeerEjections(ctx, ejections)
+	applied, err := s.broker.ApplyPeerEjections(ctx, evidence)
 	if err != nil {
 		s.log.Warn("fleet.replica.busy", zap.Error(err))
 	}
 	if applied > 0 {
 		s.counters.Heeded.Add(uint64(applied))
-		s.log.Info("fleet.replica.advice_applied", zap.Int("servers", applied), zap.Int("advice", len(advice)),
+		s.log.Info("fleet.replica.advice_applied", zap.Int("servers", applied), zap.Int("advice", len(ejections)),
 			zap.String("digest", store.Digest()))
 	}
 }
