--- a/cmd/dykering-lab/fleetview.go
+++ b/cmd/dykering-lab/fleetview.go
@@ -33,7 +33,7 @@
 				began := time.Now()
 				r := swim.Measure(n, swim.LAN(), crashes, loss, seed)
 				fmt.Fprintf(t, "%d\t%.2fs\t%.2fs\t%d\t%.2f\t%.3f\t%.1fs\t%.0f\t%.1fs\n", n, r.DetectP50.Seconds(),
-					r.DetectP99.Seconds(), r.Undetected, r.FalsePerMemberHour, r.FalseDeathsPerMemberHr,
+					r.DetectP99.Seconds(), r.Undetected, r.FalsePerMemberHour, r.FalseDeathsPerMemberHour,
 					r.Heal.Seconds(), r.BytesPerMemberSecond, time.Since(began).Seconds())
 
 			}
--- a/internal/lab/coresim/cell_callers.go
+++ b/internal/lab/coresim/cell_callers.go
@@ -40,18 +40,18 @@
 	if t.stopping {
 		return
 	}
-	t.askNumber(name, persistence, done)
+	t.requestNumber(name, retryDuration, done)
 }
 
-func (t *coordinationTable) askNumber(name string, persist time.Duration, done func(coordinationAnswer)) {
+func (t *coordinationTable) requestNumber(name string, retryFor time.Duration, done func(coordinationAnswer)) {
 	var floor uint64
 	request := coordinationRequest{
 		command: &coordination.Command{Operation: coordination.NextNumber, Name: name},
 		onSend:  func() { floor = t.numbers.highest[name] },
 	}
-	t.callUntilClear(request, persist, func(_ time.Duration, answer coordinationAnswer, _ bool) {
+	t.callUntilDefinite(request, retryFor, func(_ time.Duration, answer coordinationAnswer, _ bool) {
 		if !answer.missing && !answer.failed {
-			t.numbers.handOut(name, answer.result.Number, floor)
+			t.numbers.recordNumber(name, answer.result.Number, floor)
 		}
 		done(answer)
 	})
@@ -79,8 +79,8 @@
 	}
 	cell := cellName(t.random.IntN(groupCount), t.random.IntN(cellsPerGroup))
 	done := func(coordinationAnswer) { t.sim.after(t.duration(0, maxCallPause), t.nextCellCall) }
-	if t.oneOf(readFraction) {
-		t.read(cell, persistence, done)
+	if t.oneIn(readFraction) {
+		t.read(cell, retryDuration, done)
 		return
 	}
 	t.put(cell, done)
@@ -91,25 +91,25 @@
 // that a promise that nothing was done is never made up for by a later call.
 func (t *coordinationTable) put(cell string, done func(coordinationAnswer)) {
 	t.lastValue++
-	put := putRecord{cell: cell, value: fmt.Sprintf("v%d", t.lastValue), conditional: t.oneOf(2)}
+	put := putRecord{cell: cell, value: fmt.Sprintf("v%d", t.lastValue), conditional: t.oneIn(2)}
 	if put.conditional {
 		put.ifRevision = t.cells.highestOfCell[cell]
 	}
 	t.cells.begin(put)
-	persist := persistence
-	if t.oneOf(singlePutFraction) {
-		persist = 0
+	retryFor := retryDuration
+	if t.oneIn(singlePutFraction) {
+		retryFor = 0
 	}
-	t.sendPut(put, persist, func(answer coordinationAnswer) {
-		if t.oneOf(resendFraction) && !answer.failed && !answer.missing {
-			t.sim.after(t.duration(0, maxCallPause), func() { t.sendPut(put, persist, done) })
+	t.sendPut(put, retryFor, func(answer coordinationAnswer) {
+		if t.oneIn(resendFraction) && !answer.failed && !answer.missing {
+			t.sim.after(t.duration(0, maxCallPause), func() { t.sendPut(put, retryFor, done) })
 			return
 		}
 		done(answer)
 	})
 }
 
-func (t *coordinationTable) sendPut(put putRecord, persist time.Duration, done func(coordinationAnswer)) {
+func (t *coordinationTable) sendPut(put putRecord, retryFor time.Duration, done func(coordinationAnswer)) {
 	var floor uint64
 	request := coordinationRequest{
 		command: &coordination.Command{
@@ -121,7 +121,7 @@
 		},
 		onSend: func() { floor = t.cells.highestOfCell[put.cell] },
 	}
-	t.callUntilClear(request, persist, func(_ time.Duration, answer coordinationAnswer, certain bool) {
+	t.callUntilDefinite(request, retryFor, func(_ time.Duration, answer coordinationAnswer, certain bool) {
 		switch {
 		case !answer.missing && !answer.failed:
 			t.cells.acknowledge(put.value, answer.result.Revision)
@@ -136,10 +136,10 @@
 }
 
 // read reads a cell and checks the result.
-func (t *coordinationTable) read(cell string, persist time.Duration, done func(coordinationAnswer)) {
+func (t *coordinationTable) read(cell string, retryFor time.Duration, done func(coordinationAnswer)) {
 	var floor uint64
 	request := coordinationRequest{cell: cell, onSend: func() { floor = t.cells.highestOfCell[cell] }}
-	t.callUntilClear(request, persist, func(_ time.Duration, answer coordinationAnswer, _ bool) {
+	t.callUntilDefinite(request, retryFor, func(_ time.Duration, answer coordinationAnswer, _ bool) {
 		if !answer.missing && !answer.failed {
 			t.cells.checkRead(cell, answer.result, floor)
 		}
@@ -162,7 +162,7 @@
 		return
 	}
 	if w.after == 0 {
-		w.ask(persistence, w.pause)
+		w.readRevision(retryDuration, w.pause)
 		return
 	}
 	w.watch(watchWait, w.pause)
@@ -172,18 +172,18 @@
 func (w *watcher) pause(coordinationAnswer) {
 	t := w.table
 	pause := t.duration(0, maxCallPause/4)
-	if t.oneOf(30) {
+	if t.oneIn(30) {
 		pause = t.duration(0, 3*historyS)
 	}
 	t.sim.after(pause, w.next)
 }
 
 // ask asks for the present revision of the group, from which it goes on.
-func (w *watcher) ask(persist time.Duration, done func(coordinationAnswer)) {
+func (w *watcher) readRevision(retryFor time.Duration, done func(coordinationAnswer)) {
 	t := w.table
 	var floor uint64
 	request := coordinationRequest{group: w.group, onSend: func() { floor = t.cells.highestOfGroup[w.group] }}
-	t.callUntilClear(request, persist, func(_ time.Duration, answer coordinationAnswer, _ bool) {
+	t.callUntilDefinite(request, retryFor, func(_ time.Duration, answer coordinationAnswer, _ bool) {
 		if !answer.missing && !answer.failed {
 			t.cells.checkGroup(w.group, answer.result.Revision, floor)
 			w.after, w.givenAt = answer.result.Revision, t.sim.now
@@ -200,7 +200,7 @@
 		switch {
 		case answer.missing:
 		case answer.failed && answer.kind == errkind.HistoryGone:
-			t.cells.historyGone(t.sim.now, w.group, w.after, w.givenAt)
+			t.cells.checkHistoryGone(t.sim.now, w.group, w.after, w.givenAt)
 			w.after = 0
 		case !answer.failed:
 			t.cells.checkWatch(w.group, w.after, answer.result.Revision, answer.events)
--- a/internal/lab/coresim/cell_checker.go
+++ b/internal/lab/coresim/cell_checker.go
@@ -173,7 +173,7 @@
 }
 
 // historyGone checks that a watch is told that its revision is too old, which it was given at a time.
-func (c *cellChecker) historyGone(now time.Duration, group string, after uint64, givenAt time.Duration) {
+func (c *cellChecker) checkHistoryGone(now time.Duration, group string, after uint64, givenAt time.Duration) {
 	if now-givenAt < c.historyKept {
 		c.fail("LOST: a watch of %s is told that the history after %d is gone, %v after it was given that", group, after, now-givenAt)
 	}
--- a/internal/lab/coresim/coordination.go
+++ b/internal/lab/coresim/coordination.go
@@ -40,7 +40,7 @@
 }
 
 // tell tells the trace.
-func (t *coordinationTable) tell(format string, arguments ...any) {
+func (t *coordinationTable) tracef(format string, arguments ...any) {
 	if t.trace != nil {
 		t.trace(fmt.Sprintf("%v ", t.sim.now) + fmt.Sprintf(format, arguments...))
 	}
@@ -77,10 +77,10 @@
 }
 
 // oneOf reports true in one of so many cases.
-func (t *coordinationTable) oneOf(fraction int) bool { return t.random.IntN(fraction) == 0 }
+func (t *coordinationTable) oneIn(fraction int) bool { return t.random.IntN(fraction) == 0 }
 
 // strikes reports whether a call has a fault that one of so many calls has. None has one at the end of a run.
-func (t *coordinationTable) strikes(fraction int) bool { return !t.stopping && t.oneOf(fraction) }
+func (t *coordinationTable) faultOccurs(fraction int) bool { return !t.stopping && t.oneIn(fraction) }
 
 // commandMark begins the form of a command in the chain's log. The form of an operation of an operator begins with 0.
 const commandMark = 0xC0
--- a/internal/lab/coresim/coordination_calls.go
+++ b/internal/lab/coresim/coordination_calls.go
@@ -12,12 +12,12 @@
 const (
 	// answerTimeout is how long a caller waits before it calls another machine.
 	answerTimeout = time.Second
-	// One of so many calls is late, by up to maxLateness, and one of so many answers is lost.
+	// One of so many calls is late, by up to maxCallDelay, and one of so many answers is lost.
 	lateCallFraction       = 20
-	maxLateness            = 3 * time.Second
+	maxCallDelay           = 3 * time.Second
 	lostCallAnswerFraction = 15
-	// persistence is for how long a call without a clear answer is sent again.
-	persistence = 6 * time.Second
+	// retryDuration is for how long a call without a clear answer is sent again.
+	retryDuration = 6 * time.Second
 )
 
 // coordinationRequest is a call of an application: a command, a read of a cell or of a group, or a watch.
@@ -40,8 +40,8 @@
 	missing bool
 }
 
-// isClear reports whether a call need not be sent again.
-func (a coordinationAnswer) isClear() bool {
+// isDefinite reports whether a call need not be sent again.
+func (a coordinationAnswer) isDefinite() bool {
 	return !a.missing && (!a.failed || a.isRejection())
 }
 
@@ -57,8 +57,8 @@
 	return false
 }
 
-// promisesNothingDone reports whether the answer, a 503 or 429, promises that nothing was done.
-func (a coordinationAnswer) promisesNothingDone() bool {
+// guaranteesNotExecuted reports whether the answer, a 503 or 429, promises that nothing was done.
+func (a coordinationAnswer) guaranteesNotExecuted() bool {
 	status := errkind.AnswerOf(a.kind).Status
 	return !a.missing && a.failed && (status == 503 || status == 429)
 }
@@ -87,7 +87,7 @@
 			answered = true
 			t.calls[a.outcome()]++
 			if request.command != nil {
-				t.tell("a caller sees %q %+v for %s", a.outcome(), a.result, tracedCommand(*request.command))
+				t.tracef("a caller sees %q %+v for %s", a.outcome(), a.result, tracedCommand(*request.command))
 			}
 			answer(a)
 		}
@@ -99,10 +99,10 @@
 	sim.after(timeout, func() { once(coordinationAnswer{missing: true}) })
 	m := t.randomTarget()
 	delay := minDelay + t.duration(0, maxExtraDelay)
-	if t.strikes(lateCallFraction) {
-		delay += t.duration(0, maxLateness)
+	if t.faultOccurs(lateCallFraction) {
+		delay += t.duration(0, maxCallDelay)
 	}
-	isLost := t.strikes(lostCallAnswerFraction)
+	isLost := t.faultOccurs(lostCallAnswerFraction)
 	respond := func(a coordinationAnswer) {
 		if !isLost {
 			sim.after(minDelay, func() { once(a) })
@@ -110,7 +110,7 @@
 	}
 	sim.after(delay, func() {
 		if request.command != nil {
-			t.tell("a call arrives at %s, sent %v before: %s", m.address, delay, tracedCommand(*request.command))
+			t.tracef("a call arrives at %s, sent %v before: %s", m.address, delay, tracedCommand(*request.command))
 		}
 		m.serveCall(request, respond)
 	})
@@ -127,32 +127,32 @@
 	return present[t.random.IntN(len(present))]
 }
 
-// clearAnswer is what callUntilClear tells at its end.
-type clearAnswer func(sentAt time.Duration, answer coordinationAnswer, certain bool)
+// definiteAnswerHandler is what callUntilDefinite tells at its end.
+type definiteAnswerHandler func(sentAt time.Duration, answer coordinationAnswer, certain bool)
 
-// callUntilClear makes a call again, at machines drawn at random, until there is a clear answer or the time is over. Done is
+// callUntilDefinite makes a call again, at machines drawn at random, until there is a clear answer or the time is over. Done is
 // told when the last call was sent, and whether nothing can have been done unless the answer says so: no earlier call was left
 // without a clear answer.
-func (t *coordinationTable) callUntilClear(request coordinationRequest, persist time.Duration, done clearAnswer) {
-	deadline := t.sim.now + persist
+func (t *coordinationTable) callUntilDefinite(request coordinationRequest, retryFor time.Duration, done definiteAnswerHandler) {
+	deadline := t.sim.now + retryFor
 	certain := true
 	var attempt func()
 	attempt = func() {
 		sentAt := t.sim.now
 		t.call(request, func(answer coordinationAnswer) {
-			if answer.isClear() || t.sim.now >= deadline {
-				done(sentAt, answer, certain && (answer.isClear() || answer.promisesNothingDone()))
+			if answer.isDefinite() || t.sim.now >= deadline {
+				done(sentAt, answer, certain && (answer.isDefinite() || answer.guaranteesNotExecuted()))
 				return
 			}
-			certain = certain && answer.promisesNothingDone()
+			certain = certain && answer.guaranteesNotExecuted()
 			t.sim.after(t.duration(minDelay, maxRetryPause), attempt)
 		})
 	}
 	attempt()
 }
 
-// waitingCall is a call that has arrived at a frozen process.
-type waitingCall struct {
+// bufferedCall is a call that has arrived at a frozen process.
+type bufferedCall struct {
 	arrivedAt time.Duration
 	request   coordinationRequest
 	respond   func(coordinationAnswer)
@@ -164,7 +164,7 @@
 	case !m.up || m.removed:
 		respond(coordinationAnswer{missing: true}) // no connection
 	case !m.isRunning():
-		m.inbox = append(m.inbox, waitingCall{arrivedAt: m.sim.now, request: request, respond: respond})
+		m.inbox = append(m.inbox, bufferedCall{arrivedAt: m.sim.now, request: request, respond: respond})
 	default:
 		m.coordination.serve(request, respond)
 	}
@@ -172,9 +172,9 @@
 
 // resume serves a call that had arrived while the process was frozen. In one of two cases the process had read it, and finds
 // that it is late.
-func (p *coordinationProcess) resume(call waitingCall) {
+func (p *coordinationProcess) resume(call bufferedCall) {
 	isLate := p.m.sim.now-call.arrivedAt > callTimeout
-	if isLate && p.m.sim.coordination.oneOf(2) {
+	if isLate && p.m.sim.coordination.oneIn(2) {
 		call.respond(coordinationAnswer{failed: true, kind: errkind.NotReady})
 		return
 	}
--- a/internal/lab/coresim/coordination_end.go
+++ b/internal/lab/coresim/coordination_end.go
@@ -10,7 +10,7 @@
 // Times of the end of a run.
 const (
 	// settleTime is until when calls that are under way have ended, and the holds of all locks are over.
-	settleTime = persistence + answerTimeout + maxLateness + maxHold + holdMargin + time.Second
+	settleTime = retryDuration + answerTimeout + maxCallDelay + maxHold + holdMargin + time.Second
 	// readBackTime is how long each call of the end is repeated.
 	readBackTime = 3 * time.Second
 )
@@ -30,7 +30,7 @@
 	if err := sim.Run(sim.now + settleTime); err != nil {
 		return err
 	}
-	unanswered := t.askForAll()
+	unanswered := t.readBackAll()
 	if err := sim.Run(sim.now + readBackTime + 2*answerTimeout); err != nil {
 		return err
 	}
@@ -67,13 +67,13 @@
 	return waiting, nil
 }
 
-// askForAll reads all cells, and asks for each number and each lock. It returns a set that is empty once all have answered.
-func (t *coordinationTable) askForAll() (waiting map[string]bool) {
+// readBackAll reads all cells, and asks for each number and each lock. It returns a set that is empty once all have answered.
+func (t *coordinationTable) readBackAll() (waiting map[string]bool) {
 	waiting = map[string]bool{}
-	ask := func(name string, call func(done func(coordinationAnswer))) {
+	start := func(name string, call func(done func(coordinationAnswer))) {
 		waiting[name] = true
 		call(func(answer coordinationAnswer) {
-			if answer.isClear() && !answer.failed {
+			if answer.isDefinite() && !answer.failed {
 				delete(waiting, name)
 			}
 		})
@@ -81,16 +81,16 @@
 	for group := range groupCount {
 		for cell := range cellsPerGroup {
 			name := cellName(group, cell)
-			ask(name, func(done func(coordinationAnswer)) { t.read(name, readBackTime, done) })
+			start(name, func(done func(coordinationAnswer)) { t.read(name, readBackTime, done) })
 		}
 	}
 	for number := range numberCount {
 		name := fmt.Sprintf("n%d", number)
-		ask(name, func(done func(coordinationAnswer)) { t.askNumber(name, readBackTime, done) })
+		start(name, func(done func(coordinationAnswer)) { t.requestNumber(name, readBackTime, done) })
 	}
 	for lock := range lockCount {
 		name := fmt.Sprintf("l%d", lock)
-		ask(name, func(done func(coordinationAnswer)) { t.probeLock(name, done) })
+		start(name, func(done func(coordinationAnswer)) { t.probeLock(name, done) })
 	}
 	return waiting
 }
@@ -102,10 +102,10 @@
 	var floor uint64
 	request := c.request(coordination.BeginLock, 0)
 	request.onSend = func() { floor = t.locks.highestOfOthers(lock, c.holder) }
-	t.callUntilClear(request, readBackTime, func(sentAt time.Duration, answer coordinationAnswer, _ bool) {
+	t.callUntilDefinite(request, readBackTime, func(sentAt time.Duration, answer coordinationAnswer, _ bool) {
 		if !answer.missing && !answer.failed {
-			t.locks.granted(lock, c.holder, answer.result.Token, floor)
-			t.locks.holds(t.sim.now, lock, c.holder, sentAt+c.hold)
+			t.locks.recordGrant(lock, c.holder, answer.result.Token, floor)
+			t.locks.recordHold(t.sim.now, lock, c.holder, sentAt+c.hold)
 		}
 		done(answer)
 	})
--- a/internal/lab/coresim/coordination_process.go
+++ b/internal/lab/coresim/coordination_process.go
@@ -90,10 +90,10 @@
 	p.lastCall++
 	p.pending = append(p.pending, pendingForward{number: p.lastCall, deadline: sim.now + callTimeout, answer: answer})
 	envelope := chain.Envelope{To: to, Message: message(p.lastCall)}
-	if !t.strikes(lostForwardFraction) {
+	if !t.faultOccurs(lostForwardFraction) {
 		sim.send(p.m, envelope)
 	}
-	if t.strikes(duplicateForwardFraction) {
+	if t.faultOccurs(duplicateForwardFraction) {
 		sim.after(t.duration(0, maxDuplicateDelay), func() { sim.send(p.m, envelope) })
 	}
 }
@@ -106,9 +106,9 @@
 		answer(reply)
 	}
 	t := p.m.sim.coordination
-	t.tell("%s decides on %s", p.m.address, tracedCommand(command))
+	t.tracef("%s decides on %s", p.m.address, tracedCommand(command))
 	respond := func(result coordination.Result, err error) {
-		t.tell("%s answers %s: %+v %v", p.m.address, tracedCommand(command), result, err)
+		t.tracef("%s answers %s: %+v %v", p.m.address, tracedCommand(command), result, err)
 		answer(p.flawed.reply(command, result, err))
 	}
 	p.m.process(p.m.requests.Write(now, p.head.Write(now, command, respond)))
--- a/internal/lab/coresim/decisions_test.go
+++ b/internal/lab/coresim/decisions_test.go
@@ -14,9 +14,9 @@
 // The fixture holds what the build of commit bfb03d8 did in the same schedules.
 
 const (
-	frozenSchedules = 30
-	frozenBusyUntil = 30 * time.Second
-	frozenSlice     = 250 * time.Millisecond
+	goldenScheduleCount = 30
+	busyRunDuration     = 30 * time.Second
+	digestInterval      = 250 * time.Millisecond
 )
 
 // rareSeeds are of schedules in which a view change gets stuck, as its proposer fails.
@@ -50,8 +50,8 @@
 		broken != nil, w.lastEvent, w.random.Uint64(), c.acks, c.reads, c.rejections, c.holders, len(c.order), digest.Sum(nil)[:8])
 }
 
-// playFrozen plays a schedule in slices and digests what there is after each.
-func playFrozen(s Schedule) string {
+// runAndDigest plays a schedule in slices and digests what there is after each.
+func runAndDigest(s Schedule) string {
 	w := NewSimulation(s.Options)
 	injector := newFaultInjector(w, s.Overlap)
 	var end time.Duration
@@ -61,7 +61,7 @@
 	}
 	injector.watchProgress()
 	digest := sha256.New()
-	for until := frozenSlice; until <= end+quietPeriod; until += frozenSlice {
+	for until := digestInterval; until <= end+quietPeriod; until += digestInterval {
 		if err := w.Run(until); err != nil {
 			return outcome(w, digest, err)
 		}
@@ -73,15 +73,15 @@
 // In the same schedules the members send, store and answer the same.
 func TestDecisionsUnchangedSchedules(t *testing.T) {
 	var text strings.Builder
-	for seed := range uint64(frozenSchedules) {
-		fmt.Fprintf(&text, "seed %d: %s", seed, playFrozen(Generate(seed, NoFlaw)))
+	for seed := range uint64(goldenScheduleCount) {
+		fmt.Fprintf(&text, "seed %d: %s", seed, runAndDigest(Generate(seed, NoFlaw)))
 	}
 	for _, seed := range rareSeeds {
-		fmt.Fprintf(&text, "seed %d: %s", seed, playFrozen(Generate(seed, NoFlaw)))
+		fmt.Fprintf(&text, "seed %d: %s", seed, runAndDigest(Generate(seed, NoFlaw)))
 	}
 	for seed := range uint64(2) {
-		calm := Schedule{Options: Options{Seed: seed, Members: 5, MostFailures: 2, Busy: true}, Steps: []Fault{{At: frozenBusyUntil, Kind: Kill}}}
-		fmt.Fprintf(&text, "busy seed %d: %s", seed, playFrozen(calm))
+		calm := Schedule{Options: Options{Seed: seed, Members: 5, MostFailures: 2, Busy: true}, Steps: []Fault{{At: busyRunDuration, Kind: Kill}}}
+		fmt.Fprintf(&text, "busy seed %d: %s", seed, runAndDigest(calm))
 	}
 	fixture.Text(t, "testdata/schedules.txt", text.String())
 }
--- a/internal/lab/coresim/departure_checker.go
+++ b/internal/lab/coresim/departure_checker.go
@@ -58,17 +58,17 @@
 		return nil
 	}
 	before := t.checker.acks
-	if err := sim.Run(sim.now + calmSessions); err != nil {
+	if err := sim.Run(sim.now + sessionSettleTime); err != nil {
 		return err
 	}
 	if t.checker.acks == before {
-		return fmt.Errorf("no departure is acknowledged in %v of calm", calmSessions)
+		return fmt.Errorf("no departure is acknowledged in %v of calm", sessionSettleTime)
 	}
 	return sim.checkSameSessions()
 }
 
-// calmSessions is how long after the last fault a departure must have been acknowledged, and the members must be the same.
-const calmSessions = 12 * time.Second
+// sessionSettleTime is how long after the last fault a departure must have been acknowledged, and the members must be the same.
+const sessionSettleTime = 12 * time.Second
 
 // checkSameSessions checks that any two members have each endpoint in the same state, but for those whose last change is on its
 // way.
--- a/internal/lab/coresim/endpoint.go
+++ b/internal/lab/coresim/endpoint.go
@@ -56,7 +56,7 @@
 	// heartbeat is what the members know of its models.
 	heartbeat map[string][]string
 	// earlier are its reports of the last orders.MaxReportAge, the oldest first: any of them may be shown.
-	earlier []datedReport
+	recentReports []datedReport
 }
 
 // datedReport is the report of an endpoint from a time on.
@@ -67,31 +67,31 @@
 
 func newEndpoint(sim *Simulation, index int) *endpoint {
 	e := &endpoint{id: fmt.Sprintf("endpoint-%d", index), sim: sim, models: map[string][]string{modelName(index % modelCount): {}}}
-	e.remember()
-	e.beat()
+	e.recordReport()
+	e.sendHeartbeat()
 	return e
 }
 
 // beat sends a heartbeat.
-func (e *endpoint) beat() {
+func (e *endpoint) sendHeartbeat() {
 	e.heartbeat = maps.Clone(e.models)
-	e.sim.after(heartbeatInterval, e.beat)
+	e.sim.after(heartbeatInterval, e.sendHeartbeat)
 }
 
 // remember keeps the present report, which may be shown for orders.MaxReportAge after it has changed.
-func (e *endpoint) remember() {
+func (e *endpoint) recordReport() {
 	report := orders.Report{Models: maps.Clone(e.models), Busy: e.busy, Sequence: e.sequence}
-	e.earlier = append(e.earlier, datedReport{since: e.sim.now, report: report})
-	for len(e.earlier) > 1 && e.sim.now-e.earlier[1].since > orders.MaxReportAge {
-		e.earlier = e.earlier[1:]
+	e.recentReports = append(e.recentReports, datedReport{since: e.sim.now, report: report})
+	for len(e.recentReports) > 1 && e.sim.now-e.recentReports[1].since > orders.MaxReportAge {
+		e.recentReports = e.recentReports[1:]
 	}
 }
 
 // report returns the endpoint's report as it was at a random time of the last orders.MaxReportAge.
 func (e *endpoint) report(random *rand.Rand) orders.Report {
 	at := e.sim.now - time.Duration(random.Int64N(int64(orders.MaxReportAge)))
-	shown := e.earlier[0].report
-	for _, dated := range e.earlier {
+	shown := e.recentReports[0].report
+	for _, dated := range e.recentReports {
 		if dated.since <= at {
 			shown = dated.report
 		}
@@ -109,7 +109,7 @@
 	}
 	e.sequence++
 	e.busy = true
-	e.remember()
+	e.recordReport()
 	duration := unloadDuration
 	if orders.LoadsWeights(order) {
 		duration = time.Duration(modelLoadSeconds * float64(time.Second) * (1 + random.Float64()*(maxLoadSlowdown-1)))
@@ -123,5 +123,5 @@
 	after := placement.Endpoint{Models: e.models}
 	after.Apply(order)
 	e.models, e.busy = after.Models, false
-	e.remember()
+	e.recordReport()
 }
--- a/internal/lab/coresim/lock_callers.go
+++ b/internal/lab/coresim/lock_callers.go
@@ -18,8 +18,8 @@
 	maxLongHold = 8 * time.Second
 	// renewalsPerHold is how often a hold is renewed within its time.
 	renewalsPerHold = 3
-	// maxAbsence is how long a caller that died stays away.
-	maxAbsence = 5 * time.Second
+	// maxCrashDuration is how long a caller that died stays away.
+	maxCrashDuration = 5 * time.Second
 )
 
 // lockCaller takes one lock after another, always under the same name.
@@ -36,36 +36,36 @@
 func (t *coordinationTable) startLockCallers() {
 	for i := range lockCallerCount {
 		c := &lockCaller{table: t, holder: fmt.Sprintf("a%d", i)}
-		t.sim.after(t.duration(0, maxLockPause), c.next)
+		t.sim.after(t.duration(0, maxLockPause), c.acquireNext)
 	}
 }
 
 // next takes a lock after a pause.
-func (c *lockCaller) next() {
+func (c *lockCaller) acquireNext() {
 	t := c.table
 	if t.stopping {
 		return
 	}
 	c.lock = fmt.Sprintf("l%d", t.random.IntN(lockCount))
 	c.hold = t.duration(minHold, maxHold)
-	c.begin()
+	c.acquire()
 }
 
 // begin asks for the lock until there is a clear answer.
-func (c *lockCaller) begin() {
+func (c *lockCaller) acquire() {
 	t := c.table
 	c.generation++
 	generation := c.generation
 	var floor uint64
 	request := c.request(coordination.BeginLock, 0)
 	request.onSend = func() { floor = t.locks.highestOfOthers(c.lock, c.holder) }
-	t.callUntilClear(request, persistence, func(sentAt time.Duration, answer coordinationAnswer, _ bool) {
+	t.callUntilDefinite(request, retryDuration, func(sentAt time.Duration, answer coordinationAnswer, _ bool) {
 		switch {
 		case generation != c.generation:
 		case answer.missing || answer.failed:
-			t.sim.after(t.duration(0, maxLockPause), c.next)
+			t.sim.after(t.duration(0, maxLockPause), c.acquireNext)
 		default:
-			c.granted(sentAt, answer.result.Token, floor)
+			c.onGranted(sentAt, answer.result.Token, floor)
 		}
 	})
 }
@@ -81,23 +81,23 @@
 }
 
 // granted continues with a lock that was taken.
-func (c *lockCaller) granted(sentAt time.Duration, token, floor uint64) {
+func (c *lockCaller) onGranted(sentAt time.Duration, token, floor uint64) {
 	t, now := c.table, c.table.sim.now
-	t.locks.granted(c.lock, c.holder, token, floor)
+	t.locks.recordGrant(c.lock, c.holder, token, floor)
 	c.token = token
 	until := sentAt + c.hold
 	if now >= until {
-		t.sim.after(t.duration(0, maxLockPause), c.next)
+		t.sim.after(t.duration(0, maxLockPause), c.acquireNext)
 		return
 	}
-	t.locks.holds(now, c.lock, c.holder, until)
+	t.locks.recordHold(now, c.lock, c.holder, until)
 	switch t.random.IntN(8) {
 	case 0, 1, 2:
 		t.sim.after(t.duration(0, (until-now)/2+1), c.finish)
 	case 3:
-		c.die()
+		c.crash()
 	case 4:
-		c.oversleep(until)
+		c.renewAfterExpiry(until)
 	default:
 		c.renewUntil(now + t.duration(0, maxLongHold))
 	}
@@ -111,7 +111,7 @@
 		switch {
 		case generation != c.generation:
 		case !t.locks.isHolding(t.sim.now, c.lock, c.holder):
-			c.next()
+			c.acquireNext()
 		case t.sim.now >= end || t.stopping:
 			c.finish()
 		default:
@@ -126,11 +126,11 @@
 	t := c.table
 	generation, lock, hold := c.generation, c.lock, c.hold
 	request := c.request(coordination.RenewLock, c.token)
-	t.callUntilClear(request, hold, func(sentAt time.Duration, answer coordinationAnswer, _ bool) {
+	t.callUntilDefinite(request, hold, func(sentAt time.Duration, answer coordinationAnswer, _ bool) {
 		isCurrent := generation == c.generation && t.locks.isHolding(t.sim.now, lock, c.holder)
 		if isCurrent && !answer.missing && !answer.failed && sentAt+hold > t.sim.now {
 			t.locks.renewals++
-			t.locks.holds(t.sim.now, lock, c.holder, sentAt+hold)
+			t.locks.recordHold(t.sim.now, lock, c.holder, sentAt+hold)
 		}
 	})
 }
@@ -141,53 +141,53 @@
 	t := c.table
 	c.generation++
 	generation := c.generation
-	t.locks.finished(c.lock, c.holder)
+	t.locks.recordRelease(c.lock, c.holder)
 	request := c.request(coordination.FinishLock, c.token)
-	if t.oneOf(2) {
+	if t.oneIn(2) {
 		t.call(request, func(coordinationAnswer) {})
-		if t.oneOf(2) && !t.stopping {
-			c.begin()
+		if t.oneIn(2) && !t.stopping {
+			c.acquire()
 			return
 		}
-		t.sim.after(t.duration(0, maxLockPause), c.next)
+		t.sim.after(t.duration(0, maxLockPause), c.acquireNext)
 		return
 	}
-	t.callUntilClear(request, persistence, func(time.Duration, coordinationAnswer, bool) {
+	t.callUntilDefinite(request, retryDuration, func(time.Duration, coordinationAnswer, bool) {
 		if generation == c.generation {
-			t.sim.after(t.duration(0, maxLockPause), c.next)
+			t.sim.after(t.duration(0, maxLockPause), c.acquireNext)
 		}
 	})
 }
 
 // die ends the caller while it holds the lock, perhaps with a renewal on its way. It comes back under the same name, and often
 // asks for the same lock.
-func (c *lockCaller) die() {
+func (c *lockCaller) crash() {
 	t := c.table
-	if t.oneOf(2) {
+	if t.oneIn(2) {
 		t.call(c.request(coordination.RenewLock, c.token), func(coordinationAnswer) {})
 	}
 	c.generation++
-	t.sim.after(t.duration(0, maxAbsence), func() {
-		if t.oneOf(2) && !t.stopping {
-			c.begin()
+	t.sim.after(t.duration(0, maxCrashDuration), func() {
+		if t.oneIn(2) && !t.stopping {
+			c.acquire()
 			return
 		}
-		c.next()
+		c.acquireNext()
 	})
 }
 
-// oversleep lets the time of the hold pass, and asks for more then: the answer counts for nothing. In one of two cases the
+// renewAfterExpiry lets the time of the hold pass, and asks for more then: the answer counts for nothing. In one of two cases the
 // caller gives the lock back that it may have lost.
-func (c *lockCaller) oversleep(until time.Duration) {
+func (c *lockCaller) renewAfterExpiry(until time.Duration) {
 	t := c.table
 	t.sim.at(until+t.duration(1, maxHold), func() {
 		request := c.request(coordination.RenewLock, c.token)
 		t.call(request, func(coordinationAnswer) {
-			if t.oneOf(2) {
+			if t.oneIn(2) {
 				c.finish()
 				return
 			}
-			c.next()
+			c.acquireNext()
 		})
 	})
 }
--- a/internal/lab/coresim/lock_checker.go
+++ b/internal/lab/coresim/lock_checker.go
@@ -54,7 +54,7 @@
 }
 
 // granted records that a holder got a token. Floor is what highestOfOthers was when the call was sent.
-func (c *lockChecker) granted(lock, holder string, token, floor uint64) {
+func (c *lockChecker) recordGrant(lock, holder string, token, floor uint64) {
 	c.grants++
 	h := c.history(lock)
 	if token <= floor {
@@ -68,7 +68,7 @@
 }
 
 // holds records that a caller counts itself holder from now until a time. It never shortens an earlier hold.
-func (c *lockChecker) holds(now time.Duration, lock, holder string, until time.Duration) {
+func (c *lockChecker) recordHold(now time.Duration, lock, holder string, until time.Duration) {
 	h := c.history(lock)
 	for other, otherUntil := range h.heldUntil {
 		if other != holder && otherUntil > now {
@@ -84,7 +84,7 @@
 }
 
 // finished records that a caller sends that it gives a lock back.
-func (c *lockChecker) finished(lock, holder string) { delete(c.history(lock).heldUntil, holder) }
+func (c *lockChecker) recordRelease(lock, holder string) { delete(c.history(lock).heldUntil, holder) }
 
 // numberChecker checks the guarantee ORDER of numbers.
 type numberChecker struct {
@@ -98,8 +98,8 @@
 	return &numberChecker{highest: map[string]uint64{}, seen: map[string]map[uint64]bool{}}
 }
 
-// handOut records a value of a number. Floor is the highest one that had been handed out when the call was sent.
-func (c *numberChecker) handOut(name string, value, floor uint64) {
+// recordNumber records a value of a number. Floor is the highest one that had been handed out when the call was sent.
+func (c *numberChecker) recordNumber(name string, value, floor uint64) {
 	c.handedOut++
 	if c.seen[name] == nil {
 		c.seen[name] = map[uint64]bool{}
--- a/internal/lab/coresim/machine.go
+++ b/internal/lab/coresim/machine.go
@@ -260,7 +260,7 @@
 
 // receiveCoordination handles a message for the coordination service. It reports whether it is one.
 func (m *machine) receiveCoordination(message any) bool {
-	call, isCall := message.(waitingCall)
+	call, isCall := message.(bufferedCall)
 	switch {
 	case isCall:
 		m.coordination.resume(call)
--- a/internal/lab/coresim/orders_checker.go
+++ b/internal/lab/coresim/orders_checker.go
@@ -41,14 +41,14 @@
 	case call.Token == c.highestToken && sender != c.sender:
 		c.fail("%s and %s have both sent orders with token %d", c.sender, sender, call.Token)
 	case sender != c.sender:
-		c.checkTurns(now, sender)
+		c.checkNotAlternating(now, sender)
 	}
 	c.highestToken, c.sender = call.Token, sender
 	c.lastOrderAt[sender] = now
 }
 
-// checkTurns checks that a sender that comes after another one has not sent orders shortly before it.
-func (c *ordersChecker) checkTurns(now time.Duration, sender string) {
+// checkNotAlternating checks that a sender that comes after another one has not sent orders shortly before it.
+func (c *ordersChecker) checkNotAlternating(now time.Duration, sender string) {
 	last, ok := c.lastOrderAt[sender]
 	if ok && now-last < leaseDuration {
 		c.fail("%s and %s take turns: %v after its last order", sender, c.sender, now-last)
@@ -87,11 +87,11 @@
 		return fmt.Errorf("no order was sent")
 	}
 	before := p.checker.orders
-	if err := sim.Run(sim.now + calmPlacement); err != nil {
+	if err := sim.Run(sim.now + placementSettleTime); err != nil {
 		return err
 	}
 	if p.checker.orders == before {
-		return fmt.Errorf("no order is sent in %v of calm", calmPlacement)
+		return fmt.Errorf("no order is sent in %v of calm", placementSettleTime)
 	}
 	for _, m := range sim.runningMachines() {
 		if !m.placer.holder.Lease().Held {
@@ -106,8 +106,8 @@
 	return p.checker.violation
 }
 
-// calmPlacement is how long after the last fault the lease holder must have sent an order.
-const calmPlacement = 12 * time.Second
+// placementSettleTime is how long after the last fault the lease holder must have sent an order.
+const placementSettleTime = 12 * time.Second
 
 // checkKnowledge checks that an endpoint without an order has what the lease holder believes.
 func (p *placer) checkKnowledge(e *endpoint) error {
--- a/internal/lab/coresim/session_client.go
+++ b/internal/lab/coresim/session_client.go
@@ -39,24 +39,24 @@
 	c := &sessionClient{table: t, id: fmt.Sprintf("i-%d", t.started), state: sessions.Ready}
 	lifetime := minLifetime + time.Duration(t.random.Int64N(int64(lifetimeRange)))
 	crashes := t.random.IntN(crashFraction) == 0
-	t.sim.after(time.Duration(t.random.Int64N(int64(heartbeatInterval))), c.beat)
+	t.sim.after(time.Duration(t.random.Int64N(int64(heartbeatInterval))), c.sendHeartbeat)
 	t.sim.after(lifetime, func() {
 		if crashes {
 			c.end()
 			return
 		}
 		c.state = sessions.Draining
-		c.notify(c.drained)
+		c.notify(c.onDrained)
 	})
 }
 
 // beat sends a heartbeat at an interval while the endpoint is ready.
-func (c *sessionClient) beat() {
+func (c *sessionClient) sendHeartbeat() {
 	if c.ended || c.state != sessions.Ready {
 		return
 	}
 	c.notify(func() {})
-	c.table.sim.after(heartbeatInterval, c.beat)
+	c.table.sim.after(heartbeatInterval, c.sendHeartbeat)
 }
 
 // notify tells some member of the present state, until it is acknowledged or the state has changed.
@@ -109,7 +109,7 @@
 }
 
 // drained continues after the acknowledgement that the endpoint drains: it serves on for a while and deregisters.
-func (c *sessionClient) drained() {
+func (c *sessionClient) onDrained() {
 	sim := c.table.sim
 	c.table.checker.acknowledge(sim.now, c.id, sessions.Draining)
 	sim.after(drainTime, func() {
--- a/internal/lab/model/downstream_calls.go
+++ b/internal/lab/model/downstream_calls.go
@@ -36,9 +36,9 @@
 		ID: decision.RequestID(id), Origin: id, Class: request.Class, Team: request.Team, Work: max(downstream.downstream.Work.Draw(s.rng), 1e-6),
 		Instance: downstream.Instances[s.ordinal%len(downstream.Instances)], Deadline: w.Now() + remaining, Requester: s, call: c,
 	}
-	request2 := c.request
-	w.After(w.Latency(), func() { w.brokers.Accept(request2) })
-	w.After(max(remaining, 0), func() { s.Complete(request2, timedOut, 0) })
+	nextRequest := c.request
+	w.After(w.Latency(), func() { w.brokers.Accept(nextRequest) })
+	w.After(max(remaining, 0), func() { s.Complete(nextRequest, timedOut, 0) })
 }
 
 // Complete implements Requester for servers: it receives the outcome of a request to the next tier,
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -8,15 +8,15 @@
 	"dykering/internal/validation"
 )
 
-// faultList collects the faults of a scenario file.
-type faultList []validation.Error
+// errorList collects the faults of a scenario file.
+type errorList []validation.Error
 
-func (l *faultList) add(key, text string, args ...any) {
+func (l *errorList) add(key, text string, args ...any) {
 	*l = append(*l, validation.Error{Key: key, Text: fmt.Sprintf(text, args...)})
 }
 
 // addIf adds a fault where a condition holds.
-func (l *faultList) addIf(condition bool, key, text string, args ...any) {
+func (l *errorList) addIf(condition bool, key, text string, args ...any) {
 	if condition {
 		l.add(key, text, args...)
 	}
@@ -24,7 +24,7 @@
 
 // Check finds the faults that no single key shows. It also removes injected faults of other days.
 func (s *Scenario) Check() []validation.Error {
-	var found faultList
+	var found errorList
 	found = append(found, (&faultnet.Schedule{Steps: s.NetworkFaults}).Check()...)
 	found.addIf(len(s.NetworkFaults) > 0 && !s.Broker.Fleet, "fault", "faults between brokers need broker.fleet")
 	found.addIf(len(s.Kinds) == 0, "kind", "at least one kind of server is needed")
@@ -44,7 +44,7 @@
 	for i, fault := range s.InjectedFaults {
 		found.checkInjectedFault(fmt.Sprintf("trouble[%d].", i), fault, s)
 	}
-	s.dropFaultsOfOtherDays(&found)
+	s.removeFaultsOfOtherDays(&found)
 	if n := s.Broker.Instances; s.Callers.HotFactor > 1 && s.Callers.HotFactor*float64((n+9)/10) >= float64(n) {
 		found.add("callers.hot", "one in ten of %d instances cannot get %v times the mean: that is all, or more", n, s.Callers.HotFactor)
 	}
@@ -53,7 +53,7 @@
 }
 
 // checkShares requires that the shares of an array sum to 1, within a thousandth.
-func (l *faultList) checkShares(key string, n int, share func(int) float64) {
+func (l *errorList) checkShares(key string, n int, share func(int) float64) {
 	sum := 0.0
 	for i := range n {
 		sum += share(i)
@@ -61,25 +61,25 @@
 	l.addIf(n > 0 && (sum < 0.999 || sum > 1.001), key+"[0].share", "the shares sum to %v, not 1", sum)
 }
 
-func (l *faultList) checkKind(key string, kind Kind) {
+func (l *errorList) checkKind(key string, kind Kind) {
 	l.addIf(kind.Speed.From <= 0, key+"speed", "has to be above 0")
 	l.addIf(kind.Slots > 0 && kind.Slots < kind.Cores, key+"slots", "are fewer than its cores")
 	l.addIf((kind.PauseInterval.To > 0) != (kind.PauseDuration.To > 0), key+"pause_every",
 		"says nothing without pause_for, and that nothing without it")
 }
 
-func (l *faultList) checkClass(key string, class Class) {
+func (l *errorList) checkClass(key string, class Class) {
 	l.addIf(class.Work.From <= 0, key+"work", "has to be above 0")
 	l.addIf(class.LatencyTarget > class.Deadline, key+"aim", "is later than the deadline")
 }
 
-func (l *faultList) checkTier(key string, tier DownstreamTier, s *Scenario) {
+func (l *errorList) checkTier(key string, tier DownstreamTier, s *Scenario) {
 	l.addIf(tier.Work.From <= 0, key+"work", "has to be above 0")
 	l.addIf(tier.Calls.From < 1, key+"calls", "has to be at least 1")
 	l.addIf(tier.Kind != "" && s.KindIndex(tier.Kind) < 0, key+"kind", "%q is no kind of server here", tier.Kind)
 }
 
-func (l *faultList) checkInjectedFault(key string, fault InjectedFault, s *Scenario) {
+func (l *errorList) checkInjectedFault(key string, fault InjectedFault, s *Scenario) {
 	l.addIf(fault.Tier > len(s.DownstreamTiers), key+"tier", "there are %d tiers, counted from 0", 1+len(s.DownstreamTiers))
 	l.addIf(fault.Kind == "bytes" && fault.ConnectionFault == "none", key+"how", "bytes needs it")
 	l.addIf(fault.Kind == "flap" && fault.Interval == 0, key+"every", "a flap needs it")
@@ -87,10 +87,10 @@
 	l.addIf(fault.Kind == "zone" && s.Servers.Zones < 2, key+"what", "of one zone none can be lost")
 }
 
-// dropFaultsOfOtherDays removes the injected faults of other days. A day without any fault of its
+// removeFaultsOfOtherDays removes the injected faults of other days. A day without any fault of its
 // own is reported.
-func (s *Scenario) dropFaultsOfOtherDays(found *faultList) {
-	isOfTheDay := func(fault InjectedFault) bool { return fault.Day == s.Day }
-	found.addIf(s.Day != "" && !slices.ContainsFunc(s.InjectedFaults, isOfTheDay), "day", "no trouble comes on a day %q", s.Day)
-	s.InjectedFaults = slices.DeleteFunc(s.InjectedFaults, func(fault InjectedFault) bool { return fault.Day != "" && !isOfTheDay(fault) })
+func (s *Scenario) removeFaultsOfOtherDays(found *errorList) {
+	isOfSelectedDay := func(fault InjectedFault) bool { return fault.Day == s.Day }
+	found.addIf(s.Day != "" && !slices.ContainsFunc(s.InjectedFaults, isOfSelectedDay), "day", "no trouble comes on a day %q", s.Day)
+	s.InjectedFaults = slices.DeleteFunc(s.InjectedFaults, func(fault InjectedFault) bool { return fault.Day != "" && !isOfSelectedDay(fault) })
 }
--- a/internal/lab/sim/decisions_test.go
+++ b/internal/lab/sim/decisions_test.go
@@ -16,15 +16,15 @@
 // The fixture holds what came of the same scenarios with the build of commit bfb03d8, in the form of the
 // laboratory's result files, whose names stay.
 
-// frozenRun is a scenario that is played for a time with the first seeds.
-type frozenRun struct {
+// goldenRun is a scenario that is played for a time with the first seeds.
+type goldenRun struct {
 	file  string // empty for the built-in scenario
 	lasts time.Duration
 	seeds uint64
 }
 
-// frozenRuns include the troubles of the scenarios, but for those with large fleets, which take long.
-var frozenRuns = []frozenRun{
+// goldenRuns include the troubles of the scenarios, but for those with large fleets, which take long.
+var goldenRuns = []goldenRun{
 	{"", 12 * time.Second, 2},
 	{"storm.toml", 12 * time.Second, 2},
 	{"size-storm.toml", 12 * time.Second, 2},
@@ -33,7 +33,7 @@
 }
 
 // scenario loads the scenario of a run.
-func (r frozenRun) scenario(t *testing.T) *scenario.Scenario {
+func (r goldenRun) scenario(t *testing.T) *scenario.Scenario {
 	t.Helper()
 	s := scenario.Default()
 	if r.file != "" {
@@ -50,7 +50,7 @@
 // For the same scenario and seed the broker's decisions lead to the same result.
 func TestResultsMatchThoseOfReleasedBuild(t *testing.T) {
 	var text strings.Builder
-	for _, run := range frozenRuns {
+	for _, run := range goldenRuns {
 		for seed := range run.seeds {
 			result, err := Run(t.Context(), run.scenario(t), seed, Balancer)
 			if err != nil {
--- a/internal/lab/swim/detection.go
+++ b/internal/lab/swim/detection.go
@@ -23,8 +23,8 @@
 		f.lastSequence++
 		m.acknowledged[f.lastSequence] = false
 		f.send(i, t, &event{kind: deliverPing, seq: f.lastSequence, target: uint64(i), updates: f.nextUpdates(i)})
-		f.schedule(f.settings.ProbeTimeout, &event{kind: probeLate, from: i, target: uint64(t), seq: f.lastSequence})
-		f.schedule(f.settings.ProbeInterval, &event{kind: probeEnd, from: i, target: uint64(t), seq: f.lastSequence})
+		f.schedule(f.settings.ProbeTimeout, &event{kind: probeTimedOut, from: i, target: uint64(t), seq: f.lastSequence})
+		f.schedule(f.settings.ProbeInterval, &event{kind: probeIntervalEnded, from: i, target: uint64(t), seq: f.lastSequence})
 		break
 	}
 	if m.reconnect++; m.reconnect%5 == 0 {
@@ -46,12 +46,12 @@
 }
 
 // choosePeers draws up to n members that i holds alive, other than i and but.
-func (f *Fleet) choosePeers(i, n, but int) []int {
+func (f *Fleet) choosePeers(i, n, exclude int) []int {
 	m := f.members[i]
 	var peers []int
 	for tries := 0; len(peers) < n && tries < 4*n+8; tries++ {
 		k := f.random.IntN(len(f.members))
-		if k != i && k != but && m.state[k] == membership.Alive && !slices.Contains(peers, k) {
+		if k != i && k != exclude && m.state[k] == membership.Alive && !slices.Contains(peers, k) {
 			peers = append(peers, k)
 		}
 	}
@@ -71,13 +71,13 @@
 // shortest as independent confirmations come.
 func (f *Fleet) suspicion(i, t int) time.Duration {
 	n := float64(len(f.members))
-	least := time.Duration(float64(f.settings.SuspicionMult) * math.Max(1, math.Log10(n)) * float64(f.settings.ProbeInterval))
-	most := time.Duration(f.settings.SuspicionMaxMult) * least
+	shortest := time.Duration(float64(f.settings.SuspicionMult) * math.Max(1, math.Log10(n)) * float64(f.settings.ProbeInterval))
+	longest := time.Duration(f.settings.SuspicionMaxMult) * shortest
 	k := float64(f.settings.SuspicionMult - 2)
 	c := float64(f.members[i].confirmations[t])
 	if k < 1 {
-		return least
+		return shortest
 	}
-	frac := math.Log(c+1) / math.Log(k+1)
-	return max(least, most-time.Duration(frac*float64(most-least)))
+	fraction := math.Log(c+1) / math.Log(k+1)
+	return max(shortest, longest-time.Duration(fraction*float64(longest-shortest)))
 }
--- a/internal/lab/swim/dissemination.go
+++ b/internal/lab/swim/dissemination.go
@@ -24,7 +24,7 @@
 func (f *Fleet) gossip(i int) {
 	for _, k := range f.choosePeers(i, f.settings.GossipNodes, -1) {
 		if msg := f.nextUpdates(i); len(msg) > 0 {
-			f.send(i, k, &event{kind: deliver, updates: msg})
+			f.send(i, k, &event{kind: deliverGossip, updates: msg})
 		}
 	}
 }
@@ -80,11 +80,11 @@
 		if known == membership.Suspect && u.incarnation == knownIncarnation {
 			m.confirmations[u.member]++ // a confirmation shortens the suspicion: look again when the shorter one ends
 			f.schedule(max(0, m.suspected[u.member]+f.suspicion(i, u.member)-f.now)+1,
-				&event{kind: suspectEnd, from: i, target: uint64(u.member)})
+				&event{kind: suspicionExpired, from: i, target: uint64(u.member)})
 			return
 		}
 		m.suspected[u.member], m.confirmations[u.member] = f.now, 0
-		f.schedule(f.suspicion(i, u.member)+1, &event{kind: suspectEnd, from: i, target: uint64(u.member)})
+		f.schedule(f.suspicion(i, u.member)+1, &event{kind: suspicionExpired, from: i, target: uint64(u.member)})
 		f.Stats.Suspicions++
 		f.countEpisode(u, &f.Stats.FalseSuspicions)
 	case membership.Dead, membership.Left:
--- a/internal/lab/swim/measure.go
+++ b/internal/lab/swim/measure.go
@@ -12,10 +12,10 @@
 	Members              int
 	DetectP50, DetectP99 time.Duration // from a crash until all working members hold it dead
 	// Crashes that not all members detected in the time given.
-	Undetected             int
-	FalsePerMemberHour     float64 // suspicions of working members, under Loss
-	FalseDeathsPerMemberHr float64 // declarations dead of working members, under Loss
-	Loss                   float64
+	Undetected               int
+	FalsePerMemberHour       float64 // suspicions of working members, under Loss
+	FalseDeathsPerMemberHour float64 // declarations dead of working members, under Loss
+	Loss                     float64
 	// From the end of a partition until all views have the same digest; -1 for never.
 	Heal time.Duration
 	// Without faults.
@@ -26,9 +26,9 @@
 // another, a time of loss, and a partition into three fifths and two fifths for 30 s that heals.
 func Measure(n int, s Settings, crashes int, loss float64, seed uint64) Result {
 	r := Result{Members: n, Loss: loss}
-	r.DetectP50, r.DetectP99, r.Undetected, r.BytesPerMemberSecond = detection(n, s, crashes, seed)
-	r.FalsePerMemberHour, r.FalseDeathsPerMemberHr = falseRate(n, s, loss, seed+1)
-	r.Heal = heal(n, s, seed+2)
+	r.DetectP50, r.DetectP99, r.Undetected, r.BytesPerMemberSecond = measureDetection(n, s, crashes, seed)
+	r.FalsePerMemberHour, r.FalseDeathsPerMemberHour = measureFalseRate(n, s, loss, seed+1)
+	r.Heal = measureHeal(n, s, seed+2)
 	return r
 }
 
@@ -42,7 +42,7 @@
 	healLimit     = 2 * time.Minute
 )
 
-func detection(n int, s Settings, crashes int, seed uint64) (p50, p99 time.Duration, undetected int, load float64) {
+func measureDetection(n int, s Settings, crashes int, seed uint64) (p50, p99 time.Duration, undetected int, load float64) {
 	f := New(n, s, seed)
 	f.Run(warmUpTime)
 	load = float64(f.Stats.Bytes) / float64(n) / warmUpTime.Seconds()
@@ -50,7 +50,7 @@
 	var durations []time.Duration
 	f.OnChange = func(_ int, c membership.Change) {
 		if victim >= 0 && c.Member.State == membership.Dead && c.Member.ID == f.observation(victim, 0, 0).ID {
-			if seen++; seen == n-crashedSoFar(f) { // all that work, the victim counted among the crashed
+			if seen++; seen == n-countNotWorking(f) { // all that work, the victim counted among the crashed
 				durations = append(durations, f.Now()-crashed)
 			}
 		}
@@ -72,8 +72,8 @@
 	return p50, p99, undetected, load
 }
 
-// crashedSoFar counts the members that are not working.
-func crashedSoFar(f *Fleet) int {
+// countNotWorking counts the members that are not working.
+func countNotWorking(f *Fleet) int {
 	n := 0
 	for i := range f.Size() {
 		if !f.Up(i) {
@@ -83,7 +83,7 @@
 	return n
 }
 
-func falseRate(n int, s Settings, loss float64, seed uint64) (suspicions, deaths float64) {
+func measureFalseRate(n int, s Settings, loss float64, seed uint64) (suspicions, deaths float64) {
 	f := New(n, s, seed)
 	f.Run(warmUpTime)
 	before := f.Stats
@@ -94,7 +94,7 @@
 		float64(f.Stats.FalseDeaths-before.FalseDeaths) / hours
 }
 
-func heal(n int, s Settings, seed uint64) time.Duration {
+func measureHeal(n int, s Settings, seed uint64) time.Duration {
 	f := New(n, s, seed)
 	f.Run(warmUpTime)
 	sets := make([]int, n)
--- a/internal/lab/swim/swim.go
+++ b/internal/lab/swim/swim.go
@@ -57,10 +57,10 @@
 const (
 	probeTick = iota
 	gossipTick
-	probeLate          // a probe's ack did not come in the timeout: indirect ones go out
-	probeEnd           // the interval of a probe ended: suspect, if no ack came
-	suspectEnd         // a suspicion ran out
-	deliver            // a message arrives
+	probeTimedOut      // a probe's ack did not come in the timeout: indirect ones go out
+	probeIntervalEnded // the interval of a probe ended: suspect, if no ack came
+	suspicionExpired   // a suspicion ran out
+	deliverGossip      // a message arrives
 	deliverPing        // a ping: answer with an ack
 	deliverAck         // an ack, for a sequence
 	deliverPingRequest // a ping-req: ping the target for the asker
@@ -199,21 +199,21 @@
 	}
 	m := f.members[e.to]
 	switch e.kind {
-	case probeLate:
+	case probeTimedOut:
 		f.probeIndirectly(e.from, int(e.target), e.seq)
-	case probeEnd:
+	case probeIntervalEnded:
 		if p := f.members[e.from]; p.working() && !p.acknowledged[e.seq] {
 			f.suspect(e.from, int(e.target))
 		}
 		delete(f.members[e.from].acknowledged, e.seq)
-	case suspectEnd:
+	case suspicionExpired:
 		p := f.members[e.from]
 		t := int(e.target)
 		if p.working() && p.state[t] == membership.Suspect && p.suspected[t] >= 0 &&
 			f.now-p.suspected[t] >= f.suspicion(e.from, t) {
 			f.apply(e.from, update{t, p.incarnations[t], membership.Dead})
 		}
-	case deliver, deliverPing, deliverAck, deliverPingRequest:
+	case deliverGossip, deliverPing, deliverAck, deliverPingRequest:
 		if !m.working() {
 			return
 		}
--- a/internal/lab/swim/swim_test.go
+++ b/internal/lab/swim/swim_test.go
@@ -13,7 +13,7 @@
 	for _, n := range []int{5, 30, 100} {
 		r := Measure(n, s, 5, 0, 7)
 		bound := 6 * 4 * time.Duration(max(1, log10(n))) * s.ProbeInterval / 1 // the longest suspicion
-		if r.Undetected > 0 || r.DetectP99 > bound+5*s.ProbeInterval || r.FalseDeathsPerMemberHr > 0 || r.Heal < 0 {
+		if r.Undetected > 0 || r.DetectP99 > bound+5*s.ProbeInterval || r.FalseDeathsPerMemberHour > 0 || r.Heal < 0 {
 			t.Errorf("%d members: %+v", n, r)
 		}
 	}
