--- a/internal/lab/coresim/cell_callers.go
+++ b/internal/lab/coresim/cell_callers.go
@@ -17,13 +17,17 @@
 	groupCount        = 2
 	cellsPerGroup     = 3
 	maxCallPause      = 400 * time.Millisecond
-	// readFraction is the mean number of calls on cells of which one is a read.
+	// One in readFraction calls on cells is a read.
 	readFraction = 3
-	// singlePutFraction is the mean number of puts of which one is sent once alone.
+	// One in singlePutFraction puts is sent without retries.
 	singlePutFraction = 3
-	watchWait         = 700 * time.Millisecond
+	// One in longPauseFraction pauses of a watcher lasts up to 3 * historyS.
+	longPauseFraction = 30
+	// watchWait is the time for which a watch waits for an event.
+	watchWait = 700 * time.Millisecond
 )
 
+// startNumberCallers starts callers that request values of random numbers.
 func (t *coordinationTable) startNumberCallers() {
 	var next func()
 	next = func() {
@@ -35,7 +39,7 @@
 	}
 }
 
-// takeNumber asks for a value of a number until there is one, and checks it.
+// takeNumber requests and checks a value of a number, unless the run is at its end.
 func (t *coordinationTable) takeNumber(name string, done func(coordinationAnswer)) {
 	if t.stopping {
 		return
@@ -43,6 +47,7 @@
 	t.requestNumber(name, retryDuration, done)
 }
 
+// requestNumber requests a value of a number, with retries, and checks it.
 func (t *coordinationTable) requestNumber(name string, retryFor time.Duration, done func(coordinationAnswer)) {
 	var floor uint64
 	request := coordinationRequest{
@@ -57,6 +62,7 @@
 	})
 }
 
+// startCellCallers starts the callers that put and read cells, and the watchers.
 func (t *coordinationTable) startCellCallers() {
 	for range writerCount {
 		t.sim.after(t.duration(0, maxCallPause), t.nextCellCall)
@@ -72,7 +78,7 @@
 
 func cellName(group, cell int) string { return fmt.Sprintf("%s%d", groupName(group), cell) }
 
-// nextCellCall makes a put or a read of a cell drawn at random.
+// nextCellCall puts or reads a random cell.
 func (t *coordinationTable) nextCellCall() {
 	if t.stopping {
 		return
@@ -86,9 +92,9 @@
 	t.put(cell, done)
 }
 
-// put puts a new value, in one of two cases on the condition that the cell has the latest revision that was shown. The call is
-// sent again with the same value until there is a clear answer, and now and then once more; some callers send it once alone, so
-// that a promise that nothing was done is never made up for by a later call.
+// put puts a new value. In half of the cases the put has the condition that the cell still has the latest revision that was
+// shown. The call is retried with the same value until there is a definite answer, and is sometimes repeated even after that.
+// Some puts are sent without retries: a retry that succeeds would hide a wrong answer by which the put was not executed.
 func (t *coordinationTable) put(cell string, done func(coordinationAnswer)) {
 	t.lastValue++
 	put := putRecord{cell: cell, value: fmt.Sprintf("v%d", t.lastValue), conditional: t.oneIn(2)}
@@ -109,6 +115,7 @@
 	})
 }
 
+// sendPut sends a put, with retries, and passes its outcome to the checker.
 func (t *coordinationTable) sendPut(put putRecord, retryFor time.Duration, done func(coordinationAnswer)) {
 	var floor uint64
 	request := coordinationRequest{
@@ -135,7 +142,7 @@
 	})
 }
 
-// read reads a cell and checks the result.
+// read reads a cell, with retries, and checks the result.
 func (t *coordinationTable) read(cell string, retryFor time.Duration, done func(coordinationAnswer)) {
 	var floor uint64
 	request := coordinationRequest{cell: cell, onSend: func() { floor = t.cells.highestOfCell[cell] }}
@@ -147,16 +154,17 @@
 	})
 }
 
-// watcher follows the puts of a group, at whatever machine answers.
+// watcher follows the puts of a group by watches at random machines.
 type watcher struct {
 	table *coordinationTable
 	group string
-	// after is the revision up to which it has all puts, and givenAt when it was last given that.
+	// after is the revision up to which the watcher has received all puts; 0 if it has to read the present revision first.
+	// givenAt is the time at which it last received a revision.
 	after   uint64
 	givenAt time.Duration
 }
 
-// next makes the next call.
+// next sends the next watch, or reads the present revision of the group if the watcher has none.
 func (w *watcher) next() {
 	if w.table.stopping {
 		return
@@ -168,17 +176,17 @@
 	w.watch(watchWait, w.pause)
 }
 
-// pause pauses before the next call, now and then for so long that the history may be gone.
+// pause schedules the next call. Some pauses are so long that the history may no longer contain the watcher's revision.
 func (w *watcher) pause(coordinationAnswer) {
 	t := w.table
 	pause := t.duration(0, maxCallPause/4)
-	if t.oneIn(30) {
+	if t.oneIn(longPauseFraction) {
 		pause = t.duration(0, 3*historyS)
 	}
 	t.sim.after(pause, w.next)
 }
 
-// ask asks for the present revision of the group, from which it goes on.
+// readRevision reads the present revision of the group, from which the watcher continues.
 func (w *watcher) readRevision(retryFor time.Duration, done func(coordinationAnswer)) {
 	t := w.table
 	var floor uint64
@@ -192,7 +200,7 @@
 	})
 }
 
-// watch asks for the puts above the revision that it has.
+// watch requests the puts after the watcher's revision.
 func (w *watcher) watch(wait time.Duration, done func(coordinationAnswer)) {
 	t := w.table
 	request := coordinationRequest{watch: &coordination.Watch{Group: w.group, After: w.after, Deadline: wait}}
--- a/internal/lab/coresim/clients.go
+++ b/internal/lab/coresim/clients.go
@@ -10,38 +10,39 @@
 // The load on the simulated core.
 const (
 	operatorCount = 2
-	// writePause is the mean time between the answer to an operation and the next one, busyPause that with Options.Busy.
+	// writePause is the mean time from the answer to an operation until the next operation.
 	writePause = 240 * time.Millisecond
-	busyPause  = 20 * time.Millisecond
+	// busyPause is the same with Options.Busy.
+	busyPause = 20 * time.Millisecond
 	// readInterval is the mean time between two reads.
 	readInterval = 300 * time.Millisecond
-	// callTimeout is how long a client waits for an answer.
+	// callTimeout is the time that a client waits for an answer.
 	callTimeout = 900 * time.Millisecond
-	// maxRetryPause is the longest time before an operation without an answer is sent again.
+	// maxRetryPause is the longest time until an operation without an answer is retried.
 	maxRetryPause = 40 * time.Millisecond
-	// resendFraction is the mean number of operations of which one is an acknowledged one sent again, as if its answer had
-	// been lost.
+	// One in resendFraction operations is a repetition of an acknowledged one, as if its answer had been lost.
 	resendFraction = 6
 )
 
 var (
-	// errConflict rejects an operation that builds on another version.
-	errConflict = errors.New("another version is in place")
-	// errNoAnswer ends a call without an answer: the operation may have been applied.
-	errNoAnswer = errors.New("no answer in time")
+	// errConflict rejects an operation whose base is not the latest version.
+	errConflict = errors.New("the base of the operation is not the latest version")
+	// errNoAnswer ends a call without an answer. The operation may have been applied.
+	errNoAnswer = errors.New("no answer within the call timeout")
 )
 
-// operation appends itself to the replicated list, on the condition that its base is the list's length. A change of the
-// configuration builds on a version in the same way.
+// operation is an entry that is appended to the replicated list if its base equals the length of the list. It models a change
+// of the configuration, which is accepted only if it builds on the latest version.
 type operation struct{ number, base uint64 }
 
-// operator is a client that sends one operation after another. It sends one without a clear answer again unchanged, to any
-// member that believes to be the head.
+// operator is a client that sends one operation after another. It retries an operation without a definite answer unchanged, at
+// any member that considers itself the head.
 type operator struct {
 	sim *Simulation
-	// version is the latest version that the operator knows of.
+	// version is the latest version that the operator knows.
 	version uint64
-	acked   []operation
+	// acked are the operator's acknowledged operations.
+	acked []operation
 	// callNumber identifies the present call: answers to earlier ones are ignored.
 	callNumber int
 }
@@ -60,7 +61,7 @@
 	sim.after(writePause, read)
 }
 
-// randomMachine returns one of the running machines whose node satisfies a condition; nil for none.
+// randomMachine returns a random running machine whose node satisfies a condition, or nil.
 func (sim *Simulation) randomMachine(satisfies func(*chain.Node) bool) *machine {
 	var candidates []*machine
 	for _, m := range sim.machines {
@@ -83,7 +84,7 @@
 	return pause/2 + o.sim.jitter(pause)
 }
 
-// next sends another operation, or an acknowledged one again.
+// next sends a new operation, or repeats an acknowledged one.
 func (o *operator) next() {
 	sim := o.sim
 	if len(o.acked) > 0 && sim.random.IntN(resendFraction) == 0 {
@@ -115,7 +116,7 @@
 	})
 }
 
-// resend sends an acknowledged operation once more. It need not be answered, but must not be rejected.
+// resend repeats an acknowledged operation once. The call may stay without an answer, but must not be rejected.
 func (o *operator) resend(op operation) {
 	sim := o.sim
 	o.call(op, func(err error) {
@@ -126,7 +127,7 @@
 	})
 }
 
-// readVersion reads the current version, until it has an answer, and then goes on with the next operation.
+// readVersion reads the current version, with retries until there is an answer, and then continues with the next operation.
 func (o *operator) readVersion() {
 	sim := o.sim
 	once := o.beginCall()
@@ -139,7 +140,8 @@
 	})
 }
 
-// call makes one call at a member that believes to be the head. The answer is given once: the member's, or errNoAnswer.
+// call makes one call to a member that considers itself the head. It passes on exactly one answer: that of the member, or
+// errNoAnswer.
 func (o *operator) call(op operation, answer func(error)) {
 	sim := o.sim
 	once := o.beginCall()
@@ -150,8 +152,8 @@
 	}
 }
 
-// beginCall begins a call. The function that it returns runs the first function that it is given, unless another call has
-// begun since.
+// beginCall begins a call. It returns a function that runs its argument, but only the first time it is called, and only if no
+// other call has begun meanwhile.
 func (o *operator) beginCall() (once func(run func())) {
 	o.callNumber++
 	number := o.callNumber
@@ -163,7 +165,7 @@
 	}
 }
 
-// submit takes an operation at a member, as a control process does.
+// submit handles an operation at a member in the way that the control process does.
 func (m *machine) submit(op operation, answer func(error)) {
 	flaw, incarnation := m.sim.options.Flaw, m.incarnation
 	decide := func(latest any) chain.Decision { return flaw.decide(latest.(log), op) }
@@ -183,7 +185,7 @@
 	}
 }
 
-// decide decides on an operation by the head's latest value.
+// decide returns the decision of a head with the flaw on an operation, given its latest value.
 func (f Flaw) decide(latest log, op operation) chain.Decision {
 	switch {
 	case f != ForgetApplied && latest.has(op.number):
@@ -194,7 +196,8 @@
 	return chain.Decision{Operation: encode(op)}
 }
 
-// read reads at a member that believes to be the tail, and checks the result. There is no answer if m is nil or fails.
+// read reads at a member that considers itself the tail, and checks the result. There is no answer if m is nil or the read
+// fails.
 func (sim *Simulation) read(m *machine, answer func(log)) {
 	if m == nil {
 		return
--- a/internal/lab/coresim/compatibility_test.go
+++ b/internal/lab/coresim/compatibility_test.go
@@ -6,7 +6,7 @@
 	"dykering/internal/fixture"
 )
 
-// A written schedule, that replays a failure of the core, has the form of released builds.
+// Schedule files of released builds, which replay a failure, can be read and are written in the same form.
 func TestScheduleOfReleasedBuildIsReadAndWrittenAlike(t *testing.T) {
 	fixture.JSON(t, "testdata/compatibility/schedule.json", &Schedule{})
 }
--- a/internal/lab/coresim/coordination.go
+++ b/internal/lab/coresim/coordination.go
@@ -9,8 +9,8 @@
 	"dykering/internal/coordination"
 )
 
-// Times of the coordination service in the simulated processes. The history and the holds that are over are kept for much
-// shorter than in a deployment, so that a run of some seconds sees them dropped.
+// Times of the coordination service in the simulated processes. The history and expired holds are kept for a much shorter
+// time than in a deployment, so that they are dropped within a run of some seconds.
 const (
 	historyS           = 4 * time.Second
 	holdMargin         = 50 * time.Millisecond
@@ -18,28 +18,28 @@
 	expiredHoldGrace   = 2 * time.Second
 )
 
-// coordinationTable is the emulated side of the coordination service: its callers, and what they have seen.
+// coordinationTable contains the emulated callers of the coordination service and the checkers of their observations.
 type coordinationTable struct {
-	sim    *Simulation
-	random *rand.Rand // of its own
-	locks  *lockChecker
-	cells  *cellChecker
-	// numbers has the checker of the numbers.
+	sim *Simulation
+	// random is a separate random stream, so that the coordination service does not change the core's schedules.
+	random  *rand.Rand
+	locks   *lockChecker
+	cells   *cellChecker
 	numbers *numberChecker
-	// commands are all that a head has appended: the chain's log has their indexes.
+	// commands are all commands that a head has encoded. An entry of the chain contains an index of this slice.
 	commands []coordination.Command
-	// calls counts the calls that were answered, by outcome.
+	// calls counts the finished calls by outcome.
 	calls map[string]int
-	// lastValue and lastProbe number the values of puts and the holders at the end of a run.
+	// lastValue numbers the values of puts, lastProbe the holders that probe the locks at the end of a run.
 	lastValue, lastProbe uint64
 	watchers             []*watcher
-	// stopping is set at the end of a run: callers begin nothing more.
+	// stopping is set at the end of a run. Callers then begin no further call.
 	stopping bool
-	// trace is told what happens; nil for nobody.
+	// trace receives a line for each event of a call; nil if the run is not traced.
 	trace func(line string)
 }
 
-// tell tells the trace.
+// tracef passes a line with the current time to the trace, if there is one.
 func (t *coordinationTable) tracef(format string, arguments ...any) {
 	if t.trace != nil {
 		t.trace(fmt.Sprintf("%v ", t.sim.now) + fmt.Sprintf(format, arguments...))
@@ -61,7 +61,7 @@
 	return t
 }
 
-// violation returns the first violated guarantee; nil for none.
+// violation returns the first violation of any of the checkers, or nil.
 func (t *coordinationTable) violation() error {
 	for _, err := range []error{t.locks.violation, t.cells.violation, t.numbers.violation} {
 		if err != nil {
@@ -71,27 +71,27 @@
 	return nil
 }
 
-// duration returns a random duration between two.
+// duration returns a random duration of at least least and less than most.
 func (t *coordinationTable) duration(least, most time.Duration) time.Duration {
 	return least + time.Duration(t.random.Int64N(int64(most-least)))
 }
 
-// oneOf reports true in one of so many cases.
-func (t *coordinationTable) oneIn(fraction int) bool { return t.random.IntN(fraction) == 0 }
+// oneIn returns true with the probability 1/n.
+func (t *coordinationTable) oneIn(n int) bool { return t.random.IntN(n) == 0 }
 
-// strikes reports whether a call has a fault that one of so many calls has. None has one at the end of a run.
-func (t *coordinationTable) faultOccurs(fraction int) bool { return !t.stopping && t.oneIn(fraction) }
+// faultOccurs reports, with the probability 1/n, that a call has a fault. There are no faults at the end of a run.
+func (t *coordinationTable) faultOccurs(n int) bool { return !t.stopping && t.oneIn(n) }
 
-// commandMark begins the form of a command in the chain's log. The form of an operation of an operator begins with 0.
+// commandMark is the first byte of an encoded command. The first byte of an encoded operation is 0.
 const commandMark = 0xC0
 
-// encodeCommand returns the form of a command in the chain's log: its index.
+// encodeCommand stores a command and returns its encoding as an entry of the chain: commandMark and its index.
 func (t *coordinationTable) encodeCommand(command coordination.Command) ([]byte, error) {
 	t.commands = append(t.commands, command)
 	return binary.BigEndian.AppendUint64([]byte{commandMark}, uint64(len(t.commands)-1)), nil
 }
 
-// apply is chain.Config.Apply for a core that may have the coordination service.
+// apply is chain.Config.Apply. It applies a command of the coordination service or an operator's operation.
 func (sim *Simulation) apply(value any, encoded []byte) any {
 	if encoded[0] != commandMark {
 		return apply(value, encoded)
@@ -102,7 +102,7 @@
 	return next
 }
 
-// coordinationOf returns the state of the coordination service in a value of the chain.
+// coordinationOf returns the state of the coordination service in a replicated value.
 func coordinationOf(value any) *coordination.State {
 	if state := value.(log).coordination; state != nil {
 		return state
--- a/internal/lab/coresim/coordination_calls.go
+++ b/internal/lab/coresim/coordination_calls.go
@@ -8,44 +8,45 @@
 	"dykering/internal/protocol"
 )
 
-// Times and faults of the calls of applications.
+// Times and faults of the calls that applications make.
 const (
-	// answerTimeout is how long a caller waits before it calls another machine.
+	// answerTimeout is the time that a caller waits for an answer before it calls another machine.
 	answerTimeout = time.Second
-	// One of so many calls is late, by up to maxCallDelay, and one of so many answers is lost.
+	// One in lateCallFraction calls is delayed by up to maxCallDelay, and one in lostCallAnswerFraction answers is lost.
 	lateCallFraction       = 20
 	maxCallDelay           = 3 * time.Second
 	lostCallAnswerFraction = 15
-	// retryDuration is for how long a call without a clear answer is sent again.
+	// retryDuration is the time for which a call without a definite answer is retried.
 	retryDuration = 6 * time.Second
 )
 
-// coordinationRequest is a call of an application: a command, a read of a cell or of a group, or a watch.
+// coordinationRequest is a call of an application. Exactly one of command, cell, group and watch is set.
 type coordinationRequest struct {
 	command     *coordination.Command
 	cell, group string
-	watch       *coordination.Watch // without an Answer; its deadline is the time to wait
-	// onSend is called whenever the call is sent; nil for nothing.
+	// watch has no Answer, and its Deadline is relative to the arrival of the call.
+	watch *coordination.Watch
+	// onSend is called each time the call is sent; may be nil.
 	onSend func()
 }
 
-// coordinationAnswer is what an application sees of a call.
+// coordinationAnswer is the outcome of a call as the application sees it.
 type coordinationAnswer struct {
 	result coordination.Result
 	events []coordination.Event
-	// kind is that of a failure, if failed is set.
+	// failed is set if the answer is an error of the given kind.
 	failed bool
 	kind   errkind.Kind
-	// missing is set if there was no answer.
+	// missing is set if there was no answer in time.
 	missing bool
 }
 
-// isDefinite reports whether a call need not be sent again.
+// isDefinite reports whether the answer decides the call, so that it needs no retry.
 func (a coordinationAnswer) isDefinite() bool {
 	return !a.missing && (!a.failed || a.isRejection())
 }
 
-// isRejection reports whether a call was rejected for what the state is.
+// isRejection reports whether a call was rejected because of the state of the coordination service.
 func (a coordinationAnswer) isRejection() bool {
 	if a.missing || !a.failed {
 		return false
@@ -57,13 +58,13 @@
 	return false
 }
 
-// guaranteesNotExecuted reports whether the answer, a 503 or 429, promises that nothing was done.
+// guaranteesNotExecuted reports whether the answer guarantees that the call was not executed, as a 503 or 429 does.
 func (a coordinationAnswer) guaranteesNotExecuted() bool {
 	status := errkind.AnswerOf(a.kind).Status
 	return !a.missing && a.failed && (status == 503 || status == 429)
 }
 
-// outcome is how calls are counted.
+// outcome returns the name under which a call with the answer is counted.
 func (a coordinationAnswer) outcome() string {
 	switch {
 	case a.missing:
@@ -74,8 +75,8 @@
 	return "done"
 }
 
-// call makes one call at a machine drawn at random. The answer is given once, after answerTimeout and the time that a watch
-// waits at the latest.
+// call makes one call to a random machine. It passes on exactly one answer, at the latest after answerTimeout plus the time that
+// a watch may wait.
 func (t *coordinationTable) call(request coordinationRequest, answer func(coordinationAnswer)) {
 	sim := t.sim
 	if request.onSend != nil {
@@ -116,7 +117,7 @@
 	})
 }
 
-// randomTarget returns one of the machines that are part of the deployment; its process need not run.
+// randomTarget returns a random machine of the deployment, whose process may not be running.
 func (t *coordinationTable) randomTarget() *machine {
 	var present []*machine
 	for _, m := range t.sim.machines {
@@ -127,12 +128,12 @@
 	return present[t.random.IntN(len(present))]
 }
 
-// definiteAnswerHandler is what callUntilDefinite tells at its end.
+// definiteAnswerHandler receives the last answer of callUntilDefinite and the time at which that call was sent. Certain is set
+// if the operation cannot have been executed unless the answer says so, because every earlier attempt is known not to have been
+// executed.
 type definiteAnswerHandler func(sentAt time.Duration, answer coordinationAnswer, certain bool)
 
-// callUntilDefinite makes a call again, at machines drawn at random, until there is a clear answer or the time is over. Done is
-// told when the last call was sent, and whether nothing can have been done unless the answer says so: no earlier call was left
-// without a clear answer.
+// callUntilDefinite makes a call to random machines, with retries until there is a definite answer or retryFor has passed.
 func (t *coordinationTable) callUntilDefinite(request coordinationRequest, retryFor time.Duration, done definiteAnswerHandler) {
 	deadline := t.sim.now + retryFor
 	certain := true
@@ -151,14 +152,14 @@
 	attempt()
 }
 
-// bufferedCall is a call that has arrived at a frozen process.
+// bufferedCall is the call of an application that has arrived at a frozen process.
 type bufferedCall struct {
 	arrivedAt time.Duration
 	request   coordinationRequest
 	respond   func(coordinationAnswer)
 }
 
-// serveCall serves the call of an application at a machine. A frozen process serves it when it goes on.
+// serveCall serves the call of an application at a machine. A frozen process serves it after its resumption.
 func (m *machine) serveCall(request coordinationRequest, respond func(coordinationAnswer)) {
 	switch {
 	case !m.up || m.removed:
@@ -170,8 +171,8 @@
 	}
 }
 
-// resume serves a call that had arrived while the process was frozen. In one of two cases the process had read it, and finds
-// that it is late.
+// resume serves a call that had arrived while the process was frozen. If the call is older than callTimeout, then in half of
+// the cases the process had already read it, notices its age and refuses it.
 func (p *coordinationProcess) resume(call bufferedCall) {
 	isLate := p.m.sim.now-call.arrivedAt > callTimeout
 	if isLate && p.m.sim.coordination.oneIn(2) {
@@ -181,7 +182,7 @@
 	p.serve(call.request, call.respond)
 }
 
-// serve executes a call. There is no answer if the process ends before.
+// serve executes a call. There is no answer if the process ends first.
 func (p *coordinationProcess) serve(request coordinationRequest, respond func(coordinationAnswer)) {
 	incarnation := p.m.incarnation
 	answer := func(a coordinationAnswer) {
@@ -199,7 +200,7 @@
 	}
 }
 
-// writeAnswer returns the answer to a write. One without a reply of the head may have been executed.
+// writeAnswer returns the answer to a write. Without a reply of the head the outcome of the write is unknown.
 func writeAnswer(flaw Flaw, reply protocol.Reply) coordinationAnswer {
 	a := answerOf(reply)
 	if a.failed && a.kind == errkind.Unavailable && flaw != UnknownAsNotExecuted {
@@ -208,13 +209,14 @@
 	return a
 }
 
+// answerOf returns the answer that an application sees for a reply.
 func answerOf(reply protocol.Reply) coordinationAnswer {
 	a := coordinationAnswer{result: reply.Coordination, failed: reply.Failed, kind: errkind.Kind(reply.Kind)}
 	a.result.Value = withoutPutMark(a.result.Value)
 	return a
 }
 
-// serveWatch adds a watch to those that wait at this member.
+// serveWatch adds a watch to the watch table of this member.
 func (p *coordinationProcess) serveWatch(w coordination.Watch, answer func(coordinationAnswer)) {
 	now := p.m.sim.now
 	w.Deadline += now
--- a/internal/lab/coresim/coordination_end.go
+++ b/internal/lab/coresim/coordination_end.go
@@ -7,16 +7,16 @@
 	"dykering/internal/coordination"
 )
 
-// Times of the end of a run.
+// Times of the checks at the end of a run.
 const (
-	// settleTime is until when calls that are under way have ended, and the holds of all locks are over.
+	// settleTime is the time until calls in flight have ended and the holds of all locks have expired.
 	settleTime = retryDuration + answerTimeout + maxCallDelay + maxHold + holdMargin + time.Second
-	// readBackTime is how long each call of the end is repeated.
+	// readBackTime is the time for which a call without a definite answer is retried.
 	readBackTime = 3 * time.Second
 )
 
-// checkCoordination checks, some time after the last fault, that what was acknowledged is there: cells are read, numbers and
-// locks are asked for, and watches resume from the revisions that they have.
+// checkCoordination checks, after the last fault, that no acknowledged operation of the coordination service is lost. It
+// resumes all watches from their latest revisions, reads all cells, and requests each number and each lock.
 func (sim *Simulation) checkCoordination() error {
 	t := sim.coordination
 	if t == nil {
@@ -35,13 +35,14 @@
 		return err
 	}
 	if len(unanswered) > 0 || len(resumed) > 0 {
-		return fmt.Errorf("LOST: no answer at the end: %v %v", unanswered, resumed)
+		return fmt.Errorf("LOST: calls without a definite answer at the end of the run: %v %v", unanswered, resumed)
 	}
 	t.cells.checkAll()
 	return t.violation()
 }
 
-// resumeWatches lets each watcher go on until it has all that was shown. It returns a set that is empty once all have.
+// resumeWatches continues each watcher until it has received all revisions that any caller has seen. It returns the names of
+// the watches that have not yet done so; each is removed when it has.
 func (t *coordinationTable) resumeWatches() (waiting map[string]bool, err error) {
 	if err := t.sim.Run(t.sim.now + answerTimeout + watchWait + 2*time.Second); err != nil {
 		return nil, err
@@ -67,7 +68,8 @@
 	return waiting, nil
 }
 
-// readBackAll reads all cells, and asks for each number and each lock. It returns a set that is empty once all have answered.
+// readBackAll reads all cells, and requests each number and each lock. It returns the names of the calls without a successful
+// answer yet; each is removed when it has one.
 func (t *coordinationTable) readBackAll() (waiting map[string]bool) {
 	waiting = map[string]bool{}
 	start := func(name string, call func(done func(coordinationAnswer))) {
@@ -95,7 +97,7 @@
 	return waiting
 }
 
-// probeLock takes a lock under a new name. All holds are over, so that it must be given.
+// probeLock acquires a lock under a new holder name. All holds have expired, so the lock must be granted.
 func (t *coordinationTable) probeLock(lock string, done func(coordinationAnswer)) {
 	t.lastProbe++
 	c := &lockCaller{table: t, holder: fmt.Sprintf("probe%d", t.lastProbe), lock: lock, hold: maxHold}
--- a/internal/lab/coresim/coordination_flaws.go
+++ b/internal/lab/coresim/coordination_flaws.go
@@ -10,10 +10,10 @@
 	"dykering/internal/protocol"
 )
 
-// flawedCoordination has the state of the planted flaws of the coordination service in one process.
+// flawedCoordination applies the planted flaws of the coordination service in one process.
 type flawedCoordination struct {
 	m *machine
-	// tokens and numbers count what this process has handed out.
+	// tokens and numbers count the values that this process has handed out.
 	tokens  uint64
 	numbers map[string]uint64
 	puts    int
@@ -23,10 +23,10 @@
 	return flawedCoordination{m: m, numbers: map[string]uint64{}}
 }
 
-// putMark separates a value from what makes a repeated put another one.
+// putMark separates the value of a put from a suffix that makes a repeated put look like a new one.
 const putMark = "#"
 
-// command returns a command as a head with the flaw executes it.
+// command returns the command that a head with the flaw executes in place of a received one.
 func (f *flawedCoordination) command(command coordination.Command) coordination.Command {
 	switch f.m.sim.options.Flaw {
 	case FinishAnyToken:
@@ -43,7 +43,8 @@
 	return command
 }
 
-// earlyReply returns the reply that a head with the flaw sends at once; ok is false for none.
+// earlyReply returns the reply that a head with the flaw sends before a majority has confirmed it. Ok is false if there is
+// none.
 func (f *flawedCoordination) earlyReply(command coordination.Command) (reply protocol.Reply, ok bool) {
 	isRenewal := command.Operation == coordination.RenewLock
 	if f.m.sim.options.Flaw != RenewUnconfirmed || !isRenewal || !f.m.node.IsHead() {
@@ -53,7 +54,7 @@
 	return coordinationReply(result, err), err == nil
 }
 
-// reply returns the reply of a head with the flaw.
+// reply returns the reply that a head with the flaw sends for a result and an error.
 func (f *flawedCoordination) reply(command coordination.Command, result coordination.Result, err error) protocol.Reply {
 	flaw := f.m.sim.options.Flaw
 	switch {
@@ -69,7 +70,7 @@
 	return coordinationReply(result, err)
 }
 
-// events returns the events of a watch as a process with the flaw answers them.
+// events returns the events that a process with the flaw sends to a watch, without putMark and its suffix.
 func (f *flawedCoordination) events(events []coordination.Event) []coordination.Event {
 	if f.m.sim.options.Flaw == WatchSkipsEvent && len(events) > 1 {
 		events = events[1:]
@@ -81,6 +82,7 @@
 	return events
 }
 
+// withoutPutMark returns a value without putMark and its suffix.
 func withoutPutMark(value string) string {
 	original, _, _ := strings.Cut(value, putMark)
 	return original
--- a/internal/lab/coresim/coordination_process.go
+++ b/internal/lab/coresim/coordination_process.go
@@ -10,34 +10,36 @@
 	"dykering/internal/protocol"
 )
 
-// Faults of the calls between members, as one of so many calls.
+// Faults of the calls between members. Each value n means that one in n calls has the fault.
 const (
 	lostForwardFraction      = 50
 	duplicateForwardFraction = 20
-	// maxDuplicateDelay is how much later a call is delivered for the second time.
+	// maxDuplicateDelay is the longest time until the second delivery of a duplicated call.
 	maxDuplicateDelay = 400 * time.Millisecond
 )
 
-// coordinationProcess is the coordination service in one process: the state machines that ship, driven as internal/controlplane
-// does.
+// coordinationProcess is the coordination service of one process. It drives the program's own state machines (package
+// coordination) in the way that internal/controlplane does.
 type coordinationProcess struct {
 	m        *machine
 	head     *coordination.Head
 	watches  *coordination.WatchTable
 	received *coordination.RecentCalls
 	flawed   flawedCoordination
-	// lastCall numbers the calls to other members. Those in pending wait for a reply, the oldest first.
+	// lastCall is the number of the latest call to another member.
 	lastCall uint64
-	pending  []pendingForward
+	// pending are the calls that wait for a reply, the oldest first.
+	pending []pendingForward
 }
 
+// pendingForward is a call to another member that waits for its reply.
 type pendingForward struct {
 	number   uint64
 	deadline time.Duration
 	answer   func(protocol.Reply)
 }
 
-// startCoordination starts the service in a process.
+// startCoordination starts the coordination service of a process, if the simulation has it.
 func (m *machine) startCoordination() {
 	if m.sim.coordination == nil {
 		return
@@ -59,14 +61,14 @@
 	}
 }
 
-// viewInstalled tells the head's part of a new view.
+// viewInstalled resets the hold timers of the head, since a view was installed.
 func (p *coordinationProcess) viewInstalled() {
 	if p.m.sim.options.Flaw != KeepHoldTimers {
 		p.head.ViewInstalled(p.m.sim.now)
 	}
 }
 
-// write has the head execute a command.
+// write executes a command at the head: here, or by a call to the member that is the head.
 func (p *coordinationProcess) write(command coordination.Command, answer func(protocol.Reply)) {
 	node := p.m.node
 	if node.IsHead() {
@@ -84,7 +86,7 @@
 	}, answer)
 }
 
-// forward calls another member. The message may be lost, or be delivered twice.
+// forward calls another member. The message may be lost or delivered twice.
 func (p *coordinationProcess) forward(to string, message func(number uint64) any, answer func(protocol.Reply)) {
 	sim, t := p.m.sim, p.m.sim.coordination
 	p.lastCall++
@@ -98,7 +100,7 @@
 	}
 }
 
-// executeAtHead executes a command where this member is the head.
+// executeAtHead executes a command at this member, which is expected to be the head.
 func (p *coordinationProcess) executeAtHead(command coordination.Command, answer func(protocol.Reply)) {
 	now := p.m.sim.now
 	command = p.flawed.command(command)
@@ -114,7 +116,7 @@
 	p.m.process(p.m.requests.Write(now, p.head.Write(now, command, respond)))
 }
 
-// tracedCommand is a command as a trace shows it.
+// tracedCommand formats a command for a trace.
 type tracedCommand coordination.Command
 
 // String returns the command in one line.
@@ -122,7 +124,7 @@
 	return fmt.Sprintf("%s %s %s token %d hold %d value %q if %d", c.Operation, c.Name, c.Holder, c.Token, c.HoldMs, c.Value, c.IfRevision)
 }
 
-// coordinationReply returns the reply to a command.
+// coordinationReply returns the reply to a command with a result and an error.
 func coordinationReply(result coordination.Result, err error) protocol.Reply {
 	if err == nil {
 		return protocol.Reply{Coordination: result}
@@ -132,11 +134,13 @@
 	return reply
 }
 
+// failedReply returns the reply to a call that failed with an error kind.
 func failedReply(kind errkind.Kind) protocol.Reply {
 	return protocol.Reply{Failed: true, Kind: int(kind)}
 }
 
-// read has the tail return a cell, or the revision of a group.
+// read reads a cell, or the revision of a group if one is given, at the tail: here, or by a call to the member that is the
+// tail.
 func (p *coordinationProcess) read(cell, group string, answer func(protocol.Reply)) {
 	node := p.m.node
 	if node.IsTail() || p.m.sim.options.Flaw == ReadAtAnyMember {
@@ -154,6 +158,7 @@
 	}, answer)
 }
 
+// readAtTail reads a cell or the revision of a group at this member, which is expected to be the tail.
 func (p *coordinationProcess) readAtTail(cell, group string, answer func(protocol.Reply)) {
 	respond := func(state chain.State, err error) {
 		if err != nil {
@@ -174,7 +179,7 @@
 	p.m.process(p.m.requests.Read(p.m.sim.now, chain.Read{Respond: respond}))
 }
 
-// receive handles a call or a reply of another member.
+// receive handles a call or a reply of another member. A call that arrives twice is executed once.
 func (p *coordinationProcess) receive(message any) {
 	switch call := message.(type) {
 	case protocol.CoordinationWrite:
@@ -188,6 +193,7 @@
 	}
 }
 
+// replyTo returns a function that sends the reply to a call of another member.
 func (p *coordinationProcess) replyTo(address string, id uint64) func(protocol.Reply) {
 	return func(reply protocol.Reply) {
 		reply.ID = id
@@ -195,6 +201,7 @@
 	}
 }
 
+// onReply passes a reply to the pending call with its number. A reply that arrives after the timeout is dropped.
 func (p *coordinationProcess) onReply(reply protocol.Reply) {
 	for i, call := range p.pending {
 		if call.number == reply.ID {
@@ -205,7 +212,7 @@
 	}
 }
 
-// tick ends calls without a reply, and drops, at the head, what is old enough.
+// tick ends calls whose reply is overdue. At a confirmed head it also compacts the state of the coordination service.
 func (p *coordinationProcess) tick() {
 	now := p.m.sim.now
 	for len(p.pending) > 0 && now > p.pending[0].deadline {
@@ -223,7 +230,7 @@
 	}
 }
 
-// watchSource returns the committed state from which this member serves watches now, as internal/controlplane decides it.
+// watchSource returns the state from which this member serves watches now, by the rule of internal/controlplane.
 func (p *coordinationProcess) watchSource() coordination.WatchSource {
 	node, now := p.m.node, p.m.sim.now
 	source := coordination.WatchSource{
@@ -238,14 +245,14 @@
 	return source
 }
 
-// answerWatches answers the watches that are ready.
+// answerWatches answers the watches that have events or whose deadline has passed.
 func (p *coordinationProcess) answerWatches() {
 	if !p.watches.IsEmpty() {
 		p.watches.AnswerReady(p.m.sim.now, p.watchSource())
 	}
 }
 
-// isCoordinationMessage reports whether a message is for the coordination service.
+// isCoordinationMessage reports whether a message is addressed to the coordination service.
 func isCoordinationMessage(message any) bool {
 	switch message.(type) {
 	case protocol.CoordinationWrite, protocol.CoordinationRead, protocol.Reply:
--- a/internal/lab/coresim/coordination_test.go
+++ b/internal/lab/coresim/coordination_test.go
@@ -5,7 +5,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// coordinationOutcome plays a schedule with the coordination service and returns what the callers have seen.
+// coordinationOutcome runs the schedule of a seed with the coordination service. It returns the numbers of calls by outcome, the
+// number of events and the violation, if any.
 func coordinationOutcome(seed uint64) (calls map[string]int, events uint64, err error) {
 	schedule := Generate(seed, NoFlaw)
 	schedule.Options.Coordination = true
@@ -22,7 +23,7 @@
 		}
 	})
 
-	It("sees calls of every outcome", func() {
+	It("produces calls with every outcome", func() {
 		const seeds = 6
 		seen := map[string]int{}
 		for seed := range uint64(seeds) {
@@ -40,7 +41,7 @@
 		}
 	})
 
-	It("is the same in each run of a schedule", func() {
+	It("behaves the same in each run of a schedule", func() {
 		calls, events, err := coordinationOutcome(1)
 		Expect(err).NotTo(HaveOccurred())
 		callsAgain, eventsAgain, err := coordinationOutcome(1)
@@ -49,9 +50,9 @@
 		Expect(eventsAgain).To(Equal(events))
 	})
 
-	// Two of the searches begin at a seed shortly before one that finds the flaw: from the first one on they take 38 and 60
-	// schedules. Which guarantee is violated first depends on the schedule where none is named.
-	DescribeTable("has a planted flaw found",
+	// Two searches begin shortly before a seed that finds the flaw, to save time: from seed 1 on they run 38 and 60 schedules.
+	// An entry names no guarantee if the one that is violated first depends on the schedule.
+	DescribeTable("violates a guarantee with a planted flaw",
 		func(flaw Flaw, guarantee string, first uint64) {
 			const schedules = 1500
 			failure := SearchFlaw(first, schedules, flaw)
--- a/internal/lab/coresim/coresim_test.go
+++ b/internal/lab/coresim/coresim_test.go
@@ -13,8 +13,8 @@
 	RunSpecs(t, "core simulation")
 }
 
-// quicklyFound are the flaws that a short search finds. The others take a longer one (dykering-lab control flaws); some of
-// them have a schedule of their own below.
+// quicklyFound are the flaws that a short search finds. Other flaws need a longer search (dykering-lab control flaws); some of
+// those have specific schedules below.
 var quicklyFound = []Flaw{
 	SendBeforeSync, AckAtHead, EarlyCommit, VoteAfterWipe, RestartBehind, ShortPromise, ShortInstall,
 	ReadUnconfirmed, LeaseUnconfirmed, NoTakeoverDelay, ConstantToken, ForgetPromise, RejectUnconfirmed, ForgetApplied, IgnoreBase,
@@ -37,7 +37,7 @@
 	}
 })
 
-// Schedules that are hard, or that violated a guarantee once.
+// These schedules are difficult for the core, or violated a guarantee in an earlier version.
 var _ = DescribeTable("a specific schedule violates no guarantee",
 	func(members, failures int, steps ...Fault) {
 		schedule := Schedule{Options: Options{Seed: 7, Members: members, MostFailures: failures}, Steps: steps}
@@ -49,24 +49,25 @@
 	Entry("a member without its disk returns while another is isolated", 5, 2, Fault{3 * s, LoseDisk, 1, s}, Fault{3500 * ms, Isolate, 2, 5 * s}),
 	Entry("every member is replaced in turn", 3, 1, Fault{3 * s, Replace, 0, s}, Fault{9 * s, Replace, 1, s}, Fault{15 * s, Replace, 2, s}),
 	Entry("the tail's disk stalls, then the head is killed", 5, 2, Fault{3 * s, StallDisk, 4, 3 * s}, Fault{4 * s, Kill, 0, s}),
-	Entry("all are killed, one loses its disk", 3, 1, Fault{3 * s, KillAllLoseDisk, 1, s}),
-	Entry("all are killed again and again", 3, 1, Fault{3 * s, KillAll, 0, s / 5}, Fault{4 * s, KillAll, 0, s / 5}, Fault{5 * s, KillAll, 0, s / 5}),
+	Entry("all members are killed, one loses its disk", 3, 1, Fault{3 * s, KillAllLoseDisk, 1, s}),
+	Entry("all members are killed repeatedly", 3, 1, Fault{3 * s, KillAll, 0, s / 5}, Fault{4 * s, KillAll, 0, s / 5}, Fault{5 * s, KillAll, 0, s / 5}),
 	Entry("the lease holder is frozen and resumes", 3, 1, Fault{3 * s, Freeze, 0, 5 * s}),
-	Entry("the lease goes round the core of three (found by the search)", 3, 1,
+	Entry("every member of a core of three becomes the lease holder in turn (found by the search)", 3, 1,
 		Fault{2224879015, Freeze, 0, 822162186}, Fault{7636621757, Replace, 1, 873007409}, Fault{12639390806, Freeze, 2, 1139539872}),
 	Entry("a member is down while all others are replaced", 5, 2, Fault{3 * s, Kill, 0, 60 * s}, Fault{4 * s, Replace, 1, s},
 		Fault{12 * s, Replace, 2, s}, Fault{20 * s, Replace, 3, s}, Fault{28 * s, Replace, 4, s}),
 	Entry("a member is isolated for 20 s, and the others are killed when it returns", 3, 1, Fault{3 * s, KillAfterHeal, 0, 20 * s}),
-	Entry("a member lags behind, another loses its disk, the others are down", 3, 1, Fault{3 * s, LagThenRecover, 1, 10 * s}),
-	Entry("all are killed again and again, as many as tolerated lose their disks", 5, 2,
+	Entry("a member lags behind, another loses its disk, all others are down", 3, 1, Fault{3 * s, LagThenRecover, 1, 10 * s}),
+	Entry("all members are killed repeatedly, as many as tolerated lose their disks", 5, 2,
 		Fault{3 * s, KillAllLoseDisks, 0, 2 * s}, Fault{14 * s, KillAllLoseDisks, 2, 2 * s}, Fault{25 * s, KillAllLoseDisks, 4, 2 * s}),
-	Entry("every member is replaced as planned, a disk is lost after each", 3, 1, Fault{3 * s, PlannedReplacement, 0, 4500 * ms},
+	Entry("two members are replaced as planned, a disk is lost after each replacement", 3, 1, Fault{3 * s, PlannedReplacement, 0, 4500 * ms},
 		Fault{8 * s, LoseDisk, 1, s}, Fault{15 * s, PlannedReplacement, 1, 4500 * ms}, Fault{20 * s, LoseDisk, 2, s}),
 	Entry("a lease holder restarts within its takeover delay (found by the search)", 3, 1,
 		Fault{3257 * ms, DropInbound, 0, 1961 * ms}, Fault{5349 * ms, KillAll, 0, 328 * ms}),
 )
 
-// holderReturns lets the first of five members become the lease holder again: each of the others moves behind it in the chain.
+// holderReturns makes the first of five members the lease holder again: each of the other members fails once and then moves
+// behind it in the chain.
 var holderReturns = []Fault{
 	{3 * s, Freeze, 0, s}, {9 * s, Kill, 2, s}, {15 * s, Kill, 3, s}, {21 * s, Kill, 4, s}, {27 * s, Kill, 1, s},
 }
@@ -75,20 +76,20 @@
 	schedule := func(flaw Flaw) Schedule {
 		return Schedule{Options: Options{Seed: 7, Members: 5, MostFailures: 2, Flaw: flaw}, Steps: holderReturns}
 	}
-	It("does not hold the lease in turns with its successor", func() {
+	It("does not become the holder again shortly after its successor", func() {
 		Expect(schedule(NoFlaw).Run()).To(Succeed())
 	})
-	It("is detected if it does", func() {
+	It("is detected if it becomes the holder again too soon", func() {
 		Expect(schedule(NoReturnDelay).Run()).To(MatchError(ContainSubstring("takes turns")))
 	})
 })
 
-// lossAfterLeave replaces a member as planned, and a disk is lost half a second after that. It was found by the search.
+// lossAfterLeave makes a planned replacement, and a disk is lost half a second after it. The search has found the schedule.
 var lossAfterLeave = Schedule{Options: Options{Seed: 2442, Members: 3, MostFailures: 1}, Steps: []Fault{
 	{10728486587, PlannedReplacement, 2, 3779916678}, {15038872739, LagThenRecover, 2, 3815552117},
 }}
 
-// runWithSeeds runs a schedule with several seeds, as its outcome may depend on every random number, and returns the
+// runWithSeeds runs a schedule with several seeds, since the outcome may depend on every random number, and returns the
 // violations.
 func runWithSeeds(schedule Schedule, flaw Flaw) (violations []error) {
 	const seeds = 30
@@ -102,7 +103,8 @@
 	return violations
 }
 
-// lastReplicaLeaves lets a member leave that was one of two which had accepted the view without it. It was found by the search.
+// lastReplicaLeaves makes a member leave that was one of only two members that had accepted the view without it. The search has
+// found the schedule.
 var lastReplicaLeaves = Schedule{Options: Options{Members: 3, MostFailures: 1, Busy: true}, Overlap: true, Steps: []Fault{
 	{2928364042, DelayInbound, 0, 4796145583},
 	{4210839438, PlannedReplacement, 2, 3622145871},
@@ -111,10 +113,10 @@
 }}
 
 var _ = Describe("a leaving member", func() {
-	It("waits until enough others have persisted what it has", func() {
+	It("waits until enough other members have persisted its operations", func() {
 		Expect(runWithSeeds(lastReplicaLeaves, NoFlaw)).To(BeEmpty())
 	})
-	It("is detected if it does not", func() {
+	It("is detected if it stops earlier", func() {
 		Expect(runWithSeeds(lastReplicaLeaves, StopBeforeReplicated)).To(ContainElement(MatchError(ContainSubstring("disks hold them all"))))
 	})
 })
@@ -137,7 +139,7 @@
 })
 
 var _ = Describe("a disk lost right after a planned replacement", func() {
-	It("leaves a majority, as the departed member is no voter any more", func() {
+	It("leaves a majority, as the departed member is no longer a voter", func() {
 		Expect(lossAfterLeave.Run()).To(Succeed())
 	})
 	It("leaves a majority if another member was down during the departure (found by the search)", func() {
@@ -146,31 +148,32 @@
 		}}
 		Expect(schedule.Run()).To(Succeed())
 	})
-	It("leaves no majority if the departed member still is a voter", func() {
+	It("leaves no majority if the departed member is still a voter", func() {
 		flawed := lossAfterLeave
 		flawed.Options.Flaw = StopAsSurplusVoter
 		Expect(flawed.Run()).To(MatchError(ContainSubstring("nothing is acknowledged")))
 	})
 })
 
-// pongsOfEarlierIncarnation delays the messages to the old tail while it restarts: pongs to pings of its earlier incarnation
-// then arrive when its pings have reached the same nonces.
+// pongsOfEarlierIncarnation delays the messages to the tail while it restarts. Pongs to pings of its earlier incarnation then
+// arrive when the pings of the new incarnation have reached the same nonces.
 var pongsOfEarlierIncarnation = Schedule{Options: Options{Seed: 1, Members: 3, MostFailures: 1}, Overlap: true, Steps: []Fault{
 	{3 * s, DelayInbound, 2, 5 * s}, {3550 * ms, Kill, 2, 100 * ms},
 }}
 
 var _ = Describe("a pong to a ping of an earlier incarnation", func() {
-	It("does not let a restarted tail answer reads", func() {
+	It("does not allow a restarted tail to answer reads", func() {
 		Expect(pongsOfEarlierIncarnation.Run()).To(Succeed())
 	})
-	It("lets it return an old state if nonces repeat", func() {
+	It("allows it to return an old state if nonces repeat", func() {
 		flawed := pongsOfEarlierIncarnation
 		flawed.Options.Flaw = RepeatNonces
 		Expect(flawed.Run()).To(MatchError(ContainSubstring("a read at m2 shows")))
 	})
 })
 
-// readWhileStalled reads at the tail while its disk stalls, and then kills all. It was found by the search.
+// readWhileStalled stalls the disk of the tail, so that reads arrive meanwhile, and then kills all members. The search has found
+// the schedule.
 var readWhileStalled = Schedule{Options: Options{Members: 3, MostFailures: 1}, Overlap: true, Steps: []Fault{
 	{4818832250, Leave, 1, 1353999689},
 	{4995210845, StallDisk, 0, 449675308},
@@ -179,11 +182,11 @@
 }}
 
 var _ = Describe("a read at a tail with a stalled disk", func() {
-	It("returns only what is persisted", func() {
+	It("returns only persisted operations", func() {
 		Expect(runWithSeeds(readWhileStalled, NoFlaw)).To(BeEmpty())
 	})
-	It("is detected if it returns more", func() {
-		Expect(runWithSeeds(readWhileStalled, ReadUncommitted)).To(ContainElement(MatchError(ContainSubstring("one that ended before it began"))))
+	It("is detected if it returns operations that are not persisted", func() {
+		Expect(runWithSeeds(readWhileStalled, ReadUncommitted)).To(ContainElement(MatchError(ContainSubstring("a read that ended before it began"))))
 	})
 })
 
--- a/internal/lab/coresim/coverage.go
+++ b/internal/lab/coresim/coverage.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// Phase is what the core does when a fault begins. The values are headings of the coverage table: they are fixed.
+// Phase is the activity of the core when a fault begins. The values are headings of the coverage table and must not change.
 type Phase string
 
-// The phases. If several apply, the first one counts.
+// The phases. If several apply, the first of them is used.
 const (
 	PhaseNoMajority Phase = "no majority runs"
 	PhaseAgreeing   Phase = "a view is being agreed on"
@@ -20,9 +20,10 @@
 	PhaseCalm       Phase = "calm"
 )
 
+// phases are all phases, in the order of the columns of the coverage table.
 var phases = []Phase{PhaseCalm, PhaseWriting, PhaseTakeover, PhaseJoining, PhaseAgreeing, PhaseNoMajority}
 
-// Role is a member's position in the chain. The values are the order of the numbers in the coverage table.
+// Role is a member's position in the chain.
 type Role string
 
 // The roles.
@@ -33,19 +34,20 @@
 	RoleOutside Role = "outside"
 )
 
+// roles are all roles, in the order of the numbers in a cell of the coverage table.
 var roles = []Role{RoleHead, RoleMiddle, RoleTail, RoleOutside}
 
-// Pair is a kind of fault with the role of the member that it affected and the phase in which it began.
+// Pair identifies a situation: a kind of fault, the role of the affected member and the phase in which the fault began.
 type Pair struct {
 	Phase Phase
 	Kind  FaultKind
 	Role  Role
 }
 
-// Coverage is how often each pair was reached.
+// Coverage counts how often each pair was reached.
 type Coverage map[Pair]int
 
-// Add adds another coverage to this one.
+// Add adds the counts of another coverage.
 func (c Coverage) Add(other Coverage) {
 	for pair, n := range other {
 		c[pair] += n
@@ -57,7 +59,7 @@
 	sim.coverage[Pair{Phase: sim.phase(), Kind: kind, Role: m.role()}]++
 }
 
-// role returns the position of a machine's member in the chain of its view.
+// role returns the position of a machine's member in the chain of the view that the member has.
 func (m *machine) role() Role {
 	view := m.node.View()
 	switch position := view.Position(m.node.Self().ID); {
@@ -71,7 +73,7 @@
 	return RoleMiddle
 }
 
-// phase returns what the core does now, according to the running members.
+// phase returns the phase of the core now, derived from the states of the running members.
 func (sim *Simulation) phase() Phase {
 	var agreeing, joining, pausing, writing bool
 	running, voters := 0, 0
@@ -103,8 +105,8 @@
 	return PhaseCalm
 }
 
-// Table returns the coverage as a Markdown table: for each kind of fault and phase, how often it affected the head, the
-// middle, the tail and a member outside of the chain. A dash stands for a pair that was not reached.
+// Table returns the coverage as a Markdown table. For each kind of fault and phase it shows how often the fault affected the
+// head, a middle member, the tail and a member outside of the chain. A dash means that the pair was not reached.
 func (c Coverage) Table() string {
 	var text strings.Builder
 	text.WriteString("| trouble | " + strings.Join(asStrings(phases), " | ") + " |\n|" + strings.Repeat(" --- |", len(phases)+1) + "\n")
--- a/internal/lab/coresim/decisions_test.go
+++ b/internal/lab/coresim/decisions_test.go
@@ -11,18 +11,21 @@
 	"dykering/internal/fixture"
 )
 
-// The fixture holds what the build of commit bfb03d8 did in the same schedules.
+// testdata/schedules.txt holds the outcomes of the same schedules with the build of commit bfb03d8.
 
 const (
+	// goldenScheduleCount is the number of generated schedules that are compared.
 	goldenScheduleCount = 30
-	busyRunDuration     = 30 * time.Second
-	digestInterval      = 250 * time.Millisecond
+	// busyRunDuration is the time of the only fault in the runs with many operations.
+	busyRunDuration = 30 * time.Second
+	// digestInterval is the virtual time between two digests of the machines' states.
+	digestInterval = 250 * time.Millisecond
 )
 
-// rareSeeds are of schedules in which a view change gets stuck, as its proposer fails.
+// rareSeeds are the seeds of schedules in which a view change is delayed because its proposer fails.
 var rareSeeds = []uint64{203, 221, 275, 347}
 
-// digestMachines adds to a digest what each machine shows and stores.
+// digestMachines adds the visible and the stored state of each machine to a digest.
 func digestMachines(digest hash.Hash, w *Simulation) {
 	for _, m := range w.machines {
 		fmt.Fprintf(digest, "%s up %t removed %t life %d lost %d stored %d waiting %d\n", m.address, m.up, m.removed, m.incarnation, m.lostDisks,
@@ -42,15 +45,15 @@
 	}
 }
 
-// outcome renders what came of a simulation. The number of events, and the number that is drawn next, depend on each message,
-// record and request of the run.
+// outcome describes the result of a simulation in one line. The number of events and the next random number depend on each
+// message, record and request of the run, so a difference in any of them shows.
 func outcome(w *Simulation, digest hash.Hash, broken error) string {
 	c := w.checker
 	return fmt.Sprintf("broken %t, %d events, next draw %016x, acknowledged %d, reads %d, refusals %d, holders %d, operations %d, digest %x\n",
 		broken != nil, w.lastEvent, w.random.Uint64(), c.acks, c.reads, c.rejections, c.holders, len(c.order), digest.Sum(nil)[:8])
 }
 
-// runAndDigest plays a schedule in slices and digests what there is after each.
+// runAndDigest runs a schedule, adds the state of the machines to a digest at each digestInterval, and returns the outcome.
 func runAndDigest(s Schedule) string {
 	w := NewSimulation(s.Options)
 	injector := newFaultInjector(w, s.Overlap)
@@ -70,7 +73,7 @@
 	return outcome(w, digest, nil)
 }
 
-// In the same schedules the members send, store and answer the same.
+// The members send, store and answer the same in these schedules as with the released build.
 func TestDecisionsUnchangedSchedules(t *testing.T) {
 	var text strings.Builder
 	for seed := range uint64(goldenScheduleCount) {
@@ -80,8 +83,9 @@
 		fmt.Fprintf(&text, "seed %d: %s", seed, runAndDigest(Generate(seed, NoFlaw)))
 	}
 	for seed := range uint64(2) {
-		calm := Schedule{Options: Options{Seed: seed, Members: 5, MostFailures: 2, Busy: true}, Steps: []Fault{{At: busyRunDuration, Kind: Kill}}}
-		fmt.Fprintf(&text, "busy seed %d: %s", seed, runAndDigest(calm))
+		options := Options{Seed: seed, Members: 5, MostFailures: 2, Busy: true}
+		singleFault := Schedule{Options: options, Steps: []Fault{{At: busyRunDuration, Kind: Kill}}}
+		fmt.Fprintf(&text, "busy seed %d: %s", seed, runAndDigest(singleFault))
 	}
 	fixture.Text(t, "testdata/schedules.txt", text.String())
 }
--- a/internal/lab/coresim/departure_checker.go
+++ b/internal/lab/coresim/departure_checker.go
@@ -9,18 +9,20 @@
 	"dykering/internal/sessions"
 )
 
-// departureBound is the time after the acknowledgement of a departure by which no member that serves streams may show the
-// endpoint as one that takes requests. It is less than the time for which endpoints serve on.
+// departureBound is the time after the acknowledgement of a departure from which on no member that serves streams may show the
+// endpoint in an earlier state. It must be less than drainTime, for which an endpoint still serves requests.
 const departureBound = 1500 * time.Millisecond
 
-// departureChecker checks what members that serve streams show of endpoints that have left.
+// departureChecker checks that members that serve streams show departed endpoints as departed.
 type departureChecker struct {
 	violation error
-	// acknowledged are the departures, by endpoint, with the latest state.
+	// acknowledged maps each endpoint to the latest acknowledged departure state.
 	acknowledged map[string]acknowledgedDeparture
-	acks         int
+	// acks counts the acknowledgements.
+	acks int
 }
 
+// acknowledgedDeparture is a state, draining or departed, and the time of its acknowledgement.
 type acknowledgedDeparture struct {
 	state sessions.State
 	at    time.Duration
@@ -30,13 +32,13 @@
 	return &departureChecker{acknowledged: map[string]acknowledgedDeparture{}}
 }
 
-// acknowledge records that an endpoint has the acknowledgement of its departure.
+// acknowledge records that an endpoint has received the acknowledgement of its departure.
 func (c *departureChecker) acknowledge(now time.Duration, id string, state sessions.State) {
 	c.acks++
 	c.acknowledged[id] = acknowledgedDeparture{state: state, at: now}
 }
 
-// observe checks a member that serves streams.
+// observe checks the endpoints that a member shows now, if it serves streams.
 func (c *departureChecker) observe(now time.Duration, p *sessionProcess) {
 	if c.violation != nil || !p.servesStreams(now) {
 		return
@@ -44,14 +46,14 @@
 	for id, departure := range c.acknowledged {
 		shown, ok := p.replica.Table().Get(id)
 		if ok && now-departure.at > departureBound && shown.State.Before(departure.state) {
-			c.violation = fmt.Errorf("%s shows endpoint %s as %s, %v after it was acknowledged as %s", p.m.address, id, shown.State,
+			c.violation = fmt.Errorf("member %s shows endpoint %s as %s, %v after it was acknowledged as %s", p.m.address, id, shown.State,
 				now-departure.at, departure.state)
 		}
 	}
 }
 
-// checkSessions checks, some time after the last fault, that departures are acknowledged again, and that the members have the
-// same sessions.
+// checkSessions checks, after the last fault, that departures are acknowledged again, and that all members have the sessions
+// in the acknowledged states.
 func (sim *Simulation) checkSessions() error {
 	t := sim.sessions
 	if t == nil {
@@ -62,16 +64,17 @@
 		return err
 	}
 	if t.checker.acks == before {
-		return fmt.Errorf("no departure is acknowledged in %v of calm", sessionSettleTime)
+		return fmt.Errorf("no departure is acknowledged within %v without faults", sessionSettleTime)
 	}
 	return sim.checkSameSessions()
 }
 
-// sessionSettleTime is how long after the last fault a departure must have been acknowledged, and the members must be the same.
+// sessionSettleTime is the time after the last fault within which a departure must be acknowledged and all members must have
+// the acknowledged states.
 const sessionSettleTime = 12 * time.Second
 
-// checkSameSessions checks that any two members have each endpoint in the same state, but for those whose last change is on its
-// way.
+// checkSameSessions checks that no running member shows an endpoint in a state before its acknowledged one. Departures that were
+// acknowledged within departureBound are not checked, as they may still be in transit.
 func (sim *Simulation) checkSameSessions() error {
 	ids := slices.Sorted(maps.Keys(sim.sessions.checker.acknowledged))
 	for _, m := range sim.runningMachines() {
@@ -79,7 +82,8 @@
 			departure := sim.sessions.checker.acknowledged[id]
 			shown, ok := m.sessions.replica.Table().Get(id)
 			if ok && sim.now-departure.at > departureBound && shown.State.Before(departure.state) {
-				return fmt.Errorf("%s has endpoint %s as %s in the end, which was acknowledged as %s", m.address, id, shown.State, departure.state)
+				return fmt.Errorf("member %s shows endpoint %s as %s at the end of the run, which was acknowledged as %s", m.address, id,
+					shown.State, departure.state)
 			}
 		}
 	}
--- a/internal/lab/coresim/disk.go
+++ b/internal/lab/coresim/disk.go
@@ -4,17 +4,18 @@
 	"dykering/internal/chain"
 )
 
-// maxRecordsInFile is how many records a file of the simulated disk holds. The next one is a snapshot, which replaces all
-// records before it, as in internal/controlplane.
+// maxRecordsInFile is the number of records in a file of the simulated disk. The next record is a snapshot, which replaces all
+// earlier records, as in internal/controlplane.
 const maxRecordsInFile = 64
 
-// storeJob is an output that is to be stored: its messages are sent once its records are on disk.
+// storeJob is an output of the state machine. Its messages are sent only when its records are on disk.
 type storeJob struct {
 	records  []any
 	messages []chain.Envelope
 }
 
-// recordsToStore returns what is stored for the records of an output: a snapshot in place of one that begins a new file.
+// recordsToStore returns the records that are stored for an output. A record that would begin a new file is replaced by a
+// snapshot.
 func (m *machine) recordsToStore(records []any) []any {
 	var stored []any
 	for _, record := range records {
@@ -31,7 +32,7 @@
 	return stored
 }
 
-// startSync stores all queued jobs with one sync, unless one is under way.
+// startSync stores all queued jobs with one sync, unless a sync is in progress.
 func (m *machine) startSync(incarnation int) {
 	if m.incarnation != incarnation || m.isSyncing || len(m.queued) == 0 {
 		return
@@ -48,7 +49,7 @@
 	m.sim.after(duration, func() { m.finishSync(incarnation, jobs) })
 }
 
-// finishSync sends the messages of the jobs that are now on disk, once the process is not frozen.
+// finishSync puts the records of the jobs on the disk and sends their messages. A frozen process does so after its resumption.
 func (m *machine) finishSync(incarnation int, jobs []storeJob) {
 	if m.incarnation != incarnation || !m.up {
 		return
@@ -68,7 +69,7 @@
 	m.startSync(incarnation)
 }
 
-// persist puts records on the disk.
+// persist puts records on the disk. A snapshot replaces all earlier records.
 func (m *machine) persist(records []any) {
 	for _, record := range records {
 		if _, isSnapshot := record.(chain.Snapshot); isSnapshot {
@@ -78,7 +79,7 @@
 	}
 }
 
-// persistTorn puts a random part of the records on the disk whose sync is under way.
+// persistTorn puts a random prefix of the records whose sync is in progress on the disk.
 func (m *machine) persistTorn() {
 	var records []any
 	for _, job := range m.syncing {
@@ -87,13 +88,13 @@
 	m.persist(records[:m.sim.random.IntN(len(records)+1)])
 }
 
-// loseDisk empties the disk of a process that does not run.
+// loseDisk empties the disk of a machine whose process does not run.
 func (m *machine) loseDisk() {
 	m.disk, m.sessionDisk = nil, nil
 	m.lostDisks++
 }
 
-// persistedOperations returns the number of operations on the disk.
+// persistedOperations returns the number of operations that a process would restore from the disk.
 func (m *machine) persistedOperations() int {
 	if len(m.disk) == 0 {
 		return 0
--- a/internal/lab/coresim/endchecks.go
+++ b/internal/lab/coresim/endchecks.go
@@ -4,14 +4,15 @@
 	"fmt"
 )
 
-// checkEnd checks, some time after the last fault, that the core has recovered: operations are acknowledged, all members have
-// caught up, and what was acknowledged is on enough disks.
+// checkEnd checks that the core has recovered from the last fault: operations are acknowledged, all members have caught up,
+// and every acknowledged operation is on enough disks. It also checks the sessions, the coordination service and the
+// placement, if the simulation has them.
 func (sim *Simulation) checkEnd() error {
 	if !sim.MakesProgress(progressTimeout) {
 		if sim.checker.violation != nil {
 			return sim.checker.violation
 		}
-		return fmt.Errorf("nothing is acknowledged in %v of calm: %+v", progressTimeout, sim.Views())
+		return fmt.Errorf("nothing is acknowledged within %v without faults; views: %+v", progressTimeout, sim.Views())
 	}
 	if err := sim.checkCaughtUp(); err != nil {
 		return err
@@ -37,14 +38,15 @@
 	}
 	for _, m := range sim.runningMachines() {
 		if view := m.node.View(); view.Number < latest || !m.node.IsInChain() {
-			return fmt.Errorf("%s has not caught up: it has view %d of %d", m.address, view.Number, latest)
+			return fmt.Errorf("member %s has not caught up: it has view %d, the latest is %d", m.address, view.Number, latest)
 		}
 	}
 	return nil
 }
 
-// checkReplicas checks that the acknowledged operations are on one disk more than may be lost, not counting that of a member
-// that has just left (nil for none). Each disk that was lost and has not caught up reduces what is required.
+// checkReplicas checks that the acknowledged operations are on MostFailures + 1 disks, so that they survive the loss of
+// MostFailures more. The disk of left, a member that has just left (nil for none), does not count. Each disk that was lost
+// and has not caught up reduces the required number by one.
 func (sim *Simulation) checkReplicas(left *machine) {
 	acked := 0
 	for _, number := range sim.checker.acked {
--- a/internal/lab/coresim/endpoint.go
+++ b/internal/lab/coresim/endpoint.go
@@ -11,7 +11,7 @@
 	"dykering/internal/placement"
 )
 
-// The emulated endpoints and the origin of the weights. An endpoint has room for two of the models.
+// Properties of the emulated endpoints and of the origin of the weights. An endpoint has memory for two models.
 const (
 	endpointCount    = 6
 	modelCount       = 24
@@ -21,18 +21,18 @@
 	loadsPerSecond   = 1.2
 	ceilingWindow    = 5 * time.Second
 	ceilingOvershoot = 1.1
-	// ceilingSlack is how many loads may begin in a window beyond what the rate and the overshoot allow.
+	// ceilingSlack is the number of loads that may begin in a window in addition to those that the rate and the overshoot allow.
 	ceilingSlack = 3
 	serviceName  = "service"
-	// maxLoadSlowdown is by which factor a load may take longer than told.
+	// maxLoadSlowdown is the largest factor by which a load takes longer than modelLoadSeconds.
 	maxLoadSlowdown = 3
-	// unloadDuration is how long an endpoint takes to unload.
+	// unloadDuration is the time that an endpoint takes to unload a model.
 	unloadDuration = 10 * time.Millisecond
-	// heartbeatInterval is how often the members learn what an endpoint has loaded.
+	// heartbeatInterval is the interval at which the members learn which models an endpoint has loaded.
 	heartbeatInterval = 1200 * time.Millisecond
 )
 
-// engine is the configured engine of the emulated endpoints.
+// engine returns the configuration of the inference engine of the emulated endpoints.
 func engine() *fleetconfig.Engine {
 	engine := &fleetconfig.Engine{WeightsSizeMB: endpointSizeMB, AdapterSlots: 1, LoadsPerS: loadsPerSecond}
 	for i := range modelCount {
@@ -45,21 +45,21 @@
 
 func modelName(i int) string { return fmt.Sprintf("model-%d", i) }
 
-// endpoint is an emulated endpoint. It executes one order at a time, and is reached by all members at all times: that a member
-// is cut off from the others says nothing about its way to an endpoint.
+// endpoint is an emulated endpoint. It executes one order at a time. All members can reach it at all times, since a partition
+// between the members need not affect their connections to the endpoints.
 type endpoint struct {
 	id       string
 	sim      *Simulation
 	models   map[string][]string
 	sequence uint64
 	busy     bool
-	// heartbeat is what the members know of its models.
+	// heartbeat contains the models in the last heartbeat, which is what the members know.
 	heartbeat map[string][]string
-	// earlier are its reports of the last orders.MaxReportAge, the oldest first: any of them may be shown.
+	// recentReports are the reports of the last orders.MaxReportAge, the oldest first. A request may get any of them.
 	recentReports []datedReport
 }
 
-// datedReport is the report of an endpoint from a time on.
+// datedReport is a report of an endpoint that is valid from the time since on.
 type datedReport struct {
 	since  time.Duration
 	report orders.Report
@@ -72,13 +72,13 @@
 	return e
 }
 
-// beat sends a heartbeat.
+// sendHeartbeat sends a heartbeat now and at each interval.
 func (e *endpoint) sendHeartbeat() {
 	e.heartbeat = maps.Clone(e.models)
 	e.sim.after(heartbeatInterval, e.sendHeartbeat)
 }
 
-// remember keeps the present report, which may be shown for orders.MaxReportAge after it has changed.
+// recordReport stores the present report and drops reports that were superseded more than orders.MaxReportAge ago.
 func (e *endpoint) recordReport() {
 	report := orders.Report{Models: maps.Clone(e.models), Busy: e.busy, Sequence: e.sequence}
 	e.recentReports = append(e.recentReports, datedReport{since: e.sim.now, report: report})
@@ -87,7 +87,7 @@
 	}
 }
 
-// report returns the endpoint's report as it was at a random time of the last orders.MaxReportAge.
+// report returns the endpoint's report as it was at a random time within the last orders.MaxReportAge.
 func (e *endpoint) report(random *rand.Rand) orders.Report {
 	at := e.sim.now - time.Duration(random.Int64N(int64(orders.MaxReportAge)))
 	shown := e.recentReports[0].report
@@ -99,7 +99,7 @@
 	return shown
 }
 
-// receive takes an order, as the operators' page has it.
+// receive accepts an order and begins to execute it, or answers with a conflict while another one is in progress.
 func (e *endpoint) receive(order placement.Order, random *rand.Rand) orders.Outcome {
 	if e.busy {
 		return orders.Conflict
@@ -118,7 +118,7 @@
 	return orders.Accepted
 }
 
-// finish ends the order that is in progress.
+// finish completes the order that is in progress.
 func (e *endpoint) finish(order placement.Order) {
 	after := placement.Endpoint{Models: e.models}
 	after.Apply(order)
--- a/internal/lab/coresim/eventqueue.go
+++ b/internal/lab/coresim/eventqueue.go
@@ -8,7 +8,7 @@
 // event is a function that runs at a point in virtual time.
 type event struct {
 	at time.Duration
-	// number orders the events of the same time by when they were scheduled.
+	// number orders events with the same time by the order in which they were scheduled.
 	number uint64
 	run    func()
 }
@@ -36,11 +36,11 @@
 	return last
 }
 
-// at schedules a function for a time, or for the present if that has passed.
+// at schedules a function for a time, or for now if that time has passed.
 func (sim *Simulation) at(when time.Duration, run func()) {
 	sim.lastEvent++
 	heap.Push(&sim.events, event{at: max(when, sim.now), number: sim.lastEvent, run: run})
 }
 
-// after schedules a function for a time from now.
+// after schedules a function to run after a delay.
 func (sim *Simulation) after(delay time.Duration, run func()) { sim.at(sim.now+delay, run) }
--- a/internal/lab/coresim/faultbudget.go
+++ b/internal/lab/coresim/faultbudget.go
@@ -4,23 +4,23 @@
 	"time"
 )
 
-// faultInjector injects the faults of a schedule, and skips those that would exceed what Options.MostFailures tolerates.
-// Members are identified by their index at the start; a replacement counts as the member that it replaces.
+// faultInjector injects the faults of a schedule. It skips a fault that would make more than Options.MostFailures members fail
+// at once. Members are identified by their index at the start; a replacement has the index of the member that it replaces.
 type faultInjector struct {
 	sim *Simulation
-	// overlap is Schedule.Overlap: only lost disks are limited.
+	// overlap is Schedule.Overlap: the budget limits lost disks only, not failed members.
 	overlap bool
-	// failedUntil is until when a member counts as failed: until it has recovered and caught up.
+	// failedUntil maps a member to the time until which it counts as failed, which includes the time to catch up.
 	failedUntil map[int]time.Duration
-	// downUntil is when the fault of a member ends.
+	// downUntil maps a member to the end of its fault.
 	downUntil map[int]time.Duration
-	// lostDisks is the number of disks lost in a schedule whose faults overlap.
+	// lostDisks is the number of disks that were lost so far. It limits further losses if overlap is set.
 	lostDisks int
-	// overBudgetUntil is until when more members may be down than is tolerated.
+	// overBudgetUntil is the time until which more members may be down than the core tolerates.
 	overBudgetUntil time.Duration
 	// lastChange is when the latest fault began or ended.
 	lastChange time.Duration
-	// leavingUntil is until when, at most, a member leaves for good.
+	// leavingUntil maps a member that leaves for good to the end of its grace period.
 	leavingUntil map[int]time.Duration
 }
 
@@ -34,7 +34,7 @@
 	}
 }
 
-// isWithinBudget reports whether a fault may be injected now.
+// isWithinBudget reports whether a fault may be injected now. KillAll and Split always may: exceedBudget accounts for them.
 func (f *faultInjector) isWithinBudget(fault Fault) bool {
 	maxFailures := f.sim.options.MostFailures
 	if f.overlap {
@@ -51,18 +51,18 @@
 	return f.otherFailed(fault.Member) < maxFailures
 }
 
-// noMember is the index of no member.
+// noMember is an index that no member has.
 const noMember = -1
 
-// otherFailed returns how many members other than one count as failed.
+// otherFailed returns how many members, except the given one, count as failed.
 func (f *faultInjector) otherFailed(member int) int {
 	return countAfter(f.failedUntil, f.sim.now, member)
 }
 
-// down returns how many members have a fault that has not ended.
+// down returns how many members have a fault that has not ended yet.
 func (f *faultInjector) down() int { return countAfter(f.downUntil, f.sim.now, noMember) }
 
-// countAfter returns how many members, except one, have a time after now.
+// countAfter returns how many members, except the given one, are mapped to a time after now.
 func countAfter(times map[int]time.Duration, now time.Duration, except int) int {
 	count := 0
 	for member, until := range times {
@@ -73,7 +73,7 @@
 	return count
 }
 
-// markFailed counts a member as down for a time, and as failed until it has caught up after it.
+// markFailed marks a member as down for a duration, and as failed until catchUpTime after it.
 func (f *faultInjector) markFailed(member int, duration time.Duration) {
 	now := f.sim.now
 	f.failedUntil[member] = max(f.failedUntil[member], now+duration+catchUpTime)
@@ -82,13 +82,13 @@
 	f.scheduleChange(now + duration)
 }
 
-// scheduleChange sets lastChange when a fault begins or ends at a time.
+// scheduleChange schedules that lastChange is set to the given time, at which a fault begins or ends.
 func (f *faultInjector) scheduleChange(at time.Duration) {
 	f.sim.at(at, func() { f.lastChange = max(f.lastChange, f.sim.now) })
 }
 
-// exceedBudget allows that more members are down than is tolerated until a time. Members that count as failed cannot catch up
-// before, and those that are leaving cannot leave, as no majority agrees to it: they count as failed until some time after it.
+// exceedBudget records that more members may be down than the core tolerates until a time. Without a majority, failed members
+// cannot catch up and leaving members cannot leave before that time, so both count as failed until catchUpTime after it.
 func (f *faultInjector) exceedBudget(until time.Duration) {
 	now := f.sim.now
 	if until <= now {
--- a/internal/lab/coresim/faults.go
+++ b/internal/lab/coresim/faults.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// inject injects a fault, unless its member is already away or the fault would exceed what is tolerated.
+// inject injects a fault, unless its member is down, leaving or being replaced, or the fault would exceed the budget.
 func (f *faultInjector) inject(fault Fault) {
 	m := f.target(fault.Member)
 	if m.removed || !m.up || m.leaveDeadline != 0 || m.isBeingReplaced || !f.isWithinBudget(fault) {
@@ -28,7 +28,7 @@
 	}
 }
 
-// target returns the machine of a member, or the one that has replaced it.
+// target returns the machine of a member, or the latest machine that has replaced it.
 func (f *faultInjector) target(member int) *machine {
 	m := f.sim.machines[member]
 	for m.successor != nil {
@@ -78,12 +78,12 @@
 	}
 }
 
-// replaceAsPlanned starts the machine that replaces another one, which then leaves for good. The new one counts as failed
-// until it has had the time to join, the old one not at all.
+// replaceAsPlanned starts a replacement of a machine, which later leaves permanently. The member counts as failed until the
+// replacement has had the time to join. The planned stop of the old machine does not count as a failure.
 func (f *faultInjector) replaceAsPlanned(fault Fault, m *machine) {
 	sim := f.sim
 	replacement := sim.addReplacement(m)
-	m.successor = nil // faults still affect the old one, until it leaves
+	m.successor = nil // faults still affect the old machine until it leaves
 	m.isBeingReplaced = true
 	f.failedUntil[fault.Member] = sim.now + catchUpTime
 	f.scheduleChange(sim.now)
@@ -103,7 +103,7 @@
 	sim.after(fault.For, leave)
 }
 
-// killAll kills all processes, of which some lose their disks.
+// killAll kills all processes. Some of them lose their disks, according to the kind of the fault.
 func (f *faultInjector) killAll(fault Fault, m *machine) {
 	sim := f.sim
 	allRestarted := sim.now + fault.For*3/2
@@ -144,9 +144,9 @@
 }
 
 const (
-	// killAfterHealWithin is how long after the end of an isolation the others are killed at most.
+	// killAfterHealWithin is the longest time from the end of the isolation until the other members are killed.
 	killAfterHealWithin = 300 * time.Millisecond
-	// maxRestartDelay is how long they take to restart at most.
+	// maxRestartDelay is the longest time until a killed member restarts.
 	maxRestartDelay = time.Second
 )
 
@@ -166,8 +166,8 @@
 	})
 }
 
-// lagThenRecover isolates a member, so that it lags behind, kills all others, of which one loses its disk, and ends the
-// isolation while only the lagging and the empty member run.
+// lagThenRecover isolates a member, so that it lags behind, and kills all others, of which one loses its disk. The isolation
+// ends while only the lagging member and the one with the empty disk run.
 func (f *faultInjector) lagThenRecover(fault Fault, lagging *machine) {
 	sim := f.sim
 	end := sim.now + fault.For
--- a/internal/lab/coresim/flaws.go
+++ b/internal/lab/coresim/flaws.go
@@ -3,13 +3,13 @@
 import "dykering/internal/chain"
 
 // Flaw is a bug that is planted in the simulated processes, to show that the search finds it. The values are arguments and
-// output of the commands, and part of written schedules: they are fixed.
+// output of the commands and are stored in schedule files, so they must not change.
 type Flaw string
 
 // NoFlaw plants no bug.
 const NoFlaw Flaw = ""
 
-// Flaws of the disk: what is acknowledged or promised is not stored.
+// Flaws of persistence: a member acknowledges or promises something that its disk does not hold.
 const (
 	SendBeforeSync Flaw = "messages go out before their records are stored"
 	AckAtHead      Flaw = "the head acknowledges what it alone has stored"
@@ -19,13 +19,13 @@
 	RestartBehind  Flaw = "a restarted member has lost the newest record that it stored"
 )
 
-// Flaws of the agreement on views: a new view starts from an older state.
+// Flaws of the agreement on views: a new view starts from a state that lacks an entry.
 const (
 	ShortPromise Flaw = "a promise leaves out the newest entry of its member"
 	ShortInstall Flaw = "a view begins without the newest entry that was agreed on"
 )
 
-// Flaws of reads and rejections: a replaced or restarted member answers.
+// Flaws of reads and rejections: a replaced or restarted member answers from its own state.
 const (
 	ReadUnconfirmed   Flaw = "the tail answers reads without a majority's word"
 	ReadUncommitted   Flaw = "the tail answers reads with what it has not stored yet"
@@ -33,7 +33,7 @@
 	RejectUnconfirmed Flaw = "the head refuses without a majority's word"
 )
 
-// Flaws of the lease.
+// Flaws of the lease: two members act as the holder, or a fencing token does not protect against a former holder.
 const (
 	LeaseUnconfirmed Flaw = "the holder acts without a majority's word"
 	NoTakeoverDelay  Flaw = "a new holder acts at once"
@@ -42,32 +42,32 @@
 	ConstantToken    Flaw = "the token does not rise with the holder"
 )
 
-// Flaws of the decision on an operation.
+// Flaws of the head's decision on an operation: it applies one twice, or one that conflicts.
 const (
 	ForgetApplied Flaw = "an operation that was taken is not known when it comes again"
 	IgnoreBase    Flaw = "the head takes what builds on another version"
 )
 
-// Flaws of a planned stop.
+// Flaws of a planned stop: a leaving member ends while it is still needed.
 const (
 	StopAsSurplusVoter   Flaw = "a leaving member ends while it is one voter too many"
 	StopBeforeReplicated Flaw = "a leaving member ends before others have on disk what it holds"
 	StopWithoutAgreement Flaw = "a leaving member ends after half of the grace period though no majority has agreed"
 )
 
-// Flaws of the placement. They are found with Options.Placement alone.
+// Flaws of the placement. Only a search with Options.Placement finds them.
 const (
 	OrderWithoutLease Flaw = "orders go out under a lease that was held once"
 	ForgetLedger      Flaw = "a new holder of the placement begins with an empty ledger"
 )
 
-// Flaws of the sessions. They are found with Options.Sessions alone.
+// Flaws of the sessions. Only a search with Options.Sessions finds them.
 const (
 	AckDepartureAtOnce Flaw = "an endpoint's departure is acknowledged before it is on any disk"
 	ServeBeforeSync    Flaw = "a member serves streams before it has its peers' sessions"
 )
 
-// Flaws of the coordination service. They are found with Options.Coordination alone.
+// Flaws of the coordination service. Only a search with Options.Coordination finds them.
 const (
 	KeepHoldTimers        Flaw = "hold timers are not reset when a view is installed"
 	RenewUnconfirmed      Flaw = "a renewal is answered without a majority's word"
@@ -82,7 +82,7 @@
 	UnknownAsNotExecuted  Flaw = "an unknown outcome is answered as not executed"
 )
 
-// coordinationFlaws are those of the coordination service.
+// coordinationFlaws are the flaws that only a search with Options.Coordination finds.
 var coordinationFlaws = []Flaw{
 	KeepHoldTimers, RenewUnconfirmed, TokensPerIncarnation, FinishAnyToken, NumbersPerIncarnation, RepeatedPutIsNew,
 	WatchSkipsEvent, WatchUncommitted, ReadAtAnyMember, ExecuteDuplicates, UnknownAsNotExecuted,
@@ -108,7 +108,7 @@
 	return chain.State{Seq: state.Seq - 1, Value: value}
 }
 
-// message returns a message as a process with the flaw sends it.
+// message returns the message that a process with the flaw sends in place of a correct one.
 func (f Flaw) message(message any) any {
 	switch m := message.(type) {
 	case chain.Promise:
@@ -131,7 +131,7 @@
 	return message
 }
 
-// status returns the status that a process with the flaw reports.
+// status returns the status that a process with the flaw reports in place of a correct one.
 func (f Flaw) status(status chain.Status) chain.Status {
 	if f == StopAsSurplusVoter {
 		status.Leaving = false
@@ -139,7 +139,7 @@
 	return status
 }
 
-// sendEarlyCommit makes a head with EarlyCommit count entries as committed that it forwards.
+// sendEarlyCommit makes a head with the flaw EarlyCommit treat the entries that it forwards as committed.
 func (m *machine) sendEarlyCommit(envelope chain.Envelope) {
 	entries, ok := envelope.Message.(chain.Append)
 	if m.sim.options.Flaw != EarlyCommit || !ok || !m.node.IsHead() {
@@ -149,7 +149,7 @@
 	m.process(m.node.Receive(m.sim.now, chain.Committed{From: entries.From, View: entries.View, Seq: last}))
 }
 
-// restartRecords returns the records that a process finds on its disk when it restarts.
+// restartRecords returns the records that a restarted process with the flaw reads, given those on its disk.
 func (f Flaw) restartRecords(records []any, node *chain.Node) []any {
 	switch {
 	case f == ForgetPromise:
@@ -162,7 +162,7 @@
 	return records
 }
 
-// withoutPromises returns records without promises and accepted proposals.
+// withoutPromises returns the records without promises and accepted proposals. Snapshots are kept without theirs.
 func withoutPromises(records []any) []any {
 	var kept []any
 	for _, record := range records {
--- a/internal/lab/coresim/leave_test.go
+++ b/internal/lab/coresim/leave_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// inject starts a core and injects faults whatever the budget says: planned stops are no failures, and the budget counts them
-// as such. It returns the simulation at its start.
+// inject creates a simulation with scheduled faults. It bypasses the fault budget, which would skip some of them, since it
+// counts planned stops as failures.
 func inject(options Options, steps ...Fault) *Simulation {
 	sim := NewSimulation(options)
 	injector := newFaultInjector(sim, true)
@@ -23,8 +23,9 @@
 	fiveMembers  = Options{Seed: 7, Members: 5, MostFailures: 2}
 )
 
-// removeDuringCut removes the head while one member is isolated, so that no majority can agree to it. The disk of another one
-// is lost before the isolation ends: the head then has the only copy of what was acknowledged meanwhile.
+// removeDuringCut removes the head while one member is isolated, so that no majority can agree to the removal. The disk of
+// another member is lost before the isolation ends, so the head has the only copy of the operations that were acknowledged
+// meanwhile. removeDuringTwoCuts is the same in a core of five members.
 var (
 	removeDuringCut = []Fault{
 		{3 * s, Isolate, 2, 6 * s}, {3800 * ms, Remove, 0, 9 * s}, {6 * s, LoseDisk, 1, s},
@@ -34,18 +35,18 @@
 	}
 )
 
-var _ = Describe("a member that leaves where no majority can agree to it", func() {
-	// end runs until every fault is over, and checks that nothing is lost and that the core has recovered.
-	end := func(sim *Simulation) error {
+var _ = Describe("a member that leaves while no majority can agree to it", func() {
+	// runToEnd runs until every fault is over, and checks that no operation is lost and that the core has recovered.
+	runToEnd := func(sim *Simulation) error {
 		if err := sim.Run(25 * s); err != nil {
 			return err
 		}
 		return sim.checkEnd()
 	}
 
-	DescribeTable("stays until the others have what it holds",
+	DescribeTable("runs until enough other members have its data",
 		func(options Options, steps ...Fault) {
-			Expect(end(inject(options, steps...))).To(Succeed())
+			Expect(runToEnd(inject(options, steps...))).To(Succeed())
 		},
 		Entry("leave during a cut, f = 1", threeMembers, Fault{3 * s, Isolate, 2, 6 * s}, Fault{3800 * ms, Leave, 0, s}),
 		Entry("leave during a cut, f = 2", fiveMembers, Fault{3 * s, Isolate, 3, 6 * s}, Fault{3 * s, Isolate, 4, 6 * s}, Fault{3800 * ms, Leave, 0, s}),
@@ -54,36 +55,36 @@
 		Entry("leave, then a disk lost within the grace period, f = 1", threeMembers, Fault{3 * s, Leave, 0, s}, Fault{3100 * ms, LoseDisk, 1, s}),
 		Entry("leave, then two disks lost within the grace period, f = 2", fiveMembers,
 			Fault{3 * s, Leave, 0, s}, Fault{3100 * ms, LoseDisk, 1, s}, Fault{3100 * ms, LoseDisk, 2, s}),
-		Entry("all leave at once and come back", threeMembers, Fault{3 * s, Leave, 0, s}, Fault{3 * s, Leave, 1, s}, Fault{3 * s, Leave, 2, s}),
-		Entry("leave and loss of power in the same instant", threeMembers, Fault{3 * s, Leave, 0, s}, Fault{3 * s, Kill, 0, s}),
-		Entry("removed for good during a cut, then a disk lost, f = 1", threeMembers, removeDuringCut[0], removeDuringCut[1], removeDuringCut[2]),
-		Entry("removed for good during a cut, then two disks lost, f = 2", fiveMembers,
+		Entry("all leave at once and restart", threeMembers, Fault{3 * s, Leave, 0, s}, Fault{3 * s, Leave, 1, s}, Fault{3 * s, Leave, 2, s}),
+		Entry("leave and kill at the same time", threeMembers, Fault{3 * s, Leave, 0, s}, Fault{3 * s, Kill, 0, s}),
+		Entry("removed permanently during a cut, then a disk lost, f = 1", threeMembers, removeDuringCut[0], removeDuringCut[1], removeDuringCut[2]),
+		Entry("removed permanently during a cut, then two disks lost, f = 2", fiveMembers,
 			removeDuringTwoCuts[0], removeDuringTwoCuts[1], removeDuringTwoCuts[2], removeDuringTwoCuts[3], removeDuringTwoCuts[4]),
 	)
 
-	DescribeTable("is detected if it does not",
+	DescribeTable("is detected if it stops without agreement of a majority",
 		func(options Options, steps ...Fault) {
 			options.Flaw = StopWithoutAgreement
-			Expect(end(inject(options, steps...))).To(MatchError(ContainSubstring("nothing is acknowledged")))
+			Expect(runToEnd(inject(options, steps...))).To(MatchError(ContainSubstring("nothing is acknowledged")))
 		},
 		Entry("f = 1", threeMembers, removeDuringCut[0], removeDuringCut[1], removeDuringCut[2]),
 		Entry("f = 2", fiveMembers, removeDuringTwoCuts[0], removeDuringTwoCuts[1], removeDuringTwoCuts[2], removeDuringTwoCuts[3], removeDuringTwoCuts[4]),
 	)
 
-	It("lets the core go on acknowledging until it is killed", func() {
+	It("does not stop the core from acknowledging operations before it is killed", func() {
 		sim := inject(threeMembers, Fault{3 * s, Leave, 0, s}, Fault{3 * s, Isolate, 2, 10 * s})
 		Expect(sim.Run(5 * s)).To(Succeed())
 		Expect(sim.MakesProgress(s)).To(BeTrue())
 	})
 
-	It("passes the lease on at once", func() {
+	It("transfers the lease before it stops", func() {
 		sim := inject(threeMembers, Fault{3 * s, Isolate, 2, 10 * s}, Fault{4 * s, Leave, 0, s})
 		Expect(sim.Run(8 * s)).To(Succeed())
 		_, holds := sim.machines[1].node.HoldsLease(sim.now)
 		Expect(holds).To(BeTrue())
 	})
 
-	It("counts as itself once it is back on its disk", func() {
+	It("keeps its member identifier when it restarts with its disk", func() {
 		sim := inject(threeMembers, Fault{3 * s, Leave, 0, s})
 		id := sim.machines[0].node.Self().ID
 		Expect(sim.Run(12 * s)).To(Succeed())
@@ -93,7 +94,7 @@
 		Expect(sim.machines[1].node.TolerableLosses(sim.now)).To(Equal(1))
 	})
 
-	It("is no longer counted on by the others", func() {
+	It("does not count towards the losses that the other members can tolerate", func() {
 		sim := inject(threeMembers, Fault{3 * s, Isolate, 2, 10 * s}, Fault{4 * s, Leave, 0, s})
 		Expect(sim.Run(3900 * time.Millisecond)).To(Succeed())
 		Expect(sim.machines[1].node.TolerableLosses(sim.now)).To(Equal(0))
@@ -101,7 +102,7 @@
 		Expect(sim.machines[1].node.TolerableLosses(sim.now)).To(Equal(-1))
 	})
 
-	It("stops at once where the whole core does", func() {
+	It("stops within a second if all members leave", func() {
 		sim := inject(threeMembers, Fault{3 * s, Leave, 0, 20 * s}, Fault{3 * s, Leave, 1, 20 * s}, Fault{3 * s, Leave, 2, 20 * s})
 		Expect(sim.Run(4 * s)).To(Succeed())
 		Expect(sim.runningMachines()).To(BeEmpty())
--- a/internal/lab/coresim/lock_callers.go
+++ b/internal/lab/coresim/lock_callers.go
@@ -7,29 +7,29 @@
 	"dykering/internal/coordination"
 )
 
-// The load on locks.
+// The load on locks, and the times that the callers draw from.
 const (
 	lockCount       = 3
 	lockCallerCount = 5
 	maxLockPause    = 300 * time.Millisecond
 	minHold         = 300 * time.Millisecond
 	maxHold         = 4 * time.Second
-	// maxLongHold is how long a caller renews a hold at most.
+	// maxLongHold is the longest time for which a caller renews a hold.
 	maxLongHold = 8 * time.Second
-	// renewalsPerHold is how often a hold is renewed within its time.
+	// renewalsPerHold is the number of renewals within the duration of a hold.
 	renewalsPerHold = 3
-	// maxCrashDuration is how long a caller that died stays away.
+	// maxCrashDuration is the longest time until a crashed caller restarts.
 	maxCrashDuration = 5 * time.Second
 )
 
-// lockCaller takes one lock after another, always under the same name.
+// lockCaller is an emulated application that acquires one lock after another, always under the same holder name.
 type lockCaller struct {
 	table  *coordinationTable
 	holder string
 	lock   string
 	token  uint64
 	hold   time.Duration
-	// generation counts the holds and deaths of the caller: answers to calls of earlier ones are ignored.
+	// generation counts the holds and crashes of the caller. Answers to calls of an earlier generation are ignored.
 	generation int
 }
 
@@ -40,7 +40,7 @@
 	}
 }
 
-// next takes a lock after a pause.
+// acquireNext acquires a random lock.
 func (c *lockCaller) acquireNext() {
 	t := c.table
 	if t.stopping {
@@ -51,7 +51,7 @@
 	c.acquire()
 }
 
-// begin asks for the lock until there is a clear answer.
+// acquire requests the lock, with retries, until there is a definite answer.
 func (c *lockCaller) acquire() {
 	t := c.table
 	c.generation++
@@ -80,7 +80,7 @@
 	}}
 }
 
-// granted continues with a lock that was taken.
+// onGranted handles a granted lock. The caller then releases it, crashes, lets it expire, or renews it.
 func (c *lockCaller) onGranted(sentAt time.Duration, token, floor uint64) {
 	t, now := c.table, c.table.sim.now
 	t.locks.recordGrant(c.lock, c.holder, token, floor)
@@ -103,7 +103,7 @@
 	}
 }
 
-// renewUntil renews the hold until a time, and then gives it back.
+// renewUntil renews the hold until a time and then releases the lock.
 func (c *lockCaller) renewUntil(end time.Duration) {
 	t := c.table
 	generation := c.generation
@@ -121,7 +121,7 @@
 	})
 }
 
-// renew asks for more time. An answer that comes after the time has run out counts for nothing.
+// renew requests an extension of the hold. An answer that arrives after the hold has expired does not extend it.
 func (c *lockCaller) renew() {
 	t := c.table
 	generation, lock, hold := c.generation, c.lock, c.hold
@@ -135,8 +135,8 @@
 	})
 }
 
-// finish gives the lock back. In one of two cases the caller does not wait for the answer, and may take the same lock again at
-// once.
+// finish releases the lock. In half of the cases the caller does not wait for the answer, and it may then acquire the same
+// lock again immediately.
 func (c *lockCaller) finish() {
 	t := c.table
 	c.generation++
@@ -159,8 +159,8 @@
 	})
 }
 
-// die ends the caller while it holds the lock, perhaps with a renewal on its way. It comes back under the same name, and often
-// asks for the same lock.
+// crash ends the caller while it holds the lock, in half of the cases with a renewal in flight. It restarts later under the
+// same holder name, and in half of the cases requests the same lock.
 func (c *lockCaller) crash() {
 	t := c.table
 	if t.oneIn(2) {
@@ -176,8 +176,8 @@
 	})
 }
 
-// renewAfterExpiry lets the time of the hold pass, and asks for more then: the answer counts for nothing. In one of two cases the
-// caller gives the lock back that it may have lost.
+// renewAfterExpiry lets the hold expire and renews it only then. The caller ignores the answer. In half of the cases it then
+// releases the lock that it may have lost.
 func (c *lockCaller) renewAfterExpiry(until time.Duration) {
 	t := c.table
 	t.sim.at(until+t.duration(1, maxHold), func() {
--- a/internal/lab/coresim/lock_checker.go
+++ b/internal/lab/coresim/lock_checker.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// lockChecker checks the guarantee ONE of locks by what the callers see.
+// lockChecker checks the guarantee ONE of locks from the callers' observations: at most one caller holds a lock at a time,
+// and fencing tokens rise from holder to holder.
 type lockChecker struct {
 	violation error
 	locks     map[string]*lockHistory
-	// grants counts the holds that were begun, renewals those that were given more time in time.
+	// grants counts the locks that were granted, renewals the renewals that were answered before the hold ended.
 	grants, renewals int
 }
 
-// lockHistory is what was seen of one lock.
+// lockHistory contains the observations of one lock.
 type lockHistory struct {
-	// heldUntil is until when each caller counts itself the holder.
+	// heldUntil maps each caller to the time until which it considers itself the holder.
 	heldUntil map[string]time.Duration
-	// tokenOwners are the holders to which tokens were given.
+	// tokenOwners maps each token to the caller that received it.
 	tokenOwners map[uint64]string
-	// highestTokens are the highest tokens that the holders got.
+	// highestTokens maps each caller to the highest token that it received.
 	highestTokens map[string]uint64
 }
 
@@ -42,7 +43,8 @@
 	}
 }
 
-// highestOfOthers returns the highest token of a lock that another holder has got. It is asked for when a call is sent.
+// highestOfOthers returns the highest token of a lock that a caller other than holder has received so far. A call that is
+// sent now must return a higher one.
 func (c *lockChecker) highestOfOthers(lock, holder string) uint64 {
 	var highest uint64
 	for other, token := range c.history(lock).highestTokens {
@@ -53,12 +55,13 @@
 	return highest
 }
 
-// granted records that a holder got a token. Floor is what highestOfOthers was when the call was sent.
+// recordGrant records and checks a token that a caller received. Floor is the result of highestOfOthers when the call was
+// sent.
 func (c *lockChecker) recordGrant(lock, holder string, token, floor uint64) {
 	c.grants++
 	h := c.history(lock)
 	if token <= floor {
-		c.fail("%s gets token %d of %s, and another holder had got %d before the call was sent", holder, token, lock, floor)
+		c.fail("%s gets token %d of %s, but another holder had token %d before the call was sent", holder, token, lock, floor)
 	}
 	if owner, known := h.tokenOwners[token]; known && owner != holder {
 		c.fail("%s and %s both get token %d of %s", owner, holder, token, lock)
@@ -67,7 +70,8 @@
 	h.highestTokens[holder] = max(h.highestTokens[holder], token)
 }
 
-// holds records that a caller counts itself holder from now until a time. It never shortens an earlier hold.
+// recordHold records that a caller considers itself the holder from now until a time, and checks that no other caller does.
+// It never shortens an earlier hold.
 func (c *lockChecker) recordHold(now time.Duration, lock, holder string, until time.Duration) {
 	h := c.history(lock)
 	for other, otherUntil := range h.heldUntil {
@@ -78,15 +82,16 @@
 	h.heldUntil[holder] = max(h.heldUntil[holder], until)
 }
 
-// isHolding reports whether a caller counts itself holder now.
+// isHolding reports whether a caller considers itself the holder now.
 func (c *lockChecker) isHolding(now time.Duration, lock, holder string) bool {
 	return c.history(lock).heldUntil[holder] > now
 }
 
-// finished records that a caller sends that it gives a lock back.
+// recordRelease records that a caller no longer considers itself the holder, since it has sent the release of the lock.
 func (c *lockChecker) recordRelease(lock, holder string) { delete(c.history(lock).heldUntil, holder) }
 
-// numberChecker checks the guarantee ORDER of numbers.
+// numberChecker checks the guarantee ORDER of numbers: no value is handed out twice, and each is higher than all that were
+// handed out before its call was sent.
 type numberChecker struct {
 	violation error
 	highest   map[string]uint64
@@ -98,7 +103,8 @@
 	return &numberChecker{highest: map[string]uint64{}, seen: map[string]map[uint64]bool{}}
 }
 
-// recordNumber records a value of a number. Floor is the highest one that had been handed out when the call was sent.
+// recordNumber records and checks a value of a number. Floor is the highest value that had been handed out when the call
+// was sent.
 func (c *numberChecker) recordNumber(name string, value, floor uint64) {
 	c.handedOut++
 	if c.seen[name] == nil {
@@ -109,7 +115,7 @@
 	case c.seen[name][value]:
 		c.violation = fmt.Errorf("ORDER: %d is handed out twice under %s", value, name)
 	case value <= floor:
-		c.violation = fmt.Errorf("ORDER: %d is handed out under %s, and %d was before the call was sent", value, name, floor)
+		c.violation = fmt.Errorf("ORDER: %d is handed out under %s, but %d was handed out before the call was sent", value, name, floor)
 	}
 	c.seen[name][value] = true
 	c.highest[name] = max(c.highest[name], value)
--- a/internal/lab/coresim/machine.go
+++ b/internal/lab/coresim/machine.go
@@ -10,15 +10,17 @@
 	"dykering/internal/sessions"
 )
 
-// machine is one machine of the core with its process and its disk. Its counterpart in the program is the control process
-// (internal/controlplane).
+// machine is one machine of the core with its process and its disk. The process does the work of the control process of
+// internal/controlplane.
 type machine struct {
 	sim     *Simulation
 	address string
 
-	// Process.
+	// The fields up to inbox describe the process.
 
-	node     *chain.Node
+	// node is the replication state machine.
+	node *chain.Node
+	// requests are the reads and writes that wait for their answers.
 	requests *chain.PendingRequests
 	// placer is nil without Options.Placement.
 	placer *placer
@@ -26,48 +28,50 @@
 	sessions *sessionProcess
 	// coordination is nil without Options.Coordination.
 	coordination *coordinationProcess
-	// incarnation counts the starts and ends of the process. Events that an earlier one has scheduled are ignored.
+	// incarnation counts the starts and ends of the process. Events that an earlier incarnation has scheduled are ignored.
 	incarnation int
-	up          bool
-	// frozenUntil is when a frozen process goes on.
+	// up is set while the process exists, also while it is frozen.
+	up bool
+	// frozenUntil is the time at which a frozen process resumes.
 	frozenUntil time.Duration
-	// inbox are the messages that have arrived at a frozen process.
+	// inbox contains the messages and calls that have arrived at a frozen process.
 	inbox []any
 
-	// Membership.
+	// The fields up to restartDelay describe the membership.
 
-	// removed is set once the machine is gone for good.
+	// removed is set once the machine is permanently removed from the deployment.
 	removed bool
 	// successor is the machine that has replaced this one.
 	successor *machine
 	// isReplacement is set on a machine that has replaced another one.
 	isReplacement bool
-	// isBeingReplaced is set while a replacement joins and this machine is to leave.
+	// isBeingReplaced is set from the start of a planned replacement of this machine on.
 	isBeingReplaced bool
-	// leaveDeadline is when a leaving process is killed if it has not stopped; 0 if it does not leave.
+	// leaveDeadline is the time at which a leaving process is killed if it has not stopped; 0 if the process is not leaving.
 	leaveDeadline time.Duration
-	// restartDelay is when a process that has left starts again; 0 for never.
+	// restartDelay is the time from the planned stop of the process to its restart; 0 if it does not restart.
 	restartDelay time.Duration
 
-	// Disk.
+	// The remaining fields describe the disk.
 
-	// sessionDisk is the snapshot of the sessions, sessionWrite the one that is being written; nil for none.
+	// sessionDisk is the stored snapshot of the sessions, and sessionWrite the one that is being written; nil if there is none.
 	sessionDisk, sessionWrite []sessions.Record
-	// disk are the records that are stored.
+	// disk contains the stored records.
 	disk []any
-	// lostDisks is how often the disk was lost.
+	// lostDisks counts the losses of the disk.
 	lostDisks int
-	// recordsInFile is the number of records since the last snapshot that were handed over.
+	// recordsInFile is the number of records in the present file, including those that are not yet on disk.
 	recordsInFile int
-	// queued are the jobs that wait for the next sync, syncing those of the present one.
+	// queued are the jobs that wait for the next sync, and syncing are the jobs of the sync in progress.
 	queued       []storeJob
 	syncing      []storeJob
 	isSyncing    bool
 	syncingSince time.Duration
-	// stalledUntil is when a stalled disk answers again.
+	// stalledUntil is the time until which syncs of a stalled disk do not complete.
 	stalledUntil time.Duration
 }
 
+// config returns the configuration of the node, with the changes that a planted flaw makes to it.
 func (m *machine) config() chain.Config {
 	takeoverDelay := chainLeaseDuration + takeoverSlack
 	if m.sim.options.Placement {
@@ -98,9 +102,10 @@
 	}
 }
 
-// nonceDistance is the distance of the first nonces of two incarnations.
+// nonceDistance is the difference between the first nonces of two successive incarnations.
 const nonceDistance = 1 << 32
 
+// firstNonce returns the first nonce of the present incarnation.
 func (m *machine) firstNonce() uint64 {
 	if m.sim.options.Flaw == RepeatNonces {
 		return 0
@@ -108,7 +113,7 @@
 	return uint64(m.incarnation) * nonceDistance
 }
 
-// id returns the identifier of the member on the machine's present disk.
+// id returns the identifier of the member, which changes with each loss of the disk.
 func (m *machine) id() chain.MemberID {
 	if m.sim.options.Flaw == VoteAfterWipe {
 		return genesisID(m.address)
@@ -116,10 +121,10 @@
 	return chain.MemberID(fmt.Sprintf("%s/%d", m.address, m.lostDisks))
 }
 
-// genesisID returns the identifier of the member on a machine's first disk.
+// genesisID returns the identifier of the member that has a machine's first disk.
 func genesisID(address string) chain.MemberID { return chain.MemberID(address + "/0") }
 
-// start starts the process. If genesis is set, the whole system starts for the first time.
+// start starts the process. Genesis is set if the whole system starts for the first time.
 func (m *machine) start(genesis bool) {
 	m.incarnation++
 	m.up = true
@@ -140,7 +145,8 @@
 	m.tick(m.incarnation)
 }
 
-// startNode creates the state machine: from the disk if it has records, else as a member of the first view or as a joiner.
+// startNode creates the node: from the records on the disk if there are any, otherwise as a member of the first view or as a
+// joiner.
 func (m *machine) startNode(genesis bool) (out chain.Output) {
 	now := m.sim.now
 	isGenesisMember := (genesis || m.sim.options.Flaw == VoteAfterWipe) && slices.Contains(m.sim.seeds, m.address)
@@ -166,7 +172,7 @@
 	return view
 }
 
-// restart starts a process again that was killed.
+// restart starts a process that was killed, unless the machine was removed.
 func (m *machine) restart() {
 	if !m.up && !m.removed {
 		m.frozenUntil = 0
@@ -174,7 +180,7 @@
 	}
 }
 
-// kill ends the process. A random part of what was being synced is on disk, what was queued is lost.
+// kill ends the process. A random prefix of the records whose sync is in progress reaches the disk; queued records are lost.
 func (m *machine) kill() {
 	m.persistTorn()
 	m.killSessions()
@@ -187,10 +193,10 @@
 	m.disk = m.sim.options.Flaw.restartRecords(m.disk, m.node)
 }
 
-// isRunning reports whether the process runs and is not frozen.
+// isRunning reports whether the process is up and not frozen.
 func (m *machine) isRunning() bool { return m.up && m.sim.now >= m.frozenUntil }
 
-// tick is the periodic work of the process.
+// tick does the periodic work of the process and schedules the next tick.
 func (m *machine) tick(incarnation int) {
 	if m.incarnation != incarnation || !m.up {
 		return
@@ -202,7 +208,7 @@
 	diskHealthy := !m.isSyncing || m.sim.now-m.syncingSince <= diskTimeout
 	m.node.SetDiskHealthy(diskHealthy)
 	if !m.node.HasQuorum(m.sim.now) {
-		m.node.SetSeeds(m.sim.seeds) // the process reads its settings again
+		m.node.SetSeeds(m.sim.seeds) // a process without a quorum reads its settings again
 	}
 	m.process(m.node.Tick(m.sim.now))
 	m.observe()
@@ -221,7 +227,7 @@
 	m.sim.after(tickInterval, func() { m.tick(incarnation) })
 }
 
-// thaw continues a frozen process: it handles the messages that have arrived meanwhile.
+// thaw resumes a frozen process, which handles the messages that have arrived meanwhile.
 func (m *machine) thaw(incarnation int) {
 	if m.incarnation != incarnation || !m.up {
 		return
@@ -234,7 +240,7 @@
 	m.tick(incarnation)
 }
 
-// receive handles a message from the network.
+// receive passes a message to the component that it is addressed to. A frozen process stores it in its inbox.
 func (m *machine) receive(message any) {
 	if !m.up {
 		return
@@ -258,7 +264,7 @@
 	m.observe()
 }
 
-// receiveCoordination handles a message for the coordination service. It reports whether it is one.
+// receiveCoordination handles a message of the coordination service. It returns false if the message is not one.
 func (m *machine) receiveCoordination(message any) bool {
 	call, isCall := message.(bufferedCall)
 	switch {
@@ -272,7 +278,7 @@
 	return true
 }
 
-// process does what an output of the state machine asks for.
+// process carries out an output of the node: it sends immediate messages, and stores the records before it sends the others.
 func (m *machine) process(out chain.Output) {
 	if out.ViewInstalled && m.sessions != nil {
 		m.sessions.replica.RestartSync()
@@ -294,7 +300,7 @@
 	m.startSync(m.incarnation)
 }
 
-// deliver sends messages whose records are stored. Those to the machine itself are handled at once.
+// deliver sends messages whose records are stored. Messages to the machine itself are handled immediately.
 func (m *machine) deliver(messages []chain.Envelope) {
 	for _, envelope := range messages {
 		if envelope.To == m.address {
@@ -307,7 +313,7 @@
 	m.observe()
 }
 
-// observe lets the checker look at what clients would see, and answers the requests that are ready.
+// observe lets the checker examine the visible state, and answers the requests and watches that are ready.
 func (m *machine) observe() {
 	m.sim.checker.observe(m)
 	if m.isRunning() {
@@ -318,10 +324,10 @@
 	}
 }
 
-// gracePeriod is how long after the signal to stop the platform kills a process.
+// gracePeriod is the time after the stop signal after which the platform kills a process.
 const gracePeriod = 8 * time.Second
 
-// leave begins a planned stop. The process starts again after a delay, or never if that is 0.
+// leave begins a planned stop. The process restarts after restartDelay, or never if that is 0.
 func (m *machine) leave(restartDelay time.Duration) {
 	m.node.Leave(m.sim.now)
 	if m.coordination != nil {
@@ -334,7 +340,7 @@
 	m.restartDelay = restartDelay
 }
 
-// stopIfLeft stops a leaving process that can stop, or whose grace period is over. It reports whether it did.
+// stopIfLeft ends a leaving process that can stop or whose grace period is over. It reports whether it ended the process.
 func (m *machine) stopIfLeft() bool {
 	if m.leaveDeadline == 0 {
 		return false
@@ -355,7 +361,7 @@
 	return true
 }
 
-// canStop reports whether a leaving process can stop, as the planted flaws see it.
+// canStop reports whether a leaving process can stop. A planted flaw may let it stop too early.
 func (m *machine) canStop() bool {
 	switch m.sim.options.Flaw {
 	case StopAsSurplusVoter:
--- a/internal/lab/coresim/network.go
+++ b/internal/lab/coresim/network.go
@@ -6,17 +6,18 @@
 	"dykering/internal/chain"
 )
 
-// link is the connection in one direction from one address to another. It is reliable and ordered, as TCP is, except for
-// the injected faults.
+// link is one direction of the connection between two addresses. Like TCP it is reliable and ordered, except for injected
+// faults.
 type link struct{ from, to string }
 
-// delayedLink is a link whose messages are held back for a time.
+// delayedLink contains the messages of a link that are held back until a time.
 type delayedLink struct {
 	until    time.Duration
 	messages []any
 }
 
-// send sends a message of a machine. It arrives after those sent before it on the same link, unless the link is blocked then.
+// send sends a message of a machine. It arrives after all earlier messages of the same link. It is lost if the link is blocked
+// when it is sent or when it should arrive.
 func (sim *Simulation) send(from *machine, envelope chain.Envelope) {
 	message := sim.options.Flaw.message(envelope.Message)
 	path := link{from.address, envelope.To}
@@ -33,7 +34,7 @@
 	sim.at(arrival, func() { sim.arrive(path, message) })
 }
 
-// arrive delivers a message at the end of a link.
+// arrive delivers a message to the machine at the end of a link.
 func (sim *Simulation) arrive(path link, message any) {
 	to := sim.machine(path.to)
 	if to == nil || sim.blocked[path] > 0 {
@@ -42,8 +43,8 @@
 	to.receive(message)
 }
 
-// delay holds the messages from one address to another back for a time. Then all arrive in order, also at a process that has
-// been restarted meanwhile.
+// delay holds back the messages from one address to another for a duration. All of them then arrive in order, even if the
+// receiving process has restarted meanwhile.
 func (sim *Simulation) delay(from, to string, duration time.Duration) {
 	path := link{from, to}
 	if delayed := sim.delayed[path]; delayed != nil {
@@ -54,7 +55,7 @@
 	sim.releaseWhenDue(path)
 }
 
-// releaseWhenDue delivers the messages of a delayed link at the end of the delay, which may be extended until then.
+// releaseWhenDue delivers the messages of a delayed link at the end of the delay. The delay may be extended meanwhile.
 func (sim *Simulation) releaseWhenDue(path link) {
 	delayed := sim.delayed[path]
 	sim.at(delayed.until, func() {
@@ -69,14 +70,14 @@
 	})
 }
 
-// block loses the messages from one address to another for a time.
+// block drops the messages from one address to another for a duration.
 func (sim *Simulation) block(from, to string, duration time.Duration) {
 	path := link{from, to}
 	sim.blocked[path]++
 	sim.after(duration, func() { sim.blocked[path]-- })
 }
 
-// isolate loses the messages of a machine for a time, in the given directions.
+// isolate drops the messages from a machine (outbound) or to it (inbound), or both, for a duration.
 func (sim *Simulation) isolate(m *machine, duration time.Duration, outbound, inbound bool) {
 	for _, other := range sim.machines {
 		if other == m {
@@ -91,7 +92,7 @@
 	}
 }
 
-// delayMachine delays the messages to a machine and, if outbound is set, those that it sends.
+// delayMachine delays the messages to a machine for a duration and, if outbound is set, also those that it sends.
 func (sim *Simulation) delayMachine(m *machine, duration time.Duration, outbound bool) {
 	for _, other := range sim.machines {
 		if other == m {
--- a/internal/lab/coresim/placement.go
+++ b/internal/lab/coresim/placement.go
@@ -10,28 +10,28 @@
 	"dykering/internal/protocol"
 )
 
-// Times of the placement in the simulated processes, as in internal/controlplane.
+// Times of the placement in the simulated processes. They are those of internal/controlplane.
 const (
 	planInterval = 250 * time.Millisecond
-	// samplesPerPlan is how many models are asked for between two plans.
+	// samplesPerPlan is the number of demand samples between two plans.
 	samplesPerPlan = 6
 	ledgerInterval = 200 * time.Millisecond
 	// orderTimeout bounds a call to an endpoint.
 	orderTimeout = 500 * time.Millisecond
 )
 
-// The faults of calls to endpoints, as one of so many calls.
+// Faults of the calls to endpoints. Each value n means that one in n calls has the fault.
 const (
-	slowCallFraction       = 10 // the call takes up to orderTimeout
+	slowCallFraction       = 10 // a slow call takes up to orderTimeout
 	lostRequestFraction    = 40
 	lostResponseFraction   = 30
-	unplacedReportFraction = 2 // of the samples of demand
+	unplacedReportFraction = 2 // one in n samples of demand reports an unplaced request
 )
 
-// placementTable is the emulated side of the placement: the endpoints, and what the proxies report.
+// placementTable contains the emulated endpoints of the placement and the checker of the orders that they receive.
 type placementTable struct {
 	sim       *Simulation
-	random    *rand.Rand // of its own, so that the core's schedules are the same without the placement
+	random    *rand.Rand // a separate stream, so that the placement does not change the core's schedules
 	endpoints []*endpoint
 	checker   *ordersChecker
 }
@@ -54,7 +54,8 @@
 	return nil
 }
 
-// placer is the placement in one process: the state machines that ship, driven as internal/controlplane does.
+// placer is the placement of one process. It drives the program's own state machines (packages orders and placement) in the
+// way that internal/controlplane does.
 type placer struct {
 	m           *machine
 	table       *placementTable
@@ -63,7 +64,7 @@
 	demand      *placement.Demand
 	planDue     time.Duration
 	ledgerDue   time.Duration
-	// staleLease is the last lease that was held, for the flaw OrderWithoutLease.
+	// staleLease is the last lease that the process held. The flaw OrderWithoutLease uses it.
 	staleLease orders.Lease
 }
 
@@ -78,7 +79,7 @@
 	}
 }
 
-// lease is the lease that the process may act under now.
+// lease returns the lease that the process may act under now.
 func (p *placer) lease() orders.Lease {
 	token, holds := p.m.node.HoldsLease(p.m.sim.now)
 	lease := orders.Lease{Token: token, Held: holds}
@@ -91,7 +92,7 @@
 	return lease
 }
 
-// tick follows the lease, tells the peers, and plans.
+// tick follows changes of the lease and, while the process holds it, sends the ledger to the peers and plans.
 func (p *placer) tick() {
 	now := p.m.sim.now
 	p.holder.Follow(now, p.lease(), p.takeover)
@@ -109,7 +110,7 @@
 	}
 }
 
-// takeover is what the holder needs to know where it takes over.
+// takeover returns the information that the holder needs when it takes over the lease.
 func (p *placer) takeover() orders.Takeover {
 	takeover := orders.Takeover{
 		AgreedAt: p.m.node.LeaseHolderSince(), IsFirst: p.m.incarnation == 1 && !p.m.isReplacement,
@@ -121,7 +122,7 @@
 	return takeover
 }
 
-// broadcast tells the other voters.
+// broadcast sends the holder's ledger to the other voters.
 func (p *placer) broadcast(sync protocol.LoadLedgerSync) {
 	for _, voter := range p.m.node.View().Voters {
 		if voter.Address != p.m.address {
@@ -130,7 +131,7 @@
 	}
 }
 
-// receiveSync takes what a holder tells.
+// receiveSync handles the ledger that the lease holder has sent.
 func (p *placer) receiveSync(sync protocol.LoadLedgerSync) {
 	if p.m.sim.options.Flaw == ForgetLedger {
 		sync.Ages = nil
@@ -138,11 +139,11 @@
 	p.holder.ReceiveSync(p.m.sim.now, sync)
 }
 
-// plan draws what proxies report, and starts the orders of a plan.
+// plan generates demand as proxies report it, makes a plan and starts its orders.
 func (p *placer) plan(now time.Duration) {
 	p.reportDemand(now)
 	engine := engine()
-	// Loads in progress are not counted: that would spare the ledger most of its work.
+	// The plan does not subtract the loads in progress: it would then seldom reach the limit that the ledger enforces.
 	input := placement.Input{
 		Service: serviceName, Engine: engine, Demand: p.demand, Endpoints: p.plannerEndpoints(),
 		MaxLoads: p.holder.AvailableLoads(now, loadsPerSecond),
@@ -164,7 +165,7 @@
 	return endpoints
 }
 
-// reportDemand draws requests for some models.
+// reportDemand generates a demand report with requests for some random models.
 func (p *placer) reportDemand(now time.Duration) {
 	random := p.table.random
 	var samples []placement.Sample
@@ -182,7 +183,7 @@
 	p.demand.Expire(now)
 }
 
-// carryOut makes the calls that the orders ask for, and has them advance when their next step is due.
+// carryOut makes the calls of an output and schedules the next step of the orders.
 func (p *placer) carryOut(out orders.Output) {
 	for _, call := range out.Reports {
 		p.call(func() orders.Report { return p.table.endpoint(call.Endpoint).report(p.table.random) },
@@ -198,13 +199,14 @@
 	}
 }
 
+// advance runs the steps of the orders that are due, unless the lease has changed.
 func (p *placer) advance() {
 	if lease := p.lease(); p.holder.IsSame(lease) {
 		p.carryOut(p.holder.Orders().Advance(p.m.sim.now, lease))
 	}
 }
 
-// post sends an order.
+// post sends an order to its endpoint. Without an answer the outcome is orders.Unknown.
 func (p *placer) post(call orders.OrderCall) {
 	deliver := func() orders.Outcome {
 		p.table.checker.checkOrder(p.m.sim.now, p.m.address, call)
@@ -219,13 +221,13 @@
 	})
 }
 
-// call makes a call for a report.
+// call requests a report from an endpoint. The answer is nil if there is none in time.
 func (p *placer) call(serve func() orders.Report, answer func(*orders.Report)) {
 	exchange(p, serve, answer)
 }
 
-// exchange makes one call to an endpoint: a request that may be slow or lost, and a response that may be lost. The answer is
-// nil after orderTimeout. The request is in flight from when it was decided on, also if the process is killed meanwhile.
+// exchange makes one call to an endpoint. The request may be slow or lost, and the response may be lost. The answer is nil if
+// no response arrives within orderTimeout. A request that was sent reaches the endpoint even if the process is killed meanwhile.
 func exchange[Response any](p *placer, serve func() Response, answer func(*Response)) {
 	sim, random := p.m.sim, p.table.random
 	answered := false
@@ -252,7 +254,7 @@
 	})
 }
 
-// whileRunning runs a function if the process still runs; in a frozen one, once it goes on.
+// whileRunning runs a function if the process still runs. In a frozen process it runs the function after the resumption.
 func (p *placer) whileRunning(run func()) {
 	m := p.m
 	switch {
--- a/internal/lab/coresim/progress.go
+++ b/internal/lab/coresim/progress.go
@@ -4,11 +4,11 @@
 	"time"
 )
 
-// progressCheckInterval is the time between two checks that operations are acknowledged.
+// progressCheckInterval is the time between two checks of whether operations are acknowledged.
 const progressCheckInterval = 250 * time.Millisecond
 
-// watchProgress checks, again and again, that operations are acknowledged while the faults are within what is tolerated and
-// none has begun or ended for a while.
+// watchProgress checks periodically that operations are acknowledged while the faults are within the budget and no fault has
+// begun or ended for progressTimeout.
 func (f *faultInjector) watchProgress() {
 	sim := f.sim
 	lastAcks := 0
@@ -20,7 +20,7 @@
 			lastProgress = sim.now
 		}
 		if sim.now-lastProgress > progressTimeout {
-			sim.checker.fail("nothing is acknowledged for %v though only %d members are lost: %+v", progressTimeout,
+			sim.checker.fail("nothing is acknowledged for %v although only %d members are down; views: %+v", progressTimeout,
 				f.down(), sim.Views())
 		}
 		sim.after(progressCheckInterval, check)
@@ -28,7 +28,7 @@
 	sim.after(progressCheckInterval, check)
 }
 
-// mustProgress reports whether operations must be acknowledged at present.
+// mustProgress reports whether operations must be acknowledged now.
 func (f *faultInjector) mustProgress() bool {
 	now := f.sim.now
 	return now >= firstFaultAt &&
@@ -37,8 +37,8 @@
 		f.down() <= f.maxDown()
 }
 
-// maxDown returns with how many members down operations must be acknowledged. With overlapping faults it is none, as disks
-// may have been lost in addition.
+// maxDown returns the number of members that may be down while operations must still be acknowledged. With overlapping faults it
+// is 0, since disks may have been lost in addition.
 func (f *faultInjector) maxDown() int {
 	if f.overlap {
 		return 0
@@ -46,7 +46,7 @@
 	return f.sim.options.MostFailures
 }
 
-// MakesProgress runs until an operation is acknowledged, and reports whether that is within a time.
+// MakesProgress runs the simulation until an operation is acknowledged, and reports whether that happens within a timeout.
 func (sim *Simulation) MakesProgress(timeout time.Duration) bool {
 	acks := sim.checker.acks
 	deadline := sim.now + timeout
--- a/internal/lab/coresim/recovery.go
+++ b/internal/lab/coresim/recovery.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// RecoveryTarget is what a fault affects in the measurement of recovery times.
+// RecoveryTarget is the member that the fault of a recovery measurement affects.
 type RecoveryTarget string
 
-// The targets: a member by its role, or all members.
+// The targets: the member with a role in the chain, or all members.
 const (
 	TargetHead   RecoveryTarget = "head"
 	TargetMiddle RecoveryTarget = "middle"
@@ -16,10 +16,10 @@
 	TargetAll    RecoveryTarget = "all"
 )
 
-// RecoveryTimes are the times from a fault to the next acknowledgement of a write that began after it.
+// RecoveryTimes contains the times from a fault to the next acknowledgement of a write that began after the fault.
 type RecoveryTimes struct{ times []time.Duration }
 
-// Percentile returns a percentile, from 0 to 1, of the times, or 0 if there are none.
+// Percentile returns the percentile p, from 0 to 1, of the times. It returns 0 if there are no times.
 func (r RecoveryTimes) Percentile(p float64) time.Duration {
 	if len(r.times) == 0 {
 		return 0
@@ -27,11 +27,11 @@
 	return r.times[int(p*float64(len(r.times)-1))]
 }
 
-// recoveryTimeout bounds the time that a recovery is waited for.
+// recoveryTimeout is the longest time that a measurement waits for the recovery. It is also the result without a recovery.
 const recoveryTimeout = 20 * time.Second
 
-// MeasureRecovery injects a fault of a second into a calm core of three members, once for each seed and each time at another
-// moment.
+// MeasureRecovery injects a fault of one second into a core of three members without other faults. It does so once for each
+// seed, at a random time.
 func MeasureRecovery(target RecoveryTarget, kind FaultKind, seeds uint64) RecoveryTimes {
 	var r RecoveryTimes
 	for seed := range seeds {
@@ -41,7 +41,7 @@
 	return r
 }
 
-// measureRecovery returns the time of one recovery, or recoveryTimeout if there was none.
+// measureRecovery returns the time of one recovery, or recoveryTimeout if the core does not recover.
 func measureRecovery(target RecoveryTarget, kind FaultKind, seed uint64) time.Duration {
 	sim := NewSimulation(Options{Seed: seed, Members: 3, MostFailures: 1})
 	at := firstFaultAt + time.Duration(sim.random.Int64N(int64(time.Second)))
@@ -62,7 +62,7 @@
 	return recoveryTimeout
 }
 
-// targetIndex returns the index of the member that is the target; for all, any one.
+// targetIndex returns the index of the target member. For TargetAll it returns 0, as the fault affects all members.
 func (sim *Simulation) targetIndex(target RecoveryTarget) int {
 	role := map[RecoveryTarget]Role{TargetHead: RoleHead, TargetMiddle: RoleMiddle, TargetTail: RoleTail}[target]
 	for i, m := range sim.machines {
--- a/internal/lab/coresim/schedule.go
+++ b/internal/lab/coresim/schedule.go
@@ -6,36 +6,37 @@
 	"time"
 )
 
-// FaultKind is a kind of fault. The values are part of written schedules and of the commands' output: they are fixed.
+// FaultKind is a kind of fault. The values are part of schedule files and of the commands' output and must not change.
 type FaultKind string
 
 // Faults that affect one member.
 const (
 	// Kill ends the process and restarts it.
 	Kill FaultKind = "kill"
-	// Freeze suspends the process, as a paused virtual machine.
+	// Freeze suspends the process, like a pause of its virtual machine.
 	Freeze FaultKind = "freeze"
-	// Isolate loses all messages to and from the member.
+	// Isolate drops all messages to and from the member.
 	Isolate FaultKind = "isolate"
-	// DropOutbound loses the messages that the member sends.
+	// DropOutbound drops the messages that the member sends.
 	DropOutbound FaultKind = "one-way"
-	// DropInbound loses the messages that are sent to the member.
+	// DropInbound drops the messages that are sent to the member.
 	DropInbound FaultKind = "deaf"
-	// DelayMessages holds the messages to and from the member back; all arrive at the end.
+	// DelayMessages holds back the messages to and from the member. They all arrive when the fault ends.
 	DelayMessages FaultKind = "hold"
-	// DelayInbound holds the messages to the member back; all arrive at the end.
+	// DelayInbound holds back the messages to the member. They all arrive when the fault ends.
 	DelayInbound FaultKind = "hold-inbound"
-	// StallDisk lets no sync of the member's disk end.
+	// StallDisk prevents syncs of the member's disk from completing before the fault ends.
 	StallDisk FaultKind = "stall"
 	// LoseDisk ends the process, empties its disk and restarts it.
 	LoseDisk FaultKind = "wipe"
-	// Replace removes the machine for good and starts an empty one at another address.
+	// Replace kills and permanently removes the machine, and starts an empty one at another address.
 	Replace FaultKind = "replace"
-	// Leave stops the process as planned and restarts it.
+	// Leave makes a planned stop of the process and restarts it.
 	Leave FaultKind = "leave"
-	// PlannedReplacement starts an empty machine at another address and then removes this one as planned.
+	// PlannedReplacement starts an empty machine at another address and then removes this one by a planned stop.
 	PlannedReplacement FaultKind = "planned-change"
-	// Remove stops the process as planned and removes the machine for good. An empty one starts at another address later.
+	// Remove makes a planned stop of the process and permanently removes the machine. An empty one starts at another address
+	// later.
 	Remove FaultKind = "remove"
 )
 
@@ -43,27 +44,27 @@
 const (
 	// KillAll kills all processes at once.
 	KillAll FaultKind = "kill-all"
-	// KillAllLoseDisk kills all processes at once, of which one loses its disk.
+	// KillAllLoseDisk kills all processes at once. One of them loses its disk.
 	KillAllLoseDisk FaultKind = "wipe-of-all"
-	// KillAllLoseDisks kills all processes at once, of which as many as is tolerated lose their disks.
+	// KillAllLoseDisks kills all processes at once. As many as the core tolerates lose their disks.
 	KillAllLoseDisks FaultKind = "wipe-most"
 	// Split partitions the members into two halves.
 	Split FaultKind = "split"
-	// KillAfterHeal isolates a member and kills all others when the isolation has ended.
+	// KillAfterHeal isolates a member and kills all others just after the isolation has ended.
 	KillAfterHeal FaultKind = "kill-after-heal"
-	// LagThenRecover isolates a member, kills all others, of which one loses its disk, and ends the isolation while only the
-	// lagging and the empty member run.
+	// LagThenRecover isolates a member and kills all others, of which one loses its disk. The isolation ends while only the
+	// lagging member and the one with the empty disk run.
 	LagThenRecover FaultKind = "behind"
 )
 
-// faultKinds are all kinds. Their order determines what Generate returns for a seed.
+// faultKinds are all kinds. Their order determines the schedule that Generate returns for a seed.
 var faultKinds = []FaultKind{
 	Kill, Freeze, Isolate, DropOutbound, DropInbound, StallDisk, LoseDisk, Replace, KillAll, KillAllLoseDisk, KillAllLoseDisks,
 	Split, DelayMessages, DelayInbound, Leave, PlannedReplacement, KillAfterHeal, LagThenRecover,
 	Remove,
 }
 
-// lostDisks returns the number of disks that a fault loses, if at most maxFailures may be lost.
+// lostDisks returns the number of disks that a fault of the kind loses in a core that tolerates maxFailures failures.
 func (k FaultKind) lostDisks(maxFailures int) int {
 	switch k {
 	case LoseDisk, Replace, KillAllLoseDisk, PlannedReplacement, LagThenRecover, Remove:
@@ -74,27 +75,27 @@
 	return 0
 }
 
-// Fault is one fault of a schedule. Written schedules contain it: the names of the fields are fixed.
+// Fault is one fault of a schedule. Schedule files contain it, so the names of the fields must not change.
 type Fault struct {
-	// At is when the fault begins.
+	// At is the time at which the fault begins.
 	At   time.Duration
 	Kind FaultKind
-	// Member is the index, at the start, of the member that it affects.
+	// Member is the index, at the start of the run, of the affected member.
 	Member int
-	// For is how long it lasts.
+	// For is the duration of the fault.
 	For time.Duration
 }
 
 // String describes the fault in one line.
 func (f Fault) String() string { return fmt.Sprintf("%v %s m%d for %v", f.At, f.Kind, f.Member, f.For) }
 
-// Schedule is a simulation with the faults that are injected. The command writes it for a failure: the names of the fields
-// are fixed.
+// Schedule contains the options of a simulation and the faults to inject. The explore command writes it to a file for a failure,
+// so the names of the fields must not change.
 type Schedule struct {
 	Options Options
 	Steps   []Fault
-	// Overlap allows faults at more members at once than is tolerated, as long as they lose no disk. Nothing need be
-	// acknowledged then, but no guarantee of consistency may be violated.
+	// Overlap allows faults of more members at once than the core tolerates, provided that at most MostFailures disks are lost in
+	// the run. Operations then need not be acknowledged, but the guarantees of consistency must hold.
 	Overlap bool
 }
 
@@ -102,11 +103,11 @@
 const (
 	// firstFaultAt is the earliest time of a fault.
 	firstFaultAt = 2 * time.Second
-	// catchUpTime is how long a member counts as failed after its fault has ended.
+	// catchUpTime is the time after the end of its fault for which a member still counts as failed.
 	catchUpTime = 4 * time.Second
-	// quietPeriod is how long a run continues after the last fault has ended.
+	// quietPeriod is the time for which a run continues after the end of the last fault.
 	quietPeriod = 8 * time.Second
-	// progressTimeout is within what time an operation must be acknowledged, if no fault prevents it.
+	// progressTimeout is the time within which an operation must be acknowledged if no fault prevents it.
 	progressTimeout = 4 * time.Second
 )
 
@@ -123,7 +124,7 @@
 	overlapWindow = 700 * time.Millisecond
 )
 
-// Generate draws a schedule. The same seed gives the same one.
+// Generate returns a random schedule. The same seed always gives the same schedule.
 func Generate(seed uint64, flaw Flaw) Schedule {
 	random := rand.New(rand.NewPCG(seed, 2))
 	s := Schedule{Options: Options{Seed: seed, Members: 3, MostFailures: 1, Flaw: flaw}}
@@ -146,7 +147,7 @@
 		}
 		s.Steps = append(s.Steps, fault)
 		if random.IntN(3) == 0 {
-			// The next one begins about when this one ends: many bugs need a fault during the recovery from another one.
+			// The next fault begins near the end of this one, as many bugs need a fault during the recovery from another one.
 			nearEnd := at + fault.For - overlapWindow/2 + time.Duration(random.Int64N(int64(overlapWindow)))
 			at = max(at, nearEnd-maxGap/2)
 		}
@@ -160,20 +161,19 @@
 	return err
 }
 
-// runWithCoverage runs a schedule and also returns what it has covered.
+// runWithCoverage runs a schedule and returns its coverage and the violation, if any.
 func (s Schedule) runWithCoverage() (Coverage, error) {
 	sim, err := s.play(nil)
 	return sim.coverage, err
 }
 
-// RunTraced runs a schedule, and tells what happens to the calls of the coordination service, a line each.
+// RunTraced runs a schedule. It passes a line for each event of a call of the coordination service to trace.
 func (s Schedule) RunTraced(trace func(line string)) error {
 	_, err := s.play(trace)
 	return err
 }
 
-// play runs a schedule and returns the simulation as it is at the end, or where a guarantee was violated. The trace is nil for
-// none.
+// play runs a schedule and returns the simulation in its state at the end, or when a guarantee is violated. The trace may be nil.
 func (s Schedule) play(trace func(line string)) (*Simulation, error) {
 	sim := NewSimulation(s.Options)
 	if sim.coordination != nil {
--- a/internal/lab/coresim/search.go
+++ b/internal/lab/coresim/search.go
@@ -11,18 +11,19 @@
 type Failure struct {
 	Schedule Schedule
 	Err      error
-	// Played is the number of schedules that were run until it was found.
+	// Played is the number of schedules that were run until the failure was found.
 	Played uint64
 }
 
-// Search runs generated schedules, for count seeds from the first, in parallel until one fails or all have run. It calls
-// progress, unless that is nil, after each thousand. It returns nil if none has failed.
+// Search runs the generated schedules of count seeds, beginning with the seed first, in parallel until one fails or all have
+// run. It calls progress, unless that is nil, after each thousand schedules. It returns nil if no schedule fails.
 func Search(first, count uint64, flaw Flaw, progress func(played uint64)) *Failure {
 	failure, _ := SearchWithCoverage(first, count, Options{Flaw: flaw}, progress)
 	return failure
 }
 
-// SearchFlaw searches for a planted flaw, with the tables that it takes.
+// SearchFlaw searches for a planted flaw. It enables the placement, the sessions or the coordination service if the flaw is
+// one of theirs.
 func SearchFlaw(first, count uint64, flaw Flaw) *Failure {
 	options := Options{Flaw: flaw}
 	switch flaw {
@@ -36,8 +37,8 @@
 	return failure
 }
 
-// SearchWithCoverage is Search that also returns which pairs the schedules have reached. Of the options, the flaw and the tables
-// count; the rest is drawn.
+// SearchWithCoverage does the same as Search and also returns which pairs the schedules have reached. It uses Flaw, Placement,
+// Sessions and Coordination of the options; the other options are generated.
 func SearchWithCoverage(first, count uint64, options Options, progress func(played uint64)) (*Failure, Coverage) {
 	var mu sync.Mutex
 	covered := Coverage{}
@@ -73,7 +74,7 @@
 	return found.Load(), covered
 }
 
-// Shrink removes the faults that a failure does not need, one at a time, until each of the remaining ones is needed.
+// Shrink removes faults from a failing schedule, one at a time, until it no longer fails without any of the remaining ones.
 func Shrink(f Failure) Failure {
 	for removed := true; removed; {
 		removed = false
--- a/internal/lab/coresim/session_client.go
+++ b/internal/lab/coresim/session_client.go
@@ -8,32 +8,33 @@
 )
 
 const (
-	// sessionClientCount is how many endpoints keep a session at a time.
+	// sessionClientCount is the number of endpoints that keep a session at a time.
 	sessionClientCount = 5
-	// minLifetime and lifetimeRange are how long an endpoint is ready.
+	// An endpoint is ready for minLifetime plus a random part of lifetimeRange.
 	minLifetime   = 500 * time.Millisecond
 	lifetimeRange = 8 * time.Second
-	// drainTime is how long an endpoint serves on after its draining was acknowledged.
+	// drainTime is the time for which an endpoint still serves requests after the acknowledgement that it drains.
 	drainTime = 2 * time.Second
-	// sessionCallTimeout is how long it waits for an answer.
+	// sessionCallTimeout is the time for which an endpoint waits for an answer.
 	sessionCallTimeout = time.Second
-	// crashFraction is one in so many endpoints that ends without a notice; lostAnswerFraction one in so many answers that is
-	// lost.
-	crashFraction      = 4
+	// One in crashFraction endpoints ends without a notice.
+	crashFraction = 4
+	// One in lostAnswerFraction answers is lost.
 	lostAnswerFraction = 10
 )
 
-// sessionClient is an emulated endpoint that keeps its session, drains, deregisters and is followed by another one.
+// sessionClient is an emulated endpoint that keeps a session, drains and deregisters. Another one then takes its place.
 type sessionClient struct {
-	table      *sessionTable
-	id         string
-	state      sessions.State
-	sequence   uint64
-	ended      bool
+	table    *sessionTable
+	id       string
+	state    sessions.State
+	sequence uint64
+	ended    bool
+	// callNumber identifies the present call: answers to earlier ones are ignored.
 	callNumber int
 }
 
-// startClient starts an endpoint.
+// startClient starts a new endpoint and schedules its end.
 func (t *sessionTable) startClient() {
 	t.started++
 	c := &sessionClient{table: t, id: fmt.Sprintf("i-%d", t.started), state: sessions.Ready}
@@ -50,7 +51,7 @@
 	})
 }
 
-// beat sends a heartbeat at an interval while the endpoint is ready.
+// sendHeartbeat sends a heartbeat at each interval while the endpoint is ready.
 func (c *sessionClient) sendHeartbeat() {
 	if c.ended || c.state != sessions.Ready {
 		return
@@ -59,7 +60,7 @@
 	c.table.sim.after(heartbeatInterval, c.sendHeartbeat)
 }
 
-// notify tells some member of the present state, until it is acknowledged or the state has changed.
+// notify reports the present state to members, with retries until one acknowledges it or the state changes.
 func (c *sessionClient) notify(acknowledged func()) {
 	sim, state := c.table.sim, c.state
 	c.callNumber++
@@ -90,7 +91,7 @@
 	})
 }
 
-// send makes a call to a member drawn at random, which may not be running.
+// send makes a call to a random member, whose process may not be running.
 func (c *sessionClient) send(answer func(error)) {
 	sim := c.table.sim
 	m := sim.machines[c.table.random.IntN(len(sim.machines))]
@@ -108,7 +109,7 @@
 	})
 }
 
-// drained continues after the acknowledgement that the endpoint drains: it serves on for a while and deregisters.
+// onDrained handles the acknowledgement that the endpoint drains. The endpoint deregisters after drainTime.
 func (c *sessionClient) onDrained() {
 	sim := c.table.sim
 	c.table.checker.acknowledge(sim.now, c.id, sessions.Draining)
@@ -121,7 +122,7 @@
 	})
 }
 
-// end ends the endpoint. Another one follows.
+// end ends the endpoint and starts another one.
 func (c *sessionClient) end() {
 	c.ended = true
 	c.table.startClient()
--- a/internal/lab/coresim/sessions.go
+++ b/internal/lab/coresim/sessions.go
@@ -10,7 +10,7 @@
 	"dykering/internal/sessionsync"
 )
 
-// Times of the sessions in the simulated processes, as internal/controlplane derives them for a contact time of 3 s.
+// Times of the sessions in the simulated processes, as internal/controlplane derives them from a contact_ms of 3,000.
 const (
 	sessionTTL          = 3*heartbeatInterval + time.Second
 	renewalInterval     = heartbeatInterval / 4
@@ -18,16 +18,16 @@
 	fullSyncTimeout     = 750 * time.Millisecond
 	departureTimeout    = 500 * time.Millisecond
 	maxSessionClockStep = 4 * tickInterval
-	// maxUnconfirmed is the time without a majority's confirmation after which a member ends its streams.
+	// maxUnconfirmed is the time without confirmation by a majority after which a member ends its streams.
 	maxUnconfirmed = 750 * time.Millisecond
 )
 
-// sessionTable is the emulated side of the sessions: the endpoints that keep them.
+// sessionTable contains the emulated endpoints that keep sessions, and the checker of their departures.
 type sessionTable struct {
 	sim     *Simulation
-	random  *rand.Rand // of its own, so that the core's schedules are the same without the sessions
+	random  *rand.Rand // a separate stream, so that the sessions do not change the core's schedules
 	checker *departureChecker
-	started int // endpoints so far
+	started int // number of endpoints started so far
 }
 
 func newSessionTable(sim *Simulation) *sessionTable {
@@ -38,8 +38,8 @@
 	return t
 }
 
-// sessionProcess is the replica of the sessions in one process: the state machine that ships, driven as internal/controlplane
-// does.
+// sessionProcess is the session replica of one process. It drives the program's own state machine (sessionsync.Replica) in the
+// way that internal/controlplane does.
 type sessionProcess struct {
 	m        *machine
 	replica  *sessionsync.Replica
@@ -47,7 +47,7 @@
 	lastCall sessionsync.CallID
 }
 
-// startSessions starts the replica of a process with what is on its disk.
+// startSessions starts the session replica of a process from the snapshot on its disk.
 func (m *machine) startSessions() {
 	if m.sim.sessions == nil {
 		return
@@ -61,8 +61,10 @@
 	}, m.sessionDisk)
 }
 
+// core returns what the replica needs to know about the member's node.
 func (p *sessionProcess) core() sessionsync.Core { return sessionsync.CoreOf(p.m.node, p.m.sim.now) }
 
+// tick does the periodic work of the replica.
 func (p *sessionProcess) tick() {
 	now := p.m.sim.now
 	p.carryOut(p.replica.Tick(now, p.core()))
@@ -70,27 +72,28 @@
 	p.m.sim.sessions.checker.observe(now, p)
 }
 
-// flush ends a batch of inputs.
+// flush ends a batch of inputs and carries out the output of the replica.
 func (p *sessionProcess) flush() { p.carryOut(p.replica.Flush(p.m.sim.now, p.core())) }
 
+// receive handles a message of another replica.
 func (p *sessionProcess) receive(message any) {
 	p.carryOut(p.replica.Receive(p.m.sim.now, p.core(), message))
 	p.flush()
 }
 
-// heartbeat takes a heartbeat of an endpoint.
+// heartbeat handles a heartbeat of an endpoint.
 func (p *sessionProcess) heartbeat(id string, beat sessions.Heartbeat, answer func(error)) {
 	p.carryOut(p.replica.Heartbeat(p.m.sim.now, p.core(), id, beat, p.call(beat.State, answer)))
 	p.flush()
 }
 
-// deregister takes the deregistration of an endpoint.
+// deregister handles the deregistration of an endpoint.
 func (p *sessionProcess) deregister(id string, answer func(error)) {
 	p.carryOut(p.replica.Deregister(p.m.sim.now, p.core(), id, p.call(sessions.Departed, answer)))
 	p.flush()
 }
 
-// call registers a call. With the flaw AckDepartureAtOnce it is answered at once too.
+// call registers the answer function of a call. With the flaw AckDepartureAtOnce a departure is also answered immediately.
 func (p *sessionProcess) call(state sessions.State, answer func(error)) sessionsync.CallID {
 	p.lastCall++
 	p.calls[p.lastCall] = answer
@@ -100,7 +103,7 @@
 	return p.lastCall
 }
 
-// carryOut sends messages, answers calls and writes a snapshot.
+// carryOut sends the messages, answers the calls and writes the snapshot of an output.
 func (p *sessionProcess) carryOut(out sessionsync.Output) {
 	for _, envelope := range out.Messages {
 		p.m.sim.send(p.m, chain.Envelope{To: envelope.To, Message: envelope.Message})
@@ -115,7 +118,8 @@
 	}
 }
 
-// write stores a snapshot after a sync. A process that is killed before has written it or not.
+// write stores a snapshot, which takes the time of a sync. If the process is killed meanwhile, the snapshot may or may not be
+// on disk.
 func (p *sessionProcess) write(records []sessions.Record) {
 	m := p.m
 	m.sessionWrite = records
@@ -123,6 +127,7 @@
 	m.sim.at(max(m.sim.now+syncDuration, m.stalledUntil), func() { p.written(incarnation, records) })
 }
 
+// written puts a snapshot on the disk. A frozen process notices that only when it resumes.
 func (p *sessionProcess) written(incarnation int, records []sessions.Record) {
 	m := p.m
 	if m.incarnation != incarnation || !m.up {
@@ -136,6 +141,7 @@
 	p.stored(incarnation)
 }
 
+// stored reports to the replica that its snapshot is on disk.
 func (p *sessionProcess) stored(incarnation int) {
 	if p.m.incarnation != incarnation || !p.m.isRunning() {
 		return
@@ -144,7 +150,7 @@
 	p.flush()
 }
 
-// killSessions ends the replica: what was being written is on disk or not.
+// killSessions ends the replica. A snapshot that is being written reaches the disk in half of the cases.
 func (m *machine) killSessions() {
 	if m.sessionWrite != nil && m.sim.sessions.random.IntN(2) == 0 {
 		m.sessionDisk = m.sessionWrite
@@ -152,14 +158,14 @@
 	m.sessionWrite = nil
 }
 
-// servesStreams reports whether proxies may follow this member, as internal/controlplane decides it.
+// servesStreams reports whether this member may serve update streams to proxies, by the rule of internal/controlplane.
 func (p *sessionProcess) servesStreams(now time.Duration) bool {
 	node := p.m.node
 	isSynced := p.replica.IsSynced() || p.m.sim.options.Flaw == ServeBeforeSync
 	return isSynced && node.IsInChain() && node.IsCommitKnown() && now-node.QuorumConfirmedAt(now) < maxUnconfirmed
 }
 
-// isSessionMessage reports whether a message is for the replica of the sessions.
+// isSessionMessage reports whether a message is addressed to the session replica.
 func isSessionMessage(message any) bool {
 	switch message.(type) {
 	case protocol.SessionUpdate, protocol.SessionAck, protocol.SessionSnapshotRequest, protocol.SessionSnapshot,
--- a/internal/lab/coresim/simulation.go
+++ b/internal/lab/coresim/simulation.go
@@ -9,34 +9,34 @@
 	"dykering/internal/chain"
 )
 
-// Times of the simulated processes. They are those of a deployment with a contact time (contact_ms) of 3 s.
+// Times of the simulated processes. They are those of a deployment with a contact_ms of 3,000.
 const (
 	tickInterval    = 50 * time.Millisecond
 	pingInterval    = 100 * time.Millisecond
 	suspectTimeout  = 600 * time.Millisecond
 	proposalTimeout = 500 * time.Millisecond
-	// chainLeaseDuration is how long the confirmation by a majority lets the lease holder act.
+	// chainLeaseDuration is the time for which a confirmation by a majority allows the lease holder to act.
 	chainLeaseDuration = 750 * time.Millisecond
 	// leaseDuration is the deployment's lease_duration_ms, within which the role must not return to a former holder.
 	leaseDuration = 3 * time.Second
-	// takeoverSlack is the deployment's thaw_slack_ms: how long a process may act after it was frozen before it notices.
+	// takeoverSlack is the deployment's thaw_slack_ms: the time for which a process that was frozen may act before it notices.
 	takeoverSlack = 300 * time.Millisecond
-	// diskTimeout is how long a sync may take before the process reports its disk as unhealthy.
+	// diskTimeout is the duration of a sync from which on the process reports its disk as unhealthy.
 	diskTimeout = 500 * time.Millisecond
 )
 
 // Times of the simulated hardware.
 const (
 	syncDuration = 5 * time.Millisecond
-	// A message takes minDelay and a random part of maxExtraDelay.
+	// A message takes minDelay plus a random part of maxExtraDelay.
 	minDelay      = 200 * time.Microsecond
 	maxExtraDelay = 3 * time.Millisecond
 )
 
-// maxSeeds is how many addresses of other machines a process is configured with.
+// maxSeeds is the number of seed addresses in the configuration of a process.
 const maxSeeds = 3
 
-// Options configure a simulation. Written schedules contain them: the names of the fields are fixed.
+// Options configure a simulation. Schedule files contain them, so the names of the fields must not change.
 type Options struct {
 	// Seed determines all random choices of the run.
 	Seed uint64
@@ -44,15 +44,15 @@
 	Members int
 	// MostFailures is the number of members that may fail at the same time (chain.Config.MaxFailures).
 	MostFailures int
-	// Busy makes the operators send without long pauses: several hundred operations in a run.
+	// Busy makes the operators send with short pauses, which gives several hundred operations in a run.
 	Busy bool
 	// Flaw is the planted flaw; NoFlaw for none.
 	Flaw Flaw
-	// Placement has the lease holder send orders to emulated endpoints.
+	// Placement makes the lease holder send orders to emulated endpoints.
 	Placement bool `json:",omitempty"`
-	// Sessions has emulated endpoints keep sessions with the members, drain and deregister.
+	// Sessions adds emulated endpoints that keep sessions with the members, drain and deregister.
 	Sessions bool `json:",omitempty"`
-	// Coordination has emulated applications call for locks, numbers, cells and watches.
+	// Coordination adds emulated applications that use locks, numbers, cells and watches.
 	Coordination bool `json:",omitempty"`
 }
 
@@ -63,11 +63,11 @@
 	now       time.Duration
 	lastEvent uint64
 	events    eventQueue
-	// machines are all that ever were, in the order of their creation.
+	// machines are all machines, including removed ones, in the order of their creation.
 	machines []*machine
-	// seeds are the addresses that a starting process is configured with.
+	// seeds are the seed addresses in the configuration of a starting process.
 	seeds []string
-	// blocked counts the faults that block a link.
+	// blocked counts the faults that currently block each link.
 	blocked       map[link]int
 	delayed       map[link]*delayedLink
 	lastArrival   map[link]time.Duration
@@ -80,7 +80,7 @@
 	replacements  int
 }
 
-// NewSimulation returns a core whose members start for the first time.
+// NewSimulation returns a simulation of a new core, whose members start for the first time.
 func NewSimulation(options Options) *Simulation {
 	sim := &Simulation{
 		options:     options,
@@ -119,7 +119,7 @@
 	return m
 }
 
-// addReplacement adds the machine that replaces another one. The caller starts it.
+// addReplacement adds an empty machine as the successor of another one. The caller starts it.
 func (sim *Simulation) addReplacement(m *machine) *machine {
 	sim.replacements++
 	m.successor = sim.addMachine(fmt.Sprintf("n%d", sim.replacements))
@@ -128,7 +128,7 @@
 	return m.successor
 }
 
-// machine returns the machine at an address; nil for none.
+// machine returns the machine with an address, or nil.
 func (sim *Simulation) machine(address string) *machine {
 	for _, m := range sim.machines {
 		if m.address == address {
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// runningMachines returns the machines whose processes run or are frozen.
+// runningMachines returns the machines of the deployment whose processes run or are frozen.
 func (sim *Simulation) runningMachines() []*machine {
 	var running []*machine
 	for _, m := range sim.machines {
@@ -149,7 +149,7 @@
 	return running
 }
 
-// refreshSeeds sets the seeds to the first machines that are part of the deployment now.
+// refreshSeeds sets the seeds to the first machines that have not been removed.
 func (sim *Simulation) refreshSeeds() {
 	sim.seeds = nil
 	for _, m := range sim.machines {
@@ -159,7 +159,7 @@
 	}
 }
 
-// Run runs until a time. It returns an error if a guarantee was violated before.
+// Run runs the simulation until a time, or until a guarantee is violated, which it returns as an error.
 func (sim *Simulation) Run(until time.Duration) error {
 	for len(sim.events) > 0 && sim.events[0].at <= until {
 		next := heap.Pop(&sim.events).(event)
@@ -173,7 +173,7 @@
 	return nil
 }
 
-// violation returns the first violated guarantee; nil for none.
+// violation returns the first violation that any of the checkers has recorded, or nil.
 func (sim *Simulation) violation() error {
 	switch {
 	case sim.checker.violation != nil:
@@ -188,12 +188,12 @@
 	return nil
 }
 
-// jitter returns a random part of a duration.
+// jitter returns a random duration of at least 0 and less than d.
 func (sim *Simulation) jitter(d time.Duration) time.Duration {
 	return time.Duration(sim.random.Int64N(int64(d)))
 }
 
-// Views returns the views of the running members, for the description of a failure.
+// Views returns the views of the running members. Descriptions of failures contain them.
 func (sim *Simulation) Views() []chain.View {
 	var views []chain.View
 	for _, m := range sim.machines {
--- a/internal/lab/coresim/tables_test.go
+++ b/internal/lab/coresim/tables_test.go
@@ -5,7 +5,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("the whole control plane in generated schedules of faults", func() {
+var _ = Describe("the control plane with sessions and placement in generated schedules of faults", func() {
 	It("violates no guarantee", func() {
 		const schedules = 60
 		if failure, _ := SearchWithCoverage(1, schedules, Options{Placement: true, Sessions: true}, nil); failure != nil {
@@ -14,8 +14,8 @@
 		}
 	})
 
-	// The searches begin at a seed shortly before one that finds the flaw: from the first one on they take 187 and 50 schedules.
-	DescribeTable("has a planted flaw found",
+	// Two searches begin shortly before a seed that finds the flaw, to save time: from seed 1 on they run 187 and 50 schedules.
+	DescribeTable("violates a guarantee with a planted flaw",
 		func(flaw Flaw, first uint64) {
 			const schedules = 1000
 			Expect(SearchFlaw(first, schedules, flaw)).NotTo(BeNil())
--- a/internal/lab/coresim/value.go
+++ b/internal/lab/coresim/value.go
@@ -6,10 +6,10 @@
 	"dykering/internal/coordination"
 )
 
-// log is the replicated value: the list of the operations of the operators. It is never modified in place.
+// log is the replicated value: the list of the operators' operations. It is immutable; apply returns a new one.
 type log struct {
 	operations []operation
-	// coordination is the state of the coordination service; nil while nothing was written to it.
+	// coordination is the state of the coordination service. It is nil until the first command is applied.
 	coordination *coordination.State
 }
 
@@ -22,13 +22,13 @@
 	return next
 }
 
-// encode returns the form of an operation in the chain's log.
+// encode returns the encoding of an operation as an entry of the chain.
 func encode(op operation) []byte {
 	encoded := binary.BigEndian.AppendUint64(nil, op.number)
 	return binary.BigEndian.AppendUint64(encoded, op.base)
 }
 
-// has reports whether the list contains an operation. Recent ones are found first.
+// has reports whether the list contains an operation. It searches from the latest one, as most calls ask for a recent one.
 func (l log) has(number uint64) bool {
 	for i := len(l.operations) - 1; i >= 0; i-- {
 		if l.operations[i].number == number {
