--- a/internal/lab/model/clients.go
+++ b/internal/lab/model/clients.go
@@ -10,7 +10,8 @@
 	"dykering/internal/lab/scenario"
 )
 
-// operation is what a client wants done once. It takes one request or, with retries, several.
+// operation is a unit of work that a client wants executed once. It takes one request or, with retries,
+// several.
 type operation struct {
 	number    int
 	class     int
@@ -19,17 +20,17 @@
 	createdAt time.Duration
 	deadline  time.Duration
 	instance  *Instance
-	// Requests sent so far, the first one included.
+	// requests counts the requests that were sent, including the first one.
 	requests int
-	// The client has a final outcome and waits for no further request.
+	// finished is set once the client has a final outcome.
 	finished bool
 }
 
-// origin identifies the operation to the checker; all of its requests carry it.
+// origin returns the identifier of the operation for the checker. All of its requests carry it.
 func (op *operation) origin() string { return fmt.Sprint(op.number) }
 
-// scheduleArrival schedules the next arrival of the clients at a base rate, in requests per second.
-// Each arrival schedules the one after it until the scenario's duration is over.
+// scheduleArrival schedules the next arrival of clients. Rate is the base rate in requests per second. Each
+// arrival schedules the following one until the scenario's duration is over.
 func (w *World) scheduleArrival(rate float64) {
 	callers := w.Scenario.Callers
 	now := max(rate*(w.rateFactor+w.excessShare())*(1+callers.RateAmplitude*math.Sin(2*math.Pi*(w.Now()-Origin).Minutes())), 1e-9)
@@ -52,16 +53,18 @@
 	})
 }
 
-// createOperation draws a new operation and sends its first request. Beyond the limit on open
-// operations it is counted as suppressed and not sent.
+// createOperation creates a random operation and sends its first request. If the limit on open operations is
+// reached, the operation is counted as suppressed and not sent.
 func (w *World) createOperation() {
 	s := w.Scenario
 	class := scenario.Pick(w.callerRandom, len(s.Classes), func(i int) float64 { return s.Classes[i].Share })
 	total := w.rateFactor + w.excessShare()
 	op := &operation{
-		number: w.operationCount, class: class, team: scenario.Pick(w.callerRandom, len(s.Teams), func(i int) float64 {
+		number: w.operationCount, class: class,
+		team: scenario.Pick(w.callerRandom, len(s.Teams), func(i int) float64 {
 			return s.Teams[i].Share * (w.rateFactor + w.floodShares[i]) / total
-		}), work: s.Classes[class].Draw(w.callerRandom), createdAt: w.Now(), instance: w.chooseInstance(),
+		}),
+		work: s.Classes[class].Draw(w.callerRandom), createdAt: w.Now(), instance: w.chooseInstance(),
 		deadline: w.Now() + time.Duration(s.Classes[class].Deadline),
 	}
 	w.operationCount++
@@ -74,8 +77,8 @@
 	w.sendRequest(op)
 }
 
-// excessShare is the load that flooding teams offer beyond their share, as a fraction of the whole
-// base load.
+// excessShare returns the load that flooding teams offer beyond their shares, as a fraction of the total base
+// load.
 func (w *World) excessShare() (sum float64) {
 	for i, team := range w.Scenario.Teams {
 		sum += team.Share * w.floodShares[i]
@@ -83,12 +86,12 @@
 	return sum
 }
 
-// chooseInstance draws the instance that a client connects to. With a hot factor, one in ten
-// instances gets that many times the mean load.
+// chooseInstance draws the instance to which a client connects. With a hot factor, one in ten instances gets
+// the mean load multiplied by the factor.
 func (w *World) chooseInstance() *Instance {
 	all, hot := w.Tiers[0].Instances, w.Scenario.Callers.HotFactor
-	few := (len(all) + 9) / 10
-	share := hot * float64(few) / float64(len(all))
+	hotCount := (len(all) + 9) / 10
+	share := hot * float64(hotCount) / float64(len(all))
 	if hot == 1 || share >= 1 {
 		return all[w.callerRandom.IntN(len(all))]
 	}
@@ -99,9 +102,9 @@
 		}
 	}
 	if w.callerRandom.Float64() < share {
-		return all[w.hotOrder[w.callerRandom.IntN(few)]]
+		return all[w.hotOrder[w.callerRandom.IntN(hotCount)]]
 	}
-	return all[w.hotOrder[few+w.callerRandom.IntN(len(all)-few)]]
+	return all[w.hotOrder[hotCount+w.callerRandom.IntN(len(all)-hotCount)]]
 }
 
 // sendRequest sends the next request of an operation to its instance and starts the client's
@@ -115,21 +118,22 @@
 	w.Result.Requests++
 	request := &Request{
 		ID: decision.RequestID(fmt.Sprintf("%d/%d", op.number, op.requests)), Origin: op.origin(), Class: op.class, Team: op.team,
-		Work: op.work, Instance: op.instance, Deadline: w.Now() + remaining, IsRetry: w.Scenario.Callers.MarksRetries && op.requests > 1, Requester: w, operation: op,
+		Work: op.work, Instance: op.instance, Deadline: w.Now() + remaining,
+		IsRetry: w.Scenario.Callers.MarksRetries && op.requests > 1, Requester: w, operation: op,
 	}
 	w.After(w.Latency(), func() { w.brokers.Accept(request) })
 	w.After(remaining, func() {
 		if request.Completed || op.finished {
 			return
 		}
-		request.Completed = true // by the client's timeout
+		request.Completed = true // the client has reached its timeout
 		w.After(w.Latency(), func() { w.brokers.Abandon(request) })
 		w.retry(op, 0, timedOut)
 	})
 }
 
-// Complete implements Requester for clients: it receives the outcome of a request and retries or
-// finishes the operation.
+// Complete implements Requester for clients. It receives the outcome of a request, and retries or finishes
+// the operation.
 func (w *World) Complete(request *Request, outcome string, retryAfter time.Duration) {
 	op := request.operation
 	if request.Completed || op.finished {
@@ -146,8 +150,8 @@
 	}
 }
 
-// retry sends a further request after the client's backoff, if its limit on attempts and the
-// deadline allow that; else it finishes the operation with the last outcome.
+// retry sends another request after the client's backoff, if the limit on attempts and the deadline allow
+// it. Otherwise it finishes the operation with the last outcome.
 func (w *World) retry(op *operation, retryAfter time.Duration, outcome string) {
 	c := w.Scenario.Callers
 	if outcome == timedOut && w.Scenario.Classes[op.class].Effect == string(decision.Unsafe) || op.requests >= c.MaxAttempts {
--- a/internal/lab/model/compatibility_test.go
+++ b/internal/lab/model/compatibility_test.go
@@ -6,7 +6,7 @@
 	"dykering/internal/fixture"
 )
 
-// The result of a run keeps the JSON form of the journals that released builds wrote.
+// Result files of released builds can be read and are written in the same form.
 func TestResultKeepsFormOfReleasedBuild(t *testing.T) {
 	fixture.JSON(t, "testdata/compatibility/result.json", &Result{})
 }
--- a/internal/lab/model/discovery.go
+++ b/internal/lab/model/discovery.go
@@ -6,8 +6,8 @@
 	"dykering/internal/decision"
 )
 
-// announce sets the server's state in discovery and sends it to all instances of its tier, each
-// after its own delay.
+// announce sets the server's state in discovery and sends an update to all instances of its tier, each with
+// its own delay.
 func (s *Server) announce(state decision.State) {
 	w := s.w
 	s.state = state
@@ -22,12 +22,12 @@
 	}
 }
 
-// deliverUpdate delivers a discovery update of so many entries to an instance, after all earlier
-// ones. It is lost if the instance's watch breaks before.
-func (w *World) deliverUpdate(in *Instance, lines int, deliver func()) {
+// deliverUpdate delivers a discovery update with a number of entries to an instance, after all earlier
+// updates. The update is lost if the instance's watch breaks before.
+func (w *World) deliverUpdate(in *Instance, entries int, deliver func()) {
 	deliveryTime := max(w.Now()+w.Scenario.Discovery.Delay.Draw(w.discoveryRandom), w.discoveryPausedUntil, in.lastUpdateAt)
 	if rate := w.Scenario.Discovery.Rate; rate > 0 {
-		w.discoveryIdleAt = max(w.discoveryIdleAt, w.Now()) + time.Duration(float64(lines)/float64(rate)*float64(time.Second))
+		w.discoveryIdleAt = max(w.discoveryIdleAt, w.Now()) + time.Duration(float64(entries)/float64(rate)*float64(time.Second))
 		deliveryTime = max(deliveryTime, w.discoveryIdleAt)
 	}
 	in.lastUpdateAt = deliveryTime
@@ -39,7 +39,7 @@
 	})
 }
 
-// breakWatch breaks an instance's watch of discovery. The instance then receives the full list.
+// breakWatch breaks an instance's watch of discovery. The instance then receives the full endpoint list.
 func (w *World) breakWatch(in *Instance) {
 	in.watchEpoch++
 	in.lastUpdateAt = 0
@@ -53,7 +53,7 @@
 	})
 }
 
-// List is the full endpoint list of an instance's tier as discovery has it now.
+// List returns the present full endpoint list of discovery for an instance's tier.
 func (w *World) List(in *Instance) decision.List {
 	list := decision.List{Kind: decision.FullList, Version: w.listVersion}
 	for _, s := range in.Tier.Servers {
--- a/internal/lab/model/doc.go
+++ b/internal/lab/model/doc.go
@@ -1,4 +1,4 @@
-// Package model is the laboratory's model of everything around the broker: clients, servers in tiers, the
+// Package model is the laboratory's model of the broker's environment: clients, servers in tiers, the
 // network, discovery, and the faults that a scenario injects.
 //
 // The model contains neither brokers nor sockets. The engines provide both through the interfaces Brokers
@@ -6,11 +6,12 @@
 // network. An engine creates a World, starts it, runs the actions of its clock in order, and takes the
 // Result at the end.
 //
-// A client's operation takes one or more requests to an instance; an instance sends attempts to servers for
-// each of them; servers send requests of their own to the next tier.
+// A client sends one or more requests for an operation to an instance of the broker. The instance sends one
+// or more attempts for each request to servers. A server that has to call the next tier sends requests to an
+// instance of that tier.
 //
-// Invariants: a World belongs to the goroutine of its clock. Each component draws from a random stream of
-// its own, and the order of the draws in a stream is fixed, so that a scenario and a seed define a run, and
-// one more server or instance does not change what the others draw. Every request that an instance accepts
-// is reported to the checker of package rules.
+// Invariants: a World belongs to the goroutine of its clock. Each component has its own random stream, and
+// the order of the draws from a stream is fixed, so a scenario and a seed define a run, and an additional
+// server or instance does not change the draws of the others. Every request that an instance accepts is
+// reported to the checker of package rules.
 package model
--- a/internal/lab/model/event_queue.go
+++ b/internal/lab/model/event_queue.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// Clock is the time of a world, virtual or real. All scheduled actions run on one goroutine.
+// Clock provides the time of a world, virtual or real, and runs all scheduled actions on one goroutine.
 type Clock interface {
+	// Now returns the present time. A clock starts at Origin.
 	Now() time.Duration
-	// After runs an action when a duration has passed.
+	// After runs an action after a duration.
 	After(d time.Duration, do func())
 }
 
@@ -40,7 +41,7 @@
 	}
 }
 
-// Next reports the time of the earliest action, and false where the queue is empty.
+// Next returns the time of the earliest action. Ok is false if the queue is empty.
 func (q *EventQueue) Next() (at time.Duration, ok bool) {
 	if len(q.events) == 0 {
 		return 0, false
--- a/internal/lab/model/faults.go
+++ b/internal/lab/model/faults.go
@@ -9,10 +9,10 @@
 	"dykering/internal/lab/scenario"
 )
 
-// maxNeighbourTurn is the longest turn of a server that a noisy neighbour slows down by turns.
+// maxNeighbourTurn is the longest period in which a noisy neighbour slows a server down, or does not.
 const maxNeighbourTurn = time.Second
 
-// sample draws a share of n indexes, rounded up, without replacement.
+// sample draws a share of the indexes below n without replacement. Their number is rounded up.
 func sample(r *rand.Rand, n int, share float64) []int {
 	return r.Perm(n)[:min(n, int(math.Ceil(share*float64(n)-1e-9)))]
 }
@@ -23,11 +23,11 @@
 	duration time.Duration
 	factor   float64
 	tier     *Tier
-	// Indexes of servers in the tier, in the order in which the fault reaches them.
+	// servers are the indexes of the chosen servers in the tier, in the order in which the fault affects them.
 	servers []int
-	// Indexes of instances in the tier.
+	// instances are the indexes of the chosen instances in the tier.
 	instances []int
-	// The bit of a partition.
+	// partition is the bit that identifies a partition.
 	partition uint64
 }
 
@@ -42,7 +42,7 @@
 	w.After(start, func() { w.injectFault(o, r) })
 }
 
-// injectFault begins a fault. Where it acts on servers or instances, those handle it one by one.
+// injectFault begins a fault. A fault of servers or instances is applied to each chosen one.
 func (w *World) injectFault(o occurrence, r *rand.Rand) {
 	switch o.Kind {
 	case "burst":
@@ -88,8 +88,8 @@
 	}
 }
 
-// injectServerFault applies a fault to the chosen servers, one interval after another; flapping
-// ones at once.
+// injectServerFault applies a fault to the chosen servers, one interval after another. A flap begins at all of
+// them at once, since its interval is that of the flapping.
 func (w *World) injectServerFault(o occurrence) {
 	for i, x := range o.servers {
 		delay := time.Duration(i) * time.Duration(o.Interval)
@@ -129,7 +129,7 @@
 	})
 }
 
-// notifyPartitions has real sockets follow a change of the partitions.
+// notifyPartitions reports a change of the partitions to the real sockets, if there are any.
 func (w *World) notifyPartitions() {
 	if w.sockets != nil {
 		w.sockets.PartitionsChanged()
@@ -173,7 +173,7 @@
 	}
 }
 
-// setConnectionFault sets the fault on the server's connections, "none" to end it.
+// setConnectionFault sets the fault on the server's connections. The fault "none" ends an earlier one.
 func (s *Server) setConnectionFault(fault string, n int) {
 	s.connectionFault, s.faultBytes = fault, n
 	if s.w.sockets != nil {
@@ -193,14 +193,14 @@
 			if s.w.sockets != nil {
 				s.w.sockets.SetConnectionFault(s, "none", 0)
 			}
-			if s.up && !s.draining { // it may have ended or begun to drain meanwhile
+			if s.up && !s.draining { // the server may have shut down or begun to drain meanwhile
 				s.announce(decision.Ready)
 			}
 		}
 	})
 }
 
-// alternateSlowdown makes a server slow and fast by turns until a time, as a noisy neighbour does.
+// alternateSlowdown makes a server alternately slow and fast until a time, as a noisy neighbour does.
 func (s *Server) alternateSlowdown(factor float64, until time.Duration) {
 	if s.w.Now() >= until {
 		s.slowdown = 1
@@ -214,9 +214,9 @@
 	s.w.After(time.Duration((0.2+0.8*s.rng.Float64())*float64(maxNeighbourTurn)), func() { s.alternateSlowdown(factor, until) })
 }
 
-// flap has discovery announce a server as departed and ready by turns until a time, while the
-// server itself stays up.
-func (s *Server) flap(until, every time.Duration) {
+// flap makes discovery announce a server alternately as departed and ready until a time, while the server
+// itself stays up.
+func (s *Server) flap(until, interval time.Duration) {
 	if s.w.Now() >= until || !s.up || s.draining {
 		if s.up && !s.draining && s.state == decision.Departed {
 			s.announce(decision.Ready)
@@ -228,5 +228,5 @@
 	} else {
 		s.announce(decision.Ready)
 	}
-	s.w.After(every, func() { s.flap(until, every) })
+	s.w.After(interval, func() { s.flap(until, interval) })
 }
--- a/internal/lab/model/result.go
+++ b/internal/lab/model/result.go
@@ -9,84 +9,85 @@
 	"dykering/internal/lab/scenario"
 )
 
-// Result is the outcome of one run. Its JSON keys are the format of result files and journals and
-// stay as they are.
+// Result is the outcome of one run. The JSON keys are the format of result files and must not change.
 type Result struct {
 	Scenario string `json:"scenario"`
-	// The engine that ran the scenario: sim, real or whole.
+	// Engine is the engine that ran the scenario: sim, real or whole.
 	Engine    string `json:"engine"`
 	Seed      uint64 `json:"seed"`
 	Instances int    `json:"instances"`
 	Servers   int    `json:"servers"`
-	// Operations that clients sent at least one request for.
+	// Offered counts the operations for which clients sent at least one request.
 	Offered int `json:"asked"`
-	// Operations not sent because too many were open.
+	// Suppressed counts the operations that were not sent because too many were open.
 	Suppressed int `json:"unmade"`
-	// Requests sent by clients to instances, retries included.
+	// Requests counts the requests that clients sent to instances, including retries.
 	Requests int `json:"tries"`
-	// Attempts sent by instances to servers.
+	// Attempts counts the attempts that instances sent to servers.
 	Attempts int `json:"attempts"`
-	// Connections opened, where the scenario gives them a cost.
+	// Connects counts the opened connections, if the scenario gives them a cost.
 	Connects int `json:"connects,omitempty"`
-	// Operations answered within the latency target of their class.
+	// Served counts the operations that were answered within the latency target of their class.
 	Served int `json:"served"`
-	// Operations answered after the latency target.
-	Late    int `json:"late"`
-	Refused int `json:"refused"`
-	Failed  int `json:"failed"`
-	// Operations that found no instance to connect to.
+	// Late counts the operations that were answered after the latency target.
+	Late int `json:"late"`
+	// Refused, Failed, Unreachable and TimedOut count the operations with these outcomes.
+	Refused     int `json:"refused"`
+	Failed      int `json:"failed"`
 	Unreachable int `json:"unheard"`
 	TimedOut    int `json:"timedOut"`
-	// Operations without an outcome at the end of the run.
+	// Open counts the operations without an outcome at the end of the run.
 	Open int `json:"open"`
-	// Served operations as a share of all that were offered or suppressed.
+	// Service is the share of served operations among all that were offered or suppressed.
 	Service float64 `json:"service"`
-	// The lowest share served in one second, of the seconds with enough operations to count.
+	// WorstSecond is the lowest share served within one second. Seconds with few operations do not count.
 	WorstSecond float64 `json:"worst"`
-	// Seconds from the end of the last fault until service has recovered; -1 if it never does.
+	// RecoverySeconds is the time from the end of the last fault until the service has recovered; -1 if it
+	// never recovers.
 	RecoverySeconds float64 `json:"back"`
-	// Median latency of answered operations, in seconds, retries included.
+	// P50 and P99 are percentiles of the latency of answered operations, in seconds, including retries.
 	P50     float64       `json:"p50"`
 	P99     float64       `json:"p99"`
 	Classes []ClassResult `json:"classes"`
 	Teams   []TeamResult  `json:"teams,omitempty"`
 	Seconds []Second      `json:"seconds"`
-	// Violations by rule.
+	// ViolationCounts is the number of violations of each rule.
 	ViolationCounts map[string]int    `json:"broken"`
 	Violations      []rules.Violation `json:"violations,omitempty"`
-	// Replicated facts sent between instances.
+	// FactsSent counts the replicated facts that instances sent to each other.
 	FactsSent int `json:"replicated,omitempty"`
-	// For each fact that reached 0.99 of the instances of its tier, the seconds until it did.
+	// PropagationSeconds contains, for each fact that reached 0.99 of the instances of its tier, the time until
+	// it did.
 	PropagationSeconds []float64 `json:"spread,omitempty"`
-	// Times that advice from other instances changed an ejection or a trial request.
+	// AppliedAdvice counts how often advice from other instances changed an ejection or a trial request.
 	AppliedAdvice int `json:"heeded,omitempty"`
-	// Fleet-wide budgets, where quotas are shared by leases.
+	// Budgets is set if the instances share quotas by leases.
 	Budgets *Budgets `json:"budgets,omitempty"`
-	// Views of the fleet at the end, where the instances keep them.
+	// Views is set if the instances keep views of the fleet.
 	Views *Views `json:"views,omitempty"`
 
 	latency   *hdrhistogram.Histogram
 	faultsEnd time.Duration
 }
 
-// Budgets measures how well the teams' quotas were divided among the instances.
+// Budgets measures how well the teams' quotas were distributed among the instances.
 type Budgets struct {
-	// The share of quota that was admitted, over all seconds in which a team asked for at least its
+	// UsedShare is the admitted share of the quotas, over all seconds in which a team offered at least its
 	// quota.
 	UsedShare float64 `json:"used"`
-	// The number of such seconds, summed over the teams.
+	// OverloadedSeconds is the number of such seconds, summed over the teams.
 	OverloadedSeconds int `json:"over"`
-	// Seconds, from the fifth on, in which the allotments of live instances summed to less than 0.95
-	// of a quota.
+	// ShortSeconds is the time, from the fifth second on, in which the allotments of live instances summed to
+	// less than 0.95 of some quota.
 	ShortSeconds float64 `json:"short"`
-	// The highest sum of allotments at one time, as a multiple of the quota.
+	// MaxAllotted is the highest sum of allotments at any time, as a multiple of the quota.
 	MaxAllotted float64 `json:"most"`
 
 	used, quota float64
 }
 
-// RecordSecond adds one second of a team: the requests it offered, those admitted within quota, and
-// the quota itself. Seconds below the quota do not count.
+// RecordSecond records one second of a team: the offered requests, those admitted within the quota, and the
+// quota itself. Seconds with fewer offered requests than the quota do not count.
 func (b *Budgets) RecordSecond(offered, within, quota float64) {
 	if offered < quota {
 		return
@@ -100,42 +101,42 @@
 // Views summarizes the instances' views of the fleet at the end, with counters summed over the
 // instances.
 type Views struct {
-	// The number of instances that hold each view, by its digest.
+	// Digests maps the digest of each view to the number of instances that hold it.
 	Digests     map[string]int `json:"digests"`
 	Suspicions  uint64         `json:"suspicions"`
 	Refutations uint64         `json:"refutations"`
 	Deaths      uint64         `json:"deaths"`
-	// Bytes of gossip packets sent.
+	// BytesOut is the number of bytes of the gossip packets that were sent.
 	BytesOut uint64 `json:"bytesOut"`
 }
 
-// ClassResult is the part of a result that belongs to one class of request.
+// ClassResult is the part of a result for one class of request.
 type ClassResult struct {
 	Name    string `json:"name"`
 	Offered int    `json:"asked"`
 	Served  int    `json:"served"`
 }
 
-// TeamResult is the part of a result that belongs to one team.
+// TeamResult is the part of a result for one team.
 type TeamResult struct {
 	ClassResult
-	// A fault of the scenario has this team exceed its share.
+	// Floods is set if a fault of the scenario makes the team exceed its share.
 	Floods bool `json:"floods,omitempty"`
 }
 
-// NonFloodingService is the share served of the operations of all teams that do not flood, 1 where
-// there are none.
+// NonFloodingService returns the served share of the operations of all teams that do not flood. It is 1 if
+// there are no such operations.
 func (r *Result) NonFloodingService() float64 {
-	asked, served := 0, 0
+	offered, served := 0, 0
 	for _, t := range r.Teams {
 		if !t.Floods {
-			asked, served = asked+t.Offered, served+t.Served
+			offered, served = offered+t.Offered, served+t.Served
 		}
 	}
-	if asked == 0 {
+	if offered == 0 {
 		return 1
 	}
-	return float64(served) / float64(asked)
+	return float64(served) / float64(offered)
 }
 
 // Second is the outcome of the operations created in one second of the run.
@@ -145,12 +146,12 @@
 }
 
 const (
-	// minOfferedPerSecond is the least number of operations for which a second counts in WorstSecond.
+	// minOfferedPerSecond is the minimum number of operations for which a second counts in WorstSecond.
 	minOfferedPerSecond = 20
-	// recoveredService is the share served from which on a second counts as recovered; recoverySeconds
-	// of them in a row end the recovery.
+	// recoveredService is the minimum served share of a second that counts as recovered.
 	recoveredService = 0.95
-	recoverySeconds  = 3
+	// recoverySeconds is the number of consecutive recovered seconds after which the recovery is complete.
+	recoverySeconds = 3
 )
 
 func newResult(s *scenario.Scenario, seed uint64) *Result {
@@ -165,19 +166,21 @@
 	for _, team := range s.Teams {
 		r.Teams = append(r.Teams, TeamResult{ClassResult: ClassResult{Name: team.Name}})
 	}
-	for _, team := range s.InjectedFaults {
-		if i := s.TeamIndex(team.Team); team.Kind == "flood" && i >= 0 {
+	for _, fault := range s.InjectedFaults {
+		if i := s.TeamIndex(fault.Team); fault.Kind == "flood" && i >= 0 {
 			r.Teams[i].Floods = true
 		}
-		r.faultsEnd = max(r.faultsEnd, team.Start.To+team.Duration.To)
+		r.faultsEnd = max(r.faultsEnd, fault.Start.To+fault.Duration.To)
 	}
 	return r
 }
 
+// second returns the entry of the second in which an operation was created.
 func (r *Result) second(op *operation) *Second {
 	return &r.Seconds[int((op.createdAt - Origin).Seconds())]
 }
 
+// recordOffered counts an operation for which the client sends its first request.
 func (r *Result) recordOffered(_ *World, op *operation) {
 	r.Offered++
 	r.Classes[op.class].Offered++
@@ -187,6 +190,7 @@
 	r.second(op).Offered++
 }
 
+// recordOutcome counts the final outcome of an operation.
 func (r *Result) recordOutcome(w *World, op *operation, outcome string) {
 	w.Checker.ForgetOrigin(op.origin())
 	switch latency := w.Now() - op.createdAt; {
@@ -212,6 +216,7 @@
 	}
 }
 
+// summarize computes the shares, percentiles and the recovery time at the end of the run.
 func (r *Result) summarize(w *World) {
 	r.Open = w.openOperations
 	r.ViolationCounts, r.Violations = w.Checker.Counts(), w.Checker.Violations()
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -12,72 +12,72 @@
 	"dykering/internal/lab/scenario"
 )
 
-// Attempt is one request sent by an instance to a server. Attempts of the same request are
+// Attempt is one transmission of a request by an instance to a server. The attempts of a request are
 // numbered.
 type Attempt struct {
 	Request *Request
 	Number  int
 	Server  *Server
 	SentAt  time.Duration
-	// The sender does not wait for a reply any more.
+	// Finished is set once the sender no longer waits for a reply.
 	Finished bool
 	ReplyTo  Replier
-	// Work of the server for the connection itself, in seconds of a core.
+	// connectionWork is the server's work for a new connection, in seconds of a core.
 	connectionWork float64
 }
 
 // Replier receives a server's reply to an attempt, when the reply leaves the server.
 type Replier interface {
-	Reply(a *Attempt, how decision.Status, l *decision.Load)
+	Reply(a *Attempt, status decision.Status, load *decision.Load)
 }
 
-// Server is the model of a server: cores that work on one attempt each, a queue, and the faults
-// that are active on it.
+// Server models a server: cores that work on one attempt each, a queue, and the active faults.
 type Server struct {
-	// Its index among the servers of all tiers.
+	// Index is the index among the servers of all tiers.
 	Index int
 	Tier  *Tier
 	w     *World
-	// Its index in its tier.
+	// ordinal is the index among the servers of the tier.
 	ordinal   int
 	kind      *scenario.Kind
 	kindIndex int
 	speed     float64
 	rng       *rand.Rand
 	up        bool
-	// The state that discovery announces.
+	// state is the state that discovery announces.
 	state decision.State
-	// Number of shutdowns. Work scheduled under an earlier incarnation is dropped.
+	// incarnation counts the shutdowns. Work that an earlier incarnation has scheduled is dropped.
 	incarnation uint64
-	// When it last started; 0 for long ago.
+	// started is the time of the last start; 0 if the server started long ago.
 	started  time.Duration
 	draining bool
-	// Attempts being worked on, oldest first.
+	// running are the attempts in progress, the oldest first.
 	running []*Attempt
 	queue   []*Attempt
-	// Open calls to the next tier.
+	// calls are the open calls to the next tier.
 	calls []*call
-	// Factor by which work takes longer.
+	// slowdown is the factor by which work takes longer.
 	slowdown float64
-	// Share of errors beside that of its kind.
+	// errorRate is the share of errors in addition to that of the server's kind.
 	errorRate   float64
 	pausedUntil time.Duration
-	// Work received in the window that began at windowStart.
+	// recentWork is the work received in the window that began at windowStart.
 	recentWork  float64
 	windowStart time.Duration
-	// Attempts handled since its last rest.
+	// handledSinceRest counts the attempts since the last rest.
 	handledSinceRest int
-	// The number of active faults under which nothing arrives from it.
+	// activeVanishes counts the active faults that make the server unreachable.
 	activeVanishes int
-	// Bits of the partitions that it is on the far side of.
+	// partitions is a bit set of the partitions that separate the server from instances with the same bit.
 	partitions uint64
-	// The fault on its connections, "none" without one, and its size in bytes.
+	// connectionFault is the fault on the server's connections, "none" if there is none, and faultBytes its
+	// size.
 	connectionFault string
 	faultBytes      int
-	// Connections by instance, where they have a cost.
+	// pools contains the connections of each instance, if connections have a cost.
 	pools           map[int]*connectionPool
-	openConnections int // connections
-	// The load report that was sent last, and its time.
+	openConnections int
+	// lastReport is the load report that was last created, at lastReportAt.
 	lastReport   decision.Load
 	lastReportAt time.Duration
 }
@@ -85,8 +85,8 @@
 // connectionPool counts the connections of one instance to a server.
 type connectionPool struct{ idle, open int }
 
-// addServer adds a server to a tier. Its kind is drawn by the kinds' shares where the index is
-// below 0.
+// addServer adds a server to a tier. Kind is the index of its kind. If it is negative, the kind is drawn by
+// the kinds' shares.
 func (w *World) addServer(t *Tier, kind int) *Server {
 	ordinal := len(t.Servers)
 	rng := Stream(w.seed, fmt.Sprint("server", t.Index), ordinal)
@@ -103,23 +103,24 @@
 	return s
 }
 
-// ID is the endpoint under which instances know the server.
+// ID returns the endpoint identifier under which instances know the server.
 func (s *Server) ID() decision.EndpointID { return decision.EndpointID(s.Index + 1) }
 
-// Description names the properties that were drawn for the server.
+// Description returns the properties that were drawn for the server.
 func (s *Server) Description() string { return fmt.Sprint(s.kind.Name, " of speed ", s.speed) }
 
-// IsSilent reports whether nothing comes from the server on a new connection.
+// IsSilent reports whether attempts to connect to the server get no response.
 func (s *Server) IsSilent() bool { return s.activeVanishes > 0 || s.connectionFault == "syn" }
 
+// location returns the zone and cell of the server.
 func (s *Server) location() rules.Location {
 	return rules.Location{Zone: s.ordinal % s.w.Scenario.Servers.Zones, Cell: s.ordinal / serversPerCell}
 }
 
-// IsListening reports whether connections to the server can be made.
+// IsListening reports whether the server accepts connections.
 func (s *Server) IsListening() bool { return s.up }
 
-// Entry is the server's entry in the endpoint list of discovery.
+// Entry returns the server's entry in the endpoint list of discovery.
 func (s *Server) Entry() decision.Entry {
 	p := s.location()
 	return decision.Entry{
@@ -128,8 +129,8 @@
 	}
 }
 
-// capacityShare is the share of its full capacity that a server has now: less than 1 while it warms
-// up.
+// capacityShare returns the present share of the server's full capacity, which is less than 1 while the server
+// warms up.
 func (s *Server) capacityShare() float64 {
 	cold := time.Duration(s.w.Scenario.Servers.WarmUp)
 	if s.started == 0 || cold == 0 || s.w.Now() >= s.started+cold {
@@ -139,9 +140,9 @@
 	return from + (1-from)*float64(s.w.Now()-s.started)/float64(cold)
 }
 
-// Connect takes a connection for an attempt and returns the time that takes. It fails where the
-// server's limit on connections is reached. Connections have no cost in kinds that set neither a
-// limit nor a handshake.
+// Connect assigns a connection to an attempt, an idle one if possible, and returns the time that connecting
+// takes. It fails if the server's connection limit is reached. Connections have no cost if the server's kind
+// sets neither a limit nor a handshake.
 func (s *Server) Connect(a *Attempt) (duration time.Duration, ok bool) {
 	if s.kind.MaxConnections == 0 && s.kind.Handshake == 0 {
 		return 0, true
@@ -165,8 +166,8 @@
 	return 2 * s.w.Latency(), true
 }
 
-// Release returns the connection of an attempt; keep leaves it idle for a further attempt, else it
-// is closed.
+// Release releases the connection of an attempt. With keep it becomes idle for a further attempt, otherwise
+// it is closed.
 func (s *Server) Release(a *Attempt, keep bool) {
 	c := s.pools[a.Request.Instance.Index]
 	switch {
@@ -198,12 +199,13 @@
 	s.admit(a)
 }
 
-// slowTransferTime is how long a short message takes that is transferred in small chunks.
+// slowTransferTime returns the time that a short message takes if it is transferred in chunks of faultBytes.
 func (s *Server) slowTransferTime() time.Duration {
 	const short, each = 300, 20 * time.Millisecond
 	return time.Duration(math.Ceil(short/float64(max(s.faultBytes, 1)))) * each
 }
 
+// admit starts the work on an attempt, queues it or rejects it.
 func (s *Server) admit(a *Attempt) {
 	s.recordColdLoad(a)
 	switch {
@@ -220,8 +222,8 @@
 	}
 }
 
-// recordColdLoad adds an attempt to the load of a server that is warming up. A server that gets
-// more than it can bear for a whole window crashes.
+// recordColdLoad adds an attempt to the load of a server that is warming up. The server crashes if the work
+// of a window exceeds its present capacity by the scenario's multiple.
 func (s *Server) recordColdLoad(a *Attempt) {
 	multiple, window := s.w.Scenario.Servers.OverloadMultiple, time.Duration(s.w.Scenario.Servers.OverloadWindow)
 	if s.capacityShare() >= 1 || multiple == 0 {
@@ -238,7 +240,7 @@
 	}
 }
 
-// startWork begins to work on an attempt.
+// startWork starts the work on an attempt and schedules its end.
 func (s *Server) startWork(a *Attempt) {
 	s.running = append(s.running, a)
 	s.w.Checker.ExecutionStarted(s.w.Now(), string(a.Request.ID), s.location())
@@ -254,7 +256,7 @@
 	s.w.After(time.Duration(duration*float64(time.Second)), func() { s.finishWork(a, status, starts) })
 }
 
-// finishWork ends the work on an attempt. During a pause it waits for its end.
+// finishWork ends the work on an attempt, after the end of a pause if the server is paused.
 func (s *Server) finishWork(a *Attempt, status decision.Status, starts uint64) {
 	if starts != s.incarnation {
 		return // the server has shut down since
@@ -279,12 +281,13 @@
 	s.startQueued()
 }
 
+// remove returns a slice without an element.
 func remove[T comparable](all []T, x T) []T {
 	return slices.DeleteFunc(all, func(y T) bool { return x == y })
 }
 
-// startQueued begins to work on queued attempts while cores are free. Cancelled ones are dropped
-// unless the kind works on them all the same.
+// startQueued starts the work on queued attempts while cores are free. It drops cancelled attempts, unless
+// cancellation saves no work in the server's kind.
 func (s *Server) startQueued() {
 	for s.up && s.w.Now() >= s.pausedUntil && len(s.running) < s.kind.Cores && len(s.queue) > 0 {
 		a := s.queue[0]
@@ -296,10 +299,10 @@
 	}
 }
 
-// Cancel handles that the sender of an attempt has closed its connection.
+// Cancel handles the event that the sender of an attempt has closed its connection.
 func (s *Server) Cancel(a *Attempt) {
 	if s.kind.CancelSaves != "all" {
-		return // queued attempts are dropped when their turn comes
+		return // startQueued drops cancelled attempts
 	}
 	s.running, s.queue = remove(s.running, a), remove(s.queue, a)
 	for _, c := range slices.Clone(s.calls) {
@@ -331,8 +334,8 @@
 	a.ReplyTo.Reply(a, status, s.loadReport())
 }
 
-// loadReport is the load that a server reports with a reply, nil where its kind reports none. It is
-// renewed at the kind's interval and has its noise.
+// loadReport returns the load report of a reply, or nil if the server's kind reports no load. The report is
+// renewed at the kind's interval and contains random noise.
 func (s *Server) loadReport() *decision.Load {
 	k := s.kind
 	if !k.ReportsLoad {
--- a/internal/lab/model/server_lifecycle.go
+++ b/internal/lab/model/server_lifecycle.go
@@ -13,8 +13,7 @@
 	s.w.After(duration, s.startQueued)
 }
 
-// schedulePauses schedules the pauses that belong to the server's kind, until the scenario's
-// duration is over.
+// schedulePauses schedules the regular pauses of the server's kind until the scenario's duration is over.
 func (s *Server) schedulePauses() {
 	k := s.kind
 	if k.PauseInterval.To == 0 || s.w.Now() > Origin+time.Duration(s.w.Scenario.Duration) {
@@ -27,7 +26,7 @@
 	})
 }
 
-// crash ends a server with all of its work and starts it again after a duration.
+// crash shuts a server down, which resets all of its work, and starts it again after a duration.
 func (s *Server) crash(duration time.Duration) {
 	if !s.up {
 		return
@@ -55,7 +54,7 @@
 	}
 }
 
-// start starts a server that is down. It begins to warm up.
+// start starts a server that is down. Its warm-up begins.
 func (s *Server) start() {
 	s.up, s.draining = true, false
 	s.started = s.w.Now()
@@ -66,8 +65,8 @@
 	s.announce(decision.Ready)
 }
 
-// drain announces that a server is draining, ends it when half of the duration is over, and starts
-// it again at the end of the duration.
+// drain announces that a server is draining, shuts it down after half of the duration, and starts it again
+// at the end of the duration.
 func (s *Server) drain(duration time.Duration) {
 	if !s.up || s.draining {
 		return
@@ -82,7 +81,7 @@
 	})
 }
 
-// replace starts a new server and drains the old one, which does not return.
+// replace starts a new server and drains the old one, which shuts down permanently after the duration.
 func (s *Server) replace(duration time.Duration) {
 	if !s.up || s.draining {
 		return
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -12,60 +12,64 @@
 )
 
 const (
-	// Origin is the time at which a clock starts. It is well above 0, since a server's start of 0
-	// stands for long ago.
+	// Origin is the time at which a clock starts. It is well above 0, since a start time of 0 means that
+	// a server started long ago.
 	Origin = 24 * time.Hour
-	// Grace is the time before a client's deadline at which its answer should be on its way, and by
-	// which it may be late and still count as in time.
+	// Grace is the time before a client's deadline at which an instance should send the answer. It is
+	// also the delay after the deadline with which an answer still counts as in time.
 	Grace = 20 * time.Millisecond
-	// maxHeldSlack is the most slack with which the checker can tell an answer that was held until its
-	// deadline from a late one.
+	// maxHeldSlack is the largest slack with which the checker can distinguish a refusal that was held
+	// until the deadline from a late answer.
 	maxHeldSlack = 20 * time.Millisecond
-	// settleTime is how long a run goes on after the deadline of its last request.
+	// settleTime is the time for which a run continues after the deadline of its last request.
 	settleTime = time.Second
 	// serversPerCell is the number of servers in a cell.
 	serversPerCell = 2
-	// overloadDowntime is how long a server is down that crashed by overload while warming up.
+	// overloadDowntime is the time for which a server is down after an overload during its warm-up.
 	overloadDowntime = 3 * time.Second
 )
 
 // Outcomes of a request or an operation.
 const (
-	// Served to timedOut are the outcomes of a request, or of an operation.
+	// Served means that the client received a successful answer.
 	Served = "served"
-	// A retry is proven harmless: the request has not run.
+	// Refused means that the request has certainly not run, so a retry is safe.
 	Refused = "refused"
-	// The request may have run.
+	// Failed means that the request may have run.
 	Failed = "failed"
-	// No instance accepted the connection.
+	// Unreachable means that no instance accepted the connection.
 	Unreachable = "unheard"
-	timedOut    = "timed out"
+	// timedOut means that the requester received no answer before its deadline.
+	timedOut = "timed out"
 )
 
 // Brokers carry requests to servers. The clock's goroutine calls all of their methods.
 type Brokers interface {
-	// Accept takes a request that arrives at its instance. It completes the request once, unless that
-	// is abandoned.
+	// Accept handles a request that arrives at its instance. It completes the request exactly once,
+	// unless the request is abandoned.
 	Accept(t *Request)
-	// Abandon reports that the requester does not wait for a request any more.
+	// Abandon reports that the requester no longer waits for a request.
 	Abandon(t *Request)
 	// UpdateList delivers an update of the endpoint list to an instance.
 	UpdateList(in *Instance, l decision.List)
-	// Kill ends an instance at once and starts it again after a duration. Handover replaces it by a
-	// successor process.
-	Kill(in *Instance, lasts time.Duration)
+	// Kill ends the process of an instance immediately and starts a new one after a duration.
+	Kill(in *Instance, duration time.Duration)
+	// Handover replaces the process of an instance by a successor that takes over from it.
 	Handover(in *Instance)
-	// InjectFault applies any other fault to an instance: stop, stall, away, reload, stale or again.
-	InjectFault(in *Instance, what string, lasts time.Duration)
+	// InjectFault applies any other kind of fault to an instance: stop, stall, away, reload, stale or again.
+	InjectFault(in *Instance, kind string, duration time.Duration)
 }
 
-// Sockets are the real sockets of servers, where the engine has some.
+// Sockets are the real sockets of the servers, for an engine that has them.
 type Sockets interface {
+	// ServerStarted opens the listening socket of a server.
 	ServerStarted(s *Server)
+	// ServerStopped closes the sockets of a server.
 	ServerStopped(s *Server)
-	// SetConnectionFault sets the fault on a server's connections and its size in bytes; "none" ends
-	// it.
-	SetConnectionFault(s *Server, how string, n int)
+	// SetConnectionFault sets the fault on a server's connections and its size in bytes. The fault "none"
+	// ends an earlier one.
+	SetConnectionFault(s *Server, fault string, bytes int)
+	// ResetConnections resets all open connections of a server.
 	ResetConnections(s *Server)
 	// PartitionsChanged reports that the partitions have changed; see World.IsPartitioned.
 	PartitionsChanged()
@@ -73,30 +77,31 @@
 
 // Requester receives the outcome of a request: a client, or a server that calls the next tier.
 type Requester interface {
-	Complete(t *Request, how string, retryAfter time.Duration)
+	Complete(t *Request, outcome string, retryAfter time.Duration)
 }
 
-// Request is one request to an instance. Retries of a client are requests of their own with the
-// same origin.
+// Request is one request to an instance. Each retry of a client is a separate request with the same
+// origin.
 type Request struct {
 	ID decision.RequestID
-	// The operation that it belongs to.
+	// Origin identifies the operation that the request belongs to.
 	Origin string
-	Class  int
-	Team   int
-	// Seconds of a core of speed 1.
+	// Class and Team are indexes of the scenario's classes and teams.
+	Class int
+	Team  int
+	// Work is the server's work for the request, in seconds of a core of speed 1.
 	Work     float64
 	Instance *Instance
-	// The time at which the requester gives it up.
+	// Deadline is the time at which the requester stops waiting for the answer.
 	Deadline time.Duration
-	// It is marked as a retry.
+	// IsRetry is set if the client marks the request as a retry.
 	IsRetry bool
-	// The requester has an outcome, or has given the request up.
+	// Completed is set once the requester has an outcome or no longer waits for one.
 	Completed bool
 	Requester Requester
-	// Set for the request of a client.
+	// operation is set for the request of a client.
 	operation *operation
-	// Set for the request of a server.
+	// call is set for the request of a server.
 	call *call
 }
 
@@ -105,22 +110,22 @@
 	Index     int
 	Instances []*Instance
 	Servers   []*Server
-	// The scenario's settings of the tier; nil for the first one.
+	// downstream contains the scenario's settings of the tier; nil for the first tier.
 	downstream *scenario.DownstreamTier
 }
 
-// Instance is an instance of the broker as the world knows it.
+// Instance is an instance of the broker, as far as the world models it.
 type Instance struct {
-	// Its index among the instances of all tiers.
+	// Index is the index among the instances of all tiers.
 	Index int
-	// Its index in its tier.
+	// Ordinal is the index among the instances of the tier.
 	Ordinal int
 	Tier    *Tier
-	// Bits of the partitions that it is on the near side of.
+	// partitions is a bit set of the partitions that separate the instance from servers with the same bit.
 	partitions uint64
-	// Number of broken watches of discovery. Updates of an earlier watch are dropped.
+	// watchEpoch counts the broken watches of discovery. Updates of an earlier watch are dropped.
 	watchEpoch int
-	// When the last scheduled update arrives.
+	// lastUpdateAt is the arrival time of the last scheduled update.
 	lastUpdateAt time.Duration
 }
 
@@ -129,9 +134,9 @@
 	Clock
 	Scenario *scenario.Scenario
 	Tiers    []*Tier
-	// Of all tiers.
+	// Instances are the instances of all tiers.
 	Instances []*Instance
-	// Of all tiers; the EndpointID of a server is its index plus one.
+	// Servers are the servers of all tiers. The EndpointID of a server is its index plus one.
 	Servers []*Server
 	Checker *rules.Checker
 	Result  *Result
@@ -142,37 +147,38 @@
 	callerRandom    *rand.Rand
 	networkRandom   *rand.Rand
 	discoveryRandom *rand.Rand
-	// Factor of the base rate, by bursts.
+	// rateFactor multiplies the base rate; a burst sets it.
 	rateFactor float64
-	// Instances by load, hot ones first.
+	// hotOrder contains the indexes of the first tier's instances, hot ones first.
 	hotOrder []int
-	// The share of requests on which clients misbehave, by the kind of the fault.
+	// misbehaviorShares is the share of requests with a fault of the client, by the kind of the fault.
 	misbehaviorShares map[string]float64
-	// For each team, the load it offers beyond its share, in shares.
+	// floodShares is, for each team, the load that it offers beyond its share, as a multiple of the share.
 	floodShares []float64
-	// Discovery delivers nothing before this time.
+	// discoveryPausedUntil is the time before which discovery delivers no update.
 	discoveryPausedUntil time.Duration
-	// When discovery has sent all that it has to send, at its limited rate.
+	// discoveryIdleAt is the time at which discovery has sent all pending updates at its limited rate.
 	discoveryIdleAt time.Duration
 	listVersion     uint64
 	openOperations  int
 	operationCount  int
 }
 
-// Stream is an independent random stream for one drawing component, so that adding one component
-// does not change the draws of any other. Names are part of the definition of a seed.
+// Stream returns an independent random stream for one component, so that an additional component does not
+// change the draws of any other. The results of a seed depend on the names of the streams.
 func Stream(seed uint64, name string, i int) *rand.Rand {
 	h := fnv.New64a()
 	fmt.Fprint(h, name)
 	return rand.New(rand.NewPCG(seed^h.Sum64(), uint64(i)))
 }
 
-// New creates the world of a scenario and a seed. Sockets may be nil. Slack is added to the time
-// limits of the checker where the engine observes events late.
+// New creates the world of a scenario and a seed. Sockets may be nil. Slack is added to the time limits of
+// the checker, for an engine that observes events late.
 func New(s *scenario.Scenario, seed uint64, c Clock, b Brokers, sockets Sockets, slack time.Duration) *World {
 	w := &World{
 		Clock: c, Scenario: s, seed: seed, brokers: b, sockets: sockets, callerRandom: Stream(seed, "callers", 0),
-		networkRandom: Stream(seed, "network", 0), discoveryRandom: Stream(seed, "discovery", 0), rateFactor: 1, misbehaviorShares: map[string]float64{}, floodShares: make([]float64, len(s.Teams)), listVersion: 1,
+		networkRandom: Stream(seed, "network", 0), discoveryRandom: Stream(seed, "discovery", 0), rateFactor: 1,
+		misbehaviorShares: map[string]float64{}, floodShares: make([]float64, len(s.Teams)), listVersion: 1,
 	}
 	w.Checker = rules.New(rules.Settings{
 		Grace: Grace + slack, DrainGrace: time.Duration(s.Servers.DrainGrace) + slack,
@@ -187,8 +193,8 @@
 	return w
 }
 
-// addTier adds a tier. Its servers are of the kind with an index, or drawn by the kinds' shares
-// where that is below 0.
+// addTier adds a tier. Kind is the index of the kind of its servers. If it is negative, the kinds are drawn
+// by their shares.
 func (w *World) addTier(instances, servers, kind int, below *scenario.DownstreamTier) {
 	t := &Tier{Index: len(w.Tiers), downstream: below}
 	w.Tiers = append(w.Tiers, t)
@@ -207,13 +213,13 @@
 	}
 }
 
-// Seed is the random seed of an instance.
+// Seed returns the random seed of an instance.
 func (w *World) Seed(in *Instance) uint64 {
 	return Stream(w.seed, fmt.Sprint("instance", in.Tier.Index), in.Ordinal).Uint64()
 }
 
-// Start schedules arrivals and faults and returns the time at which the run ends. The brokers must
-// be ready.
+// Start schedules the arrivals and faults and returns the time at which the run ends. The brokers must be
+// ready before.
 func (w *World) Start() (end time.Duration) {
 	for i, t := range w.Scenario.InjectedFaults {
 		w.scheduleFault(t, i, Stream(w.seed, "trouble", i))
@@ -229,7 +235,7 @@
 	return Origin + time.Duration(w.Scenario.Duration) + last + settleTime
 }
 
-// IsFinished reports whether all clients have stopped and no operation is open.
+// IsFinished reports whether clients create no more operations and none is open.
 func (w *World) IsFinished() bool {
 	return w.openOperations == 0 && w.Now() > Origin+time.Duration(w.Scenario.Duration)
 }
@@ -241,7 +247,7 @@
 	return w.Result
 }
 
-// Settings are the platform's settings for the decision module of an instance.
+// Settings returns the platform's settings for the decision module of an instance.
 func (w *World) Settings(in *Instance) decision.Settings {
 	b, v := w.Scenario.Broker, w.Scenario.Servers
 	set := decision.Settings{
@@ -264,7 +270,7 @@
 	return set
 }
 
-// Latency draws the time that one message takes, retransmissions included.
+// Latency draws the transmission time of one message, including retransmissions.
 func (w *World) Latency() time.Duration {
 	network := w.Scenario.Network
 	latency := network.Latency.Draw(w.networkRandom)
@@ -277,15 +283,15 @@
 // IsPartitioned reports whether a partition separates an instance from a server.
 func (w *World) IsPartitioned(in *Instance, s *Server) bool { return in.partitions&s.partitions != 0 }
 
-// MisbehaviorShare is the share of requests on which clients misbehave now, for a kind of fault.
-func (w *World) MisbehaviorShare(what string) float64 { return w.misbehaviorShares[what] }
+// MisbehaviorShare returns the present share of requests with a kind of client fault.
+func (w *World) MisbehaviorShare(kind string) float64 { return w.misbehaviorShares[kind] }
 
-// IsUnreachable reports whether no message passes between an instance and a server.
+// IsUnreachable reports whether messages between an instance and a server are lost.
 func (w *World) IsUnreachable(in *Instance, s *Server) bool {
 	return s.activeVanishes > 0 || in.partitions&s.partitions != 0
 }
 
-// Load is the true load of a server, in attempts per core. Only the laboratory knows it.
+// Load returns the true load of a server, in attempts per core. Only the laboratory knows it.
 func (w *World) Load(id decision.EndpointID) float64 {
 	s := w.Servers[id-1]
 	return float64(len(s.running)+len(s.queue)) / float64(s.kind.Cores)
