--- a/internal/lab/scenario/change.go
+++ b/internal/lab/scenario/change.go
@@ -12,8 +12,8 @@
 	"dykering/internal/validation"
 )
 
-// Change sets a key of a scenario to another value, as an experiment does: "callers.rate = 200" or
-// `kind[0].speed = "1..2"`. Quotes may be left out.
+// Change sets a key of a scenario to another value. Experiments contain changes as text, for example
+// "callers.rate = 200" or `kind[0].speed = "1..2"`. The quotes of the value may be left out.
 type Change struct {
 	Key   string
 	Value any
@@ -21,11 +21,11 @@
 
 var changePattern = regexp.MustCompile(`^\s*([a-z_]+(?:\[\d+\])?(?:\.[a-z_]+(?:\[\d+\])?)*)\s*=\s*(\S.*?)\s*$`)
 
-// ParseChange reads a change.
+// ParseChange parses the text of a change.
 func ParseChange(text string) (c Change, err error) {
 	m := changePattern.FindStringSubmatch(text)
 	if m == nil {
-		return c, fmt.Errorf("%q is not a change, as callers.rate = 200", text)
+		return c, fmt.Errorf("%q is not a change of a scenario key, such as callers.rate = 200", text)
 	}
 	var got map[string]any
 	if toml.Unmarshal([]byte("v = "+m[2]), &got) != nil {
@@ -34,8 +34,8 @@
 	return Change{m[1], got["v"]}, nil
 }
 
-// LoadWith reads a scenario file and applies changes to it. Faults of the changed text name no
-// line.
+// LoadWith reads a scenario file and applies changes to it. Errors of the changed text have no line, since
+// the lines are not those of the file.
 func LoadWith(path string, changes []Change) (*Scenario, []validation.Error) {
 	data, found := tomlconfig.Read(path)
 	if len(found) > 0 {
@@ -60,14 +60,13 @@
 	}
 	s, found := Parse(path, text)
 	for i := range found {
-		found[i].Line = 0 // it is no line of the file's
-		found[i].Text += " (with the changes made to it)"
+		found[i].Line = 0
+		found[i].Text += " (after the changes)"
 	}
 	return s, found
 }
 
-// apply sets the value in a tree of TOML tables. Missing tables are created; missing elements of
-// arrays are not.
+// apply sets the value in a tree of TOML tables. It creates missing tables, but no missing elements of arrays.
 func (c Change) apply(tree map[string]any) error {
 	keys := strings.Split(c.Key, ".")
 	for i, key := range keys {
@@ -78,14 +77,14 @@
 			elements, ok := tree[name].([]any)
 			n, err := strconv.Atoi(index)
 			if !ok || err != nil || n >= len(elements) {
-				return fmt.Errorf("there is no %s", key)
+				return fmt.Errorf("there is no %s in the scenario", key)
 			}
 			if last {
 				elements[n] = c.Value
 				return nil
 			}
 			if tree, ok = elements[n].(map[string]any); !ok {
-				return fmt.Errorf("%s is no table", key)
+				return fmt.Errorf("%s is not a table", key)
 			}
 		case last:
 			tree[name] = c.Value
@@ -93,7 +92,7 @@
 			next, ok := tree[name].(map[string]any)
 			if !ok {
 				if tree[name] != nil {
-					return fmt.Errorf("%s is no table", name)
+					return fmt.Errorf("%s is not a table", name)
 				}
 				next = map[string]any{}
 				tree[name] = next
--- a/internal/lab/scenario/doc.go
+++ b/internal/lab/scenario/doc.go
@@ -1,11 +1,11 @@
-// Package scenario reads the laboratory's scenario files: clients, instances of the broker, servers, the
-// network, discovery, and faults to inject, as TOML.
+// Package scenario reads the laboratory's scenario files. A scenario describes, in TOML, the clients, the
+// instances of the broker, the servers, the network, discovery, and the faults to inject.
 //
-// Keys and their meaning are those of version 1 of the format and stay. Values that are ranges are drawn
-// from a seed by package model, so that one file describes many runs. Parsing is strict (package tomlconfig):
-// unknown keys are faults, and all faults of a file are reported together with their lines. The package
-// draws work and ranges but simulates nothing.
+// The keys and their meaning are those of version 1 of the format and must not change. A value may be a
+// range, from which package model draws with the seed of a run, so one file describes many runs. Parsing is
+// strict (package tomlconfig): an unknown key is an error, and all errors of a file are reported together
+// with their lines. The package contains no simulation.
 //
-// Its callers are the engines (packages sim, real, emulation), experiments, the search of package explore,
-// and the commands of dykering-lab.
+// The engines (packages sim, real, emulation), experiments, the search of package explore, and the commands
+// of dykering-lab use the package.
 package scenario
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -15,13 +15,12 @@
 // Version is the version of the file format.
 const Version = 1
 
-// Scenario is the content of a scenario file. Struct tags name the keys of the file; they stay as
-// they are.
+// Scenario is the content of a scenario file. The struct tags are the keys of the file and must not change.
 type Scenario struct {
-	Version         int                 `toml:"version" doc:"of the format" min:"1" max:"1"`
-	Name            string              `toml:"name" doc:"of the scenario"`
-	Day             string              `toml:"day" doc:"which of the troubles come, beside those that name no day"`
-	Duration        tomlconfig.Duration `toml:"lasts" doc:"how long callers ask" min:"1s" max:"1h"`
+	Version         int                 `toml:"version" doc:"version of the format" min:"1" max:"1"`
+	Name            string              `toml:"name" doc:"name of the scenario"`
+	Day             string              `toml:"day" doc:"day whose troubles are injected, in addition to those without a day"`
+	Duration        tomlconfig.Duration `toml:"lasts" doc:"time for which clients create requests" min:"1s" max:"1h"`
 	Broker          Broker              `toml:"broker"`
 	Servers         Servers             `toml:"servers"`
 	Callers         Callers             `toml:"callers"`
@@ -37,154 +36,170 @@
 
 // Broker describes the instances of the first tier.
 type Broker struct {
-	Instances      int                 `toml:"instances" doc:"how many" min:"1" max:"10000"`
-	Quantum        tomlconfig.Duration `toml:"quantum" doc:"least time between two rounds of events" min:"1ms" max:"1s"`
-	MaxAttempts    int                 `toml:"max_attempts" doc:"sends of a request; 0 for no bound" min:"0" max:"100"`
-	MayCancel      bool                `toml:"may_cancel" doc:"whether an attempt may be called off"`
-	ConnectTimeout tomlconfig.Duration `toml:"connect_timeout" doc:"for a connection" min:"1ms" max:"1m"`
-	Fleet          bool                `toml:"fleet" doc:"whether they keep a view of the fleet, by gossip through a relay that faults are put into; on real sockets only"`
-	Replicate      bool                `toml:"replicate" doc:"whether they tell each other which servers they isolated or were answered by; in virtual time"`
-	Budgets        bool                `toml:"budgets" doc:"whether teams' quotas are divided among them by leases, in place of even parts; in virtual time"`
-	MinWitnesses   int                 `toml:"witnesses" doc:"of them that have to call a server bad before another heeds it; 0 for the program's default" min:"0" max:"100"`
-	MaxRetryAfter  tomlconfig.Duration `toml:"max_retry_after" doc:"the longest wait that callers follow" min:"0s" max:"1m"`
+	Instances      int                 `toml:"instances" doc:"number of instances" min:"1" max:"10000"`
+	Quantum        tomlconfig.Duration `toml:"quantum" doc:"minimum time between two rounds of event processing" min:"1ms" max:"1s"`
+	MaxAttempts    int                 `toml:"max_attempts" doc:"maximum number of attempts of a request; 0 for no limit" min:"0" max:"100"`
+	MayCancel      bool                `toml:"may_cancel" doc:"whether an attempt may be cancelled"`
+	ConnectTimeout tomlconfig.Duration `toml:"connect_timeout" doc:"timeout for a new connection" min:"1ms" max:"1m"`
+	Fleet          bool                `toml:"fleet" doc:"whether instances keep a view of the fleet, by gossip through a relay that injects faults; on real sockets only"`
+	Replicate      bool                `toml:"replicate" doc:"whether instances replicate which servers they have ejected or had answers from; in virtual time only"`
+	Budgets        bool                `toml:"budgets" doc:"whether instances share the teams' quotas by leases instead of in equal parts; in virtual time only"`
+	MinWitnesses   int                 `toml:"witnesses" doc:"instances that must report a server as bad before another follows the advice; 0 for the program's default" min:"0" max:"100"`
+	MaxRetryAfter  tomlconfig.Duration `toml:"max_retry_after" doc:"longest Retry-After time that instances send" min:"0s" max:"1m"`
 }
 
 // Servers describes the servers of the first tier.
 type Servers struct {
-	Count            int                 `toml:"count" doc:"how many" min:"1" max:"100000"`
-	Zones            int                 `toml:"zones" doc:"among which they are spread" min:"1" max:"64"`
-	WarmUp           tomlconfig.Duration `toml:"cold" doc:"from a start until a server is warm" min:"0s" max:"10m"`
-	ColdCapacity     float64             `toml:"cold_from" doc:"share of its capacity that it starts with" min:"0" max:"1"`
-	OverloadMultiple float64             `toml:"tip" doc:"load over present capacity under which a cold one falls over; 0 for never" min:"0" max:"100"`
-	OverloadWindow   tomlconfig.Duration `toml:"fall" doc:"for which the load has to last" min:"1ms" max:"1m"`
-	DrainGrace       tomlconfig.Duration `toml:"drain_grace" doc:"in which new calls have to stop once a drain is told" min:"0s" max:"1m"`
+	Count            int                 `toml:"count" doc:"number of servers" min:"1" max:"100000"`
+	Zones            int                 `toml:"zones" doc:"number of zones among which the servers are spread" min:"1" max:"64"`
+	WarmUp           tomlconfig.Duration `toml:"cold" doc:"warm-up time of a server after its start" min:"0s" max:"10m"`
+	ColdCapacity     float64             `toml:"cold_from" doc:"share of its full capacity with which a server starts" min:"0" max:"1"`
+	OverloadMultiple float64             `toml:"tip" doc:"multiple of the present capacity at which a server that warms up crashes; 0 for never" min:"0" max:"100"`
+	OverloadWindow   tomlconfig.Duration `toml:"fall" doc:"time over which that load is measured" min:"1ms" max:"1m"`
+	DrainGrace       tomlconfig.Duration `toml:"drain_grace" doc:"time after the announcement of a drain within which new attempts have to stop" min:"0s" max:"1m"`
 }
 
 // Kind is a kind of server.
 type Kind struct {
-	Name            string  `toml:"name" doc:"of the kind"`
-	Share           float64 `toml:"share" doc:"of all servers" min:"0" max:"1"`
-	Cores           int     `toml:"cores" doc:"calls that it works on at a time" min:"1" max:"1000"`
-	Speed           Range   `toml:"speed" doc:"work done in a second, for each core"`
-	Queue           int     `toml:"queue" doc:"calls that wait before more are turned away" min:"0" max:"100000"`
-	ThrashThreshold int     `toml:"crowd" doc:"calls from which on it thrashes; 0 for never" min:"0" max:"100000"`
-	ThrashFactor    float64 `toml:"thrash" doc:"how much slower a core is with twice as many" min:"0" max:"100"`
-	ErrorRate       float64 `toml:"errors" doc:"share of answers that are errors" min:"0" max:"1"`
-	Slots           int     `toml:"slots" doc:"calls that it has at a time, with those that wait for the tier below; 0 for no bound" min:"0" max:"100000"`
-	CancelSaves     string  `toml:"stops" doc:"what a call that is called off no longer costs: nothing, waiting or all of it" oneof:"nothing waiting all" omitted:"waiting"`
+	Name            string  `toml:"name" doc:"name of the kind"`
+	Share           float64 `toml:"share" doc:"share of all servers" min:"0" max:"1"`
+	Cores           int     `toml:"cores" doc:"attempts that a server works on at a time" min:"1" max:"1000"`
+	Speed           Range   `toml:"speed" doc:"work done in a second by each core"`
+	Queue           int     `toml:"queue" doc:"attempts that wait before further ones are rejected" min:"0" max:"100000"`
+	ThrashThreshold int     `toml:"crowd" doc:"attempts above which the server slows down (thrashing); 0 for never" min:"0" max:"100000"`
+	ThrashFactor    float64 `toml:"thrash" doc:"relative increase of the work's duration with twice as many attempts" min:"0" max:"100"`
+	ErrorRate       float64 `toml:"errors" doc:"share of replies that are errors" min:"0" max:"1"`
+	Slots           int     `toml:"slots" doc:"maximum number of attempts at a time, including those that wait for the next tier; 0 for no limit" min:"0" max:"100000"`
+	CancelSaves     string  `toml:"stops" doc:"work that a cancelled attempt saves: nothing, waiting (if it is still queued) or all" oneof:"nothing waiting all" omitted:"waiting"`
 
-	RestAfter      int                 `toml:"choke_after" doc:"calls after which it rests; 0 for never" min:"0" max:"1000000"`
-	RestDuration   DurationRange       `toml:"rest" doc:"for how long"`
-	PauseInterval  DurationRange       `toml:"pause_every" doc:"from the end of a pause to the next; 0 for none"`
-	PauseDuration  DurationRange       `toml:"pause_for" doc:"how long it works on nothing"`
-	MaxConnections int                 `toml:"connections" doc:"that it has open at a time; 0 for no bound" min:"0" max:"1000000"`
-	Handshake      tomlconfig.Duration `toml:"handshake" doc:"of a core, for a new connection" min:"0s" max:"1s"`
+	RestAfter      int                 `toml:"choke_after" doc:"attempts after which the server rests; 0 for never" min:"0" max:"1000000"`
+	RestDuration   DurationRange       `toml:"rest" doc:"duration of a rest"`
+	PauseInterval  DurationRange       `toml:"pause_every" doc:"time from the end of a pause to the next; 0 for no pauses"`
+	PauseDuration  DurationRange       `toml:"pause_for" doc:"duration of a pause, in which the server does no work"`
+	MaxConnections int                 `toml:"connections" doc:"maximum number of open connections; 0 for no limit" min:"0" max:"1000000"`
+	Handshake      tomlconfig.Duration `toml:"handshake" doc:"core time for a new connection" min:"0s" max:"1s"`
 
-	ReportsLoad    bool                `toml:"reports" doc:"whether answers carry a report of its load"`
-	ReportInterval tomlconfig.Duration `toml:"report_every" doc:"how old that may be" min:"0s" max:"1m"`
-	ReportNoise    float64             `toml:"report_noise" doc:"share by which it may be wrong" min:"0" max:"1"`
+	ReportsLoad    bool                `toml:"reports" doc:"whether replies contain a report of the server's load"`
+	ReportInterval tomlconfig.Duration `toml:"report_every" doc:"interval at which the report is renewed" min:"0s" max:"1m"`
+	ReportNoise    float64             `toml:"report_noise" doc:"largest relative error of the report" min:"0" max:"1"`
 }
 
 // Class is a class of request.
 type Class struct {
-	Name          string              `toml:"name" doc:"of the class"`
-	Share         float64             `toml:"share" doc:"of all requests" min:"0" max:"1"`
-	Work          Range               `toml:"work" doc:"seconds of a core of speed 1: evenly drawn, or with the middle as mean"`
-	Distribution  string              `toml:"shape" doc:"of the work's distribution" oneof:"even exponential heavy" omitted:"even"`
+	Name          string              `toml:"name" doc:"name of the class"`
+	Share         float64             `toml:"share" doc:"share of all requests" min:"0" max:"1"`
+	Work          Range               `toml:"work" doc:"seconds of a core of speed 1: the bounds of the even shape; their middle is the mean of the others"`
+	Distribution  string              `toml:"shape" doc:"distribution of the work" oneof:"even exponential heavy" omitted:"even"`
 	TailShare     float64             `toml:"tail" doc:"share of requests with ten times the work" min:"0" max:"1"`
-	LatencyTarget tomlconfig.Duration `toml:"aim" doc:"an answer within this is served" min:"1ms" max:"10m"`
-	Deadline      tomlconfig.Duration `toml:"deadline" doc:"a client's whole wait" min:"1ms" max:"10m"`
-	Effect        string              `toml:"effect" doc:"safe, keyed or unsafe" oneof:"safe keyed unsafe"`
-	Scope         string              `toml:"scope" doc:"of a key: all, zone or cell" oneof:"all zone cell"`
-	Window        tomlconfig.Duration `toml:"window" doc:"how long repeats of a key are dropped" min:"0s" max:"1h"`
+	LatencyTarget tomlconfig.Duration `toml:"aim" doc:"latency target; an answer within it counts as served" min:"1ms" max:"10m"`
+	Deadline      tomlconfig.Duration `toml:"deadline" doc:"total time that a client waits, including retries" min:"1ms" max:"10m"`
+	Effect        string              `toml:"effect" doc:"whether a request may be repeated: always (safe), with its key (keyed) or never (unsafe)" oneof:"safe keyed unsafe"`
+	Scope         string              `toml:"scope" doc:"servers that share the keys: all, those of a zone or those of a cell" oneof:"all zone cell"`
+	Window        tomlconfig.Duration `toml:"window" doc:"time for which repeats of a key are dropped" min:"0s" max:"1h"`
 }
 
 // Team is a tenant of the service.
 type Team struct {
-	Name  string  `toml:"name" doc:"of the team"`
-	Share float64 `toml:"share" doc:"of all requests" min:"0" max:"1"`
-	Quota float64 `toml:"quota" doc:"requests a second within its share" min:"0" max:"10000000"`
+	Name  string  `toml:"name" doc:"name of the team"`
+	Share float64 `toml:"share" doc:"share of all requests" min:"0" max:"1"`
+	Quota float64 `toml:"quota" doc:"requests per second that are within the team's quota" min:"0" max:"10000000"`
 }
 
 // DownstreamTier is a further tier, which the servers of the tier before it call for each request.
 type DownstreamTier struct {
-	Name          string  `toml:"name" doc:"of the tier"`
-	Instances     int     `toml:"instances" doc:"of the broker" min:"1" max:"10000"`
-	Servers       int     `toml:"servers" doc:"how many" min:"1" max:"100000"`
-	Kind          string  `toml:"kind" doc:"of its servers; empty for all kinds by their shares"`
-	Calls         Range   `toml:"calls" doc:"for each request, one after another"`
-	Work          Range   `toml:"work" doc:"of each, in seconds of a core of speed 1"`
-	ReservedShare float64 `toml:"keeps" doc:"share of the time left that its callers keep for themselves" min:"0" max:"0.9"`
+	Name          string  `toml:"name" doc:"name of the tier"`
+	Instances     int     `toml:"instances" doc:"number of instances of the broker" min:"1" max:"10000"`
+	Servers       int     `toml:"servers" doc:"number of servers" min:"1" max:"100000"`
+	Kind          string  `toml:"kind" doc:"kind of the servers; empty for all kinds by their shares"`
+	Calls         Range   `toml:"calls" doc:"requests to this tier for each request of the tier before, one after another"`
+	Work          Range   `toml:"work" doc:"work of each request, in seconds of a core of speed 1"`
+	ReservedShare float64 `toml:"keeps" doc:"share of the remaining time that the calling servers reserve for their own work" min:"0" max:"0.9"`
 }
 
-// Callers describes the clients. Their load is open: new requests arrive whatever becomes of
+// Callers describes the clients. Their load is open-loop: new requests arrive independently of the outcome of
 // earlier ones.
 type Callers struct {
-	Rate             Range               `toml:"rate" doc:"requests a second, of all"`
-	Arrivals         string              `toml:"arrivals" doc:"how requests come" oneof:"poisson even groups"`
-	GroupSize        int                 `toml:"group" doc:"requests at once, of groups" min:"1" max:"10000"`
-	RateAmplitude    float64             `toml:"wave" doc:"share by which the rate goes up and down once a minute" min:"0" max:"1"`
-	HotFactor        float64             `toml:"hot" doc:"times the mean that one in ten instances gets; the others share the rest" min:"0" max:"9.5"`
-	HotContiguous    bool                `toml:"hot_in_a_row" doc:"whether the numbers of those follow each other, as of one hall; else they are drawn"`
-	MaxAttempts      int                 `toml:"tries" doc:"of a request" min:"1" max:"100"`
-	Backoff          tomlconfig.Duration `toml:"backoff" doc:"before a second try; it doubles, half of it drawn" min:"0s" max:"1m"`
-	AttemptTimeout   tomlconfig.Duration `toml:"try_for" doc:"how long a try is waited for; 0 for the whole deadline" min:"0s" max:"10m"`
-	HonorsRetryAfter bool                `toml:"honours_retry_after" doc:"whether word when to come back is followed"`
-	MarksRetries     bool                `toml:"marks_retries" doc:"whether repeats are marked"`
-	MaxOpen          int                 `toml:"most" doc:"requests that may be open; more are counted and not made" min:"1" max:"10000000"`
+	Rate             Range               `toml:"rate" doc:"requests per second of all clients"`
+	Arrivals         string              `toml:"arrivals" doc:"distribution of the arrivals" oneof:"poisson even groups"`
+	GroupSize        int                 `toml:"group" doc:"requests that arrive together, with groups" min:"1" max:"10000"`
+	RateAmplitude    float64             `toml:"wave" doc:"share by which the rate rises and falls once a minute" min:"0" max:"1"`
+	HotFactor        float64             `toml:"hot" doc:"multiple of the mean load that one in ten instances gets; the others share the rest" min:"0" max:"9.5"`
+	HotContiguous    bool                `toml:"hot_in_a_row" doc:"whether these instances have consecutive numbers, as in one zone; otherwise they are random"`
+	MaxAttempts      int                 `toml:"tries" doc:"maximum number of requests for an operation" min:"1" max:"100"`
+	Backoff          tomlconfig.Duration `toml:"backoff" doc:"wait before the first retry; it doubles with each retry, and half of it is random" min:"0s" max:"1m"`
+	AttemptTimeout   tomlconfig.Duration `toml:"try_for" doc:"timeout of one request; 0 for the whole deadline" min:"0s" max:"10m"`
+	HonorsRetryAfter bool                `toml:"honours_retry_after" doc:"whether clients wait for the Retry-After time"`
+	MarksRetries     bool                `toml:"marks_retries" doc:"whether clients mark retries"`
+	MaxOpen          int                 `toml:"most" doc:"maximum number of open operations; further ones are counted but not sent" min:"1" max:"10000000"`
 }
 
 // Network describes the network between clients, instances and servers.
 type Network struct {
-	Latency         DurationRange       `toml:"latency" doc:"one way, drawn for each message"`
-	LossRate        float64             `toml:"loss" doc:"share of messages that are lost and sent again" min:"0" max:"1"`
-	RetransmitAfter tomlconfig.Duration `toml:"sent_again" doc:"after which" min:"1ms" max:"1m"`
-	ResetRate       float64             `toml:"resets" doc:"share of calls whose connection breaks under way" min:"0" max:"1"`
+	Latency         DurationRange       `toml:"latency" doc:"one-way latency, drawn for each message"`
+	LossRate        float64             `toml:"loss" doc:"share of messages that are lost and retransmitted" min:"0" max:"1"`
+	RetransmitAfter tomlconfig.Duration `toml:"sent_again" doc:"time until the retransmission" min:"1ms" max:"1m"`
+	ResetRate       float64             `toml:"resets" doc:"share of attempts whose connection is reset" min:"0" max:"1"`
 }
 
 // Discovery describes how instances receive the endpoint list.
 type Discovery struct {
-	Delay DurationRange `toml:"delay" doc:"from a change until an instance hears of it"`
-	Rate  int           `toml:"rate" doc:"lines of lists that it can send in a second, to all; 0 for no bound" min:"0" max:"100000000"`
+	Delay DurationRange `toml:"delay" doc:"time from a change until an instance receives the update"`
+	Rate  int           `toml:"rate" doc:"list entries per second that discovery can send to all instances together; 0 for no limit" min:"0" max:"100000000"`
 }
 
-// InjectedFault is a fault that a scenario injects at a time. Its kinds are:
+// InjectedFault is a fault that a scenario injects at a time. The faults of servers are:
 //
-//   - crash: servers end at once and start again, warming up; drain: they drain first; replace: for
-//     each, a new server starts and the old one drains and departs for good;
-//   - vanish: servers become unreachable, and only discovery announces that; zone: the same for a whole
-//     zone; partition: the same between a share of the servers and a share of the instances, and
-//     discovery does not see it;
-//   - slow, neighbour (slow by turns), errors, pause: how servers work; reset: their connections are
-//     reset; bytes: a fault on their connections, see ConnectionFault;
-//   - flap: discovery announces servers as departed and ready by turns while they stay up;
-//   - burst: clients offer more load; flood: one team offers a multiple of its share beside the others'
-//     load; discovery: no updates are delivered; break: all watches of discovery break;
-//   - kill: instances end at once and start again; handover: a successor process takes over from its
-//     predecessor; stop: instances get SIGTERM, and the next process starts once they have ended; stall:
-//     their processes stall; away: their operators drain them for a time; reload: they are told to use a
-//     discovery at another address. In virtual time without the network code a stop is a kill, and the
-//     last three do nothing; on real sockets, where the platform holds the listening socket, it is a
-//     handover;
-//   - stale: discovery sends an older list; again: it repeats a list; both on sockets only, as are the
-//     faults of clients: for a share (Factor) of the requests, clients depart before the answer (gone),
-//     send bodies in chunks (dribble), send malformed requests as well (junk) or use an id twice
-//     (twice).
+//   - crash: servers end immediately and start again, with a warm-up;
+//   - drain: servers drain before they end and start again;
+//   - replace: for each server a new one starts, and the old one drains and departs permanently;
+//   - vanish: servers become unreachable, and discovery announces them as departed;
+//   - zone: all servers of one zone vanish;
+//   - partition: a share of the servers and a share of the instances cannot reach each other, and discovery
+//     does not notice;
+//   - slow: servers work more slowly; neighbour: they are alternately slow and fast;
+//   - errors: servers reply with errors; pause: they do no work for a time;
+//   - reset: the connections of servers are reset; bytes: a fault on their connections, see ConnectionFault;
+//   - flap: discovery announces servers alternately as departed and ready while they stay up.
 //
-// The JSON keys are those of records that searches have written (package explore).
+// The faults of discovery are:
+//
+//   - discovery: no updates are delivered;
+//   - break: all watches break;
+//   - stale: discovery sends an older list; again: it repeats a list (both on sockets only).
+//
+// The faults of instances are:
+//
+//   - kill: instances end immediately and start again;
+//   - handover: a successor process takes over from its predecessor;
+//   - stop: instances receive SIGTERM, and the next process starts when they have ended;
+//   - stall: the processes of instances stall;
+//   - away: an operator drains instances for a time;
+//   - reload: instances receive the address of another discovery.
+//
+// In virtual time, without the network code, a stop is the same as a kill, and stall, away and reload have no
+// effect. On real sockets, where the platform holds the listening socket, a stop is the same as a handover.
+//
+// The faults of clients are:
+//
+//   - burst: clients offer more load;
+//   - flood: one team offers a multiple of its share in addition to the other teams' load;
+//   - gone, dribble, junk, twice: for a share (Factor) of the requests, clients depart before the answer, send
+//     bodies in chunks, also send malformed requests, or use a request identifier twice (on sockets only).
+//
+// The JSON keys are those of the records that the searches of package explore have written.
 type InjectedFault struct {
-	Kind            string              `toml:"what" json:"What" doc:"what happens" oneof:"crash drain replace vanish zone partition slow neighbour errors pause reset bytes flap burst flood discovery break kill handover stop stall away reload stale again gone dribble junk twice"`
-	Day             string              `toml:"day" json:"Day" doc:"the scenario's day on which it comes; empty for each"`
-	Start           DurationRange       `toml:"at" json:"At" doc:"when it begins"`
-	Duration        DurationRange       `toml:"lasts" json:"Lasts" doc:"how long; of a drain, until the server is back"`
-	Tier            int                 `toml:"tier" json:"Tier" doc:"whose servers and instances; 0 for the first" min:"0" max:"8"`
-	ServerShare     float64             `toml:"share" json:"Share" doc:"of the servers" min:"0" max:"1"`
+	Kind            string              `toml:"what" json:"What" doc:"kind of the fault" oneof:"crash drain replace vanish zone partition slow neighbour errors pause reset bytes flap burst flood discovery break kill handover stop stall away reload stale again gone dribble junk twice"`
+	Day             string              `toml:"day" json:"Day" doc:"day of the scenario to which it belongs; empty for each day"`
+	Start           DurationRange       `toml:"at" json:"At" doc:"time at which it begins"`
+	Duration        DurationRange       `toml:"lasts" json:"Lasts" doc:"duration; for a drain, until the server has restarted"`
+	Tier            int                 `toml:"tier" json:"Tier" doc:"tier of the affected servers and instances; 0 for the first" min:"0" max:"8"`
+	ServerShare     float64             `toml:"share" json:"Share" doc:"share of the servers" min:"0" max:"1"`
 	InstanceShare   float64             `toml:"instances" json:"Of" doc:"share of the instances" min:"0" max:"1"`
-	Factor          Range               `toml:"factor" json:"Factor" doc:"how much slower; share of errors, or of callers; rate of a burst over the usual"`
-	Interval        tomlconfig.Duration `toml:"every" json:"Every" doc:"one after another, so far apart; 0 for all at once; of a flap, from turn to turn" min:"0s" max:"10m"`
-	Team            string              `toml:"team" json:"Team" doc:"that floods"`
-	ConnectionFault string              `toml:"how" json:"How" doc:"of bytes" oneof:"none reset stall half_close slow_read slow_write garbage cut syn" omitted:"none"`
-	Bytes           int                 `toml:"bytes" json:"Bytes" doc:"after how many of an answer; of slow ones, in 20 ms" min:"0" max:"1000000000"`
+	Factor          Range               `toml:"factor" json:"Factor" doc:"slowdown; share of errors or of requests; multiple of the usual rate for a burst"`
+	Interval        tomlconfig.Duration `toml:"every" json:"Every" doc:"time between one server or instance and the next; 0 for all at once; for a flap, between two announcements" min:"0s" max:"10m"`
+	Team            string              `toml:"team" json:"Team" doc:"team that floods"`
+	ConnectionFault string              `toml:"how" json:"How" doc:"fault on the connections, for the kind bytes" oneof:"none reset stall half_close slow_read slow_write garbage cut syn" omitted:"none"`
+	Bytes           int                 `toml:"bytes" json:"Bytes" doc:"bytes of a reply before the fault; for slow_read and slow_write, bytes in 20 ms" min:"0" max:"1000000000"`
 }
 
 //go:embed default.toml
@@ -194,25 +209,37 @@
 func Default() *Scenario {
 	s, found := Parse("default.toml", defaultText)
 	if len(found) > 0 {
-		panic(validation.Join(found)) // a test reads it
+		panic(validation.Join(found)) // cannot happen: a test loads the built-in scenario
 	}
 	return s
 }
 
-// defaultValues returns the values of keys that a file leaves out.
+// defaultValues returns the default values of the keys that a file does not contain.
 func defaultValues() *Scenario {
 	return &Scenario{
-		Name:      "unnamed",
-		Duration:  tomlconfig.Duration(30 * time.Second),
-		Broker:    Broker{Instances: 1, Quantum: tomlconfig.Duration(2 * time.Millisecond), MaxAttempts: 4, MayCancel: true, ConnectTimeout: tomlconfig.Duration(time.Second), MaxRetryAfter: tomlconfig.Duration(2 * time.Second)},
-		Servers:   Servers{Count: 2, Zones: 1, WarmUp: tomlconfig.Duration(5 * time.Second), ColdCapacity: 0.3, OverloadWindow: tomlconfig.Duration(time.Second), DrainGrace: tomlconfig.Duration(time.Second)},
-		Callers:   Callers{Rate: Range{100, 100}, HotFactor: 1, Arrivals: "poisson", GroupSize: 10, MaxAttempts: 3, Backoff: tomlconfig.Duration(100 * time.Millisecond), HonorsRetryAfter: true, MaxOpen: 1000000},
-		Network:   Network{Latency: DurationRange{200 * time.Microsecond, 500 * time.Microsecond}, RetransmitAfter: tomlconfig.Duration(200 * time.Millisecond)},
+		Name:     "unnamed",
+		Duration: tomlconfig.Duration(30 * time.Second),
+		Broker: Broker{
+			Instances: 1, Quantum: tomlconfig.Duration(2 * time.Millisecond), MaxAttempts: 4, MayCancel: true,
+			ConnectTimeout: tomlconfig.Duration(time.Second), MaxRetryAfter: tomlconfig.Duration(2 * time.Second),
+		},
+		Servers: Servers{
+			Count: 2, Zones: 1, WarmUp: tomlconfig.Duration(5 * time.Second), ColdCapacity: 0.3,
+			OverloadWindow: tomlconfig.Duration(time.Second), DrainGrace: tomlconfig.Duration(time.Second),
+		},
+		Callers: Callers{
+			Rate: Range{100, 100}, HotFactor: 1, Arrivals: "poisson", GroupSize: 10, MaxAttempts: 3,
+			Backoff: tomlconfig.Duration(100 * time.Millisecond), HonorsRetryAfter: true, MaxOpen: 1000000,
+		},
+		Network: Network{
+			Latency:         DurationRange{200 * time.Microsecond, 500 * time.Microsecond},
+			RetransmitAfter: tomlconfig.Duration(200 * time.Millisecond),
+		},
 		Discovery: Discovery{Delay: DurationRange{200 * time.Millisecond, time.Second}},
 	}
 }
 
-// Load reads a scenario file and returns all of its faults.
+// Load reads a scenario file. It returns all errors of the file.
 func Load(path string) (*Scenario, []validation.Error) {
 	data, found := tomlconfig.Read(path)
 	if len(found) > 0 {
@@ -221,18 +248,18 @@
 	return Parse(path, data)
 }
 
-// Parse reads the text of a scenario file and returns all of its faults.
+// Parse parses the text of a scenario file. It returns all errors of the text.
 func Parse(path string, data []byte) (*Scenario, []validation.Error) {
 	s, _, found := tomlconfig.Decode(path, data, defaultValues, func(string) (string, bool) { return "", false })
 	return s, found
 }
 
-// KindIndex is the index of a kind of server by its name, -1 where there is none.
+// KindIndex returns the index of the kind of server with a name, or -1.
 func (s *Scenario) KindIndex(name string) int {
 	return slices.IndexFunc(s.Kinds, func(k Kind) bool { return k.Name == name })
 }
 
-// TeamIndex is the index of a team by its name, -1 where there is none.
+// TeamIndex returns the index of the team with a name, or -1.
 func (s *Scenario) TeamIndex(name string) int {
 	return slices.IndexFunc(s.Teams, func(t Team) bool { return t.Name == name })
 }
@@ -244,8 +271,8 @@
 	case "exponential":
 		work = mean * r.ExpFloat64()
 	case "heavy":
-		// A Pareto distribution with the exponent 1.5: a third of its mean is its least, and what is above 100
-		// times the mean is cut off.
+		// A Pareto distribution with the shape 1.5, whose minimum is a third of its mean. Values above 100
+		// times the mean are reduced to that.
 		work = min(mean/3/math.Pow(1-r.Float64(), 1/1.5), 100*mean)
 	default:
 		work = c.Work.Draw(r)
@@ -256,7 +283,7 @@
 	return max(work, 1e-6)
 }
 
-// Pick draws one of n indexes by their shares, which sum to 1. It returns 0 where n is 0.
+// Pick draws one of n indexes by their shares, which must sum to 1. It returns 0 if n is 0.
 func Pick(r *rand.Rand, n int, share func(int) float64) int {
 	x := r.Float64()
 	for i := range n {
--- a/internal/lab/sim/budgets.go
+++ b/internal/lab/sim/budgets.go
@@ -12,36 +12,37 @@
 	"dykering/internal/lab/model"
 )
 
-// Fleet-wide budgets in virtual time: the ledger, the grantor and each broker's holder are the program's
-// own (package budget); this file carries their messages, with a group of voters that always agrees within
-// a few milliseconds.
+// This file implements fleet-wide budgets in virtual time. The ledger, the grantor and the holder of each
+// instance are the program's own (package budget). The transport of their messages is simulated here, with a
+// group of voters that always agrees on a command after commitLatency.
 const (
-	// Terms of the quota leases.
-	leaseLength   = 3 * time.Second
+	// leaseLength is the duration of a quota lease.
+	leaseLength = 3 * time.Second
+	// leaseRenewals is the number of renewals within the duration of a lease.
 	leaseRenewals = 4
 	// decideInterval is the time between two decisions of the leading voter.
 	decideInterval = 100 * time.Millisecond
-	// commitLatency is how long the voters take to agree on a command.
+	// commitLatency is the time that the voters take to agree on a command.
 	commitLatency = 5 * time.Millisecond
-	// floorShare is the share of a quota that instances hold without a lease.
+	// floorShare is the share of a quota that the instances may use without a lease.
 	floorShare = 0.2
 )
 
 var leaseTerms = budget.Terms{Length: leaseLength, Drift: 0.01}
 
-// fleetBudgets is the voters' part of the budgets: the grantor, its ledger, and the holders that
-// lease from it.
+// fleetBudgets contains the grantor of the voters, its ledger, and the quota holders of all processes.
 type fleetBudgets struct {
 	brokers *brokers
 	grantor *budget.Grantor
 	ledger  *budget.Ledger
 	holders map[string]*quotaHolder
-	// A command is being agreed on.
+	// commandPending is set while the voters agree on a command.
 	commandPending bool
-	floors         []float64
-	// Calls of recordUsage so far.
+	// floors is, for each team, the rate that an instance may admit without a lease.
+	floors []float64
+	// samples counts the calls of recordUsage.
 	samples int
-	// Usage summed over the instances, one second ago.
+	// previousUsage is the usage summed over the instances, one second ago.
 	previousUsage []decision.Usage
 }
 
@@ -53,14 +54,14 @@
 	demand  budget.Demand
 }
 
-// sharedQuotas returns the balancer of a process and whether it shares quotas by leases. Only the
-// first tier meters the tenants of clients.
+// sharedQuotas returns the balancer of a process, and whether it shares quotas by leases. Only instances of
+// the first tier do, as they receive the requests of clients.
 func (s *process) sharedQuotas() (*decision.Balancer, bool) {
 	b, ok := s.policy.(*decision.Balancer)
 	return b, ok && s.brokers.world.Scenario.Broker.Budgets && s.model.Tier.Index == 0 && len(s.brokers.world.Scenario.Teams) > 0
 }
 
-// startQuotaSharing begins the sharing of quotas, before the process receives its first request.
+// startQuotaSharing starts the sharing of quotas. It must be called before the process receives a request.
 func (s *process) startQuotaSharing() {
 	if _, ok := s.sharedQuotas(); !ok {
 		return
@@ -88,7 +89,7 @@
 	w.After(time.Duration(p.random.Int64N(int64(leaseLength/leaseRenewals))), p.requestLease)
 }
 
-// requestLease measures demand and requests the next lease.
+// requestLease measures the demand, requests the next lease, and schedules the next request.
 func (p *quotaHolder) requestLease() {
 	s, w := p.process, p.process.brokers.world
 	if s.dead || s.instance.current != s {
@@ -96,18 +97,18 @@
 		return
 	}
 	b := s.policy.(*decision.Balancer)
-	var asked []float64
+	var demand []float64
 	for _, u := range b.Usage() {
-		asked = append(asked, u.Asked)
+		demand = append(demand, u.Asked)
 	}
-	p.demand.Sample(w.Now(), asked)
+	p.demand.Sample(w.Now(), demand)
 	p.applyShares()
 	r := p.NextRequest(w.Now(), p.demand.Rates())
 	w.After(w.Latency(), func() { s.brokers.budgets.grantor.Receive(w.Now(), r) })
 	w.After(leaseLength/leaseRenewals, p.requestLease)
 }
 
-// applyShares hands the rates that the process may admit now to its balancer.
+// applyShares passes the rates that the process may admit now to its balancer.
 func (p *quotaHolder) applyShares() {
 	now, floors := p.process.brokers.world.Now(), p.process.brokers.budgets.floors
 	a := decision.QuotaShares{TenantFallbackRates: floors, RetryRate: -1}
@@ -119,7 +120,8 @@
 	p.process.policy.(*decision.Balancer).SetQuotaShares(now, a)
 }
 
-// recordUsage records what the live instances may admit and, once a second, what they did admit.
+// recordUsage records the rates that the live instances may admit and, once a second, the requests that they
+// have admitted.
 func (g *fleetBudgets) recordUsage() {
 	w := g.brokers.world
 	if w.Result.Budgets == nil {
@@ -158,8 +160,8 @@
 	g.previousUsage = uses
 }
 
-// decide is a step of the leading voter: a command, agreed on after the commit latency, and its
-// grants.
+// decide does one step of the leading voter. It proposes the next command, which is committed after
+// commitLatency, and sends the grants that result from it.
 func (g *fleetBudgets) decide() {
 	w := g.brokers.world
 	w.After(decideInterval, g.decide)
--- a/internal/lab/sim/decisions_test.go
+++ b/internal/lab/sim/decisions_test.go
@@ -13,17 +13,18 @@
 	"dykering/internal/tomlconfig"
 )
 
-// The fixture holds what came of the same scenarios with the build of commit bfb03d8, in the form of the
-// laboratory's result files, whose names stay.
+// testdata/scenarios.jsonl contains the results of the same scenarios with the build of commit bfb03d8, in
+// the format of the laboratory's result files.
 
-// goldenRun is a scenario that is played for a time with the first seeds.
+// goldenRun is a scenario that is run for a duration with the first seeds.
 type goldenRun struct {
-	file  string // empty for the built-in scenario
-	lasts time.Duration
-	seeds uint64
+	file     string // empty for the built-in scenario
+	duration time.Duration
+	seeds    uint64
 }
 
-// goldenRuns include the troubles of the scenarios, but for those with large fleets, which take long.
+// goldenRuns last long enough to include the injected faults of the scenarios, except for those with large
+// fleets, which would take too long.
 var goldenRuns = []goldenRun{
 	{"", 12 * time.Second, 2},
 	{"storm.toml", 12 * time.Second, 2},
@@ -43,11 +44,11 @@
 		}
 		s = loaded
 	}
-	s.Duration = tomlconfig.Duration(r.lasts)
+	s.Duration = tomlconfig.Duration(r.duration)
 	return s
 }
 
-// For the same scenario and seed the broker's decisions lead to the same result.
+// The same scenario and seed have the same result as with the released build.
 func TestResultsMatchThoseOfReleasedBuild(t *testing.T) {
 	var text strings.Builder
 	for _, run := range goldenRuns {
--- a/internal/lab/sim/instance.go
+++ b/internal/lab/sim/instance.go
@@ -11,7 +11,7 @@
 	"dykering/internal/lab/rules"
 )
 
-// inFlightReportInterval is how often a process that ends reports its calls in flight to its
+// inFlightReportInterval is the interval at which a draining predecessor reports its calls in flight to its
 // successor.
 const inFlightReportInterval = 50 * time.Millisecond
 
@@ -20,44 +20,46 @@
 	world     *model.World
 	policy    PolicyFactory
 	instances []*instance
-	// Nil without fleet-wide budgets.
+	// budgets is nil without fleet-wide budgets.
 	budgets *fleetBudgets
-	// Facts that have not reached all instances of their tier yet.
+	// propagations contains the facts that do not count as propagated yet, by their keys.
 	propagations map[string]*propagation
-	err          error
+	// err is an error that ends the run.
+	err error
 }
 
-// instance is one instance of the broker: the process that serves, and perhaps a predecessor that
-// is draining.
+// instance is one instance of the broker. It has a serving process, and during a handover also a predecessor
+// that is draining.
 type instance struct {
 	brokers  *brokers
 	model    *model.Instance
 	requests map[decision.RequestID]*requestState
-	// The process that accepts requests; nil while there is none.
-	current     *process
+	// current is the process that accepts requests; nil while there is none.
+	current *process
+	// incarnation counts the started processes.
 	incarnation uint64
 }
 
-// process is one process of an instance: a policy, and its host.
+// process is one process of an instance. It is the decision.Host of its policy.
 type process struct {
 	*instance
 	policy Policy
 	dead   bool
-	// Nil without replicated state.
+	// replicated is nil without replicated state.
 	replicated *replicatedState
-	// Servers from which nothing came: they need a new connection.
+	// unreachable contains the servers from which a reply or connection was missing. They need a new connection.
 	unreachable map[decision.EndpointID]bool
 }
 
-// requestState is a request in an instance.
+// requestState is the state of a request in an instance.
 type requestState struct {
 	*model.Request
 	process *process
-	// When its attempts have to end for its answer to be in time.
+	// attemptDeadline is the time at which an attempt must end for the answer to be in time.
 	attemptDeadline time.Duration
 	answered        bool
 	attempts        int
-	// The attempt in flight; nil for none.
+	// inFlight is the attempt in flight, or nil.
 	inFlight *model.Attempt
 }
 
@@ -97,12 +99,12 @@
 	}
 }
 
-// Accept hands a request to the current process.
+// Accept passes a request to the current process. Without one the requester finds no instance.
 func (t *brokers) Accept(request *model.Request) {
 	w, i := t.world, t.instances[request.Instance.Index]
 	now := w.Now()
 	if request.Deadline <= now {
-		return // the requester has given it up
+		return // the requester no longer waits
 	}
 	if i.current == nil {
 		w.After(w.Latency(), func() { request.Requester.Complete(request, model.Unreachable, 0) })
@@ -121,7 +123,7 @@
 	})
 }
 
-// Abandon reports to the policy that the requester has given a request up.
+// Abandon reports to the policy that the requester no longer waits for a request.
 func (t *brokers) Abandon(request *model.Request) {
 	i := t.instances[request.Instance.Index]
 	state := i.requests[request.ID]
@@ -134,7 +136,7 @@
 	i.removeIfDone(state)
 }
 
-// Kill ends all processes of an instance. Requesters see their connections reset.
+// Kill ends all processes of an instance and starts a new one after a duration. The open requests fail.
 func (t *brokers) Kill(in *model.Instance, duration time.Duration) {
 	i, w := t.instances[in.Index], t.world
 	if i.current == nil {
@@ -161,15 +163,15 @@
 	})
 }
 
-// InjectFault treats a stop as a kill. Other faults do nothing here, as there is no network code.
+// InjectFault treats a stop as a kill. The other kinds of fault have no effect without network code.
 func (t *brokers) InjectFault(in *model.Instance, kind string, duration time.Duration) {
 	if kind == "stop" {
 		t.Kill(in, duration)
 	}
 }
 
-// Handover starts a successor that accepts requests from now on and restores the predecessor's
-// snapshot. The predecessor finishes what it has.
+// Handover starts a successor process, which restores the predecessor's snapshot and accepts requests from now
+// on. The predecessor completes its open requests.
 func (t *brokers) Handover(in *model.Instance) {
 	i, w := t.instances[in.Index], t.world
 	old := i.current
@@ -198,14 +200,14 @@
 	report()
 }
 
-// cancelAttempt notifies a server that the sender of an attempt waits no more.
+// cancelAttempt notifies a server that the sender no longer waits for an attempt.
 func (t *brokers) cancelAttempt(a *model.Attempt) {
 	a.Finished = true
 	a.Server.Release(a, false)
 	t.world.After(t.world.Latency(), func() { a.Server.Cancel(a) })
 }
 
-// answer gives a request its final outcome.
+// answer completes a request with its final outcome.
 func (i *instance) answer(r *requestState, outcome string, retryAfter time.Duration) {
 	w := i.brokers.world
 	w.Checker.RequestAnswered(w.Now(), string(r.ID), outcome)
@@ -217,14 +219,14 @@
 	i.removeIfDone(r)
 }
 
-// removeIfDone forgets a request that is answered and has no attempt in flight.
+// removeIfDone removes a request that is answered and has no attempt in flight.
 func (i *instance) removeIfDone(r *requestState) {
 	if r.answered && r.inFlight == nil {
 		delete(i.requests, r.ID)
 	}
 }
 
-// Reply implements model.Replier: the reply arrives after the network's latency.
+// Reply implements model.Replier. The reply arrives after the network's latency, unless it is lost.
 func (s *process) Reply(a *model.Attempt, status decision.Status, load *decision.Load) {
 	w := s.brokers.world
 	w.After(w.Latency(), func() {
@@ -234,7 +236,7 @@
 	})
 }
 
-// outcome reports the end of an attempt to the policy.
+// outcome handles the end of an attempt and reports it to the policy.
 func (s *process) outcome(a *model.Attempt, status decision.Status, load *decision.Load) {
 	r := s.requests[a.Request.ID]
 	if a.Finished || r == nil || r.inFlight != a {
@@ -265,8 +267,8 @@
 	s.removeIfDone(r)
 }
 
-// Send implements decision.Host, as do the methods below. An attempt is sent at once, so within any
-// time limit.
+// Send implements decision.Host, as do the methods below. It sends an attempt immediately, so it ignores the
+// time limit for the start of the attempt.
 func (s *process) Send(id decision.RequestID, to decision.EndpointID, timeout, _ time.Duration) {
 	w := s.brokers.world
 	r := s.requests[id]
@@ -294,12 +296,12 @@
 		w.After(time.Duration(w.Scenario.Broker.ConnectTimeout), func() { s.outcome(a, decision.ConnectFailed, nil) })
 		return
 	}
-	took, ok := a.Server.Connect(a)
+	connectTime, ok := a.Server.Connect(a)
 	if !ok {
 		w.After(w.Latency(), func() { s.outcome(a, decision.ConnectFailed, nil) })
 		return
 	}
-	w.After(took+w.Latency(), func() {
+	w.After(connectTime+w.Latency(), func() {
 		if !w.IsUnreachable(s.model, a.Server) {
 			a.Server.Receive(a)
 		}
@@ -311,6 +313,7 @@
 }
 func (s *process) Fail(id decision.RequestID) { s.finish(id, model.Failed, 0) }
 
+// finish completes a request, or reports an answer to a request that is not open to the checker.
 func (s *process) finish(id decision.RequestID, outcome string, retryAfter time.Duration) {
 	if r := s.requests[id]; r != nil {
 		s.answer(r, outcome, retryAfter)
--- a/internal/lab/sim/policies.go
+++ b/internal/lab/sim/policies.go
@@ -7,7 +7,7 @@
 	"dykering/internal/decision"
 )
 
-// Policies are the policies that the balancer can be compared with, by name.
+// Policies contains the balancer and the policies with which it can be compared, by name.
 var Policies = map[string]PolicyFactory{
 	"dykering":    Balancer,
 	"random":      baseline(func(p *baselinePolicy) decision.EndpointID { return p.ready[p.random.IntN(len(p.ready))] }),
@@ -19,7 +19,7 @@
 		}
 		return a
 	}),
-	// An upper bound: it knows the true load of all servers.
+	// least is an upper bound, since it knows the true load of all servers.
 	"least": baseline(func(p *baselinePolicy) decision.EndpointID {
 		from := p.random.IntN(len(p.ready))
 		best := p.ready[from]
@@ -32,8 +32,8 @@
 	}),
 }
 
-// baselinePolicy sends each request at once to an endpoint that a simple rule chooses, and retries
-// at once while the class of the request allows that.
+// baselinePolicy sends each request immediately to an endpoint that a simple rule chooses. It retries
+// immediately while the class of the request allows a retry.
 type baselinePolicy struct {
 	settings decision.Settings
 	host     decision.Host
@@ -46,15 +46,17 @@
 	next     int
 }
 
+// call is an open request of a baselinePolicy.
 type call struct {
 	decision.Request
 	deadline  time.Duration
 	endpoint  decision.EndpointID
 	attempts  int
-	ran       bool
+	ran       bool // an attempt may have run
 	abandoned bool
 }
 
+// baseline returns the factory of a baselinePolicy with a rule.
 func baseline(pick func(*baselinePolicy) decision.EndpointID) PolicyFactory {
 	return func(set decision.Settings, seed uint64, host decision.Host, truth Oracle) (Policy, error) {
 		return &baselinePolicy{
--- a/internal/lab/sim/replica.go
+++ b/internal/lab/sim/replica.go
@@ -13,57 +13,61 @@
 	"dykering/internal/lab/model"
 )
 
-// Replicated state in virtual time: the store, the merge rule and the advice are the program's own (package
-// replica); this file carries the gossip between instances.
+// This file implements replicated state in virtual time. The store, the merge rule and the advice are the
+// program's own (package replica); the gossip between instances is simulated here. As in memberlist, at each
+// interval some facts are sent to a few random peers, and each fact is sent a limited number of times.
 const (
-	// Gossip follows memberlist: at each interval some facts are sent to a few random peers, and each
-	// fact a limited number of times.
 	gossipInterval = 200 * time.Millisecond
-	gossipFanout   = 3
-	// Times the decimal logarithm of the number of instances: how often a fact is sent on.
+	// gossipFanout is the number of peers that receive facts at each interval.
+	gossipFanout = 3
+	// retransmitMultiplier, times the decimal logarithm of the number of instances, is the number of times
+	// that an instance sends a fact.
 	retransmitMultiplier = 4
 	maxFactsPerMessage   = 20
-	// Gossip intervals between two synchronizations with a peer.
+	// synchronizeIntervals is the number of gossip intervals between two synchronizations with a peer.
 	synchronizeIntervals = 25
-	// Gossip intervals between two evaluations of the facts.
+	// adviseIntervals is the number of gossip intervals between two evaluations of the facts.
 	adviseIntervals = 5
-	factTTL         = 15 * time.Second
+	// factTTL is the time after which a fact expires.
+	factTTL = 15 * time.Second
 )
 
-// The bounds are the defaults of [fleet.replication].
+// replicaRules and replicaLimits are the defaults of the settings in [fleet.replication].
 var (
-	// The limits are the defaults of [fleet.replication].
 	replicaRules  = replica.Rules{MinWitnesses: 2, MaxShareOfOrigin: 0.3, MaxShare: 0.2}
 	replicaLimits = replica.Limits{MaxOrigins: 4096, FactsPerOrigin: 64, TTL: factTTL, MaxClockSkew: 10 * time.Second}
 )
 
-// replicatedState is a process's replica of the shared facts.
+// replicatedState is the replica of the shared facts in one process.
 type replicatedState struct {
 	store     *replica.Store
 	queue     []queuedFact
 	random    *rand.Rand
-	intervals int
+	intervals int // gossip intervals so far
 }
 
-// queuedFact is a fact to be sent on.
+// queuedFact is a fact that waits to be sent by gossip.
 type queuedFact struct {
 	fact           replica.Fact
 	remainingSends int
 }
 
+// subject returns the name of an endpoint in facts.
 func subject(id decision.EndpointID) string { return strconv.Itoa(int(id)) }
 
+// endpointOf returns the endpoint that a fact's subject names.
 func endpointOf(subject string) decision.EndpointID {
 	id, _ := strconv.Atoi(subject)
 	return decision.EndpointID(id)
 }
 
+// replicaNow returns the virtual time in the form that package replica uses.
 func (t *brokers) replicaNow() replica.Now {
 	now := t.world.Now()
 	return replica.Now{Mono: now, Wall: time.Unix(0, 0).Add(now)}
 }
 
-// startReplication begins replication, where the scenario asks for it.
+// startReplication starts replication, if the scenario enables it.
 func (s *process) startReplication() {
 	if _, ok := s.policy.(*decision.Balancer); !ok || !s.brokers.world.Scenario.Broker.Replicate {
 		return
@@ -73,7 +77,7 @@
 		store:  replica.New(strconv.Itoa(s.model.Ordinal), replicaLimits),
 		random: model.Stream(w.Seed(s.model), "replica", int(s.incarnation)),
 	}
-	if s.incarnation > 1 { // it joins a running fleet and starts with the facts of a peer
+	if s.incarnation > 1 { // the process joins a running fleet and starts with the facts of a peer
 		w.After(2*w.Latency(), func() {
 			peer := s.randomPeer()
 			if s.dead || peer == nil {
@@ -85,18 +89,19 @@
 	w.After(time.Duration(s.replicated.random.Int64N(int64(gossipInterval))), s.gossip)
 }
 
-// randomPeer draws another process of the tier, nil where none was found.
+// randomPeer returns a random other process of the tier, or nil if some draws have found none.
 func (s *process) randomPeer() *process {
 	all := s.model.Tier.Instances
 	for range gossipFanout {
-		if p := s.brokers.instances[all[s.replicated.random.IntN(len(all))].Index]; p.current != nil && p.current != s && p.current.replicated != nil {
-			return p.current
+		peer := s.brokers.instances[all[s.replicated.random.IntN(len(all))].Index].current
+		if peer != nil && peer != s && peer.replicated != nil {
+			return peer
 		}
 	}
 	return nil
 }
 
-// merge merges facts of a peer and queues those that changed the replica.
+// merge merges facts of a peer, and queues those that changed the replica for gossip.
 func (s *process) merge(facts []replica.Fact) {
 	for _, f := range facts {
 		if changed, _ := s.replicated.store.Merge(s.brokers.replicaNow(), f); changed {
@@ -106,7 +111,7 @@
 	}
 }
 
-// synchronize exchanges with a random peer the facts that either replica lacks (anti-entropy).
+// synchronize exchanges the facts that differ with a random peer (anti-entropy).
 func (s *process) synchronize() {
 	w, p := s.brokers.world, s.randomPeer()
 	if p == nil {
@@ -117,7 +122,8 @@
 			return
 		}
 		now := s.brokers.replicaNow()
-		missingHere, missingThere := p.replicated.store.Differing(now, s.replicated.store.Summary()), s.replicated.store.Differing(now, p.replicated.store.Summary())
+		missingHere := p.replicated.store.Differing(now, s.replicated.store.Summary())
+		missingThere := s.replicated.store.Differing(now, p.replicated.store.Summary())
 		w.Result.FactsSent += len(missingHere) + len(missingThere)
 		w.After(w.Latency(), func() {
 			if !s.dead && !p.dead {
@@ -128,34 +134,34 @@
 	})
 }
 
-// propagation measures how far a fact has spread.
+// propagation records how many instances hold a fact.
 type propagation struct {
-	// When it was recorded first.
+	// writtenAt is the time at which the fact was first recorded.
 	writtenAt time.Duration
-	// Instances that hold it.
+	// holders is the number of instances that hold the fact.
 	holders int
 }
 
-// propagatedShare is the share of a tier's instances at which a fact counts as propagated.
+// propagatedShare is the share of a tier's instances that must hold a fact for it to count as propagated.
 const propagatedShare = 0.99
 
-// recordHolder counts one more instance that holds a fact, of so many in its tier.
-func (t *brokers) recordHolder(f replica.Fact, of int) {
+// recordHolder counts one more instance that holds a fact, in a tier with a number of instances.
+func (t *brokers) recordHolder(f replica.Fact, instances int) {
 	x := t.propagations[f.Key()]
 	if x == nil {
-		return // it has propagated already
+		return // the fact has already propagated
 	}
-	if x.holders++; float64(x.holders) >= propagatedShare*float64(of) {
+	if x.holders++; float64(x.holders) >= propagatedShare*float64(instances) {
 		t.world.Result.PropagationSeconds = append(t.world.Result.PropagationSeconds, (t.world.Now() - x.writtenAt).Seconds())
 		delete(t.propagations, f.Key())
 	}
 }
 
-// enqueue queues a fact for gossip, in place of an older one about the same subject.
+// enqueue queues a fact for gossip. It replaces an older fact of the same origin about the same subject.
 func (s *process) enqueue(f replica.Fact) {
 	times := retransmitMultiplier * int(math.Ceil(math.Log10(float64(len(s.model.Tier.Instances)+1))))
 	for i, r := range s.replicated.queue {
-		if r.fact.Origin == f.Origin && r.fact.Subject == f.Subject { // it replaces an older one
+		if r.fact.Origin == f.Origin && r.fact.Subject == f.Subject {
 			s.replicated.queue[i] = queuedFact{f, times}
 			return
 		}
@@ -163,8 +169,8 @@
 	s.replicated.queue = append(s.replicated.queue, queuedFact{f, times})
 }
 
-// gossip is one gossip interval: new evidence of the balancer is recorded, queued facts are sent,
-// and from time to time the replica is synchronized and its advice applied.
+// gossip does the work of one gossip interval. It records new evidence of the balancer and sends queued facts.
+// At longer intervals it also synchronizes the replica with a peer and applies the replica's advice.
 func (s *process) gossip() {
 	if s.dead || s.current != s {
 		return
@@ -186,8 +192,8 @@
 			s.enqueue(f)
 		}
 	}
-	// Facts that were sent least come first, as in memberlist's queue, so that each makes progress when there
-	// are many.
+	// As in memberlist's queue, the facts that were sent least often come first. Otherwise some would never be
+	// sent if there are many.
 	slices.SortStableFunc(m.queue, func(a, b queuedFact) int { return cmp.Compare(b.remainingSends, a.remainingSends) })
 	if n := min(len(m.queue), maxFactsPerMessage); n > 0 {
 		for range gossipFanout {
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -9,7 +9,8 @@
 	"dykering/internal/lab/scenario"
 )
 
-// Policy decides for an instance. decision.Balancer is one.
+// Policy makes the decisions of an instance. Its methods are the events of package decision, whose Balancer is
+// a Policy.
 type Policy interface {
 	Targets(now time.Duration, l decision.List)
 	Request(now time.Duration, q decision.Request)
@@ -18,21 +19,21 @@
 	Abandoned(now time.Duration, id decision.RequestID)
 }
 
-// Oracle is knowledge that only the laboratory has, for policies that serve as an upper bound.
+// Oracle provides knowledge that only the laboratory has, for policies that serve as an upper bound.
 type Oracle interface {
-	// Load is the true load of a server, in attempts per core.
+	// Load returns the true load of a server, in attempts per core.
 	Load(server decision.EndpointID) float64
 }
 
 // PolicyFactory creates the policy of an instance.
 type PolicyFactory func(set decision.Settings, seed uint64, host decision.Host, truth Oracle) (Policy, error)
 
-// Balancer creates the decision module of the program.
+// Balancer is the PolicyFactory of the program's decision module.
 func Balancer(set decision.Settings, seed uint64, host decision.Host, _ Oracle) (Policy, error) {
 	return decision.New(set, seed, host)
 }
 
-// clock is virtual time.
+// clock implements model.Clock in virtual time.
 type clock struct {
 	now    time.Duration
 	events model.EventQueue
@@ -41,10 +42,10 @@
 func (c *clock) Now() time.Duration                   { return c.now }
 func (c *clock) After(d time.Duration, action func()) { c.events.Add(c.now+max(d, 0), action) }
 
-// cancellationCheckInterval is the number of events between two checks of the context.
+// cancellationCheckInterval is the number of events after which the context is checked again.
 const cancellationCheckInterval = 1 << 14
 
-// Run plays a scenario with a seed, to its end or that of the context.
+// Run runs a scenario with a seed until its end, or until the context is cancelled.
 func Run(ctx context.Context, s *scenario.Scenario, seed uint64, policy PolicyFactory) (*model.Result, error) {
 	c := &clock{now: model.Origin}
 	t := &brokers{policy: policy, propagations: map[string]*propagation{}}
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -14,7 +14,7 @@
 	"dykering/internal/tomlconfig"
 )
 
-// play runs a scenario and returns its result, also as JSON.
+// play runs a scenario and returns its result and the JSON form of the result.
 func play(t *testing.T, s *scenario.Scenario, seed uint64, p PolicyFactory) (*model.Result, string) {
 	t.Helper()
 	r, err := Run(t.Context(), s, seed, p)
@@ -34,24 +34,24 @@
 	return s
 }
 
-// The same seed gives the same result to the byte on one core and on four; another seed gives another.
+// The same seed has the same result, to the byte, with one and with four cores. Another seed has another result.
 func TestRunSameSeedGivesSameResult(t *testing.T) {
 	for name, p := range Policies {
 		_, first := play(t, shortScenario(), 5, p)
 		for _, cores := range []int{1, 4} {
 			before := runtime.GOMAXPROCS(cores)
 			if _, second := play(t, shortScenario(), 5, p); second != first {
-				t.Errorf("%s: another result on %d cores", name, cores)
+				t.Errorf("%s: the result differs with %d cores", name, cores)
 			}
 			runtime.GOMAXPROCS(before)
 		}
 		if _, other := play(t, shortScenario(), 6, p); other == first {
-			t.Errorf("%s: two seeds, one result", name)
+			t.Errorf("%s: two seeds have the same result", name)
 		}
 	}
 }
 
-// The balancer breaks no rule in the built-in scenario, and serves more of it than the random policy.
+// The balancer violates no rule in the built-in scenario, and serves more operations than the random policy.
 func TestBalancerKeepsRulesAndBeatsRandom(t *testing.T) {
 	for seed := range uint64(4) {
 		r, _ := play(t, scenario.Default(), seed, Balancer)
@@ -59,12 +59,12 @@
 			t.Errorf("seed %d: %v, %+v", seed, r.ViolationCounts, r.Violations)
 		}
 		if plain, _ := play(t, scenario.Default(), seed, Policies["random"]); plain.Service >= r.Service {
-			t.Errorf("seed %d: service %.3f, of a draw %.3f", seed, r.Service, plain.Service)
+			t.Errorf("seed %d: service %.3f, with the random policy %.3f", seed, r.Service, plain.Service)
 		}
 	}
 }
 
-// An additional instance or server does not change what the others draw.
+// An additional instance or server does not change the draws of the others.
 func TestDrawsDoNotDependOnNumberOfServersOrInstances(t *testing.T) {
 	draws := func(change func(*scenario.Scenario)) (all string) {
 		s := shortScenario()
@@ -79,12 +79,12 @@
 		return all
 	}
 	if draws(func(*scenario.Scenario) {}) != draws(func(s *scenario.Scenario) { s.Servers.Count++; s.Broker.Instances++ }) {
-		t.Error("one more changes the others' draws")
+		t.Error("an additional server and instance change the draws of the others")
 	}
 }
 
 // Under each kind of fault, with a downstream tier and all properties of a kind of server in use, the same
-// seed gives the same result to the byte, the balancer breaks no rule, and every request completes.
+// seed has the same result, to the byte, the balancer violates no rule, and every request completes.
 func TestInjectedFaultsAreReproducibleAndKeepRules(t *testing.T) {
 	for kind, change := range map[string]func(*scenario.InjectedFault){
 		"crash": nil, "drain": nil, "replace": nil, "vanish": nil, "zone": nil, "pause": nil, "reset": nil, "discovery": nil,
@@ -125,13 +125,13 @@
 			s.Discovery.Rate, s.Network.LossRate, s.Network.ResetRate = 1000, 0.001, 0.001
 			s.Callers.Arrivals = "groups"
 			if kind != "crash" && kind != "drain" && kind != "replace" {
-				// Of a hundred times the mean, one request alone is more than a cold server may be sent in a second: no
-				// decision can know that, so where servers start the rule on cold ones could not be judged.
+				// A single heavy request, with up to a hundred times the mean work, can overload a server that warms
+				// up. No policy can foresee that, so faults after which servers start use the other distribution.
 				s.Classes[0].Distribution = "heavy"
 			}
 			r, first := play(t, s, 7, Balancer)
 			if _, second := play(t, s, 7, Balancer); second != first {
-				t.Error("another result the second time")
+				t.Error("the second run has another result")
 			}
 			if len(r.ViolationCounts) > 0 || r.Open > 0 || r.Served == 0 || r.Offered < 500 {
 				t.Errorf("%+v", r)
@@ -139,14 +139,14 @@
 			if x.Kind != "burst" && x.Kind != "discovery" && x.Kind != "break" && x.Kind != "handover" && x.Kind != "reset" {
 				s.InjectedFaults = nil
 				if undisturbed, _ := play(t, s, 7, Balancer); undisturbed.Served == r.Served && undisturbed.Attempts == r.Attempts {
-					t.Error("as without it")
+					t.Error("the result is the same as without the fault")
 				}
 			}
 		})
 	}
 }
 
-// Under lasting overload open operations stay bounded, and the result shows what was suppressed.
+// Under lasting overload the number of open operations stays bounded, and the result counts the suppressed ones.
 func TestLastingOverloadIsBoundedAndReported(t *testing.T) {
 	s := shortScenario()
 	s.Callers.Rate, s.Callers.MaxOpen, s.Callers.AttemptTimeout = scenario.Range{From: 5000, To: 5000}, 300, 0
@@ -154,12 +154,12 @@
 	for name, p := range Policies {
 		r, _ := play(t, s, 1, p)
 		if r.Suppressed == 0 || r.Offered+0 < r.Served || r.Open != 0 {
-			t.Errorf("%s: asked %d, not made %d, open %d", name, r.Offered, r.Suppressed, r.Open)
+			t.Errorf("%s: offered %d, suppressed %d, open %d", name, r.Offered, r.Suppressed, r.Open)
 		}
 	}
 }
 
-// faultyPolicy breaks one rule on purpose; else it acts as the policy that it wraps.
+// faultyPolicy violates one rule on purpose. Otherwise it acts like the policy that it wraps.
 type faultyPolicy struct {
 	Policy
 	decision.Host
@@ -188,7 +188,7 @@
 func (w *faultyPolicy) Targets(now time.Duration, l decision.List) {
 	for i, e := range l.Entries {
 		if w.breaks == rules.Drain {
-			l.Entries[i].State = decision.Ready // it ignores drains
+			l.Entries[i].State = decision.Ready // the policy ignores drains
 		}
 		if e.State == decision.Ready && e.Started > 0 {
 			w.cold = e.Endpoint
@@ -214,7 +214,7 @@
 func (w *faultyPolicy) Outcome(now time.Duration, o decision.Outcome) {
 	if w.breaks == rules.Effect && !o.Final && o.Status != decision.OK && w.sent[o.ID] < 3 {
 		w.sent[o.ID]++
-		w.host.Send(o.ID, o.Endpoint, 0, 0) // whatever the class of the request
+		w.host.Send(o.ID, o.Endpoint, 0, 0) // a retry even if the class of the request forbids it
 		return
 	}
 	if w.breaks == rules.Answer && o.Final {
@@ -226,7 +226,7 @@
 func (w *faultyPolicy) Refuse(id decision.RequestID, _ time.Duration) { w.answerLate(id) }
 func (w *faultyPolicy) Fail(id decision.RequestID)                    { w.answerLate(id) }
 
-// answerLate refuses a request; where the rule to break is Time, long after the deadline.
+// answerLate refuses a request, long after its deadline if the rule to violate is Time.
 func (w *faultyPolicy) answerLate(id decision.RequestID) {
 	if w.breaks != rules.Time {
 		w.host.Refuse(id, 0)
@@ -245,7 +245,7 @@
 	w.Policy.Timer(now, token)
 }
 
-// The checker reports a policy that breaks a rule on purpose, under the name of that rule.
+// The checker reports the violation of a policy that violates a rule on purpose, under the name of that rule.
 func TestCheckerReportsRuleThatFaultyPolicyBreaks(t *testing.T) {
 	for _, rule := range []string{rules.Answer, rules.Time, rules.Effect, rules.Single, rules.Drain, rules.ColdOverload, rules.Unknown} {
 		s := shortScenario()
@@ -257,11 +257,11 @@
 		}
 		r, _ := play(t, s, 3, newFaultyPolicy(rule))
 		if r.ViolationCounts[rule] == 0 {
-			t.Errorf("%s: not caught; broken %v", rule, r.ViolationCounts)
+			t.Errorf("%s: not reported; violations %v", rule, r.ViolationCounts)
 		}
 		for _, v := range r.Violations {
 			if v.Rule == rule && v.Request != "" && len(v.History) == 0 {
-				t.Errorf("%s: without a history", rule)
+				t.Errorf("%s: the violation has no history", rule)
 			}
 		}
 	}
--- a/internal/lab/swim/detection.go
+++ b/internal/lab/swim/detection.go
@@ -8,7 +8,7 @@
 	"dykering/internal/fleet/membership"
 )
 
-// probe pings the next member in turn that this one holds alive or suspect.
+// probe pings the next member in probe order that member i considers alive or suspect.
 func (f *Fleet) probe(i int) {
 	m := f.members[i]
 	for range len(m.order) {
@@ -32,7 +32,7 @@
 	}
 }
 
-// probeIndirectly asks some other members to probe a member whose ack is late.
+// probeIndirectly asks some other members to probe member t, whose ack is late.
 func (f *Fleet) probeIndirectly(i, t int, seq uint64) {
 	m := f.members[i]
 	if !m.working() || m.acknowledged[seq] {
@@ -41,11 +41,11 @@
 	for _, k := range f.choosePeers(i, f.settings.IndirectChecks, t) {
 		f.send(i, k, &event{kind: deliverPingRequest, seq: seq, target: uint64(t)})
 	}
-	// memberlist's fallback: a ping over TCP at the same time, which a lost link refuses as it does packets.
+	// memberlist also sends a fallback ping over TCP, which a partition blocks in the same way as packets.
 	f.send(i, t, &event{kind: deliverPing, seq: seq, target: uint64(i)})
 }
 
-// choosePeers draws up to n members that i holds alive, other than i and but.
+// choosePeers returns up to n random members that member i considers alive, except i and the excluded one.
 func (f *Fleet) choosePeers(i, n, exclude int) []int {
 	m := f.members[i]
 	var peers []int
@@ -58,7 +58,7 @@
 	return peers
 }
 
-// suspect starts a suspicion of t by i.
+// suspect starts a suspicion of member t by member i.
 func (f *Fleet) suspect(i, t int) {
 	m := f.members[i]
 	if m.state[t] != membership.Alive {
@@ -67,8 +67,8 @@
 	f.apply(i, update{t, m.incarnations[t], membership.Suspect})
 }
 
-// suspicion is how long i's suspicion of t lasts now: memberlist's formula, from the longest down to the
-// shortest as independent confirmations come.
+// suspicion returns the present duration of member i's suspicion of member t. It follows memberlist's formula,
+// which shortens the suspicion from the longest to the shortest duration with each independent confirmation.
 func (f *Fleet) suspicion(i, t int) time.Duration {
 	n := float64(len(f.members))
 	shortest := time.Duration(float64(f.settings.SuspicionMult) * math.Max(1, math.Log10(n)) * float64(f.settings.ProbeInterval))
--- a/internal/lab/swim/dissemination.go
+++ b/internal/lab/swim/dissemination.go
@@ -7,20 +7,20 @@
 	"dykering/internal/fleet/membership"
 )
 
-// update is the content of gossip: a member's state in an incarnation.
+// update is a gossiped fact: the state of a member in one of its incarnations.
 type update struct {
 	member      int
 	incarnation uint32
 	state       membership.State
 }
 
-// queuedUpdate is an update to be gossiped, with the number of times it was sent.
+// queuedUpdate is an update that waits for gossip, with the number of times that it was sent.
 type queuedUpdate struct {
 	update
 	sent int
 }
 
-// gossip sends the updates that are due to a few random members.
+// gossip sends queued updates of member i to a few random members.
 func (f *Fleet) gossip(i int) {
 	for _, k := range f.choosePeers(i, f.settings.GossipNodes, -1) {
 		if msg := f.nextUpdates(i); len(msg) > 0 {
@@ -29,8 +29,8 @@
 	}
 }
 
-// nextUpdates returns the updates for one message, those sent least often first. An update is sent
-// at most RetransmitMult * log10(N+1) times.
+// nextUpdates returns the updates for one message of member i, those that were sent least often first. An
+// update is sent at most RetransmitMult * log10(N+1) times.
 func (f *Fleet) nextUpdates(i int) []update {
 	m := f.members[i]
 	if len(m.queue) == 0 {
@@ -47,14 +47,14 @@
 	return msg
 }
 
-// broadcast queues an update for gossip, in place of an older one of the same member.
+// broadcast queues an update for gossip by member i. It replaces an older update about the same member.
 func (f *Fleet) broadcast(i int, u update) {
 	m := f.members[i]
 	m.queue = slices.DeleteFunc(m.queue, func(q queuedUpdate) bool { return q.member == u.member })
 	m.queue = append(m.queue, queuedUpdate{update: u})
 }
 
-// apply applies an update at member i, by SWIM's rules, and refutes a suspicion of i itself.
+// apply applies an update at member i by SWIM's rules. If the update suspects i itself, i refutes it.
 func (f *Fleet) apply(i int, u update) {
 	m := f.members[i]
 	if u.member == i {
@@ -78,7 +78,8 @@
 			return
 		}
 		if known == membership.Suspect && u.incarnation == knownIncarnation {
-			m.confirmations[u.member]++ // a confirmation shortens the suspicion: look again when the shorter one ends
+			// The confirmation shortens the suspicion, so its end is checked earlier.
+			m.confirmations[u.member]++
 			f.schedule(max(0, m.suspected[u.member]+f.suspicion(i, u.member)-f.now)+1,
 				&event{kind: suspicionExpired, from: i, target: uint64(u.member)})
 			return
@@ -105,7 +106,7 @@
 	}
 }
 
-// countEpisode counts an update about a working member, once for each incarnation.
+// countEpisode counts an update about a running member, once for each of its incarnations and states.
 func (f *Fleet) countEpisode(u update, count *int) {
 	key := [3]uint32{uint32(u.member), u.incarnation, uint32(u.state)}
 	if f.members[u.member].up && !f.Stats.episodes[key] {
@@ -117,8 +118,8 @@
 	}
 }
 
-// reconnect has member i ask one member that it holds dead to join again: a full exchange of states both
-// ways, if both can reach each other.
+// reconnect makes member i ask a random member that it considers dead to join again. If they can reach each
+// other, they exchange all of their states.
 func (f *Fleet) reconnect(i int) {
 	m := f.members[i]
 	if !m.working() {
@@ -150,7 +151,7 @@
 	}
 }
 
-// states are all states that a member holds, its own included.
+// states returns all states that member i knows, including its own.
 func (f *Fleet) states(i int) []update {
 	m := f.members[i]
 	all := make([]update, len(m.state))
--- a/internal/lab/swim/event.go
+++ b/internal/lab/swim/event.go
@@ -4,14 +4,14 @@
 	"time"
 )
 
-// event is an action at a time in the simulation.
+// event is a scheduled event of the simulation.
 type event struct {
 	at          time.Duration
 	kind        int
 	from, to    int
 	target, seq uint64
 	updates     []update
-	id          int // order among events at the same time
+	id          int // defines the order of events at the same time
 }
 
 // events is a heap of events, the earliest first.
--- a/internal/lab/swim/measure.go
+++ b/internal/lab/swim/measure.go
@@ -7,23 +7,26 @@
 	"dykering/internal/fleet/membership"
 )
 
-// Result is what was measured for one size of fleet.
+// Result contains the measurements for one size of fleet.
 type Result struct {
-	Members              int
-	DetectP50, DetectP99 time.Duration // from a crash until all working members hold it dead
-	// Crashes that not all members detected in the time given.
+	Members int
+	// DetectP50 and DetectP99 are percentiles of the time from a crash until all working members consider the
+	// crashed member dead.
+	DetectP50, DetectP99 time.Duration
+	// Undetected counts the crashes that not all members detected before the next crash.
 	Undetected               int
 	FalsePerMemberHour       float64 // suspicions of working members, under Loss
 	FalseDeathsPerMemberHour float64 // declarations dead of working members, under Loss
 	Loss                     float64
-	// From the end of a partition until all views have the same digest; -1 for never.
+	// Heal is the time from the end of a partition until all views have the same digest; -1 if they do not
+	// agree within healLimit.
 	Heal time.Duration
-	// Without faults.
+	// BytesPerMemberSecond is the gossip traffic without faults.
 	BytesPerMemberSecond float64
 }
 
-// Measure runs the three trials of FLEET-VIEW.md on a fleet of n members: crashes one after
-// another, a time of loss, and a partition into three fifths and two fifths for 30 s that heals.
+// Measure runs three trials on a fleet of n members: crashes one after another, a time with message loss, and a
+// partition into three fifths and two fifths of the members that heals after 30 s.
 func Measure(n int, s Settings, crashes int, loss float64, seed uint64) Result {
 	r := Result{Members: n, Loss: loss}
 	r.DetectP50, r.DetectP99, r.Undetected, r.BytesPerMemberSecond = measureDetection(n, s, crashes, seed)
@@ -33,15 +36,19 @@
 }
 
 const (
-	// Before the first fault.
+	// warmUpTime is the time before the first fault.
 	warmUpTime = 10 * time.Second
-	// Between two crashes; each is detected or given up by then.
-	crashGap      = 30 * time.Second
+	// crashGap is the time between two crashes, within which a crash must be detected.
+	crashGap = 30 * time.Second
+	// lossTime is the duration of the message loss.
 	lossTime      = time.Minute
 	partitionTime = 30 * time.Second
-	healLimit     = 2 * time.Minute
+	// healLimit is the time after the partition within which all views must agree.
+	healLimit = 2 * time.Minute
 )
 
+// measureDetection returns percentiles of the detection time of crashes, the number of undetected ones, and the
+// traffic in bytes per member and second before the first crash.
 func measureDetection(n int, s Settings, crashes int, seed uint64) (p50, p99 time.Duration, undetected int, load float64) {
 	f := New(n, s, seed)
 	f.Run(warmUpTime)
@@ -50,7 +57,7 @@
 	var durations []time.Duration
 	f.OnChange = func(_ int, c membership.Change) {
 		if victim >= 0 && c.Member.State == membership.Dead && c.Member.ID == f.observation(victim, 0, 0).ID {
-			if seen++; seen == n-countNotWorking(f) { // all that work, the victim counted among the crashed
+			if seen++; seen == n-countNotWorking(f) { // all working members; the victim is not one of them
 				durations = append(durations, f.Now()-crashed)
 			}
 		}
@@ -83,17 +90,20 @@
 	return n
 }
 
+// measureFalseRate returns the false suspicions and false declarations of death per member and hour, with a
+// share of messages lost.
 func measureFalseRate(n int, s Settings, loss float64, seed uint64) (suspicions, deaths float64) {
 	f := New(n, s, seed)
 	f.Run(warmUpTime)
 	before := f.Stats
-	f.Loss(loss)
+	f.SetLoss(loss)
 	f.Run(warmUpTime + lossTime)
 	hours := float64(n) * lossTime.Hours()
 	return float64(f.Stats.FalseSuspicions-before.FalseSuspicions) / hours,
 		float64(f.Stats.FalseDeaths-before.FalseDeaths) / hours
 }
 
+// measureHeal returns the time from the end of a partition until all views agree, or -1.
 func measureHeal(n int, s Settings, seed uint64) time.Duration {
 	f := New(n, s, seed)
 	f.Run(warmUpTime)
--- a/internal/lab/swim/swim.go
+++ b/internal/lab/swim/swim.go
@@ -9,7 +9,7 @@
 	"dykering/internal/fleet/membership"
 )
 
-// Settings are those of the protocol, as in [fleet] and in memberlist's LAN defaults.
+// Settings are the settings of the protocol. The names follow memberlist's configuration.
 type Settings struct {
 	ProbeInterval, ProbeTimeout, GossipInterval time.Duration
 	SuspicionMult, SuspicionMaxMult             int
@@ -17,7 +17,7 @@
 	Latency                                     time.Duration // one way, on every link
 }
 
-// LAN is memberlist's DefaultLANConfig.
+// LAN returns the values of memberlist's DefaultLANConfig.
 func LAN() Settings {
 	return Settings{
 		ProbeInterval: time.Second, ProbeTimeout: 500 * time.Millisecond,
@@ -26,48 +26,52 @@
 	}
 }
 
-// Message sizes, in bytes, for the load a member carries: a header, and an update.
+// Message sizes in bytes, from which the gossip traffic is computed.
 const (
 	headerBytes = 40
 	updateBytes = 48
-	// Updates in one gossip message, as memberlist fits them into 1,400 bytes.
+	// maxUpdatesPerMessage is the number of updates that memberlist can put into a packet of 1,400 bytes.
 	maxUpdatesPerMessage = 12
 )
 
-// member is one broker.
+// member is the state of one simulated broker.
 type member struct {
 	up, stalled bool
 	incarnation uint32
 	view        *membership.View
-	// The state it holds of each other member, with its incarnation.
+	// state and incarnations are what the member knows of each other member.
 	state        []membership.State
 	incarnations []uint32
-	// When a suspicion began; -1 for none.
-	suspected     []time.Duration
+	// suspected is the time at which the suspicion of each other member began; -1 if there is none.
+	suspected []time.Duration
+	// confirmations counts the confirmations of each suspicion.
 	confirmations []int
-	queue         []queuedUpdate // updates to send, by how often they were sent
-	order         []int          // probe order
-	next          int
-	// Probes by sequence number, and whether they were acknowledged.
+	// queue contains the updates that wait for gossip.
+	queue []queuedUpdate
+	// order is the probe order, and next the position of the next member in it.
+	order []int
+	next  int
+	// acknowledged contains the open probes by sequence number, and whether an ack has arrived.
 	acknowledged map[uint64]bool
-	reconnect    int
+	// reconnect counts probes; every fifth one also starts a reconnection.
+	reconnect int
 }
 
-// event kinds.
+// Kinds of events.
 const (
 	probeTick = iota
 	gossipTick
-	probeTimedOut      // a probe's ack did not come in the timeout: indirect ones go out
-	probeIntervalEnded // the interval of a probe ended: suspect, if no ack came
-	suspicionExpired   // a suspicion ran out
-	deliverGossip      // a message arrives
-	deliverPing        // a ping: answer with an ack
-	deliverAck         // an ack, for a sequence
-	deliverPingRequest // a ping-req: ping the target for the asker
-	reconnectTick      // a dead member asked to join again
+	probeTimedOut      // no ack arrived within ProbeTimeout: indirect probes are sent
+	probeIntervalEnded // the probe interval has ended: without an ack the target is suspected
+	suspicionExpired   // a suspicion may have expired
+	deliverGossip      // a gossip message arrives
+	deliverPing        // a ping arrives, which is answered by an ack
+	deliverAck         // an ack for a sequence number arrives
+	deliverPingRequest // a ping request arrives: the target is pinged on behalf of the sender
+	reconnectTick      // a dead member is asked to join again
 )
 
-// Fleet is a simulated fleet of N members.
+// Fleet is a simulated fleet of members. Members are identified by their indexes.
 type Fleet struct {
 	settings     Settings
 	members      []*member
@@ -77,24 +81,26 @@
 	lastSequence uint64
 	lastEventID  int
 	loss         float64
-	// The set of each member during a partition; 0 for none.
+	// partition is the set of each member during a partition; 0 if the member is in none.
 	partition []int
 	start     time.Time
-	Stats     Stats
-	// Called at each change of a view; may be nil.
+	// Stats are the counters of the fleet so far.
+	Stats Stats
+	// OnChange is called at each change of the view of a member; may be nil.
 	OnChange func(viewer int, c membership.Change)
 }
 
 // Stats are counters of the fleet.
 type Stats struct {
 	Messages, Bytes, Suspicions, Refutations, Deaths uint64
-	// FalseSuspicions and FalseDeaths count episodes: a working member suspected, or declared dead, under one
-	// of its incarnations, however many members hear of it.
+	// FalseSuspicions and FalseDeaths count the cases in which a running member is suspected, or declared dead,
+	// in one of its incarnations. A case counts once, even if many members learn of it.
 	FalseSuspicions, FalseDeaths int
-	episodes                     map[[3]uint32]bool // member, incarnation, state
+	// episodes contains the counted cases by member, incarnation and state.
+	episodes map[[3]uint32]bool
 }
 
-// New creates a fleet of n members that all hold each other alive, and starts their timers at
+// New creates a fleet of n members that all consider each other alive. The timers of the members start with
 // random phases.
 func New(n int, s Settings, seed uint64) *Fleet {
 	f := &Fleet{
@@ -124,6 +130,7 @@
 	return f
 }
 
+// observation returns what a view observes of member i.
 func (f *Fleet) observation(i int, inc uint32, s membership.State) membership.Observation {
 	return membership.Observation{
 		ID: fmt.Sprintf("b%04d", i), Incarnation: inc, State: s,
@@ -131,6 +138,7 @@
 	}
 }
 
+// schedule schedules an event after a duration.
 func (f *Fleet) schedule(d time.Duration, e *event) {
 	e.at = f.now + d
 	f.lastEventID++
@@ -138,7 +146,7 @@
 	heap.Push(&f.queue, e)
 }
 
-// Now is the virtual time since the start of the fleet.
+// Now returns the virtual time since the start of the fleet.
 func (f *Fleet) Now() time.Duration { return f.now }
 
 // Run runs the fleet until a time.
@@ -151,23 +159,24 @@
 	f.now = until
 }
 
-// Crash ends a member: it sends and answers nothing any more.
+// Crash ends a member, which sends no further messages.
 func (f *Fleet) Crash(i int) { f.members[i].up = false }
 
-// Stall stalls a member or resumes it. Messages to a stalled member are lost, since the socket
-// buffer of a stopped process soon overflows in a large fleet.
+// Stall stalls or resumes a member. Messages to a stalled member are lost, since the socket buffer of a stopped
+// process soon overflows in a large fleet.
 func (f *Fleet) Stall(i int, stalled bool) { f.members[i].stalled = stalled }
 
-// Loss drops a share of all messages.
-func (f *Fleet) Loss(share float64) { f.loss = share }
+// SetLoss sets the share of messages that are lost.
+func (f *Fleet) SetLoss(share float64) { f.loss = share }
 
-// SetPartition divides the fleet: member i is in set sets[i], 0 for none. Nil heals the partition.
+// SetPartition partitions the fleet. Member i is in the set sets[i], or in none if that is 0. Members of
+// different sets cannot reach each other. Nil heals the partition.
 func (f *Fleet) SetPartition(sets []int) {
 	clear(f.partition)
 	copy(f.partition, sets)
 }
 
-// send sends a message, which may be lost.
+// send sends a message, unless it is lost or a partition blocks it.
 func (f *Fleet) send(from, to int, e *event) {
 	f.Stats.Messages++
 	f.Stats.Bytes += uint64(headerBytes + updateBytes*len(e.updates))
@@ -182,6 +191,7 @@
 // working reports whether a member is up and not stalled.
 func (m *member) working() bool { return m.up && !m.stalled }
 
+// handle executes an event.
 func (f *Fleet) handle(e *event) {
 	switch e.kind {
 	case probeTick:
@@ -226,9 +236,9 @@
 		case deliverPingRequest:
 			f.send(e.to, int(e.target), &event{kind: deliverPing, seq: e.seq, target: uint64(e.from)})
 		case deliverAck:
-			// An ack for one's own probe, or one to forward to whom asked for it.
-			if asker := int(e.target); asker != e.to && asker >= 0 {
-				f.send(e.to, asker, &event{kind: deliverAck, seq: e.seq, target: uint64(asker)})
+			// The ack belongs to a probe of this member, or to a ping request of another one, to which it is forwarded.
+			if requester := int(e.target); requester != e.to && requester >= 0 {
+				f.send(e.to, requester, &event{kind: deliverAck, seq: e.seq, target: uint64(requester)})
 			} else {
 				m.acknowledged[e.seq] = true
 			}
@@ -236,14 +246,14 @@
 	}
 }
 
-// Holds returns the state that member i holds of member k.
-func (f *Fleet) Holds(i, k int) membership.State { return f.members[i].state[k] }
+// StateOf returns the state that member i knows of member k.
+func (f *Fleet) StateOf(i, k int) membership.State { return f.members[i].state[k] }
 
-// Digest is the digest of member i's view.
+// Digest returns the digest of member i's view.
 func (f *Fleet) Digest(i int) string { return f.members[i].view.Digest() }
 
 // Up reports whether a member is working.
 func (f *Fleet) Up(i int) bool { return f.members[i].working() }
 
-// Size is the number of members.
+// Size returns the number of members.
 func (f *Fleet) Size() int { return len(f.members) }
--- a/internal/lab/swim/swim_test.go
+++ b/internal/lab/swim/swim_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// In fleets of several sizes without loss each crash is detected by all members within the longest
-// suspicion and a few probe rounds, no working member is declared dead, and the views agree after a
-// partition has healed.
+// In fleets of several sizes, without message loss, all members detect each crash within the longest suspicion
+// and a few probe intervals, no working member is declared dead, and all views agree after a partition has
+// healed.
 func TestMeasureDetectsCrashesAndHealsPartition(t *testing.T) {
 	s := LAN()
 	for _, n := range []int{5, 30, 100} {
