--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -29,7 +29,7 @@
 	overloadDowntime = 3 * time.Second
 )
 
-// Outcomes of a request or an operation.
+// Outcomes of a request or an operation. Result files and histories of violations contain the values.
 const (
 	// Served means that the client received a successful answer.
 	Served = "served"
@@ -47,11 +47,11 @@
 type Brokers interface {
 	// Accept handles a request that arrives at its instance. It completes the request exactly once,
 	// unless the request is abandoned.
-	Accept(t *Request)
+	Accept(request *Request)
 	// Abandon reports that the requester no longer waits for a request.
-	Abandon(t *Request)
+	Abandon(request *Request)
 	// UpdateList delivers an update of the endpoint list to an instance.
-	UpdateList(in *Instance, l decision.List)
+	UpdateList(in *Instance, list decision.List)
 	// Kill ends the process of an instance immediately and starts a new one after a duration.
 	Kill(in *Instance, duration time.Duration)
 	// Handover replaces the process of an instance by a successor that takes over from it.
@@ -77,7 +77,7 @@
 
 // Requester receives the outcome of a request: a client, or a server that calls the next tier.
 type Requester interface {
-	Complete(t *Request, outcome string, retryAfter time.Duration)
+	Complete(request *Request, outcome string, retryAfter time.Duration)
 }
 
 // Request is one request to an instance. Each retry of a client is a separate request with the same
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -103,7 +103,7 @@
 	history        []string
 }
 
-// Checker checks one run. It is not safe for concurrent use.
+// Checker checks the events of one run. It is not safe for concurrent use.
 type Checker struct {
 	settings Settings
 	open     map[string]*requestState
@@ -198,7 +198,8 @@
 	}
 	request.record(at, "attempt %d to server %d", attempt, server)
 	if request.answered || request.inFlight >= 0 {
-		c.report(Single, at, request, "attempt %d is sent while attempt %d is in flight (-1 for none) or after the answer", attempt, request.inFlight)
+		c.report(Single, at, request, "attempt %d is sent while attempt %d is in flight (-1 for none) or after the answer", attempt,
+			request.inFlight)
 	}
 	request.inFlight = attempt
 	if request.attempts++; c.settings.MaxAttempts > 0 && request.attempts > c.settings.MaxAttempts {
@@ -209,7 +210,8 @@
 		c.report(Unknown, at, request, "sent to server %d, which was not announced to instance %d", server, request.Instance)
 	}
 	if since, ok := c.drainingSince[key]; ok && at-since > c.settings.DrainGrace+c.stalledTime(request.Instance, since, at) {
-		c.report(Drain, at, request, "sent to server %d %.3f s after the announcement that it drains or has departed", server, (at - since).Seconds())
+		c.report(Drain, at, request, "sent to server %d %.3f s after the announcement that it drains or has departed", server,
+			(at - since).Seconds())
 	}
 }
 
@@ -291,10 +293,11 @@
 	}
 }
 
-// AttemptAfterDeparture records an attempt that began after the client had departed.
+// AttemptAfterDeparture reports an attempt that began more than departedMargin after the departure of its client.
 func (c *Checker) AttemptAfterDeparture(at, departedAt time.Duration, id string, attempt int) {
 	if late := at - departedAt; late > departedMargin {
-		c.report(DepartedClient, at, nil, "attempt %d of request %s begins %.3f s after its client has departed", attempt, id, late.Seconds())
+		c.report(DepartedClient, at, nil, "attempt %d of request %s begins %.3f s after its client has departed", attempt, id,
+			late.Seconds())
 	}
 }
 
@@ -329,7 +332,8 @@
 // ForgetOrigin removes the executions of an operation that no client will retry.
 func (c *Checker) ForgetOrigin(origin string) { delete(c.executions, origin) }
 
-// ColdServerOverloaded records that a server crashed by overload while it was warming up.
+// ColdServerOverloaded reports that a server crashed by overload while it was warming up. Load is the load as a
+// multiple of the server's capacity at that time.
 func (c *Checker) ColdServerOverloaded(at time.Duration, server int, load float64) {
 	c.report(ColdOverload, at, nil, "server %d crashed while warming up: the load was %.1f times its present capacity", server, load)
 }
--- a/internal/lab/sim/budgets.go
+++ b/internal/lab/sim/budgets.go
@@ -66,9 +66,9 @@
 	if _, ok := s.sharedQuotas(); !ok {
 		return
 	}
-	t, w := s.brokers, s.brokers.world
-	if t.budgets == nil {
-		g := &fleetBudgets{brokers: t, holders: map[string]*quotaHolder{}}
+	b, w := s.brokers, s.brokers.world
+	if b.budgets == nil {
+		g := &fleetBudgets{brokers: b, holders: map[string]*quotaHolder{}}
 		pool := make([]float64, len(w.Scenario.Teams))
 		for i, team := range w.Scenario.Teams {
 			pool[i] = team.Quota * (1 - floorShare)
@@ -76,22 +76,22 @@
 		}
 		g.ledger = budget.NewLedger(pool)
 		g.grantor = budget.NewGrantor(leaseTerms, g.ledger, w.Now())
-		t.budgets = g
+		b.budgets = g
 		w.After(decideInterval, g.decide)
 	}
 	id := fmt.Sprintf("%d#%d", s.model.Ordinal, s.incarnation)
 	p := &quotaHolder{
-		Holder: budget.NewHolder(id, 1, leaseTerms, t.budgets.floors), process: s,
+		Holder: budget.NewHolder(id, 1, leaseTerms, b.budgets.floors), process: s,
 		random: model.Stream(w.Seed(s.model), "budgets", int(s.incarnation)),
 	}
-	t.budgets.holders[id] = p
+	b.budgets.holders[id] = p
 	p.applyShares()
 	w.After(time.Duration(p.random.Int64N(int64(leaseLength/leaseRenewals))), p.requestLease)
 }
 
 // requestLease measures the demand, requests the next lease, and schedules the next request.
-func (p *quotaHolder) requestLease() {
-	s, w := p.process, p.process.brokers.world
+func (h *quotaHolder) requestLease() {
+	s, w := h.process, h.process.brokers.world
 	if s.dead || s.instance.current != s {
 		delete(s.brokers.budgets.holders, fmt.Sprintf("%d#%d", s.model.Ordinal, s.incarnation))
 		return
@@ -101,23 +101,23 @@
 	for _, u := range b.Usage() {
 		demand = append(demand, u.Asked)
 	}
-	p.demand.Sample(w.Now(), demand)
-	p.applyShares()
-	r := p.NextRequest(w.Now(), p.demand.Rates())
+	h.demand.Sample(w.Now(), demand)
+	h.applyShares()
+	r := h.NextRequest(w.Now(), h.demand.Rates())
 	w.After(w.Latency(), func() { s.brokers.budgets.grantor.Receive(w.Now(), r) })
-	w.After(leaseLength/leaseRenewals, p.requestLease)
+	w.After(leaseLength/leaseRenewals, h.requestLease)
 }
 
 // applyShares passes the rates that the process may admit now to its balancer.
-func (p *quotaHolder) applyShares() {
-	now, floors := p.process.brokers.world.Now(), p.process.brokers.budgets.floors
+func (h *quotaHolder) applyShares() {
+	now, floors := h.process.brokers.world.Now(), h.process.brokers.budgets.floors
 	a := decision.QuotaShares{TenantFallbackRates: floors, RetryRate: -1}
-	rates, leased := p.Allowance(now)
+	rates, leased := h.Allowance(now)
 	a.TenantRates = rates
 	if leased {
-		a.Until = now + p.Remaining(now)
+		a.Until = now + h.Remaining(now)
 	}
-	p.process.policy.(*decision.Balancer).SetQuotaShares(now, a)
+	h.process.policy.(*decision.Balancer).SetQuotaShares(now, a)
 }
 
 // recordUsage records the rates that the live instances may admit and, once a second, the requests that they
--- a/internal/lab/sim/instance.go
+++ b/internal/lab/sim/instance.go
@@ -64,9 +64,9 @@
 }
 
 // start adds an instance and starts its first process.
-func (t *brokers) start(in *model.Instance) error {
-	i := &instance{brokers: t, model: in, requests: map[decision.RequestID]*requestState{}}
-	t.instances = append(t.instances, i)
+func (b *brokers) start(in *model.Instance) error {
+	i := &instance{brokers: b, model: in, requests: map[decision.RequestID]*requestState{}}
+	b.instances = append(b.instances, i)
 	return i.startProcess()
 }
 
@@ -93,15 +93,15 @@
 }
 
 // UpdateList delivers an update of the endpoint list to the current process.
-func (t *brokers) UpdateList(in *model.Instance, list decision.List) {
-	if s := t.instances[in.Index].current; s != nil {
-		s.policy.Targets(t.world.Now(), list)
+func (b *brokers) UpdateList(in *model.Instance, list decision.List) {
+	if s := b.instances[in.Index].current; s != nil {
+		s.policy.Targets(b.world.Now(), list)
 	}
 }
 
 // Accept passes a request to the current process. Without one the requester finds no instance.
-func (t *brokers) Accept(request *model.Request) {
-	w, i := t.world, t.instances[request.Instance.Index]
+func (b *brokers) Accept(request *model.Request) {
+	w, i := b.world, b.instances[request.Instance.Index]
 	now := w.Now()
 	if request.Deadline <= now {
 		return // the requester no longer waits
@@ -124,30 +124,30 @@
 }
 
 // Abandon reports to the policy that the requester no longer waits for a request.
-func (t *brokers) Abandon(request *model.Request) {
-	i := t.instances[request.Instance.Index]
+func (b *brokers) Abandon(request *model.Request) {
+	i := b.instances[request.Instance.Index]
 	state := i.requests[request.ID]
 	if state == nil || state.Request != request || state.answered {
 		return
 	}
 	state.answered = true
-	t.world.Checker.ClientDeparted(t.world.Now(), string(request.ID))
-	state.process.policy.Abandoned(t.world.Now(), request.ID)
+	b.world.Checker.ClientDeparted(b.world.Now(), string(request.ID))
+	state.process.policy.Abandoned(b.world.Now(), request.ID)
 	i.removeIfDone(state)
 }
 
 // Kill ends all processes of an instance and starts a new one after a duration. The open requests fail.
-func (t *brokers) Kill(in *model.Instance, duration time.Duration) {
-	i, w := t.instances[in.Index], t.world
+func (b *brokers) Kill(in *model.Instance, duration time.Duration) {
+	i, w := b.instances[in.Index], b.world
 	if i.current == nil {
 		return
 	}
 	i.current.dead = true
 	i.current = nil
-	for _, r := range slices.SortedFunc(maps.Values(i.requests), func(a, b *requestState) int { return cmp.Compare(a.ID, b.ID) }) {
+	for _, r := range slices.SortedFunc(maps.Values(i.requests), func(x, y *requestState) int { return cmp.Compare(x.ID, y.ID) }) {
 		r.process.dead = true
 		if r.inFlight != nil {
-			t.cancelAttempt(r.inFlight)
+			b.cancelAttempt(r.inFlight)
 		}
 		w.Checker.ProcessKilled(w.Now(), string(r.ID))
 		if !r.answered {
@@ -158,27 +158,27 @@
 	clear(i.requests)
 	w.After(duration, func() {
 		if err := i.startProcess(); err != nil {
-			t.err = err
+			b.err = err
 		}
 	})
 }
 
 // InjectFault treats a stop as a kill. The other kinds of fault have no effect without network code.
-func (t *brokers) InjectFault(in *model.Instance, kind string, duration time.Duration) {
+func (b *brokers) InjectFault(in *model.Instance, kind string, duration time.Duration) {
 	if kind == "stop" {
-		t.Kill(in, duration)
+		b.Kill(in, duration)
 	}
 }
 
 // Handover starts a successor process, which restores the predecessor's snapshot and accepts requests from now
 // on. The predecessor completes its open requests.
-func (t *brokers) Handover(in *model.Instance) {
-	i, w := t.instances[in.Index], t.world
+func (b *brokers) Handover(in *model.Instance) {
+	i, w := b.instances[in.Index], b.world
 	old := i.current
 	if old == nil {
 		return
 	}
-	if t.err = i.startProcess(); t.err != nil {
+	if b.err = i.startProcess(); b.err != nil {
 		return
 	}
 	from, ok := old.policy.(*decision.Balancer)
@@ -186,7 +186,7 @@
 	if !ok || !isBalancer {
 		return
 	}
-	if t.err = to.Restore(w.Now(), from.Snapshot(w.Now())); t.err != nil {
+	if b.err = to.Restore(w.Now(), from.Snapshot(w.Now())); b.err != nil {
 		return
 	}
 	var report func()
@@ -201,10 +201,10 @@
 }
 
 // cancelAttempt notifies a server that the sender no longer waits for an attempt.
-func (t *brokers) cancelAttempt(a *model.Attempt) {
+func (b *brokers) cancelAttempt(a *model.Attempt) {
 	a.Finished = true
 	a.Server.Release(a, false)
-	t.world.After(t.world.Latency(), func() { a.Server.Cancel(a) })
+	b.world.After(b.world.Latency(), func() { a.Server.Cancel(a) })
 }
 
 // answer completes a request with its final outcome.
--- a/internal/lab/sim/replica.go
+++ b/internal/lab/sim/replica.go
@@ -62,8 +62,8 @@
 }
 
 // replicaNow returns the virtual time in the form that package replica uses.
-func (t *brokers) replicaNow() replica.Now {
-	now := t.world.Now()
+func (b *brokers) replicaNow() replica.Now {
+	now := b.world.Now()
 	return replica.Now{Mono: now, Wall: time.Unix(0, 0).Add(now)}
 }
 
@@ -146,14 +146,14 @@
 const propagatedShare = 0.99
 
 // recordHolder counts one more instance that holds a fact, in a tier with a number of instances.
-func (t *brokers) recordHolder(f replica.Fact, instances int) {
-	x := t.propagations[f.Key()]
+func (b *brokers) recordHolder(f replica.Fact, instances int) {
+	x := b.propagations[f.Key()]
 	if x == nil {
 		return // the fact has already propagated
 	}
 	if x.holders++; float64(x.holders) >= propagatedShare*float64(instances) {
-		t.world.Result.PropagationSeconds = append(t.world.Result.PropagationSeconds, (t.world.Now() - x.writtenAt).Seconds())
-		delete(t.propagations, f.Key())
+		b.world.Result.PropagationSeconds = append(b.world.Result.PropagationSeconds, (b.world.Now() - x.writtenAt).Seconds())
+		delete(b.propagations, f.Key())
 	}
 }
 
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -48,14 +48,14 @@
 // Run runs a scenario with a seed until its end, or until the context is cancelled.
 func Run(ctx context.Context, s *scenario.Scenario, seed uint64, policy PolicyFactory) (*model.Result, error) {
 	c := &clock{now: model.Origin}
-	t := &brokers{policy: policy, propagations: map[string]*propagation{}}
-	t.world = model.New(s, seed, c, t, nil, 0)
-	for _, in := range t.world.Instances {
-		if err := t.start(in); err != nil {
+	b := &brokers{policy: policy, propagations: map[string]*propagation{}}
+	b.world = model.New(s, seed, c, b, nil, 0)
+	for _, in := range b.world.Instances {
+		if err := b.start(in); err != nil {
 			return nil, err
 		}
 	}
-	end := t.world.Start()
+	end := b.world.Start()
 	for n := 1; ; n++ {
 		at, ok := c.events.Next()
 		if !ok || at > end {
@@ -64,13 +64,13 @@
 		var action func()
 		c.now, action = c.events.Pop()
 		action()
-		if t.err != nil {
-			return nil, t.err
+		if b.err != nil {
+			return nil, b.err
 		}
 		if n%cancellationCheckInterval == 0 && ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
 	}
 	c.now = end
-	return t.world.Finish(), nil
+	return b.world.Finish(), nil
 }
--- a/internal/lab/swim/measure.go
+++ b/internal/lab/swim/measure.go
@@ -14,10 +14,13 @@
 	// crashed member dead.
 	DetectP50, DetectP99 time.Duration
 	// Undetected counts the crashes that not all members detected before the next crash.
-	Undetected               int
-	FalsePerMemberHour       float64 // suspicions of working members, under Loss
-	FalseDeathsPerMemberHour float64 // declarations dead of working members, under Loss
-	Loss                     float64
+	Undetected int
+	// FalsePerMemberHour and FalseDeathsPerMemberHour are the rates at which working members are suspected or
+	// declared dead while messages are lost.
+	FalsePerMemberHour       float64
+	FalseDeathsPerMemberHour float64
+	// Loss is the share of messages that are lost in this trial.
+	Loss float64
 	// Heal is the time from the end of a partition until all views have the same digest; -1 if they do not
 	// agree within healLimit.
 	Heal time.Duration
--- a/internal/lab/swim/swim.go
+++ b/internal/lab/swim/swim.go
@@ -252,7 +252,7 @@
 // Digest returns the digest of member i's view.
 func (f *Fleet) Digest(i int) string { return f.members[i].view.Digest() }
 
-// Up reports whether a member is working.
+// Up reports whether a member is up and not stalled.
 func (f *Fleet) Up(i int) bool { return f.members[i].working() }
 
 // Size returns the number of members.
