--- a/internal/lab/sim/budgets.go
+++ b/internal/lab/sim/budgets.go
@@ -56,37 +56,37 @@
 
 // sharedQuotas returns the balancer of a process, and whether it shares quotas by leases. Only instances of
 // the first tier do, as they receive the requests of clients.
-func (s *process) sharedQuotas() (*decision.Balancer, bool) {
-	b, ok := s.policy.(*decision.Balancer)
-	return b, ok && s.brokers.world.Scenario.Broker.Budgets && s.model.Tier.Index == 0 && len(s.brokers.world.Scenario.Teams) > 0
+func (p *process) sharedQuotas() (*decision.Balancer, bool) {
+	b, ok := p.policy.(*decision.Balancer)
+	return b, ok && p.brokers.world.Scenario.Broker.Budgets && p.model.Tier.Index == 0 && len(p.brokers.world.Scenario.Teams) > 0
 }
 
 // startQuotaSharing starts the sharing of quotas. It must be called before the process receives a request.
-func (s *process) startQuotaSharing() {
-	if _, ok := s.sharedQuotas(); !ok {
+func (p *process) startQuotaSharing() {
+	if _, ok := p.sharedQuotas(); !ok {
 		return
 	}
-	b, w := s.brokers, s.brokers.world
+	b, w := p.brokers, p.brokers.world
 	if b.budgets == nil {
 		g := &fleetBudgets{brokers: b, holders: map[string]*quotaHolder{}}
 		pool := make([]float64, len(w.Scenario.Teams))
 		for i, team := range w.Scenario.Teams {
 			pool[i] = team.Quota * (1 - floorShare)
-			g.floors = append(g.floors, team.Quota*floorShare/float64(len(s.model.Tier.Instances)))
+			g.floors = append(g.floors, team.Quota*floorShare/float64(len(p.model.Tier.Instances)))
 		}
 		g.ledger = budget.NewLedger(pool)
 		g.grantor = budget.NewGrantor(leaseTerms, g.ledger, w.Now())
 		b.budgets = g
 		w.After(decideInterval, g.decide)
 	}
-	id := fmt.Sprintf("%d#%d", s.model.Ordinal, s.incarnation)
-	p := &quotaHolder{
-		Holder: budget.NewHolder(id, 1, leaseTerms, b.budgets.floors), process: s,
-		random: model.Stream(w.Seed(s.model), "budgets", int(s.incarnation)),
+	id := fmt.Sprintf("%d#%d", p.model.Ordinal, p.incarnation)
+	holder := &quotaHolder{
+		Holder: budget.NewHolder(id, 1, leaseTerms, b.budgets.floors), process: p,
+		random: model.Stream(w.Seed(p.model), "budgets", int(p.incarnation)),
 	}
-	b.budgets.holders[id] = p
-	p.applyShares()
-	w.After(time.Duration(p.random.Int64N(int64(leaseLength/leaseRenewals))), p.requestLease)
+	b.budgets.holders[id] = holder
+	holder.applyShares()
+	w.After(time.Duration(holder.random.Int64N(int64(leaseLength/leaseRenewals))), holder.requestLease)
 }
 
 // requestLease measures the demand, requests the next lease, and schedules the next request.
--- a/internal/lab/sim/instance.go
+++ b/internal/lab/sim/instance.go
@@ -227,28 +227,28 @@
 }
 
 // Reply implements model.Replier. The reply arrives after the network's latency, unless it is lost.
-func (s *process) Reply(a *model.Attempt, status decision.Status, load *decision.Load) {
-	w := s.brokers.world
+func (p *process) Reply(a *model.Attempt, status decision.Status, load *decision.Load) {
+	w := p.brokers.world
 	w.After(w.Latency(), func() {
 		if !w.IsUnreachable(a.Request.Instance, a.Server) {
-			s.outcome(a, status, load)
+			p.outcome(a, status, load)
 		}
 	})
 }
 
 // outcome handles the end of an attempt and reports it to the policy.
-func (s *process) outcome(a *model.Attempt, status decision.Status, load *decision.Load) {
-	r := s.requests[a.Request.ID]
+func (p *process) outcome(a *model.Attempt, status decision.Status, load *decision.Load) {
+	r := p.requests[a.Request.ID]
 	if a.Finished || r == nil || r.inFlight != a {
 		return
 	}
-	w := s.brokers.world
+	w := p.brokers.world
 	r.inFlight = nil
 	switch status {
 	case decision.Timeout, decision.Cancelled, decision.ConnectFailed:
-		s.brokers.cancelAttempt(a)
-		if w.IsUnreachable(s.model, a.Server) || a.Server.IsSilent() {
-			s.unreachable[a.Server.ID()] = true
+		p.brokers.cancelAttempt(a)
+		if w.IsUnreachable(p.model, a.Server) || a.Server.IsSilent() {
+			p.unreachable[a.Server.ID()] = true
 		}
 	default:
 		a.Finished = true
@@ -258,20 +258,20 @@
 	final := r.answered
 	if status == decision.OK && !r.answered {
 		final = true
-		s.answer(r, model.Served, 0)
+		p.answer(r, model.Served, 0)
 	}
-	s.policy.Outcome(w.Now(), decision.Outcome{
+	p.policy.Outcome(w.Now(), decision.Outcome{
 		ID: r.ID, Endpoint: a.Server.ID(), Attempt: a.Number, Final: final,
 		Elapsed: w.Now() - a.SentAt, Status: status, Load: load,
 	})
-	s.removeIfDone(r)
+	p.removeIfDone(r)
 }
 
 // Send implements decision.Host, as do the methods below. It sends an attempt immediately, so it ignores the
 // time limit for the start of the attempt.
-func (s *process) Send(id decision.RequestID, to decision.EndpointID, timeout, _ time.Duration) {
-	w := s.brokers.world
-	r := s.requests[id]
+func (p *process) Send(id decision.RequestID, to decision.EndpointID, timeout, _ time.Duration) {
+	w := p.brokers.world
+	r := p.requests[id]
 	attempts := 0
 	if r != nil {
 		attempts = r.attempts
@@ -280,7 +280,7 @@
 	if r == nil || int(to) < 1 || int(to) > len(w.Servers) {
 		return
 	}
-	a := &model.Attempt{Request: r.Request, Number: r.attempts, Server: w.Servers[to-1], SentAt: w.Now(), ReplyTo: s}
+	a := &model.Attempt{Request: r.Request, Number: r.attempts, Server: w.Servers[to-1], SentAt: w.Now(), ReplyTo: p}
 	r.attempts++
 	r.inFlight = a
 	w.Result.Attempts++
@@ -288,57 +288,57 @@
 	if timeout > 0 {
 		end = min(end, timeout)
 	}
-	w.After(end, func() { s.outcome(a, decision.Timeout, nil) })
-	silent := w.IsUnreachable(s.model, a.Server) || a.Server.IsSilent()
+	w.After(end, func() { p.outcome(a, decision.Timeout, nil) })
+	silent := w.IsUnreachable(p.model, a.Server) || a.Server.IsSilent()
 	if !silent {
-		delete(s.unreachable, to)
-	} else if s.unreachable[to] || a.Server.IsSilent() {
-		w.After(time.Duration(w.Scenario.Broker.ConnectTimeout), func() { s.outcome(a, decision.ConnectFailed, nil) })
+		delete(p.unreachable, to)
+	} else if p.unreachable[to] || a.Server.IsSilent() {
+		w.After(time.Duration(w.Scenario.Broker.ConnectTimeout), func() { p.outcome(a, decision.ConnectFailed, nil) })
 		return
 	}
 	connectTime, ok := a.Server.Connect(a)
 	if !ok {
-		w.After(w.Latency(), func() { s.outcome(a, decision.ConnectFailed, nil) })
+		w.After(w.Latency(), func() { p.outcome(a, decision.ConnectFailed, nil) })
 		return
 	}
 	w.After(connectTime+w.Latency(), func() {
-		if !w.IsUnreachable(s.model, a.Server) {
+		if !w.IsUnreachable(p.model, a.Server) {
 			a.Server.Receive(a)
 		}
 	})
 }
 
-func (s *process) Refuse(id decision.RequestID, retryAfter time.Duration) {
-	s.finish(id, model.Refused, retryAfter)
+func (p *process) Refuse(id decision.RequestID, retryAfter time.Duration) {
+	p.finish(id, model.Refused, retryAfter)
 }
-func (s *process) Fail(id decision.RequestID) { s.finish(id, model.Failed, 0) }
+func (p *process) Fail(id decision.RequestID) { p.finish(id, model.Failed, 0) }
 
 // finish completes a request, or reports an answer to a request that is not open to the checker.
-func (s *process) finish(id decision.RequestID, outcome string, retryAfter time.Duration) {
-	if r := s.requests[id]; r != nil {
-		s.answer(r, outcome, retryAfter)
+func (p *process) finish(id decision.RequestID, outcome string, retryAfter time.Duration) {
+	if r := p.requests[id]; r != nil {
+		p.answer(r, outcome, retryAfter)
 		return
 	}
-	s.brokers.world.Checker.RequestAnswered(s.brokers.world.Now(), string(id), outcome)
+	p.brokers.world.Checker.RequestAnswered(p.brokers.world.Now(), string(id), outcome)
 }
 
-func (s *process) Cancel(id decision.RequestID, number int) {
-	r := s.requests[id]
+func (p *process) Cancel(id decision.RequestID, number int) {
+	r := p.requests[id]
 	if r == nil || r.inFlight == nil || r.inFlight.Number != number {
 		return
 	}
 	a := r.inFlight
-	s.brokers.world.After(0, func() { s.outcome(a, decision.Cancelled, nil) })
+	p.brokers.world.After(0, func() { p.outcome(a, decision.Cancelled, nil) })
 }
 
-func (s *process) SetTimer(token uint64, after time.Duration) {
-	s.brokers.world.After(after, func() {
-		if !s.dead {
-			s.policy.Timer(s.brokers.world.Now(), token)
+func (p *process) SetTimer(token uint64, after time.Duration) {
+	p.brokers.world.After(after, func() {
+		if !p.dead {
+			p.policy.Timer(p.brokers.world.Now(), token)
 		}
 	})
 }
 
-func (s *process) Watch(bool) {}
-func (s *process) Fetch()     {}
-func (s *process) Log(string) {}
+func (p *process) Watch(bool) {}
+func (p *process) Fetch()     {}
+func (p *process) Log(string) {}
--- a/internal/lab/sim/replica.go
+++ b/internal/lab/sim/replica.go
@@ -68,33 +68,33 @@
 }
 
 // startReplication starts replication, if the scenario enables it.
-func (s *process) startReplication() {
-	if _, ok := s.policy.(*decision.Balancer); !ok || !s.brokers.world.Scenario.Broker.Replicate {
+func (p *process) startReplication() {
+	if _, ok := p.policy.(*decision.Balancer); !ok || !p.brokers.world.Scenario.Broker.Replicate {
 		return
 	}
-	w := s.brokers.world
-	s.replicated = &replicatedState{
-		store:  replica.New(strconv.Itoa(s.model.Ordinal), replicaLimits),
-		random: model.Stream(w.Seed(s.model), "replica", int(s.incarnation)),
+	w := p.brokers.world
+	p.replicated = &replicatedState{
+		store:  replica.New(strconv.Itoa(p.model.Ordinal), replicaLimits),
+		random: model.Stream(w.Seed(p.model), "replica", int(p.incarnation)),
 	}
-	if s.incarnation > 1 { // the process joins a running fleet and starts with the facts of a peer
+	if p.incarnation > 1 { // the process joins a running fleet and starts with the facts of a peer
 		w.After(2*w.Latency(), func() {
-			peer := s.randomPeer()
-			if s.dead || peer == nil {
+			peer := p.randomPeer()
+			if p.dead || peer == nil {
 				return
 			}
-			s.merge(peer.replicated.store.Facts(s.brokers.replicaNow()))
+			p.merge(peer.replicated.store.Facts(p.brokers.replicaNow()))
 		})
 	}
-	w.After(time.Duration(s.replicated.random.Int64N(int64(gossipInterval))), s.gossip)
+	w.After(time.Duration(p.replicated.random.Int64N(int64(gossipInterval))), p.gossip)
 }
 
 // randomPeer returns a random other process of the tier, or nil if some draws have found none.
-func (s *process) randomPeer() *process {
-	all := s.model.Tier.Instances
+func (p *process) randomPeer() *process {
+	all := p.model.Tier.Instances
 	for range gossipFanout {
-		peer := s.brokers.instances[all[s.replicated.random.IntN(len(all))].Index].current
-		if peer != nil && peer != s && peer.replicated != nil {
+		peer := p.brokers.instances[all[p.replicated.random.IntN(len(all))].Index].current
+		if peer != nil && peer != p && peer.replicated != nil {
 			return peer
 		}
 	}
@@ -102,33 +102,33 @@
 }
 
 // merge merges facts of a peer, and queues those that changed the replica for gossip.
-func (s *process) merge(facts []replica.Fact) {
+func (p *process) merge(facts []replica.Fact) {
 	for _, f := range facts {
-		if changed, _ := s.replicated.store.Merge(s.brokers.replicaNow(), f); changed {
-			s.enqueue(f)
-			s.brokers.recordHolder(f, len(s.model.Tier.Instances))
+		if changed, _ := p.replicated.store.Merge(p.brokers.replicaNow(), f); changed {
+			p.enqueue(f)
+			p.brokers.recordHolder(f, len(p.model.Tier.Instances))
 		}
 	}
 }
 
 // synchronize exchanges the facts that differ with a random peer (anti-entropy).
-func (s *process) synchronize() {
-	w, p := s.brokers.world, s.randomPeer()
-	if p == nil {
+func (p *process) synchronize() {
+	w, peer := p.brokers.world, p.randomPeer()
+	if peer == nil {
 		return
 	}
 	w.After(w.Latency(), func() {
-		if s.dead || p.dead {
+		if p.dead || peer.dead {
 			return
 		}
-		now := s.brokers.replicaNow()
-		missingHere := p.replicated.store.Differing(now, s.replicated.store.Summary())
-		missingThere := s.replicated.store.Differing(now, p.replicated.store.Summary())
+		now := p.brokers.replicaNow()
+		missingHere := peer.replicated.store.Differing(now, p.replicated.store.Summary())
+		missingThere := p.replicated.store.Differing(now, peer.replicated.store.Summary())
 		w.Result.FactsSent += len(missingHere) + len(missingThere)
 		w.After(w.Latency(), func() {
-			if !s.dead && !p.dead {
-				s.merge(missingHere)
-				p.merge(missingThere)
+			if !p.dead && !peer.dead {
+				p.merge(missingHere)
+				peer.merge(missingThere)
 			}
 		})
 	})
@@ -158,25 +158,25 @@
 }
 
 // enqueue queues a fact for gossip. It replaces an older fact of the same origin about the same subject.
-func (s *process) enqueue(f replica.Fact) {
-	times := retransmitMultiplier * int(math.Ceil(math.Log10(float64(len(s.model.Tier.Instances)+1))))
-	for i, r := range s.replicated.queue {
+func (p *process) enqueue(f replica.Fact) {
+	times := retransmitMultiplier * int(math.Ceil(math.Log10(float64(len(p.model.Tier.Instances)+1))))
+	for i, r := range p.replicated.queue {
 		if r.fact.Origin == f.Origin && r.fact.Subject == f.Subject {
-			s.replicated.queue[i] = queuedFact{f, times}
+			p.replicated.queue[i] = queuedFact{f, times}
 			return
 		}
 	}
-	s.replicated.queue = append(s.replicated.queue, queuedFact{f, times})
+	p.replicated.queue = append(p.replicated.queue, queuedFact{f, times})
 }
 
 // gossip does the work of one gossip interval. It records new evidence of the balancer and sends queued facts.
 // At longer intervals it also synchronizes the replica with a peer and applies the replica's advice.
-func (s *process) gossip() {
-	if s.dead || s.current != s {
+func (p *process) gossip() {
+	if p.dead || p.current != p {
 		return
 	}
-	w, m, b := s.brokers.world, s.replicated, s.policy.(*decision.Balancer)
-	now := s.brokers.replicaNow()
+	w, m, b := p.brokers.world, p.replicated, p.policy.(*decision.Balancer)
+	now := p.brokers.replicaNow()
 	m.store.Expire(now)
 	var disputed []decision.EndpointID
 	for _, name := range m.store.Disputed(now) {
@@ -188,16 +188,16 @@
 			verdict = replica.Bad
 		}
 		if f, changed := m.store.Record(now, subject(e.Endpoint), verdict, factTTL); changed {
-			s.brokers.propagations[f.Key()] = &propagation{writtenAt: w.Now(), holders: 1}
-			s.enqueue(f)
+			p.brokers.propagations[f.Key()] = &propagation{writtenAt: w.Now(), holders: 1}
+			p.enqueue(f)
 		}
 	}
-	// As in memberlist's queue, the facts that were sent least often come first. Otherwise some would never be
+	// As in memberlist'p queue, the facts that were sent least often come first. Otherwise some would never be
 	// sent if there are many.
 	slices.SortStableFunc(m.queue, func(a, b queuedFact) int { return cmp.Compare(b.remainingSends, a.remainingSends) })
 	if n := min(len(m.queue), maxFactsPerMessage); n > 0 {
 		for range gossipFanout {
-			if p := s.randomPeer(); p != nil {
+			if peer := p.randomPeer(); peer != nil {
 				facts := make([]replica.Fact, 0, n)
 				for i := range m.queue[:n] {
 					facts = append(facts, m.queue[i].fact)
@@ -205,8 +205,8 @@
 				}
 				w.Result.FactsSent += len(facts)
 				w.After(w.Latency(), func() {
-					if !p.dead {
-						p.merge(facts)
+					if !peer.dead {
+						peer.merge(facts)
 					}
 				})
 			}
@@ -220,16 +220,16 @@
 		m.queue = kept
 	}
 	if m.intervals++; m.intervals%synchronizeIntervals == 0 {
-		s.synchronize()
+		p.synchronize()
 	}
 	if m.intervals%adviseIntervals == 0 {
 		var advice []decision.PeerEjection
 		rules := replicaRules
 		rules.MinWitnesses = cmp.Or(w.Scenario.Broker.MinWitnesses, rules.MinWitnesses)
-		for _, a := range m.store.Advise(now, len(s.model.Tier.Servers), rules) {
+		for _, a := range m.store.Advise(now, len(p.model.Tier.Servers), rules) {
 			advice = append(advice, decision.PeerEjection{Endpoint: endpointOf(a.Subject), Age: a.Age})
 		}
 		w.Result.AppliedAdvice += b.ApplyPeerEjections(w.Now(), advice)
 	}
-	w.After(gossipInterval, s.gossip)
+	w.After(gossipInterval, p.gossip)
 }
