--- a/internal/lab/sim/replica.go
+++ b/internal/lab/sim/replica.go
@@ -192,7 +192,7 @@
 			p.enqueue(f)
 		}
 	}
-	// As in memberlist'p queue, the facts that were sent least often come first. Otherwise some would never be
+	// As in memberlist's queue, the facts that were sent least often come first. Otherwise some would never be
 	// sent if there are many.
 	slices.SortStableFunc(m.queue, func(a, b queuedFact) int { return cmp.Compare(b.remainingSends, a.remainingSends) })
 	if n := min(len(m.queue), maxFactsPerMessage); n > 0 {
