--- a/internal/lab/coresim/decisions_test.go
+++ b/internal/lab/coresim/decisions_test.go
@@ -16,8 +16,8 @@
 const (
 	// goldenScheduleCount is the number of generated schedules that are compared.
 	goldenScheduleCount = 30
-	// busyRunDuration is the time of the only fault in the runs with many operations.
-	busyRunDuration = 30 * time.Second
+	// singleFaultAt is the time of the only fault in the runs with many operations.
+	singleFaultAt = 30 * time.Second
 	// digestInterval is the virtual time between two digests of the machines' states.
 	digestInterval = 250 * time.Millisecond
 )
@@ -84,7 +84,7 @@
 	}
 	for seed := range uint64(2) {
 		options := Options{Seed: seed, Members: 5, MostFailures: 2, Busy: true}
-		singleFault := Schedule{Options: options, Steps: []Fault{{At: busyRunDuration, Kind: Kill}}}
+		singleFault := Schedule{Options: options, Steps: []Fault{{At: singleFaultAt, Kind: Kill}}}
 		fmt.Fprintf(&text, "busy seed %d: %s", seed, runAndDigest(singleFault))
 	}
 	fixture.Text(t, "testdata/schedules.txt", text.String())
