--- a/internal/lab/coresim/cell_callers.go
+++ b/internal/lab/coresim/cell_callers.go
@@ -21,7 +21,7 @@
 	readFraction = 3
 	// One in singlePutFraction puts is sent without retries.
 	singlePutFraction = 3
-	// One in longPauseFraction pauses of a watcher lasts up to 3 * historyS.
+	// One in longPauseFraction pauses of a watcher lasts up to 3 * historyDuration.
 	longPauseFraction = 30
 	// watchWait is the time for which a watch waits for an event.
 	watchWait = 700 * time.Millisecond
@@ -181,7 +181,7 @@
 	t := w.table
 	pause := t.duration(0, maxCallPause/4)
 	if t.oneIn(longPauseFraction) {
-		pause = t.duration(0, 3*historyS)
+		pause = t.duration(0, 3*historyDuration)
 	}
 	t.sim.after(pause, w.next)
 }
--- a/internal/lab/coresim/coordination.go
+++ b/internal/lab/coresim/coordination.go
@@ -12,7 +12,8 @@
 // Times of the coordination service in the simulated processes. The history and expired holds are kept for a much shorter
 // time than in a deployment, so that they are dropped within a run of some seconds.
 const (
-	historyS           = 4 * time.Second
+	// historyDuration is the history_s of the service.
+	historyDuration    = 4 * time.Second
 	holdMargin         = 50 * time.Millisecond
 	compactionInterval = 300 * time.Millisecond
 	expiredHoldGrace   = 2 * time.Second
@@ -51,7 +52,7 @@
 		sim:     sim,
 		random:  rand.New(rand.NewPCG(sim.options.Seed, 11)),
 		locks:   newLockChecker(),
-		cells:   newCellChecker(historyS),
+		cells:   newCellChecker(historyDuration),
 		numbers: newNumberChecker(),
 		calls:   map[string]int{},
 	}
--- a/internal/lab/coresim/coordination_process.go
+++ b/internal/lab/coresim/coordination_process.go
@@ -21,9 +21,11 @@
 // coordinationProcess is the coordination service of one process. It drives the program's own state machines (package
 // coordination) in the way that internal/controlplane does.
 type coordinationProcess struct {
-	m        *machine
-	head     *coordination.Head
-	watches  *coordination.WatchTable
+	m *machine
+	// head makes the decisions on commands while the member is the head.
+	head    *coordination.Head
+	watches *coordination.WatchTable
+	// received detects calls of other members that arrive twice.
 	received *coordination.RecentCalls
 	flawed   flawedCoordination
 	// lastCall is the number of the latest call to another member.
@@ -48,7 +50,7 @@
 		m: m,
 		head: coordination.NewHead(m.sim.now, coordination.HeadConfig{
 			HoldMargin:         holdMargin,
-			HistoryKept:        2 * historyS,
+			HistoryKept:        2 * historyDuration,
 			CompactionInterval: compactionInterval,
 			ExpiredHoldGrace:   expiredHoldGrace,
 			StateOf:            coordinationOf,
--- a/internal/lab/coresim/faultbudget.go
+++ b/internal/lab/coresim/faultbudget.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// isWithinBudget reports whether a fault may be injected now. KillAll and Split always may: exceedBudget accounts for them.
+// isWithinBudget reports whether a fault may be injected now. Without overlap, KillAll and Split always may, since exceedBudget
+// accounts for them.
 func (f *faultInjector) isWithinBudget(fault Fault) bool {
 	maxFailures := f.sim.options.MostFailures
 	if f.overlap {
--- a/internal/lab/model/world.go
+++ b/internal/lab/model/world.go
@@ -62,9 +62,9 @@
 
 // Sockets are the real sockets of the servers, for an engine that has them.
 type Sockets interface {
-	// ServerStarted opens the listening socket of a server.
+	// ServerStarted makes the socket of a server accept connections.
 	ServerStarted(s *Server)
-	// ServerStopped closes the sockets of a server.
+	// ServerStopped ends the socket of a server with its connections.
 	ServerStopped(s *Server)
 	// SetConnectionFault sets the fault on a server's connections and its size in bytes. The fault "none"
 	// ends an earlier one.
--- a/internal/lab/sim/instance.go
+++ b/internal/lab/sim/instance.go
@@ -47,7 +47,7 @@
 	dead   bool
 	// replicated is nil without replicated state.
 	replicated *replicatedState
-	// unreachable contains the servers from which a reply or connection was missing. They need a new connection.
+	// unreachable contains the servers that did not respond. The next attempt to them needs a new connection.
 	unreachable map[decision.EndpointID]bool
 }
 
@@ -72,34 +72,34 @@
 
 // startProcess starts a process with the present endpoint list.
 func (i *instance) startProcess() error {
-	s := &process{instance: i, unreachable: map[decision.EndpointID]bool{}}
+	p := &process{instance: i, unreachable: map[decision.EndpointID]bool{}}
 	w := i.brokers.world
-	p, err := i.brokers.policy(w.Settings(i.model), w.Seed(i.model)+i.incarnation, s, w)
+	policy, err := i.brokers.policy(w.Settings(i.model), w.Seed(i.model)+i.incarnation, p, w)
 	if err != nil {
 		return err
 	}
 	i.incarnation++
-	s.policy = p
+	p.policy = policy
 	l := w.List(i.model)
 	l.Kind = decision.CachedList
 	for _, e := range l.Entries {
 		w.Checker.EndpointListed(w.Now(), i.model.Index, w.Servers[e.Endpoint-1].Index, e.State == decision.Ready)
 	}
-	i.current = s
-	p.Targets(w.Now(), l)
-	s.startReplication()
-	s.startQuotaSharing()
+	i.current = p
+	policy.Targets(w.Now(), l)
+	p.startReplication()
+	p.startQuotaSharing()
 	return nil
 }
 
 // UpdateList delivers an update of the endpoint list to the current process.
 func (b *brokers) UpdateList(in *model.Instance, list decision.List) {
-	if s := b.instances[in.Index].current; s != nil {
-		s.policy.Targets(b.world.Now(), list)
+	if p := b.instances[in.Index].current; p != nil {
+		p.policy.Targets(b.world.Now(), list)
 	}
 }
 
-// Accept passes a request to the current process. Without one the requester finds no instance.
+// Accept passes a request to the current process. If there is none, the request completes as unreachable.
 func (b *brokers) Accept(request *model.Request) {
 	w, i := b.world, b.instances[request.Instance.Index]
 	now := w.Now()
