--- a/internal/lab/coresim/faultbudget.go
+++ b/internal/lab/coresim/faultbudget.go
@@ -20,7 +20,7 @@
 	overBudgetUntil time.Duration
 	// lastChange is when the latest fault began or ended.
 	lastChange time.Duration
-	// leavingUntil maps a member that leaves for good to the end of its grace period.
+	// leavingUntil maps a member that leaves permanently to the end of its grace period.
 	leavingUntil map[int]time.Duration
 }
 
