--- a/internal/lab/coresim/coordination_end.go
+++ b/internal/lab/coresim/coordination_end.go
@@ -7,16 +7,16 @@
 	"dykering/internal/coordination"
 )
 
-// Times of the end of a run.
+// Times of the checks at the end of a run.
 const (
-	// settleTime is until when calls that are under way have ended, and the holds of all locks are over.
-	settleTime = persistence + answerTimeout + maxLateness + maxHold + holdMargin + time.Second
-	// readBackTime is how long each call of the end is repeated.
+	// settleTime is the time until calls in flight have ended and the holds of all locks have expired.
+	settleTime = retryDuration + answerTimeout + maxCallDelay + maxHold + holdMargin + time.Second
+	// readBackTime is the time for which a call without a definite answer is retried.
 	readBackTime = 3 * time.Second
 )
 
-// checkCoordination checks, some time after the last fault, that what was acknowledged is there: cells are read, numbers and
-// locks are asked for, and watches resume from the revisions that they have.
+// checkCoordination checks, after the last fault, that no acknowledged operation of the coordination service is lost. It
+// resumes all watches from their latest revisions, reads all cells, and requests each number and each lock.
 func (sim *Simulation) checkCoordination() error {
 	t := sim.coordination
 	if t == nil {
@@ -30,18 +30,19 @@
 	if err := sim.Run(sim.now + settleTime); err != nil {
 		return err
 	}
-	unanswered := t.askForAll()
+	unanswered := t.readBackAll()
 	if err := sim.Run(sim.now + readBackTime + 2*answerTimeout); err != nil {
 		return err
 	}
 	if len(unanswered) > 0 || len(resumed) > 0 {
-		return fmt.Errorf("LOST: no answer at the end: %v %v", unanswered, resumed)
+		return fmt.Errorf("LOST: calls without a definite answer at the end of the run: %v %v", unanswered, resumed)
 	}
 	t.cells.checkAll()
 	return t.violation()
 }
 
-// resumeWatches lets each watcher go on until it has all that was shown. It returns a set that is empty once all have.
+// resumeWatches continues each watcher until it has received all revisions that any caller has seen. It returns the names of
+// the watches that have not yet done so; each is removed when it has.
 func (t *coordinationTable) resumeWatches() (waiting map[string]bool, err error) {
 	if err := t.sim.Run(t.sim.now + answerTimeout + watchWait + 2*time.Second); err != nil {
 		return nil, err
@@ -67,13 +68,14 @@
 	return waiting, nil
 }
 
-// askForAll reads all cells, and asks for each number and each lock. It returns a set that is empty once all have answered.
-func (t *coordinationTable) askForAll() (waiting map[string]bool) {
+// readBackAll reads all cells, and requests each number and each lock. It returns the names of the calls without a successful
+// answer yet; each is removed when it has one.
+func (t *coordinationTable) readBackAll() (waiting map[string]bool) {
 	waiting = map[string]bool{}
-	ask := func(name string, call func(done func(coordinationAnswer))) {
+	start := func(name string, call func(done func(coordinationAnswer))) {
 		waiting[name] = true
 		call(func(answer coordinationAnswer) {
-			if answer.isClear() && !answer.failed {
+			if answer.isDefinite() && !answer.failed {
 				delete(waiting, name)
 			}
 		})
@@ -81,31 +83,31 @@
 	for group := range groupCount {
 		for cell := range cellsPerGroup {
 			name := cellName(group, cell)
-			ask(name, func(done func(coordinationAnswer)) { t.read(name, readBackTime, done) })
+			start(name, func(done func(coordinationAnswer)) { t.read(name, readBackTime, done) })
 		}
 	}
 	for number := range numberCount {
 		name := fmt.Sprintf("n%d", number)
-		ask(name, func(done func(coordinationAnswer)) { t.askNumber(name, readBackTime, done) })
+		start(name, func(done func(coordinationAnswer)) { t.requestNumber(name, readBackTime, done) })
 	}
 	for lock := range lockCount {
 		name := fmt.Sprintf("l%d", lock)
-		ask(name, func(done func(coordinationAnswer)) { t.probeLock(name, done) })
+		start(name, func(done func(coordinationAnswer)) { t.probeLock(name, done) })
 	}
 	return waiting
 }
 
-// probeLock takes a lock under a new name. All holds are over, so that it must be given.
+// probeLock acquires a lock under a new holder name. All holds have expired, so the lock must be granted.
 func (t *coordinationTable) probeLock(lock string, done func(coordinationAnswer)) {
 	t.lastProbe++
 	c := &lockCaller{table: t, holder: fmt.Sprintf("probe%d", t.lastProbe), lock: lock, hold: maxHold}
 	var floor uint64
 	request := c.request(coordination.BeginLock, 0)
 	request.onSend = func() { floor = t.locks.highestOfOthers(lock, c.holder) }
-	t.callUntilClear(request, readBackTime, func(sentAt time.Duration, answer coordinationAnswer, _ bool) {
+	t.callUntilDefinite(request, readBackTime, func(sentAt time.Duration, answer coordinationAnswer, _ bool) {
 		if !answer.missing && !answer.failed {
-			t.locks.granted(lock, c.holder, answer.result.Token, floor)
-			t.locks.holds(t.sim.now, lock, c.holder, sentAt+c.hold)
+			t.locks.recordGrant(lock, c.holder, answer.result.Token, floor)
+			t.locks.recordHold(t.sim.now, lock, c.holder, sentAt+c.hold)
 		}
 		done(answer)
 	})
--- a/internal/lab/sim/instance.go
+++ b/internal/lab/sim/instance.go
@@ -11,7 +11,7 @@
 	"dykering/internal/lab/rules"
 )
 
-// inFlightReportInterval is how often a process that ends reports its calls in flight to its
+// inFlightReportInterval is the interval at which a draining predecessor reports its calls in flight to its
 // successor.
 const inFlightReportInterval = 50 * time.Millisecond
 
@@ -20,89 +20,91 @@
 	world     *model.World
 	policy    PolicyFactory
 	instances []*instance
-	// Nil without fleet-wide budgets.
+	// budgets is nil without fleet-wide budgets.
 	budgets *fleetBudgets
-	// Facts that have not reached all instances of their tier yet.
+	// propagations contains the facts that do not count as propagated yet, by their keys.
 	propagations map[string]*propagation
-	err          error
+	// err is an error that ends the run.
+	err error
 }
 
-// instance is one instance of the broker: the process that serves, and perhaps a predecessor that
-// is draining.
+// instance is one instance of the broker. It has a serving process, and during a handover also a predecessor
+// that is draining.
 type instance struct {
 	brokers  *brokers
 	model    *model.Instance
 	requests map[decision.RequestID]*requestState
-	// The process that accepts requests; nil while there is none.
-	current     *process
+	// current is the process that accepts requests; nil while there is none.
+	current *process
+	// incarnation counts the started processes.
 	incarnation uint64
 }
 
-// process is one process of an instance: a policy, and its host.
+// process is one process of an instance. It is the decision.Host of its policy.
 type process struct {
 	*instance
 	policy Policy
 	dead   bool
-	// Nil without replicated state.
+	// replicated is nil without replicated state.
 	replicated *replicatedState
-	// Servers from which nothing came: they need a new connection.
+	// unreachable contains the servers that did not respond. The next attempt to them needs a new connection.
 	unreachable map[decision.EndpointID]bool
 }
 
-// requestState is a request in an instance.
+// requestState is the state of a request in an instance.
 type requestState struct {
 	*model.Request
 	process *process
-	// When its attempts have to end for its answer to be in time.
+	// attemptDeadline is the time at which an attempt must end for the answer to be in time.
 	attemptDeadline time.Duration
 	answered        bool
 	attempts        int
-	// The attempt in flight; nil for none.
+	// inFlight is the attempt in flight, or nil.
 	inFlight *model.Attempt
 }
 
 // start adds an instance and starts its first process.
-func (t *brokers) start(in *model.Instance) error {
-	i := &instance{brokers: t, model: in, requests: map[decision.RequestID]*requestState{}}
-	t.instances = append(t.instances, i)
+func (b *brokers) start(in *model.Instance) error {
+	i := &instance{brokers: b, model: in, requests: map[decision.RequestID]*requestState{}}
+	b.instances = append(b.instances, i)
 	return i.startProcess()
 }
 
 // startProcess starts a process with the present endpoint list.
 func (i *instance) startProcess() error {
-	s := &process{instance: i, unreachable: map[decision.EndpointID]bool{}}
+	p := &process{instance: i, unreachable: map[decision.EndpointID]bool{}}
 	w := i.brokers.world
-	p, err := i.brokers.policy(w.Settings(i.model), w.Seed(i.model)+i.incarnation, s, w)
+	policy, err := i.brokers.policy(w.Settings(i.model), w.Seed(i.model)+i.incarnation, p, w)
 	if err != nil {
 		return err
 	}
 	i.incarnation++
-	s.policy = p
+	p.policy = policy
 	l := w.List(i.model)
 	l.Kind = decision.CachedList
 	for _, e := range l.Entries {
 		w.Checker.EndpointListed(w.Now(), i.model.Index, w.Servers[e.Endpoint-1].Index, e.State == decision.Ready)
 	}
-	i.current = s
-	p.Targets(w.Now(), l)
-	s.startReplication()
-	s.startQuotaSharing()
+	i.current = p
+	policy.Targets(w.Now(), l)
+	p.startReplication()
+	p.startQuotaSharing()
 	return nil
 }
 
 // UpdateList delivers an update of the endpoint list to the current process.
-func (t *brokers) UpdateList(in *model.Instance, list decision.List) {
-	if s := t.instances[in.Index].current; s != nil {
-		s.policy.Targets(t.world.Now(), list)
+func (b *brokers) UpdateList(in *model.Instance, list decision.List) {
+	if p := b.instances[in.Index].current; p != nil {
+		p.policy.Targets(b.world.Now(), list)
 	}
 }
 
-// Accept hands a request to the current process.
-func (t *brokers) Accept(request *model.Request) {
-	w, i := t.world, t.instances[request.Instance.Index]
+// Accept passes a request to the current process. If there is none, the request completes as unreachable.
+func (b *brokers) Accept(request *model.Request) {
+	w, i := b.world, b.instances[request.Instance.Index]
 	now := w.Now()
 	if request.Deadline <= now {
-		return // the requester has given it up
+		return // the requester no longer waits
 	}
 	if i.current == nil {
 		w.After(w.Latency(), func() { request.Requester.Complete(request, model.Unreachable, 0) })
@@ -121,31 +123,31 @@
 	})
 }
 
-// Abandon reports to the policy that the requester has given a request up.
-func (t *brokers) Abandon(request *model.Request) {
-	i := t.instances[request.Instance.Index]
+// Abandon reports to the policy that the requester no longer waits for a request.
+func (b *brokers) Abandon(request *model.Request) {
+	i := b.instances[request.Instance.Index]
 	state := i.requests[request.ID]
 	if state == nil || state.Request != request || state.answered {
 		return
 	}
 	state.answered = true
-	t.world.Checker.ClientDeparted(t.world.Now(), string(request.ID))
-	state.process.policy.Abandoned(t.world.Now(), request.ID)
+	b.world.Checker.ClientDeparted(b.world.Now(), string(request.ID))
+	state.process.policy.Abandoned(b.world.Now(), request.ID)
 	i.removeIfDone(state)
 }
 
-// Kill ends all processes of an instance. Requesters see their connections reset.
-func (t *brokers) Kill(in *model.Instance, duration time.Duration) {
-	i, w := t.instances[in.Index], t.world
+// Kill ends all processes of an instance and starts a new one after a duration. The open requests fail.
+func (b *brokers) Kill(in *model.Instance, duration time.Duration) {
+	i, w := b.instances[in.Index], b.world
 	if i.current == nil {
 		return
 	}
 	i.current.dead = true
 	i.current = nil
-	for _, r := range slices.SortedFunc(maps.Values(i.requests), func(a, b *requestState) int { return cmp.Compare(a.ID, b.ID) }) {
+	for _, r := range slices.SortedFunc(maps.Values(i.requests), func(x, y *requestState) int { return cmp.Compare(x.ID, y.ID) }) {
 		r.process.dead = true
 		if r.inFlight != nil {
-			t.cancelAttempt(r.inFlight)
+			b.cancelAttempt(r.inFlight)
 		}
 		w.Checker.ProcessKilled(w.Now(), string(r.ID))
 		if !r.answered {
@@ -156,27 +158,27 @@
 	clear(i.requests)
 	w.After(duration, func() {
 		if err := i.startProcess(); err != nil {
-			t.err = err
+			b.err = err
 		}
 	})
 }
 
-// InjectFault treats a stop as a kill. Other faults do nothing here, as there is no network code.
-func (t *brokers) InjectFault(in *model.Instance, kind string, duration time.Duration) {
+// InjectFault treats a stop as a kill. The other kinds of fault have no effect without network code.
+func (b *brokers) InjectFault(in *model.Instance, kind string, duration time.Duration) {
 	if kind == "stop" {
-		t.Kill(in, duration)
+		b.Kill(in, duration)
 	}
 }
 
-// Handover starts a successor that accepts requests from now on and restores the predecessor's
-// snapshot. The predecessor finishes what it has.
-func (t *brokers) Handover(in *model.Instance) {
-	i, w := t.instances[in.Index], t.world
+// Handover starts a successor process, which restores the predecessor's snapshot and accepts requests from now
+// on. The predecessor completes its open requests.
+func (b *brokers) Handover(in *model.Instance) {
+	i, w := b.instances[in.Index], b.world
 	old := i.current
 	if old == nil {
 		return
 	}
-	if t.err = i.startProcess(); t.err != nil {
+	if b.err = i.startProcess(); b.err != nil {
 		return
 	}
 	from, ok := old.policy.(*decision.Balancer)
@@ -184,7 +186,7 @@
 	if !ok || !isBalancer {
 		return
 	}
-	if t.err = to.Restore(w.Now(), from.Snapshot(w.Now())); t.err != nil {
+	if b.err = to.Restore(w.Now(), from.Snapshot(w.Now())); b.err != nil {
 		return
 	}
 	var report func()
@@ -198,14 +200,14 @@
 	report()
 }
 
-// cancelAttempt notifies a server that the sender of an attempt waits no more.
-func (t *brokers) cancelAttempt(a *model.Attempt) {
+// cancelAttempt notifies a server that the sender no longer waits for an attempt.
+func (b *brokers) cancelAttempt(a *model.Attempt) {
 	a.Finished = true
 	a.Server.Release(a, false)
-	t.world.After(t.world.Latency(), func() { a.Server.Cancel(a) })
+	b.world.After(b.world.Latency(), func() { a.Server.Cancel(a) })
 }
 
-// answer gives a request its final outcome.
+// answer completes a request with its final outcome.
 func (i *instance) answer(r *requestState, outcome string, retryAfter time.Duration) {
 	w := i.brokers.world
 	w.Checker.RequestAnswered(w.Now(), string(r.ID), outcome)
@@ -217,36 +219,36 @@
 	i.removeIfDone(r)
 }
 
-// removeIfDone forgets a request that is answered and has no attempt in flight.
+// removeIfDone removes a request that is answered and has no attempt in flight.
 func (i *instance) removeIfDone(r *requestState) {
 	if r.answered && r.inFlight == nil {
 		delete(i.requests, r.ID)
 	}
 }
 
-// Reply implements model.Replier: the reply arrives after the network's latency.
-func (s *process) Reply(a *model.Attempt, status decision.Status, load *decision.Load) {
-	w := s.brokers.world
+// Reply implements model.Replier. The reply arrives after the network's latency, unless it is lost.
+func (p *process) Reply(a *model.Attempt, status decision.Status, load *decision.Load) {
+	w := p.brokers.world
 	w.After(w.Latency(), func() {
 		if !w.IsUnreachable(a.Request.Instance, a.Server) {
-			s.outcome(a, status, load)
+			p.outcome(a, status, load)
 		}
 	})
 }
 
-// outcome reports the end of an attempt to the policy.
-func (s *process) outcome(a *model.Attempt, status decision.Status, load *decision.Load) {
-	r := s.requests[a.Request.ID]
+// outcome handles the end of an attempt and reports it to the policy.
+func (p *process) outcome(a *model.Attempt, status decision.Status, load *decision.Load) {
+	r := p.requests[a.Request.ID]
 	if a.Finished || r == nil || r.inFlight != a {
 		return
 	}
-	w := s.brokers.world
+	w := p.brokers.world
 	r.inFlight = nil
 	switch status {
 	case decision.Timeout, decision.Cancelled, decision.ConnectFailed:
-		s.brokers.cancelAttempt(a)
-		if w.IsUnreachable(s.model, a.Server) || a.Server.IsSilent() {
-			s.unreachable[a.Server.ID()] = true
+		p.brokers.cancelAttempt(a)
+		if w.IsUnreachable(p.model, a.Server) || a.Server.IsSilent() {
+			p.unreachable[a.Server.ID()] = true
 		}
 	default:
 		a.Finished = true
@@ -256,20 +258,20 @@
 	final := r.answered
 	if status == decision.OK && !r.answered {
 		final = true
-		s.answer(r, model.Served, 0)
+		p.answer(r, model.Served, 0)
 	}
-	s.policy.Outcome(w.Now(), decision.Outcome{
+	p.policy.Outcome(w.Now(), decision.Outcome{
 		ID: r.ID, Endpoint: a.Server.ID(), Attempt: a.Number, Final: final,
 		Elapsed: w.Now() - a.SentAt, Status: status, Load: load,
 	})
-	s.removeIfDone(r)
+	p.removeIfDone(r)
 }
 
-// Send implements decision.Host, as do the methods below. An attempt is sent at once, so within any
-// time limit.
-func (s *process) Send(id decision.RequestID, to decision.EndpointID, timeout, _ time.Duration) {
-	w := s.brokers.world
-	r := s.requests[id]
+// Send implements decision.Host, as do the methods below. It sends an attempt immediately, so it ignores the
+// time limit for the start of the attempt.
+func (p *process) Send(id decision.RequestID, to decision.EndpointID, timeout, _ time.Duration) {
+	w := p.brokers.world
+	r := p.requests[id]
 	attempts := 0
 	if r != nil {
 		attempts = r.attempts
@@ -278,7 +280,7 @@
 	if r == nil || int(to) < 1 || int(to) > len(w.Servers) {
 		return
 	}
-	a := &model.Attempt{Request: r.Request, Number: r.attempts, Server: w.Servers[to-1], SentAt: w.Now(), ReplyTo: s}
+	a := &model.Attempt{Request: r.Request, Number: r.attempts, Server: w.Servers[to-1], SentAt: w.Now(), ReplyTo: p}
 	r.attempts++
 	r.inFlight = a
 	w.Result.Attempts++
@@ -286,56 +288,57 @@
 	if timeout > 0 {
 		end = min(end, timeout)
 	}
-	w.After(end, func() { s.outcome(a, decision.Timeout, nil) })
-	silent := w.IsUnreachable(s.model, a.Server) || a.Server.IsSilent()
+	w.After(end, func() { p.outcome(a, decision.Timeout, nil) })
+	silent := w.IsUnreachable(p.model, a.Server) || a.Server.IsSilent()
 	if !silent {
-		delete(s.unreachable, to)
-	} else if s.unreachable[to] || a.Server.IsSilent() {
-		w.After(time.Duration(w.Scenario.Broker.ConnectTimeout), func() { s.outcome(a, decision.ConnectFailed, nil) })
+		delete(p.unreachable, to)
+	} else if p.unreachable[to] || a.Server.IsSilent() {
+		w.After(time.Duration(w.Scenario.Broker.ConnectTimeout), func() { p.outcome(a, decision.ConnectFailed, nil) })
 		return
 	}
-	took, ok := a.Server.Connect(a)
+	connectTime, ok := a.Server.Connect(a)
 	if !ok {
-		w.After(w.Latency(), func() { s.outcome(a, decision.ConnectFailed, nil) })
+		w.After(w.Latency(), func() { p.outcome(a, decision.ConnectFailed, nil) })
 		return
 	}
-	w.After(took+w.Latency(), func() {
-		if !w.IsUnreachable(s.model, a.Server) {
+	w.After(connectTime+w.Latency(), func() {
+		if !w.IsUnreachable(p.model, a.Server) {
 			a.Server.Receive(a)
 		}
 	})
 }
 
-func (s *process) Refuse(id decision.RequestID, retryAfter time.Duration) {
-	s.finish(id, model.Refused, retryAfter)
+func (p *process) Refuse(id decision.RequestID, retryAfter time.Duration) {
+	p.finish(id, model.Refused, retryAfter)
 }
-func (s *process) Fail(id decision.RequestID) { s.finish(id, model.Failed, 0) }
+func (p *process) Fail(id decision.RequestID) { p.finish(id, model.Failed, 0) }
 
-func (s *process) finish(id decision.RequestID, outcome string, retryAfter time.Duration) {
-	if r := s.requests[id]; r != nil {
-		s.answer(r, outcome, retryAfter)
+// finish completes a request, or reports an answer to a request that is not open to the checker.
+func (p *process) finish(id decision.RequestID, outcome string, retryAfter time.Duration) {
+	if r := p.requests[id]; r != nil {
+		p.answer(r, outcome, retryAfter)
 		return
 	}
-	s.brokers.world.Checker.RequestAnswered(s.brokers.world.Now(), string(id), outcome)
+	p.brokers.world.Checker.RequestAnswered(p.brokers.world.Now(), string(id), outcome)
 }
 
-func (s *process) Cancel(id decision.RequestID, number int) {
-	r := s.requests[id]
+func (p *process) Cancel(id decision.RequestID, number int) {
+	r := p.requests[id]
 	if r == nil || r.inFlight == nil || r.inFlight.Number != number {
 		return
 	}
 	a := r.inFlight
-	s.brokers.world.After(0, func() { s.outcome(a, decision.Cancelled, nil) })
+	p.brokers.world.After(0, func() { p.outcome(a, decision.Cancelled, nil) })
 }
 
-func (s *process) SetTimer(token uint64, after time.Duration) {
-	s.brokers.world.After(after, func() {
-		if !s.dead {
-			s.policy.Timer(s.brokers.world.Now(), token)
+func (p *process) SetTimer(token uint64, after time.Duration) {
+	p.brokers.world.After(after, func() {
+		if !p.dead {
+			p.policy.Timer(p.brokers.world.Now(), token)
 		}
 	})
 }
 
-func (s *process) Watch(bool) {}
-func (s *process) Fetch()     {}
-func (s *process) Log(string) {}
+func (p *process) Watch(bool) {}
+func (p *process) Fetch()     {}
+func (p *process) Log(string) {}
--- a/internal/lab/sim/replica.go
+++ b/internal/lab/sim/replica.go
@@ -13,164 +13,170 @@
 	"dykering/internal/lab/model"
 )
 
-// Replicated state in virtual time: the store, the merge rule and the advice are the program's own (package
-// replica); this file carries the gossip between instances.
+// This file implements replicated state in virtual time. The store, the merge rule and the advice are the
+// program's own (package replica); the gossip between instances is simulated here. As in memberlist, at each
+// interval some facts are sent to a few random peers, and each fact is sent a limited number of times.
 const (
-	// Gossip follows memberlist: at each interval some facts are sent to a few random peers, and each
-	// fact a limited number of times.
 	gossipInterval = 200 * time.Millisecond
-	gossipFanout   = 3
-	// Times the decimal logarithm of the number of instances: how often a fact is sent on.
+	// gossipFanout is the number of peers that receive facts at each interval.
+	gossipFanout = 3
+	// retransmitMultiplier, times the decimal logarithm of the number of instances, is the number of times
+	// that an instance sends a fact.
 	retransmitMultiplier = 4
 	maxFactsPerMessage   = 20
-	// Gossip intervals between two synchronizations with a peer.
+	// synchronizeIntervals is the number of gossip intervals between two synchronizations with a peer.
 	synchronizeIntervals = 25
-	// Gossip intervals between two evaluations of the facts.
+	// adviseIntervals is the number of gossip intervals between two evaluations of the facts.
 	adviseIntervals = 5
-	factTTL         = 15 * time.Second
+	// factTTL is the time after which a fact expires.
+	factTTL = 15 * time.Second
 )
 
-// The bounds are the defaults of [fleet.replication].
+// replicaRules and replicaLimits are the defaults of the settings in [fleet.replication].
 var (
-	// The limits are the defaults of [fleet.replication].
 	replicaRules  = replica.EjectionRules{MinWitnesses: 2, MaxShareOfOrigin: 0.3, MaxShare: 0.2}
 	replicaLimits = replica.Limits{MaxOrigins: 4096, FactsPerOrigin: 64, TTL: factTTL, MaxClockSkew: 10 * time.Second}
 )
 
-// replicatedState is a process's replica of the shared facts.
+// replicatedState is the replica of the shared facts in one process.
 type replicatedState struct {
 	store     *replica.Store
 	queue     []queuedFact
 	random    *rand.Rand
-	intervals int
+	intervals int // gossip intervals so far
 }
 
-// queuedFact is a fact to be sent on.
+// queuedFact is a fact that waits to be sent by gossip.
 type queuedFact struct {
 	fact           replica.Fact
 	remainingSends int
 }
 
+// subject returns the name of an endpoint in facts.
 func subject(id decision.EndpointID) string { return strconv.Itoa(int(id)) }
 
+// endpointOf returns the endpoint that a fact's subject names.
 func endpointOf(subject string) decision.EndpointID {
 	id, _ := strconv.Atoi(subject)
 	return decision.EndpointID(id)
 }
 
-func (t *brokers) replicaNow() replica.Now {
-	now := t.world.Now()
+// replicaNow returns the virtual time in the form that package replica uses.
+func (b *brokers) replicaNow() replica.Now {
+	now := b.world.Now()
 	return replica.Now{Mono: now, Wall: time.Unix(0, 0).Add(now)}
 }
 
-// startReplication begins replication, where the scenario asks for it.
-func (s *process) startReplication() {
-	if _, ok := s.policy.(*decision.Balancer); !ok || !s.brokers.world.Scenario.Broker.Replicate {
+// startReplication starts replication, if the scenario enables it.
+func (p *process) startReplication() {
+	if _, ok := p.policy.(*decision.Balancer); !ok || !p.brokers.world.Scenario.Broker.Replicate {
 		return
 	}
-	w := s.brokers.world
-	s.replicated = &replicatedState{
-		store:  replica.New(strconv.Itoa(s.model.Ordinal), replicaLimits),
-		random: model.Stream(w.Seed(s.model), "replica", int(s.incarnation)),
+	w := p.brokers.world
+	p.replicated = &replicatedState{
+		store:  replica.New(strconv.Itoa(p.model.Ordinal), replicaLimits),
+		random: model.Stream(w.Seed(p.model), "replica", int(p.incarnation)),
 	}
-	if s.incarnation > 1 { // it joins a running fleet and starts with the facts of a peer
+	if p.incarnation > 1 { // the process joins a running fleet and starts with the facts of a peer
 		w.After(2*w.Latency(), func() {
-			peer := s.randomPeer()
-			if s.dead || peer == nil {
+			peer := p.randomPeer()
+			if p.dead || peer == nil {
 				return
 			}
-			s.merge(peer.replicated.store.Facts(s.brokers.replicaNow()))
+			p.merge(peer.replicated.store.Facts(p.brokers.replicaNow()))
 		})
 	}
-	w.After(time.Duration(s.replicated.random.Int64N(int64(gossipInterval))), s.gossip)
+	w.After(time.Duration(p.replicated.random.Int64N(int64(gossipInterval))), p.gossip)
 }
 
-// randomPeer draws another process of the tier, nil where none was found.
-func (s *process) randomPeer() *process {
-	all := s.model.Tier.Instances
+// randomPeer returns a random other process of the tier, or nil if some draws have found none.
+func (p *process) randomPeer() *process {
+	all := p.model.Tier.Instances
 	for range gossipFanout {
-		if p := s.brokers.instances[all[s.replicated.random.IntN(len(all))].Index]; p.current != nil && p.current != s && p.current.replicated != nil {
-			return p.current
+		peer := p.brokers.instances[all[p.replicated.random.IntN(len(all))].Index].current
+		if peer != nil && peer != p && peer.replicated != nil {
+			return peer
 		}
 	}
 	return nil
 }
 
-// merge merges facts of a peer and queues those that changed the replica.
-func (s *process) merge(facts []replica.Fact) {
+// merge merges facts of a peer, and queues those that changed the replica for gossip.
+func (p *process) merge(facts []replica.Fact) {
 	for _, f := range facts {
-		if changed, _ := s.replicated.store.Merge(s.brokers.replicaNow(), f); changed {
-			s.enqueue(f)
-			s.brokers.recordHolder(f, len(s.model.Tier.Instances))
+		if changed, _ := p.replicated.store.Merge(p.brokers.replicaNow(), f); changed {
+			p.enqueue(f)
+			p.brokers.recordHolder(f, len(p.model.Tier.Instances))
 		}
 	}
 }
 
-// synchronize exchanges with a random peer the facts that either replica lacks (anti-entropy).
-func (s *process) synchronize() {
-	w, p := s.brokers.world, s.randomPeer()
-	if p == nil {
+// synchronize exchanges the facts that differ with a random peer (anti-entropy).
+func (p *process) synchronize() {
+	w, peer := p.brokers.world, p.randomPeer()
+	if peer == nil {
 		return
 	}
 	w.After(w.Latency(), func() {
-		if s.dead || p.dead {
+		if p.dead || peer.dead {
 			return
 		}
-		now := s.brokers.replicaNow()
-		missingHere, missingThere := p.replicated.store.Differing(now, s.replicated.store.Summary()), s.replicated.store.Differing(now, p.replicated.store.Summary())
+		now := p.brokers.replicaNow()
+		missingHere := peer.replicated.store.Differing(now, p.replicated.store.Summary())
+		missingThere := p.replicated.store.Differing(now, peer.replicated.store.Summary())
 		w.Result.FactsSent += len(missingHere) + len(missingThere)
 		w.After(w.Latency(), func() {
-			if !s.dead && !p.dead {
-				s.merge(missingHere)
-				p.merge(missingThere)
+			if !p.dead && !peer.dead {
+				p.merge(missingHere)
+				peer.merge(missingThere)
 			}
 		})
 	})
 }
 
-// propagation measures how far a fact has spread.
+// propagation records how many instances hold a fact.
 type propagation struct {
-	// When it was recorded first.
+	// writtenAt is the time at which the fact was first recorded.
 	writtenAt time.Duration
-	// Instances that hold it.
+	// holders is the number of instances that hold the fact.
 	holders int
 }
 
-// propagatedShare is the share of a tier's instances at which a fact counts as propagated.
+// propagatedShare is the share of a tier's instances that must hold a fact for it to count as propagated.
 const propagatedShare = 0.99
 
-// recordHolder counts one more instance that holds a fact, of so many in its tier.
-func (t *brokers) recordHolder(f replica.Fact, of int) {
-	x := t.propagations[f.Key()]
+// recordHolder counts one more instance that holds a fact, in a tier with a number of instances.
+func (b *brokers) recordHolder(f replica.Fact, instances int) {
+	x := b.propagations[f.Key()]
 	if x == nil {
-		return // it has propagated already
+		return // the fact has already propagated
 	}
-	if x.holders++; float64(x.holders) >= propagatedShare*float64(of) {
-		t.world.Result.PropagationSeconds = append(t.world.Result.PropagationSeconds, (t.world.Now() - x.writtenAt).Seconds())
-		delete(t.propagations, f.Key())
+	if x.holders++; float64(x.holders) >= propagatedShare*float64(instances) {
+		b.world.Result.PropagationSeconds = append(b.world.Result.PropagationSeconds, (b.world.Now() - x.writtenAt).Seconds())
+		delete(b.propagations, f.Key())
 	}
 }
 
-// enqueue queues a fact for gossip, in place of an older one about the same subject.
-func (s *process) enqueue(f replica.Fact) {
-	times := retransmitMultiplier * int(math.Ceil(math.Log10(float64(len(s.model.Tier.Instances)+1))))
-	for i, r := range s.replicated.queue {
-		if r.fact.Origin == f.Origin && r.fact.Subject == f.Subject { // it replaces an older one
-			s.replicated.queue[i] = queuedFact{f, times}
+// enqueue queues a fact for gossip. It replaces an older fact of the same origin about the same subject.
+func (p *process) enqueue(f replica.Fact) {
+	times := retransmitMultiplier * int(math.Ceil(math.Log10(float64(len(p.model.Tier.Instances)+1))))
+	for i, r := range p.replicated.queue {
+		if r.fact.Origin == f.Origin && r.fact.Subject == f.Subject {
+			p.replicated.queue[i] = queuedFact{f, times}
 			return
 		}
 	}
-	s.replicated.queue = append(s.replicated.queue, queuedFact{f, times})
+	p.replicated.queue = append(p.replicated.queue, queuedFact{f, times})
 }
 
-// gossip is one gossip interval: new evidence of the balancer is recorded, queued facts are sent,
-// and from time to time the replica is synchronized and its advice applied.
-func (s *process) gossip() {
-	if s.dead || s.current != s {
+// gossip does the work of one gossip interval. It records new evidence of the balancer and sends queued facts.
+// At longer intervals it also synchronizes the replica with a peer and applies the replica's advice.
+func (p *process) gossip() {
+	if p.dead || p.current != p {
 		return
 	}
-	w, m, b := s.brokers.world, s.replicated, s.policy.(*decision.Balancer)
-	now := s.brokers.replicaNow()
+	w, m, b := p.brokers.world, p.replicated, p.policy.(*decision.Balancer)
+	now := p.brokers.replicaNow()
 	m.store.Expire(now)
 	var disputed []decision.EndpointID
 	for _, name := range m.store.ReportedBad(now) {
@@ -182,16 +188,16 @@
 			verdict = replica.Bad
 		}
 		if f, changed := m.store.Record(now, subject(e.Endpoint), verdict, factTTL); changed {
-			s.brokers.propagations[f.Key()] = &propagation{writtenAt: w.Now(), holders: 1}
-			s.enqueue(f)
+			p.brokers.propagations[f.Key()] = &propagation{writtenAt: w.Now(), holders: 1}
+			p.enqueue(f)
 		}
 	}
-	// Facts that were sent least come first, as in memberlist's queue, so that each makes progress when there
-	// are many.
+	// As in memberlist's queue, the facts that were sent least often come first. Otherwise some would never be
+	// sent if there are many.
 	slices.SortStableFunc(m.queue, func(a, b queuedFact) int { return cmp.Compare(b.remainingSends, a.remainingSends) })
 	if n := min(len(m.queue), maxFactsPerMessage); n > 0 {
 		for range gossipFanout {
-			if p := s.randomPeer(); p != nil {
+			if peer := p.randomPeer(); peer != nil {
 				facts := make([]replica.Fact, 0, n)
 				for i := range m.queue[:n] {
 					facts = append(facts, m.queue[i].fact)
@@ -199,8 +205,8 @@
 				}
 				w.Result.FactsSent += len(facts)
 				w.After(w.Latency(), func() {
-					if !p.dead {
-						p.merge(facts)
+					if !peer.dead {
+						peer.merge(facts)
 					}
 				})
 			}
@@ -214,16 +220,16 @@
 		m.queue = kept
 	}
 	if m.intervals++; m.intervals%synchronizeIntervals == 0 {
-		s.synchronize()
+		p.synchronize()
 	}
 	if m.intervals%adviseIntervals == 0 {
 		var advice []decision.PeerEjection
 		rules := replicaRules
 		rules.MinWitnesses = cmp.Or(w.Scenario.Broker.MinWitnesses, rules.MinWitnesses)
-		for _, a := range m.store.PeerEjections(now, len(s.model.Tier.Servers), rules) {
+		for _, a := range m.store.PeerEjections(now, len(p.model.Tier.Servers), rules) {
 			advice = append(advice, decision.PeerEjection{Endpoint: endpointOf(a.Subject), Age: a.Age})
 		}
 		w.Result.AppliedAdvice += b.ApplyPeerEjections(w.Now(), advice)
 	}
-	w.After(gossipInterval, s.gossip)
+	w.After(gossipInterval, p.gossip)
 }
--- a/internal/lab/swim/detection.go
+++ b/internal/lab/swim/detection.go
@@ -8,7 +8,7 @@
 	"dykering/internal/fleet/membership"
 )
 
-// probe pings the next member in turn that this one holds alive or suspect.
+// probe pings the next member in probe order that member i considers alive or suspect.
 func (f *Fleet) probe(i int) {
 	m := f.members[i]
 	for range len(m.order) {
@@ -23,8 +23,8 @@
 		f.lastSequence++
 		m.acknowledged[f.lastSequence] = false
 		f.send(i, t, &event{kind: deliverPing, seq: f.lastSequence, target: uint64(i), updates: f.nextUpdates(i)})
-		f.schedule(f.settings.ProbeTimeout, &event{kind: probeLate, from: i, target: uint64(t), seq: f.lastSequence})
-		f.schedule(f.settings.ProbeInterval, &event{kind: probeEnd, from: i, target: uint64(t), seq: f.lastSequence})
+		f.schedule(f.settings.ProbeTimeout, &event{kind: probeTimedOut, from: i, target: uint64(t), seq: f.lastSequence})
+		f.schedule(f.settings.ProbeInterval, &event{kind: probeIntervalEnded, from: i, target: uint64(t), seq: f.lastSequence})
 		break
 	}
 	if m.reconnect++; m.reconnect%5 == 0 {
@@ -32,7 +32,7 @@
 	}
 }
 
-// probeIndirectly asks some other members to probe a member whose ack is late.
+// probeIndirectly asks some other members to probe member t, whose ack is late.
 func (f *Fleet) probeIndirectly(i, t int, seq uint64) {
 	m := f.members[i]
 	if !m.working() || m.acknowledged[seq] {
@@ -41,24 +41,24 @@
 	for _, k := range f.choosePeers(i, f.settings.IndirectChecks, t) {
 		f.send(i, k, &event{kind: deliverPingRequest, seq: seq, target: uint64(t)})
 	}
-	// memberlist's fallback: a ping over TCP at the same time, which a lost link refuses as it does packets.
+	// memberlist also sends a fallback ping over TCP, which a partition blocks in the same way as packets.
 	f.send(i, t, &event{kind: deliverPing, seq: seq, target: uint64(i)})
 }
 
-// choosePeers draws up to n members that i holds alive, other than i and but.
-func (f *Fleet) choosePeers(i, n, but int) []int {
+// choosePeers returns up to n random members that member i considers alive, except i and the excluded one.
+func (f *Fleet) choosePeers(i, n, exclude int) []int {
 	m := f.members[i]
 	var peers []int
 	for tries := 0; len(peers) < n && tries < 4*n+8; tries++ {
 		k := f.random.IntN(len(f.members))
-		if k != i && k != but && m.state[k] == membership.Alive && !slices.Contains(peers, k) {
+		if k != i && k != exclude && m.state[k] == membership.Alive && !slices.Contains(peers, k) {
 			peers = append(peers, k)
 		}
 	}
 	return peers
 }
 
-// suspect starts a suspicion of t by i.
+// suspect starts a suspicion of member t by member i.
 func (f *Fleet) suspect(i, t int) {
 	m := f.members[i]
 	if m.state[t] != membership.Alive {
@@ -67,17 +67,17 @@
 	f.apply(i, update{t, m.incarnations[t], membership.Suspect})
 }
 
-// suspicion is how long i's suspicion of t lasts now: memberlist's formula, from the longest down to the
-// shortest as independent confirmations come.
+// suspicion returns the present duration of member i's suspicion of member t. It follows memberlist's formula,
+// which shortens the suspicion from the longest to the shortest duration with each independent confirmation.
 func (f *Fleet) suspicion(i, t int) time.Duration {
 	n := float64(len(f.members))
-	least := time.Duration(float64(f.settings.SuspicionMult) * math.Max(1, math.Log10(n)) * float64(f.settings.ProbeInterval))
-	most := time.Duration(f.settings.SuspicionMaxMult) * least
+	shortest := time.Duration(float64(f.settings.SuspicionMult) * math.Max(1, math.Log10(n)) * float64(f.settings.ProbeInterval))
+	longest := time.Duration(f.settings.SuspicionMaxMult) * shortest
 	k := float64(f.settings.SuspicionMult - 2)
 	c := float64(f.members[i].confirmations[t])
 	if k < 1 {
-		return least
+		return shortest
 	}
-	frac := math.Log(c+1) / math.Log(k+1)
-	return max(least, most-time.Duration(frac*float64(most-least)))
+	fraction := math.Log(c+1) / math.Log(k+1)
+	return max(shortest, longest-time.Duration(fraction*float64(longest-shortest)))
 }
--- a/internal/lab/swim/swim_test.go
+++ b/internal/lab/swim/swim_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// In fleets of several sizes without loss each crash is detected by all members within the longest
-// suspicion and a few probe rounds, no working member is declared dead, and the views agree after a
-// partition has healed.
+// In fleets of several sizes, without message loss, all members detect each crash within the longest suspicion
+// and a few probe intervals, no working member is declared dead, and all views agree after a partition has
+// healed.
 func TestMeasureDetectsCrashesAndHealsPartition(t *testing.T) {
 	s := LAN()
 	for _, n := range []int{5, 30, 100} {
 		r := Measure(n, s, 5, 0, 7)
 		bound := 6 * 4 * time.Duration(max(1, log10(n))) * s.ProbeInterval / 1 // the longest suspicion
-		if r.Undetected > 0 || r.DetectP99 > bound+5*s.ProbeInterval || r.FalseDeathsPerMemberHr > 0 || r.Heal < 0 {
+		if r.Undetected > 0 || r.DetectP99 > bound+5*s.ProbeInterval || r.FalseDeathsPerMemberHour > 0 || r.Heal < 0 {
 			t.Errorf("%d members: %+v", n, r)
 		}
 	}
