--- a/internal/http1/doc.go
+++ b/internal/http1/doc.go
@@ -1,6 +1,6 @@
 // Package http1 is the sidecar's HTTP/1.1 proxy: it serves clients on downstream connections, sends
 // the attempts that package core decides on over upstream connections, streams long bodies in both
-// directions, and transfers open connections to the process that takes this one's place.
+// directions, and transfers open connections to its successor, the process that replaces it.
 //
 // The package does no routing. Which endpoint a request goes to, whether it is retried and when it
 // is rejected is decided by package core (an event loop) and package decision (its rules). How
@@ -8,20 +8,20 @@
 //
 // # Callers
 //
-// Package sidecar runs a [Server]. The laboratory runs it on a [Network] in virtual time. Package
-// dataplane uses [EndpointConn] alone, the upstream connection without the core.
+// Package sidecar runs a [Server]. The simulations of internal/lab run it on a [Network] in virtual
+// time. Package dataplane uses [EndpointConn] alone: the upstream connection without the core.
 //
 // # Files
 //
 //	server.go, lifecycle.go  Server, its start, reload and shutdown
 //	downstream_*.go          connections from clients: accept, limits, request, answer, drain
 //	parse_*.go               heads, X- headers and chunked bodies
-//	request.go               what is forwarded of a request
+//	request.go               the part of a request that is forwarded
 //	upstream_*.go            connections to endpoints, attempts, responses
 //	relay_*.go               streamed responses (relay) and request bodies (upload)
-//	transfer_*.go            connections that go to the successor or come from the predecessor
+//	transfer_*.go            connections sent to the successor or received from the predecessor
 //	network*.go              sockets, and waiting for input without reading it
-//	stages.go                which phases requests are in, for the laboratory
+//	stages.go                the phases that requests are in, for the simulations
 //
 // # Life of a downstream connection
 //
@@ -36,29 +36,34 @@
 //	           large length begins
 //	lingering  last answer written       client closes or lingerTimeout: closed
 //
-// An answered connection with pipelined input in memory goes to reading instead of idle. In states
-// new, idle and reading (before the request is dispatched) a connection can be transferred to the
-// successor as it is, in serving only with its upload and in streaming only with its relay, both
-// between two steps of the copy. At the limit of connections, new, lingering, idle and stalled
-// reading connections are evicted in this order.
+// An answered connection with pipelined input in memory goes to reading instead of idle.
+//
+// A connection can be transferred to the successor on its own in the states new, idle and reading,
+// until its request is dispatched. In serving it is transferred only with its upload, and in
+// streaming only with its relay, in both cases between two steps of the copy.
+//
+// At the limit of connections, one is evicted for each new one: first new ones, then lingering,
+// idle and stalled reading ones.
 //
 // # Goroutines
 //
-//   - One for each downstream connection owns its reading and its answer. It waits for the core's
-//     answer on Call.Answered, and has one helper that watches for the client's hang-up meanwhile.
-//   - One for each attempt, owned by the core, owns the upstream connection until its result is
-//     returned. A streamed request has one helper that writes the body and one that waits for the
-//     response.
+//   - One goroutine for each downstream connection reads its requests and writes the answers. It
+//     waits for the core's answer on Call.Answered; meanwhile a helper goroutine watches for the
+//     client's hang-up.
+//   - One goroutine for each attempt, started by the core, owns the upstream connection until it
+//     returns the result. A streamed request has one helper that writes the body and one that waits
+//     for the response.
 //   - A streamed response is copied by the goroutine of the downstream connection. The attempt's
 //     goroutine waits on download.done and keeps the upstream connection reserved until then.
-//   - Server.Run owns the core loop, the accept loop, the drain loop and the wait for signals.
+//   - Server.Run starts the core loop, the accept loop, the drain loop and the wait for signals.
 //
 // # Bounds
 //
-// Connections: config.Plan().Inbound() and core.OverflowSockets. Heads: maxHead, maxResponseHead.
-// Bodies: maxBufferedBody in memory, which core.Memory accounts for, and maxStreamedBody streamed
-// through one buffer of core.Buffers each. Time: headTimeout, minBodyRate, idleTimeout,
-// streamStallTimeout, writeTimeout, lingerTimeout.
+//   - Connections: config.Plan().MaxInbound() and core.OverflowSockets.
+//   - Heads: maxHead and maxResponseHead.
+//   - Bodies: maxBufferedBody in memory, which core.Memory accounts for, and maxStreamedBody streamed
+//     through one buffer of core.Buffers each.
+//   - Time: headTimeout, minBodyRate, idleTimeout, streamStallTimeout, writeTimeout and lingerTimeout.
 //
 // # Invariants
 //
--- a/internal/http1/downstream_body.go
+++ b/internal/http1/downstream_body.go
@@ -8,7 +8,7 @@
 )
 
 // requestBody reads a request's body. After an error of the connection, such as a deadline, reading
-// can be resumed, also by another process.
+// can be resumed by this process or by its successor.
 type requestBody struct {
 	r *bufio.Reader
 	// Length of the whole body; -1 for a chunked one.
@@ -45,8 +45,7 @@
 	return n, err
 }
 
-// trailer returns the client's trailer fields that may be forwarded. A malformed trailer is
-// dropped.
+// trailer returns the client's trailer fields that may be forwarded. It drops a malformed trailer.
 func (b *requestBody) trailer() http.Header {
 	if b.chunks == nil {
 		return nil
@@ -56,13 +55,14 @@
 		return nil
 	}
 	removeHopByHop(h)
-	// A parser that merges trailers into the head would have two lengths (RFC 9110, section 6.5.1).
+	// A parser that merges trailers into the head would read two lengths (RFC 9110, section 6.5.1).
 	h.Del("Content-Length")
 	return h
 }
 
-// readBody reads the body of a request into memory, or the beginning of one that is streamed. It
-// returns how many bytes it has reserved of the memory for bodies, which the caller releases.
+// readBody reads the body of a request into memory; of a body that is streamed it reads the
+// beginning. It returns the number of bytes that it has reserved in the memory for bodies. The caller
+// releases them, also after an error.
 func (s *Server) readBody(c *downstreamConn, head *http.Request, req *request, from *requestBody) (reserved int, err error) {
 	header := head.Header
 	removeHopByHop(header)
@@ -89,8 +89,8 @@
 	return reserved, nil
 }
 
-// readUpTo reads up to a number of bytes of a body and reports whether it is complete. The buffer
-// grows with the input: a Content-Length is no evidence that so much is sent.
+// readUpTo reads at most limit bytes of a body and reports whether the body is complete. The buffer
+// grows with the input, because a client may state a Content-Length that it never sends.
 func readUpTo(body io.Reader, limit int) (data []byte, complete bool, err error) {
 	for len(data) < limit {
 		if len(data) == cap(data) {
--- a/internal/http1/downstream_conn.go
+++ b/internal/http1/downstream_conn.go
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// connState is the progress of the request that a downstream connection carries. doc.go has the
-// table of transitions.
+// connState is the progress of the request that a downstream connection carries. The package
+// documentation has the table of transitions.
 type connState int
 
 const (
-	// Accepted; no byte of a request has been received.
+	// The connection is accepted; no byte of a request has been received.
 	stateNew connState = iota
-	// The last request is answered and nothing of the next one has been received.
+	// The last request is answered; no byte of the next one has been received.
 	stateIdle
 	// Part of a request has been received.
 	stateReading
@@ -38,7 +38,7 @@
 type downstreamConn struct {
 	net.Conn
 	tracker *connTracker
-	// connTracker.mu guards state to stream.
+	// The fields from state to stream are guarded by connTracker.mu.
 	state connState
 	// The connection's place in the tracker's list of its state; nil once the connection is no longer
 	// tracked.
@@ -47,38 +47,40 @@
 	since time.Time
 	// The connection was accepted beyond the limit: its request is rejected.
 	overLimit bool
-	// The upload or relay in progress on the connection that can be transferred to the successor; nil
-	// for none.
+	// The upload or relay in progress that can be transferred to the successor; nil if there is none.
 	stream transferable
 	// Bytes that the predecessor has read from the connection. Read returns them first.
 	readAhead []byte
 
 	// When a byte was last received, in Unix nanoseconds.
 	lastReceived atomic.Int64
-	// A body is being read: it has to come at minBodyRate. Only the reading goroutine uses this field
-	// and rateCredit.
+	// A body is being read, which the client has to send at minBodyRate. Only the reading goroutine
+	// uses this field and rateCredit.
 	rateEnforced bool
-	// How long the body may make no progress.
+	// How long the client may send nothing of the body.
 	rateCredit time.Duration
-	// Nobody needs the rest of the body: reads end with errBodyAbandoned.
+	// The rest of the body is not needed: reads end with errBodyAbandoned.
 	bodyAbandoned atomic.Bool
-	// The upload that reads the body is to pause: reads end with errPaused and may be resumed.
+	// The upload that reads the body has to pause: reads end with errPaused and may be resumed.
 	pauseRequested atomic.Bool
-	// The process ends: a request that has not been received completely is not waited for.
+	// The process ends: reads of a request that has not been received completely end at once.
 	readAborted atomic.Bool
-	// The connection was offered to a successor that did not take it in time, and that may hold a copy
-	// of the socket until it exits.
+	// The connection was offered to a successor that did not accept it in time. The successor may hold
+	// a copy of the socket until it exits.
 	maybeShared atomic.Bool
 }
 
 // transferable is an upload or a relay that can be transferred to the successor while it is in
-// progress. Calls to interrupt never block.
-type transferable interface{ interrupt() }
+// progress.
+type transferable interface {
+	// interrupt asks the copy to pause and to transfer itself. It never blocks.
+	interrupt()
+}
 
-// restingState is the state of a connection whose requests are all answered. With input that has
-// already been read into memory it is stateReading: nothing of that input shows at the socket, and
-// as an idle connection it would be closed with a request unanswered.
-func (c *downstreamConn) restingState(r *bufio.Reader) connState {
+// waitingState returns the state of a connection whose requests are all answered. If input has
+// already been read into memory, that is stateReading. This input cannot be detected at the socket,
+// so an idle connection would be closed with a request unanswered.
+func (c *downstreamConn) waitingState(r *bufio.Reader) connState {
 	if len(c.readAhead) == 0 && (r == nil || r.Buffered() == 0) {
 		return stateIdle
 	}
@@ -92,19 +94,19 @@
 	return n > 0
 }
 
-// closeSocket closes the connection. A successor may have a copy of its socket, and close(2) alone
-// sends no FIN while a copy is open: the client would go on to send requests that nobody reads. The
-// half-close sends the FIN.
+// closeSocket closes the connection. If a successor may have a copy of the socket, it half-closes the
+// connection first, which sends the FIN. close(2) alone sends none while a copy is open, and the
+// client would go on sending requests that no process reads.
 func (c *downstreamConn) closeSocket() {
 	if tcp, ok := c.Conn.(tcpConn); ok && c.maybeShared.Load() {
-		_ = tcp.CloseWrite() // fails only where the connection has ended
+		_ = tcp.CloseWrite() // fails only if the connection has ended
 	}
 	c.Conn.Close()
 }
 
-// awaitRequest waits until input has been received or the deadline has passed. Input that was
-// received when the wait ends is a success even if the deadline was set by connTracker.expire: to
-// close at this moment would lose the request.
+// awaitRequest waits until input is received or the given time has passed. If connTracker.expire ends
+// the wait earlier, input that has been received by then still counts: a close at this moment would
+// lose the request.
 func (c *downstreamConn) awaitRequest(until time.Time) error {
 	if len(c.readAhead) > 0 {
 		return nil
@@ -118,8 +120,8 @@
 }
 
 // beginRequest moves the connection to stateReading. It returns the deadline for the head of the
-// request, and whether the connection was accepted beyond the limit.
-func (c *downstreamConn) beginRequest() (until time.Time, over bool) {
+// request, and whether the connection was accepted beyond the limit of connections.
+func (c *downstreamConn) beginRequest() (until time.Time, overLimit bool) {
 	c.tracker.mu.Lock()
 	defer c.tracker.mu.Unlock()
 	now := time.Now()
@@ -132,14 +134,14 @@
 	return until, c.overLimit
 }
 
-// finishRequest notes that the request is answered, and returns the deadline for the next one. The
-// argument is the reader that read the request, or nil.
+// finishRequest records that the request is answered, and returns the deadline for the next one. The
+// reader is the one that read the request; it is nil if there is none.
 func (c *downstreamConn) finishRequest(r *bufio.Reader) (until time.Time) {
 	c.tracker.mu.Lock()
 	defer c.tracker.mu.Unlock()
 	c.since = time.Now()
 	c.stream = nil
-	c.tracker.setState(c, c.restingState(r))
+	c.tracker.setState(c, c.waitingState(r))
 	return c.since.Add(idleTimeout)
 }
 
@@ -152,26 +154,26 @@
 }
 
 const (
-	// minBodyRate is the rate in bytes per second at which a client has to send a body. A client below
-	// the rate uses up its credit: initialRateCredit at the start, and the time by which it is ahead of
-	// the rate, up to maxRateCredit.
+	// minBodyRate is the rate in bytes per second at which a client has to send a body. A client starts
+	// with a credit of initialRateCredit. The credit decreases while the client is slower than the rate
+	// and increases, up to maxRateCredit, while it is faster. Without credit the read times out.
 	minBodyRate       = 48 << 10
 	initialRateCredit = 2 * time.Second
 	maxRateCredit     = 2 * time.Second
-	// readGrace is the time to read input that was received while the goroutine of the connection was
-	// not scheduled.
+	// readGrace is the extra time to read input that arrived before the deadline while the goroutine of
+	// the connection was not scheduled.
 	readGrace = 200 * time.Millisecond
 )
 
-// enforceRate begins to enforce minBodyRate on the body that is read next.
+// enforceRate starts enforcing minBodyRate on the body that is read next.
 func (c *downstreamConn) enforceRate() {
 	c.rateEnforced, c.rateCredit = true, initialRateCredit
 	c.bodyAbandoned.Store(false)
 }
 
-// Read implements io.Reader. While a body is read, the time that Read waits for the client counts
-// against the client's rate; the time between two calls, when this process is not ready for more,
-// does not.
+// Read implements io.Reader. While a body is read, the time that Read waits for the client uses up
+// the client's credit. The time between two calls does not, because then this process is not ready
+// for more input.
 func (c *downstreamConn) Read(b []byte) (n int, err error) {
 	if len(c.readAhead) > 0 {
 		n := copy(b, c.readAhead)
@@ -215,9 +217,9 @@
 
 var (
 	// errBodyAbandoned ends a read of a body after abandonBody.
-	errBodyAbandoned = errors.New("the rest of the body is not wanted")
+	errBodyAbandoned = errors.New("read of the request body stopped: the rest is not needed")
 	// errPaused ends a read of a body that is paused for a transfer.
-	errPaused = errors.New("the reading of the body is to stop for a moment")
+	errPaused = errors.New("read of the request body paused for a transfer to the successor")
 )
 
 // abandonBody ends the reading of the body. It may be called from another goroutine.
@@ -230,8 +232,8 @@
 const lingerTimeout = 500 * time.Millisecond
 
 // lingeringClose half-closes the connection and discards input until the client closes its side or
-// lingerTimeout has passed. A close with unread input would send a reset, and the reset would
-// destroy the answer in the client's receive buffer (RFC 9112, section 9.6).
+// lingerTimeout has passed. A close with unread input would send a reset, which discards the answer
+// in the client's receive buffer (RFC 9112, section 9.6).
 func (c *downstreamConn) lingeringClose() {
 	c.tracker.mu.Lock()
 	c.tracker.setState(c, stateLingering)
@@ -244,15 +246,15 @@
 	_, _ = io.Copy(io.Discard, tcp) // any error ends the connection
 }
 
-// beginServing notes that the request has been read, and returns the number of idle connections.
-func (c *downstreamConn) beginServing() (idles int) {
+// beginServing records that the request has been read, and returns the number of idle connections.
+func (c *downstreamConn) beginServing() (idleConns int) {
 	c.tracker.mu.Lock()
 	defer c.tracker.mu.Unlock()
 	c.tracker.setState(c, stateServing)
 	return c.tracker.byState[stateIdle].Len()
 }
 
-// beginStreaming notes that a streamed response is being relayed.
+// beginStreaming records that a streamed response is being relayed.
 func (c *downstreamConn) beginStreaming(l *relay) {
 	c.tracker.mu.Lock()
 	defer c.tracker.mu.Unlock()
@@ -260,17 +262,17 @@
 	c.tracker.setState(c, stateStreaming)
 }
 
-// setStream sets the transferable upload or relay of the connection; nil for none.
+// setStream sets the upload or relay in progress that can be transferred; nil if there is none.
 func (c *downstreamConn) setStream(stream transferable) {
 	c.tracker.mu.Lock()
 	defer c.tracker.mu.Unlock()
 	c.stream = stream
 }
 
-// watchHangup sends on the returned channel once the client has closed its side or reset the
-// connection, even behind unread bytes of a pipelined request. The channel holds one value, so that
-// the goroutine ends when nobody receives. It ends with the connection's read deadline or close at
-// the latest.
+// watchHangup starts a goroutine that sends on the returned channel once the client has closed its
+// side or reset the connection, even if bytes of a pipelined request are unread. The goroutine also
+// ends with the connection's read deadline or close. The channel has room for one value, so the
+// goroutine ends without a receiver.
 func (c *downstreamConn) watchHangup() <-chan error {
 	c.Conn.SetReadDeadline(time.Time{})
 	hungUp := make(chan error, 1)
@@ -278,8 +280,8 @@
 	return hungUp
 }
 
-// hasHungUp reports whether the client has closed its side or reset the connection, even behind
-// unread bytes. It does not block.
+// hasHungUp reports whether the client has closed its side or reset the connection, even if bytes
+// are unread. It does not block.
 func (c *downstreamConn) hasHungUp() (hungUp bool) {
 	if p, ok := c.Conn.(peeker); ok {
 		return p.Ended()
@@ -292,8 +294,8 @@
 	return false
 }
 
-// stopWatching ends a watch. The connection may be read again after it.
+// stopWatching ends a watch started by watchHangup. The connection may be read again after it.
 func (c *downstreamConn) stopWatching(hungUp <-chan error) {
 	c.Conn.SetReadDeadline(time.Now())
-	<-hungUp //nolint:errcheck // the deadline, or a hang-up that the next read shows again
+	<-hungUp //nolint:errcheck // the deadline, or a hang-up that the next read returns again
 }
--- a/internal/http1/downstream_reply.go
+++ b/internal/http1/downstream_reply.go
@@ -15,20 +15,19 @@
 // reply writes the answer to one request.
 type reply struct {
 	client *downstreamConn
-	// The client speaks HTTP/1.0: a body of unknown length ends with the connection.
+	// The client uses HTTP/1.0: a body of unknown length ends with the connection.
 	http10 bool
 	// The connection stays open for another request.
 	keepAlive bool
-	// How long the client may take nothing of a complete answer.
+	// Bounds the write of a complete answer, in case the client does not read.
 	writeTimeout time.Duration
-	// Transfers a relay to the successor; nil where there is no handover.
+	// Transfers a relay to the successor; nil if relays cannot be transferred.
 	transfer transferFunc
-	// The successor has the connection.
+	// The connection now belongs to the successor.
 	transferred bool
 }
 
-// answer writes the final answer. Like the other methods it reports whether the connection stays
-// open.
+// answer writes the final answer and reports whether the connection stays open.
 func (w *reply) answer(a core.Answer) (keepAlive bool) {
 	response, _ := a.Response.(*response)
 	switch {
@@ -47,8 +46,8 @@
 	}
 }
 
-// error writes an answer about an invalid request and closes the connection after it: what follows
-// on the connection may not be a request.
+// error answers an invalid request. The connection closes after it, because the bytes that follow on
+// it may not be a request.
 func (w *reply) error(status int, text string) (keepAlive bool) {
 	w.keepAlive = false
 	return w.status(status, text)
@@ -85,8 +84,8 @@
 // written.
 func (w *reply) informational(text string) bool { return w.write([]byte(text)) }
 
-// head encodes the head of an answer. The framing is the header line that gives the body's length
-// or coding; it is empty for a body that ends with the connection.
+// head encodes the head of an answer. The framing is the header line with the body's length or
+// transfer coding; it is empty for a body that ends with the connection.
 func (w *reply) head(status int, header http.Header, framing string) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n", status, http.StatusText(status))
@@ -99,8 +98,8 @@
 	return b.Bytes()
 }
 
-// write writes all pieces. A client that takes none of them for as long as it would have waited for
-// the answer counts as gone.
+// write writes all pieces within the write timeout and reports whether it did. The timeout is the
+// time that the client would have waited for the answer.
 func (w *reply) write(pieces ...[]byte) bool {
 	w.client.Conn.SetWriteDeadline(time.Now().Add(max(w.writeTimeout, minWriteTimeout)))
 	buffers := net.Buffers(pieces)
--- a/internal/http1/downstream_serve.go
+++ b/internal/http1/downstream_serve.go
@@ -15,10 +15,10 @@
 	"dykering/internal/core"
 )
 
-// readerPool has the readers of connections with a request in progress; idle connections hold none.
+// readerPool holds buffered readers. Only connections with a request in progress use one.
 var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, maxHead) }}
 
-// acceptRetryDelay is the delay after a failed accept, for example for want of file descriptors.
+// acceptRetryDelay is the delay after a failed accept, for example when file descriptors run out.
 const acceptRetryDelay = 5 * time.Millisecond
 
 // accept serves connections until the listener is closed. It returns the listener's error.
@@ -45,7 +45,7 @@
 }
 
 // serveRequests serves the requests of a connection on which no answer is outstanding. It waits for
-// the first one until the given time. The reader, if not nil, has read some of the input.
+// the first request until the given time. A reader r that is not nil holds input of the connection.
 func (s *Server) serveRequests(c *downstreamConn, until time.Time, r *bufio.Reader) {
 	for {
 		if r != nil && r.Buffered() == 0 {
@@ -59,7 +59,7 @@
 		if r == nil {
 			if c.awaitRequest(until) != nil {
 				transferred := s.hasSuccessor() && s.transferIdle(c, r)
-				// A request may have been received while a successor that declined was asked.
+				// A request may have been received while the successor declined the connection.
 				if transferred || !c.hasInput() {
 					return
 				}
@@ -79,8 +79,8 @@
 	}
 }
 
-// serveAfterAnswer goes on with a connection whose first answer was written outside of
-// serveRequests. The reader, if not nil, has read some of the input.
+// serveAfterAnswer continues with a connection whose first answer was written outside of
+// serveRequests. A reader r that is not nil holds input of the connection.
 func (s *Server) serveAfterAnswer(c *downstreamConn, w *reply, keepAlive bool, r *bufio.Reader) {
 	switch {
 	case w.transferred:
@@ -92,7 +92,7 @@
 }
 
 // exchange reads one request and answers it. It reports whether the connection stays open for
-// another one, and whether the successor has the connection now.
+// another one, and whether the connection now belongs to the successor.
 func (s *Server) exchange(c *downstreamConn, r *bufio.Reader) (keepAlive, transferred bool) {
 	w := &reply{client: c, transfer: s.relayTransfer(r)}
 	keepAlive = s.answerRequest(c, r, w)
@@ -119,7 +119,7 @@
 		return s.answerReadiness(c, r, w, hasBody)
 	}
 	if answer, rejected := s.rejectUnread(r, head, overLimit); rejected {
-		// An unread body stands where the next request would begin.
+		// The bytes of an unread body would be taken for the next request.
 		w.keepAlive = w.keepAlive && !overLimit && !hasBody && !s.closesAfterAnswer(c, r)
 		return w.answer(answer)
 	}
@@ -147,9 +147,8 @@
 	return false // the connection has ended
 }
 
-// answerInvalid logs and answers an invalid request. What follows on the connection may not be a
-// request, so it closes. The text behind a colon may quote the client's input, which can be
-// anything, and is left out of the log.
+// answerInvalid logs and answers an invalid request, and closes the connection. The part of the text
+// after a colon may quote arbitrary input of the client and is left out of the log.
 func (s *Server) answerInvalid(w *reply, invalid *requestError) (keepAlive bool) {
 	text, _, _ := strings.Cut(invalid.text, ":")
 	s.log.Info("client.invalid_request", zap.Int("status", invalid.status), zap.String("fault", text))
@@ -162,13 +161,13 @@
 	return w.answer(core.RejectedAnswer(&s.config.Settings))
 }
 
-// isReadinessCheck reports whether a request is a load balancer's check of this process, which has
-// no request id, and not a request to be forwarded.
+// isReadinessCheck reports whether a request is a load balancer's readiness check of this process. A
+// request with the same path that has a request id is forwarded instead.
 func isReadinessCheck(head *http.Request) bool {
 	return head.URL.Path == "/ready" && head.Header.Get("X-Txn") == ""
 }
 
-// answerReadiness answers a load balancer's check.
+// answerReadiness answers a load balancer's readiness check.
 func (s *Server) answerReadiness(c *downstreamConn, r *bufio.Reader, w *reply, hasBody bool) (keepAlive bool) {
 	w.keepAlive = w.keepAlive && !hasBody && !s.closesAfterAnswer(c, r)
 	if !s.lifecycle.IsReady() {
@@ -177,10 +176,10 @@
 	return w.status(http.StatusOK, "")
 }
 
-// rejectUnread returns the answer to a request that is rejected before its body is read: on a
-// connection beyond the limit, or because clients have been redirected for long enough. A redirected
-// request whose body is in memory already, or that can be transferred, is read first: behind its
-// body there may be another request.
+// rejectUnread reports whether a request is rejected before its body is read, and returns the answer.
+// A request is rejected on a connection beyond the limit, and after the grace of a drain or handover.
+// In the second case, a body that is already in memory or can be transferred is read first, because
+// another request may follow it.
 func (s *Server) rejectUnread(r *bufio.Reader, head *http.Request, overLimit bool) (answer core.Answer, rejected bool) {
 	answer, redirected := s.redirectAnswer()
 	if overLimit || !redirected {
@@ -231,7 +230,7 @@
 	}
 	abandon := func() { s.loop.Abandon(req.Call) }
 	if req.upload == nil {
-		// With an upload, the reading of the body shows a hang-up; see exchangeStreaming.
+		// With an upload, reading the body detects a hang-up; see exchangeStreaming.
 		req.clientHungUp = func() bool {
 			hungUp := c.hasHungUp()
 			if hungUp {
@@ -244,8 +243,8 @@
 	return s.awaitAnswer(c, r, w, req, abandon)
 }
 
-// awaitAnswer writes the answer to a submitted request. It calls abandon where nobody waits for the
-// answer any more.
+// awaitAnswer waits for the answer to a submitted request and writes it. It calls abandon if the
+// client has gone, its body cannot be read, or the successor has taken over the request.
 func (s *Server) awaitAnswer(c *downstreamConn, r *bufio.Reader, w *reply, req *request, abandon func()) (keepAlive bool) {
 	var transferred <-chan struct{}
 	bodyRead, readFailed := make(chan struct{}), (chan error)(nil)
@@ -269,7 +268,8 @@
 			return w.bodyError(err)
 		case err := <-hungUp:
 			if errors.Is(err, os.ErrDeadlineExceeded) {
-				// An attempt that ended stopped the reading of a body that had just been read to its end.
+				// An attempt that ended has interrupted reads on the connection, just after the body had been
+				// read to its end.
 				hungUp = c.watchHangup()
 				continue
 			}
@@ -284,7 +284,7 @@
 			if hungUp != nil {
 				c.stopWatching(hungUp)
 			}
-			// The body may have ended at the same time as the answer came: select chooses either first.
+			// The body may have ended at the same time as the answer came: select chooses either case.
 			select {
 			case <-bodyRead:
 				bodyRead = nil
--- a/internal/http1/downstream_tracker.go
+++ b/internal/http1/downstream_tracker.go
@@ -9,31 +9,32 @@
 	"dykering/internal/core"
 )
 
-// connTracker accepts downstream connections, bounds their number and has a list of them for each
-// state. Accepting never waits for a connection to end: a connection in the backlog may already
-// hold a request.
+// connTracker accepts downstream connections, bounds their number and keeps a list of them for each
+// state. It never waits for a connection to end before it accepts the next one, because a connection
+// in the backlog may already hold a request.
 type connTracker struct {
 	net.Listener
-	// Connections beyond the limit are accepted only to reject their request, up to core.OverflowSockets
-	// of them.
+	// The number of connections that are served. Up to core.OverflowSockets more are accepted only to
+	// reject their request.
 	limit int
 
 	mu sync.Mutex
-	// Connections in all lists of byState.
+	// The number of connections in all lists of byState.
 	open int
-	// Lists of *downstreamConn. The one that has been in its state longest is first.
+	// Lists of *downstreamConn, ordered by the time at which the connections entered the state.
 	byState [connStates]list.List
 	// How many connections have entered each state so far.
-	entered      [connStates]uint64
-	lastAccepted time.Time // of a client or the predecessor
+	entered [connStates]uint64
+	// When a connection was last accepted from a client or received from the predecessor.
+	lastAccepted time.Time
 }
 
 // stallTimeout is how long a partly received request may make no progress before its connection may
-// be evicted for a new one. A slow client goes on sending; clients of a connection flood send once.
+// be evicted for a new one. A slow client keeps sending within this time, while the clients of a
+// connection flood send once.
 const stallTimeout = 700 * time.Millisecond
 
-// accept returns the next connection that is admitted. Connections beyond the limit and the excess
-// are closed.
+// accept returns the next connection that is admitted. It closes those that admit refuses.
 func (t *connTracker) accept() (*downstreamConn, error) {
 	for {
 		raw, err := t.Listener.Accept()
@@ -48,10 +49,10 @@
 	}
 }
 
-// closeListener ends accepting. It does not wait for an accept(2) that blocks: the mode of a socket
-// is shared by all processes that have a copy, and one that hands its copy on (as os/exec does with
-// ExtraFiles) makes it blocking for all. A connection that such an accept still returns is served
-// or transferred like the earlier ones.
+// closeListener ends accepting. It does not wait for an accept(2) that blocks. All processes with a
+// copy of a socket share its blocking mode, and a process that passes its copy on (as os/exec does
+// with ExtraFiles) makes the socket blocking for all of them. A connection that such an accept still
+// returns is served or transferred like the earlier ones.
 func (t *connTracker) closeListener() {
 	closed := make(chan struct{})
 	go func() {
@@ -64,9 +65,10 @@
 	}
 }
 
-// admit tracks a new connection. At the limit it evicts another connection for it. Where none can
-// be evicted, the new connection is admitted as overLimit and its request is rejected, for to close
-// the connection would lose the request. It reports false beyond the limit and the excess.
+// admit tracks a new connection and reports whether it is accepted. At the limit it evicts another
+// connection first. If none can be evicted, the new connection is marked overLimit and its request is
+// rejected with an answer, because a close would lose the request. With core.OverflowSockets
+// connections beyond the limit, admit refuses the new one.
 func (t *connTracker) admit(c *downstreamConn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -83,7 +85,7 @@
 	return true
 }
 
-// adopt tracks a connection of the predecessor. It reports false at the limit.
+// adopt tracks a connection received from the predecessor. It reports false at the limit.
 func (t *connTracker) adopt(c *downstreamConn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -92,15 +94,15 @@
 	}
 	t.lastAccepted = c.since
 	t.open++
-	c.state = c.restingState(nil)
+	c.state = c.waitingState(nil)
 	c.element = t.byState[c.state].PushBack(c)
 	return true
 }
 
-// evictOne closes one connection: first those that have sent nothing, then those that have had
-// their last answer, then idle ones, whose clients can send a request that crosses the close on
-// another connection, and last those whose request makes no progress. A connection with unread
-// input is never closed.
+// evictOne closes one connection and reports whether there was one to close. It prefers new
+// connections that have sent nothing, then lingering ones, then idle ones, then those whose request
+// makes no progress. The client of an idle connection can repeat a request that crosses the close on
+// another connection. A connection with unread input is never closed.
 func (t *connTracker) evictOne(now time.Time) bool {
 	for _, state := range []connState{stateNew, stateLingering, stateIdle} {
 		for element := t.byState[state].Front(); element != nil; element = element.Next() {
@@ -119,9 +121,8 @@
 	return false
 }
 
-// expire ends the connections that have been idle or new for the given times. It ends the wait for
-// a request, not the connection: a request that is received at this moment is served, so no close
-// crosses it.
+// expire ends the connections that have been idle for idleFor or new for newFor. It ends their wait
+// for a request instead of closing them, so that a request that is received at this moment is served.
 func (t *connTracker) expire(idleFor, newFor time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -130,20 +131,21 @@
 		for element := t.byState[state].Front(); element != nil; element = element.Next() {
 			c := element.Value.(*downstreamConn)
 			if now.Sub(c.since) < minimum {
-				break // the rest of the list is younger
+				break // later connections in the list have waited less
 			}
-			c.Conn.SetReadDeadline(now) // ends the goroutine's awaitRequest, and it closes the connection
+			c.Conn.SetReadDeadline(now) // ends awaitRequest, after which the goroutine closes the connection
 		}
 	}
 }
 
-// evict closes a connection and stops tracking it; its goroutine finds out at its next read.
+// evict closes a connection and stops tracking it. The goroutine of the connection ends at its next
+// read.
 func (t *connTracker) evict(c *downstreamConn) {
 	c.closeSocket()
 	t.remove(c)
 }
 
-// remove stops tracking a connection. It does nothing for one that is not tracked.
+// remove stops tracking a connection. It does nothing if the connection is not tracked.
 func (t *connTracker) remove(c *downstreamConn) {
 	if c.element != nil {
 		t.byState[c.state].Remove(c.element)
@@ -152,7 +154,7 @@
 	}
 }
 
-// setState moves a connection to the end of a state's list. It does nothing for one that is not
+// setState moves a connection to the end of a state's list. It does nothing if the connection is not
 // tracked.
 func (t *connTracker) setState(c *downstreamConn, to connState) {
 	if c.element != nil {
@@ -177,23 +179,25 @@
 	}
 }
 
-// onlyAnswering reports whether all connections are served an answer or have had their last one.
+// onlyAnswering reports whether all connections are serving, streaming or lingering, so that no
+// request is awaited or read on any of them.
 func (t *connTracker) onlyAnswering() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.open == t.byState[stateStreaming].Len()+t.byState[stateServing].Len()+t.byState[stateLingering].Len()
 }
 
-// emptyFor reports whether no connection is open and none has been accepted for the given time.
+// emptyFor reports whether no connection is open and the last one was accepted at least the given
+// time ago.
 func (t *connTracker) emptyFor(d time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.open == 0 && time.Since(t.lastAccepted) >= d
 }
 
-// abortReads ends the reading of partly received requests, which are rejected at once, when the
-// process ends. Their connections end by a lingering close: an immediate one would destroy the
-// answer.
+// abortReads ends the reading of partly received requests when the process ends. The requests are
+// rejected at once, and their connections end with a lingering close, because an immediate close
+// could discard the answer.
 func (t *connTracker) abortReads() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -204,12 +208,12 @@
 	}
 }
 
-// closeInStates closes the connections in the given states. No complete request has been received
-// on them.
-func (t *connTracker) closeInStates(in ...connState) {
+// closeInStates closes the connections in the given states. It is called only with states in which no
+// complete request has been received.
+func (t *connTracker) closeInStates(states ...connState) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, state := range in {
+	for _, state := range states {
 		for t.byState[state].Len() > 0 {
 			t.evict(t.byState[state].Front().Value.(*downstreamConn))
 		}
--- a/internal/http1/errors.go
+++ b/internal/http1/errors.go
@@ -5,14 +5,14 @@
 )
 
 var (
-	// errTooLarge is a body or head beyond its bound.
+	// errTooLarge reports a body or head that exceeds its bound.
 	errTooLarge = errors.New("too large")
-	// errMalformed is a message that cannot be parsed, or whose framing is ambiguous.
+	// errMalformed reports a message that cannot be parsed or whose framing is ambiguous.
 	errMalformed = errors.New("cannot be read")
-	// errNoMemory is a body for which no memory can be reserved.
-	errNoMemory = errors.New("no memory for the body")
-	// errClientGone is a client that has closed its connection.
-	errClientGone = errors.New("the client has gone")
-	// errTransferred ends what the successor continues.
-	errTransferred = errors.New("transferred to the successor")
+	// errNoMemory reports that no memory can be reserved for a body.
+	errNoMemory = errors.New("no memory left for the request body")
+	// errClientGone reports that the client has closed its connection.
+	errClientGone = errors.New("client closed the connection")
+	// errTransferred ends a copy that the successor continues.
+	errTransferred = errors.New("connection transferred to the successor")
 )
--- a/internal/http1/lifecycle.go
+++ b/internal/http1/lifecycle.go
@@ -10,13 +10,13 @@
 	"dykering/internal/core"
 )
 
-// Run serves the clients of a listener until a signal is received on stop, and then shuts down
-// gracefully. A signal on reload makes it read its configuration file again. It returns nil after a
+// Run serves the clients of a listener until it receives a signal on stop, and then shuts down
+// gracefully. On a signal on reload it reads its configuration file again. It returns nil after a
 // shutdown, or the error of the listener.
 func (s *Server) Run(listener net.Listener, stop, reload <-chan os.Signal) error {
 	s.clients.Listener = listener
-	// Before anything else: once this process can serve, its predecessor may be stopped and then looks
-	// for the receiver.
+	// The receiver is started first: as soon as this process can serve, its predecessor may be stopped,
+	// which then looks for the receiver.
 	if stopReceiving := s.receiveTransfers(); stopReceiving != nil {
 		defer stopReceiving()
 	}
@@ -64,14 +64,14 @@
 		}
 		<-stopped
 	case <-stopped:
-		// An accept may still block; see connTracker.closeListener.
+		// An accept may still block; see connTracker.closeListener. It is not waited for.
 	}
 	return nil
 }
 
-// awaitFirstList waits for the first list of endpoints where other processes may accept on the same
-// socket. Without a list this process could only reject what it accepts, while its predecessor can
-// serve it. After firstListTimeout it accepts nevertheless, for there may be no other process.
+// awaitFirstList waits for the first list of endpoints. It is called if other processes may accept on
+// the same socket. Without a list this process would reject requests that its predecessor can still
+// serve. After firstListTimeout it stops waiting, because there may be no other process.
 func (s *Server) awaitFirstList() {
 	timeout := time.NewTimer(s.firstListTimeout)
 	defer timeout.Stop()
@@ -89,8 +89,8 @@
 	}
 }
 
-// reload follows the discovery address that the configuration file names now. Other settings stay
-// as they were at the start. A file that cannot be used changes nothing.
+// reload reads the configuration file again and switches to the discovery address that it names. The
+// other settings keep their values from the start. An invalid file changes nothing.
 func (s *Server) reload() {
 	s.lastReload.Store(time.Now().UnixNano())
 	c, err := s.config.Reload()
@@ -102,17 +102,17 @@
 	s.loop.SwitchDiscovery(c.Discovery)
 }
 
-// shutdown ends the server shortly before the platform kills the process, with all accepted
-// requests answered. Until then the server goes on serving: load balancers send it no new clients,
-// but existing ones go on using their connections, and may have no other instance to go to.
+// shutdown ends the server shortly before the platform kills the process, with all accepted requests
+// answered. Until then the server continues to serve: load balancers send it no new clients, but
+// existing clients keep using their connections and may have no other instance to go to.
 //
-//   - Without a shared listener and with other instances, idle connections are closed redirectLead
-//     before the end, so that the last clients move there.
-//   - With a successor on the same listener, this process stops accepting and redirects its clients
-//     as in a drain.
+//   - If there are other instances and the listener is not shared, idle connections are closed
+//     redirectLead before the end, so that the last clients move to the other instances.
+//   - If a successor accepts on the same listener, this process stops accepting and redirects its
+//     clients as in a drain.
 //   - It returns early once no client is connected.
 //
-// A platform that kills sooner than it states cuts requests off.
+// Requests are cut off if the platform kills the process earlier than documented.
 func (s *Server) shutdown() {
 	began := time.Now()
 	end := began.Add(s.shutdownTimeout)
@@ -122,16 +122,16 @@
 	if s.hasSuccessor() {
 		defer s.startSendingState()()
 	}
-	last := end
+	serveUntil := end
 	if s.config.Settings.Instances > 1 && !s.sharesListener() {
-		last = end.Add(-min(s.redirectLead, s.shutdownTimeout-s.quietPeriod))
+		serveUntil = end.Add(-min(s.redirectLead, s.shutdownTimeout-s.quietPeriod))
 	}
-	s.lifecycle.Stop(last, end)
+	s.lifecycle.Stop(serveUntil, end)
 	if s.sharesListener() {
-		s.clients.closeListener() // this process's copy; the successor accepts on its own
+		s.clients.closeListener() // closes this process's copy; the successor accepts on its own copy
 	}
 	s.loop.Drain(end, s.sharesListener())
-	for time.Now().Before(last) && !s.canExit(time.Since(began)) {
+	for time.Now().Before(serveUntil) && !s.canExit(time.Since(began)) {
 		time.Sleep(shutdownPollInterval)
 	}
 	s.clients.closeListener()
@@ -142,18 +142,19 @@
 	s.clients.abortReads()
 	s.clients.closeInStates(stateNew, stateIdle)
 	for !s.clients.emptyFor(0) {
-		// Answers end because their peers have to make progress, or with a transfer.
+		// This loop ends: each answer that is left fails if its peer makes no progress, or is transferred.
 		time.Sleep(shutdownPollInterval)
 	}
 }
 
-// sharesListener reports whether a successor accepts on the same socket when this process stops.
+// sharesListener reports whether the listening socket is inherited, so that a successor can accept on
+// it when this process stops.
 func (s *Server) sharesListener() bool { return s.config.Accept != nil }
 
-// canExit reports whether no client is left, the given time after the signal to stop.
-func (s *Server) canExit(ago time.Duration) bool {
+// canExit reports whether no client is left. It is given the time since the signal to stop.
+func (s *Server) canExit(sinceSignal time.Duration) bool {
 	if s.sharesListener() {
 		return s.clients.emptyFor(0)
 	}
-	return ago >= s.quietPeriod && s.clients.emptyFor(s.quietPeriod)
+	return sinceSignal >= s.quietPeriod && s.clients.emptyFor(s.quietPeriod)
 }
--- a/internal/http1/network.go
+++ b/internal/http1/network.go
@@ -10,16 +10,16 @@
 	"dykering/internal/handover"
 )
 
-// Network is what a server uses beside its listener: connections to endpoints and to discovery, and
-// the transfer of connections between processes. Kernel is the real one; the laboratory has one in
-// virtual time.
+// Network provides connections to endpoints and to discovery, and the transfer of connections between
+// processes. Kernel implements it on the sockets of the operating system. The simulations implement
+// it in virtual time.
 type Network interface {
-	// Dial connects to a TCP address within a time.
-	Dial(ctx context.Context, address string, within time.Duration) (net.Conn, error)
-	// Receive makes this process a receiver of connections of its predecessor. Both give the same
-	// directory and name.
+	// Dial connects to a TCP address. It fails after the timeout.
+	Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error)
+	// Receive makes this process the receiver of its predecessor's connections. Both processes use the
+	// same directory and name.
 	Receive(dir, name string) (Receiver, error)
-	// FindSuccessor returns the process that receives connections under a name, other than this
+	// FindSuccessor returns the process that receives connections under a name. It ignores this
 	// process's own receiver.
 	FindSuccessor(dir, name string, own Receiver) (Successor, error)
 }
@@ -37,12 +37,12 @@
 	Alive() bool
 }
 
-// Kernel is the Network of the kernel's sockets.
+// Kernel implements Network on the operating system's sockets.
 type Kernel struct{}
 
 // Dial implements Network.
-func (Kernel) Dial(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: within}
+func (Kernel) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: timeout}
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
@@ -59,22 +59,22 @@
 	return kernelSuccessor{sender}, nil
 }
 
-// kernelSuccessor passes the descriptors of the kernel's sockets.
+// kernelSuccessor implements Successor by passing the descriptors of the sockets.
 type kernelSuccessor struct{ *handover.Sender }
 
 // Pass implements Successor. All connections must have descriptors.
 func (h kernelSuccessor) Pass(state []byte, raw ...net.Conn) error {
 	conns := make([]syscall.Conn, len(raw))
-	for i, x := range raw {
+	for i, conn := range raw {
 		var ok bool
-		if conns[i], ok = x.(syscall.Conn); !ok {
-			return fmt.Errorf("%T has no descriptor to pass", x)
+		if conns[i], ok = conn.(syscall.Conn); !ok {
+			return fmt.Errorf("connection of type %T has no file descriptor to pass", conn)
 		}
 	}
 	return h.Sender.Pass(state, conns...)
 }
 
-// tcpConn is what connections of either network can do beside net.Conn.
+// tcpConn is implemented by the TCP connections of each Network.
 type tcpConn interface {
 	net.Conn
 	CloseWrite() error
--- a/internal/http1/network_wait.go
+++ b/internal/http1/network_wait.go
@@ -10,17 +10,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// peeker is a connection without a descriptor, of the laboratory's network, which implements what
-// the kernel is asked about a socket. Its waits end with the read deadline.
+// peeker is implemented by the simulated connections, which have no descriptor. It has a method for
+// each question that is otherwise answered by a system call on the socket. Its waits end with the
+// connection's read deadline.
 type peeker interface {
-	// Peek reports whether input is unread: EAGAIN for none, 0 without an error for the end of the
-	// input.
+	// Peek returns a positive n if input is unread, 0 without an error at the end of the input, and
+	// EAGAIN if there is no input yet.
 	Peek() (n int, err error)
 	// Await waits until input is unread or the peer has closed.
 	Await() error
-	// AwaitEnd waits until the peer has closed, whatever input is unread.
+	// AwaitEnd waits until the peer has closed, even if input is unread.
 	AwaitEnd() error
-	// Ended reports whether the peer has closed, whatever input is unread.
+	// Ended reports whether the peer has closed, even if input is unread.
 	Ended() bool
 }
 
@@ -33,8 +34,8 @@
 	return false
 }
 
-// peekConn looks for unread input without taking it or waiting. It returns 0 without an error at
-// the end of the input.
+// peekConn returns a positive n if a connection has unread input. It neither consumes the input nor
+// blocks. It returns 0 without an error at the end of the input, and EAGAIN if there is no input yet.
 func peekConn(c net.Conn) (n int, err error) {
 	if p, ok := c.(peeker); ok {
 		return p.Peek()
@@ -50,25 +51,26 @@
 	return peekByte(raw)
 }
 
-// peekByte is peekConn on a descriptor.
+// peekByte implements peekConn for a connection with a descriptor.
 func peekByte(raw syscall.RawConn) (n int, err error) {
 	n = -1
-	// Control, not Read: the latter would wait for another goroutine's Read to end.
-	if fault := raw.Control(func(fd uintptr) { n, err = peek(fd) }); fault != nil {
-		return -1, fault
+	// RawConn.Read is not used, because it would wait for another goroutine's Read to end.
+	if controlErr := raw.Control(func(fd uintptr) { n, err = peek(fd) }); controlErr != nil {
+		return -1, controlErr
 	}
 	return n, err
 }
 
-// peek is recvfrom(2) with MSG_PEEK: 0 without an error is the end of the input.
+// peek calls recvfrom(2) with MSG_PEEK for one byte. It returns 0 without an error at the end of the
+// input.
 func peek(fd uintptr) (n int, err error) {
 	var b [1]byte
 	n, _, err = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return n, err
 }
 
-// awaitInput waits until a connection has unread input or has ended, without reading it. It ends
-// with the connection's read deadline.
+// awaitInput waits until a connection has unread input or has ended. It consumes no input. The wait
+// ends with the connection's read deadline.
 func awaitInput(c net.Conn) error {
 	if p, ok := c.(peeker); ok {
 		return p.Await()
@@ -76,8 +78,8 @@
 	return awaitSocket(c, func(uintptr) bool { return true })
 }
 
-// awaitEnd waits until the peer of a connection has closed, whatever input is unread; it returns
-// io.EOF or the connection's error then. It ends with the connection's read deadline.
+// awaitEnd waits until the peer of a connection has closed, even if input is unread. It returns
+// io.EOF or the connection's error. The wait ends with the connection's read deadline.
 func awaitEnd(c net.Conn) error {
 	if p, ok := c.(peeker); ok {
 		return p.AwaitEnd()
@@ -88,8 +90,8 @@
 	return io.EOF
 }
 
-// socketHungUp reports whether a socket's peer has closed its side or reset the connection,
-// whatever input is unread.
+// socketHungUp reports whether a socket's peer has closed its side or reset the connection, even if
+// input is unread.
 func socketHungUp(fd uintptr) bool {
 	polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	n, err := unix.Poll(polled, 0)
@@ -97,24 +99,24 @@
 }
 
 // awaitSocket waits until a socket has ended with no input unread, or has unread input and enough
-// reports true.
+// returns true.
 func awaitSocket(c net.Conn, enough func(fd uintptr) bool) error {
 	raw, err := c.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return err
 	}
-	n, fault := 0, error(nil)
+	n, peekErr := 0, error(nil)
 	err = raw.Read(func(fd uintptr) bool {
-		n, fault = peek(fd)
-		return !wouldBlock(fault) && (n <= 0 || enough(fd))
+		n, peekErr = peek(fd)
+		return !wouldBlock(peekErr) && (n <= 0 || enough(fd))
 	})
 	switch {
 	case err != nil:
 		return err
-	case fault != nil:
+	case peekErr != nil:
 		return &net.OpError{
 			Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(),
-			Err: os.NewSyscallError("recvfrom", fault),
+			Err: os.NewSyscallError("recvfrom", peekErr),
 		}
 	case n == 0:
 		return io.EOF
--- a/internal/http1/parse_chunked.go
+++ b/internal/http1/parse_chunked.go
@@ -12,7 +12,7 @@
 	"strings"
 )
 
-// maxChunkLine bounds the line of a chunk's size with its extensions, in bytes.
+// maxChunkLine bounds the line with a chunk's size and extensions, in bytes.
 const maxChunkLine = 4096
 
 // chunkStage is the element of a chunked body that its reader expects next.
@@ -23,7 +23,7 @@
 	chunkSize chunkStage = iota
 	// The data of a chunk.
 	chunkData
-	// The line end behind the data.
+	// The line end after the data.
 	chunkEnd
 	// A line of the trailer section, or the empty line that ends it.
 	chunkTrailer
@@ -31,13 +31,13 @@
 	chunkDone
 )
 
-// chunkedReader reads a chunked body (RFC 9112, section 7.1). An error of the connection, such as a
-// deadline that interrupts a read, leaves it at a position from which reading can be resumed, also
-// by another process: the exported fields are the complete position and are sent to the successor
-// as JSON under these names, which are fixed. (net/http/httputil has a reader whose position cannot
-// be exported.)
+// chunkedReader reads a chunked body (RFC 9112, section 7.1). After an error of the connection, such
+// as a deadline that interrupts a read, reading can be resumed by this process or by its successor.
+// The exported fields are the complete position. They are sent to the successor as JSON under these
+// names, which must not change. The reader of net/http/httputil is not used, because its position
+// cannot be exported.
 type chunkedReader struct {
-	// What is expected next.
+	// The element that is expected next.
 	Stage chunkStage
 	// Unread bytes of the current chunk.
 	Left uint64
@@ -45,7 +45,7 @@
 	Line []byte
 	// The received lines of the trailer section.
 	Trailer []byte
-	// Bytes of trailer section and chunk extensions that may still be received.
+	// The number of bytes of trailer section and chunk extensions that may still be received.
 	Digest int
 
 	r *bufio.Reader
@@ -55,7 +55,7 @@
 	return &chunkedReader{r: r, Digest: maxResponseHead}
 }
 
-// Read implements io.Reader; io.EOF is returned once the trailer section has been read.
+// Read implements io.Reader. It returns io.EOF once the trailer section has been read.
 func (c *chunkedReader) Read(p []byte) (n int, err error) {
 	if len(p) == 0 {
 		return 0, nil
@@ -116,8 +116,8 @@
 	}
 }
 
-// readLine reads a line of up to limit bytes and returns it without its end. After an error it can
-// be called again: the received part is kept.
+// readLine reads a line of up to limit bytes and returns it without the line end. After an error of
+// the connection it can be called again, because the received part of the line is kept.
 func (c *chunkedReader) readLine(limit int) ([]byte, error) {
 	for {
 		part, err := c.r.ReadSlice('\n')
@@ -141,7 +141,7 @@
 	}
 }
 
-// trailer returns the trailer fields. They are complete after io.EOF.
+// trailer returns the trailer fields. They are complete once Read has returned io.EOF.
 func (c *chunkedReader) trailer() (http.Header, error) {
 	if len(c.Trailer) == 0 {
 		return http.Header{}, nil
@@ -154,13 +154,13 @@
 	return http.Header(h), nil
 }
 
-// valid reports whether a position that another process sent is possible.
+// valid reports whether a position that was received from another process is possible.
 func (c *chunkedReader) valid() bool {
 	return c.Stage >= chunkSize && c.Stage <= chunkDone && c.Digest >= 0 && len(c.Line) <= maxChunkLine+2
 }
 
-// reencode encodes the body again from its beginning up to the reader's position. The data read so
-// far is got, and the unread input of the connection continues what is written.
+// reencode encodes the body again from its beginning up to the reader's position. It is given the
+// data read so far. The unread input of the connection continues the encoded text.
 func (c *chunkedReader) reencode(w *bytes.Buffer, data []byte) {
 	size := uint64(len(data))
 	if c.Stage == chunkData {
--- a/internal/http1/parse_head.go
+++ b/internal/http1/parse_head.go
@@ -14,7 +14,7 @@
 // buffers of this size.
 const maxHead = 16 << 10
 
-// requestError is why a request is invalid, with the status of the answer.
+// requestError describes why a request is invalid. It holds the status and text of the answer.
 type requestError struct {
 	status int
 	text   string
@@ -28,9 +28,9 @@
 	return &requestError{http.StatusBadRequest, text}
 }
 
-// readRequest reads a request up to its body. It waits for the complete head and checks it before
-// http.ReadRequest parses it, because the latter normalizes away what checkHead looks for. An error
-// other than a *requestError is the connection's.
+// readRequest reads a request up to its body. It waits for the complete head and calls checkHead
+// before http.ReadRequest parses the head, because the parser normalizes the differences that
+// checkHead looks for. An error other than a *requestError is an error of the connection.
 func readRequest(r *bufio.Reader) (*http.Request, error) {
 	head, err := peekHead(r)
 	if err != nil {
@@ -49,8 +49,8 @@
 	return req, nil
 }
 
-// peekHead waits until the reader's buffer holds a complete head. It skips empty lines in front of
-// it (RFC 9112, section 2.2).
+// peekHead waits until the reader's buffer holds a complete head, and returns it. It skips empty lines
+// before the head (RFC 9112, section 2.2).
 func peekHead(r *bufio.Reader) ([]byte, error) {
 	for n := 1; ; {
 		if _, err := r.Peek(n); errors.Is(err, bufio.ErrBufferFull) {
@@ -71,8 +71,8 @@
 	}
 }
 
-// headLength is the length of a head including the empty line that ends it; 0 while that line has
-// not been received.
+// headLength returns the length of a head including the empty line that ends it. It returns 0 while
+// that line has not been received.
 func headLength(b []byte) int {
 	for at := 0; ; {
 		i := bytes.IndexByte(b[at:], '\n')
@@ -115,16 +115,16 @@
 	http10 := strings.HasSuffix(strings.TrimSuffix(lines[0], "\r"), " HTTP/1.0")
 	switch {
 	case lengths > 0 && codings > 0:
-		// A parser that uses the other one would find another request in the body (RFC 9112, section 6.3).
+		// A parser that uses the other header would find another request in the body (RFC 9112, section 6.3).
 		return badRequest("both Content-Length and Transfer-Encoding")
 	case lengths > 1 || codings > 1:
 		// Parsers differ in which of the values they use.
 		return badRequest("a length that is repeated")
 	case http10 && codings > 0:
-		// An HTTP/1.0 parser takes the chunks for data (RFC 9112, section 6.1).
+		// An HTTP/1.0 parser reads the chunk framing as data (RFC 9112, section 6.1).
 		return badRequest("Transfer-Encoding in HTTP/1.0")
 	case hosts > 1 || hosts == 0 && !http10:
-		// RFC 9112, section 3.2.
+		// HTTP/1.1 requires exactly one Host header (RFC 9112, section 3.2).
 		return badRequest("one Host is needed")
 	}
 	return nil
@@ -147,7 +147,7 @@
 		return head, err
 	}
 	if len(head.header["Transfer-Encoding"]) > 0 && version == "HTTP/1.0" {
-		// RFC 9112, section 6.1: the framing is faulty. A strict HTTP/1.0 parser takes the chunks for data.
+		// The framing is invalid (RFC 9112, section 6.1): an HTTP/1.0 parser reads the chunk framing as data.
 		return head, errMalformed
 	}
 	head.code = int(code)
--- a/internal/http1/parse_request.go
+++ b/internal/http1/parse_request.go
@@ -10,10 +10,10 @@
 	"dykering/internal/decision"
 )
 
-// singletonHeaders must not be repeated: of two values, an endpoint may use the other one.
+// singletonHeaders must not be repeated, because an endpoint may use a different one of two values.
 var singletonHeaders = []string{"X-Txn", "X-Lane", "X-Org", "X-Remaining", "Idempotency-Key"}
 
-// parseRequest reads what the core needs to know of a request from its head.
+// parseRequest parses the fields of a request's head that the core needs.
 func (s *Server) parseRequest(head *http.Request) (*request, *requestError) {
 	switch {
 	case head.ContentLength > maxStreamedBody:
@@ -39,7 +39,7 @@
 	return req, nil
 }
 
-// parseHeaders reads id, class, remaining time and tenant of a request.
+// parseHeaders parses the id, class, remaining time and tenant of a request.
 func (s *Server) parseHeaders(req *request, header http.Header) *requestError {
 	req.ID = decision.RequestID(header.Get("X-Txn"))
 	if req.ID == "" || len(req.ID) > maxIDLength {
@@ -53,8 +53,8 @@
 		return badRequest("X-Remaining: not a time in m or u that can be waited")
 	}
 	if deadline := s.config.Settings.Classes[req.Class].Deadline; deadline > 0 {
-		// No client waits longer than its class's deadline. The balancer learns from this time how
-		// long clients wait.
+		// No client waits longer than the deadline of its class. The balancer estimates from these times
+		// how long clients wait.
 		req.Remaining = min(req.Remaining, deadline)
 	}
 	if len(s.tenants) > 0 {
@@ -65,7 +65,8 @@
 	return nil
 }
 
-// checkMethod checks that a request's method and key are those of its class.
+// checkMethod checks that a request has the method, and if necessary the idempotency key, that its
+// class requires.
 func (s *Server) checkMethod(req *request, head *http.Request) *requestError {
 	effect := s.config.Settings.Classes[req.Class].Effect
 	if effect == decision.Keyed && head.Header.Get("Idempotency-Key") == "" {
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// parseRemaining parses a decimal number with its unit, m for milliseconds or u for microseconds.
+// parseRemaining parses a decimal number with a unit: m for milliseconds or u for microseconds.
 func parseRemaining(text string) (remaining time.Duration, ok bool) {
 	unit := time.Millisecond
 	digits, ok := strings.CutSuffix(text, "m")
@@ -98,13 +99,13 @@
 	return time.Duration(n * float64(unit)), true
 }
 
-// hopByHop are the headers that concern one connection only (RFC 9110, section 7.6.1).
+// hopByHop lists the headers that apply to one connection only (RFC 9110, section 7.6.1).
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// removeHopByHop removes hop-by-hop headers, and those that Connection lists.
+// removeHopByHop removes the hop-by-hop headers and those that the Connection header lists.
 func removeHopByHop(h http.Header) {
 	for _, line := range slices.Clone(h["Connection"]) {
 		for name := range strings.SplitSeq(line, ",") {
--- a/internal/http1/relay_frame.go
+++ b/internal/http1/relay_frame.go
@@ -6,7 +6,7 @@
 	"net/http"
 )
 
-// frameChunks is a piece of a body as it is written: as a chunk if chunked.
+// frameChunks returns a piece of a body as it is written: as a chunk if chunked is set.
 func frameChunks(b []byte, chunked bool) [][]byte {
 	if !chunked {
 		return [][]byte{b}
@@ -15,14 +15,14 @@
 }
 
 const (
-	// chunkHeaderRoom is the space in front of a chunk's data in a buffer, for the line with its size;
-	// chunkEndRoom is that behind it, for the line end.
+	// chunkHeaderRoom is the space in a buffer before a chunk's data, for the line with its size.
+	// chunkEndRoom is the space after the data, for the line end. Both are in bytes.
 	chunkHeaderRoom = len("ffffffff\r\n")
 	chunkEndRoom    = len("\r\n")
 )
 
-// frameInPlace is the piece of n bytes in a buffer that has room around it, framed in place as a
-// chunk if chunked.
+// frameInPlace returns the n bytes of data in a buffer, framed as a chunk if chunked is set. The data
+// begins at chunkHeaderRoom, and the framing is written into the space around it.
 func frameInPlace(buffer []byte, n int, chunked bool) []byte {
 	if n == 0 {
 		return nil
--- a/internal/http1/relay_pause.go
+++ b/internal/http1/relay_pause.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// pauseControl lets another goroutine ask a stepwise copy to pause between two steps, so that it
-// can be transferred.
+// pauseControl lets another goroutine ask a copy that runs in steps to pause between two steps, so
+// that the copy can be transferred.
 type pauseControl struct {
 	mu sync.Mutex
 	// A pause is requested.
 	requested bool
-	// When a pause may be requested again.
+	// The earliest time at which a pause may be requested.
 	notBefore time.Time
 }
 
 // requestPause requests a pause and calls f, which interrupts the step in progress. It does nothing
-// if a pause is requested already or was refused less than transferRetryInterval ago.
+// if a pause is already requested, or if a transfer failed less than transferRetryInterval ago.
 func (p *pauseControl) requestPause(f func(now time.Time)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -40,18 +40,18 @@
 	return errors.Is(err, os.ErrDeadlineExceeded) && p.pauseRequested()
 }
 
-// setDeadline gives a step its deadline by calling set; an immediate one if a pause is requested,
-// so that a step which begins after the request does not miss it.
+// setDeadline sets the deadline of a step by calling set. If a pause is requested it sets an immediate
+// deadline, so that a step that begins after the request is interrupted too.
 func (p *pauseControl) setDeadline(set func(time.Time) error, d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.requested {
 		d = 0
 	}
-	_ = set(time.Now().Add(d)) // a closed connection fails the step itself
+	_ = set(time.Now().Add(d)) // fails only on a closed connection, which makes the step fail too
 }
 
-// resume ends a pause after which nothing was transferred, and calls f.
+// resume ends a pause in which nothing was transferred, and calls f.
 func (p *pauseControl) resume(f func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -59,6 +59,6 @@
 	f()
 }
 
-// transferRetryInterval is how long a copy that could not be transferred goes on before that is
+// transferRetryInterval is how long a copy that could not be transferred runs before the transfer is
 // tried again.
 const transferRetryInterval = 250 * time.Millisecond
--- a/internal/http1/relay_response.go
+++ b/internal/http1/relay_response.go
@@ -10,28 +10,27 @@
 	"dykering/internal/core"
 )
 
-// relay copies a streamed response from an endpoint to a client. Between two steps its fields are
-// its complete state, so that another process can continue it.
+// relay copies a streamed response from an endpoint to a client. Between two steps its fields hold
+// the complete state, so that the successor can continue it.
 type relay struct {
 	client  *downstreamConn
 	body    *responseBody
 	buffers *core.Buffers
-	// See download; nil once the result has been sent.
+	// Receives the result, as described at download; nil once the result has been sent.
 	done chan error
-	// Framed bytes that are to be written to the client.
+	// Framed bytes that have not been written to the client.
 	pending []byte
 	// The client gets the body in chunks.
 	chunked bool
-	// See reply.
+	// The client uses HTTP/1.0.
 	http10 bool
 	// The client's connection stays open after the response.
 	keepAlive bool
-	// Transfers the relay to the successor; nil where there is no handover.
+	// Transfers the relay to the successor; nil if relays cannot be transferred.
 	transfer transferFunc
 
 	pauseControl
-	// The connection that is read; nil once the response is complete. Guarded by the pauseControl's
-	// mutex.
+	// The endpoint's connection; nil once the response is complete. Guarded by pauseControl.mu.
 	source *upstreamConn
 }
 
@@ -39,7 +38,8 @@
 // successor.
 type transferFunc func(*relay) error
 
-// newRelay returns the relay of a response, whose head and beginning are its first pending bytes.
+// newRelay returns the relay of a response. Its first pending bytes are the head and the beginning of
+// the body.
 func newRelay(w *reply, r *response) *relay {
 	l := &relay{
 		client:   w.client,
@@ -69,9 +69,9 @@
 	return l
 }
 
-// relay relays a streamed response. If the response is cut the client can see it: its connection
-// ends before the stated length or the last chunk, or with a reset where the body ends with the
-// connection (RFC 9112, section 8).
+// relay relays a streamed response and reports whether the client's connection stays open. The client
+// can detect a truncated response: its connection ends before the stated length or the last chunk,
+// or, if the body ends with the connection, with a reset (RFC 9112, section 8).
 func (w *reply) relay(l *relay) (keepAlive bool) {
 	w.client.beginStreaming(l)
 	err := l.run()
@@ -80,7 +80,7 @@
 	return err == nil && l.keepAlive
 }
 
-// reportDone reports, once, how the endpoint's side ended.
+// reportDone sends the result of the endpoint's side on done. Only the first call has an effect.
 func (l *relay) reportDone(err error) {
 	l.mu.Lock()
 	l.source = nil // the connection may carry another attempt from now on
@@ -91,7 +91,7 @@
 	}
 }
 
-// run copies until the end of the response. It returns nil at the end, errTransferred,
+// run copies until the end of the response and returns nil. Otherwise it returns errTransferred,
 // errClientGone or the error of the endpoint's side.
 func (l *relay) run() error {
 	buffer := l.buffers.Get()
@@ -117,8 +117,8 @@
 	}
 }
 
-// readNext reads the next piece. At the end of the response it releases the endpoint's connection:
-// a slow client does not occupy it.
+// readNext reads the next piece. At the end of the response it releases the endpoint's connection, so
+// that a slow client does not occupy it.
 func (l *relay) readNext(buffer []byte) error {
 	l.setDeadline(l.body.conn.SetReadDeadline, streamStallTimeout)
 	n, err := l.body.Read(buffer[chunkHeaderRoom : len(buffer)-chunkEndRoom])
@@ -133,16 +133,16 @@
 	return err
 }
 
-// resetClient closes the client's connection with a reset where a cut body would otherwise look
-// complete: an HTTP/1.0 body that ends with the connection.
+// resetClient closes the client's connection with a reset if a truncated body would otherwise look
+// complete. That is the case for an HTTP/1.0 body that ends with the connection.
 func (l *relay) resetClient() {
 	if tcp, ok := l.client.Conn.(tcpConn); ok && l.http10 && l.body.length < 0 {
-		_ = tcp.SetLinger(0) // fails only where the connection has ended
+		_ = tcp.SetLinger(0) // fails only if the connection has ended
 		tcp.Close()
 	}
 }
 
-// interrupt implements transferable: the copy pauses between two steps and is transferred.
+// interrupt implements transferable.
 func (l *relay) interrupt() {
 	l.requestPause(func(now time.Time) {
 		l.client.Conn.SetWriteDeadline(now)
@@ -152,7 +152,8 @@
 	})
 }
 
-// tryTransfer transfers the relay; if that fails it goes on here.
+// tryTransfer transfers the relay and reports whether it did. If not, the relay continues in this
+// process.
 func (l *relay) tryTransfer() bool {
 	if l.transfer != nil && l.transfer(l) == nil {
 		return true
--- a/internal/http1/relay_upload.go
+++ b/internal/http1/relay_upload.go
@@ -8,63 +8,64 @@
 	"time"
 )
 
-// upload copies the rest of a streamed request body from a client to an endpoint. The attempt that
-// sends it reads it, once. Like a relay it can be transferred between two steps.
+// upload copies the rest of a streamed request body from a client to an endpoint. It runs at most
+// once, in the attempt that sends the request. Like a relay it can be transferred between two steps.
 type upload struct {
 	client *downstreamConn
 	body   *requestBody
 	// Reports whether a last byte that is read now is too late to be answered; see uploadTooLate.
 	isLate func() bool
-	// Transfers the upload to the successor; nil where there is no handover.
+	// Transfers the upload to the successor; nil if it cannot be transferred.
 	transfer func(*attempt, *upstreamConn) error
 
-	// Bytes of the body that have been read.
+	// The number of bytes of the body that have been read.
 	received int64
-	// Framed bytes that are to be written to the endpoint.
+	// Framed bytes that have not been written to the endpoint.
 	pending []byte
 	// The last byte of the body has been read.
 	complete bool
-	// Reading has begun: the bytes that are read from now on are not kept.
+	// Reading has begun. The bytes that are read from then on are not kept, so the request cannot be
+	// sent again.
 	consumed bool
-	// The predecessor has begun to send the request.
+	// The upload was received from the predecessor, which has sent the beginning of the request.
 	resumed bool
 
 	// Closed once the whole body has been read.
 	bodyRead chan struct{}
-	// Receives, at most once, why the body cannot be read to its end.
+	// Receives, at most once, the error that ended the reading of the body.
 	readFailed chan error
 	// Closed once the upload belongs to the successor.
 	transferred chan struct{}
 
 	// Held while the upload is transferred. It guards answered and handedOff.
 	transferMu sync.Mutex
-	// The request has its answer: the upload is not transferred any more.
+	// The request is answered: the upload can no longer be transferred.
 	answered bool
 	// The upload belongs to the successor.
 	handedOff bool
 
 	pauseControl
-	// The connection that is written to; nil while none is. Guarded by the pauseControl's mutex.
+	// The endpoint's connection while the copy runs; else nil. Guarded by pauseControl.mu.
 	target *upstreamConn
 }
 
 // newUpload returns the upload of the unread rest of a body.
-func newUpload(c *downstreamConn, body *requestBody, late func() bool) *upload {
+func newUpload(c *downstreamConn, body *requestBody, isLate func() bool) *upload {
 	u := &upload{
-		client: c, body: body, isLate: late,
+		client: c, body: body, isLate: isLate,
 		bodyRead: make(chan struct{}), readFailed: make(chan error, 1), transferred: make(chan struct{}),
 	}
 	if u.received = body.length - body.remaining; body.chunks != nil {
-		u.received = maxBufferedBody // readBody has read so much of it
+		u.received = maxBufferedBody // readBody has read this part of a body that is streamed
 	}
 	return u
 }
 
-// errTooLate is an upload whose last byte is received when its client should have gone elsewhere.
-var errTooLate = errors.New("the upload ended too late")
+// errTooLate reports an upload whose last byte is received after the grace of a drain or handover.
+var errTooLate = errors.New("upload ended after the grace of the drain or handover")
 
-// send copies the rest of the body to a connection. It returns the errors of the client's and of
-// the endpoint's side apart.
+// send copies the rest of the body to a connection. It returns errors of the client's side and of the
+// endpoint's side separately.
 func (u *upload) send(a *attempt, c *upstreamConn, buffer []byte) (clientErr, writeErr error) {
 	u.consumed = true
 	u.setTarget(c)
@@ -89,7 +90,8 @@
 	}
 }
 
-// reportReadError reports, once, why the body cannot be read to its end.
+// reportReadError sends the error that ended the reading of the body on readFailed. Only the first
+// call has an effect.
 func (u *upload) reportReadError(err error) {
 	select {
 	case u.readFailed <- err:
@@ -111,7 +113,7 @@
 		u.complete, u.client.rateEnforced = true, false
 		close(u.bodyRead)
 		if u.isLate() {
-			// Without its last byte the endpoint does not execute the request.
+			// The last byte is not sent: without it the endpoint does not execute the request.
 			return nil, errTooLate
 		}
 		if chunked {
@@ -129,7 +131,7 @@
 	return nil, nil
 }
 
-// setTarget sets the connection that is written to; nil for none.
+// setTarget sets the endpoint's connection while the copy runs, and nil after it.
 func (u *upload) setTarget(c *upstreamConn) {
 	u.mu.Lock()
 	u.target = c
@@ -143,7 +145,7 @@
 	}
 }
 
-// interrupt implements transferable: the copy pauses between two steps and is transferred.
+// interrupt implements transferable.
 func (u *upload) interrupt() {
 	u.requestPause(func(now time.Time) {
 		if u.target == nil {
@@ -157,9 +159,9 @@
 	})
 }
 
-// tryTransfer transfers the upload; if that fails it goes on here. An upload whose last byte has
-// been read stays: its client is watched by awaitAnswer then, and its response can be transferred
-// instead.
+// tryTransfer transfers the upload and reports whether it did. If not, the upload continues in this
+// process. An upload whose last byte has been read is not transferred: awaitAnswer watches its client
+// by then, and its response can be transferred instead.
 func (u *upload) tryTransfer(a *attempt, c *upstreamConn) bool {
 	if u.transferNow(a, c) {
 		return true
@@ -180,8 +182,8 @@
 	return true
 }
 
-// markAnswered is called before the client is answered. It prevents a transfer from then on, and
-// reports whether the upload already belongs to the successor.
+// markAnswered is called before the client is answered. It prevents later transfers, and reports
+// whether the upload already belongs to the successor.
 func (u *upload) markAnswered() (handedOff bool) {
 	u.transferMu.Lock()
 	defer u.transferMu.Unlock()
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -13,8 +13,8 @@
 
 const (
 	// headTimeout bounds the time from the first byte of a head to its end, and the wait for the first
-	// byte on a new connection. firstHeadTimeout bounds both together on a new connection. Slower
-	// clients occupy connections that others need.
+	// byte on a new connection. firstHeadTimeout bounds the sum of both on a new connection. Slower
+	// clients would occupy connections that others need.
 	headTimeout      = 2500 * time.Millisecond
 	firstHeadTimeout = 2900 * time.Millisecond
 	// idleTimeout bounds the wait for the next request on a connection.
@@ -27,24 +27,25 @@
 	maxIDLength = 128
 	// maxRemaining bounds the remaining time that a client may state.
 	maxRemaining = time.Hour
-	// quietPeriod is how long no connection must have been accepted before a stopping server without
+	// quietPeriod is the time without a new connection after which a stopping server that has no
 	// clients exits early.
 	quietPeriod = 500 * time.Millisecond
-	// The platform kills a stopping process no sooner than after its longest deadline, or killCap if
-	// that is shorter, plus killGrace. All answers are written killMargin before that.
+	// The platform kills a stopping process after its longest deadline, or killCap if that is shorter,
+	// plus killGrace. All answers are written killMargin before that.
 	killCap    = 3 * time.Second
 	killGrace  = 700 * time.Millisecond
 	killMargin = 200 * time.Millisecond
-	// lastAnswerWindow is how long before the end of the process each answer closes its connection: a
-	// request that crosses the close of an idle connection has to be sent again by the client.
+	// lastAnswerWindow is the time before the end of the process in which each answer closes its
+	// connection. If the connection were closed later, while idle, a request could cross the close and
+	// would have to be sent again by the client.
 	lastAnswerWindow = 100 * time.Millisecond
-	// redirectLead is how long before its end a stopping process closes idle connections, so that its
-	// clients move to the other instances.
+	// redirectLead is how long before the end of the process a shutdown closes idle connections, so that
+	// the clients move to other instances.
 	redirectLead = 700 * time.Millisecond
-	// shutdownPollInterval is the interval at which shutdown looks at the open connections.
+	// shutdownPollInterval is the interval at which a shutdown checks the open connections.
 	shutdownPollInterval = 20 * time.Millisecond
-	// firstListTimeout bounds the wait for the first list of endpoints before a process that shares
-	// its listening socket accepts.
+	// firstListTimeout bounds the time for which a process that shares its listening socket waits for
+	// the first list of endpoints before it accepts.
 	firstListTimeout = 2 * time.Second
 )
 
@@ -56,15 +57,15 @@
 	memory   *core.Memory
 	log      *zap.Logger
 	config   *config.Config
-	// Index of each class by name, and of each tenant in tenants.
+	// Indices of classes and tenants in the settings, by name.
 	classes map[string]int
 	tenants map[string]int
-	// The longest deadline of a class.
+	// The longest deadline of all classes.
 	longestDeadline time.Duration
-	// Defaults to the constant of the same name, as do redirectLead to firstListTimeout. Tests set
-	// shorter ones.
+	// The fields quietPeriod, redirectLead, drainGrace, handoverGrace and firstListTimeout hold the
+	// constants of the same names. Tests set other values.
 	quietPeriod time.Duration
-	// Time from the signal to stop until all requests are answered.
+	// The time from the signal to stop until all requests are answered.
 	shutdownTimeout  time.Duration
 	redirectLead     time.Duration
 	drainGrace       time.Duration
@@ -72,25 +73,26 @@
 	firstListTimeout time.Duration
 	lifecycle        *core.Lifecycle
 	network          Network
-	// Receives transfers from the predecessor; nil where there is no handover directory.
+	// Receives transfers from the predecessor; nil without a handover directory.
 	receiver Receiver
-	// Takes this process's connections when it stops; nil until it is found.
+	// The process that receives this one's connections when it stops; nil until it is found.
 	successor atomic.Pointer[Successor]
 
-	// When the last reload began, in Unix nanoseconds; 0 for never.
+	// When the last reload began, in Unix nanoseconds; 0 if there was none.
 	lastReload atomic.Int64
 
 	clients connTracker
 }
 
-// Loop returns the core loop, for the components that give it the state of other brokers.
+// Loop returns the core loop, for the components that pass the state of other instances to it.
 func (s *Server) Loop() *core.Loop { return s.loop }
 
-// New returns a server on the kernel's sockets with a core loop of its own. The error is that of an
-// unusable configuration.
+// New returns a server with its own core loop on the operating system's sockets. It returns an error
+// for an invalid configuration.
 func New(c *config.Config, log *zap.Logger) (*Server, error) { return NewOn(Kernel{}, c, log) }
 
-// NewOn is New on the given network.
+// NewOn returns a server with its own core loop on the given network. It returns an error for an
+// invalid configuration.
 func NewOn(network Network, c *config.Config, log *zap.Logger) (*Server, error) {
 	memory := core.NewMemory(c.Plan())
 	coreConfig := c.Core()
--- a/internal/http1/stages.go
+++ b/internal/http1/stages.go
@@ -6,20 +6,31 @@
 	"dykering/internal/core"
 )
 
-// PhaseCounts is what an earlier call of ActivePhases has counted. With it, the next call also
-// reports phases that began and ended between the two.
+// PhaseCounts holds the counters that the previous call of ActivePhases has seen. With them, the next
+// call also reports phases that began and ended between the two calls.
 type PhaseCounts struct {
-	// Connections that have entered each state.
+	// How many connections have entered each state.
 	connections [connStates]uint64
-	// Attempts that have entered each phase.
+	// How many attempts have entered each phase.
 	attempts [core.AttemptPhaseCount]uint64
 }
 
-// ActivePhases returns the phases that connections, attempts and the process are in or have been in
-// since the previous call, by the names of docs/review-of-parts.md: ac accepted, he a head or body
-// is read, hd held in the queue, co connecting, wr request being written, aw response awaited, cm
-// response being received, wa waiting to retry, dr draining, st stopping, ho handover, re reload,
-// di discovery to be followed anew.
+// ActivePhases returns the phases that connections, attempts and the process are in, or have been in
+// since the previous call. The simulations use these names:
+//
+//	ac  a connection is accepted, no byte received
+//	he  a head or body is being read
+//	hd  a request waits in the queue
+//	co  an attempt is connecting
+//	wr  a request is being written
+//	aw  a response is awaited
+//	cm  a response is being received
+//	wa  a call waits for its retry
+//	dr  the process drains
+//	st  the process stops
+//	ho  the process stops and has a successor
+//	re  a reload has just begun
+//	di  a full list from a new discovery address is awaited
 func (s *Server) ActivePhases(previous *PhaseCounts) (names []string) {
 	report := func(name string, n int) {
 		if n > 0 {
@@ -63,12 +74,12 @@
 	return names
 }
 
-// reloadWindow is how long after its begin a reload is reported, as the change of discovery takes
-// effect in that time.
+// reloadWindow is how long after its start a reload is reported. The change of the discovery address
+// takes effect within that time.
 const reloadWindow = 50 * time.Millisecond
 
-// BufferedBytes is how many bytes of the memory for bodies are reserved: none once all requests are
-// answered.
+// BufferedBytes returns how many bytes of the memory for bodies are reserved. It is 0 once all
+// requests are answered.
 func (s *Server) BufferedBytes() int64 {
 	return core.NewMemory(s.config.Plan()).Bodies.Available() - s.memory.Bodies.Available()
 }
--- a/internal/http1/transfer_attempt.go
+++ b/internal/http1/transfer_attempt.go
@@ -8,66 +8,66 @@
 	"dykering/internal/decision"
 )
 
-// resumedHost implements the host of the attempt of a transferred upload, about which the
-// predecessor has made all decisions.
-type resumedHost struct {
+// resumedObserver implements core.AttemptObserver for the attempt of a transferred upload. The predecessor
+// has made all decisions about this attempt, so the core is not involved.
+type resumedObserver struct {
 	server *Server
-	// Holds one value.
+	// Receives the answer; it has room for one value.
 	answer chan core.Answer
 
 	mu sync.Mutex
-	// The answer has been delivered, or nobody waits for it.
+	// The answer has been delivered or is no longer awaited.
 	answered bool
 }
 
-// Written implements the host of an attempt: the attempt ends when its answer is no longer waited for, or the
-// process ends.
-func (h *resumedHost) RequestSent(a *core.Attempt) {
-	end := time.Now().Add(a.Call.Remaining - h.server.config.Settings.GraceToAnswer)
-	if ends := h.server.lifecycle.Deadline(); !ends.IsZero() && ends.Before(end) {
-		end = ends
+// RequestSent sets the deadline of the attempt. It is the time at which the answer is no longer
+// awaited, or the end of the process if that is earlier.
+func (o *resumedObserver) RequestSent(a *core.Attempt) {
+	end := time.Now().Add(a.Call.Remaining - o.server.config.Settings.GraceToAnswer)
+	if processEnd := o.server.lifecycle.Deadline(); !processEnd.IsZero() && processEnd.Before(end) {
+		end = processEnd
 	}
 	a.SetDeadline(end)
 }
 
-// Begin implements the host of an attempt: it delivers a streamed response.
-func (h *resumedHost) StartResponse(_ *core.Attempt, r core.Response) {
-	h.deliver(core.Answer{Response: r})
+// StartResponse delivers a streamed response.
+func (o *resumedObserver) StartResponse(_ *core.Attempt, r core.Response) {
+	o.deliver(core.Answer{Response: r})
 }
 
-// deliver delivers the answer if somebody waits for it, and discards it otherwise.
-func (h *resumedHost) deliver(a core.Answer) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.answered {
+// deliver delivers the answer if it is still awaited, and discards it otherwise.
+func (o *resumedObserver) deliver(a core.Answer) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.answered {
 		a.Discard()
 		return
 	}
-	h.answered = true
-	h.answer <- a
+	o.answered = true
+	o.answer <- a
 }
 
-// abandon notes that nobody waits for the answer any more.
-func (h *resumedHost) abandon() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.answered = true
+// abandon records that the answer is no longer awaited, and discards one that was not received.
+func (o *resumedObserver) abandon() {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.answered = true
 	select {
-	case a := <-h.answer:
+	case a := <-o.answer:
 		a.Discard()
 	default:
 	}
 }
 
-// finish delivers the answer that follows from the attempt's result. There is no retry, for the
+// finish delivers the answer that follows from the attempt's result. There is no retry, because the
 // bytes that were sent are not kept.
-func (h *resumedHost) finish(res result) {
+func (o *resumedObserver) finish(res result) {
 	switch {
 	case res.status == decision.OK && res.response != nil && res.response.rest == nil:
-		h.deliver(core.Answer{Response: res.response})
+		o.deliver(core.Answer{Response: res.response})
 	case res.status.NeverRan():
-		h.deliver(core.RejectedAnswer(&h.server.config.Settings))
+		o.deliver(core.RejectedAnswer(&o.server.config.Settings))
 	default:
-		h.deliver(core.Answer{})
+		o.deliver(core.Answer{})
 	}
 }
--- a/internal/http1/transfer_message.go
+++ b/internal/http1/transfer_message.go
@@ -7,66 +7,78 @@
 	"dykering/internal/core"
 )
 
-// transferVersion is the version of connTransfer. A process declines versions that it does not
-// know; the connection then stays with the process that offered it.
+// transferVersion is the version of connTransfer. A process declines unknown versions; the connection
+// then stays with the process that offered it.
 const transferVersion = 1
 
-// connTransfer is the state of a downstream connection that a stopping process sends to its
-// successor with the connection itself: the input that has been read and not been answered, and the
-// relay or upload in progress. Without a connection it carries state of the process itself. It is
-// encoded as JSON; the keys are fixed, for the two processes may be of different releases.
+// connTransfer is the state that a stopping process sends to its successor together with a downstream
+// connection. It holds the input that has been read but not answered, and the relay or upload in
+// progress. A message without a connection holds the state of the process instead. The message is
+// encoded as JSON. Its keys must not change, because the two processes may be of different releases.
 type connTransfer struct {
 	Version int `json:"version"`
-	// Bytes that have been read from the client and not been used.
-	Input  []byte       `json:"input,omitempty"`
-	Relay  *relayState  `json:"relay,omitempty"`
+	// Bytes that have been read from the client but not processed.
+	Input []byte `json:"input,omitempty"`
+	// The relay in progress; nil if there is none.
+	Relay *relayState `json:"relay,omitempty"`
+	// The upload in progress; nil if there is none.
 	Upload *uploadState `json:"upload,omitempty"`
-	// State of the process, in a transfer without a connection.
+	// The state of the process, in a message without a connection; else nil.
 	State *core.HandoverUpdate `json:"word,omitempty"`
 }
 
-// uploadState is the state of an upload. The request goes out once and cannot be sent again, so the
-// successor has nothing to decide but what the attempt's outcome means to the client. It needs the
-// endpoint's connection as the second one of the transfer.
+// uploadState is the state of an upload. The request cannot be sent again, so the successor only
+// derives the client's answer from the outcome of the attempt. The endpoint's connection is the second
+// one of the transfer.
 type uploadState struct {
+	// The request id.
 	ID string `json:"id"`
-	// Time for the answer, from the last byte of the body on.
+	// How long the answer is awaited, counted from the last byte of the body.
 	AnswerTimeout time.Duration `json:"wait"`
-	// See reply for this and KeepAlive.
-	HTTP10    bool `json:"old,omitempty"`
+	// The client uses HTTP/1.0.
+	HTTP10 bool `json:"old,omitempty"`
+	// The client's connection stays open after the answer.
 	KeepAlive bool `json:"lasts,omitempty"`
-	// See upload for this and Received.
-	Pending  []byte `json:"pending,omitempty"`
-	Received int64  `json:"total"`
-	// See requestBody for this, Remaining and Chunks.
-	Length    int64          `json:"length"`
-	Remaining int64          `json:"left,omitempty"`
-	Chunks    *chunkedReader `json:"chunks,omitempty"`
+	// Framed bytes that have not been written to the endpoint.
+	Pending []byte `json:"pending,omitempty"`
+	// The number of bytes of the body that have been read.
+	Received int64 `json:"total"`
+	// The length of the whole body; -1 for a chunked one.
+	Length int64 `json:"length"`
+	// The number of unread bytes of a body of known length.
+	Remaining int64 `json:"left,omitempty"`
+	// The position in a chunked body; nil for a body of known length.
+	Chunks *chunkedReader `json:"chunks,omitempty"`
 }
 
-// relayState is the state of a relay. Unless Finished, it needs the endpoint's connection as the
-// second one of the transfer.
+// relayState is the state of a relay. Unless Finished is set, the endpoint's connection is the second
+// one of the transfer.
 type relayState struct {
-	// See relay for this and Chunked.
+	// Framed bytes that have not been written to the client.
 	Pending []byte `json:"pending,omitempty"`
-	Chunked bool   `json:"framed,omitempty"`
-	// See reply for this and KeepAlive.
-	HTTP10    bool `json:"old,omitempty"`
+	// The client gets the body in chunks.
+	Chunked bool `json:"framed,omitempty"`
+	// The client uses HTTP/1.0.
+	HTTP10 bool `json:"old,omitempty"`
+	// The client's connection stays open after the response.
 	KeepAlive bool `json:"lasts,omitempty"`
-	// Nothing more is read from the endpoint.
+	// The response has been read to its end. The fields below are not set then.
 	Finished bool `json:"ended,omitempty"`
 	// Bytes that have been read from the endpoint and are not in Pending.
 	Input []byte `json:"input,omitempty"`
-	// See upstreamConn.
+	// The number of bytes that may still be read from the endpoint.
 	ReadLimit int `json:"allowed,omitempty"`
-	// See responseBody for this and the following fields.
-	Length     int64          `json:"length,omitempty"`
-	Read       int64          `json:"read,omitempty"`
-	UntilClose bool           `json:"toClose,omitempty"`
-	Chunks     *chunkedReader `json:"chunks,omitempty"`
+	// The length of the body; -1 if it is unknown before the body's end.
+	Length int64 `json:"length,omitempty"`
+	// The number of bytes of the body that have been read.
+	Read int64 `json:"read,omitempty"`
+	// The body ends with the connection.
+	UntilClose bool `json:"toClose,omitempty"`
+	// The position in a chunked body; nil for other bodies.
+	Chunks *chunkedReader `json:"chunks,omitempty"`
 }
 
-// validFor reports whether the state is valid and matches the connections that came with it.
+// validFor reports whether the state is valid and matches the connections that were received with it.
 func (t *connTransfer) validFor(conns []net.Conn) bool {
 	expected := 1
 	if t.State != nil {
--- a/internal/http1/transfer_receive.go
+++ b/internal/http1/transfer_receive.go
@@ -12,9 +12,9 @@
 	"dykering/internal/decision"
 )
 
-// receiveTransfers begins to receive the predecessor's connections, and returns the function that
-// ends this. It returns nil without a handover directory; clients then go from one process to the
-// other by redirects.
+// receiveTransfers starts receiving the predecessor's connections, and returns the function that ends
+// this. It returns nil if transfers are not configured or the receiver cannot be created. The
+// predecessor then redirects its clients instead.
 func (s *Server) receiveTransfers() (stop func()) {
 	if !s.sharesListener() || s.config.Handover == "" {
 		return nil
@@ -33,7 +33,9 @@
 	return func() { receiver.Close() }
 }
 
-// acceptTransfer implements handover.Take: it reserves what a transferred connection needs.
+// acceptTransfer implements handover.Handler. It reserves the capacity that a transferred connection
+// needs, and reports whether it accepts the transfer. Of the returned functions, start begins to
+// serve the connection, and drop releases the capacity.
 func (s *Server) acceptTransfer(state []byte, conns []net.Conn) (start, drop func(), ok bool) {
 	var transfer connTransfer
 	if err := json.Unmarshal(state, &transfer); err != nil || transfer.Version != transferVersion || !transfer.validFor(conns) {
@@ -67,7 +69,7 @@
 	return func() { go s.serveRelay(c, l, conns[1:]) }, drop, true
 }
 
-// resumeRelay returns the relay that continues from a state.
+// resumeRelay returns the relay that continues from a transferred state.
 func (s *Server) resumeRelay(c *downstreamConn, state *relayState, upstream []net.Conn) *relay {
 	l := &relay{
 		client: c, pending: state.Pending, chunked: state.Chunked, http10: state.HTTP10, keepAlive: state.KeepAlive,
@@ -97,7 +99,7 @@
 	s.serveRequests(c, c.since.Add(idleTimeout), nil)
 }
 
-// serveRelay continues a transferred relay, and then serves its client's connection.
+// serveRelay continues a transferred relay, and then serves the client's connection.
 func (s *Server) serveRelay(c *downstreamConn, l *relay, upstream []net.Conn) {
 	defer c.terminate()
 	w := &reply{client: c}
@@ -109,7 +111,7 @@
 	s.serveAfterAnswer(c, w, keepAlive, nil)
 }
 
-// serveUpload continues a transferred upload, relays its response, and then serves its client's
+// serveUpload continues a transferred upload, writes the answer, and then serves the client's
 // connection.
 func (s *Server) serveUpload(c *downstreamConn, state *uploadState, upstream net.Conn) {
 	defer c.terminate()
@@ -127,9 +129,9 @@
 	req.upload.transfer = s.uploadTransfer(r, w, req)
 	c.beginServing()
 	c.enforceRate()
-	host := &resumedHost{server: s, answer: req.Answered}
+	observer := &resumedObserver{server: s, answer: req.Answered}
 	endpoint := core.NewEndpoint(0, upstream.RemoteAddr().String())
-	a := core.NewAttempt(req.Call, endpoint, 0, host)
+	a := core.NewAttempt(req.Call, endpoint, 0, observer)
 	s.loop.AdoptAttempt(a)
 	go func() {
 		defer a.Close()
@@ -138,10 +140,10 @@
 			res.conn.Close()
 		}
 		s.loop.AdoptedEnded(a)
-		host.finish(res)
+		observer.finish(res)
 	}()
 	abandon := func() {
-		host.abandon()
+		observer.abandon()
 		a.Cancel()
 	}
 	keepAlive := s.awaitAnswer(c, r, w, req, abandon)
--- a/internal/http1/transfer_send.go
+++ b/internal/http1/transfer_send.go
@@ -15,8 +15,8 @@
 	"dykering/internal/handover"
 )
 
-// findSuccessor looks for the process that serves in this one's place. Without one, clients are
-// redirected instead.
+// findSuccessor looks for the process that replaces this one. Without a successor, clients are
+// redirected instead of transferred.
 func (s *Server) findSuccessor() {
 	if s.config.Handover == "" {
 		return
@@ -38,18 +38,18 @@
 	return successor != nil && (*successor).Alive()
 }
 
-// transfersRequests reports whether requests that have not been dispatched, and idle connections,
-// are transferred to the successor. During the grace before that, clients are redirected one by
-// one, each with its answer, and the load balancer spreads them: a process that has just begun to
-// serve cannot judge the load if it receives all of it at once (HANDOVER.md).
+// transfersRequests reports whether idle connections and requests that have not been dispatched are
+// transferred to the successor. During the grace before that, each client is redirected with its next
+// answer, so that the load moves gradually. A successor that has just started cannot estimate its
+// load if it receives all clients at once.
 func (s *Server) transfersRequests() bool {
 	_, since, _ := s.lifecycle.Now()
 	return s.hasSuccessor() && time.Since(since) > s.handoverGrace
 }
 
 // transferConn transfers a client's connection to the successor, together with an endpoint's
-// connection unless that is nil. A successor that does not answer in time may have a copy of the
-// connection.
+// connection unless that is nil. After an error other than handover.ErrDeclined, the successor may
+// hold a copy of the socket.
 func (s *Server) transferConn(c *downstreamConn, transfer connTransfer, upstream *upstreamConn) error {
 	conns := []net.Conn{c.Conn}
 	if upstream != nil {
@@ -60,8 +60,8 @@
 	return err
 }
 
-// sendToSuccessor sends a transfer and its connections to the successor. Without an error they
-// belong to the successor.
+// sendToSuccessor sends a transfer and its connections to the successor. Without an error, the
+// connections belong to the successor.
 func (s *Server) sendToSuccessor(transfer connTransfer, conns ...net.Conn) error {
 	transfer.Version = transferVersion
 	state, err := json.Marshal(transfer)
@@ -75,7 +75,7 @@
 	return err
 }
 
-// unreadInput returns the bytes that have been read from a client's connection and not been used.
+// unreadInput returns the bytes that have been read from a client's connection but not processed.
 func unreadInput(c *downstreamConn, r *bufio.Reader) []byte {
 	if r == nil {
 		return c.readAhead
@@ -91,9 +91,9 @@
 }
 
 // transferRequest transfers a connection with a request that has not been dispatched, and reports
-// whether it did. The request is encoded again, with the part of the body that has been read; rest
-// is the body if more of it is to come, else nil. The successor reads it as if it had been received
-// there.
+// whether it did. The request is encoded again with the part of the body that has been read, so that
+// the successor reads it like input from the client. If the body is incomplete, rest is its reader;
+// else rest is nil.
 func (s *Server) transferRequest(c *downstreamConn, r *bufio.Reader, head *http.Request, body []byte, rest *requestBody) bool {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "%s %s %s\r\n", head.Method, head.RequestURI, head.Proto)
@@ -123,8 +123,8 @@
 	return s.transferConn(c, connTransfer{Input: b.Bytes()}, nil) == nil
 }
 
-// relayTransfer returns the function that transfers a relay to a client whose connection is read by
-// r.
+// relayTransfer returns the function that transfers a relay. The client's connection is read with r,
+// which may be nil.
 func (s *Server) relayTransfer(r *bufio.Reader) transferFunc {
 	return func(l *relay) error {
 		if !s.hasSuccessor() {
@@ -149,7 +149,8 @@
 	}
 }
 
-// uploadTransfer returns the function that transfers an upload.
+// uploadTransfer returns the function that transfers the upload of a request. The client's connection
+// is read with r, and w writes the answer.
 func (s *Server) uploadTransfer(r *bufio.Reader, w *reply, req *request) func(*attempt, *upstreamConn) error {
 	return func(a *attempt, c *upstreamConn) error {
 		if !s.hasSuccessor() {
--- a/internal/http1/transfer_state.go
+++ b/internal/http1/transfer_state.go
@@ -8,8 +8,8 @@
 	"dykering/internal/handover"
 )
 
-// startSendingState runs sendState in a goroutine. The returned function ends it and waits for its
-// last update.
+// startSendingState runs sendState in a goroutine. The returned function ends it, and waits until the
+// last update has been sent.
 func (s *Server) startSendingState() (stop func()) {
 	done, sent := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -22,9 +22,9 @@
 	}
 }
 
-// sendState sends the successor what this process has learnt, and until done is closed how many
-// requests it has in flight. A successor of a release without this message declines it, and is sent
-// no more.
+// sendState sends the successor this process's statistics once, and until done is closed the number
+// of its requests in flight. A successor of an older release does not know this message and declines
+// it; then no more are sent.
 func (s *Server) sendState(done <-chan struct{}) {
 	ticker := time.NewTicker(core.HandoverInterval)
 	defer ticker.Stop()
@@ -45,7 +45,7 @@
 		select {
 		case <-ticker.C:
 		case <-done:
-			last = true // the empty update: nothing is in flight here any more
+			last = true // the last update is empty: this process has no requests in flight
 		}
 	}
 }
--- a/internal/http1/upstream.go
+++ b/internal/http1/upstream.go
@@ -13,26 +13,26 @@
 )
 
 const (
-	// maxBufferedBody bounds a body that is held in memory as a whole, in bytes.
+	// maxBufferedBody bounds a body that is buffered in memory, in bytes.
 	maxBufferedBody = 64 << 10
 	// maxStreamedBody bounds a body that is streamed, in bytes.
 	maxStreamedBody = 32 << 20
 	// maxResponseHead bounds the head of a response, and the trailer and chunk extensions of a body,
 	// in bytes.
 	maxResponseHead = 16 << 10
-	// streamPrefix is how many bytes of a streamed response are held until its relay begins.
+	// streamPrefix is how many bytes of a streamed response are buffered until its relay begins.
 	streamPrefix = 4 << 10
 	// bufferTimeout is how long a response of unknown length may take before it is streamed instead of
 	// buffered.
 	bufferTimeout = 250 * time.Millisecond
-	// discardTimeout bounds the time to discard a body that nobody needs.
+	// discardTimeout bounds the time to discard a body that is not needed.
 	discardTimeout = 20 * time.Millisecond
-	// streamStallTimeout is how long an endpoint may take no more of an upload, or send no more of a
+	// streamStallTimeout bounds each write of an upload to an endpoint, and each read of a streamed
 	// response.
 	streamStallTimeout = 10 * time.Second
 	// maxInformational bounds the interim responses (1xx) before the final one.
 	maxInformational = 16
-	// resetSpread is how long the resets of all connections of an endpoint that dies may take to be
+	// resetSpread is the time within which the resets of all connections of a crashed endpoint are
 	// received.
 	resetSpread = 3 * time.Millisecond
 )
@@ -42,11 +42,11 @@
 	network        Network
 	memory         *core.Memory
 	connectTimeout time.Duration
-	// How many attempts have entered each phase so far.
+	// The number of attempts that have entered each phase so far.
 	phaseEntries [core.AttemptPhaseCount]atomic.Uint64
 }
 
-// Send implements core.Upstream: it makes an attempt, over an idle connection if one is given.
+// Send implements core.Upstream. It makes an attempt, over an idle connection if one is given.
 func (u *upstream) Send(a *core.Attempt, over core.Conn) core.Result {
 	c, _ := over.(*upstreamConn)
 	t := newAttempt(a, u.network)
@@ -68,13 +68,13 @@
 	*core.Attempt
 	network Network
 	request *forwardedRequest
-	// Bound of the response's body, in bytes.
+	// The bound of the response body, in bytes.
 	maxBody int64
 	// Closed when the last byte of a streamed request is written.
 	fullySent chan struct{}
-	// Watches for a response while a streamed request is being sent.
+	// Waits for the response while a streamed request is being sent.
 	watcher *answerWatcher
-	// Counters of upstream; nil for an attempt that is not counted.
+	// The counters of upstream; nil for an attempt that is not counted.
 	phaseEntries *[core.AttemptPhaseCount]atomic.Uint64
 }
 
@@ -98,21 +98,22 @@
 	}
 }
 
-// result is how an attempt ended.
+// result is the outcome of an attempt.
 type result struct {
 	status   decision.Status
 	elapsed  time.Duration
 	response *response
 	load     *decision.Load
-	// The connection if it can carry another attempt; else nil.
+	// The connection, if it can carry another attempt; else nil.
 	conn *upstreamConn
-	// Part of a streamed body is gone: the request cannot be sent again.
+	// Part of a streamed body has been read and not kept: the request cannot be sent again.
 	consumed bool
 }
 
-// run makes the attempt: one write on one connection, and the response to it. net/http's Transport
-// is not used, because it retries requests by itself and does not report whether the last byte was
-// written. When run returns, the connection is either closed or idle, so the balancer may retry.
+// run makes the attempt: it writes the request once, on one connection, and reads the response.
+// http.Transport is not used, because it retries requests on its own and does not report whether the
+// last byte was written. When run returns, the connection is closed or idle, so a retry never runs at
+// the same time as this attempt.
 func (a *attempt) run(c *upstreamConn, connectTimeout time.Duration, memory *core.Memory) (res result) {
 	defer func() {
 		if res.elapsed == 0 {
@@ -151,10 +152,10 @@
 	return newUpstreamConn(raw, a.Endpoint), nil
 }
 
-// classifyReset distinguishes a connection that broke alone from an endpoint that died: a dying
-// endpoint resets all its connections and accepts no new ones. Without this, one broken connection
-// would eject a healthy endpoint and then put it through slow start. The new connection is kept in
-// place of the broken one.
+// classifyReset distinguishes a single broken connection from a crashed endpoint, which resets all its
+// connections and accepts no new ones. Without this check, one broken connection would eject a healthy
+// endpoint and then put it through slow start. If only the connection broke, the status becomes
+// InvalidResponse, and a connection dialed for the check replaces the broken one.
 func (a *attempt) classifyReset(res *result, connectTimeout time.Duration) {
 	time.Sleep(resetSpread)
 	if a.Endpoint.AwaitingResponse.Load() > 0 {
@@ -166,24 +167,24 @@
 	}
 }
 
-// exchangeOver makes the attempt over a connection, which is closed if the attempt is cancelled or
-// leaves it unusable.
+// exchangeOver makes the attempt over a connection. It closes the connection if the attempt is
+// cancelled or the connection cannot be reused.
 func (a *attempt) exchangeOver(c *upstreamConn, memory *core.Memory) result {
-	release := context.AfterFunc(a.Ctx, func() {
+	stopClosing := context.AfterFunc(a.Ctx, func() {
 		c.Close()
 		if a.request.upload != nil {
 			a.request.upload.client.abandonBody()
 		}
 	})
 	res := a.exchange(c, memory)
-	if !release() || res.conn == nil {
+	if !stopClosing() || res.conn == nil {
 		c.Close()
 		res.conn = nil
 	}
 	return res
 }
 
-// unsentStatus is the status of an attempt whose last byte was certainly not written.
+// unsentStatus returns the status of an attempt whose last byte was certainly not written.
 func (a *attempt) unsentStatus() decision.Status {
 	if a.Ctx.Err() != nil || a.isLate() {
 		return decision.NotSent
@@ -194,19 +195,19 @@
 // isLate reports whether the deadline for the request's last byte has passed.
 func (a *attempt) isLate() bool { return !a.SendBy.IsZero() && !time.Now().Before(a.SendBy) }
 
-// beforeDeadline cuts a timeout off at the deadline for the request's last byte.
+// beforeDeadline limits a timeout to the time left until the deadline for the request's last byte.
 func (a *attempt) beforeDeadline(d time.Duration) time.Duration {
 	if a.SendBy.IsZero() {
 		return d
 	}
-	// A dialer takes 0 for no timeout.
+	// net.Dialer treats 0 as no timeout.
 	return min(d, max(time.Until(a.SendBy), time.Nanosecond))
 }
 
 // exchange sends the request and reads the response.
 func (a *attempt) exchange(c *upstreamConn, memory *core.Memory) result {
-	// While the connection was dialed, the endpoint may have begun to drain, the window in which it
-	// recognizes a retry may have passed, or the client may have gone.
+	// While the connection was dialed, the endpoint may have begun to drain, the window in which the
+	// endpoint recognizes a retry may have passed, or the client may have hung up.
 	if !a.Endpoint.IsOpen() || a.Ctx.Err() != nil || a.isLate() || a.request.clientGone() {
 		return result{status: decision.NotSent}
 	}
@@ -215,12 +216,12 @@
 		return a.exchangeStreaming(c, memory)
 	}
 	a.enterPhase(core.PhaseSending)
-	text := a.request.encodeHead(a.AnswerWithin - a.Elapsed())
-	pieces := net.Buffers{text}
+	head := a.request.encodeHead(a.AnswerWithin - a.Elapsed())
+	pieces := net.Buffers{head}
 	if len(a.request.body) > 0 {
 		pieces = append(pieces, a.request.body)
 	}
-	if n, err := pieces.WriteTo(c.Conn); err != nil && n < int64(len(text)+len(a.request.body)) {
+	if n, err := pieces.WriteTo(c.Conn); err != nil && n < int64(len(head)+len(a.request.body)) {
 		return result{status: a.unsentStatus()}
 	}
 	return a.awaitResponse(c, memory)
@@ -238,8 +239,8 @@
 	return res
 }
 
-// failureStatus is the status of an attempt that was written and whose response was not received
-// completely.
+// failureStatus returns the status of an attempt whose request was written and whose response was not
+// received completely.
 func (a *attempt) failureStatus(err error) decision.Status {
 	switch cause := context.Cause(a.Ctx); {
 	case errors.Is(err, errClientGone):
--- a/internal/http1/upstream_attempt_test.go
+++ b/internal/http1/upstream_attempt_test.go
@@ -213,7 +213,7 @@
 		in := forwardedRequest{method: "GET", target: "/", host: "h"}
 		call := core.NewCall(decision.Request{}, &in)
 		call.Deadline = time.Now().Add(testTimeout)
-		a := newAttempt(core.NewAttempt(call, e, 0, discardingHost{}), Kernel{})
+		a := newAttempt(core.NewAttempt(call, e, 0, discardingObserver{}), Kernel{})
 		if res := a.run(c, testTimeout, ampleMemory()); res.status != decision.OK {
 			t.Errorf("%s: %v", name, res.status)
 		}
@@ -312,11 +312,11 @@
 	}
 }
 
-// slowHost is the host of an attempt that learns of an upload's last byte only once the attempt is
+// slowObserver is the observer of an attempt that learns of an upload's last byte only once the attempt is
 // cancelled.
-type slowHost struct{ discardingHost }
+type slowObserver struct{ discardingObserver }
 
-func (slowHost) RequestSent(a *core.Attempt) { <-a.Ctx.Done() }
+func (slowObserver) RequestSent(a *core.Attempt) { <-a.Ctx.Done() }
 
 // A response that is received before the sender of an upload has reported the last byte is that of
 // an executed request. It was once taken for an early one, and the request for one that is harmless
@@ -339,7 +339,7 @@
 	}
 	c := core.NewCall(decision.Request{LongBody: true}, &in)
 	c.Deadline, c.Remaining = time.Now().Add(testTimeout), testTimeout
-	a := newAttempt(core.NewAttempt(c, core.NewEndpoint(1, endpoint.Listener.Addr().String()), 0, slowHost{}), Kernel{})
+	a := newAttempt(core.NewAttempt(c, core.NewEndpoint(1, endpoint.Listener.Addr().String()), 0, slowObserver{}), Kernel{})
 	defer a.Close()
 	if res := a.run(nil, testTimeout, ampleMemory()); res.status != decision.Error || !res.consumed {
 		t.Errorf("%v, spent %v: want an error of a request that ran", res.status, res.consumed)
--- a/internal/http1/upstream_body.go
+++ b/internal/http1/upstream_body.go
@@ -12,26 +12,27 @@
 
 // responseBody reads the body of an endpoint's response.
 type responseBody struct {
-	conn   *upstreamConn
+	conn *upstreamConn
+	// The source of the data: chunks for a chunked body, else the connection's reader.
 	reader io.Reader
-	// Reader of a chunked body; nil for other ones.
+	// The reader of a chunked body; nil for other bodies.
 	chunks *chunkedReader
-	// Length of the body; -1 where only its end shows it.
+	// The length of the body in bytes; -1 if it is unknown before the body's end.
 	length int64
-	// Bound of the length, in bytes.
+	// The bound of the length, in bytes.
 	maxLength int64
-	// Bytes read so far.
+	// The number of bytes read so far.
 	read int64
 	// The body ends with the connection.
 	untilClose bool
 	// The body has been read to its end.
 	finished bool
-	// Trailer fields of a chunked body; set at its end.
+	// The trailer fields of a chunked body; set at its end.
 	trailer http.Header
 }
 
-// newResponseBody determines how a body is framed (RFC 9112, section 6.3). Contradictory or invalid
-// lengths are errMalformed.
+// newResponseBody determines the framing of a body (RFC 9112, section 6.3). It returns errMalformed
+// for contradictory or invalid lengths.
 func newResponseBody(c *upstreamConn, code int, header textproto.MIMEHeader, maxLength int64) (*responseBody, error) {
 	b := &responseBody{conn: c, reader: c.reader, maxLength: maxLength}
 	lengths, codings := header["Content-Length"], header["Transfer-Encoding"]
@@ -54,14 +55,14 @@
 	default:
 		return nil, errMalformed
 	}
-	// Beside the data, the framing of chunks is read: the limit allows as many bytes for it as for the
-	// data. chunkedReader.Digest bounds extensions and the trailer section.
+	// A chunked body also has the framing of its chunks: the limit allows as many bytes for it as for
+	// the data. chunkedReader.Digest bounds the extensions and the trailer section.
 	c.readLimit = int(2*maxLength) + maxResponseHead
 	b.finished = b.length == 0
 	return b, nil
 }
 
-// Read implements io.Reader; at io.EOF the trailer has been read.
+// Read implements io.Reader. When it returns io.EOF, the trailer is set.
 func (b *responseBody) Read(p []byte) (n int, err error) {
 	if b.finished {
 		return 0, io.EOF
@@ -85,7 +86,7 @@
 			return n, trailerErr
 		}
 		removeHopByHop(trailer)
-		// A parser that merges trailers into the head would have two lengths (RFC 9110, section 6.5.1).
+		// A parser that merges trailers into the head would read two lengths (RFC 9110, section 6.5.1).
 		trailer.Del("Content-Length")
 		b.trailer = trailer
 	}
@@ -93,9 +94,9 @@
 	return n, err
 }
 
-// discard reads a short body that nobody needs, so that its connection can be reused. It leaves a
-// body that is long or is not received within discardTimeout: the result of the attempt follows
-// from the head and does not wait.
+// discard reads and drops a short body that is not needed, so that the connection can be reused. It
+// stops at a body that is long or is not received within discardTimeout, because the result of the
+// attempt follows from the head and should not be delayed.
 func (b *responseBody) discard() error {
 	buffer := make([]byte, 512)
 	for until := time.Now().Add(discardTimeout); !b.finished && !b.untilClose && b.read < maxBufferedBody; {
@@ -109,7 +110,8 @@
 	return nil
 }
 
-// unexpectedEOF is err, with an end of input inside a message as io.ErrUnexpectedEOF.
+// unexpectedEOF returns io.ErrUnexpectedEOF for io.EOF, and other errors unchanged. It is used for
+// reads inside a message.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
--- a/internal/http1/upstream_conn.go
+++ b/internal/http1/upstream_conn.go
@@ -19,12 +19,12 @@
 type upstreamConn struct {
 	net.Conn
 	core.PoolEntry
-	// Buffers what Read returns.
+	// Reads from this upstreamConn.
 	reader *bufio.Reader
 	// Bytes that the predecessor has read from the connection. Read returns them first.
 	readAhead []byte
 	endpoint  *core.Endpoint
-	// Bytes that may still be read.
+	// The number of bytes that may still be read from the connection.
 	readLimit int
 }
 
@@ -35,8 +35,8 @@
 	return c
 }
 
-// dialTwice connects to an endpoint, and tries once more if the connection is refused or reset:
-// endpoints reset new connections now and then, and a dead one does it twice.
+// dialTwice connects to an endpoint, and tries once more if the connection is refused or reset.
+// Healthy endpoints reset a new connection now and then; a failed endpoint does so twice.
 func dialTwice(ctx context.Context, network Network, address string, timeout time.Duration) (net.Conn, error) {
 	raw, err := network.Dial(ctx, address, timeout)
 	if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) {
@@ -45,7 +45,7 @@
 	return raw, err
 }
 
-// Read implements io.Reader and enforces readLimit: an endpoint may send without end.
+// Read implements io.Reader. It enforces readLimit, because an endpoint may send without end.
 func (c *upstreamConn) Read(b []byte) (int, error) {
 	if len(c.readAhead) > 0 {
 		n := copy(b, c.readAhead)
@@ -63,17 +63,16 @@
 // Alive reports whether an idle connection can carry a request: the endpoint has neither closed it
 // nor sent unsolicited bytes.
 func (c *upstreamConn) Alive() bool {
-	n, peek := peekConn(c.Conn)
+	n, err := peekConn(c.Conn)
 	if n > 0 {
 		c.endpoint.NoteUnsolicitedData()
 	}
-	return n < 0 && wouldBlock(peek)
+	return n < 0 && wouldBlock(err)
 }
 
-// awaitReadable waits until input is available or the connection has ended, and reports false
-// without an error if neither happened until the given time. Its error is final: to look at a
-// socket clears its pending error, and a read after it would return an end of input in place of a
-// reset.
+// awaitReadable waits until input is available or the connection has ended. It returns false without
+// an error if neither happens by the given time. The caller must not read after an error: peeking at
+// a socket clears its pending error, so a read would return an end of input instead of a reset.
 func (c *upstreamConn) awaitReadable(until time.Time) (readable bool, err error) {
 	if c.reader.Buffered() > 0 || !canPeek(c.Conn) {
 		return true, nil
--- a/internal/http1/upstream_endpointconn.go
+++ b/internal/http1/upstream_endpointconn.go
@@ -12,17 +12,17 @@
 	"dykering/internal/core"
 )
 
-// EndpointConn is a connection to an endpoint for callers that decide themselves what is sent on
-// it, such as the proxy. It carries one exchange at a time and is used by one goroutine at a time.
+// EndpointConn is a connection to an endpoint for callers without the core, such as package
+// dataplane. It carries one exchange at a time and is used by one goroutine at a time.
 type EndpointConn struct {
 	conn *upstreamConn
-	// When the last exchange ended; zero before.
+	// When the last exchange ended; zero before the first one ends.
 	idleSince time.Time
 }
 
-// DialEndpoint connects to an endpoint within a time.
-func DialEndpoint(ctx context.Context, to *core.Endpoint, within time.Duration) (*EndpointConn, error) {
-	raw, err := dialTwice(ctx, Kernel{}, to.Address, within)
+// DialEndpoint connects to an endpoint. Each of its up to two dials fails after the timeout.
+func DialEndpoint(ctx context.Context, to *core.Endpoint, timeout time.Duration) (*EndpointConn, error) {
+	raw, err := dialTwice(ctx, Kernel{}, to.Address, timeout)
 	if err != nil {
 		return nil, err
 	}
@@ -34,11 +34,13 @@
 	return &EndpointConn{conn: newUpstreamConn(raw, to)}
 }
 
-// Close closes the connection, also from another goroutine; reads and writes in progress end.
+// Close closes the connection. It may be called from another goroutine, and ends reads and writes in
+// progress.
 func (c *EndpointConn) Close() error { return c.conn.Close() }
 
-// AwaitReusable waits until the connection has been idle long enough that surplus bytes behind the
-// last response show, and reports whether it can carry another request.
+// AwaitReusable waits until the connection has been idle for the endpoint's reuse delay, in which
+// surplus bytes after the last response are received. It reports whether the connection can carry
+// another request.
 func (c *EndpointConn) AwaitReusable() bool {
 	if !c.idleSince.IsZero() {
 		time.Sleep(time.Until(c.idleSince.Add(c.conn.endpoint.ReuseDelay())))
@@ -46,14 +48,14 @@
 	return c.conn.Alive()
 }
 
-// MarkIdle notes that the exchange has ended.
+// MarkIdle records that the exchange has ended.
 func (c *EndpointConn) MarkIdle() { c.idleSince = time.Now() }
 
 // IdleSince returns when the last exchange ended.
 func (c *EndpointConn) IdleSince() time.Time { return c.idleSince }
 
-// Write sends a request until a deadline. Complete is false only if the last byte was certainly not
-// written.
+// Write sends a request before a deadline. It returns complete as false only if the last byte was
+// certainly not written.
 func (c *EndpointConn) Write(head, body []byte, until time.Time) (complete bool, err error) {
 	c.conn.SetWriteDeadline(until)
 	pieces := net.Buffers{head}
@@ -64,11 +66,11 @@
 	return n >= int64(len(head)+len(body)), err
 }
 
-// EndpointResponse is an endpoint's response whose body is still to be read.
+// EndpointResponse is an endpoint's response. Its head has been read, and Read reads its body.
 type EndpointResponse struct {
 	Status int
 	Header http.Header
-	// Length of the body in bytes; -1 where only its end shows it.
+	// Length is the length of the body in bytes; -1 if it is unknown before the body's end.
 	Length int64
 	conn   *EndpointConn
 	body   *responseBody
@@ -80,19 +82,19 @@
 const maxForeignResponses = 4
 
 // ReadResponse reads the head of the response to the request with the given id, which the endpoint
-// repeats in idHeader. A response with another id is skipped: it is surplus to an earlier request
-// on this connection.
+// repeats in the header idHeader. It skips responses with another id: they are surplus responses to
+// an earlier request on this connection.
 func (c *EndpointConn) ReadResponse(idHeader, id string) (*EndpointResponse, error) {
 	for range maxForeignResponses + 1 {
-		a, err := c.readResponse()
+		response, err := c.readResponse()
 		if err != nil {
 			return nil, err
 		}
-		if a.Header.Get(idHeader) == id {
-			return a, nil
+		if response.Header.Get(idHeader) == id {
+			return response, nil
 		}
 		c.conn.endpoint.NoteUnsolicitedData()
-		if _, err := io.Copy(io.Discard, a); err != nil || !a.keepAlive {
+		if _, err := io.Copy(io.Discard, response); err != nil || !response.keepAlive {
 			return nil, errMalformed
 		}
 	}
@@ -119,25 +121,26 @@
 	}, nil
 }
 
-// Read reads the body. Its end is io.EOF; a connection that ends early is another error.
-func (a *EndpointResponse) Read(p []byte) (int, error) { return a.body.Read(p) }
+// Read implements io.Reader. It returns io.EOF at the end of the body, and another error if the
+// connection ends earlier.
+func (r *EndpointResponse) Read(p []byte) (int, error) { return r.body.Read(p) }
 
 // Finished reports whether the body has been read to its end.
-func (a *EndpointResponse) Finished() bool { return a.body.finished }
+func (r *EndpointResponse) Finished() bool { return r.body.finished }
 
 // Reusable reports whether the connection may carry another exchange.
-func (a *EndpointResponse) Reusable() bool {
-	c := a.conn.conn
-	if c.reader.Buffered() > 0 && a.body.finished {
+func (r *EndpointResponse) Reusable() bool {
+	c := r.conn.conn
+	if c.reader.Buffered() > 0 && r.body.finished {
 		c.endpoint.NoteUnsolicitedData()
 	}
-	if !a.keepAlive || !a.body.finished || a.body.untilClose || c.reader.Buffered() > 0 {
+	if !r.keepAlive || !r.body.finished || r.body.untilClose || c.reader.Buffered() > 0 {
 		return false
 	}
 	return c.Conn.SetDeadline(time.Time{}) == nil
 }
 
-// RemoveHopByHop removes the headers that concern one connection only.
+// RemoveHopByHop removes the headers that apply to one connection only.
 func RemoveHopByHop(header http.Header) { removeHopByHop(header) }
 
 // RequestHead encodes the head of a request with a body of the given length in bytes.
--- a/internal/http1/upstream_harness_test.go
+++ b/internal/http1/upstream_harness_test.go
@@ -20,7 +20,7 @@
 	}
 	c := core.NewCall(decision.Request{}, &in)
 	c.Deadline = time.Now().Add(lasts)
-	a := newAttempt(core.NewAttempt(c, e, timeout, discardingHost{}), Kernel{})
+	a := newAttempt(core.NewAttempt(c, e, timeout, discardingObserver{}), Kernel{})
 	a.maxBody = 4 * maxBufferedBody
 	return a
 }
@@ -49,12 +49,12 @@
 	return m
 }
 
-// discardingHost is the host of an attempt that reads a streamed response and reports nothing.
-type discardingHost struct{}
+// discardingObserver is the observer of an attempt that reads a streamed response and reports nothing.
+type discardingObserver struct{}
 
-func (discardingHost) RequestSent(*core.Attempt) {}
+func (discardingObserver) RequestSent(*core.Attempt) {}
 
-func (discardingHost) StartResponse(_ *core.Attempt, got core.Response) {
+func (discardingObserver) StartResponse(_ *core.Attempt, got core.Response) {
 	r := got.(*response)
 	go func() {
 		rest, err := io.ReadAll(r.rest.body)
--- a/internal/http1/upstream_response.go
+++ b/internal/http1/upstream_response.go
@@ -13,18 +13,18 @@
 	"dykering/internal/settings"
 )
 
-// response is an endpoint's response: the whole of it, or its beginning and the rest as a download.
+// response is an endpoint's response: either complete, or its beginning and a download of the rest.
 type response struct {
 	header http.Header
 	body   []byte
-	// The rest of a streamed response; nil for one in memory.
+	// The rest of a streamed response; nil for a complete one.
 	rest *download
-	// The memory from which body is reserved.
+	// The memory in which the bytes of body are reserved.
 	memory *core.Memory
 }
 
-// Discard implements core.Response: it releases the memory, and ends the attempt of a streamed
-// response that nobody has relayed.
+// Discard implements core.Response. It releases the memory, and ends the attempt of a streamed
+// response that has not been relayed.
 func (r *response) Discard() {
 	r.memory.Bodies.Release(len(r.body))
 	if r.rest != nil {
@@ -35,16 +35,19 @@
 	}
 }
 
-// download is the unread rest of a streamed response. Who relays it reads body, and sends on done
-// how the endpoint's side ended: nil, its error, or errClientGone. The channel holds one value.
+// download is the unread rest of a streamed response. The relay reads body and sends the result on
+// done.
 type download struct {
 	body    *responseBody
 	buffers *core.Buffers
-	done    chan error
+	// Receives nil at the end of the response, the error of the endpoint's side, errClientGone or
+	// errTransferred. It has room for one value.
+	done chan error
 }
 
 // readResponse reads the response to the request that was written. After an error the connection
-// cannot be reused; one that is not the connection's means that the response cannot be used.
+// cannot be reused. An error other than an error of the connection means that the response is
+// invalid.
 func (a *attempt) readResponse(c *upstreamConn, memory *core.Memory) (res result, err error) {
 	head, err := c.readFinalHead()
 	if err != nil {
@@ -57,11 +60,11 @@
 	}
 	res.status = decision.Error
 	if report := header.Get("X-Pressure"); report != "" {
-		res.load, _ = settings.ParseLoad(report, "=") // an invalid report counts as none
+		res.load, _ = settings.ParseLoad(report, "=") // an invalid report is ignored
 	}
 	switch {
 	case code == http.StatusOK && !a.isFullySent():
-		// A success before the request's last byte is surplus to an earlier request.
+		// A success before the request's last byte is a surplus response to an earlier request.
 		return res, errMalformed
 	case code == http.StatusOK:
 		res.status = decision.OK
@@ -98,8 +101,8 @@
 	return res, nil
 }
 
-// readBody reads the body of a successful response: all of it if it is short and is received at
-// once, else its beginning.
+// readBody reads the body of a successful response. It reads a short body that is received without
+// delay completely, and only the beginning of any other.
 func (a *attempt) readBody(c *upstreamConn, body *responseBody, header textproto.MIMEHeader,
 	memory *core.Memory,
 ) (*response, error) {
@@ -123,7 +126,7 @@
 				return nil, err
 			}
 			if !readable {
-				break // a slow response may be a long one: it is streamed
+				break // a slow response may be a long one, so it is streamed
 			}
 		}
 		if len(r.body) == limit && body.length < 0 {
@@ -144,8 +147,8 @@
 	return r, nil
 }
 
-// relayBody has a streamed response relayed and returns when it has been, with the time until the
-// relay began.
+// relayBody hands a streamed response over for its relay and waits until the relay has ended. It
+// returns the time until the relay began.
 func (a *attempt) relayBody(r *response) (elapsed time.Duration, err error) {
 	elapsed, ok := a.StartResponse(r)
 	if !ok {
--- a/internal/http1/upstream_stream.go
+++ b/internal/http1/upstream_stream.go
@@ -11,16 +11,16 @@
 	"dykering/internal/decision"
 )
 
-// sendResult is how the sending of a streamed request ended: with the error of the client's side, of
-// the endpoint's side, or with none when its last byte is written.
+// sendResult is the outcome of sending a streamed request: an error of the client's side or of the
+// endpoint's side. Both are nil if the last byte was written.
 type sendResult struct{ client, endpoint error }
 
-// exchangeStreaming sends a streamed request and watches for a response at the same time: an
-// endpoint may reject the request before its end. The endpoint does not execute a request before it
-// has the last byte.
+// exchangeStreaming sends a streamed request and waits for a response at the same time, because an
+// endpoint may reject the request before its end. Endpoints do not execute a request before they have
+// received its last byte.
 func (a *attempt) exchangeStreaming(c *upstreamConn, memory *core.Memory) (res result) {
 	if u := a.request.upload; !u.resumed && u.client.hasHungUp() {
-		// Nobody has read from the client while the request was queued, so its hang-up has not shown.
+		// The client's connection was not read while the request was queued, so a hang-up is detected here.
 		u.reportReadError(errClientGone)
 		return result{status: decision.NotSent, consumed: u.consumed}
 	}
@@ -29,7 +29,7 @@
 	answer := make(chan result, 1)
 	go func() {
 		if a.watcher.wait(c) != nil {
-			return // the connection is the successor's
+			return // the connection belongs to the successor
 		}
 		answer <- a.awaitResponse(c, memory)
 	}()
@@ -72,11 +72,11 @@
 	case send := <-sent:
 		return send
 	case <-a.fullySent:
-		// The sender has written the last byte and is about to report it.
+		// The sending goroutine has written the last byte and is about to report its result.
 		return <-sent
 	default:
 	}
-	// This ends the sending, unless it has just ended: then the request was executed.
+	// Cancel ends the sending, unless the last byte has just been written: then the request was executed.
 	a.Cancel()
 	if <-sent == (sendResult{}) {
 		return sendResult{}
@@ -84,8 +84,8 @@
 	return sendResult{endpoint: errAnsweredEarly}
 }
 
-// partlySent is the result of an attempt whose last byte was not written: whatever the response, the
-// request was not executed.
+// partlySent returns the result of an attempt whose last byte was not written. The request was not
+// executed, whatever the response.
 func (a *attempt) partlySent(answered result, send sendResult) result {
 	res := result{status: decision.NotSent, consumed: a.request.upload.consumed}
 	switch {
@@ -97,11 +97,12 @@
 	return res
 }
 
-// errAnsweredEarly is a response that is received before the request's last byte is written.
-var errAnsweredEarly = errors.New("answered too early")
+// errAnsweredEarly reports a response that is received before the request's last byte is written.
+var errAnsweredEarly = errors.New("response received before the end of the request")
 
-// isFullySent reports whether the last byte of the request is written. The response may be received
-// before the sending goroutine has noted it.
+// isFullySent reports whether the last byte of the request is written. It waits up to
+// earlyAnswerTimeout, because the response may be received before the sending goroutine has reported
+// the last byte.
 func (a *attempt) isFullySent() bool {
 	if a.request.upload == nil {
 		return true
@@ -114,12 +115,12 @@
 	}
 }
 
-// earlyAnswerTimeout is how long an endpoint that closed in the middle of an upload may take to
-// send its response, and how long the sending goroutine may take to note the last byte.
+// earlyAnswerTimeout is how long the response of an endpoint that closed in the middle of an upload
+// is awaited, and how long the sending goroutine may take to report the last byte.
 const earlyAnswerTimeout = 200 * time.Millisecond
 
-// sendStreaming writes a request with a streamed body. It returns the errors of the client's and of
-// the endpoint's side apart.
+// sendStreaming writes a request with a streamed body. It returns errors of the client's side and of
+// the endpoint's side separately.
 func (a *attempt) sendStreaming(c *upstreamConn, memory *core.Memory) (clientErr, writeErr error) {
 	u := a.request.upload
 	if !u.resumed {
@@ -139,18 +140,18 @@
 	return clientErr, writeErr
 }
 
-// answerWatcher waits for a response while a streamed request is being sent. Until input is
-// received it can be paused, so that the connection can be transferred with nothing of the response
-// read.
+// answerWatcher waits for a response while a streamed request is being sent. Until input is received
+// the wait can be paused, so that the connection can be transferred before any byte of the response
+// is read.
 type answerWatcher struct {
 	mu sync.Mutex
-	// The waiting goroutine is to pause.
+	// The waiting goroutine has to pause.
 	pauseRequested bool
 	// Closed once input has been received.
 	received chan struct{}
 	// Receives from the waiting goroutine when it has paused.
 	paused chan struct{}
-	// Tells the paused goroutine whether to go on.
+	// Sends the paused goroutine whether it continues.
 	resume chan bool
 }
 
@@ -175,7 +176,7 @@
 		}
 		w.mu.Unlock()
 		if !interrupted {
-			return nil // an error shows again when the response is read
+			return nil // reading the response returns an error of the connection again
 		}
 		w.paused <- struct{}{}
 		if !<-w.resume {
@@ -184,11 +185,12 @@
 	}
 }
 
-// errAnswerBegun says that a response has begun to arrive and the upload cannot be transferred.
-var errAnswerBegun = errors.New("an answer has begun to come")
+// errAnswerBegun reports that part of the response has been received, so the upload cannot be
+// transferred.
+var errAnswerBegun = errors.New("part of the response has already been received")
 
-// whileUnread calls f while nothing of the response is read. If f fails, or input has been received
-// already, the attempt goes on.
+// whileUnread calls f while the wait for the response is paused and no byte of the response has been
+// read. If f fails, or input has already been received, the attempt continues.
 func (a *attempt) whileUnread(c *upstreamConn, f func() error) error {
 	watcher := a.watcher
 	watcher.mu.Lock()
--- a/internal/wire/doc.go
+++ b/internal/wire/doc.go
@@ -1,12 +1,16 @@
-// Package wire speaks the operators' simulator's text protocol: it reads batches of events, hands each to the Balancer of
-// the instance that it concerns, and writes the actions that those take.
+// Package wire implements the text protocol of the operators' simulator. It reads batches of events, delivers each event
+// to the Balancer of the instance that it names, and writes the actions that the Balancers take.
 //
-// It owns the protocol's form (names of events and actions, order of fields, microseconds) and the instances of one
-// process. It makes no decisions, which are internal/decision's, and knows no sockets.
+// The package defines the encoding (names of events and actions, order of fields, microseconds) and holds the instances
+// of one process. All decisions are made by package decision. The package uses no sockets.
 //
-// Invariants: a batch is answered by one reply that ends in "eor", in which the actions are in the order in which they
-// were taken. Malformed input ends Run with an error that names line and field; unknown events and settings are noted once
-// and passed over. A panic of one instance's Balancer is reported as its crash, and the others go on.
+// Invariants:
 //
-// Its only caller is cmd/dykering-sim. Source: the platform's page WIRE; all names are fixed.
+//   - Each batch is answered by one reply that ends in "eor". Its actions are in the order in which they were taken.
+//   - Malformed input ends Run with an error that names line and field.
+//   - Unknown events and settings are ignored, with one notice for each name.
+//   - A panic of one instance's Balancer is reported as a crash of that instance. The other instances continue.
+//
+// The only caller is cmd/dykering-sim. The simulator defines the protocol, so the names of events, actions and fields must
+// not change.
 package wire
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -12,17 +12,21 @@
 	"dykering/internal/settings"
 )
 
-// fields takes the values off a line one by one. The first one that is missing or cannot be read sets err, and all values
+// fields parses the values of a line one after another. The first missing or malformed value sets err, and all values
 // after it are zero.
 type fields struct {
 	server *server
-	name   string
-	rest   []byte
-	more   bool
-	err    error
+	// The name of the event, which is the first word of the line.
+	name string
+	// The part of the line that has not been parsed.
+	rest []byte
+	// The line has another value, which may be empty.
+	more bool
+	// The first error; nil if there was none.
+	err error
 }
 
-// cut splits off the next value; nil where the line has ended.
+// cut splits off the next value. It returns nil at the end of the line.
 func (f *fields) cut() []byte {
 	if !f.more {
 		return nil
@@ -32,15 +36,15 @@
 	return part
 }
 
-// fail sets the error, unless there is one.
+// fail sets the error for a field, unless there already is an error.
 func (f *fields) fail(field, what string) {
 	if f.err == nil {
 		f.err = f.server.malformed(f.name, field, what)
 	}
 }
 
-// value takes a value that must be there.
-func (f *fields) value(field string) []byte {
+// required returns the next value, which must be present.
+func (f *fields) required(field string) []byte {
 	p := f.cut()
 	if f.err == nil && (len(p) == 0 || len(p) == 1 && p[0] == '-') {
 		f.fail(field, "missing")
@@ -48,10 +52,10 @@
 	return p
 }
 
-// number takes a whole number that must be there.
-func (f *fields) number(field string) int64 { return f.parseInt(field, f.value(field)) }
+// number parses the next value, a whole number that must be present.
+func (f *fields) number(field string) int64 { return f.parseInt(field, f.required(field)) }
 
-// parseInt reads a whole number.
+// parseInt parses a whole number.
 func (f *fields) parseInt(field string, p []byte) int64 {
 	if f.err != nil {
 		return 0
@@ -64,7 +68,7 @@
 	return n
 }
 
-// optional takes a whole number that may be absent, which counts as 0.
+// optional parses the next value, a whole number. It returns 0 for "-", which means that the number is absent.
 func (f *fields) optional(field string) int64 {
 	p := f.cut()
 	if len(p) == 1 && p[0] == '-' {
@@ -77,7 +81,7 @@
 	return f.parseInt(field, p)
 }
 
-// optionalText takes a text that may be absent.
+// optionalText returns the affinity of a request. It returns "" for "-", which means that there is none.
 func (f *fields) optionalText() string {
 	p := f.cut()
 	if len(p) == 0 {
@@ -89,8 +93,9 @@
 	return string(p)
 }
 
+// float parses the next value, a finite number that must be present.
 func (f *fields) float(field string) float64 {
-	p := f.value(field)
+	p := f.required(field)
 	if f.err != nil {
 		return 0
 	}
@@ -102,12 +107,15 @@
 	return v
 }
 
+// time parses the next value, a time in microseconds.
 func (f *fields) time(field string) time.Duration { return settings.Micros(f.number(field)) }
 
+// id parses the next value, a request id.
 func (f *fields) id(field string) decision.RequestID {
-	return decision.RequestID(f.value(field))
+	return decision.RequestID(f.required(field))
 }
 
+// endpoint parses the next value, an endpoint id.
 func (f *fields) endpoint() decision.EndpointID {
 	n := f.number("endpoint")
 	if f.err == nil && (n < 0 || n > math.MaxUint32) {
@@ -116,6 +124,7 @@
 	return decision.EndpointID(n)
 }
 
+// flag parses the next value, which is 0 or 1.
 func (f *fields) flag(field string) bool {
 	n := f.number(field)
 	if f.err == nil && n != 0 && n != 1 {
@@ -124,6 +133,7 @@
 	return n == 1
 }
 
+// status parses the next value, the protocol's code of an attempt's outcome.
 func (f *fields) status() decision.Status {
 	switch n := f.number("ending"); n {
 	case 100:
@@ -148,6 +158,7 @@
 	}
 }
 
+// state parses the next value, the protocol's code of an endpoint's state.
 func (f *fields) state() decision.State {
 	switch n := f.number("mode"); n {
 	case 2:
@@ -162,7 +173,7 @@
 	}
 }
 
-// load reads a load report; nil where there is none.
+// load parses a load report. It returns nil for "-", which means that there is none.
 func (f *fields) load() *decision.Load {
 	p := f.cut()
 	if len(p) == 0 {
@@ -179,6 +190,7 @@
 	return l
 }
 
+// bytes parses the next value, data in base64. It returns nil for "-", which means that there is none.
 func (f *fields) bytes() []byte {
 	p := f.cut()
 	if len(p) == 0 {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -14,42 +14,52 @@
 )
 
 const (
-	maxLists   = 16      // numbered lists that the protocol has
-	maxNotices = 64      // notes on what is passed over
-	maxKinds   = 1 << 16 // of machines: figures are kept of each
+	// maxLists is the number of numbered endpoint lists in the protocol.
+	maxLists = 16
+	// maxNotices bounds the notices about ignored input.
+	maxNotices = 64
+	// maxMachineKinds bounds the numbers of machine kinds, because the Balancer keeps statistics for each kind.
+	maxMachineKinds = 1 << 16
 )
 
-// server has the instances of one process, and reads and writes the protocol.
+// server holds the instances of one process, and reads and writes the protocol.
 type server struct {
 	in         *bufio.Reader
 	out        *bufio.Writer
 	notices    io.Writer
 	lineNumber int
-	now        time.Duration
-	instances  map[int64]*instance
-	lists      [maxLists][]decision.Entry
-	listed     [maxLists]bool
-	noticed    map[string]bool
-	buf        []byte // the line being read
-	scratch    []byte // the action being written
+	// The time of the current batch.
+	now       time.Duration
+	instances map[int64]*instance
+	// The endpoint lists by number, and whether each has been received.
+	endpointLists [maxLists][]decision.Entry
+	listReceived  [maxLists]bool
+	// The notices that have been written.
+	noticed map[string]bool
+	// The line being read.
+	line []byte
+	// The action being written.
+	actionLine []byte
 }
 
 type balancer = decision.Balancer
 
 // instance is one Balancer and its Host.
 type instance struct {
-	server   *server
-	number   int64
+	server *server
+	number int64
+	// Nil after a panic of the Balancer.
 	balancer *balancer
-	classes  int
+	// The number of request classes.
+	classes int
 }
 
-// Run serves the protocol until the input ends. It returns nil at a clean end
-// and an error that names line and field when the input is malformed.
-func Run(in io.Reader, out, notes io.Writer) error {
-	s := newServer(in, out, notes)
+// Run serves the protocol until the input ends. It returns nil if the input ends after a batch, and an error that names
+// line and field if the input is malformed.
+func Run(in io.Reader, out, notices io.Writer) error {
+	s := newServer(in, out, notices)
 	for {
-		ok, err := s.batch()
+		ok, err := s.serveBatch()
 		if err != nil {
 			return err
 		}
@@ -62,15 +72,15 @@
 	}
 }
 
-func newServer(in io.Reader, out, notes io.Writer) *server {
+func newServer(in io.Reader, out, notices io.Writer) *server {
 	return &server{
-		in: bufio.NewReaderSize(in, 1<<16), out: bufio.NewWriterSize(out, 1<<16), notices: notes,
+		in: bufio.NewReaderSize(in, 1<<16), out: bufio.NewWriterSize(out, 1<<16), notices: notices,
 		instances: map[int64]*instance{}, noticed: map[string]bool{},
 	}
 }
 
-// batch reads one batch and writes its reply; false at the end of input.
-func (s *server) batch() (bool, error) {
+// serveBatch reads one batch and writes its reply. It returns false at the end of the input.
+func (s *server) serveBatch() (bool, error) {
 	f, err := s.next()
 	if errors.Is(err, io.EOF) {
 		return false, nil
@@ -97,38 +107,39 @@
 			_, err := s.out.WriteString("eor\n")
 			return true, err
 		}
-		if err := s.event(f); err != nil {
+		if err := s.handleEvent(f); err != nil {
 			return false, err
 		}
 	}
 }
 
-// next reads a line and splits off its name.
+// next reads a line and splits off the event's name.
 func (s *server) next() (*fields, error) {
-	s.buf = s.buf[:0]
+	s.line = s.line[:0]
 	for {
 		part, err := s.in.ReadSlice('\n')
-		s.buf = append(s.buf, part...)
+		s.line = append(s.line, part...)
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
 		}
-		if err != nil && (err != io.EOF || len(s.buf) == 0) {
+		if err != nil && (err != io.EOF || len(s.line) == 0) {
 			return nil, err
 		}
 		break
 	}
 	s.lineNumber++
-	f := &fields{server: s, rest: bytes.TrimRight(s.buf, "\r\n")}
+	f := &fields{server: s, rest: bytes.TrimRight(s.line, "\r\n")}
 	f.more = len(f.rest) > 0
 	f.name = string(f.cut())
 	return f, nil
 }
 
+// malformed returns the error for a malformed field in the current line.
 func (s *server) malformed(name, field, what string) error {
 	return fmt.Errorf("line %d: %s: field %s: %s", s.lineNumber, name, field, what)
 }
 
-// noteOnce prints a note the first time its text comes up.
+// noticeOnce prints a notice unless it has been printed before. It prints at most maxNotices notices.
 func (s *server) noticeOnce(text string) {
 	if !s.noticed[text] && len(s.noticed) < maxNotices {
 		s.noticed[text] = true
@@ -136,16 +147,16 @@
 	}
 }
 
-// event handles one line of a batch.
-func (s *server) event(f *fields) error {
+// handleEvent handles one line of a batch.
+func (s *server) handleEvent(f *fields) error {
 	switch f.name {
 	case "ledger":
-		return s.readList(f)
+		return s.readEndpointList(f)
 	case "new_instance":
-		return s.start(f)
+		return s.startInstance(f)
 	case "halt", "targets", "knock", "begun", "closed_attempt", "lapsed", "wake", "echo", "inbox":
 	default:
-		s.noticeOnce("unknown event " + f.name + " passed over")
+		s.noticeOnce("unknown event " + f.name + " ignored")
 		return nil
 	}
 	n := f.number("sidecar")
@@ -160,24 +171,24 @@
 		delete(s.instances, n)
 		return nil
 	}
-	deliver := s.decode(f, in)
+	handle := s.decode(f, in)
 	if f.err != nil {
 		return f.err
 	}
-	in.guard(deliver)
+	in.deliver(handle)
 	return nil
 }
 
-// decode reads an event's fields and returns its delivery to a Balancer.
+// decode parses an event's fields and returns the function that delivers the event to a Balancer.
 func (s *server) decode(f *fields, in *instance) func(*balancer) {
 	now := s.now
 	switch f.name {
 	case "targets":
-		l := s.list(f)
+		l := s.targetList(f)
 		return func(b *balancer) { b.Targets(now, l) }
 	case "knock":
 		r := decision.Request{ID: f.id("corr"), Class: int(f.number("type")), Tenant: int(f.optional("userGroup"))}
-		f.optionalText() // what it concerns
+		f.optionalText() // the affinity is not used
 		r.Remaining = f.time("left")
 		f.optional("workHint")
 		bits := f.optional("attrs")
@@ -206,20 +217,20 @@
 	case "wake":
 		token := uint64(f.number("label"))
 		return func(b *balancer) { b.Timer(now, token) }
-	case "echo": // of a probe: none is sent
+	case "echo": // the answer to a probe; the Balancer sends no probes
 		f.endpoint()
 		f.status()
 		f.time("elapsed")
 		f.load()
-	default: // inbox: no peer sends anything
+	default: // inbox: a message of a peer; the Balancer uses none
 		f.number("by")
 		f.bytes()
 	}
 	return func(*balancer) {}
 }
 
-// start handles new_instance.
-func (s *server) start(f *fields) error {
+// startInstance handles the event new_instance.
+func (s *server) startInstance(f *fields) error {
 	n, seed := f.number("sidecar"), f.number("seed")
 	if f.err == nil && !f.more {
 		f.fail("config", "missing")
@@ -232,7 +243,7 @@
 		return s.malformed(f.name, "config", err.Error())
 	}
 	for _, k := range unknown {
-		s.noticeOnce("unknown settings key " + k + " passed over")
+		s.noticeOnce("unknown settings key " + k + " ignored")
 	}
 	in := &instance{server: s, number: n, classes: len(config.Classes)}
 	in.balancer, err = decision.New(config.Settings, uint64(seed), in)
@@ -243,9 +254,9 @@
 	return nil
 }
 
-// guard delivers an event and reports a panic of the module on the wire; the
-// instance it struck gets no further events.
-func (in *instance) guard(deliver func(*balancer)) {
+// deliver delivers an event to the instance's Balancer. It reports a panic of the Balancer as a crash action, after which
+// the instance gets no further events.
+func (in *instance) deliver(handle func(*balancer)) {
 	defer func() {
 		if p := recover(); p != nil {
 			text := bytes.Map(func(r rune) rune {
@@ -259,14 +270,15 @@
 		}
 	}()
 	if in.balancer != nil {
-		deliver(in.balancer)
+		handle(in.balancer)
 	}
 }
 
+// listKinds maps the protocol's numbers of list kinds to their values.
 var listKinds = []decision.ListKind{decision.DeltaList, decision.FullList, decision.CachedList, decision.FailedList}
 
-// list reads the fields of a targets event and resolves its list number.
-func (s *server) list(f *fields) decision.List {
+// targetList parses the fields of a targets event and returns the list with its number.
+func (s *server) targetList(f *fields) decision.List {
 	var l decision.List
 	kind := f.number("kind")
 	if f.err == nil && (kind < 0 || kind >= int64(len(listKinds))) {
@@ -281,16 +293,16 @@
 	if l.Kind == decision.FailedList || f.err != nil {
 		return l
 	}
-	if buffer < 0 || buffer >= maxLists || !s.listed[buffer] {
+	if buffer < 0 || buffer >= maxLists || !s.listReceived[buffer] {
 		f.fail("buffer", "no such list")
 		return l
 	}
-	l.Entries = s.lists[buffer]
+	l.Entries = s.endpointLists[buffer]
 	return l
 }
 
-// readList handles a ledger and the item lines that follow it.
-func (s *server) readList(f *fields) error {
+// readEndpointList handles the event ledger, which begins an endpoint list, and the item lines that follow it.
+func (s *server) readEndpointList(f *fields) error {
 	buffer, rows := f.number("buffer"), f.number("rows")
 	if f.err == nil && (buffer < 0 || buffer >= maxLists) {
 		f.fail("buffer", "out of range")
@@ -301,7 +313,7 @@
 	if f.err != nil {
 		return f.err
 	}
-	var entries []decision.Entry // a fresh one: a Balancer may still hold the old
+	var entries []decision.Entry // a new slice, because a Balancer may still use the old one
 	for i := int64(0); i < rows; i++ {
 		item, err := s.next()
 		if errors.Is(err, io.EOF) || err == nil && item.name != "item" {
@@ -315,20 +327,20 @@
 			Kind: int(item.number("kind")), Cell: int(item.number("stripe")), State: item.state(),
 			Weight: item.float("units"), Started: settings.Micros(item.optional("cameUp")),
 		})
-		if k := entries[i].Kind; item.err == nil && (k < 0 || k >= maxKinds) {
+		if k := entries[i].Kind; item.err == nil && (k < 0 || k >= maxMachineKinds) {
 			item.fail("kind", "out of range")
 		}
 		if item.err != nil {
 			return item.err
 		}
 	}
-	s.lists[buffer], s.listed[buffer] = entries, true
+	s.endpointLists[buffer], s.listReceived[buffer] = entries, true
 	return nil
 }
 
-// action writes one action line: its name, the instance and the values.
-func (in *instance) action(name string, id string, values ...int64) {
-	b := append(in.server.scratch[:0], name...)
+// writeAction writes one action line: its name, the instance, the request id unless that is empty, and the values.
+func (in *instance) writeAction(name string, id string, values ...int64) {
+	b := append(in.server.actionLine[:0], name...)
 	b = append(b, ' ')
 	b = strconv.AppendInt(b, in.number, 10)
 	if id != "" {
@@ -340,48 +352,49 @@
 		b = strconv.AppendInt(b, v, 10)
 	}
 	b = append(b, '\n')
-	in.server.scratch = b
-	_, _ = in.server.out.Write(b) // an error sticks in the writer and shows at Flush
+	in.server.actionLine = b
+	_, _ = in.server.out.Write(b) // the writer keeps an error and returns it at Flush
 }
 
 var _ decision.Host = (*instance)(nil)
 
-// Send makes an attempt. On the wire it is sent at once, so there is no bound on when its last byte is sent.
+// Send implements decision.Host. The simulator sends an attempt at once, so the bound on when its last byte is sent is
+// not used.
 func (in *instance) Send(id decision.RequestID, to decision.EndpointID, timeout, _ time.Duration) {
-	in.action("dispatch", string(id), int64(to), timeout.Microseconds())
+	in.writeAction("dispatch", string(id), int64(to), timeout.Microseconds())
 }
 
-// Refuse answers a request that the client may safely retry.
+// Refuse rejects a request that the client may safely retry.
 func (in *instance) Refuse(id decision.RequestID, retryAfter time.Duration) {
-	in.action("overload_reply", string(id), retryAfter.Microseconds())
+	in.writeAction("overload_reply", string(id), retryAfter.Microseconds())
 }
 
-// Fail answers a request without a promise about retries.
-func (in *instance) Fail(id decision.RequestID) { in.action("end_failed", string(id)) }
+// Fail answers a request with an error that does not state whether a retry is safe.
+func (in *instance) Fail(id decision.RequestID) { in.writeAction("end_failed", string(id)) }
 
-// Cancel withdraws an attempt.
+// Cancel cancels an attempt.
 func (in *instance) Cancel(id decision.RequestID, attempt int) {
-	in.action("retract", string(id), int64(attempt))
+	in.writeAction("retract", string(id), int64(attempt))
 }
 
-// SetTimer asks the simulator for a timer.
+// SetTimer asks the simulator for a wake event with a token after a time.
 func (in *instance) SetTimer(token uint64, after time.Duration) {
-	in.action("remind", "", int64(token), after.Microseconds())
+	in.writeAction("remind", "", int64(token), after.Microseconds())
 }
 
-// Watch begins or ends to follow the endpoint list.
+// Watch starts or stops the updates of the endpoint list.
 func (in *instance) Watch(on bool) {
 	v := int64(0)
 	if on {
 		v = 1
 	}
-	in.action("tail", "", v)
+	in.writeAction("tail", "", v)
 }
 
 // Fetch asks for the full endpoint list.
-func (in *instance) Fetch() { in.action("query_all", "") }
+func (in *instance) Fetch() { in.writeAction("query_all", "") }
 
-// Log writes a note of the Balancer.
+// Log writes a trace line with a message of the Balancer.
 func (in *instance) Log(text string) {
 	fmt.Fprintf(in.server.out, "trace %d %s\n", in.number, text)
 }
