--- a/internal/http1/compatibility_test.go
+++ b/internal/http1/compatibility_test.go
@@ -7,23 +7,23 @@
 	"dykering/internal/fixture"
 )
 
-// The state that is sent with a connection to the successor has the form that released builds write
-// and read. A process of either build may be the one that stops during an upgrade.
+// The state that is sent to the successor with a connection must keep the form that released builds
+// read and write. During an upgrade or a downgrade the two processes are of different builds.
 func TestTransferOfReleasedBuildIsReadAndWrittenAlike(t *testing.T) {
 	fixture.JSON(t, "testdata/compatibility/passage.json", &connTransfer{})
 	if transferVersion != 1 {
-		t.Errorf("version %d of the transfer: released builds decline all but 1", transferVersion)
+		t.Errorf("transfer has version %d: released builds decline all versions but 1", transferVersion)
 	}
 }
 
-// Fields without a value are left out, as released builds do: a successor recognizes by them what
-// is transferred.
+// Fields without a value must be left out, as in released builds: a successor recognizes the kind of
+// transfer by the fields that are present.
 func TestEmptyTransferHasVersionAlone(t *testing.T) {
 	text, err := json.Marshal(connTransfer{Version: transferVersion})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if want := `{"version":1}`; string(text) != want {
-		t.Errorf("%s, want %s", text, want)
+		t.Errorf("got %s, want %s", text, want)
 	}
 }
--- a/internal/http1/connection_limits_test.go
+++ b/internal/http1/connection_limits_test.go
@@ -15,7 +15,7 @@
 	"dykering/internal/config"
 )
 
-// New connections that send nothing are evicted before idle ones, and are closed in time.
+// New connections that send nothing are evicted before idle ones, and are closed within the timeout.
 func TestSilentNewConnectionsAreEvictedFirst(t *testing.T) {
 	rg := start(t, config.LeastSockets, endpointServing(t, "s-1", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") }))
 	http.DefaultClient.CloseIdleConnections()
@@ -28,53 +28,54 @@
 		c.SetDeadline(time.Now().Add(testTimeout))
 		return c
 	}
-	usual := dial()
-	reader := bufio.NewReader(usual)
-	ask := func() {
+	activeConn := dial()
+	reader := bufio.NewReader(activeConn)
+	exchange := func() {
 		t.Helper()
-		rg.request("once", 9*time.Second).Write(usual)
+		rg.request("once", 9*time.Second).Write(activeConn)
 		res, err := http.ReadResponse(reader, nil)
 		if err != nil || res.StatusCode != http.StatusOK {
-			t.Fatalf("the usual client got %v, %v", res, err)
+			t.Fatalf("the active client got %v, %v", res, err)
 		}
 		io.Copy(io.Discard, res.Body)
 	}
-	ask()
-	var crowd []net.Conn
+	exchange()
+	var silentConns []net.Conn
 	for range 5 * rg.server.clients.limit {
-		crowd = append(crowd, dial())
+		silentConns = append(silentConns, dial())
 	}
-	ask()
-	if status, _ := rg.ask(rg.request("once", 9*time.Second)); status != 200 {
+	exchange()
+	if status, _ := rg.roundTrip(rg.request("once", 9*time.Second)); status != 200 {
 		t.Errorf("a new client got %d", status)
 	}
-	for i, c := range crowd {
+	for i, c := range silentConns {
 		if got, err := io.ReadAll(c); errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Fatalf("mute connection %d got %q, %v", i, got, err)
+			t.Fatalf("silent connection %d got %q, %v, want a close", i, got, err)
 		}
 	}
 }
 
-// A request that is not received completely in time gets an error or a close, wherever it is cut.
+// A request that is not received completely within the timeout gets an error or a close, at whatever
+// byte it stops.
 func TestSlowRequestsTimeOut(t *testing.T) {
-	rg := start(t, 1024, endpointServing(t, "s-1", func(http.ResponseWriter, *http.Request) { t.Error("it was passed on") }))
+	rg := start(t, 1024, endpointServing(t, "s-1", func(http.ResponseWriter, *http.Request) { t.Error("request was forwarded") }))
 	head := "POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: a\r\nX-Lane: once\r\nX-Remaining: 900m\r\n"
-	ended := make(chan bool)
+	finished := make(chan bool)
 	texts := []string{"", "POST", head, head + "Content-Length: 9\r\n\r\n", head + "Content-Length: 9\r\n\r\nabc"}
 	began := time.Now()
 	for _, text := range texts {
 		go func() {
-			if status, _ := rg.raw(text); status > 0 && status < 400 {
-				t.Errorf("%.80q: got %d", text, status)
+			if status, _ := rg.sendRaw(text); status > 0 && status < 400 {
+				t.Errorf("%.80q: got status %d, want an error or a close", text, status)
 			}
-			ended <- true
+			finished <- true
 		}()
 	}
 	for range texts {
-		<-ended
+		<-finished
 	}
 	if took := time.Since(began); took > headTimeout+testTimeout/4 {
-		t.Errorf("took %v", took)
+		t.Errorf("requests timed out after %v, want about %v", took, headTimeout)
 	}
 }
 
@@ -101,9 +102,9 @@
 	}
 	first.SetDeadline(time.Now().Add(testTimeout))
 	if n, err := first.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("the first connection: %d bytes, %v", n, err)
+		t.Errorf("first connection: %d bytes, %v, want a close", n, err)
 	}
-	rg.until("open connections are within their share", func() bool {
+	rg.until("the number of open connections is within the limit", func() bool {
 		rg.server.clients.mu.Lock()
 		defer rg.server.clients.mu.Unlock()
 		return rg.server.clients.open <= rg.server.clients.limit
@@ -123,41 +124,41 @@
 		}
 	}
 	for i := range rg.server.clients.limit {
-		if res := rg.once("once"); res == nil || res.StatusCode != http.StatusOK {
+		if res := rg.sendOnce("once"); res == nil || res.StatusCode != http.StatusOK {
 			t.Fatalf("call %d: %+v", i, res)
 		}
 	}
 }
 
-// A connection whose next request has been read together with the last, by this process or its
-// predecessor, is not evicted or closed between the two: nothing of the request shows at its
-// socket.
+// A connection whose next request has been read together with the previous one, by this process or
+// its predecessor, must not be evicted or closed between the two. The request cannot be detected at
+// the socket, so it would be lost.
 func TestConnectionWithPipelinedRequestIsNotEvicted(t *testing.T) {
 	near, _ := tcpPair(t)
-	cs := &connTracker{limit: 1}
-	adopted := &downstreamConn{Conn: near.Conn, tracker: cs, readAhead: []byte("GET ")}
-	if !cs.adopt(adopted) || cs.evictOne(time.Now()) {
-		t.Error("an adopted one")
+	tracker := &connTracker{limit: 1}
+	conn := &downstreamConn{Conn: near.Conn, tracker: tracker, readAhead: []byte("GET ")}
+	if !tracker.adopt(conn) || tracker.evictOne(time.Now()) {
+		t.Error("connection with input from the predecessor was not adopted, or was evicted")
 	}
-	adopted.readAhead = nil
+	conn.readAhead = nil
 	r := bufio.NewReader(strings.NewReader("GET /"))
 	r.Peek(1)
-	adopted.finishRequest(r)
-	if cs.evictOne(time.Now()) {
-		t.Error("one with a request in its reader")
+	conn.finishRequest(r)
+	if tracker.evictOne(time.Now()) {
+		t.Error("connection with a request in its reader was evicted")
 	}
-	cs.closeInStates(stateNew, stateIdle)
-	if adopted.finishRequest(nil); cs.open != 1 || !cs.evictOne(time.Now()) {
-		t.Error("an idle one is to make room")
+	tracker.closeInStates(stateNew, stateIdle)
+	if conn.finishRequest(nil); tracker.open != 1 || !tracker.evictOne(time.Now()) {
+		t.Errorf("idle connection was not evicted, or closed earlier; %d connections are open", tracker.open)
 	}
 }
 
-// When all connections are busy, the next client gets an answer nevertheless: to close its
-// connection would lose its request. Nothing of it was executed, so it is rejected.
+// When all connections are busy, the next client's request is rejected with an answer. A close of the
+// connection would leave the client without knowing that the request was not executed.
 func TestClientBeyondTheLimitIsRejectedWithAnAnswer(t *testing.T) {
-	serve := make(chan bool)
+	respond := make(chan bool)
 	rg := start(t, config.LeastSockets, endpointServing(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
-		<-serve
+		<-respond
 		fmt.Fprint(w, "ok")
 	}))
 	rg.server.clients.mu.Lock()
@@ -179,28 +180,27 @@
 		}
 		return res.StatusCode
 	}
-	var taken []net.Conn
+	var admitted []net.Conn
 	for i := range 2 {
 		c := dial()
 		defer c.Close()
-		taken = append(taken, c)
-		rg.until("it is taken", func() bool { return rg.stats().Calls == i+1 })
+		admitted = append(admitted, c)
+		rg.until("the request is in progress", func() bool { return rg.stats().Calls == i+1 })
 	}
 	extra := dial()
 	defer extra.Close()
 	if got := status(extra); got != http.StatusServiceUnavailable {
 		t.Errorf("got %d", got)
 	}
-	close(serve)
-	for _, c := range taken {
+	close(respond)
+	for _, c := range admitted {
 		if got := status(c); got != http.StatusOK {
-			t.Errorf("a request that was taken got %d", got)
+			t.Errorf("an admitted request got %d", got)
 		}
 	}
 }
 
-// A complete answer waits for a client that reads nothing no longer than the client would have
-// waited for it.
+// The write of a complete answer to a client that does not read ends after the write timeout.
 func TestAnswerThatClientDoesNotReadTimesOut(t *testing.T) {
 	near, far := net.Pipe()
 	defer near.Close()
@@ -208,9 +208,9 @@
 	w := &reply{client: &downstreamConn{Conn: near, tracker: &connTracker{}}, keepAlive: true, writeTimeout: minWriteTimeout}
 	began := time.Now()
 	if w.complete(http.StatusOK, http.Header{}, []byte("ok")) {
-		t.Error("it was taken")
+		t.Error("the answer was written to a client that does not read")
 	}
 	if took := time.Since(began); took > writeTimeout/2 {
-		t.Errorf("waited for %v", took)
+		t.Errorf("the write took %v, want about %v", took, minWriteTimeout)
 	}
 }
--- a/internal/http1/drain_test.go
+++ b/internal/http1/drain_test.go
@@ -12,38 +12,38 @@
 	"time"
 )
 
-// A drain makes /ready fail at once, serves clients that still come and closes their connections,
-// closes idle ones, and ends with Resume.
+// During a drain /ready fails at once, requests are still served and their connections closed with
+// the answer, and idle connections are closed. Resume ends the drain.
 func TestDrainingServerAnswersThenClosesConnections(t *testing.T) {
-	came, serve := make(chan bool), make(chan bool)
+	arrived, respond := make(chan bool), make(chan bool)
 	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
-		came <- true
-		<-serve
+		arrived <- true
+		<-respond
 		fmt.Fprint(w, "ok")
 	}))
 	rg.server.drainGrace = 4 * time.Second // for slow machines
-	conns := rg.connect(4)
+	conns := rg.openIdleConns(4)
 	answer := make(chan *http.Response)
-	ask := func(c *net.TCPConn) { answer <- rg.send(c, rg.request("once", 9*time.Second)) }
-	go ask(conns[0])
-	<-came
+	exchange := func(c *net.TCPConn) { answer <- rg.send(c, rg.request("once", 9*time.Second)) }
+	go exchange(conns[0])
+	<-arrived
 	rg.server.Drain()
 	rg.server.Drain()
-	if status, _ := rg.raw("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n"); status != http.StatusServiceUnavailable {
+	if status, _ := rg.sendRaw("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n"); status != http.StatusServiceUnavailable {
 		t.Errorf("/ready answers %d", status)
 	}
 	if !rg.server.CanServe() {
-		t.Error("a sidecar that drains serves what comes")
+		t.Error("CanServe is false during a drain")
 	}
 	go func() {
 		dialed, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
 		if err != nil {
 			t.Error(err)
 		}
-		ask(dialed.(*net.TCPConn))
+		exchange(dialed.(*net.TCPConn))
 	}()
-	<-came
-	close(serve)
+	<-arrived
+	close(respond)
 	for range 2 {
 		if res := <-answer; res == nil || res.StatusCode != http.StatusOK || !res.Close {
 			t.Errorf("answer %+v", res)
@@ -55,20 +55,21 @@
 			t.Errorf("idle connection %d: %d bytes, %v", i, n, err)
 		}
 	}
-	rg.until("nobody is asked to be here", func() bool {
-		_, away := rg.server.redirectAnswer()
-		return away
+	rg.until("the grace of the drain has passed", func() bool {
+		_, graceOver := rg.server.redirectAnswer()
+		return graceOver
 	})
-	if res := rg.once("once"); res.StatusCode != http.StatusServiceUnavailable || res.Header.Get("Retry-After") == "" || !res.Close {
-		t.Errorf("long after: %+v", res)
+	if res := rg.sendOnce("once"); res.StatusCode != http.StatusServiceUnavailable ||
+		res.Header.Get("Retry-After") == "" || !res.Close {
+		t.Errorf("after the grace: %+v", res)
 	}
 	rg.server.Resume()
 	rg.server.Resume()
-	if status, _ := rg.raw("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n"); status != http.StatusOK {
+	if status, _ := rg.sendRaw("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n"); status != http.StatusOK {
 		t.Errorf("/ready answers %d after the drain", status)
 	}
-	go func() { <-came }()
-	if res := rg.once("once"); res.StatusCode != http.StatusOK || res.Close {
+	go func() { <-arrived }()
+	if res := rg.sendOnce("once"); res.StatusCode != http.StatusOK || res.Close {
 		t.Errorf("after the drain: %+v", res)
 	}
 }
@@ -78,7 +79,7 @@
 func TestRequestReceivedAtIdleExpiryIsServed(t *testing.T) {
 	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") }))
 	for range 100 {
-		c := rg.connect(1)[0]
+		c := rg.openIdleConns(1)[0]
 		if err := rg.request("once", 9*time.Second).Write(c); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/http1/failure_phases_test.go
+++ b/internal/http1/failure_phases_test.go
@@ -17,11 +17,11 @@
 	"dykering/internal/core"
 )
 
-// late is how long a crowded machine may keep a goroutine of the test from writing down what has come.
-const late = 300 * time.Millisecond
+// recordingDelay is how late a goroutine of the test may record an event on a busy machine.
+const recordingDelay = 300 * time.Millisecond
 
-// sendRecorded sends a request on a connection of its own, and records all answers until that ends.
-func (rg *rig) sendRecorded(l *requestLedger, class string, left time.Duration, headers ...string) {
+// sendRecorded sends a request on a new connection, and records all answers until the connection ends.
+func (rg *rig) sendRecorded(l *requestLedger, class string, remaining time.Duration, headers ...string) {
 	id := fmt.Sprintf("q%d", rg.txn.Add(1))
 	c, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
 	if err != nil {
@@ -29,23 +29,23 @@
 		return
 	}
 	defer c.Close()
-	method, more := "POST", "Content-Length: 4\r\n"
+	method, extraHeaders := "POST", "Content-Length: 4\r\n"
 	switch class {
 	case "read":
-		method, more = "GET", ""
+		method, extraHeaders = "GET", ""
 	case "book":
-		more += "Idempotency-Key: " + id + "\r\n"
+		extraHeaders += "Idempotency-Key: " + id + "\r\n"
 	}
-	for _, m := range headers {
-		more += m + "\r\n"
+	for _, line := range headers {
+		extraHeaders += line + "\r\n"
 	}
-	l.ask(id, class, time.Now().Add(left))
+	l.expect(id, class, time.Now().Add(remaining))
 	fmt.Fprintf(c, "%s /api HTTP/1.1\r\nHost: h\r\nX-Txn: %s\r\nX-Lane: %s\r\nX-Remaining: %dm\r\nConnection: close\r\n%s\r\n",
-		method, id, class, left.Milliseconds(), more)
+		method, id, class, remaining.Milliseconds(), extraHeaders)
 	if method == "POST" {
 		io.WriteString(c, "trip")
 	}
-	c.SetDeadline(time.Now().Add(left + testTimeout))
+	c.SetDeadline(time.Now().Add(remaining + testTimeout))
 	r := bufio.NewReader(c)
 	for {
 		res, err := http.ReadResponse(r, nil)
@@ -59,109 +59,110 @@
 	}
 }
 
-// awaitEmpty waits until nothing stays allocated: no call, attempt, connection, byte of memory or
-// goroutine.
-func (rg *rig) awaitEmpty(memory int64, goroutines int, servers ...*fakeEndpoint) {
+// awaitEmpty reports the endpoints as gone and waits until nothing stays allocated: no call, attempt,
+// connection, byte of memory or goroutine.
+func (rg *rig) awaitEmpty(memory int64, goroutines int, endpoints ...*fakeEndpoint) {
 	rg.t.Helper()
-	l := endpointListOf(rg.stats().Revision+1, "Gone", servers...)
-	rg.lists <- l
+	gone := endpointListOf(rg.stats().Revision+1, "Gone", endpoints...)
+	rg.lists <- gone
 	http.DefaultClient.CloseIdleConnections()
 	var s core.Stats
-	rg.until("nothing is left", func() bool {
+	rg.until("nothing stays allocated", func() bool {
 		s = rg.stats()
-		cs := &rg.server.clients
-		cs.mu.Lock()
-		defer cs.mu.Unlock()
-		return s.Calls+s.Attempts+s.Conns+s.IdleConns+cs.open == 0 && rg.server.memory.Bodies.Available() == memory &&
+		clients := &rg.server.clients
+		clients.mu.Lock()
+		defer clients.mu.Unlock()
+		return s.Calls+s.Attempts+s.Conns+s.IdleConns+clients.open == 0 && rg.server.memory.Bodies.Available() == memory &&
 			runtime.NumGoroutine() <= goroutines
 	})
 }
 
-// With all endpoints failing in the same way, each request gets its one answer in time, nothing is
-// retried that must not be, the load on endpoints stays within the bounds of
-// docs/review-of-parts.md, and nothing stays allocated.
+// All endpoints fail in the same way. Each request must get exactly one answer in time, no request is
+// retried that may have been executed, the number of attempts and connections stays bounded, and
+// nothing stays allocated.
 func TestEachRequestIsAnsweredOnceWhenAllEndpointsFail(t *testing.T) {
 	const (
-		requests = 36
-		abreast  = 12
-		sendCap  = 5  // of settingsText
-		reserve  = 10 // repeats that may be saved up, of what may have run
-		dials    = 4  // for an attempt: two, and two more to see what broke
+		requests        = 36
+		concurrency     = 12
+		sendCap         = 5  // the largest number of attempts for a request, as in settingsText
+		retryReserve    = 10 // retries of possibly executed requests that the retry budget may hold
+		dialsPerAttempt = 4  // two to connect, and two to classify a reset
 	)
-	for name, f := range map[string]struct {
-		play  behavior
-		never bool // what comes has not run
-		deaf  bool // connections are broken off before they bring anything
+	for name, tc := range map[string]struct {
+		behave         behavior
+		notExecuted    bool // the endpoints execute no request
+		resetsOnAccept bool // endpoints reset each connection before they read a request
 	}{
-		"serving":       {respondWith(goodAnswer, true), false, false},
-		"failing":       {respondWith("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", true), false, false},
-		"full":          {respondWith(rejectedAnswer, true), true, false},
-		"full, closing": {respondWith(strings.Replace(rejectedAnswer, "X-", "Connection: close\r\nX-", 1), false), true, false},
-		"resetting":     {resetConnection, false, false},
-		"ending":        {respondWith("", false), false, false},
-		"spoilt":        {respondWith("who is there\r\n\r\n", false), false, false},
-		"cut":           {respondWith("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", false), false, false},
-		"silent":        {awaitHangup, false, false},
-		"deaf":          {nil, true, true},
-		"refusing":      {nil, true, false},
+		"serving":               {respondWith(goodAnswer, true), false, false},
+		"error":                 {respondWith("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", true), false, false},
+		"rejecting":             {respondWith(rejectedAnswer, true), true, false},
+		"rejecting and closing": {respondWith(strings.Replace(rejectedAnswer, "X-", "Connection: close\r\nX-", 1), false), true, false},
+		"reset":                 {resetConnection, false, false},
+		"closing":               {respondWith("", false), false, false},
+		"malformed":             {respondWith("who is there\r\n\r\n", false), false, false},
+		"truncated":             {respondWith("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", false), false, false},
+		"silent":                {awaitHangup, false, false},
+		"reset on accept":       {nil, true, true},
+		"connection refused":    {nil, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := newRequestLedger()
-			var servers []*fakeEndpoint
+			var endpoints []*fakeEndpoint
 			var targets []target
 			for i := range 3 {
-				s := newFakeEndpoint(t, l, fmt.Sprint("s-", 1+i), f.play)
-				servers, targets = append(servers, s), append(targets, s.target)
-				if f.play == nil && !f.deaf {
+				s := newFakeEndpoint(t, l, fmt.Sprint("s-", 1+i), tc.behave)
+				endpoints, targets = append(endpoints, s), append(targets, s.target)
+				if tc.behave == nil && !tc.resetsOnAccept {
 					s.listen.Close()
 				}
 			}
 			rg := start(t, 1024, targets...)
 			http.DefaultClient.CloseIdleConnections()
-			rg.until("it is quiet", func() bool { return rg.server.clients.emptyFor(0) })
+			rg.until("no client is connected", func() bool { return rg.server.clients.emptyFor(0) })
 			memory, goroutines := rg.server.memory.Bodies.Available(), runtime.NumGoroutine()
-			var marks []string
-			if f.never {
-				marks = append(marks, "X-Test: never")
+			var headers []string
+			if tc.notExecuted {
+				headers = append(headers, "X-Test: never")
 			}
 			var all sync.WaitGroup
-			for i := range abreast {
+			for i := range concurrency {
 				all.Go(func() {
-					for range requests / abreast {
-						rg.sendRecorded(l, []string{"read", "book", "once"}[i%3], 700*time.Millisecond, marks...)
+					for range requests / concurrency {
+						rg.sendRecorded(l, []string{"read", "book", "once"}[i%3], 700*time.Millisecond, headers...)
 					}
 				})
 			}
 			all.Wait()
-			rg.awaitEmpty(memory, goroutines, servers...)
-			for _, fault := range l.broken(250*time.Millisecond, sendCap) {
+			rg.awaitEmpty(memory, goroutines, endpoints...)
+			for _, fault := range l.violations(250*time.Millisecond, sendCap) {
 				t.Error(fault)
 			}
-			most := requests + reserve
-			if f.never {
-				most = requests * sendCap
+			maxCompleted := requests + retryReserve
+			if tc.notExecuted {
+				maxCompleted = requests * sendCap
 			} else if name == "serving" {
-				most = requests
+				maxCompleted = requests
 			}
-			if l.completed > most || l.conns > dials*sendCap*requests || f.deaf && l.conns == 0 {
-				t.Errorf("%d whole requests, %d connections, want at most %d and %d", l.completed, l.conns, most, dials*sendCap*requests)
+			if l.completed > maxCompleted || l.conns > dialsPerAttempt*sendCap*requests || tc.resetsOnAccept && l.conns == 0 {
+				t.Errorf("%d complete requests and %d connections at endpoints, want at most %d and %d",
+					l.completed, l.conns, maxCompleted, dialsPerAttempt*sendCap*requests)
 			}
 			for id, all := range l.answers {
 				if served := all[0].status == 200; served != (name == "serving") {
 					t.Errorf("%s: status %d", id, all[0].status)
 				}
 			}
-			t.Logf("%d requests: %d whole at servers, %d connections, %d refused", requests, l.completed, l.conns, l.rejections)
+			t.Logf("%d requests: %d complete at endpoints, %d connections, %d rejected", requests, l.completed, l.conns, l.rejections)
 		})
 	}
 }
 
-// Whatever discovery reports of an endpoint in each phase of a request: requests in flight end
-// well, new ones go only where they may, and nothing stays allocated.
+// Discovery reports changes of an endpoint while a request is in a certain phase there. The request
+// in flight must succeed, new requests must go only to open endpoints, and nothing stays allocated.
 func TestListChangeInEachPhaseOfARequest(t *testing.T) {
 	long := strings.Repeat("x", 2*maxBufferedBody)
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(long))
-	for stage, body := range map[string]int{"awaited": 4, "coming": 4, "written": len(long)} {
+	for phase, body := range map[string]int{"awaiting": 4, "receiving": 4, "sending": len(long)} {
 		for name, steps := range map[string][]string{
 			"drains":             {"Terminating"},
 			"drains twice":       {"Terminating", "Terminating"},
@@ -174,99 +175,99 @@
 			"drains, late ready": {"Terminating", "late Ready"},
 			"restarts":           {"restarted"},
 			"drains, restarts":   {"Terminating", "restarted"},
-			"a line of no use":   {"Sleeping"},
+			"unknown state":      {"Sleeping"},
 		} {
-			t.Run(stage+", "+name, func(t *testing.T) {
+			t.Run(phase+", "+name, func(t *testing.T) {
 				l := newRequestLedger()
-				came, goOn := make(chan bool, 1), make(chan bool)
-				var later atomic.Bool
-				first := newFakeEndpoint(t, l, "s-1", func(c *net.TCPConn, over func()) bool {
-					if later.Swap(true) {
-						return respondWith(goodAnswer, true)(c, over)
+				arrived, proceed := make(chan bool, 1), make(chan bool)
+				var firstServed atomic.Bool
+				first := newFakeEndpoint(t, l, "s-1", func(c *net.TCPConn, markEnded func()) bool {
+					if firstServed.Swap(true) {
+						return respondWith(goodAnswer, true)(c, markEnded)
 					}
-					came <- true
-					switch stage {
-					case "coming":
+					arrived <- true
+					switch phase {
+					case "receiving":
 						io.WriteString(c, head+long[:maxBufferedBody+maxBufferedBody/2])
-						<-goOn
-						over()
+						<-proceed
+						markEnded()
 						io.WriteString(c, long[maxBufferedBody+maxBufferedBody/2:])
-					case "awaited":
-						<-goOn
-						return respondWith(goodAnswer, true)(c, over)
+					case "awaiting":
+						<-proceed
+						return respondWith(goodAnswer, true)(c, markEnded)
 					default:
-						return respondWith(goodAnswer, true)(c, over)
+						return respondWith(goodAnswer, true)(c, markEnded)
 					}
 					return true
 				})
 				second := newFakeEndpoint(t, l, "s-2", respondWith(goodAnswer, true))
 				rg := start(t, 1024, first.target)
 				http.DefaultClient.CloseIdleConnections()
-				rg.until("it is quiet", func() bool { return rg.server.clients.emptyFor(0) })
+				rg.until("no client is connected", func() bool { return rg.server.clients.emptyFor(0) })
 				memory, goroutines := rg.server.memory.Bodies.Available(), runtime.NumGoroutine()
-				ended := make(chan error, 1)
-				go func() { ended <- rg.sendInPhase(l, stage == "written", long[:body], goOn) }()
-				if stage == "written" {
-					// The endpoint accepts the connection before the attempt writes to it: an attempt that has
-					// not written yet is not sent to an endpoint that drains.
-					rg.until("it goes out", func() bool {
+				result := make(chan error, 1)
+				go func() { result <- rg.sendInPhase(l, phase == "sending", long[:body], proceed) }()
+				if phase == "sending" {
+					// An accepted connection is not enough: an attempt that has not written to it yet is not sent
+					// once the endpoint drains.
+					rg.until("the upload is being sent", func() bool {
 						return rg.stats().Attempts == 1 && l.accepted() == 1 && rg.uploading()
 					})
 				} else {
-					<-came
+					<-arrived
 				}
-				if stage == "coming" {
-					rg.until("it comes", func() bool {
+				if phase == "receiving" {
+					rg.until("the response is being relayed", func() bool {
 						cs := &rg.server.clients
 						cs.mu.Lock()
 						defer cs.mu.Unlock()
 						return cs.byState[stateStreaming].Len() == 1
 					})
 				}
-				rev, closed := uint64(2), false
+				rev, excluded := uint64(2), false
 				rg.lists <- endpointListOf(rev, "Ready", second)
 				for _, step := range steps {
-					x, how := *first, step
+					changed, state := *first, step
 					rev++
 					switch step {
 					case "late Ready":
 						rev--
-						rg.lists <- endpointListOf(2, "Ready", &x)
+						rg.lists <- endpointListOf(2, "Ready", &changed)
 						continue
 					case "restarted":
-						x.BootMS, how = time.Now().UnixMilli(), "Ready"
+						changed.BootMS, state = time.Now().UnixMilli(), "Ready"
 					}
-					rg.lists <- endpointListOf(rev, how, &x)
-					if closed = how == "Terminating" || how == "Gone"; closed {
+					rg.lists <- endpointListOf(rev, state, &changed)
+					if excluded = state == "Terminating" || state == "Gone"; excluded {
 						l.mu.Lock()
 						if _, ok := l.drained[first.UID]; !ok {
 							l.drained[first.UID] = time.Now()
 						}
 						l.mu.Unlock()
-					} else if how == "Ready" {
+					} else if state == "Ready" {
 						l.mu.Lock()
 						delete(l.drained, first.UID)
 						l.mu.Unlock()
 					}
 				}
 				rev++
-				rg.lists <- endpointListOf(rev, "Ready") // what is behind it has been heard, whatever came of it
-				rg.until("it is taken in", func() bool { return rg.stats().Revision == rev })
+				rg.lists <- endpointListOf(rev, "Ready") // once this list is applied, the earlier ones are processed
+				rg.until("the list is applied", func() bool { return rg.stats().Revision == rev })
 				before := l.requestsAt(first.UID)
 				var all sync.WaitGroup
 				for range 8 {
 					all.Go(func() { rg.sendRecorded(l, "once", 5*time.Second) })
 				}
 				all.Wait()
-				if n := l.requestsAt(first.UID) - before; closed && n > 0 {
-					t.Errorf("%d new requests went to it", n)
+				if n := l.requestsAt(first.UID) - before; excluded && n > 0 {
+					t.Errorf("%d new requests were sent to a draining or departed endpoint", n)
 				}
-				close(goOn)
-				if err := <-ended; err != nil {
-					t.Errorf("what ran: %v", err)
+				close(proceed)
+				if err := <-result; err != nil {
+					t.Errorf("request in flight: %v", err)
 				}
 				rg.awaitEmpty(memory, goroutines, first, second)
-				for _, fault := range l.broken(250*time.Millisecond, 5) {
+				for _, fault := range l.violations(250*time.Millisecond, 5) {
 					t.Error(fault)
 				}
 			})
@@ -274,21 +275,21 @@
 	}
 }
 
-// sendInPhase sends a request whose body waits in the middle if paused is set, and reads its
-// answer.
-func (rg *rig) sendInPhase(l *requestLedger, paused bool, body string, goOn <-chan bool) error {
+// sendInPhase sends a request and reads its answer. If paused is set, it stops in the middle of the
+// body until it receives from proceed.
+func (rg *rig) sendInPhase(l *requestLedger, paused bool, body string, proceed <-chan bool) error {
 	c, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
 	if err != nil {
 		return err
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(testTimeout))
-	l.ask("running", "once", time.Now().Add(testTimeout))
+	l.expect("running", "once", time.Now().Add(testTimeout))
 	fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: running\r\nX-Lane: once\r\nX-Remaining: 9000m\r\n"+
 		"Connection: close\r\nContent-Length: %d\r\n\r\n", len(body))
 	if paused {
 		io.WriteString(c, body[:len(body)*3/4])
-		<-goOn
+		<-proceed
 		body = body[len(body)*3/4:]
 	}
 	io.WriteString(c, body)
@@ -307,80 +308,81 @@
 	return nil
 }
 
-// The process drains, stops or reloads while requests are in flight at endpoints that then all fail
-// in one way: each accepted request gets its one answer in time, and nothing stays allocated.
+// The process drains, stops or reloads while requests are in flight, and then all endpoints fail in
+// the same way. Each accepted request must get exactly one answer in time, and nothing stays
+// allocated.
 func TestEndpointFaultsDuringDrainShutdownAndReload(t *testing.T) {
-	for fault, play := range map[string]behavior{
+	for fault, behave := range map[string]behavior{
 		"serving":   respondWith(goodAnswer, true),
-		"failing":   respondWith("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", true),
-		"full":      respondWith(rejectedAnswer, true),
-		"resetting": resetConnection,
-		"spoilt":    respondWith("who is there\r\n\r\n", false),
-		"cut":       respondWith("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", false),
+		"error":     respondWith("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", true),
+		"rejecting": respondWith(rejectedAnswer, true),
+		"reset":     resetConnection,
+		"malformed": respondWith("who is there\r\n\r\n", false),
+		"truncated": respondWith("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", false),
 		"silent":    awaitHangup,
 	} {
 		for phase, begin := range map[string]func(rg *rig){
 			"drain": func(rg *rig) {
 				rg.server.Drain()
-				rg.until("it drains", func() bool { return !rg.server.lifecycle.IsReady() })
+				rg.until("the server drains", func() bool { return !rg.server.lifecycle.IsReady() })
 			},
 			"stop": func(rg *rig) {
 				rg.signals <- syscall.SIGTERM
-				rg.until("it stops", func() bool { return !rg.server.CanServe() })
+				rg.until("the server is stopping", func() bool { return !rg.server.CanServe() })
 			},
 			"reload": func(rg *rig) {
 				rg.reloads <- syscall.SIGHUP
-				rg.until("it follows", func() bool { return rg.stats().AwaitingFullList })
+				rg.until("the new discovery is followed", func() bool { return rg.stats().AwaitingFullList })
 			},
-			"servers drain": func(rg *rig) {
+			"endpoints drain": func(rg *rig) {
 				rg.lists <- `{"rev":9,"all":true,"targets":[]}`
-				rg.until("they drain", func() bool { return rg.stats().Revision == 9 })
+				rg.until("the endpoints drain", func() bool { return rg.stats().Revision == 9 })
 			},
 		} {
 			t.Run(fault+", "+phase, func(t *testing.T) {
 				t.Parallel()
 				const (
 					requests = 6
-					wait     = 2 * time.Second
+					timeout  = 2 * time.Second
 				)
 				l, gate := newRequestLedger(), make(chan bool)
 				var targets []target
 				for i := range 2 {
-					s := newFakeEndpoint(t, l, fmt.Sprint("s-", 1+i), func(c *net.TCPConn, over func()) bool {
+					s := newFakeEndpoint(t, l, fmt.Sprint("s-", 1+i), func(c *net.TCPConn, markEnded func()) bool {
 						<-gate
-						return play(c, over)
+						return behave(c, markEnded)
 					})
 					targets = append(targets, s.target)
 				}
 				rg := start(t, 1024, targets...)
 				memory := rg.server.memory.Bodies.Available()
-				var marks []string
-				if fault == "full" {
-					marks = append(marks, "X-Test: never")
+				var headers []string
+				if fault == "rejecting" {
+					headers = append(headers, "X-Test: never")
 				}
 				var all sync.WaitGroup
 				for i := range requests {
-					all.Go(func() { rg.sendRecorded(l, []string{"read", "book", "once"}[i%3], wait, marks...) })
+					all.Go(func() { rg.sendRecorded(l, []string{"read", "book", "once"}[i%3], timeout, headers...) })
 				}
-				rg.until("they are out", func() bool { return l.requests() == requests })
+				rg.until("all requests are in flight", func() bool { return l.requests() == requests })
 				begin(rg)
 				close(gate)
 				all.Wait()
-				rg.until("nothing is left", func() bool {
-					http.DefaultClient.CloseIdleConnections() // of start, which asks whether it is ready
+				rg.until("nothing stays allocated", func() bool {
+					http.DefaultClient.CloseIdleConnections() // start has used them for /ready
 					s := rg.stats()
 					return s.Calls+s.Attempts == 0 && s.Conns == s.IdleConns && rg.server.clients.emptyFor(0) &&
 						rg.server.memory.Bodies.Available() == memory
 				})
-				for _, fault := range l.broken(250*time.Millisecond, 5) {
+				for _, fault := range l.violations(250*time.Millisecond, 5) {
 					t.Error(fault)
 				}
 				for id, all := range l.answers {
 					if served := all[0].status == http.StatusOK; served != (fault == "serving") {
 						t.Errorf("%s: status %d", id, all[0].status)
 					}
-					if left := l.asked[id].until.Sub(all[0].at); fault != "silent" && left < wait/4 {
-						t.Errorf("%s: kept until %v before its time was up", id, left)
+					if remaining := l.asked[id].until.Sub(all[0].at); fault != "silent" && remaining < timeout/4 {
+						t.Errorf("%s: answered only %v before its deadline", id, remaining)
 					}
 				}
 			})
--- a/internal/http1/fake_endpoint_test.go
+++ b/internal/http1/fake_endpoint_test.go
@@ -12,43 +12,43 @@
 	"time"
 )
 
-// fakeEndpoint is an endpoint on raw sockets, which records each complete request and then behaves
-// as the test wants.
+// fakeEndpoint is an endpoint on raw sockets. It records each complete request and then does what the
+// test's behavior defines.
 type fakeEndpoint struct {
 	target
 	t      *testing.T
 	ledger *requestLedger
 	listen net.Listener
+	// Nil for an endpoint that resets each connection.
 	behave behavior
 }
 
-// behavior is what an endpoint does with a complete request. It calls over before the last byte
-// that it sends or the close that ends the attempt, and reports whether the connection stays open
-// for another one.
-type behavior func(c *net.TCPConn, over func()) (keep bool)
+// behavior answers a complete request. It calls markEnded before it sends the last byte or closes the
+// connection, and reports whether the connection stays open for another request.
+type behavior func(c *net.TCPConn, markEnded func()) (keep bool)
 
-func newFakeEndpoint(t *testing.T, l *requestLedger, uid string, play behavior) *fakeEndpoint {
+func newFakeEndpoint(t *testing.T, l *requestLedger, uid string, behave behavior) *fakeEndpoint {
 	t.Helper()
 	listen, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &fakeEndpoint{t: t, ledger: l, listen: listen, behave: play, target: target{
+	e := &fakeEndpoint{t: t, ledger: l, listen: listen, behave: behave, target: target{
 		UID: uid, Address: listen.Addr().String(),
 		Zone: "z", Model: "m", Cell: 1, State: "Ready", Weight: 1,
 	}}
-	var all sync.WaitGroup
-	var conns []net.Conn // all of them, under the ledger's mutex
+	var goroutines sync.WaitGroup
+	var conns []net.Conn // all accepted connections; guarded by the ledger's mutex
 	t.Cleanup(func() {
 		listen.Close()
 		l.mu.Lock()
 		for _, c := range conns {
-			c.Close() // what the sidecar's pool still keeps
+			c.Close() // the server's pool may still hold the other end
 		}
 		l.mu.Unlock()
-		all.Wait()
+		goroutines.Wait()
 	})
-	all.Go(func() {
+	goroutines.Go(func() {
 		for {
 			c, err := listen.Accept()
 			if err != nil {
@@ -58,15 +58,15 @@
 			l.conns++
 			conns = append(conns, c)
 			l.mu.Unlock()
-			all.Go(func() { s.serve(c.(*net.TCPConn)) })
+			goroutines.Go(func() { e.serve(c.(*net.TCPConn)) })
 		}
 	})
-	return s
+	return e
 }
 
-func (s *fakeEndpoint) serve(c *net.TCPConn) {
+func (e *fakeEndpoint) serve(c *net.TCPConn) {
 	defer c.Close()
-	if s.behave == nil { // it breaks each connection off before it reads anything
+	if e.behave == nil { // reset the connection before reading from it
 		c.SetLinger(0)
 		return
 	}
@@ -85,49 +85,49 @@
 			return
 		}
 		var mu sync.Mutex
-		over := false
-		a := &attempted{server: s.UID, at: time.Now(), over: func() bool {
+		ended := false
+		a := &attempted{server: e.UID, at: time.Now(), ended: func() bool {
 			mu.Lock()
 			defer mu.Unlock()
-			if over {
+			if ended {
 				return true
 			}
-			n, fault := peekByte(raw) // who gives an attempt up closes its connection first
-			return n == 0 || fault != nil && !wouldBlock(fault)
+			n, err := peekByte(raw) // a cancelled attempt has closed its connection
+			return n == 0 || err != nil && !wouldBlock(err)
 		}}
-		a.ran = !strings.HasPrefix(in.Header.Get("X-Test"), "never")
-		for _, fault := range s.ledger.attempt(in.Header.Get("X-Txn"), a) {
-			s.t.Error(fault)
+		a.executed = !strings.HasPrefix(in.Header.Get("X-Test"), "never")
+		for _, violation := range e.ledger.attempt(in.Header.Get("X-Txn"), a) {
+			e.t.Error(violation)
 		}
-		if !s.behave(c, func() {
+		if !e.behave(c, func() {
 			mu.Lock()
 			defer mu.Unlock()
-			over = true
+			ended = true
 		}) {
 			return
 		}
 	}
 }
 
-// respondWith ends an attempt with a text, and the connection with it unless keep is set.
+// respondWith returns the behavior that sends a text, and closes the connection unless keep is set.
 func respondWith(text string, keep bool) behavior {
-	return func(c *net.TCPConn, over func()) bool {
-		over()
+	return func(c *net.TCPConn, markEnded func()) bool {
+		markEnded()
 		io.WriteString(c, text)
 		return keep
 	}
 }
 
-// awaitHangup sends nothing until the server gives up.
-func awaitHangup(c *net.TCPConn, over func()) bool {
+// awaitHangup sends nothing and waits until the server closes the connection.
+func awaitHangup(c *net.TCPConn, markEnded func()) bool {
 	c.Read(make([]byte, 1))
-	over()
+	markEnded()
 	return false
 }
 
-// resetConnection ends an attempt with a reset.
-func resetConnection(c *net.TCPConn, over func()) bool {
-	over()
+// resetConnection resets the connection without an answer.
+func resetConnection(c *net.TCPConn, markEnded func()) bool {
+	markEnded()
 	c.SetLinger(0)
 	return false
 }
@@ -137,10 +137,10 @@
 	rejectedAnswer = "HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
-// endpointListOf is a line of a watch that reports endpoints in a state.
-func endpointListOf(rev uint64, state string, servers ...*fakeEndpoint) string {
+// endpointListOf returns a line of the discovery's watch that reports endpoints in a state.
+func endpointListOf(rev uint64, state string, endpoints ...*fakeEndpoint) string {
 	l := endpointList{Rev: rev}
-	for _, s := range servers {
+	for _, s := range endpoints {
 		x := s.target
 		x.State = state
 		l.Targets = append(l.Targets, x)
--- a/internal/http1/forwarding_test.go
+++ b/internal/http1/forwarding_test.go
@@ -16,26 +16,26 @@
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		left, ok := parseRemaining(r.Header.Get("X-Remaining"))
-		if !ok || left <= 0 || left >= 5*time.Second {
+		remaining, ok := parseRemaining(r.Header.Get("X-Remaining"))
+		if !ok || remaining <= 0 || remaining >= 5*time.Second {
 			t.Errorf("X-Remaining %q", r.Header.Get("X-Remaining"))
 		}
 		fmt.Fprint(w, r.Method, " ", r.RequestURI, " ", r.Header.Get("X-Txn"), " ", r.Header.Get("Idempotency-Key"), " ", string(body))
 	}))
-	status, body := rg.ask(rg.request("book", 5*time.Second))
+	status, body := rg.roundTrip(rg.request("book", 5*time.Second))
 	if want := "POST /api?x=1&y=%2F txn1 k1 trip"; status != 200 || body != want {
 		t.Errorf("got %d %q, want %q", status, body, want)
 	}
-	if status, body = rg.ask(rg.request("read", 5*time.Second)); status != 200 || body != "GET /api?x=1&y=%2F txn2  " {
+	if status, body = rg.roundTrip(rg.request("read", 5*time.Second)); status != 200 || body != "GET /api?x=1&y=%2F txn2  " {
 		t.Errorf("got %d %q", status, body)
 	}
 }
 
-// A request inside the body of one with both lengths is not taken for a request by anybody: nothing
-// is forwarded, and the connection ends.
+// A request whose length two parsers may read differently could smuggle another request in its body.
+// Neither is forwarded, and the connection ends.
 func TestRequestSmuggledInBodyIsNotForwarded(t *testing.T) {
-	var came atomic.Int64
-	rg := start(t, 1024, endpointServing(t, "s-1", func(http.ResponseWriter, *http.Request) { came.Add(1) }))
+	var forwarded atomic.Int64
+	rg := start(t, 1024, endpointServing(t, "s-1", func(http.ResponseWriter, *http.Request) { forwarded.Add(1) }))
 	head := "POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: %s\r\nX-Lane: book\r\nX-Remaining: 900m\r\nIdempotency-Key: k\r\n"
 	inner := fmt.Sprintf(head, "inner") + "Content-Length: 0\r\n\r\n"
 	for _, framing := range []string{
@@ -46,7 +46,7 @@
 		"Content-Length: 0\r\nContent-Length: 9\r\n\r\n" + inner,
 		"Content-Length: -1\r\n\r\n" + inner,
 	} {
-		status, c := rg.raw(fmt.Sprintf(head, "outer") + framing)
+		status, c := rg.sendRaw(fmt.Sprintf(head, "outer") + framing)
 		if status < 400 {
 			t.Errorf("%.60q: answered %d", framing, status)
 		}
@@ -54,14 +54,14 @@
 			t.Errorf("%.60q: a second answer %q", framing, rest)
 		}
 	}
-	if came.Load() != 0 {
-		t.Errorf("%d requests reached the endpoint", came.Load())
+	if forwarded.Load() != 0 {
+		t.Errorf("%d requests reached the endpoint", forwarded.Load())
 	}
 }
 
 func TestInvalidRequestsAreNotForwarded(t *testing.T) {
-	var came atomic.Int64
-	rg := start(t, 1024, endpointServing(t, "s-1", func(http.ResponseWriter, *http.Request) { came.Add(1) }))
+	var forwarded atomic.Int64
+	rg := start(t, 1024, endpointServing(t, "s-1", func(http.ResponseWriter, *http.Request) { forwarded.Add(1) }))
 	for name, c := range map[string]struct {
 		spoil func(r *http.Request)
 		want  int
@@ -86,7 +86,7 @@
 	} {
 		r := rg.request("book", 5*time.Second)
 		c.spoil(r)
-		if status, body := rg.ask(r); status != c.want {
+		if status, body := rg.roundTrip(r); status != c.want {
 			t.Errorf("%s: got %d %q, want %d", name, status, body, c.want)
 		}
 	}
@@ -100,35 +100,35 @@
 		"POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: a\x00\r\n\r\n":             400,
 		"nonsense\r\n\r\n": 400,
 	} {
-		if status, _ := rg.raw(text); status != want {
+		if status, _ := rg.sendRaw(text); status != want {
 			t.Errorf("%.80q: got %d, want %d", text, status, want)
 		}
 	}
-	if came.Load() != 0 {
-		t.Errorf("%d requests reached the endpoint", came.Load())
+	if forwarded.Load() != 0 {
+		t.Errorf("%d requests reached the endpoint", forwarded.Load())
 	}
 }
 
-// What a silent endpoint leaves unanswered fails, and what was never sent is rejected, before the
-// deadline.
+// Before the deadline, a request that a silent endpoint does not answer fails with 502, and one that
+// was not sent to any endpoint is rejected with 503.
 func TestAnswerIsWrittenBeforeTheDeadline(t *testing.T) {
-	const left = 1500 * time.Millisecond
-	mute := endpointServing(t, "s-1", func(_ http.ResponseWriter, r *http.Request) { awaitCancel(r) })
-	draining := mute
+	const timeout = 1500 * time.Millisecond
+	silent := endpointServing(t, "s-1", func(_ http.ResponseWriter, r *http.Request) { awaitCancel(r) })
+	draining := silent
 	draining.State = "Terminating"
-	for want, targets := range map[int][]target{502: {mute}, 503: {draining}} {
+	for want, targets := range map[int][]target{502: {silent}, 503: {draining}} {
 		rg := start(t, 1024, targets...)
 		sent := time.Now()
-		if status, body := rg.ask(rg.request("once", left)); status != want {
+		if status, body := rg.roundTrip(rg.request("once", timeout)); status != want {
 			t.Errorf("got %d %q, want %d", status, body, want)
 		}
-		if took := time.Since(sent); took >= left {
-			t.Errorf("answered %d after %v of %v", want, took, left)
+		if took := time.Since(sent); took >= timeout {
+			t.Errorf("answered %d after %v of %v", want, took, timeout)
 		}
 	}
 }
 
-// A connection that its endpoint has closed while it was idle carries no request.
+// A connection that the endpoint has closed while it was idle is not used for another request.
 func TestConnectionClosedWhileIdleIsNotReused(t *testing.T) {
 	var conns atomic.Int64
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") }))
@@ -145,17 +145,17 @@
 	defer s.Close()
 	rg := start(t, 1024, target{UID: "s-1", Address: s.Listener.Addr().String(), State: "Ready", Weight: 1})
 	for range 3 {
-		if status, _ := rg.ask(rg.request("once", 5*time.Second)); status != 200 {
+		if status, _ := rg.roundTrip(rg.request("once", 5*time.Second)); status != 200 {
 			t.Fatal(status)
 		}
 		rg.until("the connection is idle", func() bool { return rg.stats().IdleConns == 1 })
 	}
 	if conns.Load() != 1 {
-		t.Errorf("%d connections for three requests in turn", conns.Load())
+		t.Errorf("%d connections for three consecutive requests, want 1", conns.Load())
 	}
 	s.CloseClientConnections()
 	<-closed
-	if status, body := rg.ask(rg.request("once", 5*time.Second)); status != 200 || conns.Load() != 2 {
+	if status, body := rg.roundTrip(rg.request("once", 5*time.Second)); status != 200 || conns.Load() != 2 {
 		t.Errorf("got %d %q on %d connections", status, body, conns.Load())
 	}
 }
@@ -168,100 +168,100 @@
 			fmt.Fprint(w, "ok")
 		}
 	}
-	var old, other atomic.Int64
-	a, b := endpointServing(t, "s-1", count(&old)), endpointServing(t, "s-2", count(&other))
-	rg := start(t, 1024, a, b)
-	for old.Load() == 0 {
-		rg.ask(rg.request("once", 5*time.Second))
+	var drainingCount, otherCount atomic.Int64
+	draining, otherEndpoint := endpointServing(t, "s-1", count(&drainingCount)), endpointServing(t, "s-2", count(&otherCount))
+	rg := start(t, 1024, draining, otherEndpoint)
+	for drainingCount.Load() == 0 {
+		rg.roundTrip(rg.request("once", 5*time.Second))
 	}
-	a.State = "Terminating"
-	line, _ := json.Marshal(endpointList{Rev: 2, Targets: []target{a}})
+	draining.State = "Terminating"
+	line, _ := json.Marshal(endpointList{Rev: 2, Targets: []target{draining}})
 	rg.lists <- string(line)
-	rg.until("the change is taken in", func() bool { return rg.stats().Revision == 2 })
-	before := old.Load()
+	rg.until("the list is applied", func() bool { return rg.stats().Revision == 2 })
+	before := drainingCount.Load()
 	for range 10 {
-		rg.ask(rg.request("once", 5*time.Second))
+		rg.roundTrip(rg.request("once", 5*time.Second))
 	}
-	if old.Load() != before || other.Load() == 0 {
-		t.Errorf("%d requests went to the draining endpoint", old.Load()-before)
+	if drainingCount.Load() != before || otherCount.Load() == 0 {
+		t.Errorf("%d requests went to the draining endpoint", drainingCount.Load()-before)
 	}
 	for _, e := range rg.stats().Endpoints {
-		if e.Address == a.Address && e.IdleConns > 0 {
-			t.Error("connections to it are kept")
+		if e.Address == draining.Address && e.IdleConns > 0 {
+			t.Error("idle connections to the draining endpoint are kept")
 		}
 	}
 }
 
-// An id belongs to one request. Another request with it, while the first is in flight or shortly
-// after, is rejected and not forwarded: endpoints would execute it twice, or count it as their own
-// fault.
+// A request with the id of another request that is in flight or has just ended fails and is not
+// forwarded. An endpoint could execute it twice, or its error for the repeated id would count as a
+// fault of the endpoint.
 func TestRequestIDInUseIsRejected(t *testing.T) {
-	came, serve := make(chan bool, 8), make(chan bool)
+	arrived, respond := make(chan bool, 8), make(chan bool)
 	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
-		came <- true
-		<-serve
+		arrived <- true
+		<-respond
 		fmt.Fprint(w, "ok")
 	}))
 	first := rg.request("once", 9*time.Second)
 	id := first.Header.Get("X-Txn")
 	done := make(chan int)
 	go func() {
-		status, _ := rg.ask(first)
+		status, _ := rg.roundTrip(first)
 		done <- status
 	}()
-	<-came
-	again := func() int {
+	<-arrived
+	sendSameID := func() int {
 		r := rg.request("once", 9*time.Second)
 		r.Header.Set("X-Txn", id)
-		status, _ := rg.ask(r)
+		status, _ := rg.roundTrip(r)
 		return status
 	}
-	if status := again(); status != http.StatusBadGateway {
-		t.Errorf("got %d while the first is open", status)
+	if status := sendSameID(); status != http.StatusBadGateway {
+		t.Errorf("got %d while the first request is in flight", status)
 	}
-	close(serve)
+	close(respond)
 	if status := <-done; status != http.StatusOK {
-		t.Errorf("the first one got %d", status)
+		t.Errorf("the first request got %d", status)
 	}
-	if status := again(); status != http.StatusBadGateway || len(came) > 0 {
-		t.Errorf("got %d after the first, with %d requests more at the endpoint", status, len(came))
+	if status := sendSameID(); status != http.StatusBadGateway || len(arrived) > 0 {
+		t.Errorf("got %d after the first request, with %d more requests at the endpoint", status, len(arrived))
 	}
 }
 
-// Endpoints, connections and requests come and go; nothing is kept of departed ones.
+// Nothing stays allocated for endpoints, connections and requests that have ended.
 func TestTablesAreEmptyAfterUse(t *testing.T) {
-	rg := start(t, 1024, ready("s-ffffffff", 0))
-	tell := func(rev uint64, all bool, targets ...target) {
+	rg := start(t, 1024, readyTarget("s-ffffffff", 0))
+	sendList := func(rev uint64, all bool, targets ...target) {
 		line, _ := json.Marshal(endpointList{Rev: rev, Full: all, Targets: targets})
 		rg.lists <- string(line)
-		rg.until("the list is taken in", func() bool { return rg.stats().Revision == rev })
+		rg.until("the list is applied", func() bool { return rg.stats().Revision == rev })
 	}
-	full := rg.server.memory.Bodies.Available()
+	available := rg.server.memory.Bodies.Available()
 	rev := uint64(1)
 	for i := range 20 {
-		x := endpointServing(t, fmt.Sprintf("s-%08x", i), func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") })
+		endpoint := endpointServing(t, fmt.Sprintf("s-%08x", i), func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") })
 		rev++
-		tell(rev, i%2 == 0, x)
-		if status, body := rg.ask(rg.request("once", 9*time.Second)); status != 200 {
+		sendList(rev, i%2 == 0, endpoint)
+		if status, body := rg.roundTrip(rg.request("once", 9*time.Second)); status != 200 {
 			t.Fatalf("got %d %q", status, body)
 		}
 		if rev++; i%4 < 2 {
-			x.State = "Gone"
-			tell(rev, false, x)
+			endpoint.State = "Gone"
+			sendList(rev, false, endpoint)
 		} else {
-			tell(rev, true)
+			sendList(rev, true)
 		}
 	}
 	http.DefaultClient.CloseIdleConnections()
-	rg.until("all is forgotten", func() (done bool) {
-		held := rg.stats()
-		done = len(held.Endpoints)+held.IdleConns+held.Conns+held.Calls == 0 && rg.server.memory.Bodies.Available() == full
-		cs := &rg.server.clients
-		cs.mu.Lock()
-		defer cs.mu.Unlock()
-		for i := range cs.byState {
-			done = done && cs.byState[i].Len() == 0
+	rg.until("all tables are empty", func() (done bool) {
+		stats := rg.stats()
+		done = len(stats.Endpoints)+stats.IdleConns+stats.Conns+stats.Calls == 0 && rg.server.memory.Bodies.Available() == available
+		clients := &rg.server.clients
+		clients.mu.Lock()
+		defer clients.mu.Unlock()
+		for i := range clients.byState {
+			done = done && clients.byState[i].Len() == 0
 		}
-		return done && cs.open == 0
+		return done && clients.open == 0
 	})
 }
--- a/internal/http1/fuzz_test.go
+++ b/internal/http1/fuzz_test.go
@@ -14,8 +14,8 @@
 	"dykering/internal/decision"
 )
 
-// FuzzHead: a head that is accepted has one body length at most, and its forwarded form has the
-// same meaning to the next parser.
+// FuzzHead checks that an accepted head has at most one body length, and that net/http parses the
+// forwarded head as the same request.
 func FuzzHead(f *testing.F) {
 	for _, text := range []string{
 		"GET /a?b=%2F HTTP/1.1\r\nHost: h\r\nX-Txn: 1\r\n\r\n",
@@ -35,24 +35,27 @@
 			t.Fatalf("%q has two lengths", text)
 		}
 		removeHopByHop(r.Header)
-		in := forwardedRequest{method: r.Method, target: r.RequestURI, host: r.Host, header: r.Header, body: make([]byte, max(r.ContentLength, 0)%99)}
-		on := in.encodeHead(time.Second)
-		next, err := http.ReadRequest(bufio.NewReader(io.MultiReader(bytes.NewReader(on), bytes.NewReader(in.body))))
+		in := forwardedRequest{
+			method: r.Method, target: r.RequestURI, host: r.Host, header: r.Header,
+			body: make([]byte, max(r.ContentLength, 0)%99),
+		}
+		forwarded := in.encodeHead(time.Second)
+		parsed, err := http.ReadRequest(bufio.NewReader(io.MultiReader(bytes.NewReader(forwarded), bytes.NewReader(in.body))))
 		if err != nil {
 			if strings.HasPrefix(r.RequestURI, "/") && r.Host != "" {
-				t.Fatalf("%q goes on as %q, which is no request: %v", text, on, err)
+				t.Fatalf("%q is forwarded as %q, which is not a valid request: %v", text, forwarded, err)
 			}
 			return
 		}
-		if next.Method != r.Method || next.RequestURI != r.RequestURI || next.Host != r.Host ||
-			next.ContentLength != int64(len(in.body)) || len(next.TransferEncoding) > 0 {
-			t.Errorf("%q goes on as %q", text, on)
+		if parsed.Method != r.Method || parsed.RequestURI != r.RequestURI || parsed.Host != r.Host ||
+			parsed.ContentLength != int64(len(in.body)) || len(parsed.TransferEncoding) > 0 {
+			t.Errorf("%q is forwarded as %q, which is a different request", text, forwarded)
 		}
 	})
 }
 
-// FuzzAnswer: whatever an endpoint sends, its response ends, is bounded, and what is relayed of it
-// is as net/http reads it.
+// FuzzAnswer checks that the reading of any response ends, that its size is bounded, that an accepted
+// body is the one that net/http reads, and that all memory is released.
 func FuzzAnswer(f *testing.F) {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 200 OK\r\n\r\nto its end",
@@ -63,9 +66,9 @@
 	} {
 		f.Add([]byte(text))
 	}
-	room := ampleMemory()
+	memory := ampleMemory()
 	f.Fuzz(func(t *testing.T, text []byte) {
-		free := room.Bodies.Available()
+		available := memory.Bodies.Available()
 		near, far := net.Pipe()
 		defer near.Close()
 		go func() {
@@ -74,71 +77,72 @@
 		}()
 		a := newTestAttempt(forwardedRequest{method: http.MethodGet, target: "/"}, "", true, time.Minute, time.Minute)
 		defer a.Close()
-		res, err := a.readResponse(newUpstreamConn(near, a.Endpoint), room)
+		res, err := a.readResponse(newUpstreamConn(near, a.Endpoint), memory)
 		if res.response != nil && res.response.rest == nil && err == nil && res.status == decision.OK {
-			want, fault := http.ReadResponse(bufio.NewReader(bytes.NewReader(text)), nil)
-			if fault == nil && want.StatusCode == http.StatusOK {
-				body, fault := io.ReadAll(want.Body)
-				if fault != nil || !bytes.Equal(body, res.response.body) {
-					t.Errorf("%q: served %q, net/http reads %q, %v", text, res.response.body, body, fault)
+			want, wantErr := http.ReadResponse(bufio.NewReader(bytes.NewReader(text)), nil)
+			if wantErr == nil && want.StatusCode == http.StatusOK {
+				body, wantErr := io.ReadAll(want.Body)
+				if wantErr != nil || !bytes.Equal(body, res.response.body) {
+					t.Errorf("%q: served %q, net/http reads %q, %v", text, res.response.body, body, wantErr)
 				}
 			}
 		}
 		if res.response != nil {
 			if int64(len(res.response.body)) > a.maxBody {
-				t.Errorf("%d bytes", len(res.response.body))
+				t.Errorf("%q: body of %d bytes exceeds the bound of %d", text, len(res.response.body), a.maxBody)
 			}
 			res.response.Discard()
 		}
-		if left := room.Bodies.Available(); left != free {
-			t.Errorf("%q: %d bytes are not given back", text, free-left)
+		if availableAfter := memory.Bodies.Available(); availableAfter != available {
+			t.Errorf("%q: %d bytes of memory are not released", text, available-availableAfter)
 		}
 	})
 }
 
-// FuzzPassage: a transfer state that is accepted is valid, and has the same meaning when it is
-// transferred once more.
+// FuzzPassage checks that an accepted transfer state is consistent, and that it is accepted again
+// after it has been encoded.
 func FuzzPassage(f *testing.F) {
-	for _, p := range []connTransfer{
+	for _, first := range []connTransfer{
 		{Version: 1, Input: []byte("GET")},
 		{Version: 1, Relay: &relayState{Finished: true, Pending: []byte("x")}},
 		{Version: 1, Upload: &uploadState{ID: "a", AnswerTimeout: 5, Length: 9, Remaining: 3}},
 		{Version: 1, Relay: &relayState{Length: -1, Chunks: &chunkedReader{Left: 4, Digest: 9}}},
 	} {
-		text, _ := json.Marshal(p)
+		text, _ := json.Marshal(first)
 		f.Add(text)
 	}
-	near, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		f.Fatal(err)
 	}
-	c, err := net.Dial("tcp", near.Addr().String())
+	c, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		f.Fatal(err)
 	}
-	near.Close()
+	listener.Close()
 	f.Cleanup(func() { c.Close() })
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var p connTransfer
-		if json.Unmarshal(text, &p) != nil {
+		var first connTransfer
+		if json.Unmarshal(text, &first) != nil {
 			return
 		}
 		for n := range 3 {
 			conns := []net.Conn{c, c}[:min(n, 2)]
-			if !p.validFor(conns) {
+			if !first.validFor(conns) {
 				continue
 			}
-			if p.Relay != nil && (p.Relay.Length >= 0 && p.Relay.Read > p.Relay.Length || p.Relay.ReadLimit < 0) ||
-				p.Upload != nil && (p.Upload.Remaining > p.Upload.Length && p.Upload.Chunks == nil || p.Upload.Received > maxStreamedBody) {
-				t.Fatalf("%q is taken, and cannot be gone on with", text)
+			if first.Relay != nil && (first.Relay.Length >= 0 && first.Relay.Read > first.Relay.Length || first.Relay.ReadLimit < 0) ||
+				first.Upload != nil && (first.Upload.Remaining > first.Upload.Length && first.Upload.Chunks == nil ||
+					first.Upload.Received > maxStreamedBody) {
+				t.Fatalf("%q is accepted but inconsistent", text)
 			}
-			again, err := json.Marshal(p)
+			encoded, err := json.Marshal(first)
 			if err != nil {
 				t.Fatal(err)
 			}
-			var q connTransfer
-			if err := json.Unmarshal(again, &q); err != nil || !q.validFor(conns) {
-				t.Errorf("%q is taken once and not again: %q, %v", text, again, err)
+			var second connTransfer
+			if err := json.Unmarshal(encoded, &second); err != nil || !second.validFor(conns) {
+				t.Errorf("%q is accepted, and its encoding %q is not: %v", text, encoded, err)
 			}
 		}
 	})
--- a/internal/http1/hangup_test.go
+++ b/internal/http1/hangup_test.go
@@ -14,12 +14,11 @@
 	"dykering/internal/config"
 )
 
-// A client that half-closes its connection counts as gone; an empty 200 would be an answer that no
-// endpoint gave.
+// A client that half-closes its connection is treated as gone and gets no answer.
 func TestHalfClosedClientGetsNoAnswer(t *testing.T) {
-	came := make(chan bool)
+	arrived := make(chan bool)
 	rg := start(t, 1024, endpointServing(t, "s-1", func(_ http.ResponseWriter, r *http.Request) {
-		close(came)
+		close(arrived)
 		awaitCancel(r)
 	}))
 	c, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
@@ -29,130 +28,129 @@
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(testTimeout))
 	rg.request("once", 9*time.Second).Write(c)
-	<-came
+	<-arrived
 	c.(*net.TCPConn).CloseWrite()
 	if got, _ := io.ReadAll(c); len(got) > 0 {
 		t.Errorf("answered %q", got)
 	}
 }
 
-// A client may hang up behind bytes that nobody has read: its call is cancelled nevertheless, and
-// the bytes behind its request go nowhere.
+// A client hangs up after it has sent a second request that is still unread. The first call must be
+// cancelled, and the second request must not be forwarded.
 func TestHangupBehindUnreadBytesCancelsTheCall(t *testing.T) {
-	for name, leave := range map[string]func(*net.TCPConn){
+	for name, hangUp := range map[string]func(*net.TCPConn){
 		"closed": func(c *net.TCPConn) { c.Close() },
 		"reset": func(c *net.TCPConn) {
 			c.SetLinger(0)
 			c.Close()
 		},
 	} {
-		came, left := make(chan string, 2), make(chan bool, 2)
+		arrived, cancelled := make(chan string, 2), make(chan bool, 2)
 		rg := start(t, 1024, endpointServing(t, "s-1", func(_ http.ResponseWriter, r *http.Request) {
-			came <- r.Header.Get("X-Txn")
+			arrived <- r.Header.Get("X-Txn")
 			awaitCancel(r)
-			left <- true
+			cancelled <- true
 		}))
 		c := rg.dial()
 		first := rg.request("once", 9*time.Second)
 		first.Write(c)
-		if id := <-came; id != first.Header.Get("X-Txn") {
+		if id := <-arrived; id != first.Header.Get("X-Txn") {
 			t.Fatal(id)
 		}
 		rg.request("once", 9*time.Second).Write(c)
-		leave(c)
-		begun := time.Now()
-		<-left
-		if took := time.Since(begun); took > 3*time.Second { // far from the end of its time
-			t.Errorf("%s: called off after %v", name, took)
+		hangUp(c)
+		hungUpAt := time.Now()
+		<-cancelled
+		if took := time.Since(hungUpAt); took > 3*time.Second { // well before the request's deadline
+			t.Errorf("%s: attempt cancelled after %v", name, took)
 		}
 		rg.awaitNothingBuffered()
-		if len(came) > 0 {
-			t.Errorf("%s: %s came to an endpoint too", name, <-came)
+		if len(arrived) > 0 {
+			t.Errorf("%s: request %s was forwarded too", name, <-arrived)
 		}
 	}
 }
 
-// heldDials is a network that holds the next connection to an address back until it is let go.
-// Discovery dials on the same network: a connection of its own must not be taken for the one that
-// the test waits for.
+// heldDials is a network on which the next dial of an address returns only when the test releases it.
+// Dials of other addresses are not held, because discovery uses the same network.
 type heldDials struct {
 	Kernel
-	address     string
-	made, letGo chan bool
+	address         string
+	dialed, release chan bool
 }
 
-func (n heldDials) Dial(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
-	c, err := n.Kernel.Dial(ctx, address, within)
+func (n heldDials) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
+	c, err := n.Kernel.Dial(ctx, address, timeout)
 	if address != n.address {
 		return c, err
 	}
 	select {
-	case n.made <- true:
-		<-n.letGo
+	case n.dialed <- true:
+		<-n.release
 	default:
 	}
 	return c, err
 }
 
-// A client that hangs up while the connection for its request is dialed has nothing sent for it,
-// also where the event loop is busy and has not received the hang-up: the loop is held until the
-// endpoint has read what there is to read.
+// A client hangs up while the endpoint's connection is dialed. Its request must not be sent, even if
+// the event loop is busy and has not processed the hang-up. The test blocks the loop until the
+// endpoint has read to the end of its connection.
 func TestHangupWhileLoopIsBusySendsNothing(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	n := heldDials{address: l.Addr().String(), made: make(chan bool, 1), letGo: make(chan bool)}
-	rg := startOn(t, n, 1, 1024, func(*config.Config) {}, target{UID: "s-1", Address: l.Addr().String(), State: "Ready", Weight: 1})
+	network := heldDials{address: l.Addr().String(), dialed: make(chan bool, 1), release: make(chan bool)}
+	rg := startOn(t, network, 1, 1024, func(*config.Config) {}, target{UID: "s-1", Address: l.Addr().String(), State: "Ready", Weight: 1})
 	c := rg.dial()
 	rg.request("once", 9*time.Second).Write(c)
-	<-n.made
-	on := make(chan bool)
-	rg.server.loop.Post(func() { <-on })
+	<-network.dialed
+	releaseLoop := make(chan bool)
+	rg.server.loop.Post(func() { <-releaseLoop })
 	c.Close()
-	rg.until("its client's end is here", func() bool {
+	rg.until("the hang-up has been received", func() bool {
 		rg.server.clients.mu.Lock()
 		defer rg.server.clients.mu.Unlock()
-		at := rg.server.clients.byState[stateServing].Front()
-		return at == nil || at.Value.(*downstreamConn).hasHungUp()
+		element := rg.server.clients.byState[stateServing].Front()
+		return element == nil || element.Value.(*downstreamConn).hasHungUp()
 	})
-	close(n.letGo)
-	e, err := l.Accept()
+	close(network.release)
+	endpointConn, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer e.Close()
-	e.SetDeadline(time.Now().Add(testTimeout))
+	defer endpointConn.Close()
+	endpointConn.SetDeadline(time.Now().Add(testTimeout))
 	var b [1]byte
-	if got, err := e.Read(b[:]); got > 0 || !errors.Is(err, io.EOF) {
-		t.Errorf("its endpoint got a request (%v): its client had gone", err)
+	if got, err := endpointConn.Read(b[:]); got > 0 || !errors.Is(err, io.EOF) {
+		t.Errorf("the endpoint got a request (error %v) after its client had hung up", err)
 	}
-	close(on)
+	close(releaseLoop)
 	rg.awaitNothingBuffered()
 }
 
-// The endpoint and the balancer must notice that nobody waits any more.
+// A client's hang-up must cancel the attempt at the endpoint and end the call in the core.
 func TestClientHangupCancelsTheAttempt(t *testing.T) {
-	came, ended := make(chan bool), make(chan bool)
+	arrived, cancelled := make(chan bool), make(chan bool)
 	rg := start(t, 1024, endpointServing(t, "s-1", func(_ http.ResponseWriter, r *http.Request) {
-		close(came)
+		close(arrived)
 		awaitCancel(r)
-		close(ended)
+		close(cancelled)
 	}))
 	c, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	rg.request("once", 9*time.Second).Write(c)
-	<-came
+	<-arrived
 	c.Close()
 	select {
-	case <-ended:
+	case <-cancelled:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the attempt is still out")
+		t.Fatal("the attempt was not cancelled")
 	}
-	rg.until("the request is forgotten", func() bool {
+	rg.until("no call and no connection is left", func() bool {
 		s := rg.stats()
 		return s.Calls+s.Conns == 0
 	})
@@ -160,11 +158,11 @@
 
 // A client that hangs up during a relay ends it, and nothing of it stays allocated.
 func TestClientHangupDuringRelayEndsIt(t *testing.T) {
-	gaveUp := make(chan bool)
+	aborted := make(chan bool)
 	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
 		for piece := checkableBody(1 << 16); ; {
 			if _, err := w.Write(piece); err != nil {
-				close(gaveUp)
+				close(aborted)
 				return
 			}
 		}
@@ -176,6 +174,6 @@
 	}
 	c.SetLinger(0)
 	c.Close()
-	<-gaveUp
+	<-aborted
 	rg.awaitNothingBuffered()
 }
--- a/internal/http1/harness_test.go
+++ b/internal/http1/harness_test.go
@@ -31,7 +31,7 @@
 	endpointList = core.List
 )
 
-// testTimeout bounds every wait of a test. It passes only when something is wrong.
+// testTimeout bounds each wait of a test. A test that reaches it has failed.
 const testTimeout = 20 * time.Second
 
 const settingsText = `{"allowed":{"cancel":true,"connIdle":30000000,"connectTimeout":2000000,"maxRetryAfter":2000000,
@@ -44,14 +44,14 @@
 	{"name":"once","aim":9000000,"deadline":10000000,"effect":"non_idempotent","gain":1,"window":0}],
 	"tenants":[],"tiers":["front"],"zones":["z"],"models":["m"]}`
 
-// rig is a server on loopback sockets, with a discovery that the test writes to.
+// rig is a server on loopback sockets with a discovery service that the test controls.
 type rig struct {
 	t *testing.T
-	// Path of its configuration file.
+	// The path of the configuration file.
 	file   string
 	server *Server
 	url    string
-	// Lines for the discovery's watch.
+	// The lines that the discovery service sends on its watch.
 	lists   chan string
 	signals chan os.Signal
 	reloads chan os.Signal
@@ -59,32 +59,32 @@
 	txn     atomic.Int64
 }
 
-// start runs a sidecar, the only one of its tier, that knows the given endpoints.
+// start runs a server that is the only instance of its tier and knows the given endpoints.
 func start(t *testing.T, sockets int, targets ...target) *rig {
 	t.Helper()
 	return startOneOf(t, 1, sockets, targets...)
 }
 
-// startOneOf runs one of several sidecars of a tier.
+// startOneOf runs a server that is one of several instances of its tier.
 func startOneOf(t *testing.T, instances, sockets int, targets ...target) *rig {
 	t.Helper()
 	return startWith(t, instances, sockets, func(*config.Config) {}, targets...)
 }
 
-// startWith runs a sidecar whose configuration is changed in some way.
+// startWith runs a server after change has modified its configuration.
 func startWith(t *testing.T, instances, sockets int, change func(*config.Config), targets ...target) *rig {
 	t.Helper()
 	return startOn(t, Kernel{}, instances, sockets, change, targets...)
 }
 
-// startOn starts a server on a network.
+// startOn runs a server on the given network, after change has modified its configuration.
 func startOn(t *testing.T, n Network, instances, sockets int, change func(*config.Config), targets ...target) *rig {
 	t.Helper()
 	rg := &rig{
 		t: t, lists: make(chan string, 16), signals: make(chan os.Signal, 1),
 		reloads: make(chan os.Signal, 1), exited: make(chan error, 1),
 	}
-	discovery := serverAt(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	discovery := startHTTPServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.WriteHeader(http.StatusOK)
 		for {
 			http.NewResponseController(w).Flush()
@@ -130,7 +130,7 @@
 		discovery.CloseClientConnections()
 		discovery.Close()
 	})
-	rg.until("ready", func() bool {
+	rg.until("the server is ready", func() bool {
 		r, err := http.Get(rg.url + "/ready")
 		if err != nil {
 			return false
@@ -141,20 +141,20 @@
 	return rg
 }
 
-// until polls a condition that becomes true without the test's doing.
-func (rg *rig) until(what string, done func() bool) {
+// until polls a condition, and fails the test if it does not become true within testTimeout.
+func (rg *rig) until(condition string, done func() bool) {
 	rg.t.Helper()
 	for end := time.Now().Add(testTimeout); !done(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			rg.t.Fatalf("never: %s", what)
+			rg.t.Fatalf("condition not met within %v: %s", testTimeout, condition)
 		}
 	}
 }
 
-// stats is the state of the core.
+// stats returns the state of the core.
 func (rg *rig) stats() core.Stats { return rg.server.loop.Stats() }
 
-// open reports whether an endpoint may get new attempts.
+// open reports whether an endpoint can get new attempts.
 func (rg *rig) open(id decision.EndpointID) bool {
 	for _, e := range rg.stats().Endpoints {
 		if e.ID == id {
@@ -165,7 +165,7 @@
 }
 
 // request returns a client's request of a class.
-func (rg *rig) request(class string, left time.Duration) *http.Request {
+func (rg *rig) request(class string, remaining time.Duration) *http.Request {
 	method := http.MethodPost
 	if class == "read" {
 		method = http.MethodGet
@@ -179,15 +179,15 @@
 	}
 	r.Header.Set("X-Txn", fmt.Sprintf("txn%d", rg.txn.Add(1)))
 	r.Header.Set("X-Lane", class)
-	r.Header.Set("X-Remaining", fmt.Sprintf("%dm", left.Milliseconds()))
+	r.Header.Set("X-Remaining", fmt.Sprintf("%dm", remaining.Milliseconds()))
 	if class == "book" {
 		r.Header.Set("Idempotency-Key", "k1")
 	}
 	return r
 }
 
-// ask sends a request and returns the status and body of its answer.
-func (rg *rig) ask(r *http.Request) (int, string) {
+// roundTrip sends a request and returns the status and body of its answer.
+func (rg *rig) roundTrip(r *http.Request) (int, string) {
 	rg.t.Helper()
 	res, err := http.DefaultClient.Do(r)
 	if err != nil {
@@ -201,9 +201,9 @@
 	return res.StatusCode, string(body)
 }
 
-// serverAt starts a server at a loopback address of its own: connections that an earlier test left
-// behind reach none of a later one's.
-func serverAt(t *testing.T, serve http.Handler) *httptest.Server {
+// startHTTPServer starts an HTTP server at its own loopback address, so that connections left open by
+// an earlier test cannot reach the server of a later one.
+func startHTTPServer(t *testing.T, serve http.Handler) *httptest.Server {
 	t.Helper()
 	l, err := loopback.Listen()
 	if err != nil {
@@ -219,7 +219,7 @@
 // endpointServing starts an endpoint that answers with the handler.
 func endpointServing(t *testing.T, uid string, serve http.HandlerFunc) target {
 	t.Helper()
-	s := serverAt(t, serve)
+	s := startHTTPServer(t, serve)
 	t.Cleanup(func() {
 		s.CloseClientConnections()
 		s.Close()
@@ -241,8 +241,9 @@
 	<-r.Context().Done()
 }
 
-// raw sends text as it is on a connection of its own, and returns the status of the answer; 0 for a close.
-func (rg *rig) raw(text string) (status int, c *net.TCPConn) {
+// sendRaw sends a text on a new connection, and returns the status of the answer. The status is 0 if
+// the connection is closed without an answer.
+func (rg *rig) sendRaw(text string) (status int, c *net.TCPConn) {
 	rg.t.Helper()
 	dialed, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
 	if err != nil {
@@ -259,28 +260,28 @@
 	return res.StatusCode, c
 }
 
-// connect opens n connections that have had one answer and are idle.
-func (rg *rig) connect(n int) (idles []*net.TCPConn) {
+// openIdleConns opens n connections that have had one answer and are idle.
+func (rg *rig) openIdleConns(n int) (idleConns []*net.TCPConn) {
 	rg.t.Helper()
 	for range n {
-		_, c := rg.raw("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n")
-		idles = append(idles, c)
+		_, c := rg.sendRaw("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n")
+		idleConns = append(idleConns, c)
 	}
-	cs := &rg.server.clients
-	rg.until("only these are open, and idle", func() bool {
+	clients := &rg.server.clients
+	rg.until("only these connections are open, and they are idle", func() bool {
 		http.DefaultClient.CloseIdleConnections()
-		cs.mu.Lock()
-		defer cs.mu.Unlock()
-		return cs.byState[stateIdle].Len() == n && cs.open == n
+		clients.mu.Lock()
+		defer clients.mu.Unlock()
+		return clients.byState[stateIdle].Len() == n && clients.open == n
 	})
-	return idles
+	return idleConns
 }
 
 // beginShutdown sends the signal to stop, and waits until the server has received it.
 func (rg *rig) beginShutdown() {
 	rg.t.Helper()
 	rg.signals <- syscall.SIGTERM
-	rg.until("it stops", func() bool { return !rg.server.lifecycle.Deadline().IsZero() })
+	rg.until("the server is stopping", func() bool { return !rg.server.lifecycle.Deadline().IsZero() })
 }
 
 // awaitExit waits until the server exits by itself.
@@ -292,12 +293,11 @@
 			rg.t.Error(err)
 		}
 	case <-time.After(testTimeout):
-		rg.t.Error("it never ended")
+		rg.t.Errorf("the server did not exit within %v", testTimeout)
 	}
 }
 
-// send writes a request to a connection that was used before, and returns its answer; nil where
-// there is none.
+// send writes a request to a connection and returns its answer. It returns nil if there is none.
 func (rg *rig) send(c *net.TCPConn, r *http.Request) *http.Response {
 	c.SetDeadline(time.Now().Add(testTimeout))
 	if err := r.Write(c); err != nil {
@@ -311,7 +311,7 @@
 	return res
 }
 
-// checkableBody is a body that shows whether any part of it is missing or duplicated.
+// checkableBody returns a body of n bytes in which a missing, repeated or moved part can be detected.
 func checkableBody(n int) []byte {
 	b := make([]byte, 0, n+sha256.Size)
 	for sum := sha256.Sum256(nil); len(b) < n; sum = sha256.Sum256(sum[:]) {
@@ -320,7 +320,7 @@
 	return b[:n]
 }
 
-// dial opens a connection that lasts no longer than a test may.
+// dial opens a connection whose reads and writes end after testTimeout.
 func (rg *rig) dial() *net.TCPConn {
 	rg.t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
@@ -335,14 +335,14 @@
 // awaitNothingBuffered waits until no call is open and no memory for bodies is reserved.
 func (rg *rig) awaitNothingBuffered() {
 	rg.t.Helper()
-	full := core.NewMemory(rg.server.config.Plan()).Bodies.Available()
-	rg.until("nothing is held", func() bool {
-		return rg.stats().Calls == 0 && rg.server.memory.Bodies.Available() == full
+	available := core.NewMemory(rg.server.config.Plan()).Bodies.Available()
+	rg.until("no call is open and no body is buffered", func() bool {
+		return rg.stats().Calls == 0 && rg.server.memory.Bodies.Available() == available
 	})
 }
 
-// once sends a request on a connection of its own.
-func (rg *rig) once(class string) *http.Response {
+// sendOnce sends a request on a new connection and returns its answer.
+func (rg *rig) sendOnce(class string) *http.Response {
 	rg.t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
 	if err != nil {
@@ -356,7 +356,7 @@
 	return res
 }
 
-// uploading reports whether an attempt has written the head of an upload and is sending its rest.
+// uploading reports whether an attempt has written the head of an upload and is sending the rest.
 func (rg *rig) uploading() bool {
 	clients := &rg.server.clients
 	clients.mu.Lock()
--- a/internal/http1/parse_chunked.go
+++ b/internal/http1/parse_chunked.go
@@ -51,6 +51,7 @@
 	r *bufio.Reader
 }
 
+// newChunkedReader returns a reader at the beginning of a chunked body.
 func newChunkedReader(r *bufio.Reader) *chunkedReader {
 	return &chunkedReader{r: r, Digest: maxResponseHead}
 }
--- a/internal/http1/parse_chunked_test.go
+++ b/internal/http1/parse_chunked_test.go
@@ -14,7 +14,7 @@
 	"testing"
 )
 
-// broken gives a text in two parts, with an interruption between them.
+// interruptingReader returns a text in parts. Between two parts it returns os.ErrDeadlineExceeded.
 type interruptingReader struct{ parts []string }
 
 func (b *interruptingReader) Read(p []byte) (int, error) {
@@ -33,9 +33,9 @@
 	return n, nil
 }
 
-const someChunks = "5\r\nhello\r\n1;a=b\r\n,\r\n00c  \r\n wide, \r\nwor\r\n0\r\nX-Sum: 12\r\nX-More: 3\r\n\r\n"
+const sampleChunkedBody = "5\r\nhello\r\n1;a=b\r\n,\r\n00c  \r\n wide, \r\nwor\r\n0\r\nX-Sum: 12\r\nX-More: 3\r\n\r\n"
 
-// readAll reads a body, with a longer buffer each time, until something other than an interruption ends it.
+// readAll reads a body with a longer buffer each time, until it ends or is interrupted.
 func readAll(c *chunkedReader) (got []byte, interrupted bool, err error) {
 	for n := 1; ; n++ {
 		b := make([]byte, n)
@@ -52,10 +52,10 @@
 	}
 }
 
-// A body can be interrupted at each byte, and be continued by another process or encoded anew for
-// one.
+// A body may be interrupted at any byte. Another process must be able to continue it, either from the
+// reader's position or from the re-encoded body.
 func TestChunkedBodyResumesAfterEachByte(t *testing.T) {
-	const want, body = "hello, wide, \r\nwor", someChunks
+	const want, body = "hello, wide, \r\nwor", sampleChunkedBody
 	for at := range len(body) + 1 {
 		c := newChunkedReader(bufio.NewReader(&interruptingReader{[]string{body[:at], body[at:], ""}}))
 		got, interrupted, err := readAll(c)
@@ -69,29 +69,29 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var other chunkedReader
-		if err := json.Unmarshal(text, &other); err != nil || !other.valid() {
+		var resumed chunkedReader
+		if err := json.Unmarshal(text, &resumed); err != nil || !resumed.valid() {
 			t.Fatalf("at %d: %v, %s", at, err, text)
 		}
-		left, _ := c.r.Peek(c.r.Buffered())
-		other.r = bufio.NewReader(io.MultiReader(bytes.NewReader(left), strings.NewReader(body[at:])))
-		rest, _, err := readAll(&other)
-		if trailer, _ := other.trailer(); err != nil || string(got)+string(rest) != want || trailer.Get("X-More") != "3" {
+		unread, _ := c.r.Peek(c.r.Buffered())
+		resumed.r = bufio.NewReader(io.MultiReader(bytes.NewReader(unread), strings.NewReader(body[at:])))
+		rest, _, err := readAll(&resumed)
+		if trailer, _ := resumed.trailer(); err != nil || string(got)+string(rest) != want || trailer.Get("X-More") != "3" {
 			t.Errorf("at %d: %q and %q, %v, %v", at, got, rest, err, trailer)
 		}
-		var anew bytes.Buffer
-		c.reencode(&anew, got)
-		anew.WriteString(body[at:])
-		text = bytes.Clone(anew.Bytes())
-		again := newChunkedReader(bufio.NewReader(&anew))
-		whole, _, err := readAll(again)
-		if trailer, _ := again.trailer(); err != nil || string(whole) != want || trailer.Get("X-Sum") != "12" || anew.Len() > 0 {
-			t.Errorf("at %d: anew %q gives %q, %v", at, text, whole, err)
+		var encoded bytes.Buffer
+		c.reencode(&encoded, got)
+		encoded.WriteString(body[at:])
+		text = bytes.Clone(encoded.Bytes())
+		decoded := newChunkedReader(bufio.NewReader(&encoded))
+		whole, _, err := readAll(decoded)
+		if trailer, _ := decoded.trailer(); err != nil || string(whole) != want || trailer.Get("X-Sum") != "12" || encoded.Len() > 0 {
+			t.Errorf("at %d: re-encoded body %q is read as %q, %v", at, text, whole, err)
 		}
 	}
 }
 
-// A body that ends early, or that parsers may read differently, is an error.
+// A body that ends early, or that two parsers may read differently, is an error.
 func TestMalformedChunkedBodyIsRejected(t *testing.T) {
 	for text, want := range map[string]error{
 		"":                              io.ErrUnexpectedEOF,
@@ -121,21 +121,21 @@
 	c := newChunkedReader(bufio.NewReader(strings.NewReader("0\r\nno field\r\n\r\n")))
 	readAll(c)
 	if h, err := c.trailer(); err == nil {
-		t.Errorf("a trailer that is none: %v", h)
+		t.Errorf("malformed trailer was parsed as %v", h)
 	}
 }
 
-// FuzzChunked compares with net/http's reader: what both read completely is the same, and what that
-// one rejects is rejected here.
+// FuzzChunked compares the reader with the one of net/http: a body that this reader accepts must be
+// accepted by that one too, with the same data.
 func FuzzChunked(f *testing.F) {
-	f.Add([]byte(someChunks))
+	f.Add([]byte(sampleChunkedBody))
 	f.Add([]byte("0\r\n\r\n"))
 	f.Add([]byte("a\r\n0123456789\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		got, _, err := readAll(newChunkedReader(bufio.NewReader(bytes.NewReader(text))))
-		want, fault := io.ReadAll(httputil.NewChunkedReader(bytes.NewReader(text)))
-		if err == nil && (fault != nil || !bytes.Equal(got, want)) {
-			t.Errorf("%q: got %q, net/http says %q, %v", text, got, want, fault)
+		want, wantErr := io.ReadAll(httputil.NewChunkedReader(bytes.NewReader(text)))
+		if err == nil && (wantErr != nil || !bytes.Equal(got, want)) {
+			t.Errorf("%q: got %q, net/http says %q, %v", text, got, want, wantErr)
 		}
 	})
 }
@@ -149,6 +149,6 @@
 	c := newChunkedReader(bufio.NewReader(strings.NewReader(text)))
 	answer := &responseBody{chunks: c, reader: c, length: -1, maxLength: maxStreamedBody}
 	if _, err := io.ReadAll(answer); err != nil || fmt.Sprint(answer.trailer) != "map[X-Sum:[1]]" {
-		t.Errorf("of an answer: got %v, %v", answer.trailer, err)
+		t.Errorf("response: got %v, %v", answer.trailer, err)
 	}
 }
--- a/internal/http1/shutdown_test.go
+++ b/internal/http1/shutdown_test.go
@@ -15,105 +15,106 @@
 	"time"
 )
 
-// A stopping server goes on serving clients on their connections: they may have no other instance.
-// It accepts new connections, loses nothing, and exits when all clients have gone.
+// A stopping server continues to serve clients on their connections, because they may have no other
+// instance. It accepts new connections, answers all requests, and exits when all clients have gone.
 func TestShutdownServesOpenConnections(t *testing.T) {
-	came, serve := make(chan bool), make(chan bool)
+	arrived, respond := make(chan bool), make(chan bool)
 	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
-		came <- true
-		<-serve
+		arrived <- true
+		<-respond
 		fmt.Fprint(w, "ok")
 	}))
 	rg.server.quietPeriod, rg.server.shutdownTimeout = time.Millisecond, time.Hour
-	idles := rg.connect(5)
+	idleConns := rg.openIdleConns(5)
 	answer := make(chan *http.Response)
-	ask := func(c *net.TCPConn) { answer <- rg.send(c, rg.request("once", 9*time.Second)) }
-	go ask(idles[0])
-	<-came
+	exchange := func(c *net.TCPConn) { answer <- rg.send(c, rg.request("once", 9*time.Second)) }
+	go exchange(idleConns[0])
+	<-arrived
 	rg.beginShutdown()
-	close(serve)
+	close(respond)
 	if res := <-answer; res == nil || res.StatusCode != http.StatusOK {
-		t.Errorf("what was out at the signal: answer %+v", res)
+		t.Errorf("request in flight at the signal: answer %+v", res)
 	}
 	for range 3 {
-		go ask(idles[1])
-		<-came
+		go exchange(idleConns[1])
+		<-arrived
 		if res := <-answer; res == nil || res.StatusCode != http.StatusOK || res.Close {
 			t.Errorf("on an open connection: answer %+v", res)
 		}
 	}
-	late, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
+	newConn, err := net.Dial("tcp", strings.TrimPrefix(rg.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	go ask(late.(*net.TCPConn))
-	<-came
+	go exchange(newConn.(*net.TCPConn))
+	<-arrived
 	if res := <-answer; res == nil || res.StatusCode != http.StatusOK {
 		t.Errorf("on a new connection: answer %+v", res)
 	}
-	late.Close()
-	for _, c := range idles {
+	newConn.Close()
+	for _, c := range idleConns {
 		c.Close()
 	}
 	rg.awaitExit()
 }
 
-// All requests that a stopping server has accepted are answered before it is killed: those from
-// before the signal are cancelled at its end, and later ones state no more time to endpoints than
-// is left.
+// All requests that a stopping server has accepted are answered before it is killed. Requests that
+// are still in flight at its end are cancelled, and the X-Remaining of a request after the signal is
+// at most the time until that end.
 func TestShutdownAnswersAllRequestsBeforeItsEnd(t *testing.T) {
-	const linger = 3 * time.Second
-	came, gaveUp := make(chan string, 2), make(chan bool, 2)
+	const timeout = 3 * time.Second
+	arrived, cancelled := make(chan string, 2), make(chan bool, 2)
 	rg := start(t, 1024, endpointServing(t, "s-1", func(_ http.ResponseWriter, r *http.Request) {
-		came <- r.Header.Get("X-Remaining")
+		arrived <- r.Header.Get("X-Remaining")
 		awaitCancel(r)
-		gaveUp <- true
+		cancelled <- true
 	}))
-	rg.server.shutdownTimeout = linger
-	idles := rg.connect(5)
+	rg.server.shutdownTimeout = timeout
+	idleConns := rg.openIdleConns(5)
 	answer := make(chan *http.Response, 2)
-	ask := func(c *net.TCPConn) { answer <- rg.send(c, rg.request("once", time.Minute)) }
-	go ask(idles[0])
-	<-came
+	exchange := func(c *net.TCPConn) { answer <- rg.send(c, rg.request("once", time.Minute)) }
+	go exchange(idleConns[0])
+	<-arrived
 	rg.beginShutdown()
-	go ask(idles[1])
-	if left, ok := parseRemaining(<-came); !ok || left > linger {
-		t.Errorf("an endpoint is told of %v", left)
+	go exchange(idleConns[1])
+	if remaining, ok := parseRemaining(<-arrived); !ok || remaining > timeout {
+		t.Errorf("X-Remaining is %v, want at most %v", remaining, timeout)
 	}
 	for range 2 {
-		// Nothing but the sidecar's end ends these: the endpoint is silent.
+		// The endpoint is silent, so only the end of the server ends these requests.
 		if res := <-answer; res == nil || res.StatusCode != http.StatusBadGateway || !res.Close {
 			t.Errorf("answer %+v", res)
 		}
-		<-gaveUp
+		<-cancelled
 	}
-	if now, end := time.Now(), rg.server.lifecycle.Deadline(); now.Before(end) || now.After(end.Add(linger)) {
-		t.Errorf("given up %v after the end", now.Sub(end))
+	if now, end := time.Now(), rg.server.lifecycle.Deadline(); now.Before(end) || now.After(end.Add(timeout)) {
+		t.Errorf("requests were cancelled %v after the end of the server", now.Sub(end))
 	}
 	rg.awaitExit()
 }
 
 // Clients open no new connections to a stopping server. A client whose connections are all in use
-// finds no instance, so the only instance rejects requests with a Retry-After before that.
+// would have no instance to send a request to. So the only instance of a tier rejects requests with a
+// Retry-After when few connections are idle.
 func TestShutdownOfOnlyInstanceRejectsBeforeConnectionsRunOut(t *testing.T) {
-	came := make(chan bool, 1)
-	one := endpointServing(t, "s-1", func(_ http.ResponseWriter, r *http.Request) {
+	arrived := make(chan bool, 1)
+	endpoint := endpointServing(t, "s-1", func(_ http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Lane") == "read" {
-			came <- true
+			arrived <- true
 			awaitCancel(r)
 		}
 	})
 	for _, c := range []struct{ idles, instances, status int }{
 		{2, 1, http.StatusServiceUnavailable}, {3, 1, http.StatusOK}, {0, 2, http.StatusOK},
 	} {
-		rg := startOneOf(t, c.instances, 1024, one)
+		rg := startOneOf(t, c.instances, 1024, endpoint)
 		rg.server.shutdownTimeout = time.Hour
-		if status, _ := rg.ask(rg.request("once", 9*time.Second)); status != http.StatusOK {
+		if status, _ := rg.roundTrip(rg.request("once", 9*time.Second)); status != http.StatusOK {
 			t.Fatalf("before the stop: %d", status)
 		}
-		conns := rg.connect(2 + c.idles)
+		conns := rg.openIdleConns(2 + c.idles)
 		go rg.send(conns[0], rg.request("read", 9*time.Second))
-		<-came
+		<-arrived
 		rg.beginShutdown()
 		res := rg.send(conns[1], rg.request("once", 9*time.Second))
 		if res == nil || res.StatusCode != c.status || (res.Header.Get("Retry-After") == "") != (c.status == 200) {
@@ -122,53 +123,52 @@
 	}
 }
 
-// Where there are other instances, a stopping server redirects its clients there while it still
-// answers what it has.
+// If there are other instances, a stopping server redirects its clients to them while it answers the
+// requests that it has accepted.
 func TestShutdownRedirectsClientsToOtherInstances(t *testing.T) {
-	came, serve := make(chan bool), make(chan bool)
+	arrived, respond := make(chan bool), make(chan bool)
 	rg := startOneOf(t, 2, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
-		came <- true
-		<-serve
+		arrived <- true
+		<-respond
 		fmt.Fprint(w, "ok")
 	}))
 	rg.server.quietPeriod, rg.server.shutdownTimeout, rg.server.redirectLead = time.Millisecond, time.Hour, time.Hour
-	idles := rg.connect(2)
+	idleConns := rg.openIdleConns(2)
 	answer := make(chan *http.Response)
-	go func() { answer <- rg.send(idles[0], rg.request("once", 9*time.Second)) }()
-	<-came
+	go func() { answer <- rg.send(idleConns[0], rg.request("once", 9*time.Second)) }()
+	<-arrived
 	rg.beginShutdown()
-	idles[1].SetDeadline(time.Now().Add(testTimeout))
-	if _, err := idles[1].Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+	idleConns[1].SetDeadline(time.Now().Add(testTimeout))
+	if _, err := idleConns[1].Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("an idle connection: %v", err)
 	}
-	close(serve)
+	close(respond)
 	if res := <-answer; res == nil || res.StatusCode != http.StatusOK || !res.Close {
 		t.Errorf("answer %+v", res)
 	}
 	rg.awaitExit()
 }
 
-// A client in the middle of a request when the process ends gets a rejection: the request was not
-// executed, and the connection ends as after any last answer, not by a close that later input turns
-// into a reset.
+// Requests that are incomplete when the process ends are rejected. The connections end with a
+// lingering close: an immediate close would turn later input into a reset, which discards the answer.
 func TestShutdownRejectsIncompleteRequests(t *testing.T) {
-	var came atomic.Int64
-	rg := start(t, 1024, endpointServing(t, "s-1", func(http.ResponseWriter, *http.Request) { came.Add(1) }))
+	var forwarded atomic.Int64
+	rg := start(t, 1024, endpointServing(t, "s-1", func(http.ResponseWriter, *http.Request) { forwarded.Add(1) }))
 	rg.server.shutdownTimeout = 400 * time.Millisecond
 	head := "POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: %s\r\nX-Lane: book\r\nX-Remaining: 9000m\r\nIdempotency-Key: k\r\n"
-	halves := map[string]string{
+	incomplete := map[string]string{
 		"head": fmt.Sprintf(head, "a"), "body": fmt.Sprintf(head, "b") + "Content-Length: 8\r\n\r\ntrip",
 		"chunks": fmt.Sprintf(head, "c") + "Transfer-Encoding: chunked\r\n\r\n4\r\ntrip\r\n",
 	}
 	conns := map[string]*net.TCPConn{}
-	for name, half := range halves {
+	for name, text := range incomplete {
 		conns[name] = rg.dial()
-		io.WriteString(conns[name], half)
+		io.WriteString(conns[name], text)
 	}
-	rg.until("all are being read", func() bool {
+	rg.until("all requests are being read", func() bool {
 		rg.server.clients.mu.Lock()
 		defer rg.server.clients.mu.Unlock()
-		return rg.server.clients.byState[stateReading].Len() == len(halves)
+		return rg.server.clients.byState[stateReading].Len() == len(incomplete)
 	})
 	rg.signals <- syscall.SIGTERM
 	for name, c := range conns {
@@ -177,7 +177,7 @@
 			t.Errorf("%s: %+v, %v", name, res, err)
 			continue
 		}
-		io.WriteString(c, "what was on its way") // it is read, and resets nothing
+		io.WriteString(c, "input in flight") // the server discards it, so that it causes no reset
 		if _, err := io.Copy(io.Discard, res.Body); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -185,50 +185,50 @@
 	}
 	select {
 	case err := <-rg.exited:
-		if err != nil || came.Load() > 0 {
-			t.Errorf("ended with %v; %d came to an endpoint", err, came.Load())
+		if err != nil || forwarded.Load() > 0 {
+			t.Errorf("the server exited with error %v; %d requests were forwarded", err, forwarded.Load())
 		}
 	case <-time.After(testTimeout):
-		t.Error("it goes on")
+		t.Errorf("the server did not exit within %v", testTimeout)
 	}
 }
 
-// Requests that have been read together with one whose answer is the last on its connection, as the
-// process ends or after the grace of a drain, are answered too: to close behind the first would
-// lose them.
+// Pipelined requests are read together with a request whose answer would close the connection, at the
+// end of the process or after the grace of a drain. They must be answered too: a close after the first
+// answer would lose them.
 func TestPipelinedRequestsBehindTheLastAnswerAreAnswered(t *testing.T) {
-	for name, turn := range map[string]func(*rig){
+	for name, begin := range map[string]func(*rig){
 		"stop": func(rg *rig) {
 			rg.signals <- syscall.SIGTERM
-			rg.until("answers are the last", func() bool { return rg.server.lifecycle.IsClosingWithin(lastAnswerWindow) })
+			rg.until("answers close their connections", func() bool { return rg.server.lifecycle.IsClosingWithin(lastAnswerWindow) })
 		},
-		"stop, before an endpoint that hangs": func(rg *rig) {
+		"stop with a silent endpoint": func(rg *rig) {
 			rg.signals <- syscall.SIGTERM
-			rg.until("its call is called off", func() bool { return rg.stats().Attempts == 0 })
+			rg.until("the attempt is cancelled", func() bool { return rg.stats().Attempts == 0 })
 		},
 		"drain": func(rg *rig) {
 			rg.server.Drain()
-			rg.until("callers should be elsewhere", func() bool {
-				_, away := rg.server.redirectAnswer()
-				return away
+			rg.until("the grace of the drain has passed", func() bool {
+				_, graceOver := rg.server.redirectAnswer()
+				return graceOver
 			})
 		},
 	} {
-		came, serve := make(chan bool, 3), make(chan bool)
+		arrived, respond := make(chan bool, 3), make(chan bool)
 		rg := start(t, 1024, endpointServing(t, "s-1", func(http.ResponseWriter, *http.Request) {
-			came <- true
-			<-serve
+			arrived <- true
+			<-respond
 		}))
 		rg.server.shutdownTimeout, rg.server.drainGrace = time.Second, 50*time.Millisecond
-		var all bytes.Buffer
+		var requests bytes.Buffer
 		for range 3 {
-			rg.request("once", 9*time.Second).Write(&all)
+			rg.request("once", 9*time.Second).Write(&requests)
 		}
 		c := rg.dial()
-		c.Write(all.Bytes())
-		<-came
-		turn(rg)
-		close(serve)
+		c.Write(requests.Bytes())
+		<-arrived
+		begin(rg)
+		close(respond)
 		r := bufio.NewReader(c)
 		for i := range 3 {
 			res, err := http.ReadResponse(r, nil)
@@ -237,7 +237,7 @@
 				break
 			}
 			if _, err := io.Copy(io.Discard, res.Body); err != nil || res.Close != (i == 2) {
-				t.Errorf("%s: answer %d: %v, the last %v", name, i, err, res.Close)
+				t.Errorf("%s: answer %d: error %v, closes the connection: %v", name, i, err, res.Close)
 			}
 		}
 	}
--- a/internal/http1/streaming_test.go
+++ b/internal/http1/streaming_test.go
@@ -13,11 +13,11 @@
 	"time"
 )
 
-// Responses of each length and framing arrive completely, and their connections are reused where
-// they can.
+// Responses of each length and framing arrive completely at HTTP/1.1 and HTTP/1.0 clients, and the
+// connections of HTTP/1.1 clients stay open.
 func TestResponsesOfEachLengthAndFramingAreRelayedCompletely(t *testing.T) {
 	body := checkableBody(3 << 20)
-	framing := "" // of the answer
+	framing := "" // of the endpoint's response
 	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		n := len(body)
 		fmt.Sscan(r.URL.Query().Get("n"), &n)
@@ -46,12 +46,12 @@
 	}))
 	for _, framing = range []string{"length", "chunks", "close"} {
 		for _, n := range []int{0, 1, maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, len(body)} {
-			for _, old := range []bool{false, true} {
+			for _, http10 := range []bool{false, true} {
 				r := rg.request("read", 9*time.Second)
 				r.URL.RawQuery = fmt.Sprint("n=", n)
 				var text bytes.Buffer
 				r.Write(&text)
-				if old {
+				if http10 {
 					text = *bytes.NewBufferString(strings.Replace(text.String(), "HTTP/1.1", "HTTP/1.0", 1))
 				}
 				c := rg.dial()
@@ -61,10 +61,10 @@
 					t.Fatal(err)
 				}
 				got, err := io.ReadAll(res.Body)
-				if err != nil || res.StatusCode != http.StatusOK || !bytes.Equal(got, body[:n]) || res.Close != old {
-					t.Errorf("%s, %d bytes, old %v: %d bytes, %v, %+v", framing, n, old, len(got), err, res)
+				if err != nil || res.StatusCode != http.StatusOK || !bytes.Equal(got, body[:n]) || res.Close != http10 {
+					t.Errorf("%s, %d bytes, HTTP/1.0 %v: got %d bytes, %v, %+v", framing, n, http10, len(got), err, res)
 				}
-				if framing == "chunks" && n == len(body) && !old && res.Trailer.Get("X-Sum") != "done" {
+				if framing == "chunks" && n == len(body) && !http10 && res.Trailer.Get("X-Sum") != "done" {
 					t.Errorf("trailer %v", res.Trailer)
 				}
 			}
@@ -88,11 +88,11 @@
 			if chunked {
 				r.ContentLength = -1
 				r.Trailer = http.Header{"X-Sum": {"done"}}
-				if n >= maxBufferedBody { // of a body that is held whole they are not passed on
+				if n >= maxBufferedBody { // trailers of a buffered body are not forwarded
 					want += "done"
 				}
 			}
-			if status, got := rg.ask(r); status != 200 || got != want {
+			if status, got := rg.roundTrip(r); status != 200 || got != want {
 				t.Errorf("chunked %v, %d bytes: got %d %q", chunked, n, status, got)
 			}
 		}
@@ -100,32 +100,32 @@
 	rg.awaitNothingBuffered()
 }
 
-// A client that does not read holds the endpoint back, and an endpoint that does not read holds the
-// client back: what is buffered between them is bounded, and arrives once the receiver reads.
-func TestSlowReceiverHoldsSenderBack(t *testing.T) {
+// A receiver that does not read slows the sender down, in both directions: the server buffers a
+// bounded number of bytes, and the rest arrives once the receiver reads.
+func TestSlowReceiverSlowsSenderDown(t *testing.T) {
 	const n = 24 << 20
 	body := checkableBody(n)
-	var wrote atomic.Int64
-	goOn := make(chan bool)
+	var written atomic.Int64
+	proceed := make(chan bool)
 	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
 			w.Header().Set("Content-Length", fmt.Sprint(n))
-			for at := 0; at < n; at += 1 << 16 {
-				if _, err := w.Write(body[at : at+1<<16]); err != nil {
+			for stalledAt := 0; stalledAt < n; stalledAt += 1 << 16 {
+				if _, err := w.Write(body[stalledAt : stalledAt+1<<16]); err != nil {
 					t.Error(err)
 				}
-				wrote.Add(1 << 16)
+				written.Add(1 << 16)
 			}
 			return
 		}
-		<-goOn
+		<-proceed
 		got, _ := io.ReadAll(r.Body)
 		fmt.Fprint(w, bytes.Equal(got, body))
 	}))
-	// stands waits until no more comes through.
-	stands := func() int64 {
+	// awaitStall waits until the sender can write no more, and returns how many bytes it has written.
+	awaitStall := func() int64 {
 		for last := int64(-1); ; {
-			now := wrote.Load()
+			now := written.Load()
 			if now > 0 && now == last {
 				return now
 			}
@@ -135,8 +135,8 @@
 	}
 	c := rg.dial()
 	rg.request("read", 9*time.Second).Write(c)
-	if at := stands(); at >= n {
-		t.Errorf("the endpoint could write %d bytes that nobody read", at)
+	if stalledAt := awaitStall(); stalledAt >= n {
+		t.Errorf("the endpoint could write %d bytes that the client did not read", stalledAt)
 	}
 	res, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -145,15 +145,15 @@
 	if got, err := io.ReadAll(res.Body); err != nil || !bytes.Equal(got, body) {
 		t.Errorf("%d bytes arrived, %v", len(got), err)
 	}
-	wrote.Store(0)
+	written.Store(0)
 	c = rg.dial()
 	r := rg.request("once", 9*time.Second)
-	r.Body, r.ContentLength = io.NopCloser(io.TeeReader(bytes.NewReader(body), counter{&wrote})), n
+	r.Body, r.ContentLength = io.NopCloser(io.TeeReader(bytes.NewReader(body), countingWriter{&written})), n
 	go r.Write(c)
-	if at := stands(); at >= n {
-		t.Errorf("the caller could write %d bytes that nobody read", at)
+	if stalledAt := awaitStall(); stalledAt >= n {
+		t.Errorf("the client could write %d bytes that the endpoint did not read", stalledAt)
 	}
-	goOn <- true
+	proceed <- true
 	if res, err = http.ReadResponse(bufio.NewReader(c), nil); err != nil {
 		t.Fatal(err)
 	}
@@ -163,17 +163,18 @@
 	rg.awaitNothingBuffered()
 }
 
-type counter struct{ n *atomic.Int64 }
+// countingWriter counts the bytes that are written to it.
+type countingWriter struct{ n *atomic.Int64 }
 
-func (c counter) Write(b []byte) (int, error) {
+func (c countingWriter) Write(b []byte) (int, error) {
 	c.n.Add(int64(len(b)))
 	return len(b), nil
 }
 
-// A response that is truncated does not look complete to the client, whatever its framing.
+// A client can detect that a response is truncated, whatever its framing.
 func TestTruncatedResponseIsVisibleToClient(t *testing.T) {
 	for _, head := range []string{"Content-Length: 200000\r\n", "Transfer-Encoding: chunked\r\n"} {
-		for _, old := range []string{"HTTP/1.1", "HTTP/1.0"} {
+		for _, version := range []string{"HTTP/1.1", "HTTP/1.0"} {
 			rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, _ *http.Request) {
 				c, buffered, err := http.NewResponseController(w).Hijack()
 				if err != nil {
@@ -192,27 +193,26 @@
 			var text bytes.Buffer
 			r.Write(&text)
 			c := rg.dial()
-			io.WriteString(c, strings.Replace(text.String(), "HTTP/1.1", old, 1))
+			io.WriteString(c, strings.Replace(text.String(), "HTTP/1.1", version, 1))
 			res, err := http.ReadResponse(bufio.NewReader(c), r)
 			if err == nil {
 				_, err = io.ReadAll(res.Body)
 			}
 			if err == nil {
-				t.Errorf("%q to %s: taken for whole", head, old)
+				t.Errorf("%q to %s: truncated response looks complete", head, version)
 			}
 			rg.awaitNothingBuffered()
 		}
 	}
 }
 
-// A request body that the client does not complete does not look complete to the endpoint, and is
-// answered with an error.
+// An endpoint can detect that a request body is truncated, and the client gets an error or a close.
 func TestTruncatedRequestBodyIsVisibleToEndpoint(t *testing.T) {
-	came, ended := make(chan bool, 1), make(chan error, 1)
+	arrived, bodyErr := make(chan bool, 1), make(chan error, 1)
 	rg := start(t, 1024, endpointServing(t, "s-1", func(_ http.ResponseWriter, r *http.Request) {
-		came <- true
+		arrived <- true
 		_, err := io.ReadAll(r.Body)
-		ended <- err
+		bodyErr <- err
 	}))
 	head := "POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: %s\r\nX-Lane: once\r\nX-Remaining: 900m\r\n"
 	part := string(checkableBody(100000))
@@ -223,22 +223,22 @@
 		c := rg.dial()
 		fmt.Fprintf(c, head, fmt.Sprint("cut", id))
 		io.WriteString(c, framing)
-		<-came // of who has gone before, nothing is sent: TestLongBodyOfWhoHasGone
+		<-arrived // if the client had hung up earlier, nothing would be sent: TestUploadOfGoneClientIsNotSent
 		c.CloseWrite()
 		if res, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil && res.StatusCode != http.StatusBadRequest {
 			t.Errorf("%.40q: answered %d", framing, res.StatusCode)
 		}
-		if err := <-ended; err == nil {
-			t.Errorf("%.40q: the endpoint took it for whole", framing)
+		if err := <-bodyErr; err == nil {
+			t.Errorf("%.40q: the truncated body looks complete to the endpoint", framing)
 		}
 	}
 	rg.awaitNothingBuffered()
 }
 
-// The remaining time of an upload counts from its last byte, and a streamed response that has begun
-// is not cut off.
+// The remaining time of an upload counts from its last byte. A streamed response that has begun is
+// not cut off at the deadline.
 func TestDeadlineOfUploadCountsFromItsLastByte(t *testing.T) {
-	const left = time.Second
+	const remaining = time.Second
 	body := checkableBody(200000)
 	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.ReadAll(r.Body); err != nil {
@@ -247,15 +247,15 @@
 		w.Header().Set("Content-Length", fmt.Sprint(len(body)))
 		w.Write(body[:1])
 		w.(http.Flusher).Flush()
-		time.Sleep(2 * left)
+		time.Sleep(2 * remaining)
 		w.Write(body[1:])
 	}))
 	c := rg.dial()
 	fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: a\r\nX-Lane: once\r\nX-Remaining: %dm\r\nContent-Length: %d\r\n\r\n",
-		left.Milliseconds(), len(body))
+		remaining.Milliseconds(), len(body))
 	for at := 0; at < len(body); at += 50000 {
 		c.Write(body[at : at+50000])
-		time.Sleep(left / 2)
+		time.Sleep(remaining / 2)
 	}
 	res, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -266,22 +266,22 @@
 	}
 }
 
-// An upload that its endpoint does not answer gets its final answer at its deadline.
+// An upload that the endpoint does not answer fails at its deadline.
 func TestUnansweredUploadFailsAtItsDeadline(t *testing.T) {
 	rg := start(t, 1024, endpointServing(t, "s-1", func(_ http.ResponseWriter, r *http.Request) { awaitCancel(r) }))
 	r := rg.request("once", 300*time.Millisecond)
 	r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(checkableBody(300000))), 300000
-	if status, _ := rg.ask(r); status != http.StatusBadGateway {
+	if status, _ := rg.roundTrip(r); status != http.StatusBadGateway {
 		t.Errorf("got %d", status)
 	}
 	rg.awaitNothingBuffered()
 }
 
-// The sent part of an upload is not kept, so it cannot be sent again: the client is told that the
-// request was not executed.
+// The sent part of an upload is not kept, so the request cannot be sent to another endpoint. The
+// client is told with a 503 that the request was not executed.
 func TestPartlySentUploadThatIsRejectedIsNotRetried(t *testing.T) {
-	var whole atomic.Int64
-	turnAway := func(w http.ResponseWriter, r *http.Request) {
+	var complete atomic.Int64
+	rejectEarly := func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.ReadFull(r.Body, make([]byte, maxBufferedBody+100000)); err != nil {
 			t.Error(err)
 		}
@@ -290,14 +290,14 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		w.(http.Flusher).Flush()
 		if _, err := io.Copy(io.Discard, r.Body); err == nil {
-			whole.Add(1)
+			complete.Add(1)
 		}
 	}
-	rg := start(t, 1024, endpointServing(t, "s-1", turnAway), endpointServing(t, "s-2", turnAway))
+	rg := start(t, 1024, endpointServing(t, "s-1", rejectEarly), endpointServing(t, "s-2", rejectEarly))
 	c := rg.dial()
 	io.WriteString(c, "POST /api HTTP/1.1\r\nHost: h\r\nX-Txn: a\r\nX-Lane: once\r\nX-Remaining: 9000m\r\nContent-Length: 1000000\r\n\r\n")
 	go func() {
-		for range 10 { // and then no more
+		for range 10 { // the client does not send the rest
 			c.Write(checkableBody(20000))
 		}
 	}()
@@ -305,14 +305,14 @@
 	if err != nil || res.StatusCode != http.StatusServiceUnavailable || !res.Close {
 		t.Errorf("answer %+v, %v", res, err)
 	}
-	if whole.Load() != 0 {
-		t.Error("an endpoint got it whole")
+	if complete.Load() != 0 {
+		t.Error("an endpoint got the complete upload")
 	}
 	rg.awaitNothingBuffered()
 }
 
-// An upload of which nothing has been consumed goes to another endpoint when the first cannot be
-// reached.
+// An upload is sent to another endpoint if the first one cannot be reached, because none of its
+// streamed part has been consumed.
 func TestUnsentUploadIsRetriedAtAnotherEndpoint(t *testing.T) {
 	dead, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -328,7 +328,7 @@
 	for range 8 {
 		r := rg.request("once", 9*time.Second)
 		r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(len(body))
-		if status, got := rg.ask(r); status != 200 || got != "true" {
+		if status, got := rg.roundTrip(r); status != 200 || got != "true" {
 			t.Errorf("got %d %q", status, got)
 		}
 	}
@@ -338,7 +338,7 @@
 func TestExpectContinueIsAnsweredUnlessHeadIsInvalid(t *testing.T) {
 	rg := start(t, 1024, endpointServing(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Expect") != "" {
-			t.Error("Expect goes on")
+			t.Error("the header Expect was forwarded")
 		}
 		io.Copy(w, r.Body)
 	}))
@@ -358,8 +358,8 @@
 	if got, _ := io.ReadAll(res.Body); string(got) != "hi" {
 		t.Errorf("got %q", got)
 	}
-	if status, _ := rg.raw(fmt.Sprintf(head, "none")); status != http.StatusBadRequest {
-		t.Errorf("a wrong head is answered %d", status)
+	if status, _ := rg.sendRaw(fmt.Sprintf(head, "none")); status != http.StatusBadRequest {
+		t.Errorf("an invalid head is answered with status %d", status)
 	}
 }
 
@@ -375,7 +375,7 @@
 		head + "c\r\nContent-Length: 100000\r\n\r\n" + long + head + "d\r\nContent-Length: 0\r\n\r\n"
 	c := rg.dial()
 	go func() {
-		for i := 0; i < len(text); i += 700 { // in pieces that end anywhere
+		for i := 0; i < len(text); i += 700 { // the pieces do not end where a request ends
 			io.WriteString(c, text[i:min(i+700, len(text))])
 		}
 	}()
--- a/internal/http1/transfer_state_test.go
+++ b/internal/http1/transfer_state_test.go
@@ -13,17 +13,19 @@
 	"dykering/internal/handover"
 )
 
-// windows is what a sidecar has looked at of the latencies of a class.
-func (rg *rig) windows() int { return rg.server.loop.HandoverUpdate(true).Snapshot.Classes[0].Windows }
+// latencyWindows returns how many windows of latencies the server has evaluated for the first class.
+func (rg *rig) latencyWindows() int {
+	return rg.server.loop.HandoverUpdate(true).Snapshot.Classes[0].Windows
+}
 
-// out is what a sidecar has at endpoints, and all that it has.
-func (rg *rig) out() (n, all int) {
+// attemptsAndCalls returns the number of attempts in flight and of open calls.
+func (rg *rig) attemptsAndCalls() (attempts, calls int) {
 	s := rg.stats()
 	return s.Attempts, s.Calls
 }
 
-// A successor starts from its predecessor's statistics and counts the requests in flight there:
-// where they reach the limit, it waits until a call has ended.
+// A successor starts with its predecessor's statistics and counts the predecessor's requests in
+// flight. When they reach the limit, it sends a new request only after one of them has ended.
 func TestSuccessorCountsRequestsInFlightAtPredecessor(t *testing.T) {
 	answer := make(chan bool)
 	h := startHandover(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -35,12 +37,12 @@
 			}
 		}
 	})
-	h.until("it has learnt", func() bool {
-		h.ask(h.request("read", 9*time.Second))
-		return h.windows() > 2
+	h.until("the server has statistics", func() bool {
+		h.roundTrip(h.request("read", 9*time.Second))
+		return h.latencyWindows() > 2
 	})
 	done := make(chan int, 100)
-	ask := func(rg *rig) {
+	send := func(rg *rig) {
 		r := rg.request("once", 9*time.Second)
 		go func() {
 			res, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(r)
@@ -52,21 +54,24 @@
 			done <- res.StatusCode
 		}()
 	}
-	asked := 0
-	for out, all := 0, 0; out == all; asked++ {
-		ask(h.rig)
-		h.until("it has come", func() bool { out, all = h.out(); return all > asked })
+	sent := 0
+	for attempts, calls := 0, 0; attempts == calls; sent++ {
+		send(h.rig)
+		h.until("the request has been received", func() bool { attempts, calls = h.attemptsAndCalls(); return calls > sent })
 	}
-	heir := h.startSuccessor(t)
+	successor := h.startSuccessor(t)
 	h.beginShutdown()
-	heir.until("it has inherited", func() bool { return heir.windows() > 2 })
-	ask(heir)
-	asked++
-	heir.until("it has come", func() bool { out, all := heir.out(); return all == 1 && out == 0 })
-	answer <- true // makes room for the one that the process before holds
-	answer <- true
-	heir.until("the one that is held goes out", func() bool { out, _ := heir.out(); return out == 1 })
-	for close(answer); asked > 0; asked-- {
+	successor.until("the successor has the statistics", func() bool { return successor.latencyWindows() > 2 })
+	send(successor)
+	sent++
+	successor.until("the request has been received", func() bool {
+		attempts, calls := successor.attemptsAndCalls()
+		return calls == 1 && attempts == 0
+	})
+	answer <- true // lets the predecessor send its waiting request
+	answer <- true // makes room for the waiting request of the successor
+	successor.until("the waiting request is sent", func() bool { attempts, _ := successor.attemptsAndCalls(); return attempts == 1 })
+	for close(answer); sent > 0; sent-- {
 		if status := <-done; status != 200 {
 			t.Errorf("status %d", status)
 		}
@@ -74,46 +79,47 @@
 	h.awaitExit()
 }
 
-// An update that cannot be used changes nothing, and one with unusable statistics still counts the
-// requests in flight.
+// An invalid update is declined. An update with invalid statistics is accepted for its requests in
+// flight. Neither changes the server's statistics.
 func TestInvalidHandoverUpdateChangesNothing(t *testing.T) {
 	rg := start(t, 1024, endpointServing(t, "s-1", func(http.ResponseWriter, *http.Request) {}))
 	near, _ := tcpPair(t)
 	for name, tc := range map[string]struct {
-		text  string
-		conns []net.Conn
-		taken bool
+		text     string
+		conns    []net.Conn
+		accepted bool
 	}{
-		"with a connection": {`{"version":1,"word":{"calls":{"1":3}}}`, []net.Conn{near.Conn}, false},
-		"beside an input":   {`{"version":1,"word":{},"input":"AAAA"}`, nil, false},
-		"no passage":        {`{"version":1}`, nil, false},
-		"no endpoint":       {`{"version":1,"word":{"calls":{"x":3}}}`, nil, false},
-		"of its calls":      {`{"version":1,"word":{"calls":{"1":3}}}`, nil, true},
-		"that all is over":  {`{"version":1,"word":{}}`, nil, true},
-		"faulty figures":    {`{"version":1,"word":{"learnt":{"classes":[]}}}`, nil, true},
+		"update with a connection":      {`{"version":1,"word":{"calls":{"1":3}}}`, []net.Conn{near.Conn}, false},
+		"update with input":             {`{"version":1,"word":{},"input":"AAAA"}`, nil, false},
+		"neither update nor connection": {`{"version":1}`, nil, false},
+		"invalid endpoint id":           {`{"version":1,"word":{"calls":{"x":3}}}`, nil, false},
+		"requests in flight":            {`{"version":1,"word":{"calls":{"1":3}}}`, nil, true},
+		"no requests in flight":         {`{"version":1,"word":{}}`, nil, true},
+		"invalid statistics":            {`{"version":1,"word":{"learnt":{"classes":[]}}}`, nil, true},
 	} {
-		before, _ := json.Marshal(rg.learnt())
+		before, _ := json.Marshal(rg.snapshot())
 		start, _, ok := rg.server.acceptTransfer([]byte(tc.text), tc.conns)
-		if ok != tc.taken {
-			t.Errorf("%s: taken is %v", name, ok)
+		if ok != tc.accepted {
+			t.Errorf("%s: accepted is %v", name, ok)
 		}
 		if ok {
 			start()
 		}
-		if after, _ := json.Marshal(rg.learnt()); string(after) != string(before) {
-			t.Errorf("%s: it changed %s to %s", name, before, after)
+		if after, _ := json.Marshal(rg.snapshot()); string(after) != string(before) {
+			t.Errorf("%s: the statistics changed from %s to %s", name, before, after)
 		}
 	}
 }
 
-func (rg *rig) learnt() decision.Snapshot { return *rg.server.loop.HandoverUpdate(true).Snapshot }
+// snapshot returns the statistics that the server would send to a successor.
+func (rg *rig) snapshot() decision.Snapshot { return *rg.server.loop.HandoverUpdate(true).Snapshot }
 
-// A successor of a version without updates declines them; it is sent no more, and connections are
-// still transferred.
+// A successor of a release that does not know updates declines the first one. It is sent no more of
+// them, and connections are still transferred.
 func TestSuccessorThatDeclinesUpdatesTakesConnections(t *testing.T) {
 	h := startHandover(t, func(http.ResponseWriter, *http.Request) {})
-	idles := h.connect(1)
-	words, passed := make(chan bool, 100), make(chan bool, 1)
+	idleConns := h.openIdleConns(1)
+	updates, transferred := make(chan bool, 100), make(chan bool, 1)
 	receiver, err := handover.Listen(h.dir, h.server.handoverName())
 	if err != nil {
 		t.Fatal(err)
@@ -121,19 +127,19 @@
 	defer receiver.Close()
 	go receiver.Serve(func(state []byte, conns []net.Conn) (start, drop func(), ok bool) {
 		if len(conns) == 0 {
-			words <- strings.Contains(string(state), "learnt")
+			updates <- strings.Contains(string(state), "learnt")
 			return nil, nil, false
 		}
 		return func() {
-			passed <- true
+			transferred <- true
 			conns[0].Close()
 		}, func() {}, true
 	})
 	h.beginShutdown()
-	<-passed
+	<-transferred
 	h.awaitExit()
-	idles[0].Close()
-	if n := len(words); n != 1 || !<-words {
-		t.Errorf("%d words to one that declined the first", n)
+	idleConns[0].Close()
+	if n := len(updates); n != 1 || !<-updates {
+		t.Errorf("%d updates were sent, want one with statistics, which was declined", n)
 	}
 }
--- a/internal/http1/upstream_attempt_test.go
+++ b/internal/http1/upstream_attempt_test.go
@@ -19,8 +19,8 @@
 	"dykering/internal/decision"
 )
 
-// The outcome states that a request was not executed only when its last byte was certainly not
-// written.
+// An attempt's status says that the request was not executed only if its last byte was certainly not
+// written, or if the endpoint says so. The connection is kept only if it can carry another request.
 func TestAttemptIsUnsentOnlyBeforeItsLastByte(t *testing.T) {
 	reply := func(text string) func(net.Conn) {
 		return func(c net.Conn) {
@@ -34,44 +34,98 @@
 		want decision.Status
 		keep bool
 	}{
-		"served":              {reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), decision.OK, true},
-		"served, then closes": {reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok"), decision.OK, false},
-		"served, old version": {reply("HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nok"), decision.OK, false},
-		"served in chunks":    {reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"), decision.OK, true},
-		"after information":   {reply("HTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), decision.OK, true},
-		"with a report":       {reply("HTTP/1.1 200 OK\r\nX-Pressure: inflight=7,queue=2\r\nContent-Length: 2\r\n\r\nok"), decision.OK, true},
-		"with a bad report":   {reply("HTTP/1.1 200 OK\r\nX-Pressure: queue\r\nContent-Length: 2\r\n\r\nok"), decision.OK, true},
-		"with an odd report":  {reply("HTTP/1.1 200 OK\r\nX-Pressure: queue=NaN\r\nContent-Length: 2\r\n\r\nok"), decision.OK, true},
-		"after many informations": {reply(strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", maxInformational) +
+		"served": {reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), decision.OK, true},
+		"served and closed": {
+			reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok"),
+			decision.OK, false,
+		},
+		"served by HTTP/1.0": {reply("HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nok"), decision.OK, false},
+		"served in chunks": {
+			reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"),
+			decision.OK, true,
+		},
+		"after an interim response": {
+			reply("HTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"),
+			decision.OK, true,
+		},
+		"with a load report": {
+			reply("HTTP/1.1 200 OK\r\nX-Pressure: inflight=7,queue=2\r\nContent-Length: 2\r\n\r\nok"),
+			decision.OK, true,
+		},
+		"with an invalid load report": {
+			reply("HTTP/1.1 200 OK\r\nX-Pressure: queue\r\nContent-Length: 2\r\n\r\nok"),
+			decision.OK, true,
+		},
+		"with a load report of NaN": {
+			reply("HTTP/1.1 200 OK\r\nX-Pressure: queue=NaN\r\nContent-Length: 2\r\n\r\nok"),
+			decision.OK, true,
+		},
+		"after the most interim responses": {reply(strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", maxInformational) +
 			"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), decision.OK, true},
-		"after too many": {reply(strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", maxInformational+1) +
+		"after too many interim responses": {reply(strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", maxInformational+1) +
 			"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), decision.InvalidResponse, false},
-		"and a copy":          {reply(strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", 2)), decision.OK, false},
-		"and noise":           {reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok\x00\x01"), decision.OK, false},
-		"until closed":        {reply("HTTP/1.1 200 OK\r\n\r\nok"), decision.OK, false},
-		"two lengths":         {reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\noky"), decision.InvalidResponse, false},
-		"length and chunks":   {reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"), decision.InvalidResponse, false},
+		"followed by a copy": {
+			reply(strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", 2)),
+			decision.OK, false,
+		},
+		"followed by other bytes": {reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok\x00\x01"), decision.OK, false},
+		"body until close":        {reply("HTTP/1.1 200 OK\r\n\r\nok"), decision.OK, false},
+		"two lengths": {
+			reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\noky"),
+			decision.InvalidResponse, false,
+		},
+		"length and chunks": {
+			reply("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"),
+			decision.InvalidResponse, false,
+		},
 		"negative length":     {reply("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok"), decision.InvalidResponse, false},
-		"length no number":    {reply("HTTP/1.1 200 OK\r\nContent-Length: 2x\r\n\r\nok"), decision.InvalidResponse, false},
-		"huge length":         {reply("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok"), decision.InvalidResponse, false},
-		"unknown coding":      {reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nok"), decision.InvalidResponse, false},
-		"broken chunks":       {reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\nzz\r\n"), decision.InvalidResponse, false},
-		"other version":       {reply("ICY 200 OK\r\nContent-Length: 2\r\n\r\nok"), decision.InvalidResponse, false},
-		"status no number":    {reply("HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok"), decision.InvalidResponse, false},
-		"status long":         {reply("HTTP/1.1 0200 OK\r\nContent-Length: 2\r\n\r\nok"), decision.InvalidResponse, false},
-		"no colon":            {reply("HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 2\r\n\r\nok"), decision.InvalidResponse, false},
-		"request at fault":    {reply("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n"), decision.InvalidResponse, true},
-		"turned away, spoilt": {reply("HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 2x\r\n\r\n"), decision.InvalidResponse, false},
-		"error":               {reply("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"), decision.Error, true},
-		"turned away":         {reply("HTTP/1.1 504 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"), decision.Rejected, true},
-		"no word of it":       {reply("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), decision.Error, true},
-		"cut body":            {reply("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), decision.Reset, false},
-		"no answer":           {reply(""), decision.Reset, false},
-		"nonsense":            {reply("who is there\r\n\r\n"), decision.InvalidResponse, false},
-		"beyond all bounds":   {reply(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 4*maxBufferedBody+1)), decision.InvalidResponse, false},
-		"large, cut short":    {reply("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\nok"), decision.Reset, false},
-		"large":               {reply("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537)), decision.OK, true},
-		"with trailers":       {reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\nX-Sum: 1\r\n\r\n"), decision.OK, true},
+		"length is no number": {reply("HTTP/1.1 200 OK\r\nContent-Length: 2x\r\n\r\nok"), decision.InvalidResponse, false},
+		"huge length": {
+			reply("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok"),
+			decision.InvalidResponse, false,
+		},
+		"unknown coding": {
+			reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nok"),
+			decision.InvalidResponse, false,
+		},
+		"broken chunks": {
+			reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\nzz\r\n"),
+			decision.InvalidResponse, false,
+		},
+		"other version":         {reply("ICY 200 OK\r\nContent-Length: 2\r\n\r\nok"), decision.InvalidResponse, false},
+		"status is no number":   {reply("HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok"), decision.InvalidResponse, false},
+		"status of four digits": {reply("HTTP/1.1 0200 OK\r\nContent-Length: 2\r\n\r\nok"), decision.InvalidResponse, false},
+		"header without colon": {
+			reply("HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 2\r\n\r\nok"),
+			decision.InvalidResponse, false,
+		},
+		"client error": {reply("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n"), decision.InvalidResponse, true},
+		"rejected with invalid length": {
+			reply("HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 2x\r\n\r\n"),
+			decision.InvalidResponse, false,
+		},
+		"server error": {reply("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n"), decision.Error, true},
+		"rejected": {
+			reply("HTTP/1.1 504 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"),
+			decision.Rejected, true,
+		},
+		"503 without X-Turned-Away": {reply("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), decision.Error, true},
+		"truncated body":            {reply("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"), decision.Reset, false},
+		"no answer":                 {reply(""), decision.Reset, false},
+		"no HTTP response":          {reply("who is there\r\n\r\n"), decision.InvalidResponse, false},
+		"longer than the bound": {
+			reply(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 4*maxBufferedBody+1)),
+			decision.InvalidResponse, false,
+		},
+		"large, truncated": {reply("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\nok"), decision.Reset, false},
+		"large": {
+			reply("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537)),
+			decision.OK, true,
+		},
+		"with trailers": {
+			reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\nX-Sum: 1\r\n\r\n"),
+			decision.OK, true,
+		},
 		"broken before the last byte": {func(c net.Conn) {
 			c.Read(make([]byte, 10))
 			c.Close()
@@ -79,9 +133,9 @@
 	} {
 		res := runAttempt("", true, pipe(t, c.play), testTimeout, nil)
 		if res.status != c.want || (res.conn != nil) != c.keep {
-			t.Errorf("%s: status %v, kept %v", name, res.status, res.conn != nil)
+			t.Errorf("%s: status %v, connection kept %v, want %v and %v", name, res.status, res.conn != nil, c.want, c.keep)
 		}
-		if wantLoad := name == "with a report"; (res.load != nil) != wantLoad || wantLoad && res.load.Queue != 2 {
+		if wantLoad := name == "with a load report"; (res.load != nil) != wantLoad || wantLoad && res.load.Queue != 2 {
 			t.Errorf("%s: load %+v", name, res.load)
 		}
 		if c.want == decision.OK && name != "large" && string(res.response.body) != "ok" {
@@ -90,17 +144,17 @@
 	}
 }
 
-// An endpoint that sends without end is given up long before the attempt's deadline, and takes no
-// memory.
+// An attempt at an endpoint that sends without end is aborted after a bounded number of bytes, long
+// before its deadline.
 func TestEndlessResponseIsAborted(t *testing.T) {
 	for name, c := range map[string]struct{ first, then string }{
-		"head":        {"HTTP/1.1 200 OK\r\n", "X-Pad: pppppppppppppppp\r\n"},
-		"line":        {"HTTP/1.1 200 OK\r\nX-Pad: ", "pppppppppppppppppppppp"},
-		"status":      {"HTTP/1.1 200 O", "KKKKKKKKKKKKKKK"},
-		"information": {"", "HTTP/1.1 102 Wait\r\n\r\n"},
-		"body":        {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "10\r\n0123456789abcdef\r\n"},
-		"extension":   {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1;", "xxxxxxxxxxxxxxxxxxxxxxxxxxxx"},
-		"trailer":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", "X-Pad: pppppppppppppp\r\n"},
+		"head":              {"HTTP/1.1 200 OK\r\n", "X-Pad: pppppppppppppppp\r\n"},
+		"line":              {"HTTP/1.1 200 OK\r\nX-Pad: ", "pppppppppppppppppppppp"},
+		"status":            {"HTTP/1.1 200 O", "KKKKKKKKKKKKKKK"},
+		"interim responses": {"", "HTTP/1.1 102 Wait\r\n\r\n"},
+		"body":              {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "10\r\n0123456789abcdef\r\n"},
+		"extension":         {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1;", "xxxxxxxxxxxxxxxxxxxxxxxxxxxx"},
+		"trailer":           {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", "X-Pad: pppppppppppppp\r\n"},
 	} {
 		var sent atomic.Int64
 		near := pipe(t, func(far net.Conn) {
@@ -119,33 +173,34 @@
 		}
 		near.Close()
 		if most := int64(8*maxBufferedBody + 2*maxResponseHead + 100); sent.Load() > most {
-			t.Errorf("%s: %d bytes were taken", name, sent.Load())
+			t.Errorf("%s: %d bytes were read, want at most %d", name, sent.Load(), most)
 		}
 	}
 }
 
-// A response for which no memory can be reserved is streamed, and what was reserved is released.
+// A response for which no memory can be reserved is streamed. Only the memory for the buffered part
+// stays reserved.
 func TestResponseIsStreamedWhenMemoryIsExhausted(t *testing.T) {
 	answer := func(far net.Conn) {
 		readRequestFrom(far)
 		io.WriteString(far, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	}
-	try := func(b *core.Memory) result {
+	exchange := func(b *core.Memory) result {
 		a := newTestAttempt(forwardedRequest{method: "GET", target: "/", host: "h"}, "", true, testTimeout, 0)
 		defer a.Close()
 		return a.exchangeOver(newUpstreamConn(pipe(t, answer), a.Endpoint), b)
 	}
-	tight := memoryOf(1)
-	if res := try(tight); res.status != decision.OK || tight.Bodies.Available() != 1-2 {
-		t.Errorf("status %v, %d bytes left", res.status, tight.Bodies.Available())
+	memory := memoryOf(1)
+	if res := exchange(memory); res.status != decision.OK || memory.Bodies.Available() != 1-2 {
+		t.Errorf("status %v, %d bytes left", res.status, memory.Bodies.Available())
 	}
-	tight = memoryOf(maxBufferedBody)
-	if res := try(tight); res.status != decision.OK || tight.Bodies.Available() != maxBufferedBody-2 {
-		t.Errorf("status %v, %d bytes left", res.status, tight.Bodies.Available())
+	memory = memoryOf(maxBufferedBody)
+	if res := exchange(memory); res.status != decision.OK || memory.Bodies.Available() != maxBufferedBody-2 {
+		t.Errorf("status %v, %d bytes left", res.status, memory.Bodies.Available())
 	}
 }
 
-// What is received behind a response, however late, must not be served to the next request.
+// A surplus response on an idle connection must not be returned for the next request.
 func TestSurplusResponseIsNotServedToTheNextRequest(t *testing.T) {
 	c, far := tcpPair(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -172,14 +227,14 @@
 	}
 }
 
-// An endpoint that was seen to send unsolicited bytes, behind a response or on an idle connection,
-// gets a longer delay before its connections are reused: the next request waits until surplus that
-// is some milliseconds late has been received.
+// After an endpoint has sent unsolicited bytes, behind a response or on an idle connection, its
+// connections are reused only after a longer delay. Surplus bytes that arrive some milliseconds late
+// are then received before the next request is sent.
 func TestEndpointThatSentSurplusGetsALongerReuseDelay(t *testing.T) {
 	answer := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-	plain := core.NewEndpoint(1, "").ReuseDelay()
-	for name, see := range map[string]func(*upstreamConn, net.Conn) *core.Endpoint{
-		"behind its answer": func(c *upstreamConn, far net.Conn) *core.Endpoint {
+	usualDelay := core.NewEndpoint(1, "").ReuseDelay()
+	for name, sendSurplus := range map[string]func(*upstreamConn, net.Conn) *core.Endpoint{
+		"behind a response": func(c *upstreamConn, far net.Conn) *core.Endpoint {
 			io.WriteString(far, answer+answer)
 			a := newTestAttempt(forwardedRequest{method: "GET", target: "/", host: "h"}, "", true, testTimeout, 0)
 			defer a.Close()
@@ -196,18 +251,18 @@
 		},
 	} {
 		c, far := tcpPair(t)
-		e := see(c, far)
-		if e.ReuseDelay() < 5*plain {
-			t.Errorf("%s: a connection rests %v, as to others", name, e.ReuseDelay())
+		e := sendSurplus(c, far)
+		if e.ReuseDelay() < 5*usualDelay {
+			t.Errorf("%s: reuse delay %v, want at least %v", name, e.ReuseDelay(), 5*usualDelay)
 		}
 		c, far = tcpPair(t)
 		c.IdleSince = time.Now()
-		var came time.Time
+		var receivedAt time.Time
 		done := make(chan bool)
 		go func() {
 			defer close(done)
 			readRequestFrom(far)
-			came = time.Now()
+			receivedAt = time.Now()
 			io.WriteString(far, answer)
 		}()
 		in := forwardedRequest{method: "GET", target: "/", host: "h"}
@@ -219,13 +274,13 @@
 		}
 		a.Close()
 		<-done
-		if rest := came.Sub(c.IdleSince); rest < 5*plain {
-			t.Errorf("%s: the next request after %v", name, rest)
+		if delay := receivedAt.Sub(c.IdleSince); delay < 5*usualDelay {
+			t.Errorf("%s: the next request was sent after %v, want at least %v", name, delay, 5*usualDelay)
 		}
 	}
 }
 
-// A cancelled attempt has closed its connection by the time its outcome is reported.
+// A cancelled attempt closes its connection before it returns its result.
 func TestCancelledAttemptClosesItsConnection(t *testing.T) {
 	for name, c := range map[string]struct {
 		timeout time.Duration
@@ -258,8 +313,8 @@
 	}
 }
 
-// resettingConn is a connection that is reset as soon as what its peer wrote has been read up to a
-// trigger, and before the reader looks at it again.
+// resettingConn is a connection that its peer resets once the input that has been read ends with the
+// trigger. Read returns only after the reset has been received.
 type resettingConn struct {
 	*net.TCPConn
 	trigger string
@@ -275,24 +330,24 @@
 		raw, _ := c.SyscallConn()
 		raw.Control(func(fd uintptr) {
 			polled := []unix.PollFd{{Fd: int32(fd)}}
-			unix.Poll(polled, int(testTimeout.Milliseconds())) // the reset is here, and nobody has been told of it
+			unix.Poll(polled, int(testTimeout.Milliseconds())) // wait for the reset without clearing the pending error
 		})
 	}
 	return n, err
 }
 
-// A response without a length ends with its connection's end. A reset is none: what was received
-// before it is not complete.
+// A response without a length ends with the end of its connection. A reset is not such an end: the
+// response is incomplete.
 func TestResetIsNotTheEndOfABody(t *testing.T) {
-	for name, c := range map[string]struct{ text, word string }{
-		"behind the body":    {"HTTP/1.1 200 OK\r\n\r\nok", "ok"},
-		"behind the head":    {"HTTP/1.1 200 OK\r\n\r\n", "\r\n\r\n"},
-		"of an older server": {"HTTP/1.0 200 OK\r\n\r\nok", "ok"},
-		"in a failure":       {"HTTP/1.1 500 Oh\r\nContent-Length: 9\r\n\r\nok", "ok"},
+	for name, c := range map[string]struct{ text, trigger string }{
+		"behind the body":         {"HTTP/1.1 200 OK\r\n\r\nok", "ok"},
+		"behind the head":         {"HTTP/1.1 200 OK\r\n\r\n", "\r\n\r\n"},
+		"behind an HTTP/1.0 body": {"HTTP/1.0 200 OK\r\n\r\nok", "ok"},
+		"in an error response":    {"HTTP/1.1 500 Oh\r\nContent-Length: 9\r\n\r\nok", "ok"},
 	} {
 		near, far := tcpPair(t)
 		io.WriteString(far, c.text)
-		raw := &resettingConn{TCPConn: near.Conn.(*net.TCPConn), trigger: c.word, peer: far.(*net.TCPConn)}
+		raw := &resettingConn{TCPConn: near.Conn.(*net.TCPConn), trigger: c.trigger, peer: far.(*net.TCPConn)}
 		if res := runAttempt("", true, raw, testTimeout, nil); res.status != decision.Reset || res.conn != nil || res.response != nil {
 			t.Errorf("%s: status %v, response %+v", name, res.status, res.response)
 		}
@@ -307,20 +362,20 @@
 	io.WriteString(far, "HTTP/1.1 408 Request Timeout\r\n\r\n")
 	for end := time.Now().Add(testTimeout); c.Alive(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("an answer that nobody asked for goes unseen")
+			t.Fatal("a connection with unsolicited input is still alive")
 		}
 	}
 }
 
-// slowObserver is the observer of an attempt that learns of an upload's last byte only once the attempt is
-// cancelled.
+// slowObserver is an observer whose RequestSent returns only once the attempt is cancelled, so that
+// the sending goroutine reports the last byte late.
 type slowObserver struct{ discardingObserver }
 
 func (slowObserver) RequestSent(a *core.Attempt) { <-a.Ctx.Done() }
 
-// A response that is received before the sender of an upload has reported the last byte is that of
-// an executed request. It was once taken for an early one, and the request for one that is harmless
-// to repeat.
+// The response to an upload may be received before the sending goroutine has reported the last byte.
+// The request was executed then. An earlier version took such a response for one before the end of the
+// request, and reported the request as not executed and safe to retry.
 func TestResponseBeforeSenderReportsTheLastByteCounts(t *testing.T) {
 	endpoint := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if body, err := io.ReadAll(r.Body); string(body) != "triptrip" {
@@ -342,23 +397,22 @@
 	a := newAttempt(core.NewAttempt(c, core.NewEndpoint(1, endpoint.Listener.Addr().String()), 0, slowObserver{}), Kernel{})
 	defer a.Close()
 	if res := a.run(nil, testTimeout, ampleMemory()); res.status != decision.Error || !res.consumed {
-		t.Errorf("%v, spent %v: want an error of a request that ran", res.status, res.consumed)
+		t.Errorf("status %v, consumed %v: want %v of an executed request", res.status, res.consumed, decision.Error)
 	}
 }
 
-// A request whose client has gone leaves the connection that it was to be sent on to the next
-// request.
+// If the client has gone before its request is sent, the idle connection is kept for the next request.
 func TestAbandonedRequestReturnsItsConnection(t *testing.T) {
 	near, far := tcpPair(t)
-	asked := 0
+	checks := 0
 	a := newTestAttempt(forwardedRequest{method: http.MethodGet, target: "/api", host: "h", clientHungUp: func() bool {
-		asked++
+		checks++
 		return true
 	}}, "127.0.0.1:1", true, testTimeout, 0)
 	defer a.Close()
 	near.IdleSince = time.Now()
-	if res := a.run(near, testTimeout, ampleMemory()); res.status != decision.NotSent || res.conn != near || asked != 1 {
-		t.Errorf("%v, its connection kept: %v, asked %d times", res.status, res.conn == near, asked)
+	if res := a.run(near, testTimeout, ampleMemory()); res.status != decision.NotSent || res.conn != near || checks != 1 {
+		t.Errorf("status %v, connection kept %v, client checked %d times, want once", res.status, res.conn == near, checks)
 	}
 	near.Close()
 	if got, err := io.ReadAll(far); len(got) > 0 || err != nil {
@@ -366,8 +420,8 @@
 	}
 }
 
-// A client whose upload is queued may have hung up behind bytes that nobody has read: nothing is
-// sent then, and the goroutine that awaits the answer is told.
+// While an upload is queued, its client hangs up behind unread bytes. Nothing must be sent, and the
+// goroutine that awaits the answer must get the error.
 func TestUploadOfGoneClientIsNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -375,18 +429,18 @@
 	}
 	defer l.Close()
 	near, far := tcpPair(t)
-	who := &downstreamConn{Conn: near.Conn, tracker: &connTracker{}}
+	client := &downstreamConn{Conn: near.Conn, tracker: &connTracker{}}
 	io.WriteString(far, "trip")
 	far.Close()
-	for end := time.Now().Add(testTimeout); !who.hasHungUp() && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); !client.hasHungUp() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	u := newUpload(who, &requestBody{r: bufio.NewReader(near.Conn), length: 8, remaining: 4}, func() bool { return false })
-	a := newTestAttempt(forwardedRequest{method: http.MethodPost, target: "/api", host: "h", body: []byte("trip"), upload: u}, l.Addr().String(),
-		true, testTimeout, 0)
+	u := newUpload(client, &requestBody{r: bufio.NewReader(near.Conn), length: 8, remaining: 4}, func() bool { return false })
+	a := newTestAttempt(forwardedRequest{method: http.MethodPost, target: "/api", host: "h", body: []byte("trip"), upload: u},
+		l.Addr().String(), true, testTimeout, 0)
 	defer a.Close()
 	if res := a.run(nil, testTimeout, ampleMemory()); res.status != decision.NotSent || res.consumed || res.conn != nil {
-		t.Errorf("%v, spent %v, conn %v", res.status, res.consumed, res.conn)
+		t.Errorf("status %v, consumed %v, connection %v", res.status, res.consumed, res.conn)
 	}
 	if err := <-u.readFailed; !errors.Is(err, errClientGone) {
 		t.Error(err)
--- a/internal/http1/upstream_dial_test.go
+++ b/internal/http1/upstream_dial_test.go
@@ -12,8 +12,8 @@
 	"dykering/internal/decision"
 )
 
-// The endpoint may begin to drain while a connection is dialed: it is closed with nothing sent on
-// it.
+// If the endpoint begins to drain while a connection is dialed, the connection is closed without
+// sending anything.
 func TestDrainWhileDialingSendsNothing(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,16 +32,16 @@
 	}
 }
 
-// slowNetwork has connections that come up once an attempt's window has passed, or never.
+// slowNetwork is a network on which dials succeed only after a given time, or never.
 type slowNetwork struct {
 	Kernel
 	until time.Time
 	never bool
 }
 
-func (n slowNetwork) Dial(ctx context.Context, address string, within time.Duration) (net.Conn, error) {
+func (n slowNetwork) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
 	if n.never {
-		ctx, cancel := context.WithTimeout(ctx, within)
+		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -51,10 +51,10 @@
 	return c, err
 }
 
-// A retry whose connection is established after the window in which the endpoint recognizes it is
-// not written, and counts as not sent: the endpoint is not at fault.
+// A retry whose connection is established after the window in which the endpoint recognizes the retry
+// is not written. It counts as not sent instead of as a failure of the endpoint.
 func TestRetryWindowPassedWhileDialingSendsNothing(t *testing.T) {
-	for name, never := range map[string]bool{"up too late": false, "never up": true} {
+	for name, never := range map[string]bool{"connected too late": false, "never connected": true} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -75,13 +75,13 @@
 			t.Fatal(err)
 		}
 		if got, err := io.ReadAll(c); len(got) > 0 || err != nil {
-			t.Errorf("%s: the server got %q, %v", name, got, err)
+			t.Errorf("%s: the endpoint got %q, %v", name, got, err)
 		}
 	}
 }
 
-// A machine that is partitioned off answers no dial: the connect timeout ends it, and nothing was
-// executed. Here a listener whose backlog is full drops what comes.
+// A dial of an unreachable machine gets no answer and ends with the connect timeout, or earlier with
+// the request's deadline. The test uses a listener whose full backlog drops connection requests.
 func TestSilentDialEndsAtConnectTimeout(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
--- a/internal/http1/upstream_harness_test.go
+++ b/internal/http1/upstream_harness_test.go
@@ -12,20 +12,22 @@
 	"dykering/internal/decision"
 )
 
-// newTestAttempt returns an attempt at an endpoint.
-func newTestAttempt(in forwardedRequest, address string, open bool, lasts, timeout time.Duration) *attempt {
+// newTestAttempt returns an attempt at an endpoint that is open or closed for new requests. The call
+// ends after deadline, and the attempt after timeout unless that is 0.
+func newTestAttempt(in forwardedRequest, address string, open bool, deadline, timeout time.Duration) *attempt {
 	e := core.NewEndpoint(1, address)
 	if !open {
 		e.Close()
 	}
 	c := core.NewCall(decision.Request{}, &in)
-	c.Deadline = time.Now().Add(lasts)
+	c.Deadline = time.Now().Add(deadline)
 	a := newAttempt(core.NewAttempt(c, e, timeout, discardingObserver{}), Kernel{})
 	a.maxBody = 4 * maxBufferedBody
 	return a
 }
 
-// runAttempt makes an attempt at an endpoint, on the test's connection if there is one.
+// runAttempt makes an attempt over the given connection, or dials the address if the connection is
+// nil. It calls during, if not nil, in another goroutine.
 func runAttempt(address string, open bool, c net.Conn, timeout time.Duration, during func(*attempt)) result {
 	a := newTestAttempt(forwardedRequest{method: http.MethodPost, target: "/api", host: "h", header: http.Header{}, body: []byte("trip")},
 		address, open, testTimeout, timeout)
@@ -39,17 +41,18 @@
 	return a.exchangeOver(newUpstreamConn(c, a.Endpoint), ampleMemory())
 }
 
-// ampleMemory is memory for bodies that is not used up.
+// ampleMemory returns more memory for bodies than a test uses.
 func ampleMemory() *core.Memory { return memoryOf(1 << 30) }
 
-// memoryOf is memory for n bytes of bodies.
+// memoryOf returns memory for n bytes of bodies.
 func memoryOf(n int) *core.Memory {
 	m := &core.Memory{Buffers: core.NewBuffers(0)}
 	m.Bodies.Release(n)
 	return m
 }
 
-// discardingObserver is the observer of an attempt that reads a streamed response and reports nothing.
+// discardingObserver is an observer that reads a streamed response to its end and ignores other
+// events.
 type discardingObserver struct{}
 
 func (discardingObserver) RequestSent(*core.Attempt) {}
@@ -63,13 +66,13 @@
 	}()
 }
 
-// pipe runs the endpoint's side of a connection without buffers.
-func pipe(t *testing.T, play func(net.Conn)) net.Conn {
+// pipe returns the near end of an unbuffered connection, and runs serve on the other end.
+func pipe(t *testing.T, serve func(net.Conn)) net.Conn {
 	t.Helper()
 	near, far := net.Pipe()
 	done := make(chan bool)
 	go func() {
-		play(far)
+		serve(far)
 		close(done)
 	}()
 	t.Cleanup(func() {
@@ -80,13 +83,14 @@
 	return near
 }
 
+// readRequestFrom reads a complete request from a connection.
 func readRequestFrom(c net.Conn) {
 	if r, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
 		io.Copy(io.Discard, r.Body)
 	}
 }
 
-// tcpPair is the two ends of a loopback connection.
+// tcpPair returns the two ends of a loopback connection.
 func tcpPair(t *testing.T) (*upstreamConn, net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
