--- a/internal/http1/reload_test.go
+++ b/internal/http1/reload_test.go
@@ -53,7 +53,7 @@
 	}))
 	defer newDiscovery.Close()
 	defer newDiscovery.CloseClientConnections()
-	config, err := os.ReadFile(rg.file)
+	configText, err := os.ReadFile(rg.file)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,12 +61,12 @@
 	rg.lists <- string(line7)
 	rg.until("the list is applied", func() bool { return rg.stats().Revision == 7 })
 	oldAddress := rg.stats().DiscoveryAddress
-	os.WriteFile(rg.file, config[:len(config)/2], 0o600)
+	os.WriteFile(rg.file, configText[:len(configText)/2], 0o600)
 	rg.reloads <- syscall.SIGHUP
 	if s := rg.stats(); s.DiscoveryAddress != oldAddress || s.AwaitingFullList {
 		t.Error("an invalid file changed the discovery")
 	}
-	os.WriteFile(rg.file, []byte(strings.Replace(string(config), oldAddress, newDiscovery.Listener.Addr().String(), 1)), 0o600)
+	os.WriteFile(rg.file, []byte(strings.Replace(string(configText), oldAddress, newDiscovery.Listener.Addr().String(), 1)), 0o600)
 	rg.reloads <- syscall.SIGHUP
 	rg.until("the new list is applied", func() bool {
 		s := rg.stats()
--- a/internal/http1/transfer_test.go
+++ b/internal/http1/transfer_test.go
@@ -81,14 +81,14 @@
 // A slow client gets its complete response through several successive handovers, both before and
 // after the endpoint has sent all of it.
 func TestRelayToSlowClientContinuesThroughSuccessors(t *testing.T) {
-	const n = 24 << 20 // more than the socket buffers hold
+	const n = 24 << 20 // more than the socket buffers hold, given the receive buffer that is set below
 	body := checkableBody(n)
 	h := startHandover(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", fmt.Sprint(n))
 		w.Write(body)
 	})
 	c := h.dial()
-	if err := c.SetReadBuffer(64 << 10); err != nil { // otherwise the kernel grows the buffer
+	if err := c.SetReadBuffer(64 << 10); err != nil { // the kernel would otherwise let it grow to any size
 		t.Fatal(err)
 	}
 	r := h.request("read", 9*time.Second)
