--- a/internal/http1/doc.go
+++ b/internal/http1/doc.go
@@ -6,6 +6,15 @@
 // is rejected is decided by package core (an event loop) and package decision (its rules). How
 // descriptors get from one process to the other is in package handover.
 //
+// # Terms
+//
+//   - A downstream connection comes from a client, an upstream connection goes to an endpoint.
+//   - An endpoint sends a response. A client gets an answer: that response, a rejection or an error.
+//   - A call is a request in the core. An attempt is one sending of it to one endpoint.
+//   - A relay is a streamed response in progress, an upload a streamed request body in progress.
+//   - The successor is the process that replaces this one and accepts on the same listening socket.
+//     Its predecessor is the process that it replaces.
+//
 // # Callers
 //
 // Package sidecar runs a [Server]. The simulations of internal/lab run it on a [Network] in virtual
--- a/internal/http1/failure_phases_test.go
+++ b/internal/http1/failure_phases_test.go
@@ -93,10 +93,10 @@
 		notExecuted    bool // the endpoints execute no request
 		resetsOnAccept bool // endpoints reset each connection before they read a request
 	}{
-		"serving":               {respondWith(goodAnswer, true), false, false},
+		"serving":               {respondWith(goodResponse, true), false, false},
 		"error":                 {respondWith("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", true), false, false},
-		"rejecting":             {respondWith(rejectedAnswer, true), true, false},
-		"rejecting and closing": {respondWith(strings.Replace(rejectedAnswer, "X-", "Connection: close\r\nX-", 1), false), true, false},
+		"rejecting":             {respondWith(rejectedResponse, true), true, false},
+		"rejecting and closing": {respondWith(strings.Replace(rejectedResponse, "X-", "Connection: close\r\nX-", 1), false), true, false},
 		"reset":                 {resetConnection, false, false},
 		"closing":               {respondWith("", false), false, false},
 		"malformed":             {respondWith("who is there\r\n\r\n", false), false, false},
@@ -183,7 +183,7 @@
 				var firstServed atomic.Bool
 				first := newFakeEndpoint(t, l, "s-1", func(c *net.TCPConn, markEnded func()) bool {
 					if firstServed.Swap(true) {
-						return respondWith(goodAnswer, true)(c, markEnded)
+						return respondWith(goodResponse, true)(c, markEnded)
 					}
 					arrived <- true
 					switch phase {
@@ -194,13 +194,13 @@
 						io.WriteString(c, long[maxBufferedBody+maxBufferedBody/2:])
 					case "awaiting":
 						<-proceed
-						return respondWith(goodAnswer, true)(c, markEnded)
+						return respondWith(goodResponse, true)(c, markEnded)
 					default:
-						return respondWith(goodAnswer, true)(c, markEnded)
+						return respondWith(goodResponse, true)(c, markEnded)
 					}
 					return true
 				})
-				second := newFakeEndpoint(t, l, "s-2", respondWith(goodAnswer, true))
+				second := newFakeEndpoint(t, l, "s-2", respondWith(goodResponse, true))
 				rg := start(t, 1024, first.target)
 				http.DefaultClient.CloseIdleConnections()
 				rg.until("no client is connected", func() bool { return rg.server.clients.emptyFor(0) })
@@ -313,9 +313,9 @@
 // allocated.
 func TestEndpointFaultsDuringDrainShutdownAndReload(t *testing.T) {
 	for fault, behave := range map[string]behavior{
-		"serving":   respondWith(goodAnswer, true),
+		"serving":   respondWith(goodResponse, true),
 		"error":     respondWith("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", true),
-		"rejecting": respondWith(rejectedAnswer, true),
+		"rejecting": respondWith(rejectedResponse, true),
 		"reset":     resetConnection,
 		"malformed": respondWith("who is there\r\n\r\n", false),
 		"truncated": respondWith("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", false),
--- a/internal/http1/fake_endpoint_test.go
+++ b/internal/http1/fake_endpoint_test.go
@@ -133,8 +133,8 @@
 }
 
 const (
-	goodAnswer     = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-	rejectedAnswer = "HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
+	goodResponse     = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+	rejectedResponse = "HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
 // endpointListOf returns a line of the discovery's watch that reports endpoints in a state.
--- a/internal/http1/parse_chunked_test.go
+++ b/internal/http1/parse_chunked_test.go
@@ -147,8 +147,8 @@
 		t.Errorf("got %v, %v", b.trailer(), err)
 	}
 	c := newChunkedReader(bufio.NewReader(strings.NewReader(text)))
-	answer := &responseBody{chunks: c, reader: c, length: -1, maxLength: maxStreamedBody}
-	if _, err := io.ReadAll(answer); err != nil || fmt.Sprint(answer.trailer) != "map[X-Sum:[1]]" {
-		t.Errorf("response: got %v, %v", answer.trailer, err)
+	response := &responseBody{chunks: c, reader: c, length: -1, maxLength: maxStreamedBody}
+	if _, err := io.ReadAll(response); err != nil || fmt.Sprint(response.trailer) != "map[X-Sum:[1]]" {
+		t.Errorf("response: got %v, %v", response.trailer, err)
 	}
 }
--- a/internal/http1/stages.go
+++ b/internal/http1/stages.go
@@ -30,7 +30,7 @@
 //	st  the process stops
 //	ho  the process stops and has a successor
 //	re  a reload has just begun
-//	di  a full list from a new discovery address is awaited
+//	di  a full list from discovery is awaited
 func (s *Server) ActivePhases(previous *PhaseCounts) (names []string) {
 	report := func(name string, n int) {
 		if n > 0 {
--- a/internal/http1/upstream.go
+++ b/internal/http1/upstream.go
@@ -73,7 +73,7 @@
 	// Closed when the last byte of a streamed request is written.
 	fullySent chan struct{}
 	// Waits for the response while a streamed request is being sent.
-	watcher *answerWatcher
+	watcher *responseWatcher
 	// The counters of upstream; nil for an attempt that is not counted.
 	phaseEntries *[core.AttemptPhaseCount]atomic.Uint64
 }
@@ -94,7 +94,7 @@
 		request:   a.Call.Message.(*forwardedRequest),
 		maxBody:   maxStreamedBody,
 		fullySent: make(chan struct{}),
-		watcher:   newAnswerWatcher(),
+		watcher:   newResponseWatcher(),
 	}
 }
 
--- a/internal/http1/upstream_attempt_test.go
+++ b/internal/http1/upstream_attempt_test.go
@@ -231,11 +231,11 @@
 // connections are reused only after a longer delay. Surplus bytes that arrive some milliseconds late
 // are then received before the next request is sent.
 func TestEndpointThatSentSurplusGetsALongerReuseDelay(t *testing.T) {
-	answer := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+	response := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	usualDelay := core.NewEndpoint(1, "").ReuseDelay()
 	for name, sendSurplus := range map[string]func(*upstreamConn, net.Conn) *core.Endpoint{
 		"behind a response": func(c *upstreamConn, far net.Conn) *core.Endpoint {
-			io.WriteString(far, answer+answer)
+			io.WriteString(far, response+response)
 			a := newTestAttempt(forwardedRequest{method: "GET", target: "/", host: "h"}, "", true, testTimeout, 0)
 			defer a.Close()
 			c.endpoint = a.Endpoint
@@ -263,7 +263,7 @@
 			defer close(done)
 			readRequestFrom(far)
 			receivedAt = time.Now()
-			io.WriteString(far, answer)
+			io.WriteString(far, response)
 		}()
 		in := forwardedRequest{method: "GET", target: "/", host: "h"}
 		call := core.NewCall(decision.Request{}, &in)
--- a/internal/http1/upstream_stream.go
+++ b/internal/http1/upstream_stream.go
@@ -26,12 +26,12 @@
 	}
 	sent := make(chan sendResult, 1)
 	go func() { sent <- a.sendAndCancel(c, memory) }()
-	answer := make(chan result, 1)
+	responses := make(chan result, 1)
 	go func() {
 		if a.watcher.wait(c) != nil {
 			return // the connection belongs to the successor
 		}
-		answer <- a.awaitResponse(c, memory)
+		responses <- a.awaitResponse(c, memory)
 	}()
 	var send sendResult
 	select {
@@ -39,8 +39,8 @@
 		if errors.Is(send.endpoint, errTransferred) {
 			return result{status: decision.Cancelled, consumed: true}
 		}
-		res = <-answer
-	case res = <-answer:
+		res = <-responses
+	case res = <-responses:
 		send = a.stopSending(sent)
 	}
 	if send == (sendResult{}) {
@@ -60,7 +60,7 @@
 	case errors.Is(send.endpoint, errTransferred):
 	case send.endpoint != nil:
 		// The endpoint may have sent a response before it closed.
-		c.SetReadDeadline(time.Now().Add(earlyAnswerTimeout))
+		c.SetReadDeadline(time.Now().Add(earlyResponseTimeout))
 	}
 	return send
 }
@@ -81,27 +81,27 @@
 	if <-sent == (sendResult{}) {
 		return sendResult{}
 	}
-	return sendResult{endpoint: errAnsweredEarly}
+	return sendResult{endpoint: errEarlyResponse}
 }
 
 // partlySent returns the result of an attempt whose last byte was not written. The request was not
 // executed, whatever the response.
-func (a *attempt) partlySent(answered result, send sendResult) result {
+func (a *attempt) partlySent(response result, send sendResult) result {
 	res := result{status: decision.NotSent, consumed: a.request.upload.consumed}
 	switch {
-	case answered.status == decision.Rejected:
+	case response.status == decision.Rejected:
 		res.status = decision.Rejected
-	case send.client == nil && !errors.Is(send.endpoint, errAnsweredEarly) && !errors.Is(send.endpoint, errTooLate):
+	case send.client == nil && !errors.Is(send.endpoint, errEarlyResponse) && !errors.Is(send.endpoint, errTooLate):
 		res.status = a.unsentStatus()
 	}
 	return res
 }
 
-// errAnsweredEarly reports a response that is received before the request's last byte is written.
-var errAnsweredEarly = errors.New("response received before the end of the request")
+// errEarlyResponse reports a response that is received before the request's last byte is written.
+var errEarlyResponse = errors.New("response received before the end of the request")
 
 // isFullySent reports whether the last byte of the request is written. It waits up to
-// earlyAnswerTimeout, because the response may be received before the sending goroutine has reported
+// earlyResponseTimeout, because the response may be received before the sending goroutine has reported
 // the last byte.
 func (a *attempt) isFullySent() bool {
 	if a.request.upload == nil {
@@ -110,14 +110,14 @@
 	select {
 	case <-a.fullySent:
 		return true
-	case <-time.After(earlyAnswerTimeout):
+	case <-time.After(earlyResponseTimeout):
 		return false
 	}
 }
 
-// earlyAnswerTimeout is how long the response of an endpoint that closed in the middle of an upload
+// earlyResponseTimeout is how long the response of an endpoint that closed in the middle of an upload
 // is awaited, and how long the sending goroutine may take to report the last byte.
-const earlyAnswerTimeout = 200 * time.Millisecond
+const earlyResponseTimeout = 200 * time.Millisecond
 
 // sendStreaming writes a request with a streamed body. It returns errors of the client's side and of
 // the endpoint's side separately.
@@ -140,10 +140,10 @@
 	return clientErr, writeErr
 }
 
-// answerWatcher waits for a response while a streamed request is being sent. Until input is received
+// responseWatcher waits for a response while a streamed request is being sent. Until input is received
 // the wait can be paused, so that the connection can be transferred before any byte of the response
 // is read.
-type answerWatcher struct {
+type responseWatcher struct {
 	mu sync.Mutex
 	// The waiting goroutine has to pause.
 	pauseRequested bool
@@ -155,13 +155,13 @@
 	resume chan bool
 }
 
-// newAnswerWatcher returns a watcher of one attempt.
-func newAnswerWatcher() *answerWatcher {
-	return &answerWatcher{received: make(chan struct{}), paused: make(chan struct{}), resume: make(chan bool)}
+// newResponseWatcher returns a watcher of one attempt.
+func newResponseWatcher() *responseWatcher {
+	return &responseWatcher{received: make(chan struct{}), paused: make(chan struct{}), resume: make(chan bool)}
 }
 
 // wait waits for input. It returns errTransferred if the connection now belongs to the successor.
-func (w *answerWatcher) wait(c *upstreamConn) error {
+func (w *responseWatcher) wait(c *upstreamConn) error {
 	for {
 		err := awaitInput(c.Conn)
 		w.mu.Lock()
@@ -185,9 +185,9 @@
 	}
 }
 
-// errAnswerBegun reports that part of the response has been received, so the upload cannot be
+// errResponseBegun reports that part of the response has been received, so the upload cannot be
 // transferred.
-var errAnswerBegun = errors.New("part of the response has already been received")
+var errResponseBegun = errors.New("part of the response has already been received")
 
 // whileUnread calls f while the wait for the response is paused and no byte of the response has been
 // read. If f fails, or input has already been received, the attempt continues.
@@ -197,7 +197,7 @@
 	select {
 	case <-watcher.received:
 		watcher.mu.Unlock()
-		return errAnswerBegun
+		return errResponseBegun
 	default:
 	}
 	watcher.pauseRequested = true
@@ -205,7 +205,7 @@
 	watcher.mu.Unlock()
 	select {
 	case <-watcher.received:
-		return errAnswerBegun
+		return errResponseBegun
 	case <-watcher.paused:
 	}
 	err := f()
