--- a/internal/logs/section.go
+++ b/internal/logs/section.go
@@ -17,11 +17,11 @@
 
 // Section is the table [log] of the operator's file.
 type Section struct {
-	Format   string           `toml:"format" doc:"how lines look: console or json" oneof:"console json"`
-	Level    Level            `toml:"level" doc:"the least that is logged: debug, info, warn or error"`
-	Burst    int              `toml:"burst" doc:"lines of one event a second; what is more is counted" min:"1" max:"1000"`
-	MaxLines int              `toml:"most" doc:"lines of all events a second" min:"1" max:"10000"`
-	Buffer   tomlconfig.Bytes `toml:"buffer" doc:"memory for lines that wait for the sink; read at the start" min:"4KiB" max:"16MiB"`
+	Format   string           `toml:"format" doc:"format of the lines: console or json" oneof:"console json"`
+	Level    Level            `toml:"level" doc:"lowest level that is logged: debug, info, warn or error"`
+	Burst    int              `toml:"burst" doc:"maximum number of lines of one event per second; further lines are only counted" min:"1" max:"1000"`
+	MaxLines int              `toml:"most" doc:"maximum number of lines of all events per second; the first of each event is not limited" min:"1" max:"10000"`
+	Buffer   tomlconfig.Bytes `toml:"buffer" doc:"memory for lines that wait to be written; read only at the start" min:"4KiB" max:"16MiB"`
 }
 
 // Default returns the settings that apply without an operator's file.
@@ -30,7 +30,7 @@
 }
 
 func init() {
-	operator.Register("log", "Where and how this process says what happens. Lines go to standard error.",
+	operator.Register("log", "Log of the process, which is written to standard error.",
 		func() any { return Default() })
 }
 
--- a/internal/operator/example.go
+++ b/internal/operator/example.go
@@ -7,8 +7,8 @@
 	"dykering/internal/tomlconfig"
 )
 
-const exampleHeader = `# Every key with its default. Times and sizes have units (250ms, 16MiB); a value may be taken from the
-# environment, as "${NAME}". SIGHUP has the file read again.
+const exampleHeader = `# All keys with their defaults. Durations and sizes have units (250ms, 16MiB). The value "${NAME}" is replaced
+# by the environment variable NAME. On SIGHUP the process reads this file again.
 
 version = %d
 `
