--- a/internal/lab/real/clock.go
+++ b/internal/lab/real/clock.go
@@ -7,17 +7,18 @@
 	"dykering/internal/lab/model"
 )
 
-// maxPendingActions limits the actions that wait for the clock's goroutine.
+// maxPendingActions is the number of posted actions that the clock's goroutine buffers. A further post
+// blocks.
 const maxPendingActions = 4096
 
-// wallClock is a world's clock in real time. The world belongs to the goroutine of run.
+// wallClock is the clock of a model.World in real time. Only the goroutine of run uses the world.
 type wallClock struct {
 	began time.Time
 	// The scheduled time of the running action; 0 while a posted action runs.
 	eventTime time.Duration
 	events    model.EventQueue
 	actions   chan func()
-	// Closed when run has ended.
+	// Closed when run returns.
 	done chan struct{}
 }
 
@@ -25,9 +26,9 @@
 	return &wallClock{began: time.Now(), actions: make(chan func(), maxPendingActions), done: make(chan struct{})}
 }
 
-// Now is the time on the world's clock. During an action it is the time the action was scheduled
-// for, so that a coarse timer does not delay what follows from it and clients do not offer less and
-// less.
+// Now returns the time on the world's clock. During a scheduled action it returns the time for which
+// the action was scheduled. A late timer then does not delay the events that the action schedules, and
+// the offered load does not fall over time.
 func (c *wallClock) Now() time.Duration {
 	if c.eventTime > 0 {
 		return c.eventTime
@@ -35,17 +36,17 @@
 	return c.elapsed()
 }
 
-// elapsed is the world's time by the machine's clock.
+// elapsed returns the world's time as read from the machine's clock.
 func (c *wallClock) elapsed() time.Duration { return model.Origin + time.Since(c.began) }
 
-// After runs an action when a duration has passed.
+// After schedules an action to run when a duration has passed.
 func (c *wallClock) After(d time.Duration, action func()) { c.events.Add(c.Now()+max(d, 0), action) }
 
-// at converts a time of the world's clock to one of the machine's.
+// at converts a time on the world's clock to a time on the machine's clock.
 func (c *wallClock) at(moment time.Duration) time.Time { return c.began.Add(moment - model.Origin) }
 
-// post runs an action on the clock's goroutine, unless that has ended. It may be called by any
-// goroutine.
+// post runs an action on the clock's goroutine and drops it if run has returned. Any goroutine may
+// call it.
 func (c *wallClock) post(action func()) {
 	select {
 	case c.actions <- action:
@@ -53,8 +54,8 @@
 	}
 }
 
-// run runs actions when they are due, until a time, until finished reports true, until the context
-// ends or until an error is received.
+// run executes actions when they are due. It returns at the time until, when finished reports true,
+// when the context ends, or with the error that it receives from failed.
 func (c *wallClock) run(ctx context.Context, until time.Duration, finished func() bool, failed <-chan error) error {
 	defer close(c.done)
 	for {
@@ -71,7 +72,9 @@
 		if c.elapsed() >= until || finished() {
 			return nil
 		}
-		timer := time.NewTimer(time.Until(c.at(next))) // not reset: see netem's wakes
+		// A new timer each time: within synctest, Reset makes the runtime search the whole heap of the
+		// bubble's timers.
+		timer := time.NewTimer(time.Until(c.at(next)))
 		select {
 		case <-timer.C:
 		case action := <-c.actions:
--- a/internal/lab/real/environment.go
+++ b/internal/lab/real/environment.go
@@ -10,83 +10,85 @@
 	"dykering/internal/lab/loopback"
 )
 
-// Environment provides what a scenario is played on: the sockets of the host with one process per
-// broker, or an emulated network with all of them in one process (package emulation). Names and
-// zones are those of the machines.
+// Environment provides the network and the broker processes for a scenario. It is implemented by the
+// host's sockets with one process per broker, and by an emulated network with all brokers in one
+// process (package emulation). The names and zones in its methods are those of the machines.
 type Environment interface {
-	// Listen listens for a server or a discovery, at an address that it had before or, if that is
-	// empty, at a new one.
+	// Listen creates the listener of a server or a discovery. An empty address selects a new one;
+	// otherwise the address is the one that the server or discovery had before.
 	Listen(name string, zone int, address string) (net.Listener, error)
-	// Blackhole has connections to an address that nobody listens on never be established, until end
-	// is called.
+	// Blackhole leaves new connections to an address without a handshake until end is called. Nobody
+	// may listen at the address.
 	Blackhole(address string) (end func(), err error)
-	// NewSlot creates the place where an instance of the broker serves, one process after another.
+	// NewSlot creates the slot of an instance of the broker.
 	NewSlot(name string, zone int) (Slot, error)
-	// Dial makes connections of clients.
+	// Dial opens the connection of a client.
 	Dial(ctx context.Context, network, address string) (net.Conn, error)
-	// SetPartition drops all traffic between two machines for which cut reports true, by their names;
-	// nil ends that. The function may be called at any time.
+	// SetPartition drops all traffic between each two machines for whose names cut reports true. A nil
+	// cut ends the partition. The environment may call cut at any time.
 	SetPartition(cut func(a, b string) bool)
 }
 
-// Slot is what the processes of one instance share.
+// Slot holds the address and the directory that the successive processes of one instance share.
 type Slot interface {
-	// Address is where clients connect, and Dir is for the instance's files.
+	// Address returns the address to which clients connect.
 	Address() string
+	// Dir returns the directory of the instance's files.
 	Dir() string
 	// Start starts a process with the platform's configuration file and, unless empty, the operator's.
 	// It does not wait until the process can serve.
 	Start(file, operator string) (Broker, error)
-	// Shared reports whether the platform holds the listening socket for successive processes; else
-	// each process creates its own.
+	// Shared reports whether the platform holds the listening socket for successive processes.
+	// Otherwise each process creates its own.
 	Shared() bool
 	Close()
 }
 
 // Broker is a process of the broker.
 type Broker interface {
-	// Ready waits until it can serve.
+	// Ready waits until the process can serve.
 	Ready(context.Context) error
-	// Stop sends SIGTERM and kills the process if that has no effect in time.
+	// Stop sends SIGTERM and kills the process if it does not end in time.
 	Stop()
 	Kill()
+	// Done is closed when the process has ended.
 	Done() <-chan struct{}
-	// Drain starts or ends a drain at the operators' address.
+	// Drain starts or ends a drain through the control address of the process.
 	Drain(on bool) error
-	// Reload sends SIGHUP.
+	// Reload makes the process read its configuration files again (SIGHUP).
 	Reload() error
-	// Failure returns an error with the end of the process's log.
+	// Failure returns an error with the given text and the end of the process's log.
 	Failure(text string) error
 }
 
-// hostNetwork is the environment of the host's sockets.
+// hostNetwork is the Environment on the host's sockets.
 type hostNetwork struct{ options Options }
 
-func (g hostNetwork) Listen(_ string, _ int, address string) (net.Listener, error) {
+func (h hostNetwork) Listen(_ string, _ int, address string) (net.Listener, error) {
 	if address == "" {
 		return loopback.Listen()
 	}
 	return loopback.Relisten(address)
 }
 
-func (g hostNetwork) Blackhole(address string) (func(), error) {
-	h, err := newFullBacklog(address)
+func (h hostNetwork) Blackhole(address string) (func(), error) {
+	backlog, err := newFullBacklog(address)
 	if err != nil {
 		return nil, err
 	}
-	return h.close, nil
+	return backlog.close, nil
 }
 
-func (g hostNetwork) Dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (h hostNetwork) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	var d net.Dialer
 	return d.DialContext(ctx, network, address)
 }
 
-// SetPartition does nothing: scenarios with a partition are refused here (see checkPlayable).
-func (g hostNetwork) SetPartition(func(a, b string) bool) {}
+// SetPartition does nothing, because checkPlayable refuses scenarios with a partition.
+func (h hostNetwork) SetPartition(func(a, b string) bool) {}
 
-func (g hostNetwork) NewSlot(name string, _ int) (Slot, error) {
-	dir := filepath.Join(g.options.Dir, name)
+func (h hostNetwork) NewSlot(name string, _ int) (Slot, error) {
+	dir := filepath.Join(h.options.Dir, name)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
@@ -99,10 +101,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return &heldSocket{command: g.options.Command, dir: dir, address: l.Addr().String(), socket: socket}, nil
+	return &heldSocket{command: h.options.Command, dir: dir, address: l.Addr().String(), socket: socket}, nil
 }
 
-// heldSocket is a listening socket that is held for the processes of an instance.
+// heldSocket is the Slot on the host: the laboratory holds the listening socket, and each process of
+// the instance inherits it.
 type heldSocket struct {
 	command      []string
 	dir, address string
@@ -126,11 +129,11 @@
 	return p, nil
 }
 
-// tcpConn is what the connections of either environment provide beside net.Conn.
+// tcpConn lists the methods that connections of both environments have in addition to net.Conn.
 type tcpConn interface {
 	CloseWrite() error
 	SetLinger(sec int) error
 }
 
-// discoveryName is the name of the machine on which an instance's discovery runs.
+// discoveryName returns the name of the machine on which an instance's discovery runs.
 func discoveryName(instance string) string { return fmt.Sprint("discovery of ", instance) }
--- a/internal/lab/real/faults.go
+++ b/internal/lab/real/faults.go
@@ -7,8 +7,8 @@
 	"dykering/internal/lab/model"
 )
 
-// Kill kills the process of an instance. Its requests are lost, and the process is not blamed for
-// that.
+// Kill kills the process of an instance. The checker does not count the requests that are lost with it
+// as faults of the broker.
 func (st *stage) Kill(in *model.Instance, duration time.Duration) {
 	i := st.instanceOf(in)
 	if i.process == nil {
@@ -18,49 +18,52 @@
 	i.process = nil
 	st.excuseRequests(in)
 	st.goroutines.Go(p.Kill)
-	if duration >= 0 { // else it stays away until a step of the network faults starts it
+	if duration >= 0 { // else a "start" step of the network faults starts the next process
 		st.After(duration, func() { st.startSuccessor(i, nil) })
 	}
 }
 
-// restartDelay is how long an instance stays away whose process was killed by the environment.
+// restartDelay is the time from the kill of a process by its environment to the start of a new one.
 const restartDelay = 200 * time.Millisecond
 
-// killNotifier is a process that its environment may kill. KillPending is closed when that is about
-// to happen. The process is killed after AllowKill: a client that saw the reset earlier would count
-// it as the process's own fault.
+// killNotifier is implemented by a process that its environment may kill. KillPending is closed when
+// the environment is about to kill it. The environment waits for AllowKill, because a client that sees
+// the reset before the checker knows of the kill counts it as a fault of the process.
 type killNotifier interface {
 	KillPending() <-chan struct{}
 	AllowKill()
 }
 
-// killPending returns the channel that is closed when the environment is about to kill a process,
-// nil where it never does, and the function that allows it.
+// killPending returns the channel that is closed when the environment is about to kill a process, and
+// the function that allows the kill. The channel is nil if the environment never kills processes.
 func killPending(p Broker) (_ <-chan struct{}, allow func()) {
-	if m, ok := p.(killNotifier); ok {
-		return m.KillPending(), m.AllowKill
+	if notifier, ok := p.(killNotifier); ok {
+		return notifier.KillPending(), notifier.AllowKill
 	}
 	return nil, func() {}
 }
 
-// excuseRequests records that an instance owes no answers, since its process is killed.
+// excuseRequests marks the pending requests of an instance whose process is killed, so that missing
+// answers do not count as violations.
 func (st *stage) excuseRequests(in *model.Instance) {
-	for _, t := range st.requests {
-		if t.Instance == in {
-			t.processKilled.Store(true)
-			t.cancel() // net/http would ask the next process by itself, with the time left of the first
+	for _, request := range st.requests {
+		if request.Instance == in {
+			request.processKilled.Store(true)
+			// net/http would otherwise send the request to the next process, with an outdated X-Remaining.
+			request.cancel()
 		}
 	}
 }
 
-// Handover starts a successor, and stops the predecessor when the successor can serve.
+// Handover starts a successor process and stops the predecessor once the successor can serve.
 func (st *stage) Handover(in *model.Instance) {
 	if i := st.instanceOf(in); i.process != nil {
 		st.startSuccessor(i, i.process)
 	}
 }
 
-// startSuccessor starts a process in place of another one, or of none.
+// startSuccessor starts a new process of an instance and stops the old one, if any, once the new one
+// can serve.
 func (st *stage) startSuccessor(i *instance, old Broker) {
 	if st.ctx.Err() != nil {
 		return
@@ -72,10 +75,10 @@
 	}
 	st.goroutines.Go(func() {
 		if err := p.Ready(st.ctx); err != nil {
-			dies, _ := killPending(p)
+			kill, _ := killPending(p)
 			select {
-			case <-dies:
-				return // the goroutine that watches it starts another
+			case <-kill:
+				return // the goroutine of start restarts the instance
 			default:
 			}
 			if st.ctx.Err() == nil {
@@ -92,15 +95,16 @@
 	})
 }
 
-// oldDiscoveryRetention is how long a discovery answers after the brokers were told to use another
-// one.
+// oldDiscoveryRetention is how long a discovery still answers after its broker was reconfigured to use
+// another one.
 const oldDiscoveryRetention = time.Second
 
-// staller is a process that can be stalled for a duration.
-type staller interface{ Stall(lasts time.Duration) }
+// staller is implemented by a process that can be stopped for a duration as by SIGSTOP.
+type staller interface{ Stall(duration time.Duration) }
 
-// InjectFault stops an instance, stalls it, has its operators drain it for a time, moves its
-// discovery to another address, or has its discovery send lists out of order.
+// InjectFault applies a fault to an instance. "stop" stops its process, "stall" suspends it, "away"
+// drains it for a duration, "reload" moves its discovery to another address, and "stale" and "again"
+// make its discovery send lists out of order.
 func (st *stage) InjectFault(in *model.Instance, kind string, duration time.Duration) {
 	i := st.instanceOf(in)
 	p := i.process
@@ -109,14 +113,14 @@
 		i.discovery.Repeat(kind == "stale")
 	case p == nil || i.stopping == p:
 	case kind == "stop" && i.slot.Shared():
-		// Where the platform holds the socket a successor starts before the process is told to stop.
+		// If the platform holds the socket, it starts a successor before it stops the process.
 		st.startSuccessor(i, p)
 	case kind == "stop":
 		i.stopping = p
 		st.goroutines.Go(func() {
 			p.Stop()
 			st.post(func() {
-				if i.process == p { // else it was killed and has a successor
+				if i.process == p { // else the process was killed and has a successor
 					i.process = nil
 					st.After(duration, func() { st.startSuccessor(i, nil) })
 				}
@@ -162,7 +166,8 @@
 	}
 }
 
-// PartitionsChanged implements model.Sockets.
+// PartitionsChanged implements model.Sockets: it applies the model's present partitions to the
+// environment.
 func (st *stage) PartitionsChanged() {
 	cut := map[[2]string]bool{}
 	for _, i := range st.instances {
--- a/internal/lab/real/faulty_conn.go
+++ b/internal/lab/real/faulty_conn.go
@@ -3,39 +3,43 @@
 import (
 	"crypto/rand"
 	"errors"
+	"fmt"
 	"net"
 	"sync"
 	"syscall"
 	"time"
 )
 
-// Faults on the connections of a server, each of which a network, a machine or a program can cause.
+// Kinds of faults on the connections of a server. Networks, machines and programs cause each of them in
+// practice. The size in the comments is connectionFault.size.
 const (
-	// Send so many bytes of an answer, then reset the connection.
+	// Sends size bytes of an answer, then resets the connection.
 	resetAfter = "reset"
-	// Send so many bytes, then close the connection.
+	// Sends size bytes of an answer, then closes the connection.
 	cutAfter = "cut"
-	// Send so many bytes, then close the sending side only.
+	// Sends size bytes of an answer, then closes the sending side only.
 	halfClose = "half_close"
-	// Send so many bytes, then nothing.
+	// Sends size bytes of an answer, then nothing.
 	stallAfter = "stall"
-	// Read so many bytes per interval.
+	// Reads at most size bytes per slowInterval.
 	slowRead = "slow_read"
-	// Write so many bytes per interval.
+	// Writes at most size bytes per slowInterval.
 	slowWrite = "slow_write"
-	// Send random bytes in place of an answer.
+	// Sends random bytes in place of an answer.
 	garbage = "garbage"
-	// New connections are never established.
+	// Never establishes new connections.
 	noHandshake = "syn"
-	// The same, and nothing passes on established ones.
-	vanish       = "vanish"
-	slowInterval = 20 * time.Millisecond
+	// Never establishes new connections and passes nothing on established ones.
+	vanish = "vanish"
 )
 
+// slowInterval is the interval of slowRead and slowWrite.
+const slowInterval = 20 * time.Millisecond
+
 // connectionFault is the fault that is active on a server's connections.
 type connectionFault struct {
 	kind string
-	size int
+	size int // bytes
 	// Closed when the fault has ended.
 	ended chan struct{}
 }
@@ -52,11 +56,11 @@
 }
 
 // setFault ends the active fault and begins another.
-func (cs *connectionSet) setFault(how string, n int) {
+func (cs *connectionSet) setFault(kind string, size int) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	close(cs.fault.ended)
-	cs.fault = &connectionFault{kind: how, size: n, ended: make(chan struct{})}
+	cs.fault = &connectionFault{kind: kind, size: size, ended: make(chan struct{})}
 }
 
 func (cs *connectionSet) currentFault() *connectionFault {
@@ -65,7 +69,7 @@
 	return cs.fault
 }
 
-// reset resets all connections.
+// reset resets all open connections.
 func (cs *connectionSet) reset() {
 	cs.mu.Lock()
 	open := make([]*faultyConn, 0, len(cs.open))
@@ -78,7 +82,7 @@
 	}
 }
 
-// faultyListener accepts connections that carry out the active fault.
+// faultyListener accepts connections to which the active fault of their server applies.
 type faultyListener struct {
 	net.Listener
 	connections *connectionSet
@@ -96,27 +100,27 @@
 	return c, nil
 }
 
-// faultyConn is a connection that carries out the active fault of its server.
+// faultyConn is a connection to which the active fault of its server applies.
 type faultyConn struct {
 	net.Conn
 	connections *connectionSet
 	once        sync.Once
 	closed      chan struct{}
 	mu          sync.Mutex
-	// Bytes sent of the present answer.
+	// Bytes sent of the current answer.
 	sent int
 }
 
-// wait waits for the end of a fault, or for a duration if that is above 0. It reports false when
-// the connection is closed.
-func (c *faultyConn) wait(m *connectionFault, atMost time.Duration) bool {
-	var enough <-chan time.Time
-	if atMost > 0 {
-		enough = time.After(atMost)
+// wait waits for the end of a fault, and at most for the timeout if that is above 0. It reports false
+// if the connection was closed meanwhile.
+func (c *faultyConn) wait(fault *connectionFault, timeout time.Duration) bool {
+	var expired <-chan time.Time
+	if timeout > 0 {
+		expired = time.After(timeout)
 	}
 	select {
-	case <-m.ended:
-	case <-enough:
+	case <-fault.ended:
+	case <-expired:
 	case <-c.closed:
 		return false
 	}
@@ -124,14 +128,14 @@
 }
 
 func (c *faultyConn) Read(p []byte) (int, error) {
-	if m := c.connections.currentFault(); m.kind == slowRead && len(p) > 0 {
-		if !c.wait(m, slowInterval) {
+	if fault := c.connections.currentFault(); fault.kind == slowRead && len(p) > 0 {
+		if !c.wait(fault, slowInterval) {
 			return 0, net.ErrClosed
 		}
-		p = p[:min(len(p), max(m.size, 1))]
+		p = p[:min(len(p), max(fault.size, 1))]
 	}
 	n, err := c.Conn.Read(p)
-	if m := c.connections.currentFault(); m.kind == vanish && !c.wait(m, 0) {
+	if fault := c.connections.currentFault(); fault.kind == vanish && !c.wait(fault, 0) {
 		return 0, net.ErrClosed
 	}
 	c.mu.Lock()
@@ -140,22 +144,23 @@
 	return n, err
 }
 
-// sendAllowance is how many of n bytes are still sent before the fault takes effect.
-func (c *faultyConn) sendAllowance(m *connectionFault, n int) int {
+// sendAllowance returns how many of n bytes are sent before the fault takes effect, and counts them as
+// sent.
+func (c *faultyConn) sendAllowance(fault *connectionFault, n int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n = max(min(n, m.size-c.sent), 0)
+	n = max(min(n, fault.size-c.sent), 0)
 	c.sent += n
 	return n
 }
 
-var errInjected = errors.New("the laboratory has broken this connection")
+var errInjected = errors.New("connection broken by an injected fault")
 
 func (c *faultyConn) Write(p []byte) (int, error) {
-	m := c.connections.currentFault()
-	switch m.kind {
+	fault := c.connections.currentFault()
+	switch fault.kind {
 	case resetAfter, cutAfter, halfClose, stallAfter:
-		n := c.sendAllowance(m, len(p))
+		n := c.sendAllowance(fault, len(p))
 		if n > 0 {
 			if n, err := c.Conn.Write(p[:n]); err != nil {
 				return n, err
@@ -164,15 +169,15 @@
 		if n == len(p) {
 			return n, nil
 		}
-		return c.applyFault(m, p, n)
+		return c.applyFault(fault, p, n)
 	case slowWrite:
 		for n := 0; n < len(p); {
-			piece := p[n:min(n+max(m.size, 1), len(p))]
-			k, err := c.Conn.Write(piece)
+			chunk := p[n:min(n+max(fault.size, 1), len(p))]
+			k, err := c.Conn.Write(chunk)
 			if n += k; err != nil {
 				return n, err
 			}
-			if !c.wait(m, slowInterval) {
+			if !c.wait(fault, slowInterval) {
 				return n, net.ErrClosed
 			}
 		}
@@ -182,16 +187,16 @@
 		rand.Read(noise)
 		return c.Conn.Write(noise)
 	case vanish:
-		if !c.wait(m, 0) {
+		if !c.wait(fault, 0) {
 			return 0, net.ErrClosed
 		}
 	}
 	return c.Conn.Write(p)
 }
 
-// applyFault carries out a fault after the first n bytes were sent.
-func (c *faultyConn) applyFault(m *connectionFault, p []byte, n int) (int, error) {
-	switch m.kind {
+// applyFault applies a fault after the first n bytes of p were sent.
+func (c *faultyConn) applyFault(fault *connectionFault, p []byte, n int) (int, error) {
+	switch fault.kind {
 	case resetAfter:
 		c.reset()
 		return n, errInjected
@@ -200,21 +205,21 @@
 		return n, errInjected
 	case halfClose:
 		if tcp, ok := c.Conn.(tcpConn); ok {
-			_ = tcp.CloseWrite() // an error means that it has ended
+			_ = tcp.CloseWrite() // an error means that the connection is closed already
 		}
-		return len(p), nil // the rest is lost
+		return len(p), nil // the remaining bytes are dropped
 	}
-	if !c.wait(m, 0) {
+	if !c.wait(fault, 0) {
 		return n, net.ErrClosed
 	}
 	k, err := c.Conn.Write(p[n:])
 	return n + k, err
 }
 
-// reset ends the connection with a reset.
+// reset closes the connection with a TCP reset.
 func (c *faultyConn) reset() {
 	if tcp, ok := c.Conn.(tcpConn); ok {
-		_ = tcp.SetLinger(0) // an error means that it has ended
+		_ = tcp.SetLinger(0) // an error means that the connection is closed already
 	}
 	c.Close()
 }
@@ -229,21 +234,21 @@
 	return c.Conn.Close()
 }
 
-// fullBacklog is an address at which connections are never established: a listener whose backlog is
-// full.
+// fullBacklog is a listener whose backlog is full, so that no further connection to its address is
+// established.
 type fullBacklog struct {
 	fd      int
 	fillers []net.Conn
 }
 
 const (
-	// maxFillers is more than a backlog of 0 holds on Linux, which is 1 (listen(2), and net/ipv4: a
-	// queue is full when it holds more than its backlog).
+	// maxFillers is above the 1 connection that a backlog of 0 holds on Linux. There a queue is full
+	// when it holds more connections than its backlog.
 	maxFillers  = 8
 	fillTimeout = 100 * time.Millisecond
 )
 
-// newFullBacklog creates a full backlog at an address that nobody listens on.
+// newFullBacklog listens at an address that nobody listens on, and fills the backlog.
 func newFullBacklog(address string) (b *fullBacklog, err error) {
 	at, err := net.ResolveTCPAddr("tcp4", address)
 	if err != nil {
@@ -262,12 +267,12 @@
 	for range maxFillers {
 		c, err := net.DialTimeout("tcp4", address, fillTimeout)
 		if err != nil {
-			return b, nil // it is full
+			return b, nil // the backlog is full
 		}
 		b.fillers = append(b.fillers, c)
 	}
 	b.close()
-	return nil, errors.New("its backlog is never full")
+	return nil, fmt.Errorf("the backlog of %s still accepts connections after %d", address, maxFillers)
 }
 
 func (b *fullBacklog) close() {
--- a/internal/lab/real/fleet.go
+++ b/internal/lab/real/fleet.go
@@ -17,18 +17,19 @@
 	"dykering/internal/lab/model"
 )
 
-// fleet connects the brokers of the first tier by gossip through a relay, where a scenario asks for
-// that. Members are known by their ids.
+// fleet connects the brokers of the first tier by gossip through a relay, in scenarios that enable a
+// fleet. Its maps are keyed by member id.
 type fleet struct {
 	stage     *stage
 	relay     *faultnet.Relay
 	members   map[string]*instance
 	addresses map[string]string
-	seed      string
+	// The gossip address of the first member, which the others use as their seed.
+	seed string
 }
 
-// fleetSettings are the brokers' operator settings. With a probe each 200 ms, what takes minutes in
-// a fleet shows in a short run.
+// fleetSettings is the format of the brokers' operator file. The short probe interval makes failure
+// detection, which takes minutes with usual settings, fit into a short run.
 const fleetSettings = `version = 1
 [log]
 format = "json"
@@ -44,7 +45,7 @@
 dead_kept = "120s"
 `
 
-// viewTimeout limits the request for one broker's view at the end of a run.
+// viewTimeout is the timeout of the request for one broker's view at the end of a run.
 const viewTimeout = 2 * time.Second
 
 func newFleet(st *stage, seed uint64) (*fleet, error) {
@@ -55,7 +56,7 @@
 	return &fleet{stage: st, relay: r, members: map[string]*instance{}, addresses: map[string]string{}}, nil
 }
 
-// addMember writes the operator file of an instance, whose processes are started with it.
+// addMember writes the operator file of an instance. The processes of the instance are started with it.
 func (f *fleet) addMember(i *instance, id, dir string) error {
 	addr, seeds := loopback.Address(), "[]"
 	if f.seed == "" {
@@ -73,21 +74,21 @@
 	return nil
 }
 
-// play carries out the scenario's network faults, until they or the run end.
+// play applies the scenario's network faults until the last one or until the run ends.
 func (f *fleet) play(ctx context.Context, faults []faultnet.Step) {
 	if err := faultnet.Play(ctx, &faultnet.Schedule{Steps: faults}, f.relay, f); err != nil && ctx.Err() == nil {
 		f.stage.fail(err)
 	}
 }
 
-// Addr, Signal and Start implement faultnet's target. Processes are started and killed on the
-// clock's goroutine.
+// Addr implements faultnet.Fleet, as do Signal and Start.
 func (f *fleet) Addr(id string) string { return f.addresses[id] }
 
+// Signal sends a signal to the process of a member on the clock's goroutine.
 func (f *fleet) Signal(id string, s syscall.Signal) error {
 	i := f.members[id]
 	if i == nil {
-		return fmt.Errorf("no member %q", id)
+		return fmt.Errorf("the fleet has no member %q", id)
 	}
 	f.stage.post(func() {
 		switch {
@@ -104,13 +105,14 @@
 	return nil
 }
 
+// Start starts a process of a member on the clock's goroutine, unless the member has one.
 func (f *fleet) Start(id, as string) error {
 	i := f.members[id]
 	if i == nil {
-		return fmt.Errorf("no member %q", id)
+		return fmt.Errorf("the fleet has no member %q", id)
 	}
 	if as != id {
-		return fmt.Errorf("%s: here a process starts under its own id only", as)
+		return fmt.Errorf("member %q cannot start as %q: on real sockets a process keeps its id", id, as)
 	}
 	f.stage.post(func() {
 		if i.process == nil {
@@ -120,7 +122,8 @@
 	return nil
 }
 
-// views collects each broker's view at the end: its digest, and how many brokers hold that.
+// views collects the brokers' views of the fleet at the end of a run. It counts the brokers per digest
+// and adds up the counters.
 func (f *fleet) views() (*model.Views, error) {
 	v := &model.Views{Digests: map[string]int{}}
 	client := http.Client{Timeout: viewTimeout}
@@ -132,7 +135,7 @@
 		}
 		res, err := client.Get("http://" + p.control + "/-/fleet")
 		if err != nil {
-			return nil, fmt.Errorf("the view of %s: %w", id, err)
+			return nil, fmt.Errorf("reading the fleet view of %s: %w", id, err)
 		}
 		var got struct {
 			gossip.Snapshot
@@ -141,7 +144,7 @@
 		err = json.NewDecoder(io.LimitReader(res.Body, 1<<20)).Decode(&got)
 		res.Body.Close()
 		if err != nil {
-			return nil, fmt.Errorf("the view of %s: %w", id, err)
+			return nil, fmt.Errorf("reading the fleet view of %s: %w", id, err)
 		}
 		v.Digests[got.Digest]++
 		v.Suspicions += got.Counters.Suspicions
--- a/internal/lab/real/instance.go
+++ b/internal/lab/real/instance.go
@@ -13,7 +13,7 @@
 	"dykering/internal/lab/model"
 )
 
-// instance is an instance of the broker: its slot, its discovery, and its process.
+// instance is an instance of the broker with its slot, its discovery and its current process.
 type instance struct {
 	model     *model.Instance
 	slot      Slot
@@ -21,15 +21,16 @@
 	discovery *Discovery
 	// The platform's configuration file.
 	file string
-	// The operator's file; empty for none.
+	// The operator's file; empty if there is none.
 	operator string
 	client   *http.Client
 	name     string
 	zone     int
-	// Nil while there is none.
+	// The process that serves; nil while none does.
 	process Broker
-	// A process that was told to stop, without a successor beside it.
-	stopping  Broker
+	// A process that was told to stop and has no successor yet.
+	stopping Broker
+	// All processes that were started.
 	processes []Broker
 }
 
@@ -78,14 +79,15 @@
 	if err != nil {
 		return err
 	}
-	next := i.file + ".new" // a process may be reading it
+	next := i.file + ".new" // renamed into place, since a process may be reading the file
 	if err := os.WriteFile(next, text, 0o600); err != nil {
 		return err
 	}
 	return os.Rename(next, i.file)
 }
 
-// start starts a process of an instance and watches it.
+// start starts a process of an instance and watches it: a process that exits by itself fails the run,
+// and one that its environment kills is replaced after restartDelay.
 func (st *stage) start(i *instance) (Broker, error) {
 	p, err := i.slot.Start(i.file, i.operator)
 	if err != nil {
@@ -93,13 +95,13 @@
 	}
 	i.processes = append(i.processes, p)
 	st.goroutines.Go(func() {
-		dies, excused := killPending(p)
-		defer excused()
+		kill, allowKill := killPending(p)
+		defer allowKill()
 		select {
-		case <-dies:
-			heard := make(chan struct{})
+		case <-kill:
+			excused := make(chan struct{})
 			st.post(func() {
-				defer close(heard)
+				defer close(excused)
 				st.excuseRequests(i.model) // as in Kill
 				if i.process == p {
 					i.process = nil
@@ -107,7 +109,7 @@
 				}
 			})
 			select {
-			case <-heard:
+			case <-excused:
 			case <-st.done:
 			}
 			return
@@ -117,14 +119,14 @@
 		}
 		st.post(func() {
 			if i.process == p && i.stopping != p {
-				st.fail(p.Failure("ended by itself"))
+				st.fail(p.Failure("exited by itself"))
 			}
 		})
 	})
 	return p, nil
 }
 
-// platformSettings are the settings that the platform would give an instance.
+// platformSettings returns the "settings" section of an instance's configuration file.
 func platformSettings(w *model.World, in *model.Instance) map[string]any {
 	set := w.Settings(in)
 	micros := func(d time.Duration) int64 { return d.Microseconds() }
@@ -171,7 +173,7 @@
 
 func zoneName(i int) string { return fmt.Sprint("zone-", i) }
 
-// target is the discovery's form of an endpoint entry.
+// target converts an endpoint entry to its form in the discovery.
 func (st *stage) target(e decision.Entry) core.Target {
 	t := core.Target{
 		UID: fmt.Sprintf("server-%08x", uint32(e.Endpoint)), Address: st.servers[int(e.Endpoint)-1].address,
@@ -184,6 +186,7 @@
 	return t
 }
 
+// instanceOf returns the instance of a model instance. PlayOn adds instances in reverse order.
 func (st *stage) instanceOf(in *model.Instance) *instance {
 	return st.instances[len(st.instances)-1-in.Index]
 }
--- a/internal/lab/real/play.go
+++ b/internal/lab/real/play.go
@@ -13,26 +13,26 @@
 )
 
 const (
-	// slack is added to the time limits of virtual time: events between processes are observed late,
-	// and one machine runs all of them.
+	// slack is added to the time limits of the checker. Events between processes are observed late, also
+	// because one machine runs all of the processes.
 	slack = 100 * time.Millisecond
-	// maxInstances is the number of processes that one machine can run.
+	// maxInstances is the largest number of broker processes that one machine plays.
 	maxInstances = 64
-	// A process is configured with these limits and uses half of them, since the rest is for a
-	// successor on its socket.
+	// memoryMB and sockets are the configured limits of a process. A process uses half of them and
+	// leaves the rest to a successor on its socket.
 	memoryMB, sockets = 256, 8192
 )
 
 // Options configure how a scenario is played.
 type Options struct {
-	// The command of the broker.
+	// The command that starts a broker.
 	Command []string
-	// Where logs and configurations are written; they are kept.
+	// The directory of logs and configurations. It is kept after the run.
 	Dir string
 }
 
-// stage plays a scenario on an environment. Unless said otherwise it belongs to the clock's
-// goroutine.
+// stage is one run of a scenario on an environment. Only the clock's goroutine uses its fields, except
+// for failed, ctx and goroutines.
 type stage struct {
 	*wallClock
 	world       *model.World
@@ -40,22 +40,23 @@
 	instances   []*instance
 	servers     map[int]*server
 	requests    map[decision.RequestID]*pendingRequest
-	lateness    time.Duration
-	// The first error ends the run.
+	// How late events may be observed.
+	lateness time.Duration
+	// Carries the first error, which ends the run.
 	failed chan error
 	ctx    context.Context
 	// All goroutines but the clock's.
 	goroutines sync.WaitGroup
-	// Nil without a fleet.
+	// Nil if the scenario has no fleet.
 	fleet *fleet
-	// Discoveries that brokers were told to leave.
+	// Discoveries that a "reload" fault replaced.
 	movedDiscoveries []*Discovery
-	// Draws the misbehavior of clients.
+	// Selects the requests on which clients misbehave.
 	behaviorRandom *rand.Rand
 }
 
-// Play plays a scenario with a seed on the host's sockets. Beside the scenario's duration it takes
-// some seconds to start and stop processes, and leaves none behind.
+// Play plays a scenario with a seed on the host's sockets. It takes some seconds longer than the
+// scenario, to start and stop processes, and leaves no process behind.
 func Play(ctx context.Context, s *scenario.Scenario, seed uint64, o Options) (_ *model.Result, err error) {
 	if err := checkPlayable(s); err != nil {
 		return nil, err
@@ -67,7 +68,7 @@
 	return r, err
 }
 
-// PlayOn plays a scenario on an environment. Late is how late events may be observed there.
+// PlayOn plays a scenario on an environment. The argument late is how late events may be observed there.
 func PlayOn(ctx context.Context, g Environment, s *scenario.Scenario, seed uint64, late time.Duration) (_ *model.Result, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -92,7 +93,8 @@
 		}
 	}
 	for i := range st.world.Instances {
-		// The lowest tier first: servers are used once the instance that they call can serve.
+		// The lowest tier starts first, so that a server is used only after the instance that it calls
+		// can serve.
 		if err := st.addInstance(st.world.Instances[len(st.world.Instances)-1-i]); err != nil {
 			return nil, err
 		}
@@ -119,7 +121,7 @@
 	return r, nil
 }
 
-// checkPlayable refuses what only virtual time can play.
+// checkPlayable returns an error for a scenario that only the engine in virtual time can play.
 func checkPlayable(s *scenario.Scenario) error {
 	n := s.Broker.Instances
 	for _, b := range s.DownstreamTiers {
@@ -140,11 +142,11 @@
 func (st *stage) fail(err error) {
 	select {
 	case st.failed <- err:
-	default: // it is ending already
+	default: // an earlier error is ending the run already
 	}
 }
 
-// tearDown stops everything that was started: all processes at once, then the rest.
+// tearDown stops all processes at the same time, then servers, relay, discoveries and goroutines.
 func (st *stage) tearDown() {
 	var all sync.WaitGroup
 	for _, i := range st.instances {
@@ -172,12 +174,13 @@
 	select {
 	case <-st.done:
 	default:
-		close(st.done) // it never ran
+		close(st.done) // run was never called
 	}
 	st.goroutines.Wait()
 }
 
-// UpdateList implements model.Brokers, as do the methods below.
+// UpdateList implements model.Brokers: it passes a change of an instance's endpoint list to the
+// instance's discovery.
 func (st *stage) UpdateList(in *model.Instance, l decision.List) {
 	i := st.instanceOf(in)
 	if l.Kind == decision.FailedList {
--- a/internal/lab/real/play_test.go
+++ b/internal/lab/real/play_test.go
@@ -26,14 +26,15 @@
 	"dykering/internal/tomlconfig"
 )
 
-// TestMain lets the test binary act as a broker, a correct or a faulty one.
+// TestMain runs the tests. With the arguments "broker KIND" the test binary acts as a correct or a
+// faulty broker instead.
 func TestMain(m *testing.M) {
 	if len(os.Args) < 3 || os.Args[1] != "broker" {
 		os.Exit(m.Run())
 	}
 	fmt.Fprintln(os.Stderr, "pid", os.Getpid())
 	var err error
-	switch how := os.Args[2]; how {
+	switch kind := os.Args[2]; kind {
 	case "right":
 		operator := ""
 		if len(os.Args) == 5 { // after --operator
@@ -45,7 +46,7 @@
 	case "never ready":
 		select {}
 	default:
-		err = runFaultyBroker(how)
+		err = runFaultyBroker(kind)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -53,12 +54,13 @@
 	}
 }
 
-// runFaultyBroker runs a broker that reports to be ready and then has the named fault.
+// runFaultyBroker runs a broker that reports that it is ready and then shows the named fault. It sends
+// requests to all listed servers in turn and ignores drains.
 func runFaultyBroker(fault string) error {
 	go http.ListenAndServe(os.Getenv("BALANCER_CONTROL"), http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	if fault == "crashes" {
 		time.Sleep(time.Second)
-		panic("as it is meant to")
+		panic("crash of the faulty test broker")
 	}
 	var c struct{ Discovery string }
 	text, err := os.ReadFile(os.Getenv("BALANCER_CONFIG"))
@@ -83,20 +85,20 @@
 	if err != nil {
 		return err
 	}
-	var turn atomic.Int64
+	var sent atomic.Int64
 	return http.Serve(socket, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		sends := 1
 		if fault == "sends all twice" {
 			sends = 2
 		}
-		if fault == "forgets" && turn.Load()%5 == 0 {
-			turn.Add(1)
+		if fault == "drops every fifth" && sent.Load()%5 == 0 {
+			sent.Add(1)
 			panic(http.ErrAbortHandler)
 		}
 		status := http.StatusBadGateway
 		for range sends {
-			to := l.Targets[int(turn.Add(1))%len(l.Targets)]
+			to := l.Targets[int(sent.Add(1))%len(l.Targets)]
 			q, _ := http.NewRequest(r.Method, "http://"+to.Address+"/", bytes.NewReader(body))
 			q.Header = r.Header
 			if res, err := http.DefaultClient.Do(q); err == nil {
@@ -124,8 +126,8 @@
 	return Options{Command: []string{os.Args[0], "broker", fault}, Dir: t.TempDir()}
 }
 
-// Under faults of connections and processes the program keeps the rules and serves what can be served.
-// Requests are retried where nothing can have run, or where their class allows it.
+// Under faults of connections and processes the broker breaks no rule and serves most requests. It
+// retries a request that cannot have been executed, or whose class allows a second execution.
 func TestConnectionFaultsAreRetriedWhereAllowed(t *testing.T) {
 	for name, testCase := range map[string]struct {
 		scenario.InjectedFault
@@ -167,10 +169,10 @@
 				t.Fatal(err)
 			}
 			if len(r.ViolationCounts) > 0 || r.Service < floor || r.Offered < 100 {
-				t.Errorf("service %.3f of %d, broken %v, %+v", r.Service, r.Offered, r.ViolationCounts, r.Violations)
+				t.Errorf("service share %.3f of %d offered requests, violations %v: %+v", r.Service, r.Offered, r.ViolationCounts, r.Violations)
 			}
 			if testCase.retried && r.Attempts <= 2*r.Requests { // each request leads to a call to the next tier
-				t.Errorf("%d attempts for %d tries", r.Attempts, r.Requests)
+				t.Errorf("no retries: %d attempts for %d requests in two tiers", r.Attempts, r.Requests)
 			}
 		})
 	}
@@ -182,41 +184,41 @@
 		Kind: "drain", ServerShare: 0.5, Start: scenario.DurationRange{From: 200 * time.Millisecond, To: 200 * time.Millisecond},
 		Duration: scenario.DurationRange{From: 4 * time.Second, To: 4 * time.Second},
 	}
-	for how, rule := range map[string]string{
-		"hangs": rules.Time, "forgets": rules.Answer, "sends all twice": rules.Effect,
-		"heeds no drain": rules.Drain,
+	for kind, rule := range map[string]string{
+		"hangs": rules.Time, "drops every fifth": rules.Answer, "sends all twice": rules.Effect,
+		"ignores drains": rules.Drain,
 	} {
-		t.Run(how, func(t *testing.T) {
+		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			s := shortScenario(t, drain)
 			s.Servers.DrainGrace, s.Discovery.Delay = tomlconfig.Duration(100*time.Millisecond), scenario.DurationRange{}
 			s.Callers.AttemptTimeout = tomlconfig.Duration(time.Second)
-			r, err := Play(t.Context(), s, 3, options(t, how))
+			r, err := Play(t.Context(), s, 3, options(t, kind))
 			if err != nil {
 				t.Fatal(err)
 			}
 			if r.ViolationCounts[rule] == 0 {
-				t.Errorf("not caught: %v", r.ViolationCounts)
+				t.Errorf("the checker did not report rule %s, only %v", rule, r.ViolationCounts)
 			}
 			for _, v := range r.Violations {
 				if v.Rule == rule && len(v.History) == 0 {
-					t.Errorf("without a history: %+v", v)
+					t.Errorf("violation without a history: %+v", v)
 				}
 			}
 		})
 	}
 }
 
-// A run whose broker exits, hangs or never becomes ready, and a run that is cancelled, ends soon with an
-// error that quotes the log, and leaves no process behind.
+// A run ends soon and leaves no process behind if its broker exits, hangs or never becomes ready, or if
+// the run is cancelled. The error quotes the end of the log if the broker failed.
 func TestFailingBrokerEndsRunWithItsLog(t *testing.T) {
-	for how, want := range map[string]string{
-		"exits": "exit status 3", "never ready": "could not serve within", "crashes": "as it is meant to",
+	for kind, want := range map[string]string{
+		"exits": "exit status 3", "never ready": "could not serve within", "crashes": "crash of the faulty test broker",
 		"hangs": "canceled", "right": "canceled",
 	} {
-		t.Run(how, func(t *testing.T) {
+		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			o := options(t, how)
+			o := options(t, kind)
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			if want == "canceled" {
@@ -236,17 +238,17 @@
 			text, _ := os.ReadFile(logs[0])
 			m := regexp.MustCompile(`pid (\d+)`).FindSubmatch(text)
 			if m == nil {
-				t.Fatalf("its log: %q", text)
+				t.Fatalf("the log has no process id: %q", text)
 			}
 			pid, _ := strconv.Atoi(string(m[1]))
 			if err := syscall.Kill(pid, 0); err != syscall.ESRCH {
-				t.Errorf("process %d is still there: %v", pid, err)
+				t.Errorf("process %d is still running: %v", pid, err)
 			}
 		})
 	}
 }
 
-// Scenarios that only virtual time can play are refused at once.
+// Play refuses a scenario that only the engine in virtual time can play before it starts a process.
 func TestPlayRefusesWhatOnlyVirtualTimePlays(t *testing.T) {
 	s := shortScenario(t, scenario.InjectedFault{Kind: "partition"})
 	if _, err := Play(t.Context(), s, 1, options(t, "right")); err == nil || !strings.Contains(err.Error(), "trouble[0]") {
@@ -259,8 +261,8 @@
 	}
 }
 
-// A fleet serves while one broker is killed and starts again later, one is stalled, and a partition cuts
-// gossip and heals; at the end all brokers hold the same view.
+// A fleet serves while one broker is killed and restarted, another is suspended, and a partition cuts
+// gossip and heals. At the end all brokers hold the same view.
 func TestFleetConvergesAfterFaults(t *testing.T) {
 	t.Parallel()
 	s := shortScenario(t)
@@ -286,10 +288,10 @@
 		t.Fatal(err)
 	}
 	if len(r.ViolationCounts) > 0 || len(r.Views.Digests) != 1 || r.Views.Deaths == 0 || r.Views.Suspicions < r.Views.Deaths || r.Service < 0.5 {
-		t.Errorf("service %.3f, broken %v, views %+v", r.Service, r.ViolationCounts, r.Views)
+		t.Errorf("service share %.3f, violations %v, views %+v", r.Service, r.ViolationCounts, r.Views)
 	}
 	s.Broker.Fleet = false
 	if wrong := s.Check(); len(wrong) != 1 || !strings.Contains(wrong[0].Error(), "broker.fleet") {
-		t.Errorf("faults without a fleet: %v", wrong)
+		t.Errorf("check of network faults without a fleet: %v", wrong)
 	}
 }
--- a/internal/lab/real/process.go
+++ b/internal/lab/real/process.go
@@ -15,23 +15,24 @@
 )
 
 const (
-	// readyTimeout and stopTimeout limit how long a process may take until it can serve, and until it
-	// has stopped.
+	// readyTimeout is how long a process may take from its start until it can serve.
 	readyTimeout = 5 * time.Second
-	stopTimeout  = 6 * time.Second
-	// maxLogExcerpt is the length of the end of a log that an error quotes, in bytes.
+	// stopTimeout is how long a process may take to end after SIGTERM.
+	stopTimeout = 6 * time.Second
+	// maxLogExcerpt is how many bytes of the end of a log an error quotes.
 	maxLogExcerpt = 2000
 )
 
-// Process is a process of the broker.
+// Process is an operating system process of the broker.
 type Process struct {
-	cmd     *exec.Cmd
+	cmd *exec.Cmd
+	// The control address, for operators' requests.
 	control string
-	// The path of its log.
+	// The path of the log file.
 	Log string
-	// Closed when it has ended.
+	// Closed when the process has ended.
 	done chan struct{}
-	// How it ended.
+	// The error of cmd.Wait.
 	err error
 }
 
@@ -40,16 +41,17 @@
 	Command []string
 	// The platform's configuration file.
 	File string
-	// The listening socket, held for all processes that share it.
+	// The listening socket, which successive processes share.
 	Socket *os.File
-	// The directory that those processes share.
+	// The directory that these processes share.
 	Dir string
+	// The path of the log file.
 	Log string
 	// Additional environment variables.
 	Env []string
 }
 
-// Start starts a process and does not wait until it can serve.
+// Start starts a process. It does not wait until the process can serve.
 func (l Launch) Start() (*Process, error) {
 	log, err := os.OpenFile(l.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -65,10 +67,10 @@
 	p.cmd.Env = append(p.cmd.Env, l.Env...)
 	p.cmd.ExtraFiles = []*os.File{l.Socket}
 	p.cmd.Stderr = log
-	// The child ends with this process, whatever ends that.
+	// The kernel kills the child when this process ends, for whatever reason.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := p.cmd.Start(); err != nil {
-		return nil, fmt.Errorf("the broker: %w", err)
+		return nil, fmt.Errorf("starting the broker %s: %w", l.Command[0], err)
 	}
 	go func() {
 		p.err = p.cmd.Wait()
@@ -77,7 +79,7 @@
 	return p, nil
 }
 
-// PID is the process id.
+// PID returns the process id.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
 // Ready waits until the process can serve.
@@ -111,7 +113,8 @@
 // Done is closed when the process has ended.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Failure returns an error that says what the process did, with the end of its log.
+// Failure returns an error that consists of the given text on what the process did, its exit status and
+// the end of its log.
 func (p *Process) Failure(text string) error {
 	log, err := os.ReadFile(p.Log)
 	if err != nil {
@@ -126,20 +129,20 @@
 	case <-p.done:
 		return p.cmd.ProcessState.String()
 	default:
-		return "it runs"
+		return "still running"
 	}
 }
 
 // Signal sends the process a signal.
 func (p *Process) Signal(s os.Signal) error { return p.cmd.Process.Signal(s) }
 
-// Reload has the process read its files again (SIGHUP).
+// Reload makes the process read its configuration files again (SIGHUP).
 func (p *Process) Reload() error { return p.Signal(syscall.SIGHUP) }
 
-// Stall stops the process for a duration (SIGSTOP).
+// Stall suspends the process for a duration (SIGSTOP, then SIGCONT).
 func (p *Process) Stall(duration time.Duration) {
 	if p.Signal(syscall.SIGSTOP) != nil {
-		return // it has ended
+		return // the process has ended
 	}
 	select {
 	case <-p.done:
@@ -150,12 +153,12 @@
 
 // Drain starts or ends a drain of the process.
 func (p *Process) Drain(on bool) error {
-	what := "resume"
+	command := "resume"
 	if on {
-		what = "drain"
+		command = "drain"
 	}
 	client := http.Client{Timeout: readyTimeout}
-	res, err := client.Post("http://"+p.control+"/-/"+what, "", nil)
+	res, err := client.Post("http://"+p.control+"/-/"+command, "", nil)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/real/request.go
+++ b/internal/lab/real/request.go
@@ -21,29 +21,29 @@
 type pendingRequest struct {
 	*model.Request
 	completed bool
-	// Its instance was killed.
+	// The process that had accepted the request was killed.
 	processKilled atomic.Bool
-	// When its client departed; 0 if it has not.
+	// When the client departed; 0 if it did not depart before the answer.
 	departedAt time.Duration
-	// Attempts that have arrived at servers.
+	// The number of attempts that have arrived at servers.
 	attemptCount int
 	lastAttempt  *attempt
-	// Attempts not reported to the checker yet.
+	// Attempts that the checker has not been told of yet.
 	unreported []*attempt
 	// A later call of reportAttempts is scheduled.
 	reportScheduled bool
 	cancel          context.CancelFunc
 }
 
-// retentionAfterAnswer is how long a request is kept after its answer, since an attempt may still
-// be on its way to a server.
+// retentionAfterAnswer is how long a request is kept after its answer. An attempt may still be on its
+// way to a server.
 const retentionAfterAnswer = 2 * time.Second
 
 // Accept sends a request to its instance.
 func (st *stage) Accept(m *model.Request) {
 	i := st.instanceOf(m.Instance)
 	if m.Deadline <= st.Now() {
-		return // the requester has given it up
+		return // the requester has given the request up
 	}
 	if i.process == nil {
 		m.Requester.Complete(m, model.Unreachable, 0)
@@ -55,36 +55,40 @@
 		Effect: c.Effect, Scope: c.Scope, Window: time.Duration(c.Window),
 	})
 	ctx, cancel := context.WithDeadline(st.ctx, st.at(m.Deadline+model.Grace+st.lateness))
-	t := &pendingRequest{Request: m, cancel: cancel}
-	st.requests[m.ID] = t
+	request := &pendingRequest{Request: m, cancel: cancel}
+	st.requests[m.ID] = request
 	team := ""
 	if len(st.world.Scenario.Teams) > 0 {
 		team = st.world.Scenario.Teams[m.Team].Name
 	}
-	q := outgoingRequest{
+	out := outgoingRequest{
 		url: i.url, id: string(m.ID), class: c.Name, effect: c.Effect, team: team, key: m.Origin, isRetry: m.IsRetry,
 		deadline: st.at(m.Deadline),
 	}
-	st.misbehave(t, &q, i)
+	st.misbehave(request, &out, i)
 	st.goroutines.Go(func() {
 		defer cancel()
-		a := q.send(ctx, i.client, &t.processKilled)
-		st.post(func() { st.completeRequest(t, a) })
+		response := out.send(ctx, i.client, &request.processKilled)
+		st.post(func() { st.completeRequest(request, response) })
 	})
 }
 
 const (
-	// How soon a client departs that does so before its answer.
+	// maxDepartureDelay is the longest time after which a client of the kind "gone" closes its connection.
 	maxDepartureDelay = 60 * time.Millisecond
-	// Chunks of a body that is sent slowly.
+	// bodyChunks is the number of chunks of a body that is sent slowly, chunkInterval the time between
+	// them, and chunkSize their largest size in bytes.
 	bodyChunks    = 8
 	chunkInterval = 5 * time.Millisecond
 	chunkSize     = 4 << 10
-	// Time within which a malformed request has to be answered, or its connection closed.
+	// malformedTimeout is the time within which the broker has to answer a malformed request or close
+	// its connection.
 	malformedTimeout = 4 * time.Second
 )
 
-// misbehave has clients misbehave on the share of requests that the active faults name.
+// misbehave makes clients misbehave on the share of requests that the active faults specify. "gone"
+// departs before the answer, "dribble" sends the body slowly, "twice" sends the request twice under the
+// same id, and "junk" sends a malformed request on a further connection.
 func (st *stage) misbehave(request *pendingRequest, out *outgoingRequest, i *instance) {
 	drawn := func(kind string) bool {
 		share := st.world.MisbehaviorShare(kind)
@@ -104,11 +108,12 @@
 	if drawn("dribble") && out.effect != string(decision.Safe) {
 		out.chunks, out.deadline = bodyChunks, out.deadline.Add(-bodyChunks*chunkInterval) // the deadline counts from the last byte
 	}
-	if drawn("twice") && i.hasOneProcess() { // two processes do not share their ids
+	if drawn("twice") && i.hasOneProcess() { // each process knows only the request ids that it has received
 		copied := *out
 		copied.chunks = 0
 		st.After(time.Millisecond, func() {
-			st.goroutines.Go(func() { copied.sendOnce(st.ctx, i.client) }) // it is rejected, and its answer is dropped
+			// The broker rejects the duplicate. The response is dropped.
+			st.goroutines.Go(func() { copied.sendOnce(st.ctx, i.client) })
 		})
 	}
 	if drawn("junk") {
@@ -137,8 +142,8 @@
 	return n == 1
 }
 
-// sendMalformed sends a malformed request, and returns an error if it is neither answered nor its
-// connection closed in time.
+// sendMalformed sends a malformed request. It returns an error if the broker does not close the
+// connection within malformedTimeout.
 func (st *stage) sendMalformed(address string) error {
 	ctx, stop := context.WithTimeout(st.ctx, malformedTimeout)
 	defer stop()
@@ -153,12 +158,12 @@
 	io.WriteString(c, "POST /lab HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n")
 	_, err = io.Copy(io.Discard, c)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return fmt.Errorf("what is no request was neither answered nor ended within %v", malformedTimeout)
+		return fmt.Errorf("the broker at %s did not close the connection of a malformed request within %v", address, malformedTimeout)
 	}
 	return nil
 }
 
-// chunkedBody is a body that is sent in chunks, at intervals.
+// chunkedBody is a request body that is read in chunks, one each chunkInterval.
 type chunkedBody struct {
 	ctx       context.Context
 	remaining int
@@ -203,16 +208,16 @@
 	st.After(retentionAfterAnswer, func() { delete(st.requests, request.ID) })
 }
 
-// Abandon handles that the requester has given a request up. At its deadline the answer may still
-// arrive in time.
+// Abandon cancels a request that its requester has given up. From the deadline on it does nothing, since
+// the answer may still arrive within the grace period.
 func (st *stage) Abandon(m *model.Request) {
-	t := st.requests[m.ID]
-	if t == nil || t.Request != m || t.completed || st.Now() >= m.Deadline {
+	request := st.requests[m.ID]
+	if request == nil || request.Request != m || request.completed || st.Now() >= m.Deadline {
 		return
 	}
-	t.completed = true
+	request.completed = true
 	st.world.Checker.ClientDeparted(st.Now(), string(m.ID))
-	t.cancel()
+	request.cancel()
 	st.After(retentionAfterAnswer, func() { delete(st.requests, m.ID) })
 }
 
@@ -220,7 +225,7 @@
 type outgoingRequest struct {
 	url, id, class, effect, team, key string
 	isRetry                           bool
-	// Chunks of its body; 0 for a short body at once.
+	// The number of chunks of the body; 0 for a short body that is sent at once.
 	chunks   int
 	deadline time.Time
 }
@@ -229,12 +234,12 @@
 type response struct {
 	outcome    string
 	retryAfter time.Duration
-	// Set where no answer arrived.
+	// Set if no complete answer arrived.
 	err error
 }
 
-// send sends the request, and again if the close of an idle connection crossed it and its process
-// was not killed.
+// send sends the request. It repeats a request that may have raced with the close of an idle connection,
+// unless the process was killed.
 func (q outgoingRequest) send(ctx context.Context, client *http.Client, killed *atomic.Bool) response {
 	for {
 		r, retry := q.sendOnce(ctx, client)
@@ -244,16 +249,17 @@
 	}
 }
 
-// sendOnce sends the request and reports whether it may be sent again.
+// sendOnce sends the request once and reports whether it may be sent again.
 func (q outgoingRequest) sendOnce(ctx context.Context, client *http.Client) (_ response, retry bool) {
 	method := http.MethodPost
 	if q.effect == string(decision.Safe) {
 		method = http.MethodGet
 	}
-	trace, used := traceReuse(ctx)
+	trace, connection := traceReuse(ctx)
 	var body io.Reader
 	if method == http.MethodPost {
-		// net/http cannot send this body again by itself, as it would that of a request with a key.
+		// net/http cannot rewind this body. It would otherwise repeat a request that carries an
+		// Idempotency-Key by itself.
 		body = io.MultiReader(strings.NewReader("lab"))
 	}
 	r, err := http.NewRequestWithContext(trace, method, q.url+"/lab", body)
@@ -283,7 +289,7 @@
 		if ctx.Err() != nil {
 			return response{outcome: model.Failed, err: ctx.Err()}, false
 		}
-		return response{outcome: model.Failed, err: err}, used.mayHaveRacedClose()
+		return response{outcome: model.Failed, err: err}, connection.mayHaveRacedClose()
 	}
 	defer res.Body.Close()
 	if err := drain(res); err != nil {
@@ -293,7 +299,7 @@
 	case http.StatusOK:
 		return response{outcome: model.Served}, false
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		after, _ := time.ParseDuration(strings.TrimSpace(res.Header.Get("Retry-After")) + "s") // 0 where there is none
+		after, _ := time.ParseDuration(strings.TrimSpace(res.Header.Get("Retry-After")) + "s") // 0 without the header
 		return response{outcome: model.Refused, retryAfter: after}, false
 	}
 	return response{outcome: model.Failed}, false
--- a/internal/lab/real/server.go
+++ b/internal/lab/real/server.go
@@ -21,15 +21,15 @@
 const (
 	// serverIdleTimeout is how long a stand-in server keeps an idle connection.
 	serverIdleTimeout = 30 * time.Second
-	// maxBody is above the size of every request and answer of the laboratory.
+	// maxBody is a number of bytes above the size of every request and answer of the laboratory.
 	maxBody = 64 << 10
 )
 
-// discardLog is the log of stand-in servers, whose connections are meant to break.
+// discardLog is the error log of stand-in servers, whose connections break on purpose.
 var discardLog = log.New(io.Discard, "", 0)
 
-// reuse records of a request whether it was sent on a used connection, and whether anything was
-// received in return.
+// reuse records whether a request was sent on a connection that earlier requests had used, and whether
+// any byte of a response arrived.
 type reuse struct{ reused, responded atomic.Bool }
 
 func traceReuse(ctx context.Context) (context.Context, *reuse) {
@@ -40,9 +40,9 @@
 	}), u
 }
 
-// mayHaveRacedClose reports whether a failed request may have crossed the close of an idle
-// connection. It is then sent again on a new one. Each such failure removes a connection, so this
-// ends.
+// mayHaveRacedClose reports whether a request may have failed because the server closed the idle
+// connection at the same time. The caller then sends it again. Each such failure removes a connection
+// from the pool, so the number of repeats is limited.
 func (u *reuse) mayHaveRacedClose() bool { return u.reused.Load() && !u.responded.Load() }
 
 func drain(res *http.Response) error {
@@ -50,16 +50,16 @@
 	return err
 }
 
-// server is a model's server on a socket.
+// server serves a model.Server on a socket.
 type server struct {
 	stage       *stage
 	model       *model.Server
 	address     string
 	connections *connectionSet
-	// Nil while it does not listen.
+	// Nil while the server does not listen.
 	http     *http.Server
 	listener net.Listener
-	// Ends the blackhole at its address; nil where there is none.
+	// Ends the blackhole at the server's address; nil if there is none.
 	endBlackhole func()
 }
 
@@ -67,16 +67,17 @@
 type attempt struct {
 	model.Attempt
 	done bool
-	// The checker has been notified.
+	// The checker has been told of the attempt.
 	reported bool
-	// The remaining time in its header; a delayed attempt was sent with that much left.
+	// The time until the deadline when the attempt was sent, from the header X-Remaining.
 	remaining time.Duration
 	previous  *attempt
-	// It has waited for the end of the previous attempt to arrive.
+	// The report of the attempt was postponed until the end of the previous one could be observed.
 	waited bool
 }
 
-// sentAt is when an attempt was sent. A healed partition delivers it later than the latency alone.
+// sentAt returns when an attempt was sent. The remaining time in its header tells this for an attempt
+// that a partition has delayed.
 func (a *attempt) sentAt(now time.Duration) time.Duration {
 	if at := a.Request.Deadline - model.Grace - a.remaining; a.remaining > 0 && at < now {
 		return at
@@ -84,10 +85,10 @@
 	return now
 }
 
-// serverName is the name of a server's machine.
+// serverName returns the name of a server's machine.
 func serverName(s *model.Server) string { return fmt.Sprint("server ", s.Index) }
 
-// listenAt has a server listen, at the address that it had before.
+// listenAt makes a server listen, at its previous address if it had one.
 func (st *stage) listenAt(s *model.Server) error {
 	sv := st.servers[s.Index]
 	if sv == nil {
@@ -110,41 +111,43 @@
 	return nil
 }
 
-// ServerStarted implements model.Sockets, as do the methods below.
+// ServerStarted implements model.Sockets, as do ServerStopped, ResetConnections and SetConnectionFault.
 func (st *stage) ServerStarted(s *model.Server) {
 	if sv := st.servers[s.Index]; sv != nil && sv.endBlackhole != nil {
-		return // it listens once that has ended
+		return // SetConnectionFault makes the server listen when the blackhole ends
 	}
 	if err := st.listenAt(s); err != nil {
 		st.fail(err)
 	}
 }
 
+// ServerStopped resets a server's connections and stops listening.
 func (st *stage) ServerStopped(s *model.Server) { st.servers[s.Index].stop() }
 
 // ResetConnections resets all connections of a server.
 func (st *stage) ResetConnections(s *model.Server) { st.servers[s.Index].connections.reset() }
 
-// SetConnectionFault sets the fault on a server's connections.
-func (st *stage) SetConnectionFault(s *model.Server, how string, n int) {
+// SetConnectionFault sets the fault on a server's connections. Under the kinds "syn" and "vanish" the
+// server's address becomes a blackhole.
+func (st *stage) SetConnectionFault(s *model.Server, kind string, size int) {
 	sv := st.servers[s.Index]
-	sv.connections.setFault(how, n)
-	silent := how == noHandshake || how == vanish
+	sv.connections.setFault(kind, size)
+	silent := kind == noHandshake || kind == vanish
 	switch {
 	case silent && sv.endBlackhole == nil && sv.http != nil:
 		sv.listener.Close() // established connections stay
 		sv.http = nil
-		heard, err := st.environment.Blackhole(sv.address)
+		end, err := st.environment.Blackhole(sv.address)
 		if err != nil {
 			st.fail(fmt.Errorf("server %d: %w", s.Index, err))
 			return
 		}
-		sv.endBlackhole = heard
+		sv.endBlackhole = end
 	case !silent && sv.endBlackhole != nil:
 		sv.endBlackhole()
 		sv.endBlackhole = nil
 		if !s.IsListening() {
-			return // it has stopped meanwhile
+			return // the server has stopped meanwhile
 		}
 		if err := st.listenAt(s); err != nil {
 			st.fail(err)
@@ -170,20 +173,20 @@
 	sv.connections.reset()
 }
 
-// reply is what a handler is to answer.
+// reply is the answer that the model's server gives to an attempt.
 type reply struct {
 	status decision.Status
 	load   *decision.Load
 }
 
-// replier passes a reply to the handler.
+// replier passes a reply to the handler of the attempt. Its capacity is 1.
 type replier chan reply
 
-func (r replier) Reply(a *model.Attempt, how decision.Status, l *decision.Load) {
+func (r replier) Reply(a *model.Attempt, status decision.Status, l *decision.Load) {
 	a.Finished = true
 	select {
-	case r <- reply{how, l}:
-	default: // it has been answered
+	case r <- reply{status, l}:
+	default: // the attempt has a reply already
 	}
 }
 
@@ -215,7 +218,8 @@
 	}
 }
 
-// write answers as the protocol's table of outcomes says.
+// write sends a reply in the form that the platform's protocol defines for its status. A status without
+// such a form resets the connection.
 func write(w http.ResponseWriter, got reply) {
 	if l := got.load; l != nil {
 		w.Header().Set("X-Pressure", fmt.Sprintf("inflight=%.2f,queue=%.2f,util=%.3f", l.InFlight, l.Queue, l.Util))
@@ -231,17 +235,17 @@
 	default:
 		c, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
-			return // it has ended
+			return // the connection is closed already
 		}
-		if broken, ok := c.(*faultyConn); ok {
-			broken.reset()
+		if faulty, ok := c.(*faultyConn); ok {
+			faulty.reset()
 		}
 		c.Close()
 	}
 }
 
-// delayedThreshold is how much later than it was sent an attempt arrives that a partition has
-// delayed.
+// delayedThreshold is the time between the sending and the arrival of an attempt above which a partition
+// counts as the cause of the delay.
 const delayedThreshold = 50 * time.Millisecond
 
 // attemptArrived hands an attempt to the model's server, after the network's latency.
@@ -267,10 +271,10 @@
 	})
 }
 
-// reportAttempts reports attempts to the checker in the order of their arrival, each once the end
-// of the previous one has been observed. That is observed a little later than it happens, and
-// across a partition only after it has healed. The sender may have given up an attempt long before
-// a partition lets it through, and then closes it at once; it is not reported.
+// reportAttempts reports attempts to the checker in the order of their arrival, each after the end of
+// the previous one was observed. The end is observed a little later than it happens, and across a
+// partition only after the partition has healed. An attempt that the sender has given up before the
+// partition let it through is closed at once, and is not reported.
 func (st *stage) reportAttempts(request *pendingRequest) {
 	request.reportScheduled = false
 	for len(request.unreported) > 0 {
@@ -287,20 +291,20 @@
 		if request.departedAt > 0 && !delayed {
 			st.world.Checker.AttemptAfterDeparture(next.sentAt(now), request.departedAt, string(request.ID), next.Number)
 		}
-		if request.completed || delayed && next.done { // it was on its way when its client departed, or was given up
+		if request.completed || delayed && next.done { // sent before the client departed, or given up meanwhile
 			continue
 		}
 		st.world.Checker.AttemptSent(next.sentAt(now), string(request.ID), next.Number, next.Server.Index)
 		if next.reported = true; next.done {
-			st.world.Checker.AttemptEnded(now, string(request.ID), next.Number, "it was over when its predecessor was")
+			st.world.Checker.AttemptEnded(now, string(request.ID), next.Number, "ended before the end of the previous attempt was observed")
 		}
 	}
 }
 
 // attemptEnded records the end of an attempt.
-func (st *stage) attemptEnded(a *attempt, how string) {
+func (st *stage) attemptEnded(a *attempt, reason string) {
 	a.done = true
 	if a.reported {
-		st.world.Checker.AttemptEnded(st.Now(), string(a.Request.ID), a.Number, how)
+		st.world.Checker.AttemptEnded(st.Now(), string(a.Request.ID), a.Number, reason)
 	}
 }
--- a/internal/lab/real/site.go
+++ b/internal/lab/real/site.go
@@ -10,28 +10,28 @@
 	"path/filepath"
 )
 
-// Site is a small installation on loopback: stand-in servers, their discovery, a listening socket,
-// and processes of the broker that share it.
+// Site is a small installation on loopback. It consists of stand-in servers, their discovery, a
+// listening socket, and the broker processes that share the socket.
 type Site struct {
 	URL       string
 	Servers   []*Server
 	Discovery *Discovery
 	Brokers   []*Process
 	dir       string
-	file      string // the platform's
+	file      string // the platform's configuration file
 	socket    *os.File
 }
 
-// Limits are the resources that a process of the broker is configured with; half of them is kept
-// for a successor.
+// Limits are the resources that the configuration grants to a process of the broker. The process uses
+// half of them and leaves the rest to a successor.
 type Limits struct {
 	Cores    int `json:"cores"`
 	MemoryMB int `json:"memory_mb"`
 	Sockets  int `json:"sockets"`
 }
 
-// NewSite starts a discovery for servers and creates the listening socket. The site owns the
-// servers.
+// NewSite starts a discovery of the servers and creates the listening socket. Close of the site also
+// kills the servers.
 func NewSite(servers []*Server, settings string, limits Limits) (_ *Site, err error) {
 	st := &Site{Servers: servers}
 	defer func() {
@@ -65,7 +65,7 @@
 	return st, os.WriteFile(st.file, text, 0o600)
 }
 
-// Dir is a directory that is removed with the site.
+// Dir returns the directory of the site's files. Close removes it.
 func (st *Site) Dir() string { return st.dir }
 
 // StartBroker starts a process on the listening socket and waits until it can serve.
@@ -81,7 +81,7 @@
 	return p, p.Ready(ctx)
 }
 
-// Close stops everything that was started.
+// Close stops the processes, the discovery and the servers, and removes the directory.
 func (st *Site) Close() error {
 	for _, b := range st.Brokers {
 		b.Stop()
--- a/internal/lab/real/standin.go
+++ b/internal/lab/real/standin.go
@@ -15,43 +15,43 @@
 )
 
 const (
-	// heartbeatInterval is how often a watch without changes sends an empty line.
+	// heartbeatInterval is how often a watch sends an empty line while nothing changes.
 	heartbeatInterval = time.Second
-	// maxChanges is the number of changes retained; a watch that has missed more receives the full
+	// maxChanges is the number of retained changes. A watch that has missed more receives the full
 	// list.
 	maxChanges = 1024
 )
 
-// Server is a stand-in server: a number of cores that work on one call each for the service time;
-// further calls wait.
+// Server is a stand-in server. Each of its cores works on one call at a time, for the service time.
+// Further calls wait for a core.
 type Server struct {
 	UID         string
 	serviceTime time.Duration
 	cores       chan struct{}
-	// Calls it has worked on.
+	// The number of calls that a core has started to work on.
 	Executions atomic.Int64
 
 	mu      sync.Mutex
 	address string
 	http    *http.Server
-	// Nil, or closed when it answers again.
+	// While the server is paused, a channel that is closed when it answers again; else nil.
 	paused chan struct{}
 }
 
 // StartServer starts a stand-in server on loopback.
-func StartServer(uid string, cores int, took time.Duration) (*Server, error) {
-	s := &Server{UID: uid, serviceTime: took, cores: make(chan struct{}, cores), address: loopback.Address()}
+func StartServer(uid string, cores int, serviceTime time.Duration) (*Server, error) {
+	s := &Server{UID: uid, serviceTime: serviceTime, cores: make(chan struct{}, cores), address: loopback.Address()}
 	return s, s.Start()
 }
 
-// Address is where it listens, or listened last.
+// Address returns the address at which the server listens or has last listened.
 func (s *Server) Address() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.address
 }
 
-// Start has it listen, at the address it had before.
+// Start makes the server listen at its address.
 func (s *Server) Start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,14 +64,14 @@
 	return nil
 }
 
-// Kill ends it as a crash does: open calls are reset.
+// Kill stops the server like a crash: open calls are reset.
 func (s *Server) Kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.http.Close()
 }
 
-// Pause stops or resumes all of its answers.
+// Pause holds back all answers, or with false releases them.
 func (s *Server) Pause(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,7 +86,7 @@
 
 // ServeHTTP works on a call.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	_, _ = io.Copy(io.Discard, r.Body) // a call that is cut off is worked on all the same
+	_, _ = io.Copy(io.Discard, r.Body) // the server also works on a call with an incomplete body
 	select {
 	case s.cores <- struct{}{}:
 		defer func() { <-s.cores }()
@@ -112,7 +112,7 @@
 	io.WriteString(w, "done by "+s.UID+"\n")
 }
 
-// Discovery is a stand-in for the platform's discovery.
+// Discovery is a stand-in for the platform's discovery service.
 type Discovery struct {
 	Address string
 	http    *http.Server
@@ -120,21 +120,21 @@
 	mu      sync.Mutex
 	version uint64
 	targets map[string]core.Target
-	// Closed when there is a further version.
+	// Closed with the next change of the version.
 	changed chan struct{}
-	// The changes of the last versions.
+	// The changes of the latest versions, at most maxChanges.
 	changes []core.Target
-	// Closed when the present watches break.
+	// Closed when BreakWatches ends the current watches.
 	watchesEnd chan struct{}
-	// Nil, or closed when it answers again.
+	// While the discovery is paused, a channel that is closed when it answers again; else nil.
 	paused chan struct{}
-	// The list that was sent last out of order.
+	// The list that Repeat sent last.
 	outOfOrder core.List
-	// Closed when another one is sent.
+	// Closed by the next Repeat.
 	outOfOrderSent chan struct{}
 }
 
-// StartDiscovery starts a discovery of servers.
+// StartDiscovery starts a discovery on loopback that announces the servers as ready.
 func StartDiscovery(servers []*Server) (*Discovery, error) {
 	l, err := loopback.Listen()
 	if err != nil {
@@ -157,11 +157,11 @@
 	return d
 }
 
-// Close stops it.
+// Close stops the discovery.
 func (d *Discovery) Close() { d.http.Close() }
 
-// Announce announces a server as Ready, Terminating or Gone. Booted is its start in Unix
-// milliseconds, 0 for long ago.
+// Announce announces a server in the state Ready, Terminating or Gone. The argument booted is the
+// server's start in Unix milliseconds; 0 stands for an old start.
 func (d *Discovery) Announce(s *Server, state string, booted int64) {
 	d.AnnounceTarget(core.Target{
 		UID: s.UID, Address: s.Address(), Zone: "hall", Model: "stand-in", State: state, Weight: 1,
@@ -169,7 +169,7 @@
 	})
 }
 
-// AnnounceTarget announces one entry of the list.
+// AnnounceTarget announces a new or changed entry of the list. The state Gone removes the entry.
 func (d *Discovery) AnnounceTarget(t core.Target) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -185,7 +185,7 @@
 	d.changed = make(chan struct{})
 }
 
-// BreakWatches breaks all watches and answers no request until Resume.
+// BreakWatches breaks all watches and holds back all answers until Resume.
 func (d *Discovery) BreakWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -206,8 +206,8 @@
 	}
 }
 
-// Repeat sends the full list once more on all watches: as it is or, if stale, with an older version
-// and without the last change.
+// Repeat sends the full list once more on all watches. If stale, the list has the previous version and
+// lacks the entry of the last change.
 func (d *Discovery) Repeat(stale bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -224,15 +224,14 @@
 	d.outOfOrderSent = make(chan struct{})
 }
 
-// lastOutOfOrder returns the list that was sent last out of order, and a channel that is closed by
-// the next one.
+// lastOutOfOrder returns the list that Repeat sent last, and a channel that the next Repeat closes.
 func (d *Discovery) lastOutOfOrder() (core.List, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.outOfOrder, d.outOfOrderSent
 }
 
-// copyTo announces all entries at another discovery.
+// copyTo announces all entries through another discovery.
 func (d *Discovery) copyTo(other *Discovery) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -241,7 +240,8 @@
 	}
 }
 
-// waitWhilePaused waits until requests are answered, and returns the channel that ends a watch.
+// waitWhilePaused waits until the discovery is not paused or the client departs. It returns the channel
+// whose close ends a watch.
 func (d *Discovery) waitWhilePaused(departed <-chan struct{}) (broken <-chan struct{}) {
 	d.mu.Lock()
 	broken, paused := d.watchesEnd, d.paused
@@ -255,14 +255,15 @@
 	return broken
 }
 
-// list is the full list, or the changes since a version.
+// list returns the changes since a version if they are retained, and else the full list. The channel is
+// closed with the next change.
 func (d *Discovery) list(since *uint64) (l core.List, changed <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	kept := d.version - uint64(len(d.changes)) // the version before the first retained change
-	l = core.List{Rev: d.version, Full: since == nil || *since > d.version || *since < kept}
+	oldest := d.version - uint64(len(d.changes)) // the version before the first retained change
+	l = core.List{Rev: d.version, Full: since == nil || *since > d.version || *since < oldest}
 	if !l.Full {
-		l.Targets = append(l.Targets, d.changes[*since-kept:]...)
+		l.Targets = append(l.Targets, d.changes[*since-oldest:]...)
 		return l, d.changed
 	}
 	for _, t := range d.targets {
@@ -277,7 +278,7 @@
 	if text := r.URL.Query().Get("since"); text != "" {
 		var n uint64
 		if _, err := fmt.Sscan(text, &n); err != nil {
-			http.Error(w, "since: not a version", http.StatusBadRequest)
+			http.Error(w, fmt.Sprintf("since=%q is not a version", text), http.StatusBadRequest)
 			return
 		}
 		since = &n
