--- a/internal/lab/netem/conn.go
+++ b/internal/lab/netem/conn.go
@@ -10,28 +10,24 @@
 	"time"
 )
 
-const (
-	data kind = iota
-	finished
-	rst
-)
-
-// Conn is a process's handle of one end of a connection.
+// Conn is a process's handle of one end of a connection. Like a file descriptor it can be duplicated
+// for another process.
 type Conn struct {
 	end     *end
 	process *Process
 
 	mu            sync.Mutex
 	closed        bool
-	readDeadline  time.Time // deadlines
+	readDeadline  time.Time
 	writeDeadline time.Time
-	// Closed when the deadlines or closed change.
+	// Closed when a deadline changes, when the handle is closed, and by wake.
 	changed chan struct{}
-	// When it is woken; the mutex of the network's wake timer guards it.
+	// The time of the next wake; zero if none is registered. The mutex of the network's wake timer
+	// guards it.
 	wakeAt time.Time
 }
 
-// newConn creates a handle; nil where the process has ended.
+// newConn creates a process's handle of an end. It returns nil if the process has ended.
 func newConn(e *end, p *Process) *Conn {
 	c := &Conn{end: e, process: p, changed: make(chan struct{})}
 	e.mu.Lock()
@@ -43,7 +39,7 @@
 	return c
 }
 
-// duplicate creates another process's handle of the same end, as passing a descriptor does.
+// duplicate creates another process's handle of the same end, like passing a descriptor does.
 func (c *Conn) duplicate(p *Process) *Conn { return newConn(c.end, p) }
 
 func (c *Conn) state() (closed bool, read, write time.Time, changed <-chan struct{}) {
@@ -52,15 +48,17 @@
 	return c.closed, c.readDeadline, c.writeDeadline, c.changed
 }
 
-func (c *Conn) fault(op string, err error) error {
+// opError wraps an error as package net does. It returns io.EOF as it is.
+func (c *Conn) opError(op string, err error) error {
 	if errors.Is(err, io.EOF) {
 		return err
 	}
 	return &net.OpError{Op: op, Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: err}
 }
 
-// deadlineState reports whether a deadline has passed, and otherwise until when to wait.
-func deadlineState(deadline, next time.Time) (until time.Time, over bool) {
+// deadlineState reports whether a deadline has passed. If not, it returns the earlier one of the deadline
+// and next as the time until which to wait. Zero times count as never.
+func deadlineState(deadline, next time.Time) (until time.Time, passed bool) {
 	if !deadline.IsZero() && !deadline.After(time.Now()) {
 		return deadline, true
 	}
@@ -70,19 +68,18 @@
 	return next, false
 }
 
-// waitForChange waits for a change of the handle or of a stream, or until a time; the zero time is
-// none.
-func (c *Conn) waitForChange(mine, stream <-chan struct{}, until time.Time) {
+// waitForChange waits for a change of the handle or of a stream, or until a time if that is not zero.
+func (c *Conn) waitForChange(handle, stream <-chan struct{}, until time.Time) {
 	if !until.IsZero() {
 		c.end.connection.net.wakes.arm(c, until)
 	}
 	select {
-	case <-mine:
+	case <-handle:
 	case <-stream:
 	}
 }
 
-// wake has all waiting calls check again.
+// wake makes all waiting calls check their condition again.
 func (c *Conn) wake() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,30 +87,30 @@
 	c.changed = make(chan struct{})
 }
 
-// read reads, or waits until something can be read. Without consume the bytes stay unread.
+// read waits until something can be read, and reads it. Without consume the bytes stay unread.
 func (c *Conn) read(b []byte, consume bool) (int, error) {
 	return c.wait(func() (int, time.Time, <-chan struct{}, error) { return c.end.input.read(b, consume) })
 }
 
-// wait waits until a check of the stream returns anything but EAGAIN.
-func (c *Conn) wait(look func() (n int, next time.Time, changed <-chan struct{}, err error)) (int, error) {
+// wait waits until a check of the stream returns anything but EAGAIN, and returns the result.
+func (c *Conn) wait(check func() (n int, next time.Time, changed <-chan struct{}, err error)) (int, error) {
 	for {
-		closed, deadline, _, mine := c.state()
+		closed, deadline, _, handleChanged := c.state()
 		if closed {
-			return 0, c.fault("read", net.ErrClosed)
+			return 0, c.opError("read", net.ErrClosed)
 		}
-		if _, over := deadlineState(deadline, time.Time{}); over {
-			return 0, c.fault("read", os.ErrDeadlineExceeded)
+		if _, passed := deadlineState(deadline, time.Time{}); passed {
+			return 0, c.opError("read", os.ErrDeadlineExceeded)
 		}
-		n, next, changed, err := look()
+		n, next, changed, err := check()
 		if !errors.Is(err, syscall.EAGAIN) {
 			if err != nil {
-				err = c.fault("read", err)
+				err = c.opError("read", err)
 			}
 			return n, err
 		}
 		until, _ := deadlineState(deadline, next)
-		c.waitForChange(mine, changed, until)
+		c.waitForChange(handleChanged, changed, until)
 	}
 }
 
@@ -125,30 +122,30 @@
 	return c.read(b, true)
 }
 
-// Await waits until a read would not block, and returns the error it would have.
+// Await waits until a read would not block, and returns the error that the read would return.
 func (c *Conn) Await() error {
 	var b [1]byte
 	_, err := c.read(b[:], false)
 	return err
 }
 
-// AwaitEnd waits until the peer has closed its side or reset the connection, regardless of unread
-// bytes before that.
+// AwaitEnd waits until the peer has closed its side or reset the connection. Unread bytes do not delay
+// it.
 func (c *Conn) AwaitEnd() error {
 	_, err := c.wait(c.end.input.awaitEnd)
 	return err
 }
 
-// Ended implements the interface by which http1 waits for connections. It reports whether the peer has
-// ended the connection, or this side has closed it.
+// Ended reports whether the peer has closed its side or reset the connection, or this handle is closed.
+// Package http1 waits for connections by this method.
 func (c *Conn) Ended() bool {
 	closed, _, _, _ := c.state()
 	_, _, _, err := c.end.input.awaitEnd()
 	return closed || !errors.Is(err, syscall.EAGAIN)
 }
 
-// Peek returns how many of one byte can be read; EAGAIN stands for none yet, and 0 without an error
-// for the end.
+// Peek returns 1 if a byte can be read, 0 at the end of the stream, and the error EAGAIN if nothing has
+// arrived yet.
 func (c *Conn) Peek() (int, error) {
 	var b [1]byte
 	closed, _, _, _ := c.state()
@@ -169,31 +166,31 @@
 func (c *Conn) Write(b []byte) (n int, err error) {
 	to := c.end.peer()
 	for n < len(b) {
-		closed, _, deadline, mine := c.state()
+		closed, _, deadline, handleChanged := c.state()
 		c.end.mu.Lock()
-		fin := c.end.finSent
+		finSent := c.end.finSent
 		c.end.mu.Unlock()
-		if closed || fin {
-			return n, c.fault("write", net.ErrClosed)
+		if closed || finSent {
+			return n, c.opError("write", net.ErrClosed)
 		}
-		if _, over := deadlineState(deadline, time.Time{}); over {
-			return n, c.fault("write", os.ErrDeadlineExceeded)
+		if _, passed := deadlineState(deadline, time.Time{}); passed {
+			return n, c.opError("write", os.ErrDeadlineExceeded)
 		}
 		if k, _, _, err := c.end.input.read(make([]byte, 1), false); k == 0 && err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, syscall.EAGAIN) {
-			return n, c.fault("write", os.NewSyscallError("write", syscall.ECONNRESET))
+			return n, c.opError("write", os.NewSyscallError("write", syscall.ECONNRESET))
 		}
 		space, changed := to.input.space()
 		if space <= 0 {
 			until, _ := deadlineState(deadline, time.Time{})
-			c.waitForChange(mine, changed, until)
+			c.waitForChange(handleChanged, changed, until)
 			continue
 		}
 		to.mu.Lock()
 		peerClosed := to.closed
 		to.mu.Unlock()
 		if peerClosed {
-			// What comes to a closed socket is answered with a reset, a way there and back later.
-			c.end.input.add(segment{what: rst}, 2*c.end.connection.net.delay(), 0)
+			// A closed socket answers data with a reset, which arrives a round trip later.
+			c.end.input.add(segment{kind: rst}, 2*c.end.connection.net.delay(), 0)
 			return len(b), nil
 		}
 		k := min(space, len(b)-n)
@@ -206,11 +203,11 @@
 // CloseWrite closes the sending side only.
 func (c *Conn) CloseWrite() error {
 	c.end.mu.Lock()
-	done := c.end.finSent
+	alreadySent := c.end.finSent
 	c.end.finSent = true
 	c.end.mu.Unlock()
-	if !done {
-		c.end.send(nil, finished)
+	if !alreadySent {
+		c.end.send(nil, fin)
 	}
 	return nil
 }
@@ -223,24 +220,25 @@
 	return nil
 }
 
-// Close closes the handle, and with the last one the connection.
+// Close closes the handle. The close of the last handle closes this end of the connection.
 func (c *Conn) Close() error {
 	if !c.markClosed() {
-		return c.fault("close", net.ErrClosed)
+		return c.opError("close", net.ErrClosed)
 	}
 	c.process.unregister(c)
 	c.end.releaseHandle(false)
 	return nil
 }
 
-// kill ends the handle with its process.
+// kill closes the handle when its process is killed. The close of the last handle then resets the
+// connection.
 func (c *Conn) kill() {
 	if c.markClosed() {
 		c.end.releaseHandle(true)
 	}
 }
 
-// markClosed ends the handle and reports whether it was open.
+// markClosed marks the handle as closed and reports whether it was open.
 func (c *Conn) markClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -253,10 +251,10 @@
 	return true
 }
 
-// LocalAddr is the address of this end.
+// LocalAddr returns the address of this end.
 func (c *Conn) LocalAddr() net.Addr { return c.end.addr }
 
-// RemoteAddr is the address of the other end.
+// RemoteAddr returns the address of the other end.
 func (c *Conn) RemoteAddr() net.Addr { return c.end.peer().addr }
 
 // SetDeadline sets both deadlines.
@@ -267,19 +265,19 @@
 	return c.SetWriteDeadline(t)
 }
 
-// SetReadDeadline sets when a read times out; the zero time is never.
-func (c *Conn) SetReadDeadline(t time.Time) error { return c.set(&c.readDeadline, t) }
+// SetReadDeadline sets when a read times out. The zero time stands for never.
+func (c *Conn) SetReadDeadline(t time.Time) error { return c.setDeadline(&c.readDeadline, t) }
 
-// SetWriteDeadline sets when a write times out; the zero time is never.
-func (c *Conn) SetWriteDeadline(t time.Time) error { return c.set(&c.writeDeadline, t) }
+// SetWriteDeadline sets when a write times out. The zero time stands for never.
+func (c *Conn) SetWriteDeadline(t time.Time) error { return c.setDeadline(&c.writeDeadline, t) }
 
-func (c *Conn) set(which *time.Time, t time.Time) error {
+func (c *Conn) setDeadline(deadline *time.Time, t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return net.ErrClosed
 	}
-	*which = t
+	*deadline = t
 	close(c.changed)
 	c.changed = make(chan struct{})
 	return nil
--- a/internal/lab/netem/connection.go
+++ b/internal/lab/netem/connection.go
@@ -5,90 +5,92 @@
 	"sync"
 )
 
-// connection is a connection of two ends.
+// connection is an established connection between two machines.
 type connection struct {
 	net *Network
 	// The dialling and the accepting end.
 	ends [2]*end
 }
 
-// end is one side of a connection. Processes have handles of it; it ends when the last one is
-// closed.
+// end is one side of a connection. Processes refer to it by handles (Conn). It is closed when the last
+// handle is closed.
 type end struct {
 	connection *connection
-	// Its index among the connection's ends.
+	// The index of this end in connection.ends.
 	side    int
 	machine *Machine
 	addr    net.Addr
-	// What arrives here.
+	// The stream from the peer to this end.
 	input *stream
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// The number of open handles.
 	handles int
-	// If false, a close is a reset.
+	// If false, a close sends a reset.
 	linger bool
-	// Closed or reset here.
+	// This side was closed or has sent a reset.
 	closed bool
-	// Nothing more is sent from here.
+	// This side has sent the end of its stream.
 	finSent bool
 }
 
 func newConnection(n *Network, from, to *Machine, fromAddr, toAddr net.Addr) *connection {
-	l := &connection{net: n}
+	c := &connection{net: n}
+	addresses := []net.Addr{fromAddr, toAddr}
 	for i, m := range []*Machine{from, to} {
-		l.ends[i] = &end{connection: l, side: i, machine: m, addr: []net.Addr{fromAddr, toAddr}[i], linger: true, input: newStream(n.options.Buffer)}
+		c.ends[i] = &end{connection: c, side: i, machine: m, addr: addresses[i], linger: true, input: newStream(n.options.Buffer)}
 	}
-	return l
+	return c
 }
 
 func (e *end) peer() *end { return e.connection.ends[1-e.side] }
 
 // send sends bytes, the end of the stream or a reset to the other side.
-func (e *end) send(b []byte, what kind) {
+func (e *end) send(b []byte, kind segmentKind) {
 	n := e.connection.net
 	to := e.peer()
-	to.input.add(segment{what: what, b: b, lost: n.isLost(e.machine, to.machine)}, n.delay(), n.options.Bandwidth)
+	to.input.add(segment{kind: kind, bytes: b, lost: n.isLost(e.machine, to.machine)}, n.delay(), n.options.Bandwidth)
 }
 
 // reset resets the connection from this side.
 func (e *end) reset() { e.finish(true) }
 
-// finish ends this side, in order or by a reset. Unread input turns a close into a reset, as on
-// Linux (RFC 2525, 2.17).
-func (e *end) finish(hard bool) {
+// finish closes this side, with a FIN or with a reset. Unread input turns the FIN into a reset, as on
+// Linux (RFC 2525, section 2.17).
+func (e *end) finish(withReset bool) {
 	e.mu.Lock()
 	if e.closed {
 		e.mu.Unlock()
 		return
 	}
 	e.closed = true
-	hard = hard || !e.linger || e.input.unread()
-	fin := e.finSent
+	withReset = withReset || !e.linger || e.input.unread()
+	alreadySent := e.finSent
 	e.finSent = true
 	e.mu.Unlock()
 	switch {
-	case hard:
+	case withReset:
 		e.send(nil, rst)
-	case !fin:
-		e.send(nil, finished)
+	case !alreadySent:
+		e.send(nil, fin)
 	}
 	e.input.close()
-	other := e.peer()
-	other.mu.Lock()
-	both := other.closed
-	other.mu.Unlock()
-	if both {
+	peer := e.peer()
+	peer.mu.Lock()
+	peerClosed := peer.closed
+	peer.mu.Unlock()
+	if peerClosed {
 		e.connection.net.remove(e.connection)
 	}
 }
 
-// releaseHandle releases one handle.
-func (e *end) releaseHandle(hard bool) {
+// releaseHandle releases one handle and finishes the end with the last one.
+func (e *end) releaseHandle(withReset bool) {
 	e.mu.Lock()
 	e.handles--
 	last := e.handles == 0
 	e.mu.Unlock()
 	if last {
-		e.finish(hard)
+		e.finish(withReset)
 	}
 }
--- a/internal/lab/netem/dial.go
+++ b/internal/lab/netem/dial.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// Dial makes a connection, as DialContext of net.Dialer does. It is refused where nobody listens;
-// where the backlog is full or the link is cut it is tried again until the context ends.
+// Dial opens a connection, as DialContext of net.Dialer does. The connection is refused if nobody
+// listens at the address. If the backlog is full or a partition separates the machines, Dial sends the
+// SYN again until the context ends.
 func (p *Process) Dial(ctx context.Context, _, address string) (net.Conn, error) {
 	fail := func(err error) (net.Conn, error) {
 		at, _ := net.ResolveTCPAddr("tcp4", address)
@@ -22,15 +23,15 @@
 			if !wait(ctx, p.dead, roundTrip) {
 				break
 			}
-			l, err := p.establish(address)
+			established, err := p.establish(address)
 			if err != nil {
 				return fail(err)
 			}
-			if l != nil {
-				if c := newConn(l.ends[0], p); c != nil {
+			if established != nil {
+				if c := newConn(established.ends[0], p); c != nil {
 					return c, nil
 				}
-				l.ends[0].reset()
+				established.ends[0].reset()
 				break
 			}
 		}
@@ -47,7 +48,7 @@
 	return fail(net.ErrClosed)
 }
 
-// wait waits for a duration and reports false if the context or the process ended before.
+// wait waits for a duration. It reports false if the context or the process ended meanwhile.
 func wait(ctx context.Context, dead <-chan struct{}, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -63,9 +64,9 @@
 	return false
 }
 
-var errPacketLost = errors.New("lost")
+var errPacketLost = errors.New("the SYN was lost")
 
-// sendSYN is the round trip of a SYN: how long it takes, or errPacketLost.
+// sendSYN returns how long the handshake takes, or errPacketLost if the SYN is not answered.
 func (p *Process) sendSYN(address string) (time.Duration, error) {
 	n := p.net
 	roundTrip := n.delay() + n.delay()
@@ -89,8 +90,8 @@
 	return roundTrip, nil
 }
 
-// establish creates a connection to the present listener; it returns neither a connection nor an
-// error where the SYN is lost after all.
+// establish creates a connection to the socket that now listens at the address. It returns neither a
+// connection nor an error if the backlog has filled since sendSYN.
 func (p *Process) establish(address string) (*connection, error) {
 	n := p.net
 	n.mu.Lock()
@@ -101,25 +102,25 @@
 	}
 	n.ports++
 	from := &net.TCPAddr{IP: net.IPv4(10, byte(n.ports>>32), byte(n.ports>>24), byte(n.ports>>16)), Port: n.ports & 0xffff}
-	l := newConnection(n, p.Machine, s.machine, from, s.address)
+	c := newConnection(n, p.Machine, s.machine, from, s.address)
 	select {
-	case s.queue <- l:
+	case s.queue <- c:
 	default:
 		return nil, nil
 	}
-	n.connections[l] = true
+	n.connections[c] = true
 	p.Machine.connections++
 	s.machine.connections++
-	return l, nil
+	return c, nil
 }
 
-// remove removes a connection that both sides have ended.
-func (n *Network) remove(l *connection) {
+// remove removes a connection that both sides have closed from the connection tables.
+func (n *Network) remove(c *connection) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.connections[l] {
-		delete(n.connections, l)
-		for _, e := range l.ends {
+	if n.connections[c] {
+		delete(n.connections, c)
+		for _, e := range c.ends {
 			e.machine.connections--
 		}
 	}
--- a/internal/lab/netem/doc.go
+++ b/internal/lab/netem/doc.go
@@ -1,9 +1,11 @@
-// Package netem emulates a network and the processes on it within one process: connections with latency,
-// bandwidth, buffers that fill, half-closes, resets and links that are cut; accept queues and connection
-// tables that overflow; handshakes that cost a machine; listening sockets that several processes share; and
-// processes that are killed and that pass open connections to each other.
+// Package netem emulates a network and the processes on it within one process.
 //
-// Invariants: bytes of a connection arrive in order; a handle of a killed process has no effect any more;
-// what a process opens ends with it. All waiting uses the time package, so that in a testing/synctest
-// bubble the network runs in virtual time. Package emulation is its caller.
+// Connections have latency, bandwidth, limited buffers, half-closes, resets and partitions. Accept queues
+// and connection tables overflow, handshakes take time of a machine's cores, and several processes can
+// share a listening socket. Processes can be killed, and can pass open connections to each other.
+//
+// Invariants: the bytes of a connection arrive in order. A handle of a killed process has no effect any
+// more. All sockets and connections of a process are closed when it ends. All waiting uses the time
+// package, so that the network runs in virtual time within a testing/synctest bubble. Package emulation
+// plays scenarios on this network.
 package netem
--- a/internal/lab/netem/handover.go
+++ b/internal/lab/netem/handover.go
@@ -2,19 +2,20 @@
 
 import (
 	"errors"
+	"fmt"
 	"net"
 	"sync"
 
 	"dykering/internal/handover"
 )
 
-// Receiver accepts what the preceding process passes on, by the three steps of package handover:
-// offered, accepted, go on.
+// Receiver accepts the connections and the state that the preceding process passes on. A transfer takes
+// the three steps of package handover: offered, accepted, go on.
 type Receiver struct {
 	process *Process
 	key     string
 	handler handover.Handler
-	// Closed once it accepts.
+	// Closed by Serve, once handler is set.
 	serving chan struct{}
 	closed  chan struct{}
 	once    sync.Once
@@ -22,16 +23,17 @@
 	mu sync.Mutex
 }
 
-// receivers are the receivers of a network by directory and name, the newest last.
+// receivers holds the receivers of a network.
 type receivers struct {
 	mu sync.Mutex
-	of map[string][]*Receiver
+	// By directory and name, the newest last.
+	byKey map[string][]*Receiver
 }
 
-// Exchange is where the processes of a network find each other for a handover.
+// Exchange registers receivers, so that the processes of a network find each other for a handover.
 type Exchange struct {
 	all receivers
-	// Step is called before each step of a transfer: "offered", "accepted", "go on", "started".
+	// Step is called before each of the steps "offered", "accepted", "go on" and "started" of a transfer.
 	Step func(step string, from, to *Process)
 }
 
@@ -43,14 +45,14 @@
 	}
 	x.all.mu.Lock()
 	defer x.all.mu.Unlock()
-	if x.all.of == nil {
-		x.all.of = map[string][]*Receiver{}
+	if x.all.byKey == nil {
+		x.all.byKey = map[string][]*Receiver{}
 	}
-	x.all.of[r.key] = append(x.all.of[r.key], r)
+	x.all.byKey[r.key] = append(x.all.byKey[r.key], r)
 	return r, nil
 }
 
-// Serve hands what arrives to a handler, until the receiver is closed.
+// Serve passes arriving transfers to a handler until the receiver is closed.
 func (r *Receiver) Serve(handler handover.Handler) error {
 	r.handler = handler
 	close(r.serving)
@@ -58,7 +60,7 @@
 	return nil
 }
 
-// Close ends it.
+// Close closes the receiver. Senders do not find it any more.
 func (r *Receiver) Close() error {
 	r.process.unregister(r)
 	r.kill()
@@ -89,32 +91,34 @@
 func (x *Exchange) Find(p *Process, dir, name string) (*Sender, error) {
 	x.all.mu.Lock()
 	defer x.all.mu.Unlock()
-	all := x.all.of[dir+"\x00"+name]
-	kept := all[:0]
+	key := dir + "\x00" + name
+	all := x.all.byKey[key]
+	open := all[:0]
 	for _, r := range all {
 		if r.isOpen() {
-			kept = append(kept, r)
+			open = append(open, r)
 		}
 	}
-	x.all.of[dir+"\x00"+name] = kept
-	for i := len(kept) - 1; i >= 0; i-- {
-		if kept[i].process != p {
-			return &Sender{exchange: x, from: p, to: kept[i]}, nil
+	x.all.byKey[key] = open
+	for i := len(open) - 1; i >= 0; i-- {
+		if open[i].process != p {
+			return &Sender{exchange: x, from: p, to: open[i]}, nil
 		}
 	}
 	return nil, handover.ErrNoReceiver
 }
 
-// Alive reports whether anything can still be passed.
+// Alive reports whether the receiver is open and no transfer has failed midway.
 func (s *Sender) Alive() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.broken && s.to.isOpen()
 }
 
-var errChannelClosed = errors.New("handover: the way has ended")
+var errChannelClosed = errors.New("handover: the channel to the receiving process is closed")
 
-// step announces a step and reports whether both processes are alive after that.
+// step calls Exchange.Step, and reports whether both processes are alive and the receiver is open after
+// that.
 func (s *Sender) step(name string) bool {
 	if s.exchange.Step != nil {
 		s.exchange.Step(name, s.from, s.to.process)
@@ -129,8 +133,8 @@
 	return s.to.isOpen()
 }
 
-// Pass passes connections on, as that of handover.Sender does. Without an error they belong to the
-// other process.
+// Pass passes connections on with a state, as handover.Sender.Pass does. If it returns no error, the
+// connections belong to the other process.
 func (s *Sender) Pass(state []byte, conns ...net.Conn) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,12 +155,12 @@
 		}
 	}
 	for _, c := range conns {
-		own, ok := c.(*Conn)
+		conn, ok := c.(*Conn)
 		if !ok {
 			closeAll()
-			return errors.New("handover: not a connection of this network")
+			return fmt.Errorf("handover: a connection of the type %T is not one of the emulated network", c)
 		}
-		copied := own.duplicate(s.to.process)
+		copied := conn.duplicate(s.to.process)
 		if copied == nil {
 			closeAll()
 			return errChannelClosed
--- a/internal/lab/netem/netem.go
+++ b/internal/lab/netem/netem.go
@@ -6,45 +6,48 @@
 	"time"
 )
 
-// Options are the properties of the network. The zero value has neither latency nor limits.
+// Options are the properties of the network. With the zero value packets take no time, bandwidth and
+// connections are unlimited, and buffers and backlogs have their default sizes.
 type Options struct {
-	// One way.
+	// The transit time of a packet one way, without jitter.
 	Latency time.Duration
-	// The most that is added to the latency.
+	// The upper bound of the random time that is added to the latency.
 	Jitter time.Duration
-	// Bytes per second of a connection, each way; 0 for no limit.
+	// Bytes per second of a connection in each direction; 0 for no limit.
 	Bandwidth int
-	// Unread bytes that a connection holds each way; 0 for 256 KiB.
+	// The number of unread bytes that a connection holds in each direction; 0 for 256 KiB.
 	Buffer int
-	// Connections that a listening socket holds unaccepted; 0 for 4,096.
+	// The number of unaccepted connections that a listening socket holds; 0 for 4,096.
 	Backlog int
-	// Connections that a machine holds at a time; 0 for no limit.
+	// The number of connections that a machine holds at a time; 0 for no limit.
 	MaxConnections int
-	// Time of a machine's cores for each connection that is established.
+	// The time of the accepting machine's cores for each established connection.
 	Handshake time.Duration
-	// Seed of the jitter.
+	// The seed of the jitter.
 	Seed uint64
 }
 
 const (
 	defaultBuffer  = 256 << 10
 	defaultBacklog = 4096
-	// synRetryInterval is when a lost SYN is sent again first; each further interval is twice as long
-	// (Linux: tcp(7), TCP_TIMEOUT_INIT).
+	// synRetryInterval is the time until a lost SYN is sent again. Each further interval is twice as long
+	// (on Linux TCP_TIMEOUT_INIT).
 	synRetryInterval = time.Second
 )
 
-// Network is an emulated network. Its mutex guards machines and sockets; connections have mutexes
-// of their own.
+// Network is an emulated network. Its mutex guards the machines and sockets. Connections have their own
+// mutexes.
 type Network struct {
 	options Options
 
 	mu       sync.Mutex
 	random   *rand.Rand
 	machines map[string]*Machine
-	sockets  map[string]*Socket // that listen, by address
-	ports    int
-	// Nil for none.
+	// The listening sockets by address.
+	sockets map[string]*Socket
+	// The last port number that was assigned.
+	ports int
+	// Reports whether packets between two machines are lost; nil without a partition.
 	partition   func(from, to *Machine) bool
 	connections map[*connection]bool
 	wakes       wakeTimer
@@ -61,25 +64,25 @@
 	return &Network{
 		options: o, random: rand.New(rand.NewPCG(o.Seed, 1)), machines: map[string]*Machine{},
 		sockets: map[string]*Socket{}, ports: 1024, connections: map[*connection]bool{},
-		wakes: wakeTimer{sooner: make(chan struct{}, 1), closed: make(chan struct{})},
+		wakes: wakeTimer{earlier: make(chan struct{}, 1), closed: make(chan struct{})},
 	}
 }
 
-// Close ends the network: no deadline passes on it any more.
+// Close stops the wake timer. Deadlines and arrival times then wake nobody any more.
 func (n *Network) Close() { close(n.wakes.closed) }
 
-// Machine is a machine. Its processes share its connection table, its cores and its links.
+// Machine is a machine of the network. Its processes share its connection table, cores and links.
 type Machine struct {
 	Name string
 	Zone int
 	net  *Network
-	// Open connections; the network's mutex guards this and busyUntil.
+	// The number of open connections. The network's mutex guards this and busyUntil.
 	connections int
-	// Until when handshakes occupy its cores.
+	// The time until which handshakes occupy the cores.
 	busyUntil time.Time
 }
 
-// Machine returns the machine of a name, which it creates on first use.
+// Machine returns the machine with a name, and creates it on the first call.
 func (n *Network) Machine(name string, zone int) *Machine {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -91,19 +94,19 @@
 	return m
 }
 
-// SetPartition loses all packets from one machine to another for which lost reports true; nil heals
-// all links. What a connection sends meanwhile arrives once its link is healed, as TCP retransmits
-// it.
+// SetPartition drops all packets from one machine to another for which lost reports true. A nil function
+// ends the partition. The bytes that a connection sends meanwhile arrive when its machines are connected
+// again, since TCP retransmits them.
 func (n *Network) SetPartition(lost func(from, to *Machine) bool) {
 	n.mu.Lock()
 	n.partition = lost
 	all := make([]*connection, 0, len(n.connections))
-	for l := range n.connections {
-		all = append(all, l)
+	for c := range n.connections {
+		all = append(all, c)
 	}
 	n.mu.Unlock()
-	for _, l := range all {
-		for _, e := range l.ends {
+	for _, c := range all {
+		for _, e := range c.ends {
 			e.input.release(n.delay(), func() bool { return n.isLost(e.peer().machine, e.machine) })
 		}
 	}
@@ -125,7 +128,7 @@
 	return n.options.Latency + time.Duration(n.random.Int64N(int64(n.options.Jitter)))
 }
 
-// Process is a process on a machine. Everything that it opens ends with it.
+// Process is a process on a machine. A kill closes all of its connections, listeners and receivers.
 type Process struct {
 	*Machine
 	mu      sync.Mutex
@@ -134,6 +137,7 @@
 	killed  bool
 }
 
+// killable is a handle of a process, which ends with the process.
 type killable interface{ kill() }
 
 // Start starts a process on a machine.
@@ -141,8 +145,8 @@
 	return &Process{Machine: m, dead: make(chan struct{}), handles: map[killable]bool{}}
 }
 
-// Kill ends a process at once, as SIGKILL does: its connections are reset, and it receives and
-// sends nothing more. Its goroutines may go on without effect.
+// Kill ends a process at once, as SIGKILL does. Its connections are reset, and it neither receives nor
+// sends anything more. Its goroutines may continue without any effect.
 func (p *Process) Kill() {
 	p.mu.Lock()
 	if p.killed {
@@ -161,7 +165,7 @@
 	}
 }
 
-// OpenConnections is the number of connections that a process has open.
+// OpenConnections returns the number of connections that a process has open.
 func (p *Process) OpenConnections() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -176,7 +180,8 @@
 // Dead is closed when the process was killed.
 func (p *Process) Dead() <-chan struct{} { return p.dead }
 
-// register has a handle end with the process; it reports false if that has ended already.
+// register adds a handle that a kill of the process closes. It reports false if the process was killed
+// already.
 func (p *Process) register(h killable) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -192,7 +197,7 @@
 	delete(p.handles, h)
 }
 
-// Port is a port number that was not used before.
+// Port returns a port number that was not used before.
 func (n *Network) Port() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/lab/netem/netem_test.go
+++ b/internal/lab/netem/netem_test.go
@@ -14,7 +14,7 @@
 
 const address = "127.0.0.1:80"
 
-// testNetwork is a network with a client process, a server process, and its socket.
+// testNetwork is a network with a client process, a server process and the server's listening socket.
 type testNetwork struct {
 	*testing.T
 	n      *Network
@@ -44,21 +44,21 @@
 	return c.(*Conn), a.(*Conn)
 }
 
-func (b *testNetwork) expect(what string, got, want error) {
+func (b *testNetwork) expectError(operation string, got, want error) {
 	b.Helper()
 	if !errors.Is(got, want) {
-		b.Errorf("%s: %v, want %v", what, got, want)
+		b.Errorf("%s: error %v, want %v", operation, got, want)
 	}
 }
 
-func (b *testNetwork) took(what string, began time.Time, want time.Duration) {
+func (b *testNetwork) expectDuration(operation string, began time.Time, want time.Duration) {
 	b.Helper()
 	if got := time.Since(began); got != want {
-		b.Errorf("%s took %v, want %v", what, got, want)
+		b.Errorf("%s took %v, want %v", operation, got, want)
 	}
 }
 
-// Connections behave as TCP connections do, at the exact times.
+// Connections behave as TCP connections do, and each event happens at its exact virtual time.
 func TestNetworkBehavesAsTCPToTheMoment(t *testing.T) {
 	one := make([]byte, 1)
 	for name, c := range map[string]struct {
@@ -70,35 +70,35 @@
 			began := time.Now()
 			near.Write(make([]byte, 1000))
 			_, err := io.ReadFull(far, make([]byte, 1000))
-			b.expect("read", err, nil)
-			b.took("1,000 bytes", began, 110*time.Millisecond)
+			b.expectError("read", err, nil)
+			b.expectDuration("1,000 bytes", began, 110*time.Millisecond)
 		}},
-		"an end behind unread bytes": {Options{Latency: 10 * time.Millisecond}, func(b *testNetwork) {
+		"close behind unread bytes": {Options{Latency: 10 * time.Millisecond}, func(b *testNetwork) {
 			near, far := b.pair()
 			near.Write(one)
 			near.Close()
 			if far.Ended() {
-				b.Error("it has ended before its end is here")
+				b.Error("Ended reports the close of the peer before it has arrived")
 			}
 			time.Sleep(11 * time.Millisecond)
 			if n, err := far.Peek(); !far.Ended() || n != 1 || err != nil {
 				b.Errorf("ended %v, %d bytes unread, %v", far.Ended(), n, err)
 			}
 		}},
-		"a buffer fills": {Options{Buffer: 100}, func(b *testNetwork) {
+		"full buffer": {Options{Buffer: 100}, func(b *testNetwork) {
 			near, far := b.pair()
 			near.SetWriteDeadline(time.Now().Add(time.Second))
 			n, err := near.Write(make([]byte, 150))
-			b.expect("write", err, os.ErrDeadlineExceeded)
+			b.expectError("write", err, os.ErrDeadlineExceeded)
 			if got, _ := io.ReadFull(far, make([]byte, 100)); n != 100 || got != n {
-				b.Errorf("%d bytes out, %d read", n, got)
+				b.Errorf("%d bytes written, %d read, want 100", n, got)
 			}
 		}},
-		"half closed": {Options{}, func(b *testNetwork) {
+		"half-close": {Options{}, func(b *testNetwork) {
 			near, far := b.pair()
 			near.CloseWrite()
 			_, err := far.Read(one)
-			b.expect("read", err, io.EOF)
+			b.expectError("read", err, io.EOF)
 			far.Write(one)
 			if _, err := near.Read(one); err != nil {
 				b.Error(err)
@@ -109,93 +109,93 @@
 			near.SetLinger(0)
 			near.Close()
 			_, err := far.Read(one)
-			b.expect("read", err, syscall.ECONNRESET)
+			b.expectError("read", err, syscall.ECONNRESET)
 		}},
-		"a close with unread input, and a write to what is closed": {Options{Latency: time.Millisecond}, func(b *testNetwork) {
+		"close with unread input, and write to a closed connection": {Options{Latency: time.Millisecond}, func(b *testNetwork) {
 			near, far := b.pair()
 			far.Write(one)
 			time.Sleep(time.Second)
 			near.Close()
 			_, err := far.Read(one)
-			b.expect("read", err, syscall.ECONNRESET)
+			b.expectError("read", err, syscall.ECONNRESET)
 			near, far = b.pair()
 			near.Close()
 			time.Sleep(time.Second)
 			far.Write(one)
 			time.Sleep(time.Second)
 			_, err = far.Write(one)
-			b.expect("write", err, syscall.ECONNRESET)
+			b.expectError("write", err, syscall.ECONNRESET)
 		}},
-		"a link is cut and whole again": {Options{}, func(b *testNetwork) {
+		"partition that heals": {Options{}, func(b *testNetwork) {
 			near, far := b.pair()
 			began := time.Now()
 			b.n.SetPartition(func(from, _ *Machine) bool { return from == b.caller.Machine })
 			near.Write(one)
 			_, err := b.dial(2 * time.Second)
-			b.expect("dial", err, os.ErrDeadlineExceeded)
+			b.expectError("dial", err, os.ErrDeadlineExceeded)
 			far.SetReadDeadline(time.Now().Add(time.Second))
 			_, err = far.Read(one)
-			b.expect("read", err, os.ErrDeadlineExceeded)
+			b.expectError("read", err, os.ErrDeadlineExceeded)
 			b.n.SetPartition(nil)
 			far.SetReadDeadline(time.Time{})
 			if _, err = far.Read(one); err != nil {
 				b.Error(err)
 			}
-			b.took("what was held", began, 3*time.Second)
+			b.expectDuration("delivery of a byte sent during the partition", began, 3*time.Second)
 		}},
-		"a backlog overflows": {Options{Backlog: 1}, func(b *testNetwork) {
+		"full backlog": {Options{Backlog: 1}, func(b *testNetwork) {
 			first, err := b.dial(time.Second)
-			b.expect("dial", err, nil)
+			b.expectError("dial", err, nil)
 			_, err = b.dial(500 * time.Millisecond)
-			b.expect("dial", err, os.ErrDeadlineExceeded)
+			b.expectError("dial", err, os.ErrDeadlineExceeded)
 			began := time.Now()
 			time.AfterFunc(500*time.Millisecond, func() { b.l.Accept() })
 			_, err = b.dial(5 * time.Second)
-			b.expect("dial", err, nil)
-			b.took("a SYN that was lost", began, synRetryInterval)
+			b.expectError("dial", err, nil)
+			b.expectDuration("dial with a lost SYN", began, synRetryInterval)
 			first.Close()
 		}},
-		"a table overflows": {Options{MaxConnections: 1}, func(b *testNetwork) {
+		"full connection table": {Options{MaxConnections: 1}, func(b *testNetwork) {
 			near, far := b.pair()
 			_, err := b.dial(time.Second)
-			b.expect("dial", err, syscall.ECONNREFUSED)
+			b.expectError("dial", err, syscall.ECONNREFUSED)
 			near.Close()
 			far.Close()
 			b.pair()
 		}},
-		"handshakes cost": {Options{Handshake: 5 * time.Millisecond}, func(b *testNetwork) {
+		"handshake time": {Options{Handshake: 5 * time.Millisecond}, func(b *testNetwork) {
 			began := time.Now()
-			up := make(chan error)
+			dialed := make(chan error)
 			for range 10 {
 				go func() {
 					_, err := b.dial(time.Minute)
-					up <- err
+					dialed <- err
 				}()
 			}
 			for range 10 {
-				b.expect("dial", <-up, nil)
+				b.expectError("dial", <-dialed, nil)
 			}
-			b.took("ten", began, 50*time.Millisecond)
+			b.expectDuration("ten handshakes", began, 50*time.Millisecond)
 		}},
-		"a kill, and a socket that is shared": {Options{}, func(b *testNetwork) {
+		"kill of a process with a shared socket": {Options{}, func(b *testNetwork) {
 			near, _ := b.pair()
 			next := b.server.Machine.Start()
 			l := next.Listener(b.socket)
 			b.server.Kill()
 			_, err := near.Read(one)
-			b.expect("read", err, syscall.ECONNRESET)
+			b.expectError("read", err, syscall.ECONNRESET)
 			_, err = b.l.Accept()
-			b.expect("accept", err, net.ErrClosed)
+			b.expectError("accept", err, net.ErrClosed)
 			go b.dial(time.Minute)
 			if _, err := l.Accept(); err != nil {
 				b.Error(err)
 			}
 			if n := next.OpenConnections(); n != 1 {
-				b.Errorf("%d connections are held", n)
+				b.Errorf("the process has %d open connections, want 1", n)
 			}
 			b.socket.Close()
 			_, err = b.dial(time.Second)
-			b.expect("dial", err, syscall.ECONNREFUSED)
+			b.expectError("dial", err, syscall.ECONNREFUSED)
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -208,7 +208,7 @@
 					t.Fatal(err)
 				}
 				if _, err := b.server.Bind(address); !errors.Is(err, syscall.EADDRINUSE) {
-					t.Errorf("bound twice: %v", err)
+					t.Errorf("second bind to an address: error %v, want EADDRINUSE", err)
 				}
 				b.l = b.server.Listener(b.socket)
 				c.play(b)
--- a/internal/lab/netem/socket.go
+++ b/internal/lab/netem/socket.go
@@ -7,19 +7,22 @@
 	"syscall"
 )
 
-// Socket is a listening socket, which several processes may share; the first to accept gets a
-// connection.
+// Socket is a listening socket, which several processes may share. Each connection goes to the process
+// that accepts it first.
 type Socket struct {
 	machine *Machine
 	address *net.TCPAddr
-	queue   chan *connection
-	closed  chan struct{} // by Close
-	once    sync.Once
-	// Its backlog counts as full; the network's mutex guards it.
+	// The backlog: connections that no process has accepted yet.
+	queue chan *connection
+	// Closed by Close.
+	closed chan struct{}
+	once   sync.Once
+	// The backlog counts as full. The network's mutex guards this.
 	backlogFull bool
 }
 
-// Bind creates a listening socket of a machine at an address that is not in use; port 0 is any.
+// Bind creates a listening socket of a machine at an address that is not in use. Port 0 selects an
+// unused port.
 func (m *Machine) Bind(address string) (*Socket, error) {
 	at, err := net.ResolveTCPAddr("tcp4", address)
 	if err != nil {
@@ -40,11 +43,11 @@
 	return s, nil
 }
 
-// Address is the address it listens at.
+// Address returns the address at which the socket listens.
 func (s *Socket) Address() string { return s.address.String() }
 
-// SetBacklogFull has new connections to the socket never be established, as with a full backlog, or
-// ends that.
+// SetBacklogFull starts or ends a state in which no new connection to the socket is established, as with
+// a full backlog.
 func (s *Socket) SetBacklogFull(on bool) {
 	s.machine.net.mu.Lock()
 	defer s.machine.net.mu.Unlock()
@@ -61,8 +64,8 @@
 		close(s.closed)
 		for {
 			select {
-			case l := <-s.queue:
-				l.ends[1].reset()
+			case c := <-s.queue:
+				c.ends[1].reset()
 			default:
 				return
 			}
@@ -71,7 +74,7 @@
 	return nil
 }
 
-// Listener is a process's handle of a socket: to close it ends accepting in this process only.
+// Listener returns a process's handle of a socket. Its Close ends accepting in this process only.
 func (p *Process) Listener(s *Socket) net.Listener {
 	l := &listener{socket: s, process: p, closed: make(chan struct{})}
 	p.register(l)
@@ -89,23 +92,23 @@
 	for {
 		select {
 		case <-l.closed:
-			return nil, l.fault(net.ErrClosed)
+			return nil, l.opError(net.ErrClosed)
 		default:
 		}
 		select {
 		case <-l.closed:
 		case <-l.socket.closed:
-			return nil, l.fault(net.ErrClosed)
-		case got := <-l.socket.queue:
-			if c := newConn(got.ends[1], l.process); c != nil {
+			return nil, l.opError(net.ErrClosed)
+		case accepted := <-l.socket.queue:
+			if c := newConn(accepted.ends[1], l.process); c != nil {
 				return c, nil
 			}
-			got.ends[1].reset()
+			accepted.ends[1].reset()
 		}
 	}
 }
 
-func (l *listener) fault(err error) error {
+func (l *listener) opError(err error) error {
 	return &net.OpError{Op: "accept", Net: "tcp", Addr: l.socket.address, Err: err}
 }
 
--- a/internal/lab/netem/wake_timer.go
+++ b/internal/lab/netem/wake_timer.go
@@ -6,22 +6,25 @@
 	"time"
 )
 
-// wakeTimer wakes connections at their times with one timer for all: most deadlines are moved long
-// before they pass, and one runtime timer for each wait took a quarter of a run's time. A
-// connection has one wake at most, its earliest; one that finds nothing to do registers again.
+// wakeTimer wakes connections at given times with a single runtime timer. Most deadlines are moved long
+// before they pass, and a runtime timer for each wait took a quarter of the time of a run. A connection
+// has at most one valid wake, the earliest. A waiting call that is woken too early registers again.
 type wakeTimer struct {
-	mu      sync.Mutex
-	at      wakeHeap
-	sooner  chan struct{} // holds one: the first wake is sooner than it was
+	mu    sync.Mutex
+	wakes wakeHeap
+	// Has capacity 1; signals that the first wake is now earlier than before.
+	earlier chan struct{}
 	closed  chan struct{}
 	running bool
 }
 
+// wake is a time at which a connection is woken. It is obsolete if the connection's wakeAt differs.
 type wake struct {
 	at time.Time
 	c  *Conn
 }
 
+// wakeHeap is a heap of wakes, ordered by time.
 type wakeHeap []wake
 
 func (h wakeHeap) Len() int           { return len(h) }
@@ -35,7 +38,7 @@
 	return x
 }
 
-// arm wakes a connection at a time, unless it is woken earlier anyway.
+// arm registers a wake of a connection at a time, unless the connection has an earlier one.
 func (w *wakeTimer) arm(c *Conn, at time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -43,15 +46,15 @@
 		return
 	}
 	c.wakeAt = at
-	heap.Push(&w.at, wake{at, c})
+	heap.Push(&w.wakes, wake{at, c})
 	if !w.running {
 		w.running = true
 		go w.run()
 	}
-	if w.at[0].at.Equal(at) {
+	if w.wakes[0].at.Equal(at) {
 		select {
-		case w.sooner <- struct{}{}:
-		default: // it is to look anyway
+		case w.earlier <- struct{}{}:
+		default: // a signal is pending already
 		}
 	}
 }
@@ -59,29 +62,29 @@
 // run wakes connections until the network is closed.
 func (w *wakeTimer) run() {
 	for {
-		// A new timer each time: to reset one has the runtime look through the whole heap of a bubble's timers.
 		next := time.Hour
 		now := time.Now()
 		var due []*Conn
 		w.mu.Lock()
-		for len(w.at) > 0 && !w.at[0].at.After(now) {
-			x := heap.Pop(&w.at).(wake)
-			if x.c.wakeAt.Equal(x.at) {
-				x.c.wakeAt = time.Time{}
-				due = append(due, x.c)
+		for len(w.wakes) > 0 && !w.wakes[0].at.After(now) {
+			first := heap.Pop(&w.wakes).(wake)
+			if first.c.wakeAt.Equal(first.at) {
+				first.c.wakeAt = time.Time{}
+				due = append(due, first.c)
 			}
 		}
-		if len(w.at) > 0 {
-			next = w.at[0].at.Sub(now)
+		if len(w.wakes) > 0 {
+			next = w.wakes[0].at.Sub(now)
 		}
 		w.mu.Unlock()
 		for _, c := range due {
 			c.wake()
 		}
+		// A new timer each time: Reset makes the runtime search the whole heap of a synctest bubble's timers.
 		timer := time.NewTimer(next)
 		select {
 		case <-timer.C:
-		case <-w.sooner:
+		case <-w.earlier:
 		case <-w.closed:
 			timer.Stop()
 			return
