--- a/internal/lab/faultnet/relay.go
+++ b/internal/lab/faultnet/relay.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// maxDelayedPackets limits the packets that wait for their delay; further ones are dropped, as by
-	// a full queue.
+	// maxDelayedPackets is the number of packets that wait for the end of their delay. Further packets
+	// are dropped, as by a full queue.
 	maxDelayedPackets = 16384
-	// maxStreams limits the streams relayed at a time.
+	// maxStreams is the number of streams that are relayed at a time.
 	maxStreams = 1024
-	// dialTimeout limits the relay's connection to the far end of a stream.
+	// dialTimeout is the timeout for the header of a stream, and for the connection to its receiver.
 	dialTimeout = 2 * time.Second
 )
 
-// Delay is how long a packet or the start of a stream waits: Fixed, up to Jitter more, and in a share Tail of
-// them TailBy more.
+// Delay is the delay of a packet or of the start of a stream. It consists of Fixed, a random part of up to
+// Jitter and, with the probability Tail, also TailBy.
 type Delay struct {
 	Fixed, Jitter, TailBy time.Duration
 	Tail                  float64
@@ -36,16 +36,17 @@
 	down  map[[2]string]bool
 	loss  float64
 	delay Delay
-	// The set of each address during a cut; 0 for none.
+	// The number of the set that contains an address during a partition; 0 for an address in no set.
 	partition map[string]int
 }
 
-// Counts are the relay's counters.
+// Counts holds the relay's counters of packets and streams.
 type Counts struct {
 	Passed, Dropped, Delayed, Streams, Refused, Bad atomic.Uint64
 }
 
-// Relay forwards gossip between members, with faults. Addresses are the members' gossip addresses.
+// Relay forwards gossip between members and applies faults. It identifies members by their gossip
+// addresses.
 type Relay struct {
 	udp        *net.UDPConn
 	tcp        net.Listener
@@ -57,11 +58,11 @@
 	counts     Counts
 	goroutines sync.WaitGroup
 	closed     atomic.Bool
-	// Closed with the relay.
+	// Closed by Close.
 	done chan struct{}
 }
 
-// New starts a relay on a loopback port of its own, for UDP and TCP alike.
+// New starts a relay on an unused loopback port, for both UDP and TCP.
 func New(seed uint64) (*Relay, error) {
 	tcp, err := loopback.Listen()
 	if err != nil {
@@ -83,13 +84,13 @@
 	return r, nil
 }
 
-// Addr is the address members send to: `relay` in their [fleet].
+// Addr returns the address to which members send, for the setting `relay` in [fleet].
 func (r *Relay) Addr() string { return r.tcp.Addr().String() }
 
 // Counts returns the relay's counters.
 func (r *Relay) Counts() *Counts { return &r.counts }
 
-// Close ends the relay and the streams it relays.
+// Close stops the relay and closes its streams.
 func (r *Relay) Close() error {
 	if r.closed.Swap(true) {
 		return nil
@@ -101,7 +102,7 @@
 	return err
 }
 
-// Down drops the link from one member to another, and back too if both is set.
+// Down takes down the link from one member to another, and with both also the opposite direction.
 func (r *Relay) Down(from, to string, both bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,21 +112,22 @@
 	}
 }
 
-// Loss drops a share of all packets, and of new streams.
+// Loss sets the share of all packets and of new streams that is dropped.
 func (r *Relay) Loss(share float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults.loss = share
 }
 
-// Slow delays all packets and the start of all streams.
+// Slow sets the delay of all packets and of the start of all streams.
 func (r *Relay) Slow(d Delay) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults.delay = d
 }
 
-// Cut partitions the fleet into sets, between which nothing passes. Members of no set reach all.
+// Cut partitions the fleet into sets of members and passes nothing between them. Members of no set reach
+// all others.
 func (r *Relay) Cut(sets ...[]string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -144,27 +146,29 @@
 	r.faults = faultState{down: map[[2]string]bool{}, partition: map[string]int{}}
 }
 
-// decide draws whether what one member sends to another passes, and after how long.
-func (r *Relay) decide(from, to string) (pass bool, wait time.Duration) {
+// decide decides whether a packet or a new stream from one member to another passes, and after which
+// delay.
+func (r *Relay) decide(from, to string) (pass bool, delay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a, b := r.faults.partition[from], r.faults.partition[to]
-	if r.faults.down[[2]string{from, to}] || a != 0 && b != 0 && a != b || r.random.Float64() < r.faults.loss {
+	fromSet, toSet := r.faults.partition[from], r.faults.partition[to]
+	separated := fromSet != 0 && toSet != 0 && fromSet != toSet
+	if r.faults.down[[2]string{from, to}] || separated || r.random.Float64() < r.faults.loss {
 		return false, 0
 	}
 	d := r.faults.delay
-	wait = d.Fixed
+	delay = d.Fixed
 	if d.Jitter > 0 {
-		wait += time.Duration(r.random.Int64N(int64(d.Jitter)))
+		delay += time.Duration(r.random.Int64N(int64(d.Jitter)))
 	}
 	if d.Tail > 0 && r.random.Float64() < d.Tail {
-		wait += d.TailBy
+		delay += d.TailBy
 	}
-	return true, wait
+	return true, delay
 }
 
-// relayPackets relays datagrams. From a member they begin with the receiver, to a member with the
-// sender.
+// relayPackets relays datagrams. A datagram from a member has a header with the address of the receiver,
+// and the relay replaces it by a header with the address of the sender.
 func (r *Relay) relayPackets() {
 	defer r.goroutines.Done()
 	buf := make([]byte, 65536)
@@ -177,19 +181,19 @@
 			continue
 		}
 		to, payload, err := gossip.SplitHeader(buf[:n])
-		dst, bad := net.ResolveUDPAddr("udp4", to)
-		if err != nil || bad != nil {
+		dst, resolveErr := net.ResolveUDPAddr("udp4", to)
+		if err != nil || resolveErr != nil {
 			r.counts.Bad.Add(1)
 			continue
 		}
 		from := src.String()
-		pass, wait := r.decide(from, to)
+		pass, delay := r.decide(from, to)
 		if !pass {
 			r.counts.Dropped.Add(1)
 			continue
 		}
 		out := gossip.Header(from, payload)
-		if wait == 0 {
+		if delay == 0 {
 			r.counts.Passed.Add(1)
 			_, _ = r.udp.WriteToUDP(out, dst) // a datagram may be lost
 			continue
@@ -200,7 +204,7 @@
 			continue
 		}
 		r.counts.Delayed.Add(1)
-		time.AfterFunc(wait, func() {
+		time.AfterFunc(delay, func() {
 			defer r.delayed.Add(-1)
 			if !r.closed.Load() {
 				r.counts.Passed.Add(1)
@@ -210,7 +214,8 @@
 	}
 }
 
-// acceptStreams accepts streams, each of which begins with its receiver and its sender.
+// acceptStreams accepts streams. Each begins with a header with the address of the receiver and one with
+// the address of the sender.
 func (r *Relay) acceptStreams() {
 	defer r.goroutines.Done()
 	for {
@@ -236,26 +241,26 @@
 	}
 }
 
-// relayStream relays one stream, if the link is up both ways: a stream carries a call and its
-// answer.
+// relayStream relays one stream if the links of both directions are up, since a stream carries a call and
+// its answer.
 func (r *Relay) relayStream(c net.Conn) {
 	defer c.Close()
 	c.SetReadDeadline(time.Now().Add(dialTimeout))
 	in := bufio.NewReader(c)
-	to, err := gossip.ReadHeader(in)
-	from, err2 := gossip.ReadHeader(in)
-	if err != nil || err2 != nil {
+	to, toErr := gossip.ReadHeader(in)
+	from, fromErr := gossip.ReadHeader(in)
+	if toErr != nil || fromErr != nil {
 		r.counts.Bad.Add(1)
 		return
 	}
 	c.SetReadDeadline(time.Time{})
-	pass, wait := r.decide(from, to)
-	back, _ := r.decide(to, from)
-	if !pass || !back {
+	pass, delay := r.decide(from, to)
+	passBack, _ := r.decide(to, from)
+	if !pass || !passBack {
 		r.counts.Refused.Add(1)
 		return
 	}
-	if !r.sleep(wait) {
+	if !r.sleep(delay) {
 		return
 	}
 	far, err := net.DialTimeout("tcp4", to, dialTimeout)
@@ -270,7 +275,7 @@
 	r.counts.Streams.Add(1)
 	done := make(chan struct{}, 2)
 	pipe := func(w net.Conn, rd io.Reader) {
-		_, _ = io.Copy(w, rd) // either side may break off
+		_, _ = io.Copy(w, rd) // an error means that one side has closed its connection
 		w.(*net.TCPConn).CloseWrite()
 		done <- struct{}{}
 	}
@@ -285,7 +290,7 @@
 	}
 }
 
-// sleep waits, and reports whether the relay is still running.
+// sleep waits for a duration or until the relay is closed, and reports whether the relay still runs.
 func (r *Relay) sleep(d time.Duration) bool {
 	if d > 0 {
 		select {
--- a/internal/lab/faultnet/schedule_test.go
+++ b/internal/lab/faultnet/schedule_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A schedule with a fault is refused as a whole, with the line and the key of the fault.
-func TestLoadScheduleReportsFaultWithLineAndKey(t *testing.T) {
+// LoadSchedule refuses a schedule with an error and reports the line or the key of the error.
+func TestLoadScheduleReportsErrorWithLineAndKey(t *testing.T) {
 	for _, testCase := range []struct{ text, want string }{
 		{"[[step]]\nat = \"1s\"\ndo = \"cut\"\nsets = [[\"a\"], [\"b\"]]\n", ""},
 		{"[[step]]\nat = \"1s\"\ndo = \"explode\"\n", "bad.toml:3: step[0].do"},
@@ -19,9 +19,9 @@
 		s, found := LoadSchedule("bad.toml", []byte(testCase.text))
 		switch {
 		case testCase.want == "" && (len(found) > 0 || len(s.Steps) != 1):
-			t.Errorf("%q: %v", testCase.text, found)
+			t.Errorf("%q: %d steps, errors %v, want 1 step without errors", testCase.text, len(s.Steps), found)
 		case testCase.want != "" && (len(found) != 1 || !strings.Contains(found[0].Error(), testCase.want)):
-			t.Errorf("%q: %v, want %q", testCase.text, found, testCase.want)
+			t.Errorf("%q: errors %v, want one with %q", testCase.text, found, testCase.want)
 		}
 	}
 }
--- a/internal/lab/loopback/doc.go
+++ b/internal/lab/loopback/doc.go
@@ -1,8 +1,7 @@
-// Package loopback hands out addresses on loopback that nothing else uses: neither another process that
-// asks for any free port at that moment, nor a later test of the same process. A port that was found free
-// and closed again may be in use by the time it is bound, and late calls to an address of an earlier test
-// may reach a later one.
+// Package loopback assigns unused addresses on loopback to tests and to the laboratory's processes.
 //
-// Tests and the laboratory's processes on real sockets use it. An address is unique among live processes,
-// since it contains the process id.
+// The usual way, to bind a free port and close it again, has two faults. Another process may take the port
+// before it is bound again, and late calls to an address of an earlier test may reach a later test. An
+// address of this package is unique among live processes, since its host part is derived from the process
+// id, and a process reuses an address only after all others.
 package loopback
--- a/internal/lab/loopback/loopback.go
+++ b/internal/lab/loopback/loopback.go
@@ -14,38 +14,40 @@
 )
 
 const (
-	// The first port handed out.
+	// firstPort is the lowest port that is assigned.
 	firstPort = 20000
-	// The number of ports handed out in turn.
+	// portCount is the number of ports that are assigned in turn.
 	portCount = 40000
 )
 
-var handedOut atomic.Uint32
+// assigned counts the ports that were assigned.
+var assigned atomic.Uint32
 
-// Host is an address of this process alone. A process id has at most 22 bits (the kernel's
-// PID_MAX_LIMIT) and 127.0.0.0/8 has 24 bits for hosts, so no two processes share one; a connection
-// without a bind comes from 127.0.0.1.
+// Host returns a loopback address that no other live process gets. A process id has at most 22 bits (the
+// kernel's PID_MAX_LIMIT), and 127.0.0.0/8 has 24 bits for hosts. The address is never 127.0.0.1, from
+// which connections without a bind come.
 func Host() string {
 	n := uint32(os.Getpid())<<2 | 2
 	return fmt.Sprintf("127.%d.%d.%d", n>>16&0xff, n>>8&0xff, n&0xff)
 }
 
-// Address returns an address that is not in use, for TCP and UDP alike: for a process that is
-// started with it, or to listen on again after a pause. Addresses are handed out in turn and repeat
-// after 40,000. They are not tested by listening: a child that is just being started holds a copy
+// Address returns an address that is not in use for TCP or UDP. The caller can pass it to a process that
+// it starts, or listen on it several times. Ports are assigned in turn and repeat after 40,000. Address
+// does not test a port by listening, because a child process that is just being started would hold a copy
 // of the listening socket until its exec.
 func Address() string {
 	for {
-		if port := firstPort + int(handedOut.Add(1)%portCount); !cachedWildcardPorts()[port] {
+		if port := firstPort + int(assigned.Add(1)%portCount); !cachedWildcardPorts()[port] {
 			return fmt.Sprintf("%s:%d", Host(), port)
 		}
 	}
 }
 
-// cachedWildcardPorts are the ports that something on this machine listens on at all addresses, by
-// proc(5); none where that cannot be read.
+// cachedWildcardPorts returns the result of the first call of wildcardPorts.
 var cachedWildcardPorts = sync.OnceValue(wildcardPorts)
 
+// wildcardPorts returns the ports that are in use on all addresses of this machine, as /proc/net lists
+// them. The result is empty if /proc/net cannot be read.
 func wildcardPorts() map[int]bool {
 	found := map[int]bool{}
 	for _, file := range []string{"/proc/net/tcp", "/proc/net/tcp6", "/proc/net/udp", "/proc/net/udp6"} {
@@ -64,12 +66,12 @@
 	return found
 }
 
-// Listen listens at an address of Address.
+// Listen listens at an address that Address returns.
 func Listen() (l *net.TCPListener, err error) {
-	for range portCount { // some may be held by what an earlier process with this id has left
-		var got net.Listener
-		if got, err = net.Listen("tcp4", Address()); err == nil {
-			return got.(*net.TCPListener), nil
+	for range portCount { // children of an earlier process with the same id may still hold some ports
+		var listener net.Listener
+		if listener, err = net.Listen("tcp4", Address()); err == nil {
+			return listener.(*net.TCPListener), nil
 		}
 		if !errors.Is(err, syscall.EADDRINUSE) {
 			break
@@ -79,12 +81,14 @@
 }
 
 const (
+	// retryInterval is the time between two attempts of Relisten.
 	retryInterval = 5 * time.Millisecond
-	retryTimeout  = 2 * time.Second
+	// retryTimeout is how long Relisten retries.
+	retryTimeout = 2 * time.Second
 )
 
-// Relisten listens at an address that this process has just released. A child that is being started
-// holds a copy of the closed socket until its exec.
+// Relisten listens at an address that this process has just released. It retries while the address is in
+// use, because a child process that is being started holds a copy of the closed socket until its exec.
 func Relisten(address string) (l net.Listener, err error) {
 	for end := time.Now().Add(retryTimeout); ; time.Sleep(retryInterval) {
 		l, err = net.Listen("tcp4", address)
--- a/internal/lab/loopback/loopback_test.go
+++ b/internal/lab/loopback/loopback_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Addresses are handed out once, can be listened on again after a pause, and avoid ports on which something listens at
-// all addresses of the machine.
+// Address returns each address once, an address can be listened on several times, and ports are avoided on
+// which a process listens at all addresses of the machine.
 func TestAddressesAreUniqueAndCanBeRelistened(t *testing.T) {
 	all, err := net.Listen("tcp4", "0.0.0.0:0")
 	if err != nil {
@@ -17,13 +17,13 @@
 	_, taken, _ := net.SplitHostPort(all.Addr().String())
 	port, _ := strconv.Atoi(taken)
 	if !wildcardPorts()[port] {
-		t.Errorf("port %d is not seen to be taken: %v", port, wildcardPorts())
+		t.Errorf("port %d is in use on all addresses, but wildcardPorts returns only %v", port, wildcardPorts())
 	}
 	seen := map[string]bool{}
 	for range 1000 {
 		address := Address()
 		if seen[address] {
-			t.Fatalf("%s twice", address)
+			t.Fatalf("Address returned %s twice", address)
 		}
 		seen[address] = true
 		for range 2 {
