--- a/internal/lab/emulation/broker.go
+++ b/internal/lab/emulation/broker.go
@@ -12,7 +12,7 @@
 	"dykering/internal/lab/netem"
 )
 
-// broker is a process of the broker on the emulated network.
+// broker implements real.Broker by an http1.Server on the emulated network.
 type broker struct {
 	name    string
 	process *netem.Process
@@ -23,13 +23,14 @@
 	// Phases already observed by Options.Observe.
 	phases   http1.PhaseCounts
 	killOnce sync.Once
-	// Closed when other than the stage is about to kill it.
+	// Closed when the environment is about to kill the process.
 	killPending chan struct{}
 	allowOnce   sync.Once
-	// Closed once the stage has excused its requests.
+	// Closed when the checker knows that the pending requests are lost.
 	killAllowed chan struct{}
-	done        chan struct{}
-	// How it ended.
+	// Closed when the server has ended.
+	done chan struct{}
+	// The error with which the server ended.
 	err error
 }
 
@@ -52,7 +53,7 @@
 func (b *broker) Stop() {
 	select {
 	case b.signals <- syscall.SIGTERM:
-	default: // one is pending
+	default: // a signal is pending already
 	}
 	select {
 	case <-b.done:
@@ -69,7 +70,7 @@
 
 // Stall blocks the broker's event loop for a duration. Its other goroutines continue meanwhile.
 func (b *broker) Stall(duration time.Duration) {
-	end := time.Now().Add(duration) // overlapping stalls end with the last one
+	end := time.Now().Add(duration) // overlapping stalls end together with the one that ends last
 	b.server.Loop().Post(func() { time.Sleep(time.Until(end)) })
 }
 
@@ -85,15 +86,16 @@
 func (b *broker) Reload() error {
 	select {
 	case b.reloads <- syscall.SIGHUP:
-	default: // one is pending that will read the present files
+	default: // the pending signal will read the current files
 	}
 	return nil
 }
 
-// KillPending is closed when other than the stage is about to kill it, which then waits for
-// AllowKill.
+// KillPending returns a channel that is closed when the environment is about to kill the process. The
+// environment then waits for AllowKill.
 func (b *broker) KillPending() <-chan struct{} { return b.killPending }
 
+// AllowKill lets the environment kill the process.
 func (b *broker) AllowKill() { b.allowOnce.Do(func() { close(b.killAllowed) }) }
 
 func (b *broker) Done() <-chan struct{} { return b.done }
@@ -102,7 +104,7 @@
 	return fmt.Errorf("%s %s (%w); its log ends with:\n%s", b.name, text, b.err, b.log.String())
 }
 
-// logTail keeps the end of a log.
+// logTail is a writer that keeps the last maxLogExcerpt bytes.
 type logTail struct {
 	mu   sync.Mutex
 	text []byte
--- a/internal/lab/emulation/play.go
+++ b/internal/lab/emulation/play.go
@@ -19,16 +19,18 @@
 )
 
 const (
-	// lateness is added to the time limits of the simulator: an answer takes some latencies to arrive.
+	// lateness is added to the time limits of the checker, since an answer arrives several network
+	// latencies after it was sent.
 	lateness = 20 * time.Millisecond
-	// readyTimeout and stopTimeout limit how long a broker may take until it can serve, and until it
-	// has stopped.
+	// readyTimeout is how long a broker may take from its start until it can serve.
 	readyTimeout = 5 * time.Second
-	stopTimeout  = 30 * time.Second
+	// stopTimeout is how long a broker may take to end after SIGTERM.
+	stopTimeout = 30 * time.Second
+	// pollInterval is how often Ready checks whether a broker can serve.
 	pollInterval = time.Millisecond
 	// cancellationCheckInterval is how often, in virtual time, a run checks its context.
 	cancellationCheckInterval = 100 * time.Millisecond
-	// maxLogExcerpt is the length of the end of a broker's log that is kept for an error, in bytes.
+	// maxLogExcerpt is how many bytes of the end of a broker's log are kept for an error.
 	maxLogExcerpt = 2000
 	// releaseTimeout is how long a broker that has ended may take to release its connections.
 	releaseTimeout = 20 * time.Millisecond
@@ -38,77 +40,78 @@
 
 // Options configure how a scenario is played.
 type Options struct {
-	// Where configurations are written.
+	// The directory in which configurations are written.
 	Dir     string
 	Network netem.Options
-	// KillAt reports, before each step of a handover (netem.Exchange), whether the predecessor or the
-	// successor is killed there. Nil for never.
-	KillAt func(step string) (from, to bool)
-	// Observe receives, at each ObserveInterval since the start, the phases that are active in a
-	// broker.
+	// KillAt is called before each step of a handover (netem.Exchange.Step) and reports whether the
+	// predecessor or the successor is killed there. If it is nil, no process is killed.
+	KillAt func(step string) (predecessor, successor bool)
+	// Observe is called for each broker at each ObserveInterval with the time since the start and the
+	// phases that are active in the broker. It may be nil.
 	Observe         func(at time.Duration, stages []string)
 	ObserveInterval time.Duration
-	// OnStuck receives the stacks of a run whose time has not advanced for StuckTimeout of real time:
-	// something in it neither waits nor ends. If it is nil the run panics, as it cannot be ended.
+	// OnStuck is called with the stacks of all goroutines when virtual time has not advanced for
+	// StuckTimeout of real time, because a goroutine neither waits nor ends. If it is nil, the process
+	// panics, since such a run cannot be ended.
 	OnStuck func(stacks string)
-	// 0 for 30 s.
+	// The timeout for OnStuck; 0 for 30 s.
 	StuckTimeout time.Duration
-	// WrapNetwork replaces the network and the listener of a broker, for tests with faulty brokers.
-	// Nil for none.
+	// WrapNetwork replaces the network and the listener of a broker, for tests with faulty brokers. It
+	// may be nil.
 	WrapNetwork func(http1.Network, net.Listener) (http1.Network, net.Listener)
 }
 
-// Bubble runs f in a bubble of virtual time, and returns when all of its goroutines have ended.
+// Bubble runs f in a testing/synctest bubble and returns when all of its goroutines have ended.
 type Bubble func(f func())
 
-// Play plays a scenario with a seed in a bubble. The context is checked ten times in a virtual
-// second.
+// Play plays a scenario with a seed in a bubble. It checks the context every 100 ms of virtual time.
 func Play(ctx context.Context, in Bubble, s *scenario.Scenario, seed uint64, o Options) (r *model.Result, err error) {
 	if len(s.NetworkFaults) > 0 || s.Broker.Fleet {
-		return nil, errors.New("fleet and fault: the gossip between brokers is played by the engine real only")
+		return nil, errors.New("broker.fleet and fault: only the engine real plays the gossip between brokers")
 	}
 	defer func() {
-		if fault := recover(); fault != nil {
-			// synctest panics where goroutines wait for what will never happen.
-			r, err = nil, fmt.Errorf("goroutines are left: %v", fault)
+		if panicked := recover(); panicked != nil {
+			// synctest panics if all remaining goroutines of the bubble are blocked for ever.
+			r, err = nil, fmt.Errorf("the run ended with goroutines that are still blocked: %v", panicked)
 		}
 	}()
-	var moved atomic.Int64
+	var ticks atomic.Int64
 	stopped := make(chan struct{})
 	defer close(stopped)
-	go o.guard(&moved, stopped)
+	go o.watchProgress(&ticks, stopped)
 	in(func() {
-		inside, stop := context.WithCancelCause(context.Background()) // the outer context's channel belongs to no bubble
+		// A separate context, since goroutines in the bubble cannot wait on a channel from outside.
+		inside, stop := context.WithCancelCause(context.Background())
 		defer stop(nil)
-		over := make(chan struct{})
-		var watch sync.WaitGroup
-		watch.Go(func() {
+		ended := make(chan struct{})
+		var watchers sync.WaitGroup
+		watchers.Go(func() {
 			for ctx.Err() == nil {
-				moved.Add(1)
+				ticks.Add(1)
 				select {
-				case <-over:
+				case <-ended:
 					return
 				case <-time.After(cancellationCheckInterval):
 				}
 			}
 			stop(context.Cause(ctx))
 		})
-		g := newEnvironment(s, o)
+		emulated := newEnvironment(s, o)
 		if o.Observe != nil {
 			//nolint:contextcheck // the outer context belongs to no bubble
-			watch.Go(func() { g.observe(over) })
+			watchers.Go(func() { emulated.observe(ended) })
 		}
 		//nolint:contextcheck // the outer context belongs to no bubble; its end is passed on by stop
-		r, err = real.PlayOn(inside, g, s, seed, lateness)
-		g.close()
-		close(over)
-		watch.Wait()
+		r, err = real.PlayOn(inside, emulated, s, seed, lateness)
+		emulated.close()
+		close(ended)
+		watchers.Wait()
 		for range settleTime / time.Second {
-			moved.Add(1)
+			ticks.Add(1)
 			time.Sleep(time.Second)
 		}
 		if err == nil {
-			err = g.unreleased()
+			err = emulated.unreleased()
 		}
 	})
 	if err != nil {
@@ -116,7 +119,7 @@
 			return nil, cause
 		}
 	}
-	if r != nil { // also of a run that has not released everything
+	if r != nil { // also for a run that has not released all resources
 		r.Engine = "whole"
 	}
 	return r, err
@@ -124,8 +127,8 @@
 
 const defaultStuckTimeout = 30 * time.Second
 
-// guard watches that the time of a run advances.
-func (o Options) guard(moved *atomic.Int64, stopped <-chan struct{}) {
+// watchProgress checks in real time that the virtual time of a run advances, which ticks shows.
+func (o Options) watchProgress(ticks *atomic.Int64, stopped <-chan struct{}) {
 	timeout := cmp.Or(o.StuckTimeout, defaultStuckTimeout)
 	for last := int64(-1); ; {
 		select {
@@ -133,14 +136,14 @@
 			return
 		case <-time.After(timeout):
 		}
-		now := moved.Load()
+		now := ticks.Load()
 		if now == last {
-			text := make([]byte, 1<<20)
-			text = text[:runtime.Stack(text, true)]
+			stacks := make([]byte, 1<<20)
+			stacks = stacks[:runtime.Stack(stacks, true)]
 			if o.OnStuck == nil {
-				panic(fmt.Sprintf("the run's time has stood still for %v:\n%s", timeout, text))
+				panic(fmt.Sprintf("the virtual time of the run has not advanced for %v:\n%s", timeout, stacks))
 			}
-			o.OnStuck(string(text))
+			o.OnStuck(string(stacks))
 			return
 		}
 		last = now
--- a/internal/lab/emulation/play_test.go
+++ b/internal/lab/emulation/play_test.go
@@ -34,35 +34,35 @@
 	return s
 }
 
-// Faults of connections, servers, lists and brokers are played in virtual time as on real sockets: the
-// rules are kept, and what can be served is.
+// Under faults of connections, servers, lists and brokers in virtual time the broker breaks no rule and
+// serves most requests.
 func TestInjectedFaultsKeepRulesAndService(t *testing.T) {
 	for name, fault := range map[string]scenario.InjectedFault{
 		"none":              {Kind: "break"},
 		"reset in the head": {Kind: "bytes", ConnectionFault: "reset", Bytes: 9},
 		"cut in the body":   {Kind: "bytes", ConnectionFault: "cut", Bytes: 120},
-		"half closed":       {Kind: "bytes", ConnectionFault: "half_close", Bytes: 9},
+		"half-close":        {Kind: "bytes", ConnectionFault: "half_close", Bytes: 9},
 		"stall":             {Kind: "bytes", ConnectionFault: "stall", Bytes: 9},
 		"slow read":         {Kind: "bytes", ConnectionFault: "slow_read", Bytes: 40},
 		"slow write":        {Kind: "bytes", ConnectionFault: "slow_write", Bytes: 40},
 		"garbage":           {Kind: "bytes", ConnectionFault: "garbage"},
-		"never up":          {Kind: "bytes", ConnectionFault: "syn"},
+		"no handshake":      {Kind: "bytes", ConnectionFault: "syn"},
 		"vanish":            {Kind: "vanish"},
 		"connections reset": {Kind: "reset"},
 		"replaced":          {Kind: "replace"},
 		"handover":          {Kind: "handover", InstanceShare: 1},
 		"killed":            {Kind: "kill", InstanceShare: 1},
-		"parted":            {Kind: "partition", InstanceShare: 1},
+		"partitioned":       {Kind: "partition", InstanceShare: 1},
 		"stopped":           {Kind: "stop", InstanceShare: 1},
-		"stands still":      {Kind: "stall", InstanceShare: 1},
+		"stalled":           {Kind: "stall", InstanceShare: 1},
 		"drained":           {Kind: "away", InstanceShare: 1},
 		"reloaded":          {Kind: "reload", InstanceShare: 1},
-		"an older list":     {Kind: "stale", InstanceShare: 1},
-		"a list again":      {Kind: "again", InstanceShare: 1},
-		"callers go":        {Kind: "gone", Factor: scenario.Range{From: 0.3, To: 0.3}},
-		"callers dribble":   {Kind: "dribble", Factor: scenario.Range{From: 0.5, To: 0.5}},
-		"an id twice":       {Kind: "twice", Factor: scenario.Range{From: 0.3, To: 0.3}},
-		"no requests":       {Kind: "junk", Factor: scenario.Range{From: 0.3, To: 0.3}},
+		"older list":        {Kind: "stale", InstanceShare: 1},
+		"repeated list":     {Kind: "again", InstanceShare: 1},
+		"clients depart":    {Kind: "gone", Factor: scenario.Range{From: 0.3, To: 0.3}},
+		"slow clients":      {Kind: "dribble", Factor: scenario.Range{From: 0.5, To: 0.5}},
+		"duplicate id":      {Kind: "twice", Factor: scenario.Range{From: 0.3, To: 0.3}},
+		"malformed request": {Kind: "junk", Factor: scenario.Range{From: 0.3, To: 0.3}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -71,7 +71,7 @@
 			switch fault.Kind {
 			case "kill", "stop":
 				fault.Duration, floor = scenario.DurationRange{From: 200 * time.Millisecond, To: 200 * time.Millisecond}, 0.5
-			case "away", "gone", "twice", "stall": // callers have gone or are to go
+			case "away", "gone", "twice", "stall": // clients depart, or are sent to other instances
 				floor = 0.5
 			}
 			began := time.Now()
@@ -79,16 +79,16 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Logf("%v: service %.3f of %d, %d attempts", time.Since(began), r.Service, r.Offered, r.Attempts)
+			t.Logf("%v: service share %.3f of %d offered requests, %d attempts", time.Since(began), r.Service, r.Offered, r.Attempts)
 			if len(r.ViolationCounts) > 0 || r.Service < floor || r.Offered < 100 {
-				t.Errorf("service %.3f of %d, broken %v, %+v", r.Service, r.Offered, r.ViolationCounts, r.Violations)
+				t.Errorf("service share %.3f of %d offered requests, violations %v: %+v", r.Service, r.Offered, r.ViolationCounts, r.Violations)
 			}
 		})
 	}
 }
 
-// A broker sends no attempt after a stall for clients that have departed during it, longer ago than an
-// attempt may begin after a departure.
+// After a stall a broker sends no attempt for a client that departed during the stall, if more time has
+// passed than the rules allow between a departure and an attempt.
 func TestStalledBrokerSendsNothingForDepartedClients(t *testing.T) {
 	at := scenario.DurationRange{From: time.Second, To: time.Second}
 	s := shortScenario(scenario.InjectedFault{Kind: "stall", InstanceShare: 1, Start: at, Duration: scenario.DurationRange{From: 400 * time.Millisecond, To: 400 * time.Millisecond}},
@@ -102,32 +102,32 @@
 		t.Fatal(err)
 	}
 	if len(r.ViolationCounts) > 0 || r.Service < 0.5 {
-		t.Errorf("service %.3f, broken %v, %+v", r.Service, r.ViolationCounts, r.Violations)
+		t.Errorf("service share %.3f, violations %v: %+v", r.Service, r.ViolationCounts, r.Violations)
 	}
 }
 
-// A kill of either process between any two steps of a handover breaks no rule: the requests of the killed
-// process are lost, and those of the other one are served.
+// A kill of either process between any two steps of a handover breaks no rule. The requests of the killed
+// process are lost, and those of the other process are served.
 func TestKillBetweenHandoverStepsKeepsRules(t *testing.T) {
 	for _, step := range []string{"offered", "accepted", "go on", "started"} {
-		for _, old := range []bool{true, false} {
+		for _, killPredecessor := range []bool{true, false} {
 			for _, nth := range []int64{1, 2, 4} {
-				t.Run(fmt.Sprintf("%s %d, the old one %v", step, nth, old), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s %d, kill predecessor %v", step, nth, killPredecessor), func(t *testing.T) {
 					t.Parallel()
 					var n atomic.Int64
 					s := shortScenario(scenario.InjectedFault{Kind: "handover", InstanceShare: 1, Start: scenario.DurationRange{From: time.Second, To: time.Second}})
 					r, err := Play(t.Context(), bubble(t), s, 5, Options{Dir: t.TempDir(), KillAt: func(at string) (bool, bool) {
 						hit := at == step && n.Add(1) == nth
-						return hit && old, hit && !old
+						return hit && killPredecessor, hit && !killPredecessor
 					}})
 					if err != nil {
 						t.Fatal(err)
 					}
 					if n.Load() < nth {
-						t.Fatalf("%d steps of this kind only", n.Load())
+						t.Fatalf("the run reached the step %q only %d times, want %d", step, n.Load(), nth)
 					}
 					if len(r.ViolationCounts) > 0 || r.Service < 0.5 {
-						t.Errorf("service %.3f, broken %v, %+v", r.Service, r.ViolationCounts, r.Violations)
+						t.Errorf("service share %.3f, violations %v: %+v", r.Service, r.ViolationCounts, r.Violations)
 					}
 				})
 			}
@@ -135,7 +135,7 @@
 	}
 }
 
-// faultyDialer is a network that runs a function before each dial, or leaks a connection with it.
+// faultyDialer is a network that runs a function before each dial, or leaks a connection with each dial.
 type faultyDialer struct {
 	http1.Network
 	before func()
@@ -152,15 +152,15 @@
 	return n.Network.Dial(ctx, address, within)
 }
 
-// A broker that loops without waiting, one that leaks a goroutine and one that leaks a connection are
-// reported, and do not hang the run.
+// A run reports a broker that loops without waiting, one that leaks a goroutine and one that leaks a
+// connection. None of them makes the run hang.
 func TestBusyLoopsAndLeaksAreReported(t *testing.T) {
 	var spins, once atomic.Bool
 	spins.Store(true)
 	stacksReported := ""
 	spin := func() {
 		for once.CompareAndSwap(false, true); spins.Load(); {
-			continue // without waiting, which is the fault to be found
+			continue // busy loop: the fault that the run has to report
 		}
 	}
 	wrap := func(before func()) func(http1.Network, net.Listener) (http1.Network, net.Listener) {
@@ -173,19 +173,19 @@
 		spins.Store(false)
 	}}
 	if _, err := Play(t.Context(), bubble(t), shortScenario(), 3, o); err != nil {
-		t.Errorf("once it waits again the run goes on, not: %v", err)
+		t.Errorf("the run did not continue after the busy loop ended: %v", err)
 	}
 	if !strings.Contains(stacksReported, "TestBusyLoopsAndLeaksAreReported") || !strings.Contains(stacksReported, "faultyDialer") {
-		t.Errorf("who loops is not named: %.300s", stacksReported)
+		t.Errorf("the reported stacks do not contain the busy loop: %.300s", stacksReported)
 	}
 	o = Options{Dir: t.TempDir(), WrapNetwork: wrap(func() { go func() { select {} }() })}
-	if _, err := Play(t.Context(), bubble(t), shortScenario(), 3, o); err == nil || !strings.Contains(err.Error(), "goroutines are left") {
-		t.Errorf("a goroutine that is left: %v", err)
+	if _, err := Play(t.Context(), bubble(t), shortScenario(), 3, o); err == nil || !strings.Contains(err.Error(), "goroutines that are still blocked") {
+		t.Errorf("run with a leaked goroutine: error %v", err)
 	}
 	o = Options{Dir: t.TempDir(), WrapNetwork: func(n http1.Network, l net.Listener) (http1.Network, net.Listener) {
 		return faultyDialer{Network: n, leaks: true}, l
 	}}
 	if _, err := Play(t.Context(), bubble(t), shortScenario(), 3, o); err == nil || !strings.Contains(err.Error(), "connections") {
-		t.Errorf("connections that are left: %v", err)
+		t.Errorf("run with leaked connections: error %v", err)
 	}
 }
--- a/internal/lab/emulation/slot.go
+++ b/internal/lab/emulation/slot.go
@@ -16,7 +16,7 @@
 	"dykering/internal/lab/real"
 )
 
-// exclusiveListener closes its socket with itself.
+// exclusiveListener is a listener whose Close also closes the socket.
 type exclusiveListener struct {
 	net.Listener
 	socket      *netem.Socket
@@ -28,13 +28,14 @@
 	return l.Listener.Close()
 }
 
-// slot is where the processes of an instance serve.
+// slot implements real.Slot on a machine of the emulated network.
 type slot struct {
 	environment *environment
 	machine     *netem.Machine
 	socket      *netem.Socket
 	dir         string
-	started     int
+	// The number of processes that were started.
+	started int
 }
 
 func (s *slot) Address() string { return s.socket.Address() }
@@ -45,10 +46,11 @@
 
 func (s *slot) Shared() bool { return s.environment.shared }
 
-// inheritedDescriptor stands for the descriptor of the listening socket that a process inherits.
+// inheritedDescriptor is the value of config.Config.Accept for a process that inherits its listening
+// socket. No descriptor is opened by it.
 var inheritedDescriptor = -1
 
-// Start starts a process of the program on the slot's socket.
+// Start starts a broker on the slot's socket.
 func (s *slot) Start(file, _ string) (real.Broker, error) {
 	c, err := config.Load(func(name string) string {
 		if name == "BALANCER_CONFIG" {
@@ -62,7 +64,7 @@
 	if s.environment.shared {
 		c.Accept, c.Handover = &inheritedDescriptor, s.dir
 	} else if s.started > 0 {
-		s.socket.Close() // the process that created it has ended
+		s.socket.Close() // the process that created the socket has ended
 		if s.socket, err = s.machine.Bind(s.socket.Address()); err != nil {
 			return nil, err
 		}
@@ -74,8 +76,8 @@
 		killPending: make(chan struct{}), killAllowed: make(chan struct{}),
 	}
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), zapcore.AddSync(&b.log), zap.WarnLevel)
-	under, listener := s.sockets(b)
-	if b.server, err = http1.NewOn(under, c, zap.New(core)); err != nil {
+	network, listener := s.networkAndListener(b)
+	if b.server, err = http1.NewOn(network, c, zap.New(core)); err != nil {
 		return nil, err
 	}
 	s.environment.mu.Lock()
@@ -85,20 +87,22 @@
 	return b, nil
 }
 
-// sockets returns the network and the listener of a process, which Options.WrapNetwork may replace.
-func (s *slot) sockets(b *broker) (http1.Network, net.Listener) {
+// networkAndListener returns the network and the listener of a process, which Options.WrapNetwork may
+// replace.
+func (s *slot) networkAndListener(b *broker) (http1.Network, net.Listener) {
 	listener := b.process.Listener(s.socket)
 	if !s.environment.shared {
 		listener = exclusiveListener{listener, s.socket, s.environment}
 	}
-	under := network{s.environment, b.process}
+	plain := network{s.environment, b.process}
 	if s.environment.options.WrapNetwork != nil {
-		return s.environment.options.WrapNetwork(under, listener)
+		return s.environment.options.WrapNetwork(plain, listener)
 	}
-	return under, listener
+	return plain, listener
 }
 
-// run serves until the process ends, and records what it has not released by then.
+// run serves until the process ends, and records the resources that the process has not released
+// releaseTimeout later.
 func (s *slot) run(b *broker, listener net.Listener) {
 	defer close(b.done)
 	defer func() {
@@ -113,17 +117,17 @@
 		time.Sleep(releaseTimeout)
 		if bytes, conns := b.server.BufferedBytes(), b.process.OpenConnections(); bytes != 0 || conns > 0 {
 			s.environment.mu.Lock()
-			s.environment.leaks = append(s.environment.leaks, fmt.Errorf("%s ended and held %d bytes of bodies, %d connections", b.name, bytes, conns))
+			s.environment.leaks = append(s.environment.leaks, fmt.Errorf("%s ended without releasing %d bytes of bodies and %d connections", b.name, bytes, conns))
 			s.environment.mu.Unlock()
 		}
 	}
-	b.process.Kill() // closes what the process has left open
+	b.process.Kill() // closes the connections that the process has left open
 	if !s.environment.shared {
 		listener.Close()
 	}
 }
 
-// network is the http1.Network of a process.
+// network implements http1.Network for a process.
 type network struct {
 	environment *environment
 	process     *netem.Process
@@ -144,9 +148,9 @@
 }
 
 func (n network) FindSuccessor(dir, name string, _ http1.Receiver) (http1.Successor, error) {
-	h, err := n.environment.exchange.Find(n.process, dir, name)
+	successor, err := n.environment.exchange.Find(n.process, dir, name)
 	if err != nil {
 		return nil, err
 	}
-	return h, nil
+	return successor, nil
 }
--- a/internal/lab/real/play.go
+++ b/internal/lab/real/play.go
@@ -69,11 +69,11 @@
 }
 
 // PlayOn plays a scenario on an environment. The argument late is how late events may be observed there.
-func PlayOn(ctx context.Context, g Environment, s *scenario.Scenario, seed uint64, late time.Duration) (_ *model.Result, err error) {
+func PlayOn(ctx context.Context, e Environment, s *scenario.Scenario, seed uint64, late time.Duration) (_ *model.Result, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	st := &stage{
-		wallClock: newWallClock(), environment: g, lateness: late, servers: map[int]*server{}, requests: map[decision.RequestID]*pendingRequest{},
+		wallClock: newWallClock(), environment: e, lateness: late, servers: map[int]*server{}, requests: map[decision.RequestID]*pendingRequest{},
 		failed: make(chan error, 1), ctx: ctx,
 	}
 	defer func() {
@@ -128,11 +128,11 @@
 		n += b.Instances
 	}
 	if n > maxInstances {
-		return fmt.Errorf("%d instances are more than the %d that one machine plays on real sockets", n, maxInstances)
+		return fmt.Errorf("%d instances exceed the limit of %d on real sockets", n, maxInstances)
 	}
 	for i, t := range s.InjectedFaults {
 		if t.Kind == "partition" {
-			return fmt.Errorf("trouble[%d]: a partition between some and others is played in virtual time only; vanish and zone are played here", i)
+			return fmt.Errorf("trouble[%d]: a partition is played in virtual time only; real sockets support vanish and zone", i)
 		}
 	}
 	return nil
