--- a/cmd/dykering-lab/bench.go
+++ b/cmd/dykering-lab/bench.go
@@ -213,8 +213,8 @@
 // times measures how long answers take at a steady rate.
 func (b *bench) times(ctx context.Context, m *measured, address func() string) error {
 	l := &load.Load{
-		URL: address() + "/bench", Profile: load.Profile{Kind: load.Steady, Rate: b.Rate, Lasts: b.Lasts}, Most: 10000,
-		Run: "times-" + m.Way, Classes: []load.Class{{Name: "read", Share: 1, Method: "GET", Left: 2 * time.Second}},
+		URL: address() + "/bench", Profile: load.Profile{Kind: load.Steady, Rate: b.Rate, Lasts: b.Lasts}, MaxInFlight: 10000,
+		Run: "times-" + m.Way, Classes: []load.Class{{Name: "read", Share: 1, Method: "GET", Timeout: 2 * time.Second}},
 	}
 	r, err := l.Play(ctx)
 	if err != nil {
--- a/cmd/dykering-lab/demo.go
+++ b/cmd/dykering-lab/demo.go
@@ -175,12 +175,12 @@
 // load has callers ask until the demo's end.
 func (d *demonstration) load(ctx context.Context, url string) error {
 	l := load.Load{
-		URL: url + "/demo", Profile: load.Profile{Kind: load.Steady, Rate: demoRate, Lasts: d.lasts}, Most: 1000, Run: "demo",
+		URL: url + "/demo", Profile: load.Profile{Kind: load.Steady, Rate: demoRate, Lasts: d.lasts}, MaxInFlight: 1000, Run: "demo",
 		Classes: []load.Class{
-			{Name: "read", Share: 0.67, Method: "GET", Left: 2 * time.Second},
-			{Name: "pay", Share: 0.33, Method: "POST", Left: 2 * time.Second},
+			{Name: "read", Share: 0.67, Method: "GET", Timeout: 2 * time.Second},
+			{Name: "pay", Share: 0.33, Method: "POST", Timeout: 2 * time.Second},
 		},
-		Told: func(o load.Outcome) {
+		OnOutcome: func(o load.Outcome) {
 			d.mu.Lock()
 			defer d.mu.Unlock()
 			d.second(o.At).count(o)
--- a/cmd/dykering-lab/load.go
+++ b/cmd/dykering-lab/load.go
@@ -44,7 +44,7 @@
 			}
 			l.Run = fmt.Sprintf("load-%x", time.Now().UnixNano()) // ids must be new to whoever is asked
 			p := newProgress(c.Root().ErrWriter, l.Profile.Lasts)
-			l.Told = p.told
+			l.OnOutcome = p.told
 			stop := p.show()
 			r, err := l.Play(ctx)
 			stop()
@@ -71,7 +71,7 @@
 		&cli.StringSliceFlag{Name: "team", Usage: "NAME[,share=0.5]; several for a mix", Destination: &teams},
 		&cli.BoolFlag{Name: "poisson", Usage: "requests come by chance, not evenly", Destination: &l.Poisson},
 		&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "for what is drawn", Destination: &l.Seed},
-		&cli.IntFlag{Name: "most", Value: 10000, Usage: "requests under way at a time; more are counted and not sent", Destination: &l.Most},
+		&cli.IntFlag{Name: "most", Value: 10000, Usage: "requests under way at a time; more are counted and not sent", Destination: &l.MaxInFlight},
 		&cli.IntFlag{Name: "connections", Usage: "at a time; 0 for as many as it takes", Destination: &l.Conns},
 		&cli.BoolFlag{Name: "json", Usage: "print JSON", Destination: &asJSON},
 	}
@@ -100,7 +100,7 @@
 
 func parseClasses(texts []string) (classes []load.Class, err error) {
 	for _, text := range texts {
-		c := load.Class{Method: "GET", Share: 1 / float64(len(texts)), Left: 2 * time.Second}
+		c := load.Class{Method: "GET", Share: 1 / float64(len(texts)), Timeout: 2 * time.Second}
 		if c.Name, err = parts(text, func(key, value string) (err error) {
 			switch key {
 			case "method":
@@ -108,7 +108,7 @@
 			case "share":
 				c.Share, err = strconv.ParseFloat(value, 64)
 			case "left":
-				c.Left, err = time.ParseDuration(value)
+				c.Timeout, err = time.ParseDuration(value)
 			case "keyed":
 				c.Keyed = true
 			case "body":
--- a/cmd/dykering-lab/run.go
+++ b/cmd/dykering-lab/run.go
@@ -28,7 +28,7 @@
 			if err := validation.Join(wrong); err != nil {
 				return commandline.Failure(err)
 			}
-			e.In(in)
+			e.SetBubble(in)
 			if dir == "" {
 				dir = filepath.Join("lab", "results", strings.TrimSuffix(filepath.Base(args[0]), ".toml"))
 			}
--- a/internal/lab/experiment/chart.go
+++ b/internal/lab/experiment/chart.go
@@ -65,7 +65,7 @@
 			}
 			x := float64(slices.Index(names, r.Point)) + 0.06*(float64(i)-float64(len(e.Sides)-1)/2)
 			d.XYs = append(d.XYs, plotter.XY{X: x, Y: r.Is.Mean})
-			half := r.Is.Half
+			half := r.Is.HalfWidth
 			if math.IsNaN(half) {
 				half = 0
 			}
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -44,8 +44,8 @@
 	bubble emulation.Bubble
 }
 
-// In has the engine whole play in bubbles.
-func (e *Experiment) In(b emulation.Bubble) { e.bubble = b }
+// SetBubble has the engine whole play in bubbles.
+func (e *Experiment) SetBubble(b emulation.Bubble) { e.bubble = b }
 
 // Side is one of what is compared. The first is what the others are compared with.
 type Side struct {
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -163,7 +163,7 @@
 	run := func(side string, seed uint64, service float64) Run {
 		return Run{Side: side, Seed: seed, Result: &model.Result{Offered: 100, Service: service, WorstSecond: 0.5, RecoverySeconds: 1}}
 	}
-	if e := EstimateOf([]float64{1, 2, 3}); e.Mean != 2 || math.Abs(e.Half-2.484) > 0.001 {
+	if e := EstimateOf([]float64{1, 2, 3}); e.Mean != 2 || math.Abs(e.HalfWidth-2.484) > 0.001 {
 		t.Errorf("%+v", e)
 	}
 	for name, tc := range map[string]struct {
--- a/internal/lab/experiment/summary.go
+++ b/internal/lab/experiment/summary.go
@@ -52,12 +52,12 @@
 // Estimate is a mean with the half width of its interval of confidence; that is NaN for a single value.
 type Estimate struct {
 	N          int
-	Mean, Half float64
+	Mean, HalfWidth float64
 }
 
 // EstimateOf gives the mean of values with its interval, by Student's t distribution: few seeds, and a spread that is not known.
 func EstimateOf(values []float64) Estimate {
-	e := Estimate{N: len(values), Half: math.NaN()}
+	e := Estimate{N: len(values), HalfWidth: math.NaN()}
 	if e.N == 0 {
 		e.Mean = math.NaN()
 		return e
@@ -66,7 +66,7 @@
 	e.Mean = mean
 	if e.N > 1 {
 		t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(e.N - 1)}
-		e.Half = t.Quantile(1-(1-confidence)/2) * deviation / math.Sqrt(float64(e.N))
+		e.HalfWidth = t.Quantile(1-(1-confidence)/2) * deviation / math.Sqrt(float64(e.N))
 	}
 	return e
 }
@@ -74,9 +74,9 @@
 // verdict says what a paired difference means.
 func verdict(d Estimate, better int) string {
 	switch {
-	case math.IsNaN(d.Half):
+	case math.IsNaN(d.HalfWidth):
 		return "too few seeds"
-	case math.Abs(d.Mean) <= d.Half || d.Mean == 0:
+	case math.Abs(d.Mean) <= d.HalfWidth || d.Mean == 0:
 		return "noise"
 	case better == 0 && d.Mean > 0:
 		return "more"
@@ -214,10 +214,10 @@
 }
 
 func (e Estimate) String() string {
-	if math.IsNaN(e.Half) {
+	if math.IsNaN(e.HalfWidth) {
 		return figure(e.Mean)
 	}
-	return figure(e.Mean) + " ±" + figure(e.Half)
+	return figure(e.Mean) + " ±" + figure(e.HalfWidth)
 }
 
 // Markdown writes rows as a table: a line for each point and side, a column for each metric, with what it differs by.
@@ -263,8 +263,8 @@
 	_ = w.Write([]string{"point", "side", "metric", "seeds", "mean", "half_width", "against", "difference", "difference_half_width", "verdict"})
 	for _, r := range rows {
 		_ = w.Write([]string{
-			r.Point, r.Side, r.Metric, strconv.Itoa(r.Is.N), number(r.Is.Mean), number(r.Is.Half), r.Against,
-			number(r.Differs.Mean), number(r.Differs.Half), r.Verdict,
+			r.Point, r.Side, r.Metric, strconv.Itoa(r.Is.N), number(r.Is.Mean), number(r.Is.HalfWidth), r.Against,
+			number(r.Differs.Mean), number(r.Differs.HalfWidth), r.Verdict,
 		})
 	}
 	w.Flush()
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// At is the rate at a time.
-func (p Profile) At(t time.Duration) float64 {
+// RateAt is the rate at a time.
+func (p Profile) RateAt(t time.Duration) float64 {
 	part := min(max(float64(t)/float64(p.Lasts), 0), 1)
 	switch p.Kind {
 	case Ramp:
@@ -87,7 +87,7 @@
 	Name   string
 	Share  float64
 	Method string
-	Left   time.Duration // how long an answer is waited for
+	Timeout   time.Duration // how long an answer is waited for
 	Keyed  bool
 	Body   int // bytes
 }
@@ -106,12 +106,12 @@
 	Teams   []Team // none for requests without a team
 	Poisson bool   // requests come by chance; otherwise evenly
 	Seed    uint64
-	Most    int // requests that are under way at a time; more are counted and not sent
+	MaxInFlight    int // requests that are under way at a time; more are counted and not sent
 	Conns   int // connections at a time; 0 for no bound
 	Run     string
 
-	// Told is told of each outcome, one at a time; it may be nil.
-	Told func(Outcome)
+	// OnOutcome is told of each outcome, one at a time; it may be nil.
+	OnOutcome func(Outcome)
 }
 
 // Outcome is what became of a request.
@@ -293,7 +293,7 @@
 			return
 		}
 		p.askOnce(ctx, n, due)
-		gap := 1 / p.Profile.At(due)
+		gap := 1 / p.Profile.RateAt(due)
 		if p.Poisson {
 			gap *= p.random.ExpFloat64()
 		}
@@ -317,8 +317,8 @@
 		defer p.mu.Unlock()
 		p.inFlight--
 		p.report.count(o, late)
-		if p.Told != nil {
-			p.Told(o)
+		if p.OnOutcome != nil {
+			p.OnOutcome(o)
 		}
 	})
 }
@@ -327,7 +327,7 @@
 func (p *player) reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.inFlight >= p.Most {
+	if p.inFlight >= p.MaxInFlight {
 		p.report.Unsent++
 		return false
 	}
@@ -369,8 +369,8 @@
 		}
 		return nil
 	}
-	if l.Most < 1 {
-		return fmt.Errorf("%d requests under way: at least 1", l.Most)
+	if l.MaxInFlight < 1 {
+		return fmt.Errorf("%d requests under way: at least 1", l.MaxInFlight)
 	}
 	return errors.Join(shares("classes", len(l.Classes), func(i int) float64 { return l.Classes[i].Share }),
 		shares("teams", len(l.Teams), func(i int) float64 { return l.Teams[i].Share }))
@@ -379,7 +379,7 @@
 // ask asks once.
 func (l *Load) ask(ctx context.Context, client *http.Client, n, class, team int) (status int, err error) {
 	c := l.Classes[class]
-	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), c.Left+time.Second)
+	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), c.Timeout+time.Second)
 	defer stop()
 	var body io.Reader
 	if c.Body > 0 {
@@ -391,7 +391,7 @@
 	}
 	r.Header.Set("X-Txn", fmt.Sprintf("%s-%d", l.Run, n))
 	r.Header.Set("X-Lane", c.Name)
-	r.Header.Set("X-Remaining", fmt.Sprintf("%dm", c.Left.Milliseconds()))
+	r.Header.Set("X-Remaining", fmt.Sprintf("%dm", c.Timeout.Milliseconds()))
 	if c.Keyed {
 		r.Header.Set("Idempotency-Key", fmt.Sprintf("%s-%d", l.Run, n))
 	}
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -27,12 +27,12 @@
 			t.Error(err)
 		}
 		for i, want := range tc.at {
-			if got := tc.p.At(time.Duration(i) * s); math.Abs(got-want) > 1e-6 {
+			if got := tc.p.RateAt(time.Duration(i) * s); math.Abs(got-want) > 1e-6 {
 				t.Errorf("%s after %d s: %v, want %v", tc.p.Kind, i, got, want)
 			}
 		}
 		n := 0.0
-		for at := 0.0; at < 10; at += 1 / tc.p.At(time.Duration(at*float64(s))) {
+		for at := 0.0; at < 10; at += 1 / tc.p.RateAt(time.Duration(at*float64(s))) {
 			n++
 		}
 		if math.Abs(n-tc.sent) > 0.05*tc.sent {
@@ -65,8 +65,8 @@
 	}))
 	defer server.Close()
 	l := &Load{
-		URL: server.URL, Profile: Profile{Kind: Steady, Rate: 100, Lasts: time.Second}, Most: 1000, Conns: 1, Run: "t",
-		Classes: []Class{{Name: "read", Share: 1, Method: "GET", Left: 5 * time.Second}},
+		URL: server.URL, Profile: Profile{Kind: Steady, Rate: 100, Lasts: time.Second}, MaxInFlight: 1000, Conns: 1, Run: "t",
+		Classes: []Class{{Name: "read", Share: 1, Method: "GET", Timeout: 5 * time.Second}},
 	}
 	r, err := l.Play(t.Context())
 	if err != nil || r.All.Served != 100 || r.Unsent != 0 {
@@ -95,14 +95,14 @@
 	}))
 	defer server.Close()
 	class := func(name string) Class {
-		return Class{Name: name, Share: 0.2, Method: "POST", Left: 300 * time.Millisecond, Body: 10}
+		return Class{Name: name, Share: 0.2, Method: "POST", Timeout: 300 * time.Millisecond, Body: 10}
 	}
 	l := &Load{
-		URL: server.URL, Profile: Profile{Kind: Steady, Rate: 200, Lasts: time.Second}, Most: 30, Poisson: true, Run: "t",
+		URL: server.URL, Profile: Profile{Kind: Steady, Rate: 200, Lasts: time.Second}, MaxInFlight: 30, Poisson: true, Run: "t",
 		Classes: []Class{class("served"), class("refused"), class("failed"), class("lost"), class("slow")},
 	}
 	told := 0
-	l.Told = func(Outcome) { told++ }
+	l.OnOutcome = func(Outcome) { told++ }
 	r, err := l.Play(t.Context())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/trial/table.go
+++ b/internal/lab/trial/table.go
@@ -106,11 +106,11 @@
 	}
 	difference := experiment.EstimateOf(differences)
 	mark := ""
-	if math.Abs(difference.Mean) > difference.Half {
+	if math.Abs(difference.Mean) > difference.HalfWidth {
 		mark = "*"
 	}
 	mean := func(values []float64) float64 { return experiment.EstimateOf(values).Mean }
-	fmt.Fprintf(table, "  %s\t%d\t%.4f\t%.4f\t%+.4f\t%.4f\t%s\n", s.name, len(s.base), mean(s.base), mean(s.changed), difference.Mean, difference.Half, mark)
+	fmt.Fprintf(table, "  %s\t%d\t%.4f\t%.4f\t%+.4f\t%.4f\t%s\n", s.name, len(s.base), mean(s.base), mean(s.changed), difference.Mean, difference.HalfWidth, mark)
 }
 
 // writeBroken lists the plays in which a rule was broken, a floor of the gate was missed or a process failed.
