--- a/internal/lab/experiment/summary.go
+++ b/internal/lab/experiment/summary.go
@@ -51,7 +51,7 @@
 
 // Estimate is a mean with the half width of its interval of confidence; that is NaN for a single value.
 type Estimate struct {
-	N          int
+	N               int
 	Mean, HalfWidth float64
 }
 
--- a/internal/lab/load/compatibility_test.go
+++ b/internal/lab/load/compatibility_test.go
@@ -6,7 +6,7 @@
 	"dykering/internal/fixture"
 )
 
-// The report of a load has the form of released builds.
+// A report of a released build is read and written again without a difference.
 func TestLoadReportOfReleasedBuildIsReadAndWrittenAlike(t *testing.T) {
 	fixture.JSON(t, "testdata/compatibility/report.json", &Report{})
 }
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,6 +1,12 @@
-// Package load asks an HTTP/1.1 address for as much as a profile says, whatever becomes of what it asked before (open
-// loop). Times count from when a request was meant to be sent: one that is sent late because those before it took long
-// is as late as its caller would find it (Gil Tene, "How NOT to Measure Latency", on coordinated omission).
+// Package load generates an open-loop load: it sends requests to an HTTP/1.1 address at the rate of a
+// profile, however long earlier requests take.
+//
+// Latencies count from the time at which a request was scheduled, not from the time at which it was sent. A
+// request that is sent late because of slow earlier responses so counts with the delay that its caller would
+// see. This avoids coordinated omission (Gil Tene, "How NOT to Measure Latency").
+//
+// The commands "load", "bench" and "demo" of dykering-lab use the package. The JSON keys of Report cannot
+// change.
 package load
 
 import (
@@ -21,205 +27,233 @@
 )
 
 const (
-	// longest is the longest time that a histogram holds; what took longer is held as that.
-	longest = time.Hour
-	// figures is its precision, in decimal figures.
-	figures = 3
-	// mostAnswer bounds what is read of an answer.
-	mostAnswer = 64 << 20
-	// mostSeconds bounds the table.
-	mostSeconds = 24 * 3600
+	// maxLatency is the largest latency that a histogram records. Longer ones are recorded as this.
+	maxLatency = time.Hour
+	// latencyDigits and secondLatencyDigits are the significant digits of the histograms of a class and of
+	// a second.
+	latencyDigits, secondLatencyDigits = 3, 2
+	// maxResponseBytes is the number of bytes that are read of a response.
+	maxResponseBytes = 64 << 20
+	// maxSeconds is the largest duration of a profile, which limits the table of seconds.
+	maxSeconds = 24 * 3600
+	// maxRate is the largest rate of a profile in requests per second.
+	maxRate = 1e6
+	// timeoutMargin is how long the client waits after Class.Timeout, since a response that the server sends
+	// in time arrives a little later.
+	timeoutMargin = time.Second
 )
 
-// Profile is how the rate goes.
+// Profile describes how the request rate develops. Reports contain it with its Go names as JSON keys.
 type Profile struct {
-	Kind  string        // steady, ramp, step or spike
-	Rate  float64       // requests a second: of all, at the beginning, of the first step, outside of the spike
-	To    float64       // at the end, of the last step, in the spike
-	Steps int           // of step
-	Lasts time.Duration // of all
+	// Steady, Ramp, Step or Spike.
+	Kind string
+	// Requests per second at the start, or outside of the spike.
+	Rate float64
+	// Requests per second at the end of a ramp, in the last step, or in the spike.
+	To float64
+	// The number of steps of the kind Step.
+	Steps int
+	// The duration.
+	Lasts time.Duration
 }
 
 // The kinds of profile.
 const (
-	Steady = "steady"
-	Ramp   = "ramp"
-	Step   = "step"
-	Spike  = "spike" // the middle fifth of the time
+	Steady = "steady" // Rate all the time
+	Ramp   = "ramp"   // linear from Rate to To
+	Step   = "step"   // from Rate to To in equal steps
+	Spike  = "spike"  // To in the middle fifth of the duration, else Rate
 )
 
-// Check names what is wrong.
+// Check returns an error for the first invalid field.
 func (p Profile) Check() error {
 	switch {
 	case p.Kind != Steady && p.Kind != Ramp && p.Kind != Step && p.Kind != Spike:
-		return fmt.Errorf("profile %q: there is steady, ramp, step, spike", p.Kind)
-	case !(p.Rate > 0 && p.Rate <= 1e6):
-		return fmt.Errorf("rate %v: above 0 and up to 1,000,000 a second", p.Rate)
-	case p.Kind != Steady && !(p.To > 0 && p.To <= 1e6):
-		return fmt.Errorf("rate %v to which it goes: above 0 and up to 1,000,000 a second", p.To)
+		return fmt.Errorf("unknown profile %q: the profiles are steady, ramp, step and spike", p.Kind)
+	case !(p.Rate > 0 && p.Rate <= maxRate):
+		return fmt.Errorf("rate %v must be above 0 and at most 1,000,000 requests per second", p.Rate)
+	case p.Kind != Steady && !(p.To > 0 && p.To <= maxRate):
+		return fmt.Errorf("the rate %v to which it goes must be above 0 and at most 1,000,000 requests per second", p.To)
 	case p.Kind == Step && (p.Steps < 2 || p.Steps > 1000):
-		return fmt.Errorf("%d steps: 2 to 1000", p.Steps)
-	case p.Lasts < time.Millisecond || p.Lasts > mostSeconds*time.Second:
-		return fmt.Errorf("%v: a millisecond to a day", p.Lasts)
+		return fmt.Errorf("%d steps: a step profile has 2 to 1000", p.Steps)
+	case p.Lasts < time.Millisecond || p.Lasts > maxSeconds*time.Second:
+		return fmt.Errorf("duration %v must be between a millisecond and a day", p.Lasts)
 	}
 	return nil
 }
 
-// RateAt is the rate at a time.
+// RateAt returns the requests per second at a time from the start.
 func (p Profile) RateAt(t time.Duration) float64 {
-	part := min(max(float64(t)/float64(p.Lasts), 0), 1)
+	elapsed := min(max(float64(t)/float64(p.Lasts), 0), 1) // share of the duration
 	switch p.Kind {
 	case Ramp:
-		return p.Rate + (p.To-p.Rate)*part
+		return p.Rate + (p.To-p.Rate)*elapsed
 	case Step:
-		step := math.Floor(min(part*float64(p.Steps), float64(p.Steps-1)))
+		step := math.Floor(min(elapsed*float64(p.Steps), float64(p.Steps-1)))
 		return p.Rate + (p.To-p.Rate)*step/float64(p.Steps-1)
 	case Spike:
-		if part >= 0.4 && part < 0.6 {
+		if elapsed >= 0.4 && elapsed < 0.6 {
 			return p.To
 		}
 	}
 	return p.Rate
 }
 
-// Class is a kind of request.
+// Class is a class of requests in the mix.
 type Class struct {
-	Name   string
+	Name string
+	// The share of all requests.
 	Share  float64
 	Method string
-	Timeout   time.Duration // how long an answer is waited for
-	Keyed  bool
-	Body   int // bytes
+	// The time within which the client needs the response. The request announces it to the server.
+	Timeout time.Duration
+	// Whether requests carry an Idempotency-Key.
+	Keyed bool
+	// The size of the body in bytes.
+	Body int
 }
 
-// Team is one of those who ask.
+// Team is a tenant on whose behalf a share of the requests is sent.
 type Team struct {
 	Name  string
 	Share float64
 }
 
-// Load is what is asked.
+// Load describes the requests that Play sends.
 type Load struct {
 	URL     string
 	Profile Profile
 	Classes []Class
-	Teams   []Team // none for requests without a team
-	Poisson bool   // requests come by chance; otherwise evenly
+	// Empty for requests without a team.
+	Teams []Team
+	// Whether the intervals between requests are exponentially distributed. Otherwise they are equal.
+	Poisson bool
 	Seed    uint64
-	MaxInFlight    int // requests that are under way at a time; more are counted and not sent
-	Conns   int // connections at a time; 0 for no bound
-	Run     string
-
-	// OnOutcome is told of each outcome, one at a time; it may be nil.
+	// The number of requests in flight at a time. Further requests are counted and not sent.
+	MaxInFlight int
+	// The number of connections at a time; 0 for no limit.
+	Conns int
+	// The prefix of the request ids.
+	Run string
+
+	// OnOutcome is called with each outcome, by one goroutine at a time. It may be nil.
 	OnOutcome func(Outcome)
 }
 
-// Outcome is what became of a request.
+// Outcome is the outcome of one request.
 type Outcome struct {
-	At     time.Duration // when it was meant to be sent, from the start on
-	Took   time.Duration // from then on
-	Class  int
-	Status int // 0 where no answer came
+	// When the request was scheduled, from the start of the load.
+	At time.Duration
+	// The time from At to the end of the response.
+	Took time.Duration
+	// The index in Load.Classes.
+	Class int
+	// 0 if no complete response arrived.
+	Status int
 	Err    error
 }
 
-// Second is what came of what was meant to be sent in a second.
+// Second counts the requests that were scheduled in one second.
 type Second struct {
 	Asked   int     `json:"asked"`
 	Served  int     `json:"served"`
 	Refused int     `json:"refused"`
 	Failed  int     `json:"failed"`
 	Lost    int     `json:"lost"`
-	P50     float64 `json:"p50"` // milliseconds, of all answers
+	P50     float64 `json:"p50"` // milliseconds, of all responses
 	P99     float64 `json:"p99"`
 
-	took *hdrhistogram.Histogram
+	latencies *hdrhistogram.Histogram
 }
 
-// Figures are of a class, or of all.
-type Figures struct {
+// ClassReport holds the results of a class, or of all requests.
+type ClassReport struct {
 	Name     string         `json:"name"`
 	Asked    int            `json:"asked"`
-	Served   int            `json:"served"`
-	Refused  int            `json:"refused"` // 429 and 503
-	Failed   int            `json:"failed"`
-	Lost     int            `json:"lost"` // no answer
+	Served   int            `json:"served"`  // status 200
+	Refused  int            `json:"refused"` // status 429 or 503
+	Failed   int            `json:"failed"`  // other statuses
+	Lost     int            `json:"lost"`    // no complete response
 	Statuses map[int]int    `json:"statuses"`
 	Errors   map[string]int `json:"errors,omitempty"`
-	Mean     float64        `json:"mean"` // milliseconds, of what was served
+	Mean     float64        `json:"mean"` // milliseconds, of served requests
 	P50      float64        `json:"p50"`
 	P90      float64        `json:"p90"`
 	P99      float64        `json:"p99"`
 	P999     float64        `json:"p999"`
 	Max      float64        `json:"max"`
 
-	took *hdrhistogram.Histogram
+	latencies *hdrhistogram.Histogram
 }
 
-// Report is what came of a load.
+// Report is the result of a load.
 type Report struct {
-	Profile Profile   `json:"profile"`
-	Took    float64   `json:"took"`   // seconds until the last answer
-	Unsent  int       `json:"unsent"` // beyond what may be under way
-	Late    float64   `json:"late"`   // milliseconds by which the latest was sent after it was meant to be: this tool's own lag
-	All     Figures   `json:"all"`
-	Classes []Figures `json:"classes"`
-	Seconds []Second  `json:"seconds"`
+	Profile Profile       `json:"profile"`
+	Took    float64       `json:"took"`   // seconds until the last response
+	Unsent  int           `json:"unsent"` // requests that exceeded Load.MaxInFlight
+	Late    float64       `json:"late"`   // the largest delay in milliseconds from scheduling to sending: the lag of this tool
+	All     ClassReport   `json:"all"`
+	Classes []ClassReport `json:"classes"`
+	Seconds []Second      `json:"seconds"`
 }
 
-func newFigures(name string) Figures {
-	return Figures{Name: name, Statuses: map[int]int{}, Errors: map[string]int{}, took: histogram()}
+func newClassReport(name string) ClassReport {
+	return ClassReport{Name: name, Statuses: map[int]int{}, Errors: map[string]int{}, latencies: newHistogram(latencyDigits)}
 }
 
-func histogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, longest.Microseconds(), figures)
+// newHistogram returns a histogram of latencies in microseconds.
+func newHistogram(digits int) *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, maxLatency.Microseconds(), digits)
 }
 
-// mostErrors bounds the sorts of error that are told apart.
-const mostErrors = 20
+// maxErrorTexts is the number of error texts that are counted separately. Further ones count as "others".
+const maxErrorTexts = 20
 
-func (f *Figures) count(o Outcome) {
-	f.Asked++
-	f.Statuses[o.Status]++
+func (c *ClassReport) count(o Outcome) {
+	c.Asked++
+	c.Statuses[o.Status]++
 	switch {
 	case o.Status == http.StatusOK:
-		f.Served++
-		f.took.RecordValue(min(o.Took, longest).Microseconds()) // within its bounds
+		c.Served++
+		c.latencies.RecordValue(min(o.Took, maxLatency).Microseconds()) // cannot fail within the bounds
 	case o.Status == http.StatusServiceUnavailable || o.Status == http.StatusTooManyRequests:
-		f.Refused++
+		c.Refused++
 	case o.Status == 0:
-		f.Lost++
-		text := cause(o.Err)
-		if _, ok := f.Errors[text]; !ok && len(f.Errors) >= mostErrors {
+		c.Lost++
+		text := rootCause(o.Err)
+		if _, ok := c.Errors[text]; !ok && len(c.Errors) >= maxErrorTexts {
 			text = "others"
 		}
-		f.Errors[text]++
+		c.Errors[text]++
 	default:
-		f.Failed++
+		c.Failed++
 	}
 }
 
-// cause is an error without what is another in each: addresses.
-func cause(err error) string {
+// rootCause returns the text of the innermost error. It lacks the addresses of the outer errors, which
+// differ from request to request.
+func rootCause(err error) string {
 	for next := errors.Unwrap(err); next != nil; next = errors.Unwrap(next) {
 		err = next
 	}
 	return fmt.Sprint(err)
 }
 
-func milliseconds(h *hdrhistogram.Histogram, q float64) float64 {
-	return float64(h.ValueAtQuantile(q)) / 1000
+// percentileMs returns a percentile of a histogram in milliseconds.
+func percentileMs(h *hdrhistogram.Histogram, percentile float64) float64 {
+	return float64(h.ValueAtQuantile(percentile)) / 1000
 }
 
-func (f *Figures) sumUp() {
-	h := f.took
-	f.Mean, f.Max = h.Mean()/1000, float64(h.Max())/1000
-	f.P50, f.P90, f.P99, f.P999 = milliseconds(h, 50), milliseconds(h, 90), milliseconds(h, 99), milliseconds(h, 99.9)
+// summarize computes the statistics of the latencies.
+func (c *ClassReport) summarize() {
+	h := c.latencies
+	c.Mean, c.Max = h.Mean()/1000, float64(h.Max())/1000
+	c.P50, c.P90, c.P99, c.P999 = percentileMs(h, 50), percentileMs(h, 90), percentileMs(h, 99), percentileMs(h, 99.9)
 }
 
 func (s *Second) count(o Outcome) {
-	if s.took == nil {
-		s.took = hdrhistogram.New(1, longest.Microseconds(), 2)
+	if s.latencies == nil {
+		s.latencies = newHistogram(secondLatencyDigits)
 	}
 	s.Asked++
 	switch {
@@ -233,31 +267,31 @@
 	default:
 		s.Failed++
 	}
-	s.took.RecordValue(min(o.Took, longest).Microseconds())
+	s.latencies.RecordValue(min(o.Took, maxLatency).Microseconds())
 }
 
-// sumUp lets the second's histogram go: an hour has 3,600.
-func (s *Second) sumUp() {
-	if s.took != nil {
-		s.P50, s.P99 = milliseconds(s.took, 50), milliseconds(s.took, 99)
-		s.took = nil
+// summarize computes the percentiles and releases the histogram. A load of an hour has 3,600 of them.
+func (s *Second) summarize() {
+	if s.latencies != nil {
+		s.P50, s.P99 = percentileMs(s.latencies, 50), percentileMs(s.latencies, 99)
+		s.latencies = nil
 	}
 }
 
-// player is one run of a load.
+// player is one run of a Load.
 type player struct {
 	*Load
-	client *http.Client
-	random *rand.Rand
-	began  time.Time
-	asking sync.WaitGroup
+	client   *http.Client
+	random   *rand.Rand
+	began    time.Time
+	requests sync.WaitGroup
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	report   *Report
 	inFlight int
 }
 
-// Play asks until the profile's end or that of the context, and waits for the last answer.
+// Play sends requests until the profile or the context ends, and waits for the last response.
 func (l *Load) Play(ctx context.Context) (*Report, error) {
 	if err := l.check(); err != nil {
 		return nil, err
@@ -265,20 +299,20 @@
 	transport := &http.Transport{MaxIdleConnsPerHost: max(l.Conns, 1024), MaxConnsPerHost: l.Conns, DisableCompression: true}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
-	r := &Report{Profile: l.Profile, All: newFigures("all"), Seconds: make([]Second, 1+int(l.Profile.Lasts.Seconds()))}
+	r := &Report{Profile: l.Profile, All: newClassReport("all"), Seconds: make([]Second, 1+int(l.Profile.Lasts.Seconds()))}
 	for _, c := range l.Classes {
-		r.Classes = append(r.Classes, newFigures(c.Name))
+		r.Classes = append(r.Classes, newClassReport(c.Name))
 	}
 	p := &player{Load: l, client: client, random: rand.New(rand.NewPCG(l.Seed, 0)), report: r, began: time.Now()}
-	p.askUntilTheEnd(ctx)
-	p.asking.Wait()
+	p.sendScheduled(ctx)
+	p.requests.Wait()
 	r.Took = time.Since(p.began).Seconds()
-	r.sumUp()
+	r.summarize()
 	return r, nil
 }
 
-// askUntilTheEnd asks by the profile's clock: a request is due when it is, however long earlier ones take.
-func (p *player) askUntilTheEnd(ctx context.Context) {
+// sendScheduled sends requests at the times of the profile, however long earlier requests take.
+func (p *player) sendScheduled(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for n, due := 0, time.Duration(0); due < p.Profile.Lasts; n++ {
@@ -292,26 +326,26 @@
 		if ctx.Err() != nil {
 			return
 		}
-		p.askOnce(ctx, n, due)
-		gap := 1 / p.Profile.RateAt(due)
+		p.start(ctx, n, due)
+		interval := 1 / p.Profile.RateAt(due)
 		if p.Poisson {
-			gap *= p.random.ExpFloat64()
+			interval *= p.random.ExpFloat64()
 		}
-		due += time.Duration(gap * float64(time.Second))
+		due += time.Duration(interval * float64(time.Second))
 	}
 }
 
-// askOnce sends the request that is due, or counts it as unsent where too many are in flight.
-func (p *player) askOnce(ctx context.Context, n int, due time.Duration) {
+// start starts the request number n, or counts it as unsent if too many requests are in flight.
+func (p *player) start(ctx context.Context, n int, due time.Duration) {
 	class := scenario.Pick(p.random, len(p.Classes), func(i int) float64 { return p.Classes[i].Share })
 	team := scenario.Pick(p.random, len(p.Teams), func(i int) float64 { return p.Teams[i].Share })
 	if !p.reserve() {
 		return
 	}
-	p.asking.Go(func() {
+	p.requests.Go(func() {
 		late := time.Since(p.began) - due
 		o := Outcome{At: due, Class: class}
-		o.Status, o.Err = p.ask(ctx, p.client, n, class, team)
+		o.Status, o.Err = p.send(ctx, p.client, n, class, team)
 		o.Took = time.Since(p.began) - due
 		p.mu.Lock()
 		defer p.mu.Unlock()
@@ -323,7 +357,8 @@
 	})
 }
 
-// reserve counts a request as in flight, or as unsent where the bound is reached.
+// reserve counts a request as in flight and returns true. If the limit is reached, it counts the request as
+// unsent and returns false.
 func (p *player) reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -335,13 +370,13 @@
 	return true
 }
 
-func (r *Report) sumUp() {
-	r.All.sumUp()
+func (r *Report) summarize() {
+	r.All.summarize()
 	for i := range r.Classes {
-		r.Classes[i].sumUp()
+		r.Classes[i].summarize()
 	}
 	for i := range r.Seconds {
-		r.Seconds[i].sumUp()
+		r.Seconds[i].summarize()
 	}
 }
 
@@ -352,34 +387,36 @@
 	r.Late = max(r.Late, float64(late.Microseconds())/1000)
 }
 
+// check returns an error if the load cannot be played.
 func (l *Load) check() error {
 	if err := l.Profile.Check(); err != nil {
 		return err
 	}
 	if len(l.Classes) == 0 {
-		return errors.New("no class of request")
+		return errors.New("the load has no class of requests")
 	}
-	shares := func(what string, n int, share func(int) float64) error {
+	checkShares := func(name string, n int, share func(int) float64) error {
 		sum := 0.0
 		for i := range n {
 			sum += share(i)
 		}
 		if n > 0 && math.Abs(sum-1) > 0.001 {
-			return fmt.Errorf("the shares of %s sum to %v, not 1", what, sum)
+			return fmt.Errorf("the shares of %s sum to %v, not 1", name, sum)
 		}
 		return nil
 	}
 	if l.MaxInFlight < 1 {
-		return fmt.Errorf("%d requests under way: at least 1", l.MaxInFlight)
+		return fmt.Errorf("the limit of %d requests in flight must be at least 1", l.MaxInFlight)
 	}
-	return errors.Join(shares("classes", len(l.Classes), func(i int) float64 { return l.Classes[i].Share }),
-		shares("teams", len(l.Teams), func(i int) float64 { return l.Teams[i].Share }))
+	return errors.Join(checkShares("classes", len(l.Classes), func(i int) float64 { return l.Classes[i].Share }),
+		checkShares("teams", len(l.Teams), func(i int) float64 { return l.Teams[i].Share }))
 }
 
-// ask asks once.
-func (l *Load) ask(ctx context.Context, client *http.Client, n, class, team int) (status int, err error) {
+// send sends the request number n and returns the status of the response. The end of ctx does not cancel
+// the request.
+func (l *Load) send(ctx context.Context, client *http.Client, n, class, team int) (status int, err error) {
 	c := l.Classes[class]
-	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), c.Timeout+time.Second)
+	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), c.Timeout+timeoutMargin)
 	defer stop()
 	var body io.Reader
 	if c.Body > 0 {
@@ -403,7 +440,7 @@
 		return 0, err
 	}
 	defer res.Body.Close()
-	if _, err := io.Copy(io.Discard, io.LimitReader(res.Body, mostAnswer)); err != nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(res.Body, maxResponseBytes)); err != nil {
 		return 0, err
 	}
 	return res.StatusCode, nil
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -10,8 +10,9 @@
 	"time"
 )
 
-// The rate goes as the profile says, and what is asked sums up to it.
-func TestProfiles(t *testing.T) {
+// RateAt follows the profile, the number of requests is the integral of the rate, and Check refuses
+// invalid profiles.
+func TestProfileRatesAndChecks(t *testing.T) {
 	s := time.Second
 	for _, tc := range []struct {
 		p    Profile
@@ -48,19 +49,19 @@
 		{Kind: Steady, Rate: 1},
 	} {
 		if p.Check() == nil {
-			t.Errorf("%+v is taken", p)
+			t.Errorf("Check accepts %+v", p)
 		}
 	}
 }
 
-// A server that answers nothing for a while makes all late that were meant to be sent meanwhile, though one connection
-// cannot send them: times count from when they were meant to be.
-func TestNoCoordinatedOmission(t *testing.T) {
-	const stop = 500 * time.Millisecond
+// Latencies count from the scheduled time. While a server does not answer, a single connection cannot send
+// the requests that are due, and their delay has to show in the latencies nevertheless.
+func TestLatencyCountsFromScheduledTime(t *testing.T) {
+	const stall = 500 * time.Millisecond
 	var n atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		if n.Add(1) == 20 {
-			time.Sleep(stop)
+			time.Sleep(stall)
 		}
 	}))
 	defer server.Close()
@@ -72,16 +73,16 @@
 	if err != nil || r.All.Served != 100 || r.Unsent != 0 {
 		t.Fatalf("%v, %+v", err, r)
 	}
-	// Half of all were meant to be sent in the half of a second; their mean wait is half of it.
+	// Half of the requests are due during the stall, and wait for half of it on average.
 	if r.All.P50 > 450 || r.All.P90 < 300 || r.All.Max < 490 || r.All.Mean < 90 {
 		t.Errorf("p50 %v, p90 %v, max %v, mean %v ms", r.All.P50, r.All.P90, r.All.Max, r.All.Mean)
 	}
 }
 
-// What is told apart: statuses, no answer, and what was not sent.
-func TestCounts(t *testing.T) {
+// Statuses, missing responses and unsent requests are counted separately.
+func TestOutcomesAreCountedByKind(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		io.Copy(io.Discard, r.Body) // only then net/http sees its caller go
+		io.Copy(io.Discard, r.Body) // net/http notices a departed client only after the body was read
 		switch r.Header.Get("X-Lane") {
 		case "refused":
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -101,8 +102,8 @@
 		URL: server.URL, Profile: Profile{Kind: Steady, Rate: 200, Lasts: time.Second}, MaxInFlight: 30, Poisson: true, Run: "t",
 		Classes: []Class{class("served"), class("refused"), class("failed"), class("lost"), class("slow")},
 	}
-	told := 0
-	l.OnOutcome = func(Outcome) { told++ }
+	outcomes := 0
+	l.OnOutcome = func(Outcome) { outcomes++ }
 	r, err := l.Play(t.Context())
 	if err != nil {
 		t.Fatal(err)
@@ -116,7 +117,7 @@
 	for _, s := range r.Seconds {
 		sum += s.Asked
 	}
-	if told != r.All.Asked || sum != told || r.Unsent == 0 || len(r.Classes[3].Errors) == 0 {
-		t.Errorf("%d told, %d in seconds, %+v", told, sum, r)
+	if outcomes != r.All.Asked || sum != outcomes || r.Unsent == 0 || len(r.Classes[3].Errors) == 0 {
+		t.Errorf("%d outcomes, %d requests in the table of seconds, report %+v", outcomes, sum, r)
 	}
 }
