--- a/internal/lab/experiment/chart.go
+++ b/internal/lab/experiment/chart.go
@@ -18,19 +18,20 @@
 )
 
 const (
-	wide, high = 18 * vg.Centimeter, 9 * vg.Centimeter
-	// mostCharts bounds the charts over time: one for each point.
-	mostCharts = 24
+	chartWidth, chartHeight = 18 * vg.Centimeter, 9 * vg.Centimeter
+	// maxTimeCharts is the number of charts over time. The first points have one each.
+	maxTimeCharts = 24
 )
 
-// chart is a picture with its name.
+// chart is a rendered chart. Name is the name of its file without the extension.
 type chart struct {
 	Name string
 	SVG  []byte
 }
 
-func draw(name string, p *plot.Plot) (c chart, err error) {
-	w, err := p.WriterTo(wide, high, "svg")
+// render renders a plot as SVG.
+func render(name string, p *plot.Plot) (c chart, err error) {
+	w, err := p.WriterTo(chartWidth, chartHeight, "svg")
 	if err != nil {
 		return c, err
 	}
@@ -41,14 +42,14 @@
 	return chart{name, b.Bytes()}, nil
 }
 
-// spread are means with their intervals, at places on the x axis.
-type spread struct {
+// intervals holds means with their confidence intervals, at positions on the x axis.
+type intervals struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-// overPoints is a metric over the points, a line for each side.
-func overPoints(e *Experiment, metric string, rows []Row) (chart, error) {
+// chartOverPoints draws a metric over the points of an experiment, with a line for each side.
+func chartOverPoints(e *Experiment, metric string, rows []Row) (chart, error) {
 	p := plot.New()
 	p.Title.Text = e.Name + ": " + metric
 	p.Y.Min = 0
@@ -58,18 +59,18 @@
 		names = append(names, strings.TrimSpace(x.name))
 	}
 	for i, s := range e.Sides {
-		var d spread
+		var d intervals
 		for _, r := range rows {
-			if r.Side != s.Name || r.Metric != metric || math.IsNaN(r.Is.Mean) {
+			if r.Side != s.Name || r.Metric != metric || math.IsNaN(r.Value.Mean) {
 				continue
 			}
 			x := float64(slices.Index(names, r.Point)) + 0.06*(float64(i)-float64(len(e.Sides)-1)/2)
-			d.XYs = append(d.XYs, plotter.XY{X: x, Y: r.Is.Mean})
-			half := r.Is.HalfWidth
-			if math.IsNaN(half) {
-				half = 0
+			d.XYs = append(d.XYs, plotter.XY{X: x, Y: r.Value.Mean})
+			halfWidth := r.Value.HalfWidth
+			if math.IsNaN(halfWidth) {
+				halfWidth = 0
 			}
-			d.YErrors = append(d.YErrors, struct{ Low, High float64 }{half, half})
+			d.YErrors = append(d.YErrors, struct{ Low, High float64 }{halfWidth, halfWidth})
 		}
 		if len(d.XYs) == 0 {
 			continue
@@ -88,14 +89,15 @@
 		p.Legend.Add(s.Name, line, dots)
 	}
 	p.NominalX(names...)
-	return draw(strings.ReplaceAll(metric, " ", "-"), p)
+	return render(strings.ReplaceAll(metric, " ", "-"), p)
 }
 
-// overTime is the service in each second, the mean over seeds, a line for each side.
-func overTime(e *Experiment, n int, at point, runs []Run) (chart, error) {
+// chartOverTime draws the share of served requests in each second, as the mean over the seeds, with a line for
+// each side.
+func chartOverTime(e *Experiment, n int, at point, runs []Run) (chart, error) {
 	p := plot.New()
 	p.Title.Text = strings.TrimSpace(e.Name + " " + at.name + ": service over time")
-	p.X.Label.Text, p.Y.Label.Text = "s", "served of what was asked"
+	p.X.Label.Text, p.Y.Label.Text = "s", "share of requests served"
 	p.Y.Min, p.Y.Max = 0, 1.02
 	for i, s := range e.Sides {
 		var sums, counts []float64
@@ -130,55 +132,57 @@
 		p.Add(line)
 		p.Legend.Add(s.Name, line)
 	}
-	return draw(fmt.Sprintf("time-%d", n), p)
+	return render(fmt.Sprintf("time-%d", n), p)
 }
 
-// page is a page that needs nothing beside it.
+// page is an HTML page that contains its charts and refers to no other file.
 var page = template.Must(template.New("page").Parse(`<!doctype html>
 <meta charset="utf-8"><title>{{.Name}}</title>
 <style>body{font-family:sans-serif;margin:2em;max-width:80em}table{border-collapse:collapse}td,th{border:1px solid #ccc;padding:.2em .5em;text-align:right}td:first-child,td:nth-child(2){text-align:left}.better{color:#064}.worse{color:#a00}svg{max-width:100%;height:auto}</style>
 <h1>{{.Name}}</h1>
 <p>{{.About}}</p>
 <table><tr><th>point<th>side<th>metric<th>seeds<th>mean<th>against<th>difference<th></tr>
-{{range .Rows}}<tr><td>{{.Point}}<td>{{.Side}}<td>{{.Metric}}<td>{{.Is.N}}<td>{{.Is}}<td>{{.Against}}<td>{{if .Against}}{{.Differs}}{{end}}<td class="{{.Verdict}}">{{.Verdict}}</tr>
+{{range .Rows}}<tr><td>{{.Point}}<td>{{.Side}}<td>{{.Metric}}<td>{{.Value.N}}<td>{{.Value}}<td>{{.Baseline}}<td>{{if .Baseline}}{{.Difference}}{{end}}<td class="{{.Verdict}}">{{.Verdict}}</tr>
 {{end}}</table>
 {{range .Pictures}}<p>{{.}}</p>
 {{end}}`))
 
-// Write writes what came of an experiment into a folder: table.md, table.csv, index.html and its charts as SVG.
+// Write writes the results of an experiment into a folder: table.md, table.csv, index.html and the charts as
+// SVG. It returns the rows of the tables.
 func (e *Experiment) Write(dir string, runs []Run) ([]Row, error) {
 	rows := e.Summary(runs)
 	var charts []chart
 	for _, m := range []string{"service", "back s", "p99 ms"} {
-		c, err := overPoints(e, m, rows)
+		c, err := chartOverPoints(e, m, rows)
 		if err != nil {
 			return nil, err
 		}
 		charts = append(charts, c)
 	}
 	for i, p := range e.points() {
-		if i >= mostCharts {
+		if i >= maxTimeCharts {
 			break
 		}
-		c, err := overTime(e, i, p, runs)
+		c, err := chartOverTime(e, i, p, runs)
 		if err != nil {
 			return nil, err
 		}
 		charts = append(charts, c)
 	}
-	about := fmt.Sprintf("Scenario %s, engine %s, %d seeds from %d. Means with intervals of 95%% confidence (Student's t); differences seed by seed.",
-		filepath.Base(e.Scenario), e.Engine, e.Seeds, e.First)
+	about := fmt.Sprintf("Scenario %s, engine %s, %d seeds from %d. Means with 95%% confidence intervals (Student's t); differences are paired by seed.",
+		filepath.Base(e.Scenario), e.Engine, e.Seeds, e.FirstSeed)
 	var pictures []template.HTML
 	for _, c := range charts {
 		svg := string(c.SVG)
-		pictures = append(pictures, template.HTML(svg[max(strings.Index(svg, "<svg"), 0):])) // our own, without its XML head
+		// The SVG was rendered above, so it needs no escaping. The XML declaration before it is cut off.
+		pictures = append(pictures, template.HTML(svg[max(strings.Index(svg, "<svg"), 0):]))
 		if err := os.WriteFile(filepath.Join(dir, c.Name+".svg"), c.SVG, 0o644); err != nil {
 			return nil, err
 		}
 	}
-	write := func(name string, do func(io.Writer) error) error {
+	write := func(name string, format func(io.Writer) error) error {
 		var b bytes.Buffer
-		if err := do(&b); err != nil {
+		if err := format(&b); err != nil {
 			return err
 		}
 		return os.WriteFile(filepath.Join(dir, name), b.Bytes(), 0o644)
--- a/internal/lab/experiment/compatibility_test.go
+++ b/internal/lab/experiment/compatibility_test.go
@@ -8,40 +8,40 @@
 	"dykering/internal/fixture"
 )
 
-// A file of runs that a released build has begun is read, and gone on with.
+// A file of runs of a released build is read, and written again without a difference.
 func TestRunsFileOfReleasedBuildIsReadAndWrittenAlike(t *testing.T) {
 	const path = "testdata/compatibility/" + RunsFile
 	fixture.JSON(t, "testdata/compatibility/run.json", &Run{})
 	if fixture.Updating() {
-		var h head
+		var h runsHeader
 		var r Run
 		fixture.Fill(&h)
 		fixture.Fill(&r)
-		f, err := rewrite(path, h, []Run{r})
+		f, err := rewriteRunsFile(path, h, []Run{r})
 		if err != nil {
 			t.Fatal(err)
 		}
 		f.Close()
 	}
-	h, runs, err := read(path)
+	h, runs, err := readRunsFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	copied := filepath.Join(t.TempDir(), RunsFile)
-	f, err := rewrite(copied, h, runs)
+	f, err := rewriteRunsFile(copied, h, runs)
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.Close()
-	old, err := os.ReadFile(path)
+	original, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := os.ReadFile(copied)
+	rewritten, err := os.ReadFile(copied)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if string(old) != string(again) {
-		t.Errorf("%s: rewritten it differs\n was %s\n now %s", path, old, again)
+	if string(original) != string(rewritten) {
+		t.Errorf("%s differs after it was read and rewritten:\n original  %s\n rewritten %s", path, original, rewritten)
 	}
 }
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -1,5 +1,10 @@
-// Package experiment plays a scenario many times, with values, policies or builds side by side and the same seeds for
-// each, and says what differs beyond noise.
+// Package experiment plays a scenario many times and compares the sides of an experiment, which differ in
+// settings, policy or build. All sides play the same seeds, so that their results are compared in pairs. A
+// summary tells significant differences from noise.
+//
+// Finished runs are appended to a file at once, and an interrupted experiment continues from it. The TOML
+// keys of an experiment and the JSON keys of a run cannot change. The commands "run" and "compare" of
+// dykering-lab use the package.
 package experiment
 
 import (
@@ -25,86 +30,86 @@
 	"dykering/internal/validation"
 )
 
-// mostRuns bounds an experiment.
-const mostRuns = 100000
+// maxRuns is the largest number of runs of an experiment.
+const maxRuns = 100000
 
-// Experiment is a file.
+// Experiment is the content of an experiment file.
 type Experiment struct {
-	Version  int     `toml:"version" doc:"of the format" min:"1" max:"1"`
-	Name     string  `toml:"name" doc:"of the experiment"`
-	Scenario string  `toml:"scenario" doc:"a file, from this one's folder"`
-	Engine   string  `toml:"engine" doc:"sim for the decisions in virtual time, whole for the whole program in it, real for sockets" oneof:"sim whole real"`
-	Seeds    int     `toml:"seeds" doc:"how many, the same for all sides" min:"1" max:"10000"`
-	First    int     `toml:"first_seed" doc:"the first of them" min:"0" max:"1000000000"`
-	Sides    []Side  `toml:"side"`
-	Sweeps   []Sweep `toml:"sweep"`
+	Version   int     `toml:"version" doc:"version of the file format" min:"1" max:"1"`
+	Name      string  `toml:"name" doc:"name of the experiment"`
+	Scenario  string  `toml:"scenario" doc:"path of the scenario, relative to the folder of this file"`
+	Engine    string  `toml:"engine" doc:"sim: the decisions in virtual time; whole: the complete program in virtual time; real: real sockets" oneof:"sim whole real"`
+	Seeds     int     `toml:"seeds" doc:"number of seeds, the same for all sides" min:"1" max:"10000"`
+	FirstSeed int     `toml:"first_seed" doc:"the first seed" min:"0" max:"1000000000"`
+	Sides     []Side  `toml:"side"`
+	Sweeps    []Sweep `toml:"sweep"`
 
 	path   string
 	text   []byte
 	bubble emulation.Bubble
 }
 
-// SetBubble has the engine whole play in bubbles.
+// SetBubble sets the bubble in which the engine "whole" plays. That engine cannot play without it.
 func (e *Experiment) SetBubble(b emulation.Bubble) { e.bubble = b }
 
-// Side is one of what is compared. The first is what the others are compared with.
+// Side is one of the variants that are compared. The others are compared with the first.
 type Side struct {
-	Name   string   `toml:"name" doc:"of the side"`
-	Policy string   `toml:"policy" doc:"that decides, in virtual time" oneof:"dykering random round-robin two-choice least" omitted:"dykering"`
-	Broker string   `toml:"broker" doc:"a program, on sockets, from this file's folder; empty for the one that is built in"`
-	Set    []string `toml:"set" doc:"changes to the scenario, as callers.rate = 200"`
+	Name   string   `toml:"name" doc:"name of the side"`
+	Policy string   `toml:"policy" doc:"policy that decides, with the engine sim" oneof:"dykering random round-robin two-choice least" omitted:"dykering"`
+	Broker string   `toml:"broker" doc:"path of the broker program, with the engine real, relative to the folder of this file; empty for this build"`
+	Set    []string `toml:"set" doc:"changes to the scenario, such as callers.rate = 200"`
 }
 
-// Sweep is one of the directions in which values go.
+// Sweep varies settings of the scenario over a list of values. Several sweeps are combined.
 type Sweep struct {
-	Name   string   `toml:"name" doc:"of the direction"`
-	Keys   []string `toml:"keys" doc:"of the scenario, that change together"`
-	Values []string `toml:"values" doc:"for them, between blanks"`
+	Name   string   `toml:"name" doc:"name of the sweep"`
+	Keys   []string `toml:"keys" doc:"keys of the scenario that change together"`
+	Values []string `toml:"values" doc:"one entry for each point: the values of the keys, separated by blanks"`
 }
 
-// Load reads a file.
+// Load reads an experiment file and checks the scenarios of all of its points and sides.
 func Load(path string) (*Experiment, []validation.Error) {
-	data, wrong := tomlconfig.Read(path)
-	if len(wrong) > 0 {
-		return nil, wrong
+	data, problems := tomlconfig.Read(path)
+	if len(problems) > 0 {
+		return nil, problems
 	}
-	base := func() *Experiment { return &Experiment{Name: "unnamed", Engine: "sim", Seeds: 10, First: 1} }
-	e, _, wrong := tomlconfig.Decode(path, data, base, func(string) (string, bool) { return "", false })
-	if len(wrong) > 0 {
-		return nil, wrong
+	base := func() *Experiment { return &Experiment{Name: "unnamed", Engine: "sim", Seeds: 10, FirstSeed: 1} }
+	e, _, problems := tomlconfig.Decode(path, data, base, func(string) (string, bool) { return "", false })
+	if len(problems) > 0 {
+		return nil, problems
 	}
 	e.path, e.text = path, data
 	for _, p := range e.points() {
 		for _, s := range e.Sides {
-			if _, wrong := e.scenario(p, s); len(wrong) > 0 {
-				return nil, wrong
+			if _, problems := e.loadScenario(p, s); len(problems) > 0 {
+				return nil, problems
 			}
 		}
 	}
 	return e, nil
 }
 
-// Check names what the keys alone do not tell.
-func (e *Experiment) Check() (wrong []validation.Error) {
-	fault := func(key, text string, args ...any) {
-		wrong = append(wrong, validation.Error{Key: key, Text: fmt.Sprintf(text, args...)})
+// Check returns the errors that concern several keys. The decoder checks the bounds of single keys.
+func (e *Experiment) Check() (problems []validation.Error) {
+	report := func(key, text string, args ...any) {
+		problems = append(problems, validation.Error{Key: key, Text: fmt.Sprintf(text, args...)})
 	}
 	if e.Scenario == "" {
-		fault("scenario", "which is played")
+		report("scenario", "an experiment needs the path of a scenario")
 	}
 	if len(e.Sides) == 0 {
-		fault("side", "at least one is needed")
+		report("side", "an experiment needs at least one side")
 	}
 	names := map[string]bool{}
 	for i, s := range e.Sides {
 		key := fmt.Sprintf("side[%d].", i)
 		if s.Name == "" || names[s.Name] {
-			fault(key+"name", "has to be there, and another for each side")
+			report(key+"name", "each side needs a name of its own, not %q", s.Name)
 		}
 		names[s.Name] = true
 		for _, text := range s.Set {
 			if _, err := scenario.ParseChange(text); err != nil {
-				fault(key+"set", "%v", err)
+				report(key+"set", "%v", err)
 			}
 		}
 	}
@@ -112,27 +117,28 @@
 	for i, s := range e.Sweeps {
 		key := fmt.Sprintf("sweep[%d].", i)
 		if len(s.Keys) == 0 || len(s.Values) == 0 {
-			fault(key+"keys", "keys and values are needed")
+			report(key+"keys", "a sweep needs keys and values")
 		}
 		for _, v := range s.Values {
-			if got := strings.Fields(v); len(got) != len(s.Keys) {
-				fault(key+"values", "%q has %d values for %d keys", v, len(got), len(s.Keys))
+			if fields := strings.Fields(v); len(fields) != len(s.Keys) {
+				report(key+"values", "%q has %d values for %d keys", v, len(fields), len(s.Keys))
 			}
 		}
-		if runs *= max(len(s.Values), 1); runs > mostRuns {
-			fault(key+"values", "more than %d runs", mostRuns)
+		if runs *= max(len(s.Values), 1); runs > maxRuns {
+			report(key+"values", "the experiment has more than %d runs", maxRuns)
 			break
 		}
 	}
-	return wrong
+	return problems
 }
 
-// point is one combination of swept values.
+// point is one combination of the values of all sweeps.
 type point struct {
 	name    string
 	changes []scenario.Change
 }
 
+// points returns all combinations, or a single empty point without sweeps.
 func (e *Experiment) points() []point {
 	all := []point{{}}
 	for _, s := range e.Sweeps {
@@ -144,7 +150,7 @@
 				for i, key := range s.Keys {
 					c, err := scenario.ParseChange(key + " = " + fields[i])
 					if err != nil {
-						c = scenario.Change{Key: key, Value: fields[i]} // the scenario names what is wrong
+						c = scenario.Change{Key: key, Value: fields[i]} // loading the scenario reports the error
 					}
 					q.changes = append(q.changes, c)
 				}
@@ -156,16 +162,16 @@
 	return all
 }
 
-// beside is a file's path from that of the experiment.
-func (e *Experiment) beside(path string) string {
+// resolvePath resolves a path relative to the folder of the experiment file.
+func (e *Experiment) resolvePath(path string) string {
 	if filepath.IsAbs(path) {
 		return path
 	}
 	return filepath.Join(filepath.Dir(e.path), path)
 }
 
-// scenario is what a side plays at a point.
-func (e *Experiment) scenario(p point, s Side) (*scenario.Scenario, []validation.Error) {
+// loadScenario loads the scenario with the changes of a point and a side.
+func (e *Experiment) loadScenario(p point, s Side) (*scenario.Scenario, []validation.Error) {
 	changes := append([]scenario.Change(nil), p.changes...)
 	for _, text := range s.Set {
 		c, err := scenario.ParseChange(text)
@@ -174,10 +180,10 @@
 		}
 		changes = append(changes, c)
 	}
-	return scenario.LoadWith(e.beside(e.Scenario), changes)
+	return scenario.LoadWith(e.resolvePath(e.Scenario), changes)
 }
 
-// Run is one run, as it is kept.
+// Run is the record of one run in the file of runs.
 type Run struct {
 	Point  string        `json:"point"`
 	Side   string        `json:"side"`
@@ -188,18 +194,19 @@
 
 func (r Run) key() string { return fmt.Sprintf("%s|%s|%d", r.Point, r.Side, r.Seed) }
 
-// digest is of the experiment, its scenario and the programs that play it: a run that another made is not taken up.
+// digest returns a digest of the experiment, its scenario and the programs that play it. Runs with another
+// digest are not comparable and are not continued.
 func (e *Experiment) digest(command []string) (string, error) {
-	sum := sha256.New()
-	sum.Write(e.text)
+	hash := sha256.New()
+	hash.Write(e.text)
 	self, err := os.Executable()
 	if err != nil {
 		return "", err
 	}
-	files := []string{e.beside(e.Scenario), self, command[0]}
+	files := []string{e.resolvePath(e.Scenario), self, command[0]}
 	for _, s := range e.Sides {
 		if s.Broker != "" {
-			files = append(files, e.beside(s.Broker))
+			files = append(files, e.resolvePath(s.Broker))
 		}
 	}
 	for _, path := range files {
@@ -207,20 +214,21 @@
 		if err != nil {
 			return "", err
 		}
-		_, err = io.Copy(sum, f)
+		_, err = io.Copy(hash, f)
 		if err = errors.Join(err, f.Close()); err != nil {
 			return "", err
 		}
 	}
-	return hex.EncodeToString(sum.Sum(nil)), nil
+	return hex.EncodeToString(hash.Sum(nil)), nil
 }
 
-// Progress is told of each run that is done, of so many.
-type Progress func(done, of int)
+// Progress is called after each run with the number of finished runs and of all runs.
+type Progress func(done, total int)
 
-// Play plays what of an experiment has not been played yet, so many runs at a time, and keeps each run in a folder as
-// soon as it is done. A run that is called off goes on there the next time.
-func (e *Experiment) Play(ctx context.Context, dir string, command []string, at int, told Progress) ([]Run, error) {
+// Play plays the runs of an experiment that are not recorded in the folder dir yet, up to parallel of them at a
+// time, and appends each run to the file of runs when it ends. The next call continues an interrupted
+// experiment. It returns all runs.
+func (e *Experiment) Play(ctx context.Context, dir string, command []string, parallel int, onProgress Progress) ([]Run, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
@@ -229,40 +237,41 @@
 		return nil, err
 	}
 	path := filepath.Join(dir, RunsFile)
-	h, runs, err := read(path)
+	header, runs, err := readRunsFile(path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 	case err != nil:
 		return nil, err
-	case h.Digest != digest:
-		return nil, fmt.Errorf("%s is of another experiment, scenario or program; remove it to begin anew", path)
+	case header.Digest != digest:
+		return nil, fmt.Errorf("%s was recorded with another experiment, scenario or program; remove it to start again", path)
 	}
 	done := map[string]bool{}
 	for _, r := range runs {
 		done[r.key()] = true
 	}
-	// What a run that was cut off left behind its last whole line goes.
-	kept, err := rewrite(path, head{e.Name, digest}, runs)
+	// This drops an incomplete line that an interrupted run has left at the end.
+	file, err := rewriteRunsFile(path, runsHeader{e.Name, digest}, runs)
 	if err != nil {
 		return nil, err
 	}
 	var jobs []job
 	for _, p := range e.points() {
-		for i := range e.Seeds { // all sides of a seed beside each other
+		for i := range e.Seeds { // the sides of a seed are played one after the other
 			for _, s := range e.Sides {
-				if j := (job{point: p, side: s, seed: uint64(e.First + i)}); !done[j.run().key()] {
+				if j := (job{point: p, side: s, seed: uint64(e.FirstSeed + i)}); !done[j.run().key()] {
 					jobs = append(jobs, j)
 				}
 			}
 		}
 	}
-	all, err := e.playAll(ctx, jobs, command, at, func(r Run, n int) error {
-		told(len(runs)+n, len(runs)+len(jobs))
-		return keep(kept, r)
+	all, err := e.playAll(ctx, jobs, command, parallel, func(r Run, n int) error {
+		onProgress(len(runs)+n, len(runs)+len(jobs))
+		return appendRun(file, r)
 	})
-	return append(runs, all...), errors.Join(err, kept.Close())
+	return append(runs, all...), errors.Join(err, file.Close())
 }
 
+// job is a run that is to be played.
 type job struct {
 	point point
 	side  Side
@@ -271,14 +280,17 @@
 
 func (j job) run() Run { return Run{Point: j.point.name, Side: j.side.Name, Seed: j.seed} }
 
-// playAll plays jobs. The first error ends it.
-func (e *Experiment) playAll(ctx context.Context, jobs []job, command []string, at int, done func(Run, int) error) (all []Run, err error) {
+// playAll plays jobs, up to parallel of them at a time, and calls done after each with the number of finished
+// jobs. The first error cancels the others.
+func (e *Experiment) playAll(
+	ctx context.Context, jobs []job, command []string, parallel int, done func(Run, int) error,
+) (all []Run, err error) {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
 	next := make(chan job)
 	var mu sync.Mutex
 	var players sync.WaitGroup
-	for range max(min(at, len(jobs)), 1) {
+	for range max(min(parallel, len(jobs)), 1) {
 		players.Go(func() {
 			for j := range next {
 				r, err := e.play(ctx, j, command)
@@ -308,15 +320,16 @@
 	return all, nil
 }
 
-// mostTold is how many violations of a run are kept.
-const mostTold = 3
+// maxRecordedViolations is the number of violations of a run that are recorded.
+const maxRecordedViolations = 3
 
+// play plays one job with the engine of the experiment.
 func (e *Experiment) play(ctx context.Context, j job, command []string) (r Run, err error) {
 	if ctx.Err() != nil {
 		return r, ctx.Err()
 	}
-	s, wrong := e.scenario(j.point, j.side)
-	if err := validation.Join(wrong); err != nil {
+	s, problems := e.loadScenario(j.point, j.side)
+	if err := validation.Join(problems); err != nil {
 		return r, err
 	}
 	began := time.Now()
@@ -326,7 +339,7 @@
 		r.Result, err = sim.Run(ctx, s, j.seed, sim.Policies[j.side.Policy])
 	case "whole":
 		if e.bubble == nil {
-			return r, errors.New("the engine whole needs bubbles")
+			return r, errors.New("the engine whole cannot play without a bubble (see SetBubble)")
 		}
 		var dir string
 		if dir, err = os.MkdirTemp("", "dykering-lab-"); err != nil {
@@ -336,7 +349,7 @@
 		err = errors.Join(err, os.RemoveAll(dir))
 	default:
 		if j.side.Broker != "" {
-			command = []string{e.beside(j.side.Broker), "run"}
+			command = []string{e.resolvePath(j.side.Broker), "run"}
 		}
 		var dir string
 		if dir, err = os.MkdirTemp("", "dykering-lab-"); err != nil {
@@ -345,13 +358,13 @@
 		if r.Result, err = real.Play(ctx, s, j.seed, real.Options{Command: command, Dir: dir}); err == nil {
 			err = os.RemoveAll(dir)
 		} else {
-			err = fmt.Errorf("%w\nlogs are under %s", err, dir)
+			err = fmt.Errorf("%w\nthe logs are in %s", err, dir)
 		}
 	}
 	if err != nil {
 		return r, err
 	}
 	r.Took = time.Since(began).Seconds()
-	r.Result.Violations = r.Result.Violations[:min(len(r.Result.Violations), mostTold)]
+	r.Result.Violations = r.Result.Violations[:min(len(r.Result.Violations), maxRecordedViolations)]
 	return r, nil
 }
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -37,8 +37,8 @@
 values = ["2 60..70", "3 90"]
 `
 
-// folder is a folder with an experiment and its scenario.
-func folder(t *testing.T, text string) (dir, path string) {
+// newFolder creates a folder with an experiment and its scenario, a short form of storm.toml.
+func newFolder(t *testing.T, text string) (dir, path string) {
 	t.Helper()
 	dir = t.TempDir()
 	s, err := os.ReadFile("../../../lab/scenarios/storm.toml")
@@ -53,8 +53,8 @@
 	return dir, path
 }
 
-// withoutClock renders runs without what a clock says.
-func withoutClock(t *testing.T, runs []Run) string {
+// formatWithoutTimes formats runs without the time that they took.
+func formatWithoutTimes(t *testing.T, runs []Run) string {
 	t.Helper()
 	lines := map[string]string{}
 	for _, r := range runs {
@@ -72,19 +72,19 @@
 	return string(text)
 }
 
-// An experiment that is cut off, in the middle of a line too, goes on where it was, and ends as one that was not; each
-// run is the same however many play beside it.
-func TestGoesOnWhereItWas(t *testing.T) {
-	_, path := folder(t, small)
+// An experiment that was interrupted, even within a line of its file, continues with the missing runs and ends
+// with the same runs as an uninterrupted one. The results do not depend on how many runs are played at a time.
+func TestInterruptedExperimentContinues(t *testing.T) {
+	_, path := newFolder(t, small)
 	e, wrong := Load(path)
 	if len(wrong) > 0 {
 		t.Fatal(wrong)
 	}
 	self := []string{os.Args[0]}
-	nothing := func(int, int) {}
-	whole, err := e.Play(t.Context(), t.TempDir(), self, 1, nothing)
-	if err != nil || len(whole) != 18 {
-		t.Fatalf("%d runs, %v", len(whole), err)
+	ignoreProgress := func(int, int) {}
+	uninterrupted, err := e.Play(t.Context(), t.TempDir(), self, 1, ignoreProgress)
+	if err != nil || len(uninterrupted) != 18 {
+		t.Fatalf("%d runs, want 18; error %v", len(uninterrupted), err)
 	}
 	out := t.TempDir()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -93,7 +93,7 @@
 			cancel()
 		}
 	}); !errors.Is(err, context.Canceled) {
-		t.Fatalf("called off: %v", err)
+		t.Fatalf("error of the cancelled experiment: %v", err)
 	}
 	file := filepath.Join(out, RunsFile)
 	text, err := os.ReadFile(file)
@@ -103,22 +103,22 @@
 	if err := os.WriteFile(file, text[:len(text)-20], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	_, kept, err := ReadRuns(out)
-	if err != nil || len(kept) < 6 || len(kept) > 12 {
-		t.Fatalf("kept %d, %v", len(kept), err)
+	_, recorded, err := ReadRuns(out)
+	if err != nil || len(recorded) < 6 || len(recorded) > 12 {
+		t.Fatalf("%d runs recorded, want 6 to 12; error %v", len(recorded), err)
 	}
 	played := 0
 	runs, err := e.Play(t.Context(), out, self, 4, func(int, int) { played++ })
-	if err != nil || played != 18-len(kept) || withoutClock(t, runs) != withoutClock(t, whole) {
-		t.Errorf("%d played after %d, %v", played, len(kept), err)
+	if err != nil || played != 18-len(recorded) || formatWithoutTimes(t, runs) != formatWithoutTimes(t, uninterrupted) {
+		t.Errorf("%d runs played after %d recorded ones, or other results; error %v", played, len(recorded), err)
 	}
-	// What another experiment has played is not taken up, and not touched.
+	// The runs of another experiment are neither continued nor changed.
 	e.text = append(e.text, '\n')
-	if _, err := e.Play(t.Context(), out, self, 1, nothing); err == nil || !strings.Contains(err.Error(), "another experiment") {
-		t.Errorf("another's runs: %v", err)
+	if _, err := e.Play(t.Context(), out, self, 1, ignoreProgress); err == nil || !strings.Contains(err.Error(), "another experiment") {
+		t.Errorf("playing into a folder of another experiment: error %v", err)
 	}
-	if _, again, err := ReadRuns(out); err != nil || len(again) != 18 {
-		t.Errorf("%d runs are left, %v", len(again), err)
+	if _, left, err := ReadRuns(out); err != nil || len(left) != 18 {
+		t.Errorf("%d runs left, want 18; error %v", len(left), err)
 	}
 	if _, err := e.Write(out, runs); err != nil {
 		t.Fatal(err)
@@ -134,8 +134,8 @@
 	}
 }
 
-// What is wrong is named before anything is played.
-func TestFaults(t *testing.T) {
+// Load reports an invalid experiment with the key or value that is wrong, before any run is played.
+func TestLoadReportsInvalidExperiments(t *testing.T) {
 	for from, want := range map[string][2]string{
 		`scenario = "s.toml"`: {`scenario = "none.toml"`, "no such file"},
 		`policy = "random"`:   {`policy = "best"`, "side[1].policy"},
@@ -147,33 +147,34 @@
 		"callers.tries = 1":   {"callers.trise = 1", "is callers.tries meant?"},
 		`"callers.rate"`:      {`"callers.lats"`, "callers.lats"},
 	} {
-		_, path := folder(t, strings.Replace(small, from, want[0], 1))
+		_, path := newFolder(t, strings.Replace(small, from, want[0], 1))
 		if _, wrong := Load(path); len(wrong) == 0 || !strings.Contains(wrong[0].Error(), want[1]) {
 			t.Errorf("%s: %v, want %q", want[0], wrong, want[1])
 		}
 	}
 	if _, _, err := ReadRuns(t.TempDir()); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("no runs: %v", err)
+		t.Errorf("reading a folder without runs: error %v", err)
 	}
 }
 
-// Better, worse and noise, against figures worked out by hand: of the differences 1, 2, 3 the mean is 2, the deviation
-// 1, and Student's t for two degrees of freedom 4.303, so that the half width is 2.484.
-func TestVerdicts(t *testing.T) {
+// Verdicts are better, worse, noise or too few seeds. The estimate is compared with a value computed by hand:
+// the differences 1, 2 and 3 have the mean 2 and the deviation 1, and Student's t for two degrees of freedom
+// is 4.303, so that the half width is 2.484.
+func TestCompareGivesVerdicts(t *testing.T) {
 	run := func(side string, seed uint64, service float64) Run {
 		return Run{Side: side, Seed: seed, Result: &model.Result{Offered: 100, Service: service, WorstSecond: 0.5, RecoverySeconds: 1}}
 	}
 	if e := EstimateOf([]float64{1, 2, 3}); e.Mean != 2 || math.Abs(e.HalfWidth-2.484) > 0.001 {
-		t.Errorf("%+v", e)
+		t.Errorf("estimate of 1, 2 and 3: %+v, want mean 2 and half width 2.484", e)
 	}
 	for name, tc := range map[string]struct {
 		before, after []float64
 		want          string
 	}{
-		"better":        {[]float64{0.5, 0.6, 0.9}, []float64{0.6, 0.71, 0.99}, "better"}, // the spread over seeds is no noise: they are paired
+		"better":        {[]float64{0.5, 0.6, 0.9}, []float64{0.6, 0.71, 0.99}, "better"}, // the variation between seeds does not count, since runs are paired by seed
 		"worse":         {[]float64{0.6, 0.71, 0.99}, []float64{0.5, 0.6, 0.9}, "worse"},
 		"noise":         {[]float64{0.5, 0.6, 0.7}, []float64{0.6, 0.5, 0.72}, "noise"},
-		"the same":      {[]float64{0.5, 0.6, 0.7}, []float64{0.5, 0.6, 0.7}, "noise"},
+		"equal":         {[]float64{0.5, 0.6, 0.7}, []float64{0.5, 0.6, 0.7}, "noise"},
 		"too few seeds": {[]float64{0.5}, []float64{0.9}, "too few seeds"},
 	} {
 		var a, b []Run
@@ -186,15 +187,15 @@
 		}
 	}
 	if _, err := Compare([]Run{run("x", 1, 1)}, []Run{run("y", 1, 1)}); err == nil {
-		t.Error("nothing in common, and no word of it")
+		t.Error("Compare returns no error for results without a common side")
 	}
 	if _, err := Compare([]Run{run("x", 1, 1)}, []Run{run("x", 2, 1)}); err == nil {
-		t.Error("no seed in both, and no word of it")
+		t.Error("Compare returns no error for results without a common seed")
 	}
 }
 
-// The laboratory's own experiments can be played.
-func TestExperimentsHaveNoFault(t *testing.T) {
+// The experiments of this repository are valid.
+func TestExperimentFilesAreValid(t *testing.T) {
 	files, err := filepath.Glob("../../../lab/experiments/*.toml")
 	if err != nil || len(files) == 0 {
 		t.Fatal(files, err)
--- a/internal/lab/experiment/runs_file.go
+++ b/internal/lab/experiment/runs_file.go
@@ -10,17 +10,17 @@
 	"path/filepath"
 )
 
-// head is the first line of a file of runs.
-type head struct {
+// runsHeader is the first line of a file of runs.
+type runsHeader struct {
 	Experiment string `json:"experiment"`
-	Digest     string `json:"digest"` // of all that makes the runs what they are
+	Digest     string `json:"digest"` // see Experiment.digest
 }
 
-// RunsFile is the name of the file, in a folder of results, that has each run as a line.
+// RunsFile is the name of the file of runs in a folder of results. After a header each line is a Run.
 const RunsFile = "runs.jsonl"
 
-// read reads a file of runs, up to the last line that is whole.
-func read(path string) (h head, runs []Run, err error) {
+// readRunsFile reads a file of runs up to its last complete line.
+func readRunsFile(path string) (h runsHeader, runs []Run, err error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return h, nil, err
@@ -31,9 +31,9 @@
 		line, err := in.ReadBytes('\n')
 		if errors.Is(err, io.EOF) {
 			if n == 1 {
-				return h, nil, fmt.Errorf("%s: not a file of runs", path)
+				return h, nil, fmt.Errorf("%s is not a file of runs: it has no header line", path)
 			}
-			return h, runs, nil // a line without an end was cut off
+			return h, runs, nil // a last line without a newline is incomplete
 		}
 		if err != nil {
 			return h, nil, err
@@ -42,7 +42,7 @@
 		if n == 1 {
 			err = json.Unmarshal(line, &h)
 		} else if err = json.Unmarshal(line, &r); err == nil && r.Result == nil {
-			err = errors.New("no result")
+			err = errors.New("the run has no result")
 		}
 		if err != nil {
 			return h, nil, fmt.Errorf("%s:%d: %w", path, n, err)
@@ -53,8 +53,8 @@
 	}
 }
 
-// rewrite writes a file of runs, whole or not at all, and opens it for more.
-func rewrite(path string, h head, runs []Run) (f *os.File, err error) {
+// rewriteRunsFile replaces a file of runs atomically and returns it open for appending.
+func rewriteRunsFile(path string, h runsHeader, runs []Run) (f *os.File, err error) {
 	next := path + ".new"
 	f, err = os.OpenFile(next, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -65,7 +65,7 @@
 		_, err = f.Write(append(line, '\n'))
 	}
 	for _, r := range runs {
-		err = errors.Join(err, keep(f, r))
+		err = errors.Join(err, appendRun(f, r))
 	}
 	if err = errors.Join(err, f.Sync()); err == nil {
 		err = os.Rename(next, path)
@@ -76,7 +76,8 @@
 	return f, nil
 }
 
-func keep(f *os.File, r Run) error {
+// appendRun appends a run to a file of runs.
+func appendRun(f *os.File, r Run) error {
 	line, err := json.Marshal(r)
 	if err != nil {
 		return err
@@ -85,8 +86,8 @@
 	return err
 }
 
-// ReadRuns reads the runs of a folder of results.
+// ReadRuns reads the name of the experiment and its runs from a folder of results.
 func ReadRuns(dir string) (name string, runs []Run, err error) {
-	h, runs, err := read(filepath.Join(dir, RunsFile))
+	h, runs, err := readRunsFile(filepath.Join(dir, RunsFile))
 	return h.Experiment, runs, err
 }
--- a/internal/lab/experiment/summary.go
+++ b/internal/lab/experiment/summary.go
@@ -15,24 +15,25 @@
 	"dykering/internal/lab/model"
 )
 
-// confidence is that of all intervals.
+// confidence is the confidence level of all intervals.
 const confidence = 0.95
 
-// Metric is a figure of a run.
+// Metric is a number that is computed from the result of a run.
 type Metric struct {
-	Name   string
-	Better int // 1 where more is better, -1 where less is, 0 where it is not said
-	Of     func(*model.Result) float64
+	Name string
+	// 1 if a larger value is better, -1 if a smaller one is, 0 if neither is.
+	Direction int
+	Value     func(*model.Result) float64
 }
 
-// Metrics are those that are summed up.
+// Metrics are the metrics of a summary, in the order of the columns.
 var Metrics = []Metric{
 	{"service", 1, func(r *model.Result) float64 { return r.Service }},
 	{"worst s", 1, func(r *model.Result) float64 { return r.WorstSecond }},
 	{"others", 1, (*model.Result).NonFloodingService},
 	{"back s", -1, func(r *model.Result) float64 {
 		if r.RecoverySeconds < 0 {
-			return float64(len(r.Seconds)) // never: longer than the run
+			return float64(len(r.Seconds)) // the service did not recover within the run
 		}
 		return r.RecoverySeconds
 	}},
@@ -42,20 +43,22 @@
 	{"connects", 0, func(r *model.Result) float64 { return float64(r.Connects) / float64(max(r.Offered, 1)) }},
 	{"refused", 0, func(r *model.Result) float64 { return float64(r.Refused) / float64(max(r.Offered, 1)) }},
 	{"broken", -1, func(r *model.Result) (n float64) {
-		for _, k := range r.ViolationCounts {
-			n += float64(k)
+		for _, count := range r.ViolationCounts {
+			n += float64(count)
 		}
 		return n
 	}},
 }
 
-// Estimate is a mean with the half width of its interval of confidence; that is NaN for a single value.
+// Estimate is the mean of N values with the half width of its confidence interval. The half width is NaN if N
+// is below 2.
 type Estimate struct {
 	N               int
 	Mean, HalfWidth float64
 }
 
-// EstimateOf gives the mean of values with its interval, by Student's t distribution: few seeds, and a spread that is not known.
+// EstimateOf returns the mean of values with its confidence interval. The interval follows Student's t
+// distribution, since there are few values and their variance is unknown.
 func EstimateOf(values []float64) Estimate {
 	e := Estimate{N: len(values), HalfWidth: math.NaN()}
 	if e.N == 0 {
@@ -71,46 +74,47 @@
 	return e
 }
 
-// verdict says what a paired difference means.
-func verdict(d Estimate, better int) string {
+// verdict classifies a paired difference of a metric with the given direction.
+func verdict(d Estimate, direction int) string {
 	switch {
 	case math.IsNaN(d.HalfWidth):
 		return "too few seeds"
 	case math.Abs(d.Mean) <= d.HalfWidth || d.Mean == 0:
 		return "noise"
-	case better == 0 && d.Mean > 0:
+	case direction == 0 && d.Mean > 0:
 		return "more"
-	case better == 0:
+	case direction == 0:
 		return "less"
-	case (d.Mean > 0) == (better > 0):
+	case (d.Mean > 0) == (direction > 0):
 		return "better"
 	}
 	return "worse"
 }
 
-// Row is a metric of a side at a point, and by how much it differs, seed by seed, from what it is compared with.
+// Row is a metric of a side at a point, with its difference from the baseline, paired by seed.
 type Row struct {
 	Point, Side, Metric string
-	Is                  Estimate
-	Against             string // the side that it is compared with; "" for none
-	Differs             Estimate
+	Value               Estimate
+	Baseline            string // the side with which this one is compared; empty for none
+	Difference          Estimate
 	Verdict             string
 }
 
-// byPoint are runs in the order in which their points and sides came.
+// group holds the results of a side at a point by seed.
 type group struct {
 	point, side string
 	runs        map[uint64]*model.Result
 }
 
+// groups groups runs by point and side, in the order in which these first occur.
 func groups(runs []Run) (all []*group) {
-	at := map[[2]string]*group{}
+	byKey := map[[2]string]*group{}
 	for _, r := range runs {
 		key := [2]string{r.Point, r.Side}
-		g := at[key]
+		g := byKey[key]
 		if g == nil {
 			g = &group{r.Point, r.Side, map[uint64]*model.Result{}}
-			at[key] = g
+			byKey[key] = g
 			all = append(all, g)
 		}
 		g.runs[r.Seed] = r.Result
@@ -118,15 +122,16 @@
 	return all
 }
 
-// compared are two groups, seed by seed.
-func compared(m Metric, of, with *group) Estimate {
-	var d []float64
-	for _, seed := range seeds(of) {
-		if other := with.runs[seed]; other != nil {
-			d = append(d, m.Of(of.runs[seed])-m.Of(other))
+// pairedDifference estimates the difference of a metric between a group and a baseline, over the seeds that
+// both have.
+func pairedDifference(m Metric, g, baseline *group) Estimate {
+	var differences []float64
+	for _, seed := range seeds(g) {
+		if result := baseline.runs[seed]; result != nil {
+			differences = append(differences, m.Value(g.runs[seed])-m.Value(result))
 		}
 	}
-	return EstimateOf(d)
+	return EstimateOf(differences)
 }
 
 func seeds(g *group) (all []uint64) {
@@ -137,7 +142,7 @@
 	return all
 }
 
-// Summary is of an experiment's runs: each side against the first of its point.
+// Summary summarizes the runs of an experiment. It compares each side with the first one at the same point.
 func (e *Experiment) Summary(runs []Run) (rows []Row) {
 	all := groups(runs)
 	find := func(p point, side string) *group {
@@ -155,10 +160,10 @@
 				continue
 			}
 			for _, m := range Metrics {
-				row := Row{Point: p.name, Side: s.Name, Metric: m.Name, Is: g.estimate(m)}
+				row := Row{Point: p.name, Side: s.Name, Metric: m.Name, Value: g.estimate(m)}
 				if i > 0 && first != nil {
-					row.Against, row.Differs = first.side, compared(m, g, first)
-					row.Verdict = verdict(row.Differs, m.Better)
+					row.Baseline, row.Difference = first.side, pairedDifference(m, g, first)
+					row.Verdict = verdict(row.Difference, m.Direction)
 				}
 				rows = append(rows, row)
 			}
@@ -170,38 +175,39 @@
 func (g *group) estimate(m Metric) Estimate {
 	var values []float64
 	for _, seed := range seeds(g) {
-		values = append(values, m.Of(g.runs[seed]))
+		values = append(values, m.Value(g.runs[seed]))
 	}
 	return EstimateOf(values)
 }
 
-// Compare is of two folders of results: each side and point that both have, the second against the first.
-func Compare(a, b []Run) (rows []Row, err error) {
-	before := groups(a)
-	for _, g := range groups(b) {
-		i := slices.IndexFunc(before, func(x *group) bool { return x.point == g.point && x.side == g.side })
+// Compare compares the runs of two folders of results, for each point and side that both have. The first
+// folder is the baseline.
+func Compare(baseline, runs []Run) (rows []Row, err error) {
+	before := groups(baseline)
+	for _, g := range groups(runs) {
+		i := slices.IndexFunc(before, func(b *group) bool { return b.point == g.point && b.side == g.side })
 		if i < 0 {
 			continue
 		}
 		for _, m := range Metrics {
-			d := compared(m, g, before[i])
+			d := pairedDifference(m, g, before[i])
 			if d.N == 0 {
-				return nil, fmt.Errorf("%s, side %s: no seed in both", g.point, g.side)
+				return nil, fmt.Errorf("point %q, side %q: the two results have no seed in common", g.point, g.side)
 			}
 			rows = append(rows, Row{
-				Point: g.point, Side: g.side, Metric: m.Name, Is: g.estimate(m), Against: "before", Differs: d,
-				Verdict: verdict(d, m.Better),
+				Point: g.point, Side: g.side, Metric: m.Name, Value: g.estimate(m), Baseline: "before", Difference: d,
+				Verdict: verdict(d, m.Direction),
 			})
 		}
 	}
 	if len(rows) == 0 {
-		return nil, fmt.Errorf("they have no point and side in common")
+		return nil, fmt.Errorf("the two results have no point and side in common")
 	}
 	return rows, nil
 }
 
-// figure is a number in a table.
-func figure(x float64) string {
+// formatNumber formats a number for a table, with about three significant digits.
+func formatNumber(x float64) string {
 	switch {
 	case math.IsNaN(x):
 		return "?"
@@ -215,12 +221,13 @@
 
 func (e Estimate) String() string {
 	if math.IsNaN(e.HalfWidth) {
-		return figure(e.Mean)
+		return formatNumber(e.Mean)
 	}
-	return figure(e.Mean) + " ±" + figure(e.HalfWidth)
+	return formatNumber(e.Mean) + " ±" + formatNumber(e.HalfWidth)
 }
 
-// Markdown writes rows as a table: a line for each point and side, a column for each metric, with what it differs by.
+// Markdown writes rows as a Markdown table with a line for each point and side and a column for each metric.
+// A cell contains the estimate, the verdict and a significant difference.
 func Markdown(out io.Writer, rows []Row) error {
 	var b strings.Builder
 	b.WriteString("| point | side |")
@@ -236,13 +243,13 @@
 			}
 			fmt.Fprintf(&b, "| %s | %s |", point, r.Side)
 		}
-		fmt.Fprintf(&b, " %v", r.Is)
+		fmt.Fprintf(&b, " %v", r.Value)
 		if r.Verdict == "better" || r.Verdict == "worse" || r.Verdict == "more" || r.Verdict == "less" {
 			sign := ""
-			if r.Differs.Mean > 0 {
+			if r.Difference.Mean > 0 {
 				sign = "+"
 			}
-			fmt.Fprintf(&b, ", %s (%s%v)", r.Verdict, sign, r.Differs)
+			fmt.Fprintf(&b, ", %s (%s%v)", r.Verdict, sign, r.Difference)
 		} else if r.Verdict != "" {
 			fmt.Fprintf(&b, ", %s", r.Verdict)
 		}
@@ -255,16 +262,16 @@
 	return err
 }
 
-// CSV writes rows, one a line.
+// CSV writes rows as CSV with a header line.
 func CSV(out io.Writer, rows []Row) error {
 	w := csv.NewWriter(out)
-	// An error of a write is kept by the writer and returned at the end.
+	// The writer keeps the first error, which is returned at the end.
 	number := func(x float64) string { return strconv.FormatFloat(x, 'g', 8, 64) }
 	_ = w.Write([]string{"point", "side", "metric", "seeds", "mean", "half_width", "against", "difference", "difference_half_width", "verdict"})
 	for _, r := range rows {
 		_ = w.Write([]string{
-			r.Point, r.Side, r.Metric, strconv.Itoa(r.Is.N), number(r.Is.Mean), number(r.Is.HalfWidth), r.Against,
-			number(r.Differs.Mean), number(r.Differs.HalfWidth), r.Verdict,
+			r.Point, r.Side, r.Metric, strconv.Itoa(r.Value.N), number(r.Value.Mean), number(r.Value.HalfWidth), r.Baseline,
+			number(r.Difference.Mean), number(r.Difference.HalfWidth), r.Verdict,
 		})
 	}
 	w.Flush()
