--- a/internal/lab/explore/compatibility_test.go
+++ b/internal/lab/explore/compatibility_test.go
@@ -8,7 +8,7 @@
 	"dykering/internal/lab/scenario"
 )
 
-// setRanges sets the ranges of a trouble, which are written as text.
+// setRanges sets the ranges of an injected fault, which are written as text. It reports false for other types.
 func setRanges(pointer any) bool {
 	switch value := pointer.(type) {
 	case *scenario.DurationRange:
@@ -21,18 +21,18 @@
 	return true
 }
 
-// The file of runs of a search that a released build has begun is read, and gone on with.
+// A record of a search of a released build is read, and written again without a difference.
 func TestSearchRecordKeepsFormOfReleasedBuild(t *testing.T) {
 	fixture.JSON(t, "testdata/compatibility/record.json", &Record{}, setRanges)
 }
 
-// The text of a schedule, that replays a find, is that of released builds.
+// The scenario file of a schedule has the same text as in released builds, so that it replays the same find.
 func TestScheduleTextKeepsFormOfReleasedBuild(t *testing.T) {
 	var s Schedule
 	fixture.Fill(&s, setRanges)
-	s.Entries[0].What.Kind = "bytes"
+	s.Entries[0].Injected.Kind = "bytes"
 	text := s.Text()
-	if old := fixture.Bytes(t, "testdata/compatibility/schedule.toml", func() []byte { return []byte(text) }); string(old) != text {
-		t.Errorf("was\n%s\nnow\n%s", old, text)
+	if released := fixture.Bytes(t, "testdata/compatibility/schedule.toml", func() []byte { return []byte(text) }); string(released) != text {
+		t.Errorf("the text of the schedule differs from that of the released build:\nreleased\n%s\nnow\n%s", released, text)
 	}
 }
--- a/internal/lab/explore/doc.go
+++ b/internal/lab/explore/doc.go
@@ -1,9 +1,9 @@
-// Package explore searches for violations of the rules. It draws schedules of faults, plays each with the
-// whole program in virtual time (package emulation), prefers schedules that reach new pairs of a fault and
-// a phase of a request, and shrinks a schedule that breaks a rule to a small one that still does, written
-// as a scenario file that replays it.
+// Package explore searches for violations of the checker's rules by random faults. It draws schedules of
+// faults, plays each with the complete program in virtual time (package emulation), and mutates schedules
+// that reached a new pair of a fault and a phase of a request. It shrinks a schedule that violates a rule to
+// a smaller one that still does, and writes that as a scenario file that replays the violation.
 //
-// Invariants: a search draws the same schedules for the same seed and can be resumed from its records,
-// whose JSON keys stay; a kept search of an earlier build is read as well. The command "explore" of
-// dykering-lab calls it.
+// Invariants: a search with one worker draws the same schedules for the same seed. It can be resumed from
+// its records, also from those of an earlier build, so the JSON keys of Record cannot change. The command
+// "explore" of dykering-lab uses the package.
 package explore
--- a/internal/lab/explore/explore.go
+++ b/internal/lab/explore/explore.go
@@ -23,52 +23,58 @@
 //go:embed base.toml
 var baseScenario string
 
-// Fault is a kind of fault that schedules are drawn from.
+// Fault is a kind of fault in schedules.
 type Fault struct {
 	Name string
-	// Draw draws the fault without its start and duration.
+	// Draw draws a fault of this kind, without its start and duration.
 	Draw func(r *rand.Rand) scenario.InjectedFault
-	// The upper limit of its duration, which is drawn.
+	// The upper limit of the drawn duration; 0 for a fault without a duration.
 	MaxDuration time.Duration
 }
 
 const (
-	maxFaults = 4 // of a schedule
-	// earliest and latest are when faults begin.
+	// maxFaults is the largest number of faults in a schedule.
+	maxFaults = 4
+	// Faults start between earliestStart and latestStart.
 	earliestStart, latestStart = 300 * time.Millisecond, 2200 * time.Millisecond
-	observeInterval            = 2 * time.Millisecond
-	// effectTime is how long after the end of a fault a phase still counts as reached under it.
+	// observeInterval is how often the active phases of the brokers are read, in virtual time.
+	observeInterval = 2 * time.Millisecond
+	// effectTime is how long after the end of a fault a phase still counts as active during it.
 	effectTime = 60 * time.Millisecond
 )
 
-func serverFault(what string, share, of float64) func(*rand.Rand) scenario.InjectedFault {
+// serverFault draws faults on a share of the servers and a share of the instances.
+func serverFault(kind string, serverShare, instanceShare float64) func(*rand.Rand) scenario.InjectedFault {
 	return func(*rand.Rand) scenario.InjectedFault {
-		return scenario.InjectedFault{Kind: what, ServerShare: share, InstanceShare: of}
+		return scenario.InjectedFault{Kind: kind, ServerShare: serverShare, InstanceShare: instanceShare}
 	}
 }
 
-func connectionFault(how string, most int) func(*rand.Rand) scenario.InjectedFault {
+// connectionFault draws faults on the connections of servers, with a size of up to maxBytes.
+func connectionFault(kind string, maxBytes int) func(*rand.Rand) scenario.InjectedFault {
 	return func(r *rand.Rand) scenario.InjectedFault {
-		return scenario.InjectedFault{Kind: "bytes", ConnectionFault: how, Bytes: r.IntN(most + 1), ServerShare: 0.35}
+		return scenario.InjectedFault{Kind: "bytes", ConnectionFault: kind, Bytes: r.IntN(maxBytes + 1), ServerShare: 0.35}
 	}
 }
 
-func clientFault(what string) func(*rand.Rand) scenario.InjectedFault {
+// clientFault draws faults of 10 to 40% of the clients' requests.
+func clientFault(kind string) func(*rand.Rand) scenario.InjectedFault {
 	return func(r *rand.Rand) scenario.InjectedFault {
 		share := 0.1 + 0.3*r.Float64()
-		return scenario.InjectedFault{Kind: what, Factor: scenario.Range{From: share, To: share}}
+		return scenario.InjectedFault{Kind: kind, Factor: scenario.Range{From: share, To: share}}
 	}
 }
 
-func factorFault(what string, share, from, to float64) func(*rand.Rand) scenario.InjectedFault {
+// factorFault draws faults with a factor between from and to on a share of the servers.
+func factorFault(kind string, serverShare, from, to float64) func(*rand.Rand) scenario.InjectedFault {
 	return func(r *rand.Rand) scenario.InjectedFault {
-		x := from + (to-from)*r.Float64()
-		return scenario.InjectedFault{Kind: what, ServerShare: share, Factor: scenario.Range{From: x, To: x}}
+		factor := from + (to-from)*r.Float64()
+		return scenario.InjectedFault{Kind: kind, ServerShare: serverShare, Factor: scenario.Range{From: factor, To: factor}}
 	}
 }
 
-// Faults are all faults that are drawn. Those in the table of docs/review-of-parts.md have its
-// names.
+// Faults lists the faults from which schedules are drawn. Their names are in the records of searches, and in
+// the table of docs/review-of-parts.md.
 var Faults = []Fault{
 	{"draining", serverFault("drain", 0.35, 0), time.Second},
 	{"gone", serverFault("crash", 0.35, 0), time.Second},
@@ -107,104 +113,114 @@
 // lifecycleFaults are the faults that change a broker's lifecycle. Most schedules contain one.
 var lifecycleFaults = []string{"drain", "SIGTERM", "handover", "SIGHUP", "killed"}
 
-// Stages are the phases of the review's table that are observed.
+// Stages lists the observed phases of a broker by the short names that http1.Server.ActivePhases returns. They
+// are the columns of the table of pairs.
 var Stages = []string{"ac", "he", "hd", "co", "wr", "aw", "wa", "dr", "st", "ho", "re", "di"}
 
 // Entry is a fault in a schedule.
 type Entry struct {
-	Fault string                 `json:"fault"`
-	What  scenario.InjectedFault `json:"what"`
+	Fault    string                 `json:"fault"` // the name in Faults
+	Injected scenario.InjectedFault `json:"what"`
 }
 
-func (e Entry) at() time.Duration  { return e.What.Start.From }
-func (e Entry) end() time.Duration { return e.What.Start.From + e.What.Duration.From }
+func (e Entry) start() time.Duration { return e.Injected.Start.From }
+func (e Entry) end() time.Duration   { return e.Injected.Start.From + e.Injected.Duration.From }
 
-// Schedule is a seed and the faults of one run. The JSON key of Lasts is its Go name.
+// Schedule is the seed and the faults of one run. Records contain Lasts under its Go name, since it has no
+// JSON tag.
 type Schedule struct {
 	Seed    uint64  `json:"seed"`
 	Entries []Entry `json:"entries"`
-	Lasts   tomlconfig.Duration
+	// The duration of the run; 0 for that of the base scenario.
+	Lasts tomlconfig.Duration
 }
 
-// Pair is a fault and a phase that was active during it. Its JSON keys are its Go names.
+// Pair is a fault and a phase that was active during it. Records contain the fields under their Go names.
 type Pair struct{ Fault, Stage string }
 
-// Outcome is the outcome of a schedule.
+// Outcome is the outcome of playing a schedule.
 type Outcome struct {
-	Schedule        Schedule
+	Schedule Schedule
+	// The number of violations by rule.
 	ViolationCounts map[string]int
 	Violations      []rules.Violation
-	// Set where the run could not be completed.
-	Err     error
-	Pairs   []Pair
+	// Set if the run could not be completed.
+	Err   error
+	Pairs []Pair
+	// The number of requests.
 	Offered int
+	// The share of requests that were served.
 	Service float64
 }
 
-// Failed reports whether a rule was broken or the run could not be completed.
+// Failed reports whether a rule was violated or the run could not be completed.
 func (o *Outcome) Failed() bool { return len(o.ViolationCounts) > 0 || o.Err != nil }
 
-// Name is the rule that was broken, to compare outcomes by.
+// Name returns the alphabetically first violated rule, or "error" if none was violated. Outcomes with the
+// same name count as the same failure.
 func (o *Outcome) Name() string {
-	best := ""
+	first := ""
 	for rule := range o.ViolationCounts {
-		if best == "" || rule < best {
-			best = rule
+		if first == "" || rule < first {
+			first = rule
 		}
 	}
-	return cmp.Or(best, "error")
+	return cmp.Or(first, "error")
 }
 
 // Explorer plays schedules.
 type Explorer struct {
 	Bubble emulation.Bubble
-	// Directory of configurations; it is empty between runs.
+	// The directory of the runs' configurations. Each run removes its own.
 	Dir string
-	// Options of each run, for tests with faulty brokers.
+	// The options of each run, for tests with faulty brokers.
 	Options emulation.Options
-	// Limit of runs for shrinking; 0 for 200.
+	// The limit of runs for shrinking one schedule; 0 for 200.
 	MaxShrinkRuns int
 }
 
-// Draw draws a schedule. If a pair of a fault and a lifecycle fault is given, the schedule contains
-// both at about the same time.
+// Draw draws a schedule. If a pair of a fault and a lifecycle fault is given, the schedule contains both at
+// about the same time. Half of the further faults start near that time too, so that faults interact.
 func Draw(r *rand.Rand, pair *[2]string) Schedule {
 	s := Schedule{Seed: r.Uint64N(1 << 40)}
-	add := func(name string, at time.Duration) {
+	add := func(name string, start time.Duration) {
 		f := Faults[slices.IndexFunc(Faults, func(f Fault) bool { return f.Name == name })]
-		x := f.Draw(r)
-		lasts := time.Duration(0)
+		injected := f.Draw(r)
+		duration := time.Duration(0)
 		if f.MaxDuration > 0 {
-			lasts = f.MaxDuration/4 + time.Duration(r.Int64N(int64(f.MaxDuration*3/4)))
+			duration = f.MaxDuration/4 + time.Duration(r.Int64N(int64(f.MaxDuration*3/4)))
 		}
-		if x.Kind == "flap" {
-			x.Interval = tomlconfig.Duration(lasts/5 + time.Millisecond)
+		if injected.Kind == "flap" {
+			injected.Interval = tomlconfig.Duration(duration/5 + time.Millisecond)
 		}
-		at, lasts = at.Round(time.Millisecond), lasts.Round(time.Millisecond)
-		x.Start, x.Duration = scenario.DurationRange{From: at, To: at}, scenario.DurationRange{From: lasts, To: lasts}
-		s.Entries = append(s.Entries, Entry{name, x})
+		start, duration = start.Round(time.Millisecond), duration.Round(time.Millisecond)
+		injected.Start = scenario.DurationRange{From: start, To: start}
+		injected.Duration = scenario.DurationRange{From: duration, To: duration}
+		s.Entries = append(s.Entries, Entry{name, injected})
 	}
-	when := func() time.Duration { return earliestStart + time.Duration(r.Int64N(int64(latestStart-earliestStart))) }
-	meet := when()
+	drawStart := func() time.Duration {
+		return earliestStart + time.Duration(r.Int64N(int64(latestStart-earliestStart)))
+	}
+	commonStart := drawStart()
 	if pair != nil {
-		add(pair[0], max(meet-time.Duration(r.Int64N(int64(100*time.Millisecond))), earliestStart))
-		add(pair[1], meet)
+		add(pair[0], max(commonStart-time.Duration(r.Int64N(int64(100*time.Millisecond))), earliestStart))
+		add(pair[1], commonStart)
 	}
 	for n := 1 + r.IntN(maxFaults-1); len(s.Entries) < n; {
-		f := Faults[r.IntN(len(Faults))].Name
+		name := Faults[r.IntN(len(Faults))].Name
 		if r.IntN(3) == 0 {
-			f = lifecycleFaults[r.IntN(len(lifecycleFaults))]
+			name = lifecycleFaults[r.IntN(len(lifecycleFaults))]
 		}
-		at := when()
+		start := drawStart()
 		if r.IntN(2) == 0 {
-			at = max(meet+time.Duration(r.Int64N(int64(200*time.Millisecond)))-100*time.Millisecond, earliestStart)
+			start = max(commonStart+time.Duration(r.Int64N(int64(200*time.Millisecond)))-100*time.Millisecond, earliestStart)
 		}
-		add(f, at)
+		add(name, start)
 	}
 	return s
 }
 
-// Text is the scenario file of a schedule.
+// Text returns the scenario file of a schedule.
 func (s Schedule) Text() string {
 	var b strings.Builder
 	text := baseScenario
@@ -213,27 +229,27 @@
 	}
 	fmt.Fprintf(&b, "# seed %d\n%s", s.Seed, text)
 	for _, e := range s.Entries {
-		x := e.What
-		fmt.Fprintf(&b, "\n[[trouble]] # %s\nwhat = %q\nat = %q\nlasts = %q\nshare = %v\ninstances = %v\n", e.Fault, x.Kind,
-			x.Start.From, x.Duration.From, x.ServerShare, x.InstanceShare)
-		if x.Kind == "bytes" {
-			fmt.Fprintf(&b, "how = %q\nbytes = %d\n", x.ConnectionFault, x.Bytes)
+		f := e.Injected
+		fmt.Fprintf(&b, "\n[[trouble]] # %s\nwhat = %q\nat = %q\nlasts = %q\nshare = %v\ninstances = %v\n", e.Fault, f.Kind,
+			f.Start.From, f.Duration.From, f.ServerShare, f.InstanceShare)
+		if f.Kind == "bytes" {
+			fmt.Fprintf(&b, "how = %q\nbytes = %d\n", f.ConnectionFault, f.Bytes)
 		}
-		if x.Factor.To > 0 {
-			fmt.Fprintf(&b, "factor = %v\n", x.Factor.From)
+		if f.Factor.To > 0 {
+			fmt.Fprintf(&b, "factor = %v\n", f.Factor.From)
 		}
-		if x.Interval > 0 {
-			fmt.Fprintf(&b, "every = %q\n", time.Duration(x.Interval))
+		if f.Interval > 0 {
+			fmt.Fprintf(&b, "every = %q\n", time.Duration(f.Interval))
 		}
 	}
 	return b.String()
 }
 
-// Play plays a schedule.
+// Play plays a schedule and records which phases were active during its faults.
 func (x *Explorer) Play(ctx context.Context, s Schedule) *Outcome {
 	o := &Outcome{Schedule: s}
-	sc, found := scenario.Parse("schedule", []byte(s.Text()))
-	if o.Err = validation.Join(found); o.Err != nil {
+	parsed, problems := scenario.Parse("schedule", []byte(s.Text()))
+	if o.Err = validation.Join(problems); o.Err != nil {
 		return o
 	}
 	dir, err := os.MkdirTemp(x.Dir, "run-")
@@ -249,7 +265,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		for _, e := range s.Entries {
-			if at < e.at() || at > e.end()+effectTime {
+			if at < e.start() || at > e.end()+effectTime {
 				continue
 			}
 			for _, stage := range stages {
@@ -257,7 +273,7 @@
 			}
 		}
 	}
-	r, err := emulation.Play(ctx, x.Bubble, sc, s.Seed, options)
+	r, err := emulation.Play(ctx, x.Bubble, parsed, s.Seed, options)
 	o.Err = errors.Join(err, os.RemoveAll(dir))
 	if r != nil {
 		o.ViolationCounts, o.Violations, o.Offered, o.Service = r.ViolationCounts, r.Violations, r.Offered, r.Service
@@ -268,19 +284,19 @@
 	return o
 }
 
-// defaultShrinkRuns limits the runs for shrinking, unless MaxShrinkRuns does.
+// defaultShrinkRuns is the default of Explorer.MaxShrinkRuns.
 const defaultShrinkRuns = 200
 
-// Shrink finds a smaller schedule of the same seed that breaks the same rule: with fewer faults,
-// then shorter faults, then a shorter run. It returns the outcome of that schedule.
+// Shrink searches for a smaller schedule with the same seed that fails with the same name. It removes faults,
+// then shortens faults, then the run. It returns the outcome of the smallest schedule that it found, or o.
 func (x *Explorer) Shrink(ctx context.Context, o *Outcome) *Outcome {
 	best, runs := o, 0
 	attempt := func(s Schedule) bool {
 		if runs++; runs > cmp.Or(x.MaxShrinkRuns, defaultShrinkRuns) || ctx.Err() != nil {
 			return false
 		}
-		if got := x.Play(ctx, s); got.Failed() && got.Name() == o.Name() {
-			best = got
+		if outcome := x.Play(ctx, s); outcome.Failed() && outcome.Name() == o.Name() {
+			best = outcome
 			return true
 		}
 		return false
@@ -299,19 +315,19 @@
 		for range 4 {
 			s := best.Schedule
 			s.Entries = slices.Clone(s.Entries)
-			half := (s.Entries[i].What.Duration.From / 2).Round(time.Millisecond)
+			half := (s.Entries[i].Injected.Duration.From / 2).Round(time.Millisecond)
 			if half == 0 {
 				break
 			}
-			s.Entries[i].What.Duration = scenario.DurationRange{From: half, To: half}
+			s.Entries[i].Injected.Duration = scenario.DurationRange{From: half, To: half}
 			if !attempt(s) {
 				break
 			}
 		}
 	}
-	for _, lasts := range []time.Duration{time.Second, 1500 * time.Millisecond, 2 * time.Second} {
+	for _, duration := range []time.Duration{time.Second, 1500 * time.Millisecond, 2 * time.Second} {
 		s := best.Schedule
-		s.Lasts = tomlconfig.Duration(lasts)
+		s.Lasts = tomlconfig.Duration(duration)
 		if attempt(s) {
 			break
 		}
--- a/internal/lab/explore/search.go
+++ b/internal/lab/explore/search.go
@@ -16,48 +16,53 @@
 	"time"
 )
 
-// Record is one run as it is kept, one line of JSON each.
+// Record is the record of one run, a line of JSON in the file of runs.
 type Record struct {
 	Number          int            `json:"n"`
 	Schedule        Schedule       `json:"schedule"`
 	ViolationCounts map[string]int `json:"broken,omitempty"`
 	Err             string         `json:"err,omitempty"`
-	// The pairs that this run was the first to reach.
+	// The pairs that this run reached as the first.
 	New []Pair `json:"new,omitempty"`
-	// Real time of the run, in seconds.
+	// The real time of the run in seconds.
 	Seconds float64 `json:"took"`
-	Offered int     `json:"asked"`
+	// The number of requests.
+	Offered int `json:"asked"`
 }
 
-// Search is a search that can be resumed where it was stopped.
+// Search is a search for violations that can be interrupted and resumed.
 type Search struct {
 	*Explorer
-	// Where records and finds are kept: runs.jsonl, and a file for each find.
+	// The directory of the file of runs, of the table of pairs and of a scenario file for each find.
 	Directory string
-	// Seed of all draws.
+	// The seed of all draws.
 	Seed uint64
-	// Runs at the same time.
+	// The number of runs at the same time.
 	Parallel int
-	// 0 for no limit.
+	// The number of runs, with those of earlier searches in Directory; 0 for no limit.
 	MaxRuns int
-	Until   time.Time
-	// Called after each run; may be nil.
+	// When the search ends; the zero time for no limit.
+	Until time.Time
+	// Called after each run with the numbers of runs, of reached pairs and of finds. It may be nil.
 	OnProgress func(runs int, covered, finds int)
 
-	mu      sync.Mutex
-	runs    int
+	mu sync.Mutex
+	// The number of runs that were started.
+	runs int
+	// The number of runs that reached each pair.
 	reached map[Pair]int
 	// Schedules that were the first to reach a pair.
 	corpus []Schedule
-	// Files of finds.
+	// The paths of the scenario files of finds.
 	finds []string
-	seen  map[string]int
-	file  *os.File
+	// The number of failed runs by Outcome.Name.
+	failures map[string]int
+	file     *os.File
 }
 
 const (
 	runsFile = "runs.jsonl"
-	// maxFindsPerRule is how many finds of the same rule are shrunk and kept.
+	// maxFindsPerRule is how many failed runs with the same name are shrunk and written as a file.
 	maxFindsPerRule = 3
 )
 
@@ -65,25 +70,25 @@
 type Report struct {
 	Runs    int
 	Offered int
-	// Real time of all runs, in seconds.
+	// The real time of all runs in seconds.
 	Seconds float64
 	// The number of runs that reached each pair.
 	Reached map[Pair]int
-	// Pairs that no run reached.
+	// The pairs that no run reached.
 	Missing []Pair
-	// Files that replay the finds.
+	// The scenario files that replay the finds.
 	Finds []string
-	// Runs in which each rule was broken.
+	// The number of runs in which each rule was violated.
 	ViolationCounts map[string]int
 }
 
-// Run searches until its limit, its time or the context ends.
+// Run searches until MaxRuns or Until is reached or the context ends.
 func (s *Search) Run(ctx context.Context) (*Report, error) {
 	if err := os.MkdirAll(s.Directory, 0o755); err != nil {
 		return nil, err
 	}
 	r := &Report{ViolationCounts: map[string]int{}}
-	s.reached, s.seen = map[Pair]int{}, map[string]int{}
+	s.reached, s.failures = map[Pair]int{}, map[string]int{}
 	if err := s.resume(r); err != nil {
 		return nil, err
 	}
@@ -93,7 +98,7 @@
 		ctx, stop = context.WithDeadline(ctx, s.Until)
 		defer stop()
 	}
-	fault := make(chan error, 1)
+	failed := make(chan error, 1)
 	var workers sync.WaitGroup
 	for range max(s.Parallel, 1) {
 		workers.Go(func() {
@@ -109,8 +114,8 @@
 				}
 				if err := s.record(ctx, r, n, o, time.Since(began)); err != nil {
 					select {
-					case fault <- err:
-					default:
+					case failed <- err:
+					default: // another worker has failed before
 					}
 					return
 				}
@@ -121,13 +126,13 @@
 	r.Reached, r.Finds, r.Missing = s.reached, s.finds, s.missing()
 	err := os.WriteFile(filepath.Join(s.Directory, PairsFile), []byte(r.Table()), 0o644)
 	select {
-	case err = <-fault:
+	case err = <-failed:
 	default:
 	}
 	return r, err
 }
 
-// resume reads the records of earlier runs, up to the last complete line.
+// resume reads the records of earlier runs, cuts off an incomplete last line and opens the file for appending.
 func (s *Search) resume(r *Report) error {
 	path := filepath.Join(s.Directory, runsFile)
 	f, err := os.Open(path)
@@ -140,16 +145,16 @@
 		for {
 			line, err := in.ReadBytes('\n')
 			if err != nil {
-				break // the end, or a line that was cut off
+				break // the end of the file, perhaps after an incomplete line
 			}
-			var x Record
-			if err := json.Unmarshal(line, &x); err != nil {
+			var record Record
+			if err := json.Unmarshal(line, &record); err != nil {
 				f.Close()
 				return fmt.Errorf("%s: run %d: %w", path, s.runs+1, err)
 			}
 			complete += int64(len(line))
-			s.runs = max(s.runs, x.Number+1)
-			s.count(r, &x)
+			s.runs = max(s.runs, record.Number+1)
+			s.count(r, &record)
 		}
 		f.Close()
 		if err := os.Truncate(path, complete); err != nil {
@@ -160,28 +165,28 @@
 	return err
 }
 
-// count adds a run to the report.
-func (s *Search) count(r *Report, x *Record) {
+// count adds the record of a run to the report and to the state of the search.
+func (s *Search) count(r *Report, record *Record) {
 	r.Runs++
-	r.Offered += x.Offered
-	r.Seconds += x.Seconds
-	for _, p := range x.New {
+	r.Offered += record.Offered
+	r.Seconds += record.Seconds
+	for _, p := range record.New {
 		s.reached[p]++
 	}
-	if len(x.New) > 0 {
-		s.corpus = append(s.corpus, x.Schedule)
+	if len(record.New) > 0 {
+		s.corpus = append(s.corpus, record.Schedule)
 	}
-	for rule := range x.ViolationCounts {
+	for rule := range record.ViolationCounts {
 		r.ViolationCounts[rule]++
 	}
-	if x.Err != "" {
+	if record.Err != "" {
 		r.ViolationCounts["error"]++
 	}
 }
 
-// next chooses the next schedule. One in three mutates a schedule that was the first to reach a
-// pair. The others are drawn around a pair of a fault and a lifecycle fault, each such pair in
-// turn.
+// next chooses the schedule of the next run n. One in three mixes a new schedule with one that was the first
+// to reach a pair. The others are drawn around a pair of a fault and a lifecycle fault, with all such pairs in
+// turn. It returns false if MaxRuns is reached.
 func (s *Search) next() (n int, schedule Schedule, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -192,43 +197,44 @@
 	s.runs++
 	r := rand.New(rand.NewPCG(s.Seed, uint64(n)))
 	if n%3 == 2 && len(s.corpus) > 0 {
-		old := s.corpus[r.IntN(len(s.corpus))]
-		fresh := Draw(r, nil)
-		fresh.Entries = append(slices.Clone(old.Entries), fresh.Entries...)
-		r.Shuffle(len(fresh.Entries), func(i, j int) {
-			fresh.Entries[i], fresh.Entries[j] = fresh.Entries[j], fresh.Entries[i]
+		parent := s.corpus[r.IntN(len(s.corpus))]
+		mixed := Draw(r, nil)
+		mixed.Entries = append(slices.Clone(parent.Entries), mixed.Entries...)
+		r.Shuffle(len(mixed.Entries), func(i, j int) {
+			mixed.Entries[i], mixed.Entries[j] = mixed.Entries[j], mixed.Entries[i]
 		})
-		fresh.Entries = fresh.Entries[:min(len(fresh.Entries), maxFaults)]
-		return n, fresh, true
+		mixed.Entries = mixed.Entries[:min(len(mixed.Entries), maxFaults)]
+		return n, mixed, true
 	}
-	turn := n - n/3
-	pair := [2]string{Faults[turn%len(Faults)].Name, lifecycleFaults[turn/len(Faults)%len(lifecycleFaults)]}
+	index := n - n/3
+	pair := [2]string{Faults[index%len(Faults)].Name, lifecycleFaults[index/len(Faults)%len(lifecycleFaults)]}
 	return n, Draw(r, &pair), true
 }
 
-// record keeps the outcome of a run, and shrinks it if it failed.
+// record writes the record of a run. It shrinks the schedule of a failed run and writes it as a scenario file,
+// unless there are maxFindsPerRule failures of the same name already.
 func (s *Search) record(ctx context.Context, r *Report, n int, o *Outcome, took time.Duration) error {
-	x := Record{Number: n, Schedule: o.Schedule, ViolationCounts: o.ViolationCounts, Seconds: took.Seconds(), Offered: o.Offered}
+	record := Record{Number: n, Schedule: o.Schedule, ViolationCounts: o.ViolationCounts, Seconds: took.Seconds(), Offered: o.Offered}
 	if o.Err != nil {
-		x.Err = o.Err.Error()
+		record.Err = o.Err.Error()
 	}
 	s.mu.Lock()
 	for _, p := range o.Pairs {
 		if s.reached[p] == 0 {
-			x.New = append(x.New, p)
+			record.New = append(record.New, p)
 		}
 	}
-	s.count(r, &x)
+	s.count(r, &record)
 	for _, p := range o.Pairs {
-		if !slices.Contains(x.New, p) {
+		if !slices.Contains(record.New, p) {
 			s.reached[p]++
 		}
 	}
-	shrink := o.Failed() && s.seen[o.Name()] < maxFindsPerRule
+	shrink := o.Failed() && s.failures[o.Name()] < maxFindsPerRule
 	if o.Failed() {
-		s.seen[o.Name()]++
+		s.failures[o.Name()]++
 	}
-	line, err := json.Marshal(x)
+	line, err := json.Marshal(record)
 	if err == nil {
 		_, err = s.file.Write(append(line, '\n'))
 	}
@@ -239,9 +245,9 @@
 	if err != nil || !shrink {
 		return err
 	}
-	small := s.Shrink(ctx, o)
-	path := filepath.Join(s.Directory, fmt.Sprintf("find-%d-%s.toml", n, small.Name()))
-	if err := os.WriteFile(path, []byte(small.Text()), 0o644); err != nil {
+	shrunk := s.Shrink(ctx, o)
+	path := filepath.Join(s.Directory, fmt.Sprintf("find-%d-%s.toml", n, shrunk.Name()))
+	if err := os.WriteFile(path, []byte(shrunk.Text()), 0o644); err != nil {
 		return err
 	}
 	s.mu.Lock()
@@ -250,8 +256,8 @@
 	return nil
 }
 
-// Text is the scenario file that replays an outcome, with the first violations and their histories
-// as comments.
+// Text returns the scenario file that replays an outcome. Comments at its start contain the error and the
+// first violations with their histories.
 func (o *Outcome) Text() string {
 	var b strings.Builder
 	if o.Err != nil {
@@ -267,25 +273,25 @@
 }
 
 // missing returns the pairs that no run reached.
-func (s *Search) missing() (none []Pair) {
+func (s *Search) missing() (pairs []Pair) {
 	for _, f := range Faults {
 		for _, stage := range Stages {
 			if s.reached[Pair{f.Name, stage}] == 0 {
-				none = append(none, Pair{f.Name, stage})
+				pairs = append(pairs, Pair{f.Name, stage})
 			}
 		}
 	}
-	return none
+	return pairs
 }
 
 // PairsFile is the name of the table of pairs that a search writes.
 const PairsFile = "pairs.md"
 
-// Table formats the number of runs that reached each pair.
+// Table returns a Markdown table of the number of runs that reached each pair.
 func (r *Report) Table() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d runs, %d requests; runs in which a rule was broken: %d. In how many of the runs something was in a stage\n"+
-		"(columns, docs/review-of-parts.md) while a fault lasted.\n\n| fault |", r.Runs, r.Offered, len(r.ViolationCounts))
+	fmt.Fprintf(&b, "%d runs, %d requests; rules that were violated: %d. The cells are the numbers of runs in which a request was\n"+
+		"in a phase (columns, see docs/review-of-parts.md) during a fault (rows).\n\n| fault |", r.Runs, r.Offered, len(r.ViolationCounts))
 	for _, s := range Stages {
 		fmt.Fprintf(&b, " %s |", s)
 	}
--- a/internal/lab/real/play_test.go
+++ b/internal/lab/real/play_test.go
@@ -137,19 +137,19 @@
 		"reset before":        {scenario.InjectedFault{Kind: "bytes", ConnectionFault: "reset"}, true},
 		"cut in the head":     {scenario.InjectedFault{Kind: "bytes", ConnectionFault: "cut", Bytes: 9}, true},
 		"cut in the body":     {scenario.InjectedFault{Kind: "bytes", ConnectionFault: "cut", Bytes: 120}, true},
-		"half closed":         {scenario.InjectedFault{Kind: "bytes", ConnectionFault: "half_close", Bytes: 9}, true},
+		"half-close":          {scenario.InjectedFault{Kind: "bytes", ConnectionFault: "half_close", Bytes: 9}, true},
 		"stall":               {scenario.InjectedFault{Kind: "bytes", ConnectionFault: "stall", Bytes: 9}, false},
 		"slow read":           {scenario.InjectedFault{Kind: "bytes", ConnectionFault: "slow_read", Bytes: 40}, false},
 		"slow write":          {scenario.InjectedFault{Kind: "bytes", ConnectionFault: "slow_write", Bytes: 40}, false},
 		"garbage":             {scenario.InjectedFault{Kind: "bytes", ConnectionFault: "garbage"}, true},
-		"never up":            {scenario.InjectedFault{Kind: "bytes", ConnectionFault: "syn"}, false},
+		"no handshake":        {scenario.InjectedFault{Kind: "bytes", ConnectionFault: "syn"}, false},
 		"vanish":              {scenario.InjectedFault{Kind: "vanish"}, false},
 		"connections reset":   {scenario.InjectedFault{Kind: "reset"}, false},
-		"discovery broke off": {scenario.InjectedFault{Kind: "break"}, false},
+		"watches broken":      {scenario.InjectedFault{Kind: "break"}, false},
 		"replaced":            {scenario.InjectedFault{Kind: "replace"}, false},
 		"handover":            {scenario.InjectedFault{Kind: "handover", InstanceShare: 1}, false},
 		"killed":              {scenario.InjectedFault{Kind: "kill", InstanceShare: 1}, false},
-		"stands still":        {scenario.InjectedFault{Kind: "stall", InstanceShare: 1}, false},
+		"stalled":             {scenario.InjectedFault{Kind: "stall", InstanceShare: 1}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
