--- a/internal/lab/emulation/play_test.go
+++ b/internal/lab/emulation/play_test.go
@@ -91,7 +91,11 @@
 // passed than the rules allow between a departure and an attempt.
 func TestStalledBrokerSendsNothingForDepartedClients(t *testing.T) {
 	at := scenario.DurationRange{From: time.Second, To: time.Second}
-	s := shortScenario(scenario.InjectedFault{Kind: "stall", InstanceShare: 1, Start: at, Duration: scenario.DurationRange{From: 400 * time.Millisecond, To: 400 * time.Millisecond}},
+	s := shortScenario(
+		scenario.InjectedFault{
+			Kind: "stall", InstanceShare: 1, Start: at,
+			Duration: scenario.DurationRange{From: 400 * time.Millisecond, To: 400 * time.Millisecond},
+		},
 		scenario.InjectedFault{
 			Kind: "gone", Start: at, Duration: scenario.DurationRange{From: 300 * time.Millisecond, To: 300 * time.Millisecond},
 			Factor: scenario.Range{From: 1, To: 1},
--- a/internal/lab/emulation/slot.go
+++ b/internal/lab/emulation/slot.go
@@ -117,7 +117,8 @@
 		time.Sleep(releaseTimeout)
 		if bytes, conns := b.server.BufferedBytes(), b.process.OpenConnections(); bytes != 0 || conns > 0 {
 			s.environment.mu.Lock()
-			s.environment.leaks = append(s.environment.leaks, fmt.Errorf("%s ended without releasing %d bytes of bodies and %d connections", b.name, bytes, conns))
+			s.environment.leaks = append(s.environment.leaks,
+				fmt.Errorf("%s ended without releasing %d bytes of bodies and %d connections", b.name, bytes, conns))
 			s.environment.mu.Unlock()
 		}
 	}
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -146,7 +146,10 @@
 		for _, p := range all {
 			for _, v := range s.Values {
 				fields := strings.Fields(v)
-				q := point{name: strings.TrimSpace(p.name + " " + s.Name + " " + fields[0]), changes: append([]scenario.Change(nil), p.changes...)}
+				q := point{
+					name:    strings.TrimSpace(p.name + " " + s.Name + " " + fields[0]),
+					changes: append([]scenario.Change(nil), p.changes...),
+				}
 				for i, key := range s.Keys {
 					c, err := scenario.ParseChange(key + " = " + fields[i])
 					if err != nil {
--- a/internal/lab/experiment/summary.go
+++ b/internal/lab/experiment/summary.go
@@ -267,7 +267,9 @@
 	w := csv.NewWriter(out)
 	// The writer keeps the first error, which is returned at the end.
 	number := func(x float64) string { return strconv.FormatFloat(x, 'g', 8, 64) }
-	_ = w.Write([]string{"point", "side", "metric", "seeds", "mean", "half_width", "against", "difference", "difference_half_width", "verdict"})
+	_ = w.Write([]string{
+		"point", "side", "metric", "seeds", "mean", "half_width", "against", "difference", "difference_half_width", "verdict",
+	})
 	for _, r := range rows {
 		_ = w.Write([]string{
 			r.Point, r.Side, r.Metric, strconv.Itoa(r.Value.N), number(r.Value.Mean), number(r.Value.HalfWidth), r.Baseline,
--- a/internal/lab/netem/conn.go
+++ b/internal/lab/netem/conn.go
@@ -176,7 +176,8 @@
 		if _, passed := deadlineState(deadline, time.Time{}); passed {
 			return n, c.opError("write", os.ErrDeadlineExceeded)
 		}
-		if k, _, _, err := c.end.input.read(make([]byte, 1), false); k == 0 && err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, syscall.EAGAIN) {
+		unread, _, _, readErr := c.end.input.read(make([]byte, 1), false)
+		if unread == 0 && readErr != nil && !errors.Is(readErr, io.EOF) && !errors.Is(readErr, syscall.EAGAIN) {
 			return n, c.opError("write", os.NewSyscallError("write", syscall.ECONNRESET))
 		}
 		space, changed := to.input.space()
--- a/internal/lab/netem/dial.go
+++ b/internal/lab/netem/dial.go
@@ -76,7 +76,8 @@
 	if s == nil {
 		return roundTrip, nil
 	}
-	if s.backlogFull || len(s.queue) == cap(s.queue) || n.partition != nil && (n.partition(p.Machine, s.machine) || n.partition(s.machine, p.Machine)) {
+	if s.backlogFull || len(s.queue) == cap(s.queue) ||
+		n.partition != nil && (n.partition(p.Machine, s.machine) || n.partition(s.machine, p.Machine)) {
 		return 0, errPacketLost
 	}
 	if n.options.Handshake > 0 {
--- a/internal/lab/netem/stream.go
+++ b/internal/lab/netem/stream.go
@@ -160,7 +160,8 @@
 	if len(s.segs) > 0 && !s.segs[0].lost {
 		next = s.segs[0].arrival
 	}
-	if k := len(s.segs); k > 0 && s.segs[k-1].kind == rst && !s.segs[k-1].lost && (next.IsZero() || s.segs[k-1].arrival.Before(next)) {
+	if k := len(s.segs); k > 0 && s.segs[k-1].kind == rst && !s.segs[k-1].lost &&
+		(next.IsZero() || s.segs[k-1].arrival.Before(next)) {
 		next = s.segs[k-1].arrival
 	}
 	return 0, next, s.changed, syscall.EAGAIN
--- a/internal/lab/real/clock.go
+++ b/internal/lab/real/clock.go
@@ -11,14 +11,14 @@
 // blocks.
 const maxPendingActions = 4096
 
-// wallClock is the clock of a model.World in real time. Only the goroutine of run uses the world.
+// wallClock is the clock of a model.World in real time. Only the goroutine of runUntil uses the world.
 type wallClock struct {
 	began time.Time
 	// The scheduled time of the running action; 0 while a posted action runs.
 	eventTime time.Duration
 	events    model.EventQueue
 	actions   chan func()
-	// Closed when run returns.
+	// Closed when runUntil returns.
 	done chan struct{}
 }
 
@@ -45,7 +45,7 @@
 // at converts a time on the world's clock to a time on the machine's clock.
 func (c *wallClock) at(moment time.Duration) time.Time { return c.began.Add(moment - model.Origin) }
 
-// post runs an action on the clock's goroutine and drops it if run has returned. Any goroutine may
+// post runs an action on the clock's goroutine and drops it if runUntil has returned. Any goroutine may
 // call it.
 func (c *wallClock) post(action func()) {
 	select {
@@ -54,9 +54,9 @@
 	}
 }
 
-// run executes actions when they are due. It returns at the time until, when finished reports true,
+// runUntil executes actions when they are due. It returns at the time until, when finished reports true,
 // when the context ends, or with the error that it receives from failed.
-func (c *wallClock) run(ctx context.Context, until time.Duration, finished func() bool, failed <-chan error) error {
+func (c *wallClock) runUntil(ctx context.Context, until time.Duration, finished func() bool, failed <-chan error) error {
 	defer close(c.done)
 	for {
 		for at, ok := c.events.Next(); ok && at <= c.elapsed(); at, ok = c.events.Next() {
--- a/internal/lab/real/faults.go
+++ b/internal/lab/real/faults.go
@@ -9,17 +9,17 @@
 
 // Kill kills the process of an instance. The checker does not count the requests that are lost with it
 // as faults of the broker.
-func (st *stage) Kill(in *model.Instance, duration time.Duration) {
-	i := st.instanceOf(in)
+func (run *scenarioRun) Kill(in *model.Instance, duration time.Duration) {
+	i := run.instanceOf(in)
 	if i.process == nil {
 		return
 	}
 	p := i.process
 	i.process = nil
-	st.excuseRequests(in)
-	st.goroutines.Go(p.Kill)
+	run.excuseRequests(in)
+	run.goroutines.Go(p.Kill)
 	if duration >= 0 { // else a "start" step of the network faults starts the next process
-		st.After(duration, func() { st.startSuccessor(i, nil) })
+		run.After(duration, func() { run.startSuccessor(i, nil) })
 	}
 }
 
@@ -45,8 +45,8 @@
 
 // excuseRequests marks the pending requests of an instance whose process is killed, so that missing
 // answers do not count as violations.
-func (st *stage) excuseRequests(in *model.Instance) {
-	for _, request := range st.requests {
+func (run *scenarioRun) excuseRequests(in *model.Instance) {
+	for _, request := range run.requests {
 		if request.Instance == in {
 			request.processKilled.Store(true)
 			// net/http would otherwise send the request to the next process, with an outdated X-Remaining.
@@ -56,40 +56,40 @@
 }
 
 // Handover starts a successor process and stops the predecessor once the successor can serve.
-func (st *stage) Handover(in *model.Instance) {
-	if i := st.instanceOf(in); i.process != nil {
-		st.startSuccessor(i, i.process)
+func (run *scenarioRun) Handover(in *model.Instance) {
+	if i := run.instanceOf(in); i.process != nil {
+		run.startSuccessor(i, i.process)
 	}
 }
 
 // startSuccessor starts a new process of an instance and stops the old one, if any, once the new one
 // can serve.
-func (st *stage) startSuccessor(i *instance, old Broker) {
-	if st.ctx.Err() != nil {
+func (run *scenarioRun) startSuccessor(i *instance, old Broker) {
+	if run.ctx.Err() != nil {
 		return
 	}
-	p, err := st.start(i)
+	p, err := run.start(i)
 	if err != nil {
-		st.fail(err)
+		run.fail(err)
 		return
 	}
-	st.goroutines.Go(func() {
-		if err := p.Ready(st.ctx); err != nil {
+	run.goroutines.Go(func() {
+		if err := p.Ready(run.ctx); err != nil {
 			kill, _ := killPending(p)
 			select {
 			case <-kill:
 				return // the goroutine of start restarts the instance
 			default:
 			}
-			if st.ctx.Err() == nil {
-				st.fail(err)
+			if run.ctx.Err() == nil {
+				run.fail(err)
 			}
 			return
 		}
-		st.post(func() {
+		run.post(func() {
 			i.process = p
 			if old != nil {
-				st.goroutines.Go(old.Stop)
+				run.goroutines.Go(old.Stop)
 			}
 		})
 	})
@@ -105,8 +105,8 @@
 // InjectFault applies a fault to an instance. "stop" stops its process, "stall" suspends it, "away"
 // drains it for a duration, "reload" moves its discovery to another address, and "stale" and "again"
 // make its discovery send lists out of order.
-func (st *stage) InjectFault(in *model.Instance, kind string, duration time.Duration) {
-	i := st.instanceOf(in)
+func (run *scenarioRun) InjectFault(in *model.Instance, kind string, duration time.Duration) {
+	i := run.instanceOf(in)
 	p := i.process
 	switch {
 	case kind == "stale" || kind == "again":
@@ -114,72 +114,72 @@
 	case p == nil || i.stopping == p:
 	case kind == "stop" && i.slot.Shared():
 		// If the platform holds the socket, it starts a successor before it stops the process.
-		st.startSuccessor(i, p)
+		run.startSuccessor(i, p)
 	case kind == "stop":
 		i.stopping = p
-		st.goroutines.Go(func() {
+		run.goroutines.Go(func() {
 			p.Stop()
-			st.post(func() {
+			run.post(func() {
 				if i.process == p { // else the process was killed and has a successor
 					i.process = nil
-					st.After(duration, func() { st.startSuccessor(i, nil) })
+					run.After(duration, func() { run.startSuccessor(i, nil) })
 				}
 			})
 		})
 	case kind == "stall":
 		if p, ok := p.(staller); ok {
-			st.world.Checker.ProcessStalled(st.Now(), duration, in.Index)
-			st.goroutines.Go(func() { p.Stall(duration) })
+			run.world.Checker.ProcessStalled(run.Now(), duration, in.Index)
+			run.goroutines.Go(func() { p.Stall(duration) })
 		}
 	case kind == "away":
 		drain := func(on bool) {
-			st.goroutines.Go(func() {
-				if err := p.Drain(on); err != nil && st.ctx.Err() == nil {
-					st.post(func() {
+			run.goroutines.Go(func() {
+				if err := p.Drain(on); err != nil && run.ctx.Err() == nil {
+					run.post(func() {
 						if i.process == p && i.stopping != p {
-							st.fail(err)
+							run.fail(err)
 						}
 					})
 				}
 			})
 		}
 		drain(true)
-		st.After(duration, func() {
+		run.After(duration, func() {
 			if i.process == p {
 				drain(false)
 			}
 		})
 	case kind == "reload":
-		l, err := st.environment.Listen(discoveryName(i.name), i.zone, "")
+		l, err := run.environment.Listen(discoveryName(i.name), i.zone, "")
 		if err != nil {
-			st.fail(err)
+			run.fail(err)
 			return
 		}
 		old := i.discovery
 		i.discovery = serveDiscovery(l, nil)
 		old.copyTo(i.discovery)
-		if err = errors.Join(st.configure(i), p.Reload()); err != nil {
-			st.fail(err)
+		if err = errors.Join(run.configure(i), p.Reload()); err != nil {
+			run.fail(err)
 		}
-		st.After(oldDiscoveryRetention, old.Close)
-		st.movedDiscoveries = append(st.movedDiscoveries, old)
+		run.After(oldDiscoveryRetention, old.Close)
+		run.movedDiscoveries = append(run.movedDiscoveries, old)
 	}
 }
 
 // PartitionsChanged implements model.Sockets: it applies the model's present partitions to the
 // environment.
-func (st *stage) PartitionsChanged() {
+func (run *scenarioRun) PartitionsChanged() {
 	cut := map[[2]string]bool{}
-	for _, i := range st.instances {
+	for _, i := range run.instances {
 		for _, s := range i.model.Tier.Servers {
-			if st.world.IsPartitioned(i.model, s) {
+			if run.world.IsPartitioned(i.model, s) {
 				cut[[2]string{i.name, serverName(s)}] = true
 			}
 		}
 	}
 	if len(cut) == 0 {
-		st.environment.SetPartition(nil)
+		run.environment.SetPartition(nil)
 		return
 	}
-	st.environment.SetPartition(func(a, b string) bool { return cut[[2]string{a, b}] || cut[[2]string{b, a}] })
+	run.environment.SetPartition(func(a, b string) bool { return cut[[2]string{a, b}] || cut[[2]string{b, a}] })
 }
--- a/internal/lab/real/fleet.go
+++ b/internal/lab/real/fleet.go
@@ -20,7 +20,7 @@
 // fleet connects the brokers of the first tier by gossip through a relay, in scenarios that enable a
 // fleet. Its maps are keyed by member id.
 type fleet struct {
-	stage     *stage
+	run       *scenarioRun
 	relay     *faultnet.Relay
 	members   map[string]*instance
 	addresses map[string]string
@@ -48,12 +48,12 @@
 // viewTimeout is the timeout of the request for one broker's view at the end of a run.
 const viewTimeout = 2 * time.Second
 
-func newFleet(st *stage, seed uint64) (*fleet, error) {
+func newFleet(run *scenarioRun, seed uint64) (*fleet, error) {
 	r, err := faultnet.New(seed)
 	if err != nil {
 		return nil, err
 	}
-	return &fleet{stage: st, relay: r, members: map[string]*instance{}, addresses: map[string]string{}}, nil
+	return &fleet{run: run, relay: r, members: map[string]*instance{}, addresses: map[string]string{}}, nil
 }
 
 // addMember writes the operator file of an instance. The processes of the instance are started with it.
@@ -77,7 +77,7 @@
 // play applies the scenario's network faults until the last one or until the run ends.
 func (f *fleet) play(ctx context.Context, faults []faultnet.Step) {
 	if err := faultnet.Play(ctx, &faultnet.Schedule{Steps: faults}, f.relay, f); err != nil && ctx.Err() == nil {
-		f.stage.fail(err)
+		f.run.fail(err)
 	}
 }
 
@@ -90,14 +90,14 @@
 	if i == nil {
 		return fmt.Errorf("the fleet has no member %q", id)
 	}
-	f.stage.post(func() {
+	f.run.post(func() {
 		switch {
 		case s == syscall.SIGKILL:
-			f.stage.Kill(i.model, -1)
+			f.run.Kill(i.model, -1)
 		case i.process != nil:
 			if p, ok := i.process.(*Process); ok {
 				if err := p.Signal(s); err != nil {
-					f.stage.fail(err)
+					f.run.fail(err)
 				}
 			}
 		}
@@ -114,9 +114,9 @@
 	if as != id {
 		return fmt.Errorf("member %q cannot start as %q: on real sockets a process keeps its id", id, as)
 	}
-	f.stage.post(func() {
+	f.run.post(func() {
 		if i.process == nil {
-			f.stage.startSuccessor(i, nil)
+			f.run.startSuccessor(i, nil)
 		}
 	})
 	return nil
--- a/internal/lab/real/instance.go
+++ b/internal/lab/real/instance.go
@@ -35,46 +35,48 @@
 }
 
 // addInstance creates an instance and starts its process.
-func (st *stage) addInstance(in *model.Instance) error {
+func (run *scenarioRun) addInstance(in *model.Instance) error {
 	name, zone := fmt.Sprintf("broker-%d-%d", in.Tier.Index, in.Ordinal), 0
 	if len(in.Tier.Servers) > 0 {
-		zone = in.Ordinal % max(st.world.Scenario.Servers.Zones, 1)
+		zone = in.Ordinal % max(run.world.Scenario.Servers.Zones, 1)
 	}
-	slot, err := st.environment.NewSlot(name, zone)
+	slot, err := run.environment.NewSlot(name, zone)
 	if err != nil {
 		return err
 	}
-	i := &instance{model: in, name: name, zone: zone, slot: slot, url: "http://" + slot.Address(), client: &http.Client{Transport: &http.Transport{
-		DialContext: st.environment.Dial, MaxIdleConnsPerHost: 1024, IdleConnTimeout: 10 * time.Second, DisableCompression: true,
-	}}}
-	st.instances = append(st.instances, i)
-	l, err := st.environment.Listen(discoveryName(name), zone, "")
+	client := &http.Client{Transport: &http.Transport{
+		DialContext: run.environment.Dial, MaxIdleConnsPerHost: 1024, IdleConnTimeout: 10 * time.Second, DisableCompression: true,
+	}}
+	i := &instance{model: in, name: name, zone: zone, slot: slot, url: "http://" + slot.Address(), client: client}
+	run.instances = append(run.instances, i)
+	l, err := run.environment.Listen(discoveryName(name), zone, "")
 	if err != nil {
 		return err
 	}
 	i.discovery = serveDiscovery(l, nil)
-	for _, e := range st.world.List(in).Entries {
-		i.discovery.AnnounceTarget(st.target(e))
+	for _, e := range run.world.List(in).Entries {
+		i.discovery.AnnounceTarget(run.target(e))
 	}
 	i.file = filepath.Join(slot.Dir(), "config.json")
-	if err := st.configure(i); err != nil {
+	if err := run.configure(i); err != nil {
 		return err
 	}
-	if st.fleet != nil && in.Tier.Index == 0 {
-		if err := st.fleet.addMember(i, name, slot.Dir()); err != nil {
+	if run.fleet != nil && in.Tier.Index == 0 {
+		if err := run.fleet.addMember(i, name, slot.Dir()); err != nil {
 			return err
 		}
 	}
-	i.process, err = st.start(i)
+	i.process, err = run.start(i)
 	return err
 }
 
 // configure writes the platform's configuration file of an instance.
-func (st *stage) configure(i *instance) error {
+func (run *scenarioRun) configure(i *instance) error {
 	text, err := json.MarshalIndent(map[string]any{
 		"name": i.name, "listen": i.slot.Address(), "discovery": i.discovery.Address,
-		"seed": fmt.Sprintf("%x", st.world.Seed(i.model)), "limits": map[string]any{"cores": 1, "memory_mb": memoryMB, "sockets": sockets},
-		"settings": platformSettings(st.world, i.model),
+		"seed":     fmt.Sprintf("%x", run.world.Seed(i.model)),
+		"limits":   map[string]any{"cores": 1, "memory_mb": memoryMB, "sockets": sockets},
+		"settings": platformSettings(run.world, i.model),
 	}, "", " ")
 	if err != nil {
 		return err
@@ -88,38 +90,38 @@
 
 // start starts a process of an instance and watches it: a process that exits by itself fails the run,
 // and one that its environment kills is replaced after restartDelay.
-func (st *stage) start(i *instance) (Broker, error) {
+func (run *scenarioRun) start(i *instance) (Broker, error) {
 	p, err := i.slot.Start(i.file, i.operator)
 	if err != nil {
 		return nil, err
 	}
 	i.processes = append(i.processes, p)
-	st.goroutines.Go(func() {
+	run.goroutines.Go(func() {
 		kill, allowKill := killPending(p)
 		defer allowKill()
 		select {
 		case <-kill:
 			excused := make(chan struct{})
-			st.post(func() {
+			run.post(func() {
 				defer close(excused)
-				st.excuseRequests(i.model) // as in Kill
+				run.excuseRequests(i.model) // as in Kill
 				if i.process == p {
 					i.process = nil
-					st.After(restartDelay, func() { st.startSuccessor(i, nil) })
+					run.After(restartDelay, func() { run.startSuccessor(i, nil) })
 				}
 			})
 			select {
 			case <-excused:
-			case <-st.done:
+			case <-run.done:
 			}
 			return
 		case <-p.Done():
-		case <-st.ctx.Done():
+		case <-run.ctx.Done():
 			return
 		}
-		st.post(func() {
+		run.post(func() {
 			if i.process == p && i.stopping != p {
-				st.fail(p.Failure("exited by itself"))
+				run.fail(p.Failure("exited by itself"))
 			}
 		})
 	})
@@ -130,7 +132,9 @@
 func platformSettings(w *model.World, in *model.Instance) map[string]any {
 	set := w.Settings(in)
 	micros := func(d time.Duration) int64 { return d.Microseconds() }
-	effects := map[decision.Effect]string{decision.Safe: "read_like", decision.Keyed: "idempotency_key", decision.Unsafe: "non_idempotent"}
+	effects := map[decision.Effect]string{
+		decision.Safe: "read_like", decision.Keyed: "idempotency_key", decision.Unsafe: "non_idempotent",
+	}
 	var classes, tenants []map[string]any
 	for _, c := range set.Classes {
 		class := map[string]any{
@@ -174,19 +178,19 @@
 func zoneName(i int) string { return fmt.Sprint("zone-", i) }
 
 // target converts an endpoint entry to its form in the discovery.
-func (st *stage) target(e decision.Entry) core.Target {
+func (run *scenarioRun) target(e decision.Entry) core.Target {
 	t := core.Target{
-		UID: fmt.Sprintf("server-%08x", uint32(e.Endpoint)), Address: st.servers[int(e.Endpoint)-1].address,
-		Zone: zoneName(e.Zone), Model: st.world.Scenario.Kinds[e.Kind].Name, Cell: e.Cell, Weight: e.Weight,
+		UID: fmt.Sprintf("server-%08x", uint32(e.Endpoint)), Address: run.servers[int(e.Endpoint)-1].address,
+		Zone: zoneName(e.Zone), Model: run.world.Scenario.Kinds[e.Kind].Name, Cell: e.Cell, Weight: e.Weight,
 		State: [...]string{"Ready", "Terminating", "Gone"}[e.State],
 	}
 	if e.Started > 0 {
-		t.BootMS = st.at(e.Started).UnixMilli()
+		t.BootMS = run.at(e.Started).UnixMilli()
 	}
 	return t
 }
 
 // instanceOf returns the instance of a model instance. PlayOn adds instances in reverse order.
-func (st *stage) instanceOf(in *model.Instance) *instance {
-	return st.instances[len(st.instances)-1-in.Index]
+func (run *scenarioRun) instanceOf(in *model.Instance) *instance {
+	return run.instances[len(run.instances)-1-in.Index]
 }
--- a/internal/lab/real/play.go
+++ b/internal/lab/real/play.go
@@ -31,9 +31,9 @@
 	Dir string
 }
 
-// stage is one run of a scenario on an environment. Only the clock's goroutine uses its fields, except
+// scenarioRun is one run of a scenario on an environment. Only the clock's goroutine uses its fields, except
 // for failed, ctx and goroutines.
-type stage struct {
+type scenarioRun struct {
 	*wallClock
 	world       *model.World
 	environment Environment
@@ -69,52 +69,54 @@
 }
 
 // PlayOn plays a scenario on an environment. The argument late is how late events may be observed there.
-func PlayOn(ctx context.Context, e Environment, s *scenario.Scenario, seed uint64, late time.Duration) (_ *model.Result, err error) {
+func PlayOn(
+	ctx context.Context, e Environment, s *scenario.Scenario, seed uint64, late time.Duration,
+) (_ *model.Result, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	st := &stage{
-		wallClock: newWallClock(), environment: e, lateness: late, servers: map[int]*server{}, requests: map[decision.RequestID]*pendingRequest{},
-		failed: make(chan error, 1), ctx: ctx,
+	run := &scenarioRun{
+		wallClock: newWallClock(), environment: e, lateness: late, failed: make(chan error, 1), ctx: ctx,
+		servers: map[int]*server{}, requests: map[decision.RequestID]*pendingRequest{},
 	}
 	defer func() {
 		stop()
-		st.tearDown()
+		run.tearDown()
 	}()
-	st.behaviorRandom = model.Stream(seed, "manners", 0)
-	st.world = model.New(s, seed, st, st, st, late)
+	run.behaviorRandom = model.Stream(seed, "manners", 0)
+	run.world = model.New(s, seed, run, run, run, late)
 	if s.Broker.Fleet {
-		if st.fleet, err = newFleet(st, seed); err != nil {
+		if run.fleet, err = newFleet(run, seed); err != nil {
 			return nil, err
 		}
 	}
-	for _, sv := range st.world.Servers {
-		if err := st.listenAt(sv); err != nil {
+	for _, sv := range run.world.Servers {
+		if err := run.listenAt(sv); err != nil {
 			return nil, err
 		}
 	}
-	for i := range st.world.Instances {
+	for i := range run.world.Instances {
 		// The lowest tier starts first, so that a server is used only after the instance that it calls
 		// can serve.
-		if err := st.addInstance(st.world.Instances[len(st.world.Instances)-1-i]); err != nil {
+		if err := run.addInstance(run.world.Instances[len(run.world.Instances)-1-i]); err != nil {
 			return nil, err
 		}
 	}
-	for _, in := range st.instances {
+	for _, in := range run.instances {
 		if err := in.process.Ready(ctx); err != nil {
 			return nil, err
 		}
 	}
-	st.began = time.Now()
-	end := st.world.Start()
-	if st.fleet != nil {
-		st.goroutines.Go(func() { st.fleet.play(ctx, s.NetworkFaults) })
+	run.began = time.Now()
+	end := run.world.Start()
+	if run.fleet != nil {
+		run.goroutines.Go(func() { run.fleet.play(ctx, s.NetworkFaults) })
 	}
-	if err := st.run(ctx, end, st.world.IsFinished, st.failed); err != nil {
+	if err := run.runUntil(ctx, end, run.world.IsFinished, run.failed); err != nil {
 		return nil, err
 	}
-	r := st.world.Finish()
-	if st.fleet != nil {
-		if r.Views, err = st.fleet.views(); err != nil {
+	r := run.world.Finish()
+	if run.fleet != nil {
+		if r.Views, err = run.fleet.views(); err != nil {
 			return nil, err
 		}
 	}
@@ -139,61 +141,61 @@
 }
 
 // fail ends the run with an error.
-func (st *stage) fail(err error) {
+func (run *scenarioRun) fail(err error) {
 	select {
-	case st.failed <- err:
+	case run.failed <- err:
 	default: // an earlier error is ending the run already
 	}
 }
 
 // tearDown stops all processes at the same time, then servers, relay, discoveries and goroutines.
-func (st *stage) tearDown() {
+func (run *scenarioRun) tearDown() {
 	var all sync.WaitGroup
-	for _, i := range st.instances {
+	for _, i := range run.instances {
 		i.client.CloseIdleConnections()
 		for _, p := range i.processes {
 			all.Go(p.Stop)
 		}
 	}
 	all.Wait()
-	for _, s := range st.servers {
+	for _, s := range run.servers {
 		s.close()
 	}
-	if st.fleet != nil {
-		st.fleet.relay.Close()
+	if run.fleet != nil {
+		run.fleet.relay.Close()
 	}
-	for _, d := range st.movedDiscoveries {
+	for _, d := range run.movedDiscoveries {
 		d.Close()
 	}
-	for _, i := range st.instances {
+	for _, i := range run.instances {
 		if i.discovery != nil {
 			i.discovery.Close()
 		}
 		i.slot.Close()
 	}
 	select {
-	case <-st.done:
+	case <-run.done:
 	default:
-		close(st.done) // run was never called
+		close(run.done) // runUntil was never called
 	}
-	st.goroutines.Wait()
+	run.goroutines.Wait()
 }
 
 // UpdateList implements model.Brokers: it passes a change of an instance's endpoint list to the
 // instance's discovery.
-func (st *stage) UpdateList(in *model.Instance, l decision.List) {
-	i := st.instanceOf(in)
+func (run *scenarioRun) UpdateList(in *model.Instance, l decision.List) {
+	i := run.instanceOf(in)
 	if l.Kind == decision.FailedList {
 		i.discovery.BreakWatches()
 		return
 	}
 	for _, e := range l.Entries {
-		i.discovery.AnnounceTarget(st.target(e))
+		i.discovery.AnnounceTarget(run.target(e))
 	}
 	if l.Kind == decision.FullList {
 		for _, s := range in.Tier.Servers {
 			if e := s.Entry(); e.State == decision.Departed {
-				i.discovery.AnnounceTarget(st.target(e))
+				i.discovery.AnnounceTarget(run.target(e))
 			}
 		}
 		i.discovery.Resume()
--- a/internal/lab/real/request.go
+++ b/internal/lab/real/request.go
@@ -40,36 +40,36 @@
 const retentionAfterAnswer = 2 * time.Second
 
 // Accept sends a request to its instance.
-func (st *stage) Accept(m *model.Request) {
-	i := st.instanceOf(m.Instance)
-	if m.Deadline <= st.Now() {
+func (run *scenarioRun) Accept(m *model.Request) {
+	i := run.instanceOf(m.Instance)
+	if m.Deadline <= run.Now() {
 		return // the requester has given the request up
 	}
 	if i.process == nil {
 		m.Requester.Complete(m, model.Unreachable, 0)
 		return
 	}
-	c := st.world.Scenario.Classes[m.Class]
-	st.world.Checker.RequestAccepted(st.Now(), rules.Request{
+	c := run.world.Scenario.Classes[m.Class]
+	run.world.Checker.RequestAccepted(run.Now(), rules.Request{
 		ID: string(m.ID), Origin: m.Origin, Instance: m.Instance.Index, Deadline: m.Deadline,
 		Effect: c.Effect, Scope: c.Scope, Window: time.Duration(c.Window),
 	})
-	ctx, cancel := context.WithDeadline(st.ctx, st.at(m.Deadline+model.Grace+st.lateness))
+	ctx, cancel := context.WithDeadline(run.ctx, run.at(m.Deadline+model.Grace+run.lateness))
 	request := &pendingRequest{Request: m, cancel: cancel}
-	st.requests[m.ID] = request
+	run.requests[m.ID] = request
 	team := ""
-	if len(st.world.Scenario.Teams) > 0 {
-		team = st.world.Scenario.Teams[m.Team].Name
+	if len(run.world.Scenario.Teams) > 0 {
+		team = run.world.Scenario.Teams[m.Team].Name
 	}
 	out := outgoingRequest{
 		url: i.url, id: string(m.ID), class: c.Name, effect: c.Effect, team: team, key: m.Origin, isRetry: m.IsRetry,
-		deadline: st.at(m.Deadline),
+		deadline: run.at(m.Deadline),
 	}
-	st.misbehave(request, &out, i)
-	st.goroutines.Go(func() {
+	run.misbehave(request, &out, i)
+	run.goroutines.Go(func() {
 		defer cancel()
 		response := out.send(ctx, i.client, &request.processKilled)
-		st.post(func() { st.completeRequest(request, response) })
+		run.post(func() { run.completeRequest(request, response) })
 	})
 }
 
@@ -89,19 +89,19 @@
 // misbehave makes clients misbehave on the share of requests that the active faults specify. "gone"
 // departs before the answer, "dribble" sends the body slowly, "twice" sends the request twice under the
 // same id, and "junk" sends a malformed request on a further connection.
-func (st *stage) misbehave(request *pendingRequest, out *outgoingRequest, i *instance) {
+func (run *scenarioRun) misbehave(request *pendingRequest, out *outgoingRequest, i *instance) {
 	drawn := func(kind string) bool {
-		share := st.world.MisbehaviorShare(kind)
-		return share > 0 && st.behaviorRandom.Float64() < share
+		share := run.world.MisbehaviorShare(kind)
+		return share > 0 && run.behaviorRandom.Float64() < share
 	}
 	if drawn("gone") {
-		st.After(time.Duration(1+st.behaviorRandom.Int64N(int64(maxDepartureDelay))), func() {
-			if !request.completed && st.Now() < request.Deadline {
-				request.completed, request.departedAt = true, st.Now()
-				st.world.Checker.ClientDeparted(st.Now(), out.id)
+		run.After(time.Duration(1+run.behaviorRandom.Int64N(int64(maxDepartureDelay))), func() {
+			if !request.completed && run.Now() < request.Deadline {
+				request.completed, request.departedAt = true, run.Now()
+				run.world.Checker.ClientDeparted(run.Now(), out.id)
 				request.cancel()
 				request.Requester.Complete(request.Request, model.Failed, 0)
-				st.After(retentionAfterAnswer, func() { delete(st.requests, request.ID) })
+				run.After(retentionAfterAnswer, func() { delete(run.requests, request.ID) })
 			}
 		})
 	}
@@ -111,17 +111,17 @@
 	if drawn("twice") && i.hasOneProcess() { // each process knows only the request ids that it has received
 		copied := *out
 		copied.chunks = 0
-		st.After(time.Millisecond, func() {
+		run.After(time.Millisecond, func() {
 			// The broker rejects the duplicate. The response is dropped.
-			st.goroutines.Go(func() { copied.sendOnce(st.ctx, i.client) })
+			run.goroutines.Go(func() { copied.sendOnce(run.ctx, i.client) })
 		})
 	}
 	if drawn("junk") {
-		st.goroutines.Go(func() {
-			if err := st.sendMalformed(strings.TrimPrefix(i.url, "http://")); err != nil {
-				st.post(func() {
-					if i.process != nil && !request.processKilled.Load() && st.ctx.Err() == nil {
-						st.fail(err)
+		run.goroutines.Go(func() {
+			if err := run.sendMalformed(strings.TrimPrefix(i.url, "http://")); err != nil {
+				run.post(func() {
+					if i.process != nil && !request.processKilled.Load() && run.ctx.Err() == nil {
+						run.fail(err)
 					}
 				})
 			}
@@ -144,15 +144,15 @@
 
 // sendMalformed sends a malformed request. It returns an error if the broker does not close the
 // connection within malformedTimeout.
-func (st *stage) sendMalformed(address string) error {
-	ctx, stop := context.WithTimeout(st.ctx, malformedTimeout)
+func (run *scenarioRun) sendMalformed(address string) error {
+	ctx, stop := context.WithTimeout(run.ctx, malformedTimeout)
 	defer stop()
-	c, err := st.environment.Dial(ctx, "tcp", address)
+	c, err := run.environment.Dial(ctx, "tcp", address)
 	if err != nil {
 		return nil // nothing listens there
 	}
 	defer c.Close()
-	release := context.AfterFunc(st.ctx, func() { c.Close() })
+	release := context.AfterFunc(run.ctx, func() { c.Close() })
 	defer release()
 	c.SetDeadline(time.Now().Add(malformedTimeout))
 	io.WriteString(c, "POST /lab HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -185,40 +185,40 @@
 }
 
 // completeRequest records the response to a request.
-func (st *stage) completeRequest(request *pendingRequest, r response) {
+func (run *scenarioRun) completeRequest(request *pendingRequest, r response) {
 	if request.completed {
 		return
 	}
 	request.completed = true
-	now, id := st.Now(), string(request.ID)
+	now, id := run.Now(), string(request.ID)
 	switch {
 	case r.err == nil:
-		st.world.Checker.RequestAnswered(now, id, r.outcome)
+		run.world.Checker.RequestAnswered(now, id, r.outcome)
 	case request.processKilled.Load():
-		st.world.Checker.ProcessKilled(now, id)
+		run.world.Checker.ProcessKilled(now, id)
 	case errors.Is(r.err, syscall.ECONNREFUSED): // no process has accepted it
-		st.world.Checker.ProcessKilled(now, id)
+		run.world.Checker.ProcessKilled(now, id)
 		r.outcome = model.Unreachable
 	case errors.Is(r.err, context.DeadlineExceeded):
-		st.world.Checker.ClientDeparted(now, id)
+		run.world.Checker.ClientDeparted(now, id)
 	default:
-		st.world.Checker.ConnectionLost(now, id, r.err)
+		run.world.Checker.ConnectionLost(now, id, r.err)
 	}
 	request.Requester.Complete(request.Request, r.outcome, r.retryAfter)
-	st.After(retentionAfterAnswer, func() { delete(st.requests, request.ID) })
+	run.After(retentionAfterAnswer, func() { delete(run.requests, request.ID) })
 }
 
 // Abandon cancels a request that its requester has given up. From the deadline on it does nothing, since
 // the answer may still arrive within the grace period.
-func (st *stage) Abandon(m *model.Request) {
-	request := st.requests[m.ID]
-	if request == nil || request.Request != m || request.completed || st.Now() >= m.Deadline {
+func (run *scenarioRun) Abandon(m *model.Request) {
+	request := run.requests[m.ID]
+	if request == nil || request.Request != m || request.completed || run.Now() >= m.Deadline {
 		return
 	}
 	request.completed = true
-	st.world.Checker.ClientDeparted(st.Now(), string(m.ID))
+	run.world.Checker.ClientDeparted(run.Now(), string(m.ID))
 	request.cancel()
-	st.After(retentionAfterAnswer, func() { delete(st.requests, m.ID) })
+	run.After(retentionAfterAnswer, func() { delete(run.requests, m.ID) })
 }
 
 // outgoingRequest is a request as it is sent to an instance.
--- a/internal/lab/real/server.go
+++ b/internal/lab/real/server.go
@@ -52,7 +52,7 @@
 
 // server serves a model.Server on a socket.
 type server struct {
-	stage       *stage
+	run         *scenarioRun
 	model       *model.Server
 	address     string
 	connections *connectionSet
@@ -89,13 +89,13 @@
 func serverName(s *model.Server) string { return fmt.Sprint("server ", s.Index) }
 
 // listenAt makes a server listen, at its previous address if it had one.
-func (st *stage) listenAt(s *model.Server) error {
-	sv := st.servers[s.Index]
+func (run *scenarioRun) listenAt(s *model.Server) error {
+	sv := run.servers[s.Index]
 	if sv == nil {
-		sv = &server{stage: st, model: s, connections: newConnectionSet()}
-		st.servers[s.Index] = sv
+		sv = &server{run: run, model: s, connections: newConnectionSet()}
+		run.servers[s.Index] = sv
 	}
-	l, err := st.environment.Listen(serverName(s), s.Entry().Zone, sv.address)
+	l, err := run.environment.Listen(serverName(s), s.Entry().Zone, sv.address)
 	if err != nil {
 		return fmt.Errorf("server %d: %w", s.Index, err)
 	}
@@ -103,43 +103,44 @@
 	sv.http = &http.Server{Handler: sv, ReadHeaderTimeout: 30 * time.Second, IdleTimeout: serverIdleTimeout, ErrorLog: discardLog}
 	sv.listener = l
 	web := sv.http
-	st.goroutines.Go(func() {
-		if err := web.Serve(faultyListener{l, sv.connections}); !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
-			st.fail(err)
+	run.goroutines.Go(func() {
+		err := web.Serve(faultyListener{l, sv.connections})
+		if !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
+			run.fail(err)
 		}
 	})
 	return nil
 }
 
 // ServerStarted implements model.Sockets, as do ServerStopped, ResetConnections and SetConnectionFault.
-func (st *stage) ServerStarted(s *model.Server) {
-	if sv := st.servers[s.Index]; sv != nil && sv.endBlackhole != nil {
+func (run *scenarioRun) ServerStarted(s *model.Server) {
+	if sv := run.servers[s.Index]; sv != nil && sv.endBlackhole != nil {
 		return // SetConnectionFault makes the server listen when the blackhole ends
 	}
-	if err := st.listenAt(s); err != nil {
-		st.fail(err)
+	if err := run.listenAt(s); err != nil {
+		run.fail(err)
 	}
 }
 
 // ServerStopped resets a server's connections and stops listening.
-func (st *stage) ServerStopped(s *model.Server) { st.servers[s.Index].stop() }
+func (run *scenarioRun) ServerStopped(s *model.Server) { run.servers[s.Index].stop() }
 
 // ResetConnections resets all connections of a server.
-func (st *stage) ResetConnections(s *model.Server) { st.servers[s.Index].connections.reset() }
+func (run *scenarioRun) ResetConnections(s *model.Server) { run.servers[s.Index].connections.reset() }
 
 // SetConnectionFault sets the fault on a server's connections. Under the kinds "syn" and "vanish" the
 // server's address becomes a blackhole.
-func (st *stage) SetConnectionFault(s *model.Server, kind string, size int) {
-	sv := st.servers[s.Index]
+func (run *scenarioRun) SetConnectionFault(s *model.Server, kind string, size int) {
+	sv := run.servers[s.Index]
 	sv.connections.setFault(kind, size)
 	silent := kind == noHandshake || kind == vanish
 	switch {
 	case silent && sv.endBlackhole == nil && sv.http != nil:
 		sv.listener.Close() // established connections stay
 		sv.http = nil
-		end, err := st.environment.Blackhole(sv.address)
+		end, err := run.environment.Blackhole(sv.address)
 		if err != nil {
-			st.fail(fmt.Errorf("server %d: %w", s.Index, err))
+			run.fail(fmt.Errorf("server %d: %w", s.Index, err))
 			return
 		}
 		sv.endBlackhole = end
@@ -149,8 +150,8 @@
 		if !s.IsListening() {
 			return // the server has stopped meanwhile
 		}
-		if err := st.listenAt(s); err != nil {
-			st.fail(err)
+		if err := run.listenAt(s); err != nil {
+			run.fail(err)
 		}
 	}
 }
@@ -195,21 +196,21 @@
 	if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxBody)); err != nil {
 		return
 	}
-	st := sv.stage
+	run := sv.run
 	replies := make(replier, 1)
 	a := &attempt{Attempt: model.Attempt{Server: sv.model, ReplyTo: replies}}
 	if us, err := strconv.ParseInt(strings.TrimSuffix(r.Header.Get("X-Remaining"), "u"), 10, 64); err == nil {
 		a.remaining = time.Duration(us) * time.Microsecond
 	}
 	id := decision.RequestID(r.Header.Get("X-Txn"))
-	st.post(func() { st.attemptArrived(id, a) })
+	run.post(func() { run.attemptArrived(id, a) })
 	select {
 	case got := <-replies:
-		st.post(func() { st.attemptEnded(a, got.status.String()) })
+		run.post(func() { run.attemptEnded(a, got.status.String()) })
 		write(w, got)
 	case <-r.Context().Done():
-		st.post(func() {
-			st.attemptEnded(a, "its connection was closed")
+		run.post(func() {
+			run.attemptEnded(a, "its connection was closed")
 			a.Finished = true
 			if a.Request != nil {
 				sv.model.Cancel(&a.Attempt)
@@ -249,22 +250,22 @@
 const delayedThreshold = 50 * time.Millisecond
 
 // attemptArrived hands an attempt to the model's server, after the network's latency.
-func (st *stage) attemptArrived(id decision.RequestID, a *attempt) {
-	request := st.requests[id]
+func (run *scenarioRun) attemptArrived(id decision.RequestID, a *attempt) {
+	request := run.requests[id]
 	if request == nil {
-		st.world.Checker.AttemptSent(st.Now(), string(id), 0, a.Server.Index)
+		run.world.Checker.AttemptSent(run.Now(), string(id), 0, a.Server.Index)
 		a.ReplyTo.Reply(&a.Attempt, decision.Error, nil)
 		return
 	}
-	a.Request, a.Number, a.SentAt = request.Request, request.attemptCount, st.Now()
+	a.Request, a.Number, a.SentAt = request.Request, request.attemptCount, run.Now()
 	request.attemptCount++
-	st.world.Result.Attempts++
+	run.world.Result.Attempts++
 	a.previous, request.lastAttempt = request.lastAttempt, a
 	request.unreported = append(request.unreported, a)
 	if !request.reportScheduled {
-		st.reportAttempts(request)
+		run.reportAttempts(request)
 	}
-	st.After(st.world.Latency(), func() {
+	run.After(run.world.Latency(), func() {
 		if !a.Finished {
 			a.Server.Receive(&a.Attempt)
 		}
@@ -275,36 +276,36 @@
 // the previous one was observed. The end is observed a little later than it happens, and across a
 // partition only after the partition has healed. An attempt that the sender has given up before the
 // partition let it through is closed at once, and is not reported.
-func (st *stage) reportAttempts(request *pendingRequest) {
+func (run *scenarioRun) reportAttempts(request *pendingRequest) {
 	request.reportScheduled = false
 	for len(request.unreported) > 0 {
-		next, now := request.unreported[0], st.Now()
+		next, now := request.unreported[0], run.Now()
 		previous := next.previous
 		delayed := now-next.sentAt(now) > delayedThreshold
 		if !next.waited && (delayed || previous != nil && !previous.done) {
-			next.waited = previous == nil || previous.done || !st.world.IsUnreachable(request.Instance, previous.Server)
+			next.waited = previous == nil || previous.done || !run.world.IsUnreachable(request.Instance, previous.Server)
 			request.reportScheduled = true
-			st.After(st.lateness, func() { st.reportAttempts(request) })
+			run.After(run.lateness, func() { run.reportAttempts(request) })
 			return
 		}
 		request.unreported = request.unreported[1:]
 		if request.departedAt > 0 && !delayed {
-			st.world.Checker.AttemptAfterDeparture(next.sentAt(now), request.departedAt, string(request.ID), next.Number)
+			run.world.Checker.AttemptAfterDeparture(next.sentAt(now), request.departedAt, string(request.ID), next.Number)
 		}
 		if request.completed || delayed && next.done { // sent before the client departed, or given up meanwhile
 			continue
 		}
-		st.world.Checker.AttemptSent(next.sentAt(now), string(request.ID), next.Number, next.Server.Index)
+		run.world.Checker.AttemptSent(next.sentAt(now), string(request.ID), next.Number, next.Server.Index)
 		if next.reported = true; next.done {
-			st.world.Checker.AttemptEnded(now, string(request.ID), next.Number, "ended before the end of the previous attempt was observed")
+			run.world.Checker.AttemptEnded(now, string(request.ID), next.Number, "ended before its report")
 		}
 	}
 }
 
 // attemptEnded records the end of an attempt.
-func (st *stage) attemptEnded(a *attempt, reason string) {
+func (run *scenarioRun) attemptEnded(a *attempt, reason string) {
 	a.done = true
 	if a.reported {
-		st.world.Checker.AttemptEnded(st.Now(), string(a.Request.ID), a.Number, reason)
+		run.world.Checker.AttemptEnded(run.Now(), string(a.Request.ID), a.Number, reason)
 	}
 }
--- a/internal/lab/real/site.go
+++ b/internal/lab/real/site.go
@@ -33,16 +33,16 @@
 // NewSite starts a discovery of the servers and creates the listening socket. Close of the site also
 // kills the servers.
 func NewSite(servers []*Server, settings string, limits Limits) (_ *Site, err error) {
-	st := &Site{Servers: servers}
+	site := &Site{Servers: servers}
 	defer func() {
 		if err != nil {
-			err = errors.Join(err, st.Close())
+			err = errors.Join(err, site.Close())
 		}
 	}()
-	if st.dir, err = os.MkdirTemp("", "dykering-lab-"); err != nil {
+	if site.dir, err = os.MkdirTemp("", "dykering-lab-"); err != nil {
 		return nil, err
 	}
-	if st.Discovery, err = StartDiscovery(st.Servers); err != nil {
+	if site.Discovery, err = StartDiscovery(site.Servers); err != nil {
 		return nil, err
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -50,54 +50,54 @@
 		return nil, err
 	}
 	defer l.Close() // the duplicated descriptor stays open
-	st.URL = "http://" + l.Addr().String()
-	if st.socket, err = l.(*net.TCPListener).File(); err != nil {
+	site.URL = "http://" + l.Addr().String()
+	if site.socket, err = l.(*net.TCPListener).File(); err != nil {
 		return nil, err
 	}
 	text, err := json.Marshal(map[string]any{
-		"name": "lab", "listen": l.Addr().String(), "discovery": st.Discovery.Address,
+		"name": "lab", "listen": l.Addr().String(), "discovery": site.Discovery.Address,
 		"seed": "a1", "limits": limits, "settings": json.RawMessage(settings),
 	})
 	if err != nil {
 		return nil, err
 	}
-	st.file = filepath.Join(st.dir, "config.json")
-	return st, os.WriteFile(st.file, text, 0o600)
+	site.file = filepath.Join(site.dir, "config.json")
+	return site, os.WriteFile(site.file, text, 0o600)
 }
 
 // Dir returns the directory of the site's files. Close removes it.
-func (st *Site) Dir() string { return st.dir }
+func (site *Site) Dir() string { return site.dir }
 
 // StartBroker starts a process on the listening socket and waits until it can serve.
-func (st *Site) StartBroker(ctx context.Context, command []string, env ...string) (*Process, error) {
+func (site *Site) StartBroker(ctx context.Context, command []string, env ...string) (*Process, error) {
 	p, err := Launch{
-		Command: command, File: st.file, Socket: st.socket, Dir: st.dir, Env: env,
-		Log: filepath.Join(st.dir, fmt.Sprintf("broker-%d.log", len(st.Brokers))),
+		Command: command, File: site.file, Socket: site.socket, Dir: site.dir, Env: env,
+		Log: filepath.Join(site.dir, fmt.Sprintf("broker-%d.log", len(site.Brokers))),
 	}.Start()
 	if err != nil {
 		return nil, err
 	}
-	st.Brokers = append(st.Brokers, p)
+	site.Brokers = append(site.Brokers, p)
 	return p, p.Ready(ctx)
 }
 
 // Close stops the processes, the discovery and the servers, and removes the directory.
-func (st *Site) Close() error {
-	for _, b := range st.Brokers {
+func (site *Site) Close() error {
+	for _, b := range site.Brokers {
 		b.Stop()
 	}
-	if st.Discovery != nil {
-		st.Discovery.Close()
+	if site.Discovery != nil {
+		site.Discovery.Close()
 	}
-	for _, s := range st.Servers {
+	for _, s := range site.Servers {
 		s.Kill()
 	}
 	var err error
-	if st.socket != nil {
-		err = st.socket.Close()
+	if site.socket != nil {
+		err = site.socket.Close()
 	}
-	if st.dir != "" {
-		err = errors.Join(err, os.RemoveAll(st.dir))
+	if site.dir != "" {
+		err = errors.Join(err, os.RemoveAll(site.dir))
 	}
 	return err
 }
