--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -76,9 +76,9 @@
 // with the same runs as an uninterrupted one. The results do not depend on how many runs are played at a time.
 func TestInterruptedExperimentContinues(t *testing.T) {
 	_, path := newFolder(t, small)
-	e, wrong := Load(path)
-	if len(wrong) > 0 {
-		t.Fatal(wrong)
+	e, problems := Load(path)
+	if len(problems) > 0 {
+		t.Fatal(problems)
 	}
 	self := []string{os.Args[0]}
 	ignoreProgress := func(int, int) {}
@@ -126,7 +126,7 @@
 	for _, name := range []string{"table.md", "table.csv", "index.html", "service.svg", "time-1.svg"} {
 		text, err := os.ReadFile(filepath.Join(out, name))
 		if err != nil || len(text) < 300 || strings.Contains(string(text), "NaN") && strings.HasSuffix(name, "md") {
-			t.Errorf("%s: %d bytes, %v", name, len(text), err)
+			t.Errorf("%s is missing, too short or contains NaN: %d bytes, error %v", name, len(text), err)
 		}
 		if strings.HasSuffix(name, "html") && (bytes.Count(text, []byte("<svg")) != 5 || bytes.Contains(text, []byte("src="))) {
 			t.Errorf("%s is not self-contained", name)
@@ -148,8 +148,8 @@
 		`"callers.rate"`:      {`"callers.lats"`, "callers.lats"},
 	} {
 		_, path := newFolder(t, strings.Replace(small, from, want[0], 1))
-		if _, wrong := Load(path); len(wrong) == 0 || !strings.Contains(wrong[0].Error(), want[1]) {
-			t.Errorf("%s: %v, want %q", want[0], wrong, want[1])
+		if _, problems := Load(path); len(problems) == 0 || !strings.Contains(problems[0].Error(), want[1]) {
+			t.Errorf("experiment with %s: errors %v, want one with %q", want[0], problems, want[1])
 		}
 	}
 	if _, _, err := ReadRuns(t.TempDir()); !errors.Is(err, fs.ErrNotExist) {
@@ -183,7 +183,7 @@
 		}
 		rows, err := Compare(a, b)
 		if err != nil || rows[0].Metric != "service" || rows[0].Verdict != tc.want {
-			t.Errorf("%s: %+v, %v", name, rows, err)
+			t.Errorf("%s: rows %+v, error %v, want verdict %q", name, rows, err, tc.want)
 		}
 	}
 	if _, err := Compare([]Run{run("x", 1, 1)}, []Run{run("y", 1, 1)}); err == nil {
@@ -201,8 +201,8 @@
 		t.Fatal(files, err)
 	}
 	for _, f := range files {
-		if _, wrong := Load(f); len(wrong) > 0 {
-			t.Error(wrong)
+		if _, problems := Load(f); len(problems) > 0 {
+			t.Error(problems)
 		}
 	}
 }
--- a/internal/lab/faultnet/schedule_test.go
+++ b/internal/lab/faultnet/schedule_test.go
@@ -19,7 +19,7 @@
 		s, found := LoadSchedule("bad.toml", []byte(testCase.text))
 		switch {
 		case testCase.want == "" && (len(found) > 0 || len(s.Steps) != 1):
-			t.Errorf("%q: %d steps, errors %v, want 1 step without errors", testCase.text, len(s.Steps), found)
+			t.Errorf("%q: schedule %+v, errors %v, want 1 step without errors", testCase.text, s, found)
 		case testCase.want != "" && (len(found) != 1 || !strings.Contains(found[0].Error(), testCase.want)):
 			t.Errorf("%q: errors %v, want one with %q", testCase.text, found, testCase.want)
 		}
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -2,8 +2,8 @@
 // profile, however long earlier requests take.
 //
 // Latencies count from the time at which a request was scheduled, not from the time at which it was sent. A
-// request that is sent late because of slow earlier responses so counts with the delay that its caller would
-// see. This avoids coordinated omission (Gil Tene, "How NOT to Measure Latency").
+// request that is sent late because of slow earlier responses therefore counts with the delay that its caller
+// would see. This avoids coordinated omission (Gil Tene, "How NOT to Measure Latency").
 //
 // The commands "load", "bench" and "demo" of dykering-lab use the package. The JSON keys of Report cannot
 // change.
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -15,9 +15,9 @@
 func TestProfileRatesAndChecks(t *testing.T) {
 	s := time.Second
 	for _, tc := range []struct {
-		p    Profile
-		at   []float64 // the rate after 0, 1, … 9 s
-		sent float64
+		p     Profile
+		rates []float64 // after 0, 1, … 9 s
+		sent  float64
 	}{
 		{Profile{Kind: Steady, Rate: 50, Lasts: 10 * s}, []float64{50, 50, 50, 50, 50, 50, 50, 50, 50, 50}, 500},
 		{Profile{Kind: Ramp, Rate: 10, To: 110, Lasts: 10 * s}, []float64{10, 20, 30, 40, 50, 60, 70, 80, 90, 100}, 600},
@@ -27,9 +27,9 @@
 		if err := tc.p.Check(); err != nil {
 			t.Error(err)
 		}
-		for i, want := range tc.at {
+		for i, want := range tc.rates {
 			if got := tc.p.RateAt(time.Duration(i) * s); math.Abs(got-want) > 1e-6 {
-				t.Errorf("%s after %d s: %v, want %v", tc.p.Kind, i, got, want)
+				t.Errorf("%s after %d s: rate %v, want %v", tc.p.Kind, i, got, want)
 			}
 		}
 		n := 0.0
@@ -37,7 +37,7 @@
 			n++
 		}
 		if math.Abs(n-tc.sent) > 0.05*tc.sent {
-			t.Errorf("%s: %v sent, want about %v", tc.p.Kind, n, tc.sent)
+			t.Errorf("%s: %v requests, want about %v", tc.p.Kind, n, tc.sent)
 		}
 	}
 	for _, p := range []Profile{
@@ -71,7 +71,7 @@
 	}
 	r, err := l.Play(t.Context())
 	if err != nil || r.All.Served != 100 || r.Unsent != 0 {
-		t.Fatalf("%v, %+v", err, r)
+		t.Fatalf("want 100 served requests and none unsent: error %v, report %+v", err, r)
 	}
 	// Half of the requests are due during the stall, and wait for half of it on average.
 	if r.All.P50 > 450 || r.All.P90 < 300 || r.All.Max < 490 || r.All.Mean < 90 {
@@ -110,7 +110,7 @@
 	}
 	for i, n := range []int{r.Classes[0].Served, r.Classes[1].Refused, r.Classes[2].Failed, r.Classes[3].Lost, r.Classes[4].Lost} {
 		if c := r.Classes[i]; n != c.Asked || n == 0 {
-			t.Errorf("%s: %+v", c.Name, c)
+			t.Errorf("not all requests of class %s were counted as the expected outcome: %+v", c.Name, c)
 		}
 	}
 	sum := 0
--- a/internal/lab/netem/netem_test.go
+++ b/internal/lab/netem/netem_test.go
@@ -82,7 +82,7 @@
 			}
 			time.Sleep(11 * time.Millisecond)
 			if n, err := far.Peek(); !far.Ended() || n != 1 || err != nil {
-				b.Errorf("ended %v, %d bytes unread, %v", far.Ended(), n, err)
+				b.Errorf("after the close: Ended %v, Peek %d, error %v, want true, 1 and no error", far.Ended(), n, err)
 			}
 		}},
 		"full buffer": {Options{Buffer: 100}, func(b *testNetwork) {
--- a/internal/lab/real/environment.go
+++ b/internal/lab/real/environment.go
@@ -44,7 +44,7 @@
 	Close()
 }
 
-// Broker is a process of the broker.
+// Broker controls one process of the broker.
 type Broker interface {
 	// Ready waits until the process can serve.
 	Ready(context.Context) error
--- a/internal/lab/real/play_test.go
+++ b/internal/lab/real/play_test.go
@@ -35,7 +35,7 @@
 	fmt.Fprintln(os.Stderr, "pid", os.Getpid())
 	var err error
 	switch kind := os.Args[2]; kind {
-	case "right":
+	case "correct":
 		operator := ""
 		if len(os.Args) == 5 { // after --operator
 			operator = os.Args[4]
@@ -164,7 +164,7 @@
 				Name: "below", Instances: 1, Servers: 2, Calls: scenario.Range{From: 1, To: 1},
 				Work: scenario.Range{From: 0.002, To: 0.004}, ReservedShare: 0.1,
 			}}
-			r, err := Play(t.Context(), s, 3, options(t, "right"))
+			r, err := Play(t.Context(), s, 3, options(t, "correct"))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -214,7 +214,7 @@
 func TestFailingBrokerEndsRunWithItsLog(t *testing.T) {
 	for kind, want := range map[string]string{
 		"exits": "exit status 3", "never ready": "could not serve within", "crashes": "crash of the faulty test broker",
-		"hangs": "canceled", "right": "canceled",
+		"hangs": "canceled", "correct": "canceled",
 	} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
@@ -229,11 +229,11 @@
 			began := time.Now()
 			_, err := Play(ctx, s, 3, o)
 			if err == nil || !strings.Contains(err.Error(), want) || time.Since(began) > readyTimeout+stopTimeout+10*time.Second {
-				t.Errorf("after %v: %v", time.Since(began), err)
+				t.Errorf("the run ended after %v with error %v, want one with %q", time.Since(began), err, want)
 			}
 			logs, _ := filepath.Glob(filepath.Join(o.Dir, "*", "log"))
 			if len(logs) != 1 {
-				t.Fatalf("logs: %v", logs)
+				t.Fatalf("the run left the logs %v, want one", logs)
 			}
 			text, _ := os.ReadFile(logs[0])
 			m := regexp.MustCompile(`pid (\d+)`).FindSubmatch(text)
@@ -251,13 +251,13 @@
 // Play refuses a scenario that only the engine in virtual time can play before it starts a process.
 func TestPlayRefusesWhatOnlyVirtualTimePlays(t *testing.T) {
 	s := shortScenario(t, scenario.InjectedFault{Kind: "partition"})
-	if _, err := Play(t.Context(), s, 1, options(t, "right")); err == nil || !strings.Contains(err.Error(), "trouble[0]") {
-		t.Error(err)
+	if _, err := Play(t.Context(), s, 1, options(t, "correct")); err == nil || !strings.Contains(err.Error(), "trouble[0]") {
+		t.Errorf("playing a partition on real sockets: error %v, want one with trouble[0]", err)
 	}
 	s = shortScenario(t)
 	s.Broker.Instances = maxInstances + 1
-	if _, err := Play(t.Context(), s, 1, options(t, "right")); err == nil || !strings.Contains(err.Error(), "instances") {
-		t.Error(err)
+	if _, err := Play(t.Context(), s, 1, options(t, "correct")); err == nil || !strings.Contains(err.Error(), "instances") {
+		t.Errorf("playing more than maxInstances instances: error %v, want one with the number of instances", err)
 	}
 }
 
@@ -280,10 +280,10 @@
 		{At: at(5), Do: "cut", Sets: [][]string{{b(0), b(1)}, {b(2), b(3)}}},
 		{At: at(9), Do: "heal"},
 	}
-	if wrong := s.Check(); len(wrong) > 0 {
-		t.Fatal(wrong)
+	if problems := s.Check(); len(problems) > 0 {
+		t.Fatal(problems)
 	}
-	r, err := Play(t.Context(), s, 3, options(t, "right"))
+	r, err := Play(t.Context(), s, 3, options(t, "correct"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -291,7 +291,7 @@
 		t.Errorf("service share %.3f, violations %v, views %+v", r.Service, r.ViolationCounts, r.Views)
 	}
 	s.Broker.Fleet = false
-	if wrong := s.Check(); len(wrong) != 1 || !strings.Contains(wrong[0].Error(), "broker.fleet") {
-		t.Errorf("check of network faults without a fleet: %v", wrong)
+	if problems := s.Check(); len(problems) != 1 || !strings.Contains(problems[0].Error(), "broker.fleet") {
+		t.Errorf("check of network faults without a fleet: %v", problems)
 	}
 }
--- a/internal/lab/real/request.go
+++ b/internal/lab/real/request.go
@@ -81,8 +81,8 @@
 	bodyChunks    = 8
 	chunkInterval = 5 * time.Millisecond
 	chunkSize     = 4 << 10
-	// malformedTimeout is the time within which the broker has to answer a malformed request or close
-	// its connection.
+	// malformedTimeout is the time within which the broker has to close the connection of a malformed
+	// request.
 	malformedTimeout = 4 * time.Second
 )
 
