--- a/internal/lab/real/instance.go
+++ b/internal/lab/real/instance.go
@@ -13,7 +13,7 @@
 	"dykering/internal/lab/model"
 )
 
-// instance is an instance of the broker: its slot, its discovery, and its process.
+// instance is an instance of the broker with its slot, its discovery and its current process.
 type instance struct {
 	model     *model.Instance
 	slot      Slot
@@ -21,114 +21,120 @@
 	discovery *Discovery
 	// The platform's configuration file.
 	file string
-	// The operator's file; empty for none.
+	// The operator's file; empty if there is none.
 	operator string
 	client   *http.Client
 	name     string
 	zone     int
-	// Nil while there is none.
+	// The process that serves; nil while none does.
 	process Broker
-	// A process that was told to stop, without a successor beside it.
-	stopping  Broker
+	// A process that was told to stop and has no successor yet.
+	stopping Broker
+	// All processes that were started.
 	processes []Broker
 }
 
 // addInstance creates an instance and starts its process.
-func (st *stage) addInstance(in *model.Instance) error {
+func (run *scenarioRun) addInstance(in *model.Instance) error {
 	name, zone := fmt.Sprintf("broker-%d-%d", in.Tier.Index, in.Ordinal), 0
 	if len(in.Tier.Servers) > 0 {
-		zone = in.Ordinal % max(st.world.Scenario.Servers.Zones, 1)
+		zone = in.Ordinal % max(run.world.Scenario.Servers.Zones, 1)
 	}
-	slot, err := st.environment.NewSlot(name, zone)
+	slot, err := run.environment.NewSlot(name, zone)
 	if err != nil {
 		return err
 	}
-	i := &instance{model: in, name: name, zone: zone, slot: slot, url: "http://" + slot.Address(), client: &http.Client{Transport: &http.Transport{
-		DialContext: st.environment.Dial, MaxIdleConnsPerHost: 1024, IdleConnTimeout: 10 * time.Second, DisableCompression: true,
-	}}}
-	st.instances = append(st.instances, i)
-	l, err := st.environment.Listen(discoveryName(name), zone, "")
+	client := &http.Client{Transport: &http.Transport{
+		DialContext: run.environment.Dial, MaxIdleConnsPerHost: 1024, IdleConnTimeout: 10 * time.Second, DisableCompression: true,
+	}}
+	i := &instance{model: in, name: name, zone: zone, slot: slot, url: "http://" + slot.Address(), client: client}
+	run.instances = append(run.instances, i)
+	l, err := run.environment.Listen(discoveryName(name), zone, "")
 	if err != nil {
 		return err
 	}
 	i.discovery = serveDiscovery(l, nil)
-	for _, e := range st.world.List(in).Entries {
-		i.discovery.AnnounceTarget(st.target(e))
+	for _, e := range run.world.List(in).Entries {
+		i.discovery.AnnounceTarget(run.target(e))
 	}
 	i.file = filepath.Join(slot.Dir(), "config.json")
-	if err := st.configure(i); err != nil {
+	if err := run.configure(i); err != nil {
 		return err
 	}
-	if st.fleet != nil && in.Tier.Index == 0 {
-		if err := st.fleet.addMember(i, name, slot.Dir()); err != nil {
+	if run.fleet != nil && in.Tier.Index == 0 {
+		if err := run.fleet.addMember(i, name, slot.Dir()); err != nil {
 			return err
 		}
 	}
-	i.process, err = st.start(i)
+	i.process, err = run.start(i)
 	return err
 }
 
 // configure writes the platform's configuration file of an instance.
-func (st *stage) configure(i *instance) error {
+func (run *scenarioRun) configure(i *instance) error {
 	text, err := json.MarshalIndent(map[string]any{
 		"name": i.name, "listen": i.slot.Address(), "discovery": i.discovery.Address,
-		"seed": fmt.Sprintf("%x", st.world.Seed(i.model)), "limits": map[string]any{"cores": 1, "memory_mb": memoryMB, "sockets": sockets},
-		"settings": platformSettings(st.world, i.model),
+		"seed":     fmt.Sprintf("%x", run.world.Seed(i.model)),
+		"limits":   map[string]any{"cores": 1, "memory_mb": memoryMB, "sockets": sockets},
+		"settings": platformSettings(run.world, i.model),
 	}, "", " ")
 	if err != nil {
 		return err
 	}
-	next := i.file + ".new" // a process may be reading it
+	next := i.file + ".new" // renamed into place, since a process may be reading the file
 	if err := os.WriteFile(next, text, 0o600); err != nil {
 		return err
 	}
 	return os.Rename(next, i.file)
 }
 
-// start starts a process of an instance and watches it.
-func (st *stage) start(i *instance) (Broker, error) {
+// start starts a process of an instance and watches it: a process that exits by itself fails the run,
+// and one that its environment kills is replaced after restartDelay.
+func (run *scenarioRun) start(i *instance) (Broker, error) {
 	p, err := i.slot.Start(i.file, i.operator)
 	if err != nil {
 		return nil, err
 	}
 	i.processes = append(i.processes, p)
-	st.goroutines.Go(func() {
-		dies, excused := killPending(p)
-		defer excused()
+	run.goroutines.Go(func() {
+		kill, allowKill := killPending(p)
+		defer allowKill()
 		select {
-		case <-dies:
-			heard := make(chan struct{})
-			st.post(func() {
-				defer close(heard)
-				st.excuseRequests(i.model) // as in Kill
+		case <-kill:
+			excused := make(chan struct{})
+			run.post(func() {
+				defer close(excused)
+				run.excuseRequests(i.model) // as in Kill
 				if i.process == p {
 					i.process = nil
-					st.After(restartDelay, func() { st.startSuccessor(i, nil) })
+					run.After(restartDelay, func() { run.startSuccessor(i, nil) })
 				}
 			})
 			select {
-			case <-heard:
-			case <-st.done:
+			case <-excused:
+			case <-run.done:
 			}
 			return
 		case <-p.Done():
-		case <-st.ctx.Done():
+		case <-run.ctx.Done():
 			return
 		}
-		st.post(func() {
+		run.post(func() {
 			if i.process == p && i.stopping != p {
-				st.fail(p.Failure("ended by itself"))
+				run.fail(p.Failure("exited by itself"))
 			}
 		})
 	})
 	return p, nil
 }
 
-// platformSettings are the settings that the platform would give an instance.
+// platformSettings returns the "settings" section of an instance's configuration file.
 func platformSettings(w *model.World, in *model.Instance) map[string]any {
 	set := w.Settings(in)
 	micros := func(d time.Duration) int64 { return d.Microseconds() }
-	effects := map[decision.Effect]string{decision.Safe: "read_like", decision.Keyed: "idempotency_key", decision.Unsafe: "non_idempotent"}
+	effects := map[decision.Effect]string{
+		decision.Safe: "read_like", decision.Keyed: "idempotency_key", decision.Unsafe: "non_idempotent",
+	}
 	var classes, tenants []map[string]any
 	for _, c := range set.Classes {
 		class := map[string]any{
@@ -171,19 +177,20 @@
 
 func zoneName(i int) string { return fmt.Sprint("zone-", i) }
 
-// target is the discovery's form of an endpoint entry.
-func (st *stage) target(e decision.Entry) core.Target {
+// target converts an endpoint entry to its form in the discovery.
+func (run *scenarioRun) target(e decision.Entry) core.Target {
 	t := core.Target{
-		UID: fmt.Sprintf("server-%08x", uint32(e.Endpoint)), Address: st.servers[int(e.Endpoint)-1].address,
-		Zone: zoneName(e.Zone), Model: st.world.Scenario.Kinds[e.Kind].Name, Cell: e.Cell, Weight: e.Weight,
+		UID: fmt.Sprintf("server-%08x", uint32(e.Endpoint)), Address: run.servers[int(e.Endpoint)-1].address,
+		Zone: zoneName(e.Zone), Model: run.world.Scenario.Kinds[e.Kind].Name, Cell: e.Cell, Weight: e.Weight,
 		State: [...]string{"Ready", "Terminating", "Gone"}[e.State],
 	}
 	if e.Started > 0 {
-		t.BootMS = st.at(e.Started).UnixMilli()
+		t.BootMS = run.at(e.Started).UnixMilli()
 	}
 	return t
 }
 
-func (st *stage) instanceOf(in *model.Instance) *instance {
-	return st.instances[len(st.instances)-1-in.Index]
+// instanceOf returns the instance of a model instance. PlayOn adds instances in reverse order.
+func (run *scenarioRun) instanceOf(in *model.Instance) *instance {
+	return run.instances[len(run.instances)-1-in.Index]
 }
--- a/internal/lab/real/play.go
+++ b/internal/lab/real/play.go
@@ -13,49 +13,50 @@
 )
 
 const (
-	// slack is added to the time limits of virtual time: events between processes are observed late,
-	// and one machine runs all of them.
+	// slack is added to the time limits of the checker. Events between processes are observed late, also
+	// because one machine runs all of the processes.
 	slack = 100 * time.Millisecond
-	// maxInstances is the number of processes that one machine can run.
+	// maxInstances is the largest number of broker processes that one machine plays.
 	maxInstances = 64
-	// A process is configured with these limits and uses half of them, since the rest is for a
-	// successor on its socket.
+	// memoryMB and sockets are the configured limits of a process. A process uses half of them and
+	// leaves the rest to a successor on its socket.
 	memoryMB, sockets = 256, 8192
 )
 
 // Options configure how a scenario is played.
 type Options struct {
-	// The command of the broker.
+	// The command that starts a broker.
 	Command []string
-	// Where logs and configurations are written; they are kept.
+	// The directory of logs and configurations. It is kept after the run.
 	Dir string
 }
 
-// stage plays a scenario on an environment. Unless said otherwise it belongs to the clock's
-// goroutine.
-type stage struct {
+// scenarioRun is one run of a scenario on an environment. Only the clock's goroutine uses its fields, except
+// for failed, ctx and goroutines.
+type scenarioRun struct {
 	*wallClock
 	world       *model.World
 	environment Environment
 	instances   []*instance
 	servers     map[int]*server
 	requests    map[decision.RequestID]*pendingRequest
-	lateness    time.Duration
-	// The first error ends the run.
+	// How late events may be observed.
+	lateness time.Duration
+	// Carries the first error, which ends the run.
 	failed chan error
 	ctx    context.Context
 	// All goroutines but the clock's.
 	goroutines sync.WaitGroup
-	// Nil without a fleet.
+	// Nil if the scenario has no fleet.
 	fleet *fleet
-	// Discoveries that brokers were told to leave.
+	// Discoveries that a "reload" fault replaced.
 	movedDiscoveries []*Discovery
-	// Draws the misbehavior of clients.
+	// Selects the requests on which clients misbehave.
 	behaviorRandom *rand.Rand
 }
 
-// Play plays a scenario with a seed on the host's sockets. Beside the scenario's duration it takes
-// some seconds to start and stop processes, and leaves none behind.
+// Play plays a scenario with a seed on the host's sockets. It takes some seconds longer than the
+// scenario, to start and stop processes, and leaves no process behind.
 func Play(ctx context.Context, s *scenario.Scenario, seed uint64, o Options) (_ *model.Result, err error) {
 	if err := checkPlayable(s); err != nil {
 		return nil, err
@@ -67,130 +68,134 @@
 	return r, err
 }
 
-// PlayOn plays a scenario on an environment. Late is how late events may be observed there.
-func PlayOn(ctx context.Context, g Environment, s *scenario.Scenario, seed uint64, late time.Duration) (_ *model.Result, err error) {
+// PlayOn plays a scenario on an environment. The argument late is how late events may be observed there.
+func PlayOn(
+	ctx context.Context, e Environment, s *scenario.Scenario, seed uint64, late time.Duration,
+) (_ *model.Result, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	st := &stage{
-		wallClock: newWallClock(), environment: g, lateness: late, servers: map[int]*server{}, requests: map[decision.RequestID]*pendingRequest{},
-		failed: make(chan error, 1), ctx: ctx,
+	run := &scenarioRun{
+		wallClock: newWallClock(), environment: e, lateness: late, failed: make(chan error, 1), ctx: ctx,
+		servers: map[int]*server{}, requests: map[decision.RequestID]*pendingRequest{},
 	}
 	defer func() {
 		stop()
-		st.tearDown()
+		run.tearDown()
 	}()
-	st.behaviorRandom = model.Stream(seed, "manners", 0)
-	st.world = model.New(s, seed, st, st, st, late)
+	run.behaviorRandom = model.Stream(seed, "manners", 0)
+	run.world = model.New(s, seed, run, run, run, late)
 	if s.Broker.Fleet {
-		if st.fleet, err = newFleet(st, seed); err != nil {
+		if run.fleet, err = newFleet(run, seed); err != nil {
 			return nil, err
 		}
 	}
-	for _, sv := range st.world.Servers {
-		if err := st.listenAt(sv); err != nil {
+	for _, sv := range run.world.Servers {
+		if err := run.listenAt(sv); err != nil {
 			return nil, err
 		}
 	}
-	for i := range st.world.Instances {
-		// The lowest tier first: servers are used once the instance that they call can serve.
-		if err := st.addInstance(st.world.Instances[len(st.world.Instances)-1-i]); err != nil {
+	for i := range run.world.Instances {
+		// The lowest tier starts first, so that a server is used only after the instance that it calls
+		// can serve.
+		if err := run.addInstance(run.world.Instances[len(run.world.Instances)-1-i]); err != nil {
 			return nil, err
 		}
 	}
-	for _, in := range st.instances {
+	for _, in := range run.instances {
 		if err := in.process.Ready(ctx); err != nil {
 			return nil, err
 		}
 	}
-	st.began = time.Now()
-	end := st.world.Start()
-	if st.fleet != nil {
-		st.goroutines.Go(func() { st.fleet.play(ctx, s.NetworkFaults) })
+	run.began = time.Now()
+	end := run.world.Start()
+	if run.fleet != nil {
+		run.goroutines.Go(func() { run.fleet.play(ctx, s.NetworkFaults) })
 	}
-	if err := st.run(ctx, end, st.world.IsFinished, st.failed); err != nil {
+	if err := run.runUntil(ctx, end, run.world.IsFinished, run.failed); err != nil {
 		return nil, err
 	}
-	r := st.world.Finish()
-	if st.fleet != nil {
-		if r.Views, err = st.fleet.views(); err != nil {
+	r := run.world.Finish()
+	if run.fleet != nil {
+		if r.Views, err = run.fleet.views(); err != nil {
 			return nil, err
 		}
 	}
 	return r, nil
 }
 
-// checkPlayable refuses what only virtual time can play.
+// checkPlayable returns an error for a scenario that only the engine in virtual time can play.
 func checkPlayable(s *scenario.Scenario) error {
 	n := s.Broker.Instances
 	for _, b := range s.DownstreamTiers {
 		n += b.Instances
 	}
 	if n > maxInstances {
-		return fmt.Errorf("%d instances are more than the %d that one machine plays on real sockets", n, maxInstances)
+		return fmt.Errorf("%d instances exceed the limit of %d on real sockets", n, maxInstances)
 	}
 	for i, t := range s.InjectedFaults {
 		if t.Kind == "partition" {
-			return fmt.Errorf("trouble[%d]: a partition between some and others is played in virtual time only; vanish and zone are played here", i)
+			return fmt.Errorf("trouble[%d]: a partition is played in virtual time only; real sockets support vanish and zone", i)
 		}
 	}
 	return nil
 }
 
 // fail ends the run with an error.
-func (st *stage) fail(err error) {
+func (run *scenarioRun) fail(err error) {
 	select {
-	case st.failed <- err:
-	default: // it is ending already
+	case run.failed <- err:
+	default: // an earlier error is ending the run already
 	}
 }
 
-// tearDown stops everything that was started: all processes at once, then the rest.
-func (st *stage) tearDown() {
+// tearDown stops all processes at the same time, then servers, relay, discoveries and goroutines.
+func (run *scenarioRun) tearDown() {
 	var all sync.WaitGroup
-	for _, i := range st.instances {
+	for _, i := range run.instances {
 		i.client.CloseIdleConnections()
 		for _, p := range i.processes {
 			all.Go(p.Stop)
 		}
 	}
 	all.Wait()
-	for _, s := range st.servers {
+	for _, s := range run.servers {
 		s.close()
 	}
-	if st.fleet != nil {
-		st.fleet.relay.Close()
+	if run.fleet != nil {
+		run.fleet.relay.Close()
 	}
-	for _, d := range st.movedDiscoveries {
+	for _, d := range run.movedDiscoveries {
 		d.Close()
 	}
-	for _, i := range st.instances {
+	for _, i := range run.instances {
 		if i.discovery != nil {
 			i.discovery.Close()
 		}
 		i.slot.Close()
 	}
 	select {
-	case <-st.done:
+	case <-run.done:
 	default:
-		close(st.done) // it never ran
+		close(run.done) // runUntil was never called
 	}
-	st.goroutines.Wait()
+	run.goroutines.Wait()
 }
 
-// UpdateList implements model.Brokers, as do the methods below.
-func (st *stage) UpdateList(in *model.Instance, l decision.List) {
-	i := st.instanceOf(in)
+// UpdateList implements model.Brokers: it passes a change of an instance's endpoint list to the
+// instance's discovery.
+func (run *scenarioRun) UpdateList(in *model.Instance, l decision.List) {
+	i := run.instanceOf(in)
 	if l.Kind == decision.FailedList {
 		i.discovery.BreakWatches()
 		return
 	}
 	for _, e := range l.Entries {
-		i.discovery.AnnounceTarget(st.target(e))
+		i.discovery.AnnounceTarget(run.target(e))
 	}
 	if l.Kind == decision.FullList {
 		for _, s := range in.Tier.Servers {
 			if e := s.Entry(); e.State == decision.Departed {
-				i.discovery.AnnounceTarget(st.target(e))
+				i.discovery.AnnounceTarget(run.target(e))
 			}
 		}
 		i.discovery.Resume()
