--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// send sends an attempt. If the site does not permit cancellation, the attempt gets a time-out at the age at
+// send sends an attempt. If the site does not permit cancellation, the attempt gets a timeout at the age at
 // which an endpoint counts as silent.
 func (b *Balancer) send(now time.Duration, r *request, e *endpoint, trial bool) {
 	r.current, r.sentAt, r.trial, r.answersAtSend, r.withdrawn = e, now, trial, b.answers, false
--- a/internal/decision/attempts_test.go
+++ b/internal/decision/attempts_test.go
@@ -100,7 +100,7 @@
 		"reset after the error": func(h *harness, first, _ sentCall) {
 			h.reportOutcome(first, Reset, 20*ms)
 		},
-		"time-out after the error": func(h *harness, first, _ sentCall) {
+		"timeout after the error": func(h *harness, first, _ sentCall) {
 			h.reportOutcome(first, Timeout, 20*ms)
 		},
 		"outcome of another endpoint": func(h *harness, first, second sentCall) {
--- a/internal/decision/doc.go
+++ b/internal/decision/doc.go
@@ -1,6 +1,16 @@
 // Package decision makes the decisions of a client-side load balancer for one instance: which endpoint
 // receives a call, when a call is retried, queued, rejected or failed, and when the endpoint list is fetched.
 //
+// # Terms
+//
+//   - An instance is one process that runs a Balancer. A fleet is all instances that call the same endpoints.
+//   - A tier is the group of endpoints that do the same work. The endpoints of a tier may call the next tier
+//     through instances of their own. Without a further word, "the tier" is the one that an instance calls.
+//   - A class is a kind of request with one latency target, deadline and value. A tenant is a customer with a
+//     quota. A site is an installation with its Settings.
+//   - The base latency of a class is its latency at little load. The usual latency is that at the usual load.
+//   - A subset is the part of the tier that one instance calls.
+//
 // # State
 //
 // A Balancer owns all state that decisions depend on: the endpoints with their state (usable, in slow start,
@@ -10,8 +20,8 @@
 //
 // # Invariants
 //
-//   - The package does no input or output, reads no clock and starts no goroutine. Each event carries its
-//     time, counted from an arbitrary start; times never decrease.
+//   - The package does no I/O, reads no clock and starts no goroutine. Each event carries its time, counted
+//     from an arbitrary start; times never decrease.
 //   - The same settings, seed and events produce the same actions in the same order.
 //   - A request gets exactly one final answer: a response, Refuse or Fail. It is refused only where another
 //     attempt by the client is harmless.
@@ -23,7 +33,7 @@
 //
 // # Limits of the package
 //
-// Connections, time-outs of attempts, protocols and the transport of the endpoint list belong to the
+// Connections, timeouts of attempts, protocols and the transport of the endpoint list belong to the
 // embedding program. A Balancer is not safe for concurrent use: the embedding program calls it from one
 // goroutine.
 //
--- a/internal/decision/endpoint_index.go
+++ b/internal/decision/endpoint_index.go
@@ -7,7 +7,7 @@
 
 // endpointIndex holds the known endpoints and several sets of them, so that a tick with thousands of
 // endpoints visits only the few that it needs. All sets except departed contain only listed endpoints, in the
-// order of their ids. Iterating over a set therefore gives the same order as filtering the whole list.
+// order of their IDs. Iterating over a set therefore gives the same order as filtering the whole list.
 type endpointIndex struct {
 	byID        map[EndpointID]*endpoint
 	listed      []*endpoint
@@ -23,7 +23,7 @@
 	subsetStale    bool // states, the list or the demand have changed since updateSubset ran
 }
 
-// compareIDs compares two endpoints by id, for sorting.
+// compareIDs compares two endpoints by ID, for sorting.
 func compareIDs(x, y *endpoint) int { return cmp.Compare(x.id, y.id) }
 
 // sortByID sorts a set in place, in the order that setMembership expects.
--- a/internal/decision/evidence.go
+++ b/internal/decision/evidence.go
@@ -50,7 +50,7 @@
 // at the same time overloaded endpoints that had just returned and were cold.
 func (b *Balancer) ApplyPeerEjections(now time.Duration, ejections []PeerEjection) (ejected int) {
 	if b.subsetStale && len(ejections) > 0 {
-		b.updateSubset() // it may not have run yet, if no request has arrived so far
+		b.updateSubset() // the subset may not exist yet, if no request has arrived so far
 	}
 	for _, ejection := range ejections {
 		e := b.byID[ejection.Endpoint]
--- a/internal/decision/harness_test.go
+++ b/internal/decision/harness_test.go
@@ -117,7 +117,7 @@
 	h.b.Targets(h.now, List{Kind: DeltaList, Version: version, Entries: []Entry{e}})
 }
 
-// request submits a request with 1.5 s of remaining time and returns its id.
+// request submits a request with 1.5 s of remaining time and returns its ID.
 func (h *harness) request(class int) RequestID {
 	h.n++
 	id := RequestID(fmt.Sprint("r", h.n))
--- a/internal/decision/settings.go
+++ b/internal/decision/settings.go
@@ -48,8 +48,8 @@
 // the algorithms are in tunables.go.
 type Settings struct {
 	// Position of this instance in the fleet.
-	Instances int           // number of instances of this tier, at least 1
-	Ordinal   int           // number of this instance within the tier, from 0
+	Instances int           // number of instances that call the same tier, at least 1
+	Ordinal   int           // number of this instance among them, from 0
 	Stage     int           // index of the tier that this instance calls; tier 0 is called for clients
 	Tiers     int           // number of tiers; a call may wait in each tier from Stage on
 	Quantum   time.Duration // shortest time between two batches of events
--- a/internal/decision/tunables.go
+++ b/internal/decision/tunables.go
@@ -150,7 +150,8 @@
 // the mean latency of the class.
 const (
 	// tailStartRatio is the initial estimate, tailExceedance the share of answers that are slower than the tail
-	// latency, and tailStep the increase of the estimate after one such answer.
+	// latency, and tailStep the increase of the estimate after one such answer. Each answer also lowers the
+	// estimate by tailStep * tailExceedance.
 	tailStartRatio = 6.0
 	tailExceedance = 0.01
 	tailStep       = 0.3
@@ -196,7 +197,7 @@
 	// maxEjectedShare is the largest share of the listed endpoints that may be ejected for errors or silence.
 	maxEjectedShare = 0.5
 	// trialDelayInConnectTimeouts is the time between an ejection and the first trial call, in connect
-	// time-outs. The delay doubles with each failed trial call.
+	// timeouts. The delay doubles with each failed trial call.
 	trialDelayInConnectTimeouts = 4.0
 	// evidenceMaxAge is how long an answer counts as evidence of a healthy endpoint for other instances.
 	evidenceMaxAge = 5 * time.Second
@@ -229,8 +230,8 @@
 	// sendSlackMeans is the time that must be left until the latency target when a call is sent, in mean
 	// latencies.
 	sendSlackMeans = 1.8
-	// classWindowRequests is the number of requests after which the counters of all classes are halved.
-	// classMinRequests is the number of requests from which the on-time share of a class counts.
+	// classWindowRequests is the number of requests of one class after which the counters of all classes are
+	// halved. classMinRequests is the number of requests from which the on-time share of a class counts.
 	classWindowRequests = 100
 	classMinRequests    = 5
 	// minRetryAfterWindows is the shortest wait that a refused client is told, in rate windows.
