--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -160,7 +160,7 @@
 
 // Estimate is the demand of all proxies for one key at a given time.
 type Estimate struct {
-	Rate     float64 // requests a second, averaged over rateWindow
+	Rate     float64 // requests per second, averaged over rateWindow
 	InFlight int     // requests in flight
 	Waiting  int     // those of InFlight whose response has not started
 	// Pressure is Waiting averaged over pressureWindow, multiplied by the growth of the rate if the rate grows.
--- a/internal/placement/endpoint.go
+++ b/internal/placement/endpoint.go
@@ -34,7 +34,8 @@
 	// Excluded is true for an endpoint that is not ready, for example because it is draining. It gets no orders, and its
 	// models do not count as replicas.
 	Excluded bool
-	// OrderInFlight is true while the endpoint executes an order. It gets no other order in that time.
+	// OrderInFlight is true from the start of an order until it has ended, or until the endpoint reports to be idle after the
+	// order was dropped. The endpoint gets no other order in that time.
 	OrderInFlight bool
 	// ReservedFor is the model that the order in flight frees memory for. It is empty if the order frees none, or if no order
 	// is in flight.
--- a/internal/placement/loadledger.go
+++ b/internal/placement/loadledger.go
@@ -44,7 +44,7 @@
 	return ages
 }
 
-// Available returns the number of loads that may start now under a rate limit in loads a second.
+// Available returns the number of loads that may start now under a rate limit in loads per second.
 func (l *LoadLedger) Available(now time.Duration, loadsPerSecond float64) int {
 	l.removeExpired(now)
 	recent := 0
--- a/internal/placement/tunables.go
+++ b/internal/placement/tunables.go
@@ -31,7 +31,7 @@
 
 // Number of replicas of a model.
 const (
-	// idleRate is the rate, in requests a second, up to which a model or adapter counts as idle.
+	// idleRate is the rate, in requests per second, up to which a model or adapter counts as idle.
 	idleRate = 0.05
 	// waitingPerReplica is the number of waiting requests for each replica above which another replica is ordered.
 	waitingPerReplica = 1.2
@@ -40,7 +40,7 @@
 	toleratedWaiting = 1.2
 	// inFlightPerReplica is the number of requests in flight for each replica above which another replica is ordered.
 	inFlightPerReplica = 24
-	// secondReplicaRate is the rate, in requests a second, above which a model with one replica gets a second one, if memory
+	// secondReplicaRate is the rate, in requests per second, above which a model with one replica gets a second one, if memory
 	// is free or cheap to free.
 	secondReplicaRate = 0.5
 	// secondReplicaUrgency is the urgency of such a second replica. It is a constant because no request waits for the replica
@@ -77,7 +77,7 @@
 // Adapters.
 const (
 	// inFlightPerAdapterReplica is the number of requests in flight for each replica of an adapter above which another replica
-	// is ordered. Lower values brought no improvement.
+	// is ordered. A lower value only adds replicas, without more value from the answered requests.
 	inFlightPerAdapterReplica = 12
 )
 
