--- a/internal/orders/holder.go
+++ b/internal/orders/holder.go
@@ -45,7 +45,7 @@
 	AgreedAt time.Duration
 	// IsFirst is true if the system is new, so that its first lease holder has no predecessor.
 	IsFirst bool
-	// LoadsPerS are the rate limits of the services' stores, in loads a second.
+	// LoadsPerS are the rate limits of the services' stores, in loads per second.
 	LoadsPerS []float64
 	// Address returns the address of an endpoint. It returns an empty string if the endpoint has no session.
 	Address func(endpoint string) string
@@ -66,7 +66,7 @@
 // MayActUnder reports whether the lease permits this process to act now, and is the lease that its orders were planned under.
 func (h *Holder) MayActUnder(lease Lease) bool { return lease.Held && lease.Token == h.lease.Token }
 
-// AvailableLoads returns the number of loads of weights that may start now under a rate limit in loads a second.
+// AvailableLoads returns the number of loads of weights that may start now under a rate limit in loads per second.
 func (h *Holder) AvailableLoads(now time.Duration, loadsPerS float64) int {
 	return h.ledger.Available(now, loadsPerS)
 }
--- a/internal/orders/holder_test.go
+++ b/internal/orders/holder_test.go
@@ -11,7 +11,7 @@
 
 var _ = Describe("the ledger of loads at a change of the lease holder", func() {
 	var holder *Holder
-	const rate = 2.0 // loads a second
+	const rate = 2.0 // loads per second
 	takeover := func() Takeover {
 		return Takeover{AgreedAt: 9 * s, LoadsPerS: []float64{rate}, Address: func(string) string { return "address" }}
 	}
--- a/internal/orders/machine.go
+++ b/internal/orders/machine.go
@@ -87,7 +87,7 @@
 // gets no other order.
 func (m *Machine) HasOrder(endpoint string) bool { return m.tasks[endpoint] != nil }
 
-// InFlight returns the orders that have not ended, sorted by endpoint ID.
+// InFlight returns the orders that have neither ended nor been dropped, sorted by endpoint ID.
 func (m *Machine) InFlight() []InFlight {
 	var orders []InFlight
 	for _, endpoint := range slices.Sorted(maps.Keys(m.tasks)) {
--- a/internal/orders/messages.go
+++ b/internal/orders/messages.go
@@ -63,7 +63,7 @@
 const (
 	Accepted    Outcome = iota // the endpoint executes the order
 	AlreadyDone                // the endpoint is already in the state after the order
-	Conflict                   // another order is in progress, or the endpoint has another revision
+	Conflict                   // another order is in progress, or the sequence number is not IfRevision
 	Refused                    // the endpoint does not execute the order
 	Unknown                    // the call was not answered; the endpoint may have accepted the order
 )
