--- a/internal/sessionsync/doc.go
+++ b/internal/sessionsync/doc.go
@@ -4,7 +4,7 @@
 //
 // # Contract
 //
-// A Replica does no input or output, reads no clock and starts no goroutines. Its inputs are heartbeats and deregistrations
+// A Replica does no I/O, reads no clock and starts no goroutine. Its inputs are heartbeats and deregistrations
 // (Heartbeat, Deregister), messages of peers (Receive), the passing of time (Tick), the end of a batch of inputs (Flush) and
 // the end of a write to disk (SnapshotStored). Each input returns an Output with messages to send, calls to answer and a
 // snapshot to write. Times are durations since a start that the caller chooses, and never decrease. Core is the caller's view
