--- a/internal/dataplane/connection_pool.go
+++ b/internal/dataplane/connection_pool.go
@@ -29,9 +29,9 @@
 type connectionPool struct {
 	mu           sync.Mutex
 	maxIdle      int
-	idle         map[string][]idleConnection // by endpoint id; the least recently used connection is first
+	idle         map[string][]idleConnection // by endpoint ID; the least recently used connection is first
 	idleCount    int                         // connections in idle
-	sharedStates map[string]*core.Endpoint   // by endpoint id; state that all connections to an endpoint share
+	sharedStates map[string]*core.Endpoint   // by endpoint ID; state that all connections to an endpoint share
 }
 
 type idleConnection struct {
@@ -63,8 +63,8 @@
 	return e
 }
 
-// hasIdle reports whether the pool has an unexpired idle connection to an endpoint. The
-// selection prefers such an endpoint among endpoints of equal load.
+// hasIdle reports whether the pool has an unexpired idle connection to an endpoint. Selection prefers such an endpoint
+// among endpoints of equal load.
 func (p *connectionPool) hasIdle(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/dataplane/demand_report.go
+++ b/internal/dataplane/demand_report.go
@@ -11,7 +11,7 @@
 // Demand reports inform the control processes of the demand for models and of this proxy's calls in flight. The control
 // processes plan the placement of models by the demand, and send the sums of all proxies' calls back to the proxies.
 const (
-	// reportInterval is the time between two reports. The sums over all proxies are older by this time.
+	// reportInterval is the time between two reports. It adds to the age of the sums over all proxies.
 	reportInterval = 250 * time.Millisecond
 	// urgentReportDelay is how long an urgent report of a request without an endpoint waits, so that it covers further such
 	// requests.
@@ -35,7 +35,7 @@
 	reports chan protocol.DemandReport
 }
 
-func newDemandTable() *demandCounters {
+func newDemandCounters() *demandCounters {
 	return &demandCounters{
 		counts: map[demandKey]*protocol.Demand{}, inFlight: map[demandKey]int{}, waiting: map[demandKey]int{},
 		urgent: make(chan struct{}, 1), reports: make(chan protocol.DemandReport, reportQueueSize),
--- a/internal/dataplane/explain.go
+++ b/internal/dataplane/explain.go
@@ -16,7 +16,7 @@
 	Route          string             `json:"route"`
 	Model          string             `json:"model,omitempty"`
 	Adapter        string             `json:"adapter,omitempty"`
-	Endpoint       string             `json:"endpoint,omitempty"` // id of the endpoint of the last attempt
+	Endpoint       string             `json:"endpoint,omitempty"` // ID of the endpoint of the last attempt
 	Attempts       int                `json:"sent"`               // number of times that the request was sent
 	Result         string             `json:"result"`
 	Cause          string             `json:"cause"`
@@ -62,7 +62,7 @@
 	l.requests = append(l.requests, e)
 }
 
-// find returns the explanations of the requests with an id, or all explanations if the id is empty.
+// find returns the explanations of the requests with an id, or all explanations if the ID is empty.
 func (l *explanationLog) find(id string) []RequestExplanation {
 	found := []RequestExplanation{}
 	for _, e := range l.requests {
@@ -73,7 +73,7 @@
 	return found
 }
 
-// handleExplain returns the explanations of the requests with the id in the query parameter "request", or all explanations if
+// handleExplain returns the explanations of the requests with the ID in the query parameter "request", or all explanations if
 // there is no such parameter.
 func (s *Server) handleExplain(w http.ResponseWriter, r *http.Request) {
 	id := r.URL.Query().Get("request")
--- a/internal/dataplane/handler.go
+++ b/internal/dataplane/handler.go
@@ -120,7 +120,7 @@
 	unwatch   func() bool // stops waiting for the process to abort its responses
 
 	// Attempts.
-	tried      map[string]bool   // ids of endpoints that must not be selected again
+	tried      map[string]bool   // IDs of endpoints that must not be selected again
 	selected   routing.Candidate // the endpoint of the last attempt
 	attempts   int               // number of times that the request was sent, in part or in full
 	mayHaveRun int               // number of attempts in which the endpoint may have run the request
@@ -128,7 +128,7 @@
 	// The response.
 	responseStarted bool   // the response head was sent to the client
 	clientLeft      bool   // the client disconnected while the response was copied
-	lastEventID     string // id of the last event that was sent to the client
+	lastEventID     string // ID of the last event that was sent to the client
 	weightsVersion  string // version of the model weights that started the stream of events
 	timing          requestTiming
 }
--- a/internal/dataplane/headers.go
+++ b/internal/dataplane/headers.go
@@ -18,11 +18,11 @@
 	headerModel            = "X-Model"              // model, or model/adapter
 	headerTokenUsage       = "X-Token-Usage"        // tokens of the prompt, tokens of the output
 	headerPromptPrefix     = "X-Prompt-Prefix"      // segments of the prompt, each as id:tokens
-	headerExpectedInstance = "X-Expected-Instance"  // id of the endpoint incarnation that the request is for
+	headerExpectedInstance = "X-Expected-Instance"  // ID of the endpoint incarnation that the request is for
 	headerNotExecuted      = "X-Not-Executed"       // the endpoint has not run the request and never will
 	headerSignature        = "X-Response-Signature" // set by an endpoint that has run the request
 	headerInstanceLoad     = "X-Instance-Load"      // running requests, waiting requests, slots
-	headerLastEventID      = "Last-Event-Id"        // id of the last event that the client of a resumed stream has
+	headerLastEventID      = "Last-Event-Id"        // ID of the last event that the client of a resumed stream has
 	headerPriority         = "Priority"             // 0 is the most urgent
 	headerVersions         = "Versions"             // version of the model weights that a response was made with
 	headerExpectVersion    = "Expect-Version"       // version of the model weights that a resumed stream must be made with
--- a/internal/dataplane/retries.go
+++ b/internal/dataplane/retries.go
@@ -10,7 +10,7 @@
 
 // retryOrFail decides whether a request is retried after a failed attempt. It returns nil for another attempt, and otherwise the
 // failure. After an attempt that may have run the request, a retry requires a route that allows it, and fewer than max_attempts
-// such attempts. Every retry takes a token from the retry budget that all proxies share, unless no attempt could connect yet.
+// such attempts. Every retry counts against the retry budget of the service, unless no attempt could connect yet.
 func (x *exchange) retryOrFail(endpoint *routing.Endpoint, result attemptResult) *rejection {
 	route := x.request.route
 	if result.mayHaveRun {
@@ -35,11 +35,11 @@
 }
 
 // canResume reports whether another endpoint can resume a stream that has started: the route allows it, and the client has
-// received an event with an id to resume after.
+// received an event with an ID to resume after.
 func (x *exchange) canResume() bool { return x.request.route.IsRetryable() && x.lastEventID != "" }
 
-// allowRetry takes a token from the retry budget. It reports whether there was one and the request has fewer than maxAttempts
-// attempts.
+// allowRetry takes one retry from the retry budget of the service. It returns false if the budget is exhausted or the request
+// has had maxAttempts attempts.
 func (x *exchange) allowRetry() bool {
 	if x.attempts >= maxAttempts {
 		return false
--- a/internal/dataplane/selection.go
+++ b/internal/dataplane/selection.go
@@ -16,7 +16,8 @@
 	// retryWaitFraction is the fraction of its time until the deadline for which a client's retry waits. A retry waits longer
 	// than a first attempt, since the client may make no further one.
 	retryWaitFraction = 0.5
-	// modelLoadMargin is added to the load time of a model in a Retry-After, until every proxy knows that the model is loaded.
+	// modelLoadMargin is added to the load time of a model in a Retry-After. It covers the time from the end of the load until
+	// every proxy knows of it.
 	modelLoadMargin = 250 * time.Millisecond
 	// maxWaitFraction is the fraction of the remaining time that any wait may take. The rest is left for the response.
 	maxWaitFraction = 0.8
--- a/internal/dataplane/server.go
+++ b/internal/dataplane/server.go
@@ -73,11 +73,11 @@
 	s := newServer(ctx, settings, log)
 	frontendListener, err := listen(ctx, settings.Listen.Frontend)
 	if err != nil {
-		return errors.Wrap(err, "frontend address")
+		return errors.Wrap(err, "listen on the frontend address")
 	}
 	readinessListener, err := listen(ctx, settings.Listen.Readiness)
 	if err != nil {
-		return errors.Wrap(err, "readiness address")
+		return errors.Wrap(err, "listen on the readiness address")
 	}
 	frontend := &http.Server{
 		Handler: s, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: clientIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
@@ -106,7 +106,7 @@
 		settings: settings, log: log, startedAt: time.Now(), ctx: ctx, commands: make(chan func(), commandQueueSize),
 		pool:        routing.NewPool(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
 		retryBudget: routing.NewRetryBudget(nodefile.Seconds(bounds.BudgetWindowS), bounds.RetryBudgetRatio, bounds.RetryBudgetSlack),
-		demand:      newDemandTable(), endpointsChanged: make(chan struct{}), outcomes: map[requestOutcome]uint64{},
+		demand:      newDemandCounters(), endpointsChanged: make(chan struct{}), outcomes: map[requestOutcome]uint64{},
 		connections: newConnectionPool(limits.FileDescriptors),
 		memory:      core.NewMemory(core.Limits{MemoryMB: int64(max(limits.MemoryMB, minMemoryMB)), Sockets: max(limits.FileDescriptors, 1)}),
 	}
--- a/internal/dataplane/streaming.go
+++ b/internal/dataplane/streaming.go
@@ -101,7 +101,7 @@
 	return last + len(eventEnd)
 }
 
-// rememberLastEvent stores the id of the last of the events, which were sent to the client.
+// rememberLastEvent stores the ID of the last of the events, which were sent to the client.
 func (x *exchange) rememberLastEvent(events []byte) {
 	for line := range bytes.SplitSeq(events, []byte("\n")) {
 		if id, ok := bytes.CutPrefix(line, []byte("id:")); ok {
--- a/internal/dataplane/update_stream.go
+++ b/internal/dataplane/update_stream.go
@@ -160,7 +160,7 @@
 	return protocol.Ack{Revision: s.endpointsRevision, ConfigSeq: s.configSeq}
 }
 
-// fleetLoads converts the loads of an update to a map by endpoint id.
+// fleetLoads converts the loads of an update to a map by endpoint ID.
 func fleetLoads(sent []protocol.EndpointLoad) map[string]routing.FleetLoad {
 	loads := map[string]routing.FleetLoad{}
 	for _, load := range sent {
