--- a/internal/controlplane/log_events_test.go
+++ b/internal/controlplane/log_events_test.go
@@ -19,7 +19,7 @@
 // logsSection is the heading of the section on the control process.
 const logsSection = "## Control process"
 
-// logEvent is a log event as documented on the page or as logged by the code.
+// logEvent is a log event as listed in the documentation page or as logged by the code.
 type logEvent struct {
 	name   string
 	level  string
