--- a/internal/protocol/configuration.go
+++ b/internal/protocol/configuration.go
@@ -5,7 +5,7 @@
 	"dykering/internal/fleetconfig"
 )
 
-// Write requests the head of the chain to commit a change of the configuration. A control process sends it to forward an
+// Write asks the head of the chain to commit a change of the configuration. A control process sends it to forward an
 // operator's request; the head answers with a Reply once the change is committed or rejected. If either is lost, the
 // operator's request fails as unavailable, and the change may have been committed.
 type Write struct {
--- a/internal/protocol/coordination.go
+++ b/internal/protocol/coordination.go
@@ -7,8 +7,8 @@
 	"dykering/internal/coordination"
 )
 
-// CoordinationWrite requests the head of the chain to execute a command of the coordination service. A control process sends it
-// to forward a caller's request; the head answers with a Reply. If either is lost, the outcome of the command is unknown.
+// CoordinationWrite asks the head of the chain to execute a command of the coordination service. A control process sends it to
+// forward a caller's request; the head answers with a Reply. If either is lost, the outcome of the command is unknown.
 type CoordinationWrite struct {
 	From    string // address to which the reply is sent
 	ID      uint64 // number of the call, unique for the sender's incarnation
@@ -24,7 +24,7 @@
 	Group string // name of the group; empty to read a cell
 }
 
-// CoordinationStatus is the status of the coordination service from the view of one control process.
+// CoordinationStatus is the status of the coordination service as one control process knows it.
 type CoordinationStatus struct {
 	// Locks, Numbers, Cells, Groups and Events are the numbers of entries in the tables of the committed state. The events are
 	// the puts that are kept for watches.
@@ -35,9 +35,8 @@
 	Watches int
 }
 
-// LockExplainRequest requests an explanation from a control process of who holds a lock and why others cannot acquire it. An
-// operator's command sends it as the only message on a connection; the answer is a LockExplanation. If either is lost, the
-// command times out.
+// LockExplainRequest asks a control process who holds a lock and why other callers cannot acquire it. An operator's command
+// sends it as the only message on a connection; the answer is a LockExplanation. If either is lost, the command times out.
 type LockExplainRequest struct {
 	Lock string
 }
@@ -82,7 +81,7 @@
 	Kind   LockEventKind
 	Caller string
 	Token  uint64 // token that the caller acquired, or sent with its renewal
-	// Holder and HolderToken identify the hold that prevented the request or was replaced. They are empty if nobody held the
+	// Holder and HolderToken identify the hold that blocked the request or was replaced. They are empty if nobody held the
 	// lock.
 	Holder      string
 	HolderToken uint64
--- a/internal/protocol/demand.go
+++ b/internal/protocol/demand.go
@@ -18,7 +18,7 @@
 	Model    string
 	Adapter  string  // empty for the model itself
 	Requests int     // requests that have arrived
-	Tokens   float64 // estimated size of these requests, in prompt tokens
+	Tokens   float64 // estimated work of these requests, in units of the work for one prompt token
 	Unplaced int     // requests that found no endpoint with the model or adapter
 	InFlight int     // requests in flight now
 	Waiting  int     // requests in flight whose response has not begun
--- a/internal/protocol/explain.go
+++ b/internal/protocol/explain.go
@@ -6,8 +6,8 @@
 	"dykering/internal/sessions"
 )
 
-// ExplainRequest requests an explanation from a control process of how many replicas a model has. An operator's command sends
-// it as the only message on a connection; the answer is an Explanation. If either is lost, the command times out.
+// ExplainRequest asks a control process why a model has its current replicas. An operator's command sends it as the only
+// message on a connection; the answer is an Explanation. If either is lost, the command times out.
 type ExplainRequest struct {
 	Model string
 }
--- a/internal/protocol/registry.go
+++ b/internal/protocol/registry.go
@@ -23,7 +23,7 @@
 // not change when a type or a package is renamed or moved. The names of the exported fields of these types, and of the types
 // that they contain, must not change either, since gob matches fields by name.
 var registeredTypes = []registeredType{
-	// Messages between members of the core.
+	// Messages of chain replication between control processes.
 	{"dykering/internal/chain.Ping", chain.Ping{}},
 	{"dykering/internal/chain.Pong", chain.Pong{}},
 	{"dykering/internal/chain.Prepare", chain.Prepare{}},
@@ -57,7 +57,8 @@
 	{"dykering/internal/feed.Read", Read{}},
 	{"dykering/internal/feed.Reply", Reply{}},
 
-	// Messages of the coordination service between members of the core.
+	// Messages of the coordination service. LockExplainRequest and LockExplanation are those of an operator's command; the
+	// others are sent between control processes.
 	{"dykering/internal/protocol.CoordinationWrite", CoordinationWrite{}},
 	{"dykering/internal/protocol.CoordinationRead", CoordinationRead{}},
 	{"dykering/internal/protocol.LockExplainRequest", LockExplainRequest{}},
@@ -70,7 +71,7 @@
 	{"*fleetconfig.State", &fleetconfig.State{}},
 	{"dykering/internal/fleetconfig.Change", fleetconfig.Change{}},
 
-	// Records on the disk of a member of the core.
+	// Records on the disk of a control process.
 	{"dykering/internal/chain.Snapshot", chain.Snapshot{}},
 	{"dykering/internal/chain.EntryRecord", chain.EntryRecord{}},
 	{"dykering/internal/chain.PromiseRecord", chain.PromiseRecord{}},
--- a/internal/protocol/status.go
+++ b/internal/protocol/status.go
@@ -11,12 +11,12 @@
 // connection; the answer is a Status. If either is lost, the command times out.
 type StatusRequest struct{}
 
-// Status is the status of the system from the view of one control process.
+// Status is the status of the system as one control process knows it.
 type Status struct {
 	Self    chain.Member
 	View    chain.View
 	InForce bool // a majority has recently confirmed the view
-	Sealed  bool // this process accepts no writes in the view, since it has promised to support another view
+	Sealed  bool // this process accepts no writes in the view, since it has promised a proposal number for the next view
 	// Seq is the sequence number of the last change that this process has stored. Committed is that of the last change that it
 	// knows to be committed.
 	Seq       uint64
@@ -44,7 +44,7 @@
 	Leaving, Unreachable []chain.MemberID
 }
 
-// MemberStatus is the status of a voter from the view of a control process.
+// MemberStatus is the status of a voter as a control process knows it.
 type MemberStatus struct {
 	ID        chain.MemberID
 	Reachable bool // the voter has answered recently
