--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -106,7 +106,7 @@
 	})
 }
 
-// AdoptAttempt takes over an attempt that the previous process started. The caller has reserved its connection with
+// AdoptAttempt takes over an attempt that the predecessor of this process started. The caller has reserved its connection with
 // ReserveConn.
 func (l *Loop) AdoptAttempt(a *Attempt) { l.Post(func() { l.adopted[a] = true }) }
 
@@ -118,7 +118,7 @@
 	})
 }
 
-// ReserveConn reserves a place in the pool for a connection to an endpoint that the previous process established. It
+// ReserveConn reserves a place in the pool for a connection to an endpoint that the predecessor has established. It
 // returns false if the connection limit is reached or the loop is closed.
 func (l *Loop) ReserveConn() bool {
 	return query(l, l.pool.reserve)
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -37,7 +37,7 @@
 	})
 }
 
-// ApplyHandoverUpdate passes an update from the previous process to the Balancer.
+// ApplyHandoverUpdate passes an update from the predecessor of this process to the Balancer.
 func (l *Loop) ApplyHandoverUpdate(update *HandoverUpdate) {
 	l.Post(func() {
 		if update.Snapshot != nil {
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -39,7 +39,7 @@
 	recent        recentIDs
 	endpoints     *endpointTable
 	pool          pool
-	adopted       map[*Attempt]bool // attempts in flight that the previous process started
+	adopted       map[*Attempt]bool // attempts in flight that the predecessor of this process started
 
 	// The endpoint list (discovery.go).
 	discovery        Discovery
