--- a/internal/coordination/compatibility_test.go
+++ b/internal/coordination/compatibility_test.go
@@ -36,12 +36,12 @@
 	return state
 }
 
-// The present code reads all of a state that an earlier build has stored.
+// The current code reads all of a state that an earlier build has stored.
 func TestStateOfEarlierBuildIsRead(t *testing.T) {
 	fixture.Text(t, renderedFile, fixture.Render("", restoredFixture(t).stored()))
 }
 
-// The types of an earlier build read all of a state that the present code stores.
+// The types of an earlier build read all of a state that the current code stores.
 func TestEarlierTypesReadPresentState(t *testing.T) {
 	text := fixture.Bytes(t, schemaFile, func() []byte {
 		text, err := json.Marshal(fixture.SchemaOf(reflect.TypeFor[storedState]()))
--- a/internal/ringlog/compatibility_test.go
+++ b/internal/ringlog/compatibility_test.go
@@ -44,7 +44,7 @@
 	return ring, payloads
 }
 
-// The present code reads a ring that an earlier build has written.
+// The current code reads a ring that an earlier build has written.
 func TestRingOfEarlierBuildIsRead(t *testing.T) {
 	directory := t.TempDir()
 	if err := os.CopyFS(directory, os.DirFS(fixtureDirectory)); err != nil {
@@ -56,7 +56,7 @@
 	}
 }
 
-// The present code writes the same bytes as an earlier build.
+// The current code writes the same bytes as an earlier build.
 func TestRingIsWrittenAsByEarlierBuild(t *testing.T) {
 	directory := t.TempDir()
 	ring, _ := openFixture(t, directory)
