--- a/internal/http1/connection_limits_test.go
+++ b/internal/http1/connection_limits_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// Accepting goes on at the limit of connections: the one that has been idle longest is evicted.
+// The server still accepts at the limit of connections: the one that has been idle longest is evicted.
 func TestLongestIdleConnectionIsEvictedAtTheLimit(t *testing.T) {
 	rg := start(t, config.LeastSockets, endpointServing(t, "s-1", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") }))
 	var first net.Conn
--- a/internal/http1/downstream_drain.go
+++ b/internal/http1/downstream_drain.go
@@ -28,7 +28,8 @@
 )
 
 // CanServe reports whether the server can serve requests: it has a list of endpoints and is not
-// stopping. The admin handlers call it, Drain and Resume; none of the three waits for the core loop.
+// stopping. Package control calls it, Drain and Resume for operators, and none of the three waits for
+// the core loop.
 func (s *Server) CanServe() bool { return s.lifecycle.CanServe() }
 
 // Drain starts redirecting clients to other instances.
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -30,8 +30,8 @@
 	// quietPeriod is the time without a new connection after which a stopping server that has no
 	// clients exits early.
 	quietPeriod = 500 * time.Millisecond
-	// The platform kills a stopping process after its longest deadline, or killCap if that is shorter,
-	// plus killGrace. All answers are written killMargin before that.
+	// The platform waits at least for the longest deadline, or for killCap if that is shorter, plus
+	// killGrace before it kills a stopping process. All answers are written killMargin before that.
 	killCap    = 3 * time.Second
 	killGrace  = 700 * time.Millisecond
 	killMargin = 200 * time.Millisecond
--- a/internal/http1/transfer_send.go
+++ b/internal/http1/transfer_send.go
@@ -40,8 +40,8 @@
 
 // transfersRequests reports whether idle connections and requests that have not been dispatched are
 // transferred to the successor. During the grace before that, each client is redirected with its next
-// answer, so that the load moves gradually. A successor that has just started cannot estimate its
-// load if it receives all clients at once.
+// answer, and the load balancer distributes the clients again, so that the load moves gradually. A
+// successor that has just started cannot estimate its load if it receives all clients at once.
 func (s *Server) transfersRequests() bool {
 	_, since, _ := s.lifecycle.Now()
 	return s.hasSuccessor() && time.Since(since) > s.handoverGrace
--- a/internal/http1/upstream_attempt_test.go
+++ b/internal/http1/upstream_attempt_test.go
@@ -227,7 +227,7 @@
 	}
 }
 
-// After an endpoint has sent unsolicited bytes, behind a response or on an idle connection, its
+// After an endpoint has sent unsolicited bytes, after a response or on an idle connection, its
 // connections are reused only after a longer delay. Surplus bytes that arrive some milliseconds late
 // are then received before the next request is sent.
 func TestEndpointThatSentSurplusGetsALongerReuseDelay(t *testing.T) {
@@ -420,7 +420,7 @@
 	}
 }
 
-// While an upload is queued, its client hangs up behind unread bytes. Nothing must be sent, and the
+// While an upload is queued, its client hangs up after unread bytes. Nothing must be sent, and the
 // goroutine that awaits the answer must get the error.
 func TestUploadOfGoneClientIsNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
