--- a/internal/protocol/sessions.go
+++ b/internal/protocol/sessions.go
@@ -16,7 +16,8 @@
 }
 
 // SessionAck answers a SessionUpdate with a number in Ask, once the update's records are in the table and on the disk of the
-// answering process. If it is lost, the departure is delayed until its deadline, when the acknowledgements of a majority are sufficient.
+// answering process. If it is lost, the departure is delayed until its deadline, when the acknowledgements of a majority are
+// sufficient.
 type SessionAck struct {
 	From string // address of the sender
 	Ask  uint64 // number of the request that is answered
