--- a/internal/core/pool.go
+++ b/internal/core/pool.go
@@ -53,8 +53,8 @@
 }
 
 // acquire returns an idle connection to an endpoint: the most recently used one that has been idle for cautiousReuseDelay,
-// or else the one that has been idle longest. If the endpoint has no idle connection, acquire reserves a new connection and
-// returns nil. It returns false if the connection limit is reached. It does not check whether the connection is alive; the
+// or else the one that has been idle longest. If the endpoint has no idle connection, or only expired ones, acquire reserves a
+// new connection and returns nil. It returns false if reserve does. It does not check whether the connection is alive; the
 // caller notices that on use.
 func (p *pool) acquire(e *Endpoint, now time.Time) (c Conn, ok bool) {
 	conns := p.idle[e]
@@ -76,8 +76,8 @@
 	return c, true
 }
 
-// reserve counts a new connection. If the limit is reached, it closes the connection that has been idle longest. It returns
-// false if no connection is idle.
+// reserve counts a new connection. If the limit is reached, it first closes the connection that has been idle longest. It
+// returns false if the limit is reached and no connection is idle.
 func (p *pool) reserve() bool {
 	if p.total >= p.maxTotal {
 		oldest := p.oldestFirst.Front()
