--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -39,8 +39,8 @@
 // Options configure a discovery client.
 type Options struct {
 	ConnectTimeout time.Duration // bounds the establishment of a connection
-	// Dial establishes a connection within a time. Nil means net.Dialer.
-	Dial func(ctx context.Context, address string, within time.Duration) (net.Conn, error)
+	// Dial connects to a TCP address. It fails after the timeout. Nil means net.Dialer.
+	Dial func(ctx context.Context, address string, timeout time.Duration) (net.Conn, error)
 	// Pull selects pull mode, in which each watch has a cost. The client then does not reconnect by itself: the sink
 	// decides when to start the next watch.
 	Pull bool
--- a/internal/http1/upstream.go
+++ b/internal/http1/upstream.go
@@ -47,8 +47,8 @@
 }
 
 // Send implements core.Upstream. It makes an attempt, over an idle connection if one is given.
-func (u *upstream) Send(a *core.Attempt, over core.Conn) core.Result {
-	c, _ := over.(*upstreamConn)
+func (u *upstream) Send(a *core.Attempt, idle core.Conn) core.Result {
+	c, _ := idle.(*upstreamConn)
 	t := newAttempt(a, u.network)
 	t.phaseEntries = &u.phaseEntries
 	t.enterPhase(core.PhaseConnecting)
