--- a/client/lock_calls.go
+++ b/client/lock_calls.go
@@ -13,7 +13,7 @@
 	marginDivisor       = 20 // the client treats a lock as lost a twentieth of the hold before it expires
 	renewalDivisor      = 3  // a lock is renewed after a third of the hold
 	renewAttemptDivisor = 6  // time limit of a renewal attempt; a sixth leaves time for retries
-	beginAttemptDivisor = 2  // time limit of an attempt to begin; the hold counts from its sending
+	beginAttemptDivisor = 2  // time limit of an attempt to begin; the hold counts from the sending, so half of it remains
 )
 
 // Grant is the result of a successful call that acquires or renews a lock.
--- a/internal/errkind/errkind.go
+++ b/internal/errkind/errkind.go
@@ -24,7 +24,8 @@
 	InvalidConfig
 	// VersionConflict is a configuration change that is based on another version than the current one.
 	VersionConflict
-	// NotReady is a process that is still starting or already stopping. The request was not executed.
+	// NotReady is a process that cannot execute the request at present, for example because it starts, stops or reaches no
+	// head of the chain. The request was not executed.
 	NotReady
 	// Unavailable means that no quorum was reached, or no answer came in time. The request may have been executed.
 	Unavailable
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -136,7 +136,7 @@
 
 func (c *core) Sync() error { return nil }
 
-// emit encodes a line and hands it to the sink.
+// emit enqueues the line of a single event.
 func (l *Log) emit(current *settings, e zapcore.Entry, fields []zapcore.Field) error {
 	return l.enqueue(current, e, fields, logLine{event: e.Message, represented: 1, counter: l.counters.dropped})
 }
@@ -208,7 +208,8 @@
 func (l *Log) reportSampled(at time.Time) {
 	for _, summary := range l.counters.takeAll(at, l.counters.sampledOut) {
 		entry := zapcore.Entry{Level: zapcore.WarnLevel, Time: at, Message: EventSampled}
-		_ = l.enqueue(l.currentSettings.Load(), entry, []zapcore.Field{zap.String("of", summary.event), zap.Int("left_out", summary.represented)}, summary)
+		fields := []zapcore.Field{zap.String("of", summary.event), zap.Int("left_out", summary.represented)}
+		_ = l.enqueue(l.currentSettings.Load(), entry, fields, summary)
 	}
 }
 
@@ -288,7 +289,8 @@
 	all := l.counters.takeAll(time.Time{}, l.counters.dropped)
 	for i, x := range all {
 		entry := zapcore.Entry{Level: zapcore.WarnLevel, Time: time.Now(), Message: EventDropped}
-		text, err := l.currentSettings.Load().encoder.EncodeEntry(entry, []zapcore.Field{zap.String("of", x.event), zap.Int("lines", x.represented)})
+		fields := []zapcore.Field{zap.String("of", x.event), zap.Int("lines", x.represented)}
+		text, err := l.currentSettings.Load().encoder.EncodeEntry(entry, fields)
 		if err == nil {
 			_, err = s.w.Write(text.Bytes())
 			text.Free()
