--- a/internal/lab/coresim/doc.go
+++ b/internal/lab/coresim/doc.go
@@ -1,6 +1,6 @@
-// Package coresim searches the core's replication for violated guarantees by deterministic simulation: it runs the state
-// machine of internal/chain, which is the program's own code, in virtual time, with simulated networks, disks, processes and clients,
-// injects faults, and checks what the clients observed. Two runs with the same seed are identical.
+// Package coresim searches the core's replication for violated guarantees by deterministic simulation. It runs the state
+// machine of internal/chain, which is the program's own code, in virtual time, with simulated networks, disks, processes
+// and clients. It injects faults and checks what the clients observed. Two runs with the same seed are identical.
 //
 // A Schedule is a list of faults and the seed of all other random choices. Generate draws a schedule, Run runs one, Search
 // runs many in parallel, and Shrink removes the faults that a failure does not need. By default the number of concurrent
--- a/internal/lab/model/result.go
+++ b/internal/lab/model/result.go
@@ -59,7 +59,7 @@
 	// PropagationSeconds contains, for each fact that reached 0.99 of the instances of its tier, the time until
 	// it did.
 	PropagationSeconds []float64 `json:"spread,omitempty"`
-	// AppliedAdvice counts how often advice from other instances changed an ejection or a trial request.
+	// AppliedAdvice counts the servers that instances have ejected on the facts of other instances (peer ejections).
 	AppliedAdvice int `json:"heeded,omitempty"`
 	// Budgets is set if the instances share quotas by leases.
 	Budgets *Budgets `json:"budgets,omitempty"`
--- a/internal/lab/sim/replica.go
+++ b/internal/lab/sim/replica.go
@@ -13,8 +13,8 @@
 	"dykering/internal/lab/model"
 )
 
-// This file implements replicated state in virtual time. The store, the merge rule and the advice are the
-// program's own (package replica); the gossip between instances is simulated here. As in memberlist, at each
+// This file implements replicated state in virtual time. The store, the merge rule and the rules for
+// peer ejections are the program's own (package replica); the gossip between instances is simulated here. As in memberlist, at each
 // interval some facts are sent to a few random peers, and each fact is sent a limited number of times.
 const (
 	gossipInterval = 200 * time.Millisecond
@@ -26,8 +26,8 @@
 	maxFactsPerMessage   = 20
 	// synchronizeIntervals is the number of gossip intervals between two synchronizations with a peer.
 	synchronizeIntervals = 25
-	// adviseIntervals is the number of gossip intervals between two evaluations of the facts.
-	adviseIntervals = 5
+	// ejectionIntervals is the number of gossip intervals between two applications of peer ejections.
+	ejectionIntervals = 5
 	// factTTL is the time after which a fact expires.
 	factTTL = 15 * time.Second
 )
@@ -89,7 +89,7 @@
 	w.After(time.Duration(p.replicated.random.Int64N(int64(gossipInterval))), p.gossip)
 }
 
-// randomPeer returns a random other process of the tier, or nil if some draws have found none.
+// randomPeer returns a random other process of the tier, or nil if gossipFanout draws find none.
 func (p *process) randomPeer() *process {
 	all := p.model.Tier.Instances
 	for range gossipFanout {
@@ -170,7 +170,7 @@
 }
 
 // gossip does the work of one gossip interval. It records new evidence of the balancer and sends queued facts.
-// At longer intervals it also synchronizes the replica with a peer and applies the replica's advice.
+// At longer intervals it also synchronizes the replica with a peer and applies peer ejections.
 func (p *process) gossip() {
 	if p.dead || p.current != p {
 		return
@@ -222,14 +222,14 @@
 	if m.intervals++; m.intervals%synchronizeIntervals == 0 {
 		p.synchronize()
 	}
-	if m.intervals%adviseIntervals == 0 {
-		var advice []decision.PeerEjection
+	if m.intervals%ejectionIntervals == 0 {
+		var ejections []decision.PeerEjection
 		rules := replicaRules
 		rules.MinWitnesses = cmp.Or(w.Scenario.Broker.MinWitnesses, rules.MinWitnesses)
 		for _, a := range m.store.PeerEjections(now, len(p.model.Tier.Servers), rules) {
-			advice = append(advice, decision.PeerEjection{Endpoint: endpointOf(a.Subject), Age: a.Age})
+			ejections = append(ejections, decision.PeerEjection{Endpoint: endpointOf(a.Subject), Age: a.Age})
 		}
-		w.Result.AppliedAdvice += b.ApplyPeerEjections(w.Now(), advice)
+		w.Result.AppliedAdvice += b.ApplyPeerEjections(w.Now(), ejections)
 	}
 	w.After(gossipInterval, p.gossip)
 }
--- a/internal/lab/swim/detection.go
+++ b/internal/lab/swim/detection.go
@@ -41,7 +41,8 @@
 	for _, k := range f.choosePeers(i, f.settings.IndirectChecks, t) {
 		f.send(i, k, &event{kind: deliverPingRequest, seq: seq, target: uint64(t)})
 	}
-	// memberlist also sends a fallback ping over TCP, which a partition blocks in the same way as packets.
+	// memberlist also sends a fallback ping over TCP. The model sends it as a second ping, which message loss and
+	// partitions affect in the same way as a packet.
 	f.send(i, t, &event{kind: deliverPing, seq: seq, target: uint64(i)})
 }
 
