--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -198,7 +198,7 @@
 	}
 	request.record(at, "attempt %d to server %d", attempt, server)
 	if request.answered || request.inFlight >= 0 {
-		c.report(Single, at, request, "attempt %d is sent while attempt %d is in flight (-1 for none) or after the answer", attempt,
+		c.report(Single, at, request, "attempt %d is sent after the answer, or while attempt %d is in flight (-1 for none)", attempt,
 			request.inFlight)
 	}
 	request.inFlight = attempt
--- a/internal/lab/sim/budgets.go
+++ b/internal/lab/sim/budgets.go
@@ -91,12 +91,12 @@
 
 // requestLease measures the demand, requests the next lease, and schedules the next request.
 func (h *quotaHolder) requestLease() {
-	s, w := h.process, h.process.brokers.world
-	if s.dead || s.instance.current != s {
-		delete(s.brokers.budgets.holders, fmt.Sprintf("%d#%d", s.model.Ordinal, s.incarnation))
+	p, w := h.process, h.process.brokers.world
+	if p.dead || p.instance.current != p {
+		delete(p.brokers.budgets.holders, fmt.Sprintf("%d#%d", p.model.Ordinal, p.incarnation))
 		return
 	}
-	b := s.policy.(*decision.Balancer)
+	b := p.policy.(*decision.Balancer)
 	var demand []float64
 	for _, u := range b.Usage() {
 		demand = append(demand, u.Asked)
@@ -104,20 +104,20 @@
 	h.demand.Sample(w.Now(), demand)
 	h.applyShares()
 	r := h.NextRequest(w.Now(), h.demand.Rates())
-	w.After(w.Latency(), func() { s.brokers.budgets.grantor.Receive(w.Now(), r) })
+	w.After(w.Latency(), func() { p.brokers.budgets.grantor.Receive(w.Now(), r) })
 	w.After(leaseLength/leaseRenewals, h.requestLease)
 }
 
 // applyShares passes the rates that the process may admit now to its balancer.
 func (h *quotaHolder) applyShares() {
 	now, floors := h.process.brokers.world.Now(), h.process.brokers.budgets.floors
-	a := decision.QuotaShares{TenantFallbackRates: floors, RetryRate: -1}
+	shares := decision.QuotaShares{TenantFallbackRates: floors, RetryRate: -1}
 	rates, leased := h.Allowance(now)
-	a.TenantRates = rates
+	shares.TenantRates = rates
 	if leased {
-		a.Until = now + h.Remaining(now)
+		shares.Until = now + h.Remaining(now)
 	}
-	h.process.policy.(*decision.Balancer).SetQuotaShares(now, a)
+	h.process.policy.(*decision.Balancer).SetQuotaShares(now, shares)
 }
 
 // recordUsage records the rates that the live instances may admit and, once a second, the requests that they
@@ -130,12 +130,12 @@
 	r, teams := w.Result.Budgets, w.Scenario.Teams
 	allotted, uses := make([]float64, len(teams)), make([]decision.Usage, len(teams))
 	for _, id := range slices.Sorted(maps.Keys(g.holders)) {
-		p := g.holders[id]
-		if p.process.dead {
+		holder := g.holders[id]
+		if holder.process.dead {
 			continue
 		}
-		rates, _ := p.Allowance(w.Now())
-		for i, u := range p.process.policy.(*decision.Balancer).Usage() {
+		rates, _ := holder.Allowance(w.Now())
+		for i, u := range holder.process.policy.(*decision.Balancer).Usage() {
 			allotted[i] += rates[i]
 			uses[i].Asked += u.Asked
 			uses[i].WithinQuota += u.WithinQuota
@@ -183,8 +183,9 @@
 		g.grantor.Applied(w.Now(), grants)
 		for _, grant := range grants {
 			w.After(w.Latency(), func() {
-				if p := g.holders[grant.Holder]; p != nil && !p.process.dead && p.Accept(w.Now(), grant) {
-					p.applyShares()
+				holder := g.holders[grant.Holder]
+				if holder != nil && !holder.process.dead && holder.Accept(w.Now(), grant) {
+					holder.applyShares()
 				}
 			})
 		}
--- a/internal/lab/swim/measure.go
+++ b/internal/lab/swim/measure.go
@@ -19,7 +19,7 @@
 	// declared dead while messages are lost.
 	FalsePerMemberHour       float64
 	FalseDeathsPerMemberHour float64
-	// Loss is the share of messages that are lost in this trial.
+	// Loss is the share of messages that are lost in the trial that measures these two rates.
 	Loss float64
 	// Heal is the time from the end of a partition until all views have the same digest; -1 if they do not
 	// agree within healLimit.
