--- a/internal/fleet/budgets/service.go
+++ b/internal/fleet/budgets/service.go
@@ -130,7 +130,7 @@
 // State returns the state of this broker's lease after the last event.
 func (s *Service) State() *State { return s.state.Load() }
 
-// now returns the time since the start on this member's clock. The lab may configure the clock's rate.
+// now returns the time since the start on this member's clock. The laboratory may configure the clock's rate.
 func (s *Service) now() time.Duration {
 	return time.Duration(float64(time.Since(s.start)) * s.config.Section.ClockRate)
 }
--- a/internal/fleet/gossip/relay_transport.go
+++ b/internal/fleet/gossip/relay_transport.go
@@ -22,7 +22,7 @@
 
 // relayTransport sends all gossip through a fault relay (package faultnet), which forwards or drops it. Each packet and
 // stream to the relay begins with the receiver's address, and each one from the relay with the sender's address, so that
-// memberlist sees the addresses of its peers. Only the lab and tests use this transport.
+// memberlist sees the addresses of its peers. Only the laboratory and tests use this transport.
 type relayTransport struct {
 	relayUDP     *net.UDPAddr
 	relayTCP     string
--- a/internal/fleet/gossip/section_check.go
+++ b/internal/fleet/gossip/section_check.go
@@ -17,7 +17,7 @@
 	maxVoters = 7
 	// maxQuota bounds a quota, in requests per second.
 	maxQuota = 1e9
-	// minClockRate and maxClockRate bound the clock rate that the lab may set for a member.
+	// minClockRate and maxClockRate bound the clock rate that the laboratory may set for a member.
 	minClockRate, maxClockRate = 0.5, 2
 )
 
--- a/internal/fleet/replication/service.go
+++ b/internal/fleet/replication/service.go
@@ -130,7 +130,7 @@
 // Counters returns the live counters.
 func (s *Service) Counters() *Counters { return &s.counters }
 
-// now returns the time of an event. Its wall clock includes the offset that the lab may configure.
+// now returns the time of an event. Its wall clock includes the offset that the laboratory may configure.
 func (s *Service) now() replica.Now {
 	now := time.Now()
 	return replica.Now{Mono: now.Sub(s.start) + monotonicStart, Wall: now.Add(time.Duration(s.section.ClockOffset))}
--- a/internal/fleet/replication/snapshot.go
+++ b/internal/fleet/replication/snapshot.go
@@ -40,7 +40,7 @@
 	Format int    `json:"format"`
 	Build  string `json:"build"`
 	Self   string `json:"self"`
-	// SavedAt is the time by Service.now, which includes the clock offset that the lab may configure.
+	// SavedAt is the time by Service.now, which includes the clock offset that the laboratory may configure.
 	SavedAt  time.Time `json:"saved"`
 	Checksum string    `json:"sum"` // Checksum is the SHA-256 of the encoded facts in hexadecimal.
 }
