--- a/client/lock.go
+++ b/client/lock.go
@@ -27,10 +27,10 @@
 //
 // The context bounds only the waiting. Its end has no effect on a lock that was acquired.
 func (c *Client) Acquire(ctx context.Context, name string, hold time.Duration) (*Lock, error) {
-	asked := 0
+	attempts := 0
 	return c.acquire(ctx, name, hold, func() time.Duration {
-		asked++
-		return backoff(asked, c.options.MaxPause)
+		attempts++
+		return backoff(attempts, c.options.MaxPause)
 	})
 }
 
--- a/cmd/dykering/check_command.go
+++ b/cmd/dykering/check_command.go
@@ -17,7 +17,7 @@
 	"dykering/internal/validation"
 )
 
-// joinErrors combines errors to one error with one line for each. It returns nil if all are nil.
+// joinErrors combines errors into one error with one line for each. It returns nil if all are nil.
 func joinErrors(all []error) error {
 	var lines []string
 	for _, err := range all {
--- a/cmd/dykering/explain_command.go
+++ b/cmd/dykering/explain_command.go
@@ -33,7 +33,10 @@
 	return &cli.Command{
 		Name: "model", Usage: "Show the endpoints of a model, its demand, and the last orders for it",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "address", Usage: "internal address of the control sidecar that holds the placement, HOST:PORT", Destination: &address, Required: true},
+			&cli.StringFlag{
+				Name: "address", Usage: "internal address of the control process that holds the placement, HOST:PORT",
+				Destination: &address, Required: true,
+			},
 			&cli.StringFlag{Name: "model", Usage: "name of the model", Destination: &model, Required: true},
 		},
 		Action: action(func(c *cli.Command) error {
@@ -62,8 +65,8 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "ago\toperation\tmodel\tadapter\tendpoint\tto make room for\tcopies\tdemand for the model then")
 	for _, d := range e.Decisions {
-		fmt.Fprintf(table, "%v\t%s\t%s\t%s\t%s\t%s\t%d\t%s\n", (e.Now - d.At).Round(10*time.Millisecond), d.Operation, d.Model, d.Adapter, d.Endpoint,
-			d.For, d.Copies, demandText(d.Demand))
+		fmt.Fprintf(table, "%v\t%s\t%s\t%s\t%s\t%s\t%d\t%s\n", (e.Now - d.At).Round(10*time.Millisecond), d.Operation, d.Model,
+			d.Adapter, d.Endpoint, d.For, d.Copies, demandText(d.Demand))
 	}
 	return errors.Wrap(table.Flush(), "explain")
 }
@@ -128,8 +131,8 @@
 		if err != nil {
 			return errors.Wrap(err, "explain")
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%s\t%s\t%d\t%d\t%d\t%s\t%s\n", r.Request, r.Route, r.Model, r.Endpoint, r.Attempts, r.Result, r.Cause,
-			r.TookMs, r.FirstByteMs, r.LongestPauseMs, phases, selectedBy)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%s\t%s\t%d\t%d\t%d\t%s\t%s\n", r.Request, r.Route, r.Model,
+			r.Endpoint, r.Attempts, r.Result, r.Cause, r.TookMs, r.FirstByteMs, r.LongestPauseMs, phases, selectedBy)
 	}
 	return errors.Wrap(table.Flush(), "explain")
 }
--- a/cmd/dykering/fleet_command.go
+++ b/cmd/dykering/fleet_command.go
@@ -33,7 +33,9 @@
 	}
 	return &cli.Command{
 		Name: "fleet", Usage: "Show a running process's view of the fleet",
-		Flags: []cli.Flag{&cli.StringFlag{Name: "control", Value: "127.0.0.1:9901", Usage: "control address of the process", Destination: &control}},
+		Flags: []cli.Flag{
+			&cli.StringFlag{Name: "control", Value: "127.0.0.1:9901", Usage: "control address of the process", Destination: &control},
+		},
 		Action: func(context.Context, *cli.Command) error {
 			return errors.New("fleet: members, state or budgets is missing")
 		},
@@ -75,7 +77,8 @@
 		replication.State
 		Self string
 	}
-	state, err := fetchFleetView[stateWithSelf](control, "/-/fleet/state", "the process replicates no state ([fleet.replication] enabled is false)")
+	state, err := fetchFleetView[stateWithSelf](control, "/-/fleet/state",
+		"the process replicates no state ([fleet.replication] enabled is false)")
 	if err != nil {
 		return err
 	}
@@ -91,7 +94,8 @@
 }
 
 func showBudgets(out io.Writer, control string) error {
-	state, err := fetchFleetView[budgets.State](control, "/-/fleet/budgets", "the process divides no budgets ([fleet.budgets] enabled is false)")
+	state, err := fetchFleetView[budgets.State](control, "/-/fleet/budgets",
+		"the process divides no budgets ([fleet.budgets] enabled is false)")
 	if err != nil {
 		return err
 	}
@@ -118,7 +122,8 @@
 }
 
 func showMembers(out io.Writer, control string) error {
-	view, err := fetchFleetView[gossip.Snapshot](control, "/-/fleet", "the process keeps no view of the fleet ([fleet] enabled is false)")
+	view, err := fetchFleetView[gossip.Snapshot](control, "/-/fleet",
+		"the process keeps no view of the fleet ([fleet] enabled is false)")
 	if err != nil {
 		return err
 	}
--- a/cmd/dykering/status_command.go
+++ b/cmd/dykering/status_command.go
@@ -17,8 +17,8 @@
 func newStatus() *cli.Command {
 	var address string
 	return &cli.Command{
-		Name: "status", Usage: "Show the status of the system as seen by a control sidecar: view, chain, holder, sidecars, endpoints",
-		Flags: []cli.Flag{&cli.StringFlag{Name: "address", Usage: "internal address of the control sidecar, HOST:PORT", Destination: &address, Required: true}},
+		Name: "status", Usage: "Show the status of the system as seen by a control process: view, chain, holder, sidecars, endpoints",
+		Flags: []cli.Flag{&cli.StringFlag{Name: "address", Usage: "internal address of the control process, HOST:PORT", Destination: &address, Required: true}},
 		Action: action(func(c *cli.Command) error {
 			protocol.Register()
 			status, err := controlplane.AskStatus(address)
--- a/internal/operator/doc.go
+++ b/internal/operator/doc.go
@@ -1,5 +1,5 @@
 // Package operator reads the operator's settings file. The file is TOML; each of its tables is a section, which the package
-// that uses it registers. Package tomlconfig decodes the file. Package operator combines the sections to one file, writes the
+// that uses it registers. Package tomlconfig decodes the file. Package operator combines the sections into one file, writes the
 // example with all defaults (deploy/dykering.toml), and compares two versions of a file for the log line of a reload.
 //
 // Invariants: a file with an error is not used at all, and all its errors are reported; sections are in alphabetical order,
--- a/internal/roles/roles.go
+++ b/internal/roles/roles.go
@@ -46,5 +46,6 @@
 }
 
 func newLog() *slog.Logger {
-	return slog.New(charm.NewWithOptions(os.Stderr, charm.Options{ReportTimestamp: true, Formatter: charm.LogfmtFormatter, Level: charm.InfoLevel}))
+	options := charm.Options{ReportTimestamp: true, Formatter: charm.LogfmtFormatter, Level: charm.InfoLevel}
+	return slog.New(charm.NewWithOptions(os.Stderr, options))
 }
--- a/internal/validation/validation.go
+++ b/internal/validation/validation.go
@@ -32,7 +32,7 @@
 	return text
 }
 
-// Join combines errors to one error with one line for each. It returns nil for an empty list.
+// Join combines errors into one error with one line for each. It returns nil for an empty list.
 func Join(all []Error) error {
 	var errs []error
 	for _, err := range all {
