--- a/internal/lab/coresim/coordination_process.go
+++ b/internal/lab/coresim/coordination_process.go
@@ -181,7 +181,7 @@
 	p.m.process(p.m.requests.Read(p.m.sim.now, chain.Read{Respond: respond}))
 }
 
-// receive handles a call or a reply of another member. A call that arrives twice is executed once.
+// receive handles a call or a reply of another member. A write that arrives twice is executed once.
 func (p *coordinationProcess) receive(message any) {
 	switch call := message.(type) {
 	case protocol.CoordinationWrite:
--- a/internal/lab/model/clients.go
+++ b/internal/lab/model/clients.go
@@ -33,8 +33,9 @@
 // arrival schedules the following one until the scenario's duration is over.
 func (w *World) scheduleArrival(rate float64) {
 	callers := w.Scenario.Callers
-	now := max(rate*(w.rateFactor+w.excessShare())*(1+callers.RateAmplitude*math.Sin(2*math.Pi*(w.Now()-Origin).Minutes())), 1e-9)
-	n, wait := 1, 1/now
+	wave := 1 + callers.RateAmplitude*math.Sin(2*math.Pi*(w.Now()-Origin).Minutes())
+	presentRate := max(rate*(w.rateFactor+w.excessShare())*wave, 1e-9)
+	n, wait := 1, 1/presentRate
 	switch callers.Arrivals {
 	case "poisson":
 		wait *= w.callerRandom.ExpFloat64()
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -188,9 +188,9 @@
 		return
 	}
 	if s.connectionFault == "slow_read" {
-		starts := s.incarnation
+		incarnation := s.incarnation
 		s.w.After(s.slowTransferTime(), func() {
-			if starts == s.incarnation {
+			if incarnation == s.incarnation {
 				s.admit(a)
 			}
 		})
@@ -199,10 +199,11 @@
 	s.admit(a)
 }
 
-// slowTransferTime returns the time that a short message takes if it is transferred in chunks of faultBytes.
+// slowTransferTime returns the time that a short message takes if it is transferred in chunks of faultBytes, one in each
+// chunkInterval.
 func (s *Server) slowTransferTime() time.Duration {
-	const short, each = 300, 20 * time.Millisecond
-	return time.Duration(math.Ceil(short/float64(max(s.faultBytes, 1)))) * each
+	const messageBytes, chunkInterval = 300, 20 * time.Millisecond
+	return time.Duration(math.Ceil(messageBytes/float64(max(s.faultBytes, 1)))) * chunkInterval
 }
 
 // admit starts the work on an attempt, queues it or rejects it.
@@ -252,17 +253,17 @@
 	if s.rng.Float64() < s.kind.ErrorRate+s.errorRate {
 		status, duration = decision.Error, duration/10
 	}
-	starts := s.incarnation
-	s.w.After(time.Duration(duration*float64(time.Second)), func() { s.finishWork(a, status, starts) })
+	incarnation := s.incarnation
+	s.w.After(time.Duration(duration*float64(time.Second)), func() { s.finishWork(a, status, incarnation) })
 }
 
 // finishWork ends the work on an attempt, after the end of a pause if the server is paused.
-func (s *Server) finishWork(a *Attempt, status decision.Status, starts uint64) {
-	if starts != s.incarnation {
+func (s *Server) finishWork(a *Attempt, status decision.Status, incarnation uint64) {
+	if incarnation != s.incarnation {
 		return // the server has shut down since
 	}
 	if s.w.Now() < s.pausedUntil {
-		s.w.After(s.pausedUntil-s.w.Now(), func() { s.finishWork(a, status, starts) })
+		s.w.After(s.pausedUntil-s.w.Now(), func() { s.finishWork(a, status, incarnation) })
 		return
 	}
 	if !slices.Contains(s.running, a) {
@@ -302,7 +303,7 @@
 // Cancel handles the event that the sender of an attempt has closed its connection.
 func (s *Server) Cancel(a *Attempt) {
 	if s.kind.CancelSaves != "all" {
-		return // startQueued drops cancelled attempts
+		return // startQueued decides whether a cancelled attempt is still worked on
 	}
 	s.running, s.queue = remove(s.running, a), remove(s.queue, a)
 	for _, c := range slices.Clone(s.calls) {
