--- a/cmd/dykering-lab/bench.go
+++ b/cmd/dykering-lab/bench.go
@@ -27,16 +27,16 @@
 	benchServers = 8
 	// benchCores is more than is ever asked of a stand-in server at a time: it bears any number of calls.
 	benchCores = 100000
-	// warmFor is how long each is asked before it counts.
-	warmFor = 2 * time.Second
-	// statsFor is how long a process may take to write down what it has allocated.
-	statsFor = 2 * time.Second
-	// ticks is how many clock ticks of /proc a second has: USER_HZ, 100 on Linux whatever the kernel's own (proc(5)).
-	ticks = 100
+	// warmUpTime is how long each is asked before it counts.
+	warmUpTime = 2 * time.Second
+	// statsTimeout is how long a process may take to write down what it has allocated.
+	statsTimeout = 2 * time.Second
+	// clockTicksPerSecond is how many clock clockTicksPerSecond of /proc a second has: USER_HZ, 100 on Linux whatever the kernel's own (proc(5)).
+	clockTicksPerSecond = 100
 )
 
-// measured is what came of one way to the servers.
-type measured struct {
+// measurement is what came of one way to the servers.
+type measurement struct {
 	Way         string  `json:"way"`
 	P50         float64 `json:"p50"` // milliseconds, at a steady rate
 	P99         float64 `json:"p99"`
@@ -55,11 +55,11 @@
 
 // bench is what is measured, and how much of it.
 type bench struct {
-	Callers int
-	Took    time.Duration // of a server for an answer
-	Rate    float64
-	Lasts   time.Duration
-	Conns   int
+	Callers     int
+	ServerTime  time.Duration // of a server for an answer
+	Rate        float64
+	Duration    time.Duration
+	Connections int
 }
 
 func newBench() *cli.Command {
@@ -77,16 +77,16 @@
 			if asJSON {
 				return json.NewEncoder(c.Root().Writer).Encode(got)
 			}
-			b.tell(c.Root().Writer, got)
+			b.print(c.Root().Writer, got)
 			return nil
 		}),
 	}
 	c.Flags = []cli.Flag{
 		&cli.IntFlag{Name: "callers", Value: 64, Usage: "that ask without rest, for the throughput", Destination: &b.Callers},
-		&cli.DurationFlag{Name: "server-time", Value: 20 * time.Millisecond, Usage: "how long a server takes for an answer", Destination: &b.Took},
+		&cli.DurationFlag{Name: "server-time", Value: 20 * time.Millisecond, Usage: "how long a server takes for an answer", Destination: &b.ServerTime},
 		&cli.FloatFlag{Name: "rate", Value: 500, Usage: "requests a second, for the times", Destination: &b.Rate},
-		&cli.DurationFlag{Name: "lasts", Value: 8 * time.Second, Usage: "how long each is measured", Destination: &b.Lasts},
-		&cli.IntFlag{Name: "connections", Value: 400, Usage: "for the memory of each", Destination: &b.Conns},
+		&cli.DurationFlag{Name: "lasts", Value: 8 * time.Second, Usage: "how long each is measured", Destination: &b.Duration},
+		&cli.IntFlag{Name: "connections", Value: 400, Usage: "for the memory of each", Destination: &b.Connections},
 		&cli.StringFlag{Name: "broker", Usage: "the broker's program; without it, the one that is built in", Destination: &program},
 		&cli.BoolFlag{Name: "json", Usage: "print JSON", Destination: &asJSON},
 	}
@@ -97,13 +97,13 @@
 }
 
 // run measures all ways one after another, so that none is beside another.
-func (b *bench) run(ctx context.Context, program string, progress io.Writer) (all []measured, err error) {
-	if b.Callers < 1 || b.Conns < 1 || b.Lasts < 100*time.Millisecond || b.Rate <= 0 {
+func (b *bench) run(ctx context.Context, program string, progress io.Writer) (all []measurement, err error) {
+	if b.Callers < 1 || b.Connections < 1 || b.Duration < 100*time.Millisecond || b.Rate <= 0 {
 		return nil, errors.New("callers, connections, rate and time have to be above 0")
 	}
 	for _, way := range []string{"direct", "reverse proxy", "dykering"} {
-		fmt.Fprintf(progress, "%s: about %v\n", way, (2*(b.Lasts+warmFor) + 5*time.Second).Round(time.Second))
-		m, err := b.way(ctx, way, program)
+		fmt.Fprintf(progress, "%s: about %v\n", way, (2*(b.Duration+warmUpTime) + 5*time.Second).Round(time.Second))
+		m, err := b.measureSubject(ctx, way, program)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", way, err)
 		}
@@ -121,8 +121,8 @@
 	stats   string // the file in which a process of this program writes its figures
 }
 
-// way measures one way to the servers.
-func (b *bench) way(ctx context.Context, way, program string) (_ *measured, err error) {
+// measureSubject measures one measureSubject to the servers.
+func (b *bench) measureSubject(ctx context.Context, way, program string) (_ *measurement, err error) {
 	site, targets, err := b.setUpServers()
 	if err != nil {
 		return nil, err
@@ -140,7 +140,7 @@
 	var servers []*real.Server
 	var targets []string
 	for i := range benchServers {
-		s, err := real.StartServer(fmt.Sprintf("server-%08x", i+1), benchCores, b.Took)
+		s, err := real.StartServer(fmt.Sprintf("server-%08x", i+1), benchCores, b.ServerTime)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -171,49 +171,49 @@
 			return err
 		}
 	}
-	process, err := x.site.StartBroker(ctx, command, statsFile+"="+x.stats)
+	process, err := x.site.StartBroker(ctx, command, statsFileVariable+"="+x.stats)
 	x.process = process
 	return err
 }
 
 // measure takes all figures of one way: throughput after a warm-up, times at a steady rate, memory.
-func (b *bench) measure(ctx context.Context, x *subject) (*measured, error) {
-	m := &measured{Way: x.name}
+func (b *bench) measure(ctx context.Context, x *subject) (*measurement, error) {
+	m := &measurement{Way: x.name}
 	c := &callers{address: x.address, way: x.name}
-	if _, _, err := c.busy(ctx, b.Callers, warmFor); err != nil {
+	if _, _, err := c.sendContinuously(ctx, b.Callers, warmUpTime); err != nil {
 		return nil, err
 	}
-	before, err := look(x.process, x.stats)
+	before, err := readUsage(x.process, x.stats)
 	if err != nil {
 		return nil, err
 	}
-	served, refused, err := c.busy(ctx, b.Callers, b.Lasts)
+	served, refused, err := c.sendContinuously(ctx, b.Callers, b.Duration)
 	if err != nil {
 		return nil, err
 	}
-	after, err := look(x.process, x.stats)
+	after, err := readUsage(x.process, x.stats)
 	if err != nil {
 		return nil, err
 	}
-	m.PerSecond, m.Refused = float64(served)/b.Lasts.Seconds(), refused
+	m.PerSecond, m.Refused = float64(served)/b.Duration.Seconds(), refused
 	if x.process != nil {
 		n := float64(served + refused)
 		m.PerCore = n / (after.cpu - before.cpu).Seconds()
 		m.Allocs, m.AllocBytes = float64(after.Mallocs-before.Mallocs)/n, float64(after.Bytes-before.Bytes)/n
 	}
-	if err := b.times(ctx, m, x.address); err != nil {
+	if err := b.measureLatency(ctx, m, x.address); err != nil {
 		return nil, err
 	}
 	if x.process == nil {
 		return m, nil
 	}
-	return m, b.memory(ctx, m, c, x.site, x.process, x.stats)
+	return m, b.measureMemory(ctx, m, c, x.site, x.process, x.stats)
 }
 
-// times measures how long answers take at a steady rate.
-func (b *bench) times(ctx context.Context, m *measured, address func() string) error {
+// measureLatency measures how long answers take at a steady rate.
+func (b *bench) measureLatency(ctx context.Context, m *measurement, address func() string) error {
 	l := &load.Load{
-		URL: address() + "/bench", Profile: load.Profile{Kind: load.Steady, Rate: b.Rate, Lasts: b.Lasts}, Most: 10000,
+		URL: address() + "/bench", Profile: load.Profile{Kind: load.Steady, Rate: b.Rate, Lasts: b.Duration}, Most: 10000,
 		Run: "times-" + m.Way, Classes: []load.Class{{Name: "read", Share: 1, Method: "GET", Left: 2 * time.Second}},
 	}
 	r, err := l.Play(ctx)
@@ -224,14 +224,14 @@
 	return nil
 }
 
-// memory measures what a connection costs that rests, and one that waits for its answer.
-func (b *bench) memory(ctx context.Context, m *measured, c *callers, site *real.Site, p *real.Process, file string) error {
+// measureMemory measures what a connection costs that rests, and one that waits for its answer.
+func (b *bench) measureMemory(ctx context.Context, m *measurement, c *callers, site *real.Site, p *real.Process, file string) error {
 	time.Sleep(500 * time.Millisecond) // connections of what was before close
-	none, err := look(p, file)
+	none, err := readUsage(p, file)
 	if err != nil {
 		return err
 	}
-	conns, err := c.open(ctx, b.Conns)
+	conns, err := c.openIdle(ctx, b.Connections)
 	defer func() {
 		for _, x := range conns {
 			x.Close()
@@ -240,7 +240,7 @@
 	if err != nil {
 		return err
 	}
-	idle, err := look(p, file)
+	idle, err := readUsage(p, file)
 	if err != nil {
 		return err
 	}
@@ -253,7 +253,7 @@
 		}
 	}
 	time.Sleep(300 * time.Millisecond)
-	busy, err := look(p, file)
+	busy, err := readUsage(p, file)
 	for _, s := range site.Servers {
 		s.Pause(false)
 	}
@@ -266,15 +266,15 @@
 	return nil
 }
 
-// seen is what a process has used.
-type seen struct {
+// processUsage is what a process has used.
+type processUsage struct {
 	stats
 	cpu      time.Duration
 	resident uint64
 }
 
-// look asks a process what it has allocated, and the kernel what it has used.
-func look(p *real.Process, file string) (s seen, err error) {
+// readUsage asks a process what it has allocated, and the kernel what it has used.
+func readUsage(p *real.Process, file string) (s processUsage, err error) {
 	if p == nil {
 		return s, nil
 	}
@@ -282,7 +282,7 @@
 	if err := p.Signal(syscall.SIGUSR2); err != nil {
 		return s, err
 	}
-	for end := time.Now().Add(statsFor); ; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(statsTimeout); ; time.Sleep(5 * time.Millisecond) {
 		now, err := os.Stat(file)
 		if err == nil && (before == nil || !os.SameFile(before, now)) {
 			break
@@ -310,16 +310,16 @@
 			return s, err
 		}
 	}
-	s.cpu = time.Duration(n[0]+n[1]) * time.Second / ticks
+	s.cpu = time.Duration(n[0]+n[1]) * time.Second / clockTicksPerSecond
 	s.resident = n[2] * uint64(os.Getpagesize())
 	return s, nil
 }
 
-func (b *bench) tell(out io.Writer, all []measured) {
+func (b *bench) print(out io.Writer, all []measurement) {
 	fmt.Fprintf(out, "%d servers that take %v and bear any number of calls; %d callers that never rest, then %.0f requests a second; %v each\n\n",
-		benchServers, b.Took, b.Callers, b.Rate, b.Lasts)
+		benchServers, b.ServerTime, b.Callers, b.Rate, b.Duration)
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	direct := all[slices.IndexFunc(all, func(m measured) bool { return m.Way == "direct" })]
+	direct := all[slices.IndexFunc(all, func(m measurement) bool { return m.Way == "direct" })]
 	fmt.Fprintln(t, "way\tserved/s\trefused\tper core s\tadded p50 ms\tp99\tp99.9\tunserved\tallocs\tbytes\tidle conn B\tresident\tbusy conn B\tresident\t")
 	for _, m := range all {
 		fmt.Fprintf(t, "%s\t%.0f\t%d\t%.0f\t%.2f\t%.2f\t%.2f\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t\n", m.Way, m.PerSecond, m.Refused, m.PerCore,
--- a/cmd/dykering-lab/bench_callers.go
+++ b/cmd/dykering-lab/bench_callers.go
@@ -17,11 +17,11 @@
 type callers struct {
 	address func() string
 	way     string
-	n       atomic.Int64
+	lastID  atomic.Int64
 }
 
-// busy has so many ask without rest for a time.
-func (c *callers) busy(ctx context.Context, n int, lasts time.Duration) (served, refused int, err error) {
+// sendContinuously has so many ask without rest for a time.
+func (c *callers) sendContinuously(ctx context.Context, n int, lasts time.Duration) (served, refused int, err error) {
 	ctx, stop := context.WithTimeout(ctx, lasts)
 	defer stop()
 	var all sync.WaitGroup
@@ -38,7 +38,7 @@
 					bad.Add(1)
 					return
 				}
-				r.Header = http.Header{"X-Txn": {fmt.Sprintf("%s-%d", c.way, c.n.Add(1))}, "X-Lane": {"read"}, "X-Remaining": {"2000m"}}
+				r.Header = http.Header{"X-Txn": {fmt.Sprintf("%s-%d", c.way, c.lastID.Add(1))}, "X-Lane": {"read"}, "X-Remaining": {"2000m"}}
 				res, err := client.Do(r)
 				if err != nil {
 					bad.Add(1)
@@ -60,8 +60,8 @@
 	return int(good.Load()), int(bad.Load()), nil
 }
 
-// open makes connections that have had an answer and rest, a few at a time.
-func (c *callers) open(ctx context.Context, n int) (conns []net.Conn, err error) {
+// openIdle makes connections that have had an answer and rest, a few at a time.
+func (c *callers) openIdle(ctx context.Context, n int) (conns []net.Conn, err error) {
 	dialer := net.Dialer{Timeout: time.Second}
 	for i := 0; i < n && ctx.Err() == nil; i++ {
 		x, err := dialer.DialContext(ctx, "tcp", strings.TrimPrefix(c.address(), "http://"))
--- a/cmd/dykering-lab/bench_proxy.go
+++ b/cmd/dykering-lab/bench_proxy.go
@@ -22,12 +22,12 @@
 	"dykering/internal/commandline"
 )
 
-// statsFile names, in the environment, the file that a process writes what it has allocated to, on SIGUSR2.
-const statsFile = "DYKERING_LAB_STATS"
+// statsFileVariable names, in the environment, the file that a process writes what it has allocated to, on SIGUSR2.
+const statsFileVariable = "DYKERING_LAB_STATS"
 
 // writeStats writes it at each signal.
 func writeStats() {
-	path := os.Getenv(statsFile)
+	path := os.Getenv(statsFileVariable)
 	if path == "" {
 		return
 	}
--- a/cmd/dykering-lab/coordination.go
+++ b/cmd/dykering-lab/coordination.go
@@ -25,7 +25,7 @@
 			if load.Mix, err = coordinationload.ParseMix(mix); err != nil {
 				return err
 			}
-			if err := load.Check(); err != nil {
+			if err := load.Validate(); err != nil {
 				return err
 			}
 			return commandline.Failure(runCoordination(ctx, c, load))
@@ -36,7 +36,7 @@
 		&cli.IntFlag{Name: "groups", Value: 8, Usage: "groups that keys, locks and numbers are spread over", Destination: &load.Groups},
 		&cli.IntFlag{Name: "callers", Value: 16, Usage: "callers that send one operation after another (closed loop)", Destination: &load.Callers},
 		&cli.FloatFlag{Name: "rate", Usage: "operations a second, in place of callers (open loop)", Destination: &load.PerSecond},
-		&cli.DurationFlag{Name: "for", Value: 10 * time.Second, Usage: "how long", Destination: &load.Lasts},
+		&cli.DurationFlag{Name: "for", Value: 10 * time.Second, Usage: "how long", Destination: &load.Duration},
 		&cli.StringFlag{Name: "mix", Value: "puts=4,reads=4,locks=1,numbers=1", Usage: "weights of the operations", Destination: &mix},
 		&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "for what is drawn", Destination: &load.Seed},
 	}
@@ -61,9 +61,9 @@
 		return err
 	}
 	if load.PerSecond > 0 {
-		fmt.Fprintf(c.Root().Writer, "%d cores, %d groups, %v operations a second for %v\n", load.Cores, load.Groups, load.PerSecond, load.Lasts)
+		fmt.Fprintf(c.Root().Writer, "%d cores, %d groups, %v operations a second for %v\n", load.Cores, load.Groups, load.PerSecond, load.Duration)
 	} else {
-		fmt.Fprintf(c.Root().Writer, "%d cores, %d groups, %d callers for %v\n", load.Cores, load.Groups, load.Callers, load.Lasts)
+		fmt.Fprintf(c.Root().Writer, "%d cores, %d groups, %d callers for %v\n", load.Cores, load.Groups, load.Callers, load.Duration)
 	}
 	report.Print(c.Root().Writer)
 	return ctx.Err()
--- a/cmd/dykering-lab/coresearch.go
+++ b/cmd/dykering-lab/coresearch.go
@@ -147,10 +147,10 @@
 			kinds := []coresim.FaultKind{coresim.Kill, coresim.Freeze, coresim.Isolate, coresim.StallDisk, coresim.LoseDisk}
 			for _, struck := range []coresim.RecoveryTarget{coresim.TargetHead, coresim.TargetMiddle, coresim.TargetTail} {
 				for _, kind := range kinds {
-					tellRecovery(c, struck, kind, seeds)
+					printRecovery(c, struck, kind, seeds)
 				}
 			}
-			tellRecovery(c, coresim.TargetAll, coresim.KillAll, seeds)
+			printRecovery(c, coresim.TargetAll, coresim.KillAll, seeds)
 			return nil
 		}),
 	}
@@ -160,7 +160,7 @@
 	return c
 }
 
-func tellRecovery(c *cli.Command, struck coresim.RecoveryTarget, kind coresim.FaultKind, seeds uint64) {
+func printRecovery(c *cli.Command, struck coresim.RecoveryTarget, kind coresim.FaultKind, seeds uint64) {
 	times := coresim.MeasureRecovery(struck, kind, seeds)
 	fmt.Fprintf(c.Root().Writer, "| %s | %s | %v | %v | %v |\n", struck, kind, times.Percentile(0.5), times.Percentile(0.99), times.Percentile(1))
 }
--- a/cmd/dykering-lab/demo.go
+++ b/cmd/dykering-lab/demo.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	demoServers = 5
-	demoCores   = 4
-	demoTook    = 40 * time.Millisecond
-	demoRate    = 150.0
+	demoServers    = 5
+	demoCores      = 4
+	demoServerTime = 40 * time.Millisecond
+	demoRate       = 150.0
 )
 
 // demoSettings are what the platform would say.
@@ -73,11 +73,11 @@
 	return c
 }
 
-// setUp starts the demo's servers and discovery.
-func setUp() (*real.Site, error) {
+// startSite starts the demo's servers and discovery.
+func startSite() (*real.Site, error) {
 	var servers []*real.Server
 	for i := range demoServers {
-		s, err := real.StartServer(fmt.Sprintf("server-%08x", i+1), demoCores, demoTook)
+		s, err := real.StartServer(fmt.Sprintf("server-%08x", i+1), demoCores, demoServerTime)
 		if err != nil {
 			return nil, err
 		}
@@ -96,17 +96,17 @@
 	return err
 }
 
-// act is what happens at a part of the demo's time.
-type act struct {
+// demoEvent is what happens at a part of the demo's time.
+type demoEvent struct {
 	at   float64
 	what string
 	do   func() error
 }
 
-func acts(ctx context.Context, st *real.Site) []act {
+func demoEvents(ctx context.Context, st *real.Site) []demoEvent {
 	now := func() int64 { return time.Now().UnixMilli() }
 	drained, crashed := st.Servers[0], st.Servers[1]
-	return []act{
+	return []demoEvent{
 		{0.15, "server 1 drains", func() error { st.Discovery.Announce(drained, "Terminating", 0); return nil }},
 		{0.25, "server 1 ends", func() error { drained.Kill(); st.Discovery.Announce(drained, "Gone", 0); return nil }},
 		{0.40, "server 1 is back, cold", func() error {
@@ -140,7 +140,7 @@
 
 // demo plays it. What is lost is a fault.
 func demo(ctx context.Context, out io.Writer, lasts time.Duration) (err error) {
-	st, err := setUp()
+	st, err := startSite()
 	if err != nil {
 		return err
 	}
@@ -149,21 +149,21 @@
 		return err
 	}
 	fmt.Fprintf(out, "%d stand-in servers, %d calls of %v at a time each; %.0f requests a second for %v\n\n", demoServers,
-		demoCores, demoTook, demoRate, lasts)
+		demoCores, demoServerTime, demoRate, lasts)
 	fmt.Fprintf(out, "%4s %6s %6s %7s %6s %5s %7s %7s\n", "s", "asked", "served", "refused", "failed", "lost", "p50 ms", "p99 ms")
-	d := &demonstration{out: out, lasts: lasts, seconds: make([]tally, 1+int(lasts.Seconds()))}
+	d := &demoRun{out: out, lasts: lasts, seconds: make([]tally, 1+int(lasts.Seconds()))}
 	asking, stop := context.WithTimeout(ctx, lasts)
 	defer stop()
 	loaded := make(chan error, 1)
 	go func() { loaded <- d.load(asking, st.URL) }()
-	if err := d.follow(asking, acts(ctx, st), loaded); err != nil {
+	if err := d.runEvents(asking, demoEvents(ctx, st), loaded); err != nil {
 		return err
 	}
-	return sumUp(out, d.seconds)
+	return printSummary(out, d.seconds)
 }
 
-// demonstration is what is shown of a demo, second by second.
-type demonstration struct {
+// demoRun is what is shown of a demo, second by second.
+type demoRun struct {
 	out   io.Writer
 	lasts time.Duration
 
@@ -173,7 +173,7 @@
 }
 
 // load has callers ask until the demo's end.
-func (d *demonstration) load(ctx context.Context, url string) error {
+func (d *demoRun) load(ctx context.Context, url string) error {
 	l := load.Load{
 		URL: url + "/demo", Profile: load.Profile{Kind: load.Steady, Rate: demoRate, Lasts: d.lasts}, Most: 1000, Run: "demo",
 		Classes: []load.Class{
@@ -190,12 +190,12 @@
 	return err
 }
 
-func (d *demonstration) second(at time.Duration) *tally {
+func (d *demoRun) second(at time.Duration) *tally {
 	return &d.seconds[min(int(at.Seconds()), len(d.seconds)-1)]
 }
 
-// follow carries out the acts at their times and shows the seconds, until the load has ended.
-func (d *demonstration) follow(asking context.Context, coming []act, loaded <-chan error) error {
+// runEvents carries out the acts at their times and shows the seconds, until the load has ended.
+func (d *demoRun) runEvents(asking context.Context, coming []demoEvent, loaded <-chan error) error {
 	began := time.Now()
 	for {
 		var failed error
@@ -220,7 +220,7 @@
 	}
 }
 
-func (d *demonstration) note(at time.Duration, what string) {
+func (d *demoRun) note(at time.Duration, what string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	t := d.second(at)
@@ -228,7 +228,7 @@
 }
 
 // show shows each second once what was asked in it has its answer.
-func (d *demonstration) show(past time.Duration, ended bool) {
+func (d *demoRun) show(past time.Duration, ended bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for d.shown < len(d.seconds) && (ended || past > time.Duration(d.shown+3)*time.Second) {
@@ -268,8 +268,8 @@
 	}
 }
 
-// sumUp says what came of all, with a chart of the service in each second.
-func sumUp(out io.Writer, seconds []tally) error {
+// printSummary says what came of all, with a chart of the service in each second.
+func printSummary(out io.Writer, seconds []tally) error {
 	var all tally
 	levels := []rune(" ▁▂▃▄▅▆▇█")
 	chart := ""
--- a/cmd/dykering-lab/load.go
+++ b/cmd/dykering-lab/load.go
@@ -20,8 +20,8 @@
 	"dykering/internal/lab/load"
 )
 
-// showEvery is how often a progress bar is drawn.
-const showEvery = 200 * time.Millisecond
+// progressInterval is how often a progress bar is drawn.
+const progressInterval = 200 * time.Millisecond
 
 func newLoad() *cli.Command {
 	l := &load.Load{}
@@ -44,7 +44,7 @@
 			}
 			l.Run = fmt.Sprintf("load-%x", time.Now().UnixNano()) // ids must be new to whoever is asked
 			p := newProgress(c.Root().ErrWriter, l.Profile.Lasts)
-			l.Told = p.told
+			l.Told = p.record
 			stop := p.show()
 			r, err := l.Play(ctx)
 			stop()
@@ -54,7 +54,7 @@
 			if asJSON {
 				return json.NewEncoder(c.Root().Writer).Encode(r)
 			}
-			tellLoad(c.Root().Writer, r)
+			printLoad(c.Root().Writer, r)
 			if r.All.Asked > 0 && r.All.Lost == r.All.Asked {
 				return commandline.Failure(errors.New("not one request was answered"))
 			}
@@ -78,8 +78,8 @@
 	return c
 }
 
-// parts cuts NAME,key=value,… into its name and what each key says.
-func parts(text string, each func(key, value string) error) (name string, err error) {
+// parseOptions cuts NAME,key=value,… into its name and what each key says.
+func parseOptions(text string, each func(key, value string) error) (name string, err error) {
 	for i, part := range strings.Split(text, ",") {
 		if i == 0 {
 			name = part
@@ -96,12 +96,12 @@
 	return name, nil
 }
 
-var errNoKey = errors.New("not known here")
+var errUnknownOption = errors.New("not known here")
 
 func parseClasses(texts []string) (classes []load.Class, err error) {
 	for _, text := range texts {
 		c := load.Class{Method: "GET", Share: 1 / float64(len(texts)), Left: 2 * time.Second}
-		if c.Name, err = parts(text, func(key, value string) (err error) {
+		if c.Name, err = parseOptions(text, func(key, value string) (err error) {
 			switch key {
 			case "method":
 				c.Method = value
@@ -114,7 +114,7 @@
 			case "body":
 				c.Body, err = strconv.Atoi(value)
 			default:
-				err = errNoKey
+				err = errUnknownOption
 			}
 			return err
 		}); err != nil {
@@ -128,9 +128,9 @@
 func parseTeams(texts []string) (teams []load.Team, err error) {
 	for _, text := range texts {
 		t := load.Team{Share: 1 / float64(len(texts))}
-		if t.Name, err = parts(text, func(key, value string) (err error) {
+		if t.Name, err = parseOptions(text, func(key, value string) (err error) {
 			if key != "share" {
-				return errNoKey
+				return errUnknownOption
 			}
 			t.Share, err = strconv.ParseFloat(value, 64)
 			return err
@@ -155,7 +155,7 @@
 		progressbar.OptionSetWidth(30), progressbar.OptionSetPredictTime(false), progressbar.OptionClearOnFinish())}
 }
 
-func (p *progress) told(o load.Outcome) {
+func (p *progress) record(o load.Outcome) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.tally.count(o)
@@ -170,7 +170,7 @@
 	began := time.Now()
 	go func() {
 		defer close(drawn)
-		tick := time.NewTicker(showEvery)
+		tick := time.NewTicker(progressInterval)
 		defer tick.Stop()
 		for {
 			select {
@@ -195,13 +195,13 @@
 	}
 }
 
-// mostRows is how many lines the table of a load has; longer ones show each second of a few.
-const mostRows = 60
+// maxRows is how many lines the table of a load has; longer ones show each second of a few.
+const maxRows = 60
 
-func tellLoad(out io.Writer, r *load.Report) {
+func printLoad(out io.Writer, r *load.Report) {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "s\tasked\tserved\trefused\tfailed\tlost\tp50 ms\tp99 ms\t")
-	for i := 0; i < len(r.Seconds); i += 1 + len(r.Seconds)/mostRows {
+	for i := 0; i < len(r.Seconds); i += 1 + len(r.Seconds)/maxRows {
 		if s := r.Seconds[i]; s.Asked > 0 {
 			fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t\n", i, s.Asked, s.Served, s.Refused, s.Failed, s.Lost, s.P50, s.P99)
 		}
--- a/cmd/dykering-lab/main.go
+++ b/cmd/dykering-lab/main.go
@@ -29,8 +29,8 @@
 
 func main() {
 	args := os.Args[1:]
-	if len(args) > 0 && bubbled[args[0]] {
-		inBubbles(func(in emulation.Bubble) int { return execute(args, os.Stdout, os.Stderr, in) })
+	if len(args) > 0 && virtualTimeCommands[args[0]] {
+		runInBubbles(func(in emulation.Bubble) int { return execute(args, os.Stdout, os.Stderr, in) })
 	}
 	os.Exit(execute(args, os.Stdout, os.Stderr, nil))
 }
--- a/cmd/dykering-lab/main_test.go
+++ b/cmd/dykering-lab/main_test.go
@@ -124,7 +124,7 @@
 // All ways are measured in one run, and what they cost is there.
 func TestBenchProxy(t *testing.T) {
 	code, out, errOut := command("bench proxy --lasts 300ms --connections 20 --callers 8 --rate 100 --json")
-	var all []measured
+	var all []measurement
 	if err := json.Unmarshal([]byte(out), &all); code != 0 || err != nil || len(all) != 3 {
 		t.Fatalf("exit %d, %v, %q, %q", code, err, out, errOut)
 	}
--- a/cmd/dykering-lab/trial.go
+++ b/cmd/dykering-lab/trial.go
@@ -19,7 +19,7 @@
 		Name: "trial", Usage: "Play the same days with two builds through the bench, and compare",
 		Action: commandline.NoArgs(func(ctx context.Context, c *cli.Command) error {
 			spec.Variants[1].Name = name
-			spec.Why = "trial " + name + ": " + spec.Why
+			spec.Reason = "trial " + name + ": " + spec.Reason
 			for _, seed := range seeds {
 				spec.Seeds = append(spec.Seeds, uint64(seed))
 			}
@@ -46,8 +46,8 @@
 		&cli.Int64SliceFlag{Name: "seed", Value: []int64{11, 22, 33, 44, 55}, Usage: "a seed", Destination: &seeds},
 		&cli.BoolFlag{Name: "small", Usage: "the small twins of large days", Destination: &spec.Small},
 		&cli.StringFlag{Name: "results", Value: "lab/results/trials", Usage: "the folder that results are kept in", Destination: &spec.Results},
-		&cli.IntFlag{Name: "jobs", Value: 2, Usage: "plays at the same time", Destination: &spec.Jobs},
-		&cli.StringFlag{Name: "why", Required: true, Usage: "for the bench's journal", Destination: &spec.Why},
+		&cli.IntFlag{Name: "jobs", Value: 2, Usage: "plays at the same time", Destination: &spec.Parallel},
+		&cli.StringFlag{Name: "why", Required: true, Usage: "for the bench's journal", Destination: &spec.Reason},
 	}
 	return c
 }
--- a/cmd/dykering-lab/whole.go
+++ b/cmd/dykering-lab/whole.go
@@ -14,12 +14,12 @@
 	"dykering/internal/lab/emulation"
 )
 
-// bubbled are the commands that play in virtual time with the whole program.
-var bubbled = map[string]bool{"whole": true, "explore": true, "run": true}
+// virtualTimeCommands are the commands that play in virtual time with the whole program.
+var virtualTimeCommands = map[string]bool{"whole": true, "explore": true, "run": true}
 
-// inBubbles runs a program that makes bubbles, and ends this process with its code. A bubble needs a testing.T, which
+// runInBubbles runs a program that makes bubbles, and ends this process with its code. A bubble needs a testing.T, which
 // only the testing package makes.
-func inBubbles(run func(emulation.Bubble) int) {
+func runInBubbles(run func(emulation.Bubble) int) {
 	os.Args = os.Args[:1] // the rest is not testing's
 	testing.Main(func(_, _ string) (bool, error) { return true, nil }, []testing.InternalTest{{
 		Name: "bubbles",
--- a/internal/lab/coordinationload/caller.go
+++ b/internal/lab/coordinationload/caller.go
@@ -13,11 +13,11 @@
 
 const (
 	// callTimeout is how long an answer is awaited. It is longer than clients wait, so that the table shows slow answers.
-	callTimeout    = 5 * time.Second
-	maxAnswerBytes = 64 << 10
-	keysPerGroup   = 16
-	numbersInGroup = 4
-	lockHold       = 10 * time.Second
+	callTimeout     = 5 * time.Second
+	maxAnswerBytes  = 64 << 10
+	keysPerGroup    = 16
+	numbersPerGroup = 4
+	lockHold        = 10 * time.Second
 
 	// A caller of a closed loop pauses after a failure, as clients do; the pause doubles with each further one.
 	firstPause = 10 * time.Millisecond
@@ -26,16 +26,16 @@
 
 // caller sends one operation at a time. Its locks are its own, so that it is never refused one; keys and numbers are shared.
 type caller struct {
-	name      string
-	addresses []string
-	next      int // the index of the address in use
-	groups    int
-	mix       Mix
-	client    *http.Client
-	tally     *tally
-	random    *rand.Rand
-	puts      int
-	failures  int // in a row
+	name         string
+	addresses    []string
+	addressIndex int // the index of the address in use
+	groups       int
+	mix          Mix
+	client       *http.Client
+	tally        *tally
+	random       *rand.Rand
+	puts         int
+	failures     int // in a row
 }
 
 // newCallers returns callers that begin at different addresses. Each draws from a stream of its own of the seed.
@@ -43,7 +43,7 @@
 	var callers []*caller
 	for i := range count {
 		callers = append(callers, &caller{
-			name: fmt.Sprintf("caller-%d", i), addresses: addresses, next: i % len(addresses), groups: l.Groups, mix: l.Mix,
+			name: fmt.Sprintf("caller-%d", i), addresses: addresses, addressIndex: i % len(addresses), groups: l.Groups, mix: l.Mix,
 			client: client, tally: tally, random: rand.New(rand.NewPCG(l.Seed, uint64(i))),
 		})
 	}
@@ -59,9 +59,9 @@
 	case Reads:
 		c.call(ctx, due, readKey, http.MethodGet, "/cells/"+c.drawKey(group)+"/read", nil, nil)
 	case Locks:
-		c.takeAndReturn(ctx, due, group)
+		c.acquireAndRelease(ctx, due, group)
 	case Numbers:
-		path := fmt.Sprintf("/numbers/%s%d", group, c.random.IntN(numbersInGroup))
+		path := fmt.Sprintf("/numbers/%s%d", group, c.random.IntN(numbersPerGroup))
 		c.call(ctx, due, nextNumber, http.MethodPost, path, struct{}{}, nil)
 	}
 }
@@ -86,8 +86,8 @@
 	HoldMs int64  `json:"hold_ms,omitempty"`
 }
 
-// takeAndReturn takes a lock and gives it back at once.
-func (c *caller) takeAndReturn(ctx context.Context, due time.Time, group string) {
+// acquireAndRelease takes a lock and gives it back at once.
+func (c *caller) acquireAndRelease(ctx context.Context, due time.Time, group string) {
 	path := "/locks/" + group + c.name
 	var granted struct {
 		Token uint64 `json:"fencing_token"`
@@ -120,7 +120,7 @@
 		return status
 	}
 	c.failures++
-	c.next = (c.next + 1) % len(c.addresses)
+	c.addressIndex = (c.addressIndex + 1) % len(c.addresses)
 	return status
 }
 
@@ -136,7 +136,7 @@
 	if body != nil {
 		content = bytes.NewReader(text)
 	}
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+c.addresses[c.next]+path, content)
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+c.addresses[c.addressIndex]+path, content)
 	if err != nil {
 		return noAnswer
 	}
--- a/internal/lab/coordinationload/coordinationload_test.go
+++ b/internal/lab/coordinationload/coordinationload_test.go
@@ -21,7 +21,7 @@
 		g := NewWithT(t)
 		began := time.Now()
 		var due, started []time.Duration
-		schedule{perSecond: 10, lasts: 450 * time.Millisecond}.play(t.Context(), began, func(number int, at time.Time) {
+		schedule{perSecond: 10, duration: 450 * time.Millisecond}.play(t.Context(), began, func(number int, at time.Time) {
 			due, started = append(due, at.Sub(began)), append(started, time.Since(began))
 			if number == 1 {
 				pause(t.Context(), 250*time.Millisecond) // something holds the loop up
@@ -40,7 +40,7 @@
 
 func TestScheduleDoesNotDrift(t *testing.T) {
 	g := NewWithT(t)
-	s := schedule{perSecond: 3, lasts: time.Hour}
+	s := schedule{perSecond: 3, duration: time.Hour}
 	g.Expect(s.due(3 * 3600)).To(BeNumerically("~", time.Hour, time.Microsecond))
 }
 
@@ -49,7 +49,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 250*time.Millisecond)
 		defer cancel()
 		count := 0
-		schedule{perSecond: 10, lasts: time.Hour}.play(ctx, time.Now(), func(int, time.Time) { count++ })
+		schedule{perSecond: 10, duration: time.Hour}.play(ctx, time.Now(), func(int, time.Time) { count++ })
 		NewWithT(t).Expect(count).To(Equal(3))
 	})
 }
@@ -77,7 +77,7 @@
 func TestTableHasTimesOfSuccessesAndFailuresByStatus(t *testing.T) {
 	g := NewWithT(t)
 	r := &Report{
-		Lasted: 10 * time.Second, SyncBefore: 1500 * time.Microsecond, SyncAfter: 2 * time.Millisecond,
+		Elapsed: 10 * time.Second, SyncBefore: 1500 * time.Microsecond, SyncAfter: 2 * time.Millisecond,
 		Before: View{Number: 1, Chain: 3}, After: View{Number: 3, Chain: 2}, Unsent: 7, LoadBefore: "1.00", LoadAfter: "2.00", tally: newTally(),
 	}
 	for i := range 100 {
@@ -172,15 +172,15 @@
 
 func TestLoadIsChecked(t *testing.T) {
 	g := NewWithT(t)
-	good := Load{Cores: 9, Groups: 1, Callers: 1, Lasts: time.Second}
-	g.Expect(good.Check()).To(Succeed())
+	good := Load{Cores: 9, Groups: 1, Callers: 1, Duration: time.Second}
+	g.Expect(good.Validate()).To(Succeed())
 	for name, spoil := range map[string]func(*Load){
 		"cores": func(l *Load) { l.Cores = 4 }, "groups": func(l *Load) { l.Groups = 0 }, "callers": func(l *Load) { l.Callers = maxCallers + 1 },
-		"rate": func(l *Load) { l.PerSecond = -1 }, "for": func(l *Load) { l.Lasts = 0 },
+		"rate": func(l *Load) { l.PerSecond = -1 }, "for": func(l *Load) { l.Duration = 0 },
 	} {
 		wrong := good
 		spoil(&wrong)
-		g.Expect(wrong.Check()).NotTo(Succeed(), name)
+		g.Expect(wrong.Validate()).NotTo(Succeed(), name)
 	}
 }
 
--- a/internal/lab/coordinationload/load.go
+++ b/internal/lab/coordinationload/load.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// startTime is how long the system has until all members are in the chain and the service answers.
-	startTime = 30 * time.Second
+	// startTimeout is how long the system has until all members are in the chain and the service answers.
+	startTimeout = 30 * time.Second
 	// startPause is between two questions whether it has started.
 	startPause = 100 * time.Millisecond
 	// maxInFlight bounds the operations of an open loop that are in flight at a time.
@@ -24,7 +24,7 @@
 	maxCallers   = maxInFlight
 	maxGroups    = 1000
 	maxPerSecond = 100_000
-	maxLasts     = 10 * time.Minute
+	maxDuration  = 10 * time.Minute
 )
 
 // Load is a load on the coordination service of control processes.
@@ -40,13 +40,13 @@
 	Callers int
 	// PerSecond is the rate of an open loop, and 0 for a closed one.
 	PerSecond float64
-	Lasts     time.Duration
+	Duration  time.Duration
 	Mix       Mix
 	Seed      uint64
 }
 
-// Check returns an error that names what is wrong.
-func (l *Load) Check() error {
+// Validate returns an error that names what is wrong.
+func (l *Load) Validate() error {
 	switch {
 	case l.Cores != 1 && l.Cores != 3 && l.Cores != 5 && l.Cores != 9:
 		return errors.Errorf("%d cores: 1, 3, 5 or 9", l.Cores)
@@ -56,15 +56,15 @@
 		return errors.Errorf("%d callers: 1 to %d", l.Callers, maxCallers)
 	case !(l.PerSecond >= 0 && l.PerSecond <= maxPerSecond):
 		return errors.Errorf("rate %v: up to %d a second", l.PerSecond, maxPerSecond)
-	case l.Lasts <= 0 || l.Lasts > maxLasts:
-		return errors.Errorf("for %v: up to %v", l.Lasts, maxLasts)
+	case l.Duration <= 0 || l.Duration > maxDuration:
+		return errors.Errorf("for %v: up to %v", l.Duration, maxDuration)
 	}
 	return nil
 }
 
 // Run starts the processes, loads them and ends them.
 func (l *Load) Run(ctx context.Context) (*Report, error) {
-	if err := l.Check(); err != nil {
+	if err := l.Validate(); err != nil {
 		return nil, err
 	}
 	protocol.Register()
@@ -79,7 +79,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer endAll(processes)
+	defer killAll(processes)
 	for _, p := range processes {
 		if err := p.Start(l.Program); err != nil {
 			return nil, err
@@ -99,7 +99,7 @@
 	return report, ctx.Err()
 }
 
-func endAll(processes []*localprocess.Process) {
+func killAll(processes []*localprocess.Process) {
 	for _, p := range processes {
 		p.Kill()
 	}
@@ -107,7 +107,7 @@
 
 // awaitStart waits until all processes are in the chain and the service gives a number. It returns the view.
 func (l *Load) awaitStart(ctx context.Context, processes []*localprocess.Process) (View, error) {
-	ctx, cancel := context.WithTimeout(ctx, startTime)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	client := newClient()
 	defer client.CloseIdleConnections()
@@ -121,7 +121,7 @@
 		}
 		pause(ctx, startPause)
 	}
-	return view, errors.Errorf("not started within %v: %d of %d in the chain (%v)", startTime, view.Chain, l.Cores, err)
+	return view, errors.Errorf("not started within %v: %d of %d in the chain (%v)", startTimeout, view.Chain, l.Cores, err)
 }
 
 // pause waits, or returns early once the context ends.
@@ -158,7 +158,7 @@
 	} else {
 		l.playClosed(ctx, began, l.newCallers(l.Callers, addresses, client, report.tally))
 	}
-	report.Lasted = time.Since(began)
+	report.Elapsed = time.Since(began)
 }
 
 // playClosed has each caller send one operation after another.
@@ -166,7 +166,7 @@
 	var running sync.WaitGroup
 	for _, c := range callers {
 		running.Go(func() {
-			for time.Since(began) < l.Lasts && ctx.Err() == nil {
+			for time.Since(began) < l.Duration && ctx.Err() == nil {
 				c.operate(ctx, time.Now())
 				if wait := c.pauseAfterFailures(); wait > 0 {
 					pause(ctx, wait)
@@ -184,7 +184,7 @@
 		free <- c
 	}
 	var running sync.WaitGroup
-	plan := schedule{perSecond: l.PerSecond, lasts: l.Lasts}
+	plan := schedule{perSecond: l.PerSecond, duration: l.Duration}
 	plan.play(ctx, began, func(_ int, due time.Time) {
 		select {
 		case c := <-free:
--- a/internal/lab/coordinationload/report.go
+++ b/internal/lab/coordinationload/report.go
@@ -12,8 +12,8 @@
 
 // Report is what a load measured.
 type Report struct {
-	// Lasted is from the begin of the load until the last answer.
-	Lasted time.Duration
+	// Elapsed is from the begin of the load until the last answer.
+	Elapsed time.Duration
 	// SyncBefore and SyncAfter are mean times of a sync of a small record, before the load and after it. They differ where other
 	// work uses the same disk.
 	SyncBefore, SyncAfter time.Duration
@@ -41,7 +41,7 @@
 	fmt.Fprintln(table, "operation\tcalls/s\tp50 ms\tp90 ms\tp99 ms\tmax ms\tfailures by status")
 	for _, name := range operations {
 		if counts := r.tally.byOperation[name]; counts.isUsed() {
-			fmt.Fprintln(table, counts.row(name, r.Lasted))
+			fmt.Fprintln(table, counts.row(name, r.Elapsed))
 		}
 	}
 	table.Flush()
--- a/internal/lab/coordinationload/schedule.go
+++ b/internal/lab/coordinationload/schedule.go
@@ -8,7 +8,7 @@
 // schedule says when the operations of an open loop are due, evenly spread.
 type schedule struct {
 	perSecond float64
-	lasts     time.Duration
+	duration  time.Duration
 }
 
 // due returns when an operation is due, counted from the begin of the load. It is calculated from the number of the operation, so
@@ -21,7 +21,7 @@
 func (s schedule) play(ctx context.Context, began time.Time, start func(number int, due time.Time)) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	for number := 0; s.due(number) < s.lasts; number++ {
+	for number := 0; s.due(number) < s.duration; number++ {
 		due := began.Add(s.due(number))
 		if wait := time.Until(due); wait > 0 {
 			timer.Reset(wait)
--- a/internal/lab/history/check.go
+++ b/internal/lab/history/check.go
@@ -56,36 +56,36 @@
 	violations []Violation
 }
 
-// violate adds a violation. What is seen in the end of the history is a loss.
-func (c *checker) violate(rule, reason string, calls ...*Call) {
+// addViolation adds a violation. What is seen in the end of the history is a loss.
+func (c *checker) addViolation(rule, reason string, calls ...*Call) {
 	c.violations = append(c.violations, Violation{Rule: rule, Reason: reason, Calls: lo.Uniq(calls)})
 }
 
-// violateAt is violate for the answer to a call; at the end of the history an answer that lags behind breaks LOST.
-func (c *checker) violateAt(call *Call, rule, reason string, others ...*Call) {
+// addAnswerViolation is violate for the answer to a call; at the end of the history an answer that lags behind breaks LOST.
+func (c *checker) addAnswerViolation(call *Call, rule, reason string, others ...*Call) {
 	if call.Final {
 		rule = Lost
 	}
-	c.violate(rule, reason, append(others, call)...)
+	c.addViolation(rule, reason, append(others, call)...)
 }
 
-// of returns the calls of some operations by their names.
-func (c *checker) of(operations ...Operation) map[string][]*Call {
+// callsByName returns the calls callsByName some operations by their names.
+func (c *checker) callsByName(operations ...Operation) map[string][]*Call {
 	chosen := lo.Filter(c.calls, func(call *Call, _ int) bool { return slices.Contains(operations, call.Operation) })
 	return lo.GroupBy(chosen, func(call *Call) string { return call.Name })
 }
 
 // checkNumbers checks that numbers of one name rise.
 func (c *checker) checkNumbers() {
-	for name, calls := range c.of(Number) {
+	for name, calls := range c.callsByName(Number) {
 		answered := lo.Filter(calls, func(call *Call, _ int) bool { return call.succeeded() })
 		for i, call := range answered {
 			for j, other := range answered {
 				switch {
 				case j < i && other.Number == call.Number:
-					c.violate(Order, fmt.Sprintf("number %d of %s is handed out twice", call.Number, name), other, call)
+					c.addViolation(Order, fmt.Sprintf("number %d of %s is handed out twice", call.Number, name), other, call)
 				case other.answeredBefore(call) && other.Number > call.Number:
-					c.violateAt(call, Order, fmt.Sprintf("number %d of %s comes after %d", call.Number, name, other.Number), other)
+					c.addAnswerViolation(call, Order, fmt.Sprintf("number %d of %s comes after %d", call.Number, name, other.Number), other)
 				}
 			}
 		}
--- a/internal/lab/history/configurations.go
+++ b/internal/lab/history/configurations.go
@@ -8,8 +8,8 @@
 	"github.com/samber/lo"
 )
 
-// refusals are the statuses that end an operator's change. All others, 503 too, leave open whether it is in force.
-var refusals = []int{
+// rejectionStatuses are the statuses that end an operator's change. All others, 503 too, leave open whether it is in force.
+var rejectionStatuses = []int{
 	http.StatusBadRequest, http.StatusConflict, http.StatusPreconditionFailed, http.StatusRequestEntityTooLarge,
 	http.StatusUnprocessableEntity,
 }
@@ -22,7 +22,7 @@
 	for i, call := range acknowledged {
 		for _, other := range acknowledged[:i] {
 			if other.Base == call.Base && other.Content != call.Content {
-				c.violate(Config, fmt.Sprintf("two changes of version %d are acknowledged", call.Base), other, call)
+				c.addViolation(Config, fmt.Sprintf("two changes of version %d are acknowledged", call.Base), other, call)
 			}
 		}
 	}
@@ -38,7 +38,7 @@
 	for _, change := range acknowledged {
 		older := change.Version > read.Version || change.Version == read.Version && change.Content != read.Content
 		if change.answeredBefore(read) && older {
-			c.violateAt(read, Config, fmt.Sprintf("version %d is read after %d was acknowledged", read.Version, change.Version), change)
+			c.addAnswerViolation(read, Config, fmt.Sprintf("version %d is read after %d was acknowledged", read.Version, change.Version), change)
 			return
 		}
 	}
@@ -46,10 +46,10 @@
 		return
 	}
 	if !lo.SomeBy(tries, func(try *Call) bool { return try.Version == read.Version && try.Sent < read.Received }) {
-		c.violate(Config, fmt.Sprintf("version %d was not sent as it is read", read.Version), read)
+		c.addViolation(Config, fmt.Sprintf("version %d was not sent as it is read", read.Version), read)
 		return
 	}
-	if lo.EveryBy(tries, func(try *Call) bool { return slices.Contains(refusals, try.Status) }) {
-		c.violate(Config, fmt.Sprintf("version %d is in force, and was rejected", read.Version), append(tries, read)...)
+	if lo.EveryBy(tries, func(try *Call) bool { return slices.Contains(rejectionStatuses, try.Status) }) {
+		c.addViolation(Config, fmt.Sprintf("version %d is in force, and was rejected", read.Version), append(tries, read)...)
 	}
 }
--- a/internal/lab/history/history_test.go
+++ b/internal/lab/history/history_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// by is the call of another client.
-func (c Call) by(client string) Call {
+// byClient is the call of another client.
+func (c Call) byClient(client string) Call {
 	c.Client = client
 	return c
 }
@@ -78,8 +78,8 @@
 }
 
 var (
-	unclear  = func(c Call) Call { c.Status = 0; c.Revision = 0; return c }
-	answered = func(c Call, status int) Call { c.Status = status; return c }
+	withoutAnswer = func(c Call) Call { c.Status = 0; c.Revision = 0; return c }
+	withStatus    = func(c Call, status int) Call { c.Status = status; return c }
 )
 
 var _ = DescribeTable("a history", func(calls []Call, rules ...string) {
@@ -89,26 +89,26 @@
 	Entry("is good while empty", nil),
 
 	// Locks.
-	Entry("is good if a lock is given on after its time", []Call{begin(0, 5).token(1), begin(1000, 1005).by("b").token(2)}),
+	Entry("is good if a lock is given on after its time", []Call{begin(0, 5).token(1), begin(1000, 1005).byClient("b").token(2)}),
 	Entry("is good if a lock is given on once it is given back, before the answer", []Call{
-		begin(0, 5).token(1), at(10, 30, Finish, "l", 200).token(1), begin(12, 20).by("b").token(2),
+		begin(0, 5).token(1), at(10, 30, Finish, "l", 200).token(1), begin(12, 20).byClient("b").token(2),
 	}),
 	Entry("is good if a renewal comes too late to count", []Call{
-		begin(0, 5).token(1), at(900, 1100, Heartbeat, "l", 200).token(1), begin(1001, 1010).by("b").token(2),
+		begin(0, 5).token(1), at(900, 1100, Heartbeat, "l", 200).token(1), begin(1001, 1010).byClient("b").token(2),
 	}),
-	Entry("is good if the first answer comes too late to count", []Call{begin(0, 1001).token(1), begin(1000, 1002).by("b").token(2)}),
-	Entry("is good if a holder gets its lock again", []Call{begin(0, 5).token(1), begin(500, 505).token(1), begin(1500, 1505).by("b").token(2)}),
-	Entry("is bad if two hold a lock", []Call{begin(0, 5).token(1), begin(990, 995).by("b").token(2)}, One),
+	Entry("is good if the first answer comes too late to count", []Call{begin(0, 1001).token(1), begin(1000, 1002).byClient("b").token(2)}),
+	Entry("is good if a holder gets its lock again", []Call{begin(0, 5).token(1), begin(500, 505).token(1), begin(1500, 1505).byClient("b").token(2)}),
+	Entry("is bad if two hold a lock", []Call{begin(0, 5).token(1), begin(990, 995).byClient("b").token(2)}, One),
 	Entry("is bad if two hold a lock as one has renewed it", []Call{
-		begin(0, 5).token(1), at(500, 510, Heartbeat, "l", 200).token(1), begin(1400, 1405).by("b").token(2),
+		begin(0, 5).token(1), at(500, 510, Heartbeat, "l", 200).token(1), begin(1400, 1405).byClient("b").token(2),
 	}, One),
 	Entry("is bad if a lock that its holder got again is given to another", []Call{
-		begin(0, 5).token(1), at(10, 1010, Finish, "l", 0).token(1), begin(1011, 1012).token(1), begin(1013, 1014).by("b").token(2),
+		begin(0, 5).token(1), at(10, 1010, Finish, "l", 0).token(1), begin(1011, 1012).token(1), begin(1013, 1014).byClient("b").token(2),
 	}, One),
-	Entry("is bad if a token falls", []Call{begin(0, 5).token(7), begin(1100, 1105).by("b").token(6)}, One),
-	Entry("is good if tokens of calls at the same time are in any order", []Call{begin(0, 1010).token(7), begin(1005, 1009).by("b").token(6)}),
-	Entry("is bad if two get the same token", []Call{begin(0, 5).token(7), begin(1100, 1105).by("b").token(7)}, One),
-	Entry("is bad if a token falls in the end", []Call{begin(0, 5).token(7), begin(1100, 1105).by("b").token(6).final()}, Lost),
+	Entry("is bad if a token falls", []Call{begin(0, 5).token(7), begin(1100, 1105).byClient("b").token(6)}, One),
+	Entry("is good if tokens of calls at the same time are in any order", []Call{begin(0, 1010).token(7), begin(1005, 1009).byClient("b").token(6)}),
+	Entry("is bad if two get the same token", []Call{begin(0, 5).token(7), begin(1100, 1105).byClient("b").token(7)}, One),
+	Entry("is bad if a token falls in the end", []Call{begin(0, 5).token(7), begin(1100, 1105).byClient("b").token(6).final()}, Lost),
 
 	// Numbers.
 	Entry("is good if numbers have gaps", []Call{at(0, 5, Number, "n", 200).number(1), at(6, 8, Number, "n", 200).number(9)}),
@@ -123,7 +123,7 @@
 
 	// Puts and their revisions.
 	Entry("is good if a put with no clear answer is sent again", []Call{
-		unclear(putOf(0, 5).value("x", 0)), putOf(6, 8).value("x", 1), readOf(9, 10).value("x", 1),
+		withoutAnswer(putOf(0, 5).value("x", 0)), putOf(6, 8).value("x", 1), readOf(9, 10).value("x", 1),
 	}),
 	Entry("is bad if a put that comes again gets another revision", []Call{putOf(0, 5).value("x", 1), putOf(6, 8).value("x", 2)}, Mixed),
 	Entry("is bad if a revision is handed out twice", []Call{
@@ -141,7 +141,7 @@
 		putOf(0, 1).value("x", 1), putOf(2, 3).value("y", 2), putOf(4, 5).ifAt(1).value("z", 3),
 	}, Order),
 	Entry("is bad if one without a clear answer is seen to have succeeded so", []Call{
-		putOf(0, 1).value("x", 1), putOf(2, 3).value("y", 2), unclear(putOf(4, 5).ifAt(1).value("z", 0)), readOf(6, 7).value("z", 3),
+		putOf(0, 1).value("x", 1), putOf(2, 3).value("y", 2), withoutAnswer(putOf(4, 5).ifAt(1).value("z", 0)), readOf(6, 7).value("z", 3),
 	}, Order),
 
 	// Reads.
@@ -157,31 +157,31 @@
 		at(0, 5, Put, "g.m", 0).value("x", 0), readOf(6, 8).value("x", 1),
 	}, Mixed),
 	Entry("is bad if a value is shown under two revisions", []Call{
-		unclear(putOf(0, 5).value("x", 0)), readOf(6, 8).value("x", 1), readOf(9, 10).value("x", 2),
+		withoutAnswer(putOf(0, 5).value("x", 0)), readOf(6, 8).value("x", 1), readOf(9, 10).value("x", 2),
 	}, Mixed),
 
 	// Rejected puts.
-	Entry("is good if a 412 names the key's revision", []Call{putOf(0, 5).value("x", 1), answered(putOf(6, 8).ifAt(0).value("y", 1), 412)}),
+	Entry("is good if a 412 names the key's revision", []Call{putOf(0, 5).value("x", 1), withStatus(putOf(6, 8).ifAt(0).value("y", 1), 412)}),
 	Entry("is good if a 412 names the revision of a put without a clear answer", []Call{
-		unclear(putOf(0, 5).value("x", 0)), answered(putOf(6, 8).ifAt(0).value("y", 1), 412),
+		withoutAnswer(putOf(0, 5).value("x", 0)), withStatus(putOf(6, 8).ifAt(0).value("y", 1), 412),
 	}),
 	Entry("is bad if a 412 names a revision of no put", []Call{
-		putOf(0, 5).value("x", 1), answered(putOf(6, 8).ifAt(0).value("y", 3), 412),
+		putOf(0, 5).value("x", 1), withStatus(putOf(6, 8).ifAt(0).value("y", 3), 412),
 	}, Mixed),
 	Entry("is bad if a 412 names a revision of another key", []Call{
-		putOf(0, 5).value("x", 1), at(6, 8, Put, "g.m", 200).value("z", 2), answered(putOf(9, 10).ifAt(0).value("y", 2), 412),
+		putOf(0, 5).value("x", 1), at(6, 8, Put, "g.m", 200).value("z", 2), withStatus(putOf(9, 10).ifAt(0).value("y", 2), 412),
 	}, Mixed),
 	Entry("is bad if a put answered with 412 is shown", []Call{
-		putOf(0, 5).value("x", 1), answered(putOf(6, 8).ifAt(5).value("y", 1), 412), readOf(9, 10).value("y", 2),
+		putOf(0, 5).value("x", 1), withStatus(putOf(6, 8).ifAt(5).value("y", 1), 412), readOf(9, 10).value("y", 2),
 	}, Refused),
 	Entry("is bad if a put answered with 412 succeeds over a later one", []Call{
-		putOf(0, 5).value("x", 1), answered(putOf(6, 8).ifAt(0).value("y", 1), 412), readOf(9, 10).value("y", 2),
+		putOf(0, 5).value("x", 1), withStatus(putOf(6, 8).ifAt(0).value("y", 1), 412), readOf(9, 10).value("y", 2),
 	}, Refused, Order),
 	Entry("is bad if a put answered with 503 is shown", []Call{
-		answered(putOf(0, 5).value("x", 0), 503), watch(6, 8).watched(0, 1), watch(9, 10).watched(0, 1, event("g.k", "x", 1)),
+		withStatus(putOf(0, 5).value("x", 0), 503), watch(6, 8).watched(0, 1), watch(9, 10).watched(0, 1, event("g.k", "x", 1)),
 	}, Refused),
 	Entry("is good if a put is shown that had no clear answer before a 503", []Call{
-		unclear(putOf(0, 5).value("x", 0)), answered(putOf(6, 8).value("x", 0), 503), readOf(9, 10).value("x", 1),
+		withoutAnswer(putOf(0, 5).value("x", 0)), withStatus(putOf(6, 8).value("x", 0), 503), readOf(9, 10).value("x", 1),
 	}),
 
 	// Watches.
@@ -204,32 +204,32 @@
 		putOf(0, 1).value("x", 1), putOf(2, 3).value("y", 2), watch(4, 5).watched(1, 1).final(),
 	}, Lost),
 	Entry("is bad if a revision is gone that was given lately", []Call{
-		watch(0, 1).watched(0, 5), answered(watch(19_000, 19_001).watched(5, 0), 410),
+		watch(0, 1).watched(0, 5), withStatus(watch(19_000, 19_001).watched(5, 0), 410),
 	}, Lost),
 	Entry("is good if a revision is gone that was given long ago", []Call{
-		watch(0, 1).watched(0, 5), answered(watch(20_500, 20_501).watched(5, 0), 410),
+		watch(0, 1).watched(0, 5), withStatus(watch(20_500, 20_501).watched(5, 0), 410),
 	}),
 
 	// Configurations.
 	Entry("is good if one of two changes of a version is acknowledged", []Call{
-		change(0, 5).configuration(1, 2, "x"), answered(change(0, 5).configuration(1, 2, "y"), 412).by("b"),
+		change(0, 5).configuration(1, 2, "x"), withStatus(change(0, 5).configuration(1, 2, "y"), 412).byClient("b"),
 		at(6, 8, ReadConfiguration, "", 200).configuration(0, 2, "x"),
 	}),
 	Entry("is bad if both are", []Call{
-		change(0, 5).configuration(1, 2, "x"), change(0, 5).configuration(1, 3, "y").by("b"),
+		change(0, 5).configuration(1, 2, "x"), change(0, 5).configuration(1, 3, "y").byClient("b"),
 	}, Config),
 	Entry("is bad if an older version is read", []Call{
 		change(0, 5).configuration(1, 2, "x"), change(6, 8).configuration(2, 3, "y"), at(9, 10, ReadConfiguration, "", 200).configuration(0, 2, "x"),
 	}, Config),
 	Entry("is bad if another content is read", []Call{
-		change(0, 5).configuration(1, 2, "x"), answered(change(0, 5).configuration(1, 2, "y"), 0).by("b"),
+		change(0, 5).configuration(1, 2, "x"), withStatus(change(0, 5).configuration(1, 2, "y"), 0).byClient("b"),
 		at(6, 8, ReadConfiguration, "", 200).configuration(0, 2, "y"),
 	}, Config),
 	Entry("is bad if a rejected change is in force", []Call{
-		answered(change(0, 5).configuration(1, 2, "x"), 412), at(6, 8, ReadConfiguration, "", 200).configuration(0, 2, "x"),
+		withStatus(change(0, 5).configuration(1, 2, "x"), 412), at(6, 8, ReadConfiguration, "", 200).configuration(0, 2, "x"),
 	}, Config),
 	Entry("is good if a change is in force that was answered with 503", []Call{
-		answered(change(0, 5).configuration(1, 2, "x"), 503), at(6, 8, ReadConfiguration, "", 200).configuration(0, 2, "x"),
+		withStatus(change(0, 5).configuration(1, 2, "x"), 503), at(6, 8, ReadConfiguration, "", 200).configuration(0, 2, "x"),
 	}),
 	Entry("is bad if the newest version is lost in the end", []Call{
 		change(0, 5).configuration(0, 1, "x"), at(6, 8, ReadConfiguration, "", 200).final(),
--- a/internal/lab/history/keys.go
+++ b/internal/lab/history/keys.go
@@ -10,24 +10,24 @@
 
 // put is a put of a key with all its tries: values are unique.
 type put struct {
-	key      string
-	tries    []*Call
-	revision uint64 // 0 where it is not known
-	shown    *Call  // the first answer that shows the revision
+	key       string
+	attempts  []*Call
+	revision  uint64 // 0 where it is not known
+	firstSeen *Call  // the first answer that shows the revision
 }
 
-// first returns the put's first try.
-func (p *put) first() *Call { return p.tries[0] }
+// firstAttempt returns the put's firstAttempt try.
+func (p *put) firstAttempt() *Call { return p.attempts[0] }
 
 // isRejected reports whether the put can never take effect. A 412 says so for all tries: a revision that the key once passed
 // doesn't come again. Another rejection holds for its own try only.
 func (p *put) isRejected() bool {
-	return lo.SomeBy(p.tries, func(try *Call) bool { return try.Status == http.StatusPreconditionFailed }) ||
-		lo.EveryBy(p.tries, func(try *Call) bool { return try.rejected() })
+	return lo.SomeBy(p.attempts, func(try *Call) bool { return try.Status == http.StatusPreconditionFailed }) ||
+		lo.EveryBy(p.attempts, func(try *Call) bool { return try.rejected() })
 }
 
-// showing is a value of a key at a revision, as an answer shows it.
-type showing struct {
+// observation is a value of a key at a revision, as an answer shows it.
+type observation struct {
 	Event
 	call *Call
 }
@@ -35,11 +35,11 @@
 // keyChecker checks the keys of one group.
 type keyChecker struct {
 	*checker
-	group      string
-	calls      []*Call
-	puts       map[string]*put // by value
-	byRevision map[uint64]*put
-	showings   []showing
+	group        string
+	calls        []*Call
+	puts         map[string]*put // by value
+	byRevision   map[uint64]*put
+	observations []observation
 }
 
 // groupOf returns the group of a key: all up to its first dot.
@@ -59,7 +59,7 @@
 	for group, ofGroup := range lo.GroupBy(calls, func(call *Call) string { return groupOf(call.Name) }) {
 		k := &keyChecker{checker: c, group: group, calls: ofGroup, puts: map[string]*put{}, byRevision: map[uint64]*put{}}
 		k.collect()
-		k.checkShowings()
+		k.checkObservations()
 		k.checkRevisions()
 		k.checkReads()
 		k.checkPreconditions()
@@ -77,49 +77,49 @@
 				p = &put{key: call.Name}
 				k.puts[call.Value] = p
 			}
-			p.tries = append(p.tries, call)
+			p.attempts = append(p.attempts, call)
 			if call.succeeded() {
-				k.show(call, Event{Name: call.Name, Value: call.Value, Revision: call.Revision})
+				k.observe(call, Event{Name: call.Name, Value: call.Value, Revision: call.Revision})
 			}
 		case call.Operation == Read && call.succeeded():
-			k.show(call, Event{Name: call.Name, Value: call.Value, Revision: call.Revision})
+			k.observe(call, Event{Name: call.Name, Value: call.Value, Revision: call.Revision})
 		case call.Operation == Watch && call.succeeded():
 			for _, event := range call.Events {
-				k.show(call, event)
+				k.observe(call, event)
 			}
 		}
 	}
 }
 
-func (k *keyChecker) show(call *Call, event Event) {
-	k.showings = append(k.showings, showing{Event: event, call: call})
+func (k *keyChecker) observe(call *Call, event Event) {
+	k.observations = append(k.observations, observation{Event: event, call: call})
 }
 
-// checkShowings checks each value that was shown: that it was put to its key and not rejected, under one revision of its own.
-func (k *keyChecker) checkShowings() {
-	for _, s := range k.showings {
+// checkObservations checks each value that was shown: that it was put to its key and not rejected, under one revision of its own.
+func (k *keyChecker) checkObservations() {
+	for _, s := range k.observations {
 		p := k.puts[s.Value]
-		if p == nil || p.key != s.Name || p.first().Sent > s.call.Received {
-			k.violate(Mixed, fmt.Sprintf("value %s was not put to %s", s.Value, s.Name), s.call)
+		if p == nil || p.key != s.Name || p.firstAttempt().Sent > s.call.Received {
+			k.addViolation(Mixed, fmt.Sprintf("value %s was not put to %s", s.Value, s.Name), s.call)
 			continue
 		}
 		if p.isRejected() {
-			k.violate(Refused, fmt.Sprintf("value %s of %s is shown, and its put was rejected", s.Value, s.Name), append(p.tries, s.call)...)
+			k.addViolation(Refused, fmt.Sprintf("value %s of %s is shown, and its put was rejected", s.Value, s.Name), append(p.attempts, s.call)...)
 		}
 		if p.revision != 0 && p.revision != s.Revision {
-			k.violate(Mixed, fmt.Sprintf("value %s of %s is shown under %d and %d", s.Value, s.Name, p.revision, s.Revision), p.shown, s.call)
+			k.addViolation(Mixed, fmt.Sprintf("value %s of %s is shown under %d and %d", s.Value, s.Name, p.revision, s.Revision), p.firstSeen, s.call)
 			continue
 		}
 		if other := k.byRevision[s.Revision]; other != nil && other != p {
-			k.violate(Order, fmt.Sprintf("revision %d of %s is handed out twice", s.Revision, k.group), other.shown, s.call)
+			k.addViolation(Order, fmt.Sprintf("revision %d of %s is handed out twice", s.Revision, k.group), other.firstSeen, s.call)
 			continue
 		}
 		if s.Revision == 0 {
-			k.violate(Order, fmt.Sprintf("value %s of %s has revision 0", s.Value, s.Name), s.call)
+			k.addViolation(Order, fmt.Sprintf("value %s of %s has revision 0", s.Value, s.Name), s.call)
 			continue
 		}
 		if p.revision == 0 {
-			p.revision, p.shown = s.Revision, s.call
+			p.revision, p.firstSeen = s.Revision, s.call
 			k.byRevision[s.Revision] = p
 		}
 	}
@@ -131,20 +131,20 @@
 	for _, p := range k.byRevision {
 		for _, call := range k.calls {
 			known := call.succeeded() || call.Status == http.StatusPreconditionFailed
-			if known && call.answeredBefore(p.first()) && call.Revision >= p.revision {
-				k.violate(Order, fmt.Sprintf("a put of %s gets revision %d after %d was known", p.key, p.revision, call.Revision),
-					call, p.first(), p.shown)
+			if known && call.answeredBefore(p.firstAttempt()) && call.Revision >= p.revision {
+				k.addViolation(Order, fmt.Sprintf("a put of %s gets revision %d after %d was known", p.key, p.revision, call.Revision),
+					call, p.firstAttempt(), p.firstSeen)
 				break
 			}
 		}
-		if !p.first().Conditional {
+		if !p.firstAttempt().Conditional {
 			continue
 		}
-		required := p.first().IfRevision
+		required := p.firstAttempt().IfRevision
 		for _, other := range k.byRevision {
 			if other.key == p.key && required < other.revision && other.revision < p.revision {
-				k.violate(Order, fmt.Sprintf("a put of %s if at revision %d succeeds over %d", p.key, required, other.revision),
-					other.first(), other.shown, p.first(), p.shown)
+				k.addViolation(Order, fmt.Sprintf("a put of %s if at revision %d succeeds over %d", p.key, required, other.revision),
+					other.firstAttempt(), other.firstSeen, p.firstAttempt(), p.firstSeen)
 			}
 		}
 	}
@@ -159,7 +159,7 @@
 		}
 		for _, write := range acknowledged {
 			if write.Name == read.Name && write.answeredBefore(read) && read.Revision < write.Revision {
-				k.violateAt(read, Stale, fmt.Sprintf("%s is read at revision %d after %d was acknowledged", read.Name, read.Revision,
+				k.addAnswerViolation(read, Stale, fmt.Sprintf("%s is read at revision %d after %d was acknowledged", read.Name, read.Revision,
 					write.Revision), write)
 				break
 			}
@@ -183,14 +183,14 @@
 			unexplained[call.Name][call.Revision] = call
 			continue
 		}
-		if p.key != call.Name || p.first().Sent > call.Received {
-			k.violate(Mixed, fmt.Sprintf("a 412 of %s names revision %d of another put", call.Name, call.Revision), p.first(), call)
+		if p.key != call.Name || p.firstAttempt().Sent > call.Received {
+			k.addViolation(Mixed, fmt.Sprintf("a 412 of %s names revision %d of another put", call.Name, call.Revision), p.firstAttempt(), call)
 		}
 	}
 	for key, revisions := range unexplained {
 		unseen := lo.CountBy(lo.Values(k.puts), func(p *put) bool { return p.key == key && p.revision == 0 && !p.isRejected() })
 		if len(revisions) > unseen {
-			k.violate(Mixed, fmt.Sprintf("412s of %s name %d revisions of unknown puts, and only %d puts are open", key, len(revisions), unseen),
+			k.addViolation(Mixed, fmt.Sprintf("412s of %s name %d revisions of unknown puts, and only %d puts are open", key, len(revisions), unseen),
 				lo.Values(revisions)...)
 		}
 	}
--- a/internal/lab/history/locks.go
+++ b/internal/lab/history/locks.go
@@ -18,7 +18,7 @@
 
 // checkLocks checks each lock: its holders and its fencing tokens.
 func (c *checker) checkLocks() {
-	for name, calls := range c.of(Begin, Heartbeat, Finish) {
+	for name, calls := range c.callsByName(Begin, Heartbeat, Finish) {
 		c.checkHoldings(name, calls)
 		c.checkTokens(name, calls)
 	}
@@ -37,7 +37,7 @@
 				break
 			}
 			if first.holder != second.holder {
-				c.violate(One, fmt.Sprintf("%s has two holders from %v to %v", name, second.from, min(first.until, second.until)),
+				c.addViolation(One, fmt.Sprintf("%s has two holders from %v to %v", name, second.from, min(first.until, second.until)),
 					append(slices.Clone(first.calls), second.calls...)...)
 			}
 		}
@@ -85,9 +85,9 @@
 		for j, other := range granted {
 			switch {
 			case j < i && other.Client != call.Client && other.Token == call.Token:
-				c.violate(One, fmt.Sprintf("fencing token %d of %s goes to two holders", call.Token, name), other, call)
+				c.addViolation(One, fmt.Sprintf("fencing token %d of %s goes to two holders", call.Token, name), other, call)
 			case other.answeredBefore(call) && other.Token > call.Token:
-				c.violateAt(call, One, fmt.Sprintf("fencing token %d of %s comes after %d", call.Token, name, other.Token), other)
+				c.addAnswerViolation(call, One, fmt.Sprintf("fencing token %d of %s comes after %d", call.Token, name, other.Token), other)
 			}
 		}
 	}
--- a/internal/lab/history/watches.go
+++ b/internal/lab/history/watches.go
@@ -29,7 +29,7 @@
 	last := call.After
 	for _, event := range call.Events {
 		if event.Revision <= last || event.Revision > call.Revision {
-			k.violate(Order, fmt.Sprintf("event %d of %s comes after %d, up to %d", event.Revision, k.group, last, call.Revision), call)
+			k.addViolation(Order, fmt.Sprintf("event %d of %s comes after %d, up to %d", event.Revision, k.group, last, call.Revision), call)
 		}
 		last = event.Revision
 	}
@@ -39,7 +39,7 @@
 	shown := lo.SliceToMap(call.Events, func(event Event) (uint64, bool) { return event.Revision, true })
 	for revision, p := range k.byRevision {
 		if call.After < revision && revision <= call.Revision && !shown[revision] {
-			k.violate(Order, fmt.Sprintf("a watch of %s skips revision %d", k.group, revision), p.first(), p.shown, call)
+			k.addViolation(Order, fmt.Sprintf("a watch of %s skips revision %d", k.group, revision), p.firstAttempt(), p.firstSeen, call)
 		}
 	}
 }
@@ -48,14 +48,14 @@
 // behind what was acknowledged.
 func (k *keyChecker) checkLag(call *Call) {
 	if call.Revision < call.After {
-		k.violateAt(call, Order, fmt.Sprintf("a watch of %s after %d is answered at %d", k.group, call.After, call.Revision))
+		k.addAnswerViolation(call, Order, fmt.Sprintf("a watch of %s after %d is answered at %d", k.group, call.After, call.Revision))
 	}
 	if !call.Final {
 		return
 	}
 	for _, write := range k.calls {
 		if write.Operation == Put && write.succeeded() && write.answeredBefore(call) && write.Revision > call.Revision {
-			k.violate(Lost, fmt.Sprintf("a watch of %s ends at %d, and %d was acknowledged", k.group, call.Revision, write.Revision), write, call)
+			k.addViolation(Lost, fmt.Sprintf("a watch of %s ends at %d, and %d was acknowledged", k.group, call.Revision, write.Revision), write, call)
 			return
 		}
 	}
@@ -66,7 +66,7 @@
 	for _, call := range k.calls {
 		given := call.Operation == Watch && call.succeeded() && call.Client == gone.Client && call.Revision == gone.After
 		if given && call.answeredBefore(gone) && gone.Received-call.Received < k.retention {
-			k.violate(Lost, fmt.Sprintf("a watch of %s after %d is gone %v after it was given", k.group, gone.After,
+			k.addViolation(Lost, fmt.Sprintf("a watch of %s after %d is gone %v after it was given", k.group, gone.After,
 				gone.Received-call.Received), call, gone)
 			return
 		}
--- a/internal/lab/knownred/failure.go
+++ b/internal/lab/knownred/failure.go
@@ -45,8 +45,8 @@
 	return strings.Join(elements, "/")
 }
 
-// names reports whether the entry's test, without its subtests, is a test of this name.
-func (e Failure) names(test string) bool {
+// matches reports whether the entry's test, without its subtests, is a test of this name.
+func (e Failure) matches(test string) bool {
 	element, _, _ := strings.Cut(e.Test, "/")
 	return regexp.MustCompile(anchored(element)).MatchString(test)
 }
--- a/internal/lab/knownred/run.go
+++ b/internal/lab/knownred/run.go
@@ -29,7 +29,7 @@
 		if err != nil {
 			return err
 		}
-		if !slices.ContainsFunc(tests, entry.names) {
+		if !slices.ContainsFunc(tests, entry.matches) {
 			wrong = append(wrong, errors.Errorf("%s:%d: %s has no test %s", FileName, entry.Line, entry.Package, entry.Test).Error())
 		}
 	}
--- a/internal/lab/localprocess/process.go
+++ b/internal/lab/localprocess/process.go
@@ -108,14 +108,14 @@
 	Bounds          Bounds
 	Role            string
 
-	file    string // the settings file
-	logFile string
-	command *exec.Cmd
-	ended   chan struct{}
+	settingsFile string // the settings file
+	logFile      string
+	command      *exec.Cmd
+	ended        chan struct{}
 }
 
-// host returns an address of this process alone.
-func host(index int) string {
+// hostAddress returns an address of this process alone.
+func hostAddress(index int) string {
 	return fmt.Sprintf("127.%d.%d.%d", firstHostByte+index, os.Getpid()>>8&0xff, os.Getpid()&0xff)
 }
 
@@ -129,15 +129,15 @@
 	var seeds []string
 	for i := range layout.Controls + layout.Proxies {
 		p := &Process{
-			Name: fmt.Sprintf("proxy-%d", i), IP: host(i), Zone: i % zoneCount, InternalPort: port, InitialStart: true, Role: Proxy,
-			Public: fmt.Sprintf("%s:%d", host(i), port+1), Readiness: fmt.Sprintf("%s:%d", host(i), port+2),
+			Name: fmt.Sprintf("proxy-%d", i), IP: hostAddress(i), Zone: i % zoneCount, InternalPort: port, InitialStart: true, Role: Proxy,
+			Public: fmt.Sprintf("%s:%d", hostAddress(i), port+1), Readiness: fmt.Sprintf("%s:%d", hostAddress(i), port+2),
 			MachineFailures: layout.MachineFailures, Bounds: layout.Bounds,
 		}
 		if i < layout.Controls {
 			p.Name, p.Role, p.Directory = fmt.Sprintf("control-%d", i), Control, filepath.Join(layout.Directory, fmt.Sprint("data-", i))
 			seeds = append(seeds, p.Public)
 		}
-		p.file, p.logFile = filepath.Join(layout.Directory, p.Name+".toml"), filepath.Join(layout.Directory, p.Name+".log")
+		p.settingsFile, p.logFile = filepath.Join(layout.Directory, p.Name+".toml"), filepath.Join(layout.Directory, p.Name+".log")
 		processes = append(processes, p)
 	}
 	for _, p := range processes {
@@ -149,7 +149,7 @@
 // freePort returns a port that is not in use, as the two after it should be.
 func freePort(ctx context.Context) (int, error) {
 	var config net.ListenConfig
-	listener, err := config.Listen(ctx, "tcp", host(0)+":0")
+	listener, err := config.Listen(ctx, "tcp", hostAddress(0)+":0")
 	if err != nil {
 		return 0, errors.Wrap(err, "port")
 	}
@@ -163,7 +163,7 @@
 	if err := settingsText.Execute(&settings, p); err != nil {
 		return errors.Wrap(err, p.Name)
 	}
-	if err := os.WriteFile(p.file, settings.Bytes(), 0o600); err != nil {
+	if err := os.WriteFile(p.settingsFile, settings.Bytes(), 0o600); err != nil {
 		return err
 	}
 	if p.Directory != "" {
@@ -177,7 +177,7 @@
 	}
 	defer log.Close()
 	command := exec.Command(program.Command[0], append(program.Command[1:len(program.Command):len(program.Command)], p.Role)...)
-	command.Env = append(append(os.Environ(), program.Env...), "DYKERING_NODE_FILE="+p.file)
+	command.Env = append(append(os.Environ(), program.Env...), "DYKERING_NODE_FILE="+p.settingsFile)
 	command.Stdout, command.Stderr = log, log
 	// The child ends with this process, whatever ends that.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -221,8 +221,8 @@
 	_ = p.command.Process.Signal(signal) // it may have ended
 }
 
-// LoseData removes the data of a control process that has ended.
-func (p *Process) LoseData() error { return os.RemoveAll(p.Directory) }
+// RemoveData removes the data of a control process that has ended.
+func (p *Process) RemoveData() error { return os.RemoveAll(p.Directory) }
 
 // HasEnded reports whether the process has ended since it was last started.
 func (p *Process) HasEnded() bool {
--- a/internal/lab/localsystem/endpoint.go
+++ b/internal/lab/localsystem/endpoint.go
@@ -14,8 +14,8 @@
 const (
 	heartbeatInterval = 300 * time.Millisecond
 	loadTime          = 200 * time.Millisecond
-	// drainBound is the time after the acknowledgement of a drain by which no request may arrive.
-	drainBound = 1200 * time.Millisecond
+	// drainGracePeriod is the time after the acknowledgement of a drain by which no request may arrive.
+	drainGracePeriod = 1200 * time.Millisecond
 )
 
 // Endpoint is a stand-in for an endpoint of a service with models.
@@ -29,7 +29,7 @@
 	models       []string
 	busy         bool
 	sequence     uint64 // of orders
-	beats        uint64
+	heartbeats   uint64
 	state        sessions.State
 	drainedAt    time.Time // when its drain was acknowledged; zero before
 	highestToken uint64
@@ -52,20 +52,20 @@
 	return e, nil
 }
 
-// beat sends a heartbeat, and reports whether it was acknowledged.
-func (e *Endpoint) beat() bool {
+// sendHeartbeat sends a heartbeat, and reports whether it was acknowledged.
+func (e *Endpoint) sendHeartbeat() bool {
 	e.mu.Lock()
-	e.beats++
+	e.heartbeats++
 	beat := sessions.Heartbeat{
 		Service: serviceName, Address: e.address, Zone: "zone-0", Version: "v1", Slots: 8, State: e.state, Stage: "both",
-		Models: e.loaded(), Sequence: e.beats,
+		Models: e.loadedModels(), Sequence: e.heartbeats,
 	}
 	e.mu.Unlock()
 	return e.operator.post("/instances/"+e.id+"/heartbeat", beat, nil) == http.StatusOK
 }
 
-// loaded lists the loaded models. The caller holds the lock.
-func (e *Endpoint) loaded() []sessions.LoadedModel {
+// loadedModels lists the loadedModels models. The caller holds the lock.
+func (e *Endpoint) loadedModels() []sessions.LoadedModel {
 	models := []sessions.LoadedModel{}
 	for _, name := range e.models {
 		models = append(models, sessions.LoadedModel{Name: name, Version: 1, Adapters: []string{}})
@@ -82,7 +82,7 @@
 		if !ready {
 			return
 		}
-		e.beat()
+		e.sendHeartbeat()
 		select {
 		case <-done:
 			return
@@ -96,7 +96,7 @@
 	e.mu.Lock()
 	e.state = sessions.Draining
 	e.mu.Unlock()
-	for !e.beat() {
+	for !e.sendHeartbeat() {
 		select {
 		case <-done:
 			return false
@@ -112,7 +112,7 @@
 func (e *Endpoint) handleReport(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	writeJSON(w, http.StatusOK, map[string]any{"models": e.loaded(), "busy": e.busy, "sequence": e.sequence})
+	writeJSON(w, http.StatusOK, map[string]any{"models": e.loadedModels(), "busy": e.busy, "sequence": e.sequence})
 }
 
 // handleOrder executes an order that loads or unloads a model, one at a time.
@@ -160,7 +160,7 @@
 	if r.URL.Path == "/health" {
 		return
 	}
-	if !e.drainedAt.IsZero() && time.Since(e.drainedAt) > drainBound {
+	if !e.drainedAt.IsZero() && time.Since(e.drainedAt) > drainGracePeriod {
 		e.violations = append(e.violations, e.id+" got a request after its drain was acknowledged")
 	}
 	w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
--- a/internal/lab/localsystem/localsystem_test.go
+++ b/internal/lab/localsystem/localsystem_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// controlThatAnswers is an operator whose control process answers with a status and a body.
-func controlThatAnswers(t *testing.T, status int, body string) *Operator {
+// operatorWithAnswer is an operator whose control process answers with a status and a body.
+func operatorWithAnswer(t *testing.T, status int, body string) *Operator {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
@@ -22,7 +22,7 @@
 }
 
 func TestChangeThatIsRejectedIsDetected(t *testing.T) {
-	o := controlThatAnswers(t, http.StatusPreconditionFailed, "")
+	o := operatorWithAnswer(t, http.StatusPreconditionFailed, "")
 	o.change(make(chan struct{}))
 	if len(o.violations) != 1 || o.changes != 0 {
 		t.Errorf("violations %q, %d changes", o.violations, o.changes)
@@ -30,7 +30,7 @@
 }
 
 func TestReadOfOlderVersionIsDetected(t *testing.T) {
-	o := controlThatAnswers(t, http.StatusOK, `{"version":3}`)
+	o := operatorWithAnswer(t, http.StatusOK, `{"version":3}`)
 	o.acknowledged = 3
 	if !o.read() || len(o.violations) != 0 {
 		t.Errorf("violations %q", o.violations)
@@ -59,7 +59,7 @@
 	if len(e.violations) != 0 {
 		t.Errorf("violations %q", e.violations)
 	}
-	e.drainedAt = time.Now().Add(-2 * drainBound)
+	e.drainedAt = time.Now().Add(-2 * drainGracePeriod)
 	request()
 	order(1)
 	if len(e.violations) != 2 {
--- a/internal/lab/localsystem/operator.go
+++ b/internal/lab/localsystem/operator.go
@@ -14,7 +14,7 @@
 	routeHost     = "drafts.example"
 	requestPath   = "/drafts/"
 	callTimeout   = time.Second
-	changePause   = 150 * time.Millisecond
+	retryPause    = 150 * time.Millisecond
 	modelSizeMB   = 40
 	weightsSizeMB = 200
 )
@@ -115,10 +115,10 @@
 			return
 		}
 		if status >= http.StatusBadRequest && status < http.StatusInternalServerError && status != http.StatusTooManyRequests {
-			o.violate("change %d was answered with %d", base+1, status)
+			o.addViolation("change %d was answered with %d", base+1, status)
 			return
 		}
-		if !pause(done, changePause) {
+		if !pause(done, retryPause) {
 			return
 		}
 	}
@@ -150,20 +150,20 @@
 		return false
 	}
 	if document.Version < acknowledged {
-		o.violate("version %d was read, %d was acknowledged before", document.Version, acknowledged)
+		o.addViolation("version %d was read, %d was acknowledged before", document.Version, acknowledged)
 	}
 	return true
 }
 
 // run changes and reads until the scenario ends.
 func (o *Operator) run(done <-chan struct{}) {
-	for pause(done, changePause) {
+	for pause(done, retryPause) {
 		o.change(done)
 		o.read()
 	}
 }
 
-func (o *Operator) violate(format string, arguments ...any) {
+func (o *Operator) addViolation(format string, arguments ...any) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.violations = append(o.violations, fmt.Sprintf(format, arguments...))
--- a/internal/lab/localsystem/system.go
+++ b/internal/lab/localsystem/system.go
@@ -105,18 +105,18 @@
 	began := time.Now()
 	var missing string
 	for time.Since(began) < stepTimeout {
-		if missing = s.missing(); missing == "" {
+		if missing = s.notReady(); missing == "" {
 			return time.Since(began).Round(time.Millisecond), nil
 		}
-		if !pause(s.done, changePause) {
+		if !pause(s.done, retryPause) {
 			return 0, errors.New("interrupted")
 		}
 	}
 	return 0, errors.Errorf("not whole after %v: %s", stepTimeout, missing)
 }
 
-// missing says what the system lacks to be whole; empty if it is.
-func (s *System) missing() string {
+// notReady says what the system lacks to be whole; empty if it is.
+func (s *System) notReady() string {
 	for _, p := range s.Control {
 		status, err := controlplane.AskStatus(p.InternalAddress())
 		switch {
@@ -168,7 +168,7 @@
 		if answer := s.Clients.Request(model); answer.Status == http.StatusOK {
 			return answer, time.Since(began).Round(time.Millisecond), nil
 		}
-		if !pause(s.done, changePause) {
+		if !pause(s.done, retryPause) {
 			return Answer{}, 0, errors.New("interrupted")
 		}
 	}
--- a/internal/lab/soak/caller.go
+++ b/internal/lab/soak/caller.go
@@ -20,13 +20,13 @@
 
 // caller calls the control processes over a connection that it keeps open, and records each call. It is used by one goroutine.
 type caller struct {
-	name      string
-	addresses []string
-	next      int // the index of the address in use
-	client    *http.Client
-	recorder  *history.Recorder
-	random    *rand.Rand
-	done      <-chan struct{}
+	name         string
+	addresses    []string
+	addressIndex int // the index of the address in use
+	client       *http.Client
+	recorder     *history.Recorder
+	random       *rand.Rand
+	done         <-chan struct{}
 	// acknowledged takes the addresses of acknowledgements, while a fault waits for one.
 	acknowledged chan<- string
 	final        bool
@@ -35,7 +35,7 @@
 // newCaller returns a caller that draws from a stream of its own of the seed.
 func (s *system) newCaller(name string, stream uint64) *caller {
 	return &caller{
-		name: name, addresses: s.addresses, next: int(stream) % len(s.addresses), recorder: s.recorder, done: s.done,
+		name: name, addresses: s.addresses, addressIndex: int(stream) % len(s.addresses), recorder: s.recorder, done: s.clientsDone,
 		acknowledged: s.acknowledged,
 		client:       &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}},
 		random:       rand.New(rand.NewPCG(s.Seed, stream)),
@@ -52,7 +52,7 @@
 
 // call sends a request, and records the call with its answer. answer is decoded into, and then copied to the call by keep.
 func (c *caller) call(call history.Call, r request, answer any, keep func(*history.Call)) history.Call {
-	call.Client, call.Final, call.Address = c.name, c.final, c.addresses[c.next]
+	call.Client, call.Final, call.Address = c.name, c.final, c.addresses[c.addressIndex]
 	call.Sent = c.recorder.Now()
 	call.Status = c.send(r, answer)
 	call.Received = c.recorder.Now()
@@ -63,17 +63,17 @@
 		keep(&call)
 	}
 	if call.Status == 0 || call.Status >= http.StatusInternalServerError || call.Status == http.StatusTooManyRequests {
-		c.next = (c.next + 1) % len(c.addresses)
+		c.addressIndex = (c.addressIndex + 1) % len(c.addresses)
 	}
 	c.recorder.Add(call)
 	if call.Status == http.StatusOK && r.method == http.MethodPost {
-		c.tellAcknowledged(call.Address)
+		c.notifyAcknowledged(call.Address)
 	}
 	return call
 }
 
-// tellAcknowledged tells a fault that waits for an acknowledgement.
-func (c *caller) tellAcknowledged(address string) {
+// notifyAcknowledged tells a fault that waits for an acknowledgement.
+func (c *caller) notifyAcknowledged(address string) {
 	select {
 	case c.acknowledged <- address:
 	default:
@@ -90,7 +90,7 @@
 		}
 		body = bytes.NewReader(text)
 	}
-	httpRequest, err := http.NewRequest(r.method, "http://"+c.addresses[c.next]+r.path, body)
+	httpRequest, err := http.NewRequest(r.method, "http://"+c.addresses[c.addressIndex]+r.path, body)
 	if err != nil {
 		return 0
 	}
@@ -124,7 +124,7 @@
 	return least + time.Duration(random.Int64N(int64(most-least)+1))
 }
 
-func draw[T any](random *rand.Rand, choices []T) T { return choices[random.IntN(len(choices))] }
+func choose[T any](random *rand.Rand, choices []T) T { return choices[random.IntN(len(choices))] }
 
 // pause waits. It reports false if done is closed meanwhile.
 func pause(done <-chan struct{}, duration time.Duration) bool {
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -16,95 +16,97 @@
 
 // The streams of the seed for faults; the callers use those below.
 const (
-	hangupStream   = 1 << 32
-	blackoutStream = 2 << 32
-	laneStream     = 3 << 32
+	hangupStream      = 1 << 32
+	blackoutStream    = 2 << 32
+	singleFaultStream = 3 << 32
 )
 
-// ownEnd is the rule that is broken by a process that ends by itself.
-const ownEnd = "FAULT"
+// unexpectedExit is the rule that is broken by a process that ends by itself.
+const unexpectedExit = "FAULT"
 
-// faults draws what happens to the control processes. Each lane loses one process at a time.
-type faults struct {
+// faultInjector draws what happens to the control processes. Each lane loses one process at a time.
+type faultInjector struct {
 	*system
-	// present is held for reading by a lane while it has lost a process, and for writing by a fault of all processes.
-	present sync.RWMutex
+	// blackoutMutex is held for reading by a lane while it has lost a process, and for writing by a fault of all processes.
+	blackoutMutex sync.RWMutex
 
-	mu       sync.Mutex
-	lost     map[*localprocess.Process]bool
-	events   []string
-	ownEnds  []history.Violation
-	firstErr error
+	mu              sync.Mutex
+	down            map[*localprocess.Process]bool
+	events          []string
+	unexpectedExits []history.Violation
+	firstErr        error
 }
 
 // fault is what is drawn for a process that is lost.
 type fault struct {
-	frozen, killed, loses bool
-	// afterAnswer takes the process that acknowledges a call next, at once.
-	afterAnswer bool
-	away        time.Duration
+	frozen, killed, losesData bool
+	// afterAcknowledgement takes the process that acknowledges a call next, at once.
+	afterAcknowledgement bool
+	downtime             time.Duration
 }
 
 func drawFault(random *rand.Rand) fault {
-	f := fault{away: drawDuration(random, 50*time.Millisecond, 3*time.Second), afterAnswer: random.IntN(2) == 0}
+	f := fault{downtime: drawDuration(random, 50*time.Millisecond, 3*time.Second), afterAcknowledgement: random.IntN(2) == 0}
 	switch random.IntN(5) {
 	case 0:
 		f.frozen = true
 	case 1:
 		f.killed = true
 	case 2:
-		f.killed, f.loses = true, true
+		f.killed, f.losesData = true, true
 	case 3: // SIGTERM
 	case 4:
-		f.loses = true
+		f.losesData = true
 	}
 	return f
 }
 
 func (f fault) String() string {
-	moment := lo.Ternary(f.afterAnswer, " after an acknowledgement", "")
+	moment := lo.Ternary(f.afterAcknowledgement, " after an acknowledgement", "")
 	if f.frozen {
-		return fmt.Sprintf("SIGSTOP for %v%s", f.away, moment)
+		return fmt.Sprintf("SIGSTOP for %v%s", f.downtime, moment)
 	}
 	signal := lo.Ternary(f.killed, "SIGKILL", "SIGTERM")
-	return fmt.Sprintf("%s%s, restart after %v%s", signal, moment, f.away, lo.Ternary(f.loses, " without its data", ""))
+	return fmt.Sprintf("%s%s, restart after %v%s", signal, moment, f.downtime, lo.Ternary(f.losesData, " without its data", ""))
 }
 
-// runLane loses one process after another until the scenario ends.
-func (f *faults) runLane(lane int) {
-	random := rand.New(rand.NewPCG(f.Seed, laneStream+uint64(lane)))
-	for pause(f.calm, drawDuration(random, 100*time.Millisecond, time.Second)) {
-		if err := f.loseOne(random); err != nil {
-			f.fail(err)
+// runSingleFaults loses one process after another until the scenario ends.
+func (f *faultInjector) runSingleFaults(lane int) {
+	random := rand.New(rand.NewPCG(f.Seed, singleFaultStream+uint64(lane)))
+	for pause(f.faultsDone, drawDuration(random, 100*time.Millisecond, time.Second)) {
+		if err := f.takeDownOne(random); err != nil {
+			f.recordError(err)
 			return
 		}
 	}
 }
 
-// loseOne loses a process, until it counts as present again.
-func (f *faults) loseOne(random *rand.Rand) error {
-	f.present.RLock()
-	defer f.present.RUnlock()
+// takeDownOne loses a process, until it counts as present again.
+func (f *faultInjector) takeDownOne(random *rand.Rand) error {
+	f.blackoutMutex.RLock()
+	defer f.blackoutMutex.RUnlock()
 	index, what := random.IntN(len(f.processes)), drawFault(random)
-	p := f.claim(index, what.afterAnswer)
+	p := f.claim(index, what.afterAcknowledgement)
 	defer f.release(p)
-	f.tell(p.Name + ": " + what.String())
+	f.recordEvent(p.Name + ": " + what.String())
 	if err := f.play(p, what, random); err != nil {
 		return err
 	}
-	f.tell(p.Name + ": back")
-	f.awaitPresent()
+	f.recordEvent(p.Name + ": back")
+	f.awaitCatchUp()
 	return nil
 }
 
-// awaitPresent waits until a process that is back counts as present.
-func (f *faults) awaitPresent() { pause(f.stopped, time.Duration(f.bounds.CatchUpS)*time.Second) }
+// awaitCatchUp waits until a process that is back counts as present.
+func (f *faultInjector) awaitCatchUp() {
+	pause(f.cancelled, time.Duration(f.bounds.CatchUpS)*time.Second)
+}
 
 // claim takes a process that is not lost: the one that acknowledges a call next, or the one with the index or next after it.
-func (f *faults) claim(index int, afterAnswer bool) *localprocess.Process {
+func (f *faultInjector) claim(index int, afterAnswer bool) *localprocess.Process {
 	for afterAnswer {
 		select {
-		case <-f.calm:
+		case <-f.faultsDone:
 			afterAnswer = false
 		case address := <-f.acknowledged:
 			if p := f.claimAt(address); p != nil {
@@ -114,44 +116,44 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for f.lost[f.processes[index]] {
+	for f.down[f.processes[index]] {
 		index = (index + 1) % len(f.processes)
 	}
-	f.lost[f.processes[index]] = true
+	f.down[f.processes[index]] = true
 	return f.processes[index]
 }
 
 // claimAt takes the process at an address, and returns nil if it is lost.
-func (f *faults) claimAt(address string) *localprocess.Process {
+func (f *faultInjector) claimAt(address string) *localprocess.Process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, p := range f.processes {
-		if p.Public == address && !f.lost[p] {
-			f.lost[p] = true
+		if p.Public == address && !f.down[p] {
+			f.down[p] = true
 			return p
 		}
 	}
 	return nil
 }
 
-func (f *faults) release(p *localprocess.Process) {
+func (f *faultInjector) release(p *localprocess.Process) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lost[p] = false
+	f.down[p] = false
 }
 
 // play loses a process and brings it back, in the end of the scenario too.
-func (f *faults) play(p *localprocess.Process, what fault, random *rand.Rand) error {
-	if f.endedByItself(p) {
+func (f *faultInjector) play(p *localprocess.Process, what fault, random *rand.Rand) error {
+	if f.recordUnexpectedExit(p) {
 		return p.Start(f.Program)
 	}
 	if what.frozen {
 		p.Signal(syscall.SIGSTOP)
-		pause(f.calm, what.away/2)
+		pause(f.faultsDone, what.downtime/2)
 		if random.IntN(2) == 0 {
 			p.Signal(syscall.SIGHUP)
 		}
-		pause(f.calm, what.away/2)
+		pause(f.faultsDone, what.downtime/2)
 		p.Signal(syscall.SIGCONT)
 		return nil
 	}
@@ -160,62 +162,62 @@
 	} else {
 		p.Stop()
 	}
-	pause(f.calm, what.away)
-	if what.loses {
-		if err := p.LoseData(); err != nil {
+	pause(f.faultsDone, what.downtime)
+	if what.losesData {
+		if err := p.RemoveData(); err != nil {
 			return err
 		}
 	}
 	return p.Start(f.Program)
 }
 
-// endedByItself notes a process that has ended while nothing was done to it.
-func (f *faults) endedByItself(p *localprocess.Process) bool {
+// recordUnexpectedExit notes a process that has ended while nothing was done to it.
+func (f *faultInjector) recordUnexpectedExit(p *localprocess.Process) bool {
 	if !p.HasEnded() {
 		return false
 	}
-	f.tell(p.Name + ": had ended by itself")
+	f.recordEvent(p.Name + ": had ended by itself")
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.ownEnds = append(f.ownEnds, history.Violation{Rule: ownEnd, Reason: p.Name + " had ended by itself"})
+	f.unexpectedExits = append(f.unexpectedExits, history.Violation{Rule: unexpectedExit, Reason: p.Name + " had ended by itself"})
 	return true
 }
 
 // runBlackouts kills all processes at once from time to time, while each has its data.
-func (f *faults) runBlackouts() {
+func (f *faultInjector) runBlackouts() {
 	random := rand.New(rand.NewPCG(f.Seed, blackoutStream))
-	for pause(f.calm, drawDuration(random, 5*time.Second, 30*time.Second)) {
-		f.present.Lock()
-		err := f.blackOut(drawDuration(random, 0, time.Second), nil)
-		f.awaitPresent()
-		f.present.Unlock()
+	for pause(f.faultsDone, drawDuration(random, 5*time.Second, 30*time.Second)) {
+		f.blackoutMutex.Lock()
+		err := f.blackout(drawDuration(random, 0, time.Second), nil)
+		f.awaitCatchUp()
+		f.blackoutMutex.Unlock()
 		if err != nil {
-			f.fail(err)
+			f.recordError(err)
 			return
 		}
 	}
 }
 
-// blackOutFinally kills all processes at once, after an acknowledgement, and as many as may be lost come back without their data.
+// finalBlackout kills all processes at once, after an acknowledgement, and as many as may be lost come back without their data.
 // It returns the time at which all were back, and for how long the machine had been calm by then.
-func (f *faults) blackOutFinally() (back, calm time.Duration, err error) {
+func (f *faultInjector) finalBlackout() (back, calm time.Duration, err error) {
 	random := rand.New(rand.NewPCG(f.Seed, blackoutStream+1))
 	losing := random.Perm(len(f.processes))[:f.Cores/2]
-	defer f.awaitPresent()
+	defer f.awaitCatchUp()
 	select {
 	case <-f.acknowledged:
-	case <-f.stopped:
+	case <-f.cancelled:
 	case <-time.After(callTimeout):
 	}
-	err = f.blackOut(drawDuration(random, 0, time.Second), losing)
+	err = f.blackout(drawDuration(random, 0, time.Second), losing)
 	return f.recorder.Now(), f.machine.calmTime(), err
 }
 
-// blackOut kills all processes at once and starts them again. Those of some indices lose their data.
-func (f *faults) blackOut(away time.Duration, losing []int) error {
-	f.tell(fmt.Sprintf("all: SIGKILL, restart after %v, without their data %v", away, losing))
+// blackout kills all processes at once and starts them again. Those of some indices lose their data.
+func (f *faultInjector) blackout(away time.Duration, losing []int) error {
+	f.recordEvent(fmt.Sprintf("all: SIGKILL, restart after %v, without their data %v", away, losing))
 	for _, p := range f.processes {
-		f.endedByItself(p)
+		f.recordUnexpectedExit(p)
 		p.Signal(syscall.SIGKILL)
 	}
 	for i, p := range f.processes {
@@ -223,11 +225,11 @@
 		if !slices.Contains(losing, i) {
 			continue
 		}
-		if err := p.LoseData(); err != nil {
+		if err := p.RemoveData(); err != nil {
 			return err
 		}
 	}
-	pause(f.stopped, away)
+	pause(f.cancelled, away)
 	for _, p := range f.processes {
 		if err := p.Start(f.Program); err != nil {
 			return err
@@ -237,27 +239,27 @@
 }
 
 // runHangups sends SIGHUP to processes that are not lost.
-func (f *faults) runHangups() {
+func (f *faultInjector) runHangups() {
 	random := rand.New(rand.NewPCG(f.Seed, hangupStream))
-	for pause(f.calm, drawDuration(random, 200*time.Millisecond, 2*time.Second)) {
+	for pause(f.faultsDone, drawDuration(random, 200*time.Millisecond, 2*time.Second)) {
 		p := f.processes[random.IntN(len(f.processes))]
-		f.present.RLock()
+		f.blackoutMutex.RLock()
 		f.mu.Lock()
-		if !f.lost[p] {
+		if !f.down[p] {
 			p.Signal(syscall.SIGHUP)
 		}
 		f.mu.Unlock()
-		f.present.RUnlock()
+		f.blackoutMutex.RUnlock()
 	}
 }
 
-func (f *faults) tell(event string) {
+func (f *faultInjector) recordEvent(event string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.events = append(f.events, fmt.Sprintf("%.3f s: %s", f.recorder.Now().Seconds(), event))
 }
 
-func (f *faults) fail(err error) {
+func (f *faultInjector) recordError(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.firstErr == nil {
--- a/internal/lab/soak/machine.go
+++ b/internal/lab/soak/machine.go
@@ -12,10 +12,10 @@
 const (
 	// probeInterval is how often the machine is probed.
 	probeInterval = 50 * time.Millisecond
-	// notedTime is the delay or the time of a sync from which on the trace of the run has it.
-	notedTime = 500 * time.Millisecond
-	// troubleTime is the delay of a timer or the time of a sync from which on the machine counts as slowed.
-	troubleTime = 100 * time.Millisecond
+	// traceThreshold is the delay or the time of a sync from which on the trace of the run has it.
+	traceThreshold = 500 * time.Millisecond
+	// slowThreshold is the delay of a timer or the time of a sync from which on the machine counts as slowed.
+	slowThreshold = 100 * time.Millisecond
 )
 
 // probe measures how busy the machine is with other work: what the system does late may be due to that.
@@ -25,12 +25,12 @@
 	delay, sync time.Duration
 	// calm is the time in which the machine was not slowed.
 	calm time.Duration
-	// slow has the times from notedTime on.
-	slow []slowness
+	// slowEvents has the times from notedTime on.
+	slowEvents []slowEvent
 }
 
-// slowness is a time of the machine that is worth noting.
-type slowness struct {
+// slowEvent is a time of the machine that is worth noting.
+type slowEvent struct {
 	at          time.Time
 	delay, sync time.Duration
 }
@@ -46,24 +46,24 @@
 		began = time.Now()
 		_, _ = file.WriteAt([]byte{0}, 0)
 		_ = file.Sync()
-		p.note(delay, time.Since(began))
+		p.record(delay, time.Since(began))
 	}
 }
 
-func (p *probe) note(delay, sync time.Duration) {
+func (p *probe) record(delay, sync time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.delay, p.sync = max(p.delay, delay), max(p.sync, sync)
-	if max(delay, sync) >= notedTime {
-		p.slow = append(p.slow, slowness{at: time.Now(), delay: delay, sync: sync})
+	if max(delay, sync) >= traceThreshold {
+		p.slowEvents = append(p.slowEvents, slowEvent{at: time.Now(), delay: delay, sync: sync})
 	}
-	if delay < troubleTime && sync < troubleTime {
+	if delay < slowThreshold && sync < slowThreshold {
 		p.calm += probeInterval + delay + sync
 	}
 }
 
-// measured returns the longest delay, the longest sync and the calm time so far.
-func (p *probe) measured() (delay, sync, calm time.Duration) {
+// totals returns the longest delay, the longest sync and the calm time so far.
+func (p *probe) totals() (delay, sync, calm time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.delay, p.sync, p.calm
@@ -71,7 +71,7 @@
 
 // calmTime returns for how long the machine was not slowed so far.
 func (p *probe) calmTime() time.Duration {
-	_, _, calm := p.measured()
+	_, _, calm := p.totals()
 	return calm
 }
 
@@ -79,7 +79,7 @@
 func (p *probe) trace(began time.Time) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return lo.Map(p.slow, func(s slowness, _ int) string {
+	return lo.Map(p.slowEvents, func(s slowEvent, _ int) string {
 		return fmt.Sprintf("%.3f s: the machine is slow: a timer %v late, a sync of %v", s.at.Sub(began).Seconds(),
 			s.delay.Round(time.Millisecond), s.sync.Round(time.Millisecond))
 	})
--- a/internal/lab/soak/scenario.go
+++ b/internal/lab/soak/scenario.go
@@ -20,14 +20,14 @@
 )
 
 const (
-	contenders = 6
-	counters   = 2
-	editors    = 4
-	operators  = 2
+	contenderCount = 6
+	counterCount   = 2
+	editorCount    = 4
+	operatorCount  = 2
 	// watcherStream is the first stream of the seed for watchers.
 	watcherStream = 1 << 16
-	// startTime is how long the system has until the first fault.
-	startTime = 10 * time.Second
+	// startTimeout is how long the system has until the first fault.
+	startTimeout = 10 * time.Second
 )
 
 var (
@@ -60,25 +60,25 @@
 	Recovery time.Duration
 	// TimerDelay and SyncTime are the longest delay of a timer and the longest sync of a file, as the machine was.
 	TimerDelay, SyncTime time.Duration
-	// Calm is for how long the machine was not slowed by other work.
-	Calm time.Duration
+	// CalmTime is for how long the machine was not slowed by other work.
+	CalmTime time.Duration
 }
 
 // system is the system of a run.
 type system struct {
 	Scenario
-	bounds    localprocess.Bounds
-	processes []*localprocess.Process
-	addresses []string
-	recorder  *history.Recorder
-	calm      chan struct{}   // closed when faults end
-	done      chan struct{}   // closed when clients end, once all processes are back
-	stopped   <-chan struct{} // closed when the run is to end early
+	bounds      localprocess.Bounds
+	processes   []*localprocess.Process
+	addresses   []string
+	recorder    *history.Recorder
+	faultsDone  chan struct{}   // closed when faults end
+	clientsDone chan struct{}   // closed when clients end, once all processes are back
+	cancelled   <-chan struct{} // closed when the run is to end early
 	// acknowledged takes the address that a call was acknowledged by, while a fault waits for it.
 	acknowledged chan string
 	machine      probe
-	ended        chan struct{} // closed when the run has ended
-	probed       sync.WaitGroup
+	probeDone    chan struct{} // closed when the run has ended
+	probeWorkers sync.WaitGroup
 }
 
 // Run plays the scenario. It returns an error if it could not be played; broken rules are in the report.
@@ -91,9 +91,9 @@
 		return nil, err
 	}
 	r := &system{
-		Scenario: s, bounds: bounds, processes: processes, recorder: history.NewRecorder(), calm: make(chan struct{}),
-		done: make(chan struct{}), stopped: ctx.Done(), acknowledged: make(chan string),
-		ended: make(chan struct{}),
+		Scenario: s, bounds: bounds, processes: processes, recorder: history.NewRecorder(), faultsDone: make(chan struct{}),
+		clientsDone: make(chan struct{}), cancelled: ctx.Done(), acknowledged: make(chan string),
+		probeDone: make(chan struct{}),
 	}
 	defer r.close()
 	if err := r.startProbe(); err != nil {
@@ -117,9 +117,9 @@
 	if err != nil {
 		return err
 	}
-	s.probed.Go(func() {
+	s.probeWorkers.Go(func() {
 		defer file.Close()
-		s.machine.run(s.ended, file)
+		s.machine.run(s.probeDone, file)
 	})
 	return nil
 }
@@ -127,13 +127,13 @@
 // awaitStart waits until a first configuration is acknowledged.
 func (s *system) awaitStart() error {
 	c := s.newCaller("first", 0)
-	for began := time.Now(); time.Since(began) < startTime; {
+	for began := time.Now(); time.Since(began) < startTimeout; {
 		if c.configure(0, 1, "first").Status == http.StatusOK {
 			return nil
 		}
-		pause(s.stopped, resendPause)
+		pause(s.cancelled, resendPause)
 	}
-	return errors.Errorf("no configuration is acknowledged within %v", startTime)
+	return errors.Errorf("no configuration is acknowledged within %v", startTimeout)
 }
 
 // play runs clients and faults, then what is asked in the end, and checks the history.
@@ -141,30 +141,30 @@
 	var clients, lanes sync.WaitGroup
 	s.startClients(&clients)
 	watchers := s.startWatchers(&clients)
-	f := &faults{system: s, lost: map[*localprocess.Process]bool{}}
+	f := &faultInjector{system: s, down: map[*localprocess.Process]bool{}}
 	for lane := range (s.Cores - 1) / 2 {
-		lanes.Go(func() { f.runLane(lane) })
+		lanes.Go(func() { f.runSingleFaults(lane) })
 	}
 	lanes.Go(f.runHangups)
 	lanes.Go(f.runBlackouts)
-	pause(s.stopped, s.For)
-	close(s.calm)
+	pause(s.cancelled, s.For)
+	close(s.faultsDone)
 	lanes.Wait()
-	back, calm, err := f.blackOutFinally()
-	close(s.done)
+	back, calm, err := f.finalBlackout()
+	close(s.clientsDone)
 	clients.Wait()
 	if err := firstError(f.firstErr, err, ctx.Err()); err != nil {
 		return nil, errors.Wrap(err, "not played to its end")
 	}
-	unanswered := s.askFinally(watchers, back, calm)
+	unanswered := s.makeFinalCalls(watchers, back, calm)
 	for _, p := range s.processes {
-		f.endedByItself(p)
+		f.recordUnexpectedExit(p)
 	}
 	calls := s.recorder.Calls()
 	report := &Report{Calls: calls, Faults: slices.Concat(f.events, s.machine.trace(s.recorder.Began())), Recovery: recovery(calls, back)}
 	report.Pause, report.PauseEnd = longestPause(calls)
-	report.Violations = slices.Concat(f.ownEnds, unanswered, history.Check(calls, time.Duration(s.bounds.HistoryS)*time.Second))
-	report.TimerDelay, report.SyncTime, report.Calm = s.machine.measured()
+	report.Violations = slices.Concat(f.unexpectedExits, unanswered, history.Check(calls, time.Duration(s.bounds.HistoryS)*time.Second))
+	report.TimerDelay, report.SyncTime, report.CalmTime = s.machine.totals()
 	if len(report.Violations) > 0 {
 		return report, s.save(report)
 	}
@@ -181,16 +181,16 @@
 			clients.Go(func() { run(c) })
 		}
 	}
-	start("contender", contenders, func(c *caller) { c.contend(locks) })
-	start("counter", counters, func(c *caller) { c.count(numbers) })
-	start("editor", editors, func(c *caller) { c.edit(keys) })
-	start("operator", operators, func(c *caller) { c.operate() })
+	start("contender", contenderCount, func(c *caller) { c.contendForLocks(locks) })
+	start("counter", counterCount, func(c *caller) { c.drawNumbers(numbers) })
+	start("editor", editorCount, func(c *caller) { c.editKeys(keys) })
+	start("operator", operatorCount, func(c *caller) { c.changeConfigurations() })
 }
 
 // watcher is a client that watches a group, and what it may resume from in the end.
 type watcher struct {
 	name, group string
-	saved       []saved
+	revisions   []savedRevision
 }
 
 // startWatchers starts a watcher for each group.
@@ -200,7 +200,7 @@
 		w := &watcher{name: "watcher-" + group, group: group}
 		watchers = append(watchers, w)
 		c := s.newCaller(w.name, watcherStream+uint64(i))
-		clients.Go(func() { w.saved = c.follow(group, time.Duration(s.bounds.HistoryS-1)*time.Second) })
+		clients.Go(func() { w.revisions = c.watchGroup(group, time.Duration(s.bounds.HistoryS-1)*time.Second) })
 	}
 	return watchers
 }
@@ -253,8 +253,8 @@
 
 // close ends all processes.
 func (s *system) close() {
-	close(s.ended)
-	s.probed.Wait()
+	close(s.probeDone)
+	s.probeWorkers.Wait()
 	for _, p := range s.processes {
 		p.Kill()
 	}
@@ -277,5 +277,5 @@
 	}
 	return fmt.Sprintf("%d calls (%s); longest time without a put %v until %.3f s; recovery in the end %v; "+
 		"timers up to %v late, syncs up to %v, the machine calm for %v", len(r.Calls), strings.Join(parts, ", "), r.Pause.Round(time.Millisecond),
-		r.PauseEnd.Seconds(), r.Recovery.Round(time.Millisecond), r.TimerDelay.Round(time.Millisecond), r.SyncTime.Round(time.Millisecond), r.Calm.Round(time.Second))
+		r.PauseEnd.Seconds(), r.Recovery.Round(time.Millisecond), r.TimerDelay.Round(time.Millisecond), r.SyncTime.Round(time.Millisecond), r.CalmTime.Round(time.Second))
 }
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -34,7 +34,7 @@
 	}
 
 	BeforeEach(func() {
-		s = &system{recorder: history.NewRecorder(), done: make(chan struct{}), acknowledged: make(chan string, 1)}
+		s = &system{recorder: history.NewRecorder(), clientsDone: make(chan struct{}), acknowledged: make(chan string, 1)}
 	})
 
 	It("records what it asks and is answered, and stays at its address", func() {
@@ -90,7 +90,7 @@
 		for range 100 {
 			drawn := drawFault(a)
 			Expect(drawn).To(Equal(drawFault(b)))
-			drawn.away, drawn.afterAnswer = 0, false
+			drawn.downtime, drawn.afterAcknowledgement = 0, false
 			kinds[drawn] = true
 		}
 		Expect(kinds).To(HaveLen(5))
--- a/internal/lab/systemdemo/coordination.go
+++ b/internal/lab/systemdemo/coordination.go
@@ -12,20 +12,20 @@
 	lockName    = "demo-lock"
 	firstHolder = "alice"
 	nextHolder  = "bob"
-	// askPause is the time between two calls of a caller.
-	askPause = 50 * time.Millisecond
+	// callPause is the time between two calls of a caller.
+	callPause = 50 * time.Millisecond
 	// renewals is how often the first holder renews the lock, renewalsPerHold how often in the time for which it is taken.
 	renewals        = 3
 	renewalsPerHold = 4
-	// passTimeout is within what time the lock must pass on to the next holder.
-	passTimeout = 20 * time.Second
+	// handOverTimeout is within what time the lock must pass on to the next holder.
+	handOverTimeout = 20 * time.Second
 )
 
 // coordination is the part of the demo with a lock, a number and a watch.
 type coordination struct {
 	coordinator Coordinator
 	hold        time.Duration                         // for which a lock is taken
-	say         func(format string, arguments ...any) // tells a step
+	logStep     func(format string, arguments ...any) // tells a step
 	killHead    func() error                          // kills the head of the chain
 }
 
@@ -35,7 +35,7 @@
 	if _, err := retry(ctx, func() (uint64, error) { return c.coordinator.NextNumber(ctx, numberName) }); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, passTimeout+10*c.hold)
+	ctx, cancel := context.WithTimeout(ctx, handOverTimeout+10*c.hold)
 	defer cancel()
 	passed := make(chan struct{}) // closed when the lock has passed on
 	all, ctx := errgroup.WithContext(ctx)
@@ -43,23 +43,23 @@
 	all.Go(func() error { return c.putAndWatch(ctx, passed) })
 	all.Go(func() error {
 		defer close(passed)
-		return c.passLock(ctx)
+		return c.handOverLock(ctx)
 	})
 	return all.Wait()
 }
 
-// passLock has the lock pass from the first holder, who stops renewing it, to the next.
-func (c *coordination) passLock(ctx context.Context) error {
+// handOverLock has the lock pass from the first holder, who stops renewing it, to the next.
+func (c *coordination) handOverLock(ctx context.Context) error {
 	first, err := c.acquire(ctx, firstHolder)
 	if err != nil {
 		return err
 	}
-	c.say("%s takes the lock, with fencing token %d", firstHolder, first)
+	c.logStep("%s takes the lock, with fencing token %d", firstHolder, first)
 	renewed, err := c.keepLock(ctx, first)
 	if err != nil {
 		return err
 	}
-	c.say("%s has renewed it %d times, and %s was refused it; now %s stops renewing", firstHolder, renewals, nextHolder, firstHolder)
+	c.logStep("%s has renewed it %d times, and %s was refused it; now %s stops renewing", firstHolder, renewals, nextHolder, firstHolder)
 	if err := c.killHead(); err != nil {
 		return err
 	}
@@ -74,11 +74,11 @@
 	if second <= first {
 		return errors.Errorf("fencing token %d is not above the former holder's %d", second, first)
 	}
-	c.say("%s gets the lock with fencing token %d, %v after the last renewal for %v", nextHolder, second, round(took), c.hold)
+	c.logStep("%s gets the lock with fencing token %d, %v after the last renewal for %v", nextHolder, second, round(took), c.hold)
 	if _, err := c.renew(ctx, first); !errors.Is(err, ErrLockLost) {
 		return errors.Errorf("renewal by the former holder: %v, expected %v", err, ErrLockLost)
 	}
-	c.say("%s is told that the lock is lost", firstHolder)
+	c.logStep("%s is told that the lock is lost", firstHolder)
 	_, err = retry(ctx, func() (struct{}, error) {
 		return struct{}{}, c.coordinator.ReleaseLock(ctx, lockName, nextHolder, second)
 	})
@@ -114,15 +114,15 @@
 
 // awaitLock asks for the lock until it is granted.
 func (c *coordination) awaitLock(ctx context.Context, holder string) (uint64, error) {
-	ctx, cancel := context.WithTimeout(ctx, passTimeout)
+	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
 	for {
 		token, err := c.acquire(ctx, holder)
 		if !errors.Is(err, ErrLockHeld) {
 			return token, errors.Wrapf(err, "%s waits for the lock", holder)
 		}
-		if !pause(ctx, askPause) {
-			return 0, errors.Errorf("%s did not get the lock within %v", holder, passTimeout)
+		if !pause(ctx, callPause) {
+			return 0, errors.Errorf("%s did not get the lock within %v", holder, handOverTimeout)
 		}
 	}
 }
@@ -131,7 +131,7 @@
 func retry[T any](ctx context.Context, call func() (T, error)) (T, error) {
 	for {
 		result, err := call()
-		if !errors.Is(err, ErrUnavailable) || !pause(ctx, askPause) {
+		if !errors.Is(err, ErrUnavailable) || !pause(ctx, callPause) {
 			return result, err
 		}
 	}
--- a/internal/lab/systemdemo/coordination_test.go
+++ b/internal/lab/systemdemo/coordination_test.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// playWithStandIn plays the part against a stand-in, and returns what was told.
-func playWithStandIn(t *testing.T, f flaw) (told string, killed int, err error) {
+// playWithFakeControl plays the part against a stand-in, and returns what was told.
+func playWithFakeControl(t *testing.T, f flaw) (told string, killed int, err error) {
 	t.Helper()
 	var mu sync.Mutex
 	part := &coordination{
-		coordinator: NewHTTPCoordinator([]string{refusingAddress(t), startStandIn(t, f)}),
+		coordinator: NewHTTPCoordinator([]string{refusingAddress(t), startFakeControl(t, f)}),
 		hold:        time.Second,
-		say: func(format string, arguments ...any) {
+		logStep: func(format string, arguments ...any) {
 			mu.Lock()
 			defer mu.Unlock()
 			told += fmt.Sprintf(format, arguments...) + "\n"
@@ -46,7 +46,7 @@
 	for _, f := range []flaw{none, answersAreLost} {
 		t.Run(string(f), func(t *testing.T) {
 			t.Parallel()
-			told, killed, err := playWithStandIn(t, f)
+			told, killed, err := playWithFakeControl(t, f)
 			if err != nil || killed != 1 {
 				t.Errorf("%v, %d killed\n%s", err, killed, told)
 			}
@@ -60,7 +60,7 @@
 }
 
 func TestControlProcessesWithoutCoordinationAreNoticedFirst(t *testing.T) {
-	told, killed, err := playWithStandIn(t, notServed)
+	told, killed, err := playWithFakeControl(t, notServed)
 	if !errors.Is(err, ErrNotServed) || killed != 0 || told != "" {
 		t.Errorf("%v, %d killed, told %q", err, killed, told)
 	}
@@ -79,7 +79,7 @@
 	} {
 		t.Run(string(f), func(t *testing.T) {
 			t.Parallel()
-			if _, _, err := playWithStandIn(t, f); err == nil || !strings.Contains(err.Error(), want) {
+			if _, _, err := playWithFakeControl(t, f); err == nil || !strings.Contains(err.Error(), want) {
 				t.Errorf("%v, want %q", err, want)
 			}
 		})
--- a/internal/lab/systemdemo/demo.go
+++ b/internal/lab/systemdemo/demo.go
@@ -43,13 +43,13 @@
 	Coordination bool // the control processes serve it
 }
 
-// show is one run of a demo.
-type show struct {
+// demoRun is one run of a demo.
+type demoRun struct {
 	*localsystem.System
 	Demo
-	report     Report
-	killed     *localprocess.Process
-	beforeLoss map[int]int // answers to requests before it was killed
+	report            Report
+	killed            *localprocess.Process
+	answersBeforeLoss map[int]int // answers to requests before it was killed
 
 	mu    sync.Mutex // guards Out
 	began time.Time
@@ -64,9 +64,9 @@
 		return Report{}, err
 	}
 	defer system.Close()
-	s := &show{System: system, Demo: d, began: time.Now()}
-	coordinate := func() error { return s.coordinate(ctx) }
-	for _, step := range []func() error{s.start, s.serve, s.loadModel, coordinate, s.lose, s.restart, s.finish} {
+	s := &demoRun{System: system, Demo: d, began: time.Now()}
+	coordinate := func() error { return s.runCoordination(ctx) }
+	for _, step := range []func() error{s.start, s.serve, s.loadModel, coordinate, s.loseHead, s.restart, s.finish} {
 		if err := step(); err != nil {
 			return s.report, err
 		}
@@ -74,16 +74,16 @@
 	return s.report, nil
 }
 
-// say tells a step, with the time since the start.
-func (s *show) say(format string, arguments ...any) {
+// logStep tells a step, with the time since the start.
+func (s *demoRun) logStep(format string, arguments ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fmt.Fprintf(s.Out, "%5.1f s  %s\n", time.Since(s.began).Seconds(), fmt.Sprintf(format, arguments...))
 }
 
 // start starts the system and its load.
-func (s *show) start() error {
-	s.say("%d control processes and %d proxies start, on %s and the like", len(s.Control), len(s.Proxies), s.Control[0].IP)
+func (s *demoRun) start() error {
+	s.logStep("%d control processes and %d proxies start, on %s and the like", len(s.Control), len(s.Proxies), s.Control[0].IP)
 	if err := s.Start(s.Program); err != nil {
 		return err
 	}
@@ -91,17 +91,17 @@
 	if err != nil {
 		return err
 	}
-	s.say("they are one system after %v, and have the operator's first configuration", took)
+	s.logStep("they are one system after %v, and have the operator's first configuration", took)
 	s.StartLoad()
-	return s.sayView()
+	return s.logView()
 }
 
-func (s *show) sayView() error {
+func (s *demoRun) logView() error {
 	view, replicas, err := s.View()
 	if err != nil {
 		return err
 	}
-	s.say("view %d, chain %s", view.Number, names(replicas))
+	s.logStep("view %d, chain %s", view.Number, names(replicas))
 	return nil
 }
 
@@ -114,17 +114,17 @@
 }
 
 // serve has the clients send requests for a while.
-func (s *show) serve() error {
+func (s *demoRun) serve() error {
 	before := s.Clients.Answers()
 	if !s.Pause(servingTime) {
 		return errors.New("interrupted")
 	}
-	s.sayAnswers("in "+servingTime.String(), before)
+	s.logAnswers("in "+servingTime.String(), before)
 	return nil
 }
 
-// sayAnswers tells what came of the requests since an earlier count.
-func (s *show) sayAnswers(when string, before map[int]int) {
+// logAnswers tells what came of the requests since an earlier count.
+func (s *demoRun) logAnswers(when string, before map[int]int) {
 	now := s.Clients.Answers()
 	text := fmt.Sprintf("%d served", now[http.StatusOK]-before[http.StatusOK])
 	for _, status := range slices.Sorted(maps.Keys(now)) {
@@ -132,40 +132,40 @@
 			text += fmt.Sprintf(", %d answered with %d", count, status)
 		}
 	}
-	s.say("requests %s: %s", when, text)
+	s.logStep("requests %s: %s", when, text)
 }
 
 // loadModel asks for a model that no endpoint has.
-func (s *show) loadModel() error {
+func (s *demoRun) loadModel() error {
 	model := localsystem.ModelName(1)
 	before := s.Clients.Answers()
-	s.say("a client asks for %s, which no endpoint has", model)
+	s.logStep("a client asks for %s, which no endpoint has", model)
 	answer, took, err := s.AwaitLoad(model)
 	if err != nil {
 		return err
 	}
-	s.say("it was loaded, and the request is served after %v: %q", took, answer.Body)
-	s.sayAnswers("meanwhile", before)
+	s.logStep("it was loaded, and the request is served after %v: %q", took, answer.Body)
+	s.logAnswers("meanwhile", before)
 	return nil
 }
 
-// coordinate plays the part with a lock, a number and a watch, in which the head of the chain is killed.
-func (s *show) coordinate(ctx context.Context) error {
-	s.beforeLoss = s.Clients.Answers()
+// runCoordination plays the part with a lock, a number and a watch, in which the head of the chain is killed.
+func (s *demoRun) runCoordination(ctx context.Context) error {
+	s.answersBeforeLoss = s.Clients.Answers()
 	part := &coordination{
-		coordinator: NewHTTPCoordinator(s.controlAddresses()), hold: lockHold, say: s.say, killHead: s.killHead,
+		coordinator: NewHTTPCoordinator(s.controlAddresses()), hold: lockHold, logStep: s.logStep, killHead: s.killHead,
 	}
 	err := part.play(ctx)
 	if errors.Is(err, ErrNotServed) && s.killed == nil {
-		s.say("coordination is not served by these control processes")
+		s.logStep("coordination is not served by these control processes")
 		return nil
 	}
 	s.report.Coordination = err == nil
 	return err
 }
 
-// lose has the head of the chain killed, if it is not yet, and waits for a chain without it.
-func (s *show) lose() error {
+// loseHead has the head of the chain killed, if it is not yet, and waits for a chain without it.
+func (s *demoRun) loseHead() error {
 	if s.killed == nil {
 		if err := s.killHead(); err != nil {
 			return err
@@ -174,11 +174,11 @@
 	if err := s.awaitViewWithout(s.killed); err != nil {
 		return err
 	}
-	s.sayAnswers("meanwhile", s.beforeLoss)
+	s.logAnswers("meanwhile", s.answersBeforeLoss)
 	return nil
 }
 
-func (s *show) controlAddresses() (addresses []string) {
+func (s *demoRun) controlAddresses() (addresses []string) {
 	for _, p := range s.Control {
 		addresses = append(addresses, p.Public)
 	}
@@ -186,7 +186,7 @@
 }
 
 // killHead kills the head of the chain.
-func (s *show) killHead() error {
+func (s *demoRun) killHead() error {
 	_, replicas, err := s.View()
 	if err != nil {
 		return err
@@ -195,20 +195,20 @@
 		return errors.New("the chain has no head")
 	}
 	s.killed = replicas[0]
-	s.say("the head of the chain, %s, is killed (process %d)", s.killed.Name, s.killed.PID())
+	s.logStep("the head of the chain, %s, is killed (process %d)", s.killed.Name, s.killed.PID())
 	s.killed.Kill()
 	return nil
 }
 
 // awaitViewWithout waits for a view whose chain has not the process that was killed.
-func (s *show) awaitViewWithout(killed *localprocess.Process) error {
+func (s *demoRun) awaitViewWithout(killed *localprocess.Process) error {
 	for began := time.Now(); time.Since(began) < viewTimeout; {
 		view, replicas, err := s.View()
 		if err == nil && len(replicas) > 0 && !slices.Contains(replicas, killed) {
-			s.say("view %d, chain %s", view.Number, names(replicas))
+			s.logStep("view %d, chain %s", view.Number, names(replicas))
 			return nil
 		}
-		if !s.Pause(askPause) {
+		if !s.Pause(callPause) {
 			return errors.New("interrupted")
 		}
 	}
@@ -216,7 +216,7 @@
 }
 
 // restart starts the process again that was killed.
-func (s *show) restart() error {
+func (s *demoRun) restart() error {
 	if err := s.killed.Start(s.Program); err != nil {
 		return err
 	}
@@ -224,18 +224,18 @@
 	if err != nil {
 		return err
 	}
-	s.say("%s is started again, and a replica after %v", s.killed.Name, took)
-	return s.sayView()
+	s.logStep("%s is started again, and a replica after %v", s.killed.Name, took)
+	return s.logView()
 }
 
 // finish ends the load and tells what came of all.
-func (s *show) finish() error {
+func (s *demoRun) finish() error {
 	if err := s.EndLoad(); err != nil {
 		return err
 	}
 	s.report.Served, s.report.Changes = s.Clients.Answers()[http.StatusOK], s.Operator.Changes()
-	s.sayAnswers("in all", nil)
-	s.say("%d changes of the configuration were acknowledged, and the last one is read back", s.report.Changes)
+	s.logAnswers("in all", nil)
+	s.logStep("%d changes of the configuration were acknowledged, and the last one is read back", s.report.Changes)
 	if violations := s.Violations(); len(violations) > 0 {
 		return errors.New(strings.Join(violations, "; "))
 	}
--- a/internal/lab/systemdemo/numbers.go
+++ b/internal/lab/systemdemo/numbers.go
@@ -29,9 +29,9 @@
 		count++
 		last = number
 		longest = max(longest, time.Since(began))
-		pause(ctx, askPause)
+		pause(ctx, callPause)
 	}
-	c.say("%d numbers were drawn, rising from %d to %d; the longest wait was %v", count, first, last, round(longest))
+	c.logStep("%d numbers were drawn, rising from %d to %d; the longest wait was %v", count, first, last, round(longest))
 	return nil
 }
 
--- a/internal/lab/systemdemo/standin_test.go
+++ b/internal/lab/systemdemo/standin_test.go
@@ -28,8 +28,8 @@
 	revisionRepeats   flaw = "a revision repeats"
 )
 
-// standIn is a control process with coordination, in memory.
-type standIn struct {
+// fakeControl is a control process with coordination, in memory.
+type fakeControl struct {
 	flaw flaw
 
 	mu       sync.Mutex
@@ -44,10 +44,10 @@
 	watchers *sync.Cond
 }
 
-// startStandIn returns the address of a stand-in.
-func startStandIn(t *testing.T, f flaw) string {
+// startFakeControl returns the address of a stand-in.
+func startFakeControl(t *testing.T, f flaw) string {
 	t.Helper()
-	s := &standIn{flaw: f, keys: map[string]Change{}}
+	s := &fakeControl{flaw: f, keys: map[string]Change{}}
 	s.watchers = sync.NewCond(&s.mu)
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /locks/{id}/begin", s.begin)
@@ -63,7 +63,7 @@
 }
 
 // locked serves one call at a time. Some answers are lost if that is the flaw.
-func (s *standIn) locked(next http.Handler) http.Handler {
+func (s *fakeControl) locked(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -80,7 +80,7 @@
 	})
 }
 
-func (s *standIn) begin(w http.ResponseWriter, r *http.Request) {
+func (s *fakeControl) begin(w http.ResponseWriter, r *http.Request) {
 	var call lockCall
 	json.NewDecoder(r.Body).Decode(&call)
 	held := s.holder != "" && s.holder != call.Holder && time.Now().Before(s.until)
@@ -99,7 +99,7 @@
 	json.NewEncoder(w).Encode(map[string]uint64{"fencing_token": s.token})
 }
 
-func (s *standIn) heartbeat(w http.ResponseWriter, r *http.Request) {
+func (s *fakeControl) heartbeat(w http.ResponseWriter, r *http.Request) {
 	var call lockCall
 	json.NewDecoder(r.Body).Decode(&call)
 	if call.Holder != s.holder && s.flaw != lostLockIsRenewed {
@@ -109,14 +109,14 @@
 	s.until = time.Now().Add(time.Duration(call.HoldMs) * time.Millisecond)
 }
 
-func (s *standIn) next(w http.ResponseWriter, _ *http.Request) {
+func (s *fakeControl) next(w http.ResponseWriter, _ *http.Request) {
 	if s.flaw != numberRepeats || s.number < 3 {
 		s.number++
 	}
 	json.NewEncoder(w).Encode(map[string]uint64{"value": s.number})
 }
 
-func (s *standIn) replace(w http.ResponseWriter, r *http.Request) {
+func (s *fakeControl) replace(w http.ResponseWriter, r *http.Request) {
 	var call struct {
 		Value      string `json:"value"`
 		IfRevision uint64 `json:"if_revision"`
@@ -139,7 +139,7 @@
 	json.NewEncoder(w).Encode(key)
 }
 
-func (s *standIn) read(w http.ResponseWriter, r *http.Request) {
+func (s *fakeControl) read(w http.ResponseWriter, r *http.Request) {
 	read := s.keys[r.PathValue("id")]
 	if s.flaw == readIsOld {
 		read = s.changes[len(s.changes)-2]
@@ -147,7 +147,7 @@
 	json.NewEncoder(w).Encode(read)
 }
 
-func (s *standIn) watch(w http.ResponseWriter, r *http.Request) {
+func (s *fakeControl) watch(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.Atoi(r.FormValue("after"))
 	wait, _ := strconv.Atoi(r.FormValue("wait_ms"))
 	late := false
--- a/internal/lab/systemdemo/watch.go
+++ b/internal/lab/systemdemo/watch.go
@@ -31,7 +31,7 @@
 			if err := w.put(ctx); err != nil {
 				return err
 			}
-			pause(ctx, askPause)
+			pause(ctx, callPause)
 		}
 		last <- w.puts[len(w.puts)-1].Revision
 		return w.readBack(ctx)
@@ -46,7 +46,7 @@
 	if err := compare(w.puts[1:], seen); err != nil {
 		return err
 	}
-	c.say("%d puts were acknowledged, and the watch has shown each of them, in order", len(seen))
+	c.logStep("%d puts were acknowledged, and the watch has shown each of them, in order", len(seen))
 	return nil
 }
 
--- a/internal/lab/trial/report.go
+++ b/internal/lab/trial/report.go
@@ -11,28 +11,28 @@
 
 // Group is the figures of the requests of one kind, of one zone of clients, or of all.
 type Group struct {
-	Name    string  `json:"name"`
-	Asked   int     `json:"n"`
-	InAim   int     `json:"in_aim"`
-	Late    int     `json:"late"`
-	Refused int     `json:"refused"`
-	Failed  int     `json:"failed"`
-	Worth   float64 `json:"worth"`
+	Name     string  `json:"name"`
+	Requests int     `json:"n"`
+	InAim    int     `json:"in_aim"`
+	Late     int     `json:"late"`
+	Refused  int     `json:"refused"`
+	Failed   int     `json:"failed"`
+	Worth    float64 `json:"worth"`
 }
 
 // Report is what is kept of the bench's report of one day.
 type Report struct {
-	Worth   float64        `json:"G"` // of the day, prices taken off
-	Served  float64        `json:"served"`
-	Fault   *string        `json:"fault"`
-	Parts   []Figure       `json:"parts"`
-	Prices  []Figure       `json:"prices"`
-	Breaks  map[string]any `json:"breaks"` // of rules
-	Classes []Group        `json:"classes"`
-	Zones   []Group        `json:"zones"`
-	Ends    map[string]int `json:"ends"` // how tries ended
-	Hints   []string       `json:"hints"`
-	Short   []any          `json:"short"` // of the gate's floors
+	Worth           float64        `json:"G"` // of the day, prices taken off
+	Served          float64        `json:"served"`
+	Fault           *string        `json:"fault"`
+	Parts           []Figure       `json:"parts"`
+	Prices          []Figure       `json:"prices"`
+	BrokenRules     map[string]any `json:"breaks"` // of rules
+	Classes         []Group        `json:"classes"`
+	Zones           []Group        `json:"zones"`
+	AttemptOutcomes map[string]int `json:"ends"` // how tries ended
+	Hints           []string       `json:"hints"`
+	MissedFloors    []any          `json:"short"` // of the gate's floors
 }
 
 // Figure is a named figure: a part of the worth with its weight, or a price with the amount that it is paid for.
--- a/internal/lab/trial/table.go
+++ b/internal/lab/trial/table.go
@@ -54,7 +54,7 @@
 			return err
 		}
 	}
-	writeBroken(w, variants, whole)
+	writeProblems(w, variants, whole)
 	return nil
 }
 
@@ -88,8 +88,8 @@
 	}
 	c.addGroups("kind", base.Classes, changed.Classes)
 	c.addGroups("zone", base.Zones, changed.Zones)
-	for _, end := range lo.Union(lo.Keys(base.Ends), lo.Keys(changed.Ends)) {
-		c.add("tries ended: "+end, float64(base.Ends[end]), float64(changed.Ends[end]))
+	for _, end := range lo.Union(lo.Keys(base.AttemptOutcomes), lo.Keys(changed.AttemptOutcomes)) {
+		c.add("tries ended: "+end, float64(base.AttemptOutcomes[end]), float64(changed.AttemptOutcomes[end]))
 	}
 }
 
@@ -113,16 +113,16 @@
 	fmt.Fprintf(table, "  %s\t%d\t%.4f\t%.4f\t%+.4f\t%.4f\t%s\n", s.name, len(s.base), mean(s.base), mean(s.changed), difference.Mean, difference.Half, mark)
 }
 
-// writeBroken lists the plays in which a rule was broken, a floor of the gate was missed or a process failed.
-func writeBroken(w io.Writer, variants []Variant, outcomes []Outcome) {
+// writeProblems lists the plays in which a rule was broken, a floor of the gate was missed or a process failed.
+func writeProblems(w io.Writer, variants []Variant, outcomes []Outcome) {
 	for _, o := range outcomes {
 		for v, report := range o.Reports {
-			rules := lo.Keys(report.Breaks)
-			if len(rules) == 0 && report.Fault == nil && len(report.Short) == 0 {
+			rules := lo.Keys(report.BrokenRules)
+			if len(rules) == 0 && report.Fault == nil && len(report.MissedFloors) == 0 {
 				continue
 			}
 			fmt.Fprintf(w, "%s: %s of %s, seed %d: rules broken %v, fault %s, short %v\n", variants[v].Name, o.Play.Day, o.Play.SiteName(),
-				o.Play.Seed, rules, lo.FromPtrOr(report.Fault, "none"), report.Short)
+				o.Play.Seed, rules, lo.FromPtrOr(report.Fault, "none"), report.MissedFloors)
 		}
 	}
 }
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -29,8 +29,8 @@
 	Seeds    []uint64
 	Small    bool   // the small twins of large days
 	Results  string // the folder that results are kept in; what is there is not played again
-	Jobs     int    // plays at the same time
-	Why      string // for the bench's journal
+	Parallel int    // plays at the same time
+	Reason   string // for the bench's journal
 }
 
 // Play is one day of one deployment with one seed.
@@ -107,7 +107,7 @@
 	var mu sync.Mutex
 	done := 0
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(max(s.Jobs, 1))
+	group.SetLimit(max(s.Parallel, 1))
 	for i, play := range plays {
 		outcomes[i] = Outcome{Play: play, Reports: make([]*Report, len(s.Variants))}
 		for v := range s.Variants {
@@ -169,7 +169,7 @@
 	if err != nil {
 		return errors.Wrap(err, "site")
 	}
-	args := []string{"run", site, play.Day, "--seed", fmt.Sprint(play.Seed), "--no-cpu", "--jobs", "1", "--report", report, "--why", s.Why}
+	args := []string{"run", site, play.Day, "--seed", fmt.Sprint(play.Seed), "--no-cpu", "--jobs", "1", "--report", report, "--why", s.Reason}
 	if s.Small {
 		args = append(args, "--small")
 	}
--- a/internal/lab/trial/trial_test.go
+++ b/internal/lab/trial/trial_test.go
@@ -11,9 +11,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// standIn is a program that prints a report as the bench does: the worth is that of the file "worth" in the folder it is run
+// fakeBench is a program that prints a report as the bench does: the worth is that of the file "worth" in the folder it is run
 // in, plus a thousandth of the seed. It notes each call in the file "calls" there.
-const standIn = `#!/bin/sh
+const fakeBench = `#!/bin/sh
 echo "$@" >> calls
 while [ $# -gt 0 ]; do
   case "$1" in
@@ -31,10 +31,10 @@
 exit 1
 `
 
-// bed is a stand-in bench, two trees and a site.
-type bed struct{ spec Spec }
+// testBench is a stand-in bench, two trees and a site.
+type testBench struct{ spec Spec }
 
-func newBed(t *testing.T) *bed {
+func newTestBench(t *testing.T) *testBench {
 	t.Helper()
 	folder := t.TempDir()
 	write := func(path, text string, mode os.FileMode) string {
@@ -46,25 +46,25 @@
 	write("base/worth", "0.5", 0o644)
 	write("changed/worth", "0.6", 0o644)
 	site := write("harbour.toml", "[[day]]\nname = \"quiet\"\n[[day]]\nname = \"storm\"\n", 0o644)
-	return &bed{spec: Spec{
-		Bench: write("bench", standIn, 0o755), Sites: []string{site}, Seeds: []uint64{1, 2, 3}, Jobs: 3, Why: "a test",
+	return &testBench{spec: Spec{
+		Bench: write("bench", fakeBench, 0o755), Sites: []string{site}, Seeds: []uint64{1, 2, 3}, Parallel: 3, Reason: "a test",
 		Variants: []Variant{{Name: "base", Tree: filepath.Join(folder, "base")}, {Name: "changed", Tree: filepath.Join(folder, "changed")}},
 		Results:  filepath.Join(folder, "results"),
 	}}
 }
 
-func (b *bed) run() ([]Outcome, error) {
+func (b *testBench) run() ([]Outcome, error) {
 	return Run(context.Background(), &b.spec, func(int, int) {})
 }
 
-func (b *bed) calls(variant int) int {
+func (b *testBench) calls(variant int) int {
 	text, _ := os.ReadFile(filepath.Join(b.spec.Variants[variant].Tree, "calls"))
 	return strings.Count(string(text), "\n")
 }
 
 func TestAllDaysOfASiteArePlayedWithAllSeedsByBothVariants(t *testing.T) {
 	RegisterTestingT(t)
-	b := newBed(t)
+	b := newTestBench(t)
 	outcomes, err := b.run()
 	Expect(err).NotTo(HaveOccurred())
 	Expect(outcomes).To(HaveLen(6))
@@ -76,7 +76,7 @@
 
 func TestWhatHasAResultIsNotPlayedAgain(t *testing.T) {
 	RegisterTestingT(t)
-	b := newBed(t)
+	b := newTestBench(t)
 	_, err := b.run()
 	Expect(err).NotTo(HaveOccurred())
 	Expect(os.Remove(filepath.Join(b.spec.Results, "changed", "harbour-storm-2.json"))).To(Succeed())
@@ -88,7 +88,7 @@
 
 func TestABuildThatFailsEndsTheTrialWithItsLastLine(t *testing.T) {
 	RegisterTestingT(t)
-	b := newBed(t)
+	b := newTestBench(t)
 	Expect(os.Remove(filepath.Join(b.spec.Variants[1].Tree, "worth"))).To(Succeed())
 	_, err := b.run()
 	Expect(err).To(MatchError(ContainSubstring("it does not build")))
@@ -96,7 +96,7 @@
 
 func TestTheTableGivesPairedDifferencesWithTheirError(t *testing.T) {
 	RegisterTestingT(t)
-	b := newBed(t)
+	b := newTestBench(t)
 	outcomes, err := b.run()
 	Expect(err).NotTo(HaveOccurred())
 	var table strings.Builder
@@ -108,7 +108,7 @@
 
 func TestBrokenRulesAreNamed(t *testing.T) {
 	RegisterTestingT(t)
-	b := newBed(t)
+	b := newTestBench(t)
 	Expect(os.WriteFile(filepath.Join(b.spec.Variants[1].Tree, "breaks"), []byte(`{"TWICE": 1}`), 0o644)).To(Succeed())
 	outcomes, err := b.run()
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/lab/upgrade/scenario.go
+++ b/internal/lab/upgrade/scenario.go
@@ -37,8 +37,8 @@
 type run struct {
 	Scenario
 	*localsystem.System
-	report Report
-	models int // asked for so far
+	report          Report
+	modelsRequested int // asked for so far
 }
 
 // Run plays the scenario. It returns an error if a promise was broken or the system was not whole again in time.
@@ -48,7 +48,7 @@
 		return Report{}, err
 	}
 	defer system.Close()
-	r := &run{Scenario: s, System: system, models: 1}
+	r := &run{Scenario: s, System: system, modelsRequested: 1}
 	if err := r.play(); err != nil { //nolint:contextcheck // AskStatus bounds each of its steps itself
 		return r.report, err
 	}
@@ -73,7 +73,7 @@
 				return err
 			}
 			if i == 1 { // two programs are in the core now
-				if err := r.lose(processes[0], program); err != nil {
+				if err := r.killAndRestart(processes[0], program); err != nil {
 					return err
 				}
 			}
@@ -115,8 +115,8 @@
 	return r.awaitLoad()
 }
 
-// lose kills a process and starts it again with the same program.
-func (r *run) lose(p *localprocess.Process, program localprocess.Program) error {
+// killAndRestart kills a process and starts it again with the same program.
+func (r *run) killAndRestart(p *localprocess.Process, program localprocess.Program) error {
 	p.Kill()
 	if err := p.Start(program); err != nil {
 		return err
@@ -136,8 +136,8 @@
 
 // awaitLoad asks for a model that is not loaded, until it is.
 func (r *run) awaitLoad() error {
-	model := localsystem.ModelName(r.models % localsystem.ModelCount)
-	r.models++
+	model := localsystem.ModelName(r.modelsRequested % localsystem.ModelCount)
+	r.modelsRequested++
 	if _, _, err := r.AwaitLoad(model); err != nil {
 		return err
 	}
