--- a/internal/lab/soak/caller.go
+++ b/internal/lab/soak/caller.go
@@ -12,27 +12,28 @@
 )
 
 const (
-	// callTimeout is how long a caller waits for an answer before it calls another address.
+	// callTimeout bounds the wait for an answer. After a timeout the caller moves on to another address.
 	callTimeout = time.Second
-	// callsPerLostAnswer is how many answers reach a caller, on average, for each that is lost on its way.
+	// callsPerLostAnswer is the mean number of POST calls for each answer that the caller drops, as if the network had lost it.
 	callsPerLostAnswer = 30
 )
 
-// caller calls the control processes over a connection that it keeps open, and records each call. It is used by one goroutine.
+// caller calls the control processes over a keep-alive connection and records each call. It is not safe for concurrent use.
 type caller struct {
 	name         string
 	addresses    []string
-	addressIndex int // the index of the address in use
+	addressIndex int // index of the address in use
 	client       *http.Client
 	recorder     *history.Recorder
 	random       *rand.Rand
 	done         <-chan struct{}
-	// acknowledged takes the addresses of acknowledgements, while a fault waits for one.
+	// acknowledged receives the address of each acknowledgement while a fault waits for one.
 	acknowledged chan<- string
-	final        bool
+	// final marks the recorded calls as made after the final restart. Answers of final calls are never dropped.
+	final bool
 }
 
-// newCaller returns a caller that draws from a stream of its own of the seed.
+// newCaller returns a caller that draws from its own random stream.
 func (s *system) newCaller(name string, stream uint64) *caller {
 	return &caller{
 		name: name, addresses: s.addresses, addressIndex: int(stream) % len(s.addresses), recorder: s.recorder, done: s.clientsDone,
@@ -42,15 +43,15 @@
 	}
 }
 
-// request is what a call sends.
+// request is the HTTP request of a call.
 type request struct {
 	method, path string
 	body         any
 	header       map[string]string
-	wait         time.Duration // for which the answer may take longer than callTimeout
+	wait         time.Duration // added to callTimeout, for long polls
 }
 
-// call sends a request, and records the call with its answer. answer is decoded into, and then copied to the call by keep.
+// call sends a request and records the call. It decodes the body into answer; keep then copies the decoded fields into the call.
 func (c *caller) call(call history.Call, r request, answer any, keep func(*history.Call)) history.Call {
 	call.Client, call.Final, call.Address = c.name, c.final, c.addresses[c.addressIndex]
 	call.Sent = c.recorder.Now()
@@ -72,7 +73,7 @@
 	return call
 }
 
-// notifyAcknowledged tells a fault that waits for an acknowledgement.
+// notifyAcknowledged passes the address of an acknowledgement to a waiting fault, if there is one.
 func (c *caller) notifyAcknowledged(address string) {
 	select {
 	case c.acknowledged <- address:
@@ -80,7 +81,7 @@
 	}
 }
 
-// send returns the status of the answer; 0 if there was none that is complete.
+// send sends a request and returns the status of the answer, or 0 if no complete answer arrived.
 func (c *caller) send(r request, answer any) int {
 	var body io.Reader
 	if r.body != nil {
@@ -115,7 +116,7 @@
 	return response.StatusCode
 }
 
-// pause waits a drawn time. It reports false if the scenario ends meanwhile.
+// pause waits for a random time between least and most. It returns false if the clients must stop meanwhile.
 func (c *caller) pause(least, most time.Duration) bool {
 	return pause(c.done, drawDuration(c.random, least, most))
 }
@@ -126,7 +127,7 @@
 
 func choose[T any](random *rand.Rand, choices []T) T { return choices[random.IntN(len(choices))] }
 
-// pause waits. It reports false if done is closed meanwhile.
+// pause waits for the duration. It returns false if done is closed meanwhile.
 func pause(done <-chan struct{}, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/lab/soak/calls.go
+++ b/internal/lab/soak/calls.go
@@ -8,7 +8,7 @@
 	"dykering/internal/lab/history"
 )
 
-// lockBody is the body of calls on locks.
+// lockBody is the request body of calls on locks.
 type lockBody struct {
 	Holder string `json:"lease_holder"`
 	Token  uint64 `json:"fencing_token,omitempty"`
@@ -44,7 +44,7 @@
 		func(call *history.Call) { call.Number = answer.Value })
 }
 
-// put puts a value; revision is the condition, and nil for none.
+// put writes a value. A non-nil revision makes the put conditional on the key's current revision.
 func (c *caller) put(key, value string, revision *uint64) history.Call {
 	var answer struct {
 		Revision uint64 `json:"revision"`
@@ -81,7 +81,7 @@
 		&answer, func(call *history.Call) { call.Revision, call.Events = answer.Revision, answer.Events })
 }
 
-// configuration is the part of a configuration's document that scenarios use.
+// configuration is the part of the configuration document that the scenario uses.
 type configuration struct {
 	Version  int              `json:"version"`
 	Routes   []route          `json:"routes"`
@@ -90,7 +90,7 @@
 }
 
 type route struct {
-	Name            string `json:"name"` // tells configurations of the same version apart
+	Name            string `json:"name"` // distinguishes configurations of the same version
 	Host            string `json:"host"`
 	PathPrefix      string `json:"path_prefix"`
 	Kind            string `json:"kind"`
--- a/internal/lab/soak/clients.go
+++ b/internal/lab/soak/clients.go
@@ -12,12 +12,12 @@
 const (
 	minHold = 400 * time.Millisecond
 	maxHold = 2500 * time.Millisecond
-	// resendTimeout is how long a put or a change without a clear answer is sent again.
+	// resendTimeout bounds the retries of a put or a configuration change that got no definite answer.
 	resendTimeout = 5 * time.Second
 	resendPause   = 100 * time.Millisecond
 )
 
-// contendForLocks takes locks, holds them in different ways, and gives them back or not.
+// contendForLocks acquires random locks, holds them in different ways, and releases some of them.
 func (c *caller) contendForLocks(locks []string) {
 	for c.pause(5*time.Millisecond, 80*time.Millisecond) {
 		lock := choose(c.random, locks)
@@ -29,29 +29,29 @@
 	}
 }
 
-// holdLock holds a lock that the caller has got until a time.
+// holdLock holds a granted lock, which expires at until, in a randomly chosen way.
 func (c *caller) holdLock(lock string, token uint64, hold, until time.Duration) {
 	switch c.random.IntN(6) {
-	case 0, 1: // for a moment
+	case 0, 1: // hold the lock briefly
 		c.pause(0, 100*time.Millisecond)
 		c.releaseLock(lock, token)
-	case 2: // for long
+	case 2: // renew the lock several times
 		if c.renewLock(lock, token, hold, until) {
 			c.releaseLock(lock, token)
 		}
-	case 3: // the caller dies, and comes back under its name
+	case 3: // crash: let the lock expire, then continue under the same name
 		c.pause(until-c.recorder.Now(), until-c.recorder.Now()+hold/4)
-	case 4: // the caller sleeps past its time
+	case 4: // sleep past the expiry, then still send a renewal and a release
 		c.pause(until-c.recorder.Now(), until-c.recorder.Now()+hold/4)
 		c.heartbeat(lock, token, hold)
 		c.releaseLock(lock, token)
-	case 5: // the lock is given back, and taken again at once, whatever the answer
+	case 5: // release the lock and acquire it again at once, whatever the answer
 		c.finish(lock, token)
 		c.begin(lock, hold)
 	}
 }
 
-// renewLock renews a lock for some rounds. It reports false once the caller counts itself holder no longer.
+// renewLock renews a lock a few times. It returns false once the caller must assume that it no longer holds the lock.
 func (c *caller) renewLock(lock string, token uint64, hold, until time.Duration) bool {
 	for range 2 + c.random.IntN(6) {
 		if !c.pause(hold/4, hold/3) {
@@ -77,14 +77,14 @@
 	}
 }
 
-// drawNumbers asks for numbers.
+// drawNumbers requests the next number of random names.
 func (c *caller) drawNumbers(names []string) {
 	for c.pause(5*time.Millisecond, 60*time.Millisecond) {
 		c.number(choose(c.random, names))
 	}
 }
 
-// editKeys reads keys and puts values, with and without a condition.
+// editKeys reads keys and puts values, both unconditionally and conditional on the last known revision.
 func (c *caller) editKeys(keys []string) {
 	known := map[string]uint64{}
 	for number := 0; c.pause(5*time.Millisecond, 60*time.Millisecond); number++ {
@@ -105,7 +105,7 @@
 	}
 }
 
-// putUntilAnswered puts a value, again while there is no clear answer.
+// putUntilAnswered puts a value, and retries until the answer says whether the put took effect.
 func (c *caller) putUntilAnswered(key, value string, revision *uint64) history.Call {
 	began := c.recorder.Now()
 	for {
@@ -120,13 +120,13 @@
 	}
 }
 
-// savedRevision is a revision that a watcher may resume from.
+// savedRevision is a revision that a watcher may resume from, and the time at which the watcher received it.
 type savedRevision struct {
 	revision   uint64
 	receivedAt time.Duration
 }
 
-// watchGroup watches a group. Sometimes it resumes from a revision that it was given earlier, within the time that it may.
+// watchGroup watches a group and returns the saved revisions. Sometimes it resumes from an earlier revision within the retention.
 func (c *caller) watchGroup(group string, retention time.Duration) []savedRevision {
 	var all []savedRevision
 	after := uint64(0)
@@ -149,7 +149,7 @@
 	return all
 }
 
-// changeConfigurations changes the configuration on top of the version that it reads, as another operator may at the same time.
+// changeConfigurations repeatedly reads the configuration and replaces it. Several operators do so concurrently and may conflict.
 func (c *caller) changeConfigurations() {
 	for number := 0; c.pause(20*time.Millisecond, 300*time.Millisecond); number++ {
 		read := c.readConfiguration()
@@ -160,7 +160,7 @@
 	}
 }
 
-// configureUntilAnswered sends a change, again while there is no clear answer.
+// configureUntilAnswered sends a change, and retries until the change is acknowledged or rejected.
 func (c *caller) configureUntilAnswered(base, version int, content string) {
 	began := c.recorder.Now()
 	for {
--- a/internal/lab/soak/doc.go
+++ b/internal/lab/soak/doc.go
@@ -1,8 +1,8 @@
-// Package soak plays real control processes on loopback under signals, restarts, lost disks and overlapping changes of the
-// configuration, while clients of the coordination service and two operators record what they see. Package history checks the
-// record by the platform's rules.
+// Package soak runs real control processes on loopback and injects faults: signals, restarts, lost disks and concurrent
+// configuration changes. Clients of the coordination service and two operators record every call and its answer. Package history
+// checks the recorded history against the platform's consistency rules.
 //
-// A seed determines what is drawn: which process meets which fault for how long, and what the clients ask for. What comes of it
-// depends on the machine's timing. As many processes are lost at once as machine_failures allows, each for catch_up_s longer
-// than it is away.
+// The seed determines the faults, their targets and durations, and the requests of the clients. The outcome also depends on the
+// timing of the machine, so a run with the same seed may differ. At most machine_failures processes are down at once. A restarted
+// process counts as down for another catch_up_s seconds.
 package soak
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -14,20 +14,21 @@
 	"dykering/internal/lab/localprocess"
 )
 
-// The streams of the seed for faults; the callers use those below.
+// The random streams of the faults. The callers use lower stream numbers.
 const (
 	hangupStream      = 1 << 32
 	blackoutStream    = 2 << 32
 	singleFaultStream = 3 << 32
 )
 
-// unexpectedExit is the rule that is broken by a process that ends by itself.
+// unexpectedExit is the rule that a process violates by exiting while no fault acts on it.
 const unexpectedExit = "FAULT"
 
-// faultInjector draws what happens to the control processes. Each lane loses one process at a time.
+// faultInjector draws and applies the faults of the control processes. It runs one goroutine of single faults for each tolerated
+// failure, and each of these goroutines takes down one process at a time.
 type faultInjector struct {
 	*system
-	// blackoutMutex is held for reading by a lane while it has lost a process, and for writing by a fault of all processes.
+	// blackoutMutex is read-locked while a single fault is in progress, and write-locked during a blackout of all processes.
 	blackoutMutex sync.RWMutex
 
 	mu              sync.Mutex
@@ -37,10 +38,10 @@
 	firstErr        error
 }
 
-// fault is what is drawn for a process that is lost.
+// fault is a drawn fault of one process.
 type fault struct {
 	frozen, killed, losesData bool
-	// afterAcknowledgement takes the process that acknowledges a call next, at once.
+	// afterAcknowledgement makes the fault strike the next process that acknowledges a call, right after the acknowledgement.
 	afterAcknowledgement bool
 	downtime             time.Duration
 }
@@ -70,7 +71,7 @@
 	return fmt.Sprintf("%s%s, restart after %v%s", signal, moment, f.downtime, lo.Ternary(f.losesData, " without its data", ""))
 }
 
-// runSingleFaults loses one process after another until the scenario ends.
+// runSingleFaults takes down one process after another until no further faults start.
 func (f *faultInjector) runSingleFaults(lane int) {
 	random := rand.New(rand.NewPCG(f.Seed, singleFaultStream+uint64(lane)))
 	for pause(f.faultsDone, drawDuration(random, 100*time.Millisecond, time.Second)) {
@@ -81,7 +82,7 @@
 	}
 }
 
-// takeDownOne loses a process, until it counts as present again.
+// takeDownOne takes down a process, restarts it and waits until it has caught up.
 func (f *faultInjector) takeDownOne(random *rand.Rand) error {
 	f.blackoutMutex.RLock()
 	defer f.blackoutMutex.RUnlock()
@@ -97,12 +98,13 @@
 	return nil
 }
 
-// awaitCatchUp waits until a process that is back counts as present.
+// awaitCatchUp waits catch_up_s seconds, after which a restarted process no longer counts as down.
 func (f *faultInjector) awaitCatchUp() {
 	pause(f.cancelled, time.Duration(f.bounds.CatchUpS)*time.Second)
 }
 
-// claim takes a process that is not lost: the one that acknowledges a call next, or the one with the index or next after it.
+// claim marks a process that is up as down and returns it. With afterAcknowledgement it claims the next process that acknowledges
+// a call. Otherwise it claims the process at the index, or the next one that is up.
 func (f *faultInjector) claim(index int, afterAnswer bool) *localprocess.Process {
 	for afterAnswer {
 		select {
@@ -123,7 +125,7 @@
 	return f.processes[index]
 }
 
-// claimAt takes the process at an address, and returns nil if it is lost.
+// claimAt marks the process at an address as down and returns it. It returns nil if the process is already down.
 func (f *faultInjector) claimAt(address string) *localprocess.Process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -142,7 +144,7 @@
 	f.down[p] = false
 }
 
-// play loses a process and brings it back, in the end of the scenario too.
+// play applies a fault to a process and restarts the process. It restarts the process also when the scenario ends meanwhile.
 func (f *faultInjector) play(p *localprocess.Process, what fault, random *rand.Rand) error {
 	if f.recordUnexpectedExit(p) {
 		return p.Start(f.Program)
@@ -171,19 +173,19 @@
 	return p.Start(f.Program)
 }
 
-// recordUnexpectedExit notes a process that has ended while nothing was done to it.
+// recordUnexpectedExit records a violation and returns true if the process has exited while no fault acted on it.
 func (f *faultInjector) recordUnexpectedExit(p *localprocess.Process) bool {
 	if !p.HasEnded() {
 		return false
 	}
-	f.recordEvent(p.Name + ": had ended by itself")
+	f.recordEvent(p.Name + ": exited while no fault acted on it")
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.unexpectedExits = append(f.unexpectedExits, history.Violation{Rule: unexpectedExit, Reason: p.Name + " had ended by itself"})
+	f.unexpectedExits = append(f.unexpectedExits, history.Violation{Rule: unexpectedExit, Reason: p.Name + " exited while no fault acted on it"})
 	return true
 }
 
-// runBlackouts kills all processes at once from time to time, while each has its data.
+// runBlackouts kills all processes at once from time to time. The processes keep their data.
 func (f *faultInjector) runBlackouts() {
 	random := rand.New(rand.NewPCG(f.Seed, blackoutStream))
 	for pause(f.faultsDone, drawDuration(random, 5*time.Second, 30*time.Second)) {
@@ -198,8 +200,8 @@
 	}
 }
 
-// finalBlackout kills all processes at once, after an acknowledgement, and as many as may be lost come back without their data.
-// It returns the time at which all were back, and for how long the machine had been calm by then.
+// finalBlackout kills all processes at once right after an acknowledgement. As many of them as the system tolerates restart without
+// their data. It returns the time at which all processes were restarted, and the machine's calm time at that moment.
 func (f *faultInjector) finalBlackout() (back, calm time.Duration, err error) {
 	random := rand.New(rand.NewPCG(f.Seed, blackoutStream+1))
 	losing := random.Perm(len(f.processes))[:f.Cores/2]
@@ -213,7 +215,7 @@
 	return f.recorder.Now(), f.machine.calmTime(), err
 }
 
-// blackout kills all processes at once and starts them again. Those of some indices lose their data.
+// blackout kills all processes at once and restarts them. The processes at the indices in losing lose their data.
 func (f *faultInjector) blackout(away time.Duration, losing []int) error {
 	f.recordEvent(fmt.Sprintf("all: SIGKILL, restart after %v, without their data %v", away, losing))
 	for _, p := range f.processes {
@@ -238,7 +240,7 @@
 	return nil
 }
 
-// runHangups sends SIGHUP to processes that are not lost.
+// runHangups sends SIGHUP to random processes that are up.
 func (f *faultInjector) runHangups() {
 	random := rand.New(rand.NewPCG(f.Seed, hangupStream))
 	for pause(f.faultsDone, drawDuration(random, 200*time.Millisecond, 2*time.Second)) {
--- a/internal/lab/soak/finals.go
+++ b/internal/lab/soak/finals.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// recoveryTime is how long after the return of all processes all calls of the end must be answered (recovery_s). Time in
-	// which other work slows the machine doesn't count, up to mostRecoveryTime in all.
+	// recoveryTime is the time after the final restart within which all final calls must be answered (recovery_s). Time in which
+	// other work slows the machine does not count, up to maxRecoveryTime in total.
 	recoveryTime    = 15 * time.Second
 	maxRecoveryTime = time.Minute
-	// finalWait is how long a watch of the end waits where there is nothing new.
+	// finalWait is the long-poll wait of a final watch that has no new events.
 	finalWait = 300 * time.Millisecond
 )
 
-// makeFinalCalls asks each process for all that was acknowledged, all processes being back since a time, and returns a violation for
-// each question without an answer.
+// makeFinalCalls reads all keys, numbers, locks, watches and the configuration from each process. It returns a violation for each
+// call that gets no answer in time. All processes have been running since back.
 func (s *system) makeFinalCalls(watchers []*watcher, back, calmAtBack time.Duration) []history.Violation {
 	end := func() bool {
 		return s.machine.calmTime()-calmAtBack > recoveryTime || s.recorder.Now()-back > maxRecoveryTime
@@ -36,7 +36,7 @@
 				mu.Lock()
 				defer mu.Unlock()
 				unanswered = append(unanswered, history.Violation{
-					Rule: history.Lost, Reason: fmt.Sprintf("%s at %s has no answer %v after all processes are back", q.name, s.addresses[i], recoveryTime),
+					Rule: history.Lost, Reason: fmt.Sprintf("%s at %s got no answer within %v after the restart of all processes", q.name, s.addresses[i], recoveryTime),
 				})
 			})
 		}
@@ -45,13 +45,13 @@
 	return unanswered
 }
 
-// finalCall is a call of the end.
+// finalCall is a named call that one process must answer after the final restart.
 type finalCall struct {
 	name string
 	send func() history.Call
 }
 
-// finalCalls returns what one process is asked in the end. Watches are resumed from the oldest revisions that were saved.
+// finalCalls returns the final calls to one process. Watches resume from the oldest saved revision.
 func (s *system) finalCalls(process int, watchers []*watcher) []finalCall {
 	var all []finalCall
 	ask := func(name, client string, call func(c *caller) history.Call) {
@@ -78,7 +78,7 @@
 	return all
 }
 
-// acquireAndRelease takes a lock and gives it back.
+// acquireAndRelease acquires a lock and releases it at once.
 func (c *caller) acquireAndRelease(lock string) history.Call {
 	call := c.begin(lock, minHold)
 	if call.Status == http.StatusOK {
@@ -87,7 +87,8 @@
 	return call
 }
 
-// isAnswered asks until there is an answer or the time is over; a 404 and a 410 are answers, and are judged with the history.
+// isAnswered repeats a final call until it is answered or the time is over. 404 and 410 count as answers here: the check of the
+// history decides whether they are correct.
 func (s *system) isAnswered(q finalCall, isOver func() bool) bool {
 	for {
 		switch q.send().Status {
--- a/internal/lab/soak/machine.go
+++ b/internal/lab/soak/machine.go
@@ -10,32 +10,32 @@
 )
 
 const (
-	// probeInterval is how often the machine is probed.
+	// probeInterval is the time between two probes of the machine.
 	probeInterval = 50 * time.Millisecond
-	// traceThreshold is the delay or the time of a sync from which on the trace of the run has it.
+	// traceThreshold is the timer delay or sync time from which a probe appears in the trace of the run.
 	traceThreshold = 500 * time.Millisecond
-	// slowThreshold is the delay of a timer or the time of a sync from which on the machine counts as slowed.
+	// slowThreshold is the timer delay or sync time from which the machine counts as slowed.
 	slowThreshold = 100 * time.Millisecond
 )
 
-// probe measures how busy the machine is with other work: what the system does late may be due to that.
+// probe measures how much other work slows the machine, since late reactions of the system may be due to that.
 type probe struct {
 	mu sync.Mutex
-	// delay is the longest time by which a timer was late, and sync the longest time of a write to disk.
+	// delay is the longest delay of a timer, and sync is the longest time of a synced write.
 	delay, sync time.Duration
-	// calm is the time in which the machine was not slowed.
+	// calm is the total time in which the machine was not slowed.
 	calm time.Duration
 	// slowEvents has the times from notedTime on.
 	slowEvents []slowEvent
 }
 
-// slowEvent is a time of the machine that is worth noting.
+// slowEvent is a probe that reached traceThreshold.
 type slowEvent struct {
 	at          time.Time
 	delay, sync time.Duration
 }
 
-// run probes until done is closed, with a file of its own. A sync that fails counts as one that takes its time.
+// run probes the machine until done is closed. It writes to a file that nothing else uses. A failed sync is timed like any other.
 func (p *probe) run(done <-chan struct{}, file *os.File) {
 	for {
 		began := time.Now()
@@ -62,20 +62,20 @@
 	}
 }
 
-// totals returns the longest delay, the longest sync and the calm time so far.
+// totals returns the longest delay, the longest sync and the total calm time so far.
 func (p *probe) totals() (delay, sync, calm time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.delay, p.sync, p.calm
 }
 
-// calmTime returns for how long the machine was not slowed so far.
+// calmTime returns the total time so far in which the machine was not slowed.
 func (p *probe) calmTime() time.Duration {
 	_, _, calm := p.totals()
 	return calm
 }
 
-// trace describes the times at which the machine was slow, from a beginning on.
+// trace describes the slow events, with their times relative to began.
 func (p *probe) trace(began time.Time) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/soak/scenario.go
+++ b/internal/lab/soak/scenario.go
@@ -24,9 +24,9 @@
 	counterCount   = 2
 	editorCount    = 4
 	operatorCount  = 2
-	// watcherStream is the first stream of the seed for watchers.
+	// watcherStream is the first random stream of the watchers.
 	watcherStream = 1 << 16
-	// startTimeout is how long the system has until the first fault.
+	// startTimeout bounds the time until the first configuration is acknowledged.
 	startTimeout = 10 * time.Second
 )
 
@@ -37,51 +37,51 @@
 	keys    = []string{"g1.a", "g1.b", "g1.c", "g1.d", "g2.a", "g2.b"}
 )
 
-// Scenario is a soak of control processes.
+// Scenario describes a soak test of control processes.
 type Scenario struct {
 	Program localprocess.Program
 	Seed    uint64
 	For     time.Duration
-	// Cores is the number of control processes: 3, of which one may be lost at a time, or 5, of which two may.
+	// Cores is the number of control processes: 3, which tolerate one failure at a time, or 5, which tolerate two.
 	Cores int
-	// Directory has settings, data and logs of the processes, and the history of a run that broke a rule.
+	// Directory holds the settings, data and logs of the processes, and the history if the run violated a rule.
 	Directory string
 }
 
-// Report is what came of a run.
+// Report holds the recorded calls and the measurements of a run.
 type Report struct {
 	Calls []history.Call
-	// Faults are what was done to the processes, and then when other work slowed the machine.
+	// Faults lists the injected faults, followed by the times at which other work slowed the machine.
 	Faults     []string
 	Violations []history.Violation
-	// Pause is the longest time between two puts that succeeded, and PauseEnd when it ended.
+	// Pause is the longest time between two successful puts, and PauseEnd is the time at which it ended.
 	Pause, PauseEnd time.Duration
-	// Recovery is the time from the return of all processes, in the end, to the first answer from each.
+	// Recovery is the time from the restart of all processes after the last fault until each of them has answered a read.
 	Recovery time.Duration
-	// TimerDelay and SyncTime are the longest delay of a timer and the longest sync of a file, as the machine was.
+	// TimerDelay and SyncTime are the longest delay of a timer and the longest sync of a file that the probe measured.
 	TimerDelay, SyncTime time.Duration
-	// CalmTime is for how long the machine was not slowed by other work.
+	// CalmTime is the total time in which other work did not slow the machine.
 	CalmTime time.Duration
 }
 
-// system is the system of a run.
+// system holds the processes and the shared state of a run.
 type system struct {
 	Scenario
 	bounds      localprocess.Bounds
 	processes   []*localprocess.Process
 	addresses   []string
 	recorder    *history.Recorder
-	faultsDone  chan struct{}   // closed when faults end
-	clientsDone chan struct{}   // closed when clients end, once all processes are back
-	cancelled   <-chan struct{} // closed when the run is to end early
-	// acknowledged takes the address that a call was acknowledged by, while a fault waits for it.
+	faultsDone  chan struct{}   // closed when no further faults start
+	clientsDone chan struct{}   // closed when the clients must stop, after the final restart of all processes
+	cancelled   <-chan struct{} // closed when the caller cancels the run
+	// acknowledged receives the address of a process that acknowledged a call, while a fault waits for one.
 	acknowledged chan string
 	machine      probe
-	probeDone    chan struct{} // closed when the run has ended
+	probeDone    chan struct{} // closed to stop the probe
 	probeWorkers sync.WaitGroup
 }
 
-// Run plays the scenario. It returns an error if it could not be played; broken rules are in the report.
+// Run plays the scenario. It returns an error if the scenario could not be completed. Rule violations are in the report.
 func (s Scenario) Run(ctx context.Context) (*Report, error) {
 	bounds := localprocess.SiteBounds()
 	processes, err := localprocess.New(ctx, localprocess.Layout{
@@ -111,7 +111,7 @@
 	return r.play(ctx)
 }
 
-// startProbe begins to probe the machine, until the run has ended.
+// startProbe starts the probe of the machine, which runs until probeDone is closed.
 func (s *system) startProbe() error {
 	file, err := os.Create(filepath.Join(s.Directory, "probe"))
 	if err != nil {
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// awaitStart waits until a first configuration is acknowledged.
+// awaitStart sends the first configuration until it is acknowledged.
 func (s *system) awaitStart() error {
 	c := s.newCaller("first", 0)
 	for began := time.Now(); time.Since(began) < startTimeout; {
@@ -133,10 +133,10 @@
 		}
 		pause(s.cancelled, resendPause)
 	}
-	return errors.Errorf("no configuration is acknowledged within %v", startTimeout)
+	return errors.Errorf("no control process acknowledged the first configuration within %v", startTimeout)
 }
 
-// play runs clients and faults, then what is asked in the end, and checks the history.
+// play runs the clients and the faults, then makes the final calls and checks the history.
 func (s *system) play(ctx context.Context) (*Report, error) {
 	var clients, lanes sync.WaitGroup
 	s.startClients(&clients)
@@ -154,7 +154,7 @@
 	close(s.clientsDone)
 	clients.Wait()
 	if err := firstError(f.firstErr, err, ctx.Err()); err != nil {
-		return nil, errors.Wrap(err, "not played to its end")
+		return nil, errors.Wrap(err, "the soak scenario did not run to its end")
 	}
 	unanswered := s.makeFinalCalls(watchers, back, calm)
 	for _, p := range s.processes {
@@ -187,13 +187,14 @@
 	start("operator", operatorCount, func(c *caller) { c.changeConfigurations() })
 }
 
-// watcher is a client that watches a group, and what it may resume from in the end.
+// watcher is a client that watches a group. It keeps the revisions that a final watch may resume from.
 type watcher struct {
 	name, group string
 	revisions   []savedRevision
 }
 
-// startWatchers starts a watcher for each group.
+// startWatchers starts one watcher for each group. The retention is one second below history_s, so that a saved revision is still
+// resumable when the watcher uses it.
 func (s *system) startWatchers(clients *sync.WaitGroup) []*watcher {
 	var watchers []*watcher
 	for i, group := range groups {
@@ -205,7 +206,7 @@
 	return watchers
 }
 
-// longestPause returns the longest time between two puts that succeeded, and when it ended.
+// longestPause returns the longest time between two successful puts, and the time at which it ended.
 func longestPause(calls []history.Call) (longest, end time.Duration) {
 	var last time.Duration
 	for _, call := range calls {
@@ -220,7 +221,7 @@
 	return longest, end
 }
 
-// recovery returns the time from the return of all processes to the latest of their first answers to reads of keys.
+// recovery returns the time from the restart of all processes until each has answered a read of a key. A 404 is an answer.
 func recovery(calls []history.Call, back time.Duration) time.Duration {
 	first := map[string]time.Duration{}
 	for _, call := range calls {
@@ -232,13 +233,13 @@
 	return lo.Max(lo.Values(first))
 }
 
-// firstError returns the first error that is not nil.
+// firstError returns the first non-nil error.
 func firstError(all ...error) error {
 	err, _ := lo.Find(all, func(err error) bool { return err != nil })
 	return err
 }
 
-// save writes the history and the faults of a run.
+// save writes the history and the faults of a run to its directory.
 func (s *system) save(report *Report) error {
 	file, err := os.Create(filepath.Join(s.Directory, "history.jsonl"))
 	if err != nil {
@@ -251,7 +252,7 @@
 	return os.WriteFile(filepath.Join(s.Directory, "faults.txt"), []byte(strings.Join(report.Faults, "\n")+"\n"), 0o600)
 }
 
-// close ends all processes.
+// close stops the probe and kills all processes.
 func (s *system) close() {
 	close(s.probeDone)
 	s.probeWorkers.Wait()
@@ -260,12 +261,12 @@
 	}
 }
 
-// Succeeded returns how many calls of an operation were answered with 200.
+// Succeeded returns the number of calls of an operation that were answered with 200.
 func (r *Report) Succeeded(operation history.Operation) int {
 	return lo.CountBy(r.Calls, func(call history.Call) bool { return call.Operation == operation && call.Status == http.StatusOK })
 }
 
-// Summary lists the answers by operation and status.
+// Summary returns one line with the number of answers by operation and status and with the measurements of the run.
 func (r *Report) Summary() string {
 	counts := map[string]int{}
 	for _, call := range r.Calls {
@@ -275,7 +276,7 @@
 	for _, answer := range slices.Sorted(maps.Keys(counts)) {
 		parts = append(parts, fmt.Sprintf("%s: %d", answer, counts[answer]))
 	}
-	return fmt.Sprintf("%d calls (%s); longest time without a put %v until %.3f s; recovery in the end %v; "+
-		"timers up to %v late, syncs up to %v, the machine calm for %v", len(r.Calls), strings.Join(parts, ", "), r.Pause.Round(time.Millisecond),
+	return fmt.Sprintf("%d calls (%s); longest time without a put %v until %.3f s; recovery after the final restart %v; "+
+		"timers up to %v late, syncs up to %v, the machine unslowed for %v", len(r.Calls), strings.Join(parts, ", "), r.Pause.Round(time.Millisecond),
 		r.PauseEnd.Seconds(), r.Recovery.Round(time.Millisecond), r.TimerDelay.Round(time.Millisecond), r.SyncTime.Round(time.Millisecond), r.CalmTime.Round(time.Second))
 }
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -23,7 +23,7 @@
 var _ = Describe("a caller", func() {
 	var s *system
 
-	// serve adds a control process that answers with a status and a body.
+	// serve adds the address of a fake control process that always answers with the given status and body.
 	serve := func(status int, body string) {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(status)
@@ -37,7 +37,7 @@
 		s = &system{recorder: history.NewRecorder(), clientsDone: make(chan struct{}), acknowledged: make(chan string, 1)}
 	})
 
-	It("records what it asks and is answered, and stays at its address", func() {
+	It("records the request and its answer, and keeps its address after a 412", func() {
 		serve(http.StatusPreconditionFailed, `{"revision":7}`)
 		serve(http.StatusOK, "")
 		c, revision := s.newCaller("a", 0), uint64(3)
@@ -50,7 +50,7 @@
 		Expect(call.Received).To(BeNumerically(">=", call.Sent))
 	})
 
-	It("calls another address after a failure or a rejection, and tells acknowledgements", func() {
+	It("calls another address after a failure, a 503 or a 429, and reports acknowledgements", func() {
 		s.addresses = []string{"127.0.0.1:1"}
 		serve(http.StatusServiceUnavailable, "")
 		serve(http.StatusTooManyRequests, "")
@@ -65,7 +65,7 @@
 		Expect(s.acknowledged).To(Receive(Equal(s.addresses[3])))
 	})
 
-	It("loses some answers on their way", func() {
+	It("drops some answers as if the network had lost them", func() {
 		serve(http.StatusOK, `{"value":9}`)
 		c, lost := s.newCaller("a", 0), 0
 		for range 10 * callsPerLostAnswer {
@@ -77,14 +77,14 @@
 		Expect(lost).To(BeNumerically("~", 10, 9))
 	})
 
-	It("takes an answer that is cut short for none", func() {
+	It("treats a truncated answer as no answer", func() {
 		serve(http.StatusOK, `{"value":`)
 		Expect(s.newCaller("a", 0).number("n").Status).To(BeZero())
 	})
 })
 
-var _ = Describe("the faults", func() {
-	It("are the same for a seed, and of each kind", func() {
+var _ = Describe("the drawn faults", func() {
+	It("are the same for the same seed, and include each kind", func() {
 		a, b := rand.New(rand.NewPCG(1, 2)), rand.New(rand.NewPCG(1, 2))
 		kinds := map[fault]bool{}
 		for range 100 {
@@ -102,7 +102,7 @@
 		return history.Call{Address: address, Operation: operation, Sent: sent, Received: received, Status: http.StatusOK}
 	}
 
-	It("has the longest time without a put that succeeded", func() {
+	It("contains the longest time without a successful put", func() {
 		late := at("a", history.Put, 6, 6)
 		late.Status = http.StatusServiceUnavailable
 		pause, end := longestPause([]history.Call{at("a", history.Put, 1, 1), at("a", history.Read, 5, 5), late, at("a", history.Put, 9, 9)})
@@ -110,7 +110,7 @@
 		Expect(end).To(Equal(time.Duration(9)))
 	})
 
-	It("has the time until each process answers again", func() {
+	It("contains the time until each process answers again", func() {
 		Expect(recovery([]history.Call{
 			at("a", history.Read, 1, 2), at("a", history.Read, 11, 12), at("a", history.Read, 13, 19), at("b", history.Read, 12, 14),
 		}, 10)).To(Equal(time.Duration(4)))
