--- a/internal/lab/history/call.go
+++ b/internal/lab/history/call.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// Operation is what a call asks for.
+// Operation is the kind of a call.
 type Operation string
 
 // The operations of the coordination service, and those of the operator.
 const (
-	Begin             Operation = "begin" // takes a lock
+	Begin             Operation = "begin" // acquires a lock
 	Heartbeat         Operation = "heartbeat"
 	Finish            Operation = "finish"
 	Number            Operation = "number"
@@ -28,55 +28,54 @@
 	return []Operation{Begin, Heartbeat, Finish, Number, Put, Read, Watch, Configure, ReadConfiguration}
 }
 
-// Event is a put that a watch shows.
+// Event is a put as a watch delivers it.
 type Event struct {
 	Name     string `json:"name"`
 	Value    string `json:"value"`
 	Revision uint64 `json:"revision"`
 }
 
-// Call is one try of a call. Times are those of the client's steady clock, from the beginning of the history.
+// Call is one attempt of a call. Times come from the client's monotonic clock and count from the beginning of the history.
 type Call struct {
-	Client    string        `json:"client"` // for locks, its lease_holder
+	Client    string        `json:"client"` // also the lease_holder of calls on locks
 	Operation Operation     `json:"operation"`
-	Name      string        `json:"name,omitempty"` // of a lock, a number, a key or, with its dot, a group
+	Name      string        `json:"name,omitempty"` // name of the lock, number, key or group; the name of a group ends with a dot
 	Address   string        `json:"address,omitempty"`
 	Sent      time.Duration `json:"sent"`
-	Received  time.Duration `json:"received"` // or given up
-	Status    int           `json:"status"`   // 0 where no answer came
-	// Final marks a call of the end, when all processes run again.
+	Received  time.Duration `json:"received"` // time of the answer, or of the timeout
+	Status    int           `json:"status"`   // 0 if no answer arrived
+	// Final marks a call that was made after the final restart of all processes.
 	Final bool `json:"final,omitempty"`
 
 	Hold  time.Duration `json:"hold,omitempty"`
-	Token uint64        `json:"token,omitempty"` // the fencing token: of Begin's answer, and of the other requests
+	Token uint64        `json:"token,omitempty"` // fencing token: granted by Begin, sent with Heartbeat and Finish
 
-	Value      string `json:"value,omitempty"` // of a put's request, and of a read's answer
+	Value      string `json:"value,omitempty"` // value that a put wrote or a read returned
 	IfRevision uint64 `json:"if_revision,omitempty"`
-	// Conditional says that the put had an if_revision.
+	// Conditional is true if the put had an if_revision.
 	Conditional bool    `json:"conditional,omitempty"`
-	After       uint64  `json:"after,omitempty"` // of a watch
+	After       uint64  `json:"after,omitempty"` // revision that a watch resumes from
 	Revision    uint64  `json:"revision,omitempty"`
 	Events      []Event `json:"events,omitempty"`
-	Number      uint64  `json:"number,omitempty"` // of an answer
+	Number      uint64  `json:"number,omitempty"` // number that the answer contains
 
-	Base    int    `json:"base,omitempty"`    // the version that a configuration builds on
-	Version int    `json:"version,omitempty"` // of a configuration
-	Content string `json:"content,omitempty"` // tells configurations of the same version apart
+	Base    int    `json:"base,omitempty"`    // version that a configuration change replaces
+	Version int    `json:"version,omitempty"` // version of the configuration that was sent or read
+	Content string `json:"content,omitempty"` // distinguishes configurations of the same version
 }
 
-// succeeded reports whether the call was answered with 200.
 func (c *Call) succeeded() bool { return c.Status == http.StatusOK }
 
-// rejected reports whether the answer promises that the call never takes effect.
+// rejected reports whether the answer guarantees that the call never takes effect.
 func (c *Call) rejected() bool {
 	return c.Status == http.StatusPreconditionFailed || c.Status == http.StatusTooManyRequests ||
 		c.Status == http.StatusServiceUnavailable
 }
 
-// answeredBefore reports whether the call's answer had come when another one was sent.
+// answeredBefore reports whether the call was answered before the other call was sent.
 func (c *Call) answeredBefore(other *Call) bool { return c.Received <= other.Sent }
 
-// String describes the call for a trace.
+// String formats the call for a trace.
 func (c *Call) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "[%.4f to %.4f s] %s %s %s at %s", c.Sent.Seconds(), c.Received.Seconds(), c.Client, c.Operation, c.Name, c.Address)
--- a/internal/lab/history/check.go
+++ b/internal/lab/history/check.go
@@ -9,25 +9,25 @@
 	"github.com/samber/lo"
 )
 
-// The rules.
+// The consistency rules that Check verifies.
 const (
-	One     = "ONE"
-	Order   = "ORDER"
-	Stale   = "STALE"
-	Mixed   = "MIXED"
-	Refused = "REFUSED"
-	Lost    = "LOST"
-	Config  = "CONFIG"
+	One     = "ONE"     // a lock has one holder at a time, and its fencing tokens increase
+	Order   = "ORDER"   // numbers and revisions increase, and watches deliver each put in order
+	Stale   = "STALE"   // a read returns the latest put that was acknowledged before the read
+	Mixed   = "MIXED"   // an answer contains only values that were put to its key, each under one revision
+	Refused = "REFUSED" // a rejected put never takes effect
+	Lost    = "LOST"    // acknowledged calls survive all faults, and watches can resume within the retention
+	Config  = "CONFIG"  // each version of the configuration has one acknowledged successor, which reads return
 )
 
-// Violation is a rule that was broken, with the calls that show it.
+// Violation is a violated rule with the calls that prove it.
 type Violation struct {
 	Rule   string
 	Reason string
 	Calls  []*Call
 }
 
-// String describes the violation and lists its calls.
+// String formats the violation and its calls, one a line.
 func (v Violation) String() string {
 	lines := []string{v.Rule + ": " + v.Reason}
 	for _, call := range v.Calls {
@@ -36,7 +36,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Check returns all violations of a history. retention is how long a revision that was given to a watch can be resumed from
+// Check returns all violations of a history. retention is the time for which a watch can resume from a revision that it received
 // (history_s).
 func Check(calls []Call, retention time.Duration) []Violation {
 	sorted := lo.ToSlicePtr(slices.Clone(calls))
@@ -51,12 +51,12 @@
 
 // checker collects the violations of a history.
 type checker struct {
-	calls      []*Call // by the time they were sent
+	calls      []*Call // sorted by the time of sending
 	retention  time.Duration
 	violations []Violation
 }
 
-// addViolation adds a violation. What is seen in the end of the history is a loss.
+// addViolation adds a violation of a rule.
 func (c *checker) addViolation(rule, reason string, calls ...*Call) {
 	c.violations = append(c.violations, Violation{Rule: rule, Reason: reason, Calls: lo.Uniq(calls)})
 }
@@ -75,7 +75,7 @@
 	return lo.GroupBy(chosen, func(call *Call) string { return call.Name })
 }
 
-// checkNumbers checks that numbers of one name rise.
+// checkNumbers checks that the numbers of each name are unique and increase.
 func (c *checker) checkNumbers() {
 	for name, calls := range c.callsByName(Number) {
 		answered := lo.Filter(calls, func(call *Call, _ int) bool { return call.succeeded() })
--- a/internal/lab/history/keys.go
+++ b/internal/lab/history/keys.go
@@ -8,25 +8,25 @@
 	"github.com/samber/lo"
 )
 
-// put is a put of a key with all its tries: values are unique.
+// put is a put of a key with all its attempts. Each put writes a unique value.
 type put struct {
 	key       string
 	attempts  []*Call
-	revision  uint64 // 0 where it is not known
-	firstSeen *Call  // the first answer that shows the revision
+	revision  uint64 // 0 while unknown
+	firstSeen *Call  // first answer that contains the revision
 }
 
-// firstAttempt returns the put's firstAttempt try.
+// firstAttempt returns the put's firstAttempt attempt.
 func (p *put) firstAttempt() *Call { return p.attempts[0] }
 
-// isRejected reports whether the put can never take effect. A 412 says so for all tries: a revision that the key once passed
-// doesn't come again. Another rejection holds for its own try only.
+// isRejected reports whether the put can never take effect. A 412 rules out all attempts, since a revision that the key has passed
+// never comes back. Any other rejection rules out its own attempt only.
 func (p *put) isRejected() bool {
-	return lo.SomeBy(p.attempts, func(try *Call) bool { return try.Status == http.StatusPreconditionFailed }) ||
-		lo.EveryBy(p.attempts, func(try *Call) bool { return try.rejected() })
+	return lo.SomeBy(p.attempts, func(attempt *Call) bool { return attempt.Status == http.StatusPreconditionFailed }) ||
+		lo.EveryBy(p.attempts, func(attempt *Call) bool { return attempt.rejected() })
 }
 
-// observation is a value of a key at a revision, as an answer shows it.
+// observation is a value of a key at a revision, as one answer contains it.
 type observation struct {
 	Event
 	call *Call
@@ -42,7 +42,7 @@
 	observations []observation
 }
 
-// groupOf returns the group of a key: all up to its first dot.
+// groupOf returns the group of a key, which is the prefix up to and including the first dot.
 func groupOf(name string) string {
 	prefix, _, found := strings.Cut(name, ".")
 	if !found {
@@ -51,7 +51,7 @@
 	return prefix + "."
 }
 
-// checkKeys checks each group of keys.
+// checkKeys checks the puts, reads and watches of each group of keys.
 func (c *checker) checkKeys() {
 	calls := lo.Filter(c.calls, func(call *Call, _ int) bool {
 		return call.Operation == Put || call.Operation == Read || call.Operation == Watch
@@ -67,7 +67,7 @@
 	}
 }
 
-// collect finds the puts, and what answers show of them.
+// collect gathers the puts, and the values and revisions that answers contain.
 func (k *keyChecker) collect() {
 	for _, call := range k.calls {
 		switch {
@@ -95,7 +95,7 @@
 	k.observations = append(k.observations, observation{Event: event, call: call})
 }
 
-// checkObservations checks each value that was shown: that it was put to its key and not rejected, under one revision of its own.
+// checkObservations checks that each observed value was put to its key, was not rejected, and has one revision of its own.
 func (k *keyChecker) checkObservations() {
 	for _, s := range k.observations {
 		p := k.puts[s.Value]
@@ -104,10 +104,10 @@
 			continue
 		}
 		if p.isRejected() {
-			k.addViolation(Refused, fmt.Sprintf("value %s of %s is shown, and its put was rejected", s.Value, s.Name), append(p.attempts, s.call)...)
+			k.addViolation(Refused, fmt.Sprintf("value %s of %s is visible although its put was rejected", s.Value, s.Name), append(p.attempts, s.call)...)
 		}
 		if p.revision != 0 && p.revision != s.Revision {
-			k.addViolation(Mixed, fmt.Sprintf("value %s of %s is shown under %d and %d", s.Value, s.Name, p.revision, s.Revision), p.firstSeen, s.call)
+			k.addViolation(Mixed, fmt.Sprintf("value %s of %s has both revision %d and revision %d", s.Value, s.Name, p.revision, s.Revision), p.firstSeen, s.call)
 			continue
 		}
 		if other := k.byRevision[s.Revision]; other != nil && other != p {
@@ -125,14 +125,14 @@
 	}
 }
 
-// checkRevisions checks that a put has a revision above all that were shown before it was sent, and that the precondition of one
-// that took effect held.
+// checkRevisions checks that the revision of a put is above all revisions that were known when the put was sent. It also checks
+// that the precondition of each successful put held.
 func (k *keyChecker) checkRevisions() {
 	for _, p := range k.byRevision {
 		for _, call := range k.calls {
 			known := call.succeeded() || call.Status == http.StatusPreconditionFailed
 			if known && call.answeredBefore(p.firstAttempt()) && call.Revision >= p.revision {
-				k.addViolation(Order, fmt.Sprintf("a put of %s gets revision %d after %d was known", p.key, p.revision, call.Revision),
+				k.addViolation(Order, fmt.Sprintf("a put of %s gets revision %d after revision %d was known", p.key, p.revision, call.Revision),
 					call, p.firstAttempt(), p.firstSeen)
 				break
 			}
@@ -143,14 +143,15 @@
 		required := p.firstAttempt().IfRevision
 		for _, other := range k.byRevision {
 			if other.key == p.key && required < other.revision && other.revision < p.revision {
-				k.addViolation(Order, fmt.Sprintf("a put of %s if at revision %d succeeds over %d", p.key, required, other.revision),
+				k.addViolation(Order, fmt.Sprintf("a put of %s conditional on revision %d succeeds over revision %d", p.key, required, other.revision),
 					other.firstAttempt(), other.firstSeen, p.firstAttempt(), p.firstSeen)
 			}
 		}
 	}
 }
 
-// checkReads checks that a read of a key shows the puts that were acknowledged before it was sent. A 404 is revision 0.
+// checkReads checks that a read returns at least the puts of its key that were acknowledged before it was sent. A 404 counts as
+// revision 0.
 func (k *keyChecker) checkReads() {
 	acknowledged := lo.Filter(k.calls, func(call *Call, _ int) bool { return call.Operation == Put && call.succeeded() })
 	for _, read := range k.calls {
@@ -159,7 +160,7 @@
 		}
 		for _, write := range acknowledged {
 			if write.Name == read.Name && write.answeredBefore(read) && read.Revision < write.Revision {
-				k.addAnswerViolation(read, Stale, fmt.Sprintf("%s is read at revision %d after %d was acknowledged", read.Name, read.Revision,
+				k.addAnswerViolation(read, Stale, fmt.Sprintf("%s is read at revision %d after revision %d was acknowledged", read.Name, read.Revision,
 					write.Revision), write)
 				break
 			}
@@ -167,8 +168,8 @@
 	}
 }
 
-// checkPreconditions checks that the revision that a 412 names is one of its key. A put with no clear answer that nobody saw may
-// have any one revision.
+// checkPreconditions checks that the revision in a 412 answer is a revision of the key. A put without a definite answer that no
+// client has observed may have any one revision.
 func (k *keyChecker) checkPreconditions() {
 	unexplained := map[string]map[uint64]*Call{} // by key
 	for _, call := range k.calls {
@@ -184,13 +185,13 @@
 			continue
 		}
 		if p.key != call.Name || p.firstAttempt().Sent > call.Received {
-			k.addViolation(Mixed, fmt.Sprintf("a 412 of %s names revision %d of another put", call.Name, call.Revision), p.firstAttempt(), call)
+			k.addViolation(Mixed, fmt.Sprintf("a 412 for %s contains revision %d, which belongs to another put", call.Name, call.Revision), p.firstAttempt(), call)
 		}
 	}
 	for key, revisions := range unexplained {
 		unseen := lo.CountBy(lo.Values(k.puts), func(p *put) bool { return p.key == key && p.revision == 0 && !p.isRejected() })
 		if len(revisions) > unseen {
-			k.addViolation(Mixed, fmt.Sprintf("412s of %s name %d revisions of unknown puts, and only %d puts are open", key, len(revisions), unseen),
+			k.addViolation(Mixed, fmt.Sprintf("412 answers for %s contain %d unknown revisions, but only %d puts have an unknown outcome", key, len(revisions), unseen),
 				lo.Values(revisions)...)
 		}
 	}
--- a/internal/lab/history/locks.go
+++ b/internal/lab/history/locks.go
@@ -9,14 +9,14 @@
 	"github.com/samber/lo"
 )
 
-// holding is a time in which a client counts itself holder of a lock.
+// holding is a period in which a client may assume that it holds a lock.
 type holding struct {
 	holder      string
 	from, until time.Duration
 	calls       []*Call
 }
 
-// checkLocks checks each lock: its holders and its fencing tokens.
+// checkLocks checks the holders and the fencing tokens of each lock.
 func (c *checker) checkLocks() {
 	for name, calls := range c.callsByName(Begin, Heartbeat, Finish) {
 		c.checkHoldings(name, calls)
@@ -24,7 +24,7 @@
 	}
 }
 
-// checkHoldings checks that no two clients count themselves holder at the same moment.
+// checkHoldings checks that no two clients hold a lock at the same time.
 func (c *checker) checkHoldings(name string, calls []*Call) {
 	var all []*holding
 	for _, ofHolder := range lo.GroupBy(calls, func(call *Call) string { return call.Client }) {
@@ -44,13 +44,14 @@
 	}
 }
 
-// holdings returns the times in which one client counts itself holder of one lock. Its calls come one after another.
+// holdings returns the periods in which one client holds one lock. The calls of a client do not overlap. A holding begins with the
+// answer and lasts for the hold time from the sending of the call.
 func holdings(calls []*Call) []*holding {
 	var all []*holding
 	var current *holding
 	for _, call := range calls {
 		if current != nil && call.Sent >= current.until {
-			current = nil // its time had run out when the call was sent
+			current = nil // the holding had expired when the call was sent
 		}
 		if call.Operation == Finish {
 			if current != nil {
@@ -78,16 +79,16 @@
 	return all
 }
 
-// checkTokens checks that the fencing tokens of a lock rise from holder to holder.
+// checkTokens checks that the fencing tokens of a lock increase from holder to holder.
 func (c *checker) checkTokens(name string, calls []*Call) {
 	granted := lo.Filter(calls, func(call *Call, _ int) bool { return call.Operation == Begin && call.succeeded() })
 	for i, call := range granted {
 		for j, other := range granted {
 			switch {
 			case j < i && other.Client != call.Client && other.Token == call.Token:
-				c.addViolation(One, fmt.Sprintf("fencing token %d of %s goes to two holders", call.Token, name), other, call)
+				c.addViolation(One, fmt.Sprintf("fencing token %d of %s is granted to two holders", call.Token, name), other, call)
 			case other.answeredBefore(call) && other.Token > call.Token:
-				c.addAnswerViolation(call, One, fmt.Sprintf("fencing token %d of %s comes after %d", call.Token, name, other.Token), other)
+				c.addAnswerViolation(call, One, fmt.Sprintf("fencing token %d of %s is granted after token %d", call.Token, name, other.Token), other)
 			}
 		}
 	}
--- a/internal/lab/history/recorder.go
+++ b/internal/lab/history/recorder.go
@@ -15,30 +15,30 @@
 	calls []Call
 }
 
-// NewRecorder returns a recorder whose history begins now.
+// NewRecorder returns a recorder with an empty history that begins now.
 func NewRecorder() *Recorder { return &Recorder{began: time.Now()} }
 
-// Now is the time since the history's beginning, by the steady clock.
+// Now returns the time since the beginning of the history, by the monotonic clock.
 func (r *Recorder) Now() time.Duration { return time.Since(r.began) }
 
-// Began is when the history began.
+// Began returns the time at which the history began.
 func (r *Recorder) Began() time.Time { return r.began }
 
-// Add adds a call that has ended.
+// Add records a completed call.
 func (r *Recorder) Add(call Call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.calls = append(r.calls, call)
 }
 
-// Calls returns the calls in the order in which they ended.
+// Calls returns a copy of the calls, in the order of their completion.
 func (r *Recorder) Calls() []Call {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.calls)
 }
 
-// Write writes the calls, a line of JSON each.
+// Write writes the calls as JSON, one call a line.
 func Write(out io.Writer, calls []Call) error {
 	encoder := json.NewEncoder(out)
 	for _, call := range calls {
--- a/internal/lab/history/watches.go
+++ b/internal/lab/history/watches.go
@@ -7,7 +7,7 @@
 	"github.com/samber/lo"
 )
 
-// checkWatches checks the answers to watches: they rise, skip no put, and can be resumed.
+// checkWatches checks that the answers to watches are in order, skip no put, and can be resumed within the retention.
 func (k *keyChecker) checkWatches() {
 	for _, call := range k.calls {
 		if call.Operation != Watch {
@@ -23,13 +23,13 @@
 	}
 }
 
-// checkEvents checks that the events of an answer rise within its span and are all puts of the span. With after at 0 a watch
-// asks for the revision only.
+// checkEvents checks that the events of an answer increase within the range (After, Revision] and include each put of that range. A
+// watch with After 0 asks for the current revision only.
 func (k *keyChecker) checkEvents(call *Call) {
 	last := call.After
 	for _, event := range call.Events {
 		if event.Revision <= last || event.Revision > call.Revision {
-			k.addViolation(Order, fmt.Sprintf("event %d of %s comes after %d, up to %d", event.Revision, k.group, last, call.Revision), call)
+			k.addViolation(Order, fmt.Sprintf("event %d of %s is outside of the range after %d up to %d", event.Revision, k.group, last, call.Revision), call)
 		}
 		last = event.Revision
 	}
@@ -44,8 +44,8 @@
 	}
 }
 
-// checkLag checks that a revision doesn't fall behind the one that the watch resumes from and, at the end of the history, not
-// behind what was acknowledged.
+// checkLag checks that the revision of an answer is not below the one that the watch resumes from. The revision of a final watch must
+// also include all puts that were acknowledged before it.
 func (k *keyChecker) checkLag(call *Call) {
 	if call.Revision < call.After {
 		k.addAnswerViolation(call, Order, fmt.Sprintf("a watch of %s after %d is answered at %d", k.group, call.After, call.Revision))
@@ -55,18 +55,18 @@
 	}
 	for _, write := range k.calls {
 		if write.Operation == Put && write.succeeded() && write.answeredBefore(call) && write.Revision > call.Revision {
-			k.addViolation(Lost, fmt.Sprintf("a watch of %s ends at %d, and %d was acknowledged", k.group, call.Revision, write.Revision), write, call)
+			k.addViolation(Lost, fmt.Sprintf("a final watch of %s ends at revision %d although revision %d was acknowledged", k.group, call.Revision, write.Revision), write, call)
 			return
 		}
 	}
 }
 
-// checkRetention checks that a 410 is for a revision that was given to the watcher long enough ago.
+// checkRetention checks that a 410 answer only concerns a revision that the watcher received longer ago than the retention.
 func (k *keyChecker) checkRetention(gone *Call) {
 	for _, call := range k.calls {
-		given := call.Operation == Watch && call.succeeded() && call.Client == gone.Client && call.Revision == gone.After
-		if given && call.answeredBefore(gone) && gone.Received-call.Received < k.retention {
-			k.addViolation(Lost, fmt.Sprintf("a watch of %s after %d is gone %v after it was given", k.group, gone.After,
+		received := call.Operation == Watch && call.succeeded() && call.Client == gone.Client && call.Revision == gone.After
+		if received && call.answeredBefore(gone) && gone.Received-call.Received < k.retention {
+			k.addViolation(Lost, fmt.Sprintf("a watch of %s after revision %d is answered with 410 only %v after the client received the revision", k.group, gone.After,
 				gone.Received-call.Received), call, gone)
 			return
 		}
--- a/internal/lab/soak/finals.go
+++ b/internal/lab/soak/finals.go
@@ -18,7 +18,7 @@
 	finalWait = 300 * time.Millisecond
 )
 
-// makeFinalCalls reads all keys, numbers, locks, watches and the configuration from each process. It returns a violation for each
+// makeFinalCalls calls each process for all keys, numbers, locks, watches and the configuration. It returns a violation for each
 // call that gets no answer in time. All processes have been running since back.
 func (s *system) makeFinalCalls(watchers []*watcher, back, calmAtBack time.Duration) []history.Violation {
 	end := func() bool {
