--- a/internal/lab/soak/machine.go
+++ b/internal/lab/soak/machine.go
@@ -25,7 +25,7 @@
 	delay, sync time.Duration
 	// calm is the total time in which the machine was not slowed.
 	calm time.Duration
-	// slowEvents has the times from notedTime on.
+	// slowEvents holds the probes that reached traceThreshold.
 	slowEvents []slowEvent
 }
 
--- a/internal/lab/systemdemo/coordination.go
+++ b/internal/lab/systemdemo/coordination.go
@@ -14,41 +14,42 @@
 	nextHolder  = "bob"
 	// callPause is the time between two calls of a caller.
 	callPause = 50 * time.Millisecond
-	// renewals is how often the first holder renews the lock, renewalsPerHold how often in the time for which it is taken.
+	// renewals is the number of renewals by the first holder. renewalsPerHold is the number of renewals during one hold time.
 	renewals        = 3
 	renewalsPerHold = 4
-	// handOverTimeout is within what time the lock must pass on to the next holder.
+	// handOverTimeout is the time within which the next holder must get the lock.
 	handOverTimeout = 20 * time.Second
 )
 
-// coordination is the part of the demo with a lock, a number and a watch.
+// coordination is the part of the demo with a lock, a number and a watch. It uses the coordination service as clients do.
 type coordination struct {
 	coordinator Coordinator
-	hold        time.Duration                         // for which a lock is taken
-	logStep     func(format string, arguments ...any) // tells a step
+	hold        time.Duration                         // hold time of the lock
+	logStep     func(format string, arguments ...any) // prints a step
 	killHead    func() error                          // kills the head of the chain
 }
 
-// play has one caller take a lock and stop renewing it, and another take it over, while the head of the chain is killed. Meanwhile
-// others draw numbers, put keys and watch them. It returns ErrNotServed if the control processes do not serve coordination.
+// play lets one caller acquire a lock and stop renewing it, and another caller take the lock over, while the head of the chain is
+// killed. Meanwhile other callers draw numbers, put keys and watch them. It returns ErrNotServed if the control processes do not
+// serve coordination.
 func (c *coordination) play(ctx context.Context) error {
 	if _, err := retry(ctx, func() (uint64, error) { return c.coordinator.NextNumber(ctx, numberName) }); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, handOverTimeout+10*c.hold)
 	defer cancel()
-	passed := make(chan struct{}) // closed when the lock has passed on
+	handedOver := make(chan struct{}) // closed when the lock has been handed over
 	all, ctx := errgroup.WithContext(ctx)
-	all.Go(func() error { return c.drawNumbers(ctx, passed) })
-	all.Go(func() error { return c.putAndWatch(ctx, passed) })
+	all.Go(func() error { return c.drawNumbers(ctx, handedOver) })
+	all.Go(func() error { return c.putAndWatch(ctx, handedOver) })
 	all.Go(func() error {
-		defer close(passed)
+		defer close(handedOver)
 		return c.handOverLock(ctx)
 	})
 	return all.Wait()
 }
 
-// handOverLock has the lock pass from the first holder, who stops renewing it, to the next.
+// handOverLock lets the lock expire at the first holder, who stops renewing it, and be acquired by the next holder.
 func (c *coordination) handOverLock(ctx context.Context) error {
 	first, err := c.acquire(ctx, firstHolder)
 	if err != nil {
@@ -78,15 +79,15 @@
 	if _, err := c.renew(ctx, first); !errors.Is(err, ErrLockLost) {
 		return errors.Errorf("renewal by the former holder: %v, expected %v", err, ErrLockLost)
 	}
-	c.logStep("%s is told that the lock is lost", firstHolder)
+	c.logStep("%s learns that it has lost the lock", firstHolder)
 	_, err = retry(ctx, func() (struct{}, error) {
 		return struct{}{}, c.coordinator.ReleaseLock(ctx, lockName, nextHolder, second)
 	})
 	return errors.Wrap(err, "release")
 }
 
-// keepLock has the first holder renew the lock for a while, and the next one ask for it in vain. It returns when the last renewal
-// was sent.
+// keepLock lets the first holder renew the lock several times while the next holder asks for it in vain. It returns the time at which
+// the last renewal was sent.
 func (c *coordination) keepLock(ctx context.Context, token uint64) (renewed time.Time, err error) {
 	for range renewals {
 		if renewed, err = c.renew(ctx, token); err != nil {
@@ -104,7 +105,7 @@
 	return retry(ctx, func() (uint64, error) { return c.coordinator.AcquireLock(ctx, lockName, holder, c.hold) })
 }
 
-// renew renews the lock for the first holder, whose time runs from the last sending, which is returned.
+// renew renews the lock for the first holder. It returns the sending time of the last attempt, from which the hold time counts.
 func (c *coordination) renew(ctx context.Context, token uint64) (sent time.Time, err error) {
 	return retry(ctx, func() (time.Time, error) {
 		sent := time.Now()
@@ -112,7 +113,7 @@
 	})
 }
 
-// awaitLock asks for the lock until it is granted.
+// awaitLock requests the lock until it is granted.
 func (c *coordination) awaitLock(ctx context.Context, holder string) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
@@ -127,7 +128,7 @@
 	}
 }
 
-// retry makes a call again until it has a clear answer or the context ends.
+// retry repeats a call until it has a definite answer or the context ends.
 func retry[T any](ctx context.Context, call func() (T, error)) (T, error) {
 	for {
 		result, err := call()
@@ -137,7 +138,7 @@
 	}
 }
 
-// pause waits. It reports false if the context ends meanwhile.
+// pause waits for the duration. It returns false if the context ends meanwhile.
 func pause(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/lab/systemdemo/coordination_test.go
+++ b/internal/lab/systemdemo/coordination_test.go
@@ -10,8 +10,9 @@
 	"time"
 )
 
-// playWithFakeControl plays the part against a stand-in, and returns what was told.
-func playWithFakeControl(t *testing.T, f flaw) (told string, killed int, err error) {
+// playWithFakeControl plays the coordination part against a fake control process. It returns the printed steps and the number of
+// times the head was killed.
+func playWithFakeControl(t *testing.T, f flaw) (printed string, killed int, err error) {
 	t.Helper()
 	var mu sync.Mutex
 	part := &coordination{
@@ -20,7 +21,7 @@
 		logStep: func(format string, arguments ...any) {
 			mu.Lock()
 			defer mu.Unlock()
-			told += fmt.Sprintf(format, arguments...) + "\n"
+			printed += fmt.Sprintf(format, arguments...) + "\n"
 		},
 		killHead: func() error {
 			killed++
@@ -28,10 +29,10 @@
 		},
 	}
 	err = part.play(t.Context())
-	return told, killed, err
+	return printed, killed, err
 }
 
-// refusingAddress is an address that nothing listens on any more.
+// refusingAddress returns an address that no process listens on.
 func refusingAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -46,13 +47,13 @@
 	for _, f := range []flaw{none, answersAreLost} {
 		t.Run(string(f), func(t *testing.T) {
 			t.Parallel()
-			told, killed, err := playWithFakeControl(t, f)
+			printed, killed, err := playWithFakeControl(t, f)
 			if err != nil || killed != 1 {
-				t.Errorf("%v, %d killed\n%s", err, killed, told)
+				t.Errorf("%v, %d killed\n%s", err, killed, printed)
 			}
 			for _, step := range []string{"alice takes the lock", "bob gets the lock", "numbers were drawn", "the watch has shown"} {
-				if !strings.Contains(told, step) {
-					t.Errorf("%q is not told:\n%s", step, told)
+				if !strings.Contains(printed, step) {
+					t.Errorf("%q is not printed:\n%s", step, printed)
 				}
 			}
 		})
@@ -60,9 +61,9 @@
 }
 
 func TestControlProcessesWithoutCoordinationAreNoticedFirst(t *testing.T) {
-	told, killed, err := playWithFakeControl(t, notServed)
-	if !errors.Is(err, ErrNotServed) || killed != 0 || told != "" {
-		t.Errorf("%v, %d killed, told %q", err, killed, told)
+	printed, killed, err := playWithFakeControl(t, notServed)
+	if !errors.Is(err, ErrNotServed) || killed != 0 || printed != "" {
+		t.Errorf("%v, %d killed, printed %q", err, killed, printed)
 	}
 }
 
--- a/internal/lab/systemdemo/demo.go
+++ b/internal/lab/systemdemo/demo.go
@@ -18,29 +18,29 @@
 )
 
 const (
-	// Timeout bounds the whole demo, beside the end of its processes.
+	// Timeout bounds the whole demo except the termination of its processes.
 	Timeout = 55 * time.Second
-	// servingTime is for how long requests are sent before anything happens.
+	// servingTime is the time in which clients send requests before the first event.
 	servingTime = 3 * time.Second
 	lockHold    = 3 * time.Second
 	viewTimeout = 15 * time.Second
 )
 
-// Demo shows a system.
+// Demo describes a demonstration of the system.
 type Demo struct {
 	// Program is started as each process of the system.
 	Program localprocess.Program
-	// Directory has settings, data and logs of the processes.
+	// Directory holds the settings, data and logs of the processes.
 	Directory string
-	// Out is where the steps are told.
+	// Out receives one line for each step.
 	Out io.Writer
 }
 
-// Report is what was shown.
+// Report summarizes a run of the demo.
 type Report struct {
-	Served       int  // requests
-	Changes      int  // of the configuration, acknowledged
-	Coordination bool // the control processes serve it
+	Served       int  // number of requests answered with 200
+	Changes      int  // number of acknowledged configuration changes
+	Coordination bool // true if the control processes serve coordination and it was demonstrated
 }
 
 // demoRun is one run of a demo.
@@ -49,13 +49,13 @@
 	Demo
 	report            Report
 	killed            *localprocess.Process
-	answersBeforeLoss map[int]int // answers to requests before it was killed
+	answersBeforeLoss map[int]int // number of answers by status before the head was killed
 
 	mu    sync.Mutex // guards Out
 	began time.Time
 }
 
-// Run plays the demo. It returns an error if a promise was broken or a step was not done in time.
+// Run plays the demo. It returns an error if a guarantee was violated or a step timed out.
 func (d Demo) Run(ctx context.Context) (Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, Timeout)
 	defer cancel()
@@ -74,16 +74,16 @@
 	return s.report, nil
 }
 
-// logStep tells a step, with the time since the start.
+// logStep prints a step with the time since the start.
 func (s *demoRun) logStep(format string, arguments ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fmt.Fprintf(s.Out, "%5.1f s  %s\n", time.Since(s.began).Seconds(), fmt.Sprintf(format, arguments...))
 }
 
-// start starts the system and its load.
+// start starts the system and its load, and waits until the system is ready.
 func (s *demoRun) start() error {
-	s.logStep("%d control processes and %d proxies start, on %s and the like", len(s.Control), len(s.Proxies), s.Control[0].IP)
+	s.logStep("%d control processes and %d proxies start, on loopback addresses from %s", len(s.Control), len(s.Proxies), s.Control[0].IP)
 	if err := s.Start(s.Program); err != nil {
 		return err
 	}
@@ -91,7 +91,7 @@
 	if err != nil {
 		return err
 	}
-	s.logStep("they are one system after %v, and have the operator's first configuration", took)
+	s.logStep("the system is ready after %v, with the operator's first configuration", took)
 	s.StartLoad()
 	return s.logView()
 }
@@ -113,17 +113,17 @@
 	return strings.Join(list, " > ")
 }
 
-// serve has the clients send requests for a while.
+// serve lets the clients send requests for servingTime.
 func (s *demoRun) serve() error {
 	before := s.Clients.Answers()
 	if !s.Pause(servingTime) {
-		return errors.New("interrupted")
+		return errors.New("the demo was interrupted")
 	}
 	s.logAnswers("in "+servingTime.String(), before)
 	return nil
 }
 
-// logAnswers tells what came of the requests since an earlier count.
+// logAnswers prints the number of answers by status since an earlier count.
 func (s *demoRun) logAnswers(when string, before map[int]int) {
 	now := s.Clients.Answers()
 	text := fmt.Sprintf("%d served", now[http.StatusOK]-before[http.StatusOK])
@@ -135,7 +135,7 @@
 	s.logStep("requests %s: %s", when, text)
 }
 
-// loadModel asks for a model that no endpoint has.
+// loadModel requests a model that no endpoint has loaded, and waits until it is served.
 func (s *demoRun) loadModel() error {
 	model := localsystem.ModelName(1)
 	before := s.Clients.Answers()
@@ -149,7 +149,7 @@
 	return nil
 }
 
-// runCoordination plays the part with a lock, a number and a watch, in which the head of the chain is killed.
+// runCoordination demonstrates a lock, a number and a watch while the head of the chain is killed.
 func (s *demoRun) runCoordination(ctx context.Context) error {
 	s.answersBeforeLoss = s.Clients.Answers()
 	part := &coordination{
@@ -164,7 +164,7 @@
 	return err
 }
 
-// loseHead has the head of the chain killed, if it is not yet, and waits for a chain without it.
+// loseHead kills the head of the chain if that has not happened yet, and waits for a chain without it.
 func (s *demoRun) loseHead() error {
 	if s.killed == nil {
 		if err := s.killHead(); err != nil {
@@ -185,14 +185,14 @@
 	return addresses
 }
 
-// killHead kills the head of the chain.
+// killHead kills the process that is currently the head of the chain.
 func (s *demoRun) killHead() error {
 	_, replicas, err := s.View()
 	if err != nil {
 		return err
 	}
 	if len(replicas) == 0 {
-		return errors.New("the chain has no head")
+		return errors.New("cannot kill the head of the chain: the view lists no known replica")
 	}
 	s.killed = replicas[0]
 	s.logStep("the head of the chain, %s, is killed (process %d)", s.killed.Name, s.killed.PID())
@@ -200,7 +200,7 @@
 	return nil
 }
 
-// awaitViewWithout waits for a view whose chain has not the process that was killed.
+// awaitViewWithout waits for a view whose chain does not contain the killed process.
 func (s *demoRun) awaitViewWithout(killed *localprocess.Process) error {
 	for began := time.Now(); time.Since(began) < viewTimeout; {
 		view, replicas, err := s.View()
@@ -209,13 +209,13 @@
 			return nil
 		}
 		if !s.Pause(callPause) {
-			return errors.New("interrupted")
+			return errors.New("the demo was interrupted")
 		}
 	}
 	return errors.Errorf("no view without %s within %v", killed.Name, viewTimeout)
 }
 
-// restart starts the process again that was killed.
+// restart restarts the killed process and waits until it is a replica again.
 func (s *demoRun) restart() error {
 	if err := s.killed.Start(s.Program); err != nil {
 		return err
@@ -224,11 +224,11 @@
 	if err != nil {
 		return err
 	}
-	s.logStep("%s is started again, and a replica after %v", s.killed.Name, took)
+	s.logStep("%s is restarted, and is a replica again after %v", s.killed.Name, took)
 	return s.logView()
 }
 
-// finish ends the load and tells what came of all.
+// finish ends the load, prints the totals and returns the violations as an error.
 func (s *demoRun) finish() error {
 	if err := s.EndLoad(); err != nil {
 		return err
--- a/internal/lab/systemdemo/doc.go
+++ b/internal/lab/systemdemo/doc.go
@@ -1,7 +1,7 @@
-// Package systemdemo shows the whole system at work on loopback, as lines of text: requests are served, a model is loaded where it is
-// asked for, and a lock, a number and a watch keep their promises while the head of the chain is killed.
+// Package systemdemo demonstrates the whole system on loopback and prints each step as a line of text. It serves requests, loads a
+// model that a client asks for, and checks a lock, a number and a watch while the head of the replication chain is killed.
 //
-// The system is that of package localsystem. Locks, numbers, keys and watches are called through the interface Coordinator, which
-// HTTPCoordinator implements; control processes that do not serve them answer 404, and the demo says so. Demo.Run returns an error
-// if a promise was broken or a step was not done in time.
+// Package localsystem provides the processes. The demo calls locks, numbers, keys and watches through the interface Coordinator,
+// which HTTPCoordinator implements. Control processes without a coordination service answer 404, which the demo reports. Demo.Run
+// returns an error if a guarantee was violated or a step timed out.
 package systemdemo
--- a/internal/lab/systemdemo/standin_test.go
+++ b/internal/lab/systemdemo/fake_control_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// flaw is a promise that the stand-in breaks on purpose.
+// flaw is a guarantee that the fake control process violates on purpose.
 type flaw string
 
 const (
@@ -28,7 +28,7 @@
 	revisionRepeats   flaw = "a revision repeats"
 )
 
-// fakeControl is a control process with coordination, in memory.
+// fakeControl is an in-memory control process with a coordination service for one lock, one number and one group.
 type fakeControl struct {
 	flaw flaw
 
@@ -38,13 +38,13 @@
 	holder   string
 	token    uint64
 	until    time.Time
-	refusals int      // of the lock
-	changes  []Change // of the one group, by revision
+	refusals int      // number of refused requests for the lock
+	changes  []Change // changes of the only group, ordered by revision
 	keys     map[string]Change
 	watchers *sync.Cond
 }
 
-// startFakeControl returns the address of a stand-in.
+// startFakeControl starts a fake control process and returns its address.
 func startFakeControl(t *testing.T, f flaw) string {
 	t.Helper()
 	s := &fakeControl{flaw: f, keys: map[string]Change{}}
@@ -62,7 +62,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// locked serves one call at a time. Some answers are lost if that is the flaw.
+// locked serves one call at a time. With answersAreLost it executes each fourth call and answers it with 500.
 func (s *fakeControl) locked(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
@@ -123,7 +123,7 @@
 	}
 	json.NewDecoder(r.Body).Decode(&call)
 	key := s.keys[r.PathValue("id")]
-	if key.Value != call.Value { // else it has come again
+	if key.Value != call.Value { // a put of the current value is a retry
 		if key.Revision != call.IfRevision {
 			w.WriteHeader(http.StatusPreconditionFailed)
 			return
--- a/internal/lab/systemdemo/http_coordinator.go
+++ b/internal/lab/systemdemo/http_coordinator.go
@@ -12,21 +12,21 @@
 	"github.com/pkg/errors"
 )
 
-// callTimeout is the time after which another control process is called.
+// callTimeout bounds a call. After a timeout the client calls the next control process.
 const callTimeout = time.Second
 
-// HTTPCoordinator calls control processes by HTTP. After a failure it calls the next one.
+// HTTPCoordinator implements Coordinator over HTTP. After a failed call it switches to the next control process.
 type HTTPCoordinator struct {
 	addresses []string // HOST:PORT of the control processes
 	next      atomic.Uint32
 }
 
-// NewHTTPCoordinator makes a client of some control processes.
+// NewHTTPCoordinator returns a client of the control processes at the addresses.
 func NewHTTPCoordinator(addresses []string) *HTTPCoordinator {
 	return &HTTPCoordinator{addresses: addresses}
 }
 
-// lockCall is the body of the calls of a lock.
+// lockCall is the request body of calls on locks.
 type lockCall struct {
 	Holder string `json:"lease_holder"`
 	Token  uint64 `json:"fencing_token,omitempty"`
@@ -78,7 +78,7 @@
 	read := Change{Name: key}
 	err := c.call(ctx, http.MethodGet, "/cells/"+key+"/read", nil, &read, callTimeout, nil)
 	if errors.Is(err, ErrNotServed) {
-		return read, nil // the answer for a key that does not exist
+		return read, nil // 404 is also the answer for a key that does not exist
 	}
 	return read, err
 }
@@ -99,7 +99,7 @@
 	return c.call(ctx, http.MethodPost, path, text, answer, callTimeout, refused)
 }
 
-// call makes one call and decodes its answer. The error refused stands for the statuses 409 and 412.
+// call sends one request and decodes its answer. The statuses 409 and 412 become the error refused.
 func (c *HTTPCoordinator) call(
 	ctx context.Context, method, path string, body []byte, answer any, timeout time.Duration, refused error,
 ) error {
@@ -120,7 +120,7 @@
 	defer response.Body.Close()
 	err = statusError(response.StatusCode, refused)
 	if err == nil && answer != nil && json.NewDecoder(response.Body).Decode(answer) != nil {
-		err = errors.Wrap(ErrUnavailable, "the answer cannot be read")
+		err = errors.Wrap(ErrUnavailable, "the body of the answer is not valid JSON")
 	}
 	if errors.Is(err, ErrUnavailable) {
 		c.next.CompareAndSwap(index, index+1)
@@ -128,7 +128,7 @@
 	return errors.Wrapf(err, "%s %s", method, path)
 }
 
-// statusError returns the error that a status stands for.
+// statusError returns the error for a status, or nil for 200.
 func statusError(status int, refused error) error {
 	switch {
 	case status == http.StatusOK:
--- a/internal/lab/systemdemo/numbers.go
+++ b/internal/lab/systemdemo/numbers.go
@@ -9,12 +9,12 @@
 
 const numberName = "demo-number"
 
-// drawNumbers draws numbers until the lock has passed on. Each must be above the one before.
-func (c *coordination) drawNumbers(ctx context.Context, passed <-chan struct{}) error {
+// drawNumbers draws numbers until the lock has been handed over. Each number must be above the previous one.
+func (c *coordination) drawNumbers(ctx context.Context, handedOver <-chan struct{}) error {
 	var count int
 	var first, last uint64
 	var longest time.Duration
-	for !isClosed(passed) {
+	for !isClosed(handedOver) {
 		began := time.Now()
 		number, err := retry(ctx, func() (uint64, error) { return c.coordinator.NextNumber(ctx, numberName) })
 		if err != nil {
--- a/internal/lab/systemdemo/watch.go
+++ b/internal/lab/systemdemo/watch.go
@@ -11,15 +11,15 @@
 
 const (
 	watchedGroup = "demo."
-	keyCount     = 3 // which are put in turn
+	keyCount     = 3 // the writer puts the keys in turn
 	watchWait    = time.Second
 )
 
-// putAndWatch puts keys until the lock has passed on, while another caller watches their group. The watcher must see each put once,
-// with its value and revision.
-func (c *coordination) putAndWatch(ctx context.Context, passed <-chan struct{}) error {
+// putAndWatch puts keys until the lock has been handed over, while another caller watches their group. The watcher must see each put
+// exactly once, with its value and revision.
+func (c *coordination) putAndWatch(ctx context.Context, handedOver <-chan struct{}) error {
 	w := &writer{coordinator: c.coordinator, revisions: map[string]uint64{}}
-	if err := w.put(ctx); err != nil { // the group has a revision to watch from
+	if err := w.put(ctx); err != nil { // the watch needs a first revision to start from
 		return err
 	}
 	from := w.puts[0].Revision
@@ -27,7 +27,7 @@
 	var seen []Change
 	both, ctx := errgroup.WithContext(ctx)
 	both.Go(func() error {
-		for !isClosed(passed) {
+		for !isClosed(handedOver) {
 			if err := w.put(ctx); err != nil {
 				return err
 			}
@@ -50,9 +50,9 @@
 	return nil
 }
 
-// watch collects the changes after a revision, up to the last put.
+// watch collects the changes after a revision until it has seen the last put, whose revision it receives from last.
 func (c *coordination) watch(ctx context.Context, after uint64, last <-chan uint64) (seen []Change, err error) {
-	var until uint64 // unknown yet
+	var until uint64 // 0 until the revision of the last put is known
 	for until == 0 || after < until {
 		changes, err := retry(ctx, func() (Changes, error) {
 			return c.coordinator.WatchGroup(ctx, watchedGroup, after, watchWait)
@@ -73,7 +73,7 @@
 	return seen, nil
 }
 
-// compare returns an error if what was seen is not what was put.
+// compare returns an error if the watched changes differ from the puts.
 func compare(puts, seen []Change) error {
 	for i, put := range puts {
 		if i >= len(seen) {
@@ -89,14 +89,14 @@
 	return nil
 }
 
-// writer is the only one to put keys of the group.
+// writer puts the keys of the watched group. No other caller writes to that group.
 type writer struct {
 	coordinator Coordinator
-	puts        []Change          // acknowledged
-	revisions   map[string]uint64 // of each key
+	puts        []Change          // acknowledged puts
+	revisions   map[string]uint64 // current revision of each key
 }
 
-// put puts the next key until that is acknowledged.
+// put writes the next key and retries until the put is acknowledged.
 func (w *writer) put(ctx context.Context) error {
 	key := fmt.Sprint(watchedGroup, "key", len(w.puts)%keyCount)
 	value := fmt.Sprint("value-", len(w.puts))
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// readBack reads the key that was put last.
+// readBack checks that a read returns the last put.
 func (w *writer) readBack(ctx context.Context) error {
 	put := w.puts[len(w.puts)-1]
 	read, err := retry(ctx, func() (Change, error) { return w.coordinator.ReadKey(ctx, put.Name) })
@@ -122,7 +122,7 @@
 		return errors.Wrapf(err, "read of %s", put.Name)
 	}
 	if read.Value != put.Value || read.Revision != put.Revision {
-		return errors.Errorf("%v was put and %v read", put, read)
+		return errors.Errorf("%v was put and %v was read back", put, read)
 	}
 	return nil
 }
