--- a/internal/lab/localprocess/doc.go
+++ b/internal/lab/localprocess/doc.go
@@ -1,4 +1,4 @@
-// Package localprocess starts processes of the system on addresses of the loopback network, as the platform does: with a
-// settings file each, and a data directory for control processes. A process may be stopped, killed, frozen and started again,
-// with another program or without its data.
+// Package localprocess starts control processes and proxies on loopback addresses, as the platform does: each process has a settings
+// file, and each control process a data directory. A process can be stopped, killed, frozen and restarted, with another program or
+// without its data.
 package localprocess
--- a/internal/lab/localprocess/process.go
+++ b/internal/lab/localprocess/process.go
@@ -15,7 +15,7 @@
 	"github.com/pkg/errors"
 )
 
-// Program is how a build is started: its command, and what its environment has beside that of this process.
+// Program is the command that starts a build, and the variables that are added to its environment.
 type Program struct {
 	Command []string
 	Env     []string
@@ -24,45 +24,45 @@
 const (
 	firstHostByte = 160
 	zoneCount     = 3
-	seedCount     = 3 // as the platform gives to each process
+	seedCount     = 3 // the platform also gives each process three seed nodes
 )
 
-// Roles of processes, as the program's subcommands name them.
+// Roles of processes. They are the names of the program's subcommands.
 const (
 	Control = "control"
 	Proxy   = "proxy"
 )
 
-// Bounds are the settings that bound how fast the system reacts, in short form for scenarios of seconds.
+// Bounds holds the time bounds of the settings file, within which the system must react.
 type Bounds struct {
 	ContactMs, AcknowledgeMs, DrainTimeoutMs, GracePeriodS, LeaseDurationMs, CatchUpS, HistoryS int
 }
 
-// ShortBounds are bounds for a scenario of a minute.
+// ShortBounds returns bounds for scenarios that last about a minute.
 func ShortBounds() Bounds {
 	return Bounds{
 		ContactMs: 1500, AcknowledgeMs: 3000, DrainTimeoutMs: 1500, GracePeriodS: 4, LeaseDurationMs: 1500, CatchUpS: 4, HistoryS: 20,
 	}
 }
 
-// SiteBounds are the bounds of the sites with a coordination service.
+// SiteBounds returns the bounds of the deployments with a coordination service.
 func SiteBounds() Bounds {
 	return Bounds{
 		ContactMs: 4000, AcknowledgeMs: 5000, DrainTimeoutMs: 2500, GracePeriodS: 8, LeaseDurationMs: 3000, CatchUpS: 6, HistoryS: 20,
 	}
 }
 
-// Layout says which processes there are.
+// Layout describes the processes of a system.
 type Layout struct {
-	// Directory has settings, data and logs of the processes.
+	// Directory holds the settings, data and logs of the processes.
 	Directory         string
 	Controls, Proxies int
-	// MachineFailures is how many control processes may be lost at once.
+	// MachineFailures is the number of simultaneous failures of control processes that the system must tolerate.
 	MachineFailures int
 	Bounds          Bounds
 }
 
-// settingsText is the settings file of a process.
+// settingsText is the template of the settings file of a process.
 var settingsText = template.Must(template.New("settings").Parse(`node_name = "{{.Name}}"
 ip_address = "{{.IP}}"
 zone = "zone-{{.Zone}}"
@@ -94,11 +94,10 @@
 history_s = {{.Bounds.HistoryS}}
 `))
 
-// Process is one process of the system, which may be started again with another program. Its methods are called by one
-// goroutine at a time.
+// Process is one process of the system. It can be restarted with another program. Its methods are not safe for concurrent use.
 type Process struct {
 	Name, IP, Public, Readiness string
-	// Directory has the data of a control process.
+	// Directory holds the data of a control process. It is empty for a proxy.
 	Directory       string
 	Zone            int
 	InternalPort    int
@@ -108,18 +107,19 @@
 	Bounds          Bounds
 	Role            string
 
-	settingsFile string // the settings file
+	settingsFile string
 	logFile      string
 	command      *exec.Cmd
 	ended        chan struct{}
 }
 
-// hostAddress returns an address of this process alone.
+// hostAddress returns a loopback address for a process. It contains the id of the calling process, so that concurrent test runs
+// do not share addresses.
 func hostAddress(index int) string {
 	return fmt.Sprintf("127.%d.%d.%d", firstHostByte+index, os.Getpid()>>8&0xff, os.Getpid()&0xff)
 }
 
-// New makes the processes of a layout, first the control processes, which are not started yet.
+// New returns the processes of a layout, the control processes first. It does not start them.
 func New(ctx context.Context, layout Layout) ([]*Process, error) {
 	port, err := freePort(ctx)
 	if err != nil {
@@ -146,22 +146,22 @@
 	return processes, nil
 }
 
-// freePort returns a port that is not in use, as the two after it should be.
+// freePort returns a port that is not in use. The next two ports are assumed to be free as well.
 func freePort(ctx context.Context) (int, error) {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp", hostAddress(0)+":0")
 	if err != nil {
-		return 0, errors.Wrap(err, "port")
+		return 0, errors.Wrap(err, "find a free port")
 	}
 	defer listener.Close()
 	return listener.Addr().(*net.TCPAddr).Port, nil
 }
 
-// Start starts the process with a program.
+// Start writes the settings file and starts the process with a program.
 func (p *Process) Start(program Program) error {
 	var settings bytes.Buffer
 	if err := settingsText.Execute(&settings, p); err != nil {
-		return errors.Wrap(err, p.Name)
+		return errors.Wrapf(err, "start %s", p.Name)
 	}
 	if err := os.WriteFile(p.settingsFile, settings.Bytes(), 0o600); err != nil {
 		return err
@@ -179,16 +179,16 @@
 	command := exec.Command(program.Command[0], append(program.Command[1:len(program.Command):len(program.Command)], p.Role)...)
 	command.Env = append(append(os.Environ(), program.Env...), "DYKERING_NODE_FILE="+p.settingsFile)
 	command.Stdout, command.Stderr = log, log
-	// The child ends with this process, whatever ends that.
+	// The kernel kills the child when this process ends, even if this process is killed.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
-		return errors.Wrap(err, p.Name)
+		return errors.Wrapf(err, "start %s", p.Name)
 	}
-	p.InitialStart = false // from the next start on
+	p.InitialStart = false // later starts are restarts
 	ended := make(chan struct{})
 	p.command, p.ended = command, ended
 	go func() {
-		_ = command.Wait() // how it has ended does not matter
+		_ = command.Wait() // faults kill processes, so any exit status is expected
 		close(ended)
 	}()
 	return nil
@@ -196,7 +196,7 @@
 
 // Stop sends SIGTERM and, after the grace period, SIGKILL, as the platform does.
 func (p *Process) Stop() {
-	_ = p.command.Process.Signal(syscall.SIGTERM) // it may have ended
+	_ = p.command.Process.Signal(syscall.SIGTERM) // the process may have exited already
 	select {
 	case <-p.ended:
 	case <-time.After(time.Duration(p.Bounds.GracePeriodS) * time.Second):
@@ -204,27 +204,27 @@
 	}
 }
 
-// Kill kills the process and waits for its end.
+// Kill kills the process and waits for its exit. It does nothing if the process was never started.
 func (p *Process) Kill() {
 	if p.command == nil {
 		return
 	}
-	_ = p.command.Process.Kill() // it may have ended
+	_ = p.command.Process.Kill() // the process may have exited already
 	<-p.ended
 }
 
-// InternalAddress is where other processes of the system reach this one.
+// InternalAddress returns the address at which other processes of the system reach this one.
 func (p *Process) InternalAddress() string { return fmt.Sprintf("%s:%d", p.IP, p.InternalPort) }
 
 // Signal sends a signal to the process.
 func (p *Process) Signal(signal syscall.Signal) {
-	_ = p.command.Process.Signal(signal) // it may have ended
+	_ = p.command.Process.Signal(signal) // the process may have exited already
 }
 
-// RemoveData removes the data of a control process that has ended.
+// RemoveData removes the data directory of a control process, which must have exited.
 func (p *Process) RemoveData() error { return os.RemoveAll(p.Directory) }
 
-// HasEnded reports whether the process has ended since it was last started.
+// HasEnded reports whether the process has exited since its last start.
 func (p *Process) HasEnded() bool {
 	select {
 	case <-p.ended:
@@ -234,5 +234,5 @@
 	}
 }
 
-// PID returns the id of the process that was started last.
+// PID returns the process id of the last start.
 func (p *Process) PID() int { return p.command.Process.Pid }
--- a/internal/lab/localsystem/clients.go
+++ b/internal/lab/localsystem/clients.go
@@ -12,34 +12,34 @@
 // requestPause is the time between two requests of the clients.
 const requestPause = 15 * time.Millisecond
 
-// Answer is what a request got.
+// Answer is the answer to a request.
 type Answer struct {
-	Status int // 0 for no answer
+	Status int // 0 if no answer arrived
 	Body   string
 }
 
-// Clients send requests to the proxies, in turn.
+// Clients sends requests to the proxies in turn.
 type Clients struct {
 	proxies []string
 	client  http.Client
 
 	mu      sync.Mutex
 	number  int
-	answers map[int]int // by status; 0 for no answer
+	answers map[int]int // number of answers by status; 0 counts requests without an answer
 }
 
 func newClients(proxies []string) *Clients {
 	return &Clients{proxies: proxies, client: http.Client{Timeout: 4 * time.Second}, answers: map[int]int{}}
 }
 
-// run sends requests until the scenario ends.
+// run sends requests until done is closed.
 func (c *Clients) run(done <-chan struct{}) {
 	for pause(done, requestPause) {
 		c.Request(ModelName(0))
 	}
 }
 
-// Request sends one request. A proxy that cannot be reached is passed over, as a load balancer does.
+// Request sends one request. Like a load balancer, it tries the next proxy if one does not answer.
 func (c *Clients) Request(model string) Answer {
 	c.mu.Lock()
 	c.number++
@@ -79,7 +79,7 @@
 	return Answer{Status: response.StatusCode, Body: string(body)}
 }
 
-// Answers returns the number of answers by status; 0 stands for no answer.
+// Answers returns the number of answers by status. Status 0 counts requests without an answer.
 func (c *Clients) Answers() map[int]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/localsystem/doc.go
+++ b/internal/lab/localsystem/doc.go
@@ -1,6 +1,7 @@
-// Package localsystem runs a whole system on loopback: three control processes and two proxies, started as the platform does with
-// a settings file each, stand-ins for endpoints, an operator that changes the configuration, and clients.
+// Package localsystem runs a whole system on loopback: three control processes, two proxies, fake endpoints, an operator that changes
+// the configuration, and clients. Each process is started with a settings file, as on the platform.
 //
-// The endpoints, the operator and the clients run in this process; they note what breaks a promise, which System.Violations returns.
-// System.Close ends all processes by their ids; it is called in all cases. Packages upgrade and systemdemo play scenarios on it.
+// The endpoints, the operator and the clients run in the calling process. They record each violated guarantee, and System.Violations
+// returns the records. Callers must always call System.Close, which kills all processes. Packages upgrade and systemdemo play
+// scenarios on the system.
 package localsystem
--- a/internal/lab/localsystem/endpoint.go
+++ b/internal/lab/localsystem/endpoint.go
@@ -14,11 +14,11 @@
 const (
 	heartbeatInterval = 300 * time.Millisecond
 	loadTime          = 200 * time.Millisecond
-	// drainGracePeriod is the time after the acknowledgement of a drain by which no request may arrive.
+	// drainGracePeriod is the time after the acknowledgement of a drain from which no request may arrive any more.
 	drainGracePeriod = 1200 * time.Millisecond
 )
 
-// Endpoint is a stand-in for an endpoint of a service with models.
+// Endpoint is a fake endpoint of a service with models.
 type Endpoint struct {
 	id       string
 	operator *Operator
@@ -28,15 +28,15 @@
 	mu           sync.Mutex
 	models       []string
 	busy         bool
-	sequence     uint64 // of orders
+	sequence     uint64 // number of accepted orders
 	heartbeats   uint64
 	state        sessions.State
-	drainedAt    time.Time // when its drain was acknowledged; zero before
+	drainedAt    time.Time // time at which its drain was acknowledged, or zero
 	highestToken uint64
 	violations   []string
 }
 
-// startEndpoint starts an endpoint that has some models loaded.
+// startEndpoint starts an endpoint with the models loaded.
 func startEndpoint(id string, o *Operator, models ...string) (*Endpoint, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -52,7 +52,7 @@
 	return e, nil
 }
 
-// sendHeartbeat sends a heartbeat, and reports whether it was acknowledged.
+// sendHeartbeat sends a heartbeat and returns true if it was acknowledged.
 func (e *Endpoint) sendHeartbeat() bool {
 	e.mu.Lock()
 	e.heartbeats++
@@ -64,7 +64,7 @@
 	return e.operator.post("/instances/"+e.id+"/heartbeat", beat, nil) == http.StatusOK
 }
 
-// loadedModels lists the loadedModels models. The caller holds the lock.
+// loadedModels returns the loaded models. The caller must hold e.mu.
 func (e *Endpoint) loadedModels() []sessions.LoadedModel {
 	models := []sessions.LoadedModel{}
 	for _, name := range e.models {
@@ -73,7 +73,7 @@
 	return models
 }
 
-// keepSession sends heartbeats until the endpoint drains or the scenario ends.
+// keepSession sends heartbeats until the endpoint drains or done is closed.
 func (e *Endpoint) keepSession(done <-chan struct{}) {
 	for {
 		e.mu.Lock()
@@ -91,7 +91,7 @@
 	}
 }
 
-// drain announces that the endpoint drains, until that is acknowledged.
+// drain announces that the endpoint drains until that is acknowledged. It returns false if done is closed before.
 func (e *Endpoint) drain(done <-chan struct{}) bool {
 	e.mu.Lock()
 	e.state = sessions.Draining
@@ -115,7 +115,7 @@
 	writeJSON(w, http.StatusOK, map[string]any{"models": e.loadedModels(), "busy": e.busy, "sequence": e.sequence})
 }
 
-// handleOrder executes an order that loads or unloads a model, one at a time.
+// handleOrder executes an order that loads or unloads a model. It answers 409 while another order is in progress.
 func (e *Endpoint) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var order struct {
 		Operation    string `json:"operation"`
@@ -123,13 +123,13 @@
 		FencingToken uint64 `json:"fencing_token"`
 	}
 	if json.NewDecoder(r.Body).Decode(&order) != nil {
-		http.Error(w, "order", http.StatusBadRequest)
+		http.Error(w, "the order is not valid JSON", http.StatusBadRequest)
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if order.FencingToken < e.highestToken {
-		e.violations = append(e.violations, e.id+" was sent an order with a lower fencing token than before")
+		e.violations = append(e.violations, e.id+" received an order with a lower fencing token than an earlier order")
 	}
 	e.highestToken = max(e.highestToken, order.FencingToken)
 	if e.busy {
@@ -152,7 +152,7 @@
 	}
 }
 
-// handleRequest answers a health check or a request of a client.
+// handleRequest answers health checks and client requests.
 func (e *Endpoint) handleRequest(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -176,5 +176,5 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // the caller may have gone
+	_ = json.NewEncoder(w).Encode(body) // the caller may have disconnected
 }
--- a/internal/lab/localsystem/localsystem_test.go
+++ b/internal/lab/localsystem/localsystem_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// operatorWithAnswer is an operator whose control process answers with a status and a body.
+// operatorWithAnswer returns an operator whose control process always answers with the status and body.
 func operatorWithAnswer(t *testing.T, status int, body string) *Operator {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -67,7 +67,7 @@
 	}
 }
 
-// A request that one proxy does not answer goes to the other one, whatever other requests are sent meanwhile.
+// A request that one proxy does not answer must reach the other proxy, also while other requests advance the turn.
 func TestRequestTriesEachProxyOnce(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	t.Cleanup(server.Close)
--- a/internal/lab/localsystem/operator.go
+++ b/internal/lab/localsystem/operator.go
@@ -22,15 +22,15 @@
 // ModelCount is the number of models of the configuration.
 const ModelCount = 8
 
-// Operator calls the control processes: for itself, and for the endpoints.
+// Operator calls the control processes, both for itself and for the endpoints.
 type Operator struct {
-	addresses []string // of the control processes
+	addresses []string // addresses of the control processes
 	client    http.Client
 
 	mu           sync.Mutex
-	next         int // the address that is called next
-	acknowledged int // the highest version that was acknowledged
-	changes      int // acknowledged
+	next         int // index of the address in use, modulo the number of addresses
+	acknowledged int // highest acknowledged version
+	changes      int // number of acknowledged changes
 	violations   []string
 }
 
@@ -38,7 +38,7 @@
 	return &Operator{addresses: addresses, client: http.Client{Timeout: callTimeout}}
 }
 
-// address returns the address to call; another one after a failure.
+// address returns the address to call. It switches to the next one if failed is true.
 func (o *Operator) address(failed bool) string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -48,7 +48,7 @@
 	return o.addresses[o.next%len(o.addresses)]
 }
 
-// post posts a body and returns the status of the answer; 0 if there was none.
+// post sends a body as JSON and returns the status of the answer, or 0 if no answer arrived.
 func (o *Operator) post(path string, body any, header map[string]string) int {
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return response.StatusCode
 }
 
-// configuration is a whole configuration of a version.
+// configuration returns a complete configuration document with the version.
 func configuration(version int) map[string]any {
 	var models []map[string]any
 	for i := range ModelCount {
@@ -100,7 +100,7 @@
 // ModelName returns the name of a model of the configuration.
 func ModelName(i int) string { return fmt.Sprint("model-", i) }
 
-// change sends the next version until it is acknowledged or the scenario ends. It must never be rejected.
+// change sends the next version until it is acknowledged or done is closed. The control processes must never reject it.
 func (o *Operator) change(done <-chan struct{}) {
 	o.mu.Lock()
 	base := o.acknowledged
@@ -131,7 +131,8 @@
 	return o.changes
 }
 
-// read reads the configuration at the address in use. What was acknowledged before must be there.
+// read reads the configuration at the address in use. It records a violation if the version is below an acknowledged one. It
+// returns false if the read failed.
 func (o *Operator) read() bool {
 	o.mu.Lock()
 	acknowledged := o.acknowledged
@@ -150,12 +151,12 @@
 		return false
 	}
 	if document.Version < acknowledged {
-		o.addViolation("version %d was read, %d was acknowledged before", document.Version, acknowledged)
+		o.addViolation("version %d was read after version %d was acknowledged", document.Version, acknowledged)
 	}
 	return true
 }
 
-// run changes and reads until the scenario ends.
+// run changes and reads the configuration until done is closed.
 func (o *Operator) run(done <-chan struct{}) {
 	for pause(done, retryPause) {
 		o.change(done)
@@ -169,7 +170,7 @@
 	o.violations = append(o.violations, fmt.Sprintf(format, arguments...))
 }
 
-// pause waits. It reports false if the scenario ends meanwhile.
+// pause waits for the duration. It returns false if done is closed meanwhile.
 func pause(done <-chan struct{}, duration time.Duration) bool {
 	select {
 	case <-done:
--- a/internal/lab/localsystem/system.go
+++ b/internal/lab/localsystem/system.go
@@ -15,7 +15,7 @@
 	"dykering/internal/protocol"
 )
 
-// stepTimeout is within what time the system must be whole again after a step.
+// stepTimeout is the time within which the system must be ready again after a step.
 const stepTimeout = 20 * time.Second
 
 const (
@@ -23,10 +23,10 @@
 	proxyCount   = 2
 )
 
-// initialEndpoints is the number of endpoints that serve from the start. They have the first model loaded.
+// initialEndpoints is the number of endpoints that run from the start, with the first model loaded.
 const initialEndpoints = 2
 
-// System is a system on loopback. Its methods are called by one goroutine.
+// System is a system on loopback. Its methods are not safe for concurrent use.
 type System struct {
 	Control   []*localprocess.Process
 	Proxies   []*localprocess.Process
@@ -39,7 +39,7 @@
 	workers sync.WaitGroup
 }
 
-// New makes a system that is not started yet, with settings, data and logs in a directory. It serves until the context ends.
+// New returns a system that is not started yet. Its settings, data and logs are in the directory. The load ends with the context.
 func New(ctx context.Context, directory string) (*System, error) {
 	protocol.Register()
 	processes, err := localprocess.New(ctx, localprocess.Layout{
@@ -63,7 +63,7 @@
 	return addresses
 }
 
-// Start starts the processes with a program and two endpoints, and sends the first configuration. The load begins with StartLoad.
+// Start starts the processes with a program, starts the first endpoints and sends the first configuration. It starts no load.
 func (s *System) Start(program localprocess.Program) error {
 	for _, p := range append(append([]*localprocess.Process{}, s.Control...), s.Proxies...) {
 		if err := p.Start(program); err != nil {
@@ -79,13 +79,13 @@
 	return nil
 }
 
-// StartLoad has the operator change the configuration and the clients send requests until the load ends.
+// StartLoad starts the operator, which changes the configuration, and the clients, which send requests, until the load ends.
 func (s *System) StartLoad() {
 	s.workers.Go(func() { s.Operator.run(s.done) })
 	s.workers.Go(func() { s.Clients.run(s.done) })
 }
 
-// AddEndpoint starts an endpoint that has some models loaded.
+// AddEndpoint starts an endpoint with the models loaded.
 func (s *System) AddEndpoint(id string, models ...string) (*Endpoint, error) {
 	e, err := startEndpoint(id, s.Operator, models...)
 	if err != nil {
@@ -96,26 +96,26 @@
 	return e, nil
 }
 
-// Drain has an endpoint announce that it drains, and reports whether that was acknowledged.
+// Drain announces that an endpoint drains. It returns true once that is acknowledged, and false if the load ends before.
 func (s *System) Drain(e *Endpoint) bool { return e.drain(s.done) }
 
-// AwaitWhole waits until all control processes are in the chain of a view that a majority confirms, and clients are served. It
-// returns how long that took.
-func (s *System) AwaitWhole() (time.Duration, error) {
+// AwaitReady waits until each control process reports a confirmed view whose chain contains all control processes, and a request is
+// served. It returns the time that this took.
+func (s *System) AwaitReady() (time.Duration, error) {
 	began := time.Now()
-	var missing string
+	var reason string
 	for time.Since(began) < stepTimeout {
-		if missing = s.notReady(); missing == "" {
+		if reason = s.notReady(); reason == "" {
 			return time.Since(began).Round(time.Millisecond), nil
 		}
 		if !pause(s.done, retryPause) {
-			return 0, errors.New("interrupted")
+			return 0, errors.New("the load ended while waiting for the system")
 		}
 	}
-	return 0, errors.Errorf("not whole after %v: %s", stepTimeout, missing)
+	return 0, errors.Errorf("the system is not ready after %v: %s", stepTimeout, reason)
 }
 
-// notReady says what the system lacks to be whole; empty if it is.
+// notReady describes why the system is not ready. It returns an empty string if the system is ready.
 func (s *System) notReady() string {
 	for _, p := range s.Control {
 		status, err := controlplane.AskStatus(p.InternalAddress())
@@ -132,7 +132,7 @@
 	return ""
 }
 
-// View returns the view of the first control process that answers, and the processes of its chain in their order.
+// View returns the view of the first control process that answers, and the processes of its chain in chain order.
 func (s *System) View() (chain.View, []*localprocess.Process, error) {
 	var failure error
 	for _, asked := range s.Control {
@@ -162,35 +162,35 @@
 	return replicas
 }
 
-// AwaitLoad asks for a model until a request for it is served, and returns the answer and how long that took.
+// AwaitLoad requests a model until a request is served. It returns the answer and the time that this took.
 func (s *System) AwaitLoad(model string) (Answer, time.Duration, error) {
 	for began := time.Now(); time.Since(began) < stepTimeout; {
 		if answer := s.Clients.Request(model); answer.Status == http.StatusOK {
 			return answer, time.Since(began).Round(time.Millisecond), nil
 		}
 		if !pause(s.done, retryPause) {
-			return Answer{}, 0, errors.New("interrupted")
+			return Answer{}, 0, errors.New("the load ended while waiting for the system")
 		}
 	}
-	return Answer{}, 0, errors.Errorf("%s was asked for and not loaded within %v", model, stepTimeout)
+	return Answer{}, 0, errors.Errorf("no request for %s was served within %v", model, stepTimeout)
 }
 
-// Pause waits. It reports false if the load ends meanwhile.
+// Pause waits for the duration. It returns false if the load ends meanwhile.
 func (s *System) Pause(duration time.Duration) bool { return pause(s.done, duration) }
 
-// EndLoad ends the load and waits for its end. Then the configuration must be read as it was last acknowledged.
+// EndLoad ends the load and waits for its goroutines. Then it checks that the last acknowledged configuration can be read.
 func (s *System) EndLoad() error {
 	s.endLoad()
 	s.workers.Wait()
 	for began := time.Now(); !s.Operator.read(); {
 		if time.Since(began) > stepTimeout {
-			return errors.New("the configuration cannot be read in the end")
+			return errors.New("no control process returned the configuration after the load")
 		}
 	}
 	return nil
 }
 
-// Violations returns what broke a promise. It is called after EndLoad.
+// Violations returns the violated guarantees. It must be called after EndLoad.
 func (s *System) Violations() []string {
 	violations := append([]string{}, s.Operator.violations...)
 	for _, e := range s.Endpoints {
@@ -206,7 +206,7 @@
 	return violations
 }
 
-// Close ends the load and all processes.
+// Close ends the load, kills all processes and closes the endpoints.
 func (s *System) Close() {
 	s.endLoad()
 	s.workers.Wait()
--- a/internal/lab/systemdemo/demo.go
+++ b/internal/lab/systemdemo/demo.go
@@ -87,7 +87,7 @@
 	if err := s.Start(s.Program); err != nil {
 		return err
 	}
-	took, err := s.AwaitWhole()
+	took, err := s.AwaitReady()
 	if err != nil {
 		return err
 	}
@@ -220,7 +220,7 @@
 	if err := s.killed.Start(s.Program); err != nil {
 		return err
 	}
-	took, err := s.AwaitWhole()
+	took, err := s.AwaitReady()
 	if err != nil {
 		return err
 	}
--- a/internal/lab/upgrade/scenario.go
+++ b/internal/lab/upgrade/scenario.go
@@ -17,20 +17,20 @@
 // Scenario is a rolling upgrade from one program to another and back.
 type Scenario struct {
 	From, To localprocess.Program
-	// Short replaces one control process, and it alone comes back.
+	// Short replaces a single control process and reverts it. Otherwise all processes are replaced.
 	Short bool
-	// Directory has settings, data and logs of the processes.
+	// Directory holds the settings, data and logs of the processes.
 	Directory string
-	// Progress is where steps are told.
+	// Progress receives one line for each step.
 	Progress io.Writer
 }
 
-// Report is what came of a run.
+// Report summarizes a run.
 type Report struct {
-	Changes int         // acknowledged
-	Drains  int         // acknowledged
-	Loads   int         // models that were loaded as they were asked for
-	Answers map[int]int // to requests, by status; 0 for none
+	Changes int         // number of acknowledged configuration changes
+	Drains  int         // number of acknowledged drains
+	Loads   int         // number of models that were loaded on demand
+	Answers map[int]int // number of answers by status; 0 counts requests without an answer
 }
 
 // run is one run of a scenario.
@@ -38,10 +38,10 @@
 	Scenario
 	*localsystem.System
 	report          Report
-	modelsRequested int // asked for so far
+	modelsRequested int // number of models requested so far, including the initial one
 }
 
-// Run plays the scenario. It returns an error if a promise was broken or the system was not whole again in time.
+// Run plays the scenario. It returns an error if a guarantee was violated or the system did not become ready in time.
 func (s Scenario) Run(ctx context.Context) (Report, error) {
 	system, err := localsystem.New(ctx, s.Directory)
 	if err != nil {
@@ -72,7 +72,7 @@
 			if err := r.replace(p, program); err != nil {
 				return err
 			}
-			if i == 1 { // two programs are in the core now
+			if i == 1 { // the control processes now run both programs
 				if err := r.killAndRestart(processes[0], program); err != nil {
 					return err
 				}
@@ -87,15 +87,15 @@
 	if err := r.Start(r.From); err != nil {
 		return err
 	}
-	if err := r.awaitWhole("start"); err != nil {
+	if err := r.awaitReady("start"); err != nil {
 		return err
 	}
 	r.StartLoad()
 	return nil
 }
 
-// replace stops a process and starts it with a program. Meanwhile another endpoint comes, drains and is not to be called any
-// more, and a model is asked for that is not loaded.
+// replace stops a process and restarts it with a program. Meanwhile a new endpoint starts and drains, after which it must receive no
+// requests. Afterwards a client requests a model that is not loaded.
 func (r *run) replace(p *localprocess.Process, program localprocess.Program) error {
 	id := fmt.Sprintf("d-%d", len(r.Endpoints))
 	draining, err := r.AddEndpoint(id, localsystem.ModelName(0))
@@ -109,32 +109,32 @@
 	if err := p.Start(program); err != nil {
 		return err
 	}
-	if err := r.awaitWhole(p.Name + " replaced"); err != nil {
+	if err := r.awaitReady(p.Name + " replaced"); err != nil {
 		return err
 	}
 	return r.awaitLoad()
 }
 
-// killAndRestart kills a process and starts it again with the same program.
+// killAndRestart kills a process and restarts it with the given program.
 func (r *run) killAndRestart(p *localprocess.Process, program localprocess.Program) error {
 	p.Kill()
 	if err := p.Start(program); err != nil {
 		return err
 	}
-	return r.awaitWhole(p.Name + " killed")
+	return r.awaitReady(p.Name + " killed")
 }
 
-// awaitWhole waits until the system is whole, and tells how long that took.
-func (r *run) awaitWhole(step string) error {
-	took, err := r.AwaitWhole()
+// awaitReady waits until the system is ready and prints the time that this took.
+func (r *run) awaitReady(step string) error {
+	took, err := r.AwaitReady()
 	if err != nil {
 		return errors.Wrap(err, step)
 	}
-	fmt.Fprintf(r.Progress, "%s: whole after %v\n", step, took)
+	fmt.Fprintf(r.Progress, "%s: ready after %v\n", step, took)
 	return nil
 }
 
-// awaitLoad asks for a model that is not loaded, until it is.
+// awaitLoad requests the next model until it is loaded and served.
 func (r *run) awaitLoad() error {
 	model := localsystem.ModelName(r.modelsRequested % localsystem.ModelCount)
 	r.modelsRequested++
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// finish ends the load and checks what was seen.
+// finish ends the load and returns the report, with the violations as an error.
 func (r *run) finish() (Report, error) {
 	if err := r.EndLoad(); err != nil {
 		return r.report, err
@@ -157,5 +157,5 @@
 	return r.report, nil
 }
 
-// TemporaryDirectory makes the directory of a scenario.
+// TemporaryDirectory creates a directory for a scenario.
 func TemporaryDirectory() (string, error) { return os.MkdirTemp("", "dykering-upgrade-") }
