--- a/internal/lab/coordinationload/caller.go
+++ b/internal/lab/coordinationload/caller.go
@@ -12,33 +12,33 @@
 )
 
 const (
-	// callTimeout is how long an answer is awaited. It is longer than clients wait, so that the table shows slow answers.
+	// callTimeout bounds the wait for an answer. It exceeds the timeout of real clients, so that the table shows slow answers.
 	callTimeout     = 5 * time.Second
 	maxAnswerBytes  = 64 << 10
 	keysPerGroup    = 16
 	numbersPerGroup = 4
 	lockHold        = 10 * time.Second
 
-	// A caller of a closed loop pauses after a failure, as clients do; the pause doubles with each further one.
+	// A caller of a closed loop pauses after a failure, as clients do. The pause doubles with each consecutive failure.
 	firstPause = 10 * time.Millisecond
 	maxPause   = 320 * time.Millisecond
 )
 
-// caller sends one operation at a time. Its locks are its own, so that it is never refused one; keys and numbers are shared.
+// caller sends one operation at a time. It uses locks of its own, so that no lock is refused, and shares keys and numbers.
 type caller struct {
 	name         string
 	addresses    []string
-	addressIndex int // the index of the address in use
+	addressIndex int // index of the address in use
 	groups       int
 	mix          Mix
 	client       *http.Client
 	tally        *tally
 	random       *rand.Rand
 	puts         int
-	failures     int // in a row
+	failures     int // consecutive failures
 }
 
-// newCallers returns callers that begin at different addresses. Each draws from a stream of its own of the seed.
+// newCallers returns callers that start at different addresses. Each draws from its own random stream.
 func (l *Load) newCallers(count int, addresses []string, client *http.Client, tally *tally) []*caller {
 	var callers []*caller
 	for i := range count {
@@ -50,7 +50,7 @@
 	return callers
 }
 
-// operate sends an operation that is drawn from the mix. Its time counts from when it was due.
+// operate sends an operation that is drawn from the mix. Its latency counts from due.
 func (c *caller) operate(ctx context.Context, due time.Time) {
 	group := fmt.Sprintf("group-%d.", c.random.IntN(c.groups))
 	switch c.mix.draw(c.random) {
@@ -70,7 +70,7 @@
 	return fmt.Sprintf("%skey-%d", group, c.random.IntN(keysPerGroup))
 }
 
-// put puts a value that no other put of the key has.
+// put puts a value that is unique among all puts.
 func (c *caller) put(ctx context.Context, due time.Time, group string) {
 	c.puts++
 	body := struct {
@@ -79,14 +79,14 @@
 	c.call(ctx, due, putKey, http.MethodPost, "/cells/"+c.drawKey(group)+"/replace", body, nil)
 }
 
-// lockBody is the body of calls on locks.
+// lockBody is the request body of calls on locks.
 type lockBody struct {
 	Holder string `json:"lease_holder"`
 	Token  uint64 `json:"fencing_token,omitempty"`
 	HoldMs int64  `json:"hold_ms,omitempty"`
 }
 
-// acquireAndRelease takes a lock and gives it back at once.
+// acquireAndRelease acquires a lock and releases it at once.
 func (c *caller) acquireAndRelease(ctx context.Context, due time.Time, group string) {
 	path := "/locks/" + group + c.name
 	var granted struct {
@@ -99,7 +99,7 @@
 	c.call(ctx, time.Now(), returnLock, http.MethodPost, path+"/finish", lockBody{Holder: c.name, Token: granted.Token}, nil)
 }
 
-// pauseAfterFailures returns how long a caller pauses before its next operation: 0 if the last call succeeded.
+// pauseAfterFailures returns the pause before the next operation, which is 0 if the last call succeeded.
 func (c *caller) pauseAfterFailures() time.Duration {
 	if c.failures == 0 {
 		return 0
@@ -111,7 +111,7 @@
 	return longest/2 + time.Duration(c.random.Int64N(int64(longest/2)))
 }
 
-// call sends a request, records it and returns its status. After a failure the next call goes to another address.
+// call sends a request, records it and returns its status. After a failure the next call uses another address.
 func (c *caller) call(ctx context.Context, due time.Time, name operation, method, path string, body, answer any) int {
 	status := c.send(ctx, method, path, body, answer)
 	c.tally.add(name, status, time.Since(due))
@@ -124,7 +124,7 @@
 	return status
 }
 
-// send returns the status of the answer, or noAnswer if there was none that is complete.
+// send sends a request and returns the status of the answer, or noAnswer if no complete answer arrived.
 func (c *caller) send(ctx context.Context, method, path string, body, answer any) int {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/lab/coordinationload/coordinationload_test.go
+++ b/internal/lab/coordinationload/coordinationload_test.go
@@ -16,7 +16,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestOpenLoopIsDueAtItsRateHoweverLongACallTakes(t *testing.T) {
+func TestOpenLoopKeepsItsRateWhenACallIsSlow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		began := time.Now()
@@ -24,7 +24,7 @@
 		schedule{perSecond: 10, duration: 450 * time.Millisecond}.play(t.Context(), began, func(number int, at time.Time) {
 			due, started = append(due, at.Sub(began)), append(started, time.Since(began))
 			if number == 1 {
-				pause(t.Context(), 250*time.Millisecond) // something holds the loop up
+				pause(t.Context(), 250*time.Millisecond) // simulates a delay of the loop
 			}
 		})
 		ms := func(all ...int) (durations []time.Duration) {
@@ -34,7 +34,7 @@
 			return durations
 		}
 		g.Expect(due).To(Equal(ms(0, 100, 200, 300, 400)))
-		g.Expect(started).To(Equal(ms(0, 100, 350, 350, 400)), "what is overdue starts at once")
+		g.Expect(started).To(Equal(ms(0, 100, 350, 350, 400)), "overdue operations start at once")
 	})
 }
 
@@ -54,7 +54,7 @@
 	})
 }
 
-func TestMixIsReadStrictly(t *testing.T) {
+func TestParseMixRejectsInvalidText(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(ParseMix("puts=3,reads=0.5")).To(Equal(Mix{{Puts, 3}, {Reads, 0.5}}))
 	for _, wrong := range []string{"", "puts", "puts=x", "puts=-1", "puts=NaN", "puts=0", "watches=1", "puts=1,puts=1", "puts=1,"} {
@@ -103,7 +103,7 @@
 	g.Expect(lines[8]).To(Equal("load average of the machine: 1.00 before, 2.00 after"))
 }
 
-// service is a stand-in that notes paths and answers with a status.
+// service is a fake coordination service that records paths and bodies and answers with a fixed status.
 type service struct {
 	mu     sync.Mutex
 	paths  []string
@@ -120,7 +120,7 @@
 	io.WriteString(w, `{"fencing_token":5}`)
 }
 
-// newTestCaller returns the first caller of a load on stand-ins.
+// newTestCaller returns a caller of fake services that sends one kind of operation.
 func newTestCaller(t *testing.T, kind Kind, services ...*service) *caller {
 	t.Helper()
 	var addresses []string
@@ -133,14 +133,14 @@
 	return load.newCallers(1, addresses, newClient(), newTally())[0]
 }
 
-func TestCallerGivesItsLockBackUnderItsToken(t *testing.T) {
+func TestCallerReleasesItsLockWithItsToken(t *testing.T) {
 	g, s := NewWithT(t), &service{status: http.StatusOK}
 	newTestCaller(t, Locks, s).operate(t.Context(), time.Now())
 	g.Expect(s.paths).To(Equal([]string{"/locks/group-0.caller-0/begin", "/locks/group-0.caller-0/finish"}))
 	g.Expect(s.bodies[1]).To(MatchJSON(`{"lease_holder":"caller-0","fencing_token":5}`))
 }
 
-func TestCallerGoesToAnotherAddressAfterAFailure(t *testing.T) {
+func TestCallerSwitchesAddressAfterAFailure(t *testing.T) {
 	g, first, second := NewWithT(t), &service{status: http.StatusServiceUnavailable}, &service{status: http.StatusOK}
 	c := newTestCaller(t, Puts, first, second)
 	for range 3 {
@@ -148,7 +148,7 @@
 	}
 	g.Expect(first.paths).To(HaveLen(1))
 	g.Expect(second.paths).To(HaveLen(2))
-	g.Expect(second.bodies[0]).NotTo(Equal(second.bodies[1]), "each put has a value of its own")
+	g.Expect(second.bodies[0]).NotTo(Equal(second.bodies[1]), "each put has a unique value")
 	g.Expect(c.tally.byOperation[putKey].failures).To(Equal(map[int]int{http.StatusServiceUnavailable: 1}))
 }
 
@@ -163,14 +163,14 @@
 	g.Expect(c.pauseAfterFailures()).To(BeZero(), "after a success")
 }
 
-func TestTimeCountsFromWhenTheOperationWasDue(t *testing.T) {
+func TestLatencyCountsFromTheDueTime(t *testing.T) {
 	g, s := NewWithT(t), &service{status: http.StatusOK}
 	c := newTestCaller(t, Numbers, s)
 	c.operate(t.Context(), time.Now().Add(-time.Second))
 	g.Expect(c.tally.byOperation[nextNumber].times.Min()).To(BeNumerically(">=", 999_000), "microseconds")
 }
 
-func TestLoadIsChecked(t *testing.T) {
+func TestValidateRejectsValuesOutOfRange(t *testing.T) {
 	g := NewWithT(t)
 	good := Load{Cores: 9, Groups: 1, Callers: 1, Duration: time.Second}
 	g.Expect(good.Validate()).To(Succeed())
--- a/internal/lab/coordinationload/doc.go
+++ b/internal/lab/coordinationload/doc.go
@@ -1,9 +1,9 @@
-// Package coordinationload loads the coordination service of real control processes on loopback, and measures how long calls take.
+// Package coordinationload load-tests the coordination service of real control processes on loopback and measures the latency of calls.
 //
-// In a closed loop a number of callers send one operation after another. In an open loop operations are due at a fixed rate,
-// whatever becomes of earlier ones, and times count from when an operation was due: one that is sent late because the service is
-// slow is as late as its caller would find it (coordinated omission).
+// In a closed loop, each caller sends one operation after another. In an open loop, operations are due at a fixed rate, regardless of
+// the progress of earlier ones. Latency counts from the time at which an operation was due, so that an operation that is sent late
+// because the service is slow counts with its full delay (no coordinated omission).
 //
-// Beside the figures of calls the report has the bound that the disk sets: the time of a sync of a small record, and the number
-// of members that sync a write one after another.
+// The report also contains the lower bound that the disk sets for a write: the time of a sync of a small record, multiplied by the
+// number of chain members that sync a write one after another.
 package coordinationload
--- a/internal/lab/coordinationload/load.go
+++ b/internal/lab/coordinationload/load.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// startTimeout is how long the system has until all members are in the chain and the service answers.
+	// startTimeout is the time within which all members must be in the chain and the service must answer.
 	startTimeout = 30 * time.Second
-	// startPause is between two questions whether it has started.
+	// startPause is the time between two checks of whether the system has started.
 	startPause = 100 * time.Millisecond
-	// maxInFlight bounds the operations of an open loop that are in flight at a time.
+	// maxInFlight bounds the concurrent operations of an open loop.
 	maxInFlight = 1024
 
 	maxCallers   = maxInFlight
@@ -27,42 +27,42 @@
 	maxDuration  = 10 * time.Minute
 )
 
-// Load is a load on the coordination service of control processes.
+// Load describes a load test of the coordination service.
 type Load struct {
 	Program localprocess.Program
-	// Directory has settings, data and logs of the processes.
+	// Directory holds the settings, data and logs of the processes.
 	Directory string
-	// Cores is the number of control processes; fewer than half of them may be lost.
+	// Cores is the number of control processes. Fewer than half of them may fail.
 	Cores int
-	// Groups is the number of groups that names of keys, locks and numbers are spread over.
+	// Groups is the number of groups over which the names of keys, locks and numbers are spread.
 	Groups int
-	// Callers is the number of callers of a closed loop.
+	// Callers is the number of concurrent callers of a closed loop.
 	Callers int
-	// PerSecond is the rate of an open loop, and 0 for a closed one.
+	// PerSecond is the rate of an open loop. It is 0 for a closed loop.
 	PerSecond float64
 	Duration  time.Duration
 	Mix       Mix
 	Seed      uint64
 }
 
-// Validate returns an error that names what is wrong.
+// Validate returns an error that names the first value out of its range.
 func (l *Load) Validate() error {
 	switch {
 	case l.Cores != 1 && l.Cores != 3 && l.Cores != 5 && l.Cores != 9:
-		return errors.Errorf("%d cores: 1, 3, 5 or 9", l.Cores)
+		return errors.Errorf("%d cores: must be 1, 3, 5 or 9", l.Cores)
 	case l.Groups < 1 || l.Groups > maxGroups:
-		return errors.Errorf("%d groups: 1 to %d", l.Groups, maxGroups)
+		return errors.Errorf("%d groups: must be 1 to %d", l.Groups, maxGroups)
 	case l.Callers < 1 || l.Callers > maxCallers:
-		return errors.Errorf("%d callers: 1 to %d", l.Callers, maxCallers)
+		return errors.Errorf("%d callers: must be 1 to %d", l.Callers, maxCallers)
 	case !(l.PerSecond >= 0 && l.PerSecond <= maxPerSecond):
-		return errors.Errorf("rate %v: up to %d a second", l.PerSecond, maxPerSecond)
+		return errors.Errorf("rate %v: must be 0 to %d a second", l.PerSecond, maxPerSecond)
 	case l.Duration <= 0 || l.Duration > maxDuration:
-		return errors.Errorf("for %v: up to %v", l.Duration, maxDuration)
+		return errors.Errorf("duration %v: must be above 0 and up to %v", l.Duration, maxDuration)
 	}
 	return nil
 }
 
-// Run starts the processes, loads them and ends them.
+// Run starts the processes, plays the load and kills the processes.
 func (l *Load) Run(ctx context.Context) (*Report, error) {
 	if err := l.Validate(); err != nil {
 		return nil, err
@@ -105,7 +105,7 @@
 	}
 }
 
-// awaitStart waits until all processes are in the chain and the service gives a number. It returns the view.
+// awaitStart waits until all processes are in the chain and the service returns a number. It returns the view.
 func (l *Load) awaitStart(ctx context.Context, processes []*localprocess.Process) (View, error) {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -121,10 +121,10 @@
 		}
 		pause(ctx, startPause)
 	}
-	return view, errors.Errorf("not started within %v: %d of %d in the chain (%v)", startTimeout, view.Chain, l.Cores, err)
+	return view, errors.Errorf("the system did not start within %v: %d of %d control processes in the chain (%v)", startTimeout, view.Chain, l.Cores, err)
 }
 
-// pause waits, or returns early once the context ends.
+// pause waits for the duration or until the context ends.
 func pause(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -134,7 +134,7 @@
 	}
 }
 
-// viewOf asks a process for its view.
+// viewOf requests the current view from a process.
 func viewOf(p *localprocess.Process) (View, error) {
 	status, err := controlplane.AskStatus(p.InternalAddress())
 	return View{Number: status.View.Number, Chain: len(status.View.Chain)}, err
@@ -144,7 +144,7 @@
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxInFlight}}
 }
 
-// play sends the load, and returns once the last operation has ended.
+// play sends the load and returns after the last operation has ended.
 func (l *Load) play(ctx context.Context, processes []*localprocess.Process, report *Report) {
 	var addresses []string
 	for _, p := range processes {
@@ -161,7 +161,7 @@
 	report.Elapsed = time.Since(began)
 }
 
-// playClosed has each caller send one operation after another.
+// playClosed runs a closed loop: each caller sends one operation after another.
 func (l *Load) playClosed(ctx context.Context, began time.Time, callers []*caller) {
 	var running sync.WaitGroup
 	for _, c := range callers {
@@ -177,7 +177,8 @@
 	running.Wait()
 }
 
-// playOpen sends operations when they are due, each by a caller that is free. It returns how many found none, and were not sent.
+// playOpen runs an open loop: each operation is sent by a free caller when it is due. It returns the number of operations that were
+// not sent because no caller was free.
 func (l *Load) playOpen(ctx context.Context, began time.Time, callers []*caller) (unsent int) {
 	free := make(chan *caller, len(callers))
 	for _, c := range callers {
--- a/internal/lab/coordinationload/mix.go
+++ b/internal/lab/coordinationload/mix.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 )
 
-// Kind is a kind of operation. A lock is taken and given back, which are two calls.
+// Kind is a kind of operation. Locks acquires and releases a lock, which takes two calls.
 type Kind string
 
 // The kinds of operation of a mix.
@@ -19,16 +19,16 @@
 	Numbers Kind = "numbers"
 )
 
-// Mix has the weight of each kind of operation, in the order in which they were written.
+// Mix lists the weights of the kinds of operation, in the order of its text.
 type Mix []Weight
 
-// Weight is how often a kind of operation is drawn, relative to the others.
+// Weight is the relative frequency of a kind of operation.
 type Weight struct {
 	Kind  Kind
 	Value float64
 }
 
-// ParseMix reads a mix such as "puts=4,reads=4,locks=1,numbers=1". A kind that is left out is not drawn.
+// ParseMix parses a mix such as "puts=4,reads=4,locks=1,numbers=1". A missing kind has the weight 0.
 func ParseMix(text string) (Mix, error) {
 	var mix Mix
 	seen := map[Kind]bool{}
@@ -46,7 +46,7 @@
 			return nil, errors.Errorf("mix %q: %q is not puts, reads, locks or numbers", text, name)
 		}
 		if seen[kind] {
-			return nil, errors.Errorf("mix %q: %s twice", text, name)
+			return nil, errors.Errorf("mix %q: %s is given twice", text, name)
 		}
 		seen[kind] = true
 		sum += value
@@ -58,7 +58,7 @@
 	return mix, nil
 }
 
-// draw returns a kind of operation by its weight.
+// draw returns a random kind of operation, with probabilities proportional to the weights.
 func (m Mix) draw(random *rand.Rand) Kind {
 	sum := 0.0
 	for _, weight := range m {
--- a/internal/lab/coordinationload/report.go
+++ b/internal/lab/coordinationload/report.go
@@ -10,32 +10,32 @@
 	"time"
 )
 
-// Report is what a load measured.
+// Report holds the measurements of a load test.
 type Report struct {
-	// Elapsed is from the begin of the load until the last answer.
+	// Elapsed is the time from the start of the load to the last answer.
 	Elapsed time.Duration
-	// SyncBefore and SyncAfter are mean times of a sync of a small record, before the load and after it. They differ where other
-	// work uses the same disk.
+	// SyncBefore and SyncAfter are the mean times of a sync of a small record before and after the load. They differ if other work
+	// uses the same disk.
 	SyncBefore, SyncAfter time.Duration
-	// Before and After are the views of the core in which the load began and ended.
+	// Before and After are the views of the control plane before and after the load.
 	Before, After View
-	// Unsent is the number of operations of an open loop that were not sent, as too many were in flight.
+	// Unsent is the number of open-loop operations that were not sent because too many were in flight.
 	Unsent int
-	// LoadBefore and LoadAfter are load averages of the machine over a minute.
+	// LoadBefore and LoadAfter are the one-minute load averages of the machine.
 	LoadBefore, LoadAfter string
 
 	tally *tally
 }
 
-// View is a view of the core.
+// View summarizes a view of the control plane.
 type View struct {
-	// Number rises with each replacement of members.
+	// Number increases with each change of the members.
 	Number uint64
-	// Chain is the number of members that sync a write one after another.
+	// Chain is the number of members that sync each write one after another.
 	Chain int
 }
 
-// Print writes the table and the bound that the disk sets.
+// Print writes the table of latencies and the bound that the disk sets for writes.
 func (r *Report) Print(out io.Writer) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "operation\tcalls/s\tp50 ms\tp90 ms\tp99 ms\tmax ms\tfailures by status")
@@ -52,7 +52,7 @@
 	fmt.Fprintf(out, "load average of the machine: %s before, %s after\n", r.LoadBefore, r.LoadAfter)
 }
 
-// diskBound says how the disk bounds writes.
+// diskBound describes the lower bound that the disk sets for the latency of writes.
 func (r *Report) diskBound() string {
 	inRow := func(syncTime time.Duration) string { return milliseconds(syncTime * time.Duration(r.Before.Chain)) }
 	text := fmt.Sprintf("sync of a small record: %s ms on average before the run, %s ms after\n", milliseconds(r.SyncBefore),
@@ -65,10 +65,10 @@
 	return text
 }
 
-// isUsed reports whether there was a call.
+// isUsed reports whether any call of the operation was recorded.
 func (c *counts) isUsed() bool { return c.times.TotalCount() > 0 || len(c.failures) > 0 }
 
-// row is a line of the table.
+// row formats the line of an operation in the table.
 func (c *counts) row(name operation, lasted time.Duration) string {
 	quantile := func(percent float64) string {
 		return milliseconds(time.Duration(c.times.ValueAtQuantile(percent)) * time.Microsecond)
--- a/internal/lab/coordinationload/schedule.go
+++ b/internal/lab/coordinationload/schedule.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// schedule says when the operations of an open loop are due, evenly spread.
+// schedule determines when the operations of an open loop are due, evenly spaced.
 type schedule struct {
 	perSecond float64
 	duration  time.Duration
 }
 
-// due returns when an operation is due, counted from the begin of the load. It is calculated from the number of the operation, so
-// that rounding does not add up.
+// due returns the time at which an operation is due, relative to the start of the load. It is computed from the number of the
+// operation, so that rounding errors do not accumulate.
 func (s schedule) due(number int) time.Duration {
 	return time.Duration(float64(number) / s.perSecond * float64(time.Second))
 }
 
-// play calls start for each operation once it is due, at once for those that are overdue, until the time is over.
+// play calls start for each operation once it is due, and at once for an overdue operation, until the duration is over or the
+// context ends.
 func (s schedule) play(ctx context.Context, began time.Time, start func(number int, due time.Time)) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
--- a/internal/lab/coordinationload/tally.go
+++ b/internal/lab/coordinationload/tally.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	longestRecorded = time.Minute // what took longer is recorded as that
+	longestRecorded = time.Minute // longer times are recorded as this value
 	histogramDigits = 3           // significant decimal digits of a recorded time
 )
 
-// operation is a call as the table names it.
+// operation is the name of a call in the table.
 type operation string
 
 const (
@@ -24,20 +24,20 @@
 	nextNumber operation = "number"
 )
 
-// operations are all rows of the table, in order.
+// operations lists the rows of the table in order.
 var operations = []operation{putKey, readKey, takeLock, returnLock, nextNumber}
 
-// noAnswer is the status of a call without an answer.
+// noAnswer is the status of a call that got no complete answer.
 const noAnswer = 0
 
-// counts are the calls of one operation.
+// counts holds the results of the calls of one operation.
 type counts struct {
-	// times has the time of each call that succeeded, in microseconds.
+	// times holds the latency of each successful call, in microseconds.
 	times    *hdrhistogram.Histogram
-	failures map[int]int // by status
+	failures map[int]int // number of failed calls by status
 }
 
-// tally records calls. It is safe for use by several goroutines.
+// tally records the results of calls. It is safe for concurrent use.
 type tally struct {
 	mu          sync.Mutex
 	byOperation map[operation]*counts
@@ -53,7 +53,7 @@
 	return t
 }
 
-// add records a call.
+// add records the status and latency of a call.
 func (t *tally) add(name operation, status int, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -65,7 +65,7 @@
 	counts.times.RecordValue(min(took, longestRecorded).Microseconds())
 }
 
-// succeeded reports whether a status is an answer. A read of a key that was never put is answered with 404.
+// succeeded reports whether a status is a success. A read of a key that was never put succeeds with 404.
 func succeeded(name operation, status int) bool {
 	return status == http.StatusOK || name == readKey && status == http.StatusNotFound
 }
--- a/internal/lab/trial/compatibility_test.go
+++ b/internal/lab/trial/compatibility_test.go
@@ -6,7 +6,7 @@
 	"dykering/internal/fixture"
 )
 
-// The bench's report, as it is kept of one play, has the form of the results of released builds.
+// Guards the JSON format of stored reports, so that results of released builds stay readable.
 func TestReportOfReleasedBuildIsReadAndWrittenAlike(t *testing.T) {
 	fixture.JSON(t, "testdata/compatibility/report.json", &Report{})
 }
--- a/internal/lab/trial/report.go
+++ b/internal/lab/trial/report.go
@@ -1,5 +1,5 @@
-// Package trial compares two builds of the system through the bench: the same deployments, days and seeds are played with
-// both, and the differences of their figures are summed up with their errors.
+// Package trial compares two builds of the system by benchmark runs. Both builds play the same deployments, days and seeds, and the
+// comparison reports the paired differences of their figures with their errors.
 package trial
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 )
 
-// Group is the figures of the requests of one kind, of one zone of clients, or of all.
+// Group holds the figures of the requests of one class, of one zone of clients, or of all.
 type Group struct {
 	Name     string  `json:"name"`
 	Requests int     `json:"n"`
@@ -20,34 +20,34 @@
 	Worth    float64 `json:"worth"`
 }
 
-// Report is what is kept of the bench's report of one day.
+// Report is the part of the benchmark report of one day that a trial keeps.
 type Report struct {
-	Worth           float64        `json:"G"` // of the day, prices taken off
+	Worth           float64        `json:"G"` // total worth of the day minus all prices
 	Served          float64        `json:"served"`
 	Fault           *string        `json:"fault"`
 	Parts           []Figure       `json:"parts"`
 	Prices          []Figure       `json:"prices"`
-	BrokenRules     map[string]any `json:"breaks"` // of rules
+	BrokenRules     map[string]any `json:"breaks"` // violations by rule
 	Classes         []Group        `json:"classes"`
 	Zones           []Group        `json:"zones"`
-	AttemptOutcomes map[string]int `json:"ends"` // how tries ended
+	AttemptOutcomes map[string]int `json:"ends"` // number of attempts by outcome
 	Hints           []string       `json:"hints"`
-	MissedFloors    []any          `json:"short"` // of the gate's floors
+	MissedFloors    []any          `json:"short"` // floors of the gate that the day missed
 }
 
-// Figure is a named figure: a part of the worth with its weight, or a price with the amount that it is paid for.
+// Figure is a named figure: a part of the worth with its weight, or a price with the amount that it charges for.
 type Figure struct {
 	Name   string
-	Amount float64 // a part's weight, or what a price is paid for
+	Amount float64 // weight of a part, or amount that a price charges for
 	Value  float64
 }
 
-// UnmarshalJSON reads a figure as the bench writes it: a list of name, amount and value.
+// UnmarshalJSON reads a figure in the format of the benchmark: a list of name, amount and value.
 func (f *Figure) UnmarshalJSON(text []byte) error {
 	return errors.Wrap(json.Unmarshal(text, &[]any{&f.Name, &f.Amount, &f.Value}), "figure")
 }
 
-// MarshalJSON writes a figure as the bench does.
+// MarshalJSON writes a figure in the format of the benchmark.
 func (f Figure) MarshalJSON() ([]byte, error) {
 	text, err := json.Marshal([]any{f.Name, f.Amount, f.Value})
 	return text, errors.Wrap(err, "figure")
@@ -66,7 +66,7 @@
 	return report, nil
 }
 
-// write writes a report so that a reader finds it whole or not at all.
+// write writes a report atomically: a reader finds the complete file or none.
 func (r *Report) write(path string) error {
 	text, err := json.Marshal(r)
 	if err != nil {
--- a/internal/lab/trial/table.go
+++ b/internal/lab/trial/table.go
@@ -13,7 +13,7 @@
 	"dykering/internal/lab/experiment"
 )
 
-// series is the paired values of one figure.
+// series holds the paired values of one figure for both variants.
 type series struct {
 	name          string
 	base, changed []float64
@@ -24,7 +24,7 @@
 	s.changed = append(s.changed, changed)
 }
 
-// collection is series by name, in the order in which they came.
+// collection holds series in the order in which their names were first added.
 type collection struct{ series []*series }
 
 func (c *collection) add(name string, base, changed float64) {
@@ -39,11 +39,11 @@
 	c.series = append(c.series, s)
 }
 
-// Write writes the tables of a comparison of two variants: the worth by day, then parts, prices, kinds of request and zones
-// of each deployment. A figure is better by more than its error where it is marked with a star.
+// Write writes the tables of a comparison of two variants, one for each deployment: the worth by day, then the parts, prices, classes of
+// requests and zones. A star marks a difference that exceeds its error.
 func Write(w io.Writer, variants []Variant, outcomes []Outcome) error {
 	if len(variants) != 2 {
-		return errors.New("a comparison takes two variants")
+		return errors.New("a comparison needs exactly two variants")
 	}
 	whole := lo.Filter(outcomes, func(o Outcome, _ int) bool { return o.Reports[0] != nil && o.Reports[1] != nil })
 	bySite := lo.GroupBy(whole, func(o Outcome) string { return o.Play.SiteName() })
@@ -78,7 +78,7 @@
 	return errors.Wrap(table.Flush(), "table")
 }
 
-// addDetails adds all figures of a pair of reports but the worth.
+// addDetails adds all figures of a pair of reports except the worth.
 func (c *collection) addDetails(base, changed *Report) {
 	for i, part := range base.Parts {
 		c.add(part.Name, part.Value, changed.Parts[i].Value)
@@ -113,7 +113,7 @@
 	fmt.Fprintf(table, "  %s\t%d\t%.4f\t%.4f\t%+.4f\t%.4f\t%s\n", s.name, len(s.base), mean(s.base), mean(s.changed), difference.Mean, difference.Half, mark)
 }
 
-// writeProblems lists the plays in which a rule was broken, a floor of the gate was missed or a process failed.
+// writeProblems lists the plays with a violated rule, a missed floor of the gate or a failed process.
 func writeProblems(w io.Writer, variants []Variant, outcomes []Outcome) {
 	for _, o := range outcomes {
 		for v, report := range o.Reports {
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -16,40 +16,40 @@
 
 // Variant is one of the builds that are compared.
 type Variant struct {
-	Name string // of the folder with its results: those of a base serve many comparisons
-	Tree string // the folder with its sources, in which the bench is run
+	Name string // name of its results folder; results of a base build serve several comparisons
+	Tree string // folder with its sources, in which the benchmark runs
 }
 
-// Spec is what is to be played.
+// Spec describes a trial: the builds and the days that they play.
 type Spec struct {
-	Bench    string // the bench's program
+	Bench    string // program of the benchmark
 	Variants []Variant
 	Sites    []string // site files
-	Days     []string // names; none for all of a site file
+	Days     []string // names of days; empty for all days of each site file
 	Seeds    []uint64
-	Small    bool   // the small twins of large days
-	Results  string // the folder that results are kept in; what is there is not played again
-	Parallel int    // plays at the same time
-	Reason   string // for the bench's journal
+	Small    bool   // play the scaled-down versions of large days
+	Results  string // folder of the results; plays with a stored result are skipped
+	Parallel int    // number of concurrent plays
+	Reason   string // reason for the trial, which the benchmark records
 }
 
 // Play is one day of one deployment with one seed.
 type Play struct {
-	Site string // its file
+	Site string // path of the site file
 	Day  string
 	Seed uint64
 }
 
-// SiteName is the deployment's name.
+// SiteName returns the name of the deployment, which is the base name of its site file.
 func (p Play) SiteName() string { return strings.TrimSuffix(filepath.Base(p.Site), ".toml") }
 
-// Outcome is the reports of a play, in the order of the variants.
+// Outcome holds the reports of a play, one for each variant in order.
 type Outcome struct {
 	Play    Play
 	Reports []*Report
 }
 
-// Plays lists the plays of a spec, the seeds outermost: what is cut short has each day equally often.
+// Plays returns the plays of a spec. Seeds are the outermost loop, so that an interrupted trial has played each day equally often.
 func (s *Spec) Plays() ([]Play, error) {
 	days := map[string][]string{}
 	for _, site := range s.Sites {
@@ -70,14 +70,14 @@
 	return plays, nil
 }
 
-// daysOf lists the days of a site file, or those of them that are asked for.
+// daysOf returns the requested days, or all days of a site file if none are requested.
 func daysOf(site string, asked []string) ([]string, error) {
 	if len(asked) > 0 {
 		return asked, nil
 	}
 	text, err := os.ReadFile(site)
 	if err != nil {
-		return nil, errors.Wrap(err, "site")
+		return nil, errors.Wrap(err, "read the site file")
 	}
 	var file struct {
 		Day []struct{ Name string }
@@ -92,7 +92,7 @@
 	return names, nil
 }
 
-// Run plays what has no result yet, and gives the outcomes of all plays. Progress is called after each play of one variant.
+// Run plays all plays without a stored result and returns the outcomes of all plays. It calls progress after each play of a variant.
 func Run(ctx context.Context, s *Spec, progress func(done, all int)) ([]Outcome, error) {
 	plays, err := s.Plays()
 	if err != nil {
@@ -100,7 +100,7 @@
 	}
 	for _, v := range s.Variants {
 		if err := os.MkdirAll(filepath.Join(s.Results, v.Name), 0o755); err != nil {
-			return nil, errors.Wrap(err, "results")
+			return nil, errors.Wrap(err, "create the folder of the results")
 		}
 	}
 	outcomes := make([]Outcome, len(plays))
@@ -128,7 +128,7 @@
 	return outcomes, errors.Wrap(group.Wait(), "trial")
 }
 
-// resultPath is where the result of a play is kept.
+// resultPath returns the path of the stored result of a play.
 func (s *Spec) resultPath(v Variant, play Play) string {
 	size := ""
 	if s.Small {
@@ -137,7 +137,7 @@
 	return filepath.Join(s.Results, v.Name, fmt.Sprintf("%s%s-%s-%d.json", play.SiteName(), size, play.Day, play.Seed))
 }
 
-// play plays a day with one variant, unless its result is there.
+// play plays a day with one variant, or reads its stored result.
 func (s *Spec) play(ctx context.Context, v Variant, play Play) (*Report, error) {
 	path := s.resultPath(v, play)
 	if report, err := readReport(path); err == nil {
@@ -159,7 +159,7 @@
 	return report, report.write(path)
 }
 
-// bench runs the bench once. Processor time is not counted, so that plays beside one another do not disturb their figures.
+// bench runs the benchmark once. It does not count processor time, which concurrent plays would distort.
 func (s *Spec) bench(ctx context.Context, v Variant, play Play, report string) error {
 	bench, err := filepath.Abs(s.Bench)
 	if err != nil {
@@ -167,7 +167,7 @@
 	}
 	site, err := filepath.Abs(play.Site)
 	if err != nil {
-		return errors.Wrap(err, "site")
+		return errors.Wrap(err, "read the site file")
 	}
 	args := []string{"run", site, play.Day, "--seed", fmt.Sprint(play.Seed), "--no-cpu", "--jobs", "1", "--report", report, "--why", s.Reason}
 	if s.Small {
@@ -177,7 +177,7 @@
 	command.Dir = v.Tree
 	output, err := command.CombinedOutput()
 	if _, missing := os.Stat(report); missing == nil {
-		return nil // the bench exits with an error where the day's gate fails: the report says so
+		return nil // the benchmark also exits with an error if the day misses its gate; the report tells
 	}
 	return errors.Wrapf(err, "%s of %s, seed %d, %s: %s", play.Day, play.SiteName(), play.Seed, v.Name, lastLine(output))
 }
--- a/internal/lab/trial/trial_test.go
+++ b/internal/lab/trial/trial_test.go
@@ -11,8 +11,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// fakeBench is a program that prints a report as the bench does: the worth is that of the file "worth" in the folder it is run
-// in, plus a thousandth of the seed. It notes each call in the file "calls" there.
+// fakeBench is a shell script that writes a report like the benchmark. The worth is the content of the file "worth" in its working
+// folder plus a thousandth of the seed. The script appends each call to the file "calls".
 const fakeBench = `#!/bin/sh
 echo "$@" >> calls
 while [ $# -gt 0 ]; do
@@ -31,7 +31,7 @@
 exit 1
 `
 
-// testBench is a stand-in bench, two trees and a site.
+// testBench is a trial with a fake benchmark, two source trees and a site with two days.
 type testBench struct{ spec Spec }
 
 func newTestBench(t *testing.T) *testBench {
@@ -74,7 +74,7 @@
 	Expect(b.calls(0)).To(Equal(6))
 }
 
-func TestWhatHasAResultIsNotPlayedAgain(t *testing.T) {
+func TestPlayWithStoredResultIsSkipped(t *testing.T) {
 	RegisterTestingT(t)
 	b := newTestBench(t)
 	_, err := b.run()
@@ -86,7 +86,7 @@
 	Expect([]int{b.calls(0), b.calls(1)}).To(Equal([]int{6, 7}))
 }
 
-func TestABuildThatFailsEndsTheTrialWithItsLastLine(t *testing.T) {
+func TestFailedBuildEndsTheTrialWithItsLastOutputLine(t *testing.T) {
 	RegisterTestingT(t)
 	b := newTestBench(t)
 	Expect(os.Remove(filepath.Join(b.spec.Variants[1].Tree, "worth"))).To(Succeed())
@@ -94,7 +94,7 @@
 	Expect(err).To(MatchError(ContainSubstring("it does not build")))
 }
 
-func TestTheTableGivesPairedDifferencesWithTheirError(t *testing.T) {
+func TestTableContainsPairedDifferencesWithTheirError(t *testing.T) {
 	RegisterTestingT(t)
 	b := newTestBench(t)
 	outcomes, err := b.run()
