--- a/cmd/dykering-lab/bench.go
+++ b/cmd/dykering-lab/bench.go
@@ -25,38 +25,38 @@
 
 const (
 	benchServers = 8
-	// benchCores is more than is ever asked of a stand-in server at a time: it bears any number of calls.
+	// benchCores is above any number of concurrent calls of a benchmark, so that the servers never limit it.
 	benchCores = 100000
-	// warmUpTime is how long each is asked before it counts.
+	// warmUpTime is the time of load before each measurement.
 	warmUpTime = 2 * time.Second
-	// statsTimeout is how long a process may take to write down what it has allocated.
+	// statsTimeout bounds the time until a process has written its allocation statistics.
 	statsTimeout = 2 * time.Second
-	// clockTicksPerSecond is how many clock clockTicksPerSecond of /proc a second has: USER_HZ, 100 on Linux whatever the kernel's own (proc(5)).
+	// clockTicksPerSecond is the unit of processor times in /proc: USER_HZ, which is 100 on Linux for any kernel tick rate (proc(5)).
 	clockTicksPerSecond = 100
 )
 
-// measurement is what came of one way to the servers.
+// measurement holds the results of one way to reach the servers: directly, or through one of the proxies.
 type measurement struct {
 	Way         string  `json:"way"`
-	P50         float64 `json:"p50"` // milliseconds, at a steady rate
+	P50         float64 `json:"p50"` // latency quantiles at a steady rate, in milliseconds
 	P99         float64 `json:"p99"`
 	P999        float64 `json:"p999"`
-	Unserved    int     `json:"unserved"`  // at that rate
-	PerSecond   float64 `json:"perSecond"` // with all callers busy
-	Refused     int     `json:"refused"`   // of them, or failed
-	PerCore     float64 `json:"perCore"`   // requests for each second of the process's processor time
-	Allocs      float64 `json:"allocs"`    // for each request
+	Unserved    int     `json:"unserved"`  // requests without a successful answer at that rate
+	PerSecond   float64 `json:"perSecond"` // throughput with all callers sending continuously
+	Refused     int     `json:"refused"`   // refused or failed requests during the throughput measurement
+	PerCore     float64 `json:"perCore"`   // requests per second of processor time of the process
+	Allocs      float64 `json:"allocs"`    // heap allocations per request
 	AllocBytes  float64 `json:"allocBytes"`
-	IdleBytes   float64 `json:"idleBytes"`   // in use for each idle connection
-	BusyBytes   float64 `json:"busyBytes"`   // for each connection with a request under way
-	IdleResided float64 `json:"idleResided"` // the same of resident memory
+	IdleBytes   float64 `json:"idleBytes"`   // memory in use per idle connection
+	BusyBytes   float64 `json:"busyBytes"`   // memory in use per connection with a request in flight
+	IdleResided float64 `json:"idleResided"` // resident memory per idle connection
 	BusyResided float64 `json:"busyResided"`
 }
 
-// bench is what is measured, and how much of it.
+// bench holds the parameters of the proxy benchmark.
 type bench struct {
 	Callers     int
-	ServerTime  time.Duration // of a server for an answer
+	ServerTime  time.Duration // time that a server takes for an answer
 	Rate        float64
 	Duration    time.Duration
 	Connections int
@@ -68,7 +68,7 @@
 	var program string
 	c := &cli.Command{
 		Name:  "proxy",
-		Usage: "Direct calls, the standard library's reverse proxy with random choice, and the broker, on the same servers",
+		Usage: "Compare direct calls, the standard library's reverse proxy with random choice, and the broker on the same servers",
 		Action: commandline.NoArgs(func(ctx context.Context, c *cli.Command) error {
 			got, err := b.run(ctx, program, c.Root().ErrWriter)
 			if err != nil {
@@ -82,24 +82,24 @@
 		}),
 	}
 	c.Flags = []cli.Flag{
-		&cli.IntFlag{Name: "callers", Value: 64, Usage: "that ask without rest, for the throughput", Destination: &b.Callers},
-		&cli.DurationFlag{Name: "server-time", Value: 20 * time.Millisecond, Usage: "how long a server takes for an answer", Destination: &b.ServerTime},
-		&cli.FloatFlag{Name: "rate", Value: 500, Usage: "requests a second, for the times", Destination: &b.Rate},
-		&cli.DurationFlag{Name: "lasts", Value: 8 * time.Second, Usage: "how long each is measured", Destination: &b.Duration},
-		&cli.IntFlag{Name: "connections", Value: 400, Usage: "for the memory of each", Destination: &b.Connections},
-		&cli.StringFlag{Name: "broker", Usage: "the broker's program; without it, the one that is built in", Destination: &program},
+		&cli.IntFlag{Name: "callers", Value: 64, Usage: "callers that send requests continuously, for the throughput", Destination: &b.Callers},
+		&cli.DurationFlag{Name: "server-time", Value: 20 * time.Millisecond, Usage: "the time that a server takes for an answer", Destination: &b.ServerTime},
+		&cli.FloatFlag{Name: "rate", Value: 500, Usage: "requests a second, for the latencies", Destination: &b.Rate},
+		&cli.DurationFlag{Name: "lasts", Value: 8 * time.Second, Usage: "the duration of each measurement", Destination: &b.Duration},
+		&cli.IntFlag{Name: "connections", Value: 400, Usage: "number of connections, for the memory per connection", Destination: &b.Connections},
+		&cli.StringFlag{Name: "broker", Usage: "the broker's program (default: the built-in broker)", Destination: &program},
 		&cli.BoolFlag{Name: "json", Usage: "print JSON", Destination: &asJSON},
 	}
 	return &cli.Command{
-		Name: "bench", Usage: "Measure the broker beside others", Commands: []*cli.Command{c},
+		Name: "bench", Usage: "Benchmark the broker against alternatives", Commands: []*cli.Command{c},
 		Action: commandline.MissingCommand,
 	}
 }
 
-// run measures all ways one after another, so that none is beside another.
+// run measures all ways one after another, so that they do not compete for the machine.
 func (b *bench) run(ctx context.Context, program string, progress io.Writer) (all []measurement, err error) {
 	if b.Callers < 1 || b.Connections < 1 || b.Duration < 100*time.Millisecond || b.Rate <= 0 {
-		return nil, errors.New("callers, connections, rate and time have to be above 0")
+		return nil, errors.New("--callers, --connections and --rate must be above 0, and --lasts at least 100ms")
 	}
 	for _, way := range []string{"direct", "reverse proxy", "dykering"} {
 		fmt.Fprintf(progress, "%s: about %v\n", way, (2*(b.Duration+warmUpTime) + 5*time.Second).Round(time.Second))
@@ -112,16 +112,16 @@
 	return all, nil
 }
 
-// subject is one way to the servers that is measured: none between, the reverse proxy, or the program.
+// subject is one measured way to the servers: direct calls, the reverse proxy, or the broker.
 type subject struct {
 	name    string
 	address func() string
-	process *real.Process // nil for the direct way
+	process *real.Process // nil for direct calls
 	site    *real.Site
-	stats   string // the file in which a process of this program writes its figures
+	stats   string // file to which the process writes its allocation statistics
 }
 
-// measureSubject measures one measureSubject to the servers.
+// measureSubject starts the servers and the process of one way, and measures it.
 func (b *bench) measureSubject(ctx context.Context, way, program string) (_ *measurement, err error) {
 	site, targets, err := b.setUpServers()
 	if err != nil {
@@ -135,7 +135,7 @@
 	return b.measure(ctx, x)
 }
 
-// setUpServers starts the servers behind all ways, and gives their addresses.
+// setUpServers starts the servers and returns their site and addresses.
 func (b *bench) setUpServers() (*real.Site, []string, error) {
 	var servers []*real.Server
 	var targets []string
@@ -151,7 +151,7 @@
 	return site, targets, err
 }
 
-// start starts the process that stands between.
+// start starts the process between callers and servers, if the way has one.
 func (x *subject) start(ctx context.Context, targets []string, program string) error {
 	var command []string
 	switch x.name {
@@ -176,7 +176,7 @@
 	return err
 }
 
-// measure takes all figures of one way: throughput after a warm-up, times at a steady rate, memory.
+// measure takes all measurements of one way: throughput after a warm-up, latencies at a steady rate, and memory.
 func (b *bench) measure(ctx context.Context, x *subject) (*measurement, error) {
 	m := &measurement{Way: x.name}
 	c := &callers{address: x.address, way: x.name}
@@ -210,7 +210,7 @@
 	return m, b.measureMemory(ctx, m, c, x.site, x.process, x.stats)
 }
 
-// measureLatency measures how long answers take at a steady rate.
+// measureLatency measures the latency quantiles at a steady rate.
 func (b *bench) measureLatency(ctx context.Context, m *measurement, address func() string) error {
 	l := &load.Load{
 		URL: address() + "/bench", Profile: load.Profile{Kind: load.Steady, Rate: b.Rate, Lasts: b.Duration}, Most: 10000,
@@ -224,9 +224,9 @@
 	return nil
 }
 
-// measureMemory measures what a connection costs that rests, and one that waits for its answer.
+// measureMemory measures the memory per idle connection and per connection with a request in flight.
 func (b *bench) measureMemory(ctx context.Context, m *measurement, c *callers, site *real.Site, p *real.Process, file string) error {
-	time.Sleep(500 * time.Millisecond) // connections of what was before close
+	time.Sleep(500 * time.Millisecond) // wait until the connections of earlier measurements are closed
 	none, err := readUsage(p, file)
 	if err != nil {
 		return err
@@ -266,19 +266,19 @@
 	return nil
 }
 
-// processUsage is what a process has used.
+// processUsage holds the allocations, processor time and resident memory of a process.
 type processUsage struct {
 	stats
 	cpu      time.Duration
 	resident uint64
 }
 
-// readUsage asks a process what it has allocated, and the kernel what it has used.
+// readUsage requests the allocation statistics of a process by SIGUSR2 and reads its other usage from /proc.
 func readUsage(p *real.Process, file string) (s processUsage, err error) {
 	if p == nil {
 		return s, nil
 	}
-	before, _ := os.Stat(file) // none at first
+	before, _ := os.Stat(file) // the file does not exist before the first signal
 	if err := p.Signal(syscall.SIGUSR2); err != nil {
 		return s, err
 	}
@@ -288,7 +288,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			return s, errors.New("the process does not tell what it has allocated")
+			return s, fmt.Errorf("the measured process did not write its statistics within %v", statsTimeout)
 		}
 	}
 	text, err := os.ReadFile(file)
@@ -302,7 +302,7 @@
 	if err != nil {
 		return s, err
 	}
-	// The second field, a name in parentheses, may hold anything (proc(5)); utime, stime and rss are 14, 15 and 24.
+	// The second field, the command name in parentheses, may contain any character (proc(5)). Fields 14, 15 and 24 are utime, stime and rss.
 	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
 	var n [3]uint64
 	for i, at := range []int{14, 15, 24} {
@@ -316,7 +316,7 @@
 }
 
 func (b *bench) print(out io.Writer, all []measurement) {
-	fmt.Fprintf(out, "%d servers that take %v and bear any number of calls; %d callers that never rest, then %.0f requests a second; %v each\n\n",
+	fmt.Fprintf(out, "%d servers that take %v for any number of concurrent calls; %d callers that send continuously, then %.0f requests a second; %v each\n\n",
 		benchServers, b.ServerTime, b.Callers, b.Rate, b.Duration)
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	direct := all[slices.IndexFunc(all, func(m measurement) bool { return m.Way == "direct" })]
--- a/cmd/dykering-lab/bench_callers.go
+++ b/cmd/dykering-lab/bench_callers.go
@@ -13,14 +13,14 @@
 	"time"
 )
 
-// callers ask, each on a connection of its own.
+// callers send requests concurrently, each over its own connection.
 type callers struct {
 	address func() string
 	way     string
 	lastID  atomic.Int64
 }
 
-// sendContinuously has so many ask without rest for a time.
+// sendContinuously lets n callers send one request after another for a time. It returns the numbers of served and failed requests.
 func (c *callers) sendContinuously(ctx context.Context, n int, lasts time.Duration) (served, refused int, err error) {
 	ctx, stop := context.WithTimeout(ctx, lasts)
 	defer stop()
@@ -29,7 +29,7 @@
 	transport := &http.Transport{MaxIdleConnsPerHost: n}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport, Timeout: 5 * time.Second}
-	complete := context.WithoutCancel(ctx) // a request that was sent in time is counted with its answer
+	complete := context.WithoutCancel(ctx) // a request that was sent in time may complete after the end
 	for range n {
 		all.Go(func() {
 			for ctx.Err() == nil {
@@ -60,7 +60,7 @@
 	return int(good.Load()), int(bad.Load()), nil
 }
 
-// openIdle makes connections that have had an answer and rest, a few at a time.
+// openIdle opens connections one after another, and sends one request over each, so that they are idle afterwards.
 func (c *callers) openIdle(ctx context.Context, n int) (conns []net.Conn, err error) {
 	dialer := net.Dialer{Timeout: time.Second}
 	for i := 0; i < n && ctx.Err() == nil; i++ {
@@ -72,7 +72,7 @@
 		if err := errors.Join(x.SetDeadline(time.Now().Add(30*time.Second)), c.write(x, fmt.Sprintf("idle-%d", i))); err != nil {
 			return conns, err
 		}
-		if _, err := x.Read(make([]byte, 4096)); err != nil { // all of it comes at once: it is short
+		if _, err := x.Read(make([]byte, 4096)); err != nil { // the answer is short enough for a single read
 			return conns, err
 		}
 	}
--- a/cmd/dykering-lab/bench_proxy.go
+++ b/cmd/dykering-lab/bench_proxy.go
@@ -22,10 +22,11 @@
 	"dykering/internal/commandline"
 )
 
-// statsFileVariable names, in the environment, the file that a process writes what it has allocated to, on SIGUSR2.
+// statsFileVariable is the environment variable with the path of the file to which a process writes its statistics on SIGUSR2.
 const statsFileVariable = "DYKERING_LAB_STATS"
 
-// writeStats writes it at each signal.
+// writeStats starts a goroutine that writes the allocation statistics of this process on each SIGUSR2. It does nothing if the
+// environment variable is not set.
 func writeStats() {
 	path := os.Getenv(statsFileVariable)
 	if path == "" {
@@ -33,7 +34,7 @@
 	}
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGUSR2)
-	go func() { // as long as the process
+	go func() { // runs until the process exits
 		for n := 1; ; n++ {
 			<-signals
 			var m runtime.MemStats
@@ -50,7 +51,7 @@
 	}()
 }
 
-// stats are what a process has allocated, and has in use after a collection.
+// stats holds the total allocations of a process and its memory in use after a garbage collection.
 type stats struct {
 	N       int
 	Mallocs uint64
@@ -58,11 +59,11 @@
 	InUse   uint64
 }
 
-// newReverseProxy is what the broker is measured against: the standard library's proxy with random choice.
+// newReverseProxy returns the hidden command of the comparison: the standard library's reverse proxy with random choice.
 func newReverseProxy() *cli.Command {
 	return &cli.Command{Name: "reverse-proxy", ArgsUsage: "TARGETS", Hidden: true, Action: commandline.Args(1, 1, func(_ context.Context, _ *cli.Command, args []string) error {
 		writeStats()
-		runtime.GOMAXPROCS(1) // as the broker with one core
+		runtime.GOMAXPROCS(1) // like the broker with one core
 		targets := strings.Split(args[0], ",")
 		l, err := net.FileListener(os.NewFile(3, "socket"))
 		if err != nil {
@@ -84,6 +85,6 @@
 			},
 		}
 		web := &http.Server{Handler: proxy, ReadHeaderTimeout: 5 * time.Second}
-		return web.Serve(l) // until it is killed
+		return web.Serve(l) // serves until the process is killed
 	})}
 }
--- a/cmd/dykering-lab/demo.go
+++ b/cmd/dykering-lab/demo.go
@@ -27,7 +27,7 @@
 	demoRate       = 150.0
 )
 
-// demoSettings are what the platform would say.
+// demoSettings is the settings document that the platform would provide.
 const demoSettings = `{"allowed":{"cancel":true,"connIdle":30000000,"connectTimeout":500000,"maxRetryAfter":2000000,
 "openCap":2000,"retryAfter":true,"sendCap":4},"discovery":"push","instances":1,"ordinal":0,"quantum":2000,"stage":0,
 "rules":{"cold":2000000,"coldFrom":0.3,"drainGrace":1000000,"fall":1000000,"graceToAnswer":20000,"tipMultiple":3},
@@ -42,7 +42,7 @@
 		Usage: "Show the broker on loopback, while servers are drained and killed and a new version takes over",
 		Action: commandline.NoArgs(func(ctx context.Context, c *cli.Command) error {
 			if lasts < 4*time.Second || lasts > 10*time.Minute {
-				return fmt.Errorf("--lasts %v: from 4s to 10m", lasts)
+				return fmt.Errorf("--lasts %v: must be from 4s to 10m", lasts)
 			}
 			if err := demo(ctx, c.Root().Writer, lasts); err != nil {
 				return commandline.Failure(err)
@@ -51,17 +51,17 @@
 		}),
 	}
 	c.Flags = []cli.Flag{
-		&cli.DurationFlag{Name: "lasts", Value: 20 * time.Second, Usage: "how long callers ask", Destination: &lasts},
+		&cli.DurationFlag{Name: "lasts", Value: 20 * time.Second, Usage: "the duration of the load", Destination: &lasts},
 	}
 	return c
 }
 
-// newBroker is the broker itself, as the demo starts it: the same as `dykering run`.
+// newBroker returns the hidden command that runs the broker, like `dykering run`. The demo starts it as a process.
 func newBroker() *cli.Command {
 	var operator string
 	c := &cli.Command{Name: "broker", Hidden: true, Action: commandline.NoArgs(func(_ context.Context, _ *cli.Command) error {
 		writeStats()
-		//nolint:contextcheck // the program ends by its signals, as when it is started by itself
+		//nolint:contextcheck // the broker handles its own signals, like the separate program
 		if err := sidecar.Main(os.Getenv, operator); err != nil {
 			return commandline.Failure(err)
 		}
@@ -73,7 +73,7 @@
 	return c
 }
 
-// startSite starts the demo's servers and discovery.
+// startSite starts the servers and the discovery service of the demo.
 func startSite() (*real.Site, error) {
 	var servers []*real.Server
 	for i := range demoServers {
@@ -86,7 +86,7 @@
 	return real.NewSite(servers, demoSettings, real.Limits{Cores: 1, MemoryMB: 64, Sockets: 1024})
 }
 
-// startBroker starts a process of the broker, the one that is built in here.
+// startBroker starts a process of the built-in broker.
 func startBroker(ctx context.Context, st *real.Site) error {
 	command, err := brokerCommand("")
 	if err != nil {
@@ -96,7 +96,7 @@
 	return err
 }
 
-// demoEvent is what happens at a part of the demo's time.
+// demoEvent is an event at a given fraction of the demo's duration.
 type demoEvent struct {
 	at   float64
 	what string
@@ -114,8 +114,8 @@
 			st.Discovery.Announce(drained, "Ready", now())
 			return err
 		}},
-		{0.50, "server 2 is killed, and nobody says so", func() error { crashed.Kill(); return nil }},
-		{0.60, "discovery has seen it", func() error { st.Discovery.Announce(crashed, "Gone", 0); return nil }},
+		{0.50, "server 2 is killed without notice to discovery", func() error { crashed.Kill(); return nil }},
+		{0.60, "discovery reports that server 2 is gone", func() error { st.Discovery.Announce(crashed, "Gone", 0); return nil }},
 		{0.70, "server 2 is back, cold", func() error {
 			err := crashed.Start()
 			st.Discovery.Announce(crashed, "Ready", now())
@@ -131,14 +131,14 @@
 	}
 }
 
-// tally is what came of the requests of one second.
+// tally counts the results of the requests of one second.
 type tally struct {
 	asked, served, refused, failed, lost int
 	took                                 []time.Duration
 	notes                                []string
 }
 
-// demo plays it. What is lost is a fault.
+// demo plays the demo. It returns an error if a request got no answer.
 func demo(ctx context.Context, out io.Writer, lasts time.Duration) (err error) {
 	st, err := startSite()
 	if err != nil {
@@ -148,7 +148,7 @@
 	if err := startBroker(ctx, st); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%d stand-in servers, %d calls of %v at a time each; %.0f requests a second for %v\n\n", demoServers,
+	fmt.Fprintf(out, "%d fake servers, each with %d concurrent calls of %v; %.0f requests a second for %v\n\n", demoServers,
 		demoCores, demoServerTime, demoRate, lasts)
 	fmt.Fprintf(out, "%4s %6s %6s %7s %6s %5s %7s %7s\n", "s", "asked", "served", "refused", "failed", "lost", "p50 ms", "p99 ms")
 	d := &demoRun{out: out, lasts: lasts, seconds: make([]tally, 1+int(lasts.Seconds()))}
@@ -162,17 +162,17 @@
 	return printSummary(out, d.seconds)
 }
 
-// demoRun is what is shown of a demo, second by second.
+// demoRun holds the results of a running demo by second.
 type demoRun struct {
 	out   io.Writer
 	lasts time.Duration
 
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	seconds []tally
 	shown   int
 }
 
-// load has callers ask until the demo's end.
+// load sends requests until the end of the demo.
 func (d *demoRun) load(ctx context.Context, url string) error {
 	l := load.Load{
 		URL: url + "/demo", Profile: load.Profile{Kind: load.Steady, Rate: demoRate, Lasts: d.lasts}, Most: 1000, Run: "demo",
@@ -194,7 +194,7 @@
 	return &d.seconds[min(int(at.Seconds()), len(d.seconds)-1)]
 }
 
-// runEvents carries out the acts at their times and shows the seconds, until the load has ended.
+// runEvents triggers the events at their times and prints the seconds, until the load has ended.
 func (d *demoRun) runEvents(asking context.Context, coming []demoEvent, loaded <-chan error) error {
 	began := time.Now()
 	for {
@@ -227,7 +227,7 @@
 	t.notes = append(t.notes, what)
 }
 
-// show shows each second once what was asked in it has its answer.
+// show prints each second once its requests are answered, which takes at most their timeout of 2 seconds.
 func (d *demoRun) show(past time.Duration, ended bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -252,7 +252,7 @@
 	}
 }
 
-// quantile is the time within which a part was answered, in milliseconds.
+// quantile returns a latency quantile in milliseconds.
 func (t *tally) quantile(q float64) float64 {
 	if len(t.took) == 0 {
 		return 0
@@ -268,7 +268,7 @@
 	}
 }
 
-// printSummary says what came of all, with a chart of the service in each second.
+// printSummary prints the totals and a chart of the served share of each second. It returns an error if a request got no answer.
 func printSummary(out io.Writer, seconds []tally) error {
 	var all tally
 	levels := []rune(" ▁▂▃▄▅▆▇█")
@@ -285,7 +285,7 @@
 		}
 	}
 	fmt.Fprintf(out, "\nserved |%s| each second\n", chart)
-	fmt.Fprintf(out, "%d asked, %d served, %d refused (trying again is harmless), %d failed (may have run), %d lost; p50 %.0f ms, p99 %.0f ms\n",
+	fmt.Fprintf(out, "%d asked, %d served, %d refused (safe to retry), %d failed (may have been executed), %d lost; p50 %.0f ms, p99 %.0f ms\n",
 		all.asked, all.served, all.refused, all.failed, all.lost, all.quantile(0.5), all.quantile(0.99))
 	if all.lost > 0 {
 		return fmt.Errorf("%d requests got no answer", all.lost)
--- a/cmd/dykering-lab/demo_test.go
+++ b/cmd/dykering-lab/demo_test.go
@@ -10,7 +10,7 @@
 	"dykering/internal/lab/real"
 )
 
-// TestMain lets the test binary stand in for the program, that the demo starts again as the broker.
+// TestMain lets the test binary act as the broker or the reverse proxy, which the commands start as processes of this program.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && (os.Args[1] == "broker" || os.Args[1] == "reverse-proxy") {
 		os.Exit(execute(os.Args[1:], os.Stdout, os.Stderr, nil))
@@ -18,7 +18,7 @@
 	os.Exit(m.Run())
 }
 
-// The demo loses nothing through a drain, a crash and a change of version, and leaves nothing behind.
+// The demo must lose no request through a drain, a crash and a change of version, and must leave no files behind.
 func TestDemo(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	code, out, errOut := command("demo --lasts 6s")
@@ -30,7 +30,7 @@
 	}
 }
 
-// A demo that is called off ends soon, and a broker that does not start is told with its log.
+// A cancelled demo must end soon, and the error for a broker that fails to start must contain the reason from its log.
 func TestDemoEndsInAllCases(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	ctx, cancel := context.WithCancel(context.Background())
--- a/cmd/dykering-lab/load.go
+++ b/cmd/dykering-lab/load.go
@@ -20,7 +20,7 @@
 	"dykering/internal/lab/load"
 )
 
-// progressInterval is how often a progress bar is drawn.
+// progressInterval is the time between two updates of the progress bar.
 const progressInterval = 200 * time.Millisecond
 
 func newLoad() *cli.Command {
@@ -28,8 +28,8 @@
 	var classes, teams []string
 	var asJSON bool
 	c := &cli.Command{
-		Name: "load", ArgsUsage: "URL", Usage: "Ask an HTTP/1.1 address for so much, whatever it answers (open loop)",
-		DisableSliceFlagSeparator: true, // a class and a team have commas of their own
+		Name: "load", ArgsUsage: "URL", Usage: "Send a fixed load to an HTTP/1.1 address, regardless of its answers (open loop)",
+		DisableSliceFlagSeparator: true, // the values of --class and --team contain commas
 		Action: commandline.Args(1, 1, func(ctx context.Context, c *cli.Command, args []string) error {
 			u, err := url.Parse(args[0])
 			if err != nil || u.Scheme != "http" || u.Host == "" {
@@ -42,7 +42,7 @@
 			if l.Teams, err = parseTeams(teams); err != nil {
 				return err
 			}
-			l.Run = fmt.Sprintf("load-%x", time.Now().UnixNano()) // ids must be new to whoever is asked
+			l.Run = fmt.Sprintf("load-%x", time.Now().UnixNano()) // request ids must be new to the server
 			p := newProgress(c.Root().ErrWriter, l.Profile.Lasts)
 			l.Told = p.record
 			stop := p.show()
@@ -62,23 +62,23 @@
 		}),
 	}
 	c.Flags = []cli.Flag{
-		&cli.StringFlag{Name: "profile", Value: load.Steady, Usage: "how the rate goes: steady, ramp, step, spike", Destination: &l.Profile.Kind},
-		&cli.FloatFlag{Name: "rate", Value: 100, Usage: "requests a second, at the beginning or outside of the spike", Destination: &l.Profile.Rate},
-		&cli.FloatFlag{Name: "to", Usage: "requests a second at the end, of the last step, or in the spike", Destination: &l.Profile.To},
-		&cli.IntFlag{Name: "steps", Value: 5, Usage: "of a step profile", Destination: &l.Profile.Steps},
-		&cli.DurationFlag{Name: "lasts", Value: 10 * time.Second, Usage: "how long", Destination: &l.Profile.Lasts},
+		&cli.StringFlag{Name: "profile", Value: load.Steady, Usage: "the shape of the rate: steady, ramp, step or spike", Destination: &l.Profile.Kind},
+		&cli.FloatFlag{Name: "rate", Value: 100, Usage: "requests a second at the start, or outside of the spike", Destination: &l.Profile.Rate},
+		&cli.FloatFlag{Name: "to", Usage: "requests a second at the end, in the last step, or in the spike", Destination: &l.Profile.To},
+		&cli.IntFlag{Name: "steps", Value: 5, Usage: "number of steps of a step profile", Destination: &l.Profile.Steps},
+		&cli.DurationFlag{Name: "lasts", Value: 10 * time.Second, Usage: "the duration of the load", Destination: &l.Profile.Lasts},
 		&cli.StringSliceFlag{Name: "class", Value: []string{"read"}, Usage: "NAME[,method=GET][,share=0.5][,left=2s][,keyed][,body=100]; several for a mix", Destination: &classes},
 		&cli.StringSliceFlag{Name: "team", Usage: "NAME[,share=0.5]; several for a mix", Destination: &teams},
-		&cli.BoolFlag{Name: "poisson", Usage: "requests come by chance, not evenly", Destination: &l.Poisson},
-		&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "for what is drawn", Destination: &l.Seed},
-		&cli.IntFlag{Name: "most", Value: 10000, Usage: "requests under way at a time; more are counted and not sent", Destination: &l.Most},
-		&cli.IntFlag{Name: "connections", Usage: "at a time; 0 for as many as it takes", Destination: &l.Conns},
+		&cli.BoolFlag{Name: "poisson", Usage: "send requests at random times (Poisson process) instead of evenly spaced", Destination: &l.Poisson},
+		&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "the random seed", Destination: &l.Seed},
+		&cli.IntFlag{Name: "most", Value: 10000, Usage: "maximum number of requests in flight; further ones are counted but not sent", Destination: &l.Most},
+		&cli.IntFlag{Name: "connections", Usage: "maximum number of connections; 0 for no limit", Destination: &l.Conns},
 		&cli.BoolFlag{Name: "json", Usage: "print JSON", Destination: &asJSON},
 	}
 	return c
 }
 
-// parseOptions cuts NAME,key=value,… into its name and what each key says.
+// parseOptions parses NAME,key=value,… and calls each for every option. It returns the name.
 func parseOptions(text string, each func(key, value string) error) (name string, err error) {
 	for i, part := range strings.Split(text, ",") {
 		if i == 0 {
@@ -91,12 +91,12 @@
 		}
 	}
 	if name == "" {
-		return "", fmt.Errorf("%q: without a name", text)
+		return "", fmt.Errorf("%q: the name is missing", text)
 	}
 	return name, nil
 }
 
-var errUnknownOption = errors.New("not known here")
+var errUnknownOption = errors.New("the option is not known")
 
 func parseClasses(texts []string) (classes []load.Class, err error) {
 	for _, text := range texts {
@@ -142,7 +142,7 @@
 	return teams, nil
 }
 
-// progress shows how far a load is.
+// progress draws a progress bar with the results of a running load.
 type progress struct {
 	bar   *progressbar.ProgressBar
 	lasts time.Duration
@@ -164,7 +164,7 @@
 	}
 }
 
-// show draws until the function that it returns is called.
+// show draws the progress bar until the returned function is called.
 func (p *progress) show() (stop func()) {
 	ended, drawn := make(chan struct{}), make(chan struct{})
 	began := time.Now()
@@ -175,7 +175,7 @@
 		for {
 			select {
 			case <-ended:
-				p.bar.Finish() // what cannot be drawn is not worth an end
+				p.bar.Finish() // a progress bar that cannot be drawn does not stop the load
 				return
 			case <-tick.C:
 				p.mu.Lock()
@@ -195,7 +195,7 @@
 	}
 }
 
-// maxRows is how many lines the table of a load has; longer ones show each second of a few.
+// maxRows is the approximate maximum number of rows in the load table. Longer loads show every n-th second only.
 const maxRows = 60
 
 func printLoad(out io.Writer, r *load.Report) {
@@ -214,7 +214,7 @@
 			f.Lost, f.Mean, f.P50, f.P90, f.P99, f.P999, f.Max)
 	}
 	t.Flush()
-	fmt.Fprintf(out, "\n%.1f a second over %.1f s; %d not sent for want of room; the latest was sent %.1f ms late\n",
+	fmt.Fprintf(out, "\n%.1f a second over %.1f s; %d not sent because too many were in flight; the longest sending delay was %.1f ms\n",
 		float64(r.All.Asked)/r.Took, r.Took, r.Unsent, r.Late)
 	for text, n := range r.All.Errors {
 		fmt.Fprintf(out, "%d lost: %s\n", n, text)
--- a/cmd/dykering-lab/main_test.go
+++ b/cmd/dykering-lab/main_test.go
@@ -20,7 +20,7 @@
 	return code, o.String(), e.String()
 }
 
-// What the command line does, and its exit codes; runs side by side are what each is alone.
+// Guards the exit codes of the commands. A run must give the same result alone and beside concurrent runs.
 func TestCommandsGiveTheirOutputAndExitCode(t *testing.T) {
 	dir := t.TempDir()
 	faulty, small := filepath.Join(dir, "faulty.toml"), filepath.Join(dir, "small.toml")
@@ -56,7 +56,7 @@
 	_, alone, _ := command("sim --json --seed 8 " + small)
 	_, beside, _ := command("sim --json --seed 7 --seeds 3 --policy dykering,least " + small)
 	if !strings.Contains(beside, alone) || strings.Count(beside, "\n") != 6 {
-		t.Error("a run is another beside others")
+		t.Error("a run gives another result beside concurrent runs")
 	}
 	var r map[string]any
 	if err := json.Unmarshal([]byte(alone), &r); err != nil || r["policy"] != "dykering" || r["service"].(float64) < 0.9 {
@@ -64,7 +64,7 @@
 	}
 }
 
-// An experiment's tables and charts are written, and compared with themselves are noise.
+// An experiment must write its tables and continue a finished run. Comparing its results with themselves must report only noise.
 func TestRunAndCompare(t *testing.T) {
 	dir := t.TempDir()
 	text, err := os.ReadFile("../../lab/scenarios/release.toml")
@@ -78,7 +78,7 @@
 		t.Fatal(err)
 	}
 	out := filepath.Join(dir, "out")
-	for range 2 { // the second time all is there
+	for range 2 { // the second time all runs are already played
 		if code, text, errOut := command("run " + file + " --out " + out); code != 0 || !strings.Contains(text, "| - | b |") {
 			t.Fatalf("exit %d, %q, %q", code, text, errOut)
 		}
@@ -91,7 +91,7 @@
 	}
 }
 
-// The load tool's table and JSON say what a server answered; what cannot be asked for is named.
+// The table and the JSON of a load must contain the answers of the server, and invalid arguments must be named.
 func TestLoad(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Lane") == "pay" && (r.Header.Get("Idempotency-Key") == "" || r.Method != http.MethodPost || r.Header.Get("X-Org") != "web") {
@@ -117,11 +117,11 @@
 		}
 	}
 	if code, _, errOut := command("load http://127.0.0.1:1 --lasts 100ms"); code != 1 || !strings.Contains(errOut, "not one") {
-		t.Errorf("nobody there: exit %d, %q", code, errOut)
+		t.Errorf("no server listens: exit %d, %q", code, errOut)
 	}
 }
 
-// All ways are measured in one run, and what they cost is there.
+// One benchmark must measure all ways, including the cost of each proxy process.
 func TestBenchProxy(t *testing.T) {
 	code, out, errOut := command("bench proxy --lasts 300ms --connections 20 --callers 8 --rate 100 --json")
 	var all []measurement
