--- a/cmd/dykering-lab/bench.go
+++ b/cmd/dykering-lab/bench.go
@@ -302,7 +302,8 @@
 	if err != nil {
 		return s, err
 	}
-	// The second field, the command name in parentheses, may contain any character (proc(5)). Fields 14, 15 and 24 are utime, stime and rss.
+	// The second field, the command name in parentheses, may contain any character (proc(5)). Fields 14, 15 and 24 are utime, stime
+	// and rss.
 	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
 	var n [3]uint64
 	for i, at := range []int{14, 15, 24} {
--- a/cmd/dykering-lab/demo.go
+++ b/cmd/dykering-lab/demo.go
@@ -98,9 +98,9 @@
 
 // demoEvent is an event at a given fraction of the demo's duration.
 type demoEvent struct {
-	at   float64
-	what string
-	do   func() error
+	fraction    float64
+	description string
+	trigger     func() error
 }
 
 func demoEvents(ctx context.Context, st *real.Site) []demoEvent {
@@ -152,11 +152,11 @@
 		demoCores, demoServerTime, demoRate, lasts)
 	fmt.Fprintf(out, "%4s %6s %6s %7s %6s %5s %7s %7s\n", "s", "asked", "served", "refused", "failed", "lost", "p50 ms", "p99 ms")
 	d := &demoRun{out: out, lasts: lasts, seconds: make([]tally, 1+int(lasts.Seconds()))}
-	asking, stop := context.WithTimeout(ctx, lasts)
+	loadContext, stop := context.WithTimeout(ctx, lasts)
 	defer stop()
-	loaded := make(chan error, 1)
-	go func() { loaded <- d.load(asking, st.URL) }()
-	if err := d.runEvents(asking, demoEvents(ctx, st), loaded); err != nil {
+	loadResult := make(chan error, 1)
+	go func() { loadResult <- d.load(loadContext, st.URL) }()
+	if err := d.runEvents(loadContext, demoEvents(ctx, st), loadResult); err != nil {
 		return err
 	}
 	return printSummary(out, d.seconds)
@@ -195,43 +195,43 @@
 }
 
 // runEvents triggers the events at their times and prints the seconds, until the load has ended.
-func (d *demoRun) runEvents(asking context.Context, coming []demoEvent, loaded <-chan error) error {
+func (d *demoRun) runEvents(loadContext context.Context, events []demoEvent, loadResult <-chan error) error {
 	began := time.Now()
 	for {
 		var failed error
 		ended := false
 		select {
-		case failed = <-loaded:
+		case failed = <-loadResult:
 			ended = true
 		case <-time.After(50 * time.Millisecond):
 		}
-		past := time.Since(began)
-		for len(coming) > 0 && past.Seconds() >= coming[0].at*d.lasts.Seconds() && asking.Err() == nil {
-			if err := coming[0].do(); err != nil {
-				return fmt.Errorf("%s: %w", coming[0].what, err)
+		elapsed := time.Since(began)
+		for len(events) > 0 && elapsed.Seconds() >= events[0].fraction*d.lasts.Seconds() && loadContext.Err() == nil {
+			if err := events[0].trigger(); err != nil {
+				return fmt.Errorf("%s: %w", events[0].description, err)
 			}
-			d.note(past, coming[0].what)
-			coming = coming[1:]
+			d.note(elapsed, events[0].description)
+			events = events[1:]
 		}
-		d.show(past, ended)
+		d.show(elapsed, ended)
 		if ended {
 			return failed
 		}
 	}
 }
 
-func (d *demoRun) note(at time.Duration, what string) {
+func (d *demoRun) note(at time.Duration, description string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	t := d.second(at)
-	t.notes = append(t.notes, what)
+	t.notes = append(t.notes, description)
 }
 
 // show prints each second once its requests are answered, which takes at most their timeout of 2 seconds.
-func (d *demoRun) show(past time.Duration, ended bool) {
+func (d *demoRun) show(elapsed time.Duration, ended bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for d.shown < len(d.seconds) && (ended || past > time.Duration(d.shown+3)*time.Second) {
+	for d.shown < len(d.seconds) && (ended || elapsed > time.Duration(d.shown+3)*time.Second) {
 		d.seconds[d.shown].show(d.out, d.shown)
 		d.shown++
 	}
--- a/cmd/dykering-lab/explore.go
+++ b/cmd/dykering-lab/explore.go
@@ -21,27 +21,27 @@
 
 func newExplore(in emulation.Bubble) *cli.Command {
 	var seed uint64
-	var at, most int
+	var parallel, maxRuns int
 	var dir string
-	var lasts time.Duration
+	var duration time.Duration
 	c := &cli.Command{
 		Name: "explore", Usage: "Search for rule violations: inject random faults into the whole program, in virtual time",
 		Action: commandline.NoArgs(func(ctx context.Context, c *cli.Command) error {
-			if at == 0 {
-				at = runtime.GOMAXPROCS(0)
+			if parallel == 0 {
+				parallel = runtime.GOMAXPROCS(0)
 			}
 			scratch, err := os.MkdirTemp("", "dykering-lab-")
 			if err != nil {
 				return err
 			}
 			defer os.RemoveAll(scratch)
-			s := &explore.Search{Explorer: &explore.Explorer{Bubble: in, Dir: scratch}, Directory: dir, Seed: seed, Parallel: at, MaxRuns: most}
-			if lasts > 0 {
-				s.Until = time.Now().Add(lasts)
+			s := &explore.Search{Explorer: &explore.Explorer{Bubble: in, Dir: scratch}, Directory: dir, Seed: seed, Parallel: parallel, MaxRuns: maxRuns}
+			if duration > 0 {
+				s.Until = time.Now().Add(duration)
 			}
-			bar := progressbar.NewOptions(max(most, -1), progressbar.OptionSetWriter(c.Root().ErrWriter), progressbar.OptionSetWidth(30),
+			bar := progressbar.NewOptions(max(maxRuns, -1), progressbar.OptionSetWriter(c.Root().ErrWriter), progressbar.OptionSetWidth(30),
 				progressbar.OptionShowCount(), progressbar.OptionShowIts(), progressbar.OptionSetElapsedTime(true),
-				progressbar.OptionSetPredictTime(most > 0), progressbar.OptionThrottle(500*time.Millisecond))
+				progressbar.OptionSetPredictTime(maxRuns > 0), progressbar.OptionThrottle(500*time.Millisecond))
 			s.OnProgress = func(runs, covered, finds int) {
 				bar.Describe(fmt.Sprintf("%d pairs, %d finds", covered, finds))
 				bar.Set(runs) // a progress bar that cannot be drawn does not stop the search
@@ -69,9 +69,9 @@
 	}
 	c.Flags = []cli.Flag{
 		&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "the random seed", Destination: &seed},
-		&cli.IntFlag{Name: "runs", Usage: "maximum number of runs, including those of an interrupted search; 0 for no limit", Destination: &most},
-		&cli.DurationFlag{Name: "for", Usage: "maximum duration; 0 for no limit", Destination: &lasts},
-		&cli.IntFlag{Name: "at-a-time", Usage: "concurrent runs; 0 for the number of cores", Destination: &at},
+		&cli.IntFlag{Name: "runs", Usage: "maximum number of runs, including those of an interrupted search; 0 for no limit", Destination: &maxRuns},
+		&cli.DurationFlag{Name: "for", Usage: "maximum duration; 0 for no limit", Destination: &duration},
+		&cli.IntFlag{Name: "at-a-time", Usage: "concurrent runs; 0 for the number of cores", Destination: &parallel},
 		&cli.StringFlag{Name: "out", Value: filepath.Join("lab", "results", "explore"), Usage: "the folder for runs and finds; an interrupted search continues there", Destination: &dir},
 	}
 	return c
--- a/cmd/dykering-lab/run.go
+++ b/cmd/dykering-lab/run.go
@@ -20,7 +20,7 @@
 func newRun(in emulation.Bubble) *cli.Command {
 	var dir string
 	var fresh bool
-	var at int
+	var parallel int
 	c := &cli.Command{
 		Name: "run", ArgsUsage: "EXPERIMENT.toml", Usage: "Play an experiment, or continue an interrupted one",
 		Action: commandline.Args(1, 1, func(ctx context.Context, c *cli.Command, args []string) error {
@@ -37,9 +37,9 @@
 					return commandline.Failure(err)
 				}
 			}
-			if at == 0 {
-				if at = runtime.GOMAXPROCS(0); e.Engine == "real" {
-					at = 1 // each run has enough processes for all cores
+			if parallel == 0 {
+				if parallel = runtime.GOMAXPROCS(0); e.Engine == "real" {
+					parallel = 1 // each run has enough processes for all cores
 				}
 			}
 			command, err := brokerCommand("")
@@ -49,8 +49,8 @@
 			bar := progressbar.NewOptions(1, progressbar.OptionSetWriter(c.Root().ErrWriter), progressbar.OptionSetWidth(30),
 				progressbar.OptionShowCount(), progressbar.OptionSetElapsedTime(true), progressbar.OptionSetPredictTime(true),
 				progressbar.OptionSetDescription(e.Name), progressbar.OptionClearOnFinish())
-			runs, err := e.Play(ctx, dir, command, at, func(done, of int) {
-				bar.ChangeMax(of)
+			runs, err := e.Play(ctx, dir, command, parallel, func(done, total int) {
+				bar.ChangeMax(total)
 				bar.Set(done) // a progress bar that cannot be drawn does not stop the experiment
 			})
 			if err != nil {
@@ -70,7 +70,7 @@
 	c.Flags = []cli.Flag{
 		&cli.StringFlag{Name: "out", Usage: "the folder for results (default: lab/results/ and the experiment's name)", Destination: &dir},
 		&cli.BoolFlag{Name: "fresh", Usage: "start over and delete earlier runs", Destination: &fresh},
-		&cli.IntFlag{Name: "at-a-time", Usage: "concurrent runs; 0 for the number of cores, or one run for the real engine", Destination: &at},
+		&cli.IntFlag{Name: "at-a-time", Usage: "concurrent runs; 0 for the number of cores, or one run for the real engine", Destination: &parallel},
 	}
 	return c
 }
--- a/internal/lab/coordinationload/doc.go
+++ b/internal/lab/coordinationload/doc.go
@@ -1,4 +1,5 @@
-// Package coordinationload load-tests the coordination service of real control processes on loopback and measures the latency of calls.
+// Package coordinationload load-tests the coordination service of real control processes on loopback. It measures the latency of
+// calls.
 //
 // In a closed loop, each caller sends one operation after another. In an open loop, operations are due at a fixed rate, regardless of
 // the progress of earlier ones. Latency counts from the time at which an operation was due, so that an operation that is sent late
--- a/internal/lab/history/check.go
+++ b/internal/lab/history/check.go
@@ -61,7 +61,7 @@
 	c.violations = append(c.violations, Violation{Rule: rule, Reason: reason, Calls: lo.Uniq(calls)})
 }
 
-// addAnswerViolation is violate for the answer to a call; at the end of the history an answer that lags behind breaks LOST.
+// addAnswerViolation adds a violation that the answer to call shows. A final call whose answer lags behind violates LOST.
 func (c *checker) addAnswerViolation(call *Call, rule, reason string, others ...*Call) {
 	if call.Final {
 		rule = Lost
@@ -69,7 +69,7 @@
 	c.addViolation(rule, reason, append(others, call)...)
 }
 
-// callsByName returns the calls callsByName some operations by their names.
+// callsByName returns the calls with one of the operations, grouped by the name of their lock, number or key.
 func (c *checker) callsByName(operations ...Operation) map[string][]*Call {
 	chosen := lo.Filter(c.calls, func(call *Call, _ int) bool { return slices.Contains(operations, call.Operation) })
 	return lo.GroupBy(chosen, func(call *Call) string { return call.Name })
--- a/internal/lab/history/history_test.go
+++ b/internal/lab/history/history_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// byClient is the call of another client.
+// byClient returns the call as made by another client.
 func (c Call) byClient(client string) Call {
 	c.Client = client
 	return c
--- a/internal/lab/history/keys.go
+++ b/internal/lab/history/keys.go
@@ -16,7 +16,7 @@
 	firstSeen *Call  // first answer that contains the revision
 }
 
-// firstAttempt returns the put's firstAttempt attempt.
+// firstAttempt returns the earliest attempt of the put.
 func (p *put) firstAttempt() *Call { return p.attempts[0] }
 
 // isRejected reports whether the put can never take effect. A 412 rules out all attempts, since a revision that the key has passed
--- a/internal/lab/trial/table.go
+++ b/internal/lab/trial/table.go
@@ -39,8 +39,8 @@
 	c.series = append(c.series, s)
 }
 
-// Write writes the tables of a comparison of two variants, one for each deployment: the worth by day, then the parts, prices, classes of
-// requests and zones. A star marks a difference that exceeds its error.
+// Write writes the tables of a comparison of two variants, one for each deployment: the worth by day, then the parts, prices, classes
+// of requests and zones. A star marks a difference that exceeds its error.
 func Write(w io.Writer, variants []Variant, outcomes []Outcome) error {
 	if len(variants) != 2 {
 		return errors.New("a comparison needs exactly two variants")
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -49,7 +49,8 @@
 	Reports []*Report
 }
 
-// Plays returns the plays of a spec. Seeds are the outermost loop, so that an interrupted trial has played each day equally often.
+// Plays returns the plays of a spec. Seeds are the outermost loop, so that an interrupted trial has played each day equally
+// often.
 func (s *Spec) Plays() ([]Play, error) {
 	days := map[string][]string{}
 	for _, site := range s.Sites {
@@ -92,7 +93,8 @@
 	return names, nil
 }
 
-// Run plays all plays without a stored result and returns the outcomes of all plays. It calls progress after each play of a variant.
+// Run plays all plays without a stored result and returns the outcomes of all plays. It calls progress after each play of a
+// variant.
 func Run(ctx context.Context, s *Spec, progress func(done, all int)) ([]Outcome, error) {
 	plays, err := s.Plays()
 	if err != nil {
