--- a/cmd/dykering-lab/main.go
+++ b/cmd/dykering-lab/main.go
@@ -45,7 +45,7 @@
 // newRoot returns the root command with all subcommands.
 func newRoot(in emulation.Bubble) *cli.Command {
 	return &cli.Command{
-		Name: "dykering-lab", Usage: "The laboratory of the broker",
+		Name: "dykering-lab", Usage: "Test laboratory of the broker and its control plane",
 		Commands: []*cli.Command{
 			newCheck(), newSim(), newReal(), newWhole(in), newExplore(in), newRun(in), newCompare(), newLoad(),
 			newBench(), newDemo(), newBroker(), newReverseProxy(), newFleetView(), newCoreSearch(), newTrial(), newUpgrade(), newSystemDemo(), newRole(),
@@ -111,11 +111,11 @@
 	}
 	c.Flags = []cli.Flag{
 		&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "the first seed", Destination: &seed},
-		&cli.IntFlag{Name: "seeds", Value: 1, Usage: "how many seeds, one after another", Destination: &seeds},
+		&cli.IntFlag{Name: "seeds", Value: 1, Usage: "number of consecutive seeds", Destination: &seeds},
 		&cli.StringSliceFlag{Name: "policy", Value: []string{"dykering"}, Usage: "the policy; repeat the flag to compare several", Destination: &policies},
-		&cli.IntFlag{Name: "instances", Usage: "instances, in place of the scenario's", Destination: &instances},
-		&cli.IntFlag{Name: "servers", Usage: "servers, in place of the scenario's", Destination: &servers},
-		&cli.FloatFlag{Name: "scale", Value: 1, Usage: "times the scenario's rate and quotas", Destination: &scale},
+		&cli.IntFlag{Name: "instances", Usage: "number of instances (default: that of the scenario)", Destination: &instances},
+		&cli.IntFlag{Name: "servers", Usage: "number of servers (default: that of the scenario)", Destination: &servers},
+		&cli.FloatFlag{Name: "scale", Value: 1, Usage: "factor for the scenario's rate and quotas", Destination: &scale},
 		&cli.BoolFlag{Name: "json", Usage: "one line of JSON for each run", Destination: &asJSON},
 	}
 	return c
--- a/cmd/dykering-lab/whole.go
+++ b/cmd/dykering-lab/whole.go
@@ -61,10 +61,10 @@
 	}
 	c.Flags = []cli.Flag{
 		&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "the first seed", Destination: &seed},
-		&cli.IntFlag{Name: "seeds", Value: 1, Usage: "how many seeds, one after another", Destination: &seeds},
-		&cli.IntFlag{Name: "instances", Usage: "instances, in place of the scenario's", Destination: &instances},
-		&cli.IntFlag{Name: "servers", Usage: "servers, in place of the scenario's", Destination: &servers},
-		&cli.FloatFlag{Name: "scale", Value: 1, Usage: "times the scenario's rate and quotas", Destination: &scale},
+		&cli.IntFlag{Name: "seeds", Value: 1, Usage: "number of consecutive seeds", Destination: &seeds},
+		&cli.IntFlag{Name: "instances", Usage: "number of instances (default: that of the scenario)", Destination: &instances},
+		&cli.IntFlag{Name: "servers", Usage: "number of servers (default: that of the scenario)", Destination: &servers},
+		&cli.FloatFlag{Name: "scale", Value: 1, Usage: "factor for the scenario's rate and quotas", Destination: &scale},
 		&cli.BoolFlag{Name: "json", Usage: "one line of JSON for each run", Destination: &asJSON},
 	}
 	return c
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -179,7 +179,7 @@
 	command.Dir = v.Tree
 	output, err := command.CombinedOutput()
 	if _, missing := os.Stat(report); missing == nil {
-		return nil // the benchmark also exits with an error if the day misses its gate; the report tells
+		return nil // the benchmark also exits with an error if the day misses its gate; the report says so
 	}
 	return errors.Wrapf(err, "%s of %s, seed %d, %s: %s", play.Day, play.SiteName(), play.Seed, v.Name, lastLine(output))
 }
