--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -169,7 +169,7 @@
 	}
 	site, err := filepath.Abs(play.Site)
 	if err != nil {
-		return errors.Wrap(err, "read the site file")
+		return errors.Wrap(err, "absolute path of the site file")
 	}
 	args := []string{"run", site, play.Day, "--seed", fmt.Sprint(play.Seed), "--no-cpu", "--jobs", "1", "--report", report, "--why", s.Reason}
 	if s.Small {
