--- a/internal/lab/trial/report.go
+++ b/internal/lab/trial/report.go
@@ -44,24 +44,24 @@
 
 // UnmarshalJSON reads a figure in the format of the benchmark: a list of name, amount and value.
 func (f *Figure) UnmarshalJSON(text []byte) error {
-	return errors.Wrap(json.Unmarshal(text, &[]any{&f.Name, &f.Amount, &f.Value}), "figure")
+	return errors.Wrap(json.Unmarshal(text, &[]any{&f.Name, &f.Amount, &f.Value}), "decode a figure")
 }
 
 // MarshalJSON writes a figure in the format of the benchmark.
 func (f Figure) MarshalJSON() ([]byte, error) {
 	text, err := json.Marshal([]any{f.Name, f.Amount, f.Value})
-	return text, errors.Wrap(err, "figure")
+	return text, errors.Wrap(err, "encode a figure")
 }
 
 // readReport reads a report from a file.
 func readReport(path string) (*Report, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errors.Wrap(err, "report")
+		return nil, errors.Wrap(err, "read the report")
 	}
 	report := &Report{}
 	if err := json.Unmarshal(text, report); err != nil {
-		return nil, errors.Wrapf(err, "report %s", path)
+		return nil, errors.Wrapf(err, "decode report %s", path)
 	}
 	return report, nil
 }
@@ -70,11 +70,11 @@
 func (r *Report) write(path string) error {
 	text, err := json.Marshal(r)
 	if err != nil {
-		return errors.Wrap(err, "report")
+		return errors.Wrap(err, "encode the report")
 	}
 	partial := path + ".partial"
 	if err := os.WriteFile(partial, append(text, '\n'), 0o644); err != nil {
-		return errors.Wrap(err, "report")
+		return errors.Wrap(err, "write the report")
 	}
-	return errors.Wrap(os.Rename(partial, path), "report")
+	return errors.Wrap(os.Rename(partial, path), "write the report")
 }
--- a/internal/lab/trial/table.go
+++ b/internal/lab/trial/table.go
@@ -75,7 +75,7 @@
 		}
 		writeRow(table, s)
 	}
-	return errors.Wrap(table.Flush(), "table")
+	return errors.Wrap(table.Flush(), "write the table")
 }
 
 // addDetails adds all figures of a pair of reports except the worth.
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -84,7 +84,7 @@
 		Day []struct{ Name string }
 	}
 	if err := toml.Unmarshal(text, &file); err != nil {
-		return nil, errors.Wrapf(err, "site %s", site)
+		return nil, errors.Wrapf(err, "decode the site file %s", site)
 	}
 	var names []string
 	for _, day := range file.Day {
@@ -127,7 +127,7 @@
 			})
 		}
 	}
-	return outcomes, errors.Wrap(group.Wait(), "trial")
+	return outcomes, errors.Wrap(group.Wait(), "play the trial")
 }
 
 // resultPath returns the path of the stored result of a play.
@@ -147,7 +147,7 @@
 	}
 	folder, err := os.MkdirTemp("", "trial")
 	if err != nil {
-		return nil, errors.Wrap(err, "trial")
+		return nil, errors.Wrap(err, "create a temporary folder")
 	}
 	defer os.RemoveAll(folder)
 	written := filepath.Join(folder, "report.json")
@@ -165,7 +165,7 @@
 func (s *Spec) bench(ctx context.Context, v Variant, play Play, report string) error {
 	bench, err := filepath.Abs(s.Bench)
 	if err != nil {
-		return errors.Wrap(err, "bench")
+		return errors.Wrap(err, "absolute path of the benchmark")
 	}
 	site, err := filepath.Abs(play.Site)
 	if err != nil {
