--- a/cmd/dykering-lab/bench_callers.go
+++ b/cmd/dykering-lab/bench_callers.go
@@ -13,15 +13,15 @@
 	"time"
 )
 
-// callers ask, each on a connection of its own.
+// callers send requests concurrently, each over its own connection.
 type callers struct {
 	address func() string
 	way     string
-	n       atomic.Int64
+	lastID  atomic.Int64
 }
 
-// busy has so many ask without rest for a time.
-func (c *callers) busy(ctx context.Context, n int, lasts time.Duration) (served, refused int, err error) {
+// sendContinuously lets n callers send one request after another for a time. It returns the numbers of served and failed requests.
+func (c *callers) sendContinuously(ctx context.Context, n int, lasts time.Duration) (served, refused int, err error) {
 	ctx, stop := context.WithTimeout(ctx, lasts)
 	defer stop()
 	var all sync.WaitGroup
@@ -29,7 +29,7 @@
 	transport := &http.Transport{MaxIdleConnsPerHost: n}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport, Timeout: 5 * time.Second}
-	complete := context.WithoutCancel(ctx) // a request that was sent in time is counted with its answer
+	complete := context.WithoutCancel(ctx) // a request that was sent in time may complete after the end
 	for range n {
 		all.Go(func() {
 			for ctx.Err() == nil {
@@ -38,7 +38,7 @@
 					bad.Add(1)
 					return
 				}
-				r.Header = http.Header{"X-Txn": {fmt.Sprintf("%s-%d", c.way, c.n.Add(1))}, "X-Lane": {"read"}, "X-Remaining": {"2000m"}}
+				r.Header = http.Header{"X-Txn": {fmt.Sprintf("%s-%d", c.way, c.lastID.Add(1))}, "X-Lane": {"read"}, "X-Remaining": {"2000m"}}
 				res, err := client.Do(r)
 				if err != nil {
 					bad.Add(1)
@@ -60,8 +60,8 @@
 	return int(good.Load()), int(bad.Load()), nil
 }
 
-// open makes connections that have had an answer and rest, a few at a time.
-func (c *callers) open(ctx context.Context, n int) (conns []net.Conn, err error) {
+// openIdle opens connections one after another, and sends one request over each, so that they are idle afterwards.
+func (c *callers) openIdle(ctx context.Context, n int) (conns []net.Conn, err error) {
 	dialer := net.Dialer{Timeout: time.Second}
 	for i := 0; i < n && ctx.Err() == nil; i++ {
 		x, err := dialer.DialContext(ctx, "tcp", strings.TrimPrefix(c.address(), "http://"))
@@ -72,7 +72,7 @@
 		if err := errors.Join(x.SetDeadline(time.Now().Add(30*time.Second)), c.write(x, fmt.Sprintf("idle-%d", i))); err != nil {
 			return conns, err
 		}
-		if _, err := x.Read(make([]byte, 4096)); err != nil { // all of it comes at once: it is short
+		if _, err := x.Read(make([]byte, 4096)); err != nil { // the answer is short enough for a single read
 			return conns, err
 		}
 	}
--- a/cmd/dykering-lab/load.go
+++ b/cmd/dykering-lab/load.go
@@ -20,16 +20,16 @@
 	"dykering/internal/lab/load"
 )
 
-// showEvery is how often a progress bar is drawn.
-const showEvery = 200 * time.Millisecond
+// progressInterval is the time between two updates of the progress bar.
+const progressInterval = 200 * time.Millisecond
 
 func newLoad() *cli.Command {
 	l := &load.Load{}
 	var classes, teams []string
 	var asJSON bool
 	c := &cli.Command{
-		Name: "load", ArgsUsage: "URL", Usage: "Ask an HTTP/1.1 address for so much, whatever it answers (open loop)",
-		DisableSliceFlagSeparator: true, // a class and a team have commas of their own
+		Name: "load", ArgsUsage: "URL", Usage: "Send a fixed load to an HTTP/1.1 address, regardless of its answers (open loop)",
+		DisableSliceFlagSeparator: true, // the values of --class and --team contain commas
 		Action: commandline.Args(1, 1, func(ctx context.Context, c *cli.Command, args []string) error {
 			u, err := url.Parse(args[0])
 			if err != nil || u.Scheme != "http" || u.Host == "" {
@@ -42,9 +42,9 @@
 			if l.Teams, err = parseTeams(teams); err != nil {
 				return err
 			}
-			l.Run = fmt.Sprintf("load-%x", time.Now().UnixNano()) // ids must be new to whoever is asked
+			l.Run = fmt.Sprintf("load-%x", time.Now().UnixNano()) // request ids must be new to the server
 			p := newProgress(c.Root().ErrWriter, l.Profile.Lasts)
-			l.OnOutcome = p.told
+			l.OnOutcome = p.record
 			stop := p.show()
 			r, err := l.Play(ctx)
 			stop()
@@ -54,7 +54,7 @@
 			if asJSON {
 				return json.NewEncoder(c.Root().Writer).Encode(r)
 			}
-			tellLoad(c.Root().Writer, r)
+			printLoad(c.Root().Writer, r)
 			if r.All.Asked > 0 && r.All.Lost == r.All.Asked {
 				return commandline.Failure(errors.New("not one request was answered"))
 			}
@@ -62,24 +62,24 @@
 		}),
 	}
 	c.Flags = []cli.Flag{
-		&cli.StringFlag{Name: "profile", Value: load.Steady, Usage: "how the rate goes: steady, ramp, step, spike", Destination: &l.Profile.Kind},
-		&cli.FloatFlag{Name: "rate", Value: 100, Usage: "requests a second, at the beginning or outside of the spike", Destination: &l.Profile.Rate},
-		&cli.FloatFlag{Name: "to", Usage: "requests a second at the end, of the last step, or in the spike", Destination: &l.Profile.To},
-		&cli.IntFlag{Name: "steps", Value: 5, Usage: "of a step profile", Destination: &l.Profile.Steps},
-		&cli.DurationFlag{Name: "lasts", Value: 10 * time.Second, Usage: "how long", Destination: &l.Profile.Lasts},
+		&cli.StringFlag{Name: "profile", Value: load.Steady, Usage: "the shape of the rate: steady, ramp, step or spike", Destination: &l.Profile.Kind},
+		&cli.FloatFlag{Name: "rate", Value: 100, Usage: "requests a second at the start, or outside of the spike", Destination: &l.Profile.Rate},
+		&cli.FloatFlag{Name: "to", Usage: "requests a second at the end, in the last step, or in the spike", Destination: &l.Profile.To},
+		&cli.IntFlag{Name: "steps", Value: 5, Usage: "number of steps of a step profile", Destination: &l.Profile.Steps},
+		&cli.DurationFlag{Name: "lasts", Value: 10 * time.Second, Usage: "the duration of the load", Destination: &l.Profile.Lasts},
 		&cli.StringSliceFlag{Name: "class", Value: []string{"read"}, Usage: "NAME[,method=GET][,share=0.5][,left=2s][,keyed][,body=100]; several for a mix", Destination: &classes},
 		&cli.StringSliceFlag{Name: "team", Usage: "NAME[,share=0.5]; several for a mix", Destination: &teams},
-		&cli.BoolFlag{Name: "poisson", Usage: "requests come by chance, not evenly", Destination: &l.Poisson},
-		&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "for what is drawn", Destination: &l.Seed},
-		&cli.IntFlag{Name: "most", Value: 10000, Usage: "requests under way at a time; more are counted and not sent", Destination: &l.MaxInFlight},
-		&cli.IntFlag{Name: "connections", Usage: "at a time; 0 for as many as it takes", Destination: &l.Conns},
+		&cli.BoolFlag{Name: "poisson", Usage: "send requests at random times (Poisson process) instead of evenly spaced", Destination: &l.Poisson},
+		&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "the random seed", Destination: &l.Seed},
+		&cli.IntFlag{Name: "most", Value: 10000, Usage: "maximum number of requests in flight; further ones are counted but not sent", Destination: &l.MaxInFlight},
+		&cli.IntFlag{Name: "connections", Usage: "maximum number of connections; 0 for no limit", Destination: &l.Conns},
 		&cli.BoolFlag{Name: "json", Usage: "print JSON", Destination: &asJSON},
 	}
 	return c
 }
 
-// parts cuts NAME,key=value,… into its name and what each key says.
-func parts(text string, each func(key, value string) error) (name string, err error) {
+// parseOptions parses NAME,key=value,… and calls each for every option. It returns the name.
+func parseOptions(text string, each func(key, value string) error) (name string, err error) {
 	for i, part := range strings.Split(text, ",") {
 		if i == 0 {
 			name = part
@@ -91,17 +91,17 @@
 		}
 	}
 	if name == "" {
-		return "", fmt.Errorf("%q: without a name", text)
+		return "", fmt.Errorf("%q: the name is missing", text)
 	}
 	return name, nil
 }
 
-var errNoKey = errors.New("not known here")
+var errUnknownOption = errors.New("the option is not known")
 
 func parseClasses(texts []string) (classes []load.Class, err error) {
 	for _, text := range texts {
 		c := load.Class{Method: "GET", Share: 1 / float64(len(texts)), Timeout: 2 * time.Second}
-		if c.Name, err = parts(text, func(key, value string) (err error) {
+		if c.Name, err = parseOptions(text, func(key, value string) (err error) {
 			switch key {
 			case "method":
 				c.Method = value
@@ -114,7 +114,7 @@
 			case "body":
 				c.Body, err = strconv.Atoi(value)
 			default:
-				err = errNoKey
+				err = errUnknownOption
 			}
 			return err
 		}); err != nil {
@@ -128,9 +128,9 @@
 func parseTeams(texts []string) (teams []load.Team, err error) {
 	for _, text := range texts {
 		t := load.Team{Share: 1 / float64(len(texts))}
-		if t.Name, err = parts(text, func(key, value string) (err error) {
+		if t.Name, err = parseOptions(text, func(key, value string) (err error) {
 			if key != "share" {
-				return errNoKey
+				return errUnknownOption
 			}
 			t.Share, err = strconv.ParseFloat(value, 64)
 			return err
@@ -142,7 +142,7 @@
 	return teams, nil
 }
 
-// progress shows how far a load is.
+// progress draws a progress bar with the results of a running load.
 type progress struct {
 	bar   *progressbar.ProgressBar
 	lasts time.Duration
@@ -155,7 +155,7 @@
 		progressbar.OptionSetWidth(30), progressbar.OptionSetPredictTime(false), progressbar.OptionClearOnFinish())}
 }
 
-func (p *progress) told(o load.Outcome) {
+func (p *progress) record(o load.Outcome) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.tally.count(o)
@@ -164,18 +164,18 @@
 	}
 }
 
-// show draws until the function that it returns is called.
+// show draws the progress bar until the returned function is called.
 func (p *progress) show() (stop func()) {
 	ended, drawn := make(chan struct{}), make(chan struct{})
 	began := time.Now()
 	go func() {
 		defer close(drawn)
-		tick := time.NewTicker(showEvery)
+		tick := time.NewTicker(progressInterval)
 		defer tick.Stop()
 		for {
 			select {
 			case <-ended:
-				p.bar.Finish() // what cannot be drawn is not worth an end
+				p.bar.Finish() // a progress bar that cannot be drawn does not stop the load
 				return
 			case <-tick.C:
 				p.mu.Lock()
@@ -195,13 +195,13 @@
 	}
 }
 
-// mostRows is how many lines the table of a load has; longer ones show each second of a few.
-const mostRows = 60
+// maxRows is the approximate maximum number of rows in the load table. Longer loads show every n-th second only.
+const maxRows = 60
 
-func tellLoad(out io.Writer, r *load.Report) {
+func printLoad(out io.Writer, r *load.Report) {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "s\tasked\tserved\trefused\tfailed\tlost\tp50 ms\tp99 ms\t")
-	for i := 0; i < len(r.Seconds); i += 1 + len(r.Seconds)/mostRows {
+	for i := 0; i < len(r.Seconds); i += 1 + len(r.Seconds)/maxRows {
 		if s := r.Seconds[i]; s.Asked > 0 {
 			fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t\n", i, s.Asked, s.Served, s.Refused, s.Failed, s.Lost, s.P50, s.P99)
 		}
@@ -214,7 +214,7 @@
 			f.Lost, f.Mean, f.P50, f.P90, f.P99, f.P999, f.Max)
 	}
 	t.Flush()
-	fmt.Fprintf(out, "\n%.1f a second over %.1f s; %d not sent for want of room; the latest was sent %.1f ms late\n",
+	fmt.Fprintf(out, "\n%.1f a second over %.1f s; %d not sent because too many were in flight; the longest sending delay was %.1f ms\n",
 		float64(r.All.Asked)/r.Took, r.Took, r.Unsent, r.Late)
 	for text, n := range r.All.Errors {
 		fmt.Fprintf(out, "%d lost: %s\n", n, text)
--- a/cmd/dykering-lab/whole.go
+++ b/cmd/dykering-lab/whole.go
@@ -14,16 +14,16 @@
 	"dykering/internal/lab/emulation"
 )
 
-// bubbled are the commands that play in virtual time with the whole program.
-var bubbled = map[string]bool{"whole": true, "explore": true, "run": true}
+// virtualTimeCommands are the commands that run the whole program in virtual time, inside a synctest bubble.
+var virtualTimeCommands = map[string]bool{"whole": true, "explore": true, "run": true}
 
-// inBubbles runs a program that makes bubbles, and ends this process with its code. A bubble needs a testing.T, which
-// only the testing package makes.
-func inBubbles(run func(emulation.Bubble) int) {
-	os.Args = os.Args[:1] // the rest is not testing's
+// runInBubbles calls run with a function that runs code in a synctest bubble, and exits the process with the returned code. A bubble
+// needs a testing.T, which only the testing package can create.
+func runInBubbles(run func(emulation.Bubble) int) {
+	os.Args = os.Args[:1] // the testing package must not parse the arguments of the command
 	testing.Main(func(_, _ string) (bool, error) { return true, nil }, []testing.InternalTest{{
 		Name: "bubbles",
-		F: func(t *testing.T) { //nolint:thelper // it is the test
+		F: func(t *testing.T) { //nolint:thelper // this function is the test
 			os.Exit(run(func(f func()) { synctest.Test(t, func(*testing.T) { f() }) }))
 		},
 	}}, nil, nil)
@@ -61,10 +61,10 @@
 	}
 	c.Flags = []cli.Flag{
 		&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "the first seed", Destination: &seed},
-		&cli.IntFlag{Name: "seeds", Value: 1, Usage: "how many seeds, one after another", Destination: &seeds},
-		&cli.IntFlag{Name: "instances", Usage: "instances, in place of the scenario's", Destination: &instances},
-		&cli.IntFlag{Name: "servers", Usage: "servers, in place of the scenario's", Destination: &servers},
-		&cli.FloatFlag{Name: "scale", Value: 1, Usage: "times the scenario's rate and quotas", Destination: &scale},
+		&cli.IntFlag{Name: "seeds", Value: 1, Usage: "number of consecutive seeds", Destination: &seeds},
+		&cli.IntFlag{Name: "instances", Usage: "number of instances (default: that of the scenario)", Destination: &instances},
+		&cli.IntFlag{Name: "servers", Usage: "number of servers (default: that of the scenario)", Destination: &servers},
+		&cli.FloatFlag{Name: "scale", Value: 1, Usage: "factor for the scenario's rate and quotas", Destination: &scale},
 		&cli.BoolFlag{Name: "json", Usage: "one line of JSON for each run", Destination: &asJSON},
 	}
 	return c
--- a/internal/lab/localsystem/endpoint.go
+++ b/internal/lab/localsystem/endpoint.go
@@ -14,11 +14,11 @@
 const (
 	heartbeatInterval = 300 * time.Millisecond
 	loadTime          = 200 * time.Millisecond
-	// drainBound is the time after the acknowledgement of a drain by which no request may arrive.
-	drainBound = 1200 * time.Millisecond
+	// drainGracePeriod is the time after the acknowledgement of a drain from which no request may arrive any more.
+	drainGracePeriod = 1200 * time.Millisecond
 )
 
-// Endpoint is a stand-in for an endpoint of a service with models.
+// Endpoint is a fake endpoint of a service with models.
 type Endpoint struct {
 	id       string
 	operator *Operator
@@ -28,15 +28,15 @@
 	mu           sync.Mutex
 	models       []string
 	busy         bool
-	sequence     uint64 // of orders
-	beats        uint64
+	sequence     uint64 // number of accepted orders
+	heartbeats   uint64
 	state        sessions.State
-	drainedAt    time.Time // when its drain was acknowledged; zero before
+	drainedAt    time.Time // time at which its drain was acknowledged, or zero
 	highestToken uint64
 	violations   []string
 }
 
-// startEndpoint starts an endpoint that has some models loaded.
+// startEndpoint starts an endpoint with the models loaded.
 func startEndpoint(id string, o *Operator, models ...string) (*Endpoint, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -52,20 +52,20 @@
 	return e, nil
 }
 
-// beat sends a heartbeat, and reports whether it was acknowledged.
-func (e *Endpoint) beat() bool {
+// sendHeartbeat sends a heartbeat and returns true if it was acknowledged.
+func (e *Endpoint) sendHeartbeat() bool {
 	e.mu.Lock()
-	e.beats++
+	e.heartbeats++
 	beat := sessions.Heartbeat{
 		Service: serviceName, Address: e.address, Zone: "zone-0", Version: "v1", Slots: 8, State: e.state, Stage: "both",
-		Models: e.loaded(), Sequence: e.beats,
+		Models: e.loadedModels(), Sequence: e.heartbeats,
 	}
 	e.mu.Unlock()
 	return e.operator.post("/instances/"+e.id+"/heartbeat", beat, nil) == http.StatusOK
 }
 
-// loaded lists the loaded models. The caller holds the lock.
-func (e *Endpoint) loaded() []sessions.LoadedModel {
+// loadedModels returns the loaded models. The caller must hold e.mu.
+func (e *Endpoint) loadedModels() []sessions.LoadedModel {
 	models := []sessions.LoadedModel{}
 	for _, name := range e.models {
 		models = append(models, sessions.LoadedModel{Name: name, Version: 1, Adapters: []string{}})
@@ -73,7 +73,7 @@
 	return models
 }
 
-// keepSession sends heartbeats until the endpoint drains or the scenario ends.
+// keepSession sends heartbeats until the endpoint drains or done is closed.
 func (e *Endpoint) keepSession(done <-chan struct{}) {
 	for {
 		e.mu.Lock()
@@ -82,7 +82,7 @@
 		if !ready {
 			return
 		}
-		e.beat()
+		e.sendHeartbeat()
 		select {
 		case <-done:
 			return
@@ -91,12 +91,12 @@
 	}
 }
 
-// drain announces that the endpoint drains, until that is acknowledged.
+// drain announces that the endpoint drains until that is acknowledged. It returns false if done is closed before.
 func (e *Endpoint) drain(done <-chan struct{}) bool {
 	e.mu.Lock()
 	e.state = sessions.Draining
 	e.mu.Unlock()
-	for !e.beat() {
+	for !e.sendHeartbeat() {
 		select {
 		case <-done:
 			return false
@@ -112,10 +112,10 @@
 func (e *Endpoint) handleReport(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	writeJSON(w, http.StatusOK, map[string]any{"models": e.loaded(), "busy": e.busy, "sequence": e.sequence})
+	writeJSON(w, http.StatusOK, map[string]any{"models": e.loadedModels(), "busy": e.busy, "sequence": e.sequence})
 }
 
-// handleOrder executes an order that loads or unloads a model, one at a time.
+// handleOrder executes an order that loads or unloads a model. It answers 409 while another order is in progress.
 func (e *Endpoint) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var order struct {
 		Operation    string `json:"operation"`
@@ -123,13 +123,13 @@
 		FencingToken uint64 `json:"fencing_token"`
 	}
 	if json.NewDecoder(r.Body).Decode(&order) != nil {
-		http.Error(w, "order", http.StatusBadRequest)
+		http.Error(w, "the order is not valid JSON", http.StatusBadRequest)
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if order.FencingToken < e.highestToken {
-		e.violations = append(e.violations, e.id+" was sent an order with a lower fencing token than before")
+		e.violations = append(e.violations, e.id+" received an order with a lower fencing token than an earlier order")
 	}
 	e.highestToken = max(e.highestToken, order.FencingToken)
 	if e.busy {
@@ -152,7 +152,7 @@
 	}
 }
 
-// handleRequest answers a health check or a request of a client.
+// handleRequest answers health checks and client requests.
 func (e *Endpoint) handleRequest(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -160,7 +160,7 @@
 	if r.URL.Path == "/health" {
 		return
 	}
-	if !e.drainedAt.IsZero() && time.Since(e.drainedAt) > drainBound {
+	if !e.drainedAt.IsZero() && time.Since(e.drainedAt) > drainGracePeriod {
 		e.violations = append(e.violations, e.id+" got a request after its drain was acknowledged")
 	}
 	w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
@@ -176,5 +176,5 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // the caller may have gone
+	_ = json.NewEncoder(w).Encode(body) // the caller may have disconnected
 }
--- a/internal/lab/soak/caller.go
+++ b/internal/lab/soak/caller.go
@@ -12,47 +12,48 @@
 )
 
 const (
-	// callTimeout is how long a caller waits for an answer before it calls another address.
+	// callTimeout bounds the wait for an answer. After a timeout the caller moves on to another address.
 	callTimeout = time.Second
-	// callsPerLostAnswer is how many answers reach a caller, on average, for each that is lost on its way.
+	// callsPerLostAnswer is the mean number of POST calls for each answer that the caller drops, as if the network had lost it.
 	callsPerLostAnswer = 30
 )
 
-// caller calls the control processes over a connection that it keeps open, and records each call. It is used by one goroutine.
+// caller calls the control processes over a keep-alive connection and records each call. It is not safe for concurrent use.
 type caller struct {
-	name      string
-	addresses []string
-	next      int // the index of the address in use
-	client    *http.Client
-	recorder  *history.Recorder
-	random    *rand.Rand
-	done      <-chan struct{}
-	// acknowledged takes the addresses of acknowledgements, while a fault waits for one.
+	name         string
+	addresses    []string
+	addressIndex int // index of the address in use
+	client       *http.Client
+	recorder     *history.Recorder
+	random       *rand.Rand
+	done         <-chan struct{}
+	// acknowledged receives the address of each acknowledgement while a fault waits for one.
 	acknowledged chan<- string
-	final        bool
+	// final marks the recorded calls as made after the final restart. Answers of final calls are never dropped.
+	final bool
 }
 
-// newCaller returns a caller that draws from a stream of its own of the seed.
+// newCaller returns a caller that draws from its own random stream.
 func (s *system) newCaller(name string, stream uint64) *caller {
 	return &caller{
-		name: name, addresses: s.addresses, next: int(stream) % len(s.addresses), recorder: s.recorder, done: s.done,
+		name: name, addresses: s.addresses, addressIndex: int(stream) % len(s.addresses), recorder: s.recorder, done: s.clientsDone,
 		acknowledged: s.acknowledged,
 		client:       &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}},
 		random:       rand.New(rand.NewPCG(s.Seed, stream)),
 	}
 }
 
-// request is what a call sends.
+// request is the HTTP request of a call.
 type request struct {
 	method, path string
 	body         any
 	header       map[string]string
-	wait         time.Duration // for which the answer may take longer than callTimeout
+	wait         time.Duration // added to callTimeout, for long polls
 }
 
-// call sends a request, and records the call with its answer. answer is decoded into, and then copied to the call by keep.
+// call sends a request and records the call. It decodes the body into answer; keep then copies the decoded fields into the call.
 func (c *caller) call(call history.Call, r request, answer any, keep func(*history.Call)) history.Call {
-	call.Client, call.Final, call.Address = c.name, c.final, c.addresses[c.next]
+	call.Client, call.Final, call.Address = c.name, c.final, c.addresses[c.addressIndex]
 	call.Sent = c.recorder.Now()
 	call.Status = c.send(r, answer)
 	call.Received = c.recorder.Now()
@@ -63,24 +64,24 @@
 		keep(&call)
 	}
 	if call.Status == 0 || call.Status >= http.StatusInternalServerError || call.Status == http.StatusTooManyRequests {
-		c.next = (c.next + 1) % len(c.addresses)
+		c.addressIndex = (c.addressIndex + 1) % len(c.addresses)
 	}
 	c.recorder.Add(call)
 	if call.Status == http.StatusOK && r.method == http.MethodPost {
-		c.tellAcknowledged(call.Address)
+		c.notifyAcknowledged(call.Address)
 	}
 	return call
 }
 
-// tellAcknowledged tells a fault that waits for an acknowledgement.
-func (c *caller) tellAcknowledged(address string) {
+// notifyAcknowledged passes the address of an acknowledgement to a waiting fault, if there is one.
+func (c *caller) notifyAcknowledged(address string) {
 	select {
 	case c.acknowledged <- address:
 	default:
 	}
 }
 
-// send returns the status of the answer; 0 if there was none that is complete.
+// send sends a request and returns the status of the answer, or 0 if no complete answer arrived.
 func (c *caller) send(r request, answer any) int {
 	var body io.Reader
 	if r.body != nil {
@@ -90,7 +91,7 @@
 		}
 		body = bytes.NewReader(text)
 	}
-	httpRequest, err := http.NewRequest(r.method, "http://"+c.addresses[c.next]+r.path, body)
+	httpRequest, err := http.NewRequest(r.method, "http://"+c.addresses[c.addressIndex]+r.path, body)
 	if err != nil {
 		return 0
 	}
@@ -115,7 +116,7 @@
 	return response.StatusCode
 }
 
-// pause waits a drawn time. It reports false if the scenario ends meanwhile.
+// pause waits for a random time between least and most. It returns false if the clients must stop meanwhile.
 func (c *caller) pause(least, most time.Duration) bool {
 	return pause(c.done, drawDuration(c.random, least, most))
 }
@@ -124,9 +125,9 @@
 	return least + time.Duration(random.Int64N(int64(most-least)+1))
 }
 
-func draw[T any](random *rand.Rand, choices []T) T { return choices[random.IntN(len(choices))] }
+func choose[T any](random *rand.Rand, choices []T) T { return choices[random.IntN(len(choices))] }
 
-// pause waits. It reports false if done is closed meanwhile.
+// pause waits for the duration. It returns false if done is closed meanwhile.
 func pause(done <-chan struct{}, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/lab/soak/finals.go
+++ b/internal/lab/soak/finals.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// recoveryTime is how long after the return of all processes all calls of the end must be answered (recovery_s). Time in
-	// which other work slows the machine doesn't count, up to mostRecoveryTime in all.
-	recoveryTime     = 15 * time.Second
-	mostRecoveryTime = time.Minute
-	// finalWait is how long a watch of the end waits where there is nothing new.
+	// recoveryTime is the time after the final restart within which all final calls must be answered (recovery_s). Time in which
+	// other work slows the machine does not count, up to maxRecoveryTime in total.
+	recoveryTime    = 15 * time.Second
+	maxRecoveryTime = time.Minute
+	// finalWait is the long-poll wait of a final watch that has no new events.
 	finalWait = 300 * time.Millisecond
 )
 
-// askFinally asks each process for all that was acknowledged, all processes being back since a time, and returns a violation for
-// each question without an answer.
-func (s *system) askFinally(watchers []*watcher, back, calmAtBack time.Duration) []history.Violation {
+// makeFinalCalls calls each process for all keys, numbers, locks, watches and the configuration. It returns a violation for each
+// call that gets no answer in time. All processes have been running since back.
+func (s *system) makeFinalCalls(watchers []*watcher, back, calmAtBack time.Duration) []history.Violation {
 	end := func() bool {
-		return s.machine.calmTime()-calmAtBack > recoveryTime || s.recorder.Now()-back > mostRecoveryTime
+		return s.machine.calmTime()-calmAtBack > recoveryTime || s.recorder.Now()-back > maxRecoveryTime
 	}
 	var mu sync.Mutex
 	var unanswered []history.Violation
 	var asked sync.WaitGroup
 	for i := range s.addresses {
-		for _, q := range s.questions(i, watchers) {
+		for _, q := range s.finalCalls(i, watchers) {
 			asked.Go(func() {
 				if s.isAnswered(q, end) {
 					return
@@ -36,7 +36,7 @@
 				mu.Lock()
 				defer mu.Unlock()
 				unanswered = append(unanswered, history.Violation{
-					Rule: history.Lost, Reason: fmt.Sprintf("%s at %s has no answer %v after all processes are back", q.name, s.addresses[i], recoveryTime),
+					Rule: history.Lost, Reason: fmt.Sprintf("%s at %s got no answer within %v after the restart of all processes", q.name, s.addresses[i], recoveryTime),
 				})
 			})
 		}
@@ -45,24 +45,24 @@
 	return unanswered
 }
 
-// question is a call of the end.
-type question struct {
+// finalCall is a named call that one process must answer after the final restart.
+type finalCall struct {
 	name string
-	ask  func() history.Call
+	send func() history.Call
 }
 
-// questions returns what one process is asked in the end. Watches are resumed from the oldest revisions that were saved.
-func (s *system) questions(process int, watchers []*watcher) []question {
-	var all []question
+// finalCalls returns the final calls to one process. Watches resume from the oldest saved revision.
+func (s *system) finalCalls(process int, watchers []*watcher) []finalCall {
+	var all []finalCall
 	ask := func(name, client string, call func(c *caller) history.Call) {
 		c := s.newCaller(client, uint64(process))
-		c.addresses, c.next, c.final = s.addresses[process:process+1], 0, true
-		all = append(all, question{name, func() history.Call { return call(c) }})
+		c.addresses, c.addressIndex, c.final = s.addresses[process:process+1], 0, true
+		all = append(all, finalCall{name, func() history.Call { return call(c) }})
 	}
 	final := fmt.Sprintf("final-%d", process)
 	for _, w := range watchers {
-		if len(w.saved) > 0 {
-			ask("watch "+w.group, w.name, func(c *caller) history.Call { return c.watch(w.group, w.saved[0].revision, finalWait) })
+		if len(w.revisions) > 0 {
+			ask("watch "+w.group, w.name, func(c *caller) history.Call { return c.watch(w.group, w.revisions[0].revision, finalWait) })
 		}
 	}
 	for _, key := range keys {
@@ -72,29 +72,30 @@
 		ask("number "+name, final, func(c *caller) history.Call { return c.number(name) })
 	}
 	for _, lock := range locks {
-		ask("lock "+lock, final, func(c *caller) history.Call { return c.takeShortly(lock) })
+		ask("lock "+lock, final, func(c *caller) history.Call { return c.acquireAndRelease(lock) })
 	}
 	ask("configuration", final, func(c *caller) history.Call { return c.readConfiguration() })
 	return all
 }
 
-// takeShortly takes a lock and gives it back.
-func (c *caller) takeShortly(lock string) history.Call {
-	call := c.begin(lock, leastHold)
+// acquireAndRelease acquires a lock and releases it at once.
+func (c *caller) acquireAndRelease(lock string) history.Call {
+	call := c.begin(lock, minHold)
 	if call.Status == http.StatusOK {
 		c.finish(lock, call.Token)
 	}
 	return call
 }
 
-// isAnswered asks until there is an answer or the time is over; a 404 and a 410 are answers, and are judged with the history.
-func (s *system) isAnswered(q question, isOver func() bool) bool {
+// isAnswered repeats a final call until it is answered or the time is over. 404 and 410 count as answers here: the check of the
+// history decides whether they are correct.
+func (s *system) isAnswered(q finalCall, isOver func() bool) bool {
 	for {
-		switch q.ask().Status {
+		switch q.send().Status {
 		case http.StatusOK, http.StatusNotFound, http.StatusGone:
 			return true
 		}
-		if isOver() || !pause(s.stopped, resendPause) {
+		if isOver() || !pause(s.cancelled, resendPause) {
 			return false
 		}
 	}
