--- a/internal/decision/retries.go
+++ b/internal/decision/retries.go
@@ -40,12 +40,12 @@
 	}
 }
 
-// retryAfter returns the time after which a refused client should retry. It is the time in which the requests
-// that are queued and in flight now are answered at the current rate, or one rate window if no rate is known
-// or no listed endpoint may serve the request. It is at least the time that the client has already waited here
-// without an attempt, because clients that return sooner find the same queue, and at least
-// minRetryAfterWindows. If a successor already serves, the time is one tick interval. If this is the only
-// instance and it ends first, the time lasts until its successor serves. It never exceeds
+// retryAfter returns the time after which a refused client should retry. It is the time in which the
+// requests that are queued and in flight now are answered at the current rate, or one rate window if no
+// rate is known or no listed endpoint may serve the request. It is at least the time that the client has
+// already waited here without an attempt, because clients that return sooner find the same queue, and at
+// least minRetryAfterWindows. If a successor already serves, the time is one tick interval. If this is the
+// only instance and it ends first, the time lasts until its successor serves. It never exceeds
 // Settings.MaxRetryAfter.
 func (b *Balancer) retryAfter(now time.Duration, r *request) (wait time.Duration) {
 	if r.attempts == 0 {
