--- a/client/election.go
+++ b/client/election.go
@@ -8,8 +8,8 @@
 // A candidate asks for a held leadership after a random pause between these parts of the hold. The candidates thus spread
 // their calls, and a leader that died is replaced within about a third of the hold after its own is over.
 const (
-	leastCampaignParts = 6
-	mostCampaignParts  = 3
+	minCampaignPauseDivisor = 6
+	maxCampaignPauseDivisor = 3
 )
 
 // Election elects one leader among the clients that campaign under the same name. It is a lock that is held for long.
@@ -27,7 +27,7 @@
 // Campaign waits until this client is elected, or until the context ends.
 func (e *Election) Campaign(ctx context.Context) (*Leadership, error) {
 	lock, err := e.client.acquire(ctx, e.name, e.hold, func() time.Duration {
-		return between(e.hold/leastCampaignParts, e.hold/mostCampaignParts)
+		return randomBetween(e.hold/minCampaignPauseDivisor, e.hold/maxCampaignPauseDivisor)
 	})
 	if err != nil {
 		return nil, err
--- a/client/key.go
+++ b/client/key.go
@@ -33,21 +33,21 @@
 		return 0, err
 	}
 	call := c.newPost("put "+key, path, body)
-	final, err := c.do(ctx, call)
+	response, err := c.do(ctx, call)
 	if err != nil {
 		return 0, err
 	}
-	if final.status != http.StatusOK && final.status != http.StatusPreconditionFailed {
-		return 0, call.unexpected(final)
+	if response.status != http.StatusOK && response.status != http.StatusPreconditionFailed {
+		return 0, call.statusError(response)
 	}
 	var cell struct {
 		Revision uint64 `json:"revision"`
 	}
-	if err := call.decode(final, &cell); err != nil {
+	if err := call.decode(response, &cell); err != nil {
 		return 0, err
 	}
-	if final.status == http.StatusPreconditionFailed {
-		return 0, &ConflictError{Key: key, Revision: cell.Revision, OutcomeUnknown: final.earlierUnclear}
+	if response.status == http.StatusPreconditionFailed {
+		return 0, &ConflictError{Key: key, Revision: cell.Revision, OutcomeUnknown: response.earlierOutcomeUnknown}
 	}
 	return cell.Revision, nil
 }
@@ -60,21 +60,21 @@
 		return "", 0, err
 	}
 	call := c.newGet("get "+key, path, nil)
-	final, err := c.do(ctx, call)
+	response, err := c.do(ctx, call)
 	if err != nil {
 		return "", 0, err
 	}
-	switch final.status {
+	switch response.status {
 	case http.StatusOK:
 	case http.StatusNotFound:
 		return "", 0, errors.Wrap(ErrNotFound, key)
 	default:
-		return "", 0, call.unexpected(final)
+		return "", 0, call.statusError(response)
 	}
 	var cell struct {
 		Value    string `json:"value"`
 		Revision uint64 `json:"revision"`
 	}
-	err = call.decode(final, &cell)
+	err = call.decode(response, &cell)
 	return cell.Value, cell.Revision, err
 }
--- a/client/lock.go
+++ b/client/lock.go
@@ -8,7 +8,7 @@
 )
 
 // retryParts is the part of a hold after which a renewal is begun anew when the one before failed.
-const retryParts = 12
+const renewalRetryDivisor = 12
 
 // Lock is a lock that this client holds. It is renewed in the background until it is released or lost.
 type Lock struct {
@@ -18,8 +18,8 @@
 	hold   time.Duration
 	lease  *lease
 
-	stopRenewal context.CancelFunc
-	renewalDone chan struct{}
+	stopRenewal    context.CancelFunc
+	renewalStopped chan struct{}
 }
 
 // Acquire waits until it has a lock. It asks again, with growing random pauses, while another holder has it and while the
@@ -38,19 +38,19 @@
 func (c *Client) acquire(ctx context.Context, name string, hold time.Duration, pause func() time.Duration) (*Lock, error) {
 	for {
 		lock, err := c.TryAcquire(ctx, name, hold)
-		if err == nil || !passes(err) {
+		if err == nil || !isTransient(err) {
 			return lock, err
 		}
 		if sleep(ctx, pause()) != nil {
-			return nil, &callError{operation: "acquire lock " + name, kind: err, ended: ctx.Err()}
+			return nil, &callError{operation: "acquire lock " + name, kind: err, contextError: ctx.Err()}
 		}
 	}
 }
 
 // passes reports whether an error of TryAcquire may be gone by itself later.
-func passes(err error) bool {
-	for _, passing := range []error{ErrLockHeld, ErrLockLost, ErrUnavailable, ErrOutcomeUnknown} {
-		if errors.Is(err, passing) {
+func isTransient(err error) bool {
+	for _, transient := range []error{ErrLockHeld, ErrLockLost, ErrUnavailable, ErrOutcomeUnknown} {
+		if errors.Is(err, transient) {
 			return true
 		}
 	}
@@ -71,11 +71,11 @@
 	}
 	lock := &Lock{
 		client: c, name: name, token: grant.Token, hold: hold,
-		lease: newLease(grant.Until), renewalDone: make(chan struct{}),
+		lease: newLease(grant.Until), renewalStopped: make(chan struct{}),
 	}
 	var background context.Context
 	background, lock.stopRenewal = context.WithCancel(context.WithoutCancel(ctx))
-	go lock.keepAlive(background, grant.Sent)
+	go lock.renewUntilLost(background, grant.Sent)
 	return lock, nil
 }
 
@@ -113,7 +113,7 @@
 // becomes free once its hold is over.
 func (l *Lock) Release(ctx context.Context) error {
 	l.stopRenewal()
-	<-l.renewalDone
+	<-l.renewalStopped
 	held := l.lease.end()
 	err := l.client.Finish(ctx, l.name, l.token)
 	if !held {
@@ -123,14 +123,14 @@
 }
 
 // keepAlive renews the lock until it is lost or the context ends.
-func (l *Lock) keepAlive(ctx context.Context, sent time.Time) {
-	defer close(l.renewalDone)
+func (l *Lock) renewUntilLost(ctx context.Context, sent time.Time) {
+	defer close(l.renewalStopped)
 	defer l.client.unclaim(l.name)
-	next := sent.Add(l.hold / renewalParts)
+	next := sent.Add(l.hold / renewalDivisor)
 	for sleep(ctx, time.Until(next)) == nil {
 		sent, err := l.renew(ctx)
 		if err == nil {
-			next = sent.Add(l.hold / renewalParts)
+			next = sent.Add(l.hold / renewalDivisor)
 			continue
 		}
 		if ctx.Err() != nil {
@@ -140,7 +140,7 @@
 			l.lease.end()
 			return
 		}
-		next = time.Now().Add(l.hold / retryParts)
+		next = time.Now().Add(l.hold / renewalRetryDivisor)
 	}
 }
 
--- a/client/lock_calls.go
+++ b/client/lock_calls.go
@@ -10,10 +10,10 @@
 
 // The parts of a hold.
 const (
-	marginParts  = 20 // a holder stops to rely on a lock a twentieth of the hold before its end
-	renewalParts = 3  // it is renewed once a third of the hold has passed
-	renewAttempt = 6  // an attempt to renew may take a sixth of the hold, so that there is time for others
-	beginAttempt = 2  // an attempt to begin may take half of it, as the hold counts from its sending
+	marginDivisor       = 20 // a holder stops to rely on a lock a twentieth of the hold before its end
+	renewalDivisor      = 3  // it is renewed once a third of the hold has passed
+	renewAttemptDivisor = 6  // an attempt to renew may take a sixth of the hold, so that there is time for others
+	beginAttemptDivisor = 2  // an attempt to begin may take half of it, as the hold counts from its sending
 )
 
 // Grant is what a lock's holder was given by one good call.
@@ -54,12 +54,12 @@
 	if err != nil {
 		return err
 	}
-	final, err := c.do(ctx, call)
+	response, err := c.do(ctx, call)
 	if err != nil {
 		return err
 	}
-	if final.status != http.StatusOK {
-		return call.unexpected(final)
+	if response.status != http.StatusOK {
+		return call.statusError(response)
 	}
 	return nil
 }
@@ -75,44 +75,44 @@
 	if err != nil {
 		return Grant{}, err
 	}
-	conflict, attempt := ErrLockHeld, hold/beginAttempt
+	conflict, attempt := ErrLockHeld, hold/beginAttemptDivisor
 	if body.FencingToken != nil {
-		conflict, attempt = ErrLockLost, hold/renewAttempt
+		conflict, attempt = ErrLockLost, hold/renewAttemptDivisor
 	}
 	call.timeout = min(call.timeout, attempt)
-	final, err := c.do(ctx, call)
+	response, err := c.do(ctx, call)
 	if err != nil {
 		return Grant{}, err
 	}
-	switch final.status {
+	switch response.status {
 	case http.StatusOK:
 	case http.StatusConflict:
 		return Grant{}, errors.Wrap(conflict, name)
 	default:
-		return Grant{}, call.unexpected(final)
+		return Grant{}, call.statusError(response)
 	}
-	return call.granted(final, body, hold)
+	return call.parseGrant(response, body, hold)
 }
 
 // granted returns what a good answer gives.
-func (c call) granted(final answer, body lockBody, hold time.Duration) (Grant, error) {
-	grant := Grant{Sent: final.sent, Until: final.sent.Add(hold - hold/marginParts)}
+func (c call) parseGrant(response finalResponse, body lockBody, hold time.Duration) (Grant, error) {
+	grant := Grant{Sent: response.sent, Until: response.sent.Add(hold - hold/marginDivisor)}
 	if body.FencingToken != nil {
 		grant.Token = *body.FencingToken
-		return grant, inTime(grant)
+		return grant, checkNotExpired(grant)
 	}
 	var begun struct {
 		FencingToken uint64 `json:"fencing_token"`
 	}
-	if err := c.decode(final, &begun); err != nil {
+	if err := c.decode(response, &begun); err != nil {
 		return Grant{}, err
 	}
 	grant.Token = begun.FencingToken
-	return grant, inTime(grant)
+	return grant, checkNotExpired(grant)
 }
 
 // inTime returns ErrLockLost for a grant whose time was over before its answer came.
-func inTime(grant Grant) error {
+func checkNotExpired(grant Grant) error {
 	if time.Now().Before(grant.Until) {
 		return nil
 	}
--- a/client/number.go
+++ b/client/number.go
@@ -13,15 +13,15 @@
 		return 0, err
 	}
 	call := c.newPost("number "+name, path, struct{}{})
-	final, err := c.do(ctx, call)
+	response, err := c.do(ctx, call)
 	if err != nil {
 		return 0, err
 	}
-	if final.status != http.StatusOK {
-		return 0, call.unexpected(final)
+	if response.status != http.StatusOK {
+		return 0, call.statusError(response)
 	}
 	var number struct {
 		Value uint64 `json:"value"`
 	}
-	return number.Value, call.decode(final, &number)
+	return number.Value, call.decode(response, &number)
 }
--- a/client/pause.go
+++ b/client/pause.go
@@ -23,15 +23,15 @@
 		bound *= 2
 	}
 	bound = min(bound, maximum)
-	return between(bound/2, bound)
+	return randomBetween(bound/2, bound)
 }
 
 // between returns a random duration from least up to most.
-func between(least, most time.Duration) time.Duration {
-	if most <= least {
-		return least
+func randomBetween(minimum, maximum time.Duration) time.Duration {
+	if maximum <= minimum {
+		return minimum
 	}
-	return least + rand.N(most-least)
+	return minimum + rand.N(maximum-minimum)
 }
 
 // sleep waits, or returns the context's error once it ends.
--- a/cmd/dykering/check_command.go
+++ b/cmd/dykering/check_command.go
@@ -18,7 +18,7 @@
 )
 
 // joined is several errors as one; nil for none.
-func joined(all []error) error {
+func joinErrors(all []error) error {
 	var lines []string
 	for _, err := range all {
 		if err != nil {
@@ -36,18 +36,18 @@
 		Name: "check", ArgsUsage: "FILE...",
 		Usage: "Check files and start nothing: the platform's JSON, the operator's TOML, a role's settings, a configuration of the system",
 		Action: commandline.Args(1, -1, func(_ context.Context, _ *cli.Command, args []string) error {
-			var wrong []error
+			var errs []error
 			for _, path := range args {
-				wrong = append(wrong, check(path))
+				errs = append(errs, checkFile(path))
 			}
-			return commandline.Failure(joined(wrong))
+			return commandline.Failure(joinErrors(errs))
 		}),
 	}
 }
 
 // check finds what is wrong with one file. The platform's are JSON, by their name; a configuration of the system is JSON
 // with routes, and a role's settings are TOML with a node's name.
-func check(path string) error {
+func checkFile(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
--- a/cmd/dykering/config_command.go
+++ b/cmd/dykering/config_command.go
@@ -23,14 +23,14 @@
 }
 
 func newShow() *cli.Command {
-	var f files
+	var f inputFiles
 	return &cli.Command{
 		Name: "show", Usage: "Show what holds, and where each value comes from", Flags: f.flags(),
 		Action: action(func(c *cli.Command) error { return f.show(c.Root().Writer) }),
 	}
 }
 
-func (f *files) show(out io.Writer) error {
+func (f *inputFiles) show(out io.Writer) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	if f.getenv("BALANCER_CONFIG") != "" {
 		c, err := config.Load(f.getenv)
@@ -42,9 +42,9 @@
 		}
 	}
 	o := operator.Defaults()
-	if f.operator != "" {
+	if f.operatorFile != "" {
 		var wrong []validation.Error
-		if o, wrong = operator.Load(f.operator, os.LookupEnv); len(wrong) > 0 {
+		if o, wrong = operator.Load(f.operatorFile, os.LookupEnv); len(wrong) > 0 {
 			return validation.Join(wrong)
 		}
 	}
--- a/cmd/dykering/coordination_command.go
+++ b/cmd/dykering/coordination_command.go
@@ -19,7 +19,7 @@
 const coordinationTimeout = 5 * time.Second
 
 // coordination holds the flags that all commands of the coordination service have, and where they print.
-type coordination struct {
+type coordinationFlags struct {
 	out, errOut io.Writer
 
 	addresses []string
@@ -29,7 +29,7 @@
 }
 
 // flags returns the common flags.
-func (f *coordination) flags() []cli.Flag {
+func (f *coordinationFlags) flags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringSliceFlag{
 			Name: "address", Usage: "a control_plane address of a control process, HOST:PORT; give all of them",
@@ -40,19 +40,19 @@
 }
 
 // callFlags returns the flags of a command that makes one call.
-func (f *coordination) callFlags() []cli.Flag {
+func (f *coordinationFlags) callFlags() []cli.Flag {
 	return append(f.flags(), &cli.DurationFlag{
 		Name: "timeout", Value: coordinationTimeout, Usage: "how long to try, at one address after another", Destination: &f.timeout,
 	})
 }
 
 // connect returns a client of the addresses.
-func (f *coordination) connect() (*client.Client, error) {
+func (f *coordinationFlags) connect() (*client.Client, error) {
 	return client.New(client.Options{Addresses: f.addresses, Holder: f.holder, CallTimeout: f.timeout})
 }
 
 // show prints a result: as JSON, or as a line of text.
-func (f *coordination) show(result any, text string) error {
+func (f *coordinationFlags) show(result any, text string) error {
 	if !f.json {
 		fmt.Fprintln(f.out, text)
 		return nil
@@ -61,10 +61,10 @@
 }
 
 // coordinationWork does the work of a command with a client, and shows the result.
-type coordinationWork func(ctx context.Context, c *client.Client, args []string) error
+type coordinationCall func(ctx context.Context, c *client.Client, args []string) error
 
 // action returns the action of a command with a number of arguments.
-func (f *coordination) action(arguments int, work coordinationWork) cli.ActionFunc {
+func (f *coordinationFlags) action(arguments int, work coordinationCall) cli.ActionFunc {
 	return commandline.Args(arguments, arguments, func(ctx context.Context, command *cli.Command, args []string) error {
 		f.out, f.errOut = command.Root().Writer, command.Root().ErrWriter
 		c, err := f.connect()
--- a/cmd/dykering/explain_command.go
+++ b/cmd/dykering/explain_command.go
@@ -18,7 +18,7 @@
 	"dykering/internal/protocol"
 )
 
-const explainWithin = 3 * time.Second
+const explainTimeout = 3 * time.Second
 
 func newExplain() *cli.Command {
 	return &cli.Command{
@@ -94,7 +94,7 @@
 }
 
 func askRequests(address, id string) ([]dataplane.RequestExplanation, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), explainWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), explainTimeout)
 	defer cancel()
 	query := struct {
 		Request string `url:"request,omitempty"`
--- a/cmd/dykering/key_command.go
+++ b/cmd/dykering/key_command.go
@@ -25,7 +25,7 @@
 }
 
 func newKeyGet() *cli.Command {
-	var f coordination
+	var f coordinationFlags
 	return &cli.Command{
 		Name: "get", ArgsUsage: "KEY", Usage: "Print a key's value and revision", Flags: f.callFlags(),
 		Action: f.action(1, func(ctx context.Context, c *client.Client, args []string) error {
@@ -39,7 +39,7 @@
 }
 
 func newKeyPut() *cli.Command {
-	var f coordination
+	var f coordinationFlags
 	var ifRevision int64
 	flags := append(f.callFlags(), &cli.Int64Flag{
 		Name: "if-revision", Value: -1, Destination: &ifRevision,
--- a/cmd/dykering/lock_command.go
+++ b/cmd/dykering/lock_command.go
@@ -16,7 +16,7 @@
 
 // lockCommand holds the flags of a command for a lock.
 type lockCommand struct {
-	coordination
+	coordinationFlags
 	token uint64
 	hold  time.Duration
 }
--- a/cmd/dykering/main.go
+++ b/cmd/dykering/main.go
@@ -19,12 +19,12 @@
 	return commandline.Run(context.Background(), newRoot(), args, out, errOut)
 }
 
-const about = "A broker between services, and the router and placer of many models: it picks a server for each request and keeps " +
+const programUsage = "A broker between services, and the router and placer of many models: it picks a server for each request and keeps " +
 	"strict rules."
 
 func newRoot() *cli.Command {
 	return &cli.Command{
-		Name: "dykering", Usage: about,
+		Name: "dykering", Usage: programUsage,
 		Description:                     "Exit codes: 0 well, 1 a fault in what it was given or in the running, 2 a wrong command line.",
 		EnableShellCompletion:           true,
 		ConfigureShellCompletionCommand: func(c *cli.Command) { c.Hidden = false },
--- a/cmd/dykering/number_command.go
+++ b/cmd/dykering/number_command.go
@@ -24,7 +24,7 @@
 }
 
 func newNumberNext() *cli.Command {
-	var f coordination
+	var f coordinationFlags
 	return &cli.Command{
 		Name: "next", ArgsUsage: "NAME", Usage: "Print a number above all that were given under the name", Flags: f.callFlags(),
 		Action: f.action(1, func(ctx context.Context, c *client.Client, args []string) error {
--- a/cmd/dykering/status_command.go
+++ b/cmd/dykering/status_command.go
@@ -32,20 +32,20 @@
 
 func showStatus(out io.Writer, s protocol.Status) error {
 	fmt.Fprintf(out, "%s, view %d%s, configuration %d, entry %d of %d committed, disk behind by %v\n", s.Self.ID, s.View.Number,
-		inForce(s), s.Version, s.Committed, s.Seq, s.DiskBehind)
-	fmt.Fprintf(out, "the placement is held by %s with token %d%s\n", s.View.Holder, s.View.Token, holds(s))
+		describeViewState(s), s.Version, s.Committed, s.Seq, s.DiskBehind)
+	fmt.Fprintf(out, "the placement is held by %s with token %d%s\n", s.View.Holder, s.View.Token, describePlacementHolder(s))
 	if s.Tolerance != nil {
 		fmt.Fprintln(out, describeTolerance(s.Tolerance))
 	}
 	if s.Coordination != nil {
 		fmt.Fprintln(out, describeCoordination(s.Coordination))
 	}
-	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "member\treachable\tin the chain")
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "member\treachable\tin the chain")
 	for _, m := range s.Members {
-		fmt.Fprintf(t, "%s\t%v\t%v\n", m.ID, m.Reachable, m.InChain)
+		fmt.Fprintf(table, "%s\t%v\t%v\n", m.ID, m.Reachable, m.InChain)
 	}
-	if err := t.Flush(); err != nil {
+	if err := table.Flush(); err != nil {
 		return err
 	}
 	for _, state := range []sessions.State{sessions.Ready, sessions.Expired, sessions.Draining, sessions.Departed} {
@@ -54,15 +54,15 @@
 		}
 	}
 	slices.SortFunc(s.Subscribers, func(a, b protocol.SubscriberStatus) int { return strings.Compare(a.Name, b.Name) })
-	t = tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "sidecar\tchanges behind\trevision")
+	table = tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "sidecar\tchanges behind\trevision")
 	for _, sub := range s.Subscribers {
-		fmt.Fprintf(t, "%s\t%d\t%d\n", sub.Name, sub.Behind, sub.Ack.Revision)
+		fmt.Fprintf(table, "%s\t%d\t%d\n", sub.Name, sub.Behind, sub.Ack.Revision)
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
-func inForce(s protocol.Status) string {
+func describeViewState(s protocol.Status) string {
 	switch {
 	case s.Sealed:
 		return " (the next one is being agreed on)"
@@ -72,7 +72,7 @@
 	return ""
 }
 
-func holds(s protocol.Status) string {
+func describePlacementHolder(s protocol.Status) string {
 	if s.Holds {
 		return ", which is this one"
 	}
--- a/cmd/dykering/watch_command.go
+++ b/cmd/dykering/watch_command.go
@@ -12,7 +12,7 @@
 
 // watchCommand holds the flags of the command.
 type watchCommand struct {
-	coordination
+	coordinationFlags
 	after uint64
 	count uint64
 }
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -17,13 +17,13 @@
 
 const (
 	// period is that of sampling, and of the telling of what was left out.
-	period = time.Second
+	samplingPeriod = time.Second
 	// maxLine is how many bytes of a line are kept.
-	maxLine = 2 << 10
+	maxLineBytes = 2 << 10
 	// flushFor is how long Close waits for the sink.
-	flushFor = 500 * time.Millisecond
+	flushTimeout = 500 * time.Millisecond
 	// mostEvents bounds the events that are counted each by itself.
-	mostEvents = 256
+	maxCountedEvents = 256
 )
 
 // The events that this package logs itself.
@@ -36,37 +36,37 @@
 // Log is a log and its sink. Its settings can be changed while it is used.
 type Log struct {
 	*zap.Logger
-	sink       *sink
-	level      zap.AtomicLevel
-	now        atomic.Pointer[settings]
-	state      *state
-	generation atomic.Int64
+	sink            *sink
+	level           zap.AtomicLevel
+	currentSettings atomic.Pointer[settings]
+	counters        *lineCounters
+	generation      atomic.Int64
 }
 
 // settings are those that are in force.
 type settings struct {
-	encoder      zapcore.Encoder
-	burst, total int // lines a period, of an event and of all
+	encoder                 zapcore.Encoder
+	maxEventLines, maxLines int // lines a period, of an event and of all
 }
 
 // state counts the lines of a period, and those that were not written. It is one for all loggers made of a Log.
-type state struct {
-	mu     sync.Mutex
-	end    time.Time // of the period
-	lines  int
-	events map[string]int // lines of each event in this period
-	left   map[string]int // of each event, lines left out that nobody has been told of yet,
-	lost   map[string]int // and lines that the sink did not take
+type lineCounters struct {
+	mu            sync.Mutex
+	periodEnd     time.Time // of the period
+	passed        int
+	passedByEvent map[string]int // lines of each event in this period
+	sampledOut    map[string]int // of each event, lines left out that nobody has been told of yet,
+	dropped       map[string]int // and lines that the sink did not take
 }
 
-func newState() *state {
-	return &state{events: map[string]int{}, left: map[string]int{}, lost: map[string]int{}}
+func newLineCounters() *lineCounters {
+	return &lineCounters{passedByEvent: map[string]int{}, sampledOut: map[string]int{}, dropped: map[string]int{}}
 }
 
 // count adds lines of an event, and gives what it comes to. The names of events are those in the code, so that they are
 // few; mostEvents holds all the same.
-func count(counts map[string]int, event string, lines int) int {
-	if _, ok := counts[event]; !ok && len(counts) >= mostEvents {
+func addCount(counts map[string]int, event string, lines int) int {
+	if _, ok := counts[event]; !ok && len(counts) >= maxCountedEvents {
 		event = EventOther
 	}
 	counts[event] += lines
@@ -75,7 +75,7 @@
 
 // New makes a log that writes to w. It owns a goroutine until Close.
 func New(w io.Writer, s *Section) *Log {
-	l := &Log{sink: newSink(w, int(s.Buffer)/maxLine), level: zap.NewAtomicLevel(), state: newState()}
+	l := &Log{sink: newSink(w, int(s.Buffer)/maxLineBytes), level: zap.NewAtomicLevel(), counters: newLineCounters()}
 	l.Set(s)
 	l.Logger = zap.New(&core{log: l})
 	go l.sink.run(l)
@@ -87,7 +87,7 @@
 	config := zap.NewProductionEncoderConfig()
 	config.TimeKey, config.MessageKey, config.CallerKey, config.StacktraceKey = "time", "event", "", ""
 	config.EncodeTime = zapcore.ISO8601TimeEncoder
-	next := &settings{burst: s.Burst, total: s.Most}
+	next := &settings{maxEventLines: s.Burst, maxLines: s.MaxLines}
 	if s.Format == FormatJSON {
 		config.EncodeDuration = zapcore.MillisDurationEncoder
 		next.encoder = zapcore.NewJSONEncoder(config)
@@ -97,7 +97,7 @@
 		next.encoder = zapcore.NewConsoleEncoder(config)
 	}
 	l.level.SetLevel(s.Level.Level)
-	l.now.Store(next)
+	l.currentSettings.Store(next)
 }
 
 // Generation has lines name the generation of the operator's file that is in force; 0 for none.
@@ -126,114 +126,114 @@
 }
 
 func (c *core) Write(e zapcore.Entry, fields []zapcore.Field) error {
-	now := c.log.now.Load()
-	if !c.log.state.take(e.Time, e.Message, now) {
+	settings := c.log.currentSettings.Load()
+	if !c.log.counters.allow(e.Time, e.Message, settings) {
 		return nil
 	}
-	return c.log.emit(now, e, append(c.fields[:len(c.fields):len(c.fields)], fields...))
+	return c.log.emit(settings, e, append(c.fields[:len(c.fields):len(c.fields)], fields...))
 }
 
 func (c *core) Sync() error { return nil }
 
 // emit encodes a line and hands it to the sink.
-func (l *Log) emit(now *settings, e zapcore.Entry, fields []zapcore.Field) error {
-	return l.encode(now, e, fields, line{event: e.Message, lines: 1, counts: l.state.lost})
+func (l *Log) emit(settings *settings, e zapcore.Entry, fields []zapcore.Field) error {
+	return l.enqueue(settings, e, fields, logLine{event: e.Message, represented: 1, counter: l.counters.dropped})
 }
 
 // encode hands a line to the sink that stands for some lines of an event, which count again if it is not written.
-func (l *Log) encode(now *settings, e zapcore.Entry, fields []zapcore.Field, to line) error {
+func (l *Log) enqueue(settings *settings, e zapcore.Entry, fields []zapcore.Field, queued logLine) error {
 	if n := l.generation.Load(); n > 0 {
 		fields = append(fields[:len(fields):len(fields)], zap.Int64("generation", n))
 	}
-	text, err := now.encoder.EncodeEntry(e, fields)
+	text, err := settings.encoder.EncodeEntry(e, fields)
 	if err != nil {
-		l.state.again(to)
+		l.counters.restore(queued)
 		return err
 	}
 	defer text.Free()
-	to.text = text.Bytes()
-	if len(to.text) > maxLine {
-		to.text = append(to.text[:maxLine-1:maxLine-1], '\n')
+	queued.text = text.Bytes()
+	if len(queued.text) > maxLineBytes {
+		queued.text = append(queued.text[:maxLineBytes-1:maxLineBytes-1], '\n')
 	}
-	to.text = append([]byte(nil), to.text...)
-	if !l.sink.put(to) {
-		l.state.again(to)
+	queued.text = append([]byte(nil), queued.text...)
+	if !l.sink.tryEnqueue(queued) {
+		l.counters.restore(queued)
 	}
 	return nil
 }
 
 // take tells whether a line may pass. The first of each event in a period does, whatever else is logged.
-func (t *state) take(at time.Time, event string, now *settings) (pass bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.turn(at)
-	if n := count(t.events, event, 1); n > 1 && (n > now.burst || t.lines >= now.total) {
-		count(t.left, event, 1)
+func (c *lineCounters) allow(now time.Time, event string, limits *settings) (pass bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.startPeriodIfOver(now)
+	if n := addCount(c.passedByEvent, event, 1); n > 1 && (n > limits.maxEventLines || c.passed >= limits.maxLines) {
+		addCount(c.sampledOut, event, 1)
 		return false
 	}
-	t.lines++
+	c.passed++
 	return true
 }
 
 // turn begins a period if the one before is over.
-func (t *state) turn(at time.Time) {
-	if !at.Before(t.end) {
-		clear(t.events)
-		t.end, t.lines = at.Add(period), 0
+func (c *lineCounters) startPeriodIfOver(at time.Time) {
+	if !at.Before(c.periodEnd) {
+		clear(c.passedByEvent)
+		c.periodEnd, c.passed = at.Add(samplingPeriod), 0
 	}
 }
 
 // again counts lines that nobody was told of after all.
-func (t *state) again(l line) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	count(l.counts, l.event, l.lines)
+func (c *lineCounters) restore(l logLine) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	addCount(l.counter, l.event, l.represented)
 }
 
 // untold takes out what is to be told of some counts.
-func (t *state) untold(at time.Time, counts map[string]int) (all []line) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.turn(at)
+func (c *lineCounters) takeAll(now time.Time, counts map[string]int) (all []logLine) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.startPeriodIfOver(now)
 	for _, event := range slices.Sorted(maps.Keys(counts)) {
-		all = append(all, line{event: event, lines: counts[event], counts: counts})
+		all = append(all, logLine{event: event, represented: counts[event], counter: counts})
 	}
 	clear(counts)
 	return all
 }
 
 // tell tells, of each event, how many lines were left out.
-func (l *Log) tell(at time.Time) {
-	for _, x := range l.state.untold(at, l.state.left) {
+func (l *Log) reportSampled(at time.Time) {
+	for _, x := range l.counters.takeAll(at, l.counters.sampledOut) {
 		entry := zapcore.Entry{Level: zapcore.WarnLevel, Time: at, Message: EventSampled}
-		_ = l.encode(l.now.Load(), entry, []zapcore.Field{zap.String("of", x.event), zap.Int("left_out", x.lines)}, x)
+		_ = l.enqueue(l.currentSettings.Load(), entry, []zapcore.Field{zap.String("of", x.event), zap.Int("left_out", x.represented)}, x)
 	}
 }
 
 // line is a line on its way to the sink. It is an event's, or tells of several of an event's; they are counted again
 // where it is not written.
-type line struct {
-	text   []byte
-	event  string
-	lines  int
-	counts map[string]int
+type logLine struct {
+	text        []byte
+	event       string
+	represented int
+	counter     map[string]int
 }
 
 // sink writes lines in a goroutine of its own.
 type sink struct {
-	w       io.Writer
-	lines   chan line
-	closing chan struct{}
-	done    chan struct{}
-	once    sync.Once
+	w         io.Writer
+	lines     chan logLine
+	closing   chan struct{}
+	done      chan struct{}
+	closeOnce sync.Once
 }
 
 func newSink(w io.Writer, lines int) *sink {
-	return &sink{w: w, lines: make(chan line, max(lines, 1)), closing: make(chan struct{}), done: make(chan struct{})}
+	return &sink{w: w, lines: make(chan logLine, max(lines, 1)), closing: make(chan struct{}), done: make(chan struct{})}
 }
 
 // put never waits. It is false where there is no room.
-func (s *sink) put(l line) bool {
+func (s *sink) tryEnqueue(l logLine) bool {
 	select {
 	case s.lines <- l:
 		return true
@@ -245,25 +245,25 @@
 // run writes until the log is closed.
 func (s *sink) run(l *Log) {
 	defer close(s.done)
-	tick := time.NewTicker(period)
+	tick := time.NewTicker(samplingPeriod)
 	defer tick.Stop()
 	for {
 		select {
 		case x := <-s.lines:
 			s.write(l, x)
 		case now := <-tick.C:
-			l.tell(now)
+			l.reportSampled(now)
 		case <-s.closing:
 			for {
 				select {
 				case x := <-s.lines:
 					s.write(l, x)
 				default:
-					l.tell(time.Now())
+					l.reportSampled(time.Now())
 					for len(s.lines) > 0 {
 						s.write(l, <-s.lines)
 					}
-					s.confess(l)
+					s.reportDropped(l)
 					return
 				}
 			}
@@ -271,29 +271,29 @@
 	}
 }
 
-func (s *sink) write(l *Log, x line) {
-	if !s.confess(l) {
-		l.state.again(x)
+func (s *sink) write(l *Log, x logLine) {
+	if !s.reportDropped(l) {
+		l.counters.restore(x)
 		return
 	}
 	if _, err := s.w.Write(x.text); err != nil {
-		l.state.again(x) // whoever reads again is told how many are missing
+		l.counters.restore(x) // whoever reads again is told how many are missing
 	}
 }
 
 // confess tells, of each event, how many lines were lost, once the sink takes any again. It is false while it does not.
-func (s *sink) confess(l *Log) bool {
-	all := l.state.untold(time.Time{}, l.state.lost)
+func (s *sink) reportDropped(l *Log) bool {
+	all := l.counters.takeAll(time.Time{}, l.counters.dropped)
 	for i, x := range all {
 		entry := zapcore.Entry{Level: zapcore.WarnLevel, Time: time.Now(), Message: EventDropped}
-		text, err := l.now.Load().encoder.EncodeEntry(entry, []zapcore.Field{zap.String("of", x.event), zap.Int("lines", x.lines)})
+		text, err := l.currentSettings.Load().encoder.EncodeEntry(entry, []zapcore.Field{zap.String("of", x.event), zap.Int("lines", x.represented)})
 		if err == nil {
 			_, err = s.w.Write(text.Bytes())
 			text.Free()
 		}
 		if err != nil {
 			for _, x := range all[i:] {
-				l.state.again(x)
+				l.counters.restore(x)
 			}
 			return false
 		}
@@ -302,9 +302,9 @@
 }
 
 func (s *sink) close() {
-	s.once.Do(func() { close(s.closing) })
+	s.closeOnce.Do(func() { close(s.closing) })
 	select {
 	case <-s.done:
-	case <-time.After(flushFor):
+	case <-time.After(flushTimeout):
 	}
 }
--- a/internal/logs/section.go
+++ b/internal/logs/section.go
@@ -17,16 +17,16 @@
 
 // Section is the table [log] of an operator's file.
 type Section struct {
-	Format string           `toml:"format" doc:"how lines look: console or json" oneof:"console json"`
-	Level  Level            `toml:"level" doc:"the least that is logged: debug, info, warn or error"`
-	Burst  int              `toml:"burst" doc:"lines of one event a second; what is more is counted" min:"1" max:"1000"`
-	Most   int              `toml:"most" doc:"lines of all events a second" min:"1" max:"10000"`
-	Buffer tomlconfig.Bytes `toml:"buffer" doc:"memory for lines that wait for the sink; read at the start" min:"4KiB" max:"16MiB"`
+	Format   string           `toml:"format" doc:"how lines look: console or json" oneof:"console json"`
+	Level    Level            `toml:"level" doc:"the least that is logged: debug, info, warn or error"`
+	Burst    int              `toml:"burst" doc:"lines of one event a second; what is more is counted" min:"1" max:"1000"`
+	MaxLines int              `toml:"most" doc:"lines of all events a second" min:"1" max:"10000"`
+	Buffer   tomlconfig.Bytes `toml:"buffer" doc:"memory for lines that wait for the sink; read at the start" min:"4KiB" max:"16MiB"`
 }
 
 // Default is what holds without an operator's file.
 func Default() *Section {
-	return &Section{Format: FormatConsole, Level: Level{zapcore.InfoLevel}, Burst: 20, Most: 80, Buffer: 512 << 10}
+	return &Section{Format: FormatConsole, Level: Level{zapcore.InfoLevel}, Burst: 20, MaxLines: 80, Buffer: 512 << 10}
 }
 
 func init() {
